--- a/crates/lockusher-agent/src/error.rs
+++ b/crates/lockusher-agent/src/error.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddrV4;
 
 use derive_more::{Display, Error};
-use lockusher_model::settings::TooFewPorts;
-use lockusher_net::error::NetError;
+use lockusher_config::settings::TooFewPorts;
+use lockusher_transport::error::NetError;
 
 /// Why the agent can't run.
 #[derive(Debug, Display, Error)]
--- a/crates/lockusher-agent/src/list_merge.rs
+++ b/crates/lockusher-agent/src/list_merge.rs
@@ -10,11 +10,11 @@
 
 use std::rc::Rc;
 
+use lockusher_config::instances::{Instance, ListRevision};
 use lockusher_distribution::ended::{End, EndedInstances};
 use lockusher_distribution::list_reader::Reading;
 use lockusher_distribution::publisher::InstanceList;
 use lockusher_distribution::revision;
-use lockusher_model::instances::{Instance, ListRevision};
 
 /// A list that hasn't been confirmed for this long is stale.
 pub const FRESH_MS: u64 = 2_000;
--- a/crates/lockusher-agent/src/peers/serve.rs
+++ b/crates/lockusher-agent/src/peers/serve.rs
@@ -7,13 +7,13 @@
 
 use compio::BufResult;
 use compio::net::UdpSocket;
+use lockusher_config::configuration::Configuration;
 use lockusher_distribution::message::{Envelope, SubscriberIdentity, ToSubscriber};
 use lockusher_distribution::signal::Signal;
 use lockusher_distribution::subscribe::SubscribeError;
 use lockusher_distribution::subscriber::Subscriber;
-use lockusher_model::configuration::Configuration;
-use lockusher_net::clock::Clock;
-use lockusher_net::frame;
+use lockusher_transport::clock::Clock;
+use lockusher_transport::frame;
 
 use super::gossip::{Gossip, Outgoing};
 use super::message::{EndRumor, PeerMessage};
@@ -128,7 +128,7 @@
         subscriber.offer_configuration(held);
     }
     let fetch = async {
-        let stream = lockusher_net::tcp::connect(peer, FETCH_LIMIT).await?;
+        let stream = lockusher_transport::tcp::connect(peer, FETCH_LIMIT).await?;
         let (mut reader, mut writer) = frame::split::<Envelope, Envelope>(stream)?;
         writer.write(&Envelope::seal(&subscriber.subscribe(clock.millis()))).await?;
         loop {
--- a/crates/lockusher-agent/src/redirect.rs
+++ b/crates/lockusher-agent/src/redirect.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, Response, StatusCode};
 use lockusher_distribution::reconnect::ControlNodePolicy;
 use lockusher_distribution::subscribe::SharedSubscriber;
-use lockusher_net::http::{self, WholeBody, answer};
+use lockusher_transport::http::{self, WholeBody, answer};
 
 /// The largest body that is read to its end before the answer; a caller that sends more is cut off.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -12,6 +12,7 @@
 use compio::net::TcpListener;
 use futures_util::future::{Either, select};
 use futures_util::pin_mut;
+use lockusher_config::settings::{EdgeControl, InternalListener, NodeSettings, TooFewPorts};
 use lockusher_distribution::list_calls;
 use lockusher_distribution::list_reader::ListReader;
 use lockusher_distribution::message::{Behind, SubscriberIdentity};
@@ -20,8 +21,7 @@
 use lockusher_distribution::serve::{self, SharedPublisher};
 use lockusher_distribution::subscribe::SharedSubscriber;
 use lockusher_distribution::subscriber::Subscriber;
-use lockusher_model::settings::{EdgeControl, InternalListener, NodeSettings, TooFewPorts};
-use lockusher_net::clock::Clock;
+use lockusher_transport::clock::Clock;
 
 use crate::error::AgentError;
 use crate::fleet_size::FleetSize;
@@ -311,7 +311,7 @@
 }
 
 async fn listen(address: SocketAddrV4) -> Result<TcpListener, AgentError> {
-    lockusher_net::tcp::listen(address).await.map_err(|source| AgentError::Listen { address, source })
+    lockusher_transport::tcp::listen(address).await.map_err(|source| AgentError::Listen { address, source })
 }
 
 /// Where other agents reach this one, over UDP and TCP.
--- a/crates/lockusher-agent/tests/list_merge.rs
+++ b/crates/lockusher-agent/tests/list_merge.rs
@@ -8,11 +8,11 @@
 
 use common::{draining, instance, revision};
 use lockusher_agent::list_merge::ListMerge;
+use lockusher_config::instances::{Instance, InstanceState, ListRevision};
 use lockusher_distribution::ended::End;
 use lockusher_distribution::list_reader::Reading;
 use lockusher_distribution::publisher::InstanceList;
 use lockusher_distribution::revision::{READER_STEP, is_of_reader, next_of_reader};
-use lockusher_model::instances::{Instance, InstanceState, ListRevision};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/lockusher-agent/tests/loopback.rs
+++ b/crates/lockusher-agent/tests/loopback.rs
@@ -16,15 +16,15 @@
 use hyper::StatusCode;
 use lockusher_agent::peers::serve::{PeerSocket, fetch_configuration};
 use lockusher_agent::serve;
+use lockusher_config::instances::Instance;
+use lockusher_config::settings::NodeSettings;
 use lockusher_distribution::ended::End;
 use lockusher_distribution::message::SubscriberIdentity;
 use lockusher_distribution::publisher::{Publisher, PublisherStatus};
 use lockusher_distribution::revision::READER_STEP;
 use lockusher_distribution::serve::SharedPublisher;
 use lockusher_distribution::subscribe::{self, Feed, FeedUpdate};
-use lockusher_model::instances::Instance;
-use lockusher_model::settings::NodeSettings;
-use lockusher_net::clock::Clock;
+use lockusher_transport::clock::Clock;
 
 /// No state takes this long to come about.
 const LIMIT: Duration = Duration::from_secs(30);
@@ -82,9 +82,9 @@
         let handler = move |request: hyper::Request<hyper::body::Incoming>| {
             counted.set(counted.get() + 1);
             let body = answer(&listed.borrow(), request.uri().query());
-            async move { lockusher_net::http::answer(StatusCode::OK, "application/json", body) }
+            async move { lockusher_transport::http::answer(StatusCode::OK, "application/json", body) }
         };
-        let _serving = compio::runtime::spawn(lockusher_net::http::serve(listener, handler));
+        let _serving = compio::runtime::spawn(lockusher_transport::http::serve(listener, handler));
         Platform { address, identifiers, calls, _serving }
     }
 }
@@ -278,7 +278,7 @@
 
 /// An operator's call at an edge machine without a control node: its status and where it is sent on to.
 async fn call_operator(address: SocketAddrV4) -> (StatusCode, Option<String>) {
-    let stream = lockusher_net::tcp::connect(address, LIMIT).await.expect("a connection");
+    let stream = lockusher_transport::tcp::connect(address, LIMIT).await.expect("a connection");
     let stream = cyper_core::HyperStream::new_plain(stream.into_poll_fd().expect("polled"));
     let (mut sender, connection) = hyper::client::conn::http1::handshake(stream).await.expect("a handshake");
     let _driver = compio::runtime::spawn(connection);
@@ -304,7 +304,7 @@
     let _agent = start_agent(&settings);
     let mut proxy = Proxy::start(ports);
     // Without a control node there is nowhere to go. The agent listens once it answers.
-    let ready = async { while lockusher_net::tcp::connect(here, LIMIT).await.is_err() {} };
+    let ready = async { while lockusher_transport::tcp::connect(here, LIMIT).await.is_err() {} };
     timeout(LIMIT, ready).await.expect("the agent listens");
     assert_eq!(call_operator(here).await, (StatusCode::SERVICE_UNAVAILABLE, None));
 
--- a/crates/lockusher-lab/src/check.rs
+++ b/crates/lockusher-aggregator-testbed/src/check.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use lockusher::interface::Span;
+use lockusher_policy::interface::Span;
 
 /// What the registry says of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/lockusher-lab/src/demo.rs
+++ b/crates/lockusher-aggregator-testbed/src/demo.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use lockusher_registry::core::follow::Protocol;
+use lockusher_registry_client::core::follow::Protocol;
 
 use crate::fleet::{self, Followed};
 use crate::registry::Registry;
--- a/crates/lockusher-lab/src/fleet.rs
+++ b/crates/lockusher-aggregator-testbed/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use lockusher_registry::core::follow::Protocol;
+use lockusher_registry_client::core::follow::Protocol;
 use serde_json::{Value, json};
 
 use crate::registry::relay::Relay;
@@ -72,7 +72,7 @@
     pub fn start(setup: &Setup, text: &str, quiet: bool) -> std::io::Result<Self> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let file = format!("lockusher-lab-{}-{number}.txtpb", std::process::id());
+        let file = format!("lockusher-aggregator-testbed-{}-{number}.txtpb", std::process::id());
         let file = std::env::temp_dir().join(file);
         std::fs::write(&file, text)?;
         let config = json!({
--- a/crates/lockusher-lab/src/http2.rs
+++ b/crates/lockusher-aggregator-testbed/src/http2.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use anyhow::Result;
-use lockusher::interface::Span;
-use lockusher_registry::core::follow::Protocol;
+use lockusher_policy::interface::Span;
+use lockusher_registry_client::core::follow::Protocol;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::json;
--- a/crates/lockusher-lab/src/large.rs
+++ b/crates/lockusher-aggregator-testbed/src/large.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Result, ensure};
-use lockusher_registry::core::follow::Protocol;
+use lockusher_registry_client::core::follow::Protocol;
 
 use crate::fleet::{self, Followed, Load};
 use crate::registry::Registry;
--- a/crates/lockusher-lab/src/main.rs
+++ b/crates/lockusher-aggregator-testbed/src/main.rs
@@ -1,15 +1,15 @@
-//! `lockusher-lab`: measurements that are too long for the tests, each with one last line of figures and an exit that
+//! `lockusher-aggregator-testbed`: measurements that are too long for the tests, each with one last line of figures and an exit that
 //! is not zero if a promise was broken; and a demonstration.
 
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use lockusher::interface::Span;
+use lockusher_aggregator_testbed::{chain, chain_mistakes, demo, http2, large, mixers, soak, standstill};
 use lockusher_control::Mistake;
 use lockusher_control::simulation::Checks;
-use lockusher_lab::{chain, chain_mistakes, demo, http2, large, mixers, soak, standstill};
-use lockusher_registry::core::follow::Protocol;
+use lockusher_policy::interface::Span;
+use lockusher_registry_client::core::follow::Protocol;
 
 #[derive(Parser)]
 #[command(about)]
@@ -210,7 +210,7 @@
 fn main() -> ExitCode {
     let kept = match Line::parse().command {
         Command::Mixer { args } => {
-            return lockusher_mixer::program::run(std::iter::once("lockusher".into()).chain(args));
+            return lockusher_aggregator::program::run(std::iter::once("lockusher".into()).chain(args));
         }
         Command::Demo => demo::run(),
         Command::Registry { protocol, seed, seconds, hosts, baseline, calm, verbose } => {
--- a/crates/lockusher-lab/src/mixers/mod.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/mod.rs
@@ -12,7 +12,7 @@
 pub mod virtual_time;
 pub mod worker;
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 
 /// The median, the 99th of 100, and the worst, in milliseconds; zeros of nothing.
 pub fn percentiles(spans: &mut [Span]) -> [u64; 3] {
--- a/crates/lockusher-lab/src/mixers/shared.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::Result;
-use lockusher::interface::Span;
+use lockusher_policy::interface::Span;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-lab/src/mixers/shared_sim.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
@@ -1,8 +1,8 @@
 //! `shared-sim`: state that mixers share in virtual time, at sizes that processes do not reach.
 
 use anyhow::Result;
-use lockusher::interface::{Budget, Glimpse, SearcherId, Span, Time};
-use lockusher_fleet::core::share::{Own, Shares};
+use lockusher_membership::core::share::{Own, Shares};
+use lockusher_policy::interface::{Budget, Glimpse, SearcherId, Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-lab/src/mixers/simulate.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/simulate.rs
@@ -1,7 +1,7 @@
 //! `fleet-sim`: the fleet's promises in virtual time, at sizes that processes do not reach.
 
 use anyhow::Result;
-use lockusher::interface::Span;
+use lockusher_policy::interface::Span;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-lab/src/mixers/virtual_time.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/virtual_time.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use lockusher::interface::{Span, Time};
-use lockusher_fleet::core::share::Own;
-use lockusher_fleet::core::table::{MixerName, State};
-use lockusher_fleet::core::{Change, Core, Counts, Plan, Standing};
+use lockusher_membership::core::share::Own;
+use lockusher_membership::core::table::{MixerName, State};
+use lockusher_membership::core::{Change, Core, Counts, Plan, Standing};
+use lockusher_policy::interface::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-lab/src/registry/consul.rs
+++ b/crates/lockusher-aggregator-testbed/src/registry/consul.rs
@@ -6,7 +6,7 @@
 
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
-use lockusher_registry::io::etcd_range_end;
+use lockusher_registry_client::io::etcd_range_end;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/lockusher-lab/src/soak.rs
+++ b/crates/lockusher-aggregator-testbed/src/soak.rs
@@ -8,12 +8,12 @@
 
 use anyhow::Result;
 use hdrhistogram::Histogram;
-use lockusher::interface::{Span, Time};
-use lockusher_host::list::List;
-use lockusher_host::settings::Names;
-use lockusher_registry::core::entry::Revision;
-use lockusher_registry::core::follow::{Plan, Protocol};
-use lockusher_registry::io::follow;
+use lockusher_multiget::list::List;
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::{Span, Time};
+use lockusher_registry_client::core::entry::Revision;
+use lockusher_registry_client::core::follow::{Plan, Protocol};
+use lockusher_registry_client::io::follow;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::{mpsc, watch};
@@ -143,7 +143,7 @@
             let mut every = tokio::time::interval(BASELINE_EVERY);
             while *stop.borrow() {
                 every.tick().await;
-                if let Some(Revision(revision)) = lockusher_registry::io::read_whole(&plan).await {
+                if let Some(Revision(revision)) = lockusher_registry_client::io::read_whole(&plan).await {
                     timed.tells(revision);
                 }
             }
--- a/crates/lockusher-lab/src/stand_in/http2.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use lockusher_h2::outcome::{ENHANCE_YOUR_CALM, NO_ERROR, REFUSED_STREAM};
+use lockusher_http2::outcome::{ENHANCE_YOUR_CALM, NO_ERROR, REFUSED_STREAM};
 use prost::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/lockusher-lab/src/stand_in/world.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/world.rs
@@ -110,13 +110,14 @@
 /// The program that stories run: the mixer that cargo built beside a test, or the lab, which can be one.
 fn program() -> Command {
     let this = std::env::current_exe().expect("a path");
-    let is_lab = this.file_stem().is_some_and(|stem| stem == "lockusher-lab");
-    let of_lab = std::env::var("CARGO_PKG_NAME").is_ok_and(|package| package == "lockusher-lab");
+    let is_lab = this.file_stem().is_some_and(|stem| stem == "lockusher-aggregator-testbed");
+    let of_lab =
+        std::env::var("CARGO_PKG_NAME").is_ok_and(|package| package == "lockusher-aggregator-testbed");
     let beside =
         |name| this.parent().and_then(Path::parent).expect("a test lies two folders deep").join(name);
     let mut command = match (is_lab, of_lab) {
         (true, _) => Command::new(&this),
-        (false, true) => Command::new(beside("lockusher-lab")),
+        (false, true) => Command::new(beside("lockusher-aggregator-testbed")),
         (false, false) => return Command::new(beside("lockusher")),
     };
     command.arg("mixer");
--- a/crates/lockusher-lab/tests/chain.rs
+++ b/crates/lockusher-aggregator-testbed/tests/chain.rs
@@ -2,8 +2,8 @@
 
 use std::num::NonZero;
 
+use lockusher_aggregator_testbed::chain::{ChainRuns, ChainTotals, report, run, simulate_all};
 use lockusher_control::simulation::{Checks, Outcome, simulate};
-use lockusher_lab::chain::{ChainRuns, ChainTotals, report, run, simulate_all};
 use rstest::rstest;
 
 fn options(replicas: usize, runs: u64, threads: usize) -> ChainRuns {
--- a/crates/lockusher-lab/tests/fleet_processes.rs
+++ b/crates/lockusher-aggregator-testbed/tests/fleet_processes.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use lockusher_lab::mixers::ground::{Ground, Plan, View, name};
-use lockusher_lab::mixers::switch::{End, Way};
+use lockusher_aggregator_testbed::mixers::ground::{Ground, Plan, View, name};
+use lockusher_aggregator_testbed::mixers::switch::{End, Way};
 use rstest::rstest;
 
 const LONG: Duration = Duration::from_secs(40);
--- a/crates/lockusher-lab/tests/fleet_view.rs
+++ b/crates/lockusher-aggregator-testbed/tests/fleet_view.rs
@@ -1,9 +1,9 @@
 //! The fleet's view in virtual time: what breaks it, and that it settles again. No sockets, no real time.
 
-use lockusher::interface::Span;
-use lockusher_fleet::core::Standing;
-use lockusher_fleet::core::table::State;
-use lockusher_lab::mixers::virtual_time::World;
+use lockusher_aggregator_testbed::mixers::virtual_time::World;
+use lockusher_membership::core::Standing;
+use lockusher_membership::core::table::State;
+use lockusher_policy::interface::Span;
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -140,8 +140,9 @@
     let mut world = settled(30, 12);
     world.net.deaf = (20..30).map(|mixer| (mixer, 0.5)).collect();
     world.play(Span::from_millis(15_000));
-    let among_sound =
-        |death: &&lockusher_lab::mixers::virtual_time::FalseDeath| death.of < 20 && death.by < 20;
+    let among_sound = |death: &&lockusher_aggregator_testbed::mixers::virtual_time::FalseDeath| {
+        death.of < 20 && death.by < 20
+    };
     assert_eq!(world.false_deaths.iter().filter(among_sound).count(), 0);
     world.net.deaf.clear();
     assert!(world.settle(FIVE).is_some());
@@ -320,6 +321,8 @@
     world.net.deaf.insert(7, deaf);
     world.net.loss = loss;
     world.play(Span::from_millis(20_000));
-    let of_others = |death: &&lockusher_lab::mixers::virtual_time::FalseDeath| death.by != 7 && death.of != 7;
+    let of_others = |death: &&lockusher_aggregator_testbed::mixers::virtual_time::FalseDeath| {
+        death.by != 7 && death.of != 7
+    };
     assert_eq!(world.false_deaths.iter().filter(of_others).count(), 0);
 }
--- a/crates/lockusher-lab/tests/http2.rs
+++ b/crates/lockusher-aggregator-testbed/tests/http2.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use lockusher::interface::{Outcome, PartId, Shard, Span};
-use lockusher_h2::connection::{Came, Host, Sent, Shared};
-use lockusher_h2::outcome::{CANCEL, REFUSED_STREAM};
-use lockusher_h2::pool::{Limits, MOST_CALLS};
-use lockusher_h2::wire::Part;
-use lockusher_lab::fleet::{self, Followed};
-use lockusher_lab::registry::Registry;
-use lockusher_lab::stand_in::http2::{Does, Http2Searcher, Says};
-use lockusher_lab::stand_in::{LONG, Searcher, Setup, until};
-use lockusher_registry::core::follow::Protocol;
+use lockusher_aggregator_testbed::fleet::{self, Followed};
+use lockusher_aggregator_testbed::registry::Registry;
+use lockusher_aggregator_testbed::stand_in::http2::{Does, Http2Searcher, Says};
+use lockusher_aggregator_testbed::stand_in::{LONG, Searcher, Setup, until};
+use lockusher_http2::connection::{Came, Host, Sent, Shared};
+use lockusher_http2::outcome::{CANCEL, REFUSED_STREAM};
+use lockusher_http2::pool::{Limits, MOST_CALLS};
+use lockusher_http2::wire::Part;
+use lockusher_policy::interface::{Outcome, PartId, Shard, Span};
+use lockusher_registry_client::core::follow::Protocol;
 use rstest::rstest;
 use tokio::sync::mpsc;
 
--- a/crates/lockusher-lab/tests/model.rs
+++ b/crates/lockusher-aggregator-testbed/tests/model.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeMap;
 
-use lockusher::interface::{SearcherState, Span, Time};
-use lockusher_host::settings::Names;
-use lockusher_lab::registry::store::{Event, Kv, Refused, Store, Write};
-use lockusher_registry::core::entry::{Change, ClusterId, Entry, Revision};
-use lockusher_registry::core::follow::{Act, Call, Follower, Heard, Plan, Protocol};
-use lockusher_registry::core::view::Version;
+use lockusher_aggregator_testbed::registry::store::{Event, Kv, Refused, Store, Write};
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::{SearcherState, Span, Time};
+use lockusher_registry_client::core::entry::{Change, ClusterId, Entry, Revision};
+use lockusher_registry_client::core::follow::{Act, Call, Follower, Heard, Plan, Protocol};
+use lockusher_registry_client::core::view::Version;
 use proptest::prelude::*;
 
 const PREFIX: &[u8] = b"hosts/";
--- a/crates/lockusher-lab/tests/registry.rs
+++ b/crates/lockusher-aggregator-testbed/tests/registry.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use lockusher_lab::fleet::{self, Endpoint, Followed};
-use lockusher_lab::registry::Registry;
-use lockusher_lab::registry::store::Write;
-use lockusher_lab::stand_in::{Searcher, Setup, until};
-use lockusher_registry::core::follow::Protocol;
+use lockusher_aggregator_testbed::fleet::{self, Endpoint, Followed};
+use lockusher_aggregator_testbed::registry::Registry;
+use lockusher_aggregator_testbed::registry::store::Write;
+use lockusher_aggregator_testbed::stand_in::{Searcher, Setup, until};
+use lockusher_registry_client::core::follow::Protocol;
 use rstest::rstest;
 use tokio::runtime::Runtime;
 
@@ -238,7 +238,7 @@
 #[rstest]
 fn the_command_line() {
     let story = Story::start(Protocol::Etcd, 1);
-    let lab = || std::process::Command::new(env!("CARGO_BIN_EXE_lockusher-lab"));
+    let lab = || std::process::Command::new(env!("CARGO_BIN_EXE_lockusher-aggregator-testbed"));
     let dump = lab().args(["mixer", "registry", "dump", "--settings"]).arg(&story.followed.settings).output();
     let dump = dump.expect("it runs");
     let list: serde_json::Value = serde_json::from_slice(&dump.stdout).expect("a list");
--- a/crates/lockusher-lab/tests/shared_processes.rs
+++ b/crates/lockusher-aggregator-testbed/tests/shared_processes.rs
@@ -4,11 +4,11 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-use lockusher_fleet::proto;
-use lockusher_lab::mixers::clients::End as Came;
-use lockusher_lab::mixers::ground::{Ground, Plan, View, name};
-use lockusher_lab::mixers::spent::{further_sends, slack, worst_second};
-use lockusher_lab::mixers::switch::{End, Way};
+use lockusher_aggregator_testbed::mixers::clients::End as Came;
+use lockusher_aggregator_testbed::mixers::ground::{Ground, Plan, View, name};
+use lockusher_aggregator_testbed::mixers::spent::{further_sends, slack, worst_second};
+use lockusher_aggregator_testbed::mixers::switch::{End, Way};
+use lockusher_membership::proto;
 use prost::Message;
 use rstest::rstest;
 
--- a/crates/lockusher-mixer/src/clock.rs
+++ b/crates/lockusher-aggregator/src/clock.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 
 #[derive(Clone, Copy)]
 pub struct Clock {
--- a/crates/lockusher-mixer/src/config.rs
+++ b/crates/lockusher-aggregator/src/config.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 
 use anyhow::{Context, Result, bail, ensure};
-use lockusher::interface::Span;
-use lockusher_host::settings::{Membership, Settings};
+use lockusher_multiget::settings::{Membership, Settings};
+use lockusher_policy::interface::Span;
 use serde::Deserialize;
 use serde_json::Value;
 
-use lockusher_host::list::ListText;
+use lockusher_multiget::list::ListText;
 
 /// What the mixer is told, checked.
 pub struct Config {
--- a/crates/lockusher-mixer/src/main.rs
+++ b/crates/lockusher-aggregator/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    lockusher_mixer::program::run(std::env::args_os())
+    lockusher_aggregator::program::run(std::env::args_os())
 }
--- a/crates/lockusher-mixer/src/operator.rs
+++ b/crates/lockusher-aggregator/src/operator.rs
@@ -6,10 +6,10 @@
 use std::path::Path;
 use std::sync::LazyLock;
 
-use lockusher::interface::{Budget, Span};
-use lockusher_fleet::core::share::Shares;
-use lockusher_fleet::core::wire::MOST_NAME;
-use lockusher_registry::core::follow::{Plan, Protocol};
+use lockusher_membership::core::share::Shares;
+use lockusher_membership::core::wire::MOST_NAME;
+use lockusher_policy::interface::{Budget, Span};
+use lockusher_registry_client::core::follow::{Plan, Protocol};
 use miette::Diagnostic;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
--- a/crates/lockusher-mixer/src/program/dump.rs
+++ b/crates/lockusher-aggregator/src/program/dump.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result, bail};
-use lockusher_host::list::{List, ListOut};
-use lockusher_host::settings::Names;
-use lockusher_registry::io::follow;
+use lockusher_multiget::list::{List, ListOut};
+use lockusher_multiget::settings::Names;
+use lockusher_registry_client::io::follow;
 use tokio::sync::{mpsc, watch};
 
 use super::configuration;
--- a/crates/lockusher-mixer/src/program/serve.rs
+++ b/crates/lockusher-aggregator/src/program/serve.rs
@@ -17,14 +17,14 @@
 use crate::transport::discovery;
 use crate::transport::searchers::Searchers;
 use anyhow::{Context, Result};
-use lockusher::interface::{Budget, TenantId, Time};
-use lockusher_fleet::core::share::Shares;
-use lockusher_fleet::core::table::MixerName;
-use lockusher_fleet::core::wire::{MOST_BUDGETS, MOST_NAME};
-use lockusher_fleet::core::{Core, Plan};
-use lockusher_fleet::io::{self, Ask, Asks};
-use lockusher_host::settings::Settings;
-use lockusher_registry::io::follow;
+use lockusher_membership::core::share::Shares;
+use lockusher_membership::core::table::MixerName;
+use lockusher_membership::core::wire::{MOST_BUDGETS, MOST_NAME};
+use lockusher_membership::core::{Core, Plan};
+use lockusher_membership::io::{self, Ask, Asks};
+use lockusher_multiget::settings::Settings;
+use lockusher_policy::interface::{Budget, TenantId, Time};
+use lockusher_registry_client::io::follow;
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 
 /// A process told to stop is killed no sooner than this after the longest route timeout, of which no more than
--- a/crates/lockusher-mixer/src/protocol/client.rs
+++ b/crates/lockusher-aggregator/src/protocol/client.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 
 use bytes::Bytes;
-use lockusher::interface::*;
-use lockusher_host::settings::Names;
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::*;
 use serde::{Deserialize, Serialize};
 
 use super::MOST_BODY;
--- a/crates/lockusher-mixer/src/protocol/discovery.rs
+++ b/crates/lockusher-aggregator/src/protocol/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery's lists.
 
-use lockusher::interface::*;
-use lockusher_host::list::{List, ListText};
-use lockusher_host::settings::Names;
+use lockusher_multiget::list::{List, ListText};
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::*;
 
 pub fn decode(body: &[u8], names: &Names) -> Result<List, serde_json::Error> {
     serde_json::from_slice::<ListText>(body).map(|text| text.read(names))
--- a/crates/lockusher-mixer/src/protocol/fleet.rs
+++ b/crates/lockusher-aggregator/src/protocol/fleet.rs
@@ -1,8 +1,8 @@
 //! How the fleet stands for this mixer, as JSON for staff and tools.
 
-use lockusher::interface::{Budget, TenantId, Time};
-use lockusher_fleet::core::{Standing, share};
-use lockusher_fleet::io::Shown;
+use lockusher_membership::core::{Standing, share};
+use lockusher_membership::io::Shown;
+use lockusher_policy::interface::{Budget, TenantId, Time};
 use serde_json::{Value, json};
 
 fn encode_shared(now: Time, shared: &share::Shown) -> Value {
--- a/crates/lockusher-mixer/src/protocol/frame.rs
+++ b/crates/lockusher-aggregator/src/protocol/frame.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use bytes::{BufMut, Bytes, BytesMut};
-use lockusher::interface::{Outcome, PartId, Shard, Span};
+use lockusher_policy::interface::{Outcome, PartId, Shard, Span};
 use tokio_util::codec::LengthDelimitedCodec;
 
 use super::MOST_BODY;
--- a/crates/lockusher-mixer/src/protocol/registry.rs
+++ b/crates/lockusher-aggregator/src/protocol/registry.rs
@@ -1,8 +1,8 @@
 //! How the registry stands, as JSON for staff and tools.
 
-use lockusher_host::list::ListOut;
-use lockusher_host::settings::Names;
-use lockusher_registry::io::Shown;
+use lockusher_multiget::list::ListOut;
+use lockusher_multiget::settings::Names;
+use lockusher_registry_client::io::Shown;
 use serde_json::json;
 
 pub fn encode(shown: &Shown, names: &Names) -> String {
--- a/crates/lockusher-mixer/src/routing/carrier.rs
+++ b/crates/lockusher-aggregator/src/routing/carrier.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use lockusher::interface::{Budget, Listed, PartId, Portion, SearcherId, Time};
-use lockusher_host::list::Place;
+use lockusher_multiget::list::Place;
+use lockusher_policy::interface::{Budget, Listed, PartId, Portion, SearcherId, Time};
 
 use crate::protocol::frame::CallPart;
 
--- a/crates/lockusher-mixer/src/routing/desk.rs
+++ b/crates/lockusher-aggregator/src/routing/desk.rs
@@ -7,10 +7,10 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use lockusher::interface::*;
-use lockusher_fleet::core::share::Totals;
-use lockusher_host::host::{NewPart, Wire};
-use lockusher_host::list::Place;
+use lockusher_membership::core::share::Totals;
+use lockusher_multiget::host::{NewPart, Wire};
+use lockusher_multiget::list::Place;
+use lockusher_policy::interface::*;
 use tokio::sync::{Notify, oneshot};
 
 use super::Given;
--- a/crates/lockusher-mixer/src/routing/mod.rs
+++ b/crates/lockusher-aggregator/src/routing/mod.rs
@@ -11,9 +11,9 @@
 
 use anyhow::Result;
 use bytes::Bytes;
-use lockusher::interface::*;
-use lockusher_fleet::core::share::Own;
-use lockusher_host::host::{Ended, Host, NewPart, Taken};
+use lockusher_membership::core::share::Own;
+use lockusher_multiget::host::{Ended, Host, NewPart, Taken};
+use lockusher_policy::interface::*;
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::clock::{Clock, duration};
@@ -22,7 +22,7 @@
 use crate::protocol::client::{Request, Unusable};
 use carrier::{Carrier, Wanted};
 use desk::Desk;
-use lockusher_host::list::List;
+use lockusher_multiget::list::List;
 
 /// What comes to the router.
 pub enum Arrival {
--- a/crates/lockusher-mixer/src/routing/tally.rs
+++ b/crates/lockusher-aggregator/src/routing/tally.rs
@@ -3,8 +3,8 @@
 //! comes from a gate that has stopped learning, shows as mixers that push back nearly all while their neighbours do
 //! not (issue 25, docs/standing.md). Decides nothing, reads no clock: the router gives the time.
 
-use lockusher::interface::{Reply, Span, Time};
-use lockusher_fleet::core::share::Totals;
+use lockusher_membership::core::share::Totals;
+use lockusher_policy::interface::{Reply, Span, Time};
 
 /// One line a second at most: often enough to follow a trouble of a few seconds, rare enough for a fleet's logs.
 const EVERY: Span = Span::from_millis(1_000);
--- a/crates/lockusher-mixer/src/transport/carriers.rs
+++ b/crates/lockusher-aggregator/src/transport/carriers.rs
@@ -5,12 +5,12 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use lockusher::interface::*;
-use lockusher_h2::connection::{Came, Host, Sent as H2Sent, Shared};
-use lockusher_h2::pool::{Limits, MOST_CALLS};
-use lockusher_h2::wire;
-use lockusher_host::list::Place;
-use lockusher_host::settings::Names;
+use lockusher_http2::connection::{Came, Host, Sent as H2Sent, Shared};
+use lockusher_http2::pool::{Limits, MOST_CALLS};
+use lockusher_http2::wire;
+use lockusher_multiget::list::Place;
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::*;
 use tokio::sync::mpsc;
 
 use super::searchers::Searchers;
--- a/crates/lockusher-mixer/src/transport/clients.rs
+++ b/crates/lockusher-aggregator/src/transport/clients.rs
@@ -15,10 +15,10 @@
 use actix_service::{Service, ServiceFactory, fn_service};
 use bytes::BytesMut;
 use futures_util::{FutureExt, StreamExt};
-use lockusher::interface::MultigetId;
-use lockusher_fleet::io as fleet;
-use lockusher_host::settings::Names;
-use lockusher_registry::io::{Ask, Asks};
+use lockusher_membership::io as fleet;
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::MultigetId;
+use lockusher_registry_client::io::{Ask, Asks};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc, oneshot, watch};
 
--- a/crates/lockusher-mixer/src/transport/discovery.rs
+++ b/crates/lockusher-aggregator/src/transport/discovery.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use awc::{Client, Connector};
-use lockusher::interface::Span;
-use lockusher_host::list::List;
-use lockusher_host::settings::Names;
+use lockusher_multiget::list::List;
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::Span;
 use tokio::sync::{Notify, mpsc, watch};
 
 use crate::clock::duration;
--- a/crates/lockusher-mixer/src/transport/searchers.rs
+++ b/crates/lockusher-aggregator/src/transport/searchers.rs
@@ -8,8 +8,8 @@
 
 use bytes::{Bytes, BytesMut};
 use futures_util::SinkExt;
-use lockusher::interface::*;
-use lockusher_host::list::Place;
+use lockusher_multiget::list::Place;
+use lockusher_policy::interface::*;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite};
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
--- a/crates/lockusher-mixer/tests/codecs.rs
+++ b/crates/lockusher-aggregator/tests/codecs.rs
@@ -1,9 +1,9 @@
 //! What is read and written, without a socket; and what a faulty configuration is told.
 
 use bytes::{BufMut, BytesMut};
-use lockusher::interface::*;
-use lockusher_mixer::config;
-use lockusher_mixer::protocol::{client, frame};
+use lockusher_aggregator::config;
+use lockusher_aggregator::protocol::{client, frame};
+use lockusher_policy::interface::*;
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/crates/lockusher-mixer/tests/connections/mod.rs
+++ b/crates/lockusher-aggregator/tests/connections/mod.rs
@@ -2,14 +2,14 @@
 
 use std::rc::Rc;
 
-use lockusher::interface::*;
-use lockusher_host::list::Place;
-use lockusher_lab::stand_in::*;
-use lockusher_mixer::config;
-use lockusher_mixer::protocol::frame::CallPart;
-use lockusher_mixer::routing::Arrival;
-use lockusher_mixer::routing::carrier::{Carrier, May, Sent};
-use lockusher_mixer::transport::searchers::Searchers;
+use lockusher_aggregator::config;
+use lockusher_aggregator::protocol::frame::CallPart;
+use lockusher_aggregator::routing::Arrival;
+use lockusher_aggregator::routing::carrier::{Carrier, May, Sent};
+use lockusher_aggregator::transport::searchers::Searchers;
+use lockusher_aggregator_testbed::stand_in::*;
+use lockusher_multiget::list::Place;
+use lockusher_policy::interface::*;
 use serde_json::json;
 
 /// A part as the router hands it over, by its shard.
--- a/crates/lockusher-mixer/tests/platform.rs
+++ b/crates/lockusher-aggregator/tests/platform.rs
@@ -4,8 +4,8 @@
 
 use std::fs;
 
-use lockusher_lab::stand_in::system::{children, interpreter, kinds, sockets, states};
-use lockusher_lab::stand_in::*;
+use lockusher_aggregator_testbed::stand_in::system::{children, interpreter, kinds, sockets, states};
+use lockusher_aggregator_testbed::stand_in::*;
 
 const DEPLOY: &str = include_str!("../../../deploy/balancer.toml");
 
--- a/crates/lockusher-mixer/tests/settings.rs
+++ b/crates/lockusher-aggregator/tests/settings.rs
@@ -1,9 +1,9 @@
 //! The operator's settings: what is read, and which line and key a fault names.
 
-use lockusher::interface::Span;
-use lockusher_mixer::operator::{Level, Operator, parse};
-use lockusher_mixer::transport::carriers::matches;
-use lockusher_registry::core::follow::Protocol;
+use lockusher_aggregator::operator::{Level, Operator, parse};
+use lockusher_aggregator::transport::carriers::matches;
+use lockusher_policy::interface::Span;
+use lockusher_registry_client::core::follow::Protocol;
 use rstest::rstest;
 
 const GOOD: &str = include_str!("../../../deploy/settings.txtpb");
--- a/crates/lockusher-mixer/tests/stories.rs
+++ b/crates/lockusher-aggregator/tests/stories.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 use connections::{call, on_connections, up};
-use lockusher::interface::*;
-use lockusher_host::list::Place;
-use lockusher_lab::stand_in::*;
-use lockusher_mixer::routing::Arrival;
-use lockusher_mixer::routing::carrier::{Carrier, May};
+use lockusher_aggregator::routing::Arrival;
+use lockusher_aggregator::routing::carrier::{Carrier, May};
+use lockusher_aggregator_testbed::stand_in::*;
+use lockusher_multiget::list::Place;
+use lockusher_policy::interface::*;
 use rstest::rstest;
 use serde_json::json;
 
--- a/crates/lockusher-model/tests/arbitrary_input.rs
+++ b/crates/lockusher-config/tests/arbitrary_input.rs
@@ -1,8 +1,8 @@
 //! No input makes a reader panic.
 
-use lockusher_model::configuration::Configuration;
-use lockusher_model::instances_reader::InstancePage;
-use lockusher_model::settings::NodeSettings;
+use lockusher_config::configuration::Configuration;
+use lockusher_config::instances_reader::InstancePage;
+use lockusher_config::settings::NodeSettings;
 use proptest::prelude::*;
 
 /// Field names that the readers look for.
--- a/crates/lockusher-model/tests/configuration.rs
+++ b/crates/lockusher-config/tests/configuration.rs
@@ -1,7 +1,7 @@
 //! The reader of configurations: what is taken, what is refused, and how faults are told.
 
-use lockusher_model::configuration::{Configuration, Limits, RouteKind};
-use lockusher_model::fault::MAX_FAULTS;
+use lockusher_config::configuration::{Configuration, Limits, RouteKind};
+use lockusher_config::fault::MAX_FAULTS;
 use serde_json::{Value, json};
 use yare::parameterized;
 
--- a/crates/lockusher-model/tests/configuration_patch.rs
+++ b/crates/lockusher-config/tests/configuration_patch.rs
@@ -1,7 +1,7 @@
 //! Patches of a configuration: what they change, what stays, and every fault at its place in the patch.
 
-use lockusher_model::configuration::Configuration;
-use lockusher_model::configuration_patch::ConfigurationPatch;
+use lockusher_config::configuration::Configuration;
+use lockusher_config::configuration_patch::ConfigurationPatch;
 use serde_json::{Value, json};
 use yare::parameterized;
 
@@ -24,7 +24,7 @@
 
 fn applied(patch: &Value) -> Result<Value, Vec<String>> {
     let faults =
-        |faults: lockusher_model::fault::Faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
+        |faults: lockusher_config::fault::Faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
     let patch = ConfigurationPatch::parse(patch.to_string().as_bytes()).map_err(faults)?;
     let body = patch.apply(base().to_string().as_bytes()).map_err(faults)?;
     Configuration::parse(&body).expect("what comes of a patch is a valid configuration");
--- a/crates/lockusher-model/tests/instances.rs
+++ b/crates/lockusher-config/tests/instances.rs
@@ -1,7 +1,7 @@
 //! The reader of the platform's list.
 
-use lockusher_model::instances::{InstanceState, Stage};
-use lockusher_model::instances_reader::InstancePage;
+use lockusher_config::instances::{InstanceState, Stage};
+use lockusher_config::instances_reader::InstancePage;
 use serde_json::{Value, json};
 use yare::parameterized;
 
--- a/crates/lockusher-model/tests/route_table.rs
+++ b/crates/lockusher-config/tests/route_table.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use lockusher_model::configuration::{Configuration, Limits, Route, RouteKind, WeightedService};
-use lockusher_model::route_table::RouteTable;
+use lockusher_config::configuration::{Configuration, Limits, Route, RouteKind, WeightedService};
+use lockusher_config::route_table::RouteTable;
 use proptest::prelude::*;
 use yare::parameterized;
 
--- a/crates/lockusher-model/tests/settings.rs
+++ b/crates/lockusher-config/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use lockusher_model::settings::NodeSettings;
+use lockusher_config::settings::NodeSettings;
 use yare::parameterized;
 
 const FULL: &str = "\
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -9,13 +9,13 @@
 use compio::net::TcpListener;
 use compio::time::sleep;
 use derive_more::{Display, Error, From};
+use lockusher_config::settings::{InternalListener, NodeSettings, TooFewPorts};
 use lockusher_distribution::publisher::Publisher;
 use lockusher_distribution::serve::{SharedPublisher, accept};
-use lockusher_model::settings::{InternalListener, NodeSettings, TooFewPorts};
-use lockusher_net::clock::Clock;
-use lockusher_net::error::NetError;
-use lockusher_net::{http, tcp};
 use lockusher_storage::Completions;
+use lockusher_transport::clock::Clock;
+use lockusher_transport::error::NetError;
+use lockusher_transport::{http, tcp};
 
 use crate::replica::{Event, Replica, ReplicaSetup};
 use crate::shell::disk::{Disk, DiskError};
--- a/crates/lockusher-control/src/shell/host.rs
+++ b/crates/lockusher-control/src/shell/host.rs
@@ -6,13 +6,13 @@
 use std::rc::Rc;
 
 use futures_channel::oneshot;
+use lockusher_config::configuration::Configuration;
+use lockusher_config::instances::Instance;
 use lockusher_distribution::publisher::PublisherStatus;
 use lockusher_distribution::serve::SharedPublisher;
 use lockusher_distribution::signal::Signal;
-use lockusher_model::configuration::Configuration;
-use lockusher_model::instances::Instance;
-use lockusher_net::clock::Clock;
 use lockusher_storage::Completion;
+use lockusher_transport::clock::Clock;
 
 use super::disk::{Disk, ScrubCounters};
 use super::peer_links::PeerLinks;
--- a/crates/lockusher-control/src/shell/list_reading.rs
+++ b/crates/lockusher-control/src/shell/list_reading.rs
@@ -6,6 +6,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use futures_util::{FutureExt, pin_mut, select_biased};
+use lockusher_config::instances::{Instance, ListRevision};
+use lockusher_config::settings::NodeSettings;
 use lockusher_distribution::list_calls;
 use lockusher_distribution::list_reader::{ListReader, Reading};
 use lockusher_distribution::message::{Behind, SubscriberIdentity};
@@ -13,8 +15,6 @@
 use lockusher_distribution::reconnect::FixedAddressPolicy;
 use lockusher_distribution::subscribe::SharedSubscriber;
 use lockusher_distribution::subscriber::Subscriber;
-use lockusher_model::instances::{Instance, ListRevision};
-use lockusher_model::settings::NodeSettings;
 
 use super::host::{Host, Role};
 
--- a/crates/lockusher-control/src/shell/operator_api.rs
+++ b/crates/lockusher-control/src/shell/operator_api.rs
@@ -6,11 +6,11 @@
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{IF_MATCH, RETRY_AFTER};
 use hyper::{Method, Request as HttpRequest, Response, StatusCode};
-use lockusher_model::configuration::Configuration;
-use lockusher_model::configuration_patch::ConfigurationPatch;
-use lockusher_model::fault::Faults;
-use lockusher_net::error::NetError;
-use lockusher_net::http::{WholeBody, answer, read_body};
+use lockusher_config::configuration::Configuration;
+use lockusher_config::configuration_patch::ConfigurationPatch;
+use lockusher_config::fault::Faults;
+use lockusher_transport::error::NetError;
+use lockusher_transport::http::{WholeBody, answer, read_body};
 
 use super::host::Host;
 use super::status;
--- a/crates/lockusher-control/src/shell/peer_links.rs
+++ b/crates/lockusher-control/src/shell/peer_links.rs
@@ -15,8 +15,8 @@
 use derive_more::{Display, Error, From};
 use futures_channel::mpsc;
 use futures_util::StreamExt;
-use lockusher_net::error::NetError;
-use lockusher_net::{frame, tcp};
+use lockusher_transport::error::NetError;
+use lockusher_transport::{frame, tcp};
 
 use crate::message::{Envelope, EnvelopeError};
 
--- a/crates/lockusher-control/src/shell/stage_marks.rs
+++ b/crates/lockusher-control/src/shell/stage_marks.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lockusher_model::instances::{Instance, InstanceState, Stage};
+use lockusher_config::instances::{Instance, InstanceState, Stage};
 
 /// The searchers that are being changed, with the stage that they leave.
 #[derive(Debug, Default)]
--- a/crates/lockusher-control/src/shell/stage_orders.rs
+++ b/crates/lockusher-control/src/shell/stage_orders.rs
@@ -8,11 +8,11 @@
 
 use compio::time::{sleep, timeout};
 use hyper::{Method, Request as HttpRequest, StatusCode};
-use lockusher_model::instances::Stage;
-use lockusher_model::settings::NodeSettings;
-use lockusher_net::error::NetError;
-use lockusher_net::http::{self, WholeBody};
-use lockusher_net::tcp;
+use lockusher_config::instances::Stage;
+use lockusher_config::settings::NodeSettings;
+use lockusher_transport::error::NetError;
+use lockusher_transport::http::{self, WholeBody};
+use lockusher_transport::tcp;
 use serde_json::json;
 
 use super::host::Host;
--- a/crates/lockusher-control/src/stage_planner.rs
+++ b/crates/lockusher-control/src/stage_planner.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use lockusher_config::configuration::{Configuration, Engine};
+use lockusher_config::instances::{Instance, InstanceState, Stage};
 use lockusher_distribution::load::{HUNDREDTHS, ServiceLoad};
-use lockusher_model::configuration::{Configuration, Engine};
-use lockusher_model::instances::{Instance, InstanceState, Stage};
 
 use crate::Millis;
 
--- a/crates/lockusher-control/tests/loopback.rs
+++ b/crates/lockusher-control/tests/loopback.rs
@@ -12,9 +12,9 @@
 use futures_channel::oneshot;
 use http_body_util::BodyExt;
 use hyper::{Method, Request, StatusCode};
+use lockusher_config::settings::NodeSettings;
 use lockusher_control::serve;
-use lockusher_model::settings::NodeSettings;
-use lockusher_net::{
+use lockusher_transport::{
     http::{Answer, WholeBody},
     tcp,
 };
--- a/crates/lockusher-control/tests/stage_marks.rs
+++ b/crates/lockusher-control/tests/stage_marks.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
+use lockusher_config::instances::{Instance, InstanceState, Stage};
 use lockusher_control::shell::stage_marks::StageMarks;
-use lockusher_model::instances::{Instance, InstanceState, Stage};
 
 fn searcher(identifier: &str, stage: Stage, state: InstanceState) -> Instance {
     Instance {
--- a/crates/lockusher-control/tests/stage_orders.rs
+++ b/crates/lockusher-control/tests/stage_orders.rs
@@ -5,10 +5,10 @@
 use compio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
 use compio::net::TcpListener;
 use hyper::StatusCode;
+use lockusher_config::instances::Stage;
 use lockusher_control::shell::stage_orders::{order_request, outcome_of};
 use lockusher_control::stage_planner::{OrderOutcome, StageChange};
-use lockusher_model::instances::Stage;
-use lockusher_net::{http, tcp};
+use lockusher_transport::{http, tcp};
 use yare::parameterized;
 
 const ANSWER: &[u8] = b"HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}";
--- a/crates/lockusher-control/tests/stage_planner.rs
+++ b/crates/lockusher-control/tests/stage_planner.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
+use lockusher_config::configuration::{Configuration, Engine, Limits, Service};
+use lockusher_config::instances::{Instance, InstanceState, ModelVersion, Stage};
 use lockusher_control::Millis;
 use lockusher_control::stage_planner::{Demand, Observation, OrderOutcome, StageChange, StagePlanner};
 use lockusher_distribution::load::ServiceLoad;
-use lockusher_model::configuration::{Configuration, Engine, Limits, Service};
-use lockusher_model::instances::{Instance, InstanceState, ModelVersion, Stage};
 use proptest::prelude::*;
 use yare::parameterized;
 
--- a/crates/lockusher-distribution/src/difference.rs
+++ b/crates/lockusher-distribution/src/difference.rs
@@ -7,8 +7,8 @@
 
 use bitcode::{Decode, Encode};
 use derive_more::{Display, Error};
-use lockusher_model::configuration::{Configuration, Limits, Route, Service};
-use lockusher_model::instances::{Instance, ListRevision};
+use lockusher_config::configuration::{Configuration, Limits, Route, Service};
+use lockusher_config::instances::{Instance, ListRevision};
 
 /// A difference that doesn't fit its base.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
--- a/crates/lockusher-distribution/src/ended.rs
+++ b/crates/lockusher-distribution/src/ended.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-use lockusher_model::instances::{Instance, InstanceState};
+use lockusher_config::instances::{Instance, InstanceState};
 
 /// How much newer than a note of an end a list must be to be believed when it shows the searcher as ready.
 ///
--- a/crates/lockusher-distribution/src/list_calls.rs
+++ b/crates/lockusher-distribution/src/list_calls.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use hyper::StatusCode;
-use lockusher_model::instances_reader::InstancePage;
-use lockusher_net::clock::Clock;
-use lockusher_net::http;
+use lockusher_config::instances_reader::InstancePage;
+use lockusher_transport::clock::Clock;
+use lockusher_transport::http;
 
 use crate::list_reader::{ListReader, ReaderStep, Reading};
 
--- a/crates/lockusher-distribution/src/list_reader.rs
+++ b/crates/lockusher-distribution/src/list_reader.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
 
-use lockusher_model::instances::{Instance, InstanceState};
-use lockusher_model::instances_reader::InstancePage;
+use lockusher_config::instances::{Instance, InstanceState};
+use lockusher_config::instances_reader::InstancePage;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-distribution/src/message.rs
+++ b/crates/lockusher-distribution/src/message.rs
@@ -7,8 +7,8 @@
 
 use bitcode::{Decode, DecodeOwned, Encode};
 use derive_more::{Display, Error, From};
-use lockusher_model::configuration::Configuration;
-use lockusher_model::instances::{Instance, ListRevision};
+use lockusher_config::configuration::Configuration;
+use lockusher_config::instances::{Instance, ListRevision};
 
 use crate::difference::{ConfigurationDifference, ListDifference};
 use crate::load::ServiceLoad;
--- a/crates/lockusher-distribution/src/publisher.rs
+++ b/crates/lockusher-distribution/src/publisher.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use lockusher_model::configuration::Configuration;
-use lockusher_model::instances::{Instance, ListRevision};
+use lockusher_config::configuration::Configuration;
+use lockusher_config::instances::{Instance, ListRevision};
 use rand::SeedableRng;
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
--- a/crates/lockusher-distribution/src/revision.rs
+++ b/crates/lockusher-distribution/src/revision.rs
@@ -3,7 +3,7 @@
 //! The control plane's reader counts in large steps. An agent that has to read the list itself numbers its own
 //! readings in the gap above the last revision that it knows, so that the reader's next change is above them all.
 
-use lockusher_model::instances::ListRevision;
+use lockusher_config::instances::ListRevision;
 
 /// Distance between two revisions of the control plane's reader: about one reading a second for twelve days.
 pub const READER_STEP: u64 = 1 << 20;
--- a/crates/lockusher-distribution/src/serve.rs
+++ b/crates/lockusher-distribution/src/serve.rs
@@ -7,9 +7,9 @@
 use compio::net::{TcpListener, TcpStream};
 use derive_more::{Display, Error, From};
 use futures_util::{FutureExt, pin_mut, select_biased};
-use lockusher_net::clock::Clock;
-use lockusher_net::error::NetError;
-use lockusher_net::frame::{self, FrameReader, FrameWriter};
+use lockusher_transport::clock::Clock;
+use lockusher_transport::error::NetError;
+use lockusher_transport::frame::{self, FrameReader, FrameWriter};
 
 use crate::message::{Envelope, FromSubscriber, MessageError};
 use crate::publisher::{Publisher, SubscriberId};
@@ -103,7 +103,7 @@
 
 /// Serves one subscriber until its connection ends.
 pub async fn publish(stream: TcpStream, shared: Rc<SharedPublisher>) -> Result<(), ServeError> {
-    lockusher_net::tcp::set_options(&stream)?;
+    lockusher_transport::tcp::set_options(&stream)?;
     let (reader, writer) = frame::split(stream)?;
     publish_on(reader, writer, None, shared).await
 }
--- a/crates/lockusher-distribution/src/snapshot.rs
+++ b/crates/lockusher-distribution/src/snapshot.rs
@@ -14,7 +14,7 @@
 
 /// Encodes a message as a frame.
 pub fn frame(message: &ToSubscriber) -> Frame {
-    lockusher_net::frame::encode(&Envelope::seal(message)).into()
+    lockusher_transport::frame::encode(&Envelope::seal(message)).into()
 }
 
 /// A value of which versions are published.
--- a/crates/lockusher-distribution/src/subscribe.rs
+++ b/crates/lockusher-distribution/src/subscribe.rs
@@ -9,11 +9,11 @@
 use compio::runtime::JoinHandle;
 use derive_more::{Display, Error, From};
 use futures_util::Stream;
-use lockusher_model::configuration::Configuration;
-use lockusher_model::instances::{Instance, ListRevision};
-use lockusher_net::clock::Clock;
-use lockusher_net::error::NetError;
-use lockusher_net::frame::{self, FrameReader, FrameWriter};
+use lockusher_config::configuration::Configuration;
+use lockusher_config::instances::{Instance, ListRevision};
+use lockusher_transport::clock::Clock;
+use lockusher_transport::error::NetError;
+use lockusher_transport::frame::{self, FrameReader, FrameWriter};
 
 use crate::ended::EndedInstances;
 use crate::load::ServiceLoad;
@@ -107,7 +107,7 @@
         let pause_ms = attempt.at_ms.saturating_sub(self.clock.millis());
         compio::time::sleep(Duration::from_millis(pause_ms)).await;
         let limit = Duration::from_millis(CONNECT_LIMIT_MS);
-        let stream = lockusher_net::tcp::connect(attempt.address, limit).await?;
+        let stream = lockusher_transport::tcp::connect(attempt.address, limit).await?;
         let (mut reader, mut writer) = frame::split::<Envelope, Envelope>(stream)?;
         let subscribe = self.subscriber.borrow_mut().subscribe(self.clock.millis());
         writer.write(&Envelope::seal(&subscribe)).await?;
--- a/crates/lockusher-distribution/src/subscriber.rs
+++ b/crates/lockusher-distribution/src/subscriber.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use lockusher_model::configuration::Configuration;
-use lockusher_model::instances::{Instance, ListRevision};
+use lockusher_config::configuration::Configuration;
+use lockusher_config::instances::{Instance, ListRevision};
 
 use crate::difference::DifferenceError;
 use crate::load::{self, ServiceLoad};
--- a/crates/lockusher-distribution/tests/capacity.rs
+++ b/crates/lockusher-distribution/tests/capacity.rs
@@ -7,11 +7,11 @@
 use std::time::Instant;
 
 use common::{configuration, identity, instance, revision, route, service};
+use lockusher_config::configuration::{Configuration, Engine, Route, Service, WeightedService};
+use lockusher_config::instances::{Instance, InstanceState, ModelVersion, Stage};
 use lockusher_distribution::message::{Behind, Envelope, FromSubscriber, ToSubscriber};
 use lockusher_distribution::publisher::{Publisher, PublisherStatus, SubscriberId};
 use lockusher_distribution::subscriber::Subscriber;
-use lockusher_model::configuration::{Configuration, Engine, Route, Service, WeightedService};
-use lockusher_model::instances::{Instance, InstanceState, ModelVersion, Stage};
 use yare::parameterized;
 
 const SEARCHERS: usize = 840;
@@ -107,7 +107,7 @@
     }
 
     fn upward(&mut self, id: SubscriberId, now_ms: u64, message: FromSubscriber) {
-        self.count(lockusher_net::frame::encode(&Envelope::seal(&message)).len());
+        self.count(lockusher_transport::frame::encode(&Envelope::seal(&message)).len());
         self.publisher.receive(id, now_ms, message);
     }
 
--- a/crates/lockusher-distribution/tests/common/mod.rs
+++ b/crates/lockusher-distribution/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Values that the tests share.
 #![allow(dead_code)]
 
+use lockusher_config::configuration::{Configuration, Limits, Route, RouteKind, Service, WeightedService};
+use lockusher_config::instances::{Instance, InstanceState, ListRevision};
 use lockusher_distribution::message::SubscriberIdentity;
-use lockusher_model::configuration::{Configuration, Limits, Route, RouteKind, Service, WeightedService};
-use lockusher_model::instances::{Instance, InstanceState, ListRevision};
 
 pub fn route(name: &str, timeout_ms: u64) -> Route {
     Route {
--- a/crates/lockusher-distribution/tests/difference.rs
+++ b/crates/lockusher-distribution/tests/difference.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{configuration, instance, revision};
+use lockusher_config::instances::Instance;
 use lockusher_distribution::difference::{
     ConfigurationDifference, DifferenceError, ListDifference, Segment, join, segments,
 };
-use lockusher_model::instances::Instance;
 use proptest::prelude::*;
 use proptest::sample::subsequence;
 
--- a/crates/lockusher-distribution/tests/list_reader.rs
+++ b/crates/lockusher-distribution/tests/list_reader.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 use common::{cold, draining, instance};
+use lockusher_config::instances::Instance;
+use lockusher_config::instances_reader::InstancePage;
 use lockusher_distribution::list_reader::{ListReader, ReaderStep, Reading};
-use lockusher_model::instances::Instance;
-use lockusher_model::instances_reader::InstancePage;
 
 fn page(instances: &[Instance], next_token: Option<&str>) -> InstancePage {
     InstancePage { instances: instances.to_vec(), next_token: next_token.map(str::to_owned), skipped: vec![] }
--- a/crates/lockusher-distribution/tests/loopback.rs
+++ b/crates/lockusher-distribution/tests/loopback.rs
@@ -15,7 +15,7 @@
 use lockusher_distribution::serve::{self, SharedPublisher};
 use lockusher_distribution::subscribe::{self, FeedUpdate, SharedSubscriber};
 use lockusher_distribution::subscriber::Subscriber;
-use lockusher_net::clock::Clock;
+use lockusher_transport::clock::Clock;
 
 /// No state takes this long to come about.
 const LIMIT: Duration = Duration::from_secs(20);
--- a/crates/lockusher-distribution/tests/streams.rs
+++ b/crates/lockusher-distribution/tests/streams.rs
@@ -8,13 +8,13 @@
 use std::rc::Rc;
 
 use common::{configuration, identity, instance, revision};
+use lockusher_config::configuration::Configuration;
+use lockusher_config::instances::{Instance, ListRevision};
 use lockusher_distribution::message::{
     Behind, Envelope, FromSubscriber, Heartbeat, HeldVersions, ToSubscriber,
 };
 use lockusher_distribution::publisher::{HEARTBEAT_MS, Publisher, PublisherStatus, SubscriberId};
 use lockusher_distribution::subscriber::Subscriber;
-use lockusher_model::configuration::Configuration;
-use lockusher_model::instances::{Instance, ListRevision};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -465,6 +465,6 @@
             in_view: true,
         }),
     );
-    let answer = lockusher_net::frame::encode(&Envelope::seal(&answer.expect("a sign of life")));
+    let answer = lockusher_transport::frame::encode(&Envelope::seal(&answer.expect("a sign of life")));
     assert!(answer.len() <= 60, "{} bytes", answer.len());
 }
--- a/crates/lockusher-h2/src/connection.rs
+++ b/crates/lockusher-http2/src/connection.rs
@@ -11,7 +11,7 @@
 use h2::client::SendRequest;
 use h2::{Ping, Reason, SendStream};
 use http::{Method, Request};
-use lockusher::interface::{Outcome, PartId, Span, Time};
+use lockusher_policy::interface::{Outcome, PartId, Span, Time};
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 
--- a/crates/lockusher-h2/src/outcome.rs
+++ b/crates/lockusher-http2/src/outcome.rs
@@ -1,7 +1,7 @@
 //! What the end of a stream means for the parts of its call that have not ended by themselves: whether they never ran,
 //! or may have. RFC 9113: sections 6.4, 6.8, 7 and 8.7.
 
-use lockusher::interface::Outcome;
+use lockusher_policy::interface::Outcome;
 
 /// How a stream ended, as seen from here.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/lockusher-h2/src/pool.rs
+++ b/crates/lockusher-http2/src/pool.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 
 /// A connection, by its number since the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/lockusher-h2/src/wire.rs
+++ b/crates/lockusher-http2/src/wire.rs
@@ -1,7 +1,7 @@
 //! The mapping of `proto/parts.proto`: a call and its parts' ends as length-delimited messages.
 
 use bytes::{Buf, Bytes, BytesMut};
-use lockusher::interface::{Outcome, PartId, Shard, Span};
+use lockusher_policy::interface::{Outcome, PartId, Shard, Span};
 use prost::Message;
 
 mod pb {
--- a/crates/lockusher-h2/tests/pool.rs
+++ b/crates/lockusher-http2/tests/pool.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{HashMap, HashSet};
 
-use lockusher::interface::{Outcome, Span, Time};
-use lockusher_h2::outcome::{CANCEL, ENHANCE_YOUR_CALM, End, Known, REFUSED_STREAM, outcome};
-use lockusher_h2::pool::{Act, CallId, ConnectionId, Ended, Limits, MOST_CALLS, Pool};
+use lockusher_http2::outcome::{CANCEL, ENHANCE_YOUR_CALM, End, Known, REFUSED_STREAM, outcome};
+use lockusher_http2::pool::{Act, CallId, ConnectionId, Ended, Limits, MOST_CALLS, Pool};
+use lockusher_policy::interface::{Outcome, Span, Time};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/lockusher-fleet/src/core/datagrams.rs
+++ b/crates/lockusher-membership/src/core/datagrams.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use lockusher::interface::Time;
+use lockusher_policy::interface::Time;
 use rand::RngExt;
 
 use super::table::{MixerName, Record, State};
--- a/crates/lockusher-fleet/src/core/mod.rs
+++ b/crates/lockusher-membership/src/core/mod.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-fleet/src/core/probes.rs
+++ b/crates/lockusher-membership/src/core/probes.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 
 use super::table::MixerName;
 
--- a/crates/lockusher-fleet/src/core/probing.rs
+++ b/crates/lockusher-membership/src/core/probing.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 use rand::RngExt;
 
 use super::probes::HELPERS;
--- a/crates/lockusher-fleet/src/core/reports.rs
+++ b/crates/lockusher-membership/src/core/reports.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 use rand::RngExt;
 
 use super::table::{MixerName, Record, State, Suspicion};
--- a/crates/lockusher-fleet/src/core/share.rs
+++ b/crates/lockusher-membership/src/core/share.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddrV4;
 
-use lockusher::interface::{Budget, Glimpse, Known, Portion, Span, Time};
+use lockusher_policy::interface::{Budget, Glimpse, Known, Portion, Span, Time};
 use rand::RngExt;
 
 use super::Core;
@@ -231,7 +231,7 @@
     fn said<'a>(
         &'a self,
         sharing: &'a Sharing,
-    ) -> impl Iterator<Item = (&'a lockusher::interface::SearcherId, Said<'a>)> {
+    ) -> impl Iterator<Item = (&'a lockusher_policy::interface::SearcherId, Said<'a>)> {
         let of = |by: &'a MixerName, zone: &'a str, record: &'a Record| {
             let entries = record
                 .entries
--- a/crates/lockusher-fleet/src/core/table.rs
+++ b/crates/lockusher-membership/src/core/table.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 
 use super::wire::BUCKETS;
 
--- a/crates/lockusher-fleet/src/core/wire.rs
+++ b/crates/lockusher-membership/src/core/wire.rs
@@ -3,7 +3,7 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use lockusher::interface::Span;
+use lockusher_policy::interface::Span;
 use prost::Message as _;
 
 use super::table::{MixerName, Record, State};
--- a/crates/lockusher-fleet/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-use lockusher::interface::{Judged, News, Time};
+use lockusher_policy::interface::{Judged, News, Time};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
 
--- a/crates/lockusher-fleet/src/shared/judge.rs
+++ b/crates/lockusher-membership/src/shared/judge.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
-use lockusher::interface::{Glimpse, Judged, SearcherId, Span, Time};
+use lockusher_policy::interface::{Glimpse, Judged, SearcherId, Span, Time};
 
 use super::records::{Fault, Verdict};
 use crate::core::table::{Mixer, MixerName};
--- a/crates/lockusher-fleet/src/shared/lend.rs
+++ b/crates/lockusher-membership/src/shared/lend.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lockusher::interface::{Portion, Span, Time};
+use lockusher_policy::interface::{Portion, Span, Time};
 
 use crate::core::table::MixerName;
 
--- a/crates/lockusher-fleet/src/shared/records.rs
+++ b/crates/lockusher-membership/src/shared/records.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use lockusher::interface::{SearcherId, Span, Time};
+use lockusher_policy::interface::{SearcherId, Span, Time};
 
 use crate::core::table::{ByName, MixerName};
 use crate::core::wire::MOST_NAME;
--- a/crates/lockusher-fleet/src/shared/warm.rs
+++ b/crates/lockusher-membership/src/shared/warm.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lockusher::interface::{Glimpse, Known, SearcherId, Span, Time};
+use lockusher_policy::interface::{Glimpse, Known, SearcherId, Span, Time};
 
 use crate::core::table::MixerName;
 use crate::core::wire::MOST_NAME;
--- a/crates/lockusher-fleet/tests/datagrams.rs
+++ b/crates/lockusher-membership/tests/datagrams.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddrV4;
 
-use lockusher::interface::{Span, Time};
-use lockusher_fleet::core::table::MixerName;
-use lockusher_fleet::core::wire::MOST_BYTES;
-use lockusher_fleet::core::{Core, Plan, Standing};
+use lockusher_membership::core::table::MixerName;
+use lockusher_membership::core::wire::MOST_BYTES;
+use lockusher_membership::core::{Core, Plan, Standing};
+use lockusher_policy::interface::{Span, Time};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/lockusher-fleet/tests/lending.rs
+++ b/crates/lockusher-membership/tests/lending.rs
@@ -3,9 +3,9 @@
 
 use std::collections::VecDeque;
 
-use lockusher::interface::{Allowance, Portion, Span, Time};
-use lockusher_fleet::core::table::MixerName;
-use lockusher_fleet::shared::lend::{Lending, Life, Plan, View, Word};
+use lockusher_membership::core::table::MixerName;
+use lockusher_membership::shared::lend::{Lending, Life, Plan, View, Word};
+use lockusher_policy::interface::{Allowance, Portion, Span, Time};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/lockusher-fleet/tests/shared.rs
+++ b/crates/lockusher-membership/tests/shared.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use lockusher::interface::{Glimpse, Known, SearcherId, Span, Time};
-use lockusher_fleet::core::table::MixerName;
-use lockusher_fleet::proto;
-use lockusher_fleet::shared::judge::{OnceAccused, Said, accused, stands, tells};
-use lockusher_fleet::shared::records::{Fault, MOST_NAMED, Merged, Record, Records, Verdict};
-use lockusher_fleet::shared::warm::Warming;
+use lockusher_membership::core::table::MixerName;
+use lockusher_membership::proto;
+use lockusher_membership::shared::judge::{OnceAccused, Said, accused, stands, tells};
+use lockusher_membership::shared::records::{Fault, MOST_NAMED, Merged, Record, Records, Verdict};
+use lockusher_membership::shared::warm::Warming;
+use lockusher_policy::interface::{Glimpse, Known, SearcherId, Span, Time};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/lockusher-host/src/host.rs
+++ b/crates/lockusher-multiget/src/host.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 
 use anyhow::{Context, Result, ensure};
-use lockusher::interface::*;
-use lockusher::policy::{Asking, Further, Gate, Policy, Sender};
+use lockusher_policy::interface::*;
+use lockusher_policy::policy::{Asking, Further, Gate, Policy, Sender};
 
 use crate::settings::Settings;
 
--- a/crates/lockusher-host/src/list.rs
+++ b/crates/lockusher-multiget/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use lockusher::interface::*;
+use lockusher_policy::interface::*;
 use serde::{Deserialize, Serialize};
 
 use crate::settings::Names;
--- a/crates/lockusher-host/src/settings.rs
+++ b/crates/lockusher-multiget/src/settings.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lockusher::interface::*;
+use lockusher_policy::interface::*;
 use serde::Deserialize;
 
 /// An instance's settings, of which only what the module asks for is read.
--- a/crates/lockusher-node/src/check.rs
+++ b/crates/lockusher-node/src/check.rs
@@ -5,9 +5,9 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-use lockusher_model::configuration::Configuration;
-use lockusher_model::fault::Faults;
-use lockusher_model::settings::{EdgeControl, NodeSettings};
+use lockusher_config::configuration::Configuration;
+use lockusher_config::fault::Faults;
+use lockusher_config::settings::{EdgeControl, NodeSettings};
 
 use crate::command_line::FilesToCheck;
 
--- a/crates/lockusher-node/src/role.rs
+++ b/crates/lockusher-node/src/role.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::pin::Pin;
 
-use lockusher_model::settings::NodeSettings;
+use lockusher_config::settings::NodeSettings;
 
 use crate::settings_file;
 use crate::signals::Signals;
--- a/crates/lockusher-node/src/roles.rs
+++ b/crates/lockusher-node/src/roles.rs
@@ -3,11 +3,11 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
+use lockusher_config::settings::{EdgeControl, InternalListener};
 use lockusher_control::serve::ControlOptions;
 use lockusher_distribution::message::SubscriberIdentity;
 use lockusher_distribution::subscribe::subscribe;
-use lockusher_model::settings::{EdgeControl, InternalListener};
-use lockusher_net::clock::Clock;
+use lockusher_transport::clock::Clock;
 
 use crate::composition::run_accompanied;
 use crate::role::{Role, RoleContext, RoleError, RunningRole};
--- a/crates/lockusher-node/src/settings_file.rs
+++ b/crates/lockusher-node/src/settings_file.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use derive_more::{Display, Error};
-use lockusher_model::settings::NodeSettings;
-use lockusher_model::settings_reader::SettingsFaults;
+use lockusher_config::settings::NodeSettings;
+use lockusher_config::settings_reader::SettingsFaults;
 
 /// Names the settings file.
 pub const SETTINGS_VARIABLE: &str = "LOCKUSHER_NODE_FILE";
--- a/crates/lockusher-node/tests/role.rs
+++ b/crates/lockusher-node/tests/role.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::sync::Mutex;
 
-use lockusher_model::settings::NodeSettings;
+use lockusher_config::settings::NodeSettings;
 use lockusher_node::program;
 use lockusher_node::role::{Role, RoleContext, RoleError, RunningRole};
 use lockusher_node::settings_file::SETTINGS_VARIABLE;
--- a/crates/lockusher/tests/cold_fleet/mod.rs
+++ b/crates/lockusher-policy/tests/cold_fleet/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet told at one instant of a searcher that starts cold, in virtual time: what all its mixers send together.
 
 use crate::host::{Host, Site, ms};
-use lockusher::interface::*;
+use lockusher_policy::interface::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
--- a/crates/lockusher/tests/host/mod.rs
+++ b/crates/lockusher-policy/tests/host/mod.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use lockusher::interface::*;
-use lockusher::policy::{Asking, Further, Gate, Policy, Sender};
+use lockusher_policy::interface::*;
+use lockusher_policy::policy::{Asking, Further, Gate, Policy, Sender};
 
 pub const fn ms(ms: u64) -> Span {
     Span::from_millis(ms)
--- a/crates/lockusher/tests/scoring.rs
+++ b/crates/lockusher-policy/tests/scoring.rs
@@ -1,6 +1,6 @@
 //! The shared score against its formula, in numbers that a float holds exactly.
 
-use lockusher::scoring::{EXPONENT, NEWEST, blend, score};
+use lockusher_policy::scoring::{EXPONENT, NEWEST, blend, score};
 use rstest::rstest;
 
 #[rstest]
--- a/crates/lockusher/tests/stories.rs
+++ b/crates/lockusher-policy/tests/stories.rs
@@ -4,7 +4,7 @@
 mod host;
 
 use host::{Host, Site, ms, part};
-use lockusher::interface::*;
+use lockusher_policy::interface::*;
 use rstest::rstest;
 
 #[test]
--- a/crates/lockusher-proxy/src/decision/director.rs
+++ b/crates/lockusher-proxy/src/decision/director.rs
@@ -3,9 +3,9 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
+use lockusher_config::configuration::{Configuration, RouteKind};
+use lockusher_config::instances::Instance;
 use lockusher_distribution::load::ServiceLoad;
-use lockusher_model::configuration::{Configuration, RouteKind};
-use lockusher_model::instances::Instance;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-proxy/src/decision/interface.rs
+++ b/crates/lockusher-proxy/src/decision/interface.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use lockusher_model::configuration::RouteKind;
-use lockusher_model::settings::NodeSettings;
+use lockusher_config::configuration::RouteKind;
+use lockusher_config::settings::NodeSettings;
 
 use super::plan::RequestPlan;
 use super::types::PromptPart;
--- a/crates/lockusher-proxy/src/decision/scoring.rs
+++ b/crates/lockusher-proxy/src/decision/scoring.rs
@@ -1,3 +1,3 @@
 //! The score of the selector, shared with the mixer.
 
-pub use lockusher::scoring::{NEWEST, blend, score};
+pub use lockusher_policy::scoring::{NEWEST, blend, score};
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -1,6 +1,6 @@
 //! What this proxy knows of one searcher: its own sends there and their outcomes, nothing else.
 
-use lockusher_model::instances::{Instance, Stage};
+use lockusher_config::instances::{Instance, Stage};
 
 use super::chains::mix;
 use super::places::{Distance, Place};
@@ -126,7 +126,7 @@
     pub fn new(now: Micros, instance: Instance, place: Place, distance: Distance, fresh: bool) -> Self {
         let hash = instance.identifier.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
         let ramp = if fresh { RAMP.max(instance.cold_remaining_ms * 1_000) } else { 0 };
-        let ready = instance.state == lockusher_model::instances::InstanceState::Ready;
+        let ready = instance.state == lockusher_config::instances::InstanceState::Ready;
         Searcher {
             instance: Box::new(instance),
             place,
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{HashMap, HashSet};
 
-use lockusher_model::configuration::Engine;
-use lockusher_model::instances::{Instance, InstanceState, Stage};
+use lockusher_config::configuration::Engine;
+use lockusher_config::instances::{Instance, InstanceState, Stage};
 
 use super::budget::RetryBudget;
 use super::chains::{ChainKey, ChainMemory};
--- a/crates/lockusher-proxy/src/decision/trace.rs
+++ b/crates/lockusher-proxy/src/decision/trace.rs
@@ -1,6 +1,6 @@
 //! The decision trace: one line of the log for each send, at the level `debug`, which is off by default.
 //!
-//! `lockusher-fleet-lab decisions` makes a table of these lines.
+//! `lockusher-router-testbed decisions` makes a table of these lines.
 
 use super::plan::SendRecord;
 use super::types::{MICROS_PER_MS, Micros, SendOutcome};
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -6,7 +6,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap};
 use hyper::{Request, Response, StatusCode};
-use lockusher_model::configuration::{Configuration, Route};
+use lockusher_config::configuration::{Configuration, Route};
 
 use crate::answer::{self, Answer, AnswerBody};
 use crate::deadline::Deadlines;
--- a/crates/lockusher-proxy/src/send.rs
+++ b/crates/lockusher-proxy/src/send.rs
@@ -12,7 +12,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use lockusher_model::configuration::{Route, RouteKind};
+use lockusher_config::configuration::{Route, RouteKind};
 
 use crate::deadline::{CLIENT_RESERVE, Deadlines};
 use crate::decision::{Choice, Purpose, RequestPlan, SendOutcome};
--- a/crates/lockusher-proxy/src/serve.rs
+++ b/crates/lockusher-proxy/src/serve.rs
@@ -14,9 +14,9 @@
 use hyper::server::conn::http1::Builder;
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
+use lockusher_config::settings::NodeSettings;
 use lockusher_distribution::load::ServiceLoad;
 use lockusher_distribution::subscribe::FeedUpdate;
-use lockusher_model::settings::NodeSettings;
 
 use crate::client::listener::{accept_clients, listen, sweep};
 use crate::client::registry::ClientRegistry;
--- a/crates/lockusher-proxy/src/shared.rs
+++ b/crates/lockusher-proxy/src/shared.rs
@@ -3,11 +3,11 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+use lockusher_config::configuration::Route;
+use lockusher_config::route_table::RouteTable;
+use lockusher_config::settings::NodeSettings;
 use lockusher_distribution::subscribe::FeedUpdate;
-use lockusher_model::configuration::Route;
-use lockusher_model::route_table::RouteTable;
-use lockusher_model::settings::NodeSettings;
-use lockusher_net::clock::Clock;
+use lockusher_transport::clock::Clock;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-proxy/src/traffic_split.rs
+++ b/crates/lockusher-proxy/src/traffic_split.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use lockusher_model::configuration::Route;
+use lockusher_config::configuration::Route;
 
 /// The golden ratio's fraction: the step that leaves the smallest gaps.
 const STEP: f64 = 0.618_033_988_749_894_9;
--- a/crates/lockusher-proxy/src/upstream/pool.rs
+++ b/crates/lockusher-proxy/src/upstream/pool.rs
@@ -8,8 +8,8 @@
 use std::time::Instant;
 
 use derive_more::{Display, Error};
-use lockusher_model::configuration::Configuration;
-use lockusher_model::instances::{Instance, InstanceState};
+use lockusher_config::configuration::Configuration;
+use lockusher_config::instances::{Instance, InstanceState};
 
 use super::connection::{PlaceHold, UpstreamConnection};
 use crate::descriptors::Descriptors;
--- a/crates/lockusher-proxy/tests/decision_attempts.rs
+++ b/crates/lockusher-proxy/tests/decision_attempts.rs
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_draining_searcher_gets_nothing() {
-    use lockusher_model::instances::InstanceState;
+    use lockusher_config::instances::InstanceState;
     let mut list = plain(2);
     let mut director = director(&list, 1);
     list[0].state = InstanceState::Draining;
--- a/crates/lockusher-proxy/tests/decision_cost.rs
+++ b/crates/lockusher-proxy/tests/decision_cost.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use decision_support::*;
-use lockusher_model::instances::Stage;
+use lockusher_config::instances::Stage;
 use lockusher_proxy::decision::*;
 
 /// Choices in one batch; the quickest batch counts, as others share the machine.
--- a/crates/lockusher-proxy/tests/decision_load.rs
+++ b/crates/lockusher-proxy/tests/decision_load.rs
@@ -3,7 +3,7 @@
 mod decision_support;
 
 use decision_support::*;
-use lockusher_model::instances::{InstanceState, Stage};
+use lockusher_config::instances::{InstanceState, Stage};
 use lockusher_proxy::decision::*;
 
 #[test]
--- a/crates/lockusher-proxy/tests/decision_places.rs
+++ b/crates/lockusher-proxy/tests/decision_places.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use decision_support::*;
-use lockusher_model::instances::Stage;
+use lockusher_config::instances::Stage;
 use lockusher_proxy::decision::*;
 
 /// How long a prefill of so many tokens takes here.
--- a/crates/lockusher-proxy/tests/decision_support/choosers.rs
+++ b/crates/lockusher-proxy/tests/decision_support/choosers.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use lockusher_model::configuration::RouteKind;
+use lockusher_config::configuration::RouteKind;
 use lockusher_proxy::decision::*;
 
 use super::fleet::Chooser;
--- a/crates/lockusher-proxy/tests/decision_support/mod.rs
+++ b/crates/lockusher-proxy/tests/decision_support/mod.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lockusher_model::configuration::{Configuration, Engine, Limits, RouteKind, Service};
-use lockusher_model::instances::{Instance, InstanceState, ModelVersion, Stage};
+use lockusher_config::configuration::{Configuration, Engine, Limits, RouteKind, Service};
+use lockusher_config::instances::{Instance, InstanceState, ModelVersion, Stage};
 use lockusher_proxy::decision::*;
 
 /// Name of the service in these tests.
--- a/crates/lockusher-proxy/tests/support/deployment.rs
+++ b/crates/lockusher-proxy/tests/support/deployment.rs
@@ -2,10 +2,10 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use lockusher_model::configuration::{
+use lockusher_config::configuration::{
     Configuration, Engine, Limits, Route, RouteKind, Service, WeightedService,
 };
-use lockusher_model::settings::{Bounds, NodeLimits, NodeSettings};
+use lockusher_config::settings::{Bounds, NodeLimits, NodeSettings};
 
 use super::{ENGINE, HOST, ONCE, PLAIN, REPEAT, RESUME, STREAM};
 
--- a/crates/lockusher-proxy/tests/traffic_split.rs
+++ b/crates/lockusher-proxy/tests/traffic_split.rs
@@ -1,6 +1,6 @@
 //! A route's requests are spread over its services by weight.
 
-use lockusher_model::configuration::{Configuration, Route};
+use lockusher_config::configuration::{Configuration, Route};
 use lockusher_proxy::traffic_split::TrafficSplits;
 use proptest::prelude::*;
 
--- a/crates/lockusher-registry/src/core/doubt.rs
+++ b/crates/lockusher-registry-client/src/core/doubt.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 
 use super::endpoints::EndpointId;
 use super::view::Version;
--- a/crates/lockusher-registry/src/core/endpoints.rs
+++ b/crates/lockusher-registry-client/src/core/endpoints.rs
@@ -1,6 +1,6 @@
 //! Which endpoint is asked next, and when.
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-registry/src/core/entry.rs
+++ b/crates/lockusher-registry-client/src/core/entry.rs
@@ -1,7 +1,7 @@
 //! An entry of the registry: a key under the prefix, and a searcher's line as discovery writes it.
 
-use lockusher_host::list::{Line, LineText};
-use lockusher_host::settings::Names;
+use lockusher_multiget::list::{Line, LineText};
+use lockusher_multiget::settings::Names;
 
 /// The number of a registry's state, which grows with each change: etcd's revision, Consul's index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/lockusher-registry/src/core/follow/answers.rs
+++ b/crates/lockusher-registry-client/src/core/follow/answers.rs
@@ -1,6 +1,6 @@
 //! What is made of the answers.
 
-use lockusher::interface::{Span, Time};
+use lockusher_policy::interface::{Span, Time};
 use rand::RngExt;
 
 use super::{
--- a/crates/lockusher-registry/src/core/follow/exchange.rs
+++ b/crates/lockusher-registry-client/src/core/follow/exchange.rs
@@ -1,6 +1,6 @@
 //! What a follower and its transport tell each other, and what the operator sets.
 
-use lockusher::interface::Span;
+use lockusher_policy::interface::Span;
 
 use super::notice::Notice;
 use crate::core::endpoints::EndpointId;
--- a/crates/lockusher-registry/src/core/follow/mod.rs
+++ b/crates/lockusher-registry-client/src/core/follow/mod.rs
@@ -17,9 +17,9 @@
 
 use std::collections::BTreeMap;
 
-use lockusher::interface::{Span, Time};
-use lockusher_host::list::{Line, List};
-use lockusher_host::settings::Names;
+use lockusher_multiget::list::{Line, List};
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::{Span, Time};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lockusher-registry/src/core/follow/notice.rs
+++ b/crates/lockusher-registry-client/src/core/follow/notice.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use lockusher::interface::Span;
+use lockusher_policy::interface::Span;
 
 use crate::core::endpoints::EndpointId;
 use crate::core::entry::Revision;
--- a/crates/lockusher-registry/src/core/follow/requests.rs
+++ b/crates/lockusher-registry-client/src/core/follow/requests.rs
@@ -1,6 +1,6 @@
 //! What is asked of the endpoint at hand, and when it is left for another.
 
-use lockusher::interface::Time;
+use lockusher_policy::interface::Time;
 
 use super::{Act, Call, Draft, Follower, MOST_ENTRIES, Notice, PAGES_GROW, Protocol, Stage};
 use crate::core::entry::Revision;
--- a/crates/lockusher-registry/src/core/follow/status.rs
+++ b/crates/lockusher-registry-client/src/core/follow/status.rs
@@ -1,6 +1,6 @@
 //! How a follower's work stands: counts and state for whoever asks.
 
-use lockusher::interface::Span;
+use lockusher_policy::interface::Span;
 
 use crate::core::endpoints::EndpointId;
 use crate::core::view::Version;
--- a/crates/lockusher-registry/src/core/view.rs
+++ b/crates/lockusher-registry-client/src/core/view.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lockusher::interface::{SearcherId, SearcherState};
-use lockusher_host::list::Line;
-use lockusher_host::settings::Names;
+use lockusher_multiget::list::Line;
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::{SearcherId, SearcherState};
 
 use super::entry::{self, Change, ClusterId, Entry, Revision};
 
--- a/crates/lockusher-registry/src/io/consul.rs
+++ b/crates/lockusher-registry-client/src/io/consul.rs
@@ -6,7 +6,7 @@
 use awc::{Client, Connector};
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
-use lockusher::interface::Span;
+use lockusher_policy::interface::Span;
 use serde::Deserialize;
 
 use super::{Ear, MOST_ANSWER};
--- a/crates/lockusher-registry/src/io/etcd.rs
+++ b/crates/lockusher-registry-client/src/io/etcd.rs
@@ -1,6 +1,6 @@
 //! etcd's v3 API over gRPC: services KV and Watch as published.
 
-use lockusher::interface::Span;
+use lockusher_policy::interface::Span;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tonic::transport::{Channel, Endpoint};
--- a/crates/lockusher-registry/src/io/mod.rs
+++ b/crates/lockusher-registry-client/src/io/mod.rs
@@ -7,9 +7,9 @@
 
 use std::time::Duration;
 
-use lockusher::interface::{Span, Time};
-use lockusher_host::list::{Line, List};
-use lockusher_host::settings::Names;
+use lockusher_multiget::list::{Line, List};
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::{Span, Time};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinHandle;
 
--- a/crates/lockusher-registry/tests/follow.rs
+++ b/crates/lockusher-registry-client/tests/follow.rs
@@ -1,12 +1,12 @@
 //! Stories of the follower, in virtual time and without a registry: what it asks, what it makes of what comes.
 
-use lockusher::interface::{SearcherState, Span, Time};
-use lockusher_host::list::List;
-use lockusher_host::settings::Names;
-use lockusher_registry::core::endpoints::EndpointId;
-use lockusher_registry::core::entry::{Change, ClusterId, Entry, Revision};
-use lockusher_registry::core::follow::{Act, Call, Follower, Heard, Notice, Plan, Protocol, Why};
-use lockusher_registry::core::view::Version;
+use lockusher_multiget::list::List;
+use lockusher_multiget::settings::Names;
+use lockusher_policy::interface::{SearcherState, Span, Time};
+use lockusher_registry_client::core::endpoints::EndpointId;
+use lockusher_registry_client::core::entry::{Change, ClusterId, Entry, Revision};
+use lockusher_registry_client::core::follow::{Act, Call, Follower, Heard, Notice, Plan, Protocol, Why};
+use lockusher_registry_client::core::view::Version;
 use rstest::rstest;
 
 fn plan(protocol: Protocol, endpoints: usize) -> Plan {
--- a/crates/lockusher-fleet-lab/src/checker/changes.rs
+++ b/crates/lockusher-router-testbed/src/checker/changes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use lockusher_model::configuration::{Configuration, Route};
+use lockusher_config::configuration::{Configuration, Route};
 
 use super::{Evidence, Index, Rule, Verdict};
 use crate::engine::Micros;
--- a/crates/lockusher-fleet-lab/src/configuration.rs
+++ b/crates/lockusher-router-testbed/src/configuration.rs
@@ -1,6 +1,6 @@
 //! Configurations as the operator writes them.
 
-use lockusher_model::configuration::{Configuration, Engine, Limits, Route, RouteKind, Service};
+use lockusher_config::configuration::{Configuration, Engine, Limits, Route, RouteKind, Service};
 use serde_json::{Value, json};
 
 const MS_PER_S: f64 = 1000.0;
--- a/crates/lockusher-fleet-lab/src/deployment.rs
+++ b/crates/lockusher-router-testbed/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lockusher_model::configuration::{
+use lockusher_config::configuration::{
     Configuration, Engine, Limits, Route, RouteKind, Service, WeightedService,
 };
 
--- a/crates/lockusher-fleet-lab/src/hunt/writer.rs
+++ b/crates/lockusher-router-testbed/src/hunt/writer.rs
@@ -5,7 +5,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use lockusher_model::configuration::{Configuration, RouteKind};
+use lockusher_config::configuration::{Configuration, RouteKind};
 use serde_json::Value;
 
 use crate::configuration::to_json;
--- a/crates/lockusher-fleet-lab/src/main.rs
+++ b/crates/lockusher-router-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `lockusher-fleet-lab`: starts a whole fleet on the loopback and shows it, or puts load on it.
+//! `lockusher-router-testbed`: starts a whole fleet on the loopback and shows it, or puts load on it.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -8,12 +8,12 @@
 
 use derive_more::{Display, Error, From};
 use getopts::{Matches, Options};
-use lockusher_fleet_lab::decisions::{TraceError, read_trace, table};
-use lockusher_fleet_lab::demo::{DemoError, DemoPlan, Outcome, play};
-use lockusher_fleet_lab::hunt::{HuntPlan, draw_day, play_day};
-use lockusher_fleet_lab::report::{PlotError, page};
-use lockusher_fleet_lab::run_file::{Run, RunFileError};
-use lockusher_fleet_lab::world::WorldPlan;
+use lockusher_router_testbed::decisions::{TraceError, read_trace, table};
+use lockusher_router_testbed::demo::{DemoError, DemoPlan, Outcome, play};
+use lockusher_router_testbed::hunt::{HuntPlan, draw_day, play_day};
+use lockusher_router_testbed::report::{PlotError, page};
+use lockusher_router_testbed::run_file::{Run, RunFileError};
+use lockusher_router_testbed::world::WorldPlan;
 
 /// Exit code when a rule was broken or a process ended by itself.
 const BROKEN: u8 = 1;
@@ -56,7 +56,7 @@
     match run() {
         Ok(code) => code,
         Err(error) => {
-            eprintln!("lockusher-fleet-lab: {error}");
+            eprintln!("lockusher-router-testbed: {error}");
             ExitCode::from(UNUSABLE)
         }
     }
@@ -86,7 +86,7 @@
 }
 
 const BRIEF: &str = "\
-Usage: lockusher-fleet-lab (demo|load|hunt) [options]\n       lockusher-fleet-lab report [--page FILE] RUN...\n       lockusher-fleet-lab decisions LOG...
+Usage: lockusher-router-testbed (demo|load|hunt) [options]\n       lockusher-router-testbed report [--page FILE] RUN...\n       lockusher-router-testbed decisions LOG...
 
   demo   starts a fleet on the loopback, shows it under load and troubles, and ends by itself
   load   the same without troubles: figures of a load at given rates
--- a/crates/lockusher-fleet-lab/src/operator.rs
+++ b/crates/lockusher-router-testbed/src/operator.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use lockusher_model::configuration::Configuration;
+use lockusher_config::configuration::Configuration;
 use serde_json::Value;
 
 use crate::configuration::to_json;
--- a/crates/lockusher-fleet-lab/src/world.rs
+++ b/crates/lockusher-router-testbed/src/world.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use derive_more::{Display, Error, From};
-use lockusher_model::configuration::Configuration;
+use lockusher_config::configuration::Configuration;
 
 use crate::checker::{Evidence, RuleBounds, Verdict, check};
 use crate::deployment::{
--- a/crates/lockusher-fleet-lab/tests/bench/mod.rs
+++ b/crates/lockusher-router-testbed/tests/bench/mod.rs
@@ -4,16 +4,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lockusher_fleet_lab::checker::{Evidence, Verdict, check};
-use lockusher_fleet_lab::client::Client;
-use lockusher_fleet_lab::engine::{EngineParameters, MICROS_PER_MS, Stage};
-use lockusher_fleet_lab::kv_network::KvNetwork;
-use lockusher_fleet_lab::model_searcher::{ModelParameters, ModelSearcher};
-use lockusher_fleet_lab::plain_searcher::{PlainParameters, PlainSearcher};
-use lockusher_fleet_lab::platform::{Platform, PlatformParameters};
-use lockusher_fleet_lab::record::{LabClock, Ledger};
-use lockusher_fleet_lab::request::{RequestRecord, RequestSpec};
-use lockusher_fleet_lab::searcher::Identity;
+use lockusher_router_testbed::checker::{Evidence, Verdict, check};
+use lockusher_router_testbed::client::Client;
+use lockusher_router_testbed::engine::{EngineParameters, MICROS_PER_MS, Stage};
+use lockusher_router_testbed::kv_network::KvNetwork;
+use lockusher_router_testbed::model_searcher::{ModelParameters, ModelSearcher};
+use lockusher_router_testbed::plain_searcher::{PlainParameters, PlainSearcher};
+use lockusher_router_testbed::platform::{Platform, PlatformParameters};
+use lockusher_router_testbed::record::{LabClock, Ledger};
+use lockusher_router_testbed::request::{RequestRecord, RequestSpec};
+use lockusher_router_testbed::searcher::Identity;
 
 use crate::specs::{acknowledged, bounds, configuration};
 
--- a/crates/lockusher-fleet-lab/tests/checker.rs
+++ b/crates/lockusher-router-testbed/tests/checker.rs
@@ -4,11 +4,13 @@
 
 use std::sync::Arc;
 
-use lockusher_fleet_lab::checker::{Evidence, Rule, check};
-use lockusher_fleet_lab::engine::{MICROS_PER_MS, Micros};
-use lockusher_fleet_lab::operator::ChangeOutcome;
-use lockusher_fleet_lab::record::{Arrival, ArrivalOutcome, DrainTimes, EventRecord, Run, RunBody, digest};
-use lockusher_fleet_lab::request::{AnswerSeen, BodySeen, Break, RequestSpec, TryOutcome, TryRecord};
+use lockusher_router_testbed::checker::{Evidence, Rule, check};
+use lockusher_router_testbed::engine::{MICROS_PER_MS, Micros};
+use lockusher_router_testbed::operator::ChangeOutcome;
+use lockusher_router_testbed::record::{
+    Arrival, ArrivalOutcome, DrainTimes, EventRecord, Run, RunBody, digest,
+};
+use lockusher_router_testbed::request::{AnswerSeen, BodySeen, Break, RequestSpec, TryOutcome, TryRecord};
 use specs::{acknowledged, bounds, configuration, model_spec, plain_spec};
 
 const SECOND: Micros = 1_000 * MICROS_PER_MS;
--- a/crates/lockusher-fleet-lab/tests/crossings.rs
+++ b/crates/lockusher-router-testbed/tests/crossings.rs
@@ -4,14 +4,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use lockusher_fleet_lab::checker::Verdict;
-use lockusher_fleet_lab::client::Client;
-use lockusher_fleet_lab::deployment::{mix, spec_for};
-use lockusher_fleet_lab::record::ArrivalOutcome;
-use lockusher_fleet_lab::request::{RequestRecord, RequestSpec, TryOutcome};
-use lockusher_fleet_lab::searcher::{Fault, FaultPlan};
-use lockusher_fleet_lab::wait::wait_until;
-use lockusher_fleet_lab::world::{World, WorldPlan};
+use lockusher_router_testbed::checker::Verdict;
+use lockusher_router_testbed::client::Client;
+use lockusher_router_testbed::deployment::{mix, spec_for};
+use lockusher_router_testbed::record::ArrivalOutcome;
+use lockusher_router_testbed::request::{RequestRecord, RequestSpec, TryOutcome};
+use lockusher_router_testbed::searcher::{Fault, FaultPlan};
+use lockusher_router_testbed::wait::wait_until;
+use lockusher_router_testbed::world::{World, WorldPlan};
 
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
--- a/crates/lockusher-fleet-lab/tests/decisions.rs
+++ b/crates/lockusher-router-testbed/tests/decisions.rs
@@ -1,6 +1,6 @@
 //! The table of the decision trace.
 
-use lockusher_fleet_lab::decisions::{TraceError, read_trace, table};
+use lockusher_router_testbed::decisions::{TraceError, read_trace, table};
 
 const LOG: &str = "\
  0.1 edge-1/proxy 14.0 DEBUG proxy edge-1 decision Prefill Answered tokens=1024 waited_ms=0 expected_ms=20 took_ms=30 target_ms=300
--- a/crates/lockusher-fleet-lab/tests/engine.rs
+++ b/crates/lockusher-router-testbed/tests/engine.rs
@@ -1,6 +1,6 @@
 //! The engine model against the words of the protocol page, in virtual time.
 
-use lockusher_fleet_lab::engine::{
+use lockusher_router_testbed::engine::{
     Distance, Engine, EngineParameters, HandleId, JobKey, KvTransfer, MICROS_PER_MS, Micros, NO_DEADLINE,
     OrderAnswer, Output, Part, Rejection, Stage, Submission,
 };
--- a/crates/lockusher-fleet-lab/tests/fleet.rs
+++ b/crates/lockusher-router-testbed/tests/fleet.rs
@@ -7,16 +7,16 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use lockusher_fleet_lab::checker::Rule;
-use lockusher_fleet_lab::deployment::{PLAIN_SERVICE, mix, route, spec_for};
-use lockusher_fleet_lab::figures::Figures;
-use lockusher_fleet_lab::fleet::{Role, Signal};
-use lockusher_fleet_lab::load::{Load, LoadPlan};
-use lockusher_fleet_lab::operator::ChangeOutcome;
-use lockusher_fleet_lab::request::{RequestRecord, TryOutcome};
-use lockusher_fleet_lab::wait::wait_until;
-use lockusher_fleet_lab::world::{World, WorldPlan};
-use lockusher_model::configuration::RouteKind;
+use lockusher_config::configuration::RouteKind;
+use lockusher_router_testbed::checker::Rule;
+use lockusher_router_testbed::deployment::{PLAIN_SERVICE, mix, route, spec_for};
+use lockusher_router_testbed::figures::Figures;
+use lockusher_router_testbed::fleet::{Role, Signal};
+use lockusher_router_testbed::load::{Load, LoadPlan};
+use lockusher_router_testbed::operator::ChangeOutcome;
+use lockusher_router_testbed::request::{RequestRecord, TryOutcome};
+use lockusher_router_testbed::wait::wait_until;
+use lockusher_router_testbed::world::{World, WorldPlan};
 
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
@@ -100,7 +100,7 @@
     assert_eq!(outcome, ChangeOutcome::Acknowledged);
     let spec = std::sync::Arc::new(spec_for(&added));
     let dropped = std::sync::Arc::new(spec_for(&route("record", PLAIN_SERVICE, RouteKind::NonIdempotent)));
-    let mut client = lockusher_fleet_lab::client::Client::new(world.clock);
+    let mut client = lockusher_router_testbed::client::Client::new(world.clock);
     let mut records = Vec::new();
     for mixer in world.fleet.mixers() {
         let mut ask = |spec, wanted| {
@@ -283,7 +283,7 @@
     let records = load.finish();
     let verdict = world.check(&records);
     // A stream that the crash broke off may end early; nothing else may go wrong.
-    assert_eq!(verdict.without(Rule::Lost), Vec::<&lockusher_fleet_lab::checker::Violation>::new());
+    assert_eq!(verdict.without(Rule::Lost), Vec::<&lockusher_router_testbed::checker::Violation>::new());
     assert_served(&records, 0.9);
 }
 
--- a/crates/lockusher-fleet-lab/tests/report.rs
+++ b/crates/lockusher-router-testbed/tests/report.rs
@@ -1,7 +1,7 @@
 //! Runs in files, and the page that lays them side by side.
 
-use lockusher_fleet_lab::report::page;
-use lockusher_fleet_lab::run_file::{Run, RunFileError, Sample};
+use lockusher_router_testbed::report::page;
+use lockusher_router_testbed::run_file::{Run, RunFileError, Sample};
 
 fn run(title: &str) -> Run {
     let sample = |number: u64| Sample {
@@ -13,7 +13,7 @@
 }
 
 fn file(name: &str) -> std::path::PathBuf {
-    std::env::temp_dir().join(format!("lockusher-fleet-lab-{}-{name}", std::process::id()))
+    std::env::temp_dir().join(format!("lockusher-router-testbed-{}-{name}", std::process::id()))
 }
 
 #[test]
--- a/crates/lockusher-fleet-lab/tests/specs/mod.rs
+++ b/crates/lockusher-router-testbed/tests/specs/mod.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use lockusher_fleet_lab::checker::RuleBounds;
-use lockusher_fleet_lab::engine::{MICROS_PER_MS, Part};
-use lockusher_fleet_lab::operator::{Change, ChangeOutcome};
-use lockusher_fleet_lab::request::RequestSpec;
-use lockusher_model::configuration::{Configuration, Limits, Route, RouteKind, WeightedService};
+use lockusher_config::configuration::{Configuration, Limits, Route, RouteKind, WeightedService};
+use lockusher_router_testbed::checker::RuleBounds;
+use lockusher_router_testbed::engine::{MICROS_PER_MS, Part};
+use lockusher_router_testbed::operator::{Change, ChangeOutcome};
+use lockusher_router_testbed::request::RequestSpec;
 
 /// A short prompt with a shared part.
 pub fn model_spec(tokens_out: u64) -> RequestSpec {
--- a/crates/lockusher-fleet-lab/tests/stand_ins.rs
+++ b/crates/lockusher-router-testbed/tests/stand_ins.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use bench::Bench;
-use lockusher_fleet_lab::checker::Rule;
-use lockusher_fleet_lab::http::{Answer, Connection, Request};
-use lockusher_fleet_lab::request::{Break, TryOutcome};
-use lockusher_fleet_lab::searcher::Fault;
+use lockusher_router_testbed::checker::Rule;
+use lockusher_router_testbed::http::{Answer, Connection, Request};
+use lockusher_router_testbed::request::{Break, TryOutcome};
+use lockusher_router_testbed::searcher::Fault;
 use specs::{model_spec, plain_spec};
 use yare::parameterized;
 
--- a/crates/lockusher-drill/src/main.rs
+++ b/crates/lockusher-simulator-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 
 use anyhow::{Context, Result, anyhow};
-use lockusher::interface::Time;
+use lockusher_policy::interface::Time;
 
 use mixer::Mixer;
 use wire::{Batch, Entry, Event, Mode, Reply, Tagged};
@@ -93,7 +93,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("lockusher-drill: {error:#}");
+            eprintln!("lockusher-simulator-adapter: {error:#}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lockusher-drill/src/mixer.rs
+++ b/crates/lockusher-simulator-adapter/src/mixer.rs
@@ -1,9 +1,9 @@
 //! One instance on the simulator's wire: its host, its timer and the actions of a batch.
 
 use anyhow::{Context, Result, bail};
-use lockusher::interface::*;
-use lockusher_host::host::{Ended, Host, NewPart, Taken, Wire};
-use lockusher_host::settings::{Names, Settings};
+use lockusher_multiget::host::{Ended, Host, NewPart, Taken, Wire};
+use lockusher_multiget::settings::{Names, Settings};
+use lockusher_policy::interface::*;
 
 use crate::wire::{self, Action, ClosedAttempt, Customer, Entry, Knock, Mode};
 
--- a/crates/lockusher-drill/src/wire.rs
+++ b/crates/lockusher-simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire: its messages, decoded and encoded once. Wire names end here.
 
-use lockusher::interface::*;
-use lockusher_host::settings::{Names, Settings};
+use lockusher_multiget::settings::{Names, Settings};
+use lockusher_policy::interface::*;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
--- a/crates/lockusher-drill/tests/wire.rs
+++ b/crates/lockusher-simulator-adapter/tests/wire.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 fn play(lines: &[String]) -> Output {
-    let mut drill = Command::new(env!("CARGO_BIN_EXE_lockusher-drill"))
+    let mut drill = Command::new(env!("CARGO_BIN_EXE_lockusher-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/lockusher-net/tests/sockets.rs
+++ b/crates/lockusher-transport/tests/sockets.rs
@@ -7,8 +7,8 @@
 use compio::runtime::Runtime;
 use futures_util::FutureExt;
 use hyper::StatusCode;
-use lockusher_net::error::NetError;
-use lockusher_net::{frame, http, tcp};
+use lockusher_transport::error::NetError;
+use lockusher_transport::{frame, http, tcp};
 
 const LIMIT: Duration = Duration::from_secs(5);
 
