--- a/crates/lockusher-aggregator-testbed/src/chain.rs
+++ b/crates/lockusher-aggregator-testbed/src/chain.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use anyhow::ensure;
-use lockusher_control::Mistake;
+use lockusher_control::InjectedBug;
 use lockusher_control::simulation::{Checks, Outcome, SimulationOptions, shrink, simulate_with};
 
 /// The simulation has nodes at addresses of one network.
@@ -27,15 +27,15 @@
     /// Threads that share them.
     pub threads: NonZero<usize>,
     /// A mistake that all nodes make.
-    pub mistake: Option<Mistake>,
+    pub injected_bug: Option<InjectedBug>,
     /// What the runs are judged by.
     pub checks: Checks,
 }
 
 impl ChainRuns {
     fn simulation(&self, seed: u64) -> SimulationOptions {
-        let ChainRuns { replicas, steps, mistake, checks, .. } = *self;
-        SimulationOptions { replicas, seed, steps, mistake, checks }
+        let ChainRuns { replicas, steps, injected_bug, checks, .. } = *self;
+        SimulationOptions { replicas, seed, steps, injected_bug, checks }
     }
 }
 
--- a/crates/lockusher-aggregator-testbed/src/main.rs
+++ b/crates/lockusher-aggregator-testbed/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use lockusher_aggregator_testbed::{chain, chain_mistakes, demo, http2, large, mixers, soak, standstill};
-use lockusher_control::Mistake;
+use lockusher_control::InjectedBug;
 use lockusher_control::simulation::Checks;
 use lockusher_policy::interface::Span;
 use lockusher_registry_client::core::follow::Protocol;
@@ -182,7 +182,7 @@
         told_only: bool,
         /// One mistake, by its name in lockusher_control::Mistake.
         #[arg(long)]
-        mistake: Option<String>,
+        injected_bug: Option<String>,
     },
     /// The mixer itself, as the stories start it.
     #[command(hide = true, disable_help_flag = true)]
@@ -248,17 +248,18 @@
         }
         Command::Chain { replicas, seed, steps, runs, threads } => {
             let threads = threads.unwrap_or_else(chain::default_threads);
-            let (mistake, checks) = (None, Checks::Everything);
-            let options = chain::ChainRuns { replicas, seed, steps, runs, threads, mistake, checks };
+            let (injected_bug, checks) = (None, Checks::Everything);
+            let options = chain::ChainRuns { replicas, seed, steps, runs, threads, injected_bug, checks };
             chain::run(&options, &mut std::io::stdout().lock())
         }
-        Command::ChainMistakes { replicas, seed, steps, runs, told_only, mistake } => {
+        Command::ChainMistakes { replicas, seed, steps, runs, told_only, injected_bug } => {
             let threads = chain::default_threads();
             let checks = if told_only { Checks::ToldOnly } else { Checks::Everything };
-            let options = chain::ChainRuns { replicas, seed, steps, runs, threads, mistake: None, checks };
-            match mistake.map(|name| Mistake::named(&name).ok_or(name)).transpose() {
+            let options =
+                chain::ChainRuns { replicas, seed, steps, runs, threads, injected_bug: None, checks };
+            match injected_bug.map(|name| InjectedBug::named(&name).ok_or(name)).transpose() {
                 Ok(one) => chain_mistakes::run(&options, one, &mut std::io::stdout().lock()),
-                Err(name) => Err(anyhow::anyhow!("mistake: {name} is none of {:?}", Mistake::ALL)),
+                Err(name) => Err(anyhow::anyhow!("mistake: {name} is none of {:?}", InjectedBug::ALL)),
             }
         }
         Command::Large { protocol, entries, changes, seconds } => {
--- /dev/null
+++ b/crates/lockusher-control/src/acceptor.rs
@@ -0,0 +1,77 @@
+//! The voter's side of the agreement on the successor of one epoch.
+
+use crate::{
+    DurableRecord, View,
+    message::{AcceptedView, ProposalNumber},
+};
+
+/// What this voter has promised and accepted in its present epoch.
+#[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
+pub struct AcceptorState {
+    /// No proposal number below this one is accepted.
+    pub promised: ProposalNumber,
+    /// Accepted under the highest proposal number so far.
+    pub accepted: Option<AcceptedView>,
+    /// No further entry of the epoch is taken.
+    pub sealed: bool,
+    /// The seal is on disk.
+    pub seal_durable: bool,
+}
+
+impl AcceptorState {
+    /// Promises the proposal number, or says which higher one was promised.
+    pub fn prepare(&mut self, proposal_number: ProposalNumber) -> Result<(), ProposalNumber> {
+        if proposal_number < self.promised {
+            return Err(self.promised);
+        }
+        self.promised = proposal_number;
+        Ok(())
+    }
+
+    /// Accepts the view, or says which higher proposal number was promised.
+    pub fn accept(&mut self, proposal_number: ProposalNumber, view: View) -> Result<(), ProposalNumber> {
+        self.prepare(proposal_number)?;
+        self.accepted = Some(AcceptedView { proposal_number, view });
+        Ok(())
+    }
+
+    /// Merges a record of this epoch; the order of records doesn't matter.
+    pub fn recover(&mut self, record: &DurableRecord) {
+        match record {
+            DurableRecord::Promise { proposal_number, .. } => {
+                self.promised = self.promised.max(*proposal_number)
+            }
+            DurableRecord::Accept { proposal_number, view, .. } => {
+                self.recover_accepted(*proposal_number, view)
+            }
+            DurableRecord::Seal { .. } => {
+                self.sealed = true;
+                self.seal_durable = true;
+            }
+            _ => {}
+        }
+    }
+
+    fn recover_accepted(&mut self, proposal_number: ProposalNumber, view: &View) {
+        self.promised = self.promised.max(proposal_number);
+        if self.accepted.as_ref().is_none_or(|accepted| accepted.proposal_number <= proposal_number) {
+            self.accepted = Some(AcceptedView { proposal_number, view: view.clone() });
+        }
+    }
+
+    /// Records from which [`AcceptorState::recover`] restores these votes.
+    pub fn records(&self, epoch: u64) -> Vec<DurableRecord> {
+        let mut records = vec![DurableRecord::Promise { epoch, proposal_number: self.promised }];
+        if let Some(AcceptedView { proposal_number, view }) = &self.accepted {
+            records.push(DurableRecord::Accept {
+                epoch,
+                proposal_number: *proposal_number,
+                view: view.clone(),
+            });
+        }
+        if self.sealed {
+            records.push(DurableRecord::Seal { epoch });
+        }
+        records
+    }
+}
--- a/crates/lockusher-control/src/vote_log.rs
+++ b/crates/lockusher-control/src/acceptor_log.rs
@@ -6,7 +6,7 @@
 
 /// What is done once a write, and all before it, are durable.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AfterVote {
+pub enum AfterAcceptorWrite {
     Send { to: SocketAddrV4, message: Message },
     ViewDurable { epoch: u64 },
     SealDurable { epoch: u64 },
@@ -14,19 +14,19 @@
 
 /// Writes in their order. A refused one is written again; what waits is released in order only.
 #[derive(Debug, Default)]
-pub struct VoteLog {
-    writes: VecDeque<VoteWrite>,
+pub struct AcceptorLog {
+    writes: VecDeque<AcceptorWrite>,
 }
 
 #[derive(Debug)]
-struct VoteWrite {
+struct AcceptorWrite {
     ticket: PersistTicket,
     records: Vec<DurableRecord>,
     progress: Progress,
     since: Millis,
     /// Was refused at least once.
     refused: bool,
-    then: Vec<AfterVote>,
+    then: Vec<AfterAcceptorWrite>,
 }
 
 #[derive(Debug, Eq, PartialEq)]
@@ -36,16 +36,16 @@
     Durable,
 }
 
-impl VoteLog {
+impl AcceptorLog {
     /// Notes a write that was asked for.
     pub fn push(
         &mut self,
         ticket: PersistTicket,
         records: Vec<DurableRecord>,
-        then: Vec<AfterVote>,
+        then: Vec<AfterAcceptorWrite>,
         now: Millis,
     ) {
-        self.writes.push_back(VoteWrite {
+        self.writes.push_back(AcceptorWrite {
             ticket,
             records,
             progress: Progress::Writing,
@@ -56,7 +56,7 @@
     }
 
     /// Lets this wait for all writes under way; gives it back if there is none.
-    pub fn wait(&mut self, then: AfterVote) -> Option<AfterVote> {
+    pub fn wait(&mut self, then: AfterAcceptorWrite) -> Option<AfterAcceptorWrite> {
         let Some(last) = self.writes.back_mut() else { return Some(then) };
         if !last.then.contains(&then) {
             last.then.push(then);
@@ -65,8 +65,9 @@
     }
 
     /// A write is durable: what may be done now, or `None` if the ticket isn't of this log.
-    pub fn persisted(&mut self, ticket: PersistTicket) -> Option<Vec<AfterVote>> {
-        let is_it = |write: &&mut VoteWrite| write.ticket == ticket && write.progress == Progress::Writing;
+    pub fn persisted(&mut self, ticket: PersistTicket) -> Option<Vec<AfterAcceptorWrite>> {
+        let is_it =
+            |write: &&mut AcceptorWrite| write.ticket == ticket && write.progress == Progress::Writing;
         let write = self.writes.iter_mut().find(is_it)?;
         write.progress = Progress::Durable;
         let mut released = Vec::new();
--- a/crates/lockusher-control/src/attempt.rs
+++ b/crates/lockusher-control/src/attempt.rs
@@ -1,16 +1,16 @@
-//! The proposer's side of the agreement on the successor of one epoch: one attempt under one ballot.
+//! The proposer's side of the agreement on the successor of one epoch: one attempt under one proposal number.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
     Identity, View,
-    message::{AcceptedView, Ballot},
+    message::{AcceptedView, ProposalNumber},
 };
 
-/// One attempt. Messages of other ballots are ignored; answers may come twice and in any order.
+/// One attempt. Messages of other proposal numbers are ignored; answers may come twice and in any order.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Attempt {
-    ballot: Ballot,
+    proposal_number: ProposalNumber,
     /// View that is proposed unless a voter has accepted another one.
     wanted: View,
     /// Voters whose promises or acceptances make a majority.
@@ -23,9 +23,9 @@
 
 impl Attempt {
     /// An attempt that waits for promises of this many voters.
-    pub fn new(ballot: Ballot, wanted: View, majority: usize) -> Self {
+    pub fn new(proposal_number: ProposalNumber, wanted: View, majority: usize) -> Self {
         Self {
-            ballot,
+            proposal_number,
             wanted,
             majority,
             promises: BTreeMap::new(),
@@ -34,9 +34,9 @@
         }
     }
 
-    /// The ballot of all messages of this attempt.
-    pub fn ballot(&self) -> Ballot {
-        self.ballot
+    /// The proposal number of all messages of this attempt.
+    pub fn proposal_number(&self) -> ProposalNumber {
+        self.proposal_number
     }
 
     /// The view that voters are asked to accept; `None` while promises are missing.
@@ -53,23 +53,28 @@
     }
 
     /// A voter promises. `true` when this completes a majority, so that [`Attempt::proposed`] is to be sent: the view
-    /// accepted under the highest ballot among the promises, else the one wanted.
-    pub fn on_promised(&mut self, voter: Identity, ballot: Ballot, accepted: Option<AcceptedView>) -> bool {
-        if ballot != self.ballot || self.proposed.is_some() {
+    /// accepted under the highest proposal number among the promises, else the one wanted.
+    pub fn on_prepare_response(
+        &mut self,
+        voter: Identity,
+        proposal_number: ProposalNumber,
+        accepted: Option<AcceptedView>,
+    ) -> bool {
+        if proposal_number != self.proposal_number || self.proposed.is_some() {
             return false;
         }
         self.promises.insert(voter, accepted);
         if self.promises.len() < self.majority {
             return false;
         }
-        let accepted = self.promises.values().flatten().max_by_key(|accepted| accepted.ballot);
+        let accepted = self.promises.values().flatten().max_by_key(|accepted| accepted.proposal_number);
         self.proposed = Some(accepted.map_or_else(|| self.wanted.clone(), |accepted| accepted.view.clone()));
         true
     }
 
     /// A voter accepts. The agreed view once a majority has accepted it.
-    pub fn on_accepted(&mut self, voter: Identity, ballot: Ballot) -> Option<&View> {
-        let proposed = self.proposed.as_ref().filter(|_| ballot == self.ballot)?;
+    pub fn on_accept_response(&mut self, voter: Identity, proposal_number: ProposalNumber) -> Option<&View> {
+        let proposed = self.proposed.as_ref().filter(|_| proposal_number == self.proposal_number)?;
         self.accepted_by.insert(voter);
         (self.accepted_by.len() >= self.majority).then_some(proposed)
     }
--- a/crates/lockusher-control/src/document.rs
+++ b/crates/lockusher-control/src/document.rs
@@ -29,7 +29,7 @@
 
 /// A validated configuration with its version.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
-pub struct Document {
+pub struct ConfigurationDocument {
     /// Version that the operator gave it; versions rise.
     pub version: u64,
     /// Identifies the operator's request that made it, so that the same request is known when it is sent again: the
@@ -41,7 +41,7 @@
     pub body: Arc<[u8]>,
 }
 
-impl Document {
+impl ConfigurationDocument {
     /// A document that the operator sent whole.
     pub fn new(version: u64, body: Arc<[u8]>) -> Self {
         let digest = Digest::of(&body);
--- a/crates/lockusher-control/src/durable.rs
+++ b/crates/lockusher-control/src/durable.rs
@@ -5,9 +5,9 @@
 use bitcode::{Decode, Encode};
 
 use crate::{
-    document::Document,
-    message::Ballot,
-    state::{Lineage, ReplicatedState},
+    document::ConfigurationDocument,
+    message::ProposalNumber,
+    state::{HistoryDigest, ReplicatedState},
     view::{Identity, View},
 };
 
@@ -24,7 +24,7 @@
     pub const SEALED: u64 = u64::MAX;
 }
 
-/// One durable record. Votes are merged by their order (epoch, ballot), so it is harmless if they come twice or
+/// One durable record. Votes are merged by their order (epoch, proposal number), so it is harmless if they come twice or
 /// late; `Entry` and `State` are applied in their order.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum DurableRecord {
@@ -32,16 +32,16 @@
     Identity { identity: Identity, address: SocketAddrV4 },
     /// An agreed view.
     View(View),
-    /// No ballot below this one is accepted for the successor of `epoch`.
-    Promise { epoch: u64, ballot: Ballot },
+    /// No proposal number below this one is accepted for the successor of `epoch`.
+    Promise { epoch: u64, proposal_number: ProposalNumber },
     /// This view was accepted as the successor of `epoch`.
-    Accept { epoch: u64, ballot: Ballot, view: View },
+    Accept { epoch: u64, proposal_number: ProposalNumber, view: View },
     /// No further entry of `epoch` is taken.
     Seal { epoch: u64 },
-    /// One configuration on top of the state with the lineage `previous`.
-    Entry { position: Position, previous: Lineage, document: Document },
+    /// One configuration on top of the state with the history digest `previous`.
+    Entry { position: Position, previous: HistoryDigest, document: ConfigurationDocument },
     /// The whole state, in place of what was held before.
     State { position: Position, state: ReplicatedState },
     /// The state held has the standing of this position, too.
-    Standing { position: Position },
+    PositionAdvanced { position: Position },
 }
--- a/crates/lockusher-control/src/holding.rs
+++ b/crates/lockusher-control/src/durable_state.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddrV4;
 
 use crate::{
-    Document, DurableRecord, Millis, PersistTicket, Position, ReplicatedState,
+    ConfigurationDocument, DurableRecord, Millis, PersistTicket, Position, ReplicatedState,
     message::{Payload, Transfer, TransferPurpose},
-    state::Lineage,
+    state::HistoryDigest,
 };
 
 /// The durable state. One write at a time is under way; it counts once it is durable.
 #[derive(Clone, Debug, Default)]
-pub struct Holding {
+pub struct DurableState {
     /// Where the durable state stands.
     pub position: Position,
     pub state: ReplicatedState,
@@ -35,7 +35,7 @@
     /// As head: send it down the chain.
     SendDown,
     /// As a member of the chain: pass the entry on, or answer.
-    PassOn { index: u64, previous: Lineage, document: Document, relay: bool },
+    PassOn { index: u64, previous: HistoryDigest, document: ConfigurationDocument, relay: bool },
     /// Answer a transfer.
     Answer { to: SocketAddrV4, purpose: TransferPurpose },
     /// Nothing: the write showed only that the disk works.
@@ -44,22 +44,22 @@
 
 /// What a transfer asks of the state held.
 #[derive(Clone, Debug)]
-pub enum Intake {
+pub enum TransferOutcome {
     /// The receiver lacks what the transfer builds on.
-    Lacking,
+    MissingBase,
     /// The same state is held already.
-    Same,
+    AlreadyStored,
     /// To be written: the record, and the state after it.
     Write(Box<DurableRecord>, ReplicatedState),
 }
 
-impl Holding {
+impl DurableState {
     /// Replays one record.
     pub fn recover(&mut self, record: DurableRecord) {
         match record {
             // Sealed states of several members of one epoch stand at the same position.
             DurableRecord::Entry { position, previous, document }
-                if position >= self.position && previous == self.state.lineage() =>
+                if position >= self.position && previous == self.state.history_digest() =>
             {
                 self.state = self.state.with(document);
                 self.position = position;
@@ -68,7 +68,7 @@
                 self.state = state;
                 self.position = position;
             }
-            DurableRecord::Standing { position } => self.position = self.position.max(position),
+            DurableRecord::PositionAdvanced { position } => self.position = self.position.max(position),
             _ => {}
         }
     }
@@ -84,36 +84,38 @@
     }
 
     /// How a transfer relates to the state held.
-    pub fn intake(&self, transfer: &Transfer) -> Intake {
+    pub fn classify_transfer(&self, transfer: &Transfer) -> TransferOutcome {
         let position = transfer.position;
-        if self.state.lineage() == transfer.lineage {
-            return Intake::Same;
+        if self.state.history_digest() == transfer.history_digest {
+            return TransferOutcome::AlreadyStored;
         }
         match &transfer.payload {
-            Payload::Nothing => Intake::Lacking,
-            Payload::Newest { previous, document } if *previous == self.state.lineage() => {
+            Payload::Empty => TransferOutcome::MissingBase,
+            Payload::LatestDocument { previous, document } if *previous == self.state.history_digest() => {
                 let record =
                     DurableRecord::Entry { position, previous: *previous, document: document.clone() };
-                Intake::Write(Box::new(record), self.state.with(document.clone()))
+                TransferOutcome::Write(Box::new(record), self.state.with(document.clone()))
             }
-            Payload::Newest { .. } => Intake::Lacking,
-            Payload::Whole(state) => {
+            Payload::LatestDocument { .. } => TransferOutcome::MissingBase,
+            Payload::FullSnapshot(state) => {
                 let record = DurableRecord::State { position, state: state.clone() };
-                Intake::Write(Box::new(record), state.clone())
+                TransferOutcome::Write(Box::new(record), state.clone())
             }
         }
     }
 }
 
-/// The smallest payload that brings a node with this lineage to the state.
-pub fn payload_for(state: &ReplicatedState, lineage: Option<Lineage>) -> Payload {
+/// The smallest payload that brings a node with this history digest to the state.
+pub fn payload_for(state: &ReplicatedState, history_digest: Option<HistoryDigest>) -> Payload {
     let newest = || {
         let document = state.document()?.clone();
-        Some(Payload::Newest { previous: state.previous_lineage(), document })
+        Some(Payload::LatestDocument { previous: state.previous_history_digest(), document })
     };
-    match lineage {
-        Some(lineage) if lineage == state.lineage() => Payload::Nothing,
-        Some(lineage) if lineage == state.previous_lineage() => newest().unwrap_or(Payload::Nothing),
-        _ => Payload::Whole(state.clone()),
+    match history_digest {
+        Some(history_digest) if history_digest == state.history_digest() => Payload::Empty,
+        Some(history_digest) if history_digest == state.previous_history_digest() => {
+            newest().unwrap_or(Payload::Empty)
+        }
+        _ => Payload::FullSnapshot(state.clone()),
     }
 }
--- a/crates/lockusher-control/src/failure_detector.rs
+++ b/crates/lockusher-control/src/failure_detector.rs
@@ -5,7 +5,7 @@
 use crate::{
     Identity, Millis, Position,
     message::{Health, Heartbeat},
-    state::Lineage,
+    state::HistoryDigest,
     timing::Timing,
 };
 
@@ -26,7 +26,7 @@
     pub epoch: u64,
     pub health: Health,
     pub position: Position,
-    pub lineage: Option<Lineage>,
+    pub history_digest: Option<HistoryDigest>,
     /// Version that the peer knows committed.
     pub committed_version: u64,
     view_sent_at: Option<Millis>,
@@ -71,7 +71,7 @@
         let Some(peer) = self.peers.get_mut(&from) else { return };
         peer.health = heartbeat.health;
         peer.position = heartbeat.position;
-        peer.lineage = Some(heartbeat.lineage);
+        peer.history_digest = Some(heartbeat.history_digest);
         peer.committed_version = heartbeat.committed_version;
         if heartbeat.hears.contains(&me) {
             peer.mutual_at = Some(now);
@@ -182,7 +182,7 @@
             epoch: 0,
             health: Health::Good,
             position: Position::default(),
-            lineage: None,
+            history_digest: None,
             committed_version: 0,
             view_sent_at: None,
             join_failed_at: None,
--- a/crates/lockusher-control/src/message.rs
+++ b/crates/lockusher-control/src/message.rs
@@ -4,10 +4,10 @@
 use derive_more::{Display, Error, From};
 
 use crate::{
-    document::Document,
+    document::ConfigurationDocument,
     durable::Position,
     replica::{Reply, Request},
-    state::{Lineage, ReplicatedState},
+    state::{HistoryDigest, ReplicatedState},
     view::{Identity, View},
 };
 
@@ -16,7 +16,7 @@
 
 /// Number of an attempt to agree on a view; unique to its proposer.
 #[derive(Clone, Copy, Debug, Decode, Default, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Ballot {
+pub struct ProposalNumber {
     pub round: u64,
     pub proposer: u64,
 }
@@ -30,10 +30,10 @@
     pub body: MessageBody,
 }
 
-/// A view accepted under a ballot.
+/// A view accepted under a proposal number.
 #[derive(Clone, Debug, Decode, Encode, Eq, Hash, PartialEq)]
 pub struct AcceptedView {
-    pub ballot: Ballot,
+    pub proposal_number: ProposalNumber,
     pub view: View,
 }
 
@@ -44,49 +44,49 @@
     /// An agreed view.
     NewView(View),
     Prepare {
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
     },
-    Promised {
-        ballot: Ballot,
+    PrepareResponse {
+        proposal_number: ProposalNumber,
         accepted: Option<AcceptedView>,
     },
     Accept {
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
         view: View,
     },
-    Accepted {
-        ballot: Ballot,
+    AcceptResponse {
+        proposal_number: ProposalNumber,
     },
-    /// The ballot is below a promised one.
-    Rejected {
-        promised: Ballot,
+    /// The proposal number is below a promised one.
+    ProposalRejected {
+        promised: ProposalNumber,
     },
     /// State for another replica.
     Transfer(Transfer),
-    TransferAnswer(TransferAnswer),
+    TransferResponse(TransferResponse),
     /// One configuration. `relay` asks to pass it on to the successor.
     Append {
         index: u64,
-        previous: Lineage,
-        document: Document,
+        previous: HistoryDigest,
+        document: ConfigurationDocument,
         relay: bool,
     },
     /// Every replica from the sender to the tail holds the entry.
-    Acknowledge {
+    AppendAcknowledged {
         index: u64,
     },
     /// The sender holds the entry.
-    Holds {
+    AppendStored {
         index: u64,
     },
     /// The sender can't take the entry: it lacks what comes before.
-    Lacks {
+    AppendRejected {
         index: u64,
     },
     /// All of the chain hold the entries up to this one, which make this state.
     Committed {
         index: u64,
-        lineage: Lineage,
+        history_digest: HistoryDigest,
     },
     /// Asks whether the sender's epoch is the newest known.
     Confirm {
@@ -96,7 +96,7 @@
     Confirmed {
         round: u64,
         position: Position,
-        lineage: Lineage,
+        history_digest: HistoryDigest,
     },
     /// A request for the head.
     Forward {
@@ -115,11 +115,11 @@
     pub health: Health,
     /// Durable state of the sender.
     pub position: Position,
-    pub lineage: Lineage,
+    pub history_digest: HistoryDigest,
     /// Newest position that the sender knows committed.
     pub committed: Position,
-    /// Lineage of the committed state, if the sender is head and knows it.
-    pub committed_lineage: Option<Lineage>,
+    /// History digest of the committed state, if the sender is head and knows it.
+    pub committed_history_digest: Option<HistoryDigest>,
     /// Version of the newest configuration that the sender knows committed.
     pub committed_version: u64,
     /// Nodes that the sender has heard lately: a node that isn't named can't reach the sender.
@@ -154,8 +154,8 @@
 pub struct Transfer {
     pub purpose: TransferPurpose,
     pub position: Position,
-    /// Lineage of the state transferred.
-    pub lineage: Lineage,
+    /// History digest of the state transferred.
+    pub history_digest: HistoryDigest,
     pub payload: Payload,
 }
 
@@ -163,21 +163,21 @@
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Payload {
     /// Nothing: the receiver is believed to hold it.
-    Nothing,
+    Empty,
     /// The newest configuration; the receiver is believed to hold what comes before.
-    Newest {
-        previous: Lineage,
-        document: Document,
+    LatestDocument {
+        previous: HistoryDigest,
+        document: ConfigurationDocument,
     },
-    Whole(ReplicatedState),
+    FullSnapshot(ReplicatedState),
 }
 
 /// Answer to a [`Transfer`].
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
-pub struct TransferAnswer {
+pub struct TransferResponse {
     pub purpose: TransferPurpose,
     pub position: Position,
-    pub lineage: Lineage,
+    pub history_digest: HistoryDigest,
     /// Whether the state is durable now; if not, it is wanted whole.
     pub held: bool,
 }
--- a/crates/lockusher-control/src/replica.rs
+++ b/crates/lockusher-control/src/replica.rs
@@ -9,21 +9,21 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    Digest, Document, DurableRecord, Identity, Message, Millis, Position, View,
+    ConfigurationDocument, Digest, DurableRecord, Identity, Message, Millis, Position, View,
+    acceptor::AcceptorState,
+    acceptor_log::{AcceptorLog, AfterAcceptorWrite},
+    durable_state::DurableState,
     failure_detector::Peers,
-    holding::Holding,
     message::MessageBody,
     timing::Timing,
-    vote_log::{AfterVote, VoteLog},
-    votes::Votes,
 };
 
 mod agreement;
 mod chain;
 mod confirmation;
 mod head;
+mod injected_bug;
 mod membership;
-mod mistake;
 mod persistence;
 mod recovery;
 mod repair;
@@ -32,7 +32,7 @@
 
 use agreement::Proposal;
 use head::Head;
-pub use mistake::Mistake;
+pub use injected_bug::InjectedBug;
 pub use repair::DiskComparison;
 use requests::Requests;
 
@@ -87,7 +87,7 @@
     Put {
         /// Version that it builds on; 0 for the first.
         if_match: u64,
-        document: Document,
+        document: ConfigurationDocument,
     },
     /// Asks for the configuration that a patch builds on, unless the patch was taken or can't be.
     Base {
@@ -112,7 +112,7 @@
     /// The version isn't above the current one.
     NotNewer { current: u64 },
     /// The newest configuration, or the one that a patch builds on.
-    Document(Option<Document>),
+    Document(Option<ConfigurationDocument>),
     /// Undecided: ask again.
     Unavailable,
 }
@@ -127,7 +127,7 @@
     /// Answer the operator.
     Reply { ticket: RequestTicket, reply: Reply },
     /// A newer configuration is known to be committed.
-    Committed(Document),
+    Committed(ConfigurationDocument),
     /// This node became, or is no longer, head of the newest view it knows while it hears a majority.
     RoleChanged { head: bool, epoch: u64 },
     /// The control nodes known, for agents.
@@ -144,7 +144,7 @@
     /// Configurations committed while head.
     pub commits: u64,
     /// States sent whole to another replica.
-    pub whole_transfers: u64,
+    pub full_snapshots_sent: u64,
     /// States received that replaced a differing one.
     pub repairs: u64,
     /// Members found to differ from the head when a request had them confirm the epoch.
@@ -160,7 +160,7 @@
 pub struct Replica {
     setup: ReplicaSetup,
     timing: Timing,
-    mistake: Option<Mistake>,
+    injected_bug: Option<InjectedBug>,
     random: ChaCha8Rng,
     now: Millis,
     started: Millis,
@@ -170,10 +170,10 @@
     /// Epoch of the newest view on disk.
     durable_epoch: u64,
     /// Votes on the successor of `view`.
-    votes: Votes,
-    vote_log: VoteLog,
-    holding: Holding,
-    committed: Option<Document>,
+    acceptor: AcceptorState,
+    acceptor_log: AcceptorLog,
+    durable_state: DurableState,
+    committed: Option<ConfigurationDocument>,
     committed_at: Position,
     /// Present while this node is head of `view`, from the start of its service on.
     head: Option<Head>,
@@ -182,7 +182,7 @@
     proposal: Option<Proposal>,
     /// Nodes that hold this node's sealed state of the present epoch.
     joined: BTreeSet<Identity>,
-    highest_round: u64,
+    highest_counter: u64,
     /// Attempts of this node to have a view agreed on in this epoch.
     attempts: u64,
     back_off_until: Millis,
@@ -211,13 +211,13 @@
 
     /// A replica that makes a mistake, for tests of the simulation.
     #[cfg(feature = "simulation")]
-    pub fn with_mistake(
+    pub fn with_injected_bug(
         setup: ReplicaSetup,
         recovered: Vec<DurableRecord>,
         now: Millis,
-        mistake: Mistake,
+        injected_bug: InjectedBug,
     ) -> (Replica, Vec<Effect>) {
-        Self::start(setup, recovered, now, Some(mistake))
+        Self::start(setup, recovered, now, Some(injected_bug))
     }
 
     /// Takes an event and returns what is to be done, in order.
@@ -281,12 +281,12 @@
 
     /// Whether the newest view is on disk, so that this node may act in it.
     fn is_established_in_view(&self) -> bool {
-        let durable = self.durable_epoch == self.epoch() || self.makes(Mistake::ActBeforeViewDurable);
+        let durable = self.durable_epoch == self.epoch() || self.has_bug(InjectedBug::ActBeforeViewDurable);
         self.view.is_some() && durable
     }
 
     fn message(&self, body: MessageBody) -> Message {
-        let body = self.mistaken_body(body);
+        let body = self.altered_body(body);
         Message { sender: self.identity, epoch: self.epoch(), body }
     }
 
@@ -311,14 +311,14 @@
     }
 
     /// Sends this once all votes cast so far are durable.
-    fn send_after_votes(&mut self, to: SocketAddrV4, body: MessageBody) {
+    fn send_after_acceptor_writes(&mut self, to: SocketAddrV4, body: MessageBody) {
         let message = self.message(body);
-        if self.makes(Mistake::VoteAnsweredBeforeDurable) {
+        if self.has_bug(InjectedBug::VoteAnsweredBeforeDurable) {
             self.send_message(to, message);
             return;
         }
-        if let Some(after) = self.vote_log.wait(AfterVote::Send { to, message }) {
-            self.after_vote(after);
+        if let Some(after) = self.acceptor_log.wait(AfterAcceptorWrite::Send { to, message }) {
+            self.after_acceptor_write(after);
         }
     }
 }
--- a/crates/lockusher-control/src/replica/agreement.rs
+++ b/crates/lockusher-control/src/replica/agreement.rs
@@ -4,15 +4,15 @@
 
 use rand::RngExt;
 
-use super::{Mistake, Replica};
+use super::{InjectedBug, Replica};
 use crate::{
     DurableRecord, Identity, Millis, Position, View,
+    acceptor_log::AfterAcceptorWrite,
     attempt::Attempt,
-    holding::payload_for,
-    message::{AcceptedView, Ballot, Health, MessageBody, Transfer, TransferPurpose},
+    durable_state::payload_for,
+    message::{AcceptedView, Health, MessageBody, ProposalNumber, Transfer, TransferPurpose},
     planner::{self, Joiner, Plan, Situation},
     view::Member,
-    vote_log::AfterVote,
 };
 
 /// The time for a stage grows with the attempts, up to so many times the usual one: disks may be slow.
@@ -43,47 +43,57 @@
 impl Replica {
     // Voter
 
-    pub(super) fn on_prepare(&mut self, from: SocketAddrV4, ballot: Ballot) {
+    pub(super) fn on_prepare(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber) {
         if !self.may_vote() {
             return;
         }
-        self.highest_round = self.highest_round.max(ballot.round);
-        let is_new = ballot > self.votes.promised;
-        if let Err(promised) = self.votes.prepare(ballot)
-            && !self.makes(Mistake::LowerBallotAccepted)
+        self.highest_counter = self.highest_counter.max(proposal_number.round);
+        let is_new = proposal_number > self.acceptor.promised;
+        if let Err(promised) = self.acceptor.prepare(proposal_number)
+            && !self.has_bug(InjectedBug::LowerBallotAccepted)
         {
-            self.send(from, MessageBody::Rejected { promised });
+            self.send(from, MessageBody::ProposalRejected { promised });
             return;
         }
         if is_new {
             let epoch = self.epoch();
-            self.persist_votes(vec![DurableRecord::Promise { epoch, ballot }], Vec::new());
+            self.persist_acceptor_records(
+                vec![DurableRecord::Promise { epoch, proposal_number }],
+                Vec::new(),
+            );
         }
-        let accepted = self.votes.accepted.clone();
-        self.send_after_votes(from, MessageBody::Promised { ballot, accepted });
+        let accepted = self.acceptor.accepted.clone();
+        self.send_after_acceptor_writes(from, MessageBody::PrepareResponse { proposal_number, accepted });
     }
 
-    pub(super) fn on_accept(&mut self, from: SocketAddrV4, ballot: Ballot, view: View) {
+    pub(super) fn on_accept(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber, view: View) {
         let epoch = self.epoch();
         if !self.may_vote() || view.epoch != epoch + 1 {
             return;
         }
-        let is_new = self.votes.accepted.as_ref().is_none_or(|accepted| accepted.ballot != ballot);
-        if self.makes(Mistake::LowerBallotAccepted) {
-            self.votes.promised = ballot;
+        let is_new = self
+            .acceptor
+            .accepted
+            .as_ref()
+            .is_none_or(|accepted| accepted.proposal_number != proposal_number);
+        if self.has_bug(InjectedBug::LowerBallotAccepted) {
+            self.acceptor.promised = proposal_number;
         }
-        if let Err(promised) = self.votes.accept(ballot, view.clone()) {
-            self.send(from, MessageBody::Rejected { promised });
+        if let Err(promised) = self.acceptor.accept(proposal_number, view.clone()) {
+            self.send(from, MessageBody::ProposalRejected { promised });
             return;
         }
         if is_new {
-            self.persist_votes(vec![DurableRecord::Accept { epoch, ballot, view }], Vec::new());
+            self.persist_acceptor_records(
+                vec![DurableRecord::Accept { epoch, proposal_number, view }],
+                Vec::new(),
+            );
         }
-        self.send_after_votes(from, MessageBody::Accepted { ballot });
+        self.send_after_acceptor_writes(from, MessageBody::AcceptResponse { proposal_number });
     }
 
     fn may_vote(&self) -> bool {
-        self.is_voter() || (self.makes(Mistake::StrangersCount) && self.view.is_some())
+        self.is_voter() || (self.has_bug(InjectedBug::StrangersCount) && self.view.is_some())
     }
 
     // Proposer
@@ -113,14 +123,14 @@
     fn due_change(&self) -> Option<(Plan, Millis)> {
         let rank = self.rank()?;
         let plan = self.plan();
-        let unfinished = self.votes.accepted.as_ref();
+        let unfinished = self.acceptor.accepted.as_ref();
         if let Some(accepted) = unfinished {
             let unchanged = Plan { view: accepted.view.clone(), joiners: Vec::new() };
             return Some((plan.unwrap_or(unchanged), self.timing.stagger * (rank + 1)));
         }
         match plan {
             Some(plan) if rank == 0 => Some((plan, 0)),
-            Some(plan) if self.votes.sealed => Some((plan, self.timing.stagger * rank)),
+            Some(plan) if self.acceptor.sealed => Some((plan, self.timing.stagger * rank)),
             _ => None,
         }
     }
@@ -162,11 +172,11 @@
             unreachable,
             removable,
             renew: self.renew,
-            sealed: self.votes.sealed,
+            sealed: self.acceptor.sealed,
             may_grow: self.may_grow(),
-            minimum_voters: if self.makes(Mistake::VotersBelowMinimum) { 1 } else { minimum_voters },
+            minimum_voters: if self.has_bug(InjectedBug::VotersBelowMinimum) { 1 } else { minimum_voters },
         };
-        self.mistaken_plan(planner::plan(&situation), &situation)
+        self.altered_plan(planner::plan(&situation), &situation)
     }
 
     /// Voters are removed only down to this number.
@@ -179,7 +189,8 @@
     fn removable_voters(&self, view: &View, unreachable: &[Identity]) -> Vec<Identity> {
         let is_leaving = |voter: &&Member| {
             let peer = self.peers.at(voter.address).filter(|peer| peer.identity == voter.identity);
-            peer.is_some_and(|peer| peer.health == Health::Leaving) && !self.makes(Mistake::DepartedVoterKept)
+            peer.is_some_and(|peer| peer.health == Health::Leaving)
+                && !self.has_bug(InjectedBug::DepartedVoterKept)
         };
         let leaving = view.voters.iter().filter(is_leaving).map(|voter| voter.identity);
         let long_silent = |voter: &&Identity| self.silence_of(view, **voter) >= self.timing.removal;
@@ -205,11 +216,11 @@
         let candidates = self.peers.iter().filter(|(_, peer)| {
             !view.in_chain(peer.identity) && peer.epoch == view.epoch && peer.may_join(&self.timing, self.now)
         });
-        let committed = self.committed_lineage();
+        let committed = self.committed_history_digest();
         candidates
             .map(|(address, peer)| Joiner {
                 member: Member { identity: peer.identity, address },
-                caught_up: committed.is_some() && peer.lineage == committed,
+                caught_up: committed.is_some() && peer.history_digest == committed,
                 joined: self.joined.contains(&peer.identity),
             })
             .collect()
@@ -218,17 +229,17 @@
     fn propose(&mut self, plan: Plan) {
         self.counters.proposals += 1;
         self.attempts += 1;
-        self.highest_round = self.highest_round.max(self.votes.promised.round) + 1;
-        let ballot = Ballot { round: self.highest_round, proposer: self.identity.0 };
+        self.highest_counter = self.highest_counter.max(self.acceptor.promised.round) + 1;
+        let proposal_number = ProposalNumber { round: self.highest_counter, proposer: self.identity.0 };
         let majority = self.view.as_ref().map_or(usize::MAX, View::majority);
-        let majority = if self.makes(Mistake::AdoptAfterOneAcceptance) { 1 } else { majority };
-        let attempt = Attempt::new(ballot, plan.view.clone(), majority);
+        let majority = if self.has_bug(InjectedBug::AdoptAfterOneAcceptance) { 1 } else { majority };
+        let attempt = Attempt::new(proposal_number, plan.view.clone(), majority);
         let needs_joining = plan.joiners.iter().any(|joiner| !self.joined.contains(&joiner.identity));
         let (now, address) = (self.now, self.setup.address);
-        log::debug!("{now} {address}: proposes {plan:?} under round {}", ballot.round);
+        log::debug!("{now} {address}: proposes {plan:?} under round {}", proposal_number.round);
         self.proposal =
             Some(Proposal { attempt, plan, stage: Stage::Sealing, stage_since: self.now, sent_at: self.now });
-        if needs_joining && !self.makes(Mistake::JoinersUnfed) {
+        if needs_joining && !self.has_bug(InjectedBug::JoinersUnfed) {
             self.seal();
             self.continue_join();
         } else {
@@ -237,19 +248,22 @@
     }
 
     fn seal(&mut self) {
-        if self.votes.sealed {
+        if self.acceptor.sealed {
             return;
         }
-        self.votes.sealed = true;
+        self.acceptor.sealed = true;
         let epoch = self.epoch();
-        self.persist_votes(vec![DurableRecord::Seal { epoch }], vec![AfterVote::SealDurable { epoch }]);
+        self.persist_acceptor_records(
+            vec![DurableRecord::Seal { epoch }],
+            vec![AfterAcceptorWrite::SealDurable { epoch }],
+        );
     }
 
     /// Goes on once the sealed state can't change any more.
     pub(super) fn continue_join(&mut self) {
         let sealing = self.proposal.as_ref().is_some_and(|proposal| proposal.stage == Stage::Sealing);
-        let sealed = self.votes.seal_durable || self.makes(Mistake::SealNotAwaited);
-        if sealing && sealed && self.holding.pending.is_none() {
+        let sealed = self.acceptor.seal_durable || self.has_bug(InjectedBug::SealNotAwaited);
+        if sealing && sealed && self.durable_state.pending.is_none() {
             self.enter_stage(Stage::Joining);
         }
     }
@@ -265,13 +279,15 @@
     fn send_stage(&mut self) {
         let Some(proposal) = &mut self.proposal else { return };
         proposal.sent_at = self.now;
-        let (ballot, answered) = (proposal.attempt.ballot(), proposal.attempt.answered());
+        let (proposal_number, answered) = (proposal.attempt.proposal_number(), proposal.attempt.answered());
         match (proposal.stage, proposal.attempt.proposed().cloned()) {
             (Stage::Sealing, _) => {}
             (Stage::Joining, _) => self.send_join_transfers(),
-            (Stage::Preparing, _) => self.send_to_voters_except(&answered, MessageBody::Prepare { ballot }),
+            (Stage::Preparing, _) => {
+                self.send_to_voters_except(&answered, MessageBody::Prepare { proposal_number })
+            }
             (Stage::Accepting, Some(view)) => {
-                self.send_to_voters_except(&answered, MessageBody::Accept { ballot, view });
+                self.send_to_voters_except(&answered, MessageBody::Accept { proposal_number, view });
             }
             (Stage::Accepting, None) => {}
         }
@@ -288,30 +304,30 @@
         let Some(proposal) = &self.proposal else { return };
         let missing = proposal.plan.joiners.iter().filter(|joiner| !self.joined.contains(&joiner.identity));
         for address in missing.map(|joiner| joiner.address).collect::<Vec<_>>() {
-            let lineage = self.peers.at(address).and_then(|peer| peer.lineage);
-            self.send_join_transfer(address, lineage);
+            let history_digest = self.peers.at(address).and_then(|peer| peer.history_digest);
+            self.send_join_transfer(address, history_digest);
         }
     }
 
-    fn send_join_transfer(&mut self, to: SocketAddrV4, lineage: Option<crate::state::Lineage>) {
-        let state = &self.holding.state;
+    fn send_join_transfer(&mut self, to: SocketAddrV4, history_digest: Option<crate::state::HistoryDigest>) {
+        let state = &self.durable_state.state;
         let transfer = Transfer {
             purpose: TransferPurpose::Join,
             position: Position { epoch: self.epoch(), index: Position::SEALED },
-            lineage: state.lineage(),
-            payload: payload_for(state, lineage),
+            history_digest: state.history_digest(),
+            payload: payload_for(state, history_digest),
         };
         self.send(to, MessageBody::Transfer(transfer));
     }
 
     /// A joiner holds the sealed state, or wants it whole.
     pub(super) fn on_join_answer(&mut self, from: SocketAddrV4, joiner: Identity, held: bool) {
-        let sealed = self.votes.seal_durable || self.makes(Mistake::SealNotAwaited);
-        if !sealed || self.holding.pending.is_some() {
+        let sealed = self.acceptor.seal_durable || self.has_bug(InjectedBug::SealNotAwaited);
+        if !sealed || self.durable_state.pending.is_some() {
             return;
         }
         if !held {
-            self.counters.whole_transfers += 1;
+            self.counters.full_snapshots_sent += 1;
             self.send_join_transfer(from, None);
             return;
         }
@@ -325,27 +341,32 @@
 
     fn counts_as_voter(&self, sender: Identity) -> bool {
         let is_voter = self.view.as_ref().is_some_and(|view| view.is_voter(sender));
-        is_voter || self.makes(Mistake::StrangersCount)
+        is_voter || self.has_bug(InjectedBug::StrangersCount)
     }
 
-    pub(super) fn on_promised(&mut self, sender: Identity, ballot: Ballot, accepted: Option<AcceptedView>) {
+    pub(super) fn on_prepare_response(
+        &mut self,
+        sender: Identity,
+        proposal_number: ProposalNumber,
+        accepted: Option<AcceptedView>,
+    ) {
         if !self.counts_as_voter(sender) {
             return;
         }
-        let accepted = self.mistaken_report(accepted);
+        let accepted = self.altered_report(accepted);
         let Some(proposal) = &mut self.proposal else { return };
         let may_complete = proposal.stage == Stage::Preparing;
-        if may_complete && proposal.attempt.on_promised(sender, ballot, accepted) {
+        if may_complete && proposal.attempt.on_prepare_response(sender, proposal_number, accepted) {
             self.enter_stage(Stage::Accepting);
         }
     }
 
-    pub(super) fn on_accepted(&mut self, sender: Identity, ballot: Ballot) {
+    pub(super) fn on_accept_response(&mut self, sender: Identity, proposal_number: ProposalNumber) {
         if !self.counts_as_voter(sender) {
             return;
         }
         let Some(proposal) = &mut self.proposal else { return };
-        if let Some(agreed) = proposal.attempt.on_accepted(sender, ballot).cloned() {
+        if let Some(agreed) = proposal.attempt.on_accept_response(sender, proposal_number).cloned() {
             self.announce(agreed);
         }
     }
@@ -363,9 +384,9 @@
         }
     }
 
-    pub(super) fn on_rejected(&mut self, promised: Ballot) {
-        self.highest_round = self.highest_round.max(promised.round);
-        if self.proposal.as_ref().is_some_and(|proposal| proposal.attempt.ballot() < promised) {
+    pub(super) fn on_rejected(&mut self, promised: ProposalNumber) {
+        self.highest_counter = self.highest_counter.max(promised.round);
+        if self.proposal.as_ref().is_some_and(|proposal| proposal.attempt.proposal_number() < promised) {
             self.abandon_proposal();
         }
     }
--- a/crates/lockusher-control/src/replica/chain.rs
+++ b/crates/lockusher-control/src/replica/chain.rs
@@ -2,19 +2,19 @@
 
 use std::net::SocketAddrV4;
 
-use super::{Effect, Mistake, Replica};
+use super::{Effect, InjectedBug, Replica};
 use crate::{
-    Document, DurableRecord, Identity, Position,
-    holding::{AfterWrite, Intake},
-    message::{Heartbeat, MessageBody, Payload, Transfer, TransferAnswer, TransferPurpose},
-    state::Lineage,
+    ConfigurationDocument, DurableRecord, Identity, Position,
+    durable_state::{AfterWrite, TransferOutcome},
+    message::{Heartbeat, MessageBody, Payload, Transfer, TransferPurpose, TransferResponse},
+    state::HistoryDigest,
 };
 
 impl Replica {
     /// Whether this node may take part in the chain of the newest view.
     fn replicates(&self) -> bool {
         let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(self.identity));
-        let open = !self.votes.sealed || self.makes(Mistake::EntryAfterSeal);
+        let open = !self.acceptor.sealed || self.has_bug(InjectedBug::EntryAfterSeal);
         in_chain && self.is_established_in_view() && open
     }
 
@@ -28,7 +28,7 @@
         if transfer.purpose == TransferPurpose::Learn && self.is_view_head(sender) {
             self.note_learned(&transfer);
         }
-        if self.holding.pending.is_some() || !self.is_established_in_view() {
+        if self.durable_state.pending.is_some() || !self.is_established_in_view() {
             return;
         }
         let Some(view) = &self.view else { return };
@@ -45,42 +45,45 @@
         }
         if self.already_stands(&transfer) {
             self.answer_transfer(from, transfer.purpose, true);
-        } else if transfer.position >= self.holding.position || self.makes(Mistake::OlderTransferTaken) {
+        } else if transfer.position >= self.durable_state.position
+            || self.has_bug(InjectedBug::OlderTransferTaken)
+        {
             self.take_transfer(from, transfer);
         }
     }
 
     /// Whether nothing is to be written, because this or, from the same head, a later state is held.
     fn already_stands(&self, transfer: &Transfer) -> bool {
-        let own = self.holding.position;
+        let own = self.durable_state.position;
         match transfer.purpose {
             TransferPurpose::Synchronise => own.epoch == transfer.position.epoch && own >= transfer.position,
             TransferPurpose::Learn | TransferPurpose::Join | TransferPurpose::Repair => {
-                own == transfer.position && self.holding.state.lineage() == transfer.lineage
+                own == transfer.position
+                    && self.durable_state.state.history_digest() == transfer.history_digest
             }
         }
     }
 
     fn take_transfer(&mut self, from: SocketAddrV4, transfer: Transfer) {
         let (purpose, position) = (transfer.purpose, transfer.position);
-        match self.holding.intake(&transfer) {
-            Intake::Lacking => self.answer_transfer(from, purpose, false),
-            Intake::Same if purpose == TransferPurpose::Join => {
-                let state = self.holding.state.clone();
-                let record = DurableRecord::Standing { position };
+        match self.durable_state.classify_transfer(&transfer) {
+            TransferOutcome::MissingBase => self.answer_transfer(from, purpose, false),
+            TransferOutcome::AlreadyStored if purpose == TransferPurpose::Join => {
+                let state = self.durable_state.state.clone();
+                let record = DurableRecord::PositionAdvanced { position };
                 self.persist_state(record, position, state, AfterWrite::Answer { to: from, purpose });
             }
-            Intake::Same => {
-                self.holding.position = position;
+            TransferOutcome::AlreadyStored => {
+                self.durable_state.position = position;
                 self.answer_transfer(from, purpose, true);
             }
-            Intake::Write(record, state) => {
+            TransferOutcome::Write(record, state) => {
                 let replaces = matches!(*record, DurableRecord::State { .. });
-                self.counters.repairs += u64::from(replaces && self.holding.state.document().is_some());
-                if purpose == TransferPurpose::Join && self.makes(Mistake::JoinAnsweredBeforeDurable) {
-                    let lineage = transfer.lineage;
-                    let answer = TransferAnswer { purpose, position, lineage, held: true };
-                    self.send(from, MessageBody::TransferAnswer(answer));
+                self.counters.repairs += u64::from(replaces && self.durable_state.state.document().is_some());
+                if purpose == TransferPurpose::Join && self.has_bug(InjectedBug::JoinAnsweredBeforeDurable) {
+                    let history_digest = transfer.history_digest;
+                    let answer = TransferResponse { purpose, position, history_digest, held: true };
+                    self.send(from, MessageBody::TransferResponse(answer));
                 }
                 self.persist_state(*record, position, state, AfterWrite::Answer { to: from, purpose });
             }
@@ -91,20 +94,20 @@
         if held && purpose == TransferPurpose::Learn {
             self.note_own_committed();
         }
-        let answer = TransferAnswer {
+        let answer = TransferResponse {
             purpose,
-            position: self.holding.position,
-            lineage: self.holding.state.lineage(),
+            position: self.durable_state.position,
+            history_digest: self.durable_state.state.history_digest(),
             held,
         };
-        self.send(to, MessageBody::TransferAnswer(answer));
+        self.send(to, MessageBody::TransferResponse(answer));
     }
 
-    pub(super) fn on_transfer_answer(
+    pub(super) fn on_transfer_response(
         &mut self,
         from: SocketAddrV4,
         sender: Identity,
-        answer: TransferAnswer,
+        answer: TransferResponse,
     ) {
         match answer.purpose {
             TransferPurpose::Synchronise => self.on_synchronised(from, sender, answer),
@@ -112,7 +115,8 @@
             TransferPurpose::Learn | TransferPurpose::Repair => {}
             TransferPurpose::Join => {
                 let sealed = Position { epoch: self.epoch(), index: Position::SEALED };
-                let same = answer.lineage == self.holding.state.lineage() && answer.position == sealed;
+                let same = answer.history_digest == self.durable_state.state.history_digest()
+                    && answer.position == sealed;
                 if same || !answer.held {
                     self.on_join_answer(from, sender, answer.held);
                 }
@@ -127,33 +131,33 @@
         from: SocketAddrV4,
         sender: Identity,
         index: u64,
-        previous: Lineage,
-        document: Document,
+        previous: HistoryDigest,
+        document: ConfigurationDocument,
         relay: bool,
     ) {
-        if !self.replicates() || self.holding.pending.is_some() || !self.is_upstream(sender) {
+        if !self.replicates() || self.durable_state.pending.is_some() || !self.is_upstream(sender) {
             return;
         }
         let epoch = self.epoch();
-        let own = self.holding.position;
+        let own = self.durable_state.position;
         let synchronised = own.epoch == epoch;
         if synchronised && index <= own.index {
             self.pass_on(index, previous, document, relay);
             return;
         }
         let follows = !synchronised || index == own.index + 1;
-        let complete = follows && previous == self.holding.state.lineage();
-        if !complete && !self.makes(Mistake::EntryWithoutPredecessor) {
+        let complete = follows && previous == self.durable_state.state.history_digest();
+        if !complete && !self.has_bug(InjectedBug::EntryWithoutPredecessor) {
             log::debug!("lacks what precedes entry {index}, sent by {from}");
-            self.send_to_head(MessageBody::Lacks { index });
+            self.send_to_head(MessageBody::AppendRejected { index });
             return;
         }
-        self.holding.position = Position { epoch, index: index - 1 };
+        self.durable_state.position = Position { epoch, index: index - 1 };
         self.note_own_committed();
         let position = Position { epoch, index };
         let record = DurableRecord::Entry { position, previous, document: document.clone() };
-        let state = self.holding.state.with(document.clone());
-        if self.makes(Mistake::PassOnBeforeDurable) {
+        let state = self.durable_state.state.with(document.clone());
+        if self.has_bug(InjectedBug::PassOnBeforeDurable) {
             self.pass_on(index, previous, document.clone(), relay);
         }
         let then = AfterWrite::PassOn { index, previous, document, relay };
@@ -172,17 +176,17 @@
         }
     }
 
-    fn pass_on(&mut self, index: u64, previous: Lineage, document: Document, relay: bool) {
+    fn pass_on(&mut self, index: u64, previous: HistoryDigest, document: ConfigurationDocument, relay: bool) {
         let Some(view) = &self.view else { return };
         let successor = view.successor_of(self.identity);
         let predecessor = view.predecessor_of(self.identity);
         match (relay, successor, predecessor) {
-            (false, ..) => self.send_to_head(MessageBody::Holds { index }),
+            (false, ..) => self.send_to_head(MessageBody::AppendStored { index }),
             (true, Some(successor), _) => {
                 self.send_to_voter(successor, MessageBody::Append { index, previous, document, relay });
             }
             (true, None, Some(predecessor)) => {
-                self.send_to_voter(predecessor, MessageBody::Acknowledge { index });
+                self.send_to_voter(predecessor, MessageBody::AppendAcknowledged { index });
             }
             (true, None, None) => {}
         }
@@ -199,9 +203,9 @@
         }
     }
 
-    pub(super) fn on_acknowledge(&mut self, sender: Identity, index: u64) {
+    pub(super) fn on_append_acknowledged(&mut self, sender: Identity, index: u64) {
         let Some(view) = &self.view else { return };
-        let own = self.holding.position;
+        let own = self.durable_state.position;
         let from_successor = view.successor_of(self.identity) == Some(sender);
         if !from_successor || own.epoch != view.epoch || own.index < index {
             return;
@@ -211,7 +215,7 @@
             self.note_own_committed();
         }
         match predecessor {
-            Some(predecessor) => self.send_to_voter(predecessor, MessageBody::Acknowledge { index }),
+            Some(predecessor) => self.send_to_voter(predecessor, MessageBody::AppendAcknowledged { index }),
             None => self.on_chain_holds(index),
         }
     }
@@ -220,16 +224,17 @@
 
     /// The head says what is committed. A member that was restarted holds that state, too, though its disk tells only where
     /// it stood when the state was written.
-    pub(super) fn on_committed(&mut self, sender: Identity, index: u64, lineage: Lineage) {
-        let same = self.holding.pending.is_none() && self.holding.state.lineage() == lineage;
-        if !self.is_view_head(sender) || !(same || self.makes(Mistake::CommittedUnchecked)) {
+    pub(super) fn on_committed(&mut self, sender: Identity, index: u64, history_digest: HistoryDigest) {
+        let same = self.durable_state.pending.is_none()
+            && self.durable_state.state.history_digest() == history_digest;
+        if !self.is_view_head(sender) || !(same || self.has_bug(InjectedBug::CommittedUnchecked)) {
             return;
         }
         let committed = Position { epoch: self.epoch(), index };
         if self.replicates() {
-            self.holding.position = committed;
+            self.durable_state.position = committed;
         }
-        if self.holding.position == committed {
+        if self.durable_state.position == committed {
             self.note_own_committed();
         }
     }
@@ -238,19 +243,19 @@
     pub(super) fn on_progress(&mut self, from: SocketAddrV4, sender: Identity, heartbeat: &Heartbeat) {
         if self.head.is_some() {
             self.on_replica_progress(from, sender, heartbeat);
-        } else if let Some(lineage) = heartbeat.committed_lineage
+        } else if let Some(history_digest) = heartbeat.committed_history_digest
             && heartbeat.committed.epoch == self.epoch()
         {
-            self.on_committed(sender, heartbeat.committed.index, lineage);
+            self.on_committed(sender, heartbeat.committed.index, history_digest);
         }
     }
 
     /// What the head lets others learn is committed, whether it can be written here or not.
     fn note_learned(&mut self, transfer: &Transfer) {
         let document = match &transfer.payload {
-            Payload::Nothing => None,
-            Payload::Newest { document, .. } => Some(document),
-            Payload::Whole(state) => state.document(),
+            Payload::Empty => None,
+            Payload::LatestDocument { document, .. } => Some(document),
+            Payload::FullSnapshot(state) => state.document(),
         };
         if let Some(document) = document.cloned() {
             self.note_committed(document);
@@ -259,13 +264,13 @@
 
     /// All that this node holds is known to be committed.
     pub(super) fn note_own_committed(&mut self) {
-        self.committed_at = self.holding.position;
-        if let Some(document) = self.holding.state.document().cloned() {
+        self.committed_at = self.durable_state.position;
+        if let Some(document) = self.durable_state.state.document().cloned() {
             self.note_committed(document);
         }
     }
 
-    fn note_committed(&mut self, document: Document) {
+    fn note_committed(&mut self, document: ConfigurationDocument) {
         let known = self.committed.as_ref().map_or(0, |committed| committed.version);
         if document.version > known {
             self.committed = Some(document.clone());
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::SocketAddrV4};
 
-use super::{Mistake, Replica};
+use super::{InjectedBug, Replica};
 use crate::{Identity, message::MessageBody};
 
 /// Rounds in which the voters are asked whether the epoch is the newest they know.
@@ -17,7 +17,7 @@
     /// The round that a request which comes now has to wait for.
     pub(super) fn next_round(&self) -> u64 {
         let started = self.head.as_ref().map_or(0, |head| head.confirmation.started);
-        if self.makes(Mistake::EarlierRoundCounts) { started.max(1) } else { started + 1 }
+        if self.has_bug(InjectedBug::EarlierRoundCounts) { started.max(1) } else { started + 1 }
     }
 
     pub(super) fn is_confirmed(&self, round: u64) -> bool {
@@ -49,10 +49,11 @@
     /// A voter that accepted a successor doesn't know any more that this epoch is the newest.
     pub(super) fn on_confirm(&mut self, from: SocketAddrV4, sender: Identity, round: u64) {
         let from_head = self.view.as_ref().is_some_and(|view| view.head() == Some(sender));
-        let newest = self.votes.accepted.is_none() || self.makes(Mistake::ConfirmAfterAccepting);
+        let newest = self.acceptor.accepted.is_none() || self.has_bug(InjectedBug::ConfirmAfterAccepting);
         if from_head && self.is_voter() && newest {
-            let (position, lineage) = (self.holding.position, self.holding.state.lineage());
-            self.send(from, MessageBody::Confirmed { round, position, lineage });
+            let (position, history_digest) =
+                (self.durable_state.position, self.durable_state.state.history_digest());
+            self.send(from, MessageBody::Confirmed { round, position, history_digest });
         }
     }
 
--- a/crates/lockusher-control/src/replica/head.rs
+++ b/crates/lockusher-control/src/replica/head.rs
@@ -6,16 +6,16 @@
 };
 
 use super::{
-    Mistake, Replica,
+    InjectedBug, Replica,
     confirmation::Confirmation,
     repair::NoticedBy,
     requests::{Origin, Queued},
 };
 use crate::{
-    Document, DurableRecord, Identity, Millis, Position, ReplicatedState, Reply,
-    holding::{AfterWrite, payload_for},
-    message::{Health, Heartbeat, MessageBody, Payload, Transfer, TransferAnswer, TransferPurpose},
-    state::Lineage,
+    ConfigurationDocument, DurableRecord, Identity, Millis, Position, ReplicatedState, Reply,
+    durable_state::{AfterWrite, payload_for},
+    message::{Health, Heartbeat, MessageBody, Payload, Transfer, TransferPurpose, TransferResponse},
+    state::HistoryDigest,
 };
 
 /// Least throughput of a disk or link that is given time for a large configuration.
@@ -43,8 +43,8 @@
 #[derive(Debug)]
 struct InFlight {
     index: u64,
-    previous: Lineage,
-    document: Document,
+    previous: HistoryDigest,
+    document: ConfigurationDocument,
     state: ReplicatedState,
     origin: Origin,
     since: Millis,
@@ -59,14 +59,15 @@
     /// Starts the service as head, if this node is head by the view and nothing prevents it.
     pub(super) fn activate_head(&mut self) {
         let Some(view) = &self.view else { return };
-        let may = view.head() == Some(self.identity) && self.is_established_in_view() && !self.votes.sealed;
-        let able = self.holding.pending.is_none() && self.health() != Health::DiskTrouble;
+        let may =
+            view.head() == Some(self.identity) && self.is_established_in_view() && !self.acceptor.sealed;
+        let able = self.durable_state.pending.is_none() && self.health() != Health::DiskTrouble;
         if self.head.is_some() || self.renew || !may || !able {
             return;
         }
-        self.holding.position = Position { epoch: view.epoch, index: 0 };
+        self.durable_state.position = Position { epoch: view.epoch, index: 0 };
         self.head = Some(Head {
-            base: self.holding.state.clone(),
+            base: self.durable_state.state.clone(),
             index: 0,
             synchronised: BTreeSet::from([self.identity]),
             established: false,
@@ -88,20 +89,20 @@
         let missing = view.chain.iter().filter(|member| !head.synchronised.contains(member));
         let missing: Vec<SocketAddrV4> = missing.filter_map(|member| view.address_of(*member)).collect();
         for address in missing {
-            let lineage = self.peers.at(address).and_then(|peer| peer.lineage);
+            let history_digest = self.peers.at(address).and_then(|peer| peer.history_digest);
             // A member that was never heard is asked what it holds before the state is sent whole.
-            let lineage = lineage.or_else(|| self.base_lineage());
-            self.send_base(address, TransferPurpose::Synchronise, lineage);
+            let history_digest = history_digest.or_else(|| self.base_lineage());
+            self.send_base(address, TransferPurpose::Synchronise, history_digest);
         }
     }
 
-    fn base_lineage(&self) -> Option<Lineage> {
-        self.head.as_ref().map(|head| head.base.lineage())
+    fn base_lineage(&self) -> Option<HistoryDigest> {
+        self.head.as_ref().map(|head| head.base.history_digest())
     }
 
-    /// Lineage of the committed state, if this node is head and knows it.
-    pub(super) fn committed_lineage(&self) -> Option<Lineage> {
-        self.head.as_ref().filter(|head| head.established).map(|head| head.base.lineage())
+    /// History digest of the committed state, if this node is head and knows it.
+    pub(super) fn committed_history_digest(&self) -> Option<HistoryDigest> {
+        self.head.as_ref().filter(|head| head.established).map(|head| head.base.history_digest())
     }
 
     /// Position of the committed state, if this node is head and knows it.
@@ -115,13 +116,18 @@
         self.head.as_ref().is_some_and(|head| head.established) && !self.leaving
     }
 
-    /// Sends the base to a node that holds the state with this lineage.
-    fn send_base(&mut self, to: SocketAddrV4, purpose: TransferPurpose, lineage: Option<Lineage>) {
+    /// Sends the base to a node that holds the state with this history digest.
+    fn send_base(
+        &mut self,
+        to: SocketAddrV4,
+        purpose: TransferPurpose,
+        history_digest: Option<HistoryDigest>,
+    ) {
         let Some(head) = &self.head else { return };
-        let payload = payload_for(&head.base, lineage);
-        self.counters.whole_transfers += u64::from(matches!(payload, Payload::Whole(_)));
+        let payload = payload_for(&head.base, history_digest);
+        self.counters.full_snapshots_sent += u64::from(matches!(payload, Payload::FullSnapshot(_)));
         let position = Position { epoch: self.epoch(), index: head.index };
-        let transfer = Transfer { purpose, position, lineage: head.base.lineage(), payload };
+        let transfer = Transfer { purpose, position, history_digest: head.base.history_digest(), payload };
         self.send(to, MessageBody::Transfer(transfer));
     }
 
@@ -131,7 +137,7 @@
         }
     }
 
-    pub(super) fn on_synchronised(&mut self, from: SocketAddrV4, sender: Identity, answer: TransferAnswer) {
+    pub(super) fn on_synchronised(&mut self, from: SocketAddrV4, sender: Identity, answer: TransferResponse) {
         if !answer.held {
             self.send_base(from, TransferPurpose::Synchronise, None);
         } else if answer.position.epoch == self.epoch() {
@@ -149,7 +155,7 @@
 
     fn establish_if_complete(&mut self) {
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
-        let early = self.mistake == Some(Mistake::ServeBeforeSynchronised);
+        let early = self.injected_bug == Some(InjectedBug::ServeBeforeSynchronised);
         let complete = view.chain.iter().all(|member| head.synchronised.contains(member));
         if head.established || !(complete || early) {
             return;
@@ -162,20 +168,20 @@
     /// Tells all nodes what is committed; those outside of the chain get it with the news.
     fn tell_committed(&mut self) {
         let (Some(head), Some(view)) = (&self.head, &self.view) else { return };
-        let (index, lineage) = (head.index, head.base.lineage());
+        let (index, history_digest) = (head.index, head.base.history_digest());
         let me = self.setup.address;
         let members: Vec<SocketAddrV4> =
             view.chain.iter().filter_map(|member| view.address_of(*member)).collect();
         let known = self.peers.iter().filter(|(address, peer)| {
             !members.contains(address) && peer.epoch == view.epoch && peer.reachable_since.is_some()
         });
-        let learners: Vec<(SocketAddrV4, Option<Lineage>)> =
-            known.map(|(address, peer)| (address, peer.lineage)).collect();
+        let learners: Vec<(SocketAddrV4, Option<HistoryDigest>)> =
+            known.map(|(address, peer)| (address, peer.history_digest)).collect();
         for member in members.into_iter().filter(|member| *member != me) {
-            self.send(member, MessageBody::Committed { index, lineage });
+            self.send(member, MessageBody::Committed { index, history_digest });
         }
-        for (address, lineage) in learners {
-            self.send_base(address, TransferPurpose::Learn, lineage);
+        for (address, history_digest) in learners {
+            self.send_base(address, TransferPurpose::Learn, history_digest);
         }
     }
 
@@ -191,22 +197,22 @@
         let committed = Position { epoch: view.epoch, index: head.index };
         let lags = heartbeat.committed != committed;
         if !view.in_chain(sender) {
-            if head.established && !self.votes.sealed {
+            if head.established && !self.acceptor.sealed {
                 self.feed_learner(from, heartbeat, lags);
             }
             return;
         }
         if !head.synchronised.contains(&sender) {
-            self.send_base(from, TransferPurpose::Synchronise, Some(heartbeat.lineage));
+            self.send_base(from, TransferPurpose::Synchronise, Some(heartbeat.history_digest));
             return;
         }
-        let (index, lineage) = (head.index, head.base.lineage());
+        let (index, history_digest) = (head.index, head.base.history_digest());
         if head.established && lags {
-            self.send(from, MessageBody::Committed { index, lineage });
+            self.send(from, MessageBody::Committed { index, history_digest });
         }
-        self.repair_if_different(sender, heartbeat.position, heartbeat.lineage, NoticedBy::Heartbeat);
+        self.repair_if_different(sender, heartbeat.position, heartbeat.history_digest, NoticedBy::Heartbeat);
         if heartbeat.position.epoch == committed.epoch {
-            self.on_holds(sender, heartbeat.position.index);
+            self.on_append_stored(sender, heartbeat.position.index);
         }
     }
 
@@ -216,10 +222,10 @@
         let Some(head) = &self.head else { return };
         if heartbeat.health != Health::DiskTrouble {
             if lags {
-                self.send_base(to, TransferPurpose::Learn, Some(heartbeat.lineage));
+                self.send_base(to, TransferPurpose::Learn, Some(heartbeat.history_digest));
             }
         } else if heartbeat.committed_version < head.base.version() {
-            let newest = head.base.previous_lineage();
+            let newest = head.base.previous_history_digest();
             self.send_base(to, TransferPurpose::Learn, Some(newest));
         }
     }
@@ -228,7 +234,8 @@
     pub(super) fn is_lagging(&self, member: Identity) -> bool {
         let (Some(head), Some(view)) = (&self.head, &self.view) else { return false };
         // A sealed head sends nothing down, so that nobody lags by it.
-        if self.votes.sealed || !view.in_chain(member) || self.now < self.started + self.timing.start_grace {
+        if self.acceptor.sealed || !view.in_chain(member) || self.now < self.started + self.timing.start_grace
+        {
             return false;
         }
         let unsynchronised = !head.synchronised.contains(&member);
@@ -259,7 +266,7 @@
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
         let Some(in_flight) = &mut head.in_flight else { return };
         let due = self.now >= in_flight.send_again_at;
-        if !in_flight.holders.contains(&self.identity) || self.votes.sealed || !due {
+        if !in_flight.holders.contains(&self.identity) || self.acceptor.sealed || !due {
             return;
         }
         let waited = self.now - in_flight.since;
@@ -272,7 +279,7 @@
         }
     }
 
-    pub(super) fn on_lacks(&mut self, sender: Identity, _index: u64) {
+    pub(super) fn on_append_rejected(&mut self, sender: Identity, _index: u64) {
         let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(sender));
         let address = self.view.as_ref().and_then(|view| view.address_of(sender));
         if let (true, Some(address)) = (in_chain, address) {
@@ -283,11 +290,11 @@
     // Writes
 
     /// Takes a configuration as the next entry.
-    pub(super) fn begin_write(&mut self, document: Document, origin: Origin) {
+    pub(super) fn begin_write(&mut self, document: ConfigurationDocument, origin: Origin) {
         let epoch = self.epoch();
         let Some(head) = &mut self.head else { return };
         let index = head.index + 1;
-        let previous = head.base.lineage();
+        let previous = head.base.history_digest();
         let state = head.base.with(document.clone());
         head.in_flight = Some(InFlight {
             index,
@@ -318,7 +325,7 @@
         in_flight.since = self.now;
         in_flight.send_again_at = self.now + self.timing.retransmit + in_flight.size_allowance();
         let body = in_flight.append(true);
-        let open = !self.votes.sealed || self.makes(Mistake::ServeAfterSeal);
+        let open = !self.acceptor.sealed || self.has_bug(InjectedBug::ServeAfterSeal);
         if let (Some(successor), true) = (successor, open) {
             self.send_to_voter(successor, body);
         }
@@ -329,11 +336,11 @@
     pub(super) fn on_chain_holds(&mut self, index: u64) {
         let chain = self.view.iter().flat_map(|view| view.chain.iter().skip(1).copied());
         for member in chain.collect::<Vec<_>>() {
-            self.on_holds(member, index);
+            self.on_append_stored(member, index);
         }
     }
 
-    pub(super) fn on_holds(&mut self, sender: Identity, index: u64) {
+    pub(super) fn on_append_stored(&mut self, sender: Identity, index: u64) {
         let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else { return };
         if index >= in_flight.index && index != Position::SEALED {
             in_flight.holders.insert(sender);
@@ -345,7 +352,7 @@
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
         let Some(in_flight) = &head.in_flight else { return };
         let all = view.chain.iter().all(|member| in_flight.holders.contains(member));
-        let early = self.mistake == Some(Mistake::AcknowledgeBeforeTail)
+        let early = self.injected_bug == Some(InjectedBug::AcknowledgeBeforeTail)
             && in_flight.holders.contains(&self.identity);
         if !all && !early {
             return;
@@ -362,7 +369,7 @@
     /// The committed state, to decide requests by.
     pub(super) fn serving_state(&self) -> Option<&ReplicatedState> {
         let head = self.head.as_ref().filter(|head| head.established)?;
-        let open = !self.votes.sealed || self.makes(Mistake::ServeAfterSeal);
+        let open = !self.acceptor.sealed || self.has_bug(InjectedBug::ServeAfterSeal);
         open.then_some(&head.base)
     }
 }
--- a/crates/lockusher-control/src/replica/mistake.rs
+++ b/crates/lockusher-control/src/replica/injected_bug.rs
@@ -16,7 +16,7 @@
 
 /// A guard of the protocol that is left out.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
-pub enum Mistake {
+pub enum InjectedBug {
     // Reads and refusals
     #[display("reads are answered without a round of confirmation")]
     ReadUnconfirmed,
@@ -106,103 +106,103 @@
     SnapshotWithoutVotes,
 }
 
-impl Mistake {
+impl InjectedBug {
     /// All mistakes.
-    pub const ALL: [Mistake; 41] = [
-        Mistake::ReadUnconfirmed,
-        Mistake::ConflictUnconfirmed,
-        Mistake::NotNewerUnconfirmed,
-        Mistake::EarlierRoundCounts,
-        Mistake::ConfirmAfterAccepting,
-        Mistake::IfMatchIgnored,
-        Mistake::TakenNotRecognized,
-        Mistake::VersionIdentifiesChange,
-        Mistake::RequestNumbersRestart,
-        Mistake::AcknowledgeBeforeTail,
-        Mistake::PassOnBeforeDurable,
-        Mistake::EntryWithoutPredecessor,
-        Mistake::ServeBeforeSynchronised,
-        Mistake::RestartedHeadServes,
-        Mistake::CommittedUnchecked,
-        Mistake::EntryAfterSeal,
-        Mistake::ServeAfterSeal,
-        Mistake::SealNotAwaited,
-        Mistake::JoinersUnfed,
-        Mistake::JoinAnsweredBeforeDurable,
-        Mistake::OlderTransferTaken,
-        Mistake::HistoryForgotten,
-        Mistake::ShortChain,
-        Mistake::SeveralVotersChanged,
-        Mistake::VotersBelowMinimum,
-        Mistake::DepartedVoterKept,
-        Mistake::LowerBallotAccepted,
-        Mistake::AcceptedNotReported,
-        Mistake::AcceptedPassedOver,
-        Mistake::VoteAnsweredBeforeDurable,
-        Mistake::AdoptAfterOneAcceptance,
-        Mistake::StrangersCount,
-        Mistake::ActBeforeViewDurable,
-        Mistake::OlderEpochsCount,
-        Mistake::VoteAfterWipe,
-        Mistake::FirstStartAssumed,
-        Mistake::PromiseForgotten,
-        Mistake::AcceptanceForgotten,
-        Mistake::SealForgotten,
-        Mistake::SnapshotWithoutState,
-        Mistake::SnapshotWithoutVotes,
+    pub const ALL: [InjectedBug; 41] = [
+        InjectedBug::ReadUnconfirmed,
+        InjectedBug::ConflictUnconfirmed,
+        InjectedBug::NotNewerUnconfirmed,
+        InjectedBug::EarlierRoundCounts,
+        InjectedBug::ConfirmAfterAccepting,
+        InjectedBug::IfMatchIgnored,
+        InjectedBug::TakenNotRecognized,
+        InjectedBug::VersionIdentifiesChange,
+        InjectedBug::RequestNumbersRestart,
+        InjectedBug::AcknowledgeBeforeTail,
+        InjectedBug::PassOnBeforeDurable,
+        InjectedBug::EntryWithoutPredecessor,
+        InjectedBug::ServeBeforeSynchronised,
+        InjectedBug::RestartedHeadServes,
+        InjectedBug::CommittedUnchecked,
+        InjectedBug::EntryAfterSeal,
+        InjectedBug::ServeAfterSeal,
+        InjectedBug::SealNotAwaited,
+        InjectedBug::JoinersUnfed,
+        InjectedBug::JoinAnsweredBeforeDurable,
+        InjectedBug::OlderTransferTaken,
+        InjectedBug::HistoryForgotten,
+        InjectedBug::ShortChain,
+        InjectedBug::SeveralVotersChanged,
+        InjectedBug::VotersBelowMinimum,
+        InjectedBug::DepartedVoterKept,
+        InjectedBug::LowerBallotAccepted,
+        InjectedBug::AcceptedNotReported,
+        InjectedBug::AcceptedPassedOver,
+        InjectedBug::VoteAnsweredBeforeDurable,
+        InjectedBug::AdoptAfterOneAcceptance,
+        InjectedBug::StrangersCount,
+        InjectedBug::ActBeforeViewDurable,
+        InjectedBug::OlderEpochsCount,
+        InjectedBug::VoteAfterWipe,
+        InjectedBug::FirstStartAssumed,
+        InjectedBug::PromiseForgotten,
+        InjectedBug::AcceptanceForgotten,
+        InjectedBug::SealForgotten,
+        InjectedBug::SnapshotWithoutState,
+        InjectedBug::SnapshotWithoutVotes,
     ];
 
     /// The mistake with this name, as [`std::fmt::Debug`] writes it.
-    pub fn named(name: &str) -> Option<Mistake> {
-        Self::ALL.into_iter().find(|mistake| format!("{mistake:?}") == name)
+    pub fn named(name: &str) -> Option<InjectedBug> {
+        Self::ALL.into_iter().find(|injected_bug| format!("{injected_bug:?}") == name)
     }
 }
 
 #[cfg(feature = "simulation")]
 impl Replica {
-    pub(super) fn makes(&self, mistake: Mistake) -> bool {
-        self.mistake == Some(mistake)
+    pub(super) fn has_bug(&self, injected_bug: InjectedBug) -> bool {
+        self.injected_bug == Some(injected_bug)
     }
 
     /// The plan, changed by a mistake of the planner.
-    pub(super) fn mistaken_plan(&self, plan: Option<Plan>, situation: &Situation) -> Option<Plan> {
-        match self.mistake {
-            Some(Mistake::ShortChain) => short_chain(situation).or(plan),
-            Some(Mistake::SeveralVotersChanged) => plan.map(|plan| without_unreachable(plan, situation)),
+    pub(super) fn altered_plan(&self, plan: Option<Plan>, situation: &Situation) -> Option<Plan> {
+        match self.injected_bug {
+            Some(InjectedBug::ShortChain) => short_chain(situation).or(plan),
+            Some(InjectedBug::SeveralVotersChanged) => plan.map(|plan| without_unreachable(plan, situation)),
             _ => plan,
         }
     }
 
     /// What of the votes and the state a snapshot holds, after a mistake.
-    pub(super) fn mistaken_snapshot(&self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
+    pub(super) fn altered_snapshot(&self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
         let is_vote = |record: &DurableRecord| {
             matches!(
                 record,
                 DurableRecord::Promise { .. } | DurableRecord::Accept { .. } | DurableRecord::Seal { .. }
             )
         };
-        if self.makes(Mistake::SnapshotWithoutState) {
+        if self.has_bug(InjectedBug::SnapshotWithoutState) {
             records.retain(|record| !matches!(record, DurableRecord::State { .. }));
         }
-        if self.makes(Mistake::SnapshotWithoutVotes) {
+        if self.has_bug(InjectedBug::SnapshotWithoutVotes) {
             records.retain(|record| !is_vote(record));
         }
         records
     }
 
     /// What a start finds on its disk, after a mistake.
-    pub(super) fn mistaken_recovery(
-        mistake: Option<Mistake>,
+    pub(super) fn altered_recovery(
+        injected_bug: Option<InjectedBug>,
         mut records: Vec<DurableRecord>,
     ) -> Vec<DurableRecord> {
-        match mistake {
-            Some(Mistake::PromiseForgotten) => {
+        match injected_bug {
+            Some(InjectedBug::PromiseForgotten) => {
                 records.retain(|record| !matches!(record, DurableRecord::Promise { .. }));
             }
-            Some(Mistake::AcceptanceForgotten) => {
+            Some(InjectedBug::AcceptanceForgotten) => {
                 records.retain(|record| !matches!(record, DurableRecord::Accept { .. }));
             }
-            Some(Mistake::SealForgotten) => {
+            Some(InjectedBug::SealForgotten) => {
                 records.retain(|record| !matches!(record, DurableRecord::Seal { .. }));
             }
             _ => {}
@@ -211,21 +211,22 @@
     }
 
     /// A message on its way out, changed by a mistake.
-    pub(super) fn mistaken_body(&self, body: MessageBody) -> MessageBody {
-        match (self.mistake, body) {
-            (Some(Mistake::HistoryForgotten), MessageBody::Transfer(transfer)) => {
+    pub(super) fn altered_body(&self, body: MessageBody) -> MessageBody {
+        match (self.injected_bug, body) {
+            (Some(InjectedBug::HistoryForgotten), MessageBody::Transfer(transfer)) => {
                 MessageBody::Transfer(without_history(transfer))
             }
-            (Some(Mistake::AcceptedNotReported), MessageBody::Promised { ballot, .. }) => {
-                MessageBody::Promised { ballot, accepted: None }
-            }
+            (
+                Some(InjectedBug::AcceptedNotReported),
+                MessageBody::PrepareResponse { proposal_number, .. },
+            ) => MessageBody::PrepareResponse { proposal_number, accepted: None },
             (_, body) => body,
         }
     }
 
     /// What a proposer hears of views accepted before, after a mistake.
-    pub(super) fn mistaken_report(&self, accepted: Option<AcceptedView>) -> Option<AcceptedView> {
-        accepted.filter(|_| !self.makes(Mistake::AcceptedPassedOver))
+    pub(super) fn altered_report(&self, accepted: Option<AcceptedView>) -> Option<AcceptedView> {
+        accepted.filter(|_| !self.has_bug(InjectedBug::AcceptedPassedOver))
     }
 }
 
@@ -252,7 +253,7 @@
 
 #[cfg(feature = "simulation")]
 fn without_history(mut transfer: Transfer) -> Transfer {
-    if let Payload::Whole(state) = &mut transfer.payload {
+    if let Payload::FullSnapshot(state) = &mut transfer.payload {
         *state = state.without_history();
     }
     transfer
@@ -261,7 +262,7 @@
 /// Without the feature no mistake is made: these are the plain ways.
 #[cfg(not(feature = "simulation"))]
 mod plain {
-    use super::Mistake;
+    use super::InjectedBug;
     use crate::{
         DurableRecord,
         message::{AcceptedView, MessageBody},
@@ -270,11 +271,11 @@
     };
 
     impl Replica {
-        pub(in crate::replica) fn makes(&self, _mistake: Mistake) -> bool {
+        pub(in crate::replica) fn has_bug(&self, _mistake: InjectedBug) -> bool {
             false
         }
 
-        pub(in crate::replica) fn mistaken_plan(
+        pub(in crate::replica) fn altered_plan(
             &self,
             plan: Option<Plan>,
             _situation: &Situation,
@@ -282,25 +283,22 @@
             plan
         }
 
-        pub(in crate::replica) fn mistaken_snapshot(
-            &self,
-            records: Vec<DurableRecord>,
-        ) -> Vec<DurableRecord> {
+        pub(in crate::replica) fn altered_snapshot(&self, records: Vec<DurableRecord>) -> Vec<DurableRecord> {
             records
         }
 
-        pub(in crate::replica) fn mistaken_recovery(
-            _mistake: Option<Mistake>,
+        pub(in crate::replica) fn altered_recovery(
+            _mistake: Option<InjectedBug>,
             records: Vec<DurableRecord>,
         ) -> Vec<DurableRecord> {
             records
         }
 
-        pub(in crate::replica) fn mistaken_body(&self, body: MessageBody) -> MessageBody {
+        pub(in crate::replica) fn altered_body(&self, body: MessageBody) -> MessageBody {
             body
         }
 
-        pub(in crate::replica) fn mistaken_report(
+        pub(in crate::replica) fn altered_report(
             &self,
             accepted: Option<AcceptedView>,
         ) -> Option<AcceptedView> {
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -2,12 +2,12 @@
 
 use std::{collections::BTreeSet, net::SocketAddrV4};
 
-use super::{Mistake, Replica, repair::NoticedBy};
+use super::{InjectedBug, Replica, repair::NoticedBy};
 use crate::{
     DurableRecord, Identity, Message, View,
+    acceptor::AcceptorState,
+    acceptor_log::AfterAcceptorWrite,
     message::{Heartbeat, MessageBody},
-    vote_log::AfterVote,
-    votes::Votes,
 };
 
 impl Replica {
@@ -17,7 +17,8 @@
             self.peers.heard(from, sender, epoch, self.now);
             self.exchange_views(from, epoch, &body);
         }
-        let counts = epoch == self.epoch() || (self.makes(Mistake::OlderEpochsCount) && epoch < self.epoch());
+        let counts =
+            epoch == self.epoch() || (self.has_bug(InjectedBug::OlderEpochsCount) && epoch < self.epoch());
         let same_epoch = counts && epoch > 0;
         match body {
             MessageBody::Heartbeat(heartbeat) => self.on_heartbeat(from, sender, epoch, heartbeat),
@@ -31,24 +32,30 @@
 
     fn on_epoch_message(&mut self, from: SocketAddrV4, sender: Identity, body: MessageBody) {
         match body {
-            MessageBody::Prepare { ballot } => self.on_prepare(from, ballot),
-            MessageBody::Promised { ballot, accepted } => self.on_promised(sender, ballot, accepted),
-            MessageBody::Accept { ballot, view } => self.on_accept(from, ballot, view),
-            MessageBody::Accepted { ballot } => self.on_accepted(sender, ballot),
-            MessageBody::Rejected { promised } => self.on_rejected(promised),
+            MessageBody::Prepare { proposal_number } => self.on_prepare(from, proposal_number),
+            MessageBody::PrepareResponse { proposal_number, accepted } => {
+                self.on_prepare_response(sender, proposal_number, accepted)
+            }
+            MessageBody::Accept { proposal_number, view } => self.on_accept(from, proposal_number, view),
+            MessageBody::AcceptResponse { proposal_number } => {
+                self.on_accept_response(sender, proposal_number)
+            }
+            MessageBody::ProposalRejected { promised } => self.on_rejected(promised),
             MessageBody::Transfer(transfer) => self.on_transfer(from, sender, transfer),
-            MessageBody::TransferAnswer(answer) => self.on_transfer_answer(from, sender, answer),
+            MessageBody::TransferResponse(answer) => self.on_transfer_response(from, sender, answer),
             MessageBody::Append { index, previous, document, relay } => {
                 self.on_append(from, sender, index, previous, document, relay);
             }
-            MessageBody::Acknowledge { index } => self.on_acknowledge(sender, index),
-            MessageBody::Holds { index } => self.on_holds(sender, index),
-            MessageBody::Lacks { index } => self.on_lacks(sender, index),
-            MessageBody::Committed { index, lineage } => self.on_committed(sender, index, lineage),
+            MessageBody::AppendAcknowledged { index } => self.on_append_acknowledged(sender, index),
+            MessageBody::AppendStored { index } => self.on_append_stored(sender, index),
+            MessageBody::AppendRejected { index } => self.on_append_rejected(sender, index),
+            MessageBody::Committed { index, history_digest } => {
+                self.on_committed(sender, index, history_digest)
+            }
             MessageBody::Confirm { round } => self.on_confirm(from, sender, round),
-            MessageBody::Confirmed { round, position, lineage } => {
+            MessageBody::Confirmed { round, position, history_digest } => {
                 self.on_confirmed(sender, round);
-                self.repair_if_different(sender, position, lineage, NoticedBy::Read);
+                self.repair_if_different(sender, position, history_digest, NoticedBy::Read);
             }
             MessageBody::Heartbeat(_)
             | MessageBody::NewView(_)
@@ -108,10 +115,10 @@
     fn send_heartbeat(&mut self, to: SocketAddrV4) {
         let heartbeat = Heartbeat {
             health: self.health(),
-            position: self.holding.position,
-            lineage: self.holding.state.lineage(),
+            position: self.durable_state.position,
+            history_digest: self.durable_state.state.history_digest(),
             committed: self.committed_at,
-            committed_lineage: self.committed_lineage(),
+            committed_history_digest: self.committed_history_digest(),
             committed_version: self.committed.as_ref().map_or(0, |document| document.version),
             hears: self.peers.heard_lately(&self.timing, self.now),
         };
@@ -177,7 +184,7 @@
         self.counters.views_adopted += 1;
         let epoch = view.epoch;
         self.view = Some(view.clone());
-        self.votes = Votes::default();
+        self.acceptor = AcceptorState::default();
         self.head = None;
         self.renew = false;
         self.proposal = None;
@@ -185,7 +192,10 @@
         self.joined.clear();
         self.reason_since = None;
         self.back_off_until = self.now;
-        self.persist_votes(vec![DurableRecord::View(view)], vec![AfterVote::ViewDurable { epoch }]);
+        self.persist_acceptor_records(
+            vec![DurableRecord::View(view)],
+            vec![AfterAcceptorWrite::ViewDurable { epoch }],
+        );
     }
 
     pub(super) fn on_view_durable(&mut self, epoch: u64) {
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -5,10 +5,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{Counters, Effect, Mistake, Replica, ReplicaSetup, requests::Requests};
+use super::{Counters, Effect, InjectedBug, Replica, ReplicaSetup, requests::Requests};
 use crate::{
-    DurableRecord, Identity, Millis, Position, View, failure_detector::Peers, holding::Holding,
-    timing::Timing, vote_log::AfterVote, vote_log::VoteLog, votes::Votes,
+    DurableRecord, Identity, Millis, Position, View, acceptor::AcceptorState, acceptor_log::AcceptorLog,
+    acceptor_log::AfterAcceptorWrite, durable_state::DurableState, failure_detector::Peers, timing::Timing,
 };
 
 impl Replica {
@@ -16,37 +16,38 @@
         setup: ReplicaSetup,
         recovered: Vec<DurableRecord>,
         now: Millis,
-        mistake: Option<Mistake>,
+        injected_bug: Option<InjectedBug>,
     ) -> (Replica, Vec<Effect>) {
         let timing = Timing::new(setup.acknowledge_ms, setup.catch_up_ms);
         let mut random = ChaCha8Rng::seed_from_u64(setup.random_seed);
-        let recovered = Self::mistaken_recovery(mistake, recovered);
+        let recovered = Self::altered_recovery(injected_bug, recovered);
         let known = recovered_identity(&recovered);
         let drawn = Identity::of_joiner(random.random());
         let first_request = random.random::<u64>() >> 1;
-        let numbers_restart = mistake == Some(Mistake::RequestNumbersRestart);
+        let numbers_restart = injected_bug == Some(InjectedBug::RequestNumbersRestart);
         let first_request = if numbers_restart { 0 } else { first_request };
         let view = newest_view(&recovered);
-        let votes = view.as_ref().map_or_else(Votes::default, |view| recovered_votes(&recovered, view.epoch));
+        let acceptor =
+            view.as_ref().map_or_else(AcceptorState::default, |view| recovered_votes(&recovered, view.epoch));
         let mut replica = Replica {
             timing,
-            mistake,
+            injected_bug,
             random,
             now,
             started: now,
             identity: drawn,
             durable_epoch: view.as_ref().map_or(0, |view| view.epoch),
             view,
-            votes,
-            vote_log: VoteLog::default(),
-            holding: recovered_holding(recovered),
+            acceptor,
+            acceptor_log: AcceptorLog::default(),
+            durable_state: recovered_holding(recovered),
             committed: None,
             committed_at: Position::default(),
             head: None,
             renew: false,
             proposal: None,
             joined: BTreeSet::new(),
-            highest_round: 0,
+            highest_counter: 0,
             attempts: 0,
             back_off_until: now,
             reason_since: None,
@@ -78,11 +79,11 @@
             Some((identity, former)) if former == address => {
                 self.identity = identity;
                 let was_head = self.view.as_ref().is_some_and(|view| view.head() == Some(identity));
-                self.renew = was_head && !self.makes(Mistake::RestartedHeadServes);
+                self.renew = was_head && !self.has_bug(InjectedBug::RestartedHeadServes);
             }
             Some(_) => {
-                self.votes = Votes::default();
-                self.persist_votes(vec![self.identity_record()], Vec::new());
+                self.acceptor = AcceptorState::default();
+                self.persist_acceptor_records(vec![self.identity_record()], Vec::new());
             }
             None => self.start_on_empty_disk(),
         }
@@ -91,12 +92,12 @@
     fn start_on_empty_disk(&mut self) {
         let address = self.setup.address;
         let is_seed = self.setup.seeds.contains(&address);
-        if self.makes(Mistake::VoteAfterWipe) && is_seed {
+        if self.has_bug(InjectedBug::VoteAfterWipe) && is_seed {
             self.identity = Identity::of_first_start(address);
         }
-        let first_start = self.setup.first_start || self.makes(Mistake::FirstStartAssumed);
+        let first_start = self.setup.first_start || self.has_bug(InjectedBug::FirstStartAssumed);
         if !(first_start && is_seed) {
-            self.persist_votes(vec![self.identity_record()], Vec::new());
+            self.persist_acceptor_records(vec![self.identity_record()], Vec::new());
             return;
         }
         self.identity = Identity::of_first_start(address);
@@ -104,7 +105,7 @@
         let epoch = view.epoch;
         self.view = Some(view.clone());
         let records = vec![self.identity_record(), DurableRecord::View(view)];
-        self.persist_votes(records, vec![AfterVote::ViewDurable { epoch }]);
+        self.persist_acceptor_records(records, vec![AfterAcceptorWrite::ViewDurable { epoch }]);
     }
 
     fn identity_record(&self) -> DurableRecord {
@@ -116,10 +117,10 @@
         let mut records = vec![self.identity_record()];
         if let Some(view) = &self.view {
             records.push(DurableRecord::View(view.clone()));
-            records.extend(self.votes.records(view.epoch));
+            records.extend(self.acceptor.records(view.epoch));
         }
-        records.push(self.holding.record());
-        self.mistaken_snapshot(records)
+        records.push(self.durable_state.record());
+        self.altered_snapshot(records)
     }
 }
 
@@ -138,8 +139,8 @@
     views.max_by_key(|view| view.epoch).cloned()
 }
 
-fn recovered_votes(records: &[DurableRecord], current: u64) -> Votes {
-    let mut votes = Votes::default();
+fn recovered_votes(records: &[DurableRecord], current: u64) -> AcceptorState {
+    let mut acceptor = AcceptorState::default();
     for record in records {
         match record {
             DurableRecord::Promise { epoch, .. }
@@ -147,18 +148,18 @@
             | DurableRecord::Seal { epoch }
                 if *epoch == current =>
             {
-                votes.recover(record);
+                acceptor.recover(record);
             }
             _ => {}
         }
     }
-    votes
+    acceptor
 }
 
-fn recovered_holding(records: Vec<DurableRecord>) -> Holding {
-    let mut holding = Holding::default();
+fn recovered_holding(records: Vec<DurableRecord>) -> DurableState {
+    let mut durable_state = DurableState::default();
     for record in records {
-        holding.recover(record);
+        durable_state.recover(record);
     }
-    holding
+    durable_state
 }
--- a/crates/lockusher-control/src/replica/repair.rs
+++ b/crates/lockusher-control/src/replica/repair.rs
@@ -3,9 +3,9 @@
 use super::Replica;
 use crate::{
     Digest, DurableRecord, Identity, Position,
-    holding::Holding,
+    durable_state::DurableState,
     message::{MessageBody, Payload, Transfer, TransferPurpose},
-    state::Lineage,
+    state::HistoryDigest,
 };
 
 /// How a difference was noticed.
@@ -34,13 +34,13 @@
         &mut self,
         member: Identity,
         position: Position,
-        lineage: Lineage,
+        history_digest: HistoryDigest,
         noticed_by: NoticedBy,
     ) {
         let Some(committed) = self.committed_position() else { return };
         let Some(state) = self.serving_state().cloned() else { return };
         let Some(address) = self.chain_address_of(member) else { return };
-        if position != committed || lineage == state.lineage() || !is_intact(&state) {
+        if position != committed || history_digest == state.history_digest() || !is_intact(&state) {
             return;
         }
         log::warn!("{member} at {address} holds another state at {position:?}; it is sent the committed one");
@@ -51,8 +51,8 @@
         let transfer = Transfer {
             purpose: TransferPurpose::Repair,
             position,
-            lineage: state.lineage(),
-            payload: Payload::Whole(state),
+            history_digest: state.history_digest(),
+            payload: Payload::FullSnapshot(state),
         };
         self.send(address, MessageBody::Transfer(transfer));
     }
@@ -65,12 +65,16 @@
     /// Compares what a scrub read back with the durable state in memory. No write may have been under way when the
     /// disk was read, and none may have become durable since.
     pub fn compare_disk(&self, records: Vec<DurableRecord>) -> DiskComparison {
-        if !is_intact(&self.holding.state) {
+        if !is_intact(&self.durable_state.state) {
             return DiskComparison::MemoryDamaged;
         }
-        let mut on_disk = Holding::default();
+        let mut on_disk = DurableState::default();
         records.into_iter().for_each(|record| on_disk.recover(record));
-        if on_disk.state == self.holding.state { DiskComparison::Same } else { DiskComparison::DiskDiffers }
+        if on_disk.state == self.durable_state.state {
+            DiskComparison::Same
+        } else {
+            DiskComparison::DiskDiffers
+        }
     }
 }
 
--- a/crates/lockusher-control/src/replica/requests.rs
+++ b/crates/lockusher-control/src/replica/requests.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
-use super::{Effect, Mistake, Replica, Reply, Request, RequestTicket};
+use super::{Effect, InjectedBug, Replica, Reply, Request, RequestTicket};
 use crate::{Digest, Millis, ReplicatedState, message::MessageBody};
 
 /// Most requests that wait at one node, and at the head.
@@ -199,24 +199,24 @@
     fn decide(&self, queued: &Queued) -> Decision {
         let Some(state) = self.serving_state() else { return Decision::Wait };
         let confirmed = self.is_confirmed(queued.round);
-        let if_confirmed = |reply, unless: Mistake| {
-            if confirmed || self.makes(unless) { Decision::Reply(reply) } else { Decision::Confirm }
+        let if_confirmed = |reply, unless: InjectedBug| {
+            if confirmed || self.has_bug(unless) { Decision::Reply(reply) } else { Decision::Confirm }
         };
         let newest = || Reply::Document(state.document().cloned());
         let Some(change) = Change::of(&queued.request) else {
-            return if_confirmed(newest(), Mistake::ReadUnconfirmed);
+            return if_confirmed(newest(), InjectedBug::ReadUnconfirmed);
         };
         if self.is_taken(state, &change) {
             return Decision::Reply(Reply::Accepted);
         }
-        if self.holding.pending.is_some() || self.write_in_flight().is_some() {
+        if self.durable_state.pending.is_some() || self.write_in_flight().is_some() {
             return Decision::Wait;
         }
         let current = state.version();
-        if change.if_match != current && !self.makes(Mistake::IfMatchIgnored) {
-            if_confirmed(Reply::Conflict { current }, Mistake::ConflictUnconfirmed)
+        if change.if_match != current && !self.has_bug(InjectedBug::IfMatchIgnored) {
+            if_confirmed(Reply::Conflict { current }, InjectedBug::ConflictUnconfirmed)
         } else if change.version <= current {
-            if_confirmed(Reply::NotNewer { current }, Mistake::NotNewerUnconfirmed)
+            if_confirmed(Reply::NotNewer { current }, InjectedBug::NotNewerUnconfirmed)
         } else if matches!(queued.request, Request::Base { .. }) {
             // It needs no confirmation: what was committed as this version is the only one, and the put that follows is
             // decided on its own.
@@ -227,9 +227,9 @@
     }
 
     fn is_taken(&self, state: &ReplicatedState, change: &Change) -> bool {
-        if self.makes(Mistake::VersionIdentifiesChange) && change.version == state.version() {
+        if self.has_bug(InjectedBug::VersionIdentifiesChange) && change.version == state.version() {
             return true;
         }
-        state.has_taken(change.request) && !self.makes(Mistake::TakenNotRecognized)
+        state.has_taken(change.request) && !self.has_bug(InjectedBug::TakenNotRecognized)
     }
 }
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use super::{Counters, Effect, Replica};
-use crate::{Document, Identity, Position, View, state::Lineage};
+use crate::{ConfigurationDocument, Identity, Position, View, state::HistoryDigest};
 
 impl Replica {
     /// The newest view known.
@@ -25,9 +25,9 @@
     pub fn is_clean(&self) -> bool {
         let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(self.identity));
         in_chain
-            && self.holding.pending.is_none()
+            && self.durable_state.pending.is_none()
             && self.committed_at.epoch == self.epoch()
-            && self.committed_at == self.holding.position
+            && self.committed_at == self.durable_state.position
     }
 
     /// Whether this node votes in the newest view that it knows and hears a majority of the voters.
@@ -44,18 +44,18 @@
     }
 
     /// The newest configuration known to be committed.
-    pub fn committed(&self) -> Option<&Document> {
+    pub fn committed(&self) -> Option<&ConfigurationDocument> {
         self.committed.as_ref()
     }
 
     /// Identifies the sequence of configurations that the durable state contains.
-    pub fn lineage(&self) -> Lineage {
-        self.holding.state.lineage()
+    pub fn history_digest(&self) -> HistoryDigest {
+        self.durable_state.state.history_digest()
     }
 
     /// Where the durable state stands.
     pub fn position(&self) -> Position {
-        self.holding.position
+        self.durable_state.position
     }
 
     /// Counts since the start.
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -21,7 +21,7 @@
 use crate::shell::disk::{Disk, DiskError};
 use crate::shell::host::Host;
 use crate::shell::peer_links::{LinkTiming, PeerLinks, receive};
-use crate::shell::{list_reading, operator_api, stage_orders};
+use crate::shell::{instance_list_polling, operator_api, stage_assignment};
 
 /// Pause between two ticks of the replica.
 const TICK: Duration = Duration::from_millis(50);
@@ -52,12 +52,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlOptions {
     /// Whether searchers are ordered to change their stage as the load demands.
-    pub stage_orders: bool,
+    pub stage_assignment: bool,
 }
 
 impl Default for ControlOptions {
     fn default() -> Self {
-        ControlOptions { stage_orders: true }
+        ControlOptions { stage_assignment: true }
     }
 }
 
@@ -102,8 +102,8 @@
     let longest_hand_over = Duration::from_millis(settings.bounds.grace_ms) / HAND_OVER_PART;
     let settings = Rc::new(settings);
     let orders = options
-        .stage_orders
-        .then(|| compio::runtime::spawn(stage_orders::run(Rc::clone(&host), Rc::clone(&settings))));
+        .stage_assignment
+        .then(|| compio::runtime::spawn(stage_assignment::run(Rc::clone(&host), Rc::clone(&settings))));
     let _tasks = [
         compio::runtime::spawn(follow_disk(Rc::clone(&host), completions)),
         compio::runtime::spawn(tick(Rc::clone(&host))),
@@ -111,7 +111,7 @@
         compio::runtime::spawn(accept_peers(Rc::clone(&host), peer_listener)),
         compio::runtime::spawn(accept(subscription_listener, publisher)),
         compio::runtime::spawn(http::serve(operator_listener, operator)),
-        compio::runtime::spawn(list_reading::run(Rc::clone(&host), settings, random_seed)),
+        compio::runtime::spawn(instance_list_polling::run(Rc::clone(&host), settings, random_seed)),
     ];
     stop.await;
     log::info!("stopping");
--- a/crates/lockusher-control/src/shell/host.rs
+++ b/crates/lockusher-control/src/shell/host.rs
@@ -16,8 +16,8 @@
 
 use super::disk::{Disk, ScrubCounters};
 use super::peer_links::PeerLinks;
-use super::stage_marks::StageMarks;
-use crate::document::Document;
+use super::stage_switch_overlay::StageSwitchOverlay;
+use crate::document::ConfigurationDocument;
 use crate::message::Envelope;
 use crate::replica::{Effect, Event, Replica, Reply, Request, RequestTicket};
 
@@ -41,7 +41,7 @@
     known_head: Cell<Option<SocketAddrV4>>,
     role_changed: Signal,
     /// Searchers that are being changed by order of this node.
-    pub stage_marks: StageMarks,
+    pub stage_switch_overlay: StageSwitchOverlay,
     /// The platform's list as this node last read it, and the epoch in which it did.
     pub last_reading: RefCell<Option<(u64, Rc<Vec<Instance>>)>>,
     /// Port at which control nodes serve subscribers.
@@ -68,7 +68,7 @@
             role: Cell::default(),
             known_head: Cell::default(),
             role_changed: Signal::default(),
-            stage_marks: StageMarks::default(),
+            stage_switch_overlay: StageSwitchOverlay::default(),
             last_reading: RefCell::default(),
             subscription_port,
         })
@@ -143,7 +143,7 @@
         }
     }
 
-    fn publish(&self, document: &Document) {
+    fn publish(&self, document: &ConfigurationDocument) {
         match Configuration::parse(&document.body) {
             Ok(configuration) => {
                 let configuration = Rc::new(configuration);
--- a/crates/lockusher-control/src/shell/list_reading.rs
+++ b/crates/lockusher-control/src/shell/instance_list_polling.rs
@@ -77,7 +77,7 @@
 }
 
 fn publish_marked(host: &Host, epoch: u64, instances: &Rc<Vec<Instance>>, changed: bool) {
-    let instances = host.stage_marks.apply(instances);
+    let instances = host.stage_switch_overlay.apply(instances);
     let published = host.publisher.update_quietly(|publisher| {
         let newest = publisher.newest().list_revision;
         let held = publisher.highest_held_revision();
--- a/crates/lockusher-control/src/shell/mod.rs
+++ b/crates/lockusher-control/src/shell/mod.rs
@@ -2,9 +2,9 @@
 
 pub mod disk;
 pub mod host;
-pub mod list_reading;
+pub mod instance_list_polling;
 pub mod operator_api;
 pub mod peer_links;
-pub mod stage_marks;
-pub mod stage_orders;
+pub mod stage_assignment;
+pub mod stage_switch_overlay;
 pub mod status;
--- a/crates/lockusher-control/src/shell/operator_api.rs
+++ b/crates/lockusher-control/src/shell/operator_api.rs
@@ -14,7 +14,7 @@
 
 use super::host::Host;
 use super::status;
-use crate::document::{Document, patch_identity};
+use crate::document::{ConfigurationDocument, patch_identity};
 use crate::replica::{Reply, Request};
 
 /// The largest configuration that is taken, in bytes.
@@ -49,7 +49,7 @@
         Ok(configuration) => configuration.version,
         Err(faults) => return faulty(&faults),
     };
-    let document = Document::new(version, Arc::from(&change.body[..]));
+    let document = ConfigurationDocument::new(version, Arc::from(&change.body[..]));
     put(&host, change.if_match, document).await
 }
 
@@ -71,7 +71,9 @@
         reply => return decided(reply, if_match, version),
     };
     match patch.apply(&base.body) {
-        Ok(body) => put(&host, if_match, Document::patched(version, identity, Arc::from(body))).await,
+        Ok(body) => {
+            put(&host, if_match, ConfigurationDocument::patched(version, identity, Arc::from(body))).await
+        }
         Err(faults) => faulty(&faults),
     }
 }
@@ -99,7 +101,7 @@
     answer(StatusCode::BAD_REQUEST, TEXT, format!("{faults}\n"))
 }
 
-async fn put(host: &Host, if_match: u64, document: Document) -> Response<FullBody> {
+async fn put(host: &Host, if_match: u64, document: ConfigurationDocument) -> Response<FullBody> {
     let version = document.version;
     decided(host.request(Request::Put { if_match, document }).await, if_match, version)
 }
--- a/crates/lockusher-control/src/shell/stage_orders.rs
+++ b/crates/lockusher-control/src/shell/stage_assignment.rs
@@ -16,11 +16,11 @@
 use serde_json::json;
 
 use super::host::Host;
-use super::list_reading;
+use super::instance_list_polling;
 use crate::Millis;
-use crate::order_lease::OrderLease;
 use crate::replica::{Reply, Request};
-use crate::stage_planner::{Observation, OrderOutcome, StageChange, StagePlanner};
+use crate::stage_assignment_lease::StageAssignmentLease;
+use crate::stage_scheduler::{Observation, OrderOutcome, StageChange, StagePlanner};
 
 /// Pause between two looks at the loads.
 const LOOK: Duration = Duration::from_millis(250);
@@ -32,7 +32,7 @@
 pub async fn run(host: Rc<Host>, settings: Rc<NodeSettings>) {
     let started = host.clock.millis();
     let mut orders = StageOrders {
-        lease: OrderLease::new(settings.bounds.lease_ms, started),
+        lease: StageAssignmentLease::new(settings.bounds.lease_ms, started),
         planner: StagePlanner::new(settings.cloud_lag_ms),
         host,
         settings,
@@ -46,7 +46,7 @@
 struct StageOrders {
     host: Rc<Host>,
     settings: Rc<NodeSettings>,
-    lease: OrderLease,
+    lease: StageAssignmentLease,
     planner: StagePlanner,
 }
 
@@ -67,7 +67,7 @@
         let Some(fence) = self.fence() else {
             if !self.host.role().head {
                 self.planner = StagePlanner::new(self.settings.cloud_lag_ms);
-                self.host.stage_marks.set(Vec::new());
+                self.host.stage_switch_overlay.set(Vec::new());
             }
             return;
         };
@@ -100,8 +100,8 @@
     /// Lets the published list show which searchers are changing.
     fn show_marks(&self) {
         let marks = self.planner.changing().map(|change| (change.identifier.clone(), change.from)).collect();
-        if self.host.stage_marks.set(marks) {
-            list_reading::publish_again(&self.host);
+        if self.host.stage_switch_overlay.set(marks) {
+            instance_list_polling::publish_again(&self.host);
         }
     }
 
--- a/crates/lockusher-control/src/shell/stage_marks.rs
+++ b/crates/lockusher-control/src/shell/stage_switch_overlay.rs
@@ -8,11 +8,11 @@
 
 /// The searchers that are being changed, with the stage that they leave.
 #[derive(Debug, Default)]
-pub struct StageMarks {
+pub struct StageSwitchOverlay {
     changing: RefCell<BTreeMap<String, Stage>>,
 }
 
-impl StageMarks {
+impl StageSwitchOverlay {
     /// Replaces the marks; true if they differ from those before.
     pub fn set(&self, marks: Vec<(String, Stage)>) -> bool {
         let marks: BTreeMap<String, Stage> = marks.into_iter().collect();
--- a/crates/lockusher-control/src/shell/status.rs
+++ b/crates/lockusher-control/src/shell/status.rs
@@ -48,7 +48,7 @@
         ("control_views_adopted_total", counters.views_adopted),
         ("control_view_proposals_total", counters.proposals),
         ("control_commits_total", counters.commits),
-        ("control_whole_transfers_total", counters.whole_transfers),
+        ("control_whole_transfers_total", counters.full_snapshots_sent),
         ("control_repairs_total", counters.repairs),
         ("control_read_repairs_total", counters.read_repairs),
         ("control_digest_repairs_total", counters.digest_repairs),
--- a/crates/lockusher-control/src/simulation/ambush.rs
+++ b/crates/lockusher-control/src/simulation/ambush.rs
@@ -123,16 +123,16 @@
         MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Synchronise => {
             Some(ProtocolStep::Synchronises)
         }
-        MessageBody::TransferAnswer(answer) if answer.purpose == TransferPurpose::Join => {
+        MessageBody::TransferResponse(answer) if answer.purpose == TransferPurpose::Join => {
             Some(ProtocolStep::Joins)
         }
         MessageBody::Prepare { .. } => Some(ProtocolStep::Prepares),
-        MessageBody::Promised { .. } => Some(ProtocolStep::Promises),
+        MessageBody::PrepareResponse { .. } => Some(ProtocolStep::Promises),
         MessageBody::Accept { .. } => Some(ProtocolStep::Proposes),
-        MessageBody::Accepted { .. } => Some(ProtocolStep::Accepts),
+        MessageBody::AcceptResponse { .. } => Some(ProtocolStep::Accepts),
         MessageBody::NewView(_) => Some(ProtocolStep::Announces),
         MessageBody::Append { .. } => Some(ProtocolStep::PassesOn),
-        MessageBody::Acknowledge { .. } => Some(ProtocolStep::Acknowledges),
+        MessageBody::AppendAcknowledged { .. } => Some(ProtocolStep::Acknowledges),
         MessageBody::Committed { .. } => Some(ProtocolStep::Commits),
         _ => None,
     }
--- a/crates/lockusher-control/src/simulation/contents.rs
+++ b/crates/lockusher-control/src/simulation/contents.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    Digest, DurableRecord, Identity, View, holding::Holding, message::Ballot, state::Lineage, votes::Votes,
+    Digest, DurableRecord, Identity, View, acceptor::AcceptorState, durable_state::DurableState,
+    message::ProposalNumber, state::HistoryDigest,
 };
 
 /// The sum of the records on one disk.
@@ -11,8 +12,8 @@
 pub struct Contents {
     identity: Option<Identity>,
     view: Option<View>,
-    votes: BTreeMap<u64, Votes>,
-    holding: Holding,
+    acceptor: BTreeMap<u64, AcceptorState>,
+    durable_state: DurableState,
 }
 
 impl Contents {
@@ -34,9 +35,11 @@
             }
             DurableRecord::Promise { epoch, .. }
             | DurableRecord::Accept { epoch, .. }
-            | DurableRecord::Seal { epoch } => self.votes.entry(*epoch).or_default().recover(record),
-            DurableRecord::Entry { .. } | DurableRecord::State { .. } | DurableRecord::Standing { .. } => {
-                self.holding.recover(record.clone());
+            | DurableRecord::Seal { epoch } => self.acceptor.entry(*epoch).or_default().recover(record),
+            DurableRecord::Entry { .. }
+            | DurableRecord::State { .. }
+            | DurableRecord::PositionAdvanced { .. } => {
+                self.durable_state.recover(record.clone());
             }
         }
     }
@@ -51,29 +54,29 @@
         self.view.as_ref().map_or(0, |view| view.epoch)
     }
 
-    /// The highest ballot promised for the successor of an epoch.
-    pub fn promised(&self, epoch: u64) -> Ballot {
-        self.votes.get(&epoch).map_or_else(Ballot::default, |votes| votes.promised)
+    /// The highest proposal number promised for the successor of an epoch.
+    pub fn promised(&self, epoch: u64) -> ProposalNumber {
+        self.acceptor.get(&epoch).map_or_else(ProposalNumber::default, |acceptor| acceptor.promised)
     }
 
-    /// The ballot of the newest acceptance for the successor of an epoch.
-    pub fn accepted(&self, epoch: u64) -> Option<Ballot> {
-        self.votes.get(&epoch)?.accepted.as_ref().map(|accepted| accepted.ballot)
+    /// The proposal number of the newest acceptance for the successor of an epoch.
+    pub fn accepted(&self, epoch: u64) -> Option<ProposalNumber> {
+        self.acceptor.get(&epoch)?.accepted.as_ref().map(|accepted| accepted.proposal_number)
     }
 
     /// Whether no further entry of the epoch is taken.
     pub fn is_sealed(&self, epoch: u64) -> bool {
-        self.votes.get(&epoch).is_some_and(|votes| votes.sealed)
+        self.acceptor.get(&epoch).is_some_and(|acceptor| acceptor.sealed)
     }
 
     /// Identifies the state.
-    pub fn lineage(&self) -> Lineage {
-        self.holding.state.lineage()
+    pub fn history_digest(&self) -> HistoryDigest {
+        self.durable_state.state.history_digest()
     }
 
     /// Whether the state contains this configuration or was built on it.
     pub fn has_taken(&self, digest: Digest) -> bool {
-        self.holding.state.has_taken(digest)
+        self.durable_state.state.has_taken(digest)
     }
 
     /// In what another sum, which should be the same, falls behind this one; none if it doesn't.
@@ -83,7 +86,7 @@
             Some("the identity")
         } else if epoch > other.epoch() {
             Some("the view")
-        } else if self.lineage() != other.lineage() {
+        } else if self.history_digest() != other.history_digest() {
             Some("the state")
         } else if epoch == other.epoch() && self.promised(epoch) > other.promised(epoch) {
             Some("a promise")
--- a/crates/lockusher-control/src/simulation/disk.rs
+++ b/crates/lockusher-control/src/simulation/disk.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::contents::Contents;
-use crate::{Document, DurableRecord, Millis, PersistTicket, ReplicatedState};
+use crate::{ConfigurationDocument, DurableRecord, Millis, PersistTicket, ReplicatedState};
 
 /// The log and the writes under way.
 #[derive(Debug, Default)]
@@ -131,8 +131,9 @@
 
     /// The newest configuration on it becomes another one, in a way that no checksum shows. Whether there was one.
     pub fn falsify(&mut self) -> bool {
-        let false_document =
-            |document: &Document| Document::new(document.version, Arc::from(b"false".as_slice()));
+        let false_document = |document: &ConfigurationDocument| {
+            ConfigurationDocument::new(document.version, Arc::from(b"false".as_slice()))
+        };
         for record in self.log.iter_mut().rev() {
             match record {
                 DurableRecord::Entry { document, .. } => *document = false_document(document),
--- a/crates/lockusher-control/src/simulation/history.rs
+++ b/crates/lockusher-control/src/simulation/history.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::operator::{Change, patched};
-use crate::{Digest, Document, Millis};
+use crate::{ConfigurationDocument, Digest, Millis};
 
 /// A configuration that an operator sent.
 #[derive(Clone, Debug)]
@@ -99,7 +99,7 @@
     }
 
     /// A read was answered that began when `floor` was the highest version told.
-    pub fn read(&mut self, document: Option<&Document>, floor: u64, now: Millis) {
+    pub fn read(&mut self, document: Option<&ConfigurationDocument>, floor: u64, now: Millis) {
         let version = document.map_or(0, |document| document.version);
         if version < floor {
             self.violations.push(format!("{now}: read version {version}, although {floor} was told before"));
@@ -111,7 +111,7 @@
     }
 
     /// A node holds this configuration to be committed. Whether it is the first to do so.
-    pub fn commit(&mut self, document: &Document, now: Millis) -> bool {
+    pub fn commit(&mut self, document: &ConfigurationDocument, now: Millis) -> bool {
         let version = document.version;
         let is_first = !self.committed.contains_key(&version);
         let identity = (document.request, document.digest);
@@ -131,7 +131,7 @@
     }
 
     /// What a patch made is what it makes of the configuration that it builds on.
-    fn check_patched(&mut self, document: &Document, now: Millis) {
+    fn check_patched(&mut self, document: &ConfigurationDocument, now: Millis) {
         let Some(sent) = self.sent.get(&document.request).filter(|sent| sent.is_patch) else { return };
         let Some((_, base)) = self.committed.get(&sent.if_match) else { return };
         if patched(sent.version, document.request, *base).digest != document.digest {
--- a/crates/lockusher-control/src/simulation/mod.rs
+++ b/crates/lockusher-control/src/simulation/mod.rs
@@ -31,7 +31,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{Millis, replica::Mistake};
+use crate::{Millis, replica::InjectedBug};
 
 /// What is simulated.
 #[derive(Clone, Copy, Debug, Default)]
@@ -43,7 +43,7 @@
     /// Steps under faults; each is a fault, its end or an operator's call, and some tens of milliseconds.
     pub steps: usize,
     /// A mistake that all nodes make, to show that it is found.
-    pub mistake: Option<Mistake>,
+    pub injected_bug: Option<InjectedBug>,
     /// What the run is judged by.
     pub checks: Checks,
 }
--- a/crates/lockusher-control/src/simulation/obligations.rs
+++ b/crates/lockusher-control/src/simulation/obligations.rs
@@ -9,8 +9,8 @@
 use super::contents::Contents;
 use crate::{
     Digest, DurableRecord, Identity, Message, Position, View,
-    message::{Ballot, MessageBody, TransferPurpose},
-    state::Lineage,
+    message::{MessageBody, ProposalNumber, TransferPurpose},
+    state::HistoryDigest,
 };
 
 /// All that was told and decided.
@@ -20,9 +20,9 @@
     /// Views that a majority was found to have accepted, by epoch.
     views: BTreeMap<u64, View>,
     /// Views that voters were asked to accept, by the epoch that they follow.
-    asked: BTreeMap<(u64, Ballot), View>,
+    asked: BTreeMap<(u64, ProposalNumber), View>,
     /// Disks that hold an acceptance, likewise.
-    acceptances: BTreeMap<(u64, Ballot), BTreeSet<Identity>>,
+    acceptances: BTreeMap<(u64, ProposalNumber), BTreeSet<Identity>>,
     /// Entries, by epoch and index.
     entries: BTreeMap<(u64, u64), Digest>,
 }
@@ -32,10 +32,10 @@
 #[derive(Debug, Default)]
 struct Told {
     /// Ballots promised, each with that of the view which it reported as accepted before.
-    promises: BTreeMap<Ballot, Option<Ballot>>,
-    accepted: BTreeSet<Ballot>,
-    /// Lineage of the sealed state that it handed over.
-    handed_over: Option<Lineage>,
+    promises: BTreeMap<ProposalNumber, Option<ProposalNumber>>,
+    accepted: BTreeSet<ProposalNumber>,
+    /// History digest of the sealed state that it handed over.
+    handed_over: Option<HistoryDigest>,
 }
 
 /// A broken obligation, in words.
@@ -46,26 +46,30 @@
     pub fn sent(&mut self, message: &Message, disk: &Contents) -> Result<(), Breach> {
         let (sender, epoch) = (message.sender, message.epoch);
         match &message.body {
-            MessageBody::Promised { ballot, accepted } => {
-                let reported = accepted.as_ref().map(|accepted| accepted.ballot);
-                self.promised(sender, epoch, *ballot, reported, disk)
+            MessageBody::PrepareResponse { proposal_number, accepted } => {
+                let reported = accepted.as_ref().map(|accepted| accepted.proposal_number);
+                self.promised(sender, epoch, *proposal_number, reported, disk)
             }
-            MessageBody::Accept { ballot, view } => {
-                self.asked.insert((epoch, *ballot), view.clone());
+            MessageBody::Accept { proposal_number, view } => {
+                self.asked.insert((epoch, *proposal_number), view.clone());
                 Ok(())
             }
-            MessageBody::Accepted { ballot } => self.accepted(sender, epoch, *ballot, disk),
+            MessageBody::AcceptResponse { proposal_number } => {
+                self.accepted(sender, epoch, *proposal_number, disk)
+            }
             MessageBody::Confirmed { .. } => self.confirmed(sender, epoch),
             MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Join => {
-                self.handed_over(sender, epoch, transfer.lineage, disk)
+                self.handed_over(sender, epoch, transfer.history_digest, disk)
             }
-            MessageBody::TransferAnswer(answer) if answer.held && answer.lineage != disk.lineage() => {
+            MessageBody::TransferResponse(answer)
+                if answer.held && answer.history_digest != disk.history_digest() =>
+            {
                 Err(format!("{sender} says that it holds a state that isn't on its disk"))
             }
             MessageBody::Append { index, document, .. } => {
                 self.passed_on(epoch, *index, document.request, disk)
             }
-            MessageBody::Holds { index } | MessageBody::Acknowledge { index } => {
+            MessageBody::AppendStored { index } | MessageBody::AppendAcknowledged { index } => {
                 self.holds(sender, epoch, *index, disk)
             }
             _ => Ok(()),
@@ -76,23 +80,23 @@
         self.by_disk.entry((sender, epoch)).or_default()
     }
 
-    /// A promise reports whatever was accepted under lower ballots. Messages may be late, so that it doesn't matter which
+    /// A promise reports whatever was accepted under lower proposal numbers. Messages may be late, so that it doesn't matter which
     /// of the two was told first.
     fn promised(
         &mut self,
         sender: Identity,
         epoch: u64,
-        ballot: Ballot,
-        reported: Option<Ballot>,
+        proposal_number: ProposalNumber,
+        reported: Option<ProposalNumber>,
         disk: &Contents,
     ) -> Result<(), Breach> {
         let told = self.told(sender, epoch);
-        told.promises.insert(ballot, reported);
-        let accepted_below = told.accepted.range(..ballot).next_back().copied();
+        told.promises.insert(proposal_number, reported);
+        let accepted_below = told.accepted.range(..proposal_number).next_back().copied();
         if accepted_below > reported {
             return Err(format!("{sender} conceals in epoch {epoch} that it accepted {accepted_below:?}"));
         }
-        if disk.promised(epoch) < ballot {
+        if disk.promised(epoch) < proposal_number {
             return Err(format!("{sender} answers a promise in epoch {epoch} that isn't on its disk"));
         }
         Ok(())
@@ -102,20 +106,20 @@
         &mut self,
         sender: Identity,
         epoch: u64,
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
         disk: &Contents,
     ) -> Result<(), Breach> {
-        self.acceptances.entry((epoch, ballot)).or_default().insert(sender);
+        self.acceptances.entry((epoch, proposal_number)).or_default().insert(sender);
         let told = self.told(sender, epoch);
-        told.accepted.insert(ballot);
-        let higher = (Bound::Excluded(ballot), Bound::Unbounded);
-        let broken = told.promises.range(higher).find(|(_, reported)| **reported < Some(ballot));
+        told.accepted.insert(proposal_number);
+        let higher = (Bound::Excluded(proposal_number), Bound::Unbounded);
+        let broken = told.promises.range(higher).find(|(_, reported)| **reported < Some(proposal_number));
         if let Some((promised, _)) = broken {
             return Err(format!(
-                "{sender} accepts {ballot:?} in epoch {epoch} after it promised {promised:?}"
+                "{sender} accepts {proposal_number:?} in epoch {epoch} after it promised {promised:?}"
             ));
         }
-        if disk.accepted(epoch) < Some(ballot) {
+        if disk.accepted(epoch) < Some(proposal_number) {
             return Err(format!("{sender} answers an acceptance in epoch {epoch} that isn't on its disk"));
         }
         Ok(())
@@ -133,17 +137,17 @@
         &mut self,
         sender: Identity,
         epoch: u64,
-        lineage: Lineage,
+        history_digest: HistoryDigest,
         disk: &Contents,
     ) -> Result<(), Breach> {
         if !disk.is_sealed(epoch) {
             return Err(format!("{sender} hands over its state in epoch {epoch}; no seal is on its disk"));
         }
-        if lineage != disk.lineage() {
+        if history_digest != disk.history_digest() {
             return Err(format!("{sender} hands over a state that isn't on its disk"));
         }
-        match self.told(sender, epoch).handed_over.replace(lineage) {
-            Some(former) if former != lineage => {
+        match self.told(sender, epoch).handed_over.replace(history_digest) {
+            Some(former) if former != history_digest => {
                 Err(format!("{sender} hands over two states of epoch {epoch}"))
             }
             _ => Ok(()),
@@ -180,9 +184,9 @@
     ) -> Result<(), Breach> {
         for record in records {
             match record {
-                DurableRecord::Accept { epoch, ballot, view } => {
-                    self.asked.entry((*epoch, *ballot)).or_insert_with(|| view.clone());
-                    self.acceptances.entry((*epoch, *ballot)).or_default().insert(identity);
+                DurableRecord::Accept { epoch, proposal_number, view } => {
+                    self.asked.entry((*epoch, *proposal_number)).or_insert_with(|| view.clone());
+                    self.acceptances.entry((*epoch, *proposal_number)).or_default().insert(identity);
                 }
                 DurableRecord::Entry { position, .. } | DurableRecord::State { position, .. } => {
                     self.keeps_seal(identity, *position, disk)?;
@@ -196,7 +200,7 @@
     fn keeps_seal(&mut self, identity: Identity, position: Position, disk: &Contents) -> Result<(), Breach> {
         let epoch = position.epoch;
         match self.told(identity, epoch).handed_over {
-            Some(lineage) if lineage != disk.lineage() => {
+            Some(history_digest) if history_digest != disk.history_digest() => {
                 Err(format!("{identity} goes on in epoch {epoch} after it handed over its state"))
             }
             _ => Ok(()),
--- a/crates/lockusher-control/src/simulation/operator.rs
+++ b/crates/lockusher-control/src/simulation/operator.rs
@@ -6,15 +6,15 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::document::patch_identity;
-use crate::{Digest, Document, Millis, Request, RequestTicket};
+use crate::{ConfigurationDocument, Digest, Millis, Request, RequestTicket};
 
 /// One change in so many is a patch.
 const PATCHES: u32 = 3;
 
 /// What a patch makes of a configuration: it depends on both.
-pub fn patched(version: u64, patch: Digest, base: Digest) -> Document {
+pub fn patched(version: u64, patch: Digest, base: Digest) -> ConfigurationDocument {
     let body = format!("{{\"version\":{version},\"patch\":\"{patch}\",\"base\":\"{base}\"}}");
-    Document::patched(version, patch, Arc::from(body.into_bytes()))
+    ConfigurationDocument::patched(version, patch, Arc::from(body.into_bytes()))
 }
 
 /// An operator with one call at a time.
@@ -50,10 +50,10 @@
 /// What a change consists of.
 #[derive(Clone, Debug)]
 pub enum Content {
-    Whole(Document),
+    Whole(ConfigurationDocument),
     /// A patch, with the configuration to apply it to once that is known.
     Patch {
-        base: Option<Document>,
+        base: Option<ConfigurationDocument>,
     },
 }
 
@@ -111,7 +111,7 @@
     /// A whole configuration on top of what it believes current.
     pub fn new_whole(&mut self, random: &mut ChaCha8Rng) -> Change {
         let (version, body) = self.next_body(random);
-        let document = Document::new(version, Arc::from(body.into_bytes()));
+        let document = ConfigurationDocument::new(version, Arc::from(body.into_bytes()));
         let (identity, if_match) = (document.request, self.believed);
         Change { identity, version, if_match, content: Content::Whole(document), again: false }
     }
@@ -133,7 +133,7 @@
     }
 
     /// A patch that is asked for was told what it builds on: it goes on, true, or can't be applied to nothing.
-    pub fn take_base(&mut self, document: Option<Document>) -> bool {
+    pub fn take_base(&mut self, document: Option<ConfigurationDocument>) -> bool {
         match (&mut self.change, document) {
             (Some(Change { content: Content::Patch { base: base @ None }, .. }), Some(document)) => {
                 *base = Some(document);
--- a/crates/lockusher-control/src/simulation/world.rs
+++ b/crates/lockusher-control/src/simulation/world.rs
@@ -313,9 +313,9 @@
         let setup = ReplicaSetup { seeds: self.seeds_for(number, setup.seeds), ..setup };
         let records = self.nodes[number].disk.records();
         log::trace!("{}: start of machine {number} with {records:?}", self.now);
-        let (replica, effects) = match self.options.mistake {
+        let (replica, effects) = match self.options.injected_bug {
             None => Replica::new(setup, records, self.now),
-            Some(mistake) => Replica::with_mistake(setup, records, self.now, mistake),
+            Some(injected_bug) => Replica::with_injected_bug(setup, records, self.now, injected_bug),
         };
         let node = &mut self.nodes[number];
         node.replica = Some(replica);
--- a/crates/lockusher-control/src/order_lease.rs
+++ b/crates/lockusher-control/src/stage_assignment_lease.rs
@@ -17,7 +17,7 @@
 
 /// A head's right to give orders.
 #[derive(Clone, Debug)]
-pub struct OrderLease {
+pub struct StageAssignmentLease {
     lease: Millis,
     started: Millis,
     /// The newest epoch in which this node was head, and since when no other node can have been.
@@ -31,10 +31,10 @@
     since: Millis,
 }
 
-impl OrderLease {
+impl StageAssignmentLease {
     /// `lease` is the operator's bound; `started` is when the process started.
     pub fn new(lease: Millis, started: Millis) -> Self {
-        OrderLease { lease, started, held: None, head: false }
+        StageAssignmentLease { lease, started, held: None, head: false }
     }
 
     /// Notes whether this node is head now, and of which epoch. Between one epoch and the next no other node can have
--- a/crates/lockusher-control/src/state.rs
+++ b/crates/lockusher-control/src/state.rs
@@ -4,34 +4,34 @@
 
 use bitcode::{Decode, Encode};
 
-use crate::document::{Digest, Document};
+use crate::document::{ConfigurationDocument, Digest};
 
 /// How many identities of taken requests are kept, so that one sent again is acknowledged again.
 pub const HISTORY_LIMIT: usize = 4096;
 
 /// Digest over the whole sequence of configurations taken: equal lineages mean equal states.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
-pub struct Lineage(pub Digest);
+pub struct HistoryDigest(pub Digest);
 
 /// What each replica of the chain holds.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct ReplicatedState {
-    document: Option<Document>,
+    document: Option<ConfigurationDocument>,
     history: Arc<Vec<Digest>>,
-    lineage: Lineage,
-    previous: Lineage,
+    history_digest: HistoryDigest,
+    previous: HistoryDigest,
 }
 
 impl Default for ReplicatedState {
     fn default() -> Self {
-        let lineage = Lineage(Digest::of(&[]));
-        Self { document: None, history: Arc::default(), lineage, previous: lineage }
+        let history_digest = HistoryDigest(Digest::of(&[]));
+        Self { document: None, history: Arc::default(), history_digest, previous: history_digest }
     }
 }
 
 impl ReplicatedState {
     /// The newest configuration.
-    pub fn document(&self) -> Option<&Document> {
+    pub fn document(&self) -> Option<&ConfigurationDocument> {
         self.document.as_ref()
     }
 
@@ -41,12 +41,12 @@
     }
 
     /// Identifies the sequence of configurations taken.
-    pub fn lineage(&self) -> Lineage {
-        self.lineage
+    pub fn history_digest(&self) -> HistoryDigest {
+        self.history_digest
     }
 
-    /// Lineage of the state before the newest configuration.
-    pub fn previous_lineage(&self) -> Lineage {
+    /// History digest of the state before the newest configuration.
+    pub fn previous_history_digest(&self) -> HistoryDigest {
         self.previous
     }
 
@@ -62,11 +62,11 @@
     }
 
     /// The state after this configuration has been taken.
-    pub fn with(&self, document: Document) -> Self {
-        let lineage = Lineage(
-            self.lineage
+    pub fn with(&self, document: ConfigurationDocument) -> Self {
+        let history_digest = HistoryDigest(
+            self.history_digest
                 .0
-                .extended(&self.lineage.0.0.to_le_bytes())
+                .extended(&self.history_digest.0.0.to_le_bytes())
                 .extended(&document.version.to_le_bytes())
                 .extended(&document.request.0.to_le_bytes())
                 .extended(&document.digest.0.to_le_bytes()),
@@ -75,6 +75,11 @@
         let mut history = Vec::with_capacity(self.history.len() + 1 - surplus);
         history.extend_from_slice(&self.history[surplus..]);
         history.push(document.request);
-        Self { document: Some(document), history: Arc::new(history), lineage, previous: self.lineage }
+        Self {
+            document: Some(document),
+            history: Arc::new(history),
+            history_digest,
+            previous: self.history_digest,
+        }
     }
 }
--- a/crates/lockusher-control/tests/joining.rs
+++ b/crates/lockusher-control/tests/joining.rs
@@ -3,11 +3,11 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use lockusher_control::{
-    Document, DurableRecord, Effect, Event, Identity, Message, Mistake, PersistTicket, Position, Replica,
-    ReplicaSetup, ReplicatedState, View,
+    ConfigurationDocument, DurableRecord, Effect, Event, Identity, InjectedBug, Message, PersistTicket,
+    Position, Replica, ReplicaSetup, ReplicatedState, View,
     message::{
-        AcceptedView, Ballot, Health, Heartbeat, MessageBody, Payload, Transfer, TransferAnswer,
-        TransferPurpose,
+        AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer, TransferPurpose,
+        TransferResponse,
     },
 };
 use yare::parameterized;
@@ -43,8 +43,8 @@
     View { epoch, chain, ..View::first(&[address(1), address(2), address(3)]) }
 }
 
-fn document(version: u64) -> Document {
-    Document::new(version, Arc::from(version.to_string().into_bytes()))
+fn document(version: u64) -> ConfigurationDocument {
+    ConfigurationDocument::new(version, Arc::from(version.to_string().into_bytes()))
 }
 
 fn state(versions: &[u64]) -> ReplicatedState {
@@ -63,16 +63,21 @@
 
 impl Node {
     /// The seed with this number, in the view of [`EPOCH`].
-    fn in_view(host: u8, mistake: Option<Mistake>) -> Node {
-        let mut node = Node::start(setup(host, true), Vec::new(), 0, mistake);
+    fn in_view(host: u8, injected_bug: Option<InjectedBug>) -> Node {
+        let mut node = Node::start(setup(host, true), Vec::new(), 0, injected_bug);
         node.hear(1, 1, MessageBody::NewView(view(EPOCH, &[1, 2])));
         node
     }
 
-    fn start(setup: ReplicaSetup, disk: Vec<DurableRecord>, now: u64, mistake: Option<Mistake>) -> Node {
-        let (replica, effects) = match mistake {
+    fn start(
+        setup: ReplicaSetup,
+        disk: Vec<DurableRecord>,
+        now: u64,
+        injected_bug: Option<InjectedBug>,
+    ) -> Node {
+        let (replica, effects) = match injected_bug {
             None => Replica::new(setup, disk.clone(), now),
-            Some(mistake) => Replica::with_mistake(setup, disk.clone(), now, mistake),
+            Some(injected_bug) => Replica::with_injected_bug(setup, disk.clone(), now, injected_bug),
         };
         let mut node = Node { replica, now, disk, sent: Vec::new() };
         node.carry_out(effects);
@@ -80,8 +85,8 @@
     }
 
     /// The process is killed and starts again from its disk.
-    fn restart(self, host: u8, mistake: Option<Mistake>) -> Node {
-        Node::start(setup(host, false), self.disk, self.now, mistake)
+    fn restart(self, host: u8, injected_bug: Option<InjectedBug>) -> Node {
+        Node::start(setup(host, false), self.disk, self.now, injected_bug)
     }
 
     fn carry_out(&mut self, effects: Vec<Effect>) {
@@ -116,9 +121,9 @@
         let heartbeat = Heartbeat {
             health: Health::Good,
             position: Position::default(),
-            lineage: ReplicatedState::default().lineage(),
+            history_digest: ReplicatedState::default().history_digest(),
             committed: Position::default(),
-            committed_lineage: None,
+            committed_history_digest: None,
             committed_version: 0,
             hears: vec![self.replica.identity()],
         };
@@ -161,33 +166,33 @@
 }
 
 /// The second member of the chain, which has sealed itself and handed over its state, as the head is silent.
-fn sealed_member(mistake: Option<Mistake>) -> Node {
-    let mut member = Node::in_view(2, mistake);
+fn sealed_member(injected_bug: Option<InjectedBug>) -> Node {
+    let mut member = Node::in_view(2, injected_bug);
     member.wait_for(is_hand_over);
     member
 }
 
 fn entry(version: u64) -> MessageBody {
-    let previous = ReplicatedState::default().lineage();
+    let previous = ReplicatedState::default().history_digest();
     MessageBody::Append { index: 1, previous, document: document(version), relay: true }
 }
 
 #[parameterized(
     guarded = { None, false },
-    left_out = { Some(Mistake::EntryAfterSeal), true },
+    left_out = { Some(InjectedBug::EntryAfterSeal), true },
 )]
-fn a_sealed_member_takes_no_entries(mistake: Option<Mistake>, taken: bool) {
-    let mut member = sealed_member(mistake);
+fn a_sealed_member_takes_no_entries(injected_bug: Option<InjectedBug>, taken: bool) {
+    let mut member = sealed_member(injected_bug);
     member.hear(1, EPOCH, entry(7));
     assert_eq!(member.holds(7), taken);
 }
 
 #[parameterized(
     guarded = { None, false },
-    left_out = { Some(Mistake::SealForgotten), true },
+    left_out = { Some(InjectedBug::SealForgotten), true },
 )]
-fn a_seal_holds_after_a_restart(mistake: Option<Mistake>, taken: bool) {
-    let mut member = sealed_member(mistake).restart(2, mistake);
+fn a_seal_holds_after_a_restart(injected_bug: Option<InjectedBug>, taken: bool) {
+    let mut member = sealed_member(injected_bug).restart(2, injected_bug);
     member.hear(1, EPOCH, entry(7));
     assert_eq!(member.holds(7), taken);
 }
@@ -195,15 +200,20 @@
 /// A state of the head that was long on its way reaches a node that holds the sealed state, which goes further.
 #[parameterized(
     guarded = { None, 6 },
-    left_out = { Some(Mistake::OlderTransferTaken), 5 },
+    left_out = { Some(InjectedBug::OlderTransferTaken), 5 },
 )]
-fn an_older_state_handed_over_is_not_taken(mistake: Option<Mistake>, version: u64) {
-    let mut joiner = Node::in_view(3, mistake);
+fn an_older_state_handed_over_is_not_taken(injected_bug: Option<InjectedBug>, version: u64) {
+    let mut joiner = Node::in_view(3, injected_bug);
     let transfer = |purpose, index, versions: &[u64]| {
         let state = state(versions);
         let position = Position { epoch: EPOCH, index };
-        let lineage = state.lineage();
-        MessageBody::Transfer(Transfer { purpose, position, lineage, payload: Payload::Whole(state) })
+        let history_digest = state.history_digest();
+        MessageBody::Transfer(Transfer {
+            purpose,
+            position,
+            history_digest,
+            payload: Payload::FullSnapshot(state),
+        })
     };
     joiner.hear(2, EPOCH, transfer(TransferPurpose::Join, Position::SEALED, &[5, 6]));
     assert_eq!(joiner.version(), 6);
@@ -211,26 +221,26 @@
     assert_eq!(joiner.version(), version);
 }
 
-/// A voter reports a view that it accepted under a lower ballot: that one is proposed.
+/// A voter reports a view that it accepted under a lower proposal number: that one is proposed.
 #[parameterized(
     guarded = { None, true },
-    left_out = { Some(Mistake::AcceptedPassedOver), false },
+    left_out = { Some(InjectedBug::AcceptedPassedOver), false },
 )]
-fn a_view_accepted_before_is_taken_over(mistake: Option<Mistake>, taken_over: bool) {
-    let mut member = sealed_member(mistake);
-    let held = TransferAnswer {
+fn a_view_accepted_before_is_taken_over(injected_bug: Option<InjectedBug>, taken_over: bool) {
+    let mut member = sealed_member(injected_bug);
+    let held = TransferResponse {
         purpose: TransferPurpose::Join,
         position: Position { epoch: EPOCH, index: Position::SEALED },
-        lineage: ReplicatedState::default().lineage(),
+        history_digest: ReplicatedState::default().history_digest(),
         held: true,
     };
-    member.hear(3, EPOCH, MessageBody::TransferAnswer(held));
+    member.hear(3, EPOCH, MessageBody::TransferResponse(held));
     let prepare = member.wait_for(|body| matches!(body, MessageBody::Prepare { .. }));
-    let MessageBody::Prepare { ballot } = prepare else { unreachable!("it was waited for") };
+    let MessageBody::Prepare { proposal_number } = prepare else { unreachable!("it was waited for") };
     let earlier = view(EPOCH + 1, &[1, 2, 3]);
-    let lower = Ballot { round: 0, proposer: identity(1).0 };
-    let accepted = Some(AcceptedView { ballot: lower, view: earlier.clone() });
-    member.hear(3, EPOCH, MessageBody::Promised { ballot, accepted });
+    let lower = ProposalNumber { round: 0, proposer: identity(1).0 };
+    let accepted = Some(AcceptedView { proposal_number: lower, view: earlier.clone() });
+    member.hear(3, EPOCH, MessageBody::PrepareResponse { proposal_number, accepted });
     let accept = member.wait_for(|body| matches!(body, MessageBody::Accept { .. }));
     let MessageBody::Accept { view: proposed, .. } = accept else { unreachable!("it was waited for") };
     assert_eq!(proposed == earlier, taken_over);
@@ -239,10 +249,10 @@
 /// The head of an epoch that has ended, to which word of that hasn't come, sends an entry down.
 #[parameterized(
     guarded = { None, false },
-    left_out = { Some(Mistake::OlderEpochsCount), true },
+    left_out = { Some(InjectedBug::OlderEpochsCount), true },
 )]
-fn an_entry_of_an_older_epoch_is_not_taken(mistake: Option<Mistake>, taken: bool) {
-    let mut member = Node::in_view(2, mistake);
+fn an_entry_of_an_older_epoch_is_not_taken(injected_bug: Option<InjectedBug>, taken: bool) {
+    let mut member = Node::in_view(2, injected_bug);
     member.hear(3, EPOCH, MessageBody::NewView(view(EPOCH + 1, &[1, 2, 3])));
     member.hear(1, EPOCH, entry(7));
     assert_eq!(member.holds(7), taken);
--- a/crates/lockusher-control/tests/messages.rs
+++ b/crates/lockusher-control/tests/messages.rs
@@ -3,19 +3,19 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use lockusher_control::{
-    Digest, Document, Envelope, EnvelopeError, Identity, Member, Message, PROTOCOL, Position, Reply, Request,
-    View,
+    ConfigurationDocument, Digest, Envelope, EnvelopeError, Identity, Member, Message, PROTOCOL, Position,
+    Reply, Request, View,
     message::{
-        AcceptedView, Ballot, Health, Heartbeat, MessageBody, Payload, Transfer, TransferAnswer,
-        TransferPurpose,
+        AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer, TransferPurpose,
+        TransferResponse,
     },
     state::ReplicatedState,
 };
 use proptest::prelude::*;
 use yare::parameterized;
 
-fn document() -> Document {
-    Document::new(7, Arc::from(&b"{\"version\":7}"[..]))
+fn document() -> ConfigurationDocument {
+    ConfigurationDocument::new(7, Arc::from(&b"{\"version\":7}"[..]))
 }
 
 fn view() -> View {
@@ -25,28 +25,31 @@
 }
 
 fn bodies() -> Vec<MessageBody> {
-    let ballot = Ballot { round: 4, proposer: 9 };
+    let proposal_number = ProposalNumber { round: 4, proposer: 9 };
     let state = ReplicatedState::default().with(document());
     let position = Position { epoch: 3, index: Position::SEALED };
-    let lineage = state.lineage();
+    let history_digest = state.history_digest();
     let heartbeat = Heartbeat {
         health: Health::DiskTrouble,
         position,
-        lineage,
+        history_digest,
         committed: position,
-        committed_lineage: Some(ReplicatedState::default().lineage()),
+        committed_history_digest: Some(ReplicatedState::default().history_digest()),
         committed_version: 7,
         hears: vec![Identity(1), Identity(2)],
     };
     let purpose = TransferPurpose::Join;
-    let payload = Payload::Whole(state);
+    let payload = Payload::FullSnapshot(state);
     vec![
         MessageBody::Heartbeat(heartbeat),
         MessageBody::NewView(view()),
-        MessageBody::Promised { ballot, accepted: Some(AcceptedView { ballot, view: view() }) },
-        MessageBody::Transfer(Transfer { purpose, position, lineage, payload }),
-        MessageBody::TransferAnswer(TransferAnswer { purpose, position, lineage, held: true }),
-        MessageBody::Append { index: 1, previous: lineage, document: document(), relay: true },
+        MessageBody::PrepareResponse {
+            proposal_number,
+            accepted: Some(AcceptedView { proposal_number, view: view() }),
+        },
+        MessageBody::Transfer(Transfer { purpose, position, history_digest, payload }),
+        MessageBody::TransferResponse(TransferResponse { purpose, position, history_digest, held: true }),
+        MessageBody::Append { index: 1, previous: history_digest, document: document(), relay: true },
         MessageBody::Forward { request: 1, body: Request::Put { if_match: 5, document: document() } },
         MessageBody::Forwarded { request: 1, reply: Reply::Document(Some(document())) },
     ]
--- a/crates/lockusher-control/tests/recovery.rs
+++ b/crates/lockusher-control/tests/recovery.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use lockusher_control::{
-    Document, DurableRecord, Effect, Event, Identity, PersistTicket, Position, Replica, ReplicaSetup,
-    ReplicatedState, View, message::Ballot,
+    ConfigurationDocument, DurableRecord, Effect, Event, Identity, PersistTicket, Position, Replica,
+    ReplicaSetup, ReplicatedState, View, message::ProposalNumber,
 };
 
 fn address(host: u8) -> SocketAddrV4 {
@@ -23,8 +23,8 @@
     }
 }
 
-fn document(version: u64) -> Document {
-    Document::new(version, Arc::from(version.to_string().into_bytes()))
+fn document(version: u64) -> ConfigurationDocument {
+    ConfigurationDocument::new(version, Arc::from(version.to_string().into_bytes()))
 }
 
 fn records(effects: &[Effect]) -> Vec<DurableRecord> {
@@ -80,13 +80,13 @@
 fn votes_count_in_their_epoch_only_and_in_any_order() {
     let view = View::first(&[address(1), address(2), address(3)]);
     let next = View { epoch: 2, ..view.clone() };
-    let ballot = |round| Ballot { round, proposer: 7 };
+    let proposal_number = |round| ProposalNumber { round, proposer: 7 };
     let identity = DurableRecord::Identity { identity: Identity(5), address: address(1) };
     let log = vec![
         identity,
-        DurableRecord::Promise { epoch: 1, ballot: ballot(9) },
-        DurableRecord::Promise { epoch: 2, ballot: ballot(4) },
-        DurableRecord::Promise { epoch: 2, ballot: ballot(3) },
+        DurableRecord::Promise { epoch: 1, proposal_number: proposal_number(9) },
+        DurableRecord::Promise { epoch: 2, proposal_number: proposal_number(4) },
+        DurableRecord::Promise { epoch: 2, proposal_number: proposal_number(3) },
         DurableRecord::View(next.clone()),
         DurableRecord::View(view),
         DurableRecord::Seal { epoch: 1 },
@@ -94,7 +94,7 @@
     let (replica, _) = Replica::new(setup(1, false), log, 0);
     let snapshot = replica.snapshot();
     assert!(snapshot.contains(&DurableRecord::View(next)));
-    assert!(snapshot.contains(&DurableRecord::Promise { epoch: 2, ballot: ballot(4) }));
+    assert!(snapshot.contains(&DurableRecord::Promise { epoch: 2, proposal_number: proposal_number(4) }));
     assert!(!snapshot.iter().any(|record| matches!(record, DurableRecord::Seal { .. })));
 }
 
@@ -107,10 +107,10 @@
     let third = second.with(document(3));
     let log = vec![
         DurableRecord::State { position: sealed, state: first.clone() },
-        DurableRecord::Entry { position: sealed, previous: first.lineage(), document: document(2) },
+        DurableRecord::Entry { position: sealed, previous: first.history_digest(), document: document(2) },
         DurableRecord::Entry {
             position: Position { epoch: 4, index: 1 },
-            previous: second.lineage(),
+            previous: second.history_digest(),
             document: document(3),
         },
     ];
@@ -124,7 +124,7 @@
     let one = start.with(document(1));
     let entry = |index, previous: &ReplicatedState, version| DurableRecord::Entry {
         position: Position { epoch: 1, index },
-        previous: previous.lineage(),
+        previous: previous.history_digest(),
         document: document(version),
     };
     let log = vec![
--- a/crates/lockusher-control/tests/scenarios.rs
+++ b/crates/lockusher-control/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Single faults, with the time that the control state takes to get over them.
 
 use lockusher_control::{
-    Document, Reply, Request,
+    ConfigurationDocument, Reply, Request,
     simulation::{Room, SimulationOptions, World},
 };
 use yare::parameterized;
@@ -261,12 +261,13 @@
         let mut world = whole_system(replicas, seed);
         let chain = world.chain();
         let (head, victim) = (chain[0], chain[place]);
-        let lineage = |world: &World, number: usize| world.replica(number).map(|replica| replica.lineage());
+        let history_digest =
+            |world: &World, number: usize| world.replica(number).map(|replica| replica.history_digest());
         world.kill(victim, 50);
         assert!(world.falsify_disk(victim));
         assert!(world.run_until(500, |world| world.replica(victim).is_some()).is_some());
-        assert_ne!(lineage(&world, victim), lineage(&world, head));
-        let is_same = |world: &World| lineage(world, victim) == lineage(world, head);
+        assert_ne!(history_digest(&world, victim), history_digest(&world, head));
+        let is_same = |world: &World| history_digest(world, victim) == history_digest(world, head);
         assert!(world.run_until(SETTLE_MS, is_same).is_some(), "{}", world.describe());
         assert_whole(&mut world, CATCH_UP_MS);
         let counters = world.replica(head).expect("the head runs").counters();
@@ -344,8 +345,10 @@
                 world.cut(victim, other);
             }
         }
-        let outdated =
-            Request::Put { if_match: 0, document: Document::new(1_000_000, b"{}".as_slice().into()) };
+        let outdated = Request::Put {
+            if_match: 0,
+            document: ConfigurationDocument::new(1_000_000, b"{}".as_slice().into()),
+        };
         assert_eq!(world.ask_for(victim, outdated, 1), None, "a refusal needs a majority");
         let until = world.now() + 20_000;
         while world.now() < until {
--- a/crates/lockusher-control/tests/simulation.rs
+++ b/crates/lockusher-control/tests/simulation.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use lockusher_control::{
-    Mistake,
+    InjectedBug,
     simulation::{Outcome, SimulationOptions, World, shrink, simulate, simulate_with, simulate_without},
 };
 use yare::parameterized;
@@ -11,7 +11,7 @@
 /// Runs seeds until one shows a violation.
 fn first_violation(
     replicas: usize,
-    mistake: Option<Mistake>,
+    injected_bug: Option<InjectedBug>,
     seeds: u64,
     steps: usize,
 ) -> Option<(u64, Outcome)> {
@@ -20,7 +20,7 @@
             replicas,
             seed,
             steps,
-            mistake,
+            injected_bug,
             ..SimulationOptions::default()
         });
         (!outcome.violations.is_empty()).then_some((seed, outcome))
@@ -64,25 +64,35 @@
 }
 
 #[parameterized(
-    acknowledge_before_tail = { Mistake::AcknowledgeBeforeTail },
-    vote_after_wipe = { Mistake::VoteAfterWipe },
+    acknowledge_before_tail = { InjectedBug::AcknowledgeBeforeTail },
+    vote_after_wipe = { InjectedBug::VoteAfterWipe },
 )]
-fn a_mistake_is_found(mistake: Mistake) {
-    assert!(first_violation(3, Some(mistake), 1000, 500).is_some());
+fn a_mistake_is_found(injected_bug: InjectedBug) {
+    assert!(first_violation(3, Some(injected_bug), 1000, 500).is_some());
 }
 
 #[test]
 fn a_failing_run_is_shrunk_to_faults_that_are_all_needed() {
-    let mistake = Some(Mistake::VoteAfterWipe);
-    let (seed, whole) = first_violation(3, mistake, 1000, 500).expect("the mistake is found");
-    let shrunk =
-        shrink(SimulationOptions { replicas: 3, seed, steps: 500, mistake, ..SimulationOptions::default() })
-            .expect("it fails");
+    let injected_bug = Some(InjectedBug::VoteAfterWipe);
+    let (seed, whole) = first_violation(3, injected_bug, 1000, 500).expect("the mistake is found");
+    let shrunk = shrink(SimulationOptions {
+        replicas: 3,
+        seed,
+        steps: 500,
+        injected_bug,
+        ..SimulationOptions::default()
+    })
+    .expect("it fails");
     assert!(!shrunk.violations.is_empty());
     assert!(shrunk.faults.len() < whole.faults.len(), "{shrunk:?} of {} faults", whole.faults.len());
     // Any one more that is left out lets the run keep its promises.
-    let options =
-        SimulationOptions { replicas: 3, seed, steps: shrunk.steps, mistake, ..SimulationOptions::default() };
+    let options = SimulationOptions {
+        replicas: 3,
+        seed,
+        steps: shrunk.steps,
+        injected_bug,
+        ..SimulationOptions::default()
+    };
     let kept: BTreeSet<usize> = shrunk.faults.iter().map(|fault| fault.step).collect();
     let others: BTreeSet<usize> = (0..shrunk.steps).filter(|step| !kept.contains(step)).collect();
     assert!(!simulate_without(options, &others).violations.is_empty());
--- a/crates/lockusher-control/tests/order_lease.rs
+++ b/crates/lockusher-control/tests/stage_assignment_lease.rs
@@ -1,14 +1,14 @@
 //! Orders of a head and the next one before simulated clocks, delays and pauses: they never take turns within the lease.
 
 use lockusher_control::Millis;
-use lockusher_control::order_lease::OrderLease;
+use lockusher_control::stage_assignment_lease::StageAssignmentLease;
 use proptest::prelude::*;
 
 const LEASE_MS: Millis = 3_000;
 
 #[test]
 fn a_new_head_waits_two_leases() {
-    let mut lease = OrderLease::new(LEASE_MS, 0);
+    let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, true, 4);
     assert_eq!(lease.fence(15_999), None);
     assert_eq!(lease.fence(16_000), Some(4));
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_head_that_goes_on_in_the_next_epoch_needs_no_wait() {
-    let mut lease = OrderLease::new(LEASE_MS, 0);
+    let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, true, 4);
     lease.observe(20_000, true, 5);
     assert_eq!(lease.fence(20_000), Some(5));
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_head_that_was_followed_by_another_waits_anew() {
-    let mut lease = OrderLease::new(LEASE_MS, 0);
+    let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, true, 4);
     lease.observe(20_000, false, 5);
     assert_eq!(lease.fence(30_000), None);
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_head_that_lost_touch_for_a_while_keeps_its_fence() {
-    let mut lease = OrderLease::new(LEASE_MS, 0);
+    let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, true, 4);
     lease.observe(20_000, false, 4);
     assert_eq!(lease.fence(20_500), None);
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_confirmation_ages() {
-    let lease = OrderLease::new(LEASE_MS, 0);
+    let lease = StageAssignmentLease::new(LEASE_MS, 0);
     assert!(lease.is_confirmed(1_000, 2_499));
     assert!(!lease.is_confirmed(1_000, 2_500));
 }
@@ -84,7 +84,7 @@
     skew: Millis,
     attempts: &[Attempt],
 ) -> Vec<Arrival> {
-    let mut lease = OrderLease::new(LEASE_MS, 0);
+    let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(head_from + skew, true, epoch);
     let mut arrivals = Vec::new();
     for attempt in attempts {
--- a/crates/lockusher-control/tests/stage_planner.rs
+++ b/crates/lockusher-control/tests/stage_scheduler.rs
@@ -5,7 +5,7 @@
 use lockusher_config::configuration::{Configuration, Engine, Limits, Service};
 use lockusher_config::instances::{Instance, InstanceState, ModelVersion, Stage};
 use lockusher_control::Millis;
-use lockusher_control::stage_planner::{Demand, Observation, OrderOutcome, StageChange, StagePlanner};
+use lockusher_control::stage_scheduler::{Demand, Observation, OrderOutcome, StageChange, StagePlanner};
 use lockusher_distribution::load::ServiceLoad;
 use proptest::prelude::*;
 use yare::parameterized;
--- a/crates/lockusher-control/tests/stage_marks.rs
+++ b/crates/lockusher-control/tests/stage_switch_overlay.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use lockusher_config::instances::{Instance, InstanceState, Stage};
-use lockusher_control::shell::stage_marks::StageMarks;
+use lockusher_control::shell::stage_switch_overlay::StageSwitchOverlay;
 
 fn searcher(identifier: &str, stage: Stage, state: InstanceState) -> Instance {
     Instance {
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_marked_searcher_shows_as_changing_until_it_serves_its_new_stage_or_drains() {
-    let marks = StageMarks::default();
+    let marks = StageSwitchOverlay::default();
     let ready = Rc::new(vec![
         searcher("a", Stage::Decode, InstanceState::Ready),
         searcher("b", Stage::Decode, InstanceState::Ready),
--- a/crates/lockusher-control/tests/state.rs
+++ b/crates/lockusher-control/tests/state.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use lockusher_control::{Digest, Document, ReplicatedState, state::HISTORY_LIMIT};
+use lockusher_control::{ConfigurationDocument, Digest, ReplicatedState, state::HISTORY_LIMIT};
 
-fn document(version: u64) -> Document {
-    Document::new(version, Arc::from(version.to_string().into_bytes()))
+fn document(version: u64) -> ConfigurationDocument {
+    ConfigurationDocument::new(version, Arc::from(version.to_string().into_bytes()))
 }
 
 #[test]
@@ -29,10 +29,11 @@
     let one = start.with(document(1));
     let two = one.with(document(2));
     assert_eq!(two, start.with(document(1)).with(document(2)));
-    assert_eq!(two.previous_lineage(), one.lineage());
+    assert_eq!(two.previous_history_digest(), one.history_digest());
     let other = start.with(document(2));
-    let lineages = [start.lineage(), one.lineage(), two.lineage(), other.lineage()];
-    for (place, lineage) in lineages.iter().enumerate() {
-        assert!(!lineages[..place].contains(lineage));
+    let history_digests =
+        [start.history_digest(), one.history_digest(), two.history_digest(), other.history_digest()];
+    for (place, history_digest) in history_digests.iter().enumerate() {
+        assert!(!history_digests[..place].contains(history_digest));
     }
 }
--- a/crates/lockusher-control/tests/view_agreement.rs
+++ b/crates/lockusher-control/tests/view_agreement.rs
@@ -3,7 +3,7 @@
 //! Messages to voters may be lost, doubled, delayed and reordered: one that was sent stays deliverable for good, and
 //! nothing forces its delivery. An answer arrives at once or never: a proposer only gathers answers, and what it asks
 //! next may be delayed at will, so a later arrival leads to no further state. Voters answer by the very code of the
-//! replica ([`Votes`], [`Attempt`]); after each message they are replaced by what their records restore.
+//! replica ([`AcceptorState`], [`Attempt`]); after each message they are replaced by what their records restore.
 
 use std::{
     collections::{BTreeSet, HashSet},
@@ -12,9 +12,9 @@
 
 use lockusher_control::{
     Identity, View,
+    acceptor::AcceptorState,
     attempt::Attempt,
-    message::{AcceptedView, Ballot},
-    votes::Votes,
+    message::{AcceptedView, ProposalNumber},
 };
 
 const EPOCH: u64 = 1;
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 struct Voter {
-    votes: Votes,
+    acceptor: AcceptorState,
     lost_its_disk: bool,
 }
 
@@ -37,9 +37,9 @@
     /// How many of [`ATTEMPTS`] have begun.
     begun: [bool; ATTEMPTS.len()],
     /// Views that voters were asked to accept.
-    proposed: BTreeSet<(Ballot, usize)>,
-    /// Voters that ever accepted under a ballot; no voter looks at it.
-    acceptances: BTreeSet<(Ballot, usize)>,
+    proposed: BTreeSet<(ProposalNumber, usize)>,
+    /// Voters that ever accepted under a proposal number; no voter looks at it.
+    acceptances: BTreeSet<(ProposalNumber, usize)>,
     /// Views that a proposer holds to be agreed on.
     agreed: BTreeSet<usize>,
 }
@@ -53,9 +53,9 @@
     VotesAgain,
 }
 
-fn ballot(attempt: usize) -> Ballot {
+fn proposal_number(attempt: usize) -> ProposalNumber {
     let (round, proposer) = ATTEMPTS[attempt];
-    Ballot { round, proposer: proposer as u64 }
+    ProposalNumber { round, proposer: proposer as u64 }
 }
 
 fn identity(voter: usize) -> Identity {
@@ -81,9 +81,9 @@
                 states.extend(self.prepare(attempt, voter, after_loss).into_iter().flatten());
             }
         }
-        for (ballot, view) in &self.proposed {
+        for (proposal_number, view) in &self.proposed {
             for voter in 0..VOTERS {
-                states.extend(self.accept(*ballot, *view, voter, after_loss).into_iter().flatten());
+                states.extend(self.accept(*proposal_number, *view, voter, after_loss).into_iter().flatten());
             }
         }
         if self.voters.iter().all(|voter| !voter.lost_its_disk) {
@@ -100,7 +100,7 @@
         }
         let mut next = self.clone();
         next.begun[attempt] = true;
-        next.attempts[proposer] = Some(Attempt::new(ballot(attempt), wanted(proposer), MAJORITY));
+        next.attempts[proposer] = Some(Attempt::new(proposal_number(attempt), wanted(proposer), MAJORITY));
         Some(next)
     }
 
@@ -110,10 +110,10 @@
 
     /// The voter's state comes back from its records, as after a restart.
     fn restart(&mut self, voter: usize) {
-        let mut restored = Votes::default();
-        self.voters[voter].votes.records(EPOCH).iter().for_each(|record| restored.recover(record));
-        assert_eq!(restored, self.voters[voter].votes);
-        self.voters[voter].votes = restored;
+        let mut restored = AcceptorState::default();
+        self.voters[voter].acceptor.records(EPOCH).iter().for_each(|record| restored.recover(record));
+        assert_eq!(restored, self.voters[voter].acceptor);
+        self.voters[voter].acceptor = restored;
     }
 
     /// A voter is asked to promise: the states in which its answer is lost and in which it arrives.
@@ -121,61 +121,70 @@
         if !self.begun[attempt] || !self.may_vote(voter, after_loss) {
             return None;
         }
-        let (mut lost, ballot) = (self.clone(), ballot(attempt));
-        lost.voters[voter].votes.prepare(ballot).ok()?;
+        let (mut lost, proposal_number) = (self.clone(), proposal_number(attempt));
+        lost.voters[voter].acceptor.prepare(proposal_number).ok()?;
         lost.restart(voter);
         let mut taken = lost.clone();
-        let accepted: Option<AcceptedView> = lost.voters[voter].votes.accepted.clone();
-        if let Some(attempt) = taken.attempt_of(ballot)
-            && attempt.on_promised(identity(voter), ballot, accepted)
+        let accepted: Option<AcceptedView> = lost.voters[voter].acceptor.accepted.clone();
+        if let Some(attempt) = taken.attempt_of(proposal_number)
+            && attempt.on_prepare_response(identity(voter), proposal_number, accepted)
         {
-            let view = attempt.proposed().map(|view| (ballot, number_of(view)));
+            let view = attempt.proposed().map(|view| (proposal_number, number_of(view)));
             taken.proposed.extend(view);
         }
         Some([lost, taken])
     }
 
     /// A voter is asked to accept, likewise.
-    fn accept(&self, ballot: Ballot, view: usize, voter: usize, after_loss: AfterLoss) -> Option<[State; 2]> {
+    fn accept(
+        &self,
+        proposal_number: ProposalNumber,
+        view: usize,
+        voter: usize,
+        after_loss: AfterLoss,
+    ) -> Option<[State; 2]> {
         if !self.may_vote(voter, after_loss) {
             return None;
         }
         let mut lost = self.clone();
-        lost.voters[voter].votes.accept(ballot, wanted(view)).ok()?;
+        lost.voters[voter].acceptor.accept(proposal_number, wanted(view)).ok()?;
         lost.restart(voter);
-        lost.acceptances.insert((ballot, voter));
+        lost.acceptances.insert((proposal_number, voter));
         let mut taken = lost.clone();
-        if let Some(attempt) = taken.attempt_of(ballot) {
-            let agreed = attempt.on_accepted(identity(voter), ballot).map(number_of);
+        if let Some(attempt) = taken.attempt_of(proposal_number) {
+            let agreed = attempt.on_accept_response(identity(voter), proposal_number).map(number_of);
             taken.agreed.extend(agreed);
         }
         Some([lost, taken])
     }
 
-    /// The newest attempt of the ballot's proposer; it ignores answers to an older one.
-    fn attempt_of(&mut self, ballot: Ballot) -> Option<&mut Attempt> {
-        self.attempts[ballot.proposer as usize].as_mut()
+    /// The newest attempt of the proposal number's proposer; it ignores answers to an older one.
+    fn attempt_of(&mut self, proposal_number: ProposalNumber) -> Option<&mut Attempt> {
+        self.attempts[proposal_number.proposer as usize].as_mut()
     }
 
     fn lose_disk(&self, voter: usize) -> State {
         let mut next = self.clone();
-        next.voters[voter] = Voter { votes: Votes::default(), lost_its_disk: true };
+        next.voters[voter] = Voter { acceptor: AcceptorState::default(), lost_its_disk: true };
         next
     }
 
-    /// Views that a majority has accepted under one ballot.
+    /// Views that a majority has accepted under one proposal number.
     fn chosen(&self) -> BTreeSet<usize> {
-        let chosen = self.proposed.iter().filter(|(ballot, _)| self.acceptances(*ballot) >= MAJORITY);
+        let chosen = self
+            .proposed
+            .iter()
+            .filter(|(proposal_number, _)| self.acceptances(*proposal_number) >= MAJORITY);
         chosen.map(|(_, view)| *view).collect()
     }
 
-    fn acceptances(&self, wanted: Ballot) -> usize {
-        self.acceptances.iter().filter(|(ballot, _)| *ballot == wanted).count()
+    fn acceptances(&self, wanted: ProposalNumber) -> usize {
+        self.acceptances.iter().filter(|(proposal_number, _)| *proposal_number == wanted).count()
     }
 
     /// Voters that would confirm to a head that its epoch is the newest they know.
     fn confirming(&self) -> usize {
-        let confirms = |voter: &&Voter| !voter.lost_its_disk && voter.votes.accepted.is_none();
+        let confirms = |voter: &&Voter| !voter.lost_its_disk && voter.acceptor.accepted.is_none();
         self.voters.iter().filter(confirms).count()
     }
 
--- a/crates/lockusher-control/tests/voting.rs
+++ b/crates/lockusher-control/tests/voting.rs
@@ -4,7 +4,7 @@
 
 use lockusher_control::{
     Effect, Event, Message, PersistTicket, Position, Replica, ReplicaSetup, ReplicatedState, View,
-    message::{Ballot, MessageBody},
+    message::{MessageBody, ProposalNumber},
 };
 
 const START: u64 = 0;
@@ -70,54 +70,64 @@
     View { epoch: 2, ..first_view() }
 }
 
-fn ballot(round: u64) -> Ballot {
-    Ballot { round, proposer: 1 }
+fn proposal_number(round: u64) -> ProposalNumber {
+    ProposalNumber { round, proposer: 1 }
 }
 
 #[test]
 fn a_promise_is_answered_once_it_is_durable() {
     let mut voter = voter();
-    let effects = from_head(&mut voter, 1, MessageBody::Prepare { ballot: ballot(3) });
+    let effects = from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(3) });
     assert_eq!(answers(&effects), Vec::new());
     let effects = persist(&mut voter, &effects);
-    assert_eq!(answers(&effects), vec![MessageBody::Promised { ballot: ballot(3), accepted: None }]);
+    assert_eq!(
+        answers(&effects),
+        vec![MessageBody::PrepareResponse { proposal_number: proposal_number(3), accepted: None }]
+    );
 }
 
 #[test]
 fn a_refused_write_is_not_answered_until_it_is_durable() {
     let mut voter = voter();
-    let effects = from_head(&mut voter, 1, MessageBody::Prepare { ballot: ballot(3) });
+    let effects = from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(3) });
     let first = tickets(&effects)[0];
     assert_eq!(answers(&voter.handle(START, Event::PersistFailed { ticket: first })), Vec::new());
     assert_eq!(answers(&voter.handle(START, Event::Persisted { ticket: first })), Vec::new());
     let again = voter.handle(START + 300, Event::Tick);
     let effects = persist(&mut voter, &again);
-    assert_eq!(answers(&effects), vec![MessageBody::Promised { ballot: ballot(3), accepted: None }]);
+    assert_eq!(
+        answers(&effects),
+        vec![MessageBody::PrepareResponse { proposal_number: proposal_number(3), accepted: None }]
+    );
 }
 
 #[test]
 fn a_lower_ballot_is_rejected() {
     let mut voter = voter();
-    let effects = from_head(&mut voter, 1, MessageBody::Prepare { ballot: ballot(3) });
+    let effects = from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(3) });
     persist(&mut voter, &effects);
-    let body = MessageBody::Accept { ballot: ballot(2), view: next_view() };
+    let body = MessageBody::Accept { proposal_number: proposal_number(2), view: next_view() };
     let effects = from_head(&mut voter, 1, body);
-    assert_eq!(answers(&effects), vec![MessageBody::Rejected { promised: ballot(3) }]);
+    assert_eq!(answers(&effects), vec![MessageBody::ProposalRejected { promised: proposal_number(3) }]);
 }
 
 #[test]
 fn an_accepted_view_is_reported_to_later_ballots() {
     let mut voter = voter();
-    let effects = from_head(&mut voter, 1, MessageBody::Accept { ballot: ballot(3), view: next_view() });
+    let effects = from_head(
+        &mut voter,
+        1,
+        MessageBody::Accept { proposal_number: proposal_number(3), view: next_view() },
+    );
     assert_eq!(answers(&effects), Vec::new());
     let effects = persist(&mut voter, &effects);
-    assert_eq!(answers(&effects), vec![MessageBody::Accepted { ballot: ballot(3) }]);
-    let effects = from_head(&mut voter, 1, MessageBody::Prepare { ballot: ballot(4) });
+    assert_eq!(answers(&effects), vec![MessageBody::AcceptResponse { proposal_number: proposal_number(3) }]);
+    let effects = from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(4) });
     let effects = persist(&mut voter, &effects);
     let answers = answers(&effects);
     assert!(
-        matches!(&answers[..], [MessageBody::Promised { accepted: Some(accepted), .. }]
-            if accepted.view == next_view() && accepted.ballot == ballot(3)),
+        matches!(&answers[..], [MessageBody::PrepareResponse { accepted: Some(accepted), .. }]
+            if accepted.view == next_view() && accepted.proposal_number == proposal_number(3)),
         "{answers:?}"
     );
 }
@@ -129,10 +139,10 @@
     let confirmed = MessageBody::Confirmed {
         round: 5,
         position: Position::default(),
-        lineage: ReplicatedState::default().lineage(),
+        history_digest: ReplicatedState::default().history_digest(),
     };
     assert_eq!(answers(&effects), vec![confirmed]);
-    from_head(&mut voter, 1, MessageBody::Accept { ballot: ballot(3), view: next_view() });
+    from_head(&mut voter, 1, MessageBody::Accept { proposal_number: proposal_number(3), view: next_view() });
     let effects = from_head(&mut voter, 1, MessageBody::Confirm { round: 6 });
     assert_eq!(answers(&effects), Vec::new());
 }
@@ -142,7 +152,9 @@
     let mut voter = voter();
     let effects = from_head(&mut voter, 1, MessageBody::NewView(next_view()));
     persist(&mut voter, &effects);
-    for body in [MessageBody::Confirm { round: 5 }, MessageBody::Prepare { ballot: ballot(9) }] {
+    for body in
+        [MessageBody::Confirm { round: 5 }, MessageBody::Prepare { proposal_number: proposal_number(9) }]
+    {
         let effects = voter.handle(START + 1000, Event::Tick);
         persist(&mut voter, &effects);
         let effects = from_head(&mut voter, 1, body);
@@ -159,8 +171,8 @@
     persist(&mut wiped, &effects);
     assert_eq!(wiped.view(), Some(&first_view()));
     for body in [
-        MessageBody::Prepare { ballot: ballot(9) },
-        MessageBody::Accept { ballot: ballot(9), view: next_view() },
+        MessageBody::Prepare { proposal_number: proposal_number(9) },
+        MessageBody::Accept { proposal_number: proposal_number(9), view: next_view() },
         MessageBody::Confirm { round: 1 },
     ] {
         let effects = from_head(&mut wiped, 1, body);
--- a/crates/lockusher-node/src/roles.rs
+++ b/crates/lockusher-node/src/roles.rs
@@ -25,7 +25,7 @@
 
 fn control(context: RoleContext) -> RunningRole {
     Box::pin(async move {
-        let options = ControlOptions { stage_orders: context.options.stage_orders };
+        let options = ControlOptions { stage_assignment: context.options.stage_orders };
         let (settings, stop) = context.start(|_| ())?;
         Ok(lockusher_control::serve::run(settings, options, stop).await?)
     })
@@ -33,7 +33,7 @@
 
 fn agent(context: RoleContext) -> RunningRole {
     Box::pin(async move {
-        let options = ControlOptions { stage_orders: context.options.stage_orders };
+        let options = ControlOptions { stage_assignment: context.options.stage_orders };
         let (settings, stop) = context.start(|_| ())?;
         if settings.edge_control() != EdgeControl::ControlNode {
             return Ok(lockusher_agent::serve::run(settings, stop).await?);
