--- a/crates/lockusher-control/tests/injected_bugs.rs
+++ b/crates/lockusher-control/tests/injected_bugs.rs
@@ -33,7 +33,9 @@
         InjectedBug::ConfirmAfterAccepting => Within([40, 40, 40]),
         InjectedBug::IfMatchIgnored | InjectedBug::TakenNotRecognized => Within([5, 5, 5]),
         InjectedBug::VersionIdentifiesChange => Within([5, 5, 5]),
-        InjectedBug::RequestNumbersRestart => ByTest("injected_bugs::an_answer_of_a_former_life_answers_nothing"),
+        InjectedBug::RequestNumbersRestart => {
+            ByTest("injected_bugs::an_answer_of_a_former_life_answers_nothing")
+        }
         InjectedBug::AcknowledgeBeforeTail | InjectedBug::PassOnBeforeDurable => Within([5, 5, 5]),
         InjectedBug::EntryWithoutPredecessor => CoveredBy(
             "a head sends entries only to members that hold its state, and the next one only when all hold the one before",
--- a/crates/lockusher-control/tests/recorded_bytes.rs
+++ b/crates/lockusher-control/tests/recorded_bytes.rs
@@ -10,16 +10,17 @@
 
 use lockusher_control::document::patch_identity;
 use lockusher_control::message::{
-    AcceptedView, Ballot, Health, Heartbeat, MessageBody, Payload, Transfer, TransferAnswer, TransferPurpose,
+    AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer, TransferPurpose,
+    TransferResponse,
 };
 use lockusher_control::shell::disk::Disk;
 use lockusher_control::shell::peer_links::PeerFrame;
 use lockusher_control::{
-    Document, DurableRecord, Envelope, Identity, Member, Message, PersistTicket, Position, ReplicatedState,
-    Reply, Request, View,
+    ConfigurationDocument, DurableRecord, Envelope, Identity, Member, Message, PersistTicket, Position,
+    ReplicatedState, Reply, Request, View,
 };
-use lockusher_net::frame;
 use lockusher_storage::Completions;
+use lockusher_transport::frame;
 use recorded_bytes::{
     assert_bytes_as_recorded, assert_encoded_as_recorded, assert_every_kind_is_sampled, kinds_of,
     read_fixture,
@@ -39,7 +40,7 @@
     DurableRecord,
     RECORD_KINDS,
     record_kind,
-    [Identity, View, Promise, Accept, Seal, Entry, State, Standing]
+    [Identity, View, Promise, Accept, Seal, Entry, State, PositionAdvanced]
 );
 kinds_of!(
     MessageBody,
@@ -49,16 +50,16 @@
         Heartbeat,
         NewView,
         Prepare,
-        Promised,
+        PrepareResponse,
         Accept,
-        Accepted,
-        Rejected,
+        AcceptResponse,
+        ProposalRejected,
         Transfer,
-        TransferAnswer,
+        TransferResponse,
         Append,
-        Acknowledge,
-        Holds,
-        Lacks,
+        AppendAcknowledged,
+        AppendStored,
+        AppendRejected,
         Committed,
         Confirm,
         Confirmed,
@@ -68,7 +69,7 @@
 );
 kinds_of!(Health, HEALTH_KINDS, health_kind, [Good, DiskTrouble, Leaving]);
 kinds_of!(TransferPurpose, PURPOSE_KINDS, purpose_kind, [Synchronise, Learn, Join, Repair]);
-kinds_of!(Payload, PAYLOAD_KINDS, payload_kind, [Nothing, Newest, Whole]);
+kinds_of!(Payload, PAYLOAD_KINDS, payload_kind, [Empty, LatestDocument, FullSnapshot]);
 kinds_of!(Request, REQUEST_KINDS, request_kind, [Put, Base, Read]);
 kinds_of!(Reply, REPLY_KINDS, reply_kind, [Accepted, Conflict, NotNewer, Document, Unavailable]);
 
@@ -93,12 +94,12 @@
     View::first(&[member(14, 7660).address, member(15, 7661).address, member(16, 7662).address])
 }
 
-fn ballot() -> Ballot {
-    Ballot { round: 0x0102_0304_0506_0708, proposer: joiner().identity.0 }
+fn proposal_number() -> ProposalNumber {
+    ProposalNumber { round: 0x0102_0304_0506_0708, proposer: joiner().identity.0 }
 }
 
-fn lower_ballot() -> Ballot {
-    Ballot { round: 4, proposer: 9 }
+fn lower_ballot() -> ProposalNumber {
+    ProposalNumber { round: 4, proposer: 9 }
 }
 
 fn position() -> Position {
@@ -109,14 +110,14 @@
     Position { epoch: 2, index: Position::SEALED }
 }
 
-fn document(version: u64) -> Document {
+fn document(version: u64) -> ConfigurationDocument {
     let body = format!("{{\"version\":{version},\"routes\":[],\"services\":[]}}");
-    Document::new(version, Arc::from(body.as_bytes()))
+    ConfigurationDocument::new(version, Arc::from(body.as_bytes()))
 }
 
-fn patched_document() -> Document {
+fn patched_document() -> ConfigurationDocument {
     let request = patch_identity(19, b"{\"version\":70000,\"upsert\":{}}");
-    Document::patched(70_000, request, Arc::from(&b"{\"version\":70000}"[..]))
+    ConfigurationDocument::patched(70_000, request, Arc::from(&b"{\"version\":70000}"[..]))
 }
 
 /// After three configurations, the last of them made by a patch.
@@ -136,14 +137,14 @@
         ),
         ("first-view", DurableRecord::View(first_view())),
         ("later-view", DurableRecord::View(view())),
-        ("promise", DurableRecord::Promise { epoch: 3, ballot: ballot() }),
-        ("accept", DurableRecord::Accept { epoch: 2, ballot: lower_ballot(), view: view() }),
+        ("promise", DurableRecord::Promise { epoch: 3, proposal_number: proposal_number() }),
+        ("accept", DurableRecord::Accept { epoch: 2, proposal_number: lower_ballot(), view: view() }),
         ("seal", DurableRecord::Seal { epoch: 2 }),
         (
             "entry-first",
             DurableRecord::Entry {
                 position: Position { epoch: 1, index: 1 },
-                previous: empty.lineage(),
+                previous: empty.history_digest(),
                 document: document(7),
             },
         ),
@@ -151,13 +152,13 @@
             "entry-patched",
             DurableRecord::Entry {
                 position: position(),
-                previous: state().previous_lineage(),
+                previous: state().previous_history_digest(),
                 document: patched_document(),
             },
         ),
         ("state-empty", DurableRecord::State { position: Position::default(), state: empty }),
         ("state-whole", DurableRecord::State { position: sealed_position(), state: state() }),
-        ("standing", DurableRecord::Standing { position: sealed_position() }),
+        ("standing", DurableRecord::PositionAdvanced { position: sealed_position() }),
     ]
 }
 
@@ -165,18 +166,18 @@
     let good = Heartbeat {
         health: Health::Good,
         position: position(),
-        lineage: state().lineage(),
+        history_digest: state().history_digest(),
         committed: sealed_position(),
-        committed_lineage: Some(state().previous_lineage()),
+        committed_history_digest: Some(state().previous_history_digest()),
         committed_version: 70_000,
         hears: vec![member(14, 7660).identity, joiner().identity],
     };
     let disk_trouble = Heartbeat {
         health: Health::DiskTrouble,
         position: Position::default(),
-        lineage: ReplicatedState::default().lineage(),
+        history_digest: ReplicatedState::default().history_digest(),
         committed: Position::default(),
-        committed_lineage: None,
+        committed_history_digest: None,
         committed_version: 0,
         hears: Vec::new(),
     };
@@ -188,26 +189,29 @@
     let transfer = |purpose, payload| Transfer {
         purpose,
         position: sealed_position(),
-        lineage: state().lineage(),
+        history_digest: state().history_digest(),
         payload,
     };
-    let newest = || Payload::Newest { previous: state().previous_lineage(), document: patched_document() };
+    let newest = || Payload::LatestDocument {
+        previous: state().previous_history_digest(),
+        document: patched_document(),
+    };
     vec![
-        ("transfer-synchronise-nothing", transfer(TransferPurpose::Synchronise, Payload::Nothing)),
+        ("transfer-synchronise-nothing", transfer(TransferPurpose::Synchronise, Payload::Empty)),
         ("transfer-learn-newest", transfer(TransferPurpose::Learn, newest())),
-        ("transfer-join-whole", transfer(TransferPurpose::Join, Payload::Whole(state()))),
+        ("transfer-join-whole", transfer(TransferPurpose::Join, Payload::FullSnapshot(state()))),
         (
             "transfer-repair-whole-empty",
-            transfer(TransferPurpose::Repair, Payload::Whole(ReplicatedState::default())),
+            transfer(TransferPurpose::Repair, Payload::FullSnapshot(ReplicatedState::default())),
         ),
     ]
 }
 
-fn transfer_answers() -> Vec<(&'static str, TransferAnswer)> {
-    let answer = |purpose, held| TransferAnswer {
+fn transfer_answers() -> Vec<(&'static str, TransferResponse)> {
+    let answer = |purpose, held| TransferResponse {
         purpose,
         position: sealed_position(),
-        lineage: state().lineage(),
+        history_digest: state().history_digest(),
         held,
     };
     vec![
@@ -240,25 +244,31 @@
 
 /// Bodies of agreement on views and of replication; the rest is made of the lists above.
 fn protocol_bodies() -> Vec<(&'static str, MessageBody)> {
-    let accepted = AcceptedView { ballot: lower_ballot(), view: view() };
-    let (lineage, previous) = (state().lineage(), state().previous_lineage());
+    let accepted = AcceptedView { proposal_number: lower_ballot(), view: view() };
+    let (history_digest, previous) = (state().history_digest(), state().previous_history_digest());
     let append = |relay| MessageBody::Append { index: 300, previous, document: patched_document(), relay };
     vec![
         ("new-view", MessageBody::NewView(view())),
-        ("prepare", MessageBody::Prepare { ballot: ballot() }),
-        ("promised-none-accepted", MessageBody::Promised { ballot: ballot(), accepted: None }),
-        ("promised-one-accepted", MessageBody::Promised { ballot: ballot(), accepted: Some(accepted) }),
-        ("accept", MessageBody::Accept { ballot: ballot(), view: view() }),
-        ("accepted", MessageBody::Accepted { ballot: ballot() }),
-        ("rejected", MessageBody::Rejected { promised: ballot() }),
+        ("prepare", MessageBody::Prepare { proposal_number: proposal_number() }),
+        (
+            "promised-none-accepted",
+            MessageBody::PrepareResponse { proposal_number: proposal_number(), accepted: None },
+        ),
+        (
+            "promised-one-accepted",
+            MessageBody::PrepareResponse { proposal_number: proposal_number(), accepted: Some(accepted) },
+        ),
+        ("accept", MessageBody::Accept { proposal_number: proposal_number(), view: view() }),
+        ("accepted", MessageBody::AcceptResponse { proposal_number: proposal_number() }),
+        ("rejected", MessageBody::ProposalRejected { promised: proposal_number() }),
         ("append-to-pass-on", append(true)),
         ("append-to-one", append(false)),
-        ("acknowledge", MessageBody::Acknowledge { index: 300 }),
-        ("holds", MessageBody::Holds { index: 301 }),
-        ("lacks", MessageBody::Lacks { index: 302 }),
-        ("committed", MessageBody::Committed { index: 303, lineage }),
+        ("acknowledge", MessageBody::AppendAcknowledged { index: 300 }),
+        ("holds", MessageBody::AppendStored { index: 301 }),
+        ("lacks", MessageBody::AppendRejected { index: 302 }),
+        ("committed", MessageBody::Committed { index: 303, history_digest }),
         ("confirm", MessageBody::Confirm { round: 65_536 }),
-        ("confirmed", MessageBody::Confirmed { round: 65_536, position: position(), lineage }),
+        ("confirmed", MessageBody::Confirmed { round: 65_536, position: position(), history_digest }),
     ]
 }
 
@@ -267,7 +277,7 @@
         heartbeats().into_iter().map(|(name, heartbeat)| (name, MessageBody::Heartbeat(heartbeat)));
     let transfers = transfers().into_iter().map(|(name, transfer)| (name, MessageBody::Transfer(transfer)));
     let answers =
-        transfer_answers().into_iter().map(|(name, answer)| (name, MessageBody::TransferAnswer(answer)));
+        transfer_answers().into_iter().map(|(name, answer)| (name, MessageBody::TransferResponse(answer)));
     let requests =
         requests().into_iter().map(|(name, body)| (name, MessageBody::Forward { request: 77_000, body }));
     let replies =
@@ -333,7 +343,7 @@
 /// A message as it goes over a connection between two control nodes: length, sender's listener, envelope.
 #[test]
 fn frames_between_control_nodes_are_encoded_as_recorded() {
-    let envelope = Envelope::new(message(MessageBody::Prepare { ballot: ballot() }));
+    let envelope = Envelope::new(message(MessageBody::Prepare { proposal_number: proposal_number() }));
     let from = member(15, 7661).address;
     let encoded = frame::encode(&PeerFrame { from, envelope: envelope.encode() });
     assert_bytes_as_recorded(PEER_FRAMES, &[("prepare", encoded)]);
--- a/crates/lockusher-distribution/tests/recorded_bytes.rs
+++ b/crates/lockusher-distribution/tests/recorded_bytes.rs
@@ -7,18 +7,18 @@
 use std::fmt::Debug;
 
 use bitcode::{DecodeOwned, Encode};
-use lockusher_distribution::difference::{ConfigurationDifference, ListDifference, Segment};
+use lockusher_config::configuration::{
+    Configuration, Engine, Limits, Route, RouteKind, Service, WeightedService,
+};
+use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState, ModelVersion, Stage};
+use lockusher_distribution::difference::{ConfigurationDifference, InstanceListDifference, Segment};
 use lockusher_distribution::load::ServiceLoad;
 use lockusher_distribution::message::{
-    Behind, ConfigurationUpdate, Envelope, FromSubscriber, Heartbeat, HeldVersions, ListUpdate, NEVER_MS,
-    SubscriberIdentity, ToSubscriber,
+    ConfigurationUpdate, Downstream, Envelope, FromSubscriber, Heartbeat, HeldVersions, InstanceListUpdate,
+    NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
 use lockusher_distribution::snapshot;
-use lockusher_model::configuration::{
-    Configuration, Engine, Limits, Route, RouteKind, Service, WeightedService,
-};
-use lockusher_model::instances::{Instance, InstanceState, ListRevision, ModelVersion, Stage};
-use lockusher_net::frame;
+use lockusher_transport::frame;
 use recorded_bytes::{assert_encoded_as_recorded, assert_every_kind_is_sampled, kinds_of};
 
 const SUBSCRIBERS: &str = include_str!("recorded_bytes/subscribers.hex");
@@ -41,7 +41,7 @@
     [Configuration, Instances, Heartbeat, ControlNodes, Peers]
 );
 kinds_of!(ConfigurationUpdate, CONFIGURATION_KINDS, configuration_kind, [Whole, Difference]);
-kinds_of!(ListUpdate, LIST_KINDS, list_kind, [Whole, Difference]);
+kinds_of!(InstanceListUpdate, LIST_KINDS, list_kind, [Whole, Difference]);
 kinds_of!(RouteSegment, ROUTE_SEGMENT_KINDS, route_segment_kind, [Keep, Insert]);
 kinds_of!(ServiceSegment, SERVICE_SEGMENT_KINDS, service_segment_kind, [Keep, Insert]);
 kinds_of!(InstanceSegment, INSTANCE_SEGMENT_KINDS, instance_segment_kind, [Keep, Insert]);
@@ -193,18 +193,18 @@
     vec![plain, prefill, decode]
 }
 
-fn revision() -> ListRevision {
-    ListRevision { epoch: 3, sequence: 5 << 20 }
+fn revision() -> InstanceListRevision {
+    InstanceListRevision { epoch: 3, sequence: 5 << 20 }
 }
 
-fn list_difference() -> ListDifference {
-    let newer = ListRevision { sequence: revision().sequence + 1, ..revision() };
+fn list_difference() -> InstanceListDifference {
+    let newer = InstanceListRevision { sequence: revision().sequence + 1, ..revision() };
     let segments = vec![
         Segment::Insert(instances()),
         Segment::Keep { from: 0, count: 70_000 },
         Segment::Insert(instances().drain(..1).collect()),
     ];
-    ListDifference { base: revision(), revision: newer, instances: segments }
+    InstanceListDifference { base: revision(), revision: newer, instances: segments }
 }
 
 fn configuration_updates() -> Vec<(&'static str, ConfigurationUpdate)> {
@@ -215,21 +215,21 @@
     ]
 }
 
-fn list_updates() -> Vec<(&'static str, ListUpdate)> {
+fn list_updates() -> Vec<(&'static str, InstanceListUpdate)> {
     vec![
-        ("list-whole", ListUpdate::Whole { revision: revision(), instances: instances() }),
-        ("list-whole-empty", ListUpdate::Whole { revision: revision(), instances: Vec::new() }),
-        ("list-difference", ListUpdate::Difference(list_difference())),
+        ("list-whole", InstanceListUpdate::Whole { revision: revision(), instances: instances() }),
+        ("list-whole-empty", InstanceListUpdate::Whole { revision: revision(), instances: Vec::new() }),
+        ("list-difference", InstanceListUpdate::Difference(list_difference())),
     ]
 }
 
 fn heartbeats() -> Vec<(&'static str, Heartbeat)> {
     let newest = HeldVersions { configuration_version: 70_000, list_revision: revision() };
-    let in_view = Heartbeat { newest, list_age_ms: 1_300, list_calls: 31, proxies: 1_200, in_view: true };
+    let in_view = Heartbeat { newest, list_age_ms: 1_300, calls_per_poll: 31, proxies: 1_200, in_view: true };
     let out_of_view = Heartbeat {
         newest: HeldVersions::default(),
         list_age_ms: NEVER_MS,
-        list_calls: 0,
+        calls_per_poll: 0,
         proxies: 0,
         in_view: false,
     };
@@ -274,12 +274,12 @@
         agent_address: Some("10.3.0.7:7670".parse().expect("a valid address")),
     };
     let proxy = SubscriberIdentity { node: "edge-7".to_owned(), zone: "b".to_owned(), agent_address: None };
-    let behind = Behind { in_force_version: 69_997, proxies: 12, loads: loads() };
+    let downstream = Downstream { in_force_version: 69_997, proxies: 12, loads: loads() };
     vec![
         ("subscribe-agent", FromSubscriber::Subscribe { identity: agent, held }),
         ("subscribe-proxy", FromSubscriber::Subscribe { identity: proxy, held: HeldVersions::default() }),
-        ("acknowledge-agent", FromSubscriber::Acknowledge { held, behind }),
-        ("acknowledge-proxy", FromSubscriber::Acknowledge { held, behind: Behind::PROXY }),
+        ("acknowledge-agent", FromSubscriber::Acknowledge { held, downstream }),
+        ("acknowledge-proxy", FromSubscriber::Acknowledge { held, downstream: Downstream::PROXY }),
         ("request-configuration", FromSubscriber::RequestWhole { configuration: true, list: false }),
         ("request-list", FromSubscriber::RequestWhole { configuration: false, list: true }),
     ]
