--- a/crates/lockusher-config/src/configuration_patch.rs
+++ b/crates/lockusher-config/src/configuration_patch.rs
@@ -114,7 +114,7 @@
 fn patch(reader: &ObjectReader<'_>) -> Option<ConfigurationPatch> {
     let version = reader.positive("version");
     for field in WHOLE_ONLY.into_iter().filter(|field| reader.value(field).is_some()) {
-        reader.fault_at(field, Problem::NotInPatch);
+        reader.add_field_fault(field, Problem::NotInPatch);
     }
     let upserts = reader.object_or("upsert", Default::default(), |reader| named_lists(reader, upserted));
     let removals = reader.object_or("remove", Default::default(), |reader| named_lists(reader, removed));
@@ -128,28 +128,28 @@
     Some(ConfigurationPatch { version: version?, changes })
 }
 
-/// Notes names that are upserted twice, or removed as well.
+/// Adds a fault for each name that is upserted twice, or removed as well.
 fn check_names(reader: &ObjectReader<'_>, list: &str, upsert: &[(String, Value)], remove: &HashSet<String>) {
     let place = |index: usize| format!("upsert.{list}[{index}]");
     let mut first: HashMap<&str, usize> = HashMap::new();
     for (index, (name, _)) in upsert.iter().enumerate() {
         if let Some(other) = first.get(name.as_str()) {
-            reader.notes().add(place(index), Problem::SameName { other: place(*other) });
+            reader.faults().add(place(index), Problem::DuplicateName { other: place(*other) });
         }
         first.entry(name).or_insert(index);
         if remove.contains(name) {
-            reader.notes().add(place(index), Problem::UpsertedAndRemoved(name.clone()));
+            reader.faults().add(place(index), Problem::UpsertedAndRemoved(name.clone()));
         }
     }
 }
 
-/// Reads the known lists below a field, and notes those that don't exist.
+/// Reads the known lists below a field, and adds a fault for each that doesn't exist.
 fn named_lists<T>(
     reader: &ObjectReader<'_>,
     read: impl Fn(&Value, Place<'_>, &ObjectReader<'_>) -> Option<T>,
 ) -> Option<[Vec<T>; LISTS.len()]> {
     for name in reader.field_names().filter(|name| !LISTS.contains(name)) {
-        reader.fault_at(name, Problem::UnknownList);
+        reader.add_field_fault(name, Problem::UnknownList);
     }
     let mut lists: [Option<Vec<T>>; LISTS.len()] =
         LISTS.map(|name| reader.list_or_empty(name, |value, place| read(value, place, reader)));
@@ -158,14 +158,14 @@
 }
 
 fn upserted(value: &Value, place: Place<'_>, reader: &ObjectReader<'_>) -> Option<(String, Value)> {
-    let name = ObjectReader::of(value, place, reader.notes())?.text("name")?;
+    let name = ObjectReader::of(value, place, reader.faults())?.text("name")?;
     Some((name, value.clone()))
 }
 
 fn removed(value: &Value, place: Place<'_>, reader: &ObjectReader<'_>) -> Option<String> {
     let name = value.as_str().filter(|name| !name.is_empty());
     if name.is_none() {
-        reader.notes().add(place, unexpected("a non-empty name", value));
+        reader.faults().add(place, unexpected("a non-empty name", value));
     }
     name.map(str::to_owned)
 }
--- a/crates/lockusher-config/src/configuration_reader.rs
+++ b/crates/lockusher-config/src/configuration_reader.rs
@@ -12,7 +12,7 @@
 
 use crate::configuration::{Configuration, Engine, Limits, Route, RouteKind, Service, WeightedService};
 use crate::fault::{Faults, Problem};
-use crate::reader::{Notes, ObjectReader, Place, read_document, unexpected};
+use crate::reader::{FaultCollector, ObjectReader, Place, read_document, unexpected};
 use crate::route_table::normalized_host;
 
 /// All faults of a configuration.
@@ -73,9 +73,9 @@
 struct UniqueNames(HashMap<String, String>);
 
 impl UniqueNames {
-    fn note(&mut self, name: &str, reader: &ObjectReader<'_>) {
+    fn check(&mut self, name: &str, reader: &ObjectReader<'_>) {
         match self.0.entry(name.to_owned()) {
-            Entry::Occupied(other) => reader.fault(Problem::SameName { other: other.get().clone() }),
+            Entry::Occupied(other) => reader.add_fault(Problem::DuplicateName { other: other.get().clone() }),
             Entry::Vacant(vacant) => {
                 vacant.insert(reader.place().to_string());
             }
@@ -94,14 +94,16 @@
     fn check_service(&self, name: &str, reader: &ObjectReader<'_>) {
         let unknown = self.services.as_ref().is_some_and(|services| !services.contains(name));
         if unknown {
-            reader.fault_at("service", Problem::UnknownService(name.to_owned()));
+            reader.add_field_fault("service", Problem::UnknownService(name.to_owned()));
         }
     }
 
     fn check_host_and_prefix(&mut self, host: &str, path_prefix: &str, reader: &ObjectReader<'_>) {
         let key = (normalized_host(host).into_owned(), path_prefix.to_owned());
         match self.places.entry(key) {
-            Entry::Occupied(other) => reader.fault(Problem::SameHostAndPrefix { other: other.get().clone() }),
+            Entry::Occupied(other) => {
+                reader.add_fault(Problem::DuplicateHostAndPrefix { other: other.get().clone() })
+            }
             Entry::Vacant(vacant) => {
                 vacant.insert(reader.place().to_string());
             }
@@ -152,7 +154,7 @@
         return Some(prefix);
     }
     let found = Value::String(prefix);
-    reader.fault_at("pathPrefix", unexpected("a path that starts and ends with a slash", &found));
+    reader.add_field_fault("pathPrefix", unexpected("a path that starts and ends with a slash", &found));
     None
 }
 
@@ -164,7 +166,7 @@
         "streaming" => Some(RouteKind::Streaming),
         _ => {
             let found = Value::String(kind);
-            reader.fault_at("kind", unexpected("idempotent, non_idempotent or streaming", &found));
+            reader.add_field_fault("kind", unexpected("idempotent, non_idempotent or streaming", &found));
             None
         }
     }
@@ -176,7 +178,7 @@
         (Some(_), None) => Some(vec![WeightedService { service: target(reader, checks)?, weight: 1 }]),
         (None, Some(_)) => weighted_services(reader, checks),
         (Some(_), Some(_)) | (None, None) => {
-            reader.fault(Problem::ServiceOrSplit);
+            reader.add_fault(Problem::ServiceOrSplit);
             None
         }
     }
@@ -197,7 +199,7 @@
         part
     })?;
     if !unreadable && split.iter().all(|part| part.weight == 0) {
-        reader.fault_at("trafficSplit", Problem::NoWeight);
+        reader.add_field_fault("trafficSplit", Problem::ZeroWeights);
     }
     Some(split)
 }
@@ -211,7 +213,7 @@
 fn service(reader: &ObjectReader<'_>, names: &mut UniqueNames) -> Option<Service> {
     let name = reader.text("name");
     if let Some(name) = &name {
-        names.note(name, reader);
+        names.check(name, reader);
     }
     let health_check = reader.text_or("healthCheck", DEFAULT_HEALTH_CHECK);
     let connection_limit = reader.positive_u32_or("connectionLimit", DEFAULT_CONNECTION_LIMIT);
@@ -232,8 +234,8 @@
     let stride = reader.positive_u32_or("stride", DEFAULT_STRIDE);
     let handle_hold_ms = reader.seconds_as_ms_or("handleHoldS", DEFAULT_HANDLE_HOLD_MS);
     let role_switch_ms = reader.seconds_as_ms_or("roleSwitchS", DEFAULT_ROLE_SWITCH_MS);
-    let notes = reader.notes();
-    let models = reader.list_or_empty("models", |value, place| model_name(value, place, notes));
+    let faults = reader.faults();
+    let models = reader.list_or_empty("models", |value, place| model_name(value, place, faults));
     Some(Engine {
         slots: slots?,
         cache_tokens: cache_tokens?,
@@ -247,10 +249,10 @@
 }
 
 /// A model stands as an object with a `name`, or as the name alone.
-fn model_name(value: &Value, place: Place<'_>, notes: &Notes) -> Option<String> {
+fn model_name(value: &Value, place: Place<'_>, faults: &FaultCollector) -> Option<String> {
     match value {
         Value::String(name) => Some(name.clone()),
-        _ => ObjectReader::of(value, place, notes)?.text("name"),
+        _ => ObjectReader::of(value, place, faults)?.text("name"),
     }
 }
 
--- a/crates/lockusher-config/src/fault.rs
+++ b/crates/lockusher-config/src/fault.rs
@@ -32,18 +32,18 @@
     Unexpected { expected: &'static str, found: String },
     /// A settings key that stands on an earlier line as well.
     #[display("given twice, first on line {first_line}")]
-    GivenTwice { first_line: usize },
+    DuplicateKey { first_line: usize },
     /// A name that another entry of the same list has.
     #[display("has the same name as {other}")]
-    SameName { other: String },
+    DuplicateName { other: String },
     /// A route with the host and prefix of another.
     #[display("has the same host and prefix as {other}")]
-    SameHostAndPrefix { other: String },
+    DuplicateHostAndPrefix { other: String },
     #[display("names the unknown service {_0:?}")]
     UnknownService(String),
     /// A route whose weights sum to 0.
     #[display("weights sum to 0")]
-    NoWeight,
+    ZeroWeights,
     /// A route with both `service` and `trafficSplit`, or with neither.
     #[display("expected either service or trafficSplit")]
     ServiceOrSplit,
@@ -91,7 +91,9 @@
     pub fn relocated(mut self, relocate: impl Fn(&str) -> String) -> Self {
         for fault in &mut self.faults {
             fault.place = relocate(&fault.place);
-            if let Problem::SameName { other } | Problem::SameHostAndPrefix { other } = &mut fault.problem {
+            if let Problem::DuplicateName { other } | Problem::DuplicateHostAndPrefix { other } =
+                &mut fault.problem
+            {
                 *other = relocate(other);
             }
         }
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -6,7 +6,7 @@
 
 use crate::fault::{Fault, Faults};
 use crate::instances::{Instance, InstanceState, ModelVersion, Stage};
-use crate::reader::{Notes, ObjectReader, Place, unexpected};
+use crate::reader::{FaultCollector, ObjectReader, Place, unexpected};
 use crate::unique_keys::parse_unique;
 
 /// Why a page can't be used at all.
@@ -27,18 +27,18 @@
     /// bad entry must not hide the others. A page that can't be read whole is an error.
     pub fn parse(body: &[u8]) -> Result<Self, InstancePageFaults> {
         let value = parse_unique(body).map_err(Faults::unreadable)?;
-        let notes = Notes::default();
-        let page = ObjectReader::of(&value, Place::Root, &notes).and_then(|reader| page(&reader));
-        page.ok_or_else(|| notes.into_faults())
+        let faults = FaultCollector::default();
+        let page = ObjectReader::of(&value, Place::Root, &faults).and_then(|reader| page(&reader));
+        page.ok_or_else(|| faults.into_faults())
     }
 }
 
 fn page(reader: &ObjectReader<'_>) -> Option<InstancePage> {
     let next_token = reader.text_or("nextToken", "")?;
     let entries = reader.list("instances", |value, place| {
-        let notes = Notes::default();
-        let instance = ObjectReader::of(value, place, &notes).and_then(|entry| instance(&entry));
-        Some((instance, notes.into_faults()))
+        let faults = FaultCollector::default();
+        let instance = ObjectReader::of(value, place, &faults).and_then(|entry| instance(&entry));
+        Some((instance, faults.into_faults()))
     })?;
     let mut page =
         InstancePage { instances: Vec::with_capacity(entries.len()), next_token: None, skipped: vec![] };
@@ -62,7 +62,7 @@
     let state = state(reader);
     let cold_remaining_ms = reader.ms_or("coldRemainingMs", 0);
     let stage = stage(reader);
-    let models = reader.list_or_empty("models", |value, place| model(value, place, reader.notes()));
+    let models = reader.list_or_empty("models", |value, place| model(value, place, reader.faults()));
     Some(Instance {
         identifier: identifier?,
         service: service?,
@@ -82,7 +82,7 @@
     if address.parse::<SocketAddrV4>().is_ok() {
         return Some(address);
     }
-    reader.fault_at("address", unexpected("IP:PORT", &Value::String(address)));
+    reader.add_field_fault("address", unexpected("IP:PORT", &Value::String(address)));
     None
 }
 
@@ -101,14 +101,14 @@
         "prefill" => Some(Some(Stage::Prefill)),
         "decode" => Some(Some(Stage::Decode)),
         _ => {
-            reader.fault_at("stage", unexpected("prefill or decode", &Value::String(stage)));
+            reader.add_field_fault("stage", unexpected("prefill or decode", &Value::String(stage)));
             None
         }
     }
 }
 
-fn model(value: &Value, place: Place<'_>, notes: &Notes) -> Option<ModelVersion> {
-    let reader = ObjectReader::of(value, place, notes)?;
+fn model(value: &Value, place: Place<'_>, faults: &FaultCollector) -> Option<ModelVersion> {
+    let reader = ObjectReader::of(value, place, faults)?;
     let name = reader.text("name");
     let version = reader.whole_or("version", 0);
     Some(ModelVersion { name: name?, version: version? })
--- a/crates/lockusher-config/src/reader.rs
+++ b/crates/lockusher-config/src/reader.rs
@@ -1,7 +1,7 @@
-//! Typed access to a JSON document. Every fault is noted with its path, and reading goes on, so that one run
+//! Typed access to a JSON document. Every fault is collected with its path, and reading goes on, so that one run
 //! finds them all.
 //!
-//! A required field that is absent or wrong yields `None` (its fault is noted); an optional one that is absent or
+//! A required field that is absent or wrong yields `None` (its fault is collected); an optional one that is absent or
 //! `null` yields the caller's default. Unknown fields are never looked at.
 
 use std::cell::RefCell;
@@ -16,12 +16,12 @@
 /// Whole numbers above this can't be told apart as floats.
 const MAX_EXACT_FLOAT: f64 = 9_007_199_254_740_992.0;
 
-/// Reads the body as one JSON object and hands it to `read`; the result counts only if no fault was noted.
+/// Reads the body as one JSON object and hands it to `read`; the result counts only if no fault was found.
 pub fn read_document<T>(body: &[u8], read: impl FnOnce(&ObjectReader<'_>) -> Option<T>) -> Result<T, Faults> {
     let value = parse_unique(body).map_err(Faults::unreadable)?;
-    let notes = Notes::default();
-    let result = ObjectReader::of(&value, Place::Root, &notes).and_then(|reader| read(&reader));
-    let faults = notes.into_faults();
+    let faults = FaultCollector::default();
+    let result = ObjectReader::of(&value, Place::Root, &faults).and_then(|reader| read(&reader));
+    let faults = faults.into_faults();
     match result {
         Some(result) if faults.is_empty() => Ok(result),
         _ => Err(faults),
@@ -30,17 +30,17 @@
 
 /// Where faults are collected while a document is read.
 #[derive(Debug, Default)]
-pub struct Notes {
+pub struct FaultCollector {
     faults: RefCell<Faults>,
 }
 
-impl Notes {
+impl FaultCollector {
     /// Adds a fault.
     pub fn add(&self, place: impl fmt::Display, problem: Problem) {
         self.faults.borrow_mut().add(place, problem);
     }
 
-    /// All that were noted.
+    /// All faults that were added.
     pub fn into_faults(self) -> Faults {
         self.faults.into_inner()
     }
@@ -70,35 +70,35 @@
 pub struct ObjectReader<'a> {
     fields: &'a Map<String, Value>,
     place: Place<'a>,
-    notes: &'a Notes,
+    faults: &'a FaultCollector,
 }
 
 impl<'a> ObjectReader<'a> {
     /// Reads `value` as an object.
-    pub fn of(value: &'a Value, place: Place<'a>, notes: &'a Notes) -> Option<Self> {
+    pub fn of(value: &'a Value, place: Place<'a>, faults: &'a FaultCollector) -> Option<Self> {
         let Some(fields) = value.as_object() else {
-            notes.add(place, unexpected("an object", value));
+            faults.add(place, unexpected("an object", value));
             return None;
         };
-        Some(Self { fields, place, notes })
+        Some(Self { fields, place, faults })
     }
 
-    pub fn notes(&self) -> &'a Notes {
-        self.notes
+    pub fn faults(&self) -> &'a FaultCollector {
+        self.faults
     }
 
     pub fn place(&self) -> &Place<'a> {
         &self.place
     }
 
-    /// Notes a fault of the object itself.
-    pub fn fault(&self, problem: Problem) {
-        self.notes.add(self.place, problem);
+    /// Adds a fault of the object itself.
+    pub fn add_fault(&self, problem: Problem) {
+        self.faults.add(self.place, problem);
     }
 
-    /// Notes a fault of one of its fields.
-    pub fn fault_at(&self, name: &str, problem: Problem) {
-        self.notes.add(Place::Field(&self.place, name), problem);
+    /// Adds a fault of one of its fields.
+    pub fn add_field_fault(&self, name: &str, problem: Problem) {
+        self.faults.add(Place::Field(&self.place, name), problem);
     }
 
     /// The field's value, unless it is absent or `null`.
@@ -113,7 +113,7 @@
 
     fn required<T>(&self, name: &str, convert: impl Fn(&Value) -> Result<T, Problem>) -> Option<T> {
         let Some(value) = self.value(name) else {
-            self.fault_at(name, Problem::Missing);
+            self.add_field_fault(name, Problem::Missing);
             return None;
         };
         self.converted(name, value, convert)
@@ -137,7 +137,7 @@
         value: &Value,
         convert: impl Fn(&Value) -> Result<T, Problem>,
     ) -> Option<T> {
-        convert(value).map_err(|problem| self.fault_at(name, problem)).ok()
+        convert(value).map_err(|problem| self.add_field_fault(name, problem)).ok()
     }
 
     /// A string that is not empty.
@@ -208,17 +208,17 @@
     ) -> Option<T> {
         match self.value(name) {
             Some(value) => {
-                let reader = ObjectReader::of(value, Place::Field(&self.place, name), self.notes)?;
+                let reader = ObjectReader::of(value, Place::Field(&self.place, name), self.faults)?;
                 read(&reader)
             }
             None => Some(default),
         }
     }
 
-    /// Reads each item of the list in a field; items that can't be read are left out, with their faults noted.
+    /// Reads each item of the list in a field; items that can't be read are left out, and their faults collected.
     pub fn list<T>(&self, name: &str, read: impl FnMut(&Value, Place<'_>) -> Option<T>) -> Option<Vec<T>> {
         let Some(value) = self.value(name) else {
-            self.fault_at(name, Problem::Missing);
+            self.add_field_fault(name, Problem::Missing);
             return None;
         };
         self.items(name, value, read)
@@ -242,7 +242,7 @@
         name: &str,
         mut read: impl FnMut(&ObjectReader<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
-        self.list(name, |value, place| read(&ObjectReader::of(value, place, self.notes)?))
+        self.list(name, |value, place| read(&ObjectReader::of(value, place, self.faults)?))
     }
 
     fn items<T>(
@@ -252,7 +252,7 @@
         mut read: impl FnMut(&Value, Place<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
         let Some(items) = value.as_array() else {
-            self.fault_at(name, unexpected("a list", value));
+            self.add_field_fault(name, unexpected("a list", value));
             return None;
         };
         let place = Place::Field(&self.place, name);
--- a/crates/lockusher-config/src/settings_lines.rs
+++ b/crates/lockusher-config/src/settings_lines.rs
@@ -1,4 +1,4 @@
-//! The lines of a settings file, with typed access to their values. Every fault is noted with its line.
+//! The lines of a settings file, with typed access to their values. Every fault is collected with its line.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -36,7 +36,7 @@
 }
 
 impl<'a> SettingsLines<'a> {
-    /// Splits the text into lines. Notes lines that are not of the form `key=value`.
+    /// Splits the text into lines. Collects a fault for each line that is not of the form `key=value`.
     pub fn split(text: &'a str) -> Self {
         let mut lines = Self { entries: BTreeMap::new(), faults: Faults::default() };
         for (index, line) in text.lines().enumerate() {
@@ -65,11 +65,11 @@
         self.faults
     }
 
-    /// The entry of a key that has a value. Notes it if the key is given twice.
+    /// The entry of a key that has a value. Collects a fault if the key stands on two lines.
     fn entry(&mut self, key: &str) -> Option<Entry<'a>> {
         let entry = *self.entries.get(key)?;
         if let Some(line) = entry.repeated_on {
-            self.faults.add(LineAndKey { line, key }, Problem::GivenTwice { first_line: entry.line });
+            self.faults.add(LineAndKey { line, key }, Problem::DuplicateKey { first_line: entry.line });
         }
         (!entry.value.is_empty()).then_some(entry)
     }
@@ -153,7 +153,7 @@
         self.number(key, default_ms as f64 / 1_000.0).map(seconds_to_ms)
     }
 
-    /// A list, separated by commas; empty if the key is absent. Every wrong item is noted.
+    /// A list, separated by commas; empty if the key is absent. Each wrong item is a fault.
     pub fn list<T: FromStr>(&mut self, key: &str, expected: &'static str) -> Option<Vec<T>> {
         let Some(entry) = self.entry(key) else { return Some(Vec::new()) };
         let items = entry.value.split(',').map(str::trim).filter(|item| !item.is_empty());
