--- a/crates/lockusher-config/src/configuration_patch.rs
+++ b/crates/lockusher-config/src/configuration_patch.rs
@@ -1,7 +1,7 @@
 //! Reads the body of `PATCH /api/configuration` and applies it to a whole configuration.
 //!
 //! A patch names items by `name` in the lists `routes` and `services`. An upserted item replaces the one of its name
-//! whole and keeps its place, or goes to the end of its list. Removing a name that isn't there changes nothing, so that a
+//! whole and keeps its position, or goes to the end of its list. Removing a name that isn't there changes nothing, so that a
 //! removal may be repeated. A name that is both upserted and removed is a fault, as is a list that doesn't exist: what
 //! the operator wanted can't be told. What the patch doesn't name stays as it is, fields unknown here included.
 
@@ -11,7 +11,7 @@
 
 use crate::configuration::Configuration;
 use crate::fault::{Faults, Problem};
-use crate::reader::{ObjectReader, Place, read_document, unexpected};
+use crate::reader::{FieldPath, ObjectReader, read_document, unexpected};
 use crate::unique_keys::parse_unique;
 
 /// The lists of a configuration whose items have names.
@@ -49,7 +49,7 @@
         read_document(body, patch)
     }
 
-    /// The whole configuration that comes of this one, checked; faults are told at their places in the patch.
+    /// The whole configuration that comes of this one, checked; faults are reported at their paths in the patch.
     pub fn apply(&self, base: &[u8]) -> Result<Vec<u8>, Faults> {
         let mut fields = match parse_unique(base) {
             Ok(Value::Object(fields)) => fields,
@@ -61,7 +61,7 @@
         let body = Value::Object(fields).to_string().into_bytes();
         match Configuration::parse(&body) {
             Ok(_) => Ok(body),
-            Err(faults) => Err(faults.relocated(|place| place_in_patch(place, &sources))),
+            Err(faults) => Err(faults.relocated(|path| path_in_patch(path, &sources))),
         }
     }
 
@@ -130,15 +130,15 @@
 
 /// Adds a fault for each name that is upserted twice, or removed as well.
 fn check_names(reader: &ObjectReader<'_>, list: &str, upsert: &[(String, Value)], remove: &HashSet<String>) {
-    let place = |index: usize| format!("upsert.{list}[{index}]");
+    let path = |index: usize| format!("upsert.{list}[{index}]");
     let mut first: HashMap<&str, usize> = HashMap::new();
     for (index, (name, _)) in upsert.iter().enumerate() {
         if let Some(other) = first.get(name.as_str()) {
-            reader.faults().add(place(index), Problem::DuplicateName { other: place(*other) });
+            reader.faults().add(path(index), Problem::DuplicateName { other: path(*other) });
         }
         first.entry(name).or_insert(index);
         if remove.contains(name) {
-            reader.faults().add(place(index), Problem::UpsertedAndRemoved(name.clone()));
+            reader.faults().add(path(index), Problem::UpsertedAndRemoved(name.clone()));
         }
     }
 }
@@ -146,36 +146,36 @@
 /// Reads the known lists below a field, and adds a fault for each that doesn't exist.
 fn named_lists<T>(
     reader: &ObjectReader<'_>,
-    read: impl Fn(&Value, Place<'_>, &ObjectReader<'_>) -> Option<T>,
+    read: impl Fn(&Value, FieldPath<'_>, &ObjectReader<'_>) -> Option<T>,
 ) -> Option<[Vec<T>; LISTS.len()]> {
     for name in reader.field_names().filter(|name| !LISTS.contains(name)) {
         reader.add_field_fault(name, Problem::UnknownList);
     }
     let mut lists: [Option<Vec<T>>; LISTS.len()] =
-        LISTS.map(|name| reader.list_or_empty(name, |value, place| read(value, place, reader)));
+        LISTS.map(|name| reader.list_or_empty(name, |value, path| read(value, path, reader)));
     let all_read = lists.iter().all(Option::is_some);
     all_read.then(|| std::array::from_fn(|list| lists[list].take().unwrap_or_default()))
 }
 
-fn upserted(value: &Value, place: Place<'_>, reader: &ObjectReader<'_>) -> Option<(String, Value)> {
-    let name = ObjectReader::of(value, place, reader.faults())?.text("name")?;
+fn upserted(value: &Value, path: FieldPath<'_>, reader: &ObjectReader<'_>) -> Option<(String, Value)> {
+    let name = ObjectReader::of(value, path, reader.faults())?.text("name")?;
     Some((name, value.clone()))
 }
 
-fn removed(value: &Value, place: Place<'_>, reader: &ObjectReader<'_>) -> Option<String> {
+fn removed(value: &Value, path: FieldPath<'_>, reader: &ObjectReader<'_>) -> Option<String> {
     let name = value.as_str().filter(|name| !name.is_empty());
     if name.is_none() {
-        reader.faults().add(place, unexpected("a non-empty name", value));
+        reader.faults().add(path, unexpected("a non-empty name", value));
     }
     name.map(str::to_owned)
 }
 
-/// A place in the changed configuration, such as `routes[7].kind`, as a place in the patch if it was upserted.
-fn place_in_patch(place: &str, sources: &[Vec<Option<usize>>; LISTS.len()]) -> String {
+/// A path in the changed configuration, such as `routes[7].kind`, as a path in the patch if it was upserted.
+fn path_in_patch(path: &str, sources: &[Vec<Option<usize>>; LISTS.len()]) -> String {
     let relocated = LISTS.iter().zip(sources).find_map(|(list, sources)| {
-        let (index, rest) = place.strip_prefix(list)?.strip_prefix('[')?.split_once(']')?;
+        let (index, rest) = path.strip_prefix(list)?.strip_prefix('[')?.split_once(']')?;
         let index = (*sources.get(index.parse::<usize>().ok()?)?)?;
         Some(format!("upsert.{list}[{index}]{rest}"))
     });
-    relocated.unwrap_or_else(|| format!("{place} of the configuration in place, as changed"))
+    relocated.unwrap_or_else(|| format!("{path} of the configuration in place, as changed"))
 }
--- a/crates/lockusher-config/src/configuration_reader.rs
+++ b/crates/lockusher-config/src/configuration_reader.rs
@@ -12,7 +12,7 @@
 
 use crate::configuration::{Configuration, Engine, Limits, Route, RouteKind, Service, WeightedService};
 use crate::fault::{Faults, Problem};
-use crate::reader::{FaultCollector, ObjectReader, Place, read_document, unexpected};
+use crate::reader::{FaultCollector, FieldPath, ObjectReader, read_document, unexpected};
 use crate::route_table::normalized_host;
 
 /// All faults of a configuration.
@@ -55,7 +55,8 @@
     let version = reader.positive("version");
     let mut service_names = UniqueNames::default();
     let services = reader.objects("services", |reader| service(reader, &mut service_names));
-    let mut checks = RouteChecks { services: known_services(reader), places: HashMap::new() };
+    let mut checks =
+        RouteChecks { services: known_services(reader), routes_by_host_and_prefix: HashMap::new() };
     let routes = reader.objects("routes", |reader| route(reader, &mut checks));
     let limits = reader.object_or("limits", DEFAULT_LIMITS, limits);
     Some(Configuration { version: version?, routes: routes?, services: services?, limits: limits? })
@@ -68,7 +69,7 @@
     Some(services.iter().filter_map(|service| service.get("name")?.as_str()).collect())
 }
 
-/// Names seen so far, with the place of each.
+/// Names seen so far, with the path of each.
 #[derive(Default)]
 struct UniqueNames(HashMap<String, String>);
 
@@ -77,7 +78,7 @@
         match self.0.entry(name.to_owned()) {
             Entry::Occupied(other) => reader.add_fault(Problem::DuplicateName { other: other.get().clone() }),
             Entry::Vacant(vacant) => {
-                vacant.insert(reader.place().to_string());
+                vacant.insert(reader.path().to_string());
             }
         }
     }
@@ -86,8 +87,8 @@
 /// What a route is checked against besides itself.
 struct RouteChecks<'a> {
     services: Option<HashSet<&'a str>>,
-    /// Place of the route that has a host and prefix.
-    places: HashMap<(String, String), String>,
+    /// Path of the route that has a host and prefix.
+    routes_by_host_and_prefix: HashMap<(String, String), String>,
 }
 
 impl RouteChecks<'_> {
@@ -100,12 +101,12 @@
 
     fn check_host_and_prefix(&mut self, host: &str, path_prefix: &str, reader: &ObjectReader<'_>) {
         let key = (normalized_host(host).into_owned(), path_prefix.to_owned());
-        match self.places.entry(key) {
+        match self.routes_by_host_and_prefix.entry(key) {
             Entry::Occupied(other) => {
                 reader.add_fault(Problem::DuplicateHostAndPrefix { other: other.get().clone() })
             }
             Entry::Vacant(vacant) => {
-                vacant.insert(reader.place().to_string());
+                vacant.insert(reader.path().to_string());
             }
         }
     }
@@ -235,7 +236,7 @@
     let handle_hold_ms = reader.seconds_as_ms_or("handleHoldS", DEFAULT_HANDLE_HOLD_MS);
     let role_switch_ms = reader.seconds_as_ms_or("roleSwitchS", DEFAULT_ROLE_SWITCH_MS);
     let faults = reader.faults();
-    let models = reader.list_or_empty("models", |value, place| model_name(value, place, faults));
+    let models = reader.list_or_empty("models", |value, path| model_name(value, path, faults));
     Some(Engine {
         slots: slots?,
         cache_tokens: cache_tokens?,
@@ -249,10 +250,10 @@
 }
 
 /// A model stands as an object with a `name`, or as the name alone.
-fn model_name(value: &Value, place: Place<'_>, faults: &FaultCollector) -> Option<String> {
+fn model_name(value: &Value, path: FieldPath<'_>, faults: &FaultCollector) -> Option<String> {
     match value {
         Value::String(name) => Some(name.clone()),
-        _ => ObjectReader::of(value, place, faults)?.text("name"),
+        _ => ObjectReader::of(value, path, faults)?.text("name"),
     }
 }
 
--- a/crates/lockusher-config/src/fault.rs
+++ b/crates/lockusher-config/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults found while reading a document: each with its place, all of them in one run.
+//! Faults found while reading a document: each with its location, all of them in one run.
 
 use std::fmt;
 
@@ -12,14 +12,14 @@
 
 /// One fault of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
-#[display("{place}: {problem}")]
+#[display("{location}: {problem}")]
 pub struct Fault {
     /// Where it is: a path such as `routes[3].timeoutMs`, or a line and key of a settings file.
-    pub place: String,
+    pub location: String,
     pub problem: Problem,
 }
 
-/// What is wrong at a place.
+/// What is wrong at a location.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum Problem {
     /// The document could not be read at all; the reader's message names line and column.
@@ -79,18 +79,18 @@
     }
 
     /// Adds a fault; it is only counted once there are [`MAX_FAULTS`].
-    pub fn add(&mut self, place: impl fmt::Display, problem: Problem) {
+    pub fn add(&mut self, location: impl fmt::Display, problem: Problem) {
         if self.faults.len() < MAX_FAULTS {
-            self.faults.push(Fault { place: place.to_string(), problem });
+            self.faults.push(Fault { location: location.to_string(), problem });
         } else {
             self.omitted += 1;
         }
     }
 
-    /// The same faults at other places, those that a problem names included.
+    /// The same faults at other locations, those that a problem names included.
     pub fn relocated(mut self, relocate: impl Fn(&str) -> String) -> Self {
         for fault in &mut self.faults {
-            fault.place = relocate(&fault.place);
+            fault.location = relocate(&fault.location);
             if let Problem::DuplicateName { other } | Problem::DuplicateHostAndPrefix { other } =
                 &mut fault.problem
             {
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -6,7 +6,7 @@
 
 use crate::fault::{Fault, Faults};
 use crate::instances::{Instance, InstanceState, ModelVersion, Stage};
-use crate::reader::{FaultCollector, ObjectReader, Place, unexpected};
+use crate::reader::{FaultCollector, FieldPath, ObjectReader, unexpected};
 use crate::unique_keys::parse_unique;
 
 /// Why a page can't be used at all.
@@ -28,16 +28,16 @@
     pub fn parse(body: &[u8]) -> Result<Self, InstancePageFaults> {
         let value = parse_unique(body).map_err(Faults::unreadable)?;
         let faults = FaultCollector::default();
-        let page = ObjectReader::of(&value, Place::Root, &faults).and_then(|reader| page(&reader));
+        let page = ObjectReader::of(&value, FieldPath::Root, &faults).and_then(|reader| page(&reader));
         page.ok_or_else(|| faults.into_faults())
     }
 }
 
 fn page(reader: &ObjectReader<'_>) -> Option<InstancePage> {
     let next_token = reader.text_or("nextToken", "")?;
-    let entries = reader.list("instances", |value, place| {
+    let entries = reader.list("instances", |value, path| {
         let faults = FaultCollector::default();
-        let instance = ObjectReader::of(value, place, &faults).and_then(|entry| instance(&entry));
+        let instance = ObjectReader::of(value, path, &faults).and_then(|entry| instance(&entry));
         Some((instance, faults.into_faults()))
     })?;
     let mut page =
@@ -62,7 +62,7 @@
     let state = state(reader);
     let cold_remaining_ms = reader.ms_or("coldRemainingMs", 0);
     let stage = stage(reader);
-    let models = reader.list_or_empty("models", |value, place| model(value, place, reader.faults()));
+    let models = reader.list_or_empty("models", |value, path| model(value, path, reader.faults()));
     Some(Instance {
         identifier: identifier?,
         service: service?,
@@ -107,8 +107,8 @@
     }
 }
 
-fn model(value: &Value, place: Place<'_>, faults: &FaultCollector) -> Option<ModelVersion> {
-    let reader = ObjectReader::of(value, place, faults)?;
+fn model(value: &Value, path: FieldPath<'_>, faults: &FaultCollector) -> Option<ModelVersion> {
+    let reader = ObjectReader::of(value, path, faults)?;
     let name = reader.text("name");
     let version = reader.whole_or("version", 0);
     Some(ModelVersion { name: name?, version: version? })
--- a/crates/lockusher-config/src/reader.rs
+++ b/crates/lockusher-config/src/reader.rs
@@ -20,7 +20,7 @@
 pub fn read_document<T>(body: &[u8], read: impl FnOnce(&ObjectReader<'_>) -> Option<T>) -> Result<T, Faults> {
     let value = parse_unique(body).map_err(Faults::unreadable)?;
     let faults = FaultCollector::default();
-    let result = ObjectReader::of(&value, Place::Root, &faults).and_then(|reader| read(&reader));
+    let result = ObjectReader::of(&value, FieldPath::Root, &faults).and_then(|reader| read(&reader));
     let faults = faults.into_faults();
     match result {
         Some(result) if faults.is_empty() => Ok(result),
@@ -36,8 +36,8 @@
 
 impl FaultCollector {
     /// Adds a fault.
-    pub fn add(&self, place: impl fmt::Display, problem: Problem) {
-        self.faults.borrow_mut().add(place, problem);
+    pub fn add(&self, location: impl fmt::Display, problem: Problem) {
+        self.faults.borrow_mut().add(location, problem);
     }
 
     /// All faults that were added.
@@ -46,21 +46,21 @@
     }
 }
 
-/// Place of a value in the document; only spelled out for an error.
+/// Path of a value in the document; only spelled out for an error.
 #[derive(Clone, Copy, Debug)]
-pub enum Place<'a> {
+pub enum FieldPath<'a> {
     Root,
-    Field(&'a Place<'a>, &'a str),
-    Item(&'a Place<'a>, usize),
+    Field(&'a FieldPath<'a>, &'a str),
+    Item(&'a FieldPath<'a>, usize),
 }
 
-impl fmt::Display for Place<'_> {
+impl fmt::Display for FieldPath<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Root => formatter.write_str("document"),
-            Place::Field(Place::Root, name) => formatter.write_str(name),
-            Place::Field(parent, name) => write!(formatter, "{parent}.{name}"),
-            Place::Item(parent, index) => write!(formatter, "{parent}[{index}]"),
+            FieldPath::Root => formatter.write_str("document"),
+            FieldPath::Field(FieldPath::Root, name) => formatter.write_str(name),
+            FieldPath::Field(parent, name) => write!(formatter, "{parent}.{name}"),
+            FieldPath::Item(parent, index) => write!(formatter, "{parent}[{index}]"),
         }
     }
 }
@@ -69,36 +69,36 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectReader<'a> {
     fields: &'a Map<String, Value>,
-    place: Place<'a>,
+    path: FieldPath<'a>,
     faults: &'a FaultCollector,
 }
 
 impl<'a> ObjectReader<'a> {
     /// Reads `value` as an object.
-    pub fn of(value: &'a Value, place: Place<'a>, faults: &'a FaultCollector) -> Option<Self> {
+    pub fn of(value: &'a Value, path: FieldPath<'a>, faults: &'a FaultCollector) -> Option<Self> {
         let Some(fields) = value.as_object() else {
-            faults.add(place, unexpected("an object", value));
+            faults.add(path, unexpected("an object", value));
             return None;
         };
-        Some(Self { fields, place, faults })
+        Some(Self { fields, path, faults })
     }
 
     pub fn faults(&self) -> &'a FaultCollector {
         self.faults
     }
 
-    pub fn place(&self) -> &Place<'a> {
-        &self.place
+    pub fn path(&self) -> &FieldPath<'a> {
+        &self.path
     }
 
     /// Adds a fault of the object itself.
     pub fn add_fault(&self, problem: Problem) {
-        self.faults.add(self.place, problem);
+        self.faults.add(self.path, problem);
     }
 
     /// Adds a fault of one of its fields.
     pub fn add_field_fault(&self, name: &str, problem: Problem) {
-        self.faults.add(Place::Field(&self.place, name), problem);
+        self.faults.add(FieldPath::Field(&self.path, name), problem);
     }
 
     /// The field's value, unless it is absent or `null`.
@@ -208,7 +208,7 @@
     ) -> Option<T> {
         match self.value(name) {
             Some(value) => {
-                let reader = ObjectReader::of(value, Place::Field(&self.place, name), self.faults)?;
+                let reader = ObjectReader::of(value, FieldPath::Field(&self.path, name), self.faults)?;
                 read(&reader)
             }
             None => Some(default),
@@ -216,7 +216,11 @@
     }
 
     /// Reads each item of the list in a field; items that can't be read are left out, and their faults collected.
-    pub fn list<T>(&self, name: &str, read: impl FnMut(&Value, Place<'_>) -> Option<T>) -> Option<Vec<T>> {
+    pub fn list<T>(
+        &self,
+        name: &str,
+        read: impl FnMut(&Value, FieldPath<'_>) -> Option<T>,
+    ) -> Option<Vec<T>> {
         let Some(value) = self.value(name) else {
             self.add_field_fault(name, Problem::Missing);
             return None;
@@ -228,7 +232,7 @@
     pub fn list_or_empty<T>(
         &self,
         name: &str,
-        read: impl FnMut(&Value, Place<'_>) -> Option<T>,
+        read: impl FnMut(&Value, FieldPath<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
         match self.value(name) {
             Some(value) => self.items(name, value, read),
@@ -242,22 +246,22 @@
         name: &str,
         mut read: impl FnMut(&ObjectReader<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
-        self.list(name, |value, place| read(&ObjectReader::of(value, place, self.faults)?))
+        self.list(name, |value, path| read(&ObjectReader::of(value, path, self.faults)?))
     }
 
     fn items<T>(
         &self,
         name: &str,
         value: &Value,
-        mut read: impl FnMut(&Value, Place<'_>) -> Option<T>,
+        mut read: impl FnMut(&Value, FieldPath<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
         let Some(items) = value.as_array() else {
             self.add_field_fault(name, unexpected("a list", value));
             return None;
         };
-        let place = Place::Field(&self.place, name);
+        let path = FieldPath::Field(&self.path, name);
         let read_items = items.iter().enumerate();
-        Some(read_items.filter_map(|(index, item)| read(item, Place::Item(&place, index))).collect())
+        Some(read_items.filter_map(|(index, item)| read(item, FieldPath::Item(&path, index))).collect())
     }
 }
 
--- a/crates/lockusher-config/src/route_table.rs
+++ b/crates/lockusher-config/src/route_table.rs
@@ -27,7 +27,7 @@
     nodes: Vec<Node>,
 }
 
-/// The place in a tree after a series of segments, each with the slash that ends it.
+/// The position in a tree after a series of segments, each with the slash that ends it.
 #[derive(Clone, Debug, Default)]
 struct Node {
     children: HashMap<Box<str>, NodeIndex>,
--- a/crates/lockusher-config/src/settings_lines.rs
+++ b/crates/lockusher-config/src/settings_lines.rs
@@ -20,7 +20,7 @@
     repeated_on: Option<usize>,
 }
 
-/// Place of a fault in a settings file.
+/// Location of a fault in a settings file.
 #[derive(Clone, Copy, Debug, Display)]
 #[display("line {line}, {key}")]
 struct LineAndKey<'a> {
