--- a/crates/lockusher-config/src/configuration_patch.rs
+++ b/crates/lockusher-config/src/configuration_patch.rs
@@ -18,7 +18,7 @@
 const LISTS: [&str; 2] = ["routes", "services"];
 
 /// Fields of a whole configuration that a patch can't set; ignoring them would lose what the operator asks for.
-const WHOLE_ONLY: [&str; 3] = ["routes", "services", "limits"];
+const NOT_PATCHABLE: [&str; 3] = ["routes", "services", "limits"];
 
 /// Changes to named items of a configuration.
 #[derive(Clone, Debug, PartialEq)]
@@ -112,8 +112,8 @@
 }
 
 fn patch(reader: &ObjectReader<'_>) -> Option<ConfigurationPatch> {
-    let version = reader.positive("version");
-    for field in WHOLE_ONLY.into_iter().filter(|field| reader.value(field).is_some()) {
+    let version = reader.positive_integer("version");
+    for field in NOT_PATCHABLE.into_iter().filter(|field| reader.value(field).is_some()) {
         reader.add_field_fault(field, Problem::NotInPatch);
     }
     let upserts = reader.object_or("upsert", Default::default(), |reader| named_lists(reader, upserted));
--- a/crates/lockusher-config/src/configuration_reader.rs
+++ b/crates/lockusher-config/src/configuration_reader.rs
@@ -52,7 +52,7 @@
 }
 
 fn configuration(reader: &ObjectReader<'_>) -> Option<Configuration> {
-    let version = reader.positive("version");
+    let version = reader.positive_integer("version");
     let mut service_names = UniqueNames::default();
     let services = reader.objects("services", |reader| service(reader, &mut service_names));
     let mut checks =
@@ -122,7 +122,7 @@
     let kind = route_kind(reader);
     let timeout_ms = reader.positive_ms("timeoutMs");
     let target_latency_ms = reader.ms_or("targetLatencyMs", 0);
-    let priority = reader.whole_or("priority", DEFAULT_PRIORITY);
+    let priority = reader.integer_or("priority", DEFAULT_PRIORITY);
     let split = split(reader, checks);
     let attempts = reader.positive_u32_or("attempts", DEFAULT_ATTEMPTS);
     let sticky = reader.flag_or("sticky", false);
@@ -229,8 +229,8 @@
 
 fn engine(reader: &ObjectReader<'_>) -> Option<Engine> {
     let slots = reader.positive_u32_or("slots", DEFAULT_SLOTS);
-    let cache_tokens = reader.whole_or("cacheTokens", 0);
-    let cache_token_bytes = reader.whole_or("cacheTokenBytes", 0);
+    let cache_tokens = reader.integer_or("cacheTokens", 0);
+    let cache_token_bytes = reader.integer_or("cacheTokenBytes", 0);
     let link_mbps = reader.positive_number_or("linkMbps", DEFAULT_LINK_MBPS);
     let stride = reader.positive_u32_or("stride", DEFAULT_STRIDE);
     let handle_hold_ms = reader.seconds_as_ms_or("handleHoldS", DEFAULT_HANDLE_HOLD_MS);
@@ -258,8 +258,8 @@
 }
 
 fn limits(reader: &ObjectReader<'_>) -> Option<Limits> {
-    let header_bytes = reader.positive_or("headerBytes", DEFAULT_LIMITS.header_bytes);
-    let body_bytes = reader.whole_or("bodyBytes", DEFAULT_LIMITS.body_bytes);
+    let header_bytes = reader.positive_integer_or("headerBytes", DEFAULT_LIMITS.header_bytes);
+    let body_bytes = reader.integer_or("bodyBytes", DEFAULT_LIMITS.body_bytes);
     let header_timeout_ms = reader.ms_or("headerTimeoutMs", DEFAULT_LIMITS.header_timeout_ms);
     let idle_timeout_ms = reader.ms_or("idleTimeoutMs", DEFAULT_LIMITS.idle_timeout_ms);
     Some(Limits {
--- a/crates/lockusher-config/src/duration.rs
+++ b/crates/lockusher-config/src/duration.rs
@@ -6,7 +6,7 @@
 const MS_PER_S: f64 = 1_000.0;
 
 /// Milliseconds of a number that isn't negative; fractions count as a whole millisecond.
-pub(crate) fn whole_ms(ms: f64) -> u64 {
+pub(crate) fn rounded_up_ms(ms: f64) -> u64 {
     (ms.ceil() as u64).min(MAX_MS)
 }
 
--- a/crates/lockusher-config/src/fault.rs
+++ b/crates/lockusher-config/src/fault.rs
@@ -8,7 +8,7 @@
 pub const MAX_FAULTS: usize = 1_000;
 
 /// At most this many characters of a wrong value are shown.
-const SHOWN_CHARACTERS: usize = 40;
+const MAX_VALUE_CHARACTERS: usize = 40;
 
 /// One fault of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
@@ -131,10 +131,10 @@
 }
 
 /// The beginning of a wrong value, for an error message.
-pub(crate) fn shown(value: &str) -> String {
-    if value.chars().count() <= SHOWN_CHARACTERS {
+pub(crate) fn truncated_for_message(value: &str) -> String {
+    if value.chars().count() <= MAX_VALUE_CHARACTERS {
         return value.to_owned();
     }
-    let beginning: String = value.chars().take(SHOWN_CHARACTERS).collect();
+    let beginning: String = value.chars().take(MAX_VALUE_CHARACTERS).collect();
     format!("{beginning}…")
 }
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -110,6 +110,6 @@
 fn model(value: &Value, path: FieldPath<'_>, faults: &FaultCollector) -> Option<ModelVersion> {
     let reader = ObjectReader::of(value, path, faults)?;
     let name = reader.text("name");
-    let version = reader.whole_or("version", 0);
+    let version = reader.integer_or("version", 0);
     Some(ModelVersion { name: name?, version: version? })
 }
--- a/crates/lockusher-config/src/reader.rs
+++ b/crates/lockusher-config/src/reader.rs
@@ -9,8 +9,8 @@
 
 use serde_json::{Map, Value};
 
-use crate::duration::{seconds_to_ms, whole_ms};
-use crate::fault::{Faults, Problem, shown};
+use crate::duration::{rounded_up_ms, seconds_to_ms};
+use crate::fault::{Faults, Problem, truncated_for_message};
 use crate::unique_keys::parse_unique;
 
 /// Whole numbers above this can't be told apart as floats.
@@ -150,12 +150,12 @@
     }
 
     /// A whole number above 0.
-    pub fn positive(&self, name: &str) -> Option<u64> {
-        self.required(name, positive_whole)
+    pub fn positive_integer(&self, name: &str) -> Option<u64> {
+        self.required(name, positive_integer)
     }
 
-    pub fn positive_or(&self, name: &str, default: u64) -> Option<u64> {
-        self.optional(name, default, positive_whole)
+    pub fn positive_integer_or(&self, name: &str, default: u64) -> Option<u64> {
+        self.optional(name, default, positive_integer)
     }
 
     /// A whole number above 0 that fits into 32 bits.
@@ -164,23 +164,23 @@
     }
 
     /// A whole number.
-    pub fn whole_or(&self, name: &str, default: u64) -> Option<u64> {
-        self.optional(name, default, whole)
+    pub fn integer_or(&self, name: &str, default: u64) -> Option<u64> {
+        self.optional(name, default, integer)
     }
 
     /// A whole number that fits into 32 bits.
     pub fn u32(&self, name: &str) -> Option<u32> {
-        self.required(name, whole_u32)
+        self.required(name, integer_u32)
     }
 
     /// A duration in milliseconds, not 0; fractions count as a whole millisecond.
     pub fn positive_ms(&self, name: &str) -> Option<u64> {
-        self.required(name, |value| positive_number(value).map(whole_ms))
+        self.required(name, |value| positive_number(value).map(rounded_up_ms))
     }
 
     /// A duration in milliseconds; fractions count as a whole millisecond.
     pub fn ms_or(&self, name: &str, default: u64) -> Option<u64> {
-        self.optional(name, default, |value| number(value).map(whole_ms))
+        self.optional(name, default, |value| number(value).map(rounded_up_ms))
     }
 
     /// A duration given in seconds, in milliseconds.
@@ -267,7 +267,7 @@
 
 /// The problem of a value that is not what was expected.
 pub fn unexpected(expected: &'static str, value: &Value) -> Problem {
-    Problem::Unexpected { expected, found: shown(&value.to_string()) }
+    Problem::Unexpected { expected, found: truncated_for_message(&value.to_string()) }
 }
 
 fn text(value: &Value) -> Result<String, Problem> {
@@ -287,29 +287,31 @@
     number(value).ok().filter(|number| *number > 0.0).ok_or_else(|| unexpected("a positive number", value))
 }
 
-fn whole_value(value: &Value) -> Option<u64> {
-    if let Some(whole) = value.as_u64() {
-        return Some(whole);
+fn exact_integer(value: &Value) -> Option<u64> {
+    if let Some(integer) = value.as_u64() {
+        return Some(integer);
     }
     let float = value.as_f64()?;
     let exact = float.fract() == 0.0 && (0.0..=MAX_EXACT_FLOAT).contains(&float);
     exact.then_some(float as u64)
 }
 
-fn whole(value: &Value) -> Result<u64, Problem> {
-    whole_value(value).ok_or_else(|| unexpected("a whole number", value))
+fn integer(value: &Value) -> Result<u64, Problem> {
+    exact_integer(value).ok_or_else(|| unexpected("a whole number", value))
 }
 
-fn positive_whole(value: &Value) -> Result<u64, Problem> {
-    whole_value(value).filter(|whole| *whole > 0).ok_or_else(|| unexpected("a positive whole number", value))
+fn positive_integer(value: &Value) -> Result<u64, Problem> {
+    exact_integer(value)
+        .filter(|integer| *integer > 0)
+        .ok_or_else(|| unexpected("a positive whole number", value))
 }
 
-fn whole_u32(value: &Value) -> Result<u32, Problem> {
-    let whole = whole_value(value).and_then(|whole| u32::try_from(whole).ok());
-    whole.ok_or_else(|| unexpected("a whole number below 2^32", value))
+fn integer_u32(value: &Value) -> Result<u32, Problem> {
+    let integer = exact_integer(value).and_then(|integer| u32::try_from(integer).ok());
+    integer.ok_or_else(|| unexpected("a whole number below 2^32", value))
 }
 
 fn positive_u32(value: &Value) -> Result<u32, Problem> {
-    let whole = whole_u32(value).ok().filter(|whole| *whole > 0);
-    whole.ok_or_else(|| unexpected("a positive whole number below 2^32", value))
+    let integer = integer_u32(value).ok().filter(|integer| *integer > 0);
+    integer.ok_or_else(|| unexpected("a positive whole number below 2^32", value))
 }
--- a/crates/lockusher-config/src/settings_lines.rs
+++ b/crates/lockusher-config/src/settings_lines.rs
@@ -6,8 +6,8 @@
 
 use derive_more::Display;
 
-use crate::duration::{seconds_to_ms, whole_ms};
-use crate::fault::{Faults, Problem, shown};
+use crate::duration::{rounded_up_ms, seconds_to_ms};
+use crate::fault::{Faults, Problem, truncated_for_message};
 
 const COMMENT: char = '#';
 
@@ -50,7 +50,7 @@
             return;
         }
         let Some((key, value)) = line.split_once('=') else {
-            let problem = Problem::Unexpected { expected: "key=value", found: shown(line) };
+            let problem = Problem::Unexpected { expected: "key=value", found: truncated_for_message(line) };
             self.faults.add(format_args!("line {number}"), problem);
             return;
         };
@@ -75,7 +75,10 @@
     }
 
     fn unexpected(&mut self, line: usize, key: &str, expected: &'static str, found: &str) {
-        self.faults.add(LineAndKey { line, key }, Problem::Unexpected { expected, found: shown(found) });
+        self.faults.add(
+            LineAndKey { line, key },
+            Problem::Unexpected { expected, found: truncated_for_message(found) },
+        );
     }
 
     fn missing(&mut self, key: impl fmt::Display) {
@@ -108,7 +111,7 @@
     }
 
     /// The value of a key, or the default if it is absent.
-    pub fn or<T: FromStr>(&mut self, key: &str, expected: &'static str, default: T) -> Option<T> {
+    pub fn value_or<T: FromStr>(&mut self, key: &str, expected: &'static str, default: T) -> Option<T> {
         self.optional(key, expected).map(|value| value.unwrap_or(default))
     }
 
@@ -118,7 +121,7 @@
     }
 
     /// A number above 0.
-    pub fn positive(&mut self, key: &str, default: f64) -> Option<f64> {
+    pub fn positive_number(&mut self, key: &str, default: f64) -> Option<f64> {
         self.number_where(key, "a positive number", default, |number| number > 0.0)
     }
 
@@ -140,12 +143,12 @@
 
     /// A duration in milliseconds; fractions count as a whole millisecond.
     pub fn ms(&mut self, key: &str, default: u64) -> Option<u64> {
-        self.number(key, default as f64).map(whole_ms)
+        self.number(key, default as f64).map(rounded_up_ms)
     }
 
     /// A duration in milliseconds, above 0.
     pub fn positive_ms(&mut self, key: &str, default: u64) -> Option<u64> {
-        self.positive(key, default as f64).map(whole_ms)
+        self.positive_number(key, default as f64).map(rounded_up_ms)
     }
 
     /// A duration given in seconds, in milliseconds.
@@ -170,7 +173,7 @@
     }
 
     /// A range of ports, `FIRST,LAST`, that must be there.
-    pub fn ports(&mut self, key: &str) -> Option<(u16, u16)> {
+    pub fn port_range(&mut self, key: &str) -> Option<(u16, u16)> {
         const EXPECTED: &str = "FIRST,LAST port";
         let Some(entry) = self.entry(key) else {
             self.missing(key);
@@ -191,7 +194,7 @@
     }
 
     /// All keys that begin with `prefix` and have a value, without the prefix.
-    pub fn below(&mut self, prefix: &str) -> BTreeMap<String, String> {
+    pub fn with_prefix(&mut self, prefix: &str) -> BTreeMap<String, String> {
         let keys: Vec<&str> = self.entries.keys().copied().filter(|key| key.starts_with(prefix)).collect();
         let mut values = BTreeMap::new();
         for key in keys {
--- a/crates/lockusher-config/src/settings_reader.rs
+++ b/crates/lockusher-config/src/settings_reader.rs
@@ -72,25 +72,25 @@
 fn settings(lines: &mut SettingsLines<'_>) -> Option<NodeSettings> {
     let node = lines.required("node", "a name");
     let zone: Option<String> = lines.required("zone", "a name");
-    let zones = lines.below("zones.");
+    let zones = lines.with_prefix("zones.");
     let region_of_zone = zone.as_ref().and_then(|zone| zones.get(zone)).cloned().unwrap_or_default();
-    let region = lines.or("region", "a name", region_of_zone);
+    let region = lines.value_or("region", "a name", region_of_zone);
     let ip_address = lines.required("ipAddress", "an IPv4 address");
     let front = optional_address(lines, "listenAddresses.front");
     let readiness = optional_address(lines, "listenAddresses.readiness");
     let control = optional_address(lines, "listenAddresses.control");
-    let internal_ports = lines.ports("internalPorts");
+    let internal_ports = lines.port_range("internalPorts");
     let seeds = lines.list("seeds", "IP:PORT");
-    let first_start = lines.or("firstStart", "true or false", false);
-    let counts_for_quorum = lines.or("countsForQuorum", "true or false", false);
+    let first_start = lines.value_or("firstStart", "true or false", false);
+    let counts_for_quorum = lines.value_or("countsForQuorum", "true or false", false);
     let data_directory = lines.optional("dataDirectory", "a path");
     let limits = node_limits(lines);
     let fault_tolerance_machines =
-        lines.or("faultTolerance.machines", "a whole number", DEFAULT_FAULT_TOLERANCE_MACHINES);
+        lines.value_or("faultTolerance.machines", "a whole number", DEFAULT_FAULT_TOLERANCE_MACHINES);
     let heartbeat_ms = lines.positive_ms("heartbeatMs", DEFAULT_HEARTBEAT_MS);
     let bounds = bounds(lines);
     let cloud_address = lines.required("cloud.address", "IP:PORT");
-    let cloud_rate_per_s = lines.positive("cloud.ratePerS", DEFAULT_CLOUD_RATE_PER_S);
+    let cloud_rate_per_s = lines.positive_number("cloud.ratePerS", DEFAULT_CLOUD_RATE_PER_S);
     let cloud_lag_ms = lines.ms("cloud.lagMs", DEFAULT_CLOUD_LAG_MS);
     Some(NodeSettings {
         node: node?,
@@ -120,18 +120,18 @@
     lines.optional(key, "IP:PORT")
 }
 
-fn whole_or<T: FromStr>(lines: &mut SettingsLines<'_>, key: &str, default: T) -> Option<T> {
-    lines.or(key, "a whole number", default)
+fn integer_or<T: FromStr>(lines: &mut SettingsLines<'_>, key: &str, default: T) -> Option<T> {
+    lines.value_or(key, "a whole number", default)
 }
 
 fn node_limits(lines: &mut SettingsLines<'_>) -> Option<NodeLimits> {
     let default = DEFAULT_LIMITS;
-    let cpu_share = lines.positive("limits.cpuShare", default.cpu_share);
-    let cores = whole_or(lines, "limits.cores", default.cores);
-    let memory_mb = whole_or(lines, "limits.memoryMb", default.memory_mb);
-    let file_descriptors = whole_or(lines, "limits.fileDescriptors", default.file_descriptors);
-    let link_mbps = lines.positive("limits.linkMbps", default.link_mbps);
-    let disk_mb = whole_or(lines, "limits.diskMb", default.disk_mb);
+    let cpu_share = lines.positive_number("limits.cpuShare", default.cpu_share);
+    let cores = integer_or(lines, "limits.cores", default.cores);
+    let memory_mb = integer_or(lines, "limits.memoryMb", default.memory_mb);
+    let file_descriptors = integer_or(lines, "limits.fileDescriptors", default.file_descriptors);
+    let link_mbps = lines.positive_number("limits.linkMbps", default.link_mbps);
+    let disk_mb = integer_or(lines, "limits.diskMb", default.disk_mb);
     Some(NodeLimits {
         cpu_share: cpu_share?,
         cores: cores?,
@@ -161,7 +161,7 @@
     let recovery_ms = lines.seconds_as_ms("bounds.recoveryS", default.recovery_ms);
     let transit_ms = lines.ms("bounds.transitMs", default.transit_ms);
     let again_ms = lines.seconds_as_ms("bounds.again_s", default.again_ms);
-    let fenced = lines.or("bounds.fenced", "true or false", default.fenced);
+    let fenced = lines.value_or("bounds.fenced", "true or false", default.fenced);
     let lease_ms = lines.ms("bounds.leaseMs", default.lease_ms);
     let thaw_ms = lines.ms("bounds.thawMs", default.thaw_ms);
     Some(Bounds {
