--- a/crates/lockusher-agent/src/peers/fetch.rs
+++ b/crates/lockusher-agent/src/peers/fetch.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddrV4;
 
 /// How long the control plane is waited for.
-const PATIENCE_MS: u64 = 700;
+const CONTROL_PLANE_WAIT_MS: u64 = 700;
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct AdvertisedVersion {
     version: u64,
     peer: SocketAddrV4,
     since_ms: u64,
@@ -18,37 +18,37 @@
 /// The newest version that peers told of.
 #[derive(Debug, Default)]
 pub struct FetchPolicy {
-    heard: Option<Heard>,
+    newest: Option<AdvertisedVersion>,
 }
 
 impl FetchPolicy {
     /// A peer says that it holds `version`.
-    pub fn hear(&mut self, now_ms: u64, peer: SocketAddrV4, version: u64, held_version: u64) {
-        if version <= held_version {
+    pub fn advertise(&mut self, now_ms: u64, peer: SocketAddrV4, version: u64, local_version: u64) {
+        if version <= local_version {
             return;
         }
-        match &mut self.heard {
-            Some(heard) if heard.version > held_version => {
-                if version >= heard.version {
-                    heard.version = version;
-                    heard.peer = peer;
+        match &mut self.newest {
+            Some(newest) if newest.version > local_version => {
+                if version >= newest.version {
+                    newest.version = version;
+                    newest.peer = peer;
                 }
             }
-            _ => self.heard = Some(Heard { version, peer, since_ms: now_ms }),
+            _ => self.newest = Some(AdvertisedVersion { version, peer, since_ms: now_ms }),
         }
     }
 
     /// The peer to fetch from now, if any; it isn't named again before it speaks again.
-    pub fn take_due(&mut self, now_ms: u64, held_version: u64) -> Option<SocketAddrV4> {
-        let heard = self.heard?;
-        if heard.version <= held_version {
-            self.heard = None;
+    pub fn take_due(&mut self, now_ms: u64, local_version: u64) -> Option<SocketAddrV4> {
+        let newest = self.newest?;
+        if newest.version <= local_version {
+            self.newest = None;
             return None;
         }
-        if now_ms < heard.since_ms + PATIENCE_MS {
+        if now_ms < newest.since_ms + CONTROL_PLANE_WAIT_MS {
             return None;
         }
-        self.heard = None;
-        Some(heard.peer)
+        self.newest = None;
+        Some(newest.peer)
     }
 }
--- a/crates/lockusher-agent/src/peers/gossip.rs
+++ b/crates/lockusher-agent/src/peers/gossip.rs
@@ -7,14 +7,14 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::fetch::FetchPolicy;
-use super::message::{EndRumor, News, PeerMessage};
+use super::message::{GossipUpdate, InstanceDeparture, PeerMessage};
 use super::rumors::Rumors;
 use super::view::PeerView;
 
 /// Pause between two rounds at rest.
-pub const REST_ROUND_MS: u64 = 1_000;
+pub const IDLE_GOSSIP_INTERVAL_MS: u64 = 1_000;
 /// Pause between two rounds while the control plane isn't heard and there is something to tell.
-pub const URGENT_ROUND_MS: u64 = 200;
+pub const URGENT_GOSSIP_INTERVAL_MS: u64 = 200;
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,9 +26,9 @@
 /// What a message brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    pub answer: Option<Outgoing>,
-    /// Ends that the sender saw; those that are new are to be told on by [`Gossip::learn`].
-    pub ended: Vec<EndRumor>,
+    pub response: Option<Outgoing>,
+    /// Ends that the sender saw; those that are new are to be told on by [`Gossip::add_rumor`].
+    pub departures: Vec<InstanceDeparture>,
 }
 
 /// One agent's part in the gossip.
@@ -38,7 +38,7 @@
     rumors: Rumors,
     fetch: FetchPolicy,
     configuration_version: u64,
-    last_round_ms: u64,
+    last_exchange_ms: u64,
     jitter_ms: u64,
     random: ChaCha8Rng,
 }
@@ -47,13 +47,13 @@
     /// `own`: the address at which this agent hears others.
     pub fn new(own: SocketAddrV4, random_seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(random_seed);
-        let jitter_ms = random.random_range(0..REST_ROUND_MS / 4);
+        let jitter_ms = random.random_range(0..IDLE_GOSSIP_INTERVAL_MS / 4);
         Gossip {
             view: PeerView::new(own),
             rumors: Rumors::default(),
             fetch: FetchPolicy::default(),
             configuration_version: 0,
-            last_round_ms: 0,
+            last_exchange_ms: 0,
             jitter_ms,
             random,
         }
@@ -75,38 +75,39 @@
     }
 
     /// Takes an end that is new to this agent.
-    pub fn learn(&mut self, identifier: String, end: Departure) {
-        self.rumors.learn(EndRumor { identifier, end });
+    pub fn add_rumor(&mut self, identifier: String, departure: Departure) {
+        self.rumors.add(InstanceDeparture { identifier, departure });
     }
 
-    /// When the next round is due; `cut_off`: the control plane isn't heard.
-    pub fn next_round_ms(&self, cut_off: bool) -> u64 {
-        let urgent = cut_off && !self.rumors.is_empty();
-        let pause_ms = if urgent { URGENT_ROUND_MS } else { REST_ROUND_MS + self.jitter_ms };
-        self.last_round_ms + pause_ms
+    /// When the next round is due; `is_partitioned`: the control plane isn't heard.
+    pub fn next_exchange_ms(&self, is_partitioned: bool) -> u64 {
+        let urgent = is_partitioned && !self.rumors.is_empty();
+        let pause_ms =
+            if urgent { URGENT_GOSSIP_INTERVAL_MS } else { IDLE_GOSSIP_INTERVAL_MS + self.jitter_ms };
+        self.last_exchange_ms + pause_ms
     }
 
     /// Begins a round.
-    pub fn round(&mut self, now_ms: u64) -> Option<Outgoing> {
-        self.last_round_ms = now_ms;
-        self.jitter_ms = self.random.random_range(0..REST_ROUND_MS / 4);
-        let (to, entries) = self.view.begin(&mut self.random)?;
-        let message = PeerMessage::Shuffle { entries, news: self.news() };
+    pub fn start_exchange(&mut self, now_ms: u64) -> Option<Outgoing> {
+        self.last_exchange_ms = now_ms;
+        self.jitter_ms = self.random.random_range(0..IDLE_GOSSIP_INTERVAL_MS / 4);
+        let (to, entries) = self.view.start_shuffle(&mut self.random)?;
+        let message = PeerMessage::ShuffleRequest { entries, update: self.next_update() };
         Some(Outgoing { to, message })
     }
 
     /// Takes a message of a peer.
     pub fn receive(&mut self, now_ms: u64, from: SocketAddrV4, message: PeerMessage) -> Received {
         match message {
-            PeerMessage::Shuffle { entries, news } => {
-                let entries = self.view.answer(from, &entries, &mut self.random);
-                let message = PeerMessage::Answer { entries, news: self.news() };
-                let ended = self.hear(now_ms, from, news);
-                Received { answer: Some(Outgoing { to: from, message }), ended }
+            PeerMessage::ShuffleRequest { entries, update } => {
+                let entries = self.view.answer_shuffle(from, &entries, &mut self.random);
+                let message = PeerMessage::ShuffleResponse { entries, update: self.next_update() };
+                let departures = self.receive_update(now_ms, from, update);
+                Received { response: Some(Outgoing { to: from, message }), departures }
             }
-            PeerMessage::Answer { entries, news } => {
-                self.view.finish(from, &entries);
-                Received { answer: None, ended: self.hear(now_ms, from, news) }
+            PeerMessage::ShuffleResponse { entries, update } => {
+                self.view.finish_shuffle(from, &entries);
+                Received { response: None, departures: self.receive_update(now_ms, from, update) }
             }
         }
     }
@@ -116,12 +117,20 @@
         self.fetch.take_due(now_ms, self.configuration_version)
     }
 
-    fn hear(&mut self, now_ms: u64, from: SocketAddrV4, news: News) -> Vec<EndRumor> {
-        self.fetch.hear(now_ms, from, news.configuration_version, self.configuration_version);
-        news.ended
+    fn receive_update(
+        &mut self,
+        now_ms: u64,
+        from: SocketAddrV4,
+        update: GossipUpdate,
+    ) -> Vec<InstanceDeparture> {
+        self.fetch.advertise(now_ms, from, update.configuration_version, self.configuration_version);
+        update.departures
     }
 
-    fn news(&mut self) -> News {
-        News { configuration_version: self.configuration_version, ended: self.rumors.tell() }
+    fn next_update(&mut self) -> GossipUpdate {
+        GossipUpdate {
+            configuration_version: self.configuration_version,
+            departures: self.rumors.take_for_message(),
+        }
     }
 }
--- a/crates/lockusher-agent/src/peers/message.rs
+++ b/crates/lockusher-agent/src/peers/message.rs
@@ -16,24 +16,24 @@
 
 /// A searcher whose end was seen.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct EndRumor {
+pub struct InstanceDeparture {
     pub identifier: String,
-    pub end: Departure,
+    pub departure: Departure,
 }
 
 /// What is told with every exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct News {
+pub struct GossipUpdate {
     /// Newest configuration version that the sender holds; 0: none.
     pub configuration_version: u64,
-    pub ended: Vec<EndRumor>,
+    pub departures: Vec<InstanceDeparture>,
 }
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum PeerMessage {
     /// Begins an exchange.
-    Shuffle { entries: Vec<PeerEntry>, news: News },
+    ShuffleRequest { entries: Vec<PeerEntry>, update: GossipUpdate },
     /// Ends it.
-    Answer { entries: Vec<PeerEntry>, news: News },
+    ShuffleResponse { entries: Vec<PeerEntry>, update: GossipUpdate },
 }
--- a/crates/lockusher-agent/src/peers/rumors.rs
+++ b/crates/lockusher-agent/src/peers/rumors.rs
@@ -2,33 +2,33 @@
 
 use std::collections::VecDeque;
 
-use super::message::EndRumor;
+use super::message::InstanceDeparture;
 
 /// In how many messages an agent tells a rumor after it learned it. With each agent telling that many others, all but
 /// about one in e^6 hear it, and those hear it again from the next readings.
-const TELLINGS: u32 = 6;
+const TRANSMISSIONS_PER_RUMOR: u32 = 6;
 /// Rumors in one message.
-const MOST_TOLD: usize = 16;
+const MAX_RUMORS_PER_MESSAGE: usize = 16;
 /// Rumors that are kept; the oldest give way.
-const MOST_KEPT: usize = 128;
+const MAX_PENDING_RUMORS: usize = 128;
 /// Longer identifiers aren't told, so that a message fits a datagram.
-const LONGEST_IDENTIFIER: usize = 48;
+const MAX_IDENTIFIER_BYTES: usize = 48;
 
 /// Rumors that are still to be told.
 #[derive(Debug, Default)]
 pub struct Rumors {
-    entries: VecDeque<(EndRumor, u32)>,
+    entries: VecDeque<(InstanceDeparture, u32)>,
 }
 
 impl Rumors {
     /// Takes a rumor that is new to this agent.
-    pub fn learn(&mut self, rumor: EndRumor) {
-        if rumor.identifier.len() > LONGEST_IDENTIFIER {
+    pub fn add(&mut self, rumor: InstanceDeparture) {
+        if rumor.identifier.len() > MAX_IDENTIFIER_BYTES {
             return;
         }
         self.entries.retain(|(known, _)| known.identifier != rumor.identifier);
-        self.entries.push_back((rumor, TELLINGS));
-        if self.entries.len() > MOST_KEPT {
+        self.entries.push_back((rumor, TRANSMISSIONS_PER_RUMOR));
+        if self.entries.len() > MAX_PENDING_RUMORS {
             self.entries.pop_front();
         }
     }
@@ -39,14 +39,16 @@
     }
 
     /// The rumors for one message, those told least first; each counts as told once more.
-    pub fn tell(&mut self) -> Vec<EndRumor> {
-        self.entries.make_contiguous().sort_by_key(|(_, tellings)| std::cmp::Reverse(*tellings));
-        let mut told = Vec::new();
-        for (rumor, tellings) in self.entries.iter_mut().take(MOST_TOLD) {
-            told.push(rumor.clone());
-            *tellings -= 1;
+    pub fn take_for_message(&mut self) -> Vec<InstanceDeparture> {
+        self.entries
+            .make_contiguous()
+            .sort_by_key(|(_, transmissions_left)| std::cmp::Reverse(*transmissions_left));
+        let mut selected = Vec::new();
+        for (rumor, transmissions_left) in self.entries.iter_mut().take(MAX_RUMORS_PER_MESSAGE) {
+            selected.push(rumor.clone());
+            *transmissions_left -= 1;
         }
-        self.entries.retain(|(_, tellings)| *tellings > 0);
-        told
+        self.entries.retain(|(_, transmissions_left)| *transmissions_left > 0);
+        selected
     }
 }
--- a/crates/lockusher-agent/src/peers/serve.rs
+++ b/crates/lockusher-agent/src/peers/serve.rs
@@ -16,14 +16,14 @@
 use lockusher_transport::frame;
 
 use super::gossip::{Gossip, Outgoing};
-use super::message::{EndRumor, PeerMessage};
+use super::message::{InstanceDeparture, PeerMessage};
 
 /// The longest datagram that is taken.
-const DATAGRAM_BYTES: usize = 2_048;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 /// Pause after a failed receive, so that a broken socket doesn't spin.
-const FAILURE_PAUSE: Duration = Duration::from_millis(100);
+const RECEIVE_BACK_OFF: Duration = Duration::from_millis(100);
 /// The longest that fetching a configuration may take.
-const FETCH_LIMIT: Duration = Duration::from_secs(3);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The gossip and its socket.
 pub struct PeerSocket {
@@ -51,52 +51,57 @@
         &self.received
     }
 
-    /// Receives for ever; `heard` takes the ends that peers told.
-    pub async fn receive(self: Rc<Self>, heard: impl Fn(Vec<EndRumor>)) {
-        let mut buffer = Vec::with_capacity(DATAGRAM_BYTES);
+    /// Receives for ever; `on_departures` takes the ends that peers told.
+    pub async fn receive(self: Rc<Self>, on_departures: impl Fn(Vec<InstanceDeparture>)) {
+        let mut buffer = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         loop {
             buffer.clear();
             let BufResult(received, filled) = self.socket.recv_from(buffer).await;
             buffer = filled;
             match received {
-                Ok((_, SocketAddr::V4(from))) => self.take(from, &buffer, &heard).await,
+                Ok((_, SocketAddr::V4(from))) => self.receive_datagram(from, &buffer, &on_departures).await,
                 Ok(_) => {}
                 Err(error) => {
                     log::debug!("peers: {error}");
-                    compio::time::sleep(FAILURE_PAUSE).await;
+                    compio::time::sleep(RECEIVE_BACK_OFF).await;
                 }
             }
         }
     }
 
-    /// Begins rounds for ever; `cut_off` says whether the control plane isn't heard.
-    pub async fn begin_rounds(self: Rc<Self>, cut_off: impl Fn() -> bool) {
+    /// Begins rounds for ever; `is_partitioned` says whether the control plane isn't heard.
+    pub async fn run_gossip(self: Rc<Self>, is_partitioned: impl Fn() -> bool) {
         loop {
             let now_ms = self.clock.millis();
-            let due_ms = self.gossip.borrow().next_round_ms(cut_off());
+            let due_ms = self.gossip.borrow().next_exchange_ms(is_partitioned());
             if now_ms < due_ms {
-                let pause_ms = (due_ms - now_ms).min(super::gossip::REST_ROUND_MS);
+                let pause_ms = (due_ms - now_ms).min(super::gossip::IDLE_GOSSIP_INTERVAL_MS);
                 compio::time::sleep(Duration::from_millis(pause_ms)).await;
                 continue;
             }
-            let outgoing = self.gossip.borrow_mut().round(now_ms);
+            let outgoing = self.gossip.borrow_mut().start_exchange(now_ms);
             if let Some(outgoing) = outgoing {
                 self.send(outgoing).await;
             }
         }
     }
 
-    async fn take(&self, from: SocketAddrV4, datagram: &[u8], heard: &impl Fn(Vec<EndRumor>)) {
+    async fn receive_datagram(
+        &self,
+        from: SocketAddrV4,
+        datagram: &[u8],
+        on_departures: &impl Fn(Vec<InstanceDeparture>),
+    ) {
         let Some(message) = decode(datagram) else {
             log::debug!("peers: a datagram of {from} can't be read");
             return;
         };
         let received = self.gossip.borrow_mut().receive(self.clock.millis(), from, message);
-        if !received.ended.is_empty() {
-            heard(received.ended);
+        if !received.departures.is_empty() {
+            on_departures(received.departures);
         }
-        if let Some(answer) = received.answer {
-            self.send(answer).await;
+        if let Some(response) = received.response {
+            self.send(response).await;
         }
         self.received.notify();
     }
@@ -115,27 +120,27 @@
     envelope.open().ok()
 }
 
-/// Fetches the newest configuration that the agent at `peer` holds, if it is newer than `held`.
+/// Fetches the newest configuration that the agent at `peer` holds, if it is newer than `local`.
 pub async fn fetch_configuration(
     peer: SocketAddrV4,
     identity: SubscriberIdentity,
-    held: Option<Rc<Configuration>>,
+    local: Option<Rc<Configuration>>,
     clock: Clock,
 ) -> Result<Rc<Configuration>, SubscribeError> {
     let mut subscriber = Subscriber::new(identity);
-    let held_version = held.as_ref().map_or(0, |held| held.version);
-    if let Some(held) = held {
-        subscriber.offer_configuration(held);
+    let local_version = local.as_ref().map_or(0, |local| local.version);
+    if let Some(local) = local {
+        subscriber.offer_configuration(local);
     }
     let fetch = async {
-        let stream = lockusher_transport::tcp::connect(peer, FETCH_LIMIT).await?;
+        let stream = lockusher_transport::tcp::connect(peer, FETCH_TIMEOUT).await?;
         let (mut reader, mut writer) = frame::split::<Envelope, Envelope>(stream)?;
         writer.write(&Envelope::seal(&subscriber.subscribe(clock.millis()))).await?;
         loop {
             let message: ToSubscriber = reader.read().await?.open()?;
             let answer = subscriber.receive(clock.millis(), message);
             match subscriber.configuration() {
-                Some(newest) if newest.version > held_version => return Ok(Rc::clone(newest)),
+                Some(newest) if newest.version > local_version => return Ok(Rc::clone(newest)),
                 _ => {}
             }
             if let Some(answer) = answer {
@@ -143,5 +148,5 @@
             }
         }
     };
-    compio::time::timeout(FETCH_LIMIT, fetch).await.map_err(|_| SubscribeError::Silent)?
+    compio::time::timeout(FETCH_TIMEOUT, fetch).await.map_err(|_| SubscribeError::Silent)?
 }
--- a/crates/lockusher-agent/src/peers/view.rs
+++ b/crates/lockusher-agent/src/peers/view.rs
@@ -17,7 +17,7 @@
 
 /// An exchange that hasn't been answered.
 #[derive(Debug)]
-struct Begun {
+struct PendingShuffle {
     peer: SocketAddrV4,
     sent: Vec<SocketAddrV4>,
 }
@@ -27,7 +27,7 @@
 pub struct PeerView {
     own: SocketAddrV4,
     entries: Vec<PeerEntry>,
-    begun: Option<Begun>,
+    pending_shuffle: Option<PendingShuffle>,
     /// The last sample from the control plane, for when the view has run empty.
     introduced: Vec<SocketAddrV4>,
 }
@@ -35,7 +35,7 @@
 impl PeerView {
     /// Knows nobody.
     pub fn new(own: SocketAddrV4) -> Self {
-        PeerView { own, entries: Vec::new(), begun: None, introduced: Vec::new() }
+        PeerView { own, entries: Vec::new(), pending_shuffle: None, introduced: Vec::new() }
     }
 
     /// Addresses of the peers in the view.
@@ -53,7 +53,7 @@
     }
 
     /// Begins an exchange: whom with, and the entries to send.
-    pub fn begin(&mut self, random: &mut ChaCha8Rng) -> Option<(SocketAddrV4, Vec<PeerEntry>)> {
+    pub fn start_shuffle(&mut self, random: &mut ChaCha8Rng) -> Option<(SocketAddrV4, Vec<PeerEntry>)> {
         if self.entries.is_empty() {
             self.fill_from_introduced();
         }
@@ -63,13 +63,14 @@
         let oldest = (0..self.entries.len()).max_by_key(|&position| self.entries[position].age)?;
         let peer = self.entries.swap_remove(oldest).address;
         let mut sent = self.sample(SHUFFLE_SIZE - 1, peer, random);
-        self.begun = Some(Begun { peer, sent: sent.iter().map(|entry| entry.address).collect() });
+        self.pending_shuffle =
+            Some(PendingShuffle { peer, sent: sent.iter().map(|entry| entry.address).collect() });
         sent.push(PeerEntry { address: self.own, age: 0 });
         Some((peer, sent))
     }
 
     /// Takes the entries of an exchange that a peer began; returns those to answer with.
-    pub fn answer(
+    pub fn answer_shuffle(
         &mut self,
         peer: SocketAddrV4,
         received: &[PeerEntry],
@@ -82,12 +83,12 @@
     }
 
     /// Takes the answer to the exchange that was begun last; others are ignored.
-    pub fn finish(&mut self, peer: SocketAddrV4, received: &[PeerEntry]) {
-        if self.begun.as_ref().is_none_or(|begun| begun.peer != peer) {
+    pub fn finish_shuffle(&mut self, peer: SocketAddrV4, received: &[PeerEntry]) {
+        if self.pending_shuffle.as_ref().is_none_or(|pending| pending.peer != peer) {
             return;
         }
-        let Some(begun) = self.begun.take() else { return };
-        self.merge(received, begun.sent);
+        let Some(pending) = self.pending_shuffle.take() else { return };
+        self.merge(received, pending.sent);
         if self.entries.len() < VIEW_SIZE {
             self.add(PeerEntry { address: peer, age: 0 });
         }
--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -26,7 +26,7 @@
 use crate::error::AgentError;
 use crate::fleet_size::FleetSize;
 use crate::list_merge::{FRESH_MS, ListMerge};
-use crate::peers::message::EndRumor;
+use crate::peers::message::InstanceDeparture;
 use crate::peers::serve::{PeerSocket, fetch_configuration};
 use crate::redirect;
 
@@ -88,8 +88,8 @@
         compio::runtime::spawn(serve::accept(listener, Rc::clone(&agent.publisher))),
         compio::runtime::spawn(serve::accept(peer_listener, Rc::clone(&agent.publisher))),
         compio::runtime::spawn(Rc::clone(&agent).read_list_when_stale()),
-        compio::runtime::spawn(Rc::clone(&agent).hear_peers()),
-        compio::runtime::spawn(Rc::clone(&agent).tell_peers()),
+        compio::runtime::spawn(Rc::clone(&agent).receive_from_peers()),
+        compio::runtime::spawn(Rc::clone(&agent).send_to_peers()),
     ];
     let mirror = Rc::clone(&agent).mirror();
     pin_mut!(mirror, stop);
@@ -135,7 +135,7 @@
     }
 
     /// Whether the control plane's list has gone stale.
-    fn is_cut_off(&self) -> bool {
+    fn is_partitioned(&self) -> bool {
         let confirmed_at_ms = self.lists.borrow().control_confirmed_at_ms().unwrap_or_default();
         self.clock.millis() >= confirmed_at_ms + FRESH_MS
     }
@@ -161,7 +161,7 @@
         self.hand_on_configuration();
         self.hand_on_list(now_ms);
         self.hand_on_status(now_ms);
-        self.inform_peers();
+        self.update_gossip();
     }
 
     fn hand_on_configuration(&self) {
@@ -210,37 +210,39 @@
     }
 
     /// Brings the gossip up to date with what this agent knows.
-    fn inform_peers(&self) {
-        let ends = self.lists.borrow_mut().take_ends();
+    fn update_gossip(&self) {
+        let departures = self.lists.borrow_mut().take_ends();
         self.peers.update(|gossip| {
             self.subscriber.read(|subscriber| {
                 gossip.introduce(subscriber.peers());
                 gossip.set_configuration_version(subscriber.held().configuration_version);
             });
-            ends.into_iter().for_each(|(identifier, end)| gossip.learn(identifier, end));
+            departures
+                .into_iter()
+                .for_each(|(identifier, departure)| gossip.add_rumor(identifier, departure));
         });
     }
 
     /// Takes what peers tell, for ever.
-    async fn hear_peers(self: Rc<Self>) {
+    async fn receive_from_peers(self: Rc<Self>) {
         let agent = Rc::clone(&self);
-        Rc::clone(&self.peers).receive(move |rumors| agent.take_rumors(rumors)).await;
+        Rc::clone(&self.peers).receive(move |departures| agent.receive_departures(departures)).await;
     }
 
-    fn take_rumors(&self, rumors: Vec<EndRumor>) {
+    fn receive_departures(&self, departures: Vec<InstanceDeparture>) {
         let now_ms = self.clock.millis();
-        for rumor in rumors {
-            if self.lists.borrow_mut().ended_elsewhere(now_ms, &rumor.identifier, rumor.end) {
-                self.peers.update(|gossip| gossip.learn(rumor.identifier, rumor.end));
+        for seen in departures {
+            if self.lists.borrow_mut().ended_elsewhere(now_ms, &seen.identifier, seen.departure) {
+                self.peers.update(|gossip| gossip.add_rumor(seen.identifier, seen.departure));
             }
         }
         self.hand_on();
     }
 
     /// Begins rounds of gossip and fetches a newer configuration that peers told of, for ever.
-    async fn tell_peers(self: Rc<Self>) {
+    async fn send_to_peers(self: Rc<Self>) {
         let agent = Rc::clone(&self);
-        let rounds = Rc::clone(&self.peers).begin_rounds(move || agent.is_cut_off());
+        let rounds = Rc::clone(&self.peers).run_gossip(move || agent.is_partitioned());
         let fetching = self.fetch_from_peers();
         futures_util::join!(rounds, fetching);
     }
--- a/crates/lockusher-agent/tests/capacity.rs
+++ b/crates/lockusher-agent/tests/capacity.rs
@@ -3,8 +3,8 @@
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use lockusher_agent::peers::gossip::REST_ROUND_MS;
-use lockusher_agent::peers::message::{EndRumor, News, PeerEntry, PeerMessage};
+use lockusher_agent::peers::gossip::IDLE_GOSSIP_INTERVAL_MS;
+use lockusher_agent::peers::message::{GossipUpdate, InstanceDeparture, PeerEntry, PeerMessage};
 use lockusher_agent::peers::view::SHUFFLE_SIZE;
 use lockusher_distribution::departures::Departure;
 use lockusher_distribution::message::Envelope;
@@ -21,16 +21,20 @@
         address: SocketAddrV4::new(Ipv4Addr::new(10, number, 3, 200), 7_661),
         age: 300 + u16::from(number),
     };
-    let rumor = |number: usize| EndRumor { identifier: format!("i-{number:010x}"), end: Departure::Draining };
-    let news = News { configuration_version: 2_300_000, ended: (0..rumors).map(rumor).collect() };
+    let rumor = |number: usize| InstanceDeparture {
+        identifier: format!("i-{number:010x}"),
+        departure: Departure::Draining,
+    };
+    let update =
+        GossipUpdate { configuration_version: 2_300_000, departures: (0..rumors).map(rumor).collect() };
     let entries = (1..=SHUFFLE_SIZE as u8).map(entry).collect();
-    HEADER_BYTES + bitcode::encode(&Envelope::seal(&PeerMessage::Shuffle { entries, news })).len()
+    HEADER_BYTES + bitcode::encode(&Envelope::seal(&PeerMessage::ShuffleRequest { entries, update })).len()
 }
 
 #[test]
 fn gossip_at_rest_costs_a_tenth_of_what_control_may() {
     let at_rest = datagram_bytes(0);
-    let bytes_per_s = DATAGRAMS_A_ROUND * at_rest * 1_000 / REST_ROUND_MS as usize;
+    let bytes_per_s = DATAGRAMS_A_ROUND * at_rest * 1_000 / IDLE_GOSSIP_INTERVAL_MS as usize;
     println!(
         "a datagram: {at_rest} bytes at rest, {} with 16 ends; {bytes_per_s} bytes/s at rest",
         datagram_bytes(16)
--- a/crates/lockusher-agent/tests/loopback.rs
+++ b/crates/lockusher-agent/tests/loopback.rs
@@ -235,16 +235,16 @@
     proxy.wait_for_configuration(8).await;
 
     let address = SocketAddrV4::new(fed.ip_address, ports.1);
-    let cut_off = SubscriberIdentity { agent_address: None, ..identity("cut-off") };
-    let fetched = fetch_configuration(address, cut_off, None, Clock::start()).await.expect("fetched");
+    let partitioned = SubscriberIdentity { agent_address: None, ..identity("cut-off") };
+    let fetched = fetch_configuration(address, partitioned, None, Clock::start()).await.expect("fetched");
     assert_eq!(*fetched, configuration(8, &[(1, 1)]));
 
     let own = SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 4), ports.1);
     let peer = PeerSocket::bind(own, 1, Clock::start()).await.expect("a socket");
     peer.update(|gossip| gossip.introduce(&[address]));
-    let _rounds = compio::runtime::spawn(Rc::clone(&peer).begin_rounds(|| true));
-    let _heard = compio::runtime::spawn(Rc::clone(&peer).receive(|_| ()));
-    peer.update(|gossip| gossip.learn("a".to_owned(), Departure::Gone));
+    let _gossiping = compio::runtime::spawn(Rc::clone(&peer).run_gossip(|| true));
+    let _receiving = compio::runtime::spawn(Rc::clone(&peer).receive(|_| ()));
+    peer.update(|gossip| gossip.add_rumor("a".to_owned(), Departure::Gone));
     proxy.wait_for_list(&[]).await;
     let wait = async {
         loop {
--- a/crates/lockusher-agent/tests/peers.rs
+++ b/crates/lockusher-agent/tests/peers.rs
@@ -4,8 +4,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use lockusher_agent::peers::fetch::FetchPolicy;
-use lockusher_agent::peers::gossip::{Gossip, Outgoing, REST_ROUND_MS, URGENT_ROUND_MS};
-use lockusher_agent::peers::message::{EndRumor, PeerEntry, PeerMessage};
+use lockusher_agent::peers::gossip::{Gossip, IDLE_GOSSIP_INTERVAL_MS, Outgoing, URGENT_GOSSIP_INTERVAL_MS};
+use lockusher_agent::peers::message::{InstanceDeparture, PeerEntry, PeerMessage};
 use lockusher_agent::peers::rumors::Rumors;
 use lockusher_agent::peers::view::{SHUFFLE_SIZE, VIEW_SIZE};
 use lockusher_distribution::departures::Departure;
@@ -18,8 +18,8 @@
     SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + number as u32), 7661)
 }
 
-fn rumor(number: u32) -> EndRumor {
-    EndRumor { identifier: format!("i-{number:08x}"), end: Departure::Draining }
+fn rumor(number: u32) -> InstanceDeparture {
+    InstanceDeparture { identifier: format!("i-{number:08x}"), departure: Departure::Draining }
 }
 
 struct Agent {
@@ -58,7 +58,7 @@
 
     /// Every living agent begins one round; messages arrive, or are lost.
     fn round(&mut self) {
-        self.now_ms += REST_ROUND_MS;
+        self.now_ms += IDLE_GOSSIP_INTERVAL_MS;
         let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
         for from in addresses {
             let agent = self.agents.get_mut(&from).expect("an agent");
@@ -66,7 +66,7 @@
                 continue;
             }
             let mut under_way: VecDeque<(SocketAddrV4, Outgoing)> = VecDeque::new();
-            under_way.extend(agent.gossip.round(self.now_ms).map(|outgoing| (from, outgoing)));
+            under_way.extend(agent.gossip.start_exchange(self.now_ms).map(|outgoing| (from, outgoing)));
             while let Some((from, outgoing)) = under_way.pop_front() {
                 let answer = self.deliver(from, &outgoing);
                 under_way.extend(answer.map(|answer| (outgoing.to, answer)));
@@ -83,12 +83,12 @@
         }
         let agent = self.agents.get_mut(&outgoing.to).filter(|agent| agent.alive)?;
         let received = agent.gossip.receive(self.now_ms, from, outgoing.message.clone());
-        for rumor in received.ended {
+        for rumor in received.departures {
             if agent.known.insert(rumor.identifier.clone()) {
-                agent.gossip.learn(rumor.identifier, rumor.end);
+                agent.gossip.add_rumor(rumor.identifier, rumor.departure);
             }
         }
-        received.answer
+        received.response
     }
 
     /// How many living agents can be reached over views, in either direction, from the first.
@@ -170,7 +170,7 @@
     lossy = { 400, 0.05 },
     small = { 6, 0.0 },
 )]
-fn a_rumor_reaches_nearly_everyone_in_ten_rounds(count: usize, loss: f64) {
+fn a_rumor_reaches_nearly_everyone_in_ten_gossiping(count: usize, loss: f64) {
     let mut reached = 0;
     for seed in 0..5 {
         let mut fleet = Fleet::new(count, loss, seed);
@@ -179,7 +179,7 @@
         }
         let first = fleet.agents.get_mut(&address(0)).expect("an agent");
         first.known.insert(rumor(1).identifier);
-        first.gossip.learn(rumor(1).identifier, rumor(1).end);
+        first.gossip.add_rumor(rumor(1).identifier, rumor(1).departure);
         for _ in 0..10 {
             fleet.round();
         }
@@ -198,7 +198,7 @@
             .get_mut(&address(0))
             .expect("an agent")
             .gossip
-            .learn(rumor(number).identifier, Departure::Gone);
+            .add_rumor(rumor(number).identifier, Departure::Gone);
     }
     for _ in 0..100 {
         fleet.round();
@@ -212,15 +212,15 @@
 #[test]
 fn rumors_told_least_go_first_and_the_latest_end_counts() {
     let mut rumors = Rumors::default();
-    rumors.learn(rumor(1));
-    rumors.tell();
-    rumors.learn(rumor(2));
-    rumors.learn(EndRumor { end: Departure::Gone, ..rumor(1) });
-    assert_eq!(rumors.tell().len(), 2);
-    rumors.learn(EndRumor { identifier: "x".repeat(100), end: Departure::Gone });
-    assert_eq!(rumors.tell().len(), 2, "an endless identifier isn't told");
+    rumors.add(rumor(1));
+    rumors.take_for_message();
+    rumors.add(rumor(2));
+    rumors.add(InstanceDeparture { departure: Departure::Gone, ..rumor(1) });
+    assert_eq!(rumors.take_for_message().len(), 2);
+    rumors.add(InstanceDeparture { identifier: "x".repeat(100), departure: Departure::Gone });
+    assert_eq!(rumors.take_for_message().len(), 2, "an endless identifier isn't told");
     for _ in 0..10 {
-        rumors.tell();
+        rumors.take_for_message();
     }
     assert!(rumors.is_empty());
 }
@@ -228,10 +228,10 @@
 #[test]
 fn rounds_are_quicker_when_the_core_is_silent_and_there_is_something_to_tell() {
     let mut gossip = Gossip::new(address(1), 1);
-    assert!(gossip.next_round_ms(true) >= REST_ROUND_MS);
-    gossip.learn("a".to_owned(), Departure::Gone);
-    assert_eq!(gossip.next_round_ms(true), URGENT_ROUND_MS);
-    assert!(gossip.next_round_ms(false) >= REST_ROUND_MS);
+    assert!(gossip.next_exchange_ms(true) >= IDLE_GOSSIP_INTERVAL_MS);
+    gossip.add_rumor("a".to_owned(), Departure::Gone);
+    assert_eq!(gossip.next_exchange_ms(true), URGENT_GOSSIP_INTERVAL_MS);
+    assert!(gossip.next_exchange_ms(false) >= IDLE_GOSSIP_INTERVAL_MS);
 }
 
 /// A peer that sends more than it should, or itself, or the receiver, does no harm.
@@ -240,7 +240,7 @@
     let mut gossip = Gossip::new(address(0), 1);
     let flood: Vec<PeerEntry> =
         (0..1_000).map(|number| PeerEntry { address: address(number / 2), age: 0 }).collect();
-    let message = PeerMessage::Shuffle { entries: flood, news: Default::default() };
+    let message = PeerMessage::ShuffleRequest { entries: flood, update: Default::default() };
     gossip.receive(0, address(7), message);
     assert!(gossip.view().addresses().count() <= SHUFFLE_SIZE);
     assert!(gossip.view().addresses().all(|peer| peer != address(0)));
@@ -249,14 +249,14 @@
 #[test]
 fn a_configuration_is_fetched_from_who_has_the_newest_when_the_core_does_not_bring_it() {
     let mut policy = FetchPolicy::default();
-    policy.hear(0, address(1), 5, 5);
+    policy.advertise(0, address(1), 5, 5);
     assert_eq!(policy.take_due(10_000, 5), None, "nothing newer was heard of");
-    policy.hear(10_000, address(1), 7, 5);
-    policy.hear(10_100, address(2), 9, 5);
-    policy.hear(10_200, address(3), 8, 5);
+    policy.advertise(10_000, address(1), 7, 5);
+    policy.advertise(10_100, address(2), 9, 5);
+    policy.advertise(10_200, address(3), 8, 5);
     assert_eq!(policy.take_due(10_300, 5), None, "the core may still bring it");
     assert_eq!(policy.take_due(10_800, 5), Some(address(2)));
     assert_eq!(policy.take_due(20_000, 5), None);
-    policy.hear(30_000, address(2), 9, 5);
+    policy.advertise(30_000, address(2), 9, 5);
     assert_eq!(policy.take_due(40_000, 9), None, "the core brought it");
 }
