--- a/crates/lockusher-agent/src/list_merge.rs
+++ b/crates/lockusher-agent/src/list_merge.rs
@@ -12,7 +12,7 @@
 
 use lockusher_config::instances::{Instance, InstanceListRevision};
 use lockusher_distribution::departures::{DepartedInstances, Departure};
-use lockusher_distribution::instance_list_poller::Reading;
+use lockusher_distribution::instance_list_poller::InstanceListPoll;
 use lockusher_distribution::publisher::InstanceList;
 use lockusher_distribution::revision;
 
@@ -77,7 +77,7 @@
     }
 
     /// Takes a list that the agent read itself.
-    pub fn receive_own_poll(&mut self, now_ms: u64, reading: &Reading) {
+    pub fn receive_own_poll(&mut self, now_ms: u64, reading: &InstanceListPoll) {
         self.record_draining(now_ms, &reading.instances);
         let control = self.control_confirmed_at_ms;
         if control.is_some_and(|confirmed| confirmed >= reading.started_at_ms + CONFIRMATION_ERROR_MS) {
@@ -89,7 +89,7 @@
 
     /// Takes the end of a searcher that another agent saw; true if it wasn't known.
     pub fn record_peer_departure(&mut self, now_ms: u64, identifier: &str, departure: Departure) -> bool {
-        self.departed.note(now_ms, identifier, departure)
+        self.departed.record(now_ms, identifier, departure)
     }
 
     /// The ends that lists showed here since the last call.
@@ -138,7 +138,7 @@
             return;
         }
         let older = self.in_force.as_ref().map(|list| list.instances.as_slice()).unwrap_or_default();
-        let missing = self.departed.note_list(now_ms, older, instances);
+        let missing = self.departed.record_list(now_ms, older, instances);
         self.recorded = Some(Rc::clone(instances));
         let comparable = self.recorded_source.replace(source) == Some(source);
         if comparable {
@@ -147,7 +147,7 @@
     }
 
     fn record_draining(&mut self, now_ms: u64, instances: &[Instance]) {
-        let draining = self.departed.note_draining(now_ms, instances);
+        let draining = self.departed.record_draining(now_ms, instances);
         self.queue_for_gossip(draining, Departure::Draining);
     }
 
--- a/crates/lockusher-agent/src/peers/serve.rs
+++ b/crates/lockusher-agent/src/peers/serve.rs
@@ -8,8 +8,8 @@
 use compio::BufResult;
 use compio::net::UdpSocket;
 use lockusher_config::configuration::Configuration;
+use lockusher_distribution::change_notifier::ChangeNotifier;
 use lockusher_distribution::message::{Envelope, SubscriberIdentity, ToSubscriber};
-use lockusher_distribution::signal::Signal;
 use lockusher_distribution::subscribe::SubscribeError;
 use lockusher_distribution::subscriber::Subscriber;
 use lockusher_transport::clock::Clock;
@@ -29,7 +29,7 @@
 pub struct PeerSocket {
     socket: UdpSocket,
     gossip: RefCell<Gossip>,
-    received: Signal,
+    received: ChangeNotifier,
     clock: Clock,
 }
 
@@ -38,7 +38,7 @@
     pub async fn bind(own: SocketAddrV4, random_seed: u64, clock: Clock) -> std::io::Result<Rc<Self>> {
         let socket = UdpSocket::bind(own).await?;
         let gossip = RefCell::new(Gossip::new(own, random_seed));
-        Ok(Rc::new(PeerSocket { socket, gossip, received: Signal::default(), clock }))
+        Ok(Rc::new(PeerSocket { socket, gossip, received: ChangeNotifier::default(), clock }))
     }
 
     /// Looks at or changes the gossip.
@@ -47,7 +47,7 @@
     }
 
     /// Signals each message that was received.
-    pub fn received(&self) -> &Signal {
+    pub fn received(&self) -> &ChangeNotifier {
         &self.received
     }
 
@@ -148,5 +148,5 @@
             }
         }
     };
-    compio::time::timeout(FETCH_TIMEOUT, fetch).await.map_err(|_| SubscribeError::Silent)?
+    compio::time::timeout(FETCH_TIMEOUT, fetch).await.map_err(|_| SubscribeError::InactivityTimeout)?
 }
--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -145,11 +145,11 @@
         let mut settings_read_at_ms = 0;
         loop {
             let seen = self.subscriber.changed().generation();
-            let heard = self.publisher.heard().generation();
+            let heard = self.publisher.subscriber_activity().generation();
             self.forward();
             self.reload_seeds_if_exhausted(&mut settings_read_at_ms);
             let changed = self.subscriber.changed().changed_since(seen);
-            let asked = self.publisher.heard().changed_since(heard);
+            let asked = self.publisher.subscriber_activity().changed_since(heard);
             pin_mut!(changed, asked);
             select(changed, asked).await;
         }
@@ -181,7 +181,7 @@
                 lists.receive_control_list(now_ms, list, subscriber.list_confirmed_at_ms());
             }
         });
-        lists.receive_proxy_revision(now_ms, self.publisher.read(Publisher::highest_held_revision));
+        lists.receive_proxy_revision(now_ms, self.publisher.read(Publisher::highest_applied_revision));
         if let Some(list) = lists.take_update(now_ms) {
             self.publisher.update(|publisher| publisher.publish_list(list.revision, list.instances));
         }
@@ -215,7 +215,7 @@
         self.peers.update(|gossip| {
             self.subscriber.read(|subscriber| {
                 gossip.introduce(subscriber.peers());
-                gossip.set_configuration_version(subscriber.held().configuration_version);
+                gossip.set_configuration_version(subscriber.applied().configuration_version);
             });
             departures
                 .into_iter()
@@ -289,7 +289,7 @@
     /// Reads the platform's list while the control plane's isn't fresh.
     async fn poll_while_stale(self: Rc<Self>) {
         let settings = &self.settings;
-        let mut poller = InstanceListPoller::one_of_many(
+        let mut poller = InstanceListPoller::concurrent(
             settings.cloud_rate_per_s,
             settings.bounds.drain_ms,
             random_seed(),
--- a/crates/lockusher-agent/tests/list_merge.rs
+++ b/crates/lockusher-agent/tests/list_merge.rs
@@ -10,7 +10,7 @@
 use lockusher_agent::list_merge::ListMerge;
 use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState};
 use lockusher_distribution::departures::Departure;
-use lockusher_distribution::instance_list_poller::Reading;
+use lockusher_distribution::instance_list_poller::InstanceListPoll;
 use lockusher_distribution::publisher::InstanceList;
 use lockusher_distribution::revision::{POLLER_REVISION_STEP, is_poller_revision, next_poller_revision};
 use proptest::prelude::*;
@@ -24,8 +24,8 @@
     }
 }
 
-fn reading(started_at_ms: u64, instances: &[Instance]) -> Reading {
-    Reading { instances: Rc::new(instances.to_vec()), changed: true, started_at_ms, calls: 1 }
+fn reading(started_at_ms: u64, instances: &[Instance]) -> InstanceListPoll {
+    InstanceListPoll { instances: Rc::new(instances.to_vec()), changed: true, started_at_ms, calls: 1 }
 }
 
 fn names(update: &InstanceList) -> Vec<&str> {
--- a/crates/lockusher-control/src/shell/host.rs
+++ b/crates/lockusher-control/src/shell/host.rs
@@ -8,9 +8,9 @@
 use futures_channel::oneshot;
 use lockusher_config::configuration::Configuration;
 use lockusher_config::instances::Instance;
+use lockusher_distribution::change_notifier::ChangeNotifier;
 use lockusher_distribution::publisher::PublisherStatus;
 use lockusher_distribution::serve::SharedPublisher;
-use lockusher_distribution::signal::Signal;
 use lockusher_storage::Completion;
 use lockusher_transport::clock::Clock;
 
@@ -39,7 +39,7 @@
     next_ticket: Cell<u64>,
     role: Cell<Role>,
     known_head: Cell<Option<SocketAddrV4>>,
-    role_changed: Signal,
+    role_changed: ChangeNotifier,
     /// Searchers that are being changed by order of this node.
     pub stage_switch_overlay: StageSwitchOverlay,
     /// The platform's list as this node last read it, and the epoch in which it did.
@@ -67,7 +67,7 @@
             next_ticket: Cell::new(0),
             role: Cell::default(),
             known_head: Cell::default(),
-            role_changed: Signal::default(),
+            role_changed: ChangeNotifier::default(),
             stage_switch_overlay: StageSwitchOverlay::default(),
             last_reading: RefCell::default(),
             subscription_port,
@@ -84,7 +84,7 @@
     }
 
     /// Signals each change of [`Host::role`] and [`Host::head_address`].
-    pub fn role_changed(&self) -> &Signal {
+    pub fn role_changed(&self) -> &ChangeNotifier {
         &self.role_changed
     }
 
--- a/crates/lockusher-control/src/shell/instance_list_polling.rs
+++ b/crates/lockusher-control/src/shell/instance_list_polling.rs
@@ -9,7 +9,7 @@
 use lockusher_config::instances::{Instance, InstanceListRevision};
 use lockusher_config::settings::NodeSettings;
 use lockusher_distribution::instance_list_client;
-use lockusher_distribution::instance_list_poller::{InstanceListPoller, Reading};
+use lockusher_distribution::instance_list_poller::{InstanceListPoll, InstanceListPoller};
 use lockusher_distribution::message::{Downstream, SubscriberIdentity};
 use lockusher_distribution::publisher::{Publisher, PublisherStatus};
 use lockusher_distribution::reconnect::FixedAddressPolicy;
@@ -45,7 +45,7 @@
 
 async fn read_from_platform(host: &Host, settings: &NodeSettings, epoch: u64, random_seed: u64) {
     let drain_ms = settings.bounds.drain_ms;
-    let mut reader = InstanceListPoller::lone(settings.cloud_rate_per_s, drain_ms, random_seed);
+    let mut reader = InstanceListPoller::sole(settings.cloud_rate_per_s, drain_ms, random_seed);
     reader.start(host.clock.millis());
     loop {
         let reading = instance_list_client::next_poll(&mut reader, settings.cloud_address, host.clock).await;
@@ -54,7 +54,7 @@
 }
 
 /// Publishes a reading if it differs from the newest list; in any case says how fresh the list is.
-fn publish(host: &Host, epoch: u64, reading: &Reading) {
+fn publish(host: &Host, epoch: u64, reading: &InstanceListPoll) {
     host.publisher.update_quietly(|publisher| {
         let status = PublisherStatus {
             list_confirmed_at_ms: Some(reading.started_at_ms),
@@ -80,7 +80,7 @@
     let instances = host.stage_switch_overlay.apply(instances);
     let published = host.publisher.update_quietly(|publisher| {
         let newest = publisher.newest().list_revision;
-        let held = publisher.highest_held_revision();
+        let held = publisher.highest_applied_revision();
         let is_current = newest.epoch == epoch && newest >= held && !changed;
         !is_current && publisher.publish_list(next_revision(epoch, newest.max(held)), instances)
     });
--- a/crates/lockusher-control/tests/stage_scheduler.rs
+++ b/crates/lockusher-control/tests/stage_scheduler.rs
@@ -70,7 +70,7 @@
         service: "llm".to_owned(),
         proxies: PROXIES,
         requests_per_s: 100,
-        read_tokens_per_s: 100_000,
+        prefill_tokens_per_s: 100_000,
         prefill_in_flight: (prefill_in_flight * 100.0) as u32,
         decode_in_flight: (decode_in_flight * 100.0) as u32,
         decode_waiting: 0,
--- a/crates/lockusher-distribution/src/signal.rs
+++ b/crates/lockusher-distribution/src/change_notifier.rs
@@ -6,12 +6,12 @@
 
 /// Counts changes; tasks wait until the count differs from the one that they saw.
 #[derive(Debug, Default)]
-pub struct Signal {
+pub struct ChangeNotifier {
     generation: Cell<u64>,
     waiting: RefCell<Vec<Waker>>,
 }
 
-impl Signal {
+impl ChangeNotifier {
     /// How many changes there have been.
     pub fn generation(&self) -> u64 {
         self.generation.get()
--- a/crates/lockusher-distribution/src/departures.rs
+++ b/crates/lockusher-distribution/src/departures.rs
@@ -57,8 +57,8 @@
 
 impl DepartedInstances {
     /// Notes that a searcher has ended; true if that is new.
-    pub fn note(&mut self, now_ms: u64, identifier: &str, end: Departure) -> bool {
-        let is_new = self.end_of(now_ms, identifier).is_none_or(|known| end > known);
+    pub fn record(&mut self, now_ms: u64, identifier: &str, end: Departure) -> bool {
+        let is_new = self.departure_of(now_ms, identifier).is_none_or(|known| end > known);
         let ended = self.ended.entry(identifier.to_owned()).or_default();
         match end {
             Departure::Draining => ended.draining_at_ms = Some(now_ms),
@@ -71,13 +71,13 @@
 
     /// Notes all that the list `newer` shows as ended, `older` being the list in force before it. `newer` is as it came,
     /// not as [`DepartedInstances::apply`] left it. Returns the searchers that are missing and weren't known to be gone.
-    pub fn note_list(&mut self, now_ms: u64, older: &[Instance], newer: &[Instance]) -> Vec<String> {
-        self.note_draining(now_ms, newer);
+    pub fn record_list(&mut self, now_ms: u64, older: &[Instance], newer: &[Instance]) -> Vec<String> {
+        self.record_draining(now_ms, newer);
         let listed: HashSet<&str> = newer.iter().map(|instance| instance.identifier.as_str()).collect();
         let missing = older.iter().filter(|instance| !listed.contains(instance.identifier.as_str()));
         let missing = missing.map(|instance| instance.identifier.clone());
         let newly_missing =
-            missing.filter(|identifier| self.note(now_ms, identifier, Departure::Gone)).collect();
+            missing.filter(|identifier| self.record(now_ms, identifier, Departure::Gone)).collect();
         for (_, ended) in self.ended.iter_mut().filter(|(name, _)| !listed.contains(name.as_str())) {
             ended.gone_at_ms = Some(now_ms);
         }
@@ -86,16 +86,16 @@
 
     /// Notes the searchers that a list shows as draining; that is final, however old the list is. Returns those that
     /// weren't known to have ended.
-    pub fn note_draining(&mut self, now_ms: u64, instances: &[Instance]) -> Vec<String> {
+    pub fn record_draining(&mut self, now_ms: u64, instances: &[Instance]) -> Vec<String> {
         let draining = instances.iter().filter(|instance| instance.state == InstanceState::Draining);
         let draining = draining.map(|instance| instance.identifier.clone());
-        draining.filter(|identifier| self.note(now_ms, identifier, Departure::Draining)).collect()
+        draining.filter(|identifier| self.record(now_ms, identifier, Departure::Draining)).collect()
     }
 
     /// The list with searchers that are known to have ended marked as draining, or left out. `confirmed_at_ms` is when
     /// the list was last known to be what the platform shows.
     pub fn apply(&self, confirmed_at_ms: u64, instances: &Rc<Vec<Instance>>) -> Rc<Vec<Instance>> {
-        let concerned = |instance: &Instance| match self.end_of(confirmed_at_ms, &instance.identifier) {
+        let concerned = |instance: &Instance| match self.departure_of(confirmed_at_ms, &instance.identifier) {
             Some(Departure::Gone) => true,
             Some(Departure::Draining) => instance.state != InstanceState::Draining,
             None => false,
@@ -107,12 +107,12 @@
     }
 
     /// How a searcher is known to have ended, against a list confirmed at `confirmed_at_ms`.
-    pub fn end_of(&self, confirmed_at_ms: u64, identifier: &str) -> Option<Departure> {
+    pub fn departure_of(&self, confirmed_at_ms: u64, identifier: &str) -> Option<Departure> {
         self.ended.get(identifier)?.end(confirmed_at_ms)
     }
 
     fn mark(&self, confirmed_at_ms: u64, instance: &Instance) -> Option<Instance> {
-        match self.end_of(confirmed_at_ms, &instance.identifier) {
+        match self.departure_of(confirmed_at_ms, &instance.identifier) {
             Some(Departure::Gone) => None,
             Some(Departure::Draining) => {
                 Some(Instance { state: InstanceState::Draining, ..instance.clone() })
--- a/crates/lockusher-distribution/src/difference.rs
+++ b/crates/lockusher-distribution/src/difference.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Segment<T> {
     /// Taken over from the base.
-    Keep { from: u32, count: u32 },
+    CopyFromBase { from: u32, count: u32 },
     /// New or changed.
     Insert(Vec<T>),
 }
@@ -136,13 +136,13 @@
 }
 
 fn keep<T>(segments: &mut Vec<Segment<T>>, position: u32) {
-    if let Some(Segment::Keep { from, count }) = segments.last_mut()
+    if let Some(Segment::CopyFromBase { from, count }) = segments.last_mut()
         && *from + *count == position
     {
         *count += 1;
         return;
     }
-    segments.push(Segment::Keep { from: position, count: 1 });
+    segments.push(Segment::CopyFromBase { from: position, count: 1 });
 }
 
 fn insert<T>(segments: &mut Vec<Segment<T>>, element: T) {
@@ -157,7 +157,7 @@
     let mut joined = Vec::new();
     for segment in segments {
         match segment {
-            Segment::Keep { from, count } => {
+            Segment::CopyFromBase { from, count } => {
                 let end = from.checked_add(count).ok_or(DifferenceError::OutOfRange)?;
                 let kept = base.get(from as usize..end as usize).ok_or(DifferenceError::OutOfRange)?;
                 joined.extend_from_slice(kept);
--- a/crates/lockusher-distribution/src/instance_list_client.rs
+++ b/crates/lockusher-distribution/src/instance_list_client.rs
@@ -8,7 +8,7 @@
 use lockusher_transport::clock::Clock;
 use lockusher_transport::http;
 
-use crate::instance_list_poller::{InstanceListPoller, PollerStep, Reading};
+use crate::instance_list_poller::{InstanceListPoll, InstanceListPoller, PollerStep};
 
 /// The longest that a call may take.
 const CALL_LIMIT: Duration = Duration::from_secs(2);
@@ -16,7 +16,11 @@
 const LONGEST_PAUSE_MS: u64 = 500;
 
 /// Makes one step: a pause or a call. Returns the list when a call made it whole.
-pub async fn step(reader: &mut InstanceListPoller, platform: SocketAddrV4, clock: Clock) -> Option<Reading> {
+pub async fn step(
+    reader: &mut InstanceListPoller,
+    platform: SocketAddrV4,
+    clock: Clock,
+) -> Option<InstanceListPoll> {
     match reader.next_step(clock.millis()) {
         PollerStep::Wait { until_ms } => {
             let pause_ms = until_ms.saturating_sub(clock.millis()).min(LONGEST_PAUSE_MS);
@@ -28,7 +32,11 @@
 }
 
 /// Reads until the next whole list. The reader must have been started.
-pub async fn next_poll(reader: &mut InstanceListPoller, platform: SocketAddrV4, clock: Clock) -> Reading {
+pub async fn next_poll(
+    reader: &mut InstanceListPoller,
+    platform: SocketAddrV4,
+    clock: Clock,
+) -> InstanceListPoll {
     loop {
         if let Some(reading) = step(reader, platform, clock).await {
             return reading;
@@ -41,7 +49,7 @@
     platform: SocketAddrV4,
     path: &str,
     clock: Clock,
-) -> Option<Reading> {
+) -> Option<InstanceListPoll> {
     let answer = http::get(platform, path, CALL_LIMIT).await;
     let now_ms = clock.millis();
     match answer {
--- a/crates/lockusher-distribution/src/instance_list_poller.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller.rs
@@ -45,7 +45,7 @@
 
 /// The whole list as one reading found it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading {
+pub struct InstanceListPoll {
     /// Sorted by identifier; the very same list as before if nothing changed.
     pub instances: Rc<Vec<Instance>>,
     /// Whether this list differs from the reading before.
@@ -84,7 +84,7 @@
 impl InstanceListPoller {
     /// The one reader of the fleet. `rate_per_s`: calls that the platform takes; `drain_ms`: the time within which
     /// a searcher that begins to drain must not be sent requests any more.
-    pub fn lone(rate_per_s: f64, drain_ms: u64, random_seed: u64) -> Self {
+    pub fn sole(rate_per_s: f64, drain_ms: u64, random_seed: u64) -> Self {
         let shortest_interval_ms = (drain_ms / 3).clamp(SHORTEST_INTERVAL_MS, LONGEST_INTERVAL_MS);
         InstanceListPoller {
             rate_per_s,
@@ -101,8 +101,8 @@
     }
 
     /// One of many readers, of unknown number at first.
-    pub fn one_of_many(rate_per_s: f64, drain_ms: u64, random_seed: u64) -> Self {
-        InstanceListPoller { readers: UNKNOWN_FLEET_READERS, ..Self::lone(rate_per_s, drain_ms, random_seed) }
+    pub fn concurrent(rate_per_s: f64, drain_ms: u64, random_seed: u64) -> Self {
+        InstanceListPoller { readers: UNKNOWN_FLEET_READERS, ..Self::sole(rate_per_s, drain_ms, random_seed) }
     }
 
     /// Sets how many readers may be at work at once; 0 if unknown.
@@ -160,7 +160,7 @@
     }
 
     /// Takes the answer of a call; returns the list if it is whole.
-    pub fn page(&mut self, now_ms: u64, page: InstancePage) -> Option<Reading> {
+    pub fn page(&mut self, now_ms: u64, page: InstancePage) -> Option<InstanceListPoll> {
         let spacing_ms = self.spacing_ms();
         let assembly = self.assembly.as_mut()?;
         self.failures = 0;
@@ -218,7 +218,7 @@
         (f64::from(self.readers.min(MOST_OVERLAPPING)) * 1_000.0 / self.rate_per_s).ceil() as u64
     }
 
-    fn finish(&mut self, now_ms: u64, assembly: Assembly) -> Reading {
+    fn finish(&mut self, now_ms: u64, assembly: Assembly) -> InstanceListPoll {
         self.calls = assembly.pages;
         let mut found = assembly.instances;
         let missing_before = std::mem::take(&mut self.missing);
@@ -229,7 +229,7 @@
         let instances = self.settle(found.into_values().collect());
         let changed = !self.last.as_ref().is_some_and(|last| Rc::ptr_eq(last, &instances));
         self.last = Some(Rc::clone(&instances));
-        Reading { instances, changed, started_at_ms: assembly.started_at_ms, calls: assembly.pages }
+        InstanceListPoll { instances, changed, started_at_ms: assembly.started_at_ms, calls: assembly.pages }
     }
 
     /// Keeps searchers that were ready and are missing for the first time.
--- a/crates/lockusher-distribution/src/lib.rs
+++ b/crates/lockusher-distribution/src/lib.rs
@@ -7,6 +7,7 @@
 //!
 //! Times are milliseconds on the process's own steady clock unless a name says otherwise.
 
+pub mod change_notifier;
 pub mod departures;
 pub mod difference;
 pub mod instance_list_client;
@@ -17,7 +18,7 @@
 pub mod reconnect;
 pub mod revision;
 pub mod serve;
-pub mod signal;
+
 pub mod snapshot;
 pub mod subscribe;
 pub mod subscriber;
--- a/crates/lockusher-distribution/src/load.rs
+++ b/crates/lockusher-distribution/src/load.rs
@@ -27,7 +27,7 @@
     /// Requests taken from clients, per second.
     pub requests_per_s: u32,
     /// Tokens of prompts sent to prefill searchers that they weren't taken to hold, per second.
-    pub read_tokens_per_s: u32,
+    pub prefill_tokens_per_s: u32,
     /// Mean number of requests at prefill searchers, in hundredths.
     pub prefill_in_flight: u32,
     /// Mean number of requests at decode searchers, in hundredths.
@@ -43,7 +43,7 @@
     pub fn add(&mut self, other: &ServiceLoad) {
         self.proxies = self.proxies.saturating_add(other.proxies);
         self.requests_per_s = self.requests_per_s.saturating_add(other.requests_per_s);
-        self.read_tokens_per_s = self.read_tokens_per_s.saturating_add(other.read_tokens_per_s);
+        self.prefill_tokens_per_s = self.prefill_tokens_per_s.saturating_add(other.prefill_tokens_per_s);
         self.prefill_in_flight = self.prefill_in_flight.saturating_add(other.prefill_in_flight);
         self.decode_in_flight = self.decode_in_flight.saturating_add(other.decode_in_flight);
         self.decode_waiting = self.decode_waiting.saturating_add(other.decode_waiting);
--- a/crates/lockusher-distribution/src/message.rs
+++ b/crates/lockusher-distribution/src/message.rs
@@ -55,7 +55,7 @@
 
 /// What a subscriber holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct HeldVersions {
+pub struct AppliedVersions {
     /// 0: none.
     pub configuration_version: u64,
     /// The default: none.
@@ -91,11 +91,11 @@
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum FromSubscriber {
     /// The first message of a connection.
-    Subscribe { identity: SubscriberIdentity, held: HeldVersions },
+    Subscribe { identity: SubscriberIdentity, applied: AppliedVersions },
     /// After each update, and now and then in between as a sign of life.
-    Acknowledge { held: HeldVersions, downstream: Downstream },
+    Acknowledge { applied: AppliedVersions, downstream: Downstream },
     /// A difference didn't fit what the subscriber holds: it asks for the whole.
-    RequestWhole { configuration: bool, list: bool },
+    RequestFullSnapshot { configuration: bool, list: bool },
 }
 
 /// From a publisher to a subscriber.
@@ -113,21 +113,21 @@
 /// A configuration, whole or as a difference.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ConfigurationUpdate {
-    Whole(Configuration),
+    FullSnapshot(Configuration),
     Difference(ConfigurationDifference),
 }
 
 /// A list of searchers, whole or as a difference.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum InstanceListUpdate {
-    Whole { revision: InstanceListRevision, instances: Vec<Instance> },
+    FullSnapshot { revision: InstanceListRevision, instances: Vec<Instance> },
     Difference(InstanceListDifference),
 }
 
 /// Sent regularly; says what is newest and how fresh it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
-    pub newest: HeldVersions,
+    pub newest: AppliedVersions,
     /// How long since a reader confirmed the newest list against the platform; [`NEVER_MS`] if none has.
     pub list_age_ms: u64,
     /// Calls to the platform that one reading of the whole list takes; 0 if unknown.
--- a/crates/lockusher-distribution/src/publisher.rs
+++ b/crates/lockusher-distribution/src/publisher.rs
@@ -16,8 +16,8 @@
 use crate::difference::{ConfigurationDifference, InstanceListDifference};
 use crate::load::{self, ServiceLoad};
 use crate::message::{
-    ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat, HeldVersions, InstanceListUpdate, NEVER_MS,
-    SubscriberIdentity, ToSubscriber,
+    AppliedVersions, ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat, InstanceListUpdate,
+    NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
 use crate::snapshot::{Frame, History, Versioned, frame};
 
@@ -38,7 +38,7 @@
     }
 
     fn whole(&self) -> ToSubscriber {
-        ToSubscriber::Configuration(ConfigurationUpdate::Whole(self.clone()))
+        ToSubscriber::Configuration(ConfigurationUpdate::FullSnapshot(self.clone()))
     }
 
     fn difference(&self, base: &Self) -> ToSubscriber {
@@ -63,7 +63,7 @@
 
     fn whole(&self) -> ToSubscriber {
         let instances = self.instances.as_ref().clone();
-        ToSubscriber::Instances(InstanceListUpdate::Whole { revision: self.revision, instances })
+        ToSubscriber::Instances(InstanceListUpdate::FullSnapshot { revision: self.revision, instances })
     }
 
     fn difference(&self, base: &Self) -> ToSubscriber {
@@ -94,27 +94,27 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubscriberStatus {
     pub identity: SubscriberIdentity,
-    pub acknowledged: HeldVersions,
+    pub acknowledged: AppliedVersions,
     pub downstream: Downstream,
 }
 
 /// What a subscriber was sent of one kind, and acknowledged.
 #[derive(Clone, Copy, Debug, Default)]
 struct Progress<V> {
-    held: V,
+    applied: V,
     under_way: Option<V>,
 }
 
 impl<V: Copy + Ord> Progress<V> {
-    fn acknowledge(&mut self, held: V) {
-        self.held = held;
-        if self.under_way.is_some_and(|version| held >= version) {
+    fn acknowledge(&mut self, applied: V) {
+        self.applied = applied;
+        if self.under_way.is_some_and(|version| applied >= version) {
             self.under_way = None;
         }
     }
 
-    fn restart(&mut self, held: V) {
-        *self = Progress { held, under_way: None };
+    fn restart(&mut self, applied: V) {
+        *self = Progress { applied, under_way: None };
     }
 }
 
@@ -131,8 +131,11 @@
 }
 
 impl Subscription {
-    fn acknowledged(&self) -> HeldVersions {
-        HeldVersions { configuration_version: self.configuration.held, list_revision: self.list.held }
+    fn acknowledged(&self) -> AppliedVersions {
+        AppliedVersions {
+            configuration_version: self.configuration.applied,
+            list_revision: self.list.applied,
+        }
     }
 
     fn agent_address(&self) -> Option<SocketAddrV4> {
@@ -211,8 +214,8 @@
     }
 
     /// The newest versions.
-    pub fn newest(&self) -> HeldVersions {
-        HeldVersions {
+    pub fn newest(&self) -> AppliedVersions {
+        AppliedVersions {
             configuration_version: self.configurations.newest_version(),
             list_revision: self.lists.newest_version(),
         }
@@ -251,17 +254,17 @@
         let Some(subscription) = self.subscriptions.get_mut(&id) else { return };
         subscription.heard_at_ms = now_ms;
         match message {
-            FromSubscriber::Subscribe { identity, held } => {
+            FromSubscriber::Subscribe { identity, applied } => {
                 subscription.identity = Some(identity);
-                subscription.configuration.restart(held.configuration_version);
-                subscription.list.restart(held.list_revision);
+                subscription.configuration.restart(applied.configuration_version);
+                subscription.list.restart(applied.list_revision);
             }
-            FromSubscriber::Acknowledge { held, downstream } => {
-                subscription.configuration.acknowledge(held.configuration_version);
-                subscription.list.acknowledge(held.list_revision);
+            FromSubscriber::Acknowledge { applied, downstream } => {
+                subscription.configuration.acknowledge(applied.configuration_version);
+                subscription.list.acknowledge(applied.list_revision);
                 subscription.downstream = downstream;
             }
-            FromSubscriber::RequestWhole { configuration, list } => {
+            FromSubscriber::RequestFullSnapshot { configuration, list } => {
                 if configuration {
                     subscription.configuration.restart(0);
                 }
@@ -283,13 +286,13 @@
             }
         }
         if subscription.configuration.under_way.is_none()
-            && let Some(frame) = self.configurations.frame_from(subscription.configuration.held)
+            && let Some(frame) = self.configurations.frame_from(subscription.configuration.applied)
         {
             subscription.configuration.under_way = Some(self.configurations.newest_version());
             return Some(frame);
         }
         if subscription.list.under_way.is_none()
-            && let Some(frame) = self.lists.frame_from(subscription.list.held)
+            && let Some(frame) = self.lists.frame_from(subscription.list.applied)
         {
             subscription.list.under_way = Some(self.lists.newest_version());
             return Some(frame);
@@ -356,14 +359,14 @@
     pub fn acknowledged_versions(&self) -> BTreeMap<u64, usize> {
         let mut counts = BTreeMap::new();
         for subscription in self.subscriptions.values().filter(|known| known.identity.is_some()) {
-            *counts.entry(subscription.configuration.held).or_default() += 1;
+            *counts.entry(subscription.configuration.applied).or_default() += 1;
         }
         counts
     }
 
     /// The highest revision that a subscriber says it holds.
-    pub fn highest_held_revision(&self) -> InstanceListRevision {
-        self.subscriptions.values().map(|subscription| subscription.list.held).max().unwrap_or_default()
+    pub fn highest_applied_revision(&self) -> InstanceListRevision {
+        self.subscriptions.values().map(|subscription| subscription.list.applied).max().unwrap_or_default()
     }
 
     fn heartbeat(&self, now_ms: u64) -> Heartbeat {
--- a/crates/lockusher-distribution/src/serve.rs
+++ b/crates/lockusher-distribution/src/serve.rs
@@ -11,9 +11,9 @@
 use lockusher_transport::error::TransportError;
 use lockusher_transport::frame::{self, FrameReader, FrameWriter};
 
+use crate::change_notifier::ChangeNotifier;
 use crate::message::{Envelope, FromSubscriber, MessageError};
 use crate::publisher::{Publisher, SubscriberId};
-use crate::signal::Signal;
 
 /// Pause after a failed accept, so that a lack of descriptors doesn't spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -26,7 +26,7 @@
     #[display("{_0}")]
     Message(MessageError),
     #[display("the subscriber fell silent")]
-    Silent,
+    InactivityTimeout,
     #[display("the publisher ends")]
     Closed,
 }
@@ -35,8 +35,8 @@
 #[derive(Debug)]
 pub struct SharedPublisher {
     publisher: RefCell<Publisher>,
-    changed: Signal,
-    heard: Signal,
+    changed: ChangeNotifier,
+    subscriber_activity: ChangeNotifier,
     closed: Cell<bool>,
     clock: Clock,
 }
@@ -46,8 +46,8 @@
     pub fn new(publisher: Publisher, clock: Clock) -> Rc<Self> {
         Rc::new(SharedPublisher {
             publisher: RefCell::new(publisher),
-            changed: Signal::default(),
-            heard: Signal::default(),
+            changed: ChangeNotifier::default(),
+            subscriber_activity: ChangeNotifier::default(),
             closed: Cell::new(false),
             clock,
         })
@@ -77,8 +77,8 @@
     }
 
     /// Signals each message of a subscriber, and each end of one.
-    pub fn heard(&self) -> &Signal {
-        &self.heard
+    pub fn subscriber_activity(&self) -> &ChangeNotifier {
+        &self.subscriber_activity
     }
 }
 
@@ -129,7 +129,7 @@
 impl Drop for Connection {
     fn drop(&mut self) {
         self.shared.publisher.borrow_mut().disconnect(self.id);
-        self.shared.heard.notify();
+        self.shared.subscriber_activity.notify();
     }
 }
 
@@ -150,7 +150,7 @@
             }
             self.send_due(&mut writer).await?;
             if self.shared.publisher.borrow().is_silent(self.id, self.shared.clock.millis()) {
-                return Err(ServeError::Silent);
+                return Err(ServeError::InactivityTimeout);
             }
             let arrived = reader.read().fuse();
             let changed = self.shared.changed.changed_since(seen).fuse();
@@ -178,7 +178,7 @@
     fn receive(&self, envelope: &Envelope) -> Result<(), ServeError> {
         let message: FromSubscriber = envelope.open()?;
         self.shared.publisher.borrow_mut().receive(self.id, self.shared.clock.millis(), message);
-        self.shared.heard.notify();
+        self.shared.subscriber_activity.notify();
         Ok(())
     }
 
--- a/crates/lockusher-distribution/src/snapshot.rs
+++ b/crates/lockusher-distribution/src/snapshot.rs
@@ -71,13 +71,13 @@
     }
 
     /// The frame that brings a subscriber that holds `held` to the newest version; none if it needs none.
-    pub fn frame_from(&mut self, held: T::Version) -> Option<Frame> {
+    pub fn frame_from(&mut self, applied: T::Version) -> Option<Frame> {
         let newest = self.versions.back()?;
-        if held >= newest.version() {
+        if applied >= newest.version() {
             return None;
         }
-        let base = self.versions.iter().find(|version| version.version() == held);
-        let frame = self.frames.entry(base.map(|_| held)).or_insert_with(|| match base {
+        let base = self.versions.iter().find(|version| version.version() == applied);
+        let frame = self.frames.entry(base.map(|_| applied)).or_insert_with(|| match base {
             Some(base) => frame(&newest.difference(base)),
             None => frame(&newest.whole()),
         });
--- a/crates/lockusher-distribution/src/subscribe.rs
+++ b/crates/lockusher-distribution/src/subscribe.rs
@@ -15,13 +15,13 @@
 use lockusher_transport::error::TransportError;
 use lockusher_transport::frame::{self, FrameReader, FrameWriter};
 
+use crate::change_notifier::ChangeNotifier;
 use crate::departures::DepartedInstances;
 use crate::load::ServiceLoad;
 use crate::message::{Envelope, MessageError, SubscriberIdentity, ToSubscriber};
 use crate::reconnect::{
     Attempt, CONNECT_LIMIT_MS, ConnectionPolicy, FixedAddressPolicy, OUT_OF_VIEW_MS, SILENCE_MS,
 };
-use crate::signal::Signal;
 use crate::subscriber::Subscriber;
 
 /// Pause when no publisher's address is known.
@@ -35,7 +35,7 @@
     #[display("{_0}")]
     Message(MessageError),
     #[display("the publisher fell silent")]
-    Silent,
+    InactivityTimeout,
     #[display("the publisher is outside the current view")]
     OutOfView,
 }
@@ -44,7 +44,7 @@
 pub struct SharedSubscriber<P> {
     subscriber: RefCell<Subscriber>,
     policy: RefCell<P>,
-    changed: Signal,
+    changed: ChangeNotifier,
     clock: Clock,
 }
 
@@ -54,7 +54,7 @@
         Rc::new(SharedSubscriber {
             subscriber: RefCell::new(subscriber),
             policy: RefCell::new(policy),
-            changed: Signal::default(),
+            changed: ChangeNotifier::default(),
             clock,
         })
     }
@@ -82,7 +82,7 @@
     }
 
     /// Signals each message that was received, and each loss of a publisher.
-    pub fn changed(&self) -> &Signal {
+    pub fn changed(&self) -> &ChangeNotifier {
         &self.changed
     }
 
@@ -136,8 +136,9 @@
         writer: &mut FrameWriter<Envelope>,
     ) -> Result<(), SubscribeError> {
         let silence = Duration::from_millis(SILENCE_MS);
-        let envelope =
-            compio::time::timeout(silence, reader.read()).await.map_err(|_| SubscribeError::Silent)??;
+        let envelope = compio::time::timeout(silence, reader.read())
+            .await
+            .map_err(|_| SubscribeError::InactivityTimeout)??;
         let message: ToSubscriber = envelope.open()?;
         if let ToSubscriber::ControlNodes(addresses) = &message {
             self.policy.borrow_mut().learn(addresses);
@@ -245,7 +246,7 @@
             self.told_revision = list.revision;
             let confirmed_at_ms = subscriber.list_confirmed_at_ms().unwrap_or_default();
             let instances = self.ended.apply(confirmed_at_ms, &list.instances);
-            self.ended.note_list(self.shared.clock.millis(), &self.told_instances, &list.instances);
+            self.ended.record_list(self.shared.clock.millis(), &self.told_instances, &list.instances);
             self.told_instances = Rc::clone(&instances);
             return Some(FeedUpdate::Instances { revision: list.revision, instances });
         }
--- a/crates/lockusher-distribution/src/subscriber.rs
+++ b/crates/lockusher-distribution/src/subscriber.rs
@@ -9,8 +9,8 @@
 use crate::difference::DifferenceError;
 use crate::load::{self, ServiceLoad};
 use crate::message::{
-    ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat, HeldVersions, InstanceListUpdate, NEVER_MS,
-    SubscriberIdentity, ToSubscriber,
+    AppliedVersions, ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat, InstanceListUpdate,
+    NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
 use crate::publisher::InstanceList;
 
@@ -102,10 +102,10 @@
     }
 
     /// The versions held.
-    pub fn held(&self) -> HeldVersions {
-        HeldVersions {
-            configuration_version: self.configuration.as_ref().map_or(0, |held| held.version),
-            list_revision: self.list.as_ref().map(|held| held.revision).unwrap_or_default(),
+    pub fn applied(&self) -> AppliedVersions {
+        AppliedVersions {
+            configuration_version: self.configuration.as_ref().map_or(0, |applied| applied.version),
+            list_revision: self.list.as_ref().map(|applied| applied.revision).unwrap_or_default(),
         }
     }
 
@@ -124,7 +124,7 @@
         self.acknowledged_at_ms = now_ms;
         self.publisher_in_view = true;
         self.publisher_list_age_ms = NEVER_MS;
-        FromSubscriber::Subscribe { identity: self.identity.clone(), held: self.held() }
+        FromSubscriber::Subscribe { identity: self.identity.clone(), applied: self.applied() }
     }
 
     /// Takes a message of the publisher; returns the answer that is owed.
@@ -132,11 +132,11 @@
         match message {
             ToSubscriber::Configuration(update) => match self.apply_configuration(update) {
                 Ok(()) => Some(self.acknowledge(now_ms)),
-                Err(_) => Some(FromSubscriber::RequestWhole { configuration: true, list: false }),
+                Err(_) => Some(FromSubscriber::RequestFullSnapshot { configuration: true, list: false }),
             },
             ToSubscriber::Instances(update) => match self.apply_list(update) {
                 Ok(()) => Some(self.acknowledge(now_ms)),
-                Err(_) => Some(FromSubscriber::RequestWhole { configuration: false, list: true }),
+                Err(_) => Some(FromSubscriber::RequestFullSnapshot { configuration: false, list: true }),
             },
             ToSubscriber::Heartbeat(heartbeat) => self.hear(now_ms, heartbeat),
             ToSubscriber::ControlNodes(addresses) => {
@@ -152,7 +152,7 @@
 
     /// Takes a whole configuration from elsewhere; false if it isn't newer.
     pub fn offer_configuration(&mut self, configuration: Rc<Configuration>) -> bool {
-        if configuration.version <= self.held().configuration_version {
+        if configuration.version <= self.applied().configuration_version {
             return false;
         }
         self.configuration = Some(configuration);
@@ -161,9 +161,9 @@
 
     fn apply_configuration(&mut self, update: ConfigurationUpdate) -> Result<(), DifferenceError> {
         let newer = match update {
-            ConfigurationUpdate::Whole(configuration) => configuration,
+            ConfigurationUpdate::FullSnapshot(configuration) => configuration,
             ConfigurationUpdate::Difference(difference) => {
-                if difference.version <= self.held().configuration_version {
+                if difference.version <= self.applied().configuration_version {
                     return Ok(());
                 }
                 let base = self.configuration.as_ref().ok_or(DifferenceError::OtherBase)?;
@@ -176,10 +176,10 @@
 
     fn apply_list(&mut self, update: InstanceListUpdate) -> Result<(), DifferenceError> {
         let (revision, instances) = match update {
-            InstanceListUpdate::Whole { revision, instances } => (revision, instances),
+            InstanceListUpdate::FullSnapshot { revision, instances } => (revision, instances),
             InstanceListUpdate::Difference(difference) => {
                 let revision = difference.revision;
-                if revision <= self.held().list_revision {
+                if revision <= self.applied().list_revision {
                     return Ok(());
                 }
                 let base = self.list.as_ref().ok_or(DifferenceError::OtherBase)?;
@@ -191,7 +191,7 @@
     }
 
     fn take_list(&mut self, revision: InstanceListRevision, instances: Vec<Instance>) {
-        if revision > self.held().list_revision {
+        if revision > self.applied().list_revision {
             self.list = Some(InstanceList { revision, instances: Rc::new(instances) });
         }
     }
@@ -205,8 +205,8 @@
         if heartbeat.calls_per_poll > 0 {
             self.calls_per_poll = heartbeat.calls_per_poll;
         }
-        let held = self.held();
-        if heartbeat.list_age_ms != NEVER_MS && heartbeat.newest.list_revision == held.list_revision {
+        let applied = self.applied();
+        if heartbeat.list_age_ms != NEVER_MS && heartbeat.newest.list_revision == applied.list_revision {
             let confirmed = now_ms.saturating_sub(heartbeat.list_age_ms);
             self.list_confirmed_at_ms = self.list_confirmed_at_ms.max(Some(confirmed));
         }
@@ -219,6 +219,6 @@
     fn acknowledge(&mut self, now_ms: u64) -> FromSubscriber {
         self.acknowledged_at_ms = now_ms;
         self.told_loads.clone_from(&self.downstream.loads);
-        FromSubscriber::Acknowledge { held: self.held(), downstream: self.downstream.clone() }
+        FromSubscriber::Acknowledge { applied: self.applied(), downstream: self.downstream.clone() }
     }
 }
--- a/crates/lockusher-distribution/tests/capacity.rs
+++ b/crates/lockusher-distribution/tests/capacity.rs
@@ -126,7 +126,7 @@
                 let envelope: Envelope = bitcode::decode(&frame[4..]).expect("an envelope");
                 let message: ToSubscriber = envelope.open().expect("a message");
                 agent.set_downstream(Downstream {
-                    in_force_version: agent.held().configuration_version,
+                    in_force_version: agent.applied().configuration_version,
                     ..Downstream::PROXY
                 });
                 if let Some(answer) = agent.receive(now_ms, message) {
@@ -138,7 +138,7 @@
     }
 
     fn all_hold_the_newest(&self) -> bool {
-        self.agents.iter().all(|(_, agent)| agent.held() == self.publisher.newest())
+        self.agents.iter().all(|(_, agent)| agent.applied() == self.publisher.newest())
     }
 }
 
--- a/crates/lockusher-distribution/tests/difference.rs
+++ b/crates/lockusher-distribution/tests/difference.rs
@@ -68,5 +68,5 @@
 )]
 fn a_segment_outside_the_base_is_refused(from: u32, count: u32) {
     let base = [instance("a"), instance("b")];
-    assert_eq!(join(&base, vec![Segment::Keep { from, count }]), Err(DifferenceError::OutOfRange));
+    assert_eq!(join(&base, vec![Segment::CopyFromBase { from, count }]), Err(DifferenceError::OutOfRange));
 }
--- a/crates/lockusher-distribution/tests/instance_list_poller.rs
+++ b/crates/lockusher-distribution/tests/instance_list_poller.rs
@@ -7,7 +7,7 @@
 use common::{cold, draining, instance};
 use lockusher_config::instances::Instance;
 use lockusher_config::instances_reader::InstancePage;
-use lockusher_distribution::instance_list_poller::{InstanceListPoller, PollerStep, Reading};
+use lockusher_distribution::instance_list_poller::{InstanceListPoll, InstanceListPoller, PollerStep};
 
 fn page(instances: &[Instance], next_token: Option<&str>) -> InstancePage {
     InstancePage { instances: instances.to_vec(), next_token: next_token.map(str::to_owned), skipped: vec![] }
@@ -24,7 +24,7 @@
 }
 
 /// One reading of `pages`.
-fn read(reader: &mut InstanceListPoller, now_ms: &mut u64, pages: &[&[Instance]]) -> Reading {
+fn read(reader: &mut InstanceListPoller, now_ms: &mut u64, pages: &[&[Instance]]) -> InstanceListPoll {
     for (number, instances) in pages.iter().enumerate() {
         let (at_ms, _) = next_call(reader, *now_ms);
         *now_ms = at_ms;
@@ -38,12 +38,12 @@
 }
 
 fn lone() -> InstanceListPoller {
-    let mut reader = InstanceListPoller::lone(40.0, 3_000, 1);
+    let mut reader = InstanceListPoller::sole(40.0, 3_000, 1);
     reader.start(0);
     reader
 }
 
-fn names(reading: &Reading) -> Vec<&str> {
+fn names(reading: &InstanceListPoll) -> Vec<&str> {
     reading.instances.iter().map(|instance| instance.identifier.as_str()).collect()
 }
 
@@ -154,7 +154,7 @@
 fn calls_by_second(readers: u32, pages: u32, rate_per_s: f64, seconds: u64) -> BTreeMap<u64, u32> {
     let mut calls = BTreeMap::new();
     for number in 0..readers {
-        let mut reader = InstanceListPoller::one_of_many(rate_per_s, 3_000, u64::from(number));
+        let mut reader = InstanceListPoller::concurrent(rate_per_s, 3_000, u64::from(number));
         reader.set_pollers(readers);
         reader.set_calls(pages);
         reader.start(0);
--- a/crates/lockusher-distribution/tests/load.rs
+++ b/crates/lockusher-distribution/tests/load.rs
@@ -7,7 +7,8 @@
 use common::identity;
 use lockusher_distribution::load::{self, ServiceLoad};
 use lockusher_distribution::message::{
-    Downstream, Envelope, FromSubscriber, Heartbeat, HeldVersions, NEVER_MS, SubscriberIdentity, ToSubscriber,
+    AppliedVersions, Downstream, Envelope, FromSubscriber, Heartbeat, NEVER_MS, SubscriberIdentity,
+    ToSubscriber,
 };
 use lockusher_distribution::publisher::Publisher;
 use lockusher_distribution::subscriber::Subscriber;
@@ -18,7 +19,7 @@
         service: name.to_owned(),
         proxies: 1,
         requests_per_s: 40,
-        read_tokens_per_s: 90_000,
+        prefill_tokens_per_s: 90_000,
         prefill_in_flight: in_flight,
         decode_in_flight: 2 * in_flight,
         decode_waiting: in_flight / 2,
@@ -28,7 +29,7 @@
 
 fn acknowledgement(loads: Vec<ServiceLoad>) -> FromSubscriber {
     let downstream = Downstream { in_force_version: 0, proxies: 1, loads };
-    FromSubscriber::Acknowledge { held: HeldVersions::default(), downstream }
+    FromSubscriber::Acknowledge { applied: AppliedVersions::default(), downstream }
 }
 
 fn agent(node: &str) -> SubscriberIdentity {
@@ -38,7 +39,7 @@
 
 fn subscribe(publisher: &mut Publisher, node: &str, loads: Vec<ServiceLoad>) {
     let id = publisher.connect(0);
-    let first = FromSubscriber::Subscribe { identity: agent(node), held: HeldVersions::default() };
+    let first = FromSubscriber::Subscribe { identity: agent(node), applied: AppliedVersions::default() };
     publisher.receive(id, 0, first);
     publisher.receive(id, 0, acknowledgement(loads));
 }
@@ -65,7 +66,7 @@
 
 fn heartbeat() -> ToSubscriber {
     ToSubscriber::Heartbeat(Heartbeat {
-        newest: HeldVersions::default(),
+        newest: AppliedVersions::default(),
         list_age_ms: NEVER_MS,
         calls_per_poll: 0,
         proxies: 1,
--- a/crates/lockusher-distribution/tests/loopback.rs
+++ b/crates/lockusher-distribution/tests/loopback.rs
@@ -49,11 +49,11 @@
     async fn wait_until(&self, reached: impl Fn(&Publisher) -> bool) {
         let wait = async {
             loop {
-                let seen = self.shared.heard().generation();
+                let seen = self.shared.subscriber_activity().generation();
                 if self.shared.read(&reached) {
                     return;
                 }
-                self.shared.heard().changed_since(seen).await;
+                self.shared.subscriber_activity().changed_since(seen).await;
             }
         };
         timeout(LIMIT, wait).await.expect("the state comes about");
@@ -153,8 +153,10 @@
     }
     // Signs of life come every second, in answer to heartbeats.
     for _ in 0..2 {
-        let seen = server.shared.heard().generation();
-        timeout(LIMIT, server.shared.heard().changed_since(seen)).await.expect("a sign of life");
+        let seen = server.shared.subscriber_activity().generation();
+        timeout(LIMIT, server.shared.subscriber_activity().changed_since(seen))
+            .await
+            .expect("a sign of life");
     }
     assert_eq!(server.shared.read(Publisher::connections_made), 1);
 }
--- a/crates/lockusher-distribution/tests/recorded_bytes.rs
+++ b/crates/lockusher-distribution/tests/recorded_bytes.rs
@@ -14,8 +14,8 @@
 use lockusher_distribution::difference::{ConfigurationDifference, InstanceListDifference, Segment};
 use lockusher_distribution::load::ServiceLoad;
 use lockusher_distribution::message::{
-    ConfigurationUpdate, Downstream, Envelope, FromSubscriber, Heartbeat, HeldVersions, InstanceListUpdate,
-    NEVER_MS, SubscriberIdentity, ToSubscriber,
+    AppliedVersions, ConfigurationUpdate, Downstream, Envelope, FromSubscriber, Heartbeat,
+    InstanceListUpdate, NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
 use lockusher_distribution::snapshot;
 use lockusher_transport::frame;
@@ -32,7 +32,7 @@
     FromSubscriber,
     FROM_SUBSCRIBER_KINDS,
     from_subscriber_kind,
-    [Subscribe, Acknowledge, RequestWhole]
+    [Subscribe, Acknowledge, RequestFullSnapshot]
 );
 kinds_of!(
     ToSubscriber,
@@ -40,11 +40,11 @@
     to_subscriber_kind,
     [Configuration, Instances, Heartbeat, ControlNodes, Peers]
 );
-kinds_of!(ConfigurationUpdate, CONFIGURATION_KINDS, configuration_kind, [Whole, Difference]);
-kinds_of!(InstanceListUpdate, LIST_KINDS, list_kind, [Whole, Difference]);
-kinds_of!(RouteSegment, ROUTE_SEGMENT_KINDS, route_segment_kind, [Keep, Insert]);
-kinds_of!(ServiceSegment, SERVICE_SEGMENT_KINDS, service_segment_kind, [Keep, Insert]);
-kinds_of!(InstanceSegment, INSTANCE_SEGMENT_KINDS, instance_segment_kind, [Keep, Insert]);
+kinds_of!(ConfigurationUpdate, CONFIGURATION_KINDS, configuration_kind, [FullSnapshot, Difference]);
+kinds_of!(InstanceListUpdate, LIST_KINDS, list_kind, [FullSnapshot, Difference]);
+kinds_of!(RouteSegment, ROUTE_SEGMENT_KINDS, route_segment_kind, [CopyFromBase, Insert]);
+kinds_of!(ServiceSegment, SERVICE_SEGMENT_KINDS, service_segment_kind, [CopyFromBase, Insert]);
+kinds_of!(InstanceSegment, INSTANCE_SEGMENT_KINDS, instance_segment_kind, [CopyFromBase, Insert]);
 kinds_of!(RouteKind, ROUTE_KINDS, route_kind, [Idempotent, NonIdempotent, Streaming]);
 kinds_of!(InstanceState, STATE_KINDS, state_kind, [Ready, Changing, Draining]);
 kinds_of!(Stage, STAGE_KINDS, stage_kind, [Prefill, Decode]);
@@ -146,11 +146,11 @@
         base_version: 70_000,
         version: 70_003,
         routes: vec![
-            Segment::Keep { from: 2, count: 300 },
+            Segment::CopyFromBase { from: 2, count: 300 },
             Segment::Insert(vec![changed_route]),
-            Segment::Keep { from: 303, count: 1 },
+            Segment::CopyFromBase { from: 303, count: 1 },
         ],
-        services: vec![Segment::Insert(vec![changed_service]), Segment::Keep { from: 1, count: 4 }],
+        services: vec![Segment::Insert(vec![changed_service]), Segment::CopyFromBase { from: 1, count: 4 }],
         limits: configuration().limits,
     }
 }
@@ -201,7 +201,7 @@
     let newer = InstanceListRevision { sequence: revision().sequence + 1, ..revision() };
     let segments = vec![
         Segment::Insert(instances()),
-        Segment::Keep { from: 0, count: 70_000 },
+        Segment::CopyFromBase { from: 0, count: 70_000 },
         Segment::Insert(instances().drain(..1).collect()),
     ];
     InstanceListDifference { base: revision(), revision: newer, instances: segments }
@@ -209,25 +209,28 @@
 
 fn configuration_updates() -> Vec<(&'static str, ConfigurationUpdate)> {
     vec![
-        ("configuration-whole", ConfigurationUpdate::Whole(configuration())),
-        ("configuration-whole-empty", ConfigurationUpdate::Whole(empty_configuration())),
+        ("configuration-whole", ConfigurationUpdate::FullSnapshot(configuration())),
+        ("configuration-whole-empty", ConfigurationUpdate::FullSnapshot(empty_configuration())),
         ("configuration-difference", ConfigurationUpdate::Difference(configuration_difference())),
     ]
 }
 
 fn list_updates() -> Vec<(&'static str, InstanceListUpdate)> {
     vec![
-        ("list-whole", InstanceListUpdate::Whole { revision: revision(), instances: instances() }),
-        ("list-whole-empty", InstanceListUpdate::Whole { revision: revision(), instances: Vec::new() }),
+        ("list-whole", InstanceListUpdate::FullSnapshot { revision: revision(), instances: instances() }),
+        (
+            "list-whole-empty",
+            InstanceListUpdate::FullSnapshot { revision: revision(), instances: Vec::new() },
+        ),
         ("list-difference", InstanceListUpdate::Difference(list_difference())),
     ]
 }
 
 fn heartbeats() -> Vec<(&'static str, Heartbeat)> {
-    let newest = HeldVersions { configuration_version: 70_000, list_revision: revision() };
+    let newest = AppliedVersions { configuration_version: 70_000, list_revision: revision() };
     let in_view = Heartbeat { newest, list_age_ms: 1_300, calls_per_poll: 31, proxies: 1_200, in_view: true };
     let out_of_view = Heartbeat {
-        newest: HeldVersions::default(),
+        newest: AppliedVersions::default(),
         list_age_ms: NEVER_MS,
         calls_per_poll: 0,
         proxies: 0,
@@ -257,7 +260,7 @@
         service: "chat".to_owned(),
         proxies: 12,
         requests_per_s: 340,
-        read_tokens_per_s: 70_001,
+        prefill_tokens_per_s: 70_001,
         prefill_in_flight: 1_250,
         decode_in_flight: 4_300,
         decode_waiting: 75,
@@ -267,7 +270,7 @@
 }
 
 fn from_subscriber() -> Vec<(&'static str, FromSubscriber)> {
-    let held = HeldVersions { configuration_version: 70_000, list_revision: revision() };
+    let applied = AppliedVersions { configuration_version: 70_000, list_revision: revision() };
     let agent = SubscriberIdentity {
         node: "edge-7".to_owned(),
         zone: "b".to_owned(),
@@ -276,12 +279,15 @@
     let proxy = SubscriberIdentity { node: "edge-7".to_owned(), zone: "b".to_owned(), agent_address: None };
     let downstream = Downstream { in_force_version: 69_997, proxies: 12, loads: loads() };
     vec![
-        ("subscribe-agent", FromSubscriber::Subscribe { identity: agent, held }),
-        ("subscribe-proxy", FromSubscriber::Subscribe { identity: proxy, held: HeldVersions::default() }),
-        ("acknowledge-agent", FromSubscriber::Acknowledge { held, downstream }),
-        ("acknowledge-proxy", FromSubscriber::Acknowledge { held, downstream: Downstream::PROXY }),
-        ("request-configuration", FromSubscriber::RequestWhole { configuration: true, list: false }),
-        ("request-list", FromSubscriber::RequestWhole { configuration: false, list: true }),
+        ("subscribe-agent", FromSubscriber::Subscribe { identity: agent, applied }),
+        (
+            "subscribe-proxy",
+            FromSubscriber::Subscribe { identity: proxy, applied: AppliedVersions::default() },
+        ),
+        ("acknowledge-agent", FromSubscriber::Acknowledge { applied, downstream }),
+        ("acknowledge-proxy", FromSubscriber::Acknowledge { applied, downstream: Downstream::PROXY }),
+        ("request-configuration", FromSubscriber::RequestFullSnapshot { configuration: true, list: false }),
+        ("request-list", FromSubscriber::RequestFullSnapshot { configuration: false, list: true }),
     ]
 }
 
--- a/crates/lockusher-distribution/tests/streams.rs
+++ b/crates/lockusher-distribution/tests/streams.rs
@@ -11,7 +11,7 @@
 use lockusher_config::configuration::Configuration;
 use lockusher_config::instances::{Instance, InstanceListRevision};
 use lockusher_distribution::message::{
-    Downstream, Envelope, FromSubscriber, Heartbeat, HeldVersions, ToSubscriber,
+    AppliedVersions, Downstream, Envelope, FromSubscriber, Heartbeat, ToSubscriber,
 };
 use lockusher_distribution::publisher::{HEARTBEAT_MS, Publisher, PublisherStatus, SubscriberId};
 use lockusher_distribution::subscriber::Subscriber;
@@ -181,7 +181,7 @@
         self.count(&message);
         let connection = &mut self.connections[position];
         let subscriber = &mut self.subscribers[connection.subscriber];
-        let before = subscriber.held();
+        let before = subscriber.applied();
         let answer = subscriber.receive(self.now_ms, message);
         connection.upward.extend(answer);
         let subscriber = connection.subscriber;
@@ -191,24 +191,24 @@
     fn count(&mut self, message: &ToSubscriber) {
         use lockusher_distribution::message::{ConfigurationUpdate, InstanceListUpdate};
         match message {
-            ToSubscriber::Configuration(ConfigurationUpdate::Whole(_))
-            | ToSubscriber::Instances(InstanceListUpdate::Whole { .. }) => self.wholes += 1,
+            ToSubscriber::Configuration(ConfigurationUpdate::FullSnapshot(_))
+            | ToSubscriber::Instances(InstanceListUpdate::FullSnapshot { .. }) => self.wholes += 1,
             ToSubscriber::Configuration(_) | ToSubscriber::Instances(_) => self.differences += 1,
             _ => {}
         }
     }
 
     /// Nothing goes back, and what is held is what was published under its version.
-    fn check(&self, subscriber: usize, before: HeldVersions) {
+    fn check(&self, subscriber: usize, before: AppliedVersions) {
         let subscriber = &self.subscribers[subscriber];
-        let held = subscriber.held();
-        assert!(held.configuration_version >= before.configuration_version, "configuration went back");
-        assert!(held.list_revision >= before.list_revision, "list went back");
+        let applied = subscriber.applied();
+        assert!(applied.configuration_version >= before.configuration_version, "configuration went back");
+        assert!(applied.list_revision >= before.list_revision, "list went back");
         if let Some(configuration) = subscriber.configuration() {
-            assert_eq!(configuration, &self.truth.configurations[&held.configuration_version]);
+            assert_eq!(configuration, &self.truth.configurations[&applied.configuration_version]);
         }
         if let Some(list) = subscriber.list() {
-            assert_eq!(&list.instances, &self.truth.lists[&held.list_revision]);
+            assert_eq!(&list.instances, &self.truth.lists[&applied.list_revision]);
         }
     }
 
@@ -241,8 +241,8 @@
         }
     }
 
-    fn newest(&self) -> HeldVersions {
-        HeldVersions {
+    fn newest(&self) -> AppliedVersions {
+        AppliedVersions {
             configuration_version: self.truth.configurations.keys().next_back().copied().unwrap_or_default(),
             list_revision: self.truth.lists.keys().next_back().copied().unwrap_or_default(),
         }
@@ -260,7 +260,7 @@
         }
         world.settle();
         for subscriber in &world.subscribers {
-            prop_assert_eq!(subscriber.held(), world.newest());
+            prop_assert_eq!(subscriber.applied(), world.newest());
         }
         let counted: usize = world.publishers.iter().map(|known| known.acknowledged_versions().values().sum::<usize>()).sum();
         prop_assert_eq!(counted, SUBSCRIBERS);
@@ -307,12 +307,12 @@
         publisher.publish_configuration(Rc::new(configuration(version, &[])));
         assert_eq!(messages(&mut publisher, id, 0), [], "the first isn't acknowledged yet");
     }
-    let held = HeldVersions { configuration_version: 1, ..HeldVersions::default() };
-    publisher.receive(id, 0, FromSubscriber::Acknowledge { held, downstream: Downstream::PROXY });
+    let applied = AppliedVersions { configuration_version: 1, ..AppliedVersions::default() };
+    publisher.receive(id, 0, FromSubscriber::Acknowledge { applied, downstream: Downstream::PROXY });
     assert_eq!(messages(&mut publisher, id, 0).len(), 1);
     assert_eq!(publisher.acknowledged_versions(), BTreeMap::from([(1, 1)]));
-    let held = HeldVersions { configuration_version: 99, ..HeldVersions::default() };
-    publisher.receive(id, 0, FromSubscriber::Acknowledge { held, downstream: Downstream::PROXY });
+    let applied = AppliedVersions { configuration_version: 99, ..AppliedVersions::default() };
+    publisher.receive(id, 0, FromSubscriber::Acknowledge { applied, downstream: Downstream::PROXY });
     assert_eq!(publisher.acknowledged_versions(), BTreeMap::from([(99, 1)]));
 }
 
@@ -362,7 +362,7 @@
             subscriber.receive(1_000, message);
         }
     }
-    assert_eq!(subscriber.held().list_revision, revision(2, 5));
+    assert_eq!(subscriber.applied().list_revision, revision(2, 5));
     assert_eq!(subscriber.list_confirmed_at_ms(), None);
 }
 
@@ -372,17 +372,20 @@
     publisher.publish_configuration(Rc::new(configuration(1, &[(1, 1)])));
     publisher.publish_configuration(Rc::new(configuration(2, &[(1, 2)])));
     let id = publisher.connect(0);
-    let held = HeldVersions { configuration_version: 1, ..HeldVersions::default() };
-    publisher.receive(id, 0, FromSubscriber::Subscribe { identity: identity("a"), held });
+    let applied = AppliedVersions { configuration_version: 1, ..AppliedVersions::default() };
+    publisher.receive(id, 0, FromSubscriber::Subscribe { identity: identity("a"), applied });
     let mut subscriber = Subscriber::new(identity("a"));
     let update = messages(&mut publisher, id, 0).remove(0);
     let answer = subscriber.receive(0, update).expect("an answer");
-    assert_eq!(answer, FromSubscriber::RequestWhole { configuration: true, list: false });
+    assert_eq!(answer, FromSubscriber::RequestFullSnapshot { configuration: true, list: false });
     publisher.receive(id, 0, answer);
     for message in messages(&mut publisher, id, 0) {
         subscriber.receive(0, message);
     }
-    assert_eq!(subscriber.configuration().map(|held| held.as_ref()), Some(&configuration(2, &[(1, 2)])));
+    assert_eq!(
+        subscriber.configuration().map(|applied| applied.as_ref()),
+        Some(&configuration(2, &[(1, 2)]))
+    );
 }
 
 #[test]
@@ -433,7 +436,7 @@
             Downstream { in_force_version: 0, proxies: publisher.downstream_proxies(), loads: Vec::new() };
         assert_eq!(downstream.proxies, 3 + number as u32, "a second connection of one agent doesn't count");
         let id = subscribed(&mut head, follower);
-        head.receive(id, 0, FromSubscriber::Acknowledge { held: HeldVersions::default(), downstream });
+        head.receive(id, 0, FromSubscriber::Acknowledge { applied: AppliedVersions::default(), downstream });
     }
     assert_eq!(head.downstream_proxies(), 8);
     head.set_status(PublisherStatus { proxies: head.downstream_proxies(), ..head.status() });
--- a/crates/lockusher-proxy/src/decision/load.rs
+++ b/crates/lockusher-proxy/src/decision/load.rs
@@ -139,7 +139,7 @@
             service: String::new(),
             proxies: 1,
             requests_per_s: per_second(std::mem::take(&mut self.requests)),
-            read_tokens_per_s: per_second(std::mem::take(&mut self.read_tokens)),
+            prefill_tokens_per_s: per_second(std::mem::take(&mut self.read_tokens)),
             prefill_in_flight: self.prefill.take_hundredths(now, window),
             decode_in_flight: self.decode.take_hundredths(now, window),
             decode_waiting: self.decode_waiting.take_hundredths(now, window),
--- a/crates/lockusher-proxy/tests/decision_load.rs
+++ b/crates/lockusher-proxy/tests/decision_load.rs
@@ -21,7 +21,7 @@
     let load = &loads[0];
     assert_eq!((load.service.as_str(), load.proxies, load.requests_per_s), (SERVICE, 1, 1));
     // The prompt's home is taken to hold the shared part.
-    assert_eq!(load.read_tokens_per_s, 3_000);
+    assert_eq!(load.prefill_tokens_per_s, 3_000);
     assert_eq!((load.prefill_in_flight, load.decode_in_flight, load.decode_waiting), (50, 40, 10));
     assert_eq!(load.decode_tokens, 6_000);
     assert_eq!(director.take_loads(2 * SECOND + MS), None, "it was just told");
