--- a/tests/support/recorded_bytes.rs
+++ b/tests/support/recorded_bytes.rs
@@ -16,6 +16,7 @@
 
 /// Declares `$kinds`, the names of all variants of an enum, and `$kind_of`, the name of a value's variant. A variant
 /// that isn't listed is a compile error; one that is listed is asked for by [`assert_every_kind_is_sampled`].
+#[allow(unused_macros)]
 macro_rules! kinds_of {
     ($enum:ident, $kinds:ident, $kind_of:ident, [$($variant:ident),* $(,)?]) => {
         const $kinds: &[&str] = &[$(stringify!($variant)),*];
@@ -27,6 +28,7 @@
         }
     };
 }
+#[allow(unused_imports)]
 pub(crate) use kinds_of;
 
 /// Fails unless each of `kinds` is among those that were sampled.
