--- a/crates/lockusher-membership/tests/recorded_bytes.rs
+++ b/crates/lockusher-membership/tests/recorded_bytes.rs
@@ -6,7 +6,6 @@
 
 use std::net::SocketAddrV4;
 
-use lockusher::interface::{Budget, SearcherId, Span, Time};
 use lockusher_membership::core::share::Shares;
 use lockusher_membership::core::table::{MixerName, Record, State};
 use lockusher_membership::core::{Core, Plan};
@@ -14,6 +13,7 @@
 use lockusher_membership::proto::lending::What as LendingWhat;
 use lockusher_membership::proto::message::What;
 use lockusher_membership::shared::records::{Entry, Fault, Merged, Records, Verdict};
+use lockusher_policy::interface::{Budget, SearcherId, Span, Time};
 use prost::Message as _;
 use recorded_bytes::{
     assert_bytes_as_recorded, assert_encoded_as_recorded, assert_every_kind_is_sampled, kinds_of,
