--- a/crates/lockusher-control/src/shell/instance_list_polling.rs
+++ b/crates/lockusher-control/src/driver/instance_list_polling.rs
@@ -16,7 +16,7 @@
 use lockusher_distribution::subscribe::SharedSubscriber;
 use lockusher_distribution::subscriber::Subscriber;
 
-use super::host::{Host, Role};
+use super::replica_driver::{Host, Role};
 
 /// Reads the list while this node is head and follows the head otherwise, for ever.
 pub async fn run(host: Rc<Host>, settings: Rc<NodeSettings>, random_seed: u64) {
--- a/crates/lockusher-control/src/shell/mod.rs
+++ b/crates/lockusher-control/src/driver/mod.rs
@@ -1,10 +1,10 @@
 //! The I/O around the replica: peers, operator, subscribers, disk and clock of one control node.
 
 pub mod disk;
-pub mod host;
 pub mod instance_list_polling;
 pub mod operator_api;
 pub mod peer_links;
+pub mod replica_driver;
 pub mod stage_assignment;
 pub mod stage_switch_overlay;
 pub mod status;
--- a/crates/lockusher-control/src/shell/operator_api.rs
+++ b/crates/lockusher-control/src/driver/operator_api.rs
@@ -12,7 +12,7 @@
 use lockusher_transport::error::TransportError;
 use lockusher_transport::http::{FullBody, answer, read_body};
 
-use super::host::Host;
+use super::replica_driver::Host;
 use super::status;
 use crate::document::{ConfigurationDocument, patch_identity};
 use crate::replica::{Reply, Request};
--- a/crates/lockusher-control/src/shell/stage_assignment.rs
+++ b/crates/lockusher-control/src/driver/stage_assignment.rs
@@ -15,8 +15,8 @@
 use lockusher_transport::tcp;
 use serde_json::json;
 
-use super::host::Host;
 use super::instance_list_polling;
+use super::replica_driver::Host;
 use crate::Millis;
 use crate::replica::{Reply, Request};
 use crate::stage_assignment_lease::StageAssignmentLease;
--- a/crates/lockusher-control/src/shell/status.rs
+++ b/crates/lockusher-control/src/driver/status.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use super::host::Host;
+use super::replica_driver::Host;
 
 /// The state of this control node as JSON.
 pub fn report(host: &Host) -> String {
--- a/crates/lockusher-control/src/lib.rs
+++ b/crates/lockusher-control/src/lib.rs
@@ -1,6 +1,6 @@
 //! Replicated control state: agreed view, chain replication, storage, leases.
 //!
-//! [`Replica`] is the pure state machine of one control node. It has no I/O, no clock and no threads: a shell feeds
+//! [`Replica`] is the pure state machine of one control node. It has no I/O, no clock and no threads: a driver feeds
 //! it [`Event`]s together with the steady time, and carries out the [`Effect`]s it returns. The protocol is
 //! described in `docs/system.md`, section "Control state".
 
@@ -8,6 +8,7 @@
 mod acceptor_log;
 pub mod attempt;
 pub mod document;
+pub mod driver;
 pub mod durable;
 mod durable_state;
 mod failure_detector;
@@ -15,7 +16,6 @@
 pub mod planner;
 pub mod replica;
 pub mod serve;
-pub mod shell;
 #[cfg(feature = "simulation")]
 pub mod simulation;
 pub mod stage_assignment_lease;
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -17,11 +17,11 @@
 use lockusher_transport::error::TransportError;
 use lockusher_transport::{http, tcp};
 
+use crate::driver::disk::{Disk, DiskError};
+use crate::driver::peer_links::{LinkTiming, PeerLinks, receive};
+use crate::driver::replica_driver::Host;
+use crate::driver::{instance_list_polling, operator_api, stage_assignment};
 use crate::replica::{Event, Replica, ReplicaSetup};
-use crate::shell::disk::{Disk, DiskError};
-use crate::shell::host::Host;
-use crate::shell::peer_links::{LinkTiming, PeerLinks, receive};
-use crate::shell::{instance_list_polling, operator_api, stage_assignment};
 
 /// Pause between two ticks of the replica.
 const TICK: Duration = Duration::from_millis(50);
--- a/crates/lockusher-control/tests/disk.rs
+++ b/crates/lockusher-control/tests/disk.rs
@@ -4,7 +4,7 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-use lockusher_control::shell::disk::{Disk, RecoveredRecords, ScrubCounters};
+use lockusher_control::driver::disk::{Disk, RecoveredRecords, ScrubCounters};
 use lockusher_control::{DiskComparison, DurableRecord, Identity};
 use lockusher_storage::{Completions, DiskFileSystem, Store, StoreOptions};
 use tempfile::TempDir;
--- a/crates/lockusher-control/tests/peer_links.rs
+++ b/crates/lockusher-control/tests/peer_links.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lockusher_control::shell::peer_links::LinkTiming;
+use lockusher_control::driver::peer_links::LinkTiming;
 
 /// Heartbeats go every twentieth of `acknowledgeMs`; a node is suspected after a fifth of it.
 const HEARTBEAT_PART: u32 = 20;
--- a/crates/lockusher-control/tests/recorded_bytes.rs
+++ b/crates/lockusher-control/tests/recorded_bytes.rs
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 
 use lockusher_control::document::patch_identity;
+use lockusher_control::driver::disk::Disk;
+use lockusher_control::driver::peer_links::PeerFrame;
 use lockusher_control::message::{
     AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer, TransferPurpose,
     TransferResponse,
 };
-use lockusher_control::shell::disk::Disk;
-use lockusher_control::shell::peer_links::PeerFrame;
 use lockusher_control::{
     ConfigurationDocument, DurableRecord, Envelope, Identity, Member, Message, PersistTicket, Position,
     ReplicatedState, Reply, Request, View,
--- a/crates/lockusher-control/tests/stage_assignment.rs
+++ b/crates/lockusher-control/tests/stage_assignment.rs
@@ -6,7 +6,7 @@
 use compio::net::TcpListener;
 use hyper::StatusCode;
 use lockusher_config::instances::Stage;
-use lockusher_control::shell::stage_assignment::{order_request, outcome_of};
+use lockusher_control::driver::stage_assignment::{order_request, outcome_of};
 use lockusher_control::stage_scheduler::{OrderOutcome, StageChange};
 use lockusher_transport::{http, tcp};
 use yare::parameterized;
--- a/crates/lockusher-control/tests/stage_switch_overlay.rs
+++ b/crates/lockusher-control/tests/stage_switch_overlay.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use lockusher_config::instances::{Instance, InstanceState, Stage};
-use lockusher_control::shell::stage_switch_overlay::StageSwitchOverlay;
+use lockusher_control::driver::stage_switch_overlay::StageSwitchOverlay;
 
 fn searcher(identifier: &str, stage: Stage, state: InstanceState) -> Instance {
     Instance {
