--- a/crates/lockusher-control/src/driver/stage_assignment.rs
+++ b/crates/lockusher-control/src/driver/stage_assignment.rs
@@ -20,65 +20,65 @@
 use crate::Millis;
 use crate::replica::{Reply, Request};
 use crate::stage_assignment_lease::StageAssignmentLease;
-use crate::stage_scheduler::{Observation, OrderOutcome, StageChange, StagePlanner};
+use crate::stage_scheduler::{Observation, OrderOutcome, StageChange, StageScheduler};
 
 /// Pause between two looks at the loads.
-const LOOK: Duration = Duration::from_millis(250);
+const SCHEDULING_INTERVAL: Duration = Duration::from_millis(250);
 /// Time in which all proxies hear that a searcher is about to change.
-const NOTICE: Duration = Duration::from_millis(300);
-const ORDER_PATH: &str = "/api/order";
+const OVERLAY_PROPAGATION_DELAY: Duration = Duration::from_millis(300);
+const STAGE_CHANGE_PATH: &str = "/api/order";
 
 /// Gives orders while this node is head, for ever. Dropping the future ends it at once, an order under way included.
 pub async fn run(host: Rc<Host>, settings: Rc<NodeSettings>) {
     let started = host.clock.millis();
-    let mut orders = StageOrders {
+    let mut assigner = StageAssigner {
         lease: StageAssignmentLease::new(settings.bounds.lease_ms, started),
-        planner: StagePlanner::new(settings.cloud_lag_ms),
+        scheduler: StageScheduler::new(settings.cloud_lag_ms),
         host,
         settings,
     };
     loop {
-        sleep(LOOK).await;
-        orders.look().await;
+        sleep(SCHEDULING_INTERVAL).await;
+        assigner.run_cycle().await;
     }
 }
 
-struct StageOrders {
+struct StageAssigner {
     host: Rc<Host>,
     settings: Rc<NodeSettings>,
     lease: StageAssignmentLease,
-    planner: StagePlanner,
+    scheduler: StageScheduler,
 }
 
-impl StageOrders {
+impl StageAssigner {
     fn now(&self) -> Millis {
         self.host.clock.millis()
     }
 
-    /// The fence under which this node may order now; none if it isn't head or has to wait.
-    fn fence(&mut self) -> Option<u64> {
+    /// The fencing token under which this node may order now; none if it isn't head or has to wait.
+    fn fencing_token(&mut self) -> Option<u64> {
         let role = self.host.role();
         let now = self.now();
         self.lease.observe(now, role.head, role.epoch);
-        self.lease.fence(now)
+        self.lease.fencing_token(now)
     }
 
-    async fn look(&mut self) {
-        let Some(fence) = self.fence() else {
+    async fn run_cycle(&mut self) {
+        let Some(fencing_token) = self.fencing_token() else {
             if !self.host.role().head {
-                self.planner = StagePlanner::new(self.settings.cloud_lag_ms);
+                self.scheduler = StageScheduler::new(self.settings.cloud_lag_ms);
                 self.host.stage_switch_overlay.set(Vec::new());
             }
             return;
         };
         let change = self.plan();
-        self.show_marks();
+        self.publish_overlay();
         let Some(change) = change else { return };
-        sleep(NOTICE).await;
-        let outcome = self.order(fence, &change).await;
+        sleep(OVERLAY_PROPAGATION_DELAY).await;
+        let outcome = self.send_order(fencing_token, &change).await;
         log::info!("order: {} becomes {:?}: {outcome:?}", change.identifier, change.to);
-        self.planner.ordered(self.now(), &change, outcome);
-        self.show_marks();
+        self.scheduler.order_completed(self.now(), &change, outcome);
+        self.publish_overlay();
     }
 
     fn plan(&mut self) -> Option<StageChange> {
@@ -87,57 +87,61 @@
             let newest = (publisher.configuration().cloned(), publisher.list().cloned());
             (newest.0, newest.1, publisher.downstream_loads(), publisher.downstream_proxies())
         });
-        let seen = Observation {
+        let observation = Observation {
             now,
             configuration: configuration.as_deref()?,
             instances: &list.as_ref()?.instances,
             loads: &loads,
             proxies,
         };
-        self.planner.plan(&seen)
+        self.scheduler.next_change(&observation)
     }
 
     /// Lets the published list show which searchers are changing.
-    fn show_marks(&self) {
-        let marks = self.planner.changing().map(|change| (change.identifier.clone(), change.from)).collect();
-        if self.host.stage_switch_overlay.set(marks) {
+    fn publish_overlay(&self) {
+        let switching = self
+            .scheduler
+            .changes_in_flight()
+            .map(|change| (change.identifier.clone(), change.from))
+            .collect();
+        if self.host.stage_switch_overlay.set(switching) {
             instance_list_polling::publish_again(&self.host);
         }
     }
 
-    async fn order(&mut self, fence: u64, change: &StageChange) -> OrderOutcome {
-        let Ok(address) = change.address.parse() else { return OrderOutcome::Refused };
-        let asked = self.now();
+    async fn send_order(&mut self, fencing_token: u64, change: &StageChange) -> OrderOutcome {
+        let Ok(address) = change.address.parse() else { return OrderOutcome::Rejected };
+        let requested_at = self.now();
         let confirmed = matches!(self.host.request(Request::Read).await, Reply::Document(_));
-        if !confirmed || !self.may_send(fence, asked) {
+        if !confirmed || !self.may_send(fencing_token, requested_at) {
             return OrderOutcome::NotSent;
         }
         let limit = Duration::from_millis(self.lease.attempt_limit());
-        let attempt = self.attempt(address, fence, asked, change, limit / 2);
+        let attempt = self.attempt(address, fencing_token, requested_at, change, limit / 2);
         match timeout(limit, attempt).await {
             Ok(outcome) => outcome,
             Err(_) => OrderOutcome::Unknown,
         }
     }
 
-    fn may_send(&mut self, fence: u64, asked: Millis) -> bool {
-        self.fence() == Some(fence) && self.lease.is_confirmed(asked, self.now())
+    fn may_send(&mut self, fencing_token: u64, requested_at: Millis) -> bool {
+        self.fencing_token() == Some(fencing_token) && self.lease.is_confirmed(requested_at, self.now())
     }
 
     async fn attempt(
         &mut self,
         address: SocketAddrV4,
-        fence: u64,
-        asked: Millis,
+        fencing_token: u64,
+        requested_at: Millis,
         change: &StageChange,
         connect_limit: Duration,
     ) -> OrderOutcome {
-        let Ok(stream) = tcp::connect(address, connect_limit).await else { return OrderOutcome::Refused };
+        let Ok(stream) = tcp::connect(address, connect_limit).await else { return OrderOutcome::Rejected };
         // What is given up must not be sent again by the kernel later.
         let discards = tcp::discard_on_close(&stream).is_ok();
-        let request = order_request(address, change, &self.settings.node, fence);
+        let request = stage_change_request(address, change, &self.settings.node, fencing_token);
         let Ok(request) = request else { return OrderOutcome::NotSent };
-        if !discards || !self.may_send(fence, asked) {
+        if !discards || !self.may_send(fencing_token, requested_at) {
             return OrderOutcome::NotSent;
         }
         match http::exchange(stream, request).await {
@@ -151,20 +155,21 @@
 }
 
 /// The order as a request.
-pub fn order_request(
+pub fn stage_change_request(
     address: SocketAddrV4,
     change: &StageChange,
     holder: &str,
-    fence: u64,
+    fencing_token: u64,
 ) -> Result<HttpRequest<FullBody>, TransportError> {
     let stage = match change.to {
         Stage::Prefill => "prefill",
         Stage::Decode => "decode",
     };
-    let body = json!({"operation": "stage", "stage": stage, "holder": holder, "fence": fence}).to_string();
+    let body =
+        json!({"operation": "stage", "stage": stage, "holder": holder, "fence": fencing_token}).to_string();
     let request = HttpRequest::builder()
         .method(Method::POST)
-        .uri(ORDER_PATH)
+        .uri(STAGE_CHANGE_PATH)
         .header("host", address.to_string())
         .header("content-type", "application/json")
         .header("expected-instance", &change.identifier)
@@ -176,9 +181,9 @@
 /// What a searcher's answer means.
 pub fn outcome_of(status: StatusCode) -> OrderOutcome {
     match status.as_u16() {
-        200 | 202 => OrderOutcome::Taken,
-        400 | 404 | 405 => OrderOutcome::NotKnown,
-        409 | 412 | 421 => OrderOutcome::Refused,
+        200 | 202 => OrderOutcome::Accepted,
+        400 | 404 | 405 => OrderOutcome::Unsupported,
+        409 | 412 | 421 => OrderOutcome::Rejected,
         _ => OrderOutcome::Unknown,
     }
 }
--- a/crates/lockusher-control/src/driver/stage_switch_overlay.rs
+++ b/crates/lockusher-control/src/driver/stage_switch_overlay.rs
@@ -9,33 +9,33 @@
 /// The searchers that are being changed, with the stage that they leave.
 #[derive(Debug, Default)]
 pub struct StageSwitchOverlay {
-    changing: RefCell<BTreeMap<String, Stage>>,
+    switching: RefCell<BTreeMap<String, Stage>>,
 }
 
 impl StageSwitchOverlay {
-    /// Replaces the marks; true if they differ from those before.
-    pub fn set(&self, marks: Vec<(String, Stage)>) -> bool {
-        let marks: BTreeMap<String, Stage> = marks.into_iter().collect();
-        let changed = *self.changing.borrow() != marks;
-        self.changing.replace(marks);
+    /// Replaces the set of switching searchers; true if they differ from those before.
+    pub fn set(&self, switching: Vec<(String, Stage)>) -> bool {
+        let switching: BTreeMap<String, Stage> = switching.into_iter().collect();
+        let changed = *self.switching.borrow() != switching;
+        self.switching.replace(switching);
         changed
     }
 
-    /// The list with the marked searchers shown as changing; one that serves its new stage, or drains, is shown as it is.
+    /// The list with the switching searchers shown as changing; one that serves its new stage, or drains, is shown as it is.
     pub fn apply(&self, instances: &Rc<Vec<Instance>>) -> Rc<Vec<Instance>> {
-        let changing = self.changing.borrow();
-        let is_marked = |instance: &Instance| {
+        let switching = self.switching.borrow();
+        let is_switching = |instance: &Instance| {
             instance.state == InstanceState::Ready
                 && instance.stage.is_some()
-                && changing.get(&instance.identifier).copied() == instance.stage
+                && switching.get(&instance.identifier).copied() == instance.stage
         };
-        if !instances.iter().any(is_marked) {
+        if !instances.iter().any(is_switching) {
             return Rc::clone(instances);
         }
-        let mut marked = instances.as_ref().clone();
-        for instance in marked.iter_mut().filter(|instance| is_marked(instance)) {
+        let mut updated = instances.as_ref().clone();
+        for instance in updated.iter_mut().filter(|instance| is_switching(instance)) {
             instance.state = InstanceState::Changing;
         }
-        Rc::new(marked)
+        Rc::new(updated)
     }
 }
--- a/crates/lockusher-control/tests/stage_assignment.rs
+++ b/crates/lockusher-control/tests/stage_assignment.rs
@@ -6,7 +6,7 @@
 use compio::net::TcpListener;
 use hyper::StatusCode;
 use lockusher_config::instances::Stage;
-use lockusher_control::driver::stage_assignment::{order_request, outcome_of};
+use lockusher_control::driver::stage_assignment::{outcome_of, stage_change_request};
 use lockusher_control::stage_scheduler::{OrderOutcome, StageChange};
 use lockusher_transport::{http, tcp};
 use yare::parameterized;
@@ -40,7 +40,7 @@
 }
 
 #[compio::test]
-async fn an_order_names_searcher_stage_holder_and_fence() {
+async fn an_order_names_searcher_stage_holder_and_fencing_token() {
     let listener = TcpListener::bind(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).await.expect("a listener");
     let SocketAddr::V4(address) = listener.local_addr().expect("an address") else { panic!("IPv4") };
     let searcher = compio::runtime::spawn(async move {
@@ -52,9 +52,9 @@
     });
     let stream = tcp::connect(address, std::time::Duration::from_secs(5)).await.expect("a connection");
     tcp::discard_on_close(&stream).expect("an option");
-    let request = order_request(address, &change(address), "node-7", 41).expect("a request");
+    let request = stage_change_request(address, &change(address), "node-7", 41).expect("a request");
     let answer = http::exchange(stream, request).await.expect("an answer");
-    assert_eq!(outcome_of(answer.status), OrderOutcome::Taken);
+    assert_eq!(outcome_of(answer.status), OrderOutcome::Accepted);
     let request = searcher.await.expect("the searcher's task");
     let (head, body) = request.split_once("\r\n\r\n").expect("a head");
     assert!(head.starts_with("POST /api/order HTTP/1.1\r\n"), "{head}");
@@ -67,12 +67,12 @@
 }
 
 #[parameterized(
-    done = { 200, OrderOutcome::Taken },
-    begun = { 202, OrderOutcome::Taken },
-    no_such_order = { 400, OrderOutcome::NotKnown },
-    another_under_way = { 409, OrderOutcome::Refused },
-    fence_too_low = { 412, OrderOutcome::Refused },
-    another_searcher = { 421, OrderOutcome::Refused },
+    done = { 200, OrderOutcome::Accepted },
+    begun = { 202, OrderOutcome::Accepted },
+    no_such_order = { 400, OrderOutcome::Unsupported },
+    another_under_way = { 409, OrderOutcome::Rejected },
+    fence_too_low = { 412, OrderOutcome::Rejected },
+    another_searcher = { 421, OrderOutcome::Rejected },
     trouble = { 500, OrderOutcome::Unknown },
 )]
 fn answers_are_understood(status: u16, outcome: OrderOutcome) {
--- a/crates/lockusher-control/tests/stage_assignment_lease.rs
+++ b/crates/lockusher-control/tests/stage_assignment_lease.rs
@@ -10,8 +10,8 @@
 fn a_new_head_waits_two_leases() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, true, 4);
-    assert_eq!(lease.fence(15_999), None);
-    assert_eq!(lease.fence(16_000), Some(4));
+    assert_eq!(lease.fencing_token(15_999), None);
+    assert_eq!(lease.fencing_token(16_000), Some(4));
 }
 
 #[test]
@@ -19,7 +19,7 @@
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, true, 4);
     lease.observe(20_000, true, 5);
-    assert_eq!(lease.fence(20_000), Some(5));
+    assert_eq!(lease.fencing_token(20_000), Some(5));
 }
 
 #[test]
@@ -27,20 +27,20 @@
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, true, 4);
     lease.observe(20_000, false, 5);
-    assert_eq!(lease.fence(30_000), None);
+    assert_eq!(lease.fencing_token(30_000), None);
     lease.observe(30_000, true, 6);
-    assert_eq!(lease.fence(35_999), None);
-    assert_eq!(lease.fence(36_000), Some(6));
+    assert_eq!(lease.fencing_token(35_999), None);
+    assert_eq!(lease.fencing_token(36_000), Some(6));
 }
 
 #[test]
-fn a_head_that_lost_touch_for_a_while_keeps_its_fence() {
+fn a_head_that_lost_touch_for_a_while_keeps_its_fencing_token() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, true, 4);
     lease.observe(20_000, false, 4);
-    assert_eq!(lease.fence(20_500), None);
+    assert_eq!(lease.fencing_token(20_500), None);
     lease.observe(21_000, true, 4);
-    assert_eq!(lease.fence(21_000), Some(4));
+    assert_eq!(lease.fencing_token(21_000), Some(4));
 }
 
 #[test]
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Millis,
-    fence: u64,
+    fencing_token: u64,
     holder: usize,
 }
 
@@ -95,9 +95,9 @@
         }
         let sent = asked + attempt.answered_after + attempt.held_up;
         let transit = attempt.transit.min(lease.attempt_limit());
-        let fence = lease.fence(sent + skew);
-        if let (Some(fence), true) = (fence, lease.is_confirmed(asked + skew, sent + skew)) {
-            arrivals.push(Arrival { at: sent + transit, fence, holder });
+        let fencing_token = lease.fencing_token(sent + skew);
+        if let (Some(fencing_token), true) = (fencing_token, lease.is_confirmed(asked + skew, sent + skew)) {
+            arrivals.push(Arrival { at: sent + transit, fencing_token, holder });
         }
     }
     arrivals
@@ -117,9 +117,9 @@
         all.sort_by_key(|arrival| arrival.at);
         for pair in all.windows(2) {
             let (one, other) = (pair[0], pair[1]);
-            prop_assert!(one.fence <= other.fence, "fences fall: {one:?} {other:?}");
+            prop_assert!(one.fencing_token <= other.fencing_token, "fencing tokens fall: {one:?} {other:?}");
             if one.holder != other.holder {
-                prop_assert!(one.fence != other.fence);
+                prop_assert!(one.fencing_token != other.fencing_token);
                 prop_assert!(other.at - one.at >= LEASE_MS, "turns: {one:?} {other:?}");
             }
         }
--- a/crates/lockusher-control/tests/stage_scheduler.rs
+++ b/crates/lockusher-control/tests/stage_scheduler.rs
@@ -5,7 +5,7 @@
 use lockusher_config::configuration::{Configuration, Engine, Limits, Service};
 use lockusher_config::instances::{Instance, InstanceState, ModelVersion, Stage};
 use lockusher_control::Millis;
-use lockusher_control::stage_scheduler::{Demand, Observation, OrderOutcome, StageChange, StagePlanner};
+use lockusher_control::stage_scheduler::{Demand, Observation, OrderOutcome, StageChange, StageScheduler};
 use lockusher_distribution::load::ServiceLoad;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -80,9 +80,9 @@
 
 /// Searchers that carry out orders as the platform's searchers do: away for a while, then back in the other stage.
 struct Fleet {
-    planner: StagePlanner,
+    scheduler: StageScheduler,
     instances: Vec<Instance>,
-    under_way: Vec<(Millis, StageChange)>,
+    in_flight: Vec<(Millis, StageChange)>,
     orders: Vec<(Millis, StageChange)>,
     now: Millis,
 }
@@ -90,9 +90,9 @@
 impl Fleet {
     fn new(prefill: usize, decode: usize) -> Self {
         Fleet {
-            planner: StagePlanner::new(LIST_LAG_MS),
+            scheduler: StageScheduler::new(LIST_LAG_MS),
             instances: searchers(prefill, decode),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             orders: Vec::new(),
             now: 10_000,
         }
@@ -108,7 +108,7 @@
     fn look(&mut self, load: &ServiceLoad, proxies: u32, outcome: OrderOutcome) -> Option<StageChange> {
         self.now += LOOK_MS;
         let now = self.now;
-        for (_, change) in self.under_way.extract_if(.., |(done, _)| *done <= now) {
+        for (_, change) in self.in_flight.extract_if(.., |(done, _)| *done <= now) {
             let instance = self.instances.iter_mut().find(|one| one.identifier == change.identifier);
             let Some(instance) = instance else { continue };
             instance.stage = Some(change.to);
@@ -123,12 +123,12 @@
             loads: &loads,
             proxies,
         };
-        let change = self.planner.plan(&seen)?;
-        self.planner.ordered(now, &change, outcome);
-        if outcome == OrderOutcome::Taken {
+        let change = self.scheduler.next_change(&seen)?;
+        self.scheduler.order_completed(now, &change, outcome);
+        if outcome == OrderOutcome::Accepted {
             let instance = self.instances.iter_mut().find(|one| one.identifier == change.identifier);
             instance.expect("a searcher that is listed").state = InstanceState::Changing;
-            self.under_way.push((now + SWITCH_MS + LIST_LAG_MS + 1_000, change.clone()));
+            self.in_flight.push((now + SWITCH_MS + LIST_LAG_MS + 1_000, change.clone()));
         }
         self.orders.push((now, change.clone()));
         Some(change)
@@ -137,7 +137,7 @@
     fn run(&mut self, seconds: u64, load: impl Fn(&Fleet) -> ServiceLoad) {
         for _ in 0..seconds * 1_000 / LOOK_MS {
             let load = load(self);
-            self.look(&load, PROXIES, OrderOutcome::Taken);
+            self.look(&load, PROXIES, OrderOutcome::Accepted);
         }
     }
 }
@@ -159,7 +159,7 @@
     fleet.run(120, demanded);
     let settled = fleet.orders.len();
     let counts = (fleet.count(Stage::Prefill), fleet.count(Stage::Decode));
-    let demand = Demand { reading, decoding: streams / f64::from(engine().slots) };
+    let demand = Demand { prefill: reading, decode: streams / f64::from(engine().slots) };
     let best = demand.best_prefill(prefill + decode, counts.0);
     let (reached, least) =
         (demand.pressure(counts.0, counts.1), demand.pressure(best, prefill + decode - best));
@@ -193,8 +193,8 @@
     let mut fleet = Fleet::new(5, 7);
     for _ in 0..100 {
         let few = ServiceLoad { proxies: 2, ..load(40.0, 20.0) };
-        assert_eq!(fleet.look(&few, PROXIES, OrderOutcome::Taken), None);
-        assert_eq!(fleet.look(&load(40.0, 20.0), 0, OrderOutcome::Taken), None);
+        assert_eq!(fleet.look(&few, PROXIES, OrderOutcome::Accepted), None);
+        assert_eq!(fleet.look(&load(40.0, 20.0), 0, OrderOutcome::Accepted), None);
     }
 }
 
@@ -234,14 +234,14 @@
 }
 
 #[parameterized(
-    refused = { OrderOutcome::Refused, false },
+    refused = { OrderOutcome::Rejected, false },
     not_sent = { OrderOutcome::NotSent, true },
 )]
 fn an_order_that_was_not_taken_leaves_no_mark(outcome: OrderOutcome, same_again: bool) {
     let mut fleet = Fleet::new(5, 7);
     let heavy = load(40.0, 20.0);
     let first = (0..8).find_map(|_| fleet.look(&heavy, PROXIES, outcome)).expect("an order");
-    assert_eq!(fleet.planner.changing().count(), 0);
+    assert_eq!(fleet.scheduler.changes_in_flight().count(), 0);
     let second = (0..8).find_map(|_| fleet.look(&heavy, PROXIES, outcome)).expect("another order");
     assert_eq!(first.identifier == second.identifier, same_again);
 }
@@ -249,7 +249,7 @@
 #[test]
 fn a_service_that_knows_no_such_order_is_left_alone() {
     let mut fleet = Fleet::new(5, 7);
-    let orders = (0..400).filter_map(|_| fleet.look(&load(40.0, 20.0), PROXIES, OrderOutcome::NotKnown));
+    let orders = (0..400).filter_map(|_| fleet.look(&load(40.0, 20.0), PROXIES, OrderOutcome::Unsupported));
     assert_eq!(orders.count(), 1);
 }
 
@@ -258,9 +258,9 @@
     let mut fleet = Fleet::new(5, 7);
     let heavy = load(40.0, 20.0);
     let first = (0..8).find_map(|_| fleet.look(&heavy, PROXIES, OrderOutcome::Unknown)).expect("an order");
-    assert!(fleet.planner.changing().any(|change| *change == first), "it counts as under way");
+    assert!(fleet.scheduler.changes_in_flight().any(|change| *change == first), "it counts as under way");
     fleet.run(60, |_| load(0.5, 1.0));
-    assert_eq!(fleet.planner.changing().count(), 0, "the list never showed it");
+    assert_eq!(fleet.scheduler.changes_in_flight().count(), 0, "the list never showed it");
 }
 
 proptest! {
@@ -279,7 +279,7 @@
             for _ in 0..8 {
                 let seen = ServiceLoad { decode_tokens: *tokens, ..load(*reading, *streams) };
                 let before = [fleet.count(Stage::Prefill), fleet.count(Stage::Decode)];
-                let change = fleet.look(&seen, PROXIES, OrderOutcome::Taken);
+                let change = fleet.look(&seen, PROXIES, OrderOutcome::Accepted);
                 let after = [fleet.count(Stage::Prefill), fleet.count(Stage::Decode)];
                 if change.is_some() {
                     let least = after[0].min(after[1]);
@@ -287,7 +287,7 @@
                 }
                 prop_assert!(after[0] >= 1 && after[1] >= 1);
                 let away: BTreeSet<&str> =
-                    fleet.under_way.iter().map(|(_, change)| change.identifier.as_str()).collect();
+                    fleet.in_flight.iter().map(|(_, change)| change.identifier.as_str()).collect();
                 prop_assert!(away.len() <= ((prefill + decode) / 4).max(1), "{away:?}");
             }
         }
@@ -309,7 +309,7 @@
         for _ in 0..480 {
             let jitter = draws.next().copied().unwrap_or(1.0);
             let waiting = queue(reading, fleet.count(Stage::Prefill)) * jitter;
-            fleet.look(&load(waiting, streams * jitter), PROXIES, OrderOutcome::Taken);
+            fleet.look(&load(waiting, streams * jitter), PROXIES, OrderOutcome::Accepted);
         }
         let mut turns = 0;
         for pair in fleet.orders.windows(2) {
--- a/crates/lockusher-control/tests/stage_switch_overlay.rs
+++ b/crates/lockusher-control/tests/stage_switch_overlay.rs
@@ -22,20 +22,20 @@
 
 #[test]
 fn a_marked_searcher_shows_as_changing_until_it_serves_its_new_stage_or_drains() {
-    let marks = StageSwitchOverlay::default();
+    let overlay = StageSwitchOverlay::default();
     let ready = Rc::new(vec![
         searcher("a", Stage::Decode, InstanceState::Ready),
         searcher("b", Stage::Decode, InstanceState::Ready),
     ]);
-    assert!(Rc::ptr_eq(&marks.apply(&ready), &ready));
-    assert!(marks.set(vec![("a".to_owned(), Stage::Decode)]));
-    assert!(!marks.set(vec![("a".to_owned(), Stage::Decode)]), "nothing new");
-    let states: Vec<InstanceState> = marks.apply(&ready).iter().map(|one| one.state).collect();
+    assert!(Rc::ptr_eq(&overlay.apply(&ready), &ready));
+    assert!(overlay.set(vec![("a".to_owned(), Stage::Decode)]));
+    assert!(!overlay.set(vec![("a".to_owned(), Stage::Decode)]), "nothing new");
+    let states: Vec<InstanceState> = overlay.apply(&ready).iter().map(|one| one.state).collect();
     assert_eq!(states, [InstanceState::Changing, InstanceState::Ready]);
     let changed = Rc::new(vec![searcher("a", Stage::Prefill, InstanceState::Ready)]);
-    assert!(Rc::ptr_eq(&marks.apply(&changed), &changed));
+    assert!(Rc::ptr_eq(&overlay.apply(&changed), &changed));
     let draining = Rc::new(vec![searcher("a", Stage::Decode, InstanceState::Draining)]);
-    assert!(Rc::ptr_eq(&marks.apply(&draining), &draining));
-    assert!(marks.set(Vec::new()));
-    assert!(Rc::ptr_eq(&marks.apply(&ready), &ready));
+    assert!(Rc::ptr_eq(&overlay.apply(&draining), &draining));
+    assert!(overlay.set(Vec::new()));
+    assert!(Rc::ptr_eq(&overlay.apply(&ready), &ready));
 }
