--- a/crates/lockusher-control/src/failure_detector.rs
+++ b/crates/lockusher-control/src/failure_detector.rs
@@ -18,7 +18,7 @@
     /// Who spoke from there last.
     pub identity: Identity,
     pub heard_at: Millis,
-    /// When a heartbeat last showed that the peer hears this node.
+    /// When a heartbeat last showed that the peer receives from this node.
     pub mutual_at: Option<Millis>,
     /// Start of the present time in which the peer was reachable without a break.
     pub reachable_since: Option<Millis>,
@@ -73,7 +73,7 @@
         peer.position = heartbeat.position;
         peer.history_digest = Some(heartbeat.history_digest);
         peer.committed_version = heartbeat.committed_version;
-        if heartbeat.hears.contains(&me) {
+        if heartbeat.recent_senders.contains(&me) {
             peer.mutual_at = Some(now);
             peer.reachable_since.get_or_insert(now);
         }
@@ -148,7 +148,7 @@
     }
 
     /// Identities heard lately, for the heartbeat.
-    pub fn heard_lately(&self, timing: &Timing, now: Millis) -> Vec<Identity> {
+    pub fn recent_senders(&self, timing: &Timing, now: Millis) -> Vec<Identity> {
         let lately = |peer: &&Peer| now - peer.heard_at < timing.suspect - timing.heartbeat;
         self.peers.values().filter(lately).map(|peer| peer.identity).collect()
     }
--- a/crates/lockusher-control/src/lib.rs
+++ b/crates/lockusher-control/src/lib.rs
@@ -6,7 +6,6 @@
 
 pub mod acceptor;
 mod acceptor_log;
-pub mod attempt;
 pub mod document;
 pub mod driver;
 pub mod durable;
@@ -14,6 +13,7 @@
 mod failure_detector;
 pub mod message;
 pub mod planner;
+pub mod proposer;
 pub mod replica;
 pub mod serve;
 #[cfg(feature = "simulation")]
--- a/crates/lockusher-control/src/message.rs
+++ b/crates/lockusher-control/src/message.rs
@@ -17,7 +17,7 @@
 /// Number of an attempt to agree on a view; unique to its proposer.
 #[derive(Clone, Copy, Debug, Decode, Default, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ProposalNumber {
-    pub round: u64,
+    pub counter: u64,
     pub proposer: u64,
 }
 
@@ -37,7 +37,7 @@
     pub view: View,
 }
 
-/// What a message says. All but `Heartbeat`, `NewView`, `Forward` and `Forwarded` hold for the sender's epoch only.
+/// What a message says. All but `Heartbeat`, `NewView`, `Forward` and `ForwardResponse` hold for the sender's epoch only.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum MessageBody {
     Heartbeat(Heartbeat),
@@ -89,12 +89,12 @@
         history_digest: HistoryDigest,
     },
     /// Asks whether the sender's epoch is the newest known.
-    Confirm {
-        round: u64,
+    ConfirmEpoch {
+        sequence: u64,
     },
     /// The epoch is the newest known; with it what the sender holds, to be compared with the head's state.
-    Confirmed {
-        round: u64,
+    EpochConfirmed {
+        sequence: u64,
         position: Position,
         history_digest: HistoryDigest,
     },
@@ -103,7 +103,7 @@
         request: u64,
         body: Request,
     },
-    Forwarded {
+    ForwardResponse {
         request: u64,
         reply: Reply,
     },
@@ -123,7 +123,7 @@
     /// Version of the newest configuration that the sender knows committed.
     pub committed_version: u64,
     /// Nodes that the sender has heard lately: a node that isn't named can't reach the sender.
-    pub hears: Vec<Identity>,
+    pub recent_senders: Vec<Identity>,
 }
 
 /// Whether a node can replicate.
@@ -131,9 +131,9 @@
 pub enum Health {
     Good,
     /// A write to its disk failed or takes too long.
-    DiskTrouble,
+    DiskFault,
     /// It is about to end.
-    Leaving,
+    ShuttingDown,
 }
 
 /// Why a state is sent.
@@ -179,7 +179,7 @@
     pub position: Position,
     pub history_digest: HistoryDigest,
     /// Whether the state is durable now; if not, it is wanted whole.
-    pub held: bool,
+    pub stored: bool,
 }
 
 /// A message as it goes on the wire.
--- a/crates/lockusher-control/src/attempt.rs
+++ b/crates/lockusher-control/src/proposer.rs
@@ -9,28 +9,28 @@
 
 /// One attempt. Messages of other proposal numbers are ignored; answers may come twice and in any order.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Attempt {
+pub struct Proposer {
     proposal_number: ProposalNumber,
     /// View that is proposed unless a voter has accepted another one.
-    wanted: View,
-    /// Voters whose promises or acceptances make a majority.
+    preferred_view: View,
+    /// Number of voters whose responses make a majority.
     majority: usize,
-    promises: BTreeMap<Identity, Option<AcceptedView>>,
+    prepare_responses: BTreeMap<Identity, Option<AcceptedView>>,
     /// View that the voters are asked to accept, once a majority has promised.
     proposed: Option<View>,
-    accepted_by: BTreeSet<Identity>,
+    accept_responses: BTreeSet<Identity>,
 }
 
-impl Attempt {
-    /// An attempt that waits for promises of this many voters.
-    pub fn new(proposal_number: ProposalNumber, wanted: View, majority: usize) -> Self {
+impl Proposer {
+    /// An attempt that waits for the responses of this many voters.
+    pub fn new(proposal_number: ProposalNumber, preferred_view: View, majority: usize) -> Self {
         Self {
             proposal_number,
-            wanted,
+            preferred_view,
             majority,
-            promises: BTreeMap::new(),
+            prepare_responses: BTreeMap::new(),
             proposed: None,
-            accepted_by: BTreeSet::new(),
+            accept_responses: BTreeSet::new(),
         }
     }
 
@@ -39,21 +39,21 @@
         self.proposal_number
     }
 
-    /// The view that voters are asked to accept; `None` while promises are missing.
+    /// The view that voters are asked to accept; `None` while prepare responses are missing.
     pub fn proposed(&self) -> Option<&View> {
         self.proposed.as_ref()
     }
 
-    /// Voters that have answered in the present phase.
-    pub fn answered(&self) -> BTreeSet<Identity> {
+    /// Voters that have responded in the present phase.
+    pub fn responders(&self) -> BTreeSet<Identity> {
         match self.proposed {
-            None => self.promises.keys().copied().collect(),
-            Some(_) => self.accepted_by.clone(),
+            None => self.prepare_responses.keys().copied().collect(),
+            Some(_) => self.accept_responses.clone(),
         }
     }
 
-    /// A voter promises. `true` when this completes a majority, so that [`Attempt::proposed`] is to be sent: the view
-    /// accepted under the highest proposal number among the promises, else the one wanted.
+    /// A voter responds to a prepare. `true` when this completes a majority, so that [`Proposer::proposed`] is to be sent: the view
+    /// accepted under the highest proposal number among the responses, else the preferred one.
     pub fn on_prepare_response(
         &mut self,
         voter: Identity,
@@ -63,19 +63,21 @@
         if proposal_number != self.proposal_number || self.proposed.is_some() {
             return false;
         }
-        self.promises.insert(voter, accepted);
-        if self.promises.len() < self.majority {
+        self.prepare_responses.insert(voter, accepted);
+        if self.prepare_responses.len() < self.majority {
             return false;
         }
-        let accepted = self.promises.values().flatten().max_by_key(|accepted| accepted.proposal_number);
-        self.proposed = Some(accepted.map_or_else(|| self.wanted.clone(), |accepted| accepted.view.clone()));
+        let accepted =
+            self.prepare_responses.values().flatten().max_by_key(|accepted| accepted.proposal_number);
+        self.proposed =
+            Some(accepted.map_or_else(|| self.preferred_view.clone(), |accepted| accepted.view.clone()));
         true
     }
 
     /// A voter accepts. The agreed view once a majority has accepted it.
     pub fn on_accept_response(&mut self, voter: Identity, proposal_number: ProposalNumber) -> Option<&View> {
         let proposed = self.proposed.as_ref().filter(|_| proposal_number == self.proposal_number)?;
-        self.accepted_by.insert(voter);
-        (self.accepted_by.len() >= self.majority).then_some(proposed)
+        self.accept_responses.insert(voter);
+        (self.accept_responses.len() >= self.majority).then_some(proposed)
     }
 }
--- a/crates/lockusher-control/src/replica.rs
+++ b/crates/lockusher-control/src/replica.rs
@@ -30,7 +30,7 @@
 mod requests;
 mod status;
 
-use agreement::Proposal;
+use agreement::ViewProposal;
 use head::Head;
 pub use injected_bug::InjectedBug;
 pub use repair::DiskComparison;
@@ -179,7 +179,7 @@
     head: Option<Head>,
     /// This node is head by the view but can't serve in its epoch: it was restarted, or its disk failed.
     renew: bool,
-    proposal: Option<Proposal>,
+    proposal: Option<ViewProposal>,
     /// Nodes that hold this node's sealed state of the present epoch.
     joined: BTreeSet<Identity>,
     highest_counter: u64,
--- a/crates/lockusher-control/src/replica/agreement.rs
+++ b/crates/lockusher-control/src/replica/agreement.rs
@@ -8,10 +8,10 @@
 use crate::{
     DurableRecord, Identity, Millis, Position, View,
     acceptor_log::AfterAcceptorWrite,
-    attempt::Attempt,
     durable_state::payload_for,
     message::{AcceptedView, Health, MessageBody, ProposalNumber, Transfer, TransferPurpose},
     planner::{self, Joiner, Plan, Situation},
+    proposer::Proposer,
     view::Member,
 };
 
@@ -20,8 +20,8 @@
 
 /// An attempt of this node to have a view agreed on.
 #[derive(Debug)]
-pub(super) struct Proposal {
-    attempt: Attempt,
+pub(super) struct ViewProposal {
+    proposer: Proposer,
     plan: Plan,
     stage: Stage,
     stage_since: Millis,
@@ -47,7 +47,7 @@
         if !self.may_vote() {
             return;
         }
-        self.highest_counter = self.highest_counter.max(proposal_number.round);
+        self.highest_counter = self.highest_counter.max(proposal_number.counter);
         let is_new = proposal_number > self.acceptor.promised;
         if let Err(promised) = self.acceptor.prepare(proposal_number)
             && !self.has_bug(InjectedBug::LowerBallotAccepted)
@@ -189,7 +189,7 @@
     fn removable_voters(&self, view: &View, unreachable: &[Identity]) -> Vec<Identity> {
         let is_leaving = |voter: &&Member| {
             let peer = self.peers.at(voter.address).filter(|peer| peer.identity == voter.identity);
-            peer.is_some_and(|peer| peer.health == Health::Leaving)
+            peer.is_some_and(|peer| peer.health == Health::ShuttingDown)
                 && !self.has_bug(InjectedBug::DepartedVoterKept)
         };
         let leaving = view.voters.iter().filter(is_leaving).map(|voter| voter.identity);
@@ -229,16 +229,21 @@
     fn propose(&mut self, plan: Plan) {
         self.counters.proposals += 1;
         self.attempts += 1;
-        self.highest_counter = self.highest_counter.max(self.acceptor.promised.round) + 1;
-        let proposal_number = ProposalNumber { round: self.highest_counter, proposer: self.identity.0 };
+        self.highest_counter = self.highest_counter.max(self.acceptor.promised.counter) + 1;
+        let proposal_number = ProposalNumber { counter: self.highest_counter, proposer: self.identity.0 };
         let majority = self.view.as_ref().map_or(usize::MAX, View::majority);
         let majority = if self.has_bug(InjectedBug::AdoptAfterOneAcceptance) { 1 } else { majority };
-        let attempt = Attempt::new(proposal_number, plan.view.clone(), majority);
+        let proposer = Proposer::new(proposal_number, plan.view.clone(), majority);
         let needs_joining = plan.joiners.iter().any(|joiner| !self.joined.contains(&joiner.identity));
         let (now, address) = (self.now, self.setup.address);
-        log::debug!("{now} {address}: proposes {plan:?} under round {}", proposal_number.round);
-        self.proposal =
-            Some(Proposal { attempt, plan, stage: Stage::Sealing, stage_since: self.now, sent_at: self.now });
+        log::debug!("{now} {address}: proposes {plan:?} under proposal number {}", proposal_number.counter);
+        self.proposal = Some(ViewProposal {
+            proposer,
+            plan,
+            stage: Stage::Sealing,
+            stage_since: self.now,
+            sent_at: self.now,
+        });
         if needs_joining && !self.has_bug(InjectedBug::JoinersUnfed) {
             self.seal();
             self.continue_join();
@@ -275,27 +280,28 @@
         self.send_stage();
     }
 
-    /// Sends the messages of the present stage to those that haven't answered.
+    /// Sends the messages of the present stage to those that haven't responded.
     fn send_stage(&mut self) {
         let Some(proposal) = &mut self.proposal else { return };
         proposal.sent_at = self.now;
-        let (proposal_number, answered) = (proposal.attempt.proposal_number(), proposal.attempt.answered());
-        match (proposal.stage, proposal.attempt.proposed().cloned()) {
+        let (proposal_number, responders) =
+            (proposal.proposer.proposal_number(), proposal.proposer.responders());
+        match (proposal.stage, proposal.proposer.proposed().cloned()) {
             (Stage::Sealing, _) => {}
             (Stage::Joining, _) => self.send_join_transfers(),
             (Stage::Preparing, _) => {
-                self.send_to_voters_except(&answered, MessageBody::Prepare { proposal_number })
+                self.send_to_voters_except(&responders, MessageBody::Prepare { proposal_number })
             }
             (Stage::Accepting, Some(view)) => {
-                self.send_to_voters_except(&answered, MessageBody::Accept { proposal_number, view });
+                self.send_to_voters_except(&responders, MessageBody::Accept { proposal_number, view });
             }
             (Stage::Accepting, None) => {}
         }
     }
 
-    pub(super) fn send_to_voters_except(&mut self, answered: &BTreeSet<Identity>, body: MessageBody) {
+    pub(super) fn send_to_voters_except(&mut self, responders: &BTreeSet<Identity>, body: MessageBody) {
         let voters: Vec<Member> = self.view.iter().flat_map(|view| view.voters.iter().copied()).collect();
-        for voter in voters.into_iter().filter(|voter| !answered.contains(&voter.identity)) {
+        for voter in voters.into_iter().filter(|voter| !responders.contains(&voter.identity)) {
             self.send(voter.address, body.clone());
         }
     }
@@ -321,12 +327,12 @@
     }
 
     /// A joiner holds the sealed state, or wants it whole.
-    pub(super) fn on_join_answer(&mut self, from: SocketAddrV4, joiner: Identity, held: bool) {
+    pub(super) fn on_join_answer(&mut self, from: SocketAddrV4, joiner: Identity, stored: bool) {
         let sealed = self.acceptor.seal_durable || self.has_bug(InjectedBug::SealNotAwaited);
         if !sealed || self.durable_state.pending.is_some() {
             return;
         }
-        if !held {
+        if !stored {
             self.counters.full_snapshots_sent += 1;
             self.send_join_transfer(from, None);
             return;
@@ -356,7 +362,7 @@
         let accepted = self.altered_report(accepted);
         let Some(proposal) = &mut self.proposal else { return };
         let may_complete = proposal.stage == Stage::Preparing;
-        if may_complete && proposal.attempt.on_prepare_response(sender, proposal_number, accepted) {
+        if may_complete && proposal.proposer.on_prepare_response(sender, proposal_number, accepted) {
             self.enter_stage(Stage::Accepting);
         }
     }
@@ -366,7 +372,7 @@
             return;
         }
         let Some(proposal) = &mut self.proposal else { return };
-        if let Some(agreed) = proposal.attempt.on_accept_response(sender, proposal_number).cloned() {
+        if let Some(agreed) = proposal.proposer.on_accept_response(sender, proposal_number).cloned() {
             self.announce(agreed);
         }
     }
@@ -384,9 +390,9 @@
         }
     }
 
-    pub(super) fn on_rejected(&mut self, promised: ProposalNumber) {
-        self.highest_counter = self.highest_counter.max(promised.round);
-        if self.proposal.as_ref().is_some_and(|proposal| proposal.attempt.proposal_number() < promised) {
+    pub(super) fn on_proposal_rejected(&mut self, promised: ProposalNumber) {
+        self.highest_counter = self.highest_counter.max(promised.counter);
+        if self.proposal.as_ref().is_some_and(|proposal| proposal.proposer.proposal_number() < promised) {
             self.abandon_proposal();
         }
     }
--- a/crates/lockusher-control/src/replica/chain.rs
+++ b/crates/lockusher-control/src/replica/chain.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether nothing is to be written, because this or, from the same head, a later state is held.
+    /// Whether nothing is to be written, because this or, from the same head, a later state is stored.
     fn already_stands(&self, transfer: &Transfer) -> bool {
         let own = self.durable_state.position;
         match transfer.purpose {
@@ -82,7 +82,7 @@
                 self.counters.repairs += u64::from(replaces && self.durable_state.state.document().is_some());
                 if purpose == TransferPurpose::Join && self.has_bug(InjectedBug::JoinAnsweredBeforeDurable) {
                     let history_digest = transfer.history_digest;
-                    let answer = TransferResponse { purpose, position, history_digest, held: true };
+                    let answer = TransferResponse { purpose, position, history_digest, stored: true };
                     self.send(from, MessageBody::TransferResponse(answer));
                 }
                 self.persist_state(*record, position, state, AfterWrite::Answer { to: from, purpose });
@@ -90,15 +90,15 @@
         }
     }
 
-    fn answer_transfer(&mut self, to: SocketAddrV4, purpose: TransferPurpose, held: bool) {
-        if held && purpose == TransferPurpose::Learn {
+    fn answer_transfer(&mut self, to: SocketAddrV4, purpose: TransferPurpose, stored: bool) {
+        if stored && purpose == TransferPurpose::Learn {
             self.note_own_committed();
         }
         let answer = TransferResponse {
             purpose,
             position: self.durable_state.position,
             history_digest: self.durable_state.state.history_digest(),
-            held,
+            stored,
         };
         self.send(to, MessageBody::TransferResponse(answer));
     }
@@ -111,14 +111,14 @@
     ) {
         match answer.purpose {
             TransferPurpose::Synchronise => self.on_synchronised(from, sender, answer),
-            TransferPurpose::Learn if !answer.held => self.feed_whole(from),
+            TransferPurpose::Learn if !answer.stored => self.feed_whole(from),
             TransferPurpose::Learn | TransferPurpose::Repair => {}
             TransferPurpose::Join => {
                 let sealed = Position { epoch: self.epoch(), index: Position::SEALED };
                 let same = answer.history_digest == self.durable_state.state.history_digest()
                     && answer.position == sealed;
-                if same || !answer.held {
-                    self.on_join_answer(from, sender, answer.held);
+                if same || !answer.stored {
+                    self.on_join_answer(from, sender, answer.stored);
                 }
             }
         }
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -14,60 +14,60 @@
 }
 
 impl Replica {
-    /// The round that a request which comes now has to wait for.
-    pub(super) fn next_round(&self) -> u64 {
+    /// The sequence number of the confirmation that a request which comes now has to wait for.
+    pub(super) fn next_confirmation(&self) -> u64 {
         let started = self.head.as_ref().map_or(0, |head| head.confirmation.started);
         if self.has_bug(InjectedBug::EarlierRoundCounts) { started.max(1) } else { started + 1 }
     }
 
-    pub(super) fn is_confirmed(&self, round: u64) -> bool {
-        self.head.as_ref().is_some_and(|head| head.confirmation.completed >= round)
+    pub(super) fn is_confirmed(&self, sequence: u64) -> bool {
+        self.head.as_ref().is_some_and(|head| head.confirmation.completed >= sequence)
     }
 
-    /// Starts this round, unless an earlier one is under way or it has been started.
-    pub(super) fn want_round(&mut self, round: u64) {
+    /// Starts the confirmation with this sequence number, unless an earlier one is under way or it has been started.
+    pub(super) fn request_confirmation(&mut self, sequence: u64) {
         let Some(head) = &mut self.head else { return };
         let confirmation = &mut head.confirmation;
-        if confirmation.started >= round || confirmation.started > confirmation.completed {
+        if confirmation.started >= sequence || confirmation.started > confirmation.completed {
             return;
         }
         confirmation.started += 1;
         confirmation.voters.clear();
-        self.send_confirm();
+        self.send_confirm_epoch();
     }
 
-    pub(super) fn send_confirm(&mut self) {
+    pub(super) fn send_confirm_epoch(&mut self) {
         let Some(head) = &self.head else { return };
         let confirmation = &head.confirmation;
         if confirmation.started > confirmation.completed {
-            let round = confirmation.started;
-            let answered = confirmation.voters.clone();
-            self.send_to_voters_except(&answered, MessageBody::Confirm { round });
+            let sequence = confirmation.started;
+            let responders = confirmation.voters.clone();
+            self.send_to_voters_except(&responders, MessageBody::ConfirmEpoch { sequence });
         }
     }
 
     /// A voter that accepted a successor doesn't know any more that this epoch is the newest.
-    pub(super) fn on_confirm(&mut self, from: SocketAddrV4, sender: Identity, round: u64) {
+    pub(super) fn on_confirm_epoch(&mut self, from: SocketAddrV4, sender: Identity, sequence: u64) {
         let from_head = self.view.as_ref().is_some_and(|view| view.head() == Some(sender));
         let newest = self.acceptor.accepted.is_none() || self.has_bug(InjectedBug::ConfirmAfterAccepting);
         if from_head && self.is_voter() && newest {
             let (position, history_digest) =
                 (self.durable_state.position, self.durable_state.state.history_digest());
-            self.send(from, MessageBody::Confirmed { round, position, history_digest });
+            self.send(from, MessageBody::EpochConfirmed { sequence, position, history_digest });
         }
     }
 
-    pub(super) fn on_confirmed(&mut self, sender: Identity, round: u64) {
+    pub(super) fn on_epoch_confirmed(&mut self, sender: Identity, sequence: u64) {
         let Some(view) = &self.view else { return };
         let (is_voter, majority) = (view.is_voter(sender), view.majority());
         let Some(head) = &mut self.head else { return };
         let confirmation = &mut head.confirmation;
-        if !is_voter || round != confirmation.started || round <= confirmation.completed {
+        if !is_voter || sequence != confirmation.started || sequence <= confirmation.completed {
             return;
         }
         confirmation.voters.insert(sender);
         if confirmation.voters.len() >= majority {
-            confirmation.completed = round;
+            confirmation.completed = sequence;
         }
     }
 }
--- a/crates/lockusher-control/src/replica/head.rs
+++ b/crates/lockusher-control/src/replica/head.rs
@@ -39,7 +39,7 @@
     sent_at: Millis,
 }
 
-/// An entry that isn't known to be held by the whole chain.
+/// An entry that isn't known to be stored by the whole chain.
 #[derive(Debug)]
 struct InFlight {
     index: u64,
@@ -61,7 +61,7 @@
         let Some(view) = &self.view else { return };
         let may =
             view.head() == Some(self.identity) && self.is_established_in_view() && !self.acceptor.sealed;
-        let able = self.durable_state.pending.is_none() && self.health() != Health::DiskTrouble;
+        let able = self.durable_state.pending.is_none() && self.health() != Health::DiskFault;
         if self.head.is_some() || self.renew || !may || !able {
             return;
         }
@@ -138,7 +138,7 @@
     }
 
     pub(super) fn on_synchronised(&mut self, from: SocketAddrV4, sender: Identity, answer: TransferResponse) {
-        if !answer.held {
+        if !answer.stored {
             self.send_base(from, TransferPurpose::Synchronise, None);
         } else if answer.position.epoch == self.epoch() {
             self.note_synchronised(sender);
@@ -220,7 +220,7 @@
     /// only, to hand it on.
     fn feed_learner(&mut self, to: SocketAddrV4, heartbeat: &Heartbeat, lags: bool) {
         let Some(head) = &self.head else { return };
-        if heartbeat.health != Health::DiskTrouble {
+        if heartbeat.health != Health::DiskFault {
             if lags {
                 self.send_base(to, TransferPurpose::Learn, Some(heartbeat.history_digest));
             }
@@ -258,7 +258,7 @@
             self.send_synchronise();
         }
         self.send_missing_entries();
-        self.send_confirm();
+        self.send_confirm_epoch();
     }
 
     /// Sends the entry under way directly to members that haven't been seen to hold it.
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -24,7 +24,7 @@
             MessageBody::Heartbeat(heartbeat) => self.on_heartbeat(from, sender, epoch, heartbeat),
             MessageBody::NewView(view) => self.adopt(view),
             MessageBody::Forward { request, body } => self.on_forward(from, request, body),
-            MessageBody::Forwarded { request, reply } => self.on_forwarded(request, reply),
+            MessageBody::ForwardResponse { request, reply } => self.on_forward_response(request, reply),
             body if same_epoch => self.on_epoch_message(from, sender, body),
             _ => {}
         }
@@ -40,7 +40,7 @@
             MessageBody::AcceptResponse { proposal_number } => {
                 self.on_accept_response(sender, proposal_number)
             }
-            MessageBody::ProposalRejected { promised } => self.on_rejected(promised),
+            MessageBody::ProposalRejected { promised } => self.on_proposal_rejected(promised),
             MessageBody::Transfer(transfer) => self.on_transfer(from, sender, transfer),
             MessageBody::TransferResponse(answer) => self.on_transfer_response(from, sender, answer),
             MessageBody::Append { index, previous, document, relay } => {
@@ -52,15 +52,15 @@
             MessageBody::Committed { index, history_digest } => {
                 self.on_committed(sender, index, history_digest)
             }
-            MessageBody::Confirm { round } => self.on_confirm(from, sender, round),
-            MessageBody::Confirmed { round, position, history_digest } => {
-                self.on_confirmed(sender, round);
+            MessageBody::ConfirmEpoch { sequence } => self.on_confirm_epoch(from, sender, sequence),
+            MessageBody::EpochConfirmed { sequence, position, history_digest } => {
+                self.on_epoch_confirmed(sender, sequence);
                 self.repair_if_different(sender, position, history_digest, NoticedBy::Read);
             }
             MessageBody::Heartbeat(_)
             | MessageBody::NewView(_)
             | MessageBody::Forward { .. }
-            | MessageBody::Forwarded { .. } => {}
+            | MessageBody::ForwardResponse { .. } => {}
         }
     }
 
@@ -88,7 +88,7 @@
         let first_contact = self.peers.at(from).is_none_or(|peer| peer.mutual_at.is_none());
         let health_before = self.peers.at(from).map(|peer| peer.health);
         self.peers.heartbeat(from, &heartbeat, self.identity, self.now);
-        if first_contact && !heartbeat.hears.contains(&self.identity) {
+        if first_contact && !heartbeat.recent_senders.contains(&self.identity) {
             self.answer_first_heartbeat(from);
         }
         if epoch == self.epoch() {
@@ -120,7 +120,7 @@
             committed: self.committed_at,
             committed_history_digest: self.committed_history_digest(),
             committed_version: self.committed.as_ref().map_or(0, |document| document.version),
-            hears: self.peers.heard_lately(&self.timing, self.now),
+            recent_senders: self.peers.recent_senders(&self.timing, self.now),
         };
         self.send(to, MessageBody::Heartbeat(heartbeat));
     }
--- a/crates/lockusher-control/src/replica/persistence.rs
+++ b/crates/lockusher-control/src/replica/persistence.rs
@@ -111,9 +111,9 @@
         let oldest = oldest.chain(self.durable_state.pending.as_ref().map(|pending| pending.since)).min();
         let stalled = oldest.is_some_and(|since| self.now - since >= self.timing.write);
         if self.leaving {
-            Health::Leaving
+            Health::ShuttingDown
         } else if stalled || self.acceptor_log.has_refused() || self.disk_failed_at.is_some() {
-            Health::DiskTrouble
+            Health::DiskFault
         } else {
             Health::Good
         }
--- a/crates/lockusher-control/src/replica/requests.rs
+++ b/crates/lockusher-control/src/replica/requests.rs
@@ -38,8 +38,8 @@
     origin: Origin,
     request: Request,
     deadline: Millis,
-    /// Refusals and reads wait for the confirmation of this round.
-    round: u64,
+    /// Refusals and reads wait for the epoch confirmation with this sequence number.
+    confirmation: u64,
 }
 
 /// What is to be done with a request at the head.
@@ -132,12 +132,12 @@
         let expired: Vec<u64> =
             waiting.filter(|(_, waiting)| is_expired(waiting)).map(|(number, _)| *number).collect();
         for number in expired {
-            self.on_forwarded(number, Reply::Unavailable);
+            self.on_forward_response(number, Reply::Unavailable);
         }
         self.forward_requests();
     }
 
-    pub(super) fn on_forwarded(&mut self, number: u64, reply: Reply) {
+    pub(super) fn on_forward_response(&mut self, number: u64, reply: Reply) {
         if let Some(waiting) = self.requests.waiting.remove(&number) {
             self.effects.push(Effect::Reply { ticket: waiting.ticket, reply });
         }
@@ -148,18 +148,18 @@
     pub(super) fn on_forward(&mut self, from: SocketAddrV4, request: u64, body: Request) {
         let origin = Origin { address: from, request };
         let in_flight = self.write_in_flight() == Some(origin);
-        let round = self.next_round();
+        let confirmation = self.next_confirmation();
         let deadline = self.now + self.timing.patience;
         let Some(head) = &mut self.head else { return };
         let known = in_flight || head.queue.iter().any(|queued| queued.origin == origin);
         if known || head.queue.len() >= REQUEST_LIMIT {
             return;
         }
-        head.queue.push_back(Queued { origin, request: body, deadline, round });
+        head.queue.push_back(Queued { origin, request: body, deadline, confirmation });
     }
 
     pub(super) fn reply_to(&mut self, origin: Origin, reply: Reply) {
-        self.send(origin.address, MessageBody::Forwarded { request: origin.request, reply });
+        self.send(origin.address, MessageBody::ForwardResponse { request: origin.request, reply });
     }
 
     /// Decides the requests that can be decided now, in order.
@@ -176,7 +176,7 @@
                 Decision::Reply(reply) => self.reply_to(queued.origin, reply),
                 Decision::Wait => self.keep(queued),
                 Decision::Confirm => {
-                    self.want_round(queued.round);
+                    self.request_confirmation(queued.confirmation);
                     self.keep(queued);
                 }
                 Decision::Write => self.write(queued),
@@ -198,7 +198,7 @@
 
     fn decide(&self, queued: &Queued) -> Decision {
         let Some(state) = self.serving_state() else { return Decision::Wait };
-        let confirmed = self.is_confirmed(queued.round);
+        let confirmed = self.is_confirmed(queued.confirmation);
         let if_confirmed = |reply, unless: InjectedBug| {
             if confirmed || self.has_bug(unless) { Decision::Reply(reply) } else { Decision::Confirm }
         };
--- a/crates/lockusher-control/src/simulation/obligations.rs
+++ b/crates/lockusher-control/src/simulation/obligations.rs
@@ -57,12 +57,12 @@
             MessageBody::AcceptResponse { proposal_number } => {
                 self.accepted(sender, epoch, *proposal_number, disk)
             }
-            MessageBody::Confirmed { .. } => self.confirmed(sender, epoch),
+            MessageBody::EpochConfirmed { .. } => self.confirmed(sender, epoch),
             MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Join => {
                 self.handed_over(sender, epoch, transfer.history_digest, disk)
             }
             MessageBody::TransferResponse(answer)
-                if answer.held && answer.history_digest != disk.history_digest() =>
+                if answer.stored && answer.history_digest != disk.history_digest() =>
             {
                 Err(format!("{sender} says that it holds a state that isn't on its disk"))
             }
--- a/crates/lockusher-control/tests/joining.rs
+++ b/crates/lockusher-control/tests/joining.rs
@@ -125,7 +125,7 @@
             committed: Position::default(),
             committed_history_digest: None,
             committed_version: 0,
-            hears: vec![self.replica.identity()],
+            recent_senders: vec![self.replica.identity()],
         };
         self.hear(host, EPOCH, MessageBody::Heartbeat(heartbeat));
     }
@@ -228,17 +228,17 @@
 )]
 fn a_view_accepted_before_is_taken_over(injected_bug: Option<InjectedBug>, taken_over: bool) {
     let mut member = sealed_member(injected_bug);
-    let held = TransferResponse {
+    let stored = TransferResponse {
         purpose: TransferPurpose::Join,
         position: Position { epoch: EPOCH, index: Position::SEALED },
         history_digest: ReplicatedState::default().history_digest(),
-        held: true,
+        stored: true,
     };
-    member.hear(3, EPOCH, MessageBody::TransferResponse(held));
+    member.hear(3, EPOCH, MessageBody::TransferResponse(stored));
     let prepare = member.wait_for(|body| matches!(body, MessageBody::Prepare { .. }));
     let MessageBody::Prepare { proposal_number } = prepare else { unreachable!("it was waited for") };
     let earlier = view(EPOCH + 1, &[1, 2, 3]);
-    let lower = ProposalNumber { round: 0, proposer: identity(1).0 };
+    let lower = ProposalNumber { counter: 0, proposer: identity(1).0 };
     let accepted = Some(AcceptedView { proposal_number: lower, view: earlier.clone() });
     member.hear(3, EPOCH, MessageBody::PrepareResponse { proposal_number, accepted });
     let accept = member.wait_for(|body| matches!(body, MessageBody::Accept { .. }));
--- a/crates/lockusher-control/tests/messages.rs
+++ b/crates/lockusher-control/tests/messages.rs
@@ -25,18 +25,18 @@
 }
 
 fn bodies() -> Vec<MessageBody> {
-    let proposal_number = ProposalNumber { round: 4, proposer: 9 };
+    let proposal_number = ProposalNumber { counter: 4, proposer: 9 };
     let state = ReplicatedState::default().with(document());
     let position = Position { epoch: 3, index: Position::SEALED };
     let history_digest = state.history_digest();
     let heartbeat = Heartbeat {
-        health: Health::DiskTrouble,
+        health: Health::DiskFault,
         position,
         history_digest,
         committed: position,
         committed_history_digest: Some(ReplicatedState::default().history_digest()),
         committed_version: 7,
-        hears: vec![Identity(1), Identity(2)],
+        recent_senders: vec![Identity(1), Identity(2)],
     };
     let purpose = TransferPurpose::Join;
     let payload = Payload::FullSnapshot(state);
@@ -48,10 +48,10 @@
             accepted: Some(AcceptedView { proposal_number, view: view() }),
         },
         MessageBody::Transfer(Transfer { purpose, position, history_digest, payload }),
-        MessageBody::TransferResponse(TransferResponse { purpose, position, history_digest, held: true }),
+        MessageBody::TransferResponse(TransferResponse { purpose, position, history_digest, stored: true }),
         MessageBody::Append { index: 1, previous: history_digest, document: document(), relay: true },
         MessageBody::Forward { request: 1, body: Request::Put { if_match: 5, document: document() } },
-        MessageBody::Forwarded { request: 1, reply: Reply::Document(Some(document())) },
+        MessageBody::ForwardResponse { request: 1, reply: Reply::Document(Some(document())) },
     ]
 }
 
--- a/crates/lockusher-control/tests/recorded_bytes.rs
+++ b/crates/lockusher-control/tests/recorded_bytes.rs
@@ -61,13 +61,13 @@
         AppendStored,
         AppendRejected,
         Committed,
-        Confirm,
-        Confirmed,
+        ConfirmEpoch,
+        EpochConfirmed,
         Forward,
-        Forwarded,
+        ForwardResponse,
     ]
 );
-kinds_of!(Health, HEALTH_KINDS, health_kind, [Good, DiskTrouble, Leaving]);
+kinds_of!(Health, HEALTH_KINDS, health_kind, [Good, DiskFault, ShuttingDown]);
 kinds_of!(TransferPurpose, PURPOSE_KINDS, purpose_kind, [Synchronise, Learn, Join, Repair]);
 kinds_of!(Payload, PAYLOAD_KINDS, payload_kind, [Empty, LatestDocument, FullSnapshot]);
 kinds_of!(Request, REQUEST_KINDS, request_kind, [Put, Base, Read]);
@@ -95,11 +95,11 @@
 }
 
 fn proposal_number() -> ProposalNumber {
-    ProposalNumber { round: 0x0102_0304_0506_0708, proposer: joiner().identity.0 }
+    ProposalNumber { counter: 0x0102_0304_0506_0708, proposer: joiner().identity.0 }
 }
 
 fn lower_ballot() -> ProposalNumber {
-    ProposalNumber { round: 4, proposer: 9 }
+    ProposalNumber { counter: 4, proposer: 9 }
 }
 
 fn position() -> Position {
@@ -170,18 +170,18 @@
         committed: sealed_position(),
         committed_history_digest: Some(state().previous_history_digest()),
         committed_version: 70_000,
-        hears: vec![member(14, 7660).identity, joiner().identity],
+        recent_senders: vec![member(14, 7660).identity, joiner().identity],
     };
     let disk_trouble = Heartbeat {
-        health: Health::DiskTrouble,
+        health: Health::DiskFault,
         position: Position::default(),
         history_digest: ReplicatedState::default().history_digest(),
         committed: Position::default(),
         committed_history_digest: None,
         committed_version: 0,
-        hears: Vec::new(),
+        recent_senders: Vec::new(),
     };
-    let leaving = Heartbeat { health: Health::Leaving, ..good.clone() };
+    let leaving = Heartbeat { health: Health::ShuttingDown, ..good.clone() };
     vec![("heartbeat-good", good), ("heartbeat-disk-trouble", disk_trouble), ("heartbeat-leaving", leaving)]
 }
 
@@ -208,11 +208,11 @@
 }
 
 fn transfer_answers() -> Vec<(&'static str, TransferResponse)> {
-    let answer = |purpose, held| TransferResponse {
+    let answer = |purpose, stored| TransferResponse {
         purpose,
         position: sealed_position(),
         history_digest: state().history_digest(),
-        held,
+        stored,
     };
     vec![
         ("transfer-answer-synchronise-held", answer(TransferPurpose::Synchronise, true)),
@@ -267,8 +267,8 @@
         ("holds", MessageBody::AppendStored { index: 301 }),
         ("lacks", MessageBody::AppendRejected { index: 302 }),
         ("committed", MessageBody::Committed { index: 303, history_digest }),
-        ("confirm", MessageBody::Confirm { round: 65_536 }),
-        ("confirmed", MessageBody::Confirmed { round: 65_536, position: position(), history_digest }),
+        ("confirm", MessageBody::ConfirmEpoch { sequence: 65_536 }),
+        ("confirmed", MessageBody::EpochConfirmed { sequence: 65_536, position: position(), history_digest }),
     ]
 }
 
@@ -280,8 +280,9 @@
         transfer_answers().into_iter().map(|(name, answer)| (name, MessageBody::TransferResponse(answer)));
     let requests =
         requests().into_iter().map(|(name, body)| (name, MessageBody::Forward { request: 77_000, body }));
-    let replies =
-        replies().into_iter().map(|(name, reply)| (name, MessageBody::Forwarded { request: 77_000, reply }));
+    let replies = replies()
+        .into_iter()
+        .map(|(name, reply)| (name, MessageBody::ForwardResponse { request: 77_000, reply }));
     let bodies = protocol_bodies().into_iter();
     bodies.chain(heartbeats).chain(transfers).chain(answers).chain(requests).chain(replies).collect()
 }
--- a/crates/lockusher-control/tests/recovery.rs
+++ b/crates/lockusher-control/tests/recovery.rs
@@ -80,7 +80,7 @@
 fn votes_count_in_their_epoch_only_and_in_any_order() {
     let view = View::first(&[address(1), address(2), address(3)]);
     let next = View { epoch: 2, ..view.clone() };
-    let proposal_number = |round| ProposalNumber { round, proposer: 7 };
+    let proposal_number = |counter| ProposalNumber { counter, proposer: 7 };
     let identity = DurableRecord::Identity { identity: Identity(5), address: address(1) };
     let log = vec![
         identity,
--- a/crates/lockusher-control/tests/view_agreement.rs
+++ b/crates/lockusher-control/tests/view_agreement.rs
@@ -3,7 +3,7 @@
 //! Messages to voters may be lost, doubled, delayed and reordered: one that was sent stays deliverable for good, and
 //! nothing forces its delivery. An answer arrives at once or never: a proposer only gathers answers, and what it asks
 //! next may be delayed at will, so a later arrival leads to no further state. Voters answer by the very code of the
-//! replica ([`AcceptorState`], [`Attempt`]); after each message they are replaced by what their records restore.
+//! replica ([`AcceptorState`], [`Proposer`]); after each message they are replaced by what their records restore.
 
 use std::{
     collections::{BTreeSet, HashSet},
@@ -13,14 +13,14 @@
 use lockusher_control::{
     Identity, View,
     acceptor::AcceptorState,
-    attempt::Attempt,
     message::{AcceptedView, ProposalNumber},
+    proposer::Proposer,
 };
 
 const EPOCH: u64 = 1;
 const VOTERS: usize = 3;
 const MAJORITY: usize = 2;
-/// Ballots in the order of their rounds, with the proposer that uses them.
+/// Ballots in the order of their counters, with the proposer that uses them.
 const ATTEMPTS: [(u64, usize); 2] = [(1, 0), (2, 1)];
 
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
@@ -33,7 +33,7 @@
 struct State {
     voters: [Voter; VOTERS],
     /// The newest attempt of each proposer.
-    attempts: [Option<Attempt>; 2],
+    attempts: [Option<Proposer>; 2],
     /// How many of [`ATTEMPTS`] have begun.
     begun: [bool; ATTEMPTS.len()],
     /// Views that voters were asked to accept.
@@ -54,8 +54,8 @@
 }
 
 fn proposal_number(attempt: usize) -> ProposalNumber {
-    let (round, proposer) = ATTEMPTS[attempt];
-    ProposalNumber { round, proposer: proposer as u64 }
+    let (counter, proposer) = ATTEMPTS[attempt];
+    ProposalNumber { counter, proposer: proposer as u64 }
 }
 
 fn identity(voter: usize) -> Identity {
@@ -100,7 +100,7 @@
         }
         let mut next = self.clone();
         next.begun[attempt] = true;
-        next.attempts[proposer] = Some(Attempt::new(proposal_number(attempt), wanted(proposer), MAJORITY));
+        next.attempts[proposer] = Some(Proposer::new(proposal_number(attempt), wanted(proposer), MAJORITY));
         Some(next)
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// The newest attempt of the proposal number's proposer; it ignores answers to an older one.
-    fn attempt_of(&mut self, proposal_number: ProposalNumber) -> Option<&mut Attempt> {
+    fn attempt_of(&mut self, proposal_number: ProposalNumber) -> Option<&mut Proposer> {
         self.attempts[proposal_number.proposer as usize].as_mut()
     }
 
--- a/crates/lockusher-control/tests/voting.rs
+++ b/crates/lockusher-control/tests/voting.rs
@@ -70,8 +70,8 @@
     View { epoch: 2, ..first_view() }
 }
 
-fn proposal_number(round: u64) -> ProposalNumber {
-    ProposalNumber { round, proposer: 1 }
+fn proposal_number(counter: u64) -> ProposalNumber {
+    ProposalNumber { counter, proposer: 1 }
 }
 
 #[test]
@@ -135,15 +135,15 @@
 #[test]
 fn an_epoch_is_confirmed_until_a_successor_is_accepted() {
     let mut voter = voter();
-    let effects = from_head(&mut voter, 1, MessageBody::Confirm { round: 5 });
-    let confirmed = MessageBody::Confirmed {
-        round: 5,
+    let effects = from_head(&mut voter, 1, MessageBody::ConfirmEpoch { sequence: 5 });
+    let confirmed = MessageBody::EpochConfirmed {
+        sequence: 5,
         position: Position::default(),
         history_digest: ReplicatedState::default().history_digest(),
     };
     assert_eq!(answers(&effects), vec![confirmed]);
     from_head(&mut voter, 1, MessageBody::Accept { proposal_number: proposal_number(3), view: next_view() });
-    let effects = from_head(&mut voter, 1, MessageBody::Confirm { round: 6 });
+    let effects = from_head(&mut voter, 1, MessageBody::ConfirmEpoch { sequence: 6 });
     assert_eq!(answers(&effects), Vec::new());
 }
 
@@ -152,9 +152,10 @@
     let mut voter = voter();
     let effects = from_head(&mut voter, 1, MessageBody::NewView(next_view()));
     persist(&mut voter, &effects);
-    for body in
-        [MessageBody::Confirm { round: 5 }, MessageBody::Prepare { proposal_number: proposal_number(9) }]
-    {
+    for body in [
+        MessageBody::ConfirmEpoch { sequence: 5 },
+        MessageBody::Prepare { proposal_number: proposal_number(9) },
+    ] {
         let effects = voter.handle(START + 1000, Event::Tick);
         persist(&mut voter, &effects);
         let effects = from_head(&mut voter, 1, body);
@@ -173,7 +174,7 @@
     for body in [
         MessageBody::Prepare { proposal_number: proposal_number(9) },
         MessageBody::Accept { proposal_number: proposal_number(9), view: next_view() },
-        MessageBody::Confirm { round: 1 },
+        MessageBody::ConfirmEpoch { sequence: 1 },
     ] {
         let effects = from_head(&mut wiped, 1, body);
         assert_eq!(tickets(&effects), Vec::new());
