--- a/crates/lockusher-control/src/failure_detector.rs
+++ b/crates/lockusher-control/src/failure_detector.rs
@@ -10,16 +10,16 @@
 };
 
 /// Most nodes remembered; the silent ones make room first.
-const PEER_LIMIT: usize = 32;
+const MAX_PEERS: usize = 32;
 
 /// What is known about one address.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Who spoke from there last.
     pub identity: Identity,
-    pub heard_at: Millis,
+    pub last_received_at: Millis,
     /// When a heartbeat last showed that the peer receives from this node.
-    pub mutual_at: Option<Millis>,
+    pub last_bidirectional_at: Option<Millis>,
     /// Start of the present time in which the peer was reachable without a break.
     pub reachable_since: Option<Millis>,
     /// Epoch of the newest view that the peer knows.
@@ -50,38 +50,39 @@
     }
 
     /// This node didn't run for a while: what it hasn't heard says nothing.
-    pub fn resume(&mut self, now: Millis, grace: Millis) {
+    pub fn restart_observation(&mut self, now: Millis, grace: Millis) {
         self.grace_until = self.grace_until.max(now + grace);
         self.observing_since = now;
     }
 
     /// Notes that a message came.
-    pub fn heard(&mut self, from: SocketAddrV4, identity: Identity, epoch: u64, now: Millis) {
+    pub fn on_message_received(&mut self, from: SocketAddrV4, identity: Identity, epoch: u64, now: Millis) {
         let peer = self.peers.entry(from).or_insert_with(|| Peer::new(identity, now));
         if peer.identity != identity {
             *peer = Peer::new(identity, now);
         }
-        peer.heard_at = now;
+        peer.last_received_at = now;
         peer.epoch = peer.epoch.max(epoch);
-        self.make_room();
+        self.evict_oldest();
     }
 
     /// Notes what a heartbeat says.
-    pub fn heartbeat(&mut self, from: SocketAddrV4, heartbeat: &Heartbeat, me: Identity, now: Millis) {
+    pub fn on_heartbeat(&mut self, from: SocketAddrV4, heartbeat: &Heartbeat, me: Identity, now: Millis) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
         peer.health = heartbeat.health;
         peer.position = heartbeat.position;
         peer.history_digest = Some(heartbeat.history_digest);
         peer.committed_version = heartbeat.committed_version;
         if heartbeat.recent_senders.contains(&me) {
-            peer.mutual_at = Some(now);
+            peer.last_bidirectional_at = Some(now);
             peer.reachable_since.get_or_insert(now);
         }
     }
 
-    fn make_room(&mut self) {
-        while self.peers.len() > PEER_LIMIT {
-            let Some(oldest) = self.peers.iter().min_by_key(|(_, peer)| peer.heard_at).map(|(at, _)| *at)
+    fn evict_oldest(&mut self) {
+        while self.peers.len() > MAX_PEERS {
+            let Some(oldest) =
+                self.peers.iter().min_by_key(|(_, peer)| peer.last_received_at).map(|(at, _)| *at)
             else {
                 return;
             };
@@ -91,9 +92,9 @@
 
     /// Ends the reachable time of those that fell silent, and forgets old ones that needn't be kept.
     pub fn expire(&mut self, timing: &Timing, now: Millis, keep: impl Fn(SocketAddrV4) -> bool) {
-        self.peers.retain(|address, peer| now - peer.heard_at < timing.forget || keep(*address));
+        self.peers.retain(|address, peer| now - peer.last_received_at < timing.peer_expiry || keep(*address));
         for peer in self.peers.values_mut() {
-            if !peer.is_mutual(timing, now) {
+            if !peer.is_bidirectional(timing, now) {
                 peer.reachable_since = None;
             }
         }
@@ -119,7 +120,7 @@
     ) -> bool {
         match self.peers.get(&address) {
             Some(peer) if peer.identity != identity => false,
-            Some(peer) => now < self.grace_until || peer.is_mutual(timing, now),
+            Some(peer) => now < self.grace_until || peer.is_bidirectional(timing, now),
             None => now < self.grace_until,
         }
     }
@@ -133,15 +134,15 @@
         now: Millis,
     ) -> bool {
         let peer = self.peers.get(&address);
-        peer.is_some_and(|peer| peer.identity == identity && peer.is_mutual(timing, now))
+        peer.is_some_and(|peer| peer.identity == identity && peer.is_bidirectional(timing, now))
     }
 
     /// For how long the node hasn't been reachable.
-    pub fn silent_for(&self, address: SocketAddrV4, identity: Identity, now: Millis) -> Millis {
+    pub fn unreachable_for(&self, address: SocketAddrV4, identity: Identity, now: Millis) -> Millis {
         let observed = now - self.observing_since;
         match self.peers.get(&address) {
             Some(peer) if peer.identity == identity => {
-                observed.min(now - peer.mutual_at.unwrap_or(0).min(now))
+                observed.min(now - peer.last_bidirectional_at.unwrap_or(0).min(now))
             }
             _ => observed,
         }
@@ -149,8 +150,9 @@
 
     /// Identities heard lately, for the heartbeat.
     pub fn recent_senders(&self, timing: &Timing, now: Millis) -> Vec<Identity> {
-        let lately = |peer: &&Peer| now - peer.heard_at < timing.suspect - timing.heartbeat;
-        self.peers.values().filter(lately).map(|peer| peer.identity).collect()
+        let is_recent =
+            |peer: &&Peer| now - peer.last_received_at < timing.suspicion_timeout - timing.heartbeat_interval;
+        self.peers.values().filter(is_recent).map(|peer| peer.identity).collect()
     }
 
     /// Whether a view may be sent to this address now: at most one per interval, so that old messages that come
@@ -165,7 +167,7 @@
     }
 
     /// Notes that a node didn't answer as a joiner.
-    pub fn join_failed(&mut self, address: SocketAddrV4, now: Millis) {
+    pub fn on_join_failed(&mut self, address: SocketAddrV4, now: Millis) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.join_failed_at = Some(now);
         }
@@ -176,8 +178,8 @@
     fn new(identity: Identity, now: Millis) -> Self {
         Self {
             identity,
-            heard_at: now,
-            mutual_at: None,
+            last_received_at: now,
+            last_bidirectional_at: None,
             reachable_since: None,
             epoch: 0,
             health: Health::Good,
@@ -189,17 +191,19 @@
         }
     }
 
-    fn is_mutual(&self, timing: &Timing, now: Millis) -> bool {
-        let fresh = now - self.heard_at < timing.suspect;
-        let mutual = self.mutual_at.is_some_and(|at| now - at < timing.suspect + timing.heartbeat);
-        fresh && mutual
+    fn is_bidirectional(&self, timing: &Timing, now: Millis) -> bool {
+        let fresh = now - self.last_received_at < timing.suspicion_timeout;
+        let bidirectional = self
+            .last_bidirectional_at
+            .is_some_and(|at| now - at < timing.suspicion_timeout + timing.heartbeat_interval);
+        fresh && bidirectional
     }
 
     /// Whether the node may be asked to join now: reachable for a while, in good health, and not just tried in
     /// vain.
     pub fn may_join(&self, timing: &Timing, now: Millis) -> bool {
-        let settled = self.reachable_since.is_some_and(|since| now - since >= timing.settled);
-        let tried = self.join_failed_at.is_some_and(|at| now - at < timing.join_retry);
-        settled && !tried && self.health == Health::Good && self.is_mutual(timing, now)
+        let is_stable = self.reachable_since.is_some_and(|since| now - since >= timing.join_stability_period);
+        let recently_failed = self.join_failed_at.is_some_and(|at| now - at < timing.join_retry);
+        is_stable && !recently_failed && self.health == Health::Good && self.is_bidirectional(timing, now)
     }
 }
--- a/crates/lockusher-control/src/replica.rs
+++ b/crates/lockusher-control/src/replica.rs
@@ -243,12 +243,12 @@
     fn on_tick(&mut self) {
         let pause = self.now - self.last_tick;
         self.last_tick = self.now;
-        if pause > self.timing.suspect / 2 {
-            self.peers.resume(self.now, self.timing.suspect);
+        if pause > self.timing.suspicion_timeout / 2 {
+            self.peers.restart_observation(self.now, self.timing.suspicion_timeout);
         }
         self.expire_peers();
         self.write_again();
-        if self.now - self.last_heartbeat >= self.timing.heartbeat {
+        if self.now - self.last_heartbeat >= self.timing.heartbeat_interval {
             self.send_heartbeats();
         }
         self.on_head_tick();
--- a/crates/lockusher-control/src/replica/agreement.rs
+++ b/crates/lockusher-control/src/replica/agreement.rs
@@ -16,7 +16,7 @@
 };
 
 /// The time for a stage grows with the attempts, up to so many times the usual one: disks may be slow.
-const MOST_PATIENCE: u64 = 3;
+const MAX_PHASE_TIMEOUT_FACTOR: u64 = 3;
 
 /// An attempt of this node to have a view agreed on.
 #[derive(Debug)]
@@ -104,7 +104,7 @@
             self.watch_proposal();
             return;
         }
-        let able = self.is_established_in_view() && self.is_voter() && self.reaches_majority();
+        let able = self.is_established_in_view() && self.is_voter() && self.has_reachable_quorum();
         if !able || self.now < self.back_off_until {
             return;
         }
@@ -126,11 +126,11 @@
         let unfinished = self.acceptor.accepted.as_ref();
         if let Some(accepted) = unfinished {
             let unchanged = Plan { view: accepted.view.clone(), joiners: Vec::new() };
-            return Some((plan.unwrap_or(unchanged), self.timing.stagger * (rank + 1)));
+            return Some((plan.unwrap_or(unchanged), self.timing.takeover_stagger * (rank + 1)));
         }
         match plan {
             Some(plan) if rank == 0 => Some((plan, 0)),
-            Some(plan) if self.acceptor.sealed => Some((plan, self.timing.stagger * rank)),
+            Some(plan) if self.acceptor.sealed => Some((plan, self.timing.takeover_stagger * rank)),
             _ => None,
         }
     }
@@ -193,13 +193,14 @@
                 && !self.has_bug(InjectedBug::DepartedVoterKept)
         };
         let leaving = view.voters.iter().filter(is_leaving).map(|voter| voter.identity);
-        let long_silent = |voter: &&Identity| self.silence_of(view, **voter) >= self.timing.removal;
+        let long_silent =
+            |voter: &&Identity| self.unreachable_time_of(view, **voter) >= self.timing.voter_removal_timeout;
         leaving.chain(unreachable.iter().filter(long_silent).copied()).collect()
     }
 
-    fn silence_of(&self, view: &View, voter: Identity) -> Millis {
+    fn unreachable_time_of(&self, view: &View, voter: Identity) -> Millis {
         let address = view.address_of(voter);
-        address.map_or(0, |address| self.peers.silent_for(address, voter, self.now))
+        address.map_or(0, |address| self.peers.unreachable_for(address, voter, self.now))
     }
 
     fn unreachable_voters(&self, view: &View) -> Vec<Identity> {
@@ -208,7 +209,7 @@
         let others = view.voters.iter().filter(|voter| voter.identity != self.identity);
         let mut unreachable: Vec<Identity> =
             others.filter(|voter| !is_reachable(voter)).map(|voter| voter.identity).collect();
-        unreachable.sort_by_key(|voter| std::cmp::Reverse(self.silence_of(view, *voter)));
+        unreachable.sort_by_key(|voter| std::cmp::Reverse(self.unreachable_time_of(view, *voter)));
         unreachable
     }
 
@@ -400,11 +401,12 @@
     /// Repeats messages, and gives up an attempt that gets no further.
     fn watch_proposal(&mut self) {
         let Some(proposal) = &self.proposal else { return };
-        let patience = self.timing.agreement * self.attempts.clamp(1, MOST_PATIENCE);
-        if self.now - proposal.stage_since >= patience {
+        let phase_timeout =
+            self.timing.agreement_phase_timeout * self.attempts.clamp(1, MAX_PHASE_TIMEOUT_FACTOR);
+        if self.now - proposal.stage_since >= phase_timeout {
             self.note_failed_joiners();
             self.abandon_proposal();
-        } else if self.now - proposal.sent_at >= self.timing.retransmit {
+        } else if self.now - proposal.sent_at >= self.timing.retransmit_interval {
             self.send_stage();
         }
     }
@@ -416,7 +418,7 @@
         }
         for joiner in &proposal.plan.joiners {
             if !self.joined.contains(&joiner.identity) {
-                self.peers.join_failed(joiner.address, self.now);
+                self.peers.on_join_failed(joiner.address, self.now);
             }
         }
     }
@@ -424,7 +426,9 @@
     fn abandon_proposal(&mut self) {
         log::debug!("{} {}: gives up a proposal", self.now, self.setup.address);
         self.proposal = None;
-        let back_off = self.random.random_range(self.timing.retransmit / 4..=self.timing.retransmit * 3 / 2);
+        let back_off = self
+            .random
+            .random_range(self.timing.retransmit_interval / 4..=self.timing.retransmit_interval * 3 / 2);
         self.back_off_until = self.now + back_off;
     }
 }
--- a/crates/lockusher-control/src/replica/head.rs
+++ b/crates/lockusher-control/src/replica/head.rs
@@ -234,23 +234,25 @@
     pub(super) fn is_lagging(&self, member: Identity) -> bool {
         let (Some(head), Some(view)) = (&self.head, &self.view) else { return false };
         // A sealed head sends nothing down, so that nobody lags by it.
-        if self.acceptor.sealed || !view.in_chain(member) || self.now < self.started + self.timing.start_grace
+        if self.acceptor.sealed
+            || !view.in_chain(member)
+            || self.now < self.started + self.timing.startup_grace
         {
             return false;
         }
         let unsynchronised = !head.synchronised.contains(&member);
-        if unsynchronised && self.now - head.since >= self.timing.write {
+        if unsynchronised && self.now - head.since >= self.timing.write_timeout {
             return true;
         }
         head.in_flight.as_ref().is_some_and(|in_flight| {
-            let limit = self.timing.write + in_flight.size_allowance();
+            let limit = self.timing.write_timeout + in_flight.size_allowance();
             !in_flight.holders.contains(&member) && self.now - in_flight.since >= limit
         })
     }
 
     pub(super) fn on_head_tick(&mut self) {
         let Some(head) = &mut self.head else { return };
-        if self.now - head.sent_at < self.timing.retransmit {
+        if self.now - head.sent_at < self.timing.retransmit_interval {
             return;
         }
         head.sent_at = self.now;
@@ -270,7 +272,7 @@
             return;
         }
         let waited = self.now - in_flight.since;
-        let pause = waited.clamp(self.timing.retransmit, self.timing.write);
+        let pause = waited.clamp(self.timing.retransmit_interval, self.timing.write_timeout);
         in_flight.send_again_at = self.now + pause;
         let body = in_flight.append(false);
         let missing = view.chain.iter().filter(|member| !in_flight.holders.contains(member));
@@ -323,7 +325,7 @@
         let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else { return };
         in_flight.holders.insert(me);
         in_flight.since = self.now;
-        in_flight.send_again_at = self.now + self.timing.retransmit + in_flight.size_allowance();
+        in_flight.send_again_at = self.now + self.timing.retransmit_interval + in_flight.size_allowance();
         let body = in_flight.append(true);
         let open = !self.acceptor.sealed || self.has_bug(InjectedBug::ServeAfterSeal);
         if let (Some(successor), true) = (successor, open) {
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -14,7 +14,7 @@
     pub(super) fn on_message(&mut self, from: SocketAddrV4, message: Message) {
         let Message { sender, epoch, body } = message;
         if from != self.setup.address {
-            self.peers.heard(from, sender, epoch, self.now);
+            self.peers.on_message_received(from, sender, epoch, self.now);
             self.exchange_views(from, epoch, &body);
         }
         let counts =
@@ -69,7 +69,7 @@
         if epoch == self.epoch() || matches!(body, MessageBody::NewView(_)) {
             return;
         }
-        if !self.peers.may_send_view(from, self.timing.heartbeat / 4, self.now) {
+        if !self.peers.may_send_view(from, self.timing.heartbeat_interval / 4, self.now) {
             return;
         }
         match &self.view {
@@ -85,9 +85,9 @@
         if from == self.setup.address {
             return;
         }
-        let first_contact = self.peers.at(from).is_none_or(|peer| peer.mutual_at.is_none());
+        let first_contact = self.peers.at(from).is_none_or(|peer| peer.last_bidirectional_at.is_none());
         let health_before = self.peers.at(from).map(|peer| peer.health);
-        self.peers.heartbeat(from, &heartbeat, self.identity, self.now);
+        self.peers.on_heartbeat(from, &heartbeat, self.identity, self.now);
         if first_contact && !heartbeat.recent_senders.contains(&self.identity) {
             self.answer_first_heartbeat(from);
         }
@@ -100,7 +100,7 @@
     }
 
     fn answer_first_heartbeat(&mut self, from: SocketAddrV4) {
-        if self.peers.may_send_view(from, self.timing.heartbeat / 4, self.now) {
+        if self.peers.may_send_view(from, self.timing.heartbeat_interval / 4, self.now) {
             self.send_heartbeat(from);
         }
     }
@@ -129,7 +129,7 @@
         let voters = self.view.iter().flat_map(|view| view.voters.iter().map(|voter| voter.address));
         let heard = self.peers.iter().map(|(address, _)| address);
         let mut targets: BTreeSet<SocketAddrV4> = voters.chain(heard).collect();
-        if !self.is_voter() || !self.hears_majority() {
+        if !self.is_voter() || !self.has_confirmed_quorum() {
             targets.extend(&self.setup.seeds);
         }
         targets.remove(&self.setup.address);
@@ -147,14 +147,14 @@
     }
 
     /// Whether fresh heartbeats show that a majority of the voters is in touch with this node.
-    pub(super) fn hears_majority(&self) -> bool {
+    pub(super) fn has_confirmed_quorum(&self) -> bool {
         self.count_voters(|address, identity| {
             self.peers.is_confirmed(address, identity, &self.timing, self.now)
         })
     }
 
     /// The same, but with the benefit of the doubt after a start.
-    pub(super) fn reaches_majority(&self) -> bool {
+    pub(super) fn has_reachable_quorum(&self) -> bool {
         self.count_voters(|address, identity| {
             self.peers.is_reachable(address, identity, &self.timing, self.now)
         })
--- a/crates/lockusher-control/src/replica/persistence.rs
+++ b/crates/lockusher-control/src/replica/persistence.rs
@@ -73,14 +73,15 @@
     /// Repeats writes that the disk refused.
     pub(super) fn write_again(&mut self) {
         let next_ticket = &mut self.next_ticket;
-        let again = self.acceptor_log.again(self.timing.heartbeat, self.now, || {
+        let again = self.acceptor_log.again(self.timing.heartbeat_interval, self.now, || {
             *next_ticket += 1;
             PersistTicket(*next_ticket)
         });
         for (ticket, records) in again {
             self.effects.push(Effect::Persist { ticket, records });
         }
-        let probe_due = self.disk_failed_at.is_some_and(|at| self.now - at >= self.timing.probe);
+        let probe_due =
+            self.disk_failed_at.is_some_and(|at| self.now - at >= self.timing.disk_retry_interval);
         if probe_due && self.durable_state.pending.is_none() {
             let record = self.durable_state.record();
             let (position, state) = (self.durable_state.position, self.durable_state.state.clone());
@@ -109,7 +110,7 @@
     pub(super) fn health(&self) -> Health {
         let oldest = self.acceptor_log.oldest_since().into_iter();
         let oldest = oldest.chain(self.durable_state.pending.as_ref().map(|pending| pending.since)).min();
-        let stalled = oldest.is_some_and(|since| self.now - since >= self.timing.write);
+        let stalled = oldest.is_some_and(|since| self.now - since >= self.timing.write_timeout);
         if self.leaving {
             Health::ShuttingDown
         } else if stalled || self.acceptor_log.has_refused() || self.disk_failed_at.is_some() {
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -51,7 +51,7 @@
             attempts: 0,
             back_off_until: now,
             reason_since: None,
-            peers: Peers::new(now, timing.start_grace),
+            peers: Peers::new(now, timing.startup_grace),
             requests: Requests::new(first_request),
             next_ticket: 0,
             effects: Vec::new(),
--- a/crates/lockusher-control/src/replica/requests.rs
+++ b/crates/lockusher-control/src/replica/requests.rs
@@ -97,7 +97,7 @@
         }
         let number = self.requests.next;
         self.requests.next += 1;
-        let deadline = self.now + self.timing.patience;
+        let deadline = self.now + self.timing.request_timeout;
         let (since, forward_at) = (self.now, self.now);
         self.requests.waiting.insert(number, Waiting { ticket, request, deadline, forward_at, since });
         self.forward_requests();
@@ -107,7 +107,7 @@
     pub(super) fn forward_requests(&mut self) {
         let Some(view) = &self.view else { return };
         let Some(head) = view.head().and_then(|head| view.address_of(head)) else { return };
-        let interval = self.timing.retransmit;
+        let interval = self.timing.retransmit_interval;
         let mut due = Vec::new();
         for (number, waiting) in &mut self.requests.waiting {
             if self.now >= waiting.forward_at {
@@ -124,10 +124,10 @@
     /// early, since the operator may find another one that isn't.
     pub(super) fn on_requests_tick(&mut self) {
         let now = self.now;
-        let out_of_touch = !self.reaches_majority();
-        let early = self.timing.out_of_touch_patience;
+        let lacks_quorum = !self.has_reachable_quorum();
+        let early = self.timing.minority_request_timeout;
         let is_expired =
-            |waiting: &Waiting| waiting.deadline <= now || (out_of_touch && now - waiting.since >= early);
+            |waiting: &Waiting| waiting.deadline <= now || (lacks_quorum && now - waiting.since >= early);
         let waiting = self.requests.waiting.iter();
         let expired: Vec<u64> =
             waiting.filter(|(_, waiting)| is_expired(waiting)).map(|(number, _)| *number).collect();
@@ -149,7 +149,7 @@
         let origin = Origin { address: from, request };
         let in_flight = self.write_in_flight() == Some(origin);
         let confirmation = self.next_confirmation();
-        let deadline = self.now + self.timing.patience;
+        let deadline = self.now + self.timing.request_timeout;
         let Some(head) = &mut self.head else { return };
         let known = in_flight || head.queue.iter().any(|queued| queued.origin == origin);
         if known || head.queue.len() >= REQUEST_LIMIT {
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -18,7 +18,7 @@
 
     /// Whether this node is head of the newest view it knows and hears a majority of the voters.
     pub fn is_head(&self) -> bool {
-        self.head.is_some() && self.hears_majority()
+        self.head.is_some() && self.has_confirmed_quorum()
     }
 
     /// Whether this node is in the chain and knows all that it holds to be committed.
@@ -32,7 +32,7 @@
 
     /// Whether this node votes in the newest view that it knows and hears a majority of the voters.
     pub fn is_current(&self) -> bool {
-        self.view.as_ref().is_some_and(|view| view.is_voter(self.identity)) && self.hears_majority()
+        self.view.as_ref().is_some_and(|view| view.is_voter(self.identity)) && self.has_confirmed_quorum()
     }
 
     /// Whether a node that was told to stop may end without harm: it isn't in the chain, and it votes only where no more
--- a/crates/lockusher-control/src/timing.rs
+++ b/crates/lockusher-control/src/timing.rs
@@ -7,33 +7,33 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Between two heartbeats.
-    pub heartbeat: Millis,
+    pub heartbeat_interval: Millis,
     /// Silence after which a node is suspected.
-    pub suspect: Millis,
+    pub suspicion_timeout: Millis,
     /// Time that a member has for one write.
-    pub write: Millis,
+    pub write_timeout: Millis,
     /// Time after which an unanswered message is sent again.
-    pub retransmit: Millis,
+    pub retransmit_interval: Millis,
     /// Time for one stage of an agreement.
-    pub agreement: Millis,
+    pub agreement_phase_timeout: Millis,
     /// Between the attempts of voters to complete an agreement that somebody else left.
-    pub stagger: Millis,
+    pub takeover_stagger: Millis,
     /// How long a request is held before it is answered as unavailable.
-    pub patience: Millis,
+    pub request_timeout: Millis,
     /// The same at a node that doesn't hear a majority.
-    pub out_of_touch_patience: Millis,
+    pub minority_request_timeout: Millis,
     /// How long a node has been reachable before it is taken in.
-    pub settled: Millis,
+    pub join_stability_period: Millis,
     /// Silence after which a voter may be removed.
-    pub removal: Millis,
+    pub voter_removal_timeout: Millis,
     /// How long all nodes count as reachable after the start.
-    pub start_grace: Millis,
+    pub startup_grace: Millis,
     /// Between two attempts to write to a disk that failed.
-    pub probe: Millis,
+    pub disk_retry_interval: Millis,
     /// How long a node that didn't answer as a joiner is left out.
     pub join_retry: Millis,
     /// How long a silent node that is no voter is remembered.
-    pub forget: Millis,
+    pub peer_expiry: Millis,
 }
 
 impl Timing {
@@ -42,20 +42,20 @@
     pub fn new(acknowledge_ms: u64, catch_up_ms: u64) -> Self {
         let fortieth = (acknowledge_ms / 40).max(1);
         Self {
-            heartbeat: fortieth * 2,
-            suspect: fortieth * 8,
-            write: fortieth * 7,
-            retransmit: fortieth * 2,
-            agreement: fortieth * 7,
-            stagger: fortieth * 4,
-            patience: fortieth * 9,
-            out_of_touch_patience: fortieth * 4,
-            settled: fortieth * 3,
-            removal: catch_up_ms / 2,
-            start_grace: fortieth * 12,
-            probe: fortieth * 10,
+            heartbeat_interval: fortieth * 2,
+            suspicion_timeout: fortieth * 8,
+            write_timeout: fortieth * 7,
+            retransmit_interval: fortieth * 2,
+            agreement_phase_timeout: fortieth * 7,
+            takeover_stagger: fortieth * 4,
+            request_timeout: fortieth * 9,
+            minority_request_timeout: fortieth * 4,
+            join_stability_period: fortieth * 3,
+            voter_removal_timeout: catch_up_ms / 2,
+            startup_grace: fortieth * 12,
+            disk_retry_interval: fortieth * 10,
             join_retry: fortieth * 15,
-            forget: fortieth * 100,
+            peer_expiry: fortieth * 100,
         }
     }
 }
