--- a/crates/lockusher-aggregator-testbed/src/chain.rs
+++ b/crates/lockusher-aggregator-testbed/src/chain.rs
@@ -8,7 +8,7 @@
 
 use anyhow::ensure;
 use lockusher_control::InjectedBug;
-use lockusher_control::simulation::{Checks, Outcome, SimulationOptions, shrink, simulate_with};
+use lockusher_control_simulation::{Checks, Outcome, SimulationOptions, shrink, simulate_with};
 
 /// The simulation has nodes at addresses of one network.
 const MOST_REPLICAS: usize = 9;
--- a/crates/lockusher-aggregator-testbed/src/main.rs
+++ b/crates/lockusher-aggregator-testbed/src/main.rs
@@ -7,7 +7,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use lockusher_aggregator_testbed::{chain, chain_mistakes, demo, http2, large, mixers, soak, standstill};
 use lockusher_control::InjectedBug;
-use lockusher_control::simulation::Checks;
+use lockusher_control_simulation::Checks;
 use lockusher_policy::interface::Span;
 use lockusher_registry_client::core::follow::Protocol;
 
--- a/crates/lockusher-aggregator-testbed/tests/chain.rs
+++ b/crates/lockusher-aggregator-testbed/tests/chain.rs
@@ -3,7 +3,7 @@
 use std::num::NonZero;
 
 use lockusher_aggregator_testbed::chain::{ChainRuns, ChainTotals, report, run, simulate_all};
-use lockusher_control::simulation::{Checks, Outcome, simulate};
+use lockusher_control_simulation::{Checks, Outcome, simulate};
 use rstest::rstest;
 
 fn options(replicas: usize, runs: u64, threads: usize) -> ChainRuns {
--- a/crates/lockusher-control/src/simulation/ambush.rs
+++ b/crates/lockusher-control-simulation/src/ambush.rs
@@ -3,7 +3,7 @@
 use rand::{RngExt, seq::IndexedRandom};
 
 use super::world::World;
-use crate::{
+use lockusher_control::{
     Effect, Millis,
     message::{MessageBody, TransferPurpose},
 };
--- a/crates/lockusher-control/src/simulation/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -6,7 +6,7 @@
     operator::{Call, Change, Operator},
     world::World,
 };
-use crate::{Event, Millis, Reply, Request, RequestTicket};
+use lockusher_control::{Event, Millis, Reply, Request, RequestTicket};
 
 /// An operator moves on after this silence.
 const OPERATOR_PATIENCE: Millis = 1000;
--- a/crates/lockusher-control/src/simulation/checks.rs
+++ b/crates/lockusher-control-simulation/src/checks.rs
@@ -1,7 +1,7 @@
 //! Compares what the nodes do with what they owe: obligations towards each other, and copies of what is committed.
 
 use super::{contents::Contents, obligations::Breach, world::World};
-use crate::{DurableRecord, Identity, Message};
+use lockusher_control::{DurableRecord, Identity, Message};
 
 /// What a run is judged by.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
--- a/crates/lockusher-control/src/simulation/contents.rs
+++ b/crates/lockusher-control-simulation/src/contents.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::{
-    Digest, DurableRecord, Identity, View, acceptor::AcceptorState, durable_state::DurableState,
-    message::ProposalNumber, state::HistoryDigest,
+use lockusher_control::{
+    Digest, DurableRecord, DurableState, Identity, View, acceptor::AcceptorState, message::ProposalNumber,
+    state::HistoryDigest,
 };
 
 /// The sum of the records on one disk.
--- a/crates/lockusher-control/src/simulation/disk.rs
+++ b/crates/lockusher-control-simulation/src/disk.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::contents::Contents;
-use crate::{ConfigurationDocument, DurableRecord, Millis, PersistTicket, ReplicatedState};
+use lockusher_control::{ConfigurationDocument, DurableRecord, Millis, PersistTicket, ReplicatedState};
 
 /// The log and the writes under way.
 #[derive(Debug, Default)]
--- a/crates/lockusher-control/src/simulation/faults.rs
+++ b/crates/lockusher-control-simulation/src/faults.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{disk::Room, world::World};
-use crate::{Millis, planner::VOTER_LIMIT};
+use lockusher_control::{Millis, planner::VOTER_LIMIT};
 
 /// Longest time that a killed process is down.
 const DOWN: std::ops::Range<Millis> = 50..3000;
--- a/crates/lockusher-control/src/simulation/history.rs
+++ b/crates/lockusher-control-simulation/src/history.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::operator::{Change, patched};
-use crate::{ConfigurationDocument, Digest, Millis};
+use lockusher_control::{ConfigurationDocument, Digest, Millis};
 
 /// A configuration that an operator sent.
 #[derive(Clone, Debug)]
--- a/crates/lockusher-control/src/simulation/mod.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -31,7 +31,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{Millis, replica::InjectedBug};
+use lockusher_control::{InjectedBug, Millis};
 
 /// What is simulated.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/lockusher-control/src/simulation/losses.rs
+++ b/crates/lockusher-control-simulation/src/losses.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::world::{CATCH_UP_MS, World};
-use crate::{Millis, planner::VOTER_LIMIT};
+use lockusher_control::{Millis, planner::VOTER_LIMIT};
 
 /// Time that a machine that lost its disk is down, and that a replacement takes to come.
 const QUICK_RETURN: std::ops::Range<Millis> = 20..1000;
--- a/crates/lockusher-control/src/simulation/network.rs
+++ b/crates/lockusher-control-simulation/src/network.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::{Envelope, Message, Millis};
+use lockusher_control::{Envelope, Message, Millis};
 
 /// Messages are held by their order of arrival.
 #[derive(Debug, Default)]
--- a/crates/lockusher-control/src/simulation/node.rs
+++ b/crates/lockusher-control-simulation/src/node.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use super::disk::Disk;
-use crate::{Millis, Replica};
+use lockusher_control::{Millis, Replica};
 
 /// Longest time that a sync takes.
 const SLOWEST_SYNC: Millis = 6;
--- a/crates/lockusher-control/src/simulation/obligations.rs
+++ b/crates/lockusher-control-simulation/src/obligations.rs
@@ -7,7 +7,7 @@
 use std::ops::Bound;
 
 use super::contents::Contents;
-use crate::{
+use lockusher_control::{
     Digest, DurableRecord, Identity, Message, Position, View,
     message::{MessageBody, ProposalNumber, TransferPurpose},
     state::HistoryDigest,
--- a/crates/lockusher-control/src/simulation/operator.rs
+++ b/crates/lockusher-control-simulation/src/operator.rs
@@ -5,8 +5,8 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::document::patch_identity;
-use crate::{ConfigurationDocument, Digest, Millis, Request, RequestTicket};
+use lockusher_control::document::patch_identity;
+use lockusher_control::{ConfigurationDocument, Digest, Millis, Request, RequestTicket};
 
 /// One change in so many is a patch.
 const PATCHES: u32 = 3;
--- a/crates/lockusher-control/src/simulation/scenario.rs
+++ b/crates/lockusher-control-simulation/src/scenario.rs
@@ -6,7 +6,7 @@
     operator::Change,
     world::{ACKNOWLEDGE_MS, World, address},
 };
-use crate::{Event, Millis, Replica, Reply, Request};
+use lockusher_control::{Event, Millis, Replica, Reply, Request};
 
 /// Time that a process is left after it was told to stop.
 const STOP_MS: Millis = 300;
--- a/crates/lockusher-control/src/simulation/world.rs
+++ b/crates/lockusher-control-simulation/src/world.rs
@@ -19,7 +19,7 @@
     obligations::Obligations,
     operator::Operator,
 };
-use crate::{Effect, Event, Millis, Replica, ReplicaSetup, Reply, Request, RequestTicket};
+use lockusher_control::{Effect, Event, Millis, Replica, ReplicaSetup, Reply, Request, RequestTicket};
 
 /// How often steps are faults; each run draws one.
 const FAULT_PERCENTS: [u32; 4] = [1, 3, 6, 12];
--- a/crates/lockusher-control/tests/injected_bugs.rs
+++ b/crates/lockusher-control-simulation/tests/injected_bugs.rs
@@ -1,9 +1,7 @@
 //! Every mistake that can be planted is found: by the simulation within a stated number of runs, or by a named test.
 
-use lockusher_control::{
-    ConfigurationDocument, InjectedBug, Reply, Request,
-    simulation::{Checks, SimulationOptions, World, simulate_with},
-};
+use lockusher_control::{ConfigurationDocument, InjectedBug, Reply, Request};
+use lockusher_control_simulation::{Checks, SimulationOptions, World, simulate_with};
 use yare::parameterized;
 
 const STEPS: usize = 500;
--- a/crates/lockusher-control/tests/scenarios.rs
+++ b/crates/lockusher-control-simulation/tests/scenarios.rs
@@ -1,9 +1,7 @@
 //! Single faults, with the time that the control state takes to get over them.
 
-use lockusher_control::{
-    ConfigurationDocument, Reply, Request,
-    simulation::{Room, SimulationOptions, World},
-};
+use lockusher_control::{ConfigurationDocument, Reply, Request};
+use lockusher_control_simulation::{Room, SimulationOptions, World};
 use yare::parameterized;
 
 /// Milliseconds that the operator waits for an acknowledgement, and that a new node has to become a member.
--- a/crates/lockusher-control/tests/simulation.rs
+++ b/crates/lockusher-control-simulation/tests/simulation.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use lockusher_control::{
-    InjectedBug,
-    simulation::{Outcome, SimulationOptions, World, shrink, simulate, simulate_with, simulate_without},
+use lockusher_control::InjectedBug;
+use lockusher_control_simulation::{
+    Outcome, SimulationOptions, World, shrink, simulate, simulate_with, simulate_without,
 };
 use yare::parameterized;
 
--- a/crates/lockusher-control/src/lib.rs
+++ b/crates/lockusher-control/src/lib.rs
@@ -16,8 +16,6 @@
 pub mod proposer;
 pub mod replica;
 pub mod serve;
-#[cfg(feature = "simulation")]
-pub mod simulation;
 pub mod stage_assignment_lease;
 pub mod stage_scheduler;
 pub mod state;
@@ -26,6 +24,8 @@
 
 pub use document::{ConfigurationDocument, Digest};
 pub use durable::{DurableRecord, Position};
+#[cfg(feature = "injected-bugs")]
+pub use durable_state::DurableState;
 pub use message::{Envelope, EnvelopeError, Message, PROTOCOL};
 pub use replica::{
     Counters, DiskComparison, Effect, Event, InjectedBug, PersistTicket, Replica, ReplicaSetup, Reply,
--- a/crates/lockusher-control/src/replica.rs
+++ b/crates/lockusher-control/src/replica.rs
@@ -210,7 +210,7 @@
     }
 
     /// A replica that makes a mistake, for tests of the simulation.
-    #[cfg(feature = "simulation")]
+    #[cfg(feature = "injected-bugs")]
     pub fn with_injected_bug(
         setup: ReplicaSetup,
         recovered: Vec<DurableRecord>,
--- a/crates/lockusher-control/src/replica/injected_bug.rs
+++ b/crates/lockusher-control/src/replica/injected_bug.rs
@@ -1,13 +1,13 @@
 //! Mistakes put in on purpose, so that tests can show that the simulation and its checks find them.
 //!
 //! Each variant leaves out one guard of the protocol. A replica makes a mistake only if the crate is built with the feature
-//! `simulation`; what is shipped is built without it.
+//! `injected-bugs`; what is shipped is built without it.
 
 use derive_more::Display;
 
-#[cfg(feature = "simulation")]
+#[cfg(feature = "injected-bugs")]
 use super::Replica;
-#[cfg(feature = "simulation")]
+#[cfg(feature = "injected-bugs")]
 use crate::{
     DurableRecord, Identity, View,
     message::{AcceptedView, MessageBody, Payload, Transfer},
@@ -158,7 +158,7 @@
     }
 }
 
-#[cfg(feature = "simulation")]
+#[cfg(feature = "injected-bugs")]
 impl Replica {
     pub(super) fn has_bug(&self, injected_bug: InjectedBug) -> bool {
         self.injected_bug == Some(injected_bug)
@@ -230,7 +230,7 @@
     }
 }
 
-#[cfg(feature = "simulation")]
+#[cfg(feature = "injected-bugs")]
 fn short_chain(situation: &Situation) -> Option<Plan> {
     let view = situation.view;
     let is_fit = |member: &Identity| situation.fit.contains(member);
@@ -242,7 +242,7 @@
     })
 }
 
-#[cfg(feature = "simulation")]
+#[cfg(feature = "injected-bugs")]
 fn without_unreachable(mut plan: Plan, situation: &Situation) -> Plan {
     let chain = plan.view.chain.clone();
     let is_gone =
@@ -251,7 +251,7 @@
     plan
 }
 
-#[cfg(feature = "simulation")]
+#[cfg(feature = "injected-bugs")]
 fn without_history(mut transfer: Transfer) -> Transfer {
     if let Payload::FullSnapshot(state) = &mut transfer.payload {
         *state = state.without_history();
@@ -260,7 +260,7 @@
 }
 
 /// Without the feature no mistake is made: these are the plain ways.
-#[cfg(not(feature = "simulation"))]
+#[cfg(not(feature = "injected-bugs"))]
 mod plain {
     use super::InjectedBug;
     use crate::{
--- a/crates/lockusher-control/src/state.rs
+++ b/crates/lockusher-control/src/state.rs
@@ -56,7 +56,7 @@
     }
 
     /// The same without the identities of requests taken, as a mistake leaves it.
-    #[cfg(feature = "simulation")]
+    #[cfg(feature = "injected-bugs")]
     pub(crate) fn without_history(&self) -> Self {
         Self { history: Arc::default(), ..self.clone() }
     }
