--- a/crates/lockusher-config/src/configuration_patch.rs
+++ b/crates/lockusher-config/src/configuration_patch.rs
@@ -11,8 +11,11 @@
 
 use crate::configuration::Configuration;
 use crate::fault::{Faults, Problem};
-use crate::reader::{FieldPath, ObjectReader, read_document, unexpected};
-use crate::unique_keys::parse_unique;
+use crate::json::conversion::unexpected;
+use crate::json::document::read_document;
+use crate::json::field_path::FieldPath;
+use crate::json::object_reader::ObjectReader;
+use crate::json::unique_keys::parse_unique;
 
 /// The lists of a configuration whose items have names.
 const LISTS: [&str; 2] = ["routes", "services"];
--- a/crates/lockusher-config/src/configuration_reader.rs
+++ b/crates/lockusher-config/src/configuration_reader.rs
@@ -12,7 +12,11 @@
 
 use crate::configuration::{Configuration, Engine, Limits, Route, RouteKind, Service, WeightedService};
 use crate::fault::{Faults, Problem};
-use crate::reader::{FaultCollector, FieldPath, ObjectReader, read_document, unexpected};
+use crate::json::conversion::unexpected;
+use crate::json::document::read_document;
+use crate::json::fault_collector::FaultCollector;
+use crate::json::field_path::FieldPath;
+use crate::json::object_reader::ObjectReader;
 use crate::route_table::normalized_host;
 
 /// All faults of a configuration.
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -6,8 +6,11 @@
 
 use crate::fault::{Fault, Faults};
 use crate::instances::{Instance, InstanceState, ModelVersion, Stage};
-use crate::reader::{FaultCollector, FieldPath, ObjectReader, unexpected};
-use crate::unique_keys::parse_unique;
+use crate::json::conversion::unexpected;
+use crate::json::fault_collector::FaultCollector;
+use crate::json::field_path::FieldPath;
+use crate::json::object_reader::ObjectReader;
+use crate::json::unique_keys::parse_unique;
 
 /// Why a page can't be used at all.
 pub type InstancePageFaults = Faults;
--- /dev/null
+++ b/crates/lockusher-config/src/json/conversion.rs
@@ -0,0 +1,59 @@
+//! Conversions of one JSON value to the type that a field needs.
+
+use serde_json::Value;
+
+use crate::fault::{Problem, truncated_for_message};
+
+/// Whole numbers above this can't be told apart as floats.
+const MAX_EXACT_FLOAT: f64 = 9_007_199_254_740_992.0;
+
+/// The problem of a value that is not what was expected.
+pub fn unexpected(expected: &'static str, value: &Value) -> Problem {
+    Problem::Unexpected { expected, found: truncated_for_message(&value.to_string()) }
+}
+
+pub fn text(value: &Value) -> Result<String, Problem> {
+    value.as_str().map(str::to_owned).ok_or_else(|| unexpected("a string", value))
+}
+
+pub fn non_empty_text(value: &Value) -> Result<String, Problem> {
+    text(value).ok().filter(|text| !text.is_empty()).ok_or_else(|| unexpected("a non-empty string", value))
+}
+
+/// A number of at least 0; the operator may send any number as a float.
+pub fn number(value: &Value) -> Result<f64, Problem> {
+    value.as_f64().filter(|number| *number >= 0.0).ok_or_else(|| unexpected("a number of at least 0", value))
+}
+
+pub fn positive_number(value: &Value) -> Result<f64, Problem> {
+    number(value).ok().filter(|number| *number > 0.0).ok_or_else(|| unexpected("a positive number", value))
+}
+
+fn exact_integer(value: &Value) -> Option<u64> {
+    if let Some(integer) = value.as_u64() {
+        return Some(integer);
+    }
+    let float = value.as_f64()?;
+    let exact = float.fract() == 0.0 && (0.0..=MAX_EXACT_FLOAT).contains(&float);
+    exact.then_some(float as u64)
+}
+
+pub fn integer(value: &Value) -> Result<u64, Problem> {
+    exact_integer(value).ok_or_else(|| unexpected("a whole number", value))
+}
+
+pub fn positive_integer(value: &Value) -> Result<u64, Problem> {
+    exact_integer(value)
+        .filter(|integer| *integer > 0)
+        .ok_or_else(|| unexpected("a positive whole number", value))
+}
+
+pub fn integer_u32(value: &Value) -> Result<u32, Problem> {
+    let integer = exact_integer(value).and_then(|integer| u32::try_from(integer).ok());
+    integer.ok_or_else(|| unexpected("a whole number below 2^32", value))
+}
+
+pub fn positive_u32(value: &Value) -> Result<u32, Problem> {
+    let integer = integer_u32(value).ok().filter(|integer| *integer > 0);
+    integer.ok_or_else(|| unexpected("a positive whole number below 2^32", value))
+}
--- a/crates/lockusher-config/src/reader.rs
+++ b/crates/lockusher-config/src/json/object_reader.rs
@@ -1,69 +1,18 @@
-//! Typed access to a JSON document. Every fault is collected with its path, and reading goes on, so that one run
-//! finds them all.
+//! Typed access to one object of a JSON document.
 //!
 //! A required field that is absent or wrong yields `None` (its fault is collected); an optional one that is absent or
 //! `null` yields the caller's default. Unknown fields are never looked at.
 
-use std::cell::RefCell;
-use std::fmt;
-
 use serde_json::{Map, Value};
 
 use crate::duration::{rounded_up_ms, seconds_to_ms};
-use crate::fault::{Faults, Problem, truncated_for_message};
-use crate::unique_keys::parse_unique;
-
-/// Whole numbers above this can't be told apart as floats.
-const MAX_EXACT_FLOAT: f64 = 9_007_199_254_740_992.0;
-
-/// Reads the body as one JSON object and hands it to `read`; the result counts only if no fault was found.
-pub fn read_document<T>(body: &[u8], read: impl FnOnce(&ObjectReader<'_>) -> Option<T>) -> Result<T, Faults> {
-    let value = parse_unique(body).map_err(Faults::unreadable)?;
-    let faults = FaultCollector::default();
-    let result = ObjectReader::of(&value, FieldPath::Root, &faults).and_then(|reader| read(&reader));
-    let faults = faults.into_faults();
-    match result {
-        Some(result) if faults.is_empty() => Ok(result),
-        _ => Err(faults),
-    }
-}
-
-/// Where faults are collected while a document is read.
-#[derive(Debug, Default)]
-pub struct FaultCollector {
-    faults: RefCell<Faults>,
-}
-
-impl FaultCollector {
-    /// Adds a fault.
-    pub fn add(&self, location: impl fmt::Display, problem: Problem) {
-        self.faults.borrow_mut().add(location, problem);
-    }
-
-    /// All faults that were added.
-    pub fn into_faults(self) -> Faults {
-        self.faults.into_inner()
-    }
-}
-
-/// Path of a value in the document; only spelled out for an error.
-#[derive(Clone, Copy, Debug)]
-pub enum FieldPath<'a> {
-    Root,
-    Field(&'a FieldPath<'a>, &'a str),
-    Item(&'a FieldPath<'a>, usize),
-}
-
-impl fmt::Display for FieldPath<'_> {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FieldPath::Root => formatter.write_str("document"),
-            FieldPath::Field(FieldPath::Root, name) => formatter.write_str(name),
-            FieldPath::Field(parent, name) => write!(formatter, "{parent}.{name}"),
-            FieldPath::Item(parent, index) => write!(formatter, "{parent}[{index}]"),
-        }
-    }
-}
+use crate::fault::Problem;
+use crate::json::conversion::{
+    integer, integer_u32, non_empty_text, number, positive_integer, positive_number, positive_u32, text,
+    unexpected,
+};
+use crate::json::fault_collector::FaultCollector;
+use crate::json::field_path::FieldPath;
 
 /// One object of the document.
 #[derive(Clone, Copy, Debug)]
@@ -264,54 +213,3 @@
         Some(read_items.filter_map(|(index, item)| read(item, FieldPath::Item(&path, index))).collect())
     }
 }
-
-/// The problem of a value that is not what was expected.
-pub fn unexpected(expected: &'static str, value: &Value) -> Problem {
-    Problem::Unexpected { expected, found: truncated_for_message(&value.to_string()) }
-}
-
-fn text(value: &Value) -> Result<String, Problem> {
-    value.as_str().map(str::to_owned).ok_or_else(|| unexpected("a string", value))
-}
-
-fn non_empty_text(value: &Value) -> Result<String, Problem> {
-    text(value).ok().filter(|text| !text.is_empty()).ok_or_else(|| unexpected("a non-empty string", value))
-}
-
-/// A number of at least 0; the operator may send any number as a float.
-fn number(value: &Value) -> Result<f64, Problem> {
-    value.as_f64().filter(|number| *number >= 0.0).ok_or_else(|| unexpected("a number of at least 0", value))
-}
-
-fn positive_number(value: &Value) -> Result<f64, Problem> {
-    number(value).ok().filter(|number| *number > 0.0).ok_or_else(|| unexpected("a positive number", value))
-}
-
-fn exact_integer(value: &Value) -> Option<u64> {
-    if let Some(integer) = value.as_u64() {
-        return Some(integer);
-    }
-    let float = value.as_f64()?;
-    let exact = float.fract() == 0.0 && (0.0..=MAX_EXACT_FLOAT).contains(&float);
-    exact.then_some(float as u64)
-}
-
-fn integer(value: &Value) -> Result<u64, Problem> {
-    exact_integer(value).ok_or_else(|| unexpected("a whole number", value))
-}
-
-fn positive_integer(value: &Value) -> Result<u64, Problem> {
-    exact_integer(value)
-        .filter(|integer| *integer > 0)
-        .ok_or_else(|| unexpected("a positive whole number", value))
-}
-
-fn integer_u32(value: &Value) -> Result<u32, Problem> {
-    let integer = exact_integer(value).and_then(|integer| u32::try_from(integer).ok());
-    integer.ok_or_else(|| unexpected("a whole number below 2^32", value))
-}
-
-fn positive_u32(value: &Value) -> Result<u32, Problem> {
-    let integer = integer_u32(value).ok().filter(|integer| *integer > 0);
-    integer.ok_or_else(|| unexpected("a positive whole number below 2^32", value))
-}
