--- /dev/null
+++ b/crates/lockusher-config/src/configuration_reader/route_checks.rs
@@ -0,0 +1,50 @@
+//! Checks of a route against the rest of its configuration.
+
+use std::collections::hash_map::Entry;
+use std::collections::{HashMap, HashSet};
+
+use crate::fault::Problem;
+use crate::json::object_reader::ObjectReader;
+use crate::route_table::normalized_host;
+
+/// What a route is checked against besides itself.
+pub struct RouteChecks<'a> {
+    services: Option<HashSet<&'a str>>,
+    /// Path of the route that has a host and prefix.
+    routes_by_host_and_prefix: HashMap<(String, String), String>,
+}
+
+impl<'a> RouteChecks<'a> {
+    /// The checks for the routes of a configuration, given as its document.
+    pub fn for_configuration(document: &ObjectReader<'a>) -> Self {
+        Self { services: known_services(document), routes_by_host_and_prefix: HashMap::new() }
+    }
+
+    /// Adds a fault if a route names a service that the configuration doesn't have.
+    pub fn check_service(&self, name: &str, reader: &ObjectReader<'_>) {
+        let unknown = self.services.as_ref().is_some_and(|services| !services.contains(name));
+        if unknown {
+            reader.add_field_fault("service", Problem::UnknownService(name.to_owned()));
+        }
+    }
+
+    /// Adds a fault if an earlier route has the same host and prefix.
+    pub fn check_host_and_prefix(&mut self, host: &str, path_prefix: &str, reader: &ObjectReader<'_>) {
+        let key = (normalized_host(host).into_owned(), path_prefix.to_owned());
+        match self.routes_by_host_and_prefix.entry(key) {
+            Entry::Occupied(other) => {
+                reader.add_fault(Problem::DuplicateHostAndPrefix { other: other.get().clone() })
+            }
+            Entry::Vacant(vacant) => {
+                vacant.insert(reader.path().to_string());
+            }
+        }
+    }
+}
+
+/// The names under `services`, also of services with other faults, so that their routes are not faulted too.
+/// `None` if there is no list of services: that is one fault, not one for each route.
+fn known_services<'a>(reader: &ObjectReader<'a>) -> Option<HashSet<&'a str>> {
+    let services = reader.value("services")?.as_array()?;
+    Some(services.iter().filter_map(|service| service.get("name")?.as_str()).collect())
+}
