--- a/crates/lockusher-config/src/configuration_reader/mod.rs
+++ b/crates/lockusher-config/src/configuration_reader/mod.rs
@@ -20,12 +20,9 @@
 use route_checks::RouteChecks;
 use service::{UniqueNames, service};
 
-/// All faults of a configuration.
-pub type ConfigurationFaults = Faults;
-
 impl Configuration {
     /// Reads the body of `PUT /api/configuration` and finds all of its faults.
-    pub fn parse(body: &[u8]) -> Result<Self, ConfigurationFaults> {
+    pub fn parse(body: &[u8]) -> Result<Self, Faults> {
         read_document(body, configuration)
     }
 }
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -12,9 +12,6 @@
 use crate::json::object_reader::ObjectReader;
 use crate::json::unique_keys::parse_unique;
 
-/// Why a page can't be used at all.
-pub type InstancePageFaults = Faults;
-
 /// One page of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstancePage {
@@ -28,7 +25,7 @@
 impl InstancePage {
     /// Reads the answer of `GET /instances`. An entry with a fault is left out and reported under `skipped`: one
     /// bad entry must not hide the others. A page that can't be read whole is an error.
-    pub fn parse(body: &[u8]) -> Result<Self, InstancePageFaults> {
+    pub fn parse(body: &[u8]) -> Result<Self, Faults> {
         let value = parse_unique(body).map_err(Faults::unreadable)?;
         let faults = FaultCollector::default();
         let page = ObjectReader::of(&value, FieldPath::Root, &faults).and_then(|reader| page(&reader));
--- a/crates/lockusher-config/src/lib.rs
+++ b/crates/lockusher-config/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod fault;
 pub mod instances;
 pub mod instances_reader;
+mod internal_ports;
 mod json;
 pub mod route_table;
 pub mod settings;
--- a/crates/lockusher-config/src/settings.rs
+++ b/crates/lockusher-config/src/settings.rs
@@ -1,10 +1,11 @@
 //! The settings of a node: the file that `LOCKUSHER_NODE_FILE` names, `a.b=value` lines.
 
 use std::collections::BTreeMap;
-use std::fmt;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 
+pub use crate::internal_ports::{InternalListener, PortRange, TooFewPorts};
+
 /// The settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
@@ -20,8 +21,8 @@
     pub readiness: Option<SocketAddrV4>,
     /// Where the operator comes in; on machines whose role serves the control plane.
     pub control: Option<SocketAddrV4>,
-    /// First and last port for internal traffic on every machine.
-    pub internal_ports: (u16, u16),
+    /// Ports for internal traffic on every machine.
+    pub internal_ports: PortRange,
     /// `control` addresses of a few control nodes.
     pub seeds: Vec<SocketAddrV4>,
     /// Whether the whole system starts for the first time, with empty disks.
@@ -83,30 +84,6 @@
     pub thaw_ms: u64,
 }
 
-/// An internal listener of a machine; each has a port of its own in the machine's range.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InternalListener {
-    /// Serves subscribers: proxies at the loopback address (the agent), agents at the machine's address (the control node).
-    Subscriptions,
-    /// Other control nodes.
-    Replicas,
-    /// Other agents.
-    Agents,
-}
-
-/// A range of internal ports that has none for this listener.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooFewPorts(pub InternalListener);
-
-impl fmt::Display for TooFewPorts {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let needed = self.0 as u16 + 1;
-        write!(formatter, "settings: internalPorts: expected {needed} ports at least")
-    }
-}
-
-impl std::error::Error for TooFewPorts {}
-
 /// What the role `agent` is on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EdgeControl {
@@ -121,9 +98,7 @@
 impl NodeSettings {
     /// The port of an internal listener: the first of the range serves subscriptions, and so on.
     pub fn internal_port(&self, listener: InternalListener) -> Result<u16, TooFewPorts> {
-        let (first, last) = self.internal_ports;
-        let port = first.checked_add(listener as u16).filter(|port| *port <= last);
-        port.ok_or(TooFewPorts(listener))
+        self.internal_ports.port_of(listener)
     }
 
     /// What the agent's process does for the control plane. Every other machine only sends operators on: its loss isn't
--- a/crates/lockusher-config/src/settings_lines.rs
+++ b/crates/lockusher-config/src/settings_lines.rs
@@ -8,6 +8,7 @@
 
 use crate::duration::{rounded_up_ms, seconds_to_ms};
 use crate::fault::{Faults, Problem, truncated_for_message};
+use crate::internal_ports::PortRange;
 
 const COMMENT: char = '#';
 
@@ -173,7 +174,7 @@
     }
 
     /// A range of ports, `FIRST,LAST`, that must be there.
-    pub fn port_range(&mut self, key: &str) -> Option<(u16, u16)> {
+    pub fn port_range(&mut self, key: &str) -> Option<PortRange> {
         const EXPECTED: &str = "FIRST,LAST port";
         let Some(entry) = self.entry(key) else {
             self.missing(key);
@@ -190,7 +191,7 @@
             self.faults.add(LineAndKey { line: entry.line, key }, Problem::PortOrder { first, last });
             return None;
         }
-        Some((first, last))
+        Some(PortRange { first, last })
     }
 
     /// All keys that begin with `prefix` and have a value, without the prefix.
--- a/crates/lockusher-config/src/settings_reader/mod.rs
+++ b/crates/lockusher-config/src/settings_reader/mod.rs
@@ -17,9 +17,6 @@
 use bounds::bounds;
 use limits::node_limits;
 
-/// All faults of a settings file.
-pub type SettingsFaults = Faults;
-
 const DEFAULT_FAULT_TOLERANCE_MACHINES: u32 = 1;
 
 const DEFAULT_HEARTBEAT_MS: u64 = 1_000;
@@ -30,7 +27,7 @@
 
 impl NodeSettings {
     /// Reads the text of a settings file and finds all of its faults.
-    pub fn parse(text: &str) -> Result<Self, SettingsFaults> {
+    pub fn parse(text: &str) -> Result<Self, Faults> {
         let mut lines = SettingsLines::split(text);
         let settings = settings(&mut lines);
         let faults = lines.into_faults();
--- a/crates/lockusher-config/tests/settings.rs
+++ b/crates/lockusher-config/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use lockusher_config::settings::NodeSettings;
+use lockusher_config::settings::{NodeSettings, PortRange};
 use yare::parameterized;
 
 const FULL: &str = "\
@@ -82,7 +82,7 @@
     let listeners =
         [settings.front, settings.readiness, settings.control].map(|address| address.unwrap().port());
     assert_eq!(listeners, [9_001, 9_002, 9_003]);
-    assert_eq!(settings.internal_ports, (5_100, 5_104));
+    assert_eq!(settings.internal_ports, PortRange { first: 5_100, last: 5_104 });
     let seeds: Vec<_> = settings.seeds.iter().map(ToString::to_string).collect();
     assert_eq!(seeds, ["172.18.4.5:9003", "172.19.0.8:9003"]);
     assert!(settings.first_start && settings.counts_for_quorum);
--- a/crates/lockusher-node/src/settings_file.rs
+++ b/crates/lockusher-node/src/settings_file.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use derive_more::{Display, Error};
+use lockusher_config::fault::Faults;
 use lockusher_config::settings::NodeSettings;
-use lockusher_config::settings_reader::SettingsFaults;
 
 /// Names the settings file.
 pub const SETTINGS_VARIABLE: &str = "LOCKUSHER_NODE_FILE";
@@ -18,7 +18,7 @@
     #[display("{}: cannot be read: {source}", file.display())]
     Unreadable { file: PathBuf, source: io::Error },
     #[display("{}: faulty settings\n{source}", file.display())]
-    Faulty { file: PathBuf, source: SettingsFaults },
+    Faulty { file: PathBuf, source: Faults },
 }
 
 /// The file that the environment names.
--- a/crates/lockusher-proxy/tests/support/deployment.rs
+++ b/crates/lockusher-proxy/tests/support/deployment.rs
@@ -5,7 +5,7 @@
 use lockusher_config::configuration::{
     Configuration, Engine, Limits, Route, RouteKind, Service, WeightedService,
 };
-use lockusher_config::settings::{Bounds, NodeLimits, NodeSettings};
+use lockusher_config::settings::{Bounds, NodeLimits, NodeSettings, PortRange};
 
 use super::{ENGINE, HOST, ONCE, PLAIN, REPEAT, RESUME, STREAM};
 
@@ -75,7 +75,7 @@
         front: Some(SocketAddrV4::new(address, 8_144)),
         readiness: Some(SocketAddrV4::new(address, 8_140)),
         control: None,
-        internal_ports: (7_660, 7_675),
+        internal_ports: PortRange { first: 7_660, last: 7_675 },
         seeds: Vec::new(),
         first_start: true,
         counts_for_quorum: false,
