--- a/crates/lockusher-agent/src/peers/gossip.rs
+++ b/crates/lockusher-agent/src/peers/gossip.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::fetch::FetchPolicy;
+use super::fetch_policy::FetchPolicy;
 use super::message::{GossipUpdate, InstanceDeparture, PeerMessage};
 use super::rumors::Rumors;
 use super::view::PeerView;
--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -27,7 +27,7 @@
 use crate::fleet_size::FleetSize;
 use crate::list_merge::{ListMerge, STALE_AFTER_MS};
 use crate::peers::message::InstanceDeparture;
-use crate::peers::serve::{PeerSocket, fetch_configuration};
+use crate::peers::socket::{PeerSocket, fetch_configuration};
 use crate::redirect;
 
 /// Names the settings file, which is read again when no known control node answers.
--- a/crates/lockusher-agent/tests/loopback.rs
+++ b/crates/lockusher-agent/tests/loopback.rs
@@ -14,7 +14,7 @@
 use compio::runtime::JoinHandle;
 use compio::time::timeout;
 use hyper::StatusCode;
-use lockusher_agent::peers::serve::{PeerSocket, fetch_configuration};
+use lockusher_agent::peers::socket::{PeerSocket, fetch_configuration};
 use lockusher_agent::serve;
 use lockusher_config::instances::Instance;
 use lockusher_config::settings::NodeSettings;
--- a/crates/lockusher-agent/tests/peers.rs
+++ b/crates/lockusher-agent/tests/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use lockusher_agent::peers::fetch::FetchPolicy;
+use lockusher_agent::peers::fetch_policy::FetchPolicy;
 use lockusher_agent::peers::gossip::{Gossip, IDLE_GOSSIP_INTERVAL_MS, Outgoing, URGENT_GOSSIP_INTERVAL_MS};
 use lockusher_agent::peers::message::{InstanceDeparture, PeerEntry, PeerMessage};
 use lockusher_agent::peers::rumors::Rumors;
