--- a/crates/lockusher-agent/src/list_merge.rs
+++ b/crates/lockusher-agent/src/list_merge.rs
@@ -16,6 +16,8 @@
 use lockusher_distribution::publisher::InstanceList;
 use lockusher_distribution::revision;
 
+use crate::peers::message::InstanceDeparture;
+
 /// A list that hasn't been confirmed for this long is stale.
 pub const STALE_AFTER_MS: u64 = 2_000;
 /// Confirmations are dated by heartbeats, which take some time to arrive: they may be older by this much.
@@ -58,7 +60,7 @@
     recorded: Option<Rc<Vec<Instance>>>,
     recorded_source: Option<Source>,
     /// Ends that were seen here first, for other agents.
-    departures_to_gossip: Vec<(String, Departure)>,
+    departures_to_gossip: Vec<InstanceDeparture>,
 }
 
 impl ListMerge {
@@ -88,12 +90,12 @@
     }
 
     /// Takes the end of a searcher that another agent saw; true if it wasn't known.
-    pub fn record_peer_departure(&mut self, now_ms: u64, identifier: &str, departure: Departure) -> bool {
-        self.departed.record(now_ms, identifier, departure)
+    pub fn record_peer_departure(&mut self, now_ms: u64, seen: &InstanceDeparture) -> bool {
+        self.departed.record(now_ms, &seen.identifier, seen.departure)
     }
 
     /// The ends that lists showed here since the last call.
-    pub fn take_departures(&mut self) -> Vec<(String, Departure)> {
+    pub fn take_departures(&mut self) -> Vec<InstanceDeparture> {
         std::mem::take(&mut self.departures_to_gossip)
     }
 
@@ -153,8 +155,9 @@
 
     fn queue_for_gossip(&mut self, identifiers: Vec<String>, departure: Departure) {
         let free = MAX_DEPARTURES_TO_GOSSIP.saturating_sub(self.departures_to_gossip.len());
-        self.departures_to_gossip
-            .extend(identifiers.into_iter().take(free).map(|identifier| (identifier, departure)));
+        self.departures_to_gossip.extend(
+            identifiers.into_iter().take(free).map(|identifier| InstanceDeparture { identifier, departure }),
+        );
     }
 
     fn latest_confirmed(&self) -> Option<ConfirmedList> {
--- /dev/null
+++ b/crates/lockusher-agent/src/peers/configuration_fetch.rs
@@ -0,0 +1,67 @@
+//! Fetches a configuration from a peer over TCP, at the port of its gossip.
+//!
+//! To the peer this is a subscription like a proxy's; it ends with the first newer configuration. Called by the agent's
+//! tasks ([`gossip_tasks`](crate::gossip_tasks)) when the [`FetchPolicy`](super::fetch_policy::FetchPolicy) names a peer.
+
+use std::net::SocketAddrV4;
+use std::rc::Rc;
+use std::time::Duration;
+
+use lockusher_config::configuration::Configuration;
+use lockusher_distribution::message::{Envelope, SubscriberIdentity, ToSubscriber};
+use lockusher_distribution::subscriber::Subscriber;
+use lockusher_transport::clock::Clock;
+use lockusher_transport::frame;
+
+use crate::error::ConfigurationFetchError;
+
+/// The longest that a fetch may take, from connecting to the configuration.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// Fetches the newest configuration that the agent at `peer` has, if it is newer than `local`.
+///
+/// # Errors
+///
+/// If the peer can't be reached, sends what can't be read, or sends no newer configuration in time. Trying again may
+/// help, best with another peer.
+pub async fn fetch_configuration(
+    peer: SocketAddrV4,
+    identity: SubscriberIdentity,
+    local: Option<Rc<Configuration>>,
+    clock: Clock,
+) -> Result<Rc<Configuration>, ConfigurationFetchError> {
+    let local_version = local.as_ref().map_or(0, |local| local.version);
+    let mut subscriber = Subscriber::new(identity);
+    if let Some(local) = local {
+        subscriber.offer_configuration(local);
+    }
+    let fetch = receive_newer(peer, subscriber, local_version, clock);
+    let timed_out = |_| ConfigurationFetchError::TimedOut { peer, local_version };
+    compio::time::timeout(FETCH_TIMEOUT, fetch).await.map_err(timed_out)?
+}
+
+/// Subscribes at `peer` until a configuration above `local_version` comes.
+async fn receive_newer(
+    peer: SocketAddrV4,
+    mut subscriber: Subscriber,
+    local_version: u64,
+    clock: Clock,
+) -> Result<Rc<Configuration>, ConfigurationFetchError> {
+    let broken = |source| ConfigurationFetchError::Transport { peer, source };
+    let unreadable = |source| ConfigurationFetchError::Message { peer, source };
+    let stream = lockusher_transport::tcp::connect(peer, FETCH_TIMEOUT).await.map_err(broken)?;
+    let (mut reader, mut writer) = frame::split::<Envelope, Envelope>(stream).map_err(broken)?;
+    writer.write(&Envelope::seal(&subscriber.subscribe(clock.millis()))).await.map_err(broken)?;
+    loop {
+        let envelope = reader.read().await.map_err(broken)?;
+        let message: ToSubscriber = envelope.open().map_err(unreadable)?;
+        let answer = subscriber.receive(clock.millis(), message);
+        match subscriber.configuration() {
+            Some(newest) if newest.version > local_version => return Ok(Rc::clone(newest)),
+            _ => {}
+        }
+        if let Some(answer) = answer {
+            writer.write(&Envelope::seal(&answer)).await.map_err(broken)?;
+        }
+    }
+}
--- a/crates/lockusher-agent/src/peers/gossip.rs
+++ b/crates/lockusher-agent/src/peers/gossip.rs
@@ -1,33 +1,40 @@
-//! Decides when and with whom an agent exchanges entries and news, and what it learns from that.
+//! Decides when and with whom an agent exchanges its view and its updates, and what follows from a received message.
+//!
+//! Joins the view, the rumors and the fetch policy; has neither socket nor clock. Owned and driven by
+//! [`PeerSocket`](super::socket::PeerSocket), and by a simulated fleet in the tests.
+//!
+//! Invariant: all random choices are drawn from one generator in a fixed order, so that a seed plays the same exchanges.
 
 use std::net::SocketAddrV4;
 
-use lockusher_distribution::departures::Departure;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use super::fetch_policy::FetchPolicy;
 use super::message::{GossipUpdate, InstanceDeparture, PeerMessage};
 use super::rumors::Rumors;
-use super::view::PeerView;
+use super::view::{PeerView, Shuffle};
 
-/// Pause between two rounds at rest.
+/// Milliseconds between two exchanges that an agent starts; up to a quarter is added at random.
 pub const IDLE_GOSSIP_INTERVAL_MS: u64 = 1_000;
-/// Pause between two rounds while the control plane isn't heard and there is something to tell.
+/// The same while the agent is partitioned from the control plane and has rumors to spread; without a random part.
 pub const URGENT_GOSSIP_INTERVAL_MS: u64 = 200;
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
+    /// The peer's address.
     pub to: SocketAddrV4,
+    /// What to send.
     pub message: PeerMessage,
 }
 
-/// What a message brought.
+/// What follows from a received message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Received {
+    /// The response to a request.
     pub response: Option<Outgoing>,
-    /// Ends that the sender saw; those that are new are to be told on by [`Gossip::add_rumor`].
+    /// Departures that the sender spreads; those that are new here are to be spread on by [`Gossip::add_rumor`].
     pub departures: Vec<InstanceDeparture>,
 }
 
@@ -44,10 +51,10 @@
 }
 
 impl Gossip {
-    /// `own`: the address at which this agent hears others.
+    /// `own`: the address at which this agent receives messages of others.
     pub fn new(own: SocketAddrV4, random_seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(random_seed);
-        let jitter_ms = random.random_range(0..IDLE_GOSSIP_INTERVAL_MS / 4);
+        let jitter_ms = draw_jitter_ms(&mut random);
         Gossip {
             view: PeerView::new(own),
             rumors: Rumors::default(),
@@ -69,31 +76,31 @@
         self.view.introduce(addresses);
     }
 
-    /// Sets the newest configuration version that this agent holds.
+    /// Sets the newest configuration version that this agent has.
     pub fn set_configuration_version(&mut self, version: u64) {
         self.configuration_version = version;
     }
 
-    /// Takes an end that is new to this agent.
-    pub fn add_rumor(&mut self, identifier: String, departure: Departure) {
-        self.rumors.add(InstanceDeparture { identifier, departure });
+    /// Takes a departure that is new to this agent, to be spread.
+    pub fn add_rumor(&mut self, rumor: InstanceDeparture) {
+        self.rumors.add(rumor);
     }
 
-    /// When the next round is due; `is_partitioned`: the control plane isn't heard.
+    /// When the next exchange is due; `is_partitioned`: nothing is received from the control plane.
     pub fn next_exchange_ms(&self, is_partitioned: bool) -> u64 {
-        let urgent = is_partitioned && !self.rumors.is_empty();
-        let pause_ms =
-            if urgent { URGENT_GOSSIP_INTERVAL_MS } else { IDLE_GOSSIP_INTERVAL_MS + self.jitter_ms };
-        self.last_exchange_ms + pause_ms
+        let is_urgent = is_partitioned && !self.rumors.is_empty();
+        let interval_ms =
+            if is_urgent { URGENT_GOSSIP_INTERVAL_MS } else { IDLE_GOSSIP_INTERVAL_MS + self.jitter_ms };
+        self.last_exchange_ms + interval_ms
     }
 
-    /// Begins a round.
+    /// Starts an exchange, if a peer is known.
     pub fn start_exchange(&mut self, now_ms: u64) -> Option<Outgoing> {
         self.last_exchange_ms = now_ms;
-        self.jitter_ms = self.random.random_range(0..IDLE_GOSSIP_INTERVAL_MS / 4);
-        let (to, entries) = self.view.start_shuffle(&mut self.random)?;
+        self.jitter_ms = draw_jitter_ms(&mut self.random);
+        let Shuffle { peer, entries } = self.view.start_shuffle(&mut self.random)?;
         let message = PeerMessage::ShuffleRequest { entries, update: self.next_update() };
-        Some(Outgoing { to, message })
+        Some(Outgoing { to: peer, message })
     }
 
     /// Takes a message of a peer.
@@ -113,7 +120,7 @@
     }
 
     /// The peer to fetch a newer configuration from now, if any.
-    pub fn take_fetch(&mut self, now_ms: u64) -> Option<SocketAddrV4> {
+    pub fn take_due_fetch(&mut self, now_ms: u64) -> Option<SocketAddrV4> {
         self.fetch.take_due(now_ms, self.configuration_version)
     }
 
@@ -134,3 +141,8 @@
         }
     }
 }
+
+/// Keeps agents that were started together from gossiping in step.
+fn draw_jitter_ms(random: &mut ChaCha8Rng) -> u64 {
+    random.random_range(0..IDLE_GOSSIP_INTERVAL_MS / 4)
+}
--- a/crates/lockusher-agent/src/peers/mod.rs
+++ b/crates/lockusher-agent/src/peers/mod.rs
@@ -1,10 +1,20 @@
-//! Peer sampling among agents, and what they tell each other when the control plane can't.
+//! The gossip between agents: a peer sampling service with rumor mongering on top of it.
 //!
-//! Each agent knows a few others ([`view`]) and exchanges a part of them with one of them once a second, so that all
-//! views stay random samples of the fleet (Voulgaris, Gavidia and van Steen: "CYCLON", 2005). Each exchange carries the
-//! newest configuration version, which a peer that lacks it fetches ([`fetch_policy`]), and the searchers whose end was seen
-//! of late ([`rumors`]). [`gossip`] joins these and decides; [`socket`] drives it over UDP.
+//! Each agent knows a few others ([`view`]) and shuffles a part of this view with one of them once a second, so that all
+//! views stay random samples of the fleet. Each exchange also carries the newest configuration version that the sender
+//! has, which a peer that lacks it fetches ([`fetch_policy`], [`configuration_fetch`]), and the departures of searchers
+//! that were observed of late ([`rumors`]). The control plane brings both as well; the gossip serves while the agent is
+//! partitioned from it, and spreads departures sooner than a control node can.
+//!
+//! [`gossip`] joins these parts and decides, without I/O or clock; [`socket`] drives it over UDP. Messages are in
+//! [`message`]. The agent's tasks ([`gossip_tasks`](crate::gossip_tasks)) own the one [`PeerSocket`](socket::PeerSocket).
+//!
+//! Sources: the peer sampling service of Jelasity, Voulgaris, Guerraoui, Kermarrec and van Steen ("Gossip-based Peer
+//! Sampling", ACM TOCS 2007), with the shuffle of Voulgaris, Gavidia and van Steen ("CYCLON: Inexpensive Membership
+//! Management for Unstructured P2P Overlays", JNSM 2005); rumor mongering of Demers et al. ("Epidemic Algorithms for
+//! Replicated Database Maintenance", PODC 1987, section 1.4).
 
+pub mod configuration_fetch;
 pub mod fetch_policy;
 pub mod gossip;
 pub mod message;
--- a/crates/lockusher-agent/src/peers/socket.rs
+++ b/crates/lockusher-agent/src/peers/socket.rs
@@ -1,4 +1,8 @@
-//! Gossip over UDP, and configurations fetched over TCP at the same port.
+//! Drives the gossip over UDP.
+//!
+//! The agent's tasks own one socket: one task receives, another starts exchanges. Both run on the agent's thread; the
+//! [`Gossip`] is borrowed only between two waits, never across one. Lost and unreadable datagrams are left to the next
+//! exchange: nothing is sent again.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -7,23 +11,17 @@
 
 use compio::BufResult;
 use compio::net::UdpSocket;
-use lockusher_config::configuration::Configuration;
 use lockusher_distribution::change_notifier::ChangeNotifier;
-use lockusher_distribution::message::{Envelope, SubscriberIdentity, ToSubscriber};
-use lockusher_distribution::subscribe::SubscribeError;
-use lockusher_distribution::subscriber::Subscriber;
+use lockusher_distribution::message::Envelope;
 use lockusher_transport::clock::Clock;
-use lockusher_transport::frame;
 
-use super::gossip::{Gossip, Outgoing};
+use super::gossip::{Gossip, IDLE_GOSSIP_INTERVAL_MS, Outgoing};
 use super::message::{InstanceDeparture, PeerMessage};
 
-/// The longest datagram that is taken.
+/// The longest datagram that is received; longer ones are cut off and can't be read.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// Pause after a failed receive, so that a broken socket doesn't spin.
+/// Delay after a failed receive, so that a broken socket doesn't spin.
 const RECEIVE_BACK_OFF: Duration = Duration::from_millis(100);
-/// The longest that fetching a configuration may take.
-const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The gossip and its socket.
 pub struct PeerSocket {
@@ -34,7 +32,11 @@
 }
 
 impl PeerSocket {
-    /// Listens at `own`.
+    /// Binds a socket at `own`, where other agents reach this one.
+    ///
+    /// # Errors
+    ///
+    /// If the address isn't this machine's or is in use.
     pub async fn bind(own: SocketAddrV4, random_seed: u64, clock: Clock) -> std::io::Result<Rc<Self>> {
         let socket = UdpSocket::bind(own).await?;
         let gossip = RefCell::new(Gossip::new(own, random_seed));
@@ -51,7 +53,7 @@
         &self.received
     }
 
-    /// Receives for ever; `on_departures` takes the ends that peers told.
+    /// Receives and responds for ever; `on_departures` is called with the departures that a peer spreads.
     pub async fn receive(self: Rc<Self>, on_departures: impl Fn(Vec<InstanceDeparture>)) {
         let mut buffer = Vec::with_capacity(MAX_DATAGRAM_BYTES);
         loop {
@@ -69,14 +71,15 @@
         }
     }
 
-    /// Begins rounds for ever; `is_partitioned` says whether the control plane isn't heard.
+    /// Starts exchanges for ever; `is_partitioned` says whether nothing is received from the control plane.
     pub async fn run_gossip(self: Rc<Self>, is_partitioned: impl Fn() -> bool) {
         loop {
             let now_ms = self.clock.millis();
             let due_ms = self.gossip.borrow().next_exchange_ms(is_partitioned());
             if now_ms < due_ms {
-                let pause_ms = (due_ms - now_ms).min(super::gossip::IDLE_GOSSIP_INTERVAL_MS);
-                compio::time::sleep(Duration::from_millis(pause_ms)).await;
+                // An exchange may become urgent meanwhile.
+                let delay_ms = (due_ms - now_ms).min(IDLE_GOSSIP_INTERVAL_MS);
+                compio::time::sleep(Duration::from_millis(delay_ms)).await;
                 continue;
             }
             let outgoing = self.gossip.borrow_mut().start_exchange(now_ms);
@@ -119,34 +122,3 @@
     let envelope: Envelope = bitcode::decode(datagram).ok()?;
     envelope.open().ok()
 }
-
-/// Fetches the newest configuration that the agent at `peer` holds, if it is newer than `local`.
-pub async fn fetch_configuration(
-    peer: SocketAddrV4,
-    identity: SubscriberIdentity,
-    local: Option<Rc<Configuration>>,
-    clock: Clock,
-) -> Result<Rc<Configuration>, SubscribeError> {
-    let mut subscriber = Subscriber::new(identity);
-    let local_version = local.as_ref().map_or(0, |local| local.version);
-    if let Some(local) = local {
-        subscriber.offer_configuration(local);
-    }
-    let fetch = async {
-        let stream = lockusher_transport::tcp::connect(peer, FETCH_TIMEOUT).await?;
-        let (mut reader, mut writer) = frame::split::<Envelope, Envelope>(stream)?;
-        writer.write(&Envelope::seal(&subscriber.subscribe(clock.millis()))).await?;
-        loop {
-            let message: ToSubscriber = reader.read().await?.open()?;
-            let answer = subscriber.receive(clock.millis(), message);
-            match subscriber.configuration() {
-                Some(newest) if newest.version > local_version => return Ok(Rc::clone(newest)),
-                _ => {}
-            }
-            if let Some(answer) = answer {
-                writer.write(&Envelope::seal(&answer)).await?;
-            }
-        }
-    };
-    compio::time::timeout(FETCH_TIMEOUT, fetch).await.map_err(|_| SubscribeError::InactivityTimeout)?
-}
--- a/crates/lockusher-agent/src/peers/view.rs
+++ b/crates/lockusher-agent/src/peers/view.rs
@@ -1,7 +1,10 @@
-//! A partial view of the fleet's agents: small, of constant size, and shuffled with others.
+//! The partial view of a peer sampling service: small, of constant size, and shuffled with others.
 //!
-//! An exchange is begun with the peer that was longest not heard of. It leaves the view for that time, so that an agent
-//! that has ended, and can't answer, is forgotten.
+//! An exchange is started with the peer whose entry is the oldest. That peer leaves the view for the time of the exchange
+//! and returns with its response, so that an agent that has terminated, and can't respond, is forgotten.
+//!
+//! Owned by [`Gossip`](super::gossip::Gossip). Invariants: at most [`VIEW_SIZE`] entries, no address twice, never the
+//! agent's own. Source: the enhanced shuffle of CYCLON (Voulgaris, Gavidia and van Steen, 2005, section 2.2).
 
 use std::net::SocketAddrV4;
 
@@ -15,6 +18,15 @@
 /// Entries that go each way in an exchange.
 pub const SHUFFLE_SIZE: usize = 4;
 
+/// An exchange to start.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Shuffle {
+    /// Whom to exchange with.
+    pub peer: SocketAddrV4,
+    /// The entries to send, the agent's own the last.
+    pub entries: Vec<PeerEntry>,
+}
+
 /// An exchange that hasn't been answered.
 #[derive(Debug)]
 struct PendingShuffle {
@@ -33,7 +45,7 @@
 }
 
 impl PeerView {
-    /// Knows nobody.
+    /// An empty view of the agent at `own`.
     pub fn new(own: SocketAddrV4) -> Self {
         PeerView { own, entries: Vec::new(), pending_shuffle: None, introduced: Vec::new() }
     }
@@ -43,7 +55,7 @@
         self.entries.iter().map(|entry| entry.address)
     }
 
-    /// Takes a sample of agents from the control plane; it fills the room that there is.
+    /// Takes a sample of agents from the control plane; it fills the free capacity of the view.
     pub fn introduce(&mut self, addresses: &[SocketAddrV4]) {
         if addresses == self.introduced {
             return;
@@ -52,48 +64,48 @@
         self.fill_from_introduced();
     }
 
-    /// Begins an exchange: whom with, and the entries to send.
-    pub fn start_shuffle(&mut self, random: &mut ChaCha8Rng) -> Option<(SocketAddrV4, Vec<PeerEntry>)> {
+    /// Starts an exchange with the peer of the oldest entry, if there is one.
+    pub fn start_shuffle(&mut self, random: &mut ChaCha8Rng) -> Option<Shuffle> {
         if self.entries.is_empty() {
             self.fill_from_introduced();
         }
         for entry in &mut self.entries {
             entry.age = entry.age.saturating_add(1);
         }
-        let oldest = (0..self.entries.len()).max_by_key(|&position| self.entries[position].age)?;
-        let peer = self.entries.swap_remove(oldest).address;
-        let mut sent = self.sample(SHUFFLE_SIZE - 1, peer, random);
-        self.pending_shuffle =
-            Some(PendingShuffle { peer, sent: sent.iter().map(|entry| entry.address).collect() });
-        sent.push(PeerEntry { address: self.own, age: 0 });
-        Some((peer, sent))
+        let peer = self.remove_oldest()?;
+        let mut entries = self.sample(SHUFFLE_SIZE - 1, peer, random);
+        self.pending_shuffle = Some(PendingShuffle { peer, sent: addresses_of(&entries) });
+        entries.push(PeerEntry { address: self.own, age: 0 });
+        Some(Shuffle { peer, entries })
     }
 
-    /// Takes the entries of an exchange that a peer began; returns those to answer with.
+    /// Takes the entries of an exchange that `peer` started; returns those to respond with.
     pub fn answer_shuffle(
         &mut self,
         peer: SocketAddrV4,
         received: &[PeerEntry],
         random: &mut ChaCha8Rng,
     ) -> Vec<PeerEntry> {
-        let sent = self.sample(SHUFFLE_SIZE, peer, random);
-        let sent_addresses: Vec<SocketAddrV4> = sent.iter().map(|entry| entry.address).collect();
-        self.merge(received, sent_addresses);
-        sent
+        let response = self.sample(SHUFFLE_SIZE, peer, random);
+        self.merge(received, addresses_of(&response));
+        response
     }
 
-    /// Takes the answer to the exchange that was begun last; others are ignored.
+    /// Takes the response to the exchange that was started last; others are ignored.
     pub fn finish_shuffle(&mut self, peer: SocketAddrV4, received: &[PeerEntry]) {
-        if self.pending_shuffle.as_ref().is_none_or(|pending| pending.peer != peer) {
-            return;
-        }
-        let Some(pending) = self.pending_shuffle.take() else { return };
+        let Some(pending) = self.pending_shuffle.take_if(|pending| pending.peer == peer) else { return };
         self.merge(received, pending.sent);
         if self.entries.len() < VIEW_SIZE {
             self.add(PeerEntry { address: peer, age: 0 });
         }
     }
 
+    fn remove_oldest(&mut self) -> Option<SocketAddrV4> {
+        let oldest = (0..self.entries.len()).max_by_key(|&position| self.entries[position].age)?;
+        Some(self.entries.swap_remove(oldest).address)
+    }
+
+    /// Up to `count` random entries in random order, that of `except` not among them.
     fn sample(&self, count: usize, except: SocketAddrV4, random: &mut ChaCha8Rng) -> Vec<PeerEntry> {
         let others: Vec<PeerEntry> =
             self.entries.iter().filter(|entry| entry.address != except).copied().collect();
@@ -102,26 +114,27 @@
         sample
     }
 
-    /// Takes received entries: into free room first, then in place of those that were sent.
+    /// Takes received entries: into free capacity first, then in place of those that were sent.
     fn merge(&mut self, received: &[PeerEntry], mut sent: Vec<SocketAddrV4>) {
         for entry in received.iter().take(SHUFFLE_SIZE) {
             if entry.address == self.own || self.refresh(entry) {
                 continue;
             }
-            if self.entries.len() >= VIEW_SIZE && !self.drop_one_of(&mut sent) {
+            if self.entries.len() >= VIEW_SIZE && !self.remove_one_of(&mut sent) {
                 return;
             }
             self.add(*entry);
         }
     }
 
-    /// Notes that a known peer was heard of more recently; false if it isn't known.
+    /// Takes the younger age of a peer that is known; false if it isn't known.
     fn refresh(&mut self, entry: &PeerEntry) -> bool {
         let known = self.entries.iter_mut().find(|known| known.address == entry.address);
         known.map(|known| known.age = known.age.min(entry.age)).is_some()
     }
 
-    fn drop_one_of(&mut self, sent: &mut Vec<SocketAddrV4>) -> bool {
+    /// Makes capacity by removing one of the entries that were sent; false if none is left in the view.
+    fn remove_one_of(&mut self, sent: &mut Vec<SocketAddrV4>) -> bool {
         while let Some(address) = sent.pop() {
             if let Some(position) = self.entries.iter().position(|entry| entry.address == address) {
                 self.entries.swap_remove(position);
@@ -144,3 +157,7 @@
         }
     }
 }
+
+fn addresses_of(entries: &[PeerEntry]) -> Vec<SocketAddrV4> {
+    entries.iter().map(|entry| entry.address).collect()
+}
--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -26,8 +26,9 @@
 use crate::error::AgentError;
 use crate::fleet_size::FleetSize;
 use crate::list_merge::{ListMerge, STALE_AFTER_MS};
+use crate::peers::configuration_fetch::fetch_configuration;
 use crate::peers::message::InstanceDeparture;
-use crate::peers::socket::{PeerSocket, fetch_configuration};
+use crate::peers::socket::PeerSocket;
 use crate::redirect;
 
 /// Names the settings file, which is read again when no known control node answers.
@@ -217,9 +218,7 @@
                 gossip.introduce(subscriber.peers());
                 gossip.set_configuration_version(subscriber.applied().configuration_version);
             });
-            departures
-                .into_iter()
-                .for_each(|(identifier, departure)| gossip.add_rumor(identifier, departure));
+            departures.into_iter().for_each(|seen| gossip.add_rumor(seen));
         });
     }
 
@@ -232,8 +231,8 @@
     fn receive_departures(&self, departures: Vec<InstanceDeparture>) {
         let now_ms = self.clock.millis();
         for seen in departures {
-            if self.lists.borrow_mut().record_peer_departure(now_ms, &seen.identifier, seen.departure) {
-                self.peers.update(|gossip| gossip.add_rumor(seen.identifier, seen.departure));
+            if self.lists.borrow_mut().record_peer_departure(now_ms, &seen) {
+                self.peers.update(|gossip| gossip.add_rumor(seen));
             }
         }
         self.forward();
@@ -251,7 +250,7 @@
         loop {
             let seen = self.peers.received().generation();
             self.peers.received().changed_since(seen).await;
-            let Some(peer) = self.peers.update(|gossip| gossip.take_fetch(self.clock.millis())) else {
+            let Some(peer) = self.peers.update(|gossip| gossip.take_due_fetch(self.clock.millis())) else {
                 continue;
             };
             let held = self.subscriber.read(|subscriber| subscriber.configuration().cloned());
@@ -260,7 +259,7 @@
                     log::info!("configuration {} comes from the agent {peer}", configuration.version);
                     self.subscriber.update(|subscriber| subscriber.offer_configuration(configuration));
                 }
-                Err(error) => log::debug!("agent {peer}: {error}"),
+                Err(error) => log::debug!("{error}"),
             }
         }
     }
--- a/crates/lockusher-agent/tests/list_merge.rs
+++ b/crates/lockusher-agent/tests/list_merge.rs
@@ -8,6 +8,7 @@
 
 use common::{draining, instance, revision};
 use lockusher_agent::list_merge::ListMerge;
+use lockusher_agent::peers::message::InstanceDeparture;
 use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState};
 use lockusher_distribution::departures::Departure;
 use lockusher_distribution::instance_list_poller::InstanceListPoll;
@@ -28,6 +29,10 @@
     InstanceListPoll { instances: Rc::new(instances.to_vec()), changed: true, started_at_ms, calls: 1 }
 }
 
+fn departure(identifier: &str, departure: Departure) -> InstanceDeparture {
+    InstanceDeparture { identifier: identifier.to_owned(), departure }
+}
+
 fn names(update: &InstanceList) -> Vec<&str> {
     update.instances.iter().map(|instance| instance.identifier.as_str()).collect()
 }
@@ -105,9 +110,9 @@
     let mut lists = ListMerge::default();
     lists.receive_control_list(1_000, &list(1, &[instance("a"), instance("b")]), Some(1_000));
     lists.take_update(1_000);
-    assert!(lists.record_peer_departure(2_000, "a", Departure::Draining));
-    assert!(lists.record_peer_departure(2_000, "b", Departure::Gone));
-    assert!(!lists.record_peer_departure(2_100, "b", Departure::Gone));
+    assert!(lists.record_peer_departure(2_000, &departure("a", Departure::Draining)));
+    assert!(lists.record_peer_departure(2_000, &departure("b", Departure::Gone)));
+    assert!(!lists.record_peer_departure(2_100, &departure("b", Departure::Gone)));
     let update = lists.take_update(2_100).expect("an update");
     assert_eq!(*update.instances, [draining("a")]);
 }
--- a/crates/lockusher-agent/tests/loopback.rs
+++ b/crates/lockusher-agent/tests/loopback.rs
@@ -14,7 +14,9 @@
 use compio::runtime::JoinHandle;
 use compio::time::timeout;
 use hyper::StatusCode;
-use lockusher_agent::peers::socket::{PeerSocket, fetch_configuration};
+use lockusher_agent::peers::configuration_fetch::fetch_configuration;
+use lockusher_agent::peers::message::InstanceDeparture;
+use lockusher_agent::peers::socket::PeerSocket;
 use lockusher_agent::serve;
 use lockusher_config::instances::Instance;
 use lockusher_config::settings::NodeSettings;
@@ -221,6 +223,10 @@
     proxy.wait_for_configuration(6).await;
 }
 
+fn gone(identifier: &str) -> InstanceDeparture {
+    InstanceDeparture { identifier: identifier.to_owned(), departure: Departure::Gone }
+}
+
 /// The second agent knows no control node; its peer has the configuration.
 #[compio::test]
 async fn an_agent_that_is_cut_off_gets_the_configuration_from_a_peer() {
@@ -244,12 +250,12 @@
     peer.update(|gossip| gossip.introduce(&[address]));
     let _gossiping = compio::runtime::spawn(Rc::clone(&peer).run_gossip(|| true));
     let _receiving = compio::runtime::spawn(Rc::clone(&peer).receive(|_| ()));
-    peer.update(|gossip| gossip.add_rumor("a".to_owned(), Departure::Gone));
+    peer.update(|gossip| gossip.add_rumor(gone("a")));
     proxy.wait_for_list(&[]).await;
     let wait = async {
         loop {
             let seen = peer.received().generation();
-            if peer.update(|gossip| gossip.take_fetch(u64::MAX)) == Some(address) {
+            if peer.update(|gossip| gossip.take_due_fetch(u64::MAX)) == Some(address) {
                 return;
             }
             peer.received().changed_since(seen).await;
--- a/crates/lockusher-agent/tests/peers.rs
+++ b/crates/lockusher-agent/tests/peers.rs
@@ -85,7 +85,7 @@
         let received = agent.gossip.receive(self.now_ms, from, outgoing.message.clone());
         for rumor in received.departures {
             if agent.known.insert(rumor.identifier.clone()) {
-                agent.gossip.add_rumor(rumor.identifier, rumor.departure);
+                agent.gossip.add_rumor(rumor);
             }
         }
         received.response
@@ -179,7 +179,7 @@
         }
         let first = fleet.agents.get_mut(&address(0)).expect("an agent");
         first.known.insert(rumor(1).identifier);
-        first.gossip.add_rumor(rumor(1).identifier, rumor(1).departure);
+        first.gossip.add_rumor(rumor(1));
         for _ in 0..10 {
             fleet.round();
         }
@@ -198,7 +198,7 @@
             .get_mut(&address(0))
             .expect("an agent")
             .gossip
-            .add_rumor(rumor(number).identifier, Departure::Gone);
+            .add_rumor(InstanceDeparture { departure: Departure::Gone, ..rumor(number) });
     }
     for _ in 0..100 {
         fleet.round();
@@ -229,7 +229,7 @@
 fn rounds_are_quicker_when_the_core_is_silent_and_there_is_something_to_tell() {
     let mut gossip = Gossip::new(address(1), 1);
     assert!(gossip.next_exchange_ms(true) >= IDLE_GOSSIP_INTERVAL_MS);
-    gossip.add_rumor("a".to_owned(), Departure::Gone);
+    gossip.add_rumor(rumor(1));
     assert_eq!(gossip.next_exchange_ms(true), URGENT_GOSSIP_INTERVAL_MS);
     assert!(gossip.next_exchange_ms(false) >= IDLE_GOSSIP_INTERVAL_MS);
 }
