--- a/crates/lockusher-agent/src/list_merge.rs
+++ b/crates/lockusher-agent/src/list_selection.rs
@@ -49,7 +49,7 @@
 
 /// The lists known, and the one in force.
 #[derive(Debug, Default)]
-pub struct ListMerge {
+pub struct ListSelection {
     control: Option<InstanceList>,
     control_confirmed_at_ms: Option<u64>,
     own: Option<ConfirmedList>,
@@ -63,7 +63,7 @@
     departures_to_gossip: Vec<InstanceDeparture>,
 }
 
-impl ListMerge {
+impl ListSelection {
     /// Takes the control plane's list, and when it was last confirmed.
     pub fn receive_control_list(&mut self, now_ms: u64, list: &InstanceList, confirmed_at_ms: Option<u64>) {
         let newer = self.control.as_ref().is_none_or(|known| known.revision < list.revision);
--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -25,7 +25,7 @@
 
 use crate::error::AgentError;
 use crate::fleet_size::FleetSize;
-use crate::list_merge::{ListMerge, STALE_AFTER_MS};
+use crate::list_selection::{ListSelection, STALE_AFTER_MS};
 use crate::peers::configuration_fetch::fetch_configuration;
 use crate::peers::message::InstanceDeparture;
 use crate::peers::socket::PeerSocket;
@@ -62,7 +62,7 @@
     subscriber: Rc<SharedSubscriber<ControlNodePolicy>>,
     publisher: Rc<SharedPublisher>,
     peers: Rc<PeerSocket>,
-    lists: RefCell<ListMerge>,
+    lists: RefCell<ListSelection>,
     fleet_size: RefCell<FleetSize>,
 }
 
--- a/crates/lockusher-agent/tests/list_merge.rs
+++ b/crates/lockusher-agent/tests/list_selection.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use common::{draining, instance, revision};
-use lockusher_agent::list_merge::ListMerge;
+use lockusher_agent::list_selection::ListSelection;
 use lockusher_agent::peers::message::InstanceDeparture;
 use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState};
 use lockusher_distribution::departures::Departure;
@@ -39,7 +39,7 @@
 
 #[test]
 fn the_control_planes_list_is_passed_on_under_its_own_revision() {
-    let mut lists = ListMerge::default();
+    let mut lists = ListSelection::default();
     let first = list(1, &[instance("a")]);
     lists.receive_control_list(0, &first, None);
     assert_eq!(lists.take_update(0), Some(first));
@@ -48,7 +48,7 @@
 
 #[test]
 fn an_own_reading_wins_until_the_control_plane_has_caught_up() {
-    let mut lists = ListMerge::default();
+    let mut lists = ListSelection::default();
     lists.receive_control_list(1_000, &list(1, &[instance("a")]), Some(1_000));
     lists.take_update(1_000);
     lists.receive_own_poll(5_000, &reading(5_000, &[instance("a"), instance("b")]));
@@ -68,7 +68,7 @@
 /// The control plane's list needn't change to be right again.
 #[test]
 fn a_confirmed_list_that_did_not_change_wins_under_a_higher_revision() {
-    let mut lists = ListMerge::default();
+    let mut lists = ListSelection::default();
     let unchanged = list(1, &[instance("a"), instance("b")]);
     lists.receive_control_list(1_000, &unchanged, Some(1_000));
     lists.take_update(1_000);
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_reading_older_than_the_confirmed_list_is_not_taken() {
-    let mut lists = ListMerge::default();
+    let mut lists = ListSelection::default();
     lists.receive_control_list(6_000, &list(1, &[instance("a")]), Some(6_000));
     lists.take_update(6_000);
     lists.receive_own_poll(5_000, &reading(5_000, &[]));
@@ -92,7 +92,7 @@
 
 #[test]
 fn what_was_seen_draining_or_gone_does_not_come_back_with_an_older_list() {
-    let mut lists = ListMerge::default();
+    let mut lists = ListSelection::default();
     let control = list(1, &[instance("a"), instance("b"), instance("c")]);
     lists.receive_control_list(1_000, &control, Some(1_000));
     lists.take_update(1_000);
@@ -107,7 +107,7 @@
 
 #[test]
 fn an_end_that_another_agent_saw_holds_at_once() {
-    let mut lists = ListMerge::default();
+    let mut lists = ListSelection::default();
     lists.receive_control_list(1_000, &list(1, &[instance("a"), instance("b")]), Some(1_000));
     lists.take_update(1_000);
     assert!(lists.record_peer_departure(2_000, &departure("a", Departure::Draining)));
@@ -119,7 +119,7 @@
 
 #[test]
 fn a_new_agent_does_not_replace_the_proxys_list_by_one_that_may_be_older() {
-    let mut lists = ListMerge::default();
+    let mut lists = ListSelection::default();
     let held = revision(1, 2 * POLLER_REVISION_STEP + 7);
     let control = list(2, &[instance("a")]);
     lists.receive_control_list(900, &control, Some(900));
@@ -263,7 +263,7 @@
         let mut reader = InstanceListRevision::default();
         let empty = InstanceList { revision: reader, instances: Rc::new(vec![]) };
         let mut nodes = vec![ControlNode { list: empty, read_at_ms: 0 }; 3];
-        let mut lists = ListMerge::default();
+        let mut lists = ListSelection::default();
         let mut proxy = Proxy::default();
         let mut held = InstanceListRevision::default();
         let mut now_ms = 1_000;
@@ -297,7 +297,7 @@
                 }
                 8 => lists.receive_own_poll(now_ms, &reading(now_ms, &platform.at(now_ms))),
                 _ if random.random_bool(0.1) => {
-                    lists = ListMerge::default();
+                    lists = ListSelection::default();
                     held = InstanceListRevision::default();
                     lists.receive_proxy_revision(now_ms, proxy.revision);
                     // What it saw draining in the life before isn't remembered by the new agent; it may come back.
