--- a/crates/lockusher-agent/src/list_selection.rs
+++ b/crates/lockusher-agent/src/list_selection.rs
@@ -1,109 +1,81 @@
-//! Decides which list of searchers is in force: the control plane's, or one that the agent read itself.
+//! Selects the instance list in force: the control plane's, or one that the agent polled itself.
 //!
 //! Lists are compared by when they were last known to be what the platform shows. The control plane's list is
-//! confirmed by heartbeats; an own reading dates from its first call. An own reading therefore stays in force until
-//! the control plane's list is confirmed at a later time, and then gives way for good.
+//! confirmed by heartbeats; an own poll dates from its first call. An own poll therefore stays in force until the control
+//! plane's list is confirmed at a later time, and then gives way for good.
 //!
-//! Revisions handed on always rise. The control plane's own are passed on where they are above the last; otherwise a
-//! revision from the gap above it is used. A proxy that outlived its agent may hold a higher revision than the new agent
-//! knows; it is outnumbered only by a list that was confirmed after the proxy said so, since that one is surely newer.
+//! Owned by the agent's tasks ([`state`](crate::serve)): the subscription, the poller and the gossip feed it, and the
+//! publisher of the proxy takes its updates. No I/O, no clock.
+//!
+//! Invariants: the revisions of updates rise ([`revision_assignment`](crate::revision_assignment)), and a searcher that
+//! was seen draining or gone doesn't return with an older list ([`departure_recorder`](crate::departure_recorder)).
 
 use std::rc::Rc;
 
 use lockusher_config::instances::{Instance, InstanceListRevision};
-use lockusher_distribution::departures::{DepartedInstances, Departure};
 use lockusher_distribution::instance_list_poller::InstanceListPoll;
 use lockusher_distribution::publisher::InstanceList;
-use lockusher_distribution::revision;
 
+use crate::confirmed_list::{ConfirmedList, ListSource, is_surely_later};
+use crate::departure_recorder::DepartureRecorder;
 use crate::peers::message::InstanceDeparture;
+use crate::revision_assignment::RevisionAssignment;
 
-/// A list that hasn't been confirmed for this long is stale.
-pub const STALE_AFTER_MS: u64 = 2_000;
-/// Confirmations are dated by heartbeats, which take some time to arrive: they may be older by this much.
-const CONFIRMATION_ERROR_MS: u64 = 300;
-
-/// Ends that are kept until they are taken for other agents.
-const MAX_DEPARTURES_TO_GOSSIP: usize = 128;
-
-/// A list with the time at which it was last known to be right.
-#[derive(Clone, Debug)]
-struct ConfirmedList {
-    instances: Rc<Vec<Instance>>,
-    confirmed_at_ms: u64,
-}
-
-/// A higher revision than the agent's own that a proxy holds.
-#[derive(Clone, Copy, Debug, Default)]
-struct ProxyRevision {
-    revision: InstanceListRevision,
-    reported_at_ms: u64,
-}
-
-/// Whose list it is. Only lists of the same source are surely in order, so that what the later lacks is gone.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Source {
-    Control,
-    Own,
-}
+/// The control plane's list is stale when it hasn't been confirmed for this long, in milliseconds.
+const STALE_AFTER_MS: u64 = 2_000;
 
 /// The lists known, and the one in force.
 #[derive(Debug, Default)]
 pub struct ListSelection {
     control: Option<InstanceList>,
     control_confirmed_at_ms: Option<u64>,
+    /// The agent's last poll, while it is newer than the control plane's list.
     own: Option<ConfirmedList>,
     in_force: Option<InstanceList>,
-    proxy_revision: ProxyRevision,
-    departed: DepartedInstances,
-    /// The last list of which the ends were noted.
-    recorded: Option<Rc<Vec<Instance>>>,
-    recorded_source: Option<Source>,
-    /// Ends that were seen here first, for other agents.
-    departures_to_gossip: Vec<InstanceDeparture>,
+    revisions: RevisionAssignment,
+    departures: DepartureRecorder,
 }
 
 impl ListSelection {
     /// Takes the control plane's list, and when it was last confirmed.
     pub fn receive_control_list(&mut self, now_ms: u64, list: &InstanceList, confirmed_at_ms: Option<u64>) {
-        let newer = self.control.as_ref().is_none_or(|known| known.revision < list.revision);
-        if newer {
-            self.record_draining(now_ms, &list.instances);
+        let is_newer = self.control.as_ref().is_none_or(|known| known.revision < list.revision);
+        if is_newer {
+            self.departures.record_draining(now_ms, &list.instances);
             self.control = Some(list.clone());
         }
         self.control_confirmed_at_ms = self.control_confirmed_at_ms.max(confirmed_at_ms);
-        let confirmed = self.control_confirmed_at_ms.unwrap_or_default();
-        if self.own.as_ref().is_some_and(|own| confirmed >= own.confirmed_at_ms + CONFIRMATION_ERROR_MS) {
-            self.own = None;
-        }
+        let confirmed_at_ms = self.control_confirmed_at_ms.unwrap_or_default();
+        self.own.take_if(|own| is_surely_later(confirmed_at_ms, own.confirmed_at_ms));
     }
 
-    /// Takes a list that the agent read itself.
-    pub fn receive_own_poll(&mut self, now_ms: u64, reading: &InstanceListPoll) {
-        self.record_draining(now_ms, &reading.instances);
+    /// Takes a list that the agent polled itself.
+    pub fn receive_own_poll(&mut self, now_ms: u64, poll: &InstanceListPoll) {
+        self.departures.record_draining(now_ms, &poll.instances);
         let control = self.control_confirmed_at_ms;
-        if control.is_some_and(|confirmed| confirmed >= reading.started_at_ms + CONFIRMATION_ERROR_MS) {
+        if control.is_some_and(|confirmed_at_ms| is_surely_later(confirmed_at_ms, poll.started_at_ms)) {
             return;
         }
-        let instances = Rc::clone(&reading.instances);
-        self.own = Some(ConfirmedList { instances, confirmed_at_ms: reading.started_at_ms });
+        self.own = Some(ConfirmedList {
+            source: ListSource::OwnPoll,
+            instances: Rc::clone(&poll.instances),
+            confirmed_at_ms: poll.started_at_ms,
+        });
     }
 
-    /// Takes the end of a searcher that another agent saw; true if it wasn't known.
-    pub fn record_peer_departure(&mut self, now_ms: u64, seen: &InstanceDeparture) -> bool {
-        self.departed.record(now_ms, &seen.identifier, seen.departure)
+    /// Takes a departure that another agent observed; true if it is new here.
+    pub fn record_peer_departure(&mut self, now_ms: u64, observed: &InstanceDeparture) -> bool {
+        self.departures.record_peer_departure(now_ms, observed)
     }
 
-    /// The ends that lists showed here since the last call.
+    /// The departures that lists showed here since the last call.
     pub fn take_departures(&mut self) -> Vec<InstanceDeparture> {
-        std::mem::take(&mut self.departures_to_gossip)
+        self.departures.take_pending()
     }
 
-    /// Takes the revision that a proxy says it holds.
+    /// Takes the revision that a proxy reports to have applied.
     pub fn receive_proxy_revision(&mut self, now_ms: u64, revision: InstanceListRevision) {
-        if revision > self.in_force_revision() && revision > self.proxy_revision.revision {
-            self.proxy_revision = ProxyRevision { revision, reported_at_ms: now_ms };
-        }
+        self.revisions.receive_proxy_revision(now_ms, revision);
     }
 
     /// When the list in force was last known to be right.
@@ -112,9 +84,9 @@
         self.control_confirmed_at_ms.max(own)
     }
 
-    /// When the control plane's list was last confirmed.
-    pub fn control_confirmed_at_ms(&self) -> Option<u64> {
-        self.control_confirmed_at_ms
+    /// From when on the control plane's list is stale.
+    pub fn control_stale_at_ms(&self) -> u64 {
+        self.control_confirmed_at_ms.unwrap_or_default() + STALE_AFTER_MS
     }
 
     /// The list in force.
@@ -122,79 +94,45 @@
         self.in_force.as_ref()
     }
 
-    /// The list to hand on, if there is a newer one.
+    /// The list to publish, if there is a newer one.
     pub fn take_update(&mut self, now_ms: u64) -> Option<InstanceList> {
-        let dated = self.latest_confirmed()?;
-        let source = if self.own.is_some() { Source::Own } else { Source::Control };
-        self.record_departures(now_ms, source, &dated.instances);
-        let instances = self.departed.apply(dated.confirmed_at_ms, &dated.instances);
-        let revision = self.revision_for(&dated, &instances)?;
+        let newest = self.last_confirmed()?;
+        let in_force = self.in_force.as_ref().map(|list| list.instances.as_slice()).unwrap_or_default();
+        self.departures.record_list(now_ms, &newest, in_force);
+        let instances = self.departures.apply(&newest);
+        let revision = self.assign_revision(&newest, &instances)?;
         let update = InstanceList { revision, instances };
         self.in_force = Some(update.clone());
         Some(update)
     }
 
-    /// Notes what a list shows as ended, once for each list.
-    fn record_departures(&mut self, now_ms: u64, source: Source, instances: &Rc<Vec<Instance>>) {
-        if self.recorded.as_ref().is_some_and(|recorded| Rc::ptr_eq(recorded, instances)) {
-            return;
-        }
-        let older = self.in_force.as_ref().map(|list| list.instances.as_slice()).unwrap_or_default();
-        let missing = self.departed.record_list(now_ms, older, instances);
-        self.recorded = Some(Rc::clone(instances));
-        let comparable = self.recorded_source.replace(source) == Some(source);
-        if comparable {
-            self.queue_for_gossip(missing, Departure::Gone);
-        }
-    }
-
-    fn record_draining(&mut self, now_ms: u64, instances: &[Instance]) {
-        let draining = self.departed.record_draining(now_ms, instances);
-        self.queue_for_gossip(draining, Departure::Draining);
-    }
-
-    fn queue_for_gossip(&mut self, identifiers: Vec<String>, departure: Departure) {
-        let free = MAX_DEPARTURES_TO_GOSSIP.saturating_sub(self.departures_to_gossip.len());
-        self.departures_to_gossip.extend(
-            identifiers.into_iter().take(free).map(|identifier| InstanceDeparture { identifier, departure }),
-        );
-    }
-
-    fn latest_confirmed(&self) -> Option<ConfirmedList> {
+    /// The list that was last known to be right.
+    fn last_confirmed(&self) -> Option<ConfirmedList> {
         if let Some(own) = &self.own {
             return Some(own.clone());
         }
         let control = self.control.as_ref()?;
-        let confirmed_at_ms = self.control_confirmed_at_ms.unwrap_or_default();
-        Some(ConfirmedList { instances: Rc::clone(&control.instances), confirmed_at_ms })
+        Some(ConfirmedList {
+            source: ListSource::ControlPlane,
+            instances: Rc::clone(&control.instances),
+            confirmed_at_ms: self.control_confirmed_at_ms.unwrap_or_default(),
+        })
     }
 
-    /// The revision under which `instances` go on; none if they are in force already or may be older than what a proxy
-    /// holds.
-    fn revision_for(
-        &self,
-        dated: &ConfirmedList,
+    fn assign_revision(
+        &mut self,
+        newest: &ConfirmedList,
         instances: &Rc<Vec<Instance>>,
     ) -> Option<InstanceListRevision> {
-        let last = self.in_force_revision().max(self.proxy_revision.revision);
-        if self.own.is_none()
-            && let Some(control) = &self.control
-            && control.revision > last
-        {
-            return Some(control.revision);
-        }
-        if self.proxy_revision.revision > self.in_force_revision() {
-            let surely_newer =
-                dated.confirmed_at_ms >= self.proxy_revision.reported_at_ms + CONFIRMATION_ERROR_MS;
-            return surely_newer.then(|| revision::next_agent_revision(last));
-        }
-        let is_same =
-            |known: &InstanceList| Rc::ptr_eq(&known.instances, instances) || known.instances == *instances;
-        let same = self.in_force.as_ref().is_some_and(is_same);
-        (!same).then(|| revision::next_agent_revision(last))
-    }
-
-    fn in_force_revision(&self) -> InstanceListRevision {
-        self.in_force.as_ref().map(|list| list.revision).unwrap_or_default()
+        let control_revision = match newest.source {
+            ListSource::ControlPlane => self.control.as_ref().map(|control| control.revision),
+            ListSource::OwnPoll => None,
+        };
+        let in_force = self.in_force.as_ref();
+        let is_in_force = || {
+            in_force
+                .is_some_and(|known| Rc::ptr_eq(&known.instances, instances) || known.instances == *instances)
+        };
+        self.revisions.assign(control_revision, newest.confirmed_at_ms, is_in_force)
     }
 }
--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -25,7 +25,7 @@
 
 use crate::error::AgentError;
 use crate::fleet_size::FleetSize;
-use crate::list_selection::{ListSelection, STALE_AFTER_MS};
+use crate::list_selection::ListSelection;
 use crate::peers::configuration_fetch::fetch_configuration;
 use crate::peers::message::InstanceDeparture;
 use crate::peers::socket::PeerSocket;
@@ -137,8 +137,7 @@
 
     /// Whether the control plane's list has gone stale.
     fn is_partitioned(&self) -> bool {
-        let confirmed_at_ms = self.lists.borrow().control_confirmed_at_ms().unwrap_or_default();
-        self.clock.millis() >= confirmed_at_ms + STALE_AFTER_MS
+        self.clock.millis() >= self.lists.borrow().control_stale_at_ms()
     }
 
     /// Hands on what the subscription brings, for ever.
@@ -295,8 +294,7 @@
         );
         loop {
             let now_ms = self.clock.millis();
-            let stale_at_ms =
-                self.lists.borrow().control_confirmed_at_ms().unwrap_or_default() + STALE_AFTER_MS;
+            let stale_at_ms = self.lists.borrow().control_stale_at_ms();
             if now_ms < stale_at_ms {
                 poller.stop();
                 let delay_ms = (stale_at_ms - now_ms).max(MIN_STALENESS_CHECK_MS);
