--- a/crates/lockusher-agent/src/departure_recorder.rs
+++ b/crates/lockusher-agent/src/departure_recorder.rs
@@ -2,7 +2,7 @@
 //!
 //! Owned by [`ListSelection`](crate::list_selection::ListSelection). Invariants: a searcher that was seen draining or
 //! gone doesn't return with an older list ([`DepartedInstances`] has the rules); a departure is spread only where it was
-//! surely observed, and at most [`MAX_PENDING`] wait to be spread.
+//! surely observed, and a bounded number of them is retained.
 
 use std::rc::Rc;
 
--- a/crates/lockusher-agent/src/forward.rs
+++ b/crates/lockusher-agent/src/forward.rs
@@ -6,6 +6,7 @@
 
 use lockusher_distribution::message::Downstream;
 use lockusher_distribution::publisher::{Publisher, PublisherStatus};
+use lockusher_distribution::subscriber::Subscriber;
 
 use crate::state::AgentState;
 
@@ -44,8 +45,8 @@
 
 /// What the heartbeats to the proxy carry.
 fn forward_status(agent: &AgentState, now_ms: u64) {
-    let proxies = agent.subscriber.read(|subscriber| subscriber.proxies());
-    let calls_per_poll = agent.subscriber.read(|subscriber| subscriber.calls_per_poll());
+    let proxies = agent.subscriber.read(Subscriber::proxies);
+    let calls_per_poll = agent.subscriber.read(Subscriber::calls_per_poll);
     let mut fleet_size = agent.fleet_size.borrow_mut();
     fleet_size.record(now_ms, proxies);
     let status = PublisherStatus {
