--- a/crates/lockusher-distribution/src/departures.rs
+++ b/crates/lockusher-distribution/src/departures.rs
@@ -12,11 +12,11 @@
 ///
 /// It exceeds the errors in the dates of lists. It is short, because a list that is older than it seems may lack a
 /// searcher that has just started: that one isn't gone.
-const GONE_HOLD_MS: u64 = 5_000;
+const GONE_VALIDITY_MS: u64 = 5_000;
 /// The same for a searcher that was seen draining.
-const DRAINING_HOLD_MS: u64 = 600_000;
+const DRAINING_VALIDITY_MS: u64 = 600_000;
 /// How many identifiers are remembered at most; the longest unseen quarter is forgotten.
-const MOST_REMEMBERED: usize = 4_096;
+const MAX_RECORDED_INSTANCES: usize = 4_096;
 
 /// How a searcher has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, bitcode::Encode, bitcode::Decode)]
@@ -27,21 +27,21 @@
 
 /// When a searcher was seen to have ended. Both are kept: a list that is believed about one may not be about the other.
 #[derive(Clone, Copy, Debug, Default)]
-struct Ended {
+struct DepartureTimes {
     draining_at_ms: Option<u64>,
     gone_at_ms: Option<u64>,
 }
 
-impl Ended {
+impl DepartureTimes {
     /// What holds against a list confirmed at `confirmed_at_ms`.
-    fn end(&self, confirmed_at_ms: u64) -> Option<Departure> {
-        let holds = |seen_at_ms: Option<u64>, hold_ms: u64| {
-            seen_at_ms.is_some_and(|seen| confirmed_at_ms.saturating_sub(seen) < hold_ms)
+    fn departure(&self, confirmed_at_ms: u64) -> Option<Departure> {
+        let is_valid = |seen_at_ms: Option<u64>, validity_ms: u64| {
+            seen_at_ms.is_some_and(|seen| confirmed_at_ms.saturating_sub(seen) < validity_ms)
         };
-        if holds(self.gone_at_ms, GONE_HOLD_MS) {
+        if is_valid(self.gone_at_ms, GONE_VALIDITY_MS) {
             return Some(Departure::Gone);
         }
-        holds(self.draining_at_ms, DRAINING_HOLD_MS).then_some(Departure::Draining)
+        is_valid(self.draining_at_ms, DRAINING_VALIDITY_MS).then_some(Departure::Draining)
     }
 
     fn seen_at_ms(&self) -> u64 {
@@ -52,20 +52,20 @@
 /// Remembers the searchers that have ended.
 #[derive(Debug, Default)]
 pub struct DepartedInstances {
-    ended: HashMap<String, Ended>,
+    instances: HashMap<String, DepartureTimes>,
 }
 
 impl DepartedInstances {
     /// Notes that a searcher has ended; true if that is new.
-    pub fn record(&mut self, now_ms: u64, identifier: &str, end: Departure) -> bool {
-        let is_new = self.departure_of(now_ms, identifier).is_none_or(|known| end > known);
-        let ended = self.ended.entry(identifier.to_owned()).or_default();
-        match end {
-            Departure::Draining => ended.draining_at_ms = Some(now_ms),
-            Departure::Gone if is_new => ended.gone_at_ms = Some(now_ms),
+    pub fn record(&mut self, now_ms: u64, identifier: &str, departure: Departure) -> bool {
+        let is_new = self.departure_of(now_ms, identifier).is_none_or(|known| departure > known);
+        let times = self.instances.entry(identifier.to_owned()).or_default();
+        match departure {
+            Departure::Draining => times.draining_at_ms = Some(now_ms),
+            Departure::Gone if is_new => times.gone_at_ms = Some(now_ms),
             Departure::Gone => {}
         }
-        self.forget();
+        self.forget_oldest();
         is_new
     }
 
@@ -78,8 +78,8 @@
         let missing = missing.map(|instance| instance.identifier.clone());
         let newly_missing =
             missing.filter(|identifier| self.record(now_ms, identifier, Departure::Gone)).collect();
-        for (_, ended) in self.ended.iter_mut().filter(|(name, _)| !listed.contains(name.as_str())) {
-            ended.gone_at_ms = Some(now_ms);
+        for (_, times) in self.instances.iter_mut().filter(|(name, _)| !listed.contains(name.as_str())) {
+            times.gone_at_ms = Some(now_ms);
         }
         newly_missing
     }
@@ -95,23 +95,28 @@
     /// The list with searchers that are known to have ended marked as draining, or left out. `confirmed_at_ms` is when
     /// the list was last known to be what the platform shows.
     pub fn apply(&self, confirmed_at_ms: u64, instances: &Rc<Vec<Instance>>) -> Rc<Vec<Instance>> {
-        let concerned = |instance: &Instance| match self.departure_of(confirmed_at_ms, &instance.identifier) {
+        let differs = |instance: &Instance| match self.departure_of(confirmed_at_ms, &instance.identifier) {
             Some(Departure::Gone) => true,
             Some(Departure::Draining) => instance.state != InstanceState::Draining,
             None => false,
         };
-        if self.ended.is_empty() || !instances.iter().any(concerned) {
+        if self.instances.is_empty() || !instances.iter().any(differs) {
             return Rc::clone(instances);
         }
-        Rc::new(instances.iter().filter_map(|instance| self.mark(confirmed_at_ms, instance)).collect())
+        Rc::new(
+            instances
+                .iter()
+                .filter_map(|instance| self.apply_to_instance(confirmed_at_ms, instance))
+                .collect(),
+        )
     }
 
     /// How a searcher is known to have ended, against a list confirmed at `confirmed_at_ms`.
     pub fn departure_of(&self, confirmed_at_ms: u64, identifier: &str) -> Option<Departure> {
-        self.ended.get(identifier)?.end(confirmed_at_ms)
+        self.instances.get(identifier)?.departure(confirmed_at_ms)
     }
 
-    fn mark(&self, confirmed_at_ms: u64, instance: &Instance) -> Option<Instance> {
+    fn apply_to_instance(&self, confirmed_at_ms: u64, instance: &Instance) -> Option<Instance> {
         match self.departure_of(confirmed_at_ms, &instance.identifier) {
             Some(Departure::Gone) => None,
             Some(Departure::Draining) => {
@@ -122,13 +127,13 @@
     }
 
     /// Makes room in one go, so that the search for the oldest is rare.
-    fn forget(&mut self) {
-        if self.ended.len() <= MOST_REMEMBERED {
+    fn forget_oldest(&mut self) {
+        if self.instances.len() <= MAX_RECORDED_INSTANCES {
             return;
         }
-        let mut times: Vec<u64> = self.ended.values().map(Ended::seen_at_ms).collect();
-        let (_, kept_from_ms, _) = times.select_nth_unstable(MOST_REMEMBERED / 4);
-        let kept_from_ms = *kept_from_ms;
-        self.ended.retain(|_, ended| ended.seen_at_ms() > kept_from_ms);
+        let mut times: Vec<u64> = self.instances.values().map(DepartureTimes::seen_at_ms).collect();
+        let (_, cut_off_ms, _) = times.select_nth_unstable(MAX_RECORDED_INSTANCES / 4);
+        let cut_off_ms = *cut_off_ms;
+        self.instances.retain(|_, times| times.seen_at_ms() > cut_off_ms);
     }
 }
--- a/crates/lockusher-distribution/src/difference.rs
+++ b/crates/lockusher-distribution/src/difference.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum DifferenceError {
     #[display("the difference is against another version than the one held")]
-    OtherBase,
+    BaseMismatch,
     #[display("the difference takes over elements that the base doesn't have")]
-    OutOfRange,
+    SegmentOutOfRange,
 }
 
 /// Elements by whose name a sequence is compared.
@@ -77,7 +77,7 @@
     /// The newer configuration.
     pub fn apply(self, base: &Configuration) -> Result<Configuration, DifferenceError> {
         if base.version != self.base_version {
-            return Err(DifferenceError::OtherBase);
+            return Err(DifferenceError::BaseMismatch);
         }
         Ok(Configuration {
             version: self.version,
@@ -114,7 +114,7 @@
         base_instances: &[Instance],
     ) -> Result<Vec<Instance>, DifferenceError> {
         if base != self.base {
-            return Err(DifferenceError::OtherBase);
+            return Err(DifferenceError::BaseMismatch);
         }
         join(base_instances, self.instances)
     }
@@ -128,14 +128,14 @@
     for element in target {
         let position = positions.get(element.name()).copied().filter(|&position| base[position] == *element);
         match position {
-            Some(position) => keep(&mut segments, position as u32),
+            Some(position) => copy_from_base(&mut segments, position as u32),
             None => insert(&mut segments, element.clone()),
         }
     }
     segments
 }
 
-fn keep<T>(segments: &mut Vec<Segment<T>>, position: u32) {
+fn copy_from_base<T>(segments: &mut Vec<Segment<T>>, position: u32) {
     if let Some(Segment::CopyFromBase { from, count }) = segments.last_mut()
         && *from + *count == position
     {
@@ -158,9 +158,10 @@
     for segment in segments {
         match segment {
             Segment::CopyFromBase { from, count } => {
-                let end = from.checked_add(count).ok_or(DifferenceError::OutOfRange)?;
-                let kept = base.get(from as usize..end as usize).ok_or(DifferenceError::OutOfRange)?;
-                joined.extend_from_slice(kept);
+                let end = from.checked_add(count).ok_or(DifferenceError::SegmentOutOfRange)?;
+                let copied =
+                    base.get(from as usize..end as usize).ok_or(DifferenceError::SegmentOutOfRange)?;
+                joined.extend_from_slice(copied);
             }
             Segment::Insert(elements) => joined.extend(elements),
         }
--- a/crates/lockusher-distribution/src/instance_list_client.rs
+++ b/crates/lockusher-distribution/src/instance_list_client.rs
@@ -11,66 +11,66 @@
 use crate::instance_list_poller::{InstanceListPoll, InstanceListPoller, PollerStep};
 
 /// The longest that a call may take.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest pause before the reader is asked again, so that a change of its pace is seen.
-const LONGEST_PAUSE_MS: u64 = 500;
+const MAX_WAIT_MS: u64 = 500;
 
 /// Makes one step: a pause or a call. Returns the list when a call made it whole.
 pub async fn step(
-    reader: &mut InstanceListPoller,
+    poller: &mut InstanceListPoller,
     platform: SocketAddrV4,
     clock: Clock,
 ) -> Option<InstanceListPoll> {
-    match reader.next_step(clock.millis()) {
+    match poller.next_step(clock.millis()) {
         PollerStep::Wait { until_ms } => {
-            let pause_ms = until_ms.saturating_sub(clock.millis()).min(LONGEST_PAUSE_MS);
-            compio::time::sleep(Duration::from_millis(pause_ms)).await;
+            let wait_ms = until_ms.saturating_sub(clock.millis()).min(MAX_WAIT_MS);
+            compio::time::sleep(Duration::from_millis(wait_ms)).await;
             None
         }
-        PollerStep::Call { path } => call(reader, platform, &path, clock).await,
+        PollerStep::Call { path } => call(poller, platform, &path, clock).await,
     }
 }
 
 /// Reads until the next whole list. The reader must have been started.
 pub async fn next_poll(
-    reader: &mut InstanceListPoller,
+    poller: &mut InstanceListPoller,
     platform: SocketAddrV4,
     clock: Clock,
 ) -> InstanceListPoll {
     loop {
-        if let Some(reading) = step(reader, platform, clock).await {
-            return reading;
+        if let Some(poll) = step(poller, platform, clock).await {
+            return poll;
         }
     }
 }
 
 async fn call(
-    reader: &mut InstanceListPoller,
+    poller: &mut InstanceListPoller,
     platform: SocketAddrV4,
     path: &str,
     clock: Clock,
 ) -> Option<InstanceListPoll> {
-    let answer = http::get(platform, path, CALL_LIMIT).await;
+    let answer = http::get(platform, path, CALL_TIMEOUT).await;
     let now_ms = clock.millis();
     match answer {
         Ok(answer) if answer.status == StatusCode::OK => match InstancePage::parse(&answer.body) {
             Ok(page) => {
                 page.skipped.iter().for_each(|fault| log::warn!("platform's list: {fault}"));
-                return reader.page(now_ms, page);
+                return poller.page(now_ms, page);
             }
             Err(faults) => {
                 log::warn!("platform's list: {faults}");
-                reader.fail(now_ms);
+                poller.fail(now_ms);
             }
         },
-        Ok(answer) if is_passing(answer.status) => reader.back_off(now_ms),
+        Ok(answer) if is_passing(answer.status) => poller.back_off(now_ms),
         Ok(answer) => {
             log::warn!("platform's list: {path} answered {}", answer.status);
-            reader.fail(now_ms);
+            poller.fail(now_ms);
         }
         Err(error) => {
             log::debug!("platform's list: {error}");
-            reader.back_off(now_ms);
+            poller.back_off(now_ms);
         }
     }
     None
--- a/crates/lockusher-distribution/src/instance_list_poller.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller.rs
@@ -16,23 +16,23 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Share of the platform's rate that a lone reader uses.
-const LONE_RATE_SHARE: f64 = 0.7;
+const SOLE_POLLER_RATE_FRACTION: f64 = 0.7;
 /// Share of the platform's rate that many readers use together; the rest absorbs chance.
-const JOINT_RATE_SHARE: f64 = 0.5;
+const CONCURRENT_POLLERS_RATE_FRACTION: f64 = 0.5;
 /// How many readings by different readers may overlap at the full rate.
-const MOST_OVERLAPPING: u32 = 8;
+const MAX_OVERLAPPING_POLLS: u32 = 8;
 /// Readers assumed while the size of the fleet is unknown.
-const UNKNOWN_FLEET_READERS: u32 = 256;
+const ASSUMED_CONCURRENT_POLLERS: u32 = 256;
 /// Calls assumed for a whole reading before one was made.
-const UNKNOWN_CALLS: u32 = 4;
+const ASSUMED_CALLS_PER_POLL: u32 = 4;
 /// Bounds on the pause between the starts of two readings of a lone reader.
-const SHORTEST_INTERVAL_MS: u64 = 250;
-const LONGEST_INTERVAL_MS: u64 = 1_000;
+const MIN_POLL_INTERVAL_MS: u64 = 250;
+const MAX_POLL_INTERVAL_MS: u64 = 1_000;
 /// First pause after a refused or failed call; doubles with each further one.
-const FIRST_BACK_OFF_MS: u64 = 250;
-const LONGEST_BACK_OFF_MS: u64 = 8_000;
+const INITIAL_BACK_OFF_MS: u64 = 250;
+const MAX_BACK_OFF_MS: u64 = 8_000;
 /// A reading that was held up for this long is started anew.
-const LONGEST_READING_MS: u64 = 5_000;
+const MAX_POLL_DURATION_MS: u64 = 5_000;
 
 /// What a reader does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,8 +69,8 @@
 #[derive(Debug)]
 pub struct InstanceListPoller {
     rate_per_s: f64,
-    shortest_interval_ms: u64,
-    readers: u32,
+    min_interval_ms: u64,
+    concurrent_pollers: u32,
     calls: u32,
     next_poll_at_ms: Option<u64>,
     assembly: Option<Assembly>,
@@ -85,11 +85,11 @@
     /// The one reader of the fleet. `rate_per_s`: calls that the platform takes; `drain_ms`: the time within which
     /// a searcher that begins to drain must not be sent requests any more.
     pub fn sole(rate_per_s: f64, drain_ms: u64, random_seed: u64) -> Self {
-        let shortest_interval_ms = (drain_ms / 3).clamp(SHORTEST_INTERVAL_MS, LONGEST_INTERVAL_MS);
+        let min_interval_ms = (drain_ms / 3).clamp(MIN_POLL_INTERVAL_MS, MAX_POLL_INTERVAL_MS);
         InstanceListPoller {
             rate_per_s,
-            shortest_interval_ms,
-            readers: 1,
+            min_interval_ms,
+            concurrent_pollers: 1,
             calls: 0,
             next_poll_at_ms: None,
             assembly: None,
@@ -102,12 +102,15 @@
 
     /// One of many readers, of unknown number at first.
     pub fn concurrent(rate_per_s: f64, drain_ms: u64, random_seed: u64) -> Self {
-        InstanceListPoller { readers: UNKNOWN_FLEET_READERS, ..Self::sole(rate_per_s, drain_ms, random_seed) }
+        InstanceListPoller {
+            concurrent_pollers: ASSUMED_CONCURRENT_POLLERS,
+            ..Self::sole(rate_per_s, drain_ms, random_seed)
+        }
     }
 
     /// Sets how many readers may be at work at once; 0 if unknown.
     pub fn set_pollers(&mut self, readers: u32) {
-        self.readers = if readers == 0 { UNKNOWN_FLEET_READERS } else { readers };
+        self.concurrent_pollers = if readers == 0 { ASSUMED_CONCURRENT_POLLERS } else { readers };
     }
 
     /// Sets how many calls a whole reading takes, as learned elsewhere; 0 if unknown.
@@ -127,7 +130,7 @@
         if self.next_poll_at_ms.is_some() {
             return;
         }
-        let latest = if self.readers == 1 { 0 } else { self.interval_ms() };
+        let latest = if self.concurrent_pollers == 1 { 0 } else { self.interval_ms() };
         self.next_poll_at_ms = Some(now_ms + self.random.random_range(0..=latest));
     }
 
@@ -180,10 +183,10 @@
     /// The platform refused the call because of its rate, or the call failed for another passing reason.
     pub fn back_off(&mut self, now_ms: u64) {
         self.failures = self.failures.saturating_add(1);
-        let longest = (FIRST_BACK_OFF_MS << self.failures.min(6)).min(LONGEST_BACK_OFF_MS);
+        let longest = (INITIAL_BACK_OFF_MS << self.failures.min(6)).min(MAX_BACK_OFF_MS);
         let resume_at_ms = now_ms + self.random.random_range(longest / 2..=longest);
         let Some(assembly) = self.assembly.as_mut() else { return };
-        if resume_at_ms.saturating_sub(assembly.started_at_ms) > LONGEST_READING_MS {
+        if resume_at_ms.saturating_sub(assembly.started_at_ms) > MAX_POLL_DURATION_MS {
             self.restart_at(resume_at_ms);
         } else {
             assembly.next_call_at_ms = resume_at_ms;
@@ -206,16 +209,21 @@
 
     /// Mean pause between the starts of two readings.
     fn interval_ms(&self) -> u64 {
-        let calls = if self.calls == 0 { UNKNOWN_CALLS } else { self.calls };
-        let share = if self.readers == 1 { LONE_RATE_SHARE } else { JOINT_RATE_SHARE };
-        let calls_of_all = f64::from(calls) * f64::from(self.readers);
+        let calls = if self.calls == 0 { ASSUMED_CALLS_PER_POLL } else { self.calls };
+        let share = if self.concurrent_pollers == 1 {
+            SOLE_POLLER_RATE_FRACTION
+        } else {
+            CONCURRENT_POLLERS_RATE_FRACTION
+        };
+        let calls_of_all = f64::from(calls) * f64::from(self.concurrent_pollers);
         let paced_ms = calls_of_all * 1_000.0 / (self.rate_per_s * share);
-        (paced_ms.ceil() as u64).max(self.shortest_interval_ms)
+        (paced_ms.ceil() as u64).max(self.min_interval_ms)
     }
 
     /// Pause between two calls of one reading: as many readings as may overlap make the full rate together.
     fn spacing_ms(&self) -> u64 {
-        (f64::from(self.readers.min(MOST_OVERLAPPING)) * 1_000.0 / self.rate_per_s).ceil() as u64
+        (f64::from(self.concurrent_pollers.min(MAX_OVERLAPPING_POLLS)) * 1_000.0 / self.rate_per_s).ceil()
+            as u64
     }
 
     fn finish(&mut self, now_ms: u64, assembly: Assembly) -> InstanceListPoll {
@@ -223,17 +231,21 @@
         let mut found = assembly.instances;
         let missing_before = std::mem::take(&mut self.missing);
         if assembly.pages > 1 {
-            self.keep_unconfirmed(&mut found, &missing_before);
+            self.retain_unconfirmed_removals(&mut found, &missing_before);
         }
         self.next_poll_at_ms = Some(self.next_start(now_ms, assembly.started_at_ms));
-        let instances = self.settle(found.into_values().collect());
+        let instances = self.reuse_unchanged(found.into_values().collect());
         let changed = !self.last.as_ref().is_some_and(|last| Rc::ptr_eq(last, &instances));
         self.last = Some(Rc::clone(&instances));
         InstanceListPoll { instances, changed, started_at_ms: assembly.started_at_ms, calls: assembly.pages }
     }
 
     /// Keeps searchers that were ready and are missing for the first time.
-    fn keep_unconfirmed(&mut self, found: &mut BTreeMap<String, Instance>, missing_before: &HashSet<String>) {
+    fn retain_unconfirmed_removals(
+        &mut self,
+        found: &mut BTreeMap<String, Instance>,
+        missing_before: &HashSet<String>,
+    ) {
         let Some(last) = &self.last else { return };
         for instance in last.iter().filter(|instance| instance.state == InstanceState::Ready) {
             let identifier = &instance.identifier;
@@ -249,15 +261,15 @@
             return now_ms + self.spacing_ms();
         }
         let interval_ms = self.interval_ms();
-        let pause_ms = match self.readers {
+        let interval_ms = match self.concurrent_pollers {
             1 => interval_ms,
             _ => self.random.random_range(interval_ms / 2..=interval_ms + interval_ms / 2),
         };
-        (started_at_ms + pause_ms).max(now_ms)
+        (started_at_ms + interval_ms).max(now_ms)
     }
 
     /// The last list itself if the new one says the same; entries that only count down are taken from the last.
-    fn settle(&self, mut found: Vec<Instance>) -> Rc<Vec<Instance>> {
+    fn reuse_unchanged(&self, mut found: Vec<Instance>) -> Rc<Vec<Instance>> {
         let Some(last) = &self.last else { return Rc::new(found) };
         for instance in &mut found {
             let known = last.binary_search_by(|known| known.identifier.cmp(&instance.identifier));
--- a/crates/lockusher-distribution/src/lib.rs
+++ b/crates/lockusher-distribution/src/lib.rs
@@ -19,6 +19,6 @@
 pub mod revision;
 pub mod serve;
 
-pub mod snapshot;
 pub mod subscribe;
 pub mod subscriber;
+pub mod version_history;
--- a/crates/lockusher-distribution/src/load.rs
+++ b/crates/lockusher-distribution/src/load.rs
@@ -11,9 +11,9 @@
 pub const HUNDREDTHS: u32 = 100;
 
 /// A load that has grown or shrunk by this factor is told at once.
-const NOTICEABLE: u32 = 2;
+const NOTICEABLE_CHANGE_FACTOR: u32 = 2;
 /// Averages below this, in hundredths of a request, are noise.
-const NOISE: u32 = 50;
+const NOISE_FLOOR_HUNDREDTHS: u32 = 50;
 
 /// The load of one service with an inference engine over the last second or so, seen by one proxy or summed over several.
 ///
@@ -51,13 +51,13 @@
     }
 
     /// Whether the requests at either stage have at least doubled or halved since `told`.
-    fn differs_from(&self, told: &ServiceLoad) -> bool {
-        let apart = |now: u32, before: u32| {
+    fn differs_from(&self, last_reported: &ServiceLoad) -> bool {
+        let has_changed = |now: u32, before: u32| {
             let (low, high) = (now.min(before), now.max(before));
-            high >= NOISE && high >= low.saturating_mul(NOTICEABLE)
+            high >= NOISE_FLOOR_HUNDREDTHS && high >= low.saturating_mul(NOTICEABLE_CHANGE_FACTOR)
         };
-        apart(self.prefill_in_flight, told.prefill_in_flight)
-            || apart(self.decode_in_flight, told.decode_in_flight)
+        has_changed(self.prefill_in_flight, last_reported.prefill_in_flight)
+            || has_changed(self.decode_in_flight, last_reported.decode_in_flight)
     }
 }
 
@@ -72,9 +72,9 @@
 }
 
 /// Whether `now` should be told at once after `told` was.
-pub fn is_noticeable(now: &[ServiceLoad], told: &[ServiceLoad]) -> bool {
+pub fn is_noticeable(now: &[ServiceLoad], last_reported: &[ServiceLoad]) -> bool {
     now.iter().any(|load| {
-        let before = told.iter().find(|before| before.service == load.service);
+        let before = last_reported.iter().find(|before| before.service == load.service);
         load.differs_from(before.unwrap_or(&ServiceLoad::default()))
     })
 }
--- a/crates/lockusher-distribution/src/message.rs
+++ b/crates/lockusher-distribution/src/message.rs
@@ -24,7 +24,7 @@
 pub enum MessageError {
     #[from(ignore)]
     #[display("the peer speaks protocol {_0}, this process {PROTOCOL}")]
-    Protocol(#[error(not(source))] u16),
+    ProtocolMismatch(#[error(not(source))] u16),
     #[display("message: {_0}")]
     Decode(bitcode::Error),
 }
@@ -47,7 +47,7 @@
     /// The message enclosed; an error if it is of another protocol or damaged.
     pub fn open<T: DecodeOwned>(&self) -> Result<T, MessageError> {
         if self.protocol != PROTOCOL {
-            return Err(MessageError::Protocol(self.protocol));
+            return Err(MessageError::ProtocolMismatch(self.protocol));
         }
         Ok(bitcode::decode(&self.body)?)
     }
--- a/crates/lockusher-distribution/src/publisher.rs
+++ b/crates/lockusher-distribution/src/publisher.rs
@@ -19,16 +19,16 @@
     AppliedVersions, ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat, InstanceListUpdate,
     NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
-use crate::snapshot::{Frame, History, Versioned, frame};
+use crate::version_history::{Frame, VersionHistory, Versioned, encode_frame};
 
 /// Pause between two heartbeats to one subscriber.
-pub const HEARTBEAT_MS: u64 = 300;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
 /// A subscriber that hasn't been heard for this long is given up; it acknowledges heartbeats more often than that.
-pub const SUBSCRIBER_SILENCE_MS: u64 = 5_000;
+pub const SUBSCRIBER_INACTIVITY_TIMEOUT_MS: u64 = 5_000;
 /// Pause between two samples of peers sent to one agent.
-const PEERS_MS: u64 = 30_000;
+const PEER_SAMPLE_INTERVAL_MS: u64 = 30_000;
 /// Agents in such a sample.
-const PEER_SAMPLE: usize = 8;
+const PEER_SAMPLE_SIZE: usize = 8;
 
 impl Versioned for Configuration {
     type Version = u64;
@@ -37,7 +37,7 @@
         self.version
     }
 
-    fn whole(&self) -> ToSubscriber {
+    fn full_snapshot(&self) -> ToSubscriber {
         ToSubscriber::Configuration(ConfigurationUpdate::FullSnapshot(self.clone()))
     }
 
@@ -61,7 +61,7 @@
         self.revision
     }
 
-    fn whole(&self) -> ToSubscriber {
+    fn full_snapshot(&self) -> ToSubscriber {
         let instances = self.instances.as_ref().clone();
         ToSubscriber::Instances(InstanceListUpdate::FullSnapshot { revision: self.revision, instances })
     }
@@ -100,34 +100,34 @@
 
 /// What a subscriber was sent of one kind, and acknowledged.
 #[derive(Clone, Copy, Debug, Default)]
-struct Progress<V> {
+struct DeliveryProgress<V> {
     applied: V,
-    under_way: Option<V>,
+    in_flight: Option<V>,
 }
 
-impl<V: Copy + Ord> Progress<V> {
+impl<V: Copy + Ord> DeliveryProgress<V> {
     fn acknowledge(&mut self, applied: V) {
         self.applied = applied;
-        if self.under_way.is_some_and(|version| applied >= version) {
-            self.under_way = None;
+        if self.in_flight.is_some_and(|version| applied >= version) {
+            self.in_flight = None;
         }
     }
 
     fn restart(&mut self, applied: V) {
-        *self = Progress { applied, under_way: None };
+        *self = DeliveryProgress { applied, in_flight: None };
     }
 }
 
 #[derive(Debug)]
 struct Subscription {
     identity: Option<SubscriberIdentity>,
-    heard_at_ms: u64,
-    configuration: Progress<u64>,
-    list: Progress<InstanceListRevision>,
+    last_contact_ms: u64,
+    configuration: DeliveryProgress<u64>,
+    list: DeliveryProgress<InstanceListRevision>,
     downstream: Downstream,
     heartbeat_due_ms: u64,
     peers_due_ms: u64,
-    told_control_nodes: bool,
+    control_nodes_sent: bool,
 }
 
 impl Subscription {
@@ -146,8 +146,8 @@
 /// Holds what is newest and the state of every subscriber.
 #[derive(Debug)]
 pub struct Publisher {
-    configurations: History<Configuration>,
-    lists: History<InstanceList>,
+    configurations: VersionHistory<Configuration>,
+    lists: VersionHistory<InstanceList>,
     status: PublisherStatus,
     control_nodes: Vec<SocketAddrV4>,
     control_nodes_frame: Option<Frame>,
@@ -160,8 +160,8 @@
     /// Holds nothing yet; `seed` feeds the random choice of peers.
     pub fn new(seed: u64) -> Self {
         Publisher {
-            configurations: History::default(),
-            lists: History::default(),
+            configurations: VersionHistory::default(),
+            lists: VersionHistory::default(),
             status: PublisherStatus::default(),
             control_nodes: Vec::new(),
             control_nodes_frame: None,
@@ -196,10 +196,10 @@
         if control_nodes == self.control_nodes {
             return;
         }
-        self.control_nodes_frame = Some(frame(&ToSubscriber::ControlNodes(control_nodes.clone())));
+        self.control_nodes_frame = Some(encode_frame(&ToSubscriber::ControlNodes(control_nodes.clone())));
         self.control_nodes = control_nodes;
         for subscription in self.subscriptions.values_mut() {
-            subscription.told_control_nodes = false;
+            subscription.control_nodes_sent = false;
         }
     }
 
@@ -227,13 +227,13 @@
         self.next_id += 1;
         let subscription = Subscription {
             identity: None,
-            heard_at_ms: now_ms,
-            configuration: Progress::default(),
-            list: Progress::default(),
+            last_contact_ms: now_ms,
+            configuration: DeliveryProgress::default(),
+            list: DeliveryProgress::default(),
             downstream: Downstream::PROXY,
             heartbeat_due_ms: now_ms,
             peers_due_ms: now_ms,
-            told_control_nodes: false,
+            control_nodes_sent: false,
         };
         self.subscriptions.insert(id, subscription);
         id
@@ -252,7 +252,7 @@
     /// Takes a message of a subscriber.
     pub fn receive(&mut self, id: SubscriberId, now_ms: u64, message: FromSubscriber) {
         let Some(subscription) = self.subscriptions.get_mut(&id) else { return };
-        subscription.heard_at_ms = now_ms;
+        subscription.last_contact_ms = now_ms;
         match message {
             FromSubscriber::Subscribe { identity, applied } => {
                 subscription.identity = Some(identity);
@@ -279,27 +279,27 @@
     pub fn next_frame(&mut self, id: SubscriberId, now_ms: u64) -> Option<Frame> {
         let subscription = self.subscriptions.get_mut(&id)?;
         subscription.identity.as_ref()?;
-        if !subscription.told_control_nodes {
-            subscription.told_control_nodes = true;
+        if !subscription.control_nodes_sent {
+            subscription.control_nodes_sent = true;
             if let Some(frame) = &self.control_nodes_frame {
                 return Some(Rc::clone(frame));
             }
         }
-        if subscription.configuration.under_way.is_none()
-            && let Some(frame) = self.configurations.frame_from(subscription.configuration.applied)
+        if subscription.configuration.in_flight.is_none()
+            && let Some(frame) = self.configurations.update_frame(subscription.configuration.applied)
         {
-            subscription.configuration.under_way = Some(self.configurations.newest_version());
+            subscription.configuration.in_flight = Some(self.configurations.newest_version());
             return Some(frame);
         }
-        if subscription.list.under_way.is_none()
-            && let Some(frame) = self.lists.frame_from(subscription.list.applied)
+        if subscription.list.in_flight.is_none()
+            && let Some(frame) = self.lists.update_frame(subscription.list.applied)
         {
-            subscription.list.under_way = Some(self.lists.newest_version());
+            subscription.list.in_flight = Some(self.lists.newest_version());
             return Some(frame);
         }
         if now_ms >= subscription.heartbeat_due_ms {
-            subscription.heartbeat_due_ms = now_ms + HEARTBEAT_MS;
-            return Some(frame(&ToSubscriber::Heartbeat(self.heartbeat(now_ms))));
+            subscription.heartbeat_due_ms = now_ms + HEARTBEAT_INTERVAL_MS;
+            return Some(encode_frame(&ToSubscriber::Heartbeat(self.heartbeat(now_ms))));
         }
         self.peers_frame(id, now_ms)
     }
@@ -310,9 +310,9 @@
     }
 
     /// Whether a subscriber hasn't been heard for too long.
-    pub fn is_silent(&self, id: SubscriberId, now_ms: u64) -> bool {
+    pub fn is_inactive(&self, id: SubscriberId, now_ms: u64) -> bool {
         let Some(subscription) = self.subscriptions.get(&id) else { return true };
-        now_ms.saturating_sub(subscription.heard_at_ms) >= SUBSCRIBER_SILENCE_MS
+        now_ms.saturating_sub(subscription.last_contact_ms) >= SUBSCRIBER_INACTIVITY_TIMEOUT_MS
     }
 
     /// What every subscriber holds.
@@ -386,13 +386,13 @@
         if now_ms < subscription.peers_due_ms {
             return None;
         }
-        subscription.peers_due_ms = now_ms + PEERS_MS;
+        subscription.peers_due_ms = now_ms + PEER_SAMPLE_INTERVAL_MS;
         let others = self.subscriptions.values().filter_map(Subscription::agent_address);
         let others: Vec<SocketAddrV4> = others.filter(|address| *address != own).collect();
         if others.is_empty() {
             return None;
         }
-        let sample = others.sample(&mut self.random, PEER_SAMPLE).copied().collect();
-        Some(frame(&ToSubscriber::Peers(sample)))
+        let sample = others.sample(&mut self.random, PEER_SAMPLE_SIZE).copied().collect();
+        Some(encode_frame(&ToSubscriber::Peers(sample)))
     }
 }
--- a/crates/lockusher-distribution/src/reconnect.rs
+++ b/crates/lockusher-distribution/src/reconnect.rs
@@ -8,18 +8,18 @@
 use rand_chacha::ChaCha8Rng;
 
 /// A publisher that says nothing for this long is given up.
-pub const SILENCE_MS: u64 = 1_200;
+pub const PUBLISHER_INACTIVITY_TIMEOUT_MS: u64 = 1_200;
 /// A publisher outside the current view is given up after this long, so that one that is just joining isn't left.
-pub const OUT_OF_VIEW_MS: u64 = 500;
+pub const OUT_OF_VIEW_TIMEOUT_MS: u64 = 500;
 /// The longest that a connection may take to come up: an attempt to a machine without power hangs, and after a loss of
 /// power everywhere all first attempts may.
-pub const CONNECT_LIMIT_MS: u64 = 300;
+pub const CONNECT_TIMEOUT_MS: u64 = 300;
 /// Upper end of the pause before the first attempt after a loss.
-const FIRST_PAUSE_MS: u64 = 250;
+const INITIAL_BACK_OFF_MS: u64 = 250;
 /// Upper end of the pause after many failures.
-const LONGEST_PAUSE_MS: u64 = 3_000;
+const MAX_BACK_OFF_MS: u64 = 3_000;
 /// A connection that lasted this long makes the earlier failures forgotten.
-const SETTLED_MS: u64 = 3_000;
+const STABLE_CONNECTION_MS: u64 = 3_000;
 
 /// One attempt to connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,8 +57,8 @@
     seeds: Vec<SocketAddrV4>,
     learned: Vec<SocketAddrV4>,
     /// Addresses left in this round; the next one last.
-    round: Vec<SocketAddrV4>,
-    rounds: u64,
+    candidates: Vec<SocketAddrV4>,
+    passes_started: u64,
     failures: u32,
     established_at_ms: Option<u64>,
     last: Option<SocketAddrV4>,
@@ -74,8 +74,8 @@
             node_hash: hasher.finish(),
             seeds,
             learned: Vec::new(),
-            round: Vec::new(),
-            rounds: 0,
+            candidates: Vec::new(),
+            passes_started: 0,
             failures: 0,
             established_at_ms: None,
             last: None,
@@ -95,33 +95,33 @@
 
     /// Whether all known addresses have failed, so that the settings file is worth reading again.
     pub fn is_out_of_addresses(&self) -> bool {
-        self.round.is_empty() && self.failures > 0
+        self.candidates.is_empty() && self.failures > 0
     }
 
     /// Addresses of the next round, the first to try last.
-    fn fill_round(&mut self) {
-        let mut round = if self.learned.is_empty() { self.seeds.clone() } else { self.learned.clone() };
-        if self.rounds == 0 {
-            round.sort_by_key(|address| self.rank(address));
+    fn start_pass(&mut self) {
+        let mut candidates = if self.learned.is_empty() { self.seeds.clone() } else { self.learned.clone() };
+        if self.passes_started == 0 {
+            candidates.sort_by_key(|address| self.rank(address));
         } else {
-            round.shuffle(&mut self.random);
+            candidates.shuffle(&mut self.random);
         }
-        if self.rounds > 0 {
-            let extra = self.seeds.iter().filter(|seed| !round.contains(seed)).copied();
+        if self.passes_started > 0 {
+            let extra = self.seeds.iter().filter(|seed| !candidates.contains(seed)).copied();
             let extra: Vec<SocketAddrV4> = extra.collect();
-            round.splice(0..0, extra);
+            candidates.splice(0..0, extra);
         }
-        self.put_last_tried_at_the_end(&mut round);
-        self.rounds += 1;
-        self.round = round;
+        self.put_last_tried_at_the_end(&mut candidates);
+        self.passes_started += 1;
+        self.candidates = candidates;
     }
 
     /// The node that was just lost is tried after the others.
-    fn put_last_tried_at_the_end(&self, round: &mut Vec<SocketAddrV4>) {
+    fn put_last_tried_at_the_end(&self, candidates: &mut Vec<SocketAddrV4>) {
         let Some(last) = self.last else { return };
-        if let Some(position) = round.iter().position(|address| *address == last) {
-            let address = round.remove(position);
-            round.insert(0, address);
+        if let Some(position) = candidates.iter().position(|address| *address == last) {
+            let address = candidates.remove(position);
+            candidates.insert(0, address);
         }
     }
 
@@ -133,21 +133,21 @@
     }
 
     /// Full jitter below a limit that doubles with each failure.
-    fn pause(&mut self) -> u64 {
+    fn back_off_ms(&mut self) -> u64 {
         let doublings = self.failures.saturating_sub(1).min(8);
-        let longest = (FIRST_PAUSE_MS << doublings).min(LONGEST_PAUSE_MS);
-        if self.failures == 0 { 0 } else { self.random.random_range(0..=longest) }
+        let limit_ms = (INITIAL_BACK_OFF_MS << doublings).min(MAX_BACK_OFF_MS);
+        if self.failures == 0 { 0 } else { self.random.random_range(0..=limit_ms) }
     }
 }
 
 impl ConnectionPolicy for ControlNodePolicy {
     fn next_attempt(&mut self, now_ms: u64) -> Option<Attempt> {
-        if self.round.is_empty() {
-            self.fill_round();
+        if self.candidates.is_empty() {
+            self.start_pass();
         }
-        let address = self.round.pop()?;
+        let address = self.candidates.pop()?;
         self.last = Some(address);
-        let at_ms = now_ms + self.pause();
+        let at_ms = now_ms + self.back_off_ms();
         Some(Attempt { address, at_ms })
     }
 
@@ -156,10 +156,11 @@
     }
 
     fn lost(&mut self, now_ms: u64) {
-        let settled = self.established_at_ms.take().is_some_and(|since| now_ms >= since + SETTLED_MS);
-        if settled {
+        let was_stable =
+            self.established_at_ms.take().is_some_and(|since| now_ms >= since + STABLE_CONNECTION_MS);
+        if was_stable {
             self.failures = 0;
-            self.round.clear();
+            self.candidates.clear();
         }
         self.failures += 1;
     }
@@ -169,7 +170,7 @@
             return;
         }
         self.learned = addresses.to_vec();
-        self.round.clear();
+        self.candidates.clear();
     }
 
     fn leaves_out_of_view(&self) -> bool {
@@ -187,9 +188,9 @@
 
 impl FixedAddressPolicy {
     /// Upper end of the pause before the first attempt after a loss.
-    const FIRST_PAUSE_MS: u64 = 50;
+    const INITIAL_BACK_OFF_MS: u64 = 50;
     /// Upper end of the pause after some failures.
-    const LONGEST_PAUSE_MS: u64 = 200;
+    const MAX_BACK_OFF_MS: u64 = 200;
 
     /// Always the same address.
     pub fn new(address: SocketAddrV4, random_seed: u64) -> Self {
@@ -199,9 +200,10 @@
 
 impl ConnectionPolicy for FixedAddressPolicy {
     fn next_attempt(&mut self, now_ms: u64) -> Option<Attempt> {
-        let longest = (Self::FIRST_PAUSE_MS << self.failures.min(2)).min(Self::LONGEST_PAUSE_MS);
-        let pause = if self.failures == 0 { 0 } else { self.random.random_range(longest / 2..=longest) };
-        Some(Attempt { address: self.address, at_ms: now_ms + pause })
+        let limit_ms = (Self::INITIAL_BACK_OFF_MS << self.failures.min(2)).min(Self::MAX_BACK_OFF_MS);
+        let back_off_ms =
+            if self.failures == 0 { 0 } else { self.random.random_range(limit_ms / 2..=limit_ms) };
+        Some(Attempt { address: self.address, at_ms: now_ms + back_off_ms })
     }
 
     fn established(&mut self, _now_ms: u64) {
--- a/crates/lockusher-distribution/src/serve.rs
+++ b/crates/lockusher-distribution/src/serve.rs
@@ -16,13 +16,13 @@
 use crate::publisher::{Publisher, SubscriberId};
 
 /// Pause after a failed accept, so that a lack of descriptors doesn't spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Why a subscriber's connection ended.
 #[derive(Debug, Display, Error, From)]
 pub enum ServeError {
     #[display("{_0}")]
-    Net(TransportError),
+    Transport(TransportError),
     #[display("{_0}")]
     Message(MessageError),
     #[display("the subscriber fell silent")]
@@ -89,7 +89,7 @@
             Ok((stream, _)) => compio::runtime::spawn(serve_and_log(stream, Rc::clone(&shared))).detach(),
             Err(error) => {
                 log::warn!("accept: {error}");
-                compio::time::sleep(ACCEPT_PAUSE).await;
+                compio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -149,7 +149,7 @@
                 return Err(ServeError::Closed);
             }
             self.send_due(&mut writer).await?;
-            if self.shared.publisher.borrow().is_silent(self.id, self.shared.clock.millis()) {
+            if self.shared.publisher.borrow().is_inactive(self.id, self.shared.clock.millis()) {
                 return Err(ServeError::InactivityTimeout);
             }
             let arrived = reader.read().fuse();
@@ -171,7 +171,7 @@
         Ok(())
     }
 
-    fn next_frame(&self) -> Option<crate::snapshot::Frame> {
+    fn next_frame(&self) -> Option<crate::version_history::Frame> {
         self.shared.publisher.borrow_mut().next_frame(self.id, self.shared.clock.millis())
     }
 
--- a/crates/lockusher-distribution/src/subscribe.rs
+++ b/crates/lockusher-distribution/src/subscribe.rs
@@ -20,18 +20,19 @@
 use crate::load::ServiceLoad;
 use crate::message::{Envelope, MessageError, SubscriberIdentity, ToSubscriber};
 use crate::reconnect::{
-    Attempt, CONNECT_LIMIT_MS, ConnectionPolicy, FixedAddressPolicy, OUT_OF_VIEW_MS, SILENCE_MS,
+    Attempt, CONNECT_TIMEOUT_MS, ConnectionPolicy, FixedAddressPolicy, OUT_OF_VIEW_TIMEOUT_MS,
+    PUBLISHER_INACTIVITY_TIMEOUT_MS,
 };
 use crate::subscriber::Subscriber;
 
 /// Pause when no publisher's address is known.
-const NO_ADDRESS_PAUSE: Duration = Duration::from_millis(200);
+const NO_ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Why a connection to a publisher ended.
 #[derive(Debug, Display, Error, From)]
 pub enum SubscribeError {
     #[display("{_0}")]
-    Net(TransportError),
+    Transport(TransportError),
     #[display("{_0}")]
     Message(MessageError),
     #[display("the publisher fell silent")]
@@ -91,7 +92,7 @@
         loop {
             let attempt = self.policy.borrow_mut().next_attempt(self.clock.millis());
             let Some(attempt) = attempt else {
-                compio::time::sleep(NO_ADDRESS_PAUSE).await;
+                compio::time::sleep(NO_ADDRESS_RETRY_INTERVAL).await;
                 continue;
             };
             if let Err(error) = self.follow(attempt).await {
@@ -104,10 +105,10 @@
 
     /// Connects to one publisher and reads until the connection ends.
     async fn follow(&self, attempt: Attempt) -> Result<(), SubscribeError> {
-        let pause_ms = attempt.at_ms.saturating_sub(self.clock.millis());
-        compio::time::sleep(Duration::from_millis(pause_ms)).await;
-        let limit = Duration::from_millis(CONNECT_LIMIT_MS);
-        let stream = lockusher_transport::tcp::connect(attempt.address, limit).await?;
+        let delay_ms = attempt.at_ms.saturating_sub(self.clock.millis());
+        compio::time::sleep(Duration::from_millis(delay_ms)).await;
+        let connect_timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
+        let stream = lockusher_transport::tcp::connect(attempt.address, connect_timeout).await?;
         let (mut reader, mut writer) = frame::split::<Envelope, Envelope>(stream)?;
         let subscribe = self.subscriber.borrow_mut().subscribe(self.clock.millis());
         writer.write(&Envelope::seal(&subscribe)).await?;
@@ -123,7 +124,7 @@
             if self.subscriber.borrow().publisher_in_view() {
                 in_view_at_ms = now_ms;
             }
-            let out_of_view = now_ms.saturating_sub(in_view_at_ms) >= OUT_OF_VIEW_MS;
+            let out_of_view = now_ms.saturating_sub(in_view_at_ms) >= OUT_OF_VIEW_TIMEOUT_MS;
             if out_of_view && self.policy.borrow().leaves_out_of_view() {
                 return Err(SubscribeError::OutOfView);
             }
@@ -135,8 +136,8 @@
         reader: &mut FrameReader<Envelope>,
         writer: &mut FrameWriter<Envelope>,
     ) -> Result<(), SubscribeError> {
-        let silence = Duration::from_millis(SILENCE_MS);
-        let envelope = compio::time::timeout(silence, reader.read())
+        let inactivity_timeout = Duration::from_millis(PUBLISHER_INACTIVITY_TIMEOUT_MS);
+        let envelope = compio::time::timeout(inactivity_timeout, reader.read())
             .await
             .map_err(|_| SubscribeError::InactivityTimeout)??;
         let message: ToSubscriber = envelope.open()?;
@@ -171,10 +172,10 @@
 pub struct Feed {
     shared: Rc<SharedSubscriber<FixedAddressPolicy>>,
     _connection: JoinHandle<()>,
-    told_configuration: u64,
-    told_revision: InstanceListRevision,
-    told_instances: Rc<Vec<Instance>>,
-    told_proxies: u32,
+    delivered_configuration_version: u64,
+    delivered_list_revision: InstanceListRevision,
+    delivered_instances: Rc<Vec<Instance>>,
+    delivered_fleet_size: u32,
     ended: DepartedInstances,
 }
 
@@ -186,10 +187,10 @@
     Feed {
         shared,
         _connection: connection,
-        told_configuration: 0,
-        told_revision: InstanceListRevision::default(),
-        told_instances: Rc::default(),
-        told_proxies: 0,
+        delivered_configuration_version: 0,
+        delivered_list_revision: InstanceListRevision::default(),
+        delivered_instances: Rc::default(),
+        delivered_fleet_size: 0,
         ended: DepartedInstances::default(),
     }
 }
@@ -235,24 +236,24 @@
     fn take(&mut self) -> Option<FeedUpdate> {
         let subscriber = self.shared.subscriber.borrow();
         if let Some(configuration) = subscriber.configuration()
-            && configuration.version > self.told_configuration
+            && configuration.version > self.delivered_configuration_version
         {
-            self.told_configuration = configuration.version;
+            self.delivered_configuration_version = configuration.version;
             return Some(FeedUpdate::Configuration(Rc::clone(configuration)));
         }
         if let Some(list) = subscriber.list()
-            && list.revision > self.told_revision
+            && list.revision > self.delivered_list_revision
         {
-            self.told_revision = list.revision;
+            self.delivered_list_revision = list.revision;
             let confirmed_at_ms = subscriber.list_confirmed_at_ms().unwrap_or_default();
             let instances = self.ended.apply(confirmed_at_ms, &list.instances);
-            self.ended.record_list(self.shared.clock.millis(), &self.told_instances, &list.instances);
-            self.told_instances = Rc::clone(&instances);
+            self.ended.record_list(self.shared.clock.millis(), &self.delivered_instances, &list.instances);
+            self.delivered_instances = Rc::clone(&instances);
             return Some(FeedUpdate::Instances { revision: list.revision, instances });
         }
-        if subscriber.proxies() != self.told_proxies {
-            self.told_proxies = subscriber.proxies();
-            return Some(FeedUpdate::FleetSize(self.told_proxies));
+        if subscriber.proxies() != self.delivered_fleet_size {
+            self.delivered_fleet_size = subscriber.proxies();
+            return Some(FeedUpdate::FleetSize(self.delivered_fleet_size));
         }
         None
     }
--- a/crates/lockusher-distribution/src/subscriber.rs
+++ b/crates/lockusher-distribution/src/subscriber.rs
@@ -15,7 +15,7 @@
 use crate::publisher::InstanceList;
 
 /// Acknowledgements that answer no update are sent this often, as a sign of life.
-const SIGN_OF_LIFE_MS: u64 = 1_000;
+const KEEP_ALIVE_INTERVAL_MS: u64 = 1_000;
 
 /// What a subscriber knows, and what it owes its publisher.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     peers: Vec<SocketAddrV4>,
     downstream: Downstream,
     /// The loads of the last acknowledgement.
-    told_loads: Vec<ServiceLoad>,
+    reported_loads: Vec<ServiceLoad>,
     acknowledged_at_ms: u64,
 }
 
@@ -51,7 +51,7 @@
             control_nodes: Vec::new(),
             peers: Vec::new(),
             downstream: Downstream::PROXY,
-            told_loads: Vec::new(),
+            reported_loads: Vec::new(),
             acknowledged_at_ms: 0,
         }
     }
@@ -138,7 +138,7 @@
                 Ok(()) => Some(self.acknowledge(now_ms)),
                 Err(_) => Some(FromSubscriber::RequestFullSnapshot { configuration: false, list: true }),
             },
-            ToSubscriber::Heartbeat(heartbeat) => self.hear(now_ms, heartbeat),
+            ToSubscriber::Heartbeat(heartbeat) => self.receive_heartbeat(now_ms, heartbeat),
             ToSubscriber::ControlNodes(addresses) => {
                 self.control_nodes = addresses;
                 None
@@ -166,7 +166,7 @@
                 if difference.version <= self.applied().configuration_version {
                     return Ok(());
                 }
-                let base = self.configuration.as_ref().ok_or(DifferenceError::OtherBase)?;
+                let base = self.configuration.as_ref().ok_or(DifferenceError::BaseMismatch)?;
                 difference.apply(base)?
             }
         };
@@ -182,7 +182,7 @@
                 if revision <= self.applied().list_revision {
                     return Ok(());
                 }
-                let base = self.list.as_ref().ok_or(DifferenceError::OtherBase)?;
+                let base = self.list.as_ref().ok_or(DifferenceError::BaseMismatch)?;
                 (revision, difference.apply(base.revision, &base.instances)?)
             }
         };
@@ -196,7 +196,7 @@
         }
     }
 
-    fn hear(&mut self, now_ms: u64, heartbeat: Heartbeat) -> Option<FromSubscriber> {
+    fn receive_heartbeat(&mut self, now_ms: u64, heartbeat: Heartbeat) -> Option<FromSubscriber> {
         self.publisher_in_view = heartbeat.in_view;
         self.publisher_list_age_ms = heartbeat.list_age_ms;
         if heartbeat.proxies > 0 {
@@ -210,15 +210,15 @@
             let confirmed = now_ms.saturating_sub(heartbeat.list_age_ms);
             self.list_confirmed_at_ms = self.list_confirmed_at_ms.max(Some(confirmed));
         }
-        let silent_for = now_ms.saturating_sub(self.acknowledged_at_ms);
-        let due =
-            silent_for >= SIGN_OF_LIFE_MS || load::is_noticeable(&self.downstream.loads, &self.told_loads);
+        let since_acknowledged_ms = now_ms.saturating_sub(self.acknowledged_at_ms);
+        let due = since_acknowledged_ms >= KEEP_ALIVE_INTERVAL_MS
+            || load::is_noticeable(&self.downstream.loads, &self.reported_loads);
         due.then(|| self.acknowledge(now_ms))
     }
 
     fn acknowledge(&mut self, now_ms: u64) -> FromSubscriber {
         self.acknowledged_at_ms = now_ms;
-        self.told_loads.clone_from(&self.downstream.loads);
+        self.reported_loads.clone_from(&self.downstream.loads);
         FromSubscriber::Acknowledge { applied: self.applied(), downstream: self.downstream.clone() }
     }
 }
--- a/crates/lockusher-distribution/src/snapshot.rs
+++ b/crates/lockusher-distribution/src/version_history.rs
@@ -7,13 +7,13 @@
 use crate::message::{Envelope, ToSubscriber};
 
 /// Versions that are kept to make differences from.
-const KEPT_VERSIONS: usize = 8;
+const MAX_RETAINED_VERSIONS: usize = 8;
 
 /// An encoded frame; shared between subscribers.
 pub type Frame = Rc<[u8]>;
 
 /// Encodes a message as a frame.
-pub fn frame(message: &ToSubscriber) -> Frame {
+pub fn encode_frame(message: &ToSubscriber) -> Frame {
     lockusher_transport::frame::encode(&Envelope::seal(message)).into()
 }
 
@@ -26,7 +26,7 @@
     fn version(&self) -> Self::Version;
 
     /// The message that brings a subscriber without a usable base to this value.
-    fn whole(&self) -> ToSubscriber;
+    fn full_snapshot(&self) -> ToSubscriber;
 
     /// The message that brings a subscriber from `base` to this value.
     fn difference(&self, base: &Self) -> ToSubscriber;
@@ -34,19 +34,19 @@
 
 /// Versions of one value, newest last.
 #[derive(Debug)]
-pub struct History<T: Versioned> {
+pub struct VersionHistory<T: Versioned> {
     versions: VecDeque<Rc<T>>,
     /// Frames that lead to the newest version, by their base.
     frames: BTreeMap<Option<T::Version>, Frame>,
 }
 
-impl<T: Versioned> Default for History<T> {
+impl<T: Versioned> Default for VersionHistory<T> {
     fn default() -> Self {
-        History { versions: VecDeque::new(), frames: BTreeMap::new() }
+        VersionHistory { versions: VecDeque::new(), frames: BTreeMap::new() }
     }
 }
 
-impl<T: Versioned> History<T> {
+impl<T: Versioned> VersionHistory<T> {
     /// The newest value.
     pub fn newest(&self) -> Option<&Rc<T>> {
         self.versions.back()
@@ -63,7 +63,7 @@
             return false;
         }
         self.versions.push_back(value);
-        if self.versions.len() > KEPT_VERSIONS {
+        if self.versions.len() > MAX_RETAINED_VERSIONS {
             self.versions.pop_front();
         }
         self.frames.clear();
@@ -71,15 +71,15 @@
     }
 
     /// The frame that brings a subscriber that holds `held` to the newest version; none if it needs none.
-    pub fn frame_from(&mut self, applied: T::Version) -> Option<Frame> {
+    pub fn update_frame(&mut self, applied: T::Version) -> Option<Frame> {
         let newest = self.versions.back()?;
         if applied >= newest.version() {
             return None;
         }
         let base = self.versions.iter().find(|version| version.version() == applied);
         let frame = self.frames.entry(base.map(|_| applied)).or_insert_with(|| match base {
-            Some(base) => frame(&newest.difference(base)),
-            None => frame(&newest.whole()),
+            Some(base) => encode_frame(&newest.difference(base)),
+            None => encode_frame(&newest.full_snapshot()),
         });
         Some(Rc::clone(frame))
     }
--- a/crates/lockusher-distribution/tests/difference.rs
+++ b/crates/lockusher-distribution/tests/difference.rs
@@ -56,10 +56,10 @@
 #[test]
 fn a_difference_against_another_base_is_refused() {
     let difference = InstanceListDifference::between(revision(1, 1), &[], revision(1, 2), &[instance("a")]);
-    assert_eq!(difference.apply(revision(1, 9), &[]), Err(DifferenceError::OtherBase));
+    assert_eq!(difference.apply(revision(1, 9), &[]), Err(DifferenceError::BaseMismatch));
     let base = configuration(1, &[]);
     let difference = ConfigurationDifference::between(&configuration(2, &[]), &configuration(3, &[]));
-    assert_eq!(difference.apply(&base), Err(DifferenceError::OtherBase));
+    assert_eq!(difference.apply(&base), Err(DifferenceError::BaseMismatch));
 }
 
 #[yare::parameterized(
@@ -68,5 +68,8 @@
 )]
 fn a_segment_outside_the_base_is_refused(from: u32, count: u32) {
     let base = [instance("a"), instance("b")];
-    assert_eq!(join(&base, vec![Segment::CopyFromBase { from, count }]), Err(DifferenceError::OutOfRange));
+    assert_eq!(
+        join(&base, vec![Segment::CopyFromBase { from, count }]),
+        Err(DifferenceError::SegmentOutOfRange)
+    );
 }
--- a/crates/lockusher-distribution/tests/instance_list_poller.rs
+++ b/crates/lockusher-distribution/tests/instance_list_poller.rs
@@ -14,9 +14,9 @@
 }
 
 /// Waits as the reader says and returns the time and path of its next call.
-fn next_call(reader: &mut InstanceListPoller, mut now_ms: u64) -> (u64, String) {
+fn next_call(poller: &mut InstanceListPoller, mut now_ms: u64) -> (u64, String) {
     loop {
-        match reader.next_step(now_ms) {
+        match poller.next_step(now_ms) {
             PollerStep::Wait { until_ms } => now_ms = until_ms,
             PollerStep::Call { path } => return (now_ms, path),
         }
@@ -24,59 +24,59 @@
 }
 
 /// One reading of `pages`.
-fn read(reader: &mut InstanceListPoller, now_ms: &mut u64, pages: &[&[Instance]]) -> InstanceListPoll {
+fn read(poller: &mut InstanceListPoller, now_ms: &mut u64, pages: &[&[Instance]]) -> InstanceListPoll {
     for (number, instances) in pages.iter().enumerate() {
-        let (at_ms, _) = next_call(reader, *now_ms);
+        let (at_ms, _) = next_call(poller, *now_ms);
         *now_ms = at_ms;
         let token = format!("p-{number}");
         let last = number + 1 == pages.len();
-        if let Some(reading) = reader.page(at_ms, page(instances, (!last).then_some(token.as_str()))) {
-            return reading;
+        if let Some(poll) = poller.page(at_ms, page(instances, (!last).then_some(token.as_str()))) {
+            return poll;
         }
     }
-    panic!("the reading isn't whole");
+    panic!("the poll isn't whole");
 }
 
 fn lone() -> InstanceListPoller {
-    let mut reader = InstanceListPoller::sole(40.0, 3_000, 1);
-    reader.start(0);
-    reader
+    let mut poller = InstanceListPoller::sole(40.0, 3_000, 1);
+    poller.start(0);
+    poller
 }
 
-fn names(reading: &InstanceListPoll) -> Vec<&str> {
-    reading.instances.iter().map(|instance| instance.identifier.as_str()).collect()
+fn names(poll: &InstanceListPoll) -> Vec<&str> {
+    poll.instances.iter().map(|instance| instance.identifier.as_str()).collect()
 }
 
 #[test]
 fn pages_are_followed_to_the_last_and_assembled_in_order() {
-    let mut reader = lone();
-    assert_eq!(next_call(&mut reader, 5), (5, "/instances".to_owned()));
-    assert_eq!(reader.page(6, page(&[instance("c")], Some("p 1/2"))), None);
-    let (at_ms, path) = next_call(&mut reader, 6);
+    let mut poller = lone();
+    assert_eq!(next_call(&mut poller, 5), (5, "/instances".to_owned()));
+    assert_eq!(poller.page(6, page(&[instance("c")], Some("p 1/2"))), None);
+    let (at_ms, path) = next_call(&mut poller, 6);
     assert_eq!(path, "/instances?pageToken=p%201%2F2");
-    let reading = reader.page(at_ms, page(&[instance("a"), instance("b")], None)).expect("a whole list");
-    assert_eq!(names(&reading), ["a", "b", "c"]);
-    assert_eq!((reading.started_at_ms, reading.calls, reading.changed), (5, 2, true));
+    let poll = poller.page(at_ms, page(&[instance("a"), instance("b")], None)).expect("a whole list");
+    assert_eq!(names(&poll), ["a", "b", "c"]);
+    assert_eq!((poll.started_at_ms, poll.calls, poll.changed), (5, 2, true));
 }
 
 #[test]
 fn an_unchanged_list_is_said_to_be_so_and_read_again_after_the_interval() {
-    let mut reader = lone();
+    let mut poller = lone();
     let mut now_ms = 0;
-    let first = read(&mut reader, &mut now_ms, &[&[instance("a")]]);
-    let second = read(&mut reader, &mut now_ms, &[&[instance("a")]]);
+    let first = read(&mut poller, &mut now_ms, &[&[instance("a")]]);
+    let second = read(&mut poller, &mut now_ms, &[&[instance("a")]]);
     assert_eq!((first.changed, second.changed), (true, false));
     assert_eq!((first.started_at_ms, second.started_at_ms), (0, 1_000));
-    let third = read(&mut reader, &mut now_ms, &[&[draining("a")]]);
+    let third = read(&mut poller, &mut now_ms, &[&[draining("a")]]);
     assert!(third.changed);
 }
 
 #[test]
 fn a_countdown_alone_is_no_change_but_its_end_is() {
-    let mut reader = lone();
+    let mut poller = lone();
     let mut now_ms = 0;
     let changed: Vec<bool> = [5_000, 4_000, 900, 0, 0, 700]
-        .map(|cold_ms| read(&mut reader, &mut now_ms, &[&[cold("a", cold_ms)]]).changed)
+        .map(|cold_ms| read(&mut poller, &mut now_ms, &[&[cold("a", cold_ms)]]).changed)
         .to_vec();
     assert_eq!(changed, [true, false, false, true, false, true]);
 }
@@ -84,43 +84,43 @@
 /// An entry that slips through between two pages isn't taken for gone.
 #[test]
 fn a_searcher_missing_from_one_reading_of_several_pages_is_kept_until_the_next() {
-    let mut reader = lone();
+    let mut poller = lone();
     let mut now_ms = 0;
-    read(&mut reader, &mut now_ms, &[&[instance("a"), instance("b")], &[instance("c")]]);
-    let slipped = read(&mut reader, &mut now_ms, &[&[instance("b")], &[]]);
+    read(&mut poller, &mut now_ms, &[&[instance("a"), instance("b")], &[instance("c")]]);
+    let slipped = read(&mut poller, &mut now_ms, &[&[instance("b")], &[]]);
     assert_eq!(names(&slipped), ["a", "b", "c"]);
-    let again_at_ms = next_call(&mut reader, now_ms).0;
+    let again_at_ms = next_call(&mut poller, now_ms).0;
     assert!(again_at_ms <= now_ms + 100, "confirmed soon");
-    let confirmed = read(&mut reader, &mut now_ms, &[&[instance("a"), instance("b")], &[]]);
+    let confirmed = read(&mut poller, &mut now_ms, &[&[instance("a"), instance("b")], &[]]);
     assert_eq!(names(&confirmed), ["a", "b"]);
 }
 
 #[test]
 fn a_draining_searcher_that_vanishes_is_gone_at_once() {
-    let mut reader = lone();
+    let mut poller = lone();
     let mut now_ms = 0;
-    read(&mut reader, &mut now_ms, &[&[draining("a"), instance("b")], &[instance("c")]]);
-    let reading = read(&mut reader, &mut now_ms, &[&[instance("b")], &[instance("c")]]);
-    assert_eq!(names(&reading), ["b", "c"]);
+    read(&mut poller, &mut now_ms, &[&[draining("a"), instance("b")], &[instance("c")]]);
+    let poll = read(&mut poller, &mut now_ms, &[&[instance("b")], &[instance("c")]]);
+    assert_eq!(names(&poll), ["b", "c"]);
 }
 
 #[test]
 fn an_entry_listed_twice_counts_as_draining_if_either_says_so() {
-    let mut reader = lone();
-    let reading = read(&mut reader, &mut 0, &[&[draining("a")], &[instance("a")]]);
-    assert_eq!(*reading.instances, [draining("a")]);
+    let mut poller = lone();
+    let poll = read(&mut poller, &mut 0, &[&[draining("a")], &[instance("a")]]);
+    assert_eq!(*poll.instances, [draining("a")]);
 }
 
 #[test]
 fn a_refused_call_is_made_again_later_and_later() {
-    let mut reader = lone();
-    let mut now_ms = next_call(&mut reader, 0).0;
-    reader.page(now_ms, page(&[instance("a")], Some("p-1")));
+    let mut poller = lone();
+    let mut now_ms = next_call(&mut poller, 0).0;
+    poller.page(now_ms, page(&[instance("a")], Some("p-1")));
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        let (at_ms, _) = next_call(&mut reader, now_ms);
-        reader.back_off(at_ms);
-        let (again_ms, _) = next_call(&mut reader, at_ms);
+        let (at_ms, _) = next_call(&mut poller, now_ms);
+        poller.back_off(at_ms);
+        let (again_ms, _) = next_call(&mut poller, at_ms);
         pauses.push(again_ms - at_ms);
         now_ms = at_ms;
         now_ms = now_ms.max(again_ms);
@@ -128,44 +128,44 @@
     assert!(pauses[0] <= 500, "{pauses:?}");
     assert!(pauses[7] >= 4_000, "{pauses:?}");
     assert!(pauses.iter().all(|pause| *pause <= 8_000), "{pauses:?}");
-    assert_eq!(next_call(&mut reader, now_ms).1, "/instances", "a reading held up for long starts anew");
+    assert_eq!(next_call(&mut poller, now_ms).1, "/instances", "a poll held up for long starts anew");
 }
 
 #[test]
 fn a_page_that_is_not_known_any_more_starts_the_reading_anew() {
-    let mut reader = lone();
-    reader.next_step(0);
-    reader.page(0, page(&[instance("a")], Some("p-1")));
-    next_call(&mut reader, 0);
-    reader.fail(10);
-    assert_eq!(next_call(&mut reader, 10).1, "/instances");
+    let mut poller = lone();
+    poller.next_step(0);
+    poller.page(0, page(&[instance("a")], Some("p-1")));
+    next_call(&mut poller, 0);
+    poller.fail(10);
+    assert_eq!(next_call(&mut poller, 10).1, "/instances");
 }
 
 #[test]
 fn a_reader_that_is_stopped_makes_no_call() {
-    let mut reader = lone();
-    reader.stop();
-    assert_eq!(reader.next_step(1_000_000), PollerStep::Wait { until_ms: u64::MAX });
-    reader.start(1_000_000);
-    assert_eq!(next_call(&mut reader, 1_000_000).0, 1_000_000);
+    let mut poller = lone();
+    poller.stop();
+    assert_eq!(poller.next_step(1_000_000), PollerStep::Wait { until_ms: u64::MAX });
+    poller.start(1_000_000);
+    assert_eq!(next_call(&mut poller, 1_000_000).0, 1_000_000);
 }
 
 /// Calls of `readers` agents, by second.
 fn calls_by_second(readers: u32, pages: u32, rate_per_s: f64, seconds: u64) -> BTreeMap<u64, u32> {
     let mut calls = BTreeMap::new();
     for number in 0..readers {
-        let mut reader = InstanceListPoller::concurrent(rate_per_s, 3_000, u64::from(number));
-        reader.set_pollers(readers);
-        reader.set_calls(pages);
-        reader.start(0);
+        let mut poller = InstanceListPoller::concurrent(rate_per_s, 3_000, u64::from(number));
+        poller.set_pollers(readers);
+        poller.set_calls(pages);
+        poller.start(0);
         let mut now_ms = 0;
         let mut read = 0;
         while now_ms < seconds * 1_000 {
-            now_ms = next_call(&mut reader, now_ms).0;
+            now_ms = next_call(&mut poller, now_ms).0;
             *calls.entry(now_ms / 1_000).or_default() += 1;
             read += 1;
             let token = (read % pages != 0).then_some("p");
-            reader.page(now_ms, page(&[instance("a")], token));
+            poller.page(now_ms, page(&[instance("a")], token));
         }
     }
     calls.retain(|second, _| *second < seconds);
@@ -192,13 +192,13 @@
 
 #[test]
 fn a_lone_reader_of_many_pages_stays_under_the_rate() {
-    let mut reader = lone();
+    let mut poller = lone();
     let mut calls: BTreeMap<u64, u32> = BTreeMap::new();
     let mut now_ms = 0;
     for read in 1..=3_000 {
-        now_ms = next_call(&mut reader, now_ms).0;
+        now_ms = next_call(&mut poller, now_ms).0;
         *calls.entry(now_ms / 1_000).or_default() += 1;
-        reader.page(now_ms, page(&[instance("a")], (read % 60 != 0).then_some("p")));
+        poller.page(now_ms, page(&[instance("a")], (read % 60 != 0).then_some("p")));
     }
     assert!(calls.values().all(|count| *count <= 41), "{:?}", calls.values().max());
 }
--- a/crates/lockusher-distribution/tests/reconnect.rs
+++ b/crates/lockusher-distribution/tests/reconnect.rs
@@ -4,7 +4,8 @@
 use std::net::SocketAddrV4;
 
 use lockusher_distribution::reconnect::{
-    CONNECT_LIMIT_MS, ConnectionPolicy, ControlNodePolicy, FixedAddressPolicy, SILENCE_MS,
+    CONNECT_TIMEOUT_MS, ConnectionPolicy, ControlNodePolicy, FixedAddressPolicy,
+    PUBLISHER_INACTIVITY_TIMEOUT_MS,
 };
 
 const AGENTS: u64 = 400;
@@ -132,8 +133,8 @@
 fn after_an_attempt_that_hangs_the_next_one_comes_soon() {
     for mut agent in agents(&seeds(3)) {
         agent.next_attempt(0).expect("an attempt");
-        agent.lost(CONNECT_LIMIT_MS);
-        let next = agent.next_attempt(CONNECT_LIMIT_MS).expect("an attempt");
-        assert!(next.at_ms < SILENCE_MS / 2, "{next:?}");
+        agent.lost(CONNECT_TIMEOUT_MS);
+        let next = agent.next_attempt(CONNECT_TIMEOUT_MS).expect("an attempt");
+        assert!(next.at_ms < PUBLISHER_INACTIVITY_TIMEOUT_MS / 2, "{next:?}");
     }
 }
--- a/crates/lockusher-distribution/tests/streams.rs
+++ b/crates/lockusher-distribution/tests/streams.rs
@@ -13,7 +13,7 @@
 use lockusher_distribution::message::{
     AppliedVersions, Downstream, Envelope, FromSubscriber, Heartbeat, ToSubscriber,
 };
-use lockusher_distribution::publisher::{HEARTBEAT_MS, Publisher, PublisherStatus, SubscriberId};
+use lockusher_distribution::publisher::{HEARTBEAT_INTERVAL_MS, Publisher, PublisherStatus, SubscriberId};
 use lockusher_distribution::subscriber::Subscriber;
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -343,7 +343,7 @@
     assert_eq!(subscriber.list_confirmed_at_ms(), Some(1_050));
     assert_eq!((subscriber.proxies(), subscriber.calls_per_poll()), (40, 3));
     assert!(subscriber.publisher_in_view());
-    assert_eq!(publisher.next_due_ms(id), Some(1_400 + HEARTBEAT_MS));
+    assert_eq!(publisher.next_due_ms(id), Some(1_400 + HEARTBEAT_INTERVAL_MS));
 }
 
 #[test]
