--- a/crates/lockusher-agent/src/list_selection.rs
+++ b/crates/lockusher-agent/src/list_selection.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 
 use lockusher_config::instances::{Instance, InstanceListRevision};
+use lockusher_distribution::instance_list::InstanceList;
 use lockusher_distribution::instance_list_poller::InstanceListPoll;
-use lockusher_distribution::publisher::InstanceList;
 
 use crate::confirmed_list::{ConfirmedList, ListSource, is_surely_later};
 use crate::departure_recorder::DepartureRecorder;
--- a/crates/lockusher-distribution/src/lib.rs
+++ b/crates/lockusher-distribution/src/lib.rs
@@ -10,6 +10,8 @@
 pub mod change_notifier;
 pub mod departures;
 pub mod difference;
+pub mod frame;
+pub mod instance_list;
 pub mod instance_list_client;
 pub mod instance_list_poller;
 pub mod load;
@@ -18,7 +20,7 @@
 pub mod reconnect;
 pub mod revision;
 pub mod serve;
-
 pub mod subscribe;
 pub mod subscriber;
 pub mod version_history;
+pub mod versioned;
--- a/crates/lockusher-distribution/src/publisher.rs
+++ b/crates/lockusher-distribution/src/publisher.rs
@@ -13,13 +13,13 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
-use crate::difference::{ConfigurationDifference, InstanceListDifference};
+use crate::frame::{Frame, encode_frame};
+use crate::instance_list::InstanceList;
 use crate::load::{self, ServiceLoad};
 use crate::message::{
-    AppliedVersions, ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat, InstanceListUpdate,
-    NEVER_MS, SubscriberIdentity, ToSubscriber,
+    AppliedVersions, Downstream, FromSubscriber, Heartbeat, NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
-use crate::version_history::{Frame, VersionHistory, Versioned, encode_frame};
+use crate::version_history::VersionHistory;
 
 /// Pause between two heartbeats to one subscriber.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
@@ -30,49 +30,6 @@
 /// Agents in such a sample.
 const PEER_SAMPLE_SIZE: usize = 8;
 
-impl Versioned for Configuration {
-    type Version = u64;
-
-    fn version(&self) -> u64 {
-        self.version
-    }
-
-    fn full_snapshot(&self) -> ToSubscriber {
-        ToSubscriber::Configuration(ConfigurationUpdate::FullSnapshot(self.clone()))
-    }
-
-    fn difference(&self, base: &Self) -> ToSubscriber {
-        let difference = ConfigurationDifference::between(base, self);
-        ToSubscriber::Configuration(ConfigurationUpdate::Difference(difference))
-    }
-}
-
-/// A list with its revision.
-#[derive(Clone, Debug, PartialEq)]
-pub struct InstanceList {
-    pub revision: InstanceListRevision,
-    pub instances: Rc<Vec<Instance>>,
-}
-
-impl Versioned for InstanceList {
-    type Version = InstanceListRevision;
-
-    fn version(&self) -> InstanceListRevision {
-        self.revision
-    }
-
-    fn full_snapshot(&self) -> ToSubscriber {
-        let instances = self.instances.as_ref().clone();
-        ToSubscriber::Instances(InstanceListUpdate::FullSnapshot { revision: self.revision, instances })
-    }
-
-    fn difference(&self, base: &Self) -> ToSubscriber {
-        let difference =
-            InstanceListDifference::between(base.revision, &base.instances, self.revision, &self.instances);
-        ToSubscriber::Instances(InstanceListUpdate::Difference(difference))
-    }
-}
-
 /// Names one connection of a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubscriberId(u64);
--- /dev/null
+++ b/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
@@ -0,0 +1,146 @@
+//! An agent's way to the control nodes.
+
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::net::SocketAddrV4;
+
+use rand::seq::SliceRandom;
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+use crate::reconnect::policy::{Attempt, ConnectionPolicy};
+
+/// Upper end of the pause before the first attempt after a loss.
+const INITIAL_BACK_OFF_MS: u64 = 250;
+/// Upper end of the pause after many failures.
+const MAX_BACK_OFF_MS: u64 = 3_000;
+/// A connection that lasted this long makes the earlier failures forgotten.
+const STABLE_CONNECTION_MS: u64 = 3_000;
+
+/// An agent's way to the control nodes: spread by hash at first and in random order afterwards, with jittered
+/// exponential back-off. The addresses that control nodes told go first, the seeds come after a round of failures.
+#[derive(Debug)]
+pub struct ControlNodePolicy {
+    node_hash: u64,
+    seeds: Vec<SocketAddrV4>,
+    learned: Vec<SocketAddrV4>,
+    /// Addresses left in this round; the next one last.
+    candidates: Vec<SocketAddrV4>,
+    passes_started: u64,
+    failures: u32,
+    established_at_ms: Option<u64>,
+    last: Option<SocketAddrV4>,
+    random: ChaCha8Rng,
+}
+
+impl ControlNodePolicy {
+    /// `seeds` are addresses of internal listeners; `random_seed` differs between processes.
+    pub fn new(node: &str, seeds: Vec<SocketAddrV4>, random_seed: u64) -> Self {
+        let mut hasher = DefaultHasher::new();
+        node.hash(&mut hasher);
+        ControlNodePolicy {
+            node_hash: hasher.finish(),
+            seeds,
+            learned: Vec::new(),
+            candidates: Vec::new(),
+            passes_started: 0,
+            failures: 0,
+            established_at_ms: None,
+            last: None,
+            random: ChaCha8Rng::seed_from_u64(random_seed),
+        }
+    }
+
+    /// Replaces the seeds, when the settings file has changed.
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
+        self.seeds = seeds;
+    }
+
+    /// The control node that this node is connected to.
+    pub fn connected(&self) -> Option<SocketAddrV4> {
+        self.established_at_ms.and(self.last)
+    }
+
+    /// Whether all known addresses have failed, so that the settings file is worth reading again.
+    pub fn is_out_of_addresses(&self) -> bool {
+        self.candidates.is_empty() && self.failures > 0
+    }
+
+    /// Addresses of the next round, the first to try last.
+    fn start_pass(&mut self) {
+        let mut candidates = if self.learned.is_empty() { self.seeds.clone() } else { self.learned.clone() };
+        if self.passes_started == 0 {
+            candidates.sort_by_key(|address| self.rank(address));
+        } else {
+            candidates.shuffle(&mut self.random);
+        }
+        if self.passes_started > 0 {
+            let extra = self.seeds.iter().filter(|seed| !candidates.contains(seed)).copied();
+            let extra: Vec<SocketAddrV4> = extra.collect();
+            candidates.splice(0..0, extra);
+        }
+        self.put_last_tried_at_the_end(&mut candidates);
+        self.passes_started += 1;
+        self.candidates = candidates;
+    }
+
+    /// The node that was just lost is tried after the others.
+    fn put_last_tried_at_the_end(&self, candidates: &mut Vec<SocketAddrV4>) {
+        let Some(last) = self.last else { return };
+        if let Some(position) = candidates.iter().position(|address| *address == last) {
+            let address = candidates.remove(position);
+            candidates.insert(0, address);
+        }
+    }
+
+    /// Highest-random-weight hash of this node and an address.
+    fn rank(&self, address: &SocketAddrV4) -> u64 {
+        let mut hasher = DefaultHasher::new();
+        (self.node_hash, address).hash(&mut hasher);
+        hasher.finish()
+    }
+
+    /// Full jitter below a limit that doubles with each failure.
+    fn back_off_ms(&mut self) -> u64 {
+        let doublings = self.failures.saturating_sub(1).min(8);
+        let limit_ms = (INITIAL_BACK_OFF_MS << doublings).min(MAX_BACK_OFF_MS);
+        if self.failures == 0 { 0 } else { self.random.random_range(0..=limit_ms) }
+    }
+}
+
+impl ConnectionPolicy for ControlNodePolicy {
+    fn next_attempt(&mut self, now_ms: u64) -> Option<Attempt> {
+        if self.candidates.is_empty() {
+            self.start_pass();
+        }
+        let address = self.candidates.pop()?;
+        self.last = Some(address);
+        let at_ms = now_ms + self.back_off_ms();
+        Some(Attempt { address, at_ms })
+    }
+
+    fn established(&mut self, now_ms: u64) {
+        self.established_at_ms = Some(now_ms);
+    }
+
+    fn lost(&mut self, now_ms: u64) {
+        let was_stable =
+            self.established_at_ms.take().is_some_and(|since| now_ms >= since + STABLE_CONNECTION_MS);
+        if was_stable {
+            self.failures = 0;
+            self.candidates.clear();
+        }
+        self.failures += 1;
+    }
+
+    fn learn(&mut self, addresses: &[SocketAddrV4]) {
+        if addresses.is_empty() || addresses == self.learned {
+            return;
+        }
+        self.learned = addresses.to_vec();
+        self.candidates.clear();
+    }
+
+    fn leaves_out_of_view(&self) -> bool {
+        true
+    }
+}
--- a/crates/lockusher-distribution/src/serve.rs
+++ b/crates/lockusher-distribution/src/serve.rs
@@ -1,19 +1,20 @@
 //! Serves one subscriber over TCP: the publisher decides, this module reads and writes.
 
-use std::cell::{Cell, RefCell};
+mod shared_publisher;
+
 use std::rc::Rc;
 use std::time::Duration;
 
 use compio::net::{TcpListener, TcpStream};
 use derive_more::{Display, Error, From};
 use futures_util::{FutureExt, pin_mut, select_biased};
-use lockusher_transport::clock::Clock;
 use lockusher_transport::error::TransportError;
 use lockusher_transport::frame::{self, FrameReader, FrameWriter};
 
-use crate::change_notifier::ChangeNotifier;
 use crate::message::{Envelope, FromSubscriber, MessageError};
-use crate::publisher::{Publisher, SubscriberId};
+use crate::publisher::SubscriberId;
+
+pub use shared_publisher::SharedPublisher;
 
 /// Pause after a failed accept, so that a lack of descriptors doesn't spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -31,57 +32,6 @@
     Closed,
 }
 
-/// A publisher that several connections share, with the signal that wakes them.
-#[derive(Debug)]
-pub struct SharedPublisher {
-    publisher: RefCell<Publisher>,
-    changed: ChangeNotifier,
-    subscriber_activity: ChangeNotifier,
-    closed: Cell<bool>,
-    clock: Clock,
-}
-
-impl SharedPublisher {
-    /// Shares a publisher; `clock` is the process's.
-    pub fn new(publisher: Publisher, clock: Clock) -> Rc<Self> {
-        Rc::new(SharedPublisher {
-            publisher: RefCell::new(publisher),
-            changed: ChangeNotifier::default(),
-            subscriber_activity: ChangeNotifier::default(),
-            closed: Cell::new(false),
-            clock,
-        })
-    }
-
-    /// Changes the publisher and lets every connection send what became due.
-    pub fn update<R>(&self, change: impl FnOnce(&mut Publisher) -> R) -> R {
-        let result = change(&mut self.publisher.borrow_mut());
-        self.changed.notify();
-        result
-    }
-
-    /// Changes the publisher without waking connections: for what can wait for the next heartbeat.
-    pub fn update_quietly<R>(&self, change: impl FnOnce(&mut Publisher) -> R) -> R {
-        change(&mut self.publisher.borrow_mut())
-    }
-
-    /// Looks at the publisher.
-    pub fn read<R>(&self, look: impl FnOnce(&Publisher) -> R) -> R {
-        look(&self.publisher.borrow())
-    }
-
-    /// Ends every connection.
-    pub fn close(&self) {
-        self.closed.set(true);
-        self.changed.notify();
-    }
-
-    /// Signals each message of a subscriber, and each end of one.
-    pub fn subscriber_activity(&self) -> &ChangeNotifier {
-        &self.subscriber_activity
-    }
-}
-
 /// Accepts subscribers for ever.
 pub async fn accept(listener: TcpListener, shared: Rc<SharedPublisher>) {
     loop {
@@ -171,7 +121,7 @@
         Ok(())
     }
 
-    fn next_frame(&self) -> Option<crate::version_history::Frame> {
+    fn next_frame(&self) -> Option<crate::frame::Frame> {
         self.shared.publisher.borrow_mut().next_frame(self.id, self.shared.clock.millis())
     }
 
--- a/crates/lockusher-distribution/src/subscriber.rs
+++ b/crates/lockusher-distribution/src/subscriber.rs
@@ -7,12 +7,12 @@
 use lockusher_config::instances::{Instance, InstanceListRevision};
 
 use crate::difference::DifferenceError;
+use crate::instance_list::InstanceList;
 use crate::load::{self, ServiceLoad};
 use crate::message::{
     AppliedVersions, ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat, InstanceListUpdate,
     NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
-use crate::publisher::InstanceList;
 
 /// Acknowledgements that answer no update are sent this often, as a sign of life.
 const KEEP_ALIVE_INTERVAL_MS: u64 = 1_000;
--- a/crates/lockusher-distribution/src/version_history.rs
+++ b/crates/lockusher-distribution/src/version_history.rs
@@ -4,34 +4,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use crate::message::{Envelope, ToSubscriber};
+use crate::frame::{Frame, encode_frame};
+use crate::versioned::Versioned;
 
 /// Versions that are kept to make differences from.
 const MAX_RETAINED_VERSIONS: usize = 8;
 
-/// An encoded frame; shared between subscribers.
-pub type Frame = Rc<[u8]>;
-
-/// Encodes a message as a frame.
-pub fn encode_frame(message: &ToSubscriber) -> Frame {
-    lockusher_transport::frame::encode(&Envelope::seal(message)).into()
-}
-
-/// A value of which versions are published.
-pub trait Versioned {
-    /// Orders the versions; the default stands for "none".
-    type Version: Copy + Ord + Default;
-
-    /// The version of this value.
-    fn version(&self) -> Self::Version;
-
-    /// The message that brings a subscriber without a usable base to this value.
-    fn full_snapshot(&self) -> ToSubscriber;
-
-    /// The message that brings a subscriber from `base` to this value.
-    fn difference(&self, base: &Self) -> ToSubscriber;
-}
-
 /// Versions of one value, newest last.
 #[derive(Debug)]
 pub struct VersionHistory<T: Versioned> {
--- a/crates/lockusher-distribution/tests/recorded_bytes.rs
+++ b/crates/lockusher-distribution/tests/recorded_bytes.rs
@@ -12,12 +12,12 @@
 };
 use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState, ModelVersion, Stage};
 use lockusher_distribution::difference::{ConfigurationDifference, InstanceListDifference, Segment};
+use lockusher_distribution::frame::encode_frame;
 use lockusher_distribution::load::ServiceLoad;
 use lockusher_distribution::message::{
     AppliedVersions, ConfigurationUpdate, Downstream, Envelope, FromSubscriber, Heartbeat,
     InstanceListUpdate, NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
-use lockusher_distribution::version_history;
 use lockusher_transport::frame;
 use recorded_bytes::{assert_encoded_as_recorded, assert_every_kind_is_sampled, kinds_of};
 
@@ -361,6 +361,6 @@
 #[test]
 fn a_publisher_s_frames_are_the_recorded_ones() {
     for (name, message) in to_subscriber() {
-        assert_eq!(version_history::encode_frame(&message)[..], encode(&message), "{name}");
+        assert_eq!(encode_frame(&message)[..], encode(&message), "{name}");
     }
 }
