--- a/crates/lockusher-distribution/src/publisher.rs
+++ b/crates/lockusher-distribution/src/publisher.rs
@@ -1,7 +1,18 @@
-//! Decides what each subscriber is sent.
+//! Decides what each subscriber is sent, and when.
 //!
-//! A subscriber has at most one unacknowledged update of each kind under way; when it acknowledges, it is brought to
-//! what is newest by then. A slow subscriber therefore skips versions, and nothing queues up for it.
+//! A [`Publisher`] has the newest routing configuration and instance list, and the state of each subscriber's
+//! connection. A control node owns one for its agents, an agent one for the proxy beside it; the connections of
+//! [`serve`](crate::serve) call it. It does no I/O and reads no clock: callers pass the time.
+//!
+//! Invariant: at most one unacknowledged update of each kind is in flight to a subscriber. When the subscriber
+//! acknowledges, it is brought to what is newest by then: a slow one skips versions, and nothing queues up for it.
+//!
+//! Source: the state-of-the-world and delta variants of Envoy's xDS protocol, of which this is a small relative.
+
+mod delivery_progress;
+mod peer_sampler;
+mod subscription;
+mod subscription_table;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -9,37 +20,27 @@
 
 use lockusher_config::configuration::Configuration;
 use lockusher_config::instances::{Instance, InstanceListRevision};
-use rand::SeedableRng;
-use rand::seq::IndexedRandom;
-use rand_chacha::ChaCha8Rng;
 
 use crate::frame::{Frame, encode_frame};
 use crate::instance_list::InstanceList;
-use crate::load::{self, ServiceLoad};
-use crate::message::{
-    AppliedVersions, Downstream, FromSubscriber, Heartbeat, NEVER_MS, SubscriberIdentity, ToSubscriber,
-};
+use crate::load::ServiceLoad;
+use crate::message::{AppliedVersions, FromSubscriber, Heartbeat, NEVER_MS, ToSubscriber};
 use crate::version_history::VersionHistory;
+use peer_sampler::PeerSampler;
+use subscription::Subscription;
+use subscription_table::SubscriptionTable;
 
-/// Pause between two heartbeats to one subscriber.
-pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
-/// A subscriber that hasn't been heard for this long is given up; it acknowledges heartbeats more often than that.
-pub const SUBSCRIBER_INACTIVITY_TIMEOUT_MS: u64 = 5_000;
-/// Pause between two samples of peers sent to one agent.
-const PEER_SAMPLE_INTERVAL_MS: u64 = 30_000;
-/// Agents in such a sample.
-const PEER_SAMPLE_SIZE: usize = 8;
-
-/// Names one connection of a subscriber.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SubscriberId(u64);
+pub use subscription::{
+    HEARTBEAT_INTERVAL_MS, SUBSCRIBER_INACTIVITY_TIMEOUT_MS, SubscriberId, SubscriberStatus,
+};
 
-/// What the heartbeats say beside the versions.
+/// What heartbeats report beside the newest versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PublisherStatus {
-    /// When a reader confirmed the newest list against the platform; absent if none has.
+    /// When a poll last confirmed the newest list against the platform, in milliseconds on the process's steady clock;
+    /// absent if none has.
     pub list_confirmed_at_ms: Option<u64>,
-    /// Calls to the platform that one reading of the whole list takes; 0 if unknown.
+    /// Calls to the platform that one poll of the full list takes; 0 if unknown.
     pub calls_per_poll: u32,
     /// Subscribed proxies in the fleet; 0 if unknown.
     pub proxies: u32,
@@ -47,74 +48,21 @@
     pub in_view: bool,
 }
 
-/// What one subscriber holds, for the status page.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SubscriberStatus {
-    pub identity: SubscriberIdentity,
-    pub acknowledged: AppliedVersions,
-    pub downstream: Downstream,
-}
-
-/// What a subscriber was sent of one kind, and acknowledged.
-#[derive(Clone, Copy, Debug, Default)]
-struct DeliveryProgress<V> {
-    applied: V,
-    in_flight: Option<V>,
-}
-
-impl<V: Copy + Ord> DeliveryProgress<V> {
-    fn acknowledge(&mut self, applied: V) {
-        self.applied = applied;
-        if self.in_flight.is_some_and(|version| applied >= version) {
-            self.in_flight = None;
-        }
-    }
-
-    fn restart(&mut self, applied: V) {
-        *self = DeliveryProgress { applied, in_flight: None };
-    }
-}
-
-#[derive(Debug)]
-struct Subscription {
-    identity: Option<SubscriberIdentity>,
-    last_contact_ms: u64,
-    configuration: DeliveryProgress<u64>,
-    list: DeliveryProgress<InstanceListRevision>,
-    downstream: Downstream,
-    heartbeat_due_ms: u64,
-    peers_due_ms: u64,
-    control_nodes_sent: bool,
-}
-
-impl Subscription {
-    fn acknowledged(&self) -> AppliedVersions {
-        AppliedVersions {
-            configuration_version: self.configuration.applied,
-            list_revision: self.list.applied,
-        }
-    }
-
-    fn agent_address(&self) -> Option<SocketAddrV4> {
-        self.identity.as_ref()?.agent_address
-    }
-}
-
-/// Holds what is newest and the state of every subscriber.
+/// The newest versions, and the state of every subscriber.
 #[derive(Debug)]
 pub struct Publisher {
     configurations: VersionHistory<Configuration>,
     lists: VersionHistory<InstanceList>,
     status: PublisherStatus,
     control_nodes: Vec<SocketAddrV4>,
+    /// `control_nodes` as a frame; absent until they are set.
     control_nodes_frame: Option<Frame>,
-    subscriptions: BTreeMap<SubscriberId, Subscription>,
-    next_id: u64,
-    random: ChaCha8Rng,
+    subscriptions: SubscriptionTable,
+    peer_sampler: PeerSampler,
 }
 
 impl Publisher {
-    /// Holds nothing yet; `seed` feeds the random choice of peers.
+    /// A publisher without any version yet; `seed` feeds the random choice of peers.
     pub fn new(seed: u64) -> Self {
         Publisher {
             configurations: VersionHistory::default(),
@@ -122,42 +70,39 @@
             status: PublisherStatus::default(),
             control_nodes: Vec::new(),
             control_nodes_frame: None,
-            subscriptions: BTreeMap::new(),
-            next_id: 0,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            subscriptions: SubscriptionTable::default(),
+            peer_sampler: PeerSampler::new(seed),
         }
     }
 
-    /// Takes a newer configuration; false if it isn't newer.
+    /// Publishes a configuration; false, and without effect, if it isn't newer.
     pub fn publish_configuration(&mut self, configuration: Rc<Configuration>) -> bool {
         self.configurations.push(configuration)
     }
 
-    /// Takes a newer list; false if it isn't newer.
+    /// Publishes a list; false, and without effect, if it isn't newer.
     pub fn publish_list(&mut self, revision: InstanceListRevision, instances: Rc<Vec<Instance>>) -> bool {
         self.lists.push(Rc::new(InstanceList { revision, instances }))
     }
 
-    /// Replaces what the next heartbeats say.
+    /// Replaces what the next heartbeats report.
     pub fn set_status(&mut self, status: PublisherStatus) {
         self.status = status;
     }
 
-    /// What the next heartbeats say.
+    /// What the next heartbeats report.
     pub fn status(&self) -> PublisherStatus {
         self.status
     }
 
-    /// Replaces the addresses at which control nodes serve subscribers; subscribers are told of a change.
+    /// Replaces the addresses at which control nodes serve subscribers; a change is sent to all subscribers.
     pub fn set_control_nodes(&mut self, control_nodes: Vec<SocketAddrV4>) {
         if control_nodes == self.control_nodes {
             return;
         }
         self.control_nodes_frame = Some(encode_frame(&ToSubscriber::ControlNodes(control_nodes.clone())));
         self.control_nodes = control_nodes;
-        for subscription in self.subscriptions.values_mut() {
-            subscription.control_nodes_sent = false;
-        }
+        self.subscriptions.iter_mut().for_each(Subscription::control_nodes_changed);
     }
 
     /// The newest configuration.
@@ -178,152 +123,85 @@
         }
     }
 
-    /// A connection came up; nothing is sent before its first message.
+    /// Adds a connection; nothing is sent on it before its first message.
     pub fn connect(&mut self, now_ms: u64) -> SubscriberId {
-        let id = SubscriberId(self.next_id);
-        self.next_id += 1;
-        let subscription = Subscription {
-            identity: None,
-            last_contact_ms: now_ms,
-            configuration: DeliveryProgress::default(),
-            list: DeliveryProgress::default(),
-            downstream: Downstream::PROXY,
-            heartbeat_due_ms: now_ms,
-            peers_due_ms: now_ms,
-            control_nodes_sent: false,
-        };
-        self.subscriptions.insert(id, subscription);
-        id
+        self.subscriptions.add(Subscription::new(now_ms))
     }
 
-    /// Connections that came up so far: many more than there are subscribers are a sign of trouble.
-    pub fn connections_made(&self) -> u64 {
-        self.next_id
-    }
-
-    /// A connection ended.
+    /// Removes a connection that ended.
     pub fn disconnect(&mut self, id: SubscriberId) {
-        self.subscriptions.remove(&id);
+        self.subscriptions.remove(id);
     }
 
     /// Takes a message of a subscriber.
     pub fn receive(&mut self, id: SubscriberId, now_ms: u64, message: FromSubscriber) {
-        let Some(subscription) = self.subscriptions.get_mut(&id) else { return };
-        subscription.last_contact_ms = now_ms;
-        match message {
-            FromSubscriber::Subscribe { identity, applied } => {
-                subscription.identity = Some(identity);
-                subscription.configuration.restart(applied.configuration_version);
-                subscription.list.restart(applied.list_revision);
-            }
-            FromSubscriber::Acknowledge { applied, downstream } => {
-                subscription.configuration.acknowledge(applied.configuration_version);
-                subscription.list.acknowledge(applied.list_revision);
-                subscription.downstream = downstream;
-            }
-            FromSubscriber::RequestFullSnapshot { configuration, list } => {
-                if configuration {
-                    subscription.configuration.restart(0);
-                }
-                if list {
-                    subscription.list.restart(InstanceListRevision::default());
-                }
-            }
+        if let Some(subscription) = self.subscriptions.get_mut(id) {
+            subscription.receive(now_ms, message);
         }
     }
 
-    /// The next frame that is due to a subscriber; called until there is none.
+    /// The next frame that is due to a subscriber; to be called until there is none.
     pub fn next_frame(&mut self, id: SubscriberId, now_ms: u64) -> Option<Frame> {
-        let subscription = self.subscriptions.get_mut(&id)?;
-        subscription.identity.as_ref()?;
-        if !subscription.control_nodes_sent {
-            subscription.control_nodes_sent = true;
-            if let Some(frame) = &self.control_nodes_frame {
-                return Some(Rc::clone(frame));
-            }
-        }
-        if subscription.configuration.in_flight.is_none()
-            && let Some(frame) = self.configurations.update_frame(subscription.configuration.applied)
-        {
-            subscription.configuration.in_flight = Some(self.configurations.newest_version());
-            return Some(frame);
-        }
-        if subscription.list.in_flight.is_none()
-            && let Some(frame) = self.lists.update_frame(subscription.list.applied)
-        {
-            subscription.list.in_flight = Some(self.lists.newest_version());
-            return Some(frame);
-        }
-        if now_ms >= subscription.heartbeat_due_ms {
-            subscription.heartbeat_due_ms = now_ms + HEARTBEAT_INTERVAL_MS;
-            return Some(encode_frame(&ToSubscriber::Heartbeat(self.heartbeat(now_ms))));
-        }
-        self.peers_frame(id, now_ms)
-    }
-
-    /// When [`Publisher::next_frame`] has something for this subscriber even if nothing changes.
+        let subscription = self.subscriptions.get_mut(id)?;
+        subscription.identity()?;
+        subscription
+            .take_due_control_nodes(self.control_nodes_frame.as_ref())
+            .or_else(|| subscription.configuration.next_update(&mut self.configurations))
+            .or_else(|| subscription.list.next_update(&mut self.lists))
+            .or_else(|| self.heartbeat_frame(id, now_ms))
+            .or_else(|| self.peers_frame(id, now_ms))
+    }
+
+    /// When [`Publisher::next_frame`] has a frame for this subscriber even if nothing changes; absent if its connection
+    /// has ended.
     pub fn next_due_ms(&self, id: SubscriberId) -> Option<u64> {
-        self.subscriptions.get(&id).map(|subscription| subscription.heartbeat_due_ms)
+        self.subscriptions.get(id).map(Subscription::heartbeat_due_ms)
     }
 
-    /// Whether a subscriber hasn't been heard for too long.
+    /// Whether a subscriber's connection is to be closed, for there was no message for
+    /// [`SUBSCRIBER_INACTIVITY_TIMEOUT_MS`].
     pub fn is_inactive(&self, id: SubscriberId, now_ms: u64) -> bool {
-        let Some(subscription) = self.subscriptions.get(&id) else { return true };
-        now_ms.saturating_sub(subscription.last_contact_ms) >= SUBSCRIBER_INACTIVITY_TIMEOUT_MS
+        self.subscriptions.get(id).is_none_or(|subscription| subscription.is_inactive(now_ms))
+    }
+
+    /// Connections that came up so far: many more than there are subscribers are a sign of a fault.
+    pub fn connections_made(&self) -> u64 {
+        self.subscriptions.connections_made()
     }
 
-    /// What every subscriber holds.
+    /// The status of every subscriber.
     pub fn subscribers(&self) -> impl Iterator<Item = SubscriberStatus> {
-        self.subscriptions.values().filter_map(|subscription| {
-            Some(SubscriberStatus {
-                identity: subscription.identity.clone()?,
-                acknowledged: subscription.acknowledged(),
-                downstream: subscription.downstream.clone(),
-            })
-        })
+        self.subscriptions.statuses()
     }
 
     /// Number of nodes that are subscribed; one that has two connections counts once.
     pub fn subscribed_nodes(&self) -> usize {
-        let nodes = self.subscriptions.values().filter_map(|subscription| subscription.identity.as_ref());
-        nodes.map(|identity| identity.node.as_str()).collect::<std::collections::BTreeSet<_>>().len()
+        self.subscriptions.node_count()
     }
 
-    /// Number of proxies that are fed by way of this publisher. Publishers that follow each other make a tree: each says
-    /// how many stand behind it, and the root's count is that of the fleet.
+    /// Number of proxies that are fed by way of this publisher, directly or over other publishers.
     pub fn downstream_proxies(&self) -> u32 {
-        let mut by_node: BTreeMap<&str, u32> = BTreeMap::new();
-        for subscription in self.subscriptions.values() {
-            let Some(identity) = &subscription.identity else { continue };
-            let proxies = by_node.entry(&identity.node).or_default();
-            *proxies = subscription.downstream.proxies.max(*proxies);
-        }
-        by_node.values().fold(0, |sum, proxies| sum.saturating_add(*proxies))
+        self.subscriptions.downstream_proxies()
     }
 
-    /// What the proxies that are fed by way of this publisher see of the services, summed over them. A node that has
-    /// two connections counts by the newer one.
+    /// The load that the proxies fed by way of this publisher see, summed by service.
     pub fn downstream_loads(&self) -> Vec<ServiceLoad> {
-        let mut by_node: BTreeMap<&str, &[ServiceLoad]> = BTreeMap::new();
-        for subscription in self.subscriptions.values() {
-            let Some(identity) = &subscription.identity else { continue };
-            by_node.insert(&identity.node, &subscription.downstream.loads);
-        }
-        load::sum(by_node.into_values().flatten())
+        self.subscriptions.downstream_loads()
     }
 
     /// Number of subscribers by the configuration version that they acknowledged.
     pub fn acknowledged_versions(&self) -> BTreeMap<u64, usize> {
-        let mut counts = BTreeMap::new();
-        for subscription in self.subscriptions.values().filter(|known| known.identity.is_some()) {
-            *counts.entry(subscription.configuration.applied).or_default() += 1;
-        }
-        counts
+        self.subscriptions.acknowledged_versions()
     }
 
-    /// The highest revision that a subscriber says it holds.
+    /// The highest list revision that a subscriber has applied.
     pub fn highest_applied_revision(&self) -> InstanceListRevision {
-        self.subscriptions.values().map(|subscription| subscription.list.applied).max().unwrap_or_default()
+        self.subscriptions.highest_applied_revision()
+    }
+
+    fn heartbeat_frame(&mut self, id: SubscriberId, now_ms: u64) -> Option<Frame> {
+        let is_due = self.subscriptions.get_mut(id)?.take_due_heartbeat(now_ms);
+        is_due.then(|| encode_frame(&ToSubscriber::Heartbeat(self.heartbeat(now_ms))))
     }
 
     fn heartbeat(&self, now_ms: u64) -> Heartbeat {
@@ -337,19 +215,18 @@
         }
     }
 
+    /// A sample of other agents, if one is due; never for a proxy.
     fn peers_frame(&mut self, id: SubscriberId, now_ms: u64) -> Option<Frame> {
-        let subscription = self.subscriptions.get_mut(&id)?;
+        let subscription = self.subscriptions.get_mut(id)?;
         let own = subscription.agent_address()?;
-        if now_ms < subscription.peers_due_ms {
+        if !subscription.take_due_peer_sample(now_ms) {
             return None;
         }
-        subscription.peers_due_ms = now_ms + PEER_SAMPLE_INTERVAL_MS;
-        let others = self.subscriptions.values().filter_map(Subscription::agent_address);
-        let others: Vec<SocketAddrV4> = others.filter(|address| *address != own).collect();
+        let others = self.subscriptions.agent_addresses().filter(|address| *address != own);
+        let others: Vec<SocketAddrV4> = others.collect();
         if others.is_empty() {
             return None;
         }
-        let sample = others.sample(&mut self.random, PEER_SAMPLE_SIZE).copied().collect();
-        Some(encode_frame(&ToSubscriber::Peers(sample)))
+        Some(encode_frame(&ToSubscriber::Peers(self.peer_sampler.sample(&others))))
     }
 }
