--- a/crates/lockusher-distribution/src/instance_list_client.rs
+++ b/crates/lockusher-distribution/src/instance_list_client.rs
@@ -1,4 +1,6 @@
-//! Makes a list reader's calls to the platform.
+//! Makes an [`InstanceListPoller`]'s calls to the platform.
+//!
+//! Called by the task that polls: at the head of the control plane, and at an agent whose lists are stale.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,12 +12,12 @@
 
 use crate::instance_list_poller::{InstanceListPoll, InstanceListPoller, PollerStep};
 
-/// The longest that a call may take.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest pause before the reader is asked again, so that a change of its pace is seen.
+/// The longest wait before the poller is asked again, in milliseconds, so that a change of its pace takes effect.
 const MAX_WAIT_MS: u64 = 500;
 
-/// Makes one step: a pause or a call. Returns the list when a call made it whole.
+/// Makes one step: a wait or a call. Returns the list when a call completed it.
 pub async fn step(
     poller: &mut InstanceListPoller,
     platform: SocketAddrV4,
@@ -31,7 +33,7 @@
     }
 }
 
-/// Reads until the next whole list. The reader must have been started.
+/// Polls until the next full list. The poller must have been started.
 pub async fn next_poll(
     poller: &mut InstanceListPoller,
     platform: SocketAddrV4,
@@ -53,29 +55,41 @@
     let answer = http::get(platform, path, CALL_TIMEOUT).await;
     let now_ms = clock.millis();
     match answer {
-        Ok(answer) if answer.status == StatusCode::OK => match InstancePage::parse(&answer.body) {
-            Ok(page) => {
-                page.skipped.iter().for_each(|fault| log::warn!("platform's list: {fault}"));
-                return poller.page(now_ms, page);
-            }
-            Err(faults) => {
-                log::warn!("platform's list: {faults}");
-                poller.fail(now_ms);
-            }
-        },
-        Ok(answer) if is_passing(answer.status) => poller.back_off(now_ms),
+        Ok(answer) if answer.status == StatusCode::OK => receive_body(poller, now_ms, &answer.body),
+        Ok(answer) if is_passing(answer.status) => {
+            poller.back_off(now_ms);
+            None
+        }
         Ok(answer) => {
             log::warn!("platform's list: {path} answered {}", answer.status);
-            poller.fail(now_ms);
+            poller.restart(now_ms);
+            None
         }
         Err(error) => {
             log::debug!("platform's list: {error}");
             poller.back_off(now_ms);
+            None
+        }
+    }
+}
+
+fn receive_body(poller: &mut InstanceListPoller, now_ms: u64, body: &[u8]) -> Option<InstanceListPoll> {
+    match InstancePage::parse(body) {
+        Ok(page) => {
+            for fault in &page.skipped {
+                log::warn!("platform's list: {fault}");
+            }
+            poller.receive_page(now_ms, page)
+        }
+        Err(faults) => {
+            log::warn!("platform's list: {faults}");
+            poller.restart(now_ms);
+            None
         }
     }
-    None
 }
 
+/// Whether the same call may succeed later.
 fn is_passing(status: StatusCode) -> bool {
     status == StatusCode::TOO_MANY_REQUESTS || status.is_server_error()
 }
--- a/crates/lockusher-distribution/tests/instance_list_poller.rs
+++ b/crates/lockusher-distribution/tests/instance_list_poller.rs
@@ -30,7 +30,7 @@
         *now_ms = at_ms;
         let token = format!("p-{number}");
         let last = number + 1 == pages.len();
-        if let Some(poll) = poller.page(at_ms, page(instances, (!last).then_some(token.as_str()))) {
+        if let Some(poll) = poller.receive_page(at_ms, page(instances, (!last).then_some(token.as_str()))) {
             return poll;
         }
     }
@@ -51,10 +51,10 @@
 fn pages_are_followed_to_the_last_and_assembled_in_order() {
     let mut poller = lone();
     assert_eq!(next_call(&mut poller, 5), (5, "/instances".to_owned()));
-    assert_eq!(poller.page(6, page(&[instance("c")], Some("p 1/2"))), None);
+    assert_eq!(poller.receive_page(6, page(&[instance("c")], Some("p 1/2"))), None);
     let (at_ms, path) = next_call(&mut poller, 6);
     assert_eq!(path, "/instances?pageToken=p%201%2F2");
-    let poll = poller.page(at_ms, page(&[instance("a"), instance("b")], None)).expect("a whole list");
+    let poll = poller.receive_page(at_ms, page(&[instance("a"), instance("b")], None)).expect("a whole list");
     assert_eq!(names(&poll), ["a", "b", "c"]);
     assert_eq!((poll.started_at_ms, poll.calls, poll.changed), (5, 2, true));
 }
@@ -115,7 +115,7 @@
 fn a_refused_call_is_made_again_later_and_later() {
     let mut poller = lone();
     let mut now_ms = next_call(&mut poller, 0).0;
-    poller.page(now_ms, page(&[instance("a")], Some("p-1")));
+    poller.receive_page(now_ms, page(&[instance("a")], Some("p-1")));
     let mut pauses = Vec::new();
     for _ in 0..8 {
         let (at_ms, _) = next_call(&mut poller, now_ms);
@@ -135,9 +135,9 @@
 fn a_page_that_is_not_known_any_more_starts_the_reading_anew() {
     let mut poller = lone();
     poller.next_step(0);
-    poller.page(0, page(&[instance("a")], Some("p-1")));
+    poller.receive_page(0, page(&[instance("a")], Some("p-1")));
     next_call(&mut poller, 0);
-    poller.fail(10);
+    poller.restart(10);
     assert_eq!(next_call(&mut poller, 10).1, "/instances");
 }
 
@@ -151,11 +151,11 @@
 }
 
 /// Calls of `readers` agents, by second.
-fn calls_by_second(readers: u32, pages: u32, rate_per_s: f64, seconds: u64) -> BTreeMap<u64, u32> {
+fn calls_by_second(pollers: u32, pages: u32, rate_per_s: f64, seconds: u64) -> BTreeMap<u64, u32> {
     let mut calls = BTreeMap::new();
-    for number in 0..readers {
+    for number in 0..pollers {
         let mut poller = InstanceListPoller::concurrent(rate_per_s, 3_000, u64::from(number));
-        poller.set_pollers(readers);
+        poller.set_pollers(pollers);
         poller.set_calls(pages);
         poller.start(0);
         let mut now_ms = 0;
@@ -165,7 +165,7 @@
             *calls.entry(now_ms / 1_000).or_default() += 1;
             read += 1;
             let token = (read % pages != 0).then_some("p");
-            poller.page(now_ms, page(&[instance("a")], token));
+            poller.receive_page(now_ms, page(&[instance("a")], token));
         }
     }
     calls.retain(|second, _| *second < seconds);
@@ -179,15 +179,15 @@
     tiny = { 6, 1, 40.0 },
     tiny_and_slow = { 4, 2, 3.0 },
 )]
-fn agents_that_all_read_stay_under_the_rate(readers: u32, pages: u32, rate_per_s: f64) {
+fn agents_that_all_read_stay_under_the_rate(pollers: u32, pages: u32, rate_per_s: f64) {
     let seconds = 600;
-    let calls = calls_by_second(readers, pages, rate_per_s, seconds);
+    let calls = calls_by_second(pollers, pages, rate_per_s, seconds);
     let total: u32 = calls.values().sum();
     let mean = f64::from(total) / seconds as f64;
     assert!(mean <= 0.6 * rate_per_s, "{mean} calls a second on average");
     let over = calls.values().filter(|count| f64::from(**count) > rate_per_s).count();
     assert!(over as f64 <= 0.03 * seconds as f64, "{over} seconds over the rate");
-    assert!(mean >= 0.3 * rate_per_s || f64::from(readers) * 0.9 <= mean, "{mean}: the rate lies idle");
+    assert!(mean >= 0.3 * rate_per_s || f64::from(pollers) * 0.9 <= mean, "{mean}: the rate lies idle");
 }
 
 #[test]
@@ -198,7 +198,7 @@
     for read in 1..=3_000 {
         now_ms = next_call(&mut poller, now_ms).0;
         *calls.entry(now_ms / 1_000).or_default() += 1;
-        poller.page(now_ms, page(&[instance("a")], (read % 60 != 0).then_some("p")));
+        poller.receive_page(now_ms, page(&[instance("a")], (read % 60 != 0).then_some("p")));
     }
     assert!(calls.values().all(|count| *count <= 41), "{:?}", calls.values().max());
 }
