--- a/crates/lockusher-control/src/driver/disk.rs
+++ b/crates/lockusher-control/src/driver/disk.rs
@@ -138,7 +138,7 @@
         if completion.ticket == SCRUB_TICKET {
             return None;
         }
-        self.snapshot_wanted.set(completion.wants_snapshot);
+        self.snapshot_wanted.set(completion.snapshot_due);
         if let Err(error) = &completion.result {
             log::warn!("disk: {error}");
         }
--- a/crates/lockusher-storage/src/disk.rs
+++ b/crates/lockusher-storage/src/disk.rs
@@ -10,12 +10,12 @@
 #[derive(Debug)]
 pub struct DiskFileSystem {
     directory: PathBuf,
-    open: Option<OpenFile>,
+    open: Option<CachedHandle>,
 }
 
 /// The file that was written last.
 #[derive(Debug)]
-struct OpenFile {
+struct CachedHandle {
     name: String,
     file: File,
 }
@@ -34,17 +34,17 @@
         let reuse = self.open.as_ref().is_some_and(|open| open.name == name);
         if !reuse {
             let file = OpenOptions::new().write(true).open(self.path(name))?;
-            return Ok(self.keep_open(name, file));
+            return Ok(self.cache_handle(name, file));
         }
         Ok(&mut self.open.as_mut().expect("checked above").file)
     }
 
-    fn keep_open(&mut self, name: &str, file: File) -> &mut File {
-        let open = OpenFile { name: name.to_owned(), file };
+    fn cache_handle(&mut self, name: &str, file: File) -> &mut File {
+        let open = CachedHandle { name: name.to_owned(), file };
         &mut self.open.insert(open).file
     }
 
-    fn forget(&mut self, name: &str) {
+    fn drop_handle(&mut self, name: &str) {
         if self.open.as_ref().is_some_and(|open| open.name == name) {
             self.open = None;
         }
@@ -81,7 +81,7 @@
             fs::create_dir_all(&self.directory)?;
         }
         let file = OpenOptions::new().write(true).create(true).truncate(true).open(self.path(name))?;
-        self.keep_open(name, file);
+        self.cache_handle(name, file);
         Ok(())
     }
 
@@ -98,7 +98,7 @@
     }
 
     fn remove(&mut self, name: &str) -> Result<(), FileError> {
-        self.forget(name);
+        self.drop_handle(name);
         match fs::remove_file(self.path(name)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error.into()),
             _ => Ok(()),
--- a/crates/lockusher-storage/src/lib.rs
+++ b/crates/lockusher-storage/src/lib.rs
@@ -18,6 +18,6 @@
 pub use error::{Damage, FileError, StoreError};
 pub use file_system::FileSystem;
 pub use recovery::{Recovered, RecoveryReport};
-pub use simulated::{Choices, Fault, Mistake, SimulatedFileSystem};
+pub use simulated::{Choices, Fault, InjectedBug, SimulatedFileSystem};
 pub use store::{Store, StoreOptions};
 pub use writer::{Completion, Completions, Job, StoreWriter, SubmitError};
--- a/crates/lockusher-storage/src/recovery.rs
+++ b/crates/lockusher-storage/src/recovery.rs
@@ -4,9 +4,9 @@
 use crate::{Damage, FileSystem, StoreError};
 
 /// Marks a reset that has begun; see [`Store::reset`](crate::Store::reset).
-pub(crate) const RESET_MARKER: &str = "reset";
+pub(crate) const RESET_MARKER_FILE: &str = "reset";
 /// Room that is given up for a snapshot when the disk is full.
-pub(crate) const RESERVE: &str = "reserve";
+pub(crate) const RESERVE_FILE: &str = "reserve";
 
 /// What a store held when it was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -73,7 +73,7 @@
     /// Frame before which the newest snapshot holds everything, and the size of its file.
     pub snapshot: Option<(u64, u64)>,
     /// Segments before the last, oldest first.
-    pub full_segments: Vec<StoredFile>,
+    pub closed_segments: Vec<StoredFile>,
     /// The segment before the last, where its seal isn't written yet. It is among the full ones as well.
     pub unsealed: Option<OpenSegment>,
     /// The last segment; `None` in an empty folder.
@@ -108,30 +108,30 @@
 
 /// Removes everything, in such an order that a loss of power between leaves a folder that is emptied at opening.
 pub(crate) fn reset<F: FileSystem>(files: &mut F) -> Result<(), StoreError> {
-    files.create(RESET_MARKER)?;
-    files.sync_file(RESET_MARKER)?;
+    files.create(RESET_MARKER_FILE)?;
+    files.sync_file(RESET_MARKER_FILE)?;
     files.sync_directory()?;
     remove_all(files)
 }
 
 fn complete_reset<F: FileSystem>(files: &mut F) -> Result<bool, StoreError> {
-    let begun = files.list()?.iter().any(|name| name == RESET_MARKER);
-    if begun {
+    let reset_pending = files.list()?.iter().any(|name| name == RESET_MARKER_FILE);
+    if reset_pending {
         remove_all(files)?;
     }
-    Ok(begun)
+    Ok(reset_pending)
 }
 
 fn remove_all<F: FileSystem>(files: &mut F) -> Result<(), StoreError> {
     // The marker may be there without being durable yet, and must outlast the files.
     files.sync_directory()?;
     for name in files.list()? {
-        if FileKind::of(&name).is_some() || name == RESERVE {
+        if FileKind::of(&name).is_some() || name == RESERVE_FILE {
             files.remove(&name)?;
         }
     }
     files.sync_directory()?;
-    files.remove(RESET_MARKER)?;
+    files.remove(RESET_MARKER_FILE)?;
     files.sync_directory()?;
     Ok(())
 }
@@ -142,7 +142,7 @@
         match FileKind::of(&name) {
             Some(FileKind::Segment(first_frame)) => names.segments.push(first_frame),
             Some(FileKind::Snapshot(first_frame)) => names.snapshots.push(first_frame),
-            None if name == RESERVE => layout.reserve_bytes = files.length(RESERVE)?,
+            None if name == RESERVE_FILE => layout.reserve_bytes = files.length(RESERVE_FILE)?,
             None => log::warn!("{name}: not a file of the store, left alone"),
         }
     }
@@ -191,22 +191,22 @@
     }
     check_first_segment(start, needed.first().copied(), layout)?;
 
-    let mut chain = Chain { last_first_frame: start, previous: None };
+    let mut sequence = SegmentSequence { last_first_frame: start, previous: None };
     for (index, &first_frame) in needed.iter().enumerate() {
         let content = files.read(&FileKind::Segment(first_frame).name())?;
         let is_last = index + 1 == needed.len();
         let Some(mut segment) = format::decode_segment(first_frame, &content)? else {
-            chain.check_unused(first_frame, is_last, layout)?;
+            sequence.check_unused(first_frame, is_last, layout)?;
             layout.unused_segment = Some(FileKind::Segment(first_frame).name());
             continue;
         };
-        chain.check(first_frame, &segment, is_last)?;
+        sequence.check(first_frame, &segment, is_last)?;
         recovered.records.append(&mut segment.records);
         recovered.report.segments += 1;
         recovered.report.torn_bytes += segment.torn_bytes;
-        chain.add(first_frame, segment, layout);
+        sequence.add(first_frame, segment, layout);
     }
-    chain.finish(layout)
+    sequence.finish(layout)
 }
 
 fn check_first_segment(start: u64, first: Option<u64>, layout: &Layout) -> Result<(), Damage> {
@@ -225,19 +225,19 @@
 }
 
 /// The segments as far as they were read.
-struct Chain {
+struct SegmentSequence {
     last_first_frame: u64,
     previous: Option<Segment>,
 }
 
-impl Chain {
+impl SegmentSequence {
     /// A segment whose header never became durable may only be the last, begun but not yet counted on.
     fn check_unused(&self, first_frame: u64, is_last: bool, layout: &Layout) -> Result<(), Damage> {
-        let begun = match &self.previous {
+        let may_be_unused = match &self.previous {
             Some(previous) => !previous.sealed,
             None => first_frame == 0 && layout.snapshot.is_none(),
         };
-        match is_last && begun {
+        match is_last && may_be_unused {
             true => Ok(()),
             false => Err(Damage::SegmentHeader { file: FileKind::Segment(first_frame).name() }),
         }
@@ -268,7 +268,7 @@
 
     fn add(&mut self, first_frame: u64, segment: Segment, layout: &mut Layout) {
         if let Some(tail) = layout.tail.take() {
-            layout.full_segments.push(StoredFile { name: tail.name(), bytes: tail.length });
+            layout.closed_segments.push(StoredFile { name: tail.name(), bytes: tail.length });
             let sealed = self.previous.as_ref().is_some_and(|previous| previous.sealed);
             layout.unsealed = (!sealed).then_some(tail);
         }
--- a/crates/lockusher-storage/src/simulated.rs
+++ b/crates/lockusher-storage/src/simulated.rs
@@ -20,12 +20,12 @@
     /// It fails; a write leaves half of its bytes.
     Io,
     /// It fails although it was carried out.
-    IoAfterwards,
+    IoAfterEffect,
 }
 
 /// A mistake put in on purpose, which a test must find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mistake {
+pub enum InjectedBug {
     /// The sync of the folder does nothing.
     NoDirectorySync,
     /// The sync of a file does nothing.
@@ -48,7 +48,7 @@
     faults: BTreeMap<u64, Fault>,
     capacity: Option<u64>,
     read_only: bool,
-    mistake: Option<Mistake>,
+    injected_bug: Option<InjectedBug>,
 }
 
 /// A name with what it may stand for after a loss of power: the last value is the current one, and the first is the
@@ -111,8 +111,8 @@
     }
 
     /// Puts in a mistake.
-    pub fn set_mistake(&self, mistake: Mistake) {
-        self.disk().mistake = Some(mistake);
+    pub fn inject_bug(&self, injected_bug: InjectedBug) {
+        self.disk().injected_bug = Some(injected_bug);
     }
 
     /// Loses power: of what wasn't synced, each part is kept, lost or torn as the choices say. Then power is back.
@@ -184,17 +184,17 @@
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), FileError> {
         self.disk().operate(true, |disk, fault| {
             let file = disk.find(name)?;
-            let room = disk.room_for(file, offset as usize, bytes.len());
+            let free_space = disk.bytes_that_fit(file, offset as usize, bytes.len());
             let written = match fault {
-                Some(Fault::NoSpace | Fault::Io) => room.min(bytes.len() / 2),
-                _ => room,
+                Some(Fault::NoSpace | Fault::Io) => free_space.min(bytes.len() / 2),
+                _ => free_space,
             };
             disk.written_bytes += written as u64;
             if written > 0 {
                 disk.files[file]
                     .change(Change::Write { offset: offset as usize, bytes: bytes[..written].to_vec() });
             }
-            match room < bytes.len() {
+            match free_space < bytes.len() {
                 true => Err(FileError::NoSpace),
                 false => Ok(()),
             }
@@ -204,7 +204,7 @@
     fn truncate(&mut self, name: &str, length: u64) -> Result<(), FileError> {
         self.disk().operate(true, |disk, fault| {
             let file = disk.find(name)?;
-            if carried_out(fault) {
+            if takes_effect(fault) {
                 disk.files[file].change(Change::Truncate { length: length as usize });
             }
             Ok(())
@@ -213,7 +213,7 @@
 
     fn remove(&mut self, name: &str) -> Result<(), FileError> {
         self.disk().operate(false, |disk, fault| {
-            if carried_out(fault) && disk.find(name).is_ok() {
+            if takes_effect(fault) && disk.find(name).is_ok() {
                 disk.set_name(name, None);
             }
             Ok(())
@@ -223,7 +223,7 @@
     fn sync_file(&mut self, name: &str) -> Result<(), FileError> {
         self.disk().operate(false, |disk, fault| {
             let file = disk.find(name)?;
-            if carried_out(fault) && disk.mistake != Some(Mistake::NoFileSync) {
+            if takes_effect(fault) && disk.injected_bug != Some(InjectedBug::NoFileSync) {
                 disk.files[file].sync();
             }
             Ok(())
@@ -232,16 +232,16 @@
 
     fn sync_directory(&mut self) -> Result<(), FileError> {
         self.disk().operate(false, |disk, fault| {
-            if carried_out(fault) && disk.mistake != Some(Mistake::NoDirectorySync) {
+            if takes_effect(fault) && disk.injected_bug != Some(InjectedBug::NoDirectorySync) {
                 disk.names.values_mut().for_each(Name::sync);
-                disk.forget_removed();
+                disk.drop_unreferenced_contents();
             }
             Ok(())
         })
     }
 }
 
-fn carried_out(fault: Option<Fault>) -> bool {
+fn takes_effect(fault: Option<Fault>) -> bool {
     !matches!(fault, Some(Fault::NoSpace | Fault::Io))
 }
 
@@ -262,7 +262,7 @@
         match fault {
             None => Ok(()),
             Some(Fault::NoSpace) => Err(FileError::NoSpace),
-            Some(Fault::Io | Fault::IoAfterwards) => {
+            Some(Fault::Io | Fault::IoAfterEffect) => {
                 Err(FileError::Io { message: "simulated fault".to_owned() })
             }
         }
@@ -298,7 +298,7 @@
     }
 
     /// How many of the bytes fit.
-    fn room_for(&self, file: usize, offset: usize, length: usize) -> usize {
+    fn bytes_that_fit(&self, file: usize, offset: usize, length: usize) -> usize {
         let Some(capacity) = self.capacity else {
             return length;
         };
@@ -308,7 +308,7 @@
     }
 
     /// Drops the contents of files that no name stands for, nor may after a loss of power.
-    fn forget_removed(&mut self) {
+    fn drop_unreferenced_contents(&mut self) {
         self.names.retain(|_, name| name.values != [None]);
         let present: Vec<usize> =
             self.names.values().flat_map(|name| name.values.clone()).flatten().collect();
@@ -322,11 +322,11 @@
     fn lose_power(&mut self, choices: &mut dyn Choices) {
         for name in self.names.values_mut() {
             if name.values.len() > 1 {
-                let kept = choices.choose(name.values.len());
-                name.values = vec![name.values[kept]];
+                let chosen = choices.choose(name.values.len());
+                name.values = vec![name.values[chosen]];
             }
         }
-        self.forget_removed();
+        self.drop_unreferenced_contents();
         for file in &mut self.files {
             file.lose_power(choices);
         }
--- a/crates/lockusher-storage/src/simulated_file.rs
+++ b/crates/lockusher-storage/src/simulated_file.rs
@@ -44,7 +44,7 @@
 
     pub(crate) fn lose_power(&mut self, choices: &mut dyn Choices) {
         for change in self.pending.drain(..) {
-            change.apply_in_part(&mut self.durable, choices);
+            change.apply_partially(&mut self.durable, choices);
         }
         self.current.clone_from(&self.durable);
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    fn apply_in_part(self, content: &mut Vec<u8>, choices: &mut dyn Choices) {
+    fn apply_partially(self, content: &mut Vec<u8>, choices: &mut dyn Choices) {
         match self {
             Change::Truncate { length } => {
                 if choices.choose(2) == 1 {
--- a/crates/lockusher-storage/src/store.rs
+++ b/crates/lockusher-storage/src/store.rs
@@ -1,23 +1,23 @@
-//! The store: appends, snapshots, and how it mends itself after the disk refused.
+//! The store: appends, snapshots, and how it repairs itself after the disk refused.
 
 use crate::format::{self, FileKind};
-use crate::recovery::{self, Layout, OpenSegment, RESERVE, StoredFile};
+use crate::recovery::{self, Layout, OpenSegment, RESERVE_FILE, StoredFile};
 use crate::{Damage, FileError, FileSystem, Recovered, StoreError};
 
 /// A snapshot is wanted when the log is this part of the disk ...
-const LOG_PART_OF_DISK: u64 = 16;
+const LOG_DISK_DIVISOR: u64 = 16;
 /// ... and this many times as large as the newest snapshot, so that few bytes are written for one that is appended.
-const LOG_PER_SNAPSHOT: u64 = 2;
+const LOG_BYTES_PER_SNAPSHOT_BYTE: u64 = 2;
 /// A segment is ended at this part of the disk.
-const SEGMENT_PART_OF_DISK: u64 = 64;
+const SEGMENT_DISK_DIVISOR: u64 = 64;
 /// This part of the disk is kept for the next snapshot: appends don't use it.
-const SNAPSHOT_PART_OF_DISK: u64 = 4;
+const SNAPSHOT_DISK_DIVISOR: u64 = 4;
 /// The reserve file is at most this part of the disk ...
-const RESERVE_PART_OF_DISK: u64 = 8;
+const RESERVE_DISK_DIVISOR: u64 = 8;
 /// ... and at least this many bytes.
-const SMALLEST_RESERVE: u64 = 64 * 1024;
+const MIN_RESERVE_BYTES: u64 = 64 * 1024;
 /// Size that an unknown disk is taken to have, for the thresholds above.
-const UNKNOWN_DISK_BYTES: u64 = 128 * 1024 * 1024;
+const ASSUMED_DISK_BYTES: u64 = 128 * 1024 * 1024;
 
 /// Settings of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,23 +29,23 @@
 impl StoreOptions {
     fn disk(self) -> u64 {
         match self.disk_bytes {
-            0 => UNKNOWN_DISK_BYTES,
+            0 => ASSUMED_DISK_BYTES,
             bytes => bytes,
         }
     }
 
     fn segment_bytes(self) -> u64 {
-        self.disk() / SEGMENT_PART_OF_DISK
+        self.disk() / SEGMENT_DISK_DIVISOR
     }
 
     /// Most bytes of snapshot and log together.
     fn append_limit(self) -> u64 {
-        self.disk() - self.disk() / SNAPSHOT_PART_OF_DISK
+        self.disk() - self.disk() / SNAPSHOT_DISK_DIVISOR
     }
 
     fn reserve_bytes(self, snapshot_bytes: u64) -> u64 {
-        let largest = self.disk() / RESERVE_PART_OF_DISK;
-        (2 * snapshot_bytes).max(SMALLEST_RESERVE).min(largest)
+        let largest = self.disk() / RESERVE_DISK_DIVISOR;
+        (2 * snapshot_bytes).max(MIN_RESERVE_BYTES).min(largest)
     }
 }
 
@@ -58,7 +58,7 @@
     /// The segment before the tail, while its seal isn't known to be durable.
     unsealed: Option<OpenSegment>,
     /// Segments before the tail.
-    full_segments: Vec<StoredFile>,
+    closed_segments: Vec<StoredFile>,
     /// Frame before which the newest snapshot holds everything, and the size of its file.
     snapshot: Option<(u64, u64)>,
     /// Files to be removed. Each may still come back after a loss of power, which does no harm.
@@ -67,7 +67,7 @@
     abandoned_segment: Option<String>,
     reserve_bytes: u64,
     /// The disk had no room for an append.
-    space_refused: bool,
+    append_out_of_space: bool,
 }
 
 impl<F: FileSystem> Store<F> {
@@ -85,7 +85,7 @@
                 sync_all(&mut files, &layout, &tail)?;
                 tail
             }
-            None => begin_segment(&mut files, 0)?,
+            None => create_segment(&mut files, 0)?,
         };
         let tail_name = tail.name();
         let mut store = Store {
@@ -93,14 +93,14 @@
             options,
             tail,
             unsealed: layout.unsealed,
-            full_segments: layout.full_segments,
+            closed_segments: layout.closed_segments,
             snapshot: layout.snapshot,
             obsolete: layout.obsolete,
             abandoned_segment: layout.unused_segment.filter(|name| *name != tail_name),
             reserve_bytes: layout.reserve_bytes,
-            space_refused: false,
+            append_out_of_space: false,
         };
-        store.mend_at_open();
+        store.repair_at_open();
         Ok((store, recovered))
     }
 
@@ -121,7 +121,7 @@
             return Ok(());
         }
         let result = self.append_frame(records);
-        self.space_refused = matches!(result, Err(StoreError::NoSpace));
+        self.append_out_of_space = matches!(result, Err(StoreError::NoSpace));
         result
     }
 
@@ -132,8 +132,8 @@
     ///
     /// After any of them the log stands as before.
     pub fn snapshot(&mut self, snapshot: &[u8]) -> Result<(), StoreError> {
-        let bytes = (format::SNAPSHOT_HEADER + snapshot.len()) as u64;
-        if snapshot.len() as u64 > format::MAX_PAYLOAD {
+        let bytes = (format::SNAPSHOT_HEADER_BYTES + snapshot.len()) as u64;
+        if snapshot.len() as u64 > format::MAX_PAYLOAD_BYTES {
             return Err(StoreError::TooLarge { bytes });
         }
         if self.options.disk_bytes > 0 && self.used_bytes() + bytes > self.options.disk_bytes {
@@ -151,7 +151,7 @@
         self.remove_obsolete();
         // On a disk that was full, appends need the room that the snapshot has made.
         let reserve_bytes = if use_reserve { bytes + bytes / 4 } else { self.options.reserve_bytes(bytes) };
-        self.keep_reserve(bytes, reserve_bytes);
+        self.ensure_reserve(bytes, reserve_bytes);
         Ok(())
     }
 
@@ -162,15 +162,15 @@
     /// [`StoreError::Damaged`] if something acknowledged is unreadable, missing or not what was written;
     /// [`Store::snapshot`] then replaces every file. Other errors say nothing about what was acknowledged.
     pub fn scrub(&mut self) -> Result<Recovered, StoreError> {
-        self.mend()?;
+        self.repair()?;
         let (layout, recovered) = recovery::read(&mut self.files)?;
-        let held = layout.tail.as_ref().map(|tail| (tail.first_frame, tail.next_frame));
+        let found = layout.tail.as_ref().map(|tail| (tail.first_frame, tail.next_frame));
         let expected = (self.tail.first_frame, self.tail.next_frame);
         if layout.snapshot != self.snapshot {
             let first_frame = self.snapshot.map_or(0, |(first_frame, _)| first_frame);
             return Err(Damage::MissingSnapshot { first_frame }.into());
         }
-        if held != Some(expected) {
+        if found != Some(expected) {
             return Err(Damage::SegmentEndsEarly { file: self.tail.name(), next_frame: expected.1 }.into());
         }
         Ok(recovered)
@@ -178,18 +178,19 @@
 
     /// Bytes of the log since the newest snapshot.
     pub fn log_bytes(&self) -> u64 {
-        let full: u64 = self.full_segments.iter().map(|file| file.bytes).sum();
+        let full: u64 = self.closed_segments.iter().map(|file| file.bytes).sum();
         full + self.tail.length
     }
 
     /// Whether a snapshot would be of use now: the log has grown long, or the disk is full.
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn snapshot_due(&self) -> bool {
         let snapshot_bytes = self.snapshot.map_or(0, |(_, bytes)| bytes);
-        let worthwhile = (self.options.disk() / LOG_PART_OF_DISK).max(LOG_PER_SNAPSHOT * snapshot_bytes);
+        let efficient_bytes =
+            (self.options.disk() / LOG_DISK_DIVISOR).max(LOG_BYTES_PER_SNAPSHOT_BYTE * snapshot_bytes);
         // However large the snapshot is, the log must not grow until appends are refused.
-        let limit = worthwhile.min(self.options.append_limit() / 2);
-        let has_records = self.log_bytes() > format::SEGMENT_HEADER as u64;
-        has_records && (self.space_refused || self.log_bytes() >= limit)
+        let limit = efficient_bytes.min(self.options.append_limit() / 2);
+        let has_records = self.log_bytes() > format::SEGMENT_HEADER_BYTES as u64;
+        has_records && (self.append_out_of_space || self.log_bytes() >= limit)
     }
 
     /// Gives back the file system.
@@ -206,13 +207,13 @@
 
     fn append_frame(&mut self, records: &[Vec<u8>]) -> Result<(), StoreError> {
         let bytes = format::records_frame_bytes(records);
-        if bytes - format::FRAME_HEADER as u64 > format::MAX_PAYLOAD {
+        if bytes - format::FRAME_HEADER_BYTES as u64 > format::MAX_PAYLOAD_BYTES {
             return Err(StoreError::TooLarge { bytes });
         }
         if self.options.disk_bytes > 0 && self.used_bytes() + bytes > self.options.append_limit() {
             return Err(StoreError::NoSpace);
         }
-        self.mend()?;
+        self.repair()?;
         if self.tail_is_used() && self.tail.length + bytes > self.options.segment_bytes() {
             self.roll()?;
         }
@@ -227,14 +228,14 @@
         let name = self.tail.name();
         self.tail.torn = true;
         if let Err(error) = self.files.write(&name, self.tail.length, frame) {
-            let mended = self.mend_tail().is_ok();
+            let repaired = self.repair_tail().is_ok();
             // Without room for all bytes the frame isn't whole, so that it can't be found even if it stays for now.
-            let refused = mended || error == FileError::NoSpace;
+            let refused = repaired || error == FileError::NoSpace;
             return Err(if refused { error.into() } else { StoreError::Uncertain { error } });
         }
         if let Err(error) = self.files.sync_file(&name) {
-            let mended = self.mend_tail().is_ok();
-            return Err(if mended { error.into() } else { StoreError::Uncertain { error } });
+            let repaired = self.repair_tail().is_ok();
+            return Err(if repaired { error.into() } else { StoreError::Uncertain { error } });
         }
         self.tail.torn = false;
         Ok(())
@@ -247,30 +248,30 @@
     /// Ends the tail and begins a new one. The new one is durable before the seal that promises it.
     fn roll(&mut self) -> Result<(), StoreError> {
         let first_frame = self.tail.next_frame + 1;
-        let next = match begin_segment(&mut self.files, first_frame) {
+        let next = match create_segment(&mut self.files, first_frame) {
             Ok(next) => next,
             Err(error) => {
                 self.abandoned_segment = Some(FileKind::Segment(first_frame).name());
                 // If this fails, the next operation begins with it.
-                let _ = self.mend_abandoned_segment();
+                let _ = self.remove_abandoned_segment();
                 return Err(error.into());
             }
         };
         let full = std::mem::replace(&mut self.tail, next);
-        self.full_segments.push(StoredFile { name: full.name(), bytes: full.length });
+        self.closed_segments.push(StoredFile { name: full.name(), bytes: full.length });
         self.unsealed = Some(full);
-        self.mend()
+        self.repair()
     }
 
     /// Brings the files back to what the store relies on, where an earlier operation failed half-way.
-    fn mend(&mut self) -> Result<(), StoreError> {
-        self.mend_abandoned_segment()?;
-        self.mend_seal()?;
-        self.mend_tail()?;
+    fn repair(&mut self) -> Result<(), StoreError> {
+        self.remove_abandoned_segment()?;
+        self.write_missing_seal()?;
+        self.repair_tail()?;
         Ok(())
     }
 
-    fn mend_abandoned_segment(&mut self) -> Result<(), FileError> {
+    fn remove_abandoned_segment(&mut self) -> Result<(), FileError> {
         if let Some(name) = &self.abandoned_segment {
             self.files.remove(name)?;
             self.files.sync_directory()?;
@@ -279,7 +280,7 @@
         Ok(())
     }
 
-    fn mend_seal(&mut self) -> Result<(), FileError> {
+    fn write_missing_seal(&mut self) -> Result<(), FileError> {
         let Some(segment) = &mut self.unsealed else {
             return Ok(());
         };
@@ -296,7 +297,7 @@
     }
 
     /// Cuts off what a failed append left behind.
-    fn mend_tail(&mut self) -> Result<(), FileError> {
+    fn repair_tail(&mut self) -> Result<(), FileError> {
         if self.tail.torn {
             let name = self.tail.name();
             self.files.truncate(&name, self.tail.length)?;
@@ -307,19 +308,20 @@
     }
 
     /// A full disk is no reason not to open: what fails here is done by the next operation.
-    fn mend_at_open(&mut self) {
-        if let Err(error) = self.mend() {
-            log::warn!("the end of the log can't be mended yet: {error}");
+    fn repair_at_open(&mut self) {
+        if let Err(error) = self.repair() {
+            log::warn!("the end of the log can't be repaired yet: {error}");
         }
         self.remove_obsolete();
         let snapshot_bytes = self.snapshot.map_or(0, |(_, bytes)| bytes);
-        self.keep_reserve(snapshot_bytes, self.options.reserve_bytes(snapshot_bytes));
+        self.ensure_reserve(snapshot_bytes, self.options.reserve_bytes(snapshot_bytes));
     }
 
     fn write_snapshot(&mut self, snapshot: &[u8]) -> Result<(), StoreError> {
-        self.mend()?;
-        let taken = self.snapshot.is_some_and(|(first_frame, _)| first_frame == self.tail.first_frame);
-        if taken || self.tail_is_used() {
+        self.repair()?;
+        let covered_by_snapshot =
+            self.snapshot.is_some_and(|(first_frame, _)| first_frame == self.tail.first_frame);
+        if covered_by_snapshot || self.tail_is_used() {
             self.roll()?;
         }
         let first_frame = self.tail.first_frame;
@@ -344,8 +346,8 @@
         if let Some((old, bytes)) = self.snapshot.replace((first_frame, bytes)) {
             self.obsolete.push(StoredFile { name: FileKind::Snapshot(old).name(), bytes });
         }
-        self.obsolete.append(&mut self.full_segments);
-        self.space_refused = false;
+        self.obsolete.append(&mut self.closed_segments);
+        self.append_out_of_space = false;
     }
 
     /// What can't be removed now is removed after the next snapshot or at the next opening.
@@ -361,22 +363,22 @@
     }
 
     /// Writes a file of zeros, unless there is one of the bytes needed at least or there is no room for it.
-    fn keep_reserve(&mut self, needed: u64, wanted: u64) {
-        if self.reserve_bytes > needed || self.reserve_bytes >= wanted {
+    fn ensure_reserve(&mut self, sufficient_bytes: u64, target_bytes: u64) {
+        if self.reserve_bytes > sufficient_bytes || self.reserve_bytes >= target_bytes {
             return;
         }
-        match self.write_new_file(RESERVE, &vec![0; wanted as usize]) {
-            Ok(()) => self.reserve_bytes = wanted,
+        match self.write_new_file(RESERVE_FILE, &vec![0; target_bytes as usize]) {
+            Ok(()) => self.reserve_bytes = target_bytes,
             Err(error) => {
                 log::warn!("no room is kept for a snapshot: {error}");
                 self.reserve_bytes = 0;
-                let _ = self.files.remove(RESERVE);
+                let _ = self.files.remove(RESERVE_FILE);
             }
         }
     }
 
     fn release_reserve(&mut self) -> Result<(), StoreError> {
-        self.files.remove(RESERVE)?;
+        self.files.remove(RESERVE_FILE)?;
         self.files.sync_directory()?;
         self.reserve_bytes = 0;
         Ok(())
@@ -384,7 +386,7 @@
 }
 
 fn sync_all<F: FileSystem>(files: &mut F, layout: &Layout, tail: &OpenSegment) -> Result<(), FileError> {
-    for segment in &layout.full_segments {
+    for segment in &layout.closed_segments {
         files.sync_file(&segment.name)?;
     }
     files.sync_file(&tail.name())?;
@@ -394,7 +396,7 @@
     files.sync_directory()
 }
 
-fn begin_segment<F: FileSystem>(files: &mut F, first_frame: u64) -> Result<OpenSegment, FileError> {
+fn create_segment<F: FileSystem>(files: &mut F, first_frame: u64) -> Result<OpenSegment, FileError> {
     let header = format::encode_segment_header(first_frame);
     let segment =
         OpenSegment { first_frame, next_frame: first_frame, length: header.len() as u64, torn: false };
--- a/crates/lockusher-storage/src/writer.rs
+++ b/crates/lockusher-storage/src/writer.rs
@@ -12,7 +12,7 @@
 use crate::{FileSystem, Recovered, Store, StoreError};
 
 /// Appends that wait are put into one write until it holds this many bytes.
-const GROUP_BYTES: usize = 4 * 1024 * 1024;
+const MAX_GROUP_BYTES: usize = 4 * 1024 * 1024;
 
 /// Something for the thread to do. Jobs are done in the order of their submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,8 +49,8 @@
     pub scrubbed: Option<Recovered>,
     /// [`Store::log_bytes`] after the job.
     pub log_bytes: u64,
-    /// [`Store::wants_snapshot`] after the job.
-    pub wants_snapshot: bool,
+    /// [`Store::snapshot_due`] after the job.
+    pub snapshot_due: bool,
 }
 
 /// Why a job wasn't taken.
@@ -59,25 +59,25 @@
     /// A snapshot can't say which of the appends that are under way it holds, nor can a scrub: submit it once all are
     /// completed.
     #[display("a snapshot or scrub was submitted while appends are under way")]
-    AppendsUnderWay,
+    AppendsInFlight,
     /// The thread has ended, which it does only by a panic.
     #[display("the storage thread has ended")]
-    Ended,
+    ThreadEnded,
 }
 
 /// Numbers that the two sides share.
 #[derive(Debug, Default)]
 struct Progress {
     /// Jobs submitted and not yet taken from the completions.
-    under_way: AtomicU64,
+    in_flight: AtomicU64,
     /// Failures of appends that the caller has taken.
-    failures_seen: AtomicU64,
+    observed_failures: AtomicU64,
 }
 
 struct Submission {
     job: Job,
-    /// [`Progress::failures_seen`] at the submission.
-    failures_seen: u64,
+    /// [`Progress::observed_failures`] at the submission.
+    observed_failures: u64,
 }
 
 /// Hands jobs to the thread. The thread ends when this is dropped, after the jobs submitted before.
@@ -124,20 +124,20 @@
     pub fn submit(&self, job: Job) -> Result<(), SubmitError> {
         let is_append = matches!(job, Job::Append { .. });
         if !is_append && !self.is_idle() {
-            return Err(SubmitError::AppendsUnderWay);
+            return Err(SubmitError::AppendsInFlight);
         }
-        let failures_seen = self.progress.failures_seen.load(Ordering::Acquire);
-        let jobs = self.jobs.as_ref().ok_or(SubmitError::Ended)?;
-        self.progress.under_way.fetch_add(1, Ordering::AcqRel);
-        jobs.send(Submission { job, failures_seen }).map_err(|_| {
-            self.progress.under_way.fetch_sub(1, Ordering::AcqRel);
-            SubmitError::Ended
+        let observed_failures = self.progress.observed_failures.load(Ordering::Acquire);
+        let jobs = self.jobs.as_ref().ok_or(SubmitError::ThreadEnded)?;
+        self.progress.in_flight.fetch_add(1, Ordering::AcqRel);
+        jobs.send(Submission { job, observed_failures }).map_err(|_| {
+            self.progress.in_flight.fetch_sub(1, Ordering::AcqRel);
+            SubmitError::ThreadEnded
         })
     }
 
     /// Whether the outcomes of all jobs have been taken, so that a snapshot can be submitted.
     pub fn is_idle(&self) -> bool {
-        self.progress.under_way.load(Ordering::Acquire) == 0
+        self.progress.in_flight.load(Ordering::Acquire) == 0
     }
 
     /// Ends the thread after the jobs submitted so far and waits for it; holds the caller until the disk is done.
@@ -156,9 +156,9 @@
     pub async fn next(&mut self) -> Option<Completion> {
         let Outcome { completion, append_failed } = self.receiver.next().await?;
         if append_failed {
-            self.progress.failures_seen.fetch_add(1, Ordering::AcqRel);
+            self.progress.observed_failures.fetch_add(1, Ordering::AcqRel);
         }
-        self.progress.under_way.fetch_sub(1, Ordering::AcqRel);
+        self.progress.in_flight.fetch_sub(1, Ordering::AcqRel);
         Some(completion)
     }
 }
@@ -201,14 +201,14 @@
         while let Ok(submission) = self.submissions.recv() {
             let mut next = Some(submission);
             while let Some(submission) = next {
-                next = self.carry_out(submission);
+                next = self.execute(submission);
             }
         }
     }
 
     /// Does a job, with the appends that wait behind it; returns a submission that was taken and doesn't belong to it.
-    fn carry_out(&mut self, submission: Submission) -> Option<Submission> {
-        if submission.failures_seen < self.failures {
+    fn execute(&mut self, submission: Submission) -> Option<Submission> {
+        if submission.observed_failures < self.failures {
             self.send(submission.job.ticket(), Err(StoreError::Skipped), false);
             return None;
         }
@@ -234,7 +234,7 @@
         let mut group = Group::default();
         group.add(ticket, records);
         let mut left_over = None;
-        while group.bytes < GROUP_BYTES && left_over.is_none() {
+        while group.bytes < MAX_GROUP_BYTES && left_over.is_none() {
             match self.submissions.try_recv() {
                 Ok(Submission { job: Job::Append { ticket, records }, .. }) => group.add(ticket, records),
                 Ok(other) => left_over = Some(other),
@@ -265,7 +265,7 @@
             result,
             scrubbed,
             log_bytes: self.store.log_bytes(),
-            wants_snapshot: self.store.wants_snapshot(),
+            snapshot_due: self.store.snapshot_due(),
         };
         // Nobody listens any more when the process ends; the jobs are done all the same.
         let _ = self.completions.unbounded_send(Outcome { completion, append_failed });
--- a/crates/lockusher-storage/tests/cut_points.rs
+++ b/crates/lockusher-storage/tests/cut_points.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{EveryChoice, Model, SMALL_DISK, SeededChoice, open_and_check, snapshot_of};
-use lockusher_storage::{Mistake, SimulatedFileSystem, Store, StoreError, StoreOptions};
+use lockusher_storage::{InjectedBug, SimulatedFileSystem, Store, StoreError, StoreOptions};
 use yare::parameterized;
 
 /// Outcomes tried for one cut exhaustively; beyond that as many are sampled.
@@ -132,10 +132,10 @@
 }
 
 /// Tries every cut; the error names the first that breaks a promise.
-fn try_every_cut(steps: &[Step], mistake: Option<Mistake>) -> Result<Coverage, String> {
+fn try_every_cut(steps: &[Step], injected_bug: Option<InjectedBug>) -> Result<Coverage, String> {
     let disk = || {
         let files = SimulatedFileSystem::new();
-        mistake.into_iter().for_each(|mistake| files.set_mistake(mistake));
+        injected_bug.into_iter().for_each(|injected_bug| files.inject_bug(injected_bug));
         files
     };
     let whole = disk();
@@ -247,11 +247,11 @@
 }
 
 #[parameterized(
-    no_directory_sync = { Mistake::NoDirectorySync },
-    no_file_sync = { Mistake::NoFileSync },
+    no_directory_sync = { InjectedBug::NoDirectorySync },
+    no_file_sync = { InjectedBug::NoFileSync },
 )]
-fn a_sync_left_out_is_found(mistake: Mistake) {
-    try_every_cut(LIFE, Some(mistake)).expect_err("the mistake is found");
+fn a_sync_left_out_is_found(injected_bug: InjectedBug) {
+    try_every_cut(LIFE, Some(injected_bug)).expect_err("the injected_bug is found");
 }
 
 /// The first folder sync matters only before the next, so a short life is tried as well.
@@ -261,6 +261,6 @@
     at_snapshot = { &[Open, Append(&[20]), Snapshot] },
 )]
 fn a_folder_sync_left_out_is_found_in_a_short_life(steps: &[Step]) {
-    try_every_cut(steps, Some(Mistake::NoDirectorySync)).expect_err("the mistake is found");
+    try_every_cut(steps, Some(InjectedBug::NoDirectorySync)).expect_err("the injected_bug is found");
     try_every_cut(steps, None).expect("without it no promise is broken");
 }
--- a/crates/lockusher-storage/tests/model.rs
+++ b/crates/lockusher-storage/tests/model.rs
@@ -24,11 +24,11 @@
     },
     Full(bool),
     /// The disk has room for this many bytes more than it holds, or for all.
-    Room(Option<u64>),
+    FreeSpace(Option<u64>),
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
-    let fault = prop_oneof![Just(Fault::NoSpace), Just(Fault::Io), Just(Fault::IoAfterwards)];
+    let fault = prop_oneof![Just(Fault::NoSpace), Just(Fault::Io), Just(Fault::IoAfterEffect)];
     let event = prop_oneof![
         12 => prop::collection::vec(0_usize..700, 1..4).prop_map(Event::Append),
         2 => Just(Event::Snapshot),
@@ -36,7 +36,7 @@
         2 => (0_u64..12, any::<u64>()).prop_map(|(operations, seed)| Event::LosePower { operations, seed }),
         3 => (0_u64..8, fault).prop_map(|(operations, fault)| Event::Fault { operations, fault }),
         1 => any::<bool>().prop_map(Event::Full),
-        1 => prop::option::of(0_u64..3000).prop_map(Event::Room),
+        1 => prop::option::of(0_u64..3000).prop_map(Event::FreeSpace),
     ];
     prop::collection::vec(event, 1..80)
 }
@@ -80,9 +80,9 @@
                 self.files.set_full(*full);
                 self.full = *full;
             }
-            Event::Room(room) => {
-                self.files.set_capacity(room.map(|room| self.files.used_bytes() + room));
-                self.limited = room.is_some();
+            Event::FreeSpace(free_bytes) => {
+                self.files.set_capacity(free_bytes.map(|free_bytes| self.files.used_bytes() + free_bytes));
+                self.limited = free_bytes.is_some();
             }
         }
         Ok(())
@@ -95,7 +95,7 @@
         let records = self.model.new_records(sizes);
         let store = self.store.as_mut().expect("open");
         let result = store.append(&records);
-        if result == Err(StoreError::NoSpace) && !store.wants_snapshot() {
+        if result == Err(StoreError::NoSpace) && !store.snapshot_due() {
             let has_log = store.log_bytes() > 20;
             if has_log {
                 return Err("no space, and no snapshot is wanted".to_owned());
@@ -190,7 +190,7 @@
     size_known = { SMALL_DISK },
     size_unknown = { StoreOptions { disk_bytes: 0 } },
 )]
-fn a_full_disk_refuses_cleanly_and_a_snapshot_makes_room(options: StoreOptions) {
+fn a_full_disk_refuses_cleanly_and_a_snapshot_frees_space(options: StoreOptions) {
     let files = SimulatedFileSystem::new();
     files.set_capacity(Some(90 * 1024));
     let mut model = Model::default();
@@ -204,13 +204,13 @@
             break;
         }
     }
-    assert!(store.wants_snapshot());
+    assert!(store.snapshot_due());
     let mut reopened = open_and_check(&files.fork(), options, &mut model.clone()).expect("opens");
     reopened.snapshot(b"").expect("takes a snapshot after opening, too");
 
     // The state is smaller than the log.
     store.snapshot(&snapshot_of(&model.acknowledged[..2])).expect("takes a snapshot");
-    assert!(!store.wants_snapshot());
+    assert!(!store.snapshot_due());
     store.append(&[vec![1; 400]]).expect("appends again");
     let (_, recovered) = Store::open(files, options).expect("opens");
     assert_eq!(all_records(&recovered).len(), 3);
@@ -218,7 +218,7 @@
 
 /// Others fill the disk to the last byte: the reserve gives room for the snapshot.
 #[test]
-fn the_reserve_gives_room_for_a_snapshot() {
+fn the_reserve_leaves_space_for_a_snapshot() {
     let files = SimulatedFileSystem::new();
     let mut model = Model::default();
     let mut store = open_and_check(&files, SMALL_DISK, &mut model).expect("opens");
@@ -271,7 +271,7 @@
         let record = vec![change as u8; (change * 97 % 257) as usize];
         appended += record.len() as u64;
         store.append(&[record]).expect("appends");
-        if store.wants_snapshot() {
+        if store.snapshot_due() {
             store.snapshot(&state).expect("takes a snapshot");
         }
         most_used = most_used.max(files.used_bytes());
--- a/crates/lockusher-storage/tests/writer.rs
+++ b/crates/lockusher-storage/tests/writer.rs
@@ -12,30 +12,30 @@
 };
 
 /// A disk that says when it begins to sync a file, and goes on when it is told to.
-struct HeldFileSystem {
+struct BlockingFileSystem {
     files: SimulatedFileSystem,
-    begun: Sender<()>,
-    go_on: Receiver<()>,
-    held: bool,
+    started: Sender<()>,
+    release: Receiver<()>,
+    next_sync_blocks: bool,
 }
 
-/// The test's side of a held disk.
-struct Hold {
-    begun: Receiver<()>,
-    go_on: Sender<()>,
+/// The test's side of a blocked disk.
+struct SyncGate {
+    started: Receiver<()>,
+    release: Sender<()>,
 }
 
-impl Hold {
+impl SyncGate {
     fn wait_for_sync(&self) {
-        self.begun.recv().expect("a sync begins");
+        self.started.recv().expect("a sync begins");
     }
 
-    fn let_go_on(&self) {
-        self.go_on.send(()).expect("the disk is there");
+    fn release_sync(&self) {
+        self.release.send(()).expect("the disk is there");
     }
 }
 
-impl FileSystem for HeldFileSystem {
+impl FileSystem for BlockingFileSystem {
     fn list(&mut self) -> Result<Vec<String>, FileError> {
         self.files.list()
     }
@@ -53,8 +53,8 @@
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), FileError> {
-        // Opening the store doesn't write frames behind a header, so that only appends are held.
-        self.held = name.starts_with("segment-") && offset > 0;
+        // Opening the store doesn't write frames behind a header, so that only appends block.
+        self.next_sync_blocks = name.starts_with("segment-") && offset > 0;
         self.files.write(name, offset, bytes)
     }
 
@@ -67,9 +67,9 @@
     }
 
     fn sync_file(&mut self, name: &str) -> Result<(), FileError> {
-        if std::mem::take(&mut self.held) {
-            self.begun.send(()).expect("the test listens");
-            self.go_on.recv().expect("the test lets go on");
+        if std::mem::take(&mut self.next_sync_blocks) {
+            self.started.send(()).expect("the test listens");
+            self.release.recv().expect("the test lets go on");
         }
         self.files.sync_file(name)
     }
@@ -79,14 +79,18 @@
     }
 }
 
-fn held_writer(files: &SimulatedFileSystem) -> (StoreWriter, Completions, Hold) {
-    let (begun_sender, begun) = channel();
-    let (go_on, go_on_receiver) = channel();
-    let held =
-        HeldFileSystem { files: files.clone(), begun: begun_sender, go_on: go_on_receiver, held: false };
-    let (store, _) = Store::open(held, SMALL_DISK).expect("opens");
+fn blocking_writer(files: &SimulatedFileSystem) -> (StoreWriter, Completions, SyncGate) {
+    let (started_sender, started) = channel();
+    let (release, release_receiver) = channel();
+    let files = BlockingFileSystem {
+        files: files.clone(),
+        started: started_sender,
+        release: release_receiver,
+        next_sync_blocks: false,
+    };
+    let (store, _) = Store::open(files, SMALL_DISK).expect("opens");
     let (writer, completions) = StoreWriter::spawn(store).expect("the thread starts");
-    (writer, completions, Hold { begun, go_on })
+    (writer, completions, SyncGate { started, release })
 }
 
 fn append(ticket: u64) -> Job {
@@ -132,18 +136,18 @@
 #[test]
 fn appends_that_wait_share_one_write() {
     let files = SimulatedFileSystem::new();
-    let (writer, mut completions, hold) = held_writer(&files);
+    let (writer, mut completions, gate) = blocking_writer(&files);
     run(async {
         writer.submit(append(1)).expect("submits");
-        hold.wait_for_sync();
-        // The thread is held by the disk; this one isn't.
+        gate.wait_for_sync();
+        // The thread is blocked by the disk; this one is not.
         let before = files.operations();
         for ticket in 2..=9 {
             writer.submit(append(ticket)).expect("submits");
         }
-        hold.let_go_on();
-        hold.wait_for_sync();
-        hold.let_go_on();
+        gate.release_sync();
+        gate.wait_for_sync();
+        gate.release_sync();
         for ticket in 1..=9 {
             expect(&mut completions, ticket, Ok(())).await;
         }
@@ -158,16 +162,16 @@
 #[test]
 fn nothing_is_completed_before_the_sync() {
     let files = SimulatedFileSystem::new();
-    let (writer, mut completions, hold) = held_writer(&files);
+    let (writer, mut completions, gate) = blocking_writer(&files);
     run(async {
         writer.submit(append(1)).expect("submits");
-        hold.wait_for_sync();
+        gate.wait_for_sync();
         let poll = std::future::poll_fn(|context| {
             let mut next = std::pin::pin!(completions.next());
             std::task::Poll::Ready(next.as_mut().poll(context).is_pending())
         });
         assert!(poll.await, "completed before the sync");
-        hold.let_go_on();
+        gate.release_sync();
         expect(&mut completions, 1, Ok(())).await;
     });
 }
@@ -175,12 +179,12 @@
 #[test]
 fn what_was_submitted_before_a_failure_was_seen_is_skipped() {
     let files = SimulatedFileSystem::new();
-    let (writer, mut completions, hold) = held_writer(&files);
+    let (writer, mut completions, gate) = blocking_writer(&files);
     run(async {
         writer.submit(append(1)).expect("submits");
-        hold.wait_for_sync();
+        gate.wait_for_sync();
         files.set_fault(files.operations(), Fault::Io);
-        hold.let_go_on();
+        gate.release_sync();
         // The failure lies in the completions, and the caller hasn't looked.
         while writer_is_behind(&files) {
             std::thread::yield_now();
@@ -191,8 +195,8 @@
         expect(&mut completions, 2, Err(StoreError::Skipped)).await;
 
         writer.submit(append(3)).expect("submits");
-        hold.wait_for_sync();
-        hold.let_go_on();
+        gate.wait_for_sync();
+        gate.release_sync();
         expect(&mut completions, 3, Ok(())).await;
     });
     let (_, recovered) = Store::open(files, SMALL_DISK).expect("opens");
@@ -207,19 +211,19 @@
 #[test]
 fn a_snapshot_isnt_taken_while_appends_are_under_way() {
     let files = SimulatedFileSystem::new();
-    let (writer, mut completions, hold) = held_writer(&files);
+    let (writer, mut completions, gate) = blocking_writer(&files);
     run(async {
         writer.submit(append(1)).expect("submits");
-        hold.wait_for_sync();
+        gate.wait_for_sync();
         assert!(!writer.is_idle());
-        assert_eq!(writer.submit(snapshot(2)), Err(SubmitError::AppendsUnderWay));
-        hold.let_go_on();
+        assert_eq!(writer.submit(snapshot(2)), Err(SubmitError::AppendsInFlight));
+        gate.release_sync();
         expect(&mut completions, 1, Ok(())).await;
         assert!(writer.is_idle());
         writer.submit(snapshot(2)).expect("submits");
         // The seal of the segment that the snapshot replaces.
-        hold.wait_for_sync();
-        hold.let_go_on();
+        gate.wait_for_sync();
+        gate.release_sync();
         expect(&mut completions, 2, Ok(())).await;
     });
 }
