--- a/crates/lockusher-storage/src/lib.rs
+++ b/crates/lockusher-storage/src/lib.rs
@@ -9,8 +9,6 @@
 mod file_system;
 mod format;
 mod recovery;
-mod simulated;
-mod simulated_file;
 mod store;
 mod writer;
 
@@ -18,6 +16,5 @@
 pub use error::{Damage, FileError, StoreError};
 pub use file_system::FileSystem;
 pub use recovery::{Recovered, RecoveryReport};
-pub use simulated::{Choices, Fault, InjectedBug, SimulatedFileSystem};
 pub use store::{Store, StoreOptions};
 pub use writer::{Completion, Completions, Job, StoreWriter, SubmitError};
--- a/crates/lockusher-storage/tests/cut_points.rs
+++ b/crates/lockusher-storage/tests/crash_points.rs
@@ -1,9 +1,10 @@
 //! Power lost after every operation of a scripted life, with every outcome for what wasn't synced.
 
-mod common;
+mod support;
 
-use common::{EveryChoice, Model, SMALL_DISK, SeededChoice, open_and_check, snapshot_of};
-use lockusher_storage::{InjectedBug, SimulatedFileSystem, Store, StoreError, StoreOptions};
+use lockusher_storage::{Store, StoreError, StoreOptions};
+use support::simulated_file_system::{Choices, InjectedBug, SimulatedFileSystem};
+use support::{EveryChoice, Model, SMALL_DISK, SeededChoice, open_and_check, snapshot_of};
 use yare::parameterized;
 
 /// Outcomes tried for one cut exhaustively; beyond that as many are sampled.
@@ -110,7 +111,7 @@
 /// Nothing stays that wasn't synced.
 struct LoseAll;
 
-impl lockusher_storage::Choices for LoseAll {
+impl Choices for LoseAll {
     fn choose(&mut self, _options: usize) -> usize {
         0
     }
--- a/crates/lockusher-storage/tests/damage.rs
+++ b/crates/lockusher-storage/tests/damage.rs
@@ -1,9 +1,10 @@
 //! Damage that no loss of power explains: bytes changed, files cut short or gone.
 
-mod common;
+mod support;
 
-use common::{Model, SMALL_DISK, all_records, snapshot_of};
-use lockusher_storage::{Damage, SimulatedFileSystem, Store, StoreError};
+use lockusher_storage::{Damage, Store, StoreError};
+use support::simulated_file_system::SimulatedFileSystem;
+use support::{Model, SMALL_DISK, all_records, snapshot_of};
 use yare::parameterized;
 
 /// Two full segments and one begun, after a snapshot or without one.
@@ -135,7 +136,7 @@
     for (name, content) in old {
         let returned = files.fork();
         returned.overwrite(&name, content);
-        common::open_and_check(&returned, SMALL_DISK, &mut model).expect("opens");
+        support::open_and_check(&returned, SMALL_DISK, &mut model).expect("opens");
     }
 }
 
@@ -150,7 +151,7 @@
     Store::reset(&mut whole.clone()).expect("resets");
     assert!(whole.contents().is_empty());
     for cut in start..=whole.operations() {
-        let mut choices = common::EveryChoice::default();
+        let mut choices = support::EveryChoice::default();
         loop {
             let after = files.fork();
             after.set_power_off_after(Some(cut));
--- a/crates/lockusher-storage/tests/model.rs
+++ b/crates/lockusher-storage/tests/model.rs
@@ -1,10 +1,11 @@
 //! Random operations, failures, full disks, kills and losses of power, compared with a plain model.
 
-mod common;
+mod support;
 
-use common::{Model, SMALL_DISK, SeededChoice, all_records, open_and_check, snapshot_of};
-use lockusher_storage::{Fault, SimulatedFileSystem, Store, StoreError, StoreOptions};
+use lockusher_storage::{Store, StoreError, StoreOptions};
 use proptest::prelude::*;
+use support::simulated_file_system::{Fault, SimulatedFileSystem};
+use support::{Model, SMALL_DISK, SeededChoice, all_records, open_and_check, snapshot_of};
 
 #[derive(Clone, Debug)]
 enum Event {
--- a/crates/lockusher-storage/tests/common/mod.rs
+++ b/crates/lockusher-storage/tests/support/mod.rs
@@ -1,7 +1,12 @@
 //! What the tests of the store share: a life that counts what was acknowledged, and ways to choose an outcome.
 #![allow(dead_code)]
 
-use lockusher_storage::{Choices, Recovered, SimulatedFileSystem, Store, StoreError, StoreOptions};
+mod simulated_file;
+pub mod simulated_file_system;
+
+use lockusher_storage::{Recovered, Store, StoreError, StoreOptions};
+
+use simulated_file_system::{Choices, SimulatedFileSystem};
 
 /// Segments of 1 KiB; a snapshot is wanted after 4 KiB of log.
 pub const SMALL_DISK: StoreOptions = StoreOptions { disk_bytes: 64 * 1024 };
--- a/crates/lockusher-storage/src/simulated_file.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file.rs
@@ -1,13 +1,13 @@
 //! One file of the simulated disk.
 
-use crate::Choices;
+use super::simulated_file_system::Choices;
 
 /// Ways in which a write that wasn't synced may be found.
 const WRITE_OUTCOMES: usize = 5;
 
 /// A file as it can be read, and what of it endures a loss of power.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct SimulatedFile {
+pub struct SimulatedFile {
     durable: Vec<u8>,
     current: Vec<u8>,
     pending: Vec<Change>,
@@ -15,34 +15,34 @@
 
 /// A change of a file's content.
 #[derive(Clone, Debug)]
-pub(crate) enum Change {
+pub enum Change {
     Write { offset: usize, bytes: Vec<u8> },
     Truncate { length: usize },
 }
 
 impl SimulatedFile {
     /// A file that is durable as it is.
-    pub(crate) fn with_content(content: Vec<u8>) -> SimulatedFile {
+    pub fn with_content(content: Vec<u8>) -> SimulatedFile {
         SimulatedFile { durable: content.clone(), current: content, pending: Vec::new() }
     }
 
     /// What can be read now.
-    pub(crate) fn content(&self) -> &[u8] {
+    pub fn content(&self) -> &[u8] {
         &self.current
     }
 
-    pub(crate) fn change(&mut self, change: Change) {
+    pub fn change(&mut self, change: Change) {
         change.apply(&mut self.current);
         self.pending.push(change);
     }
 
-    pub(crate) fn sync(&mut self) {
+    pub fn sync(&mut self) {
         for change in self.pending.drain(..) {
             change.apply(&mut self.durable);
         }
     }
 
-    pub(crate) fn lose_power(&mut self, choices: &mut dyn Choices) {
+    pub fn lose_power(&mut self, choices: &mut dyn Choices) {
         for change in self.pending.drain(..) {
             change.apply_partially(&mut self.durable, choices);
         }
--- a/crates/lockusher-storage/src/simulated.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file_system.rs
@@ -3,8 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use crate::simulated_file::{Change, SimulatedFile};
-use crate::{FileError, FileSystem};
+use lockusher_storage::{FileError, FileSystem};
+
+use super::simulated_file::{Change, SimulatedFile};
 
 /// Decides what a loss of power leaves of what wasn't synced.
 pub trait Choices {
--- a/crates/lockusher-storage/tests/writer.rs
+++ b/crates/lockusher-storage/tests/writer.rs
@@ -1,15 +1,15 @@
 //! The thread that owns a store.
 
-mod common;
+mod support;
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-use common::{SMALL_DISK, all_records};
 use compio::runtime::Runtime;
 use lockusher_storage::{
-    Completions, DiskFileSystem, Fault, FileError, FileSystem, Job, SimulatedFileSystem, Store, StoreError,
-    StoreWriter, SubmitError,
+    Completions, DiskFileSystem, FileError, FileSystem, Job, Store, StoreError, StoreWriter, SubmitError,
 };
+use support::simulated_file_system::{Fault, SimulatedFileSystem};
+use support::{SMALL_DISK, all_records};
 
 /// A disk that says when it begins to sync a file, and goes on when it is told to.
 struct BlockingFileSystem {
