--- a/crates/lockusher-storage/src/format.rs
+++ b/crates/lockusher-storage/src/format.rs
@@ -5,6 +5,7 @@
 //! segment that has a successor is a seal.
 
 use crate::Damage;
+use crate::file_names::FileKind;
 
 /// Bytes of a segment's header: magic, version, first frame, checksum.
 pub(crate) const SEGMENT_HEADER_BYTES: usize = 4 + 4 + 8 + 4;
@@ -23,35 +24,6 @@
 const KIND_RECORDS: u32 = 1;
 const KIND_SEAL: u32 = 2;
 
-const SEGMENT_PREFIX: &str = "segment-";
-const SNAPSHOT_PREFIX: &str = "snapshot-";
-
-/// What a file's name says.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum FileKind {
-    /// A segment that begins with this frame.
-    Segment(u64),
-    /// A snapshot of all before this frame.
-    Snapshot(u64),
-}
-
-impl FileKind {
-    pub(crate) fn of(name: &str) -> Option<FileKind> {
-        let kind = match name.strip_prefix(SEGMENT_PREFIX) {
-            Some(number) => FileKind::Segment(number.parse().ok()?),
-            None => FileKind::Snapshot(name.strip_prefix(SNAPSHOT_PREFIX)?.parse().ok()?),
-        };
-        (kind.name() == name).then_some(kind)
-    }
-
-    pub(crate) fn name(self) -> String {
-        match self {
-            FileKind::Segment(first_frame) => format!("{SEGMENT_PREFIX}{first_frame:020}"),
-            FileKind::Snapshot(first_frame) => format!("{SNAPSHOT_PREFIX}{first_frame:020}"),
-        }
-    }
-}
-
 pub(crate) fn encode_segment_header(first_frame: u64) -> Vec<u8> {
     let mut header = Vec::with_capacity(SEGMENT_HEADER_BYTES);
     header.extend(SEGMENT_MAGIC);
--- a/crates/lockusher-storage/src/lib.rs
+++ b/crates/lockusher-storage/src/lib.rs
@@ -6,15 +6,24 @@
 
 mod disk;
 mod error;
+mod file_names;
 mod file_system;
 mod format;
+mod job;
+mod options;
 mod recovery;
+mod reset;
+mod segment;
+mod segment_sequence;
 mod store;
+mod worker;
 mod writer;
 
 pub use disk::DiskFileSystem;
 pub use error::{Damage, FileError, StoreError};
 pub use file_system::FileSystem;
+pub use job::{Completion, Job, SubmitError};
+pub use options::StoreOptions;
 pub use recovery::{Recovered, RecoveryReport};
-pub use store::{Store, StoreOptions};
-pub use writer::{Completion, Completions, Job, StoreWriter, SubmitError};
+pub use store::Store;
+pub use writer::{Completions, StoreWriter};
--- a/crates/lockusher-storage/src/recovery.rs
+++ b/crates/lockusher-storage/src/recovery.rs
@@ -1,12 +1,11 @@
 //! Reads what the files hold when a store is opened, and tells a torn end from damage.
 
-use crate::format::{self, FileKind, Segment};
-use crate::{Damage, FileSystem, StoreError};
-
-/// Marks a reset that has begun; see [`Store::reset`](crate::Store::reset).
-pub(crate) const RESET_MARKER_FILE: &str = "reset";
-/// Room that is given up for a snapshot when the disk is full.
-pub(crate) const RESERVE_FILE: &str = "reserve";
+use crate::file_names::{FileKind, RESERVE_FILE};
+use crate::format;
+use crate::reset::complete_reset;
+use crate::segment::OpenSegment;
+use crate::segment_sequence::{SegmentSequence, check_first_segment};
+use crate::{FileSystem, StoreError};
 
 /// What a store held when it was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,32 +40,6 @@
     pub bytes: u64,
 }
 
-/// A segment that can be written to.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct OpenSegment {
-    pub first_frame: u64,
-    pub next_frame: u64,
-    /// Length of what is acknowledged.
-    pub length: u64,
-    /// Whether the file may hold more than that.
-    pub torn: bool,
-}
-
-impl OpenSegment {
-    pub(crate) fn name(&self) -> String {
-        FileKind::Segment(self.first_frame).name()
-    }
-
-    fn of(first_frame: u64, segment: &Segment) -> OpenSegment {
-        OpenSegment {
-            first_frame,
-            next_frame: segment.next_frame,
-            length: segment.length,
-            torn: segment.torn_bytes > 0,
-        }
-    }
-}
-
 /// Which files there are and what they are for.
 #[derive(Debug, Default)]
 pub(crate) struct Layout {
@@ -106,36 +79,6 @@
     Ok((layout, recovered))
 }
 
-/// Removes everything, in such an order that a loss of power between leaves a folder that is emptied at opening.
-pub(crate) fn reset<F: FileSystem>(files: &mut F) -> Result<(), StoreError> {
-    files.create(RESET_MARKER_FILE)?;
-    files.sync_file(RESET_MARKER_FILE)?;
-    files.sync_directory()?;
-    remove_all(files)
-}
-
-fn complete_reset<F: FileSystem>(files: &mut F) -> Result<bool, StoreError> {
-    let reset_pending = files.list()?.iter().any(|name| name == RESET_MARKER_FILE);
-    if reset_pending {
-        remove_all(files)?;
-    }
-    Ok(reset_pending)
-}
-
-fn remove_all<F: FileSystem>(files: &mut F) -> Result<(), StoreError> {
-    // The marker may be there without being durable yet, and must outlast the files.
-    files.sync_directory()?;
-    for name in files.list()? {
-        if FileKind::of(&name).is_some() || name == RESERVE_FILE {
-            files.remove(&name)?;
-        }
-    }
-    files.sync_directory()?;
-    files.remove(RESET_MARKER_FILE)?;
-    files.sync_directory()?;
-    Ok(())
-}
-
 fn list<F: FileSystem>(files: &mut F, layout: &mut Layout) -> Result<Names, StoreError> {
     let mut names = Names::default();
     for name in files.list()? {
@@ -209,81 +152,8 @@
     sequence.finish(layout)
 }
 
-fn check_first_segment(start: u64, first: Option<u64>, layout: &Layout) -> Result<(), Damage> {
-    match first {
-        Some(first) if first == start => Ok(()),
-        Some(first_frame) if layout.snapshot.is_none() => Err(Damage::MissingSnapshot { first_frame }),
-        None if layout.snapshot.is_none() => Err(Damage::MissingSnapshot { first_frame: start }),
-        _ => Err(Damage::MissingSegment { first_frame: start }),
-    }
-}
-
 fn stored_segment<F: FileSystem>(files: &mut F, first_frame: u64) -> Result<StoredFile, StoreError> {
     let name = FileKind::Segment(first_frame).name();
     let bytes = files.length(&name)?;
     Ok(StoredFile { name, bytes })
 }
-
-/// The segments as far as they were read.
-struct SegmentSequence {
-    last_first_frame: u64,
-    previous: Option<Segment>,
-}
-
-impl SegmentSequence {
-    /// A segment whose header never became durable may only be the last, begun but not yet counted on.
-    fn check_unused(&self, first_frame: u64, is_last: bool, layout: &Layout) -> Result<(), Damage> {
-        let may_be_unused = match &self.previous {
-            Some(previous) => !previous.sealed,
-            None => first_frame == 0 && layout.snapshot.is_none(),
-        };
-        match is_last && may_be_unused {
-            true => Ok(()),
-            false => Err(Damage::SegmentHeader { file: FileKind::Segment(first_frame).name() }),
-        }
-    }
-
-    /// A segment goes on where the one before ends. That one is sealed, unless power was lost between the making of
-    /// the new one, which is empty then, and the seal.
-    fn check(&self, first_frame: u64, segment: &Segment, is_last: bool) -> Result<(), Damage> {
-        let Some(previous) = &self.previous else {
-            return Ok(());
-        };
-        let next_frame = previous.next_frame;
-        if previous.sealed {
-            return match next_frame == first_frame {
-                true => Ok(()),
-                false => Err(Damage::MissingSegment { first_frame: next_frame }),
-            };
-        }
-        let seal_under_way = is_last && segment.is_empty() && next_frame + 1 == first_frame;
-        match seal_under_way {
-            true => Ok(()),
-            false => Err(Damage::SegmentEndsEarly {
-                file: FileKind::Segment(self.last_first_frame).name(),
-                next_frame,
-            }),
-        }
-    }
-
-    fn add(&mut self, first_frame: u64, segment: Segment, layout: &mut Layout) {
-        if let Some(tail) = layout.tail.take() {
-            layout.closed_segments.push(StoredFile { name: tail.name(), bytes: tail.length });
-            let sealed = self.previous.as_ref().is_some_and(|previous| previous.sealed);
-            layout.unsealed = (!sealed).then_some(tail);
-        }
-        layout.tail = Some(OpenSegment::of(first_frame, &segment));
-        self.last_first_frame = first_frame;
-        self.previous = Some(segment);
-    }
-
-    /// A seal says that another segment exists.
-    fn finish(&self, layout: &Layout) -> Result<(), StoreError> {
-        match (&self.previous, &layout.tail) {
-            (Some(last), Some(_)) if last.sealed => {
-                Err(Damage::MissingSegment { first_frame: last.next_frame }.into())
-            }
-            _ => Ok(()),
-        }
-    }
-}
--- a/crates/lockusher-storage/src/store.rs
+++ b/crates/lockusher-storage/src/store.rs
@@ -1,53 +1,12 @@
 //! The store: appends, snapshots, and how it repairs itself after the disk refused.
 
-use crate::format::{self, FileKind};
-use crate::recovery::{self, Layout, OpenSegment, RESERVE_FILE, StoredFile};
-use crate::{Damage, FileError, FileSystem, Recovered, StoreError};
-
-/// A snapshot is wanted when the log is this part of the disk ...
-const LOG_DISK_DIVISOR: u64 = 16;
-/// ... and this many times as large as the newest snapshot, so that few bytes are written for one that is appended.
-const LOG_BYTES_PER_SNAPSHOT_BYTE: u64 = 2;
-/// A segment is ended at this part of the disk.
-const SEGMENT_DISK_DIVISOR: u64 = 64;
-/// This part of the disk is kept for the next snapshot: appends don't use it.
-const SNAPSHOT_DISK_DIVISOR: u64 = 4;
-/// The reserve file is at most this part of the disk ...
-const RESERVE_DISK_DIVISOR: u64 = 8;
-/// ... and at least this many bytes.
-const MIN_RESERVE_BYTES: u64 = 64 * 1024;
-/// Size that an unknown disk is taken to have, for the thresholds above.
-const ASSUMED_DISK_BYTES: u64 = 128 * 1024 * 1024;
-
-/// Settings of a store.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreOptions {
-    /// Size of the disk in bytes; 0 if unknown.
-    pub disk_bytes: u64,
-}
-
-impl StoreOptions {
-    fn disk(self) -> u64 {
-        match self.disk_bytes {
-            0 => ASSUMED_DISK_BYTES,
-            bytes => bytes,
-        }
-    }
-
-    fn segment_bytes(self) -> u64 {
-        self.disk() / SEGMENT_DISK_DIVISOR
-    }
-
-    /// Most bytes of snapshot and log together.
-    fn append_limit(self) -> u64 {
-        self.disk() - self.disk() / SNAPSHOT_DISK_DIVISOR
-    }
-
-    fn reserve_bytes(self, snapshot_bytes: u64) -> u64 {
-        let largest = self.disk() / RESERVE_DISK_DIVISOR;
-        (2 * snapshot_bytes).max(MIN_RESERVE_BYTES).min(largest)
-    }
-}
+use crate::file_names::{FileKind, RESERVE_FILE};
+use crate::format;
+use crate::options::{LOG_BYTES_PER_SNAPSHOT_BYTE, LOG_DISK_DIVISOR};
+use crate::recovery::{self, Layout, StoredFile};
+use crate::reset;
+use crate::segment::{OpenSegment, create_segment, write_new_file};
+use crate::{Damage, FileError, FileSystem, Recovered, StoreError, StoreOptions};
 
 /// A log with snapshots in one folder. Only one store may use a folder at a time.
 #[derive(Debug)]
@@ -107,7 +66,7 @@
     /// Empties the folder of a damaged store, durably. A loss of power on the way leaves a folder that is emptied
     /// when it is opened.
     pub fn reset(files: &mut F) -> Result<(), StoreError> {
-        recovery::reset(files)
+        reset::reset(files)
     }
 
     /// Appends the records as a whole; they are durable when this returns.
@@ -395,19 +354,3 @@
     }
     files.sync_directory()
 }
-
-fn create_segment<F: FileSystem>(files: &mut F, first_frame: u64) -> Result<OpenSegment, FileError> {
-    let header = format::encode_segment_header(first_frame);
-    let segment =
-        OpenSegment { first_frame, next_frame: first_frame, length: header.len() as u64, torn: false };
-    write_new_file(files, &segment.name(), &header)?;
-    Ok(segment)
-}
-
-/// Makes a file with this content; both are durable when this returns.
-fn write_new_file<F: FileSystem>(files: &mut F, name: &str, content: &[u8]) -> Result<(), FileError> {
-    files.create(name)?;
-    files.write(name, 0, content)?;
-    files.sync_file(name)?;
-    files.sync_directory()
-}
--- a/crates/lockusher-storage/src/writer.rs
+++ b/crates/lockusher-storage/src/writer.rs
@@ -2,68 +2,15 @@
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::mpsc::{self, Receiver, Sender};
+use std::sync::mpsc::{self, Sender};
 use std::thread::{self, JoinHandle};
 
-use derive_more::{Display, Error};
-use futures_channel::mpsc::{UnboundedReceiver, UnboundedSender, unbounded};
+use futures_channel::mpsc::{UnboundedReceiver, unbounded};
 use futures_util::StreamExt;
 
-use crate::{FileSystem, Recovered, Store, StoreError};
-
-/// Appends that wait are put into one write until it holds this many bytes.
-const MAX_GROUP_BYTES: usize = 4 * 1024 * 1024;
-
-/// Something for the thread to do. Jobs are done in the order of their submission.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Job {
-    /// [`Store::append`].
-    Append {
-        /// Returned with the completion; the caller's to choose.
-        ticket: u64,
-        /// What to append.
-        records: Vec<Vec<u8>>,
-    },
-    /// [`Store::snapshot`].
-    Snapshot {
-        /// Returned with the completion; the caller's to choose.
-        ticket: u64,
-        /// The snapshot, which holds the effect of every append that was completed without an error, and no other.
-        bytes: Vec<u8>,
-    },
-    /// [`Store::scrub`].
-    Scrub {
-        /// Returned with the completion; the caller's to choose.
-        ticket: u64,
-    },
-}
-
-/// The outcome of a job.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Completion {
-    /// Ticket of the job.
-    pub ticket: u64,
-    /// What the store returned.
-    pub result: Result<(), StoreError>,
-    /// What a scrub read back.
-    pub scrubbed: Option<Recovered>,
-    /// [`Store::log_bytes`] after the job.
-    pub log_bytes: u64,
-    /// [`Store::snapshot_due`] after the job.
-    pub snapshot_due: bool,
-}
-
-/// Why a job wasn't taken.
-#[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum SubmitError {
-    /// A snapshot can't say which of the appends that are under way it holds, nor can a scrub: submit it once all are
-    /// completed.
-    #[display("a snapshot or scrub was submitted while appends are under way")]
-    AppendsInFlight,
-    /// The thread has ended, which it does only by a panic.
-    #[display("the storage thread has ended")]
-    ThreadEnded,
-}
+use crate::job::{Completion, Job, SubmitError};
+use crate::worker::{Outcome, Submission, Worker};
+use crate::{FileSystem, Store};
 
 /// Numbers that the two sides share.
 #[derive(Debug, Default)]
@@ -74,12 +21,6 @@
     observed_failures: AtomicU64,
 }
 
-struct Submission {
-    job: Job,
-    /// [`Progress::observed_failures`] at the submission.
-    observed_failures: u64,
-}
-
 /// Hands jobs to the thread. The thread ends when this is dropped, after the jobs submitted before.
 #[derive(Debug)]
 pub struct StoreWriter {
@@ -162,120 +103,3 @@
         Some(completion)
     }
 }
-
-/// A completion on its way to the caller.
-#[derive(Debug)]
-struct Outcome {
-    completion: Completion,
-    /// An append was tried and failed, so that what was submitted meanwhile is skipped.
-    append_failed: bool,
-}
-
-/// The thread's side.
-struct Worker<F> {
-    store: Store<F>,
-    submissions: Receiver<Submission>,
-    completions: UnboundedSender<Outcome>,
-    /// Failures of appends that were sent.
-    failures: u64,
-}
-
-/// Appends that go into one write.
-#[derive(Default)]
-struct Group {
-    tickets: Vec<u64>,
-    records: Vec<Vec<u8>>,
-    bytes: usize,
-}
-
-impl Group {
-    fn add(&mut self, ticket: u64, records: Vec<Vec<u8>>) {
-        self.tickets.push(ticket);
-        self.bytes += records.iter().map(Vec::len).sum::<usize>();
-        self.records.extend(records);
-    }
-}
-
-impl<F: FileSystem> Worker<F> {
-    fn run(mut self) {
-        while let Ok(submission) = self.submissions.recv() {
-            let mut next = Some(submission);
-            while let Some(submission) = next {
-                next = self.execute(submission);
-            }
-        }
-    }
-
-    /// Does a job, with the appends that wait behind it; returns a submission that was taken and doesn't belong to it.
-    fn execute(&mut self, submission: Submission) -> Option<Submission> {
-        if submission.observed_failures < self.failures {
-            self.send(submission.job.ticket(), Err(StoreError::Skipped), false);
-            return None;
-        }
-        match submission.job {
-            Job::Append { ticket, records } => self.append_group(ticket, records),
-            Job::Snapshot { ticket, bytes } => {
-                let result = self.store.snapshot(&bytes);
-                self.send(ticket, result, false);
-                None
-            }
-            Job::Scrub { ticket } => {
-                let (result, scrubbed) = match self.store.scrub() {
-                    Ok(recovered) => (Ok(()), Some(recovered)),
-                    Err(error) => (Err(error), None),
-                };
-                self.send_with(ticket, result, scrubbed, false);
-                None
-            }
-        }
-    }
-
-    fn append_group(&mut self, ticket: u64, records: Vec<Vec<u8>>) -> Option<Submission> {
-        let mut group = Group::default();
-        group.add(ticket, records);
-        let mut left_over = None;
-        while group.bytes < MAX_GROUP_BYTES && left_over.is_none() {
-            match self.submissions.try_recv() {
-                Ok(Submission { job: Job::Append { ticket, records }, .. }) => group.add(ticket, records),
-                Ok(other) => left_over = Some(other),
-                Err(_) => break,
-            }
-        }
-        let result = self.store.append(&group.records);
-        for ticket in group.tickets {
-            self.failures += u64::from(result.is_err());
-            self.send(ticket, result.clone(), result.is_err());
-        }
-        left_over
-    }
-
-    fn send(&mut self, ticket: u64, result: Result<(), StoreError>, append_failed: bool) {
-        self.send_with(ticket, result, None, append_failed);
-    }
-
-    fn send_with(
-        &mut self,
-        ticket: u64,
-        result: Result<(), StoreError>,
-        scrubbed: Option<Recovered>,
-        append_failed: bool,
-    ) {
-        let completion = Completion {
-            ticket,
-            result,
-            scrubbed,
-            log_bytes: self.store.log_bytes(),
-            snapshot_due: self.store.snapshot_due(),
-        };
-        // Nobody listens any more when the process ends; the jobs are done all the same.
-        let _ = self.completions.unbounded_send(Outcome { completion, append_failed });
-    }
-}
-
-impl Job {
-    fn ticket(&self) -> u64 {
-        match self {
-            Job::Append { ticket, .. } | Job::Snapshot { ticket, .. } | Job::Scrub { ticket } => *ticket,
-        }
-    }
-}
