--- a/crates/lockusher-control/src/driver/disk.rs
+++ b/crates/lockusher-control/src/driver/disk.rs
@@ -17,7 +17,7 @@
 /// Ticket of a scrub, likewise.
 const SCRUB_TICKET: u64 = u64::MAX - 1;
 /// Pause before a disk that refused to open is tried again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(200);
+const REOPEN_DELAY: Duration = Duration::from_millis(200);
 
 /// Why the disk of a control node can't be used.
 #[derive(Debug, Display, Error, From)]
@@ -42,7 +42,7 @@
 /// Where a replica's records are made durable.
 pub struct Disk {
     writer: StoreWriter,
-    snapshot_wanted: Cell<bool>,
+    snapshot_due: Cell<bool>,
     scrubs: Cell<ScrubCounters>,
 }
 
@@ -73,14 +73,14 @@
                 }
                 Err(error) => {
                     log::warn!("opening the disk: {error}");
-                    compio::time::sleep(REOPEN_PAUSE).await;
+                    compio::time::sleep(REOPEN_DELAY).await;
                 }
             }
         };
         cleared |= recovered.report.reset_completed;
         let records = decode(recovered.snapshot, recovered.records)?;
         let (writer, completions) = StoreWriter::spawn(store)?;
-        let disk = Disk { writer, snapshot_wanted: Cell::new(false), scrubs: Cell::default() };
+        let disk = Disk { writer, snapshot_due: Cell::new(false), scrubs: Cell::default() };
         Ok((disk, completions, RecoveredRecords { records, cleared }))
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Takes the outcome of a scrub, if this is one. A damaged disk is rewritten by a snapshot of the state in memory.
-    pub fn scrub_completed(
+    pub fn on_scrub_completion(
         &self,
         completion: &Completion,
         compare: impl FnOnce(Vec<DurableRecord>) -> DiskComparison,
@@ -127,18 +127,18 @@
             DiskComparison::Same => {}
             DiskComparison::DiskDiffers => {
                 log::error!("scrub: the disk is damaged; it is rewritten from memory");
-                self.snapshot_wanted.set(true);
+                self.snapshot_due.set(true);
             }
             DiskComparison::MemoryDamaged => log::error!("scrub: the state in memory is damaged"),
         }
     }
 
     /// Notes a completion; the ticket of an append with its success.
-    pub fn completed(&self, completion: &Completion) -> Option<(PersistTicket, bool)> {
+    pub fn on_completion(&self, completion: &Completion) -> Option<(PersistTicket, bool)> {
         if completion.ticket == SCRUB_TICKET {
             return None;
         }
-        self.snapshot_wanted.set(completion.snapshot_due);
+        self.snapshot_due.set(completion.snapshot_due);
         if let Err(error) = &completion.result {
             log::warn!("disk: {error}");
         }
@@ -147,11 +147,11 @@
     }
 
     /// Writes a snapshot if one is wanted and nothing is under way.
-    pub fn snapshot_if_wanted(&self, records: impl FnOnce() -> Vec<DurableRecord>) {
-        if !self.snapshot_wanted.get() || !self.writer.is_idle() {
+    pub fn snapshot_if_due(&self, records: impl FnOnce() -> Vec<DurableRecord>) {
+        if !self.snapshot_due.get() || !self.writer.is_idle() {
             return;
         }
-        self.snapshot_wanted.set(false);
+        self.snapshot_due.set(false);
         let bytes = bitcode::encode(&records());
         if let Err(error) = self.writer.submit(Job::Snapshot { ticket: SNAPSHOT_TICKET, bytes }) {
             log::warn!("snapshot: {error}");
@@ -163,7 +163,7 @@
 async fn clear(folder: &Path) {
     if let Err(error) = Store::reset(&mut DiskFileSystem::new(folder.to_path_buf())) {
         log::warn!("clearing the disk: {error}");
-        compio::time::sleep(REOPEN_PAUSE).await;
+        compio::time::sleep(REOPEN_DELAY).await;
     }
 }
 
--- a/crates/lockusher-control/src/driver/peer_links.rs
+++ b/crates/lockusher-control/src/driver/peer_links.rs
@@ -23,15 +23,15 @@
 /// Bytes that may wait for one peer; the oldest messages give way.
 const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
 /// A connection attempt has this part of `acknowledgeMs`, the interval of heartbeats ...
-const CONNECT_PART: u32 = 20;
+const CONNECT_LIMIT_DIVISOR: u32 = 20;
 /// ... and the next one follows after this part of it.
-const PAUSE_PART: u32 = 80;
+const RECONNECT_DELAY_DIVISOR: u32 = 80;
 /// A connection attempt has this long at least, for a way between regions.
-const SHORTEST_CONNECT_LIMIT: Duration = Duration::from_millis(100);
+const MIN_CONNECT_LIMIT: Duration = Duration::from_millis(100);
 /// A peer that takes no bytes for this long is connected to anew.
-const WRITE_LIMIT: Duration = Duration::from_millis(1_500);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A link that had nothing to send for this long is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a control node sends to another on a connection.
 #[derive(Clone, Debug, Encode, Decode)]
@@ -47,22 +47,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkTiming {
     pub connect_limit: Duration,
-    pub reconnect_pause: Duration,
+    pub reconnect_delay: Duration,
 }
 
 impl LinkTiming {
     /// Times for an operator who waits this long for an acknowledgement.
     pub fn new(acknowledge: Duration) -> Self {
         LinkTiming {
-            connect_limit: (acknowledge / CONNECT_PART).max(SHORTEST_CONNECT_LIMIT),
-            reconnect_pause: acknowledge / PAUSE_PART,
+            connect_limit: (acknowledge / CONNECT_LIMIT_DIVISOR).max(MIN_CONNECT_LIMIT),
+            reconnect_delay: acknowledge / RECONNECT_DELAY_DIVISOR,
         }
     }
 }
 
 /// The outgoing links of one control node.
 pub struct PeerLinks {
-    own: SocketAddrV4,
+    own_address: SocketAddrV4,
     timing: LinkTiming,
     links: RefCell<HashMap<SocketAddrV4, Link>>,
 }
@@ -99,39 +99,44 @@
 }
 
 impl PeerLinks {
-    pub fn new(own: SocketAddrV4, timing: LinkTiming) -> Self {
-        PeerLinks { own, timing, links: RefCell::default() }
+    pub fn new(own_address: SocketAddrV4, timing: LinkTiming) -> Self {
+        PeerLinks { own_address, timing, links: RefCell::default() }
     }
 
     /// Queues a message for a peer.
     pub fn send(&self, to: SocketAddrV4, envelope: &Envelope) {
-        let frame = frame::encode(&PeerFrame { from: self.own, envelope: envelope.encode() });
+        let frame = frame::encode(&PeerFrame { from: self.own_address, envelope: envelope.encode() });
         let mut links = self.links.borrow_mut();
-        let link = links.entry(to).or_insert_with(|| open(to, self.timing));
+        let link = links.entry(to).or_insert_with(|| open_link(to, self.timing));
         link.queue.borrow_mut().push(frame);
         if let Err(error) = link.wake.try_send(())
             && error.is_disconnected()
         {
             let queue = link.queue.take();
-            *link = open(to, self.timing);
+            *link = open_link(to, self.timing);
             link.queue.replace(queue);
             let _ = link.wake.try_send(());
         }
     }
 }
 
-fn open(to: SocketAddrV4, timing: LinkTiming) -> Link {
+fn open_link(to: SocketAddrV4, timing: LinkTiming) -> Link {
     let queue = Rc::new(RefCell::new(Queue::default()));
-    let (wake, woken) = mpsc::channel(1);
-    compio::runtime::spawn(run(to, timing, queue.clone(), woken)).detach();
+    let (wake, wakeups) = mpsc::channel(1);
+    compio::runtime::spawn(run_link(to, timing, queue.clone(), wakeups)).detach();
     Link { queue, wake }
 }
 
 /// Keeps one link until nothing was sent on it for a while.
-async fn run(to: SocketAddrV4, timing: LinkTiming, queue: Rc<RefCell<Queue>>, mut woken: mpsc::Receiver<()>) {
+async fn run_link(
+    to: SocketAddrV4,
+    timing: LinkTiming,
+    queue: Rc<RefCell<Queue>>,
+    mut wakeups: mpsc::Receiver<()>,
+) {
     loop {
         match tcp::connect(to, timing.connect_limit).await {
-            Ok(stream) => match write_queue(stream, &queue, &mut woken).await {
+            Ok(stream) => match write_queue(stream, &queue, &mut wakeups).await {
                 Ok(()) => return,
                 Err(error) => log::debug!("link to {to}: {error}"),
             },
@@ -139,8 +144,8 @@
         }
         // What waited is old news by the time the peer is back; the replica repeats what matters.
         queue.borrow_mut().clear();
-        sleep(timing.reconnect_pause).await;
-        if timeout(IDLE_LIMIT, woken.next()).await.is_err() {
+        sleep(timing.reconnect_delay).await;
+        if timeout(IDLE_TIMEOUT, wakeups.next()).await.is_err() {
             return;
         }
     }
@@ -149,16 +154,16 @@
 async fn write_queue(
     stream: TcpStream,
     queue: &RefCell<Queue>,
-    woken: &mut mpsc::Receiver<()>,
+    wakeups: &mut mpsc::Receiver<()>,
 ) -> Result<(), TransportError> {
     let (_reader, mut writer) = frame::split::<(), PeerFrame>(stream)?;
     loop {
         let next = queue.borrow_mut().pop();
         match next {
-            Some(frame) => timeout(WRITE_LIMIT, writer.write_encoded(&frame))
+            Some(frame) => timeout(WRITE_TIMEOUT, writer.write_encoded(&frame))
                 .await
                 .map_err(|_| TransportError::TimedOut)??,
-            None => match timeout(IDLE_LIMIT, woken.next()).await {
+            None => match timeout(IDLE_TIMEOUT, wakeups.next()).await {
                 Ok(Some(())) => {}
                 Ok(None) | Err(_) => return Ok(()),
             },
--- a/crates/lockusher-control/src/driver/replica_driver.rs
+++ b/crates/lockusher-control/src/driver/replica_driver.rs
@@ -29,26 +29,26 @@
 }
 
 /// One control node's replica with everything that it acts on.
-pub struct Host {
+pub struct ReplicaDriver {
     pub clock: Clock,
     pub publisher: Rc<SharedPublisher>,
     replica: RefCell<Replica>,
     disk: Disk,
     links: PeerLinks,
-    waiting: RefCell<HashMap<RequestTicket, oneshot::Sender<Reply>>>,
+    pending_requests: RefCell<HashMap<RequestTicket, oneshot::Sender<Reply>>>,
     next_ticket: Cell<u64>,
     role: Cell<Role>,
-    known_head: Cell<Option<SocketAddrV4>>,
+    reported_head_address: Cell<Option<SocketAddrV4>>,
     role_changed: ChangeNotifier,
     /// Searchers that are being changed by order of this node.
     pub stage_switch_overlay: StageSwitchOverlay,
     /// The platform's list as this node last read it, and the epoch in which it did.
-    pub last_reading: RefCell<Option<(u64, Rc<Vec<Instance>>)>>,
+    pub last_poll: RefCell<Option<(u64, Rc<Vec<Instance>>)>>,
     /// Port at which control nodes serve subscribers.
     subscription_port: u16,
 }
 
-impl Host {
+impl ReplicaDriver {
     pub fn new(
         clock: Clock,
         publisher: Rc<SharedPublisher>,
@@ -57,33 +57,33 @@
         links: PeerLinks,
         subscription_port: u16,
     ) -> Rc<Self> {
-        Rc::new(Host {
+        Rc::new(ReplicaDriver {
             clock,
             publisher,
             replica: RefCell::new(replica),
             disk,
             links,
-            waiting: RefCell::default(),
+            pending_requests: RefCell::default(),
             next_ticket: Cell::new(0),
             role: Cell::default(),
-            known_head: Cell::default(),
+            reported_head_address: Cell::default(),
             role_changed: ChangeNotifier::default(),
             stage_switch_overlay: StageSwitchOverlay::default(),
-            last_reading: RefCell::default(),
+            last_poll: RefCell::default(),
             subscription_port,
         })
     }
 
     /// Looks at the replica.
-    pub fn read<R>(&self, look: impl FnOnce(&Replica) -> R) -> R {
-        look(&self.replica.borrow())
+    pub fn read<R>(&self, inspect: impl FnOnce(&Replica) -> R) -> R {
+        inspect(&self.replica.borrow())
     }
 
     pub fn role(&self) -> Role {
         self.role.get()
     }
 
-    /// Signals each change of [`Host::role`] and [`Host::head_address`].
+    /// Signals each change of [`ReplicaDriver::role`] and [`ReplicaDriver::head_address`].
     pub fn role_changed(&self) -> &ChangeNotifier {
         &self.role_changed
     }
@@ -102,24 +102,24 @@
     /// Hands the replica an event and carries out what it asks for.
     pub fn dispatch(&self, event: Event) {
         let effects = self.replica.borrow_mut().handle(self.clock.millis(), event);
-        self.carry_out(effects);
+        self.apply_effects(effects);
         let head = self.head_address();
-        if self.known_head.replace(head) != head {
+        if self.reported_head_address.replace(head) != head {
             self.role_changed.notify();
         }
     }
 
     /// Carries out effects, and the events that they lead to at once.
-    pub fn carry_out(&self, effects: Vec<Effect>) {
+    pub fn apply_effects(&self, effects: Vec<Effect>) {
         let mut queue = VecDeque::from(effects);
         while let Some(effect) = queue.pop_front() {
-            if let Some(event) = self.carry_out_one(effect) {
+            if let Some(event) = self.apply_effect(effect) {
                 queue.extend(self.replica.borrow_mut().handle(self.clock.millis(), event));
             }
         }
     }
 
-    fn carry_out_one(&self, effect: Effect) -> Option<Event> {
+    fn apply_effect(&self, effect: Effect) -> Option<Event> {
         match effect {
             Effect::Send { to, message } => self.links.send(to, &Envelope::new(message)),
             Effect::Persist { ticket, records } => {
@@ -129,21 +129,21 @@
                 }
             }
             Effect::Reply { ticket, reply } => self.reply(ticket, reply),
-            Effect::Committed(document) => self.publish(&document),
+            Effect::Committed(document) => self.publish_configuration(&document),
             Effect::RoleChanged { head, epoch } => self.change_role(Role { head, epoch }),
-            Effect::Members(members) => self.announce(&members),
+            Effect::Members(members) => self.publish_members(&members),
         }
         None
     }
 
     fn reply(&self, ticket: RequestTicket, reply: Reply) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
+        if let Some(sender) = self.pending_requests.borrow_mut().remove(&ticket) {
             // The caller may have gone.
-            let _ = waiting.send(reply);
+            let _ = sender.send(reply);
         }
     }
 
-    fn publish(&self, document: &ConfigurationDocument) {
+    fn publish_configuration(&self, document: &ConfigurationDocument) {
         match Configuration::parse(&document.body) {
             Ok(configuration) => {
                 let configuration = Rc::new(configuration);
@@ -161,7 +161,7 @@
         }
     }
 
-    fn announce(&self, members: &[SocketAddrV4]) {
+    fn publish_members(&self, members: &[SocketAddrV4]) {
         let port = self.subscription_port;
         let addresses = members.iter().map(|member| SocketAddrV4::new(*member.ip(), port)).collect();
         self.publisher.update(|publisher| publisher.set_control_nodes(addresses));
@@ -172,7 +172,7 @@
         let ticket = RequestTicket(self.next_ticket.get());
         self.next_ticket.set(ticket.0 + 1);
         let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, sender);
+        self.pending_requests.borrow_mut().insert(ticket, sender);
         self.dispatch(Event::Request { ticket, request });
         receiver.await.unwrap_or(Reply::Unavailable)
     }
@@ -200,13 +200,14 @@
     }
 
     /// Takes a completion of the disk.
-    pub fn disk_completed(&self, completion: &Completion) {
-        match self.disk.completed(completion) {
+    pub fn on_disk_completion(&self, completion: &Completion) {
+        match self.disk.on_completion(completion) {
             Some((ticket, true)) => self.dispatch(Event::Persisted { ticket }),
             Some((ticket, false)) => self.dispatch(Event::PersistFailed { ticket }),
             None => {}
         }
-        self.disk.scrub_completed(completion, |records| self.read(|replica| replica.compare_disk(records)));
-        self.disk.snapshot_if_wanted(|| self.replica.borrow().snapshot());
+        self.disk
+            .on_scrub_completion(completion, |records| self.read(|replica| replica.compare_disk(records)));
+        self.disk.snapshot_if_due(|| self.replica.borrow().snapshot());
     }
 }
--- a/crates/lockusher-control/src/driver/stage_assignment.rs
+++ b/crates/lockusher-control/src/driver/stage_assignment.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 use super::instance_list_polling;
-use super::replica_driver::Host;
+use super::replica_driver::ReplicaDriver;
 use crate::Millis;
 use crate::replica::{Reply, Request};
 use crate::stage_assignment_lease::StageAssignmentLease;
@@ -29,12 +29,12 @@
 const STAGE_CHANGE_PATH: &str = "/api/order";
 
 /// Gives orders while this node is head, for ever. Dropping the future ends it at once, an order under way included.
-pub async fn run(host: Rc<Host>, settings: Rc<NodeSettings>) {
-    let started = host.clock.millis();
+pub async fn run(driver: Rc<ReplicaDriver>, settings: Rc<NodeSettings>) {
+    let started = driver.clock.millis();
     let mut assigner = StageAssigner {
         lease: StageAssignmentLease::new(settings.bounds.lease_ms, started),
         scheduler: StageScheduler::new(settings.cloud_lag_ms),
-        host,
+        driver,
         settings,
     };
     loop {
@@ -44,7 +44,7 @@
 }
 
 struct StageAssigner {
-    host: Rc<Host>,
+    driver: Rc<ReplicaDriver>,
     settings: Rc<NodeSettings>,
     lease: StageAssignmentLease,
     scheduler: StageScheduler,
@@ -52,12 +52,12 @@
 
 impl StageAssigner {
     fn now(&self) -> Millis {
-        self.host.clock.millis()
+        self.driver.clock.millis()
     }
 
     /// The fencing token under which this node may order now; none if it isn't head or has to wait.
     fn fencing_token(&mut self) -> Option<u64> {
-        let role = self.host.role();
+        let role = self.driver.role();
         let now = self.now();
         self.lease.observe(now, role.head, role.epoch);
         self.lease.fencing_token(now)
@@ -65,9 +65,9 @@
 
     async fn run_cycle(&mut self) {
         let Some(fencing_token) = self.fencing_token() else {
-            if !self.host.role().head {
+            if !self.driver.role().head {
                 self.scheduler = StageScheduler::new(self.settings.cloud_lag_ms);
-                self.host.stage_switch_overlay.set(Vec::new());
+                self.driver.stage_switch_overlay.set(Vec::new());
             }
             return;
         };
@@ -83,7 +83,7 @@
 
     fn plan(&mut self) -> Option<StageChange> {
         let now = self.now();
-        let (configuration, list, loads, proxies) = self.host.publisher.read(|publisher| {
+        let (configuration, list, loads, proxies) = self.driver.publisher.read(|publisher| {
             let newest = (publisher.configuration().cloned(), publisher.list().cloned());
             (newest.0, newest.1, publisher.downstream_loads(), publisher.downstream_proxies())
         });
@@ -104,15 +104,15 @@
             .changes_in_flight()
             .map(|change| (change.identifier.clone(), change.from))
             .collect();
-        if self.host.stage_switch_overlay.set(switching) {
-            instance_list_polling::publish_again(&self.host);
+        if self.driver.stage_switch_overlay.set(switching) {
+            instance_list_polling::republish(&self.driver);
         }
     }
 
     async fn send_order(&mut self, fencing_token: u64, change: &StageChange) -> OrderOutcome {
         let Ok(address) = change.address.parse() else { return OrderOutcome::Rejected };
         let requested_at = self.now();
-        let confirmed = matches!(self.host.request(Request::Read).await, Reply::Document(_));
+        let confirmed = matches!(self.driver.request(Request::Read).await, Reply::Document(_));
         if !confirmed || !self.may_send(fencing_token, requested_at) {
             return OrderOutcome::NotSent;
         }
--- a/crates/lockusher-control/src/driver/status.rs
+++ b/crates/lockusher-control/src/driver/status.rs
@@ -4,18 +4,18 @@
 
 use serde_json::{Value, json};
 
-use super::replica_driver::Host;
+use super::replica_driver::ReplicaDriver;
 
 /// The state of this control node as JSON.
-pub fn report(host: &Host) -> String {
-    let view = host.read(|replica| {
+pub fn report(driver: &ReplicaDriver) -> String {
+    let view = driver.read(|replica| {
         let view = replica.view()?;
         let member = |member: &crate::view::Member| json!({"identity": member.identity.0.to_string(), "address": member.address.to_string()});
         let voters: Vec<Value> = view.voters.iter().map(member).collect();
         let chain: Vec<String> = view.chain.iter().map(|identity| identity.0.to_string()).collect();
         Some(json!({"epoch": view.epoch, "voters": voters, "chain": chain}))
     });
-    let subscribers: Vec<Value> = host.publisher.read(|publisher| {
+    let subscribers: Vec<Value> = driver.publisher.read(|publisher| {
         let subscriber = |status: lockusher_distribution::publisher::SubscriberStatus| {
             json!({
                 "node": status.identity.node,
@@ -27,28 +27,28 @@
         };
         publisher.subscribers().map(subscriber).collect()
     });
-    let role = host.role();
+    let role = driver.role();
     let report = json!({
-        "identity": host.read(|replica| replica.identity().0.to_string()),
+        "identity": driver.read(|replica| replica.identity().0.to_string()),
         "head": role.head,
-        "clean": host.read(|replica| replica.is_clean()),
+        "clean": driver.read(|replica| replica.is_clean()),
         "view": view,
-        "configuration": host.read(|replica| replica.committed().map(|document| document.version)),
+        "configuration": driver.read(|replica| replica.committed().map(|document| document.version)),
         "subscribers": subscribers,
     });
     format!("{report}\n")
 }
 
 /// Counters of this control node in the common text format.
-pub fn metrics(host: &Host) -> String {
-    let counters = host.read(|replica| replica.counters());
-    let scrubs = host.scrub_counters();
-    let newest = host.publisher.read(|publisher| publisher.newest());
+pub fn metrics(driver: &ReplicaDriver) -> String {
+    let counters = driver.read(|replica| replica.counters());
+    let scrubs = driver.scrub_counters();
+    let newest = driver.publisher.read(|publisher| publisher.newest());
     let rows = [
         ("control_views_adopted_total", counters.views_adopted),
         ("control_view_proposals_total", counters.proposals),
         ("control_commits_total", counters.commits),
-        ("control_whole_transfers_total", counters.full_snapshots_sent),
+        ("control_full_snapshots_sent_total", counters.full_snapshots_sent),
         ("control_repairs_total", counters.repairs),
         ("control_read_repairs_total", counters.read_repairs),
         ("control_digest_repairs_total", counters.digest_repairs),
@@ -56,7 +56,7 @@
         ("control_scrub_damage_total", scrubs.damage_found),
         ("control_persist_failures_total", counters.persist_failures),
         ("control_configuration_version", newest.configuration_version),
-        ("control_is_head", u64::from(host.role().head)),
+        ("control_is_head", u64::from(driver.role().head)),
     ];
     let mut text = String::new();
     for (name, value) in rows {
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -19,20 +19,20 @@
 
 use crate::driver::disk::{Disk, DiskError};
 use crate::driver::peer_links::{LinkTiming, PeerLinks, receive};
-use crate::driver::replica_driver::Host;
+use crate::driver::replica_driver::ReplicaDriver;
 use crate::driver::{instance_list_polling, operator_api, stage_assignment};
 use crate::replica::{Event, Replica, ReplicaSetup};
 
 /// Pause between two ticks of the replica.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a node that was told to stop goes on at least, so that others take over what it did.
-const HAND_OVER: Duration = Duration::from_millis(600);
+const MIN_HAND_OVER: Duration = Duration::from_millis(600);
 /// It goes on until it has handed over, for this part of the grace at most.
-const HAND_OVER_PART: u32 = 2;
+const HAND_OVER_GRACE_DIVISOR: u32 = 2;
 /// Pause between two scrubs of the disk.
 const SCRUB_INTERVAL: Duration = Duration::from_secs(600);
 /// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Why a control node can't run.
 #[derive(Debug, Display, Error, From)]
@@ -71,17 +71,17 @@
     let folder = settings.data_directory.clone().ok_or(ControlError::Missing("dataDirectory"))?;
     let replica_port = settings.internal_port(InternalListener::Replicas)?;
     let subscription_port = settings.internal_port(InternalListener::Subscriptions)?;
-    let own = SocketAddrV4::new(settings.ip_address, replica_port);
+    let own_address = SocketAddrV4::new(settings.ip_address, replica_port);
     let operator_listener = tcp::listen(operator_address).await?;
-    let peer_listener = tcp::listen(own).await?;
+    let peer_listener = tcp::listen(own_address).await?;
     let subscription = SocketAddrV4::new(settings.ip_address, subscription_port);
     let subscription_listener = tcp::listen(subscription).await?;
 
     let (disk, completions, recovered) = Disk::open(&folder, settings.limits.disk_mb * 1024 * 1024).await?;
     let clock = Clock::start();
-    let random_seed = RandomState::new().hash_one(own);
+    let random_seed = RandomState::new().hash_one(own_address);
     let setup = ReplicaSetup {
-        address: own,
+        address: own_address,
         seeds: settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), replica_port)).collect(),
         first_start: settings.first_start && !recovered.cleared,
         tolerated_losses: settings.fault_tolerance_machines,
@@ -89,80 +89,80 @@
         catch_up_ms: settings.bounds.catch_up_ms,
         random_seed,
     };
-    log::info!("control node at {own}, {} records on disk", recovered.records.len());
+    log::info!("control node at {own_address}, {} records on disk", recovered.records.len());
     let (replica, effects) = Replica::new(setup, recovered.records, clock.millis());
     let publisher = SharedPublisher::new(Publisher::new(random_seed), clock);
     let acknowledge = Duration::from_millis(settings.bounds.acknowledge_ms);
-    let links = PeerLinks::new(own, LinkTiming::new(acknowledge));
-    let host = Host::new(clock, Rc::clone(&publisher), replica, disk, links, subscription_port);
-    host.carry_out(effects);
+    let links = PeerLinks::new(own_address, LinkTiming::new(acknowledge));
+    let driver = ReplicaDriver::new(clock, Rc::clone(&publisher), replica, disk, links, subscription_port);
+    driver.apply_effects(effects);
 
-    let operator_host = Rc::clone(&host);
-    let operator = move |request| operator_api::handle(Rc::clone(&operator_host), request);
-    let longest_hand_over = Duration::from_millis(settings.bounds.grace_ms) / HAND_OVER_PART;
+    let operator_driver = Rc::clone(&driver);
+    let operator = move |request| operator_api::handle(Rc::clone(&operator_driver), request);
+    let hand_over_limit = Duration::from_millis(settings.bounds.grace_ms) / HAND_OVER_GRACE_DIVISOR;
     let settings = Rc::new(settings);
-    let orders = options
+    let stage_assignment_task = options
         .stage_assignment
-        .then(|| compio::runtime::spawn(stage_assignment::run(Rc::clone(&host), Rc::clone(&settings))));
+        .then(|| compio::runtime::spawn(stage_assignment::run(Rc::clone(&driver), Rc::clone(&settings))));
     let _tasks = [
-        compio::runtime::spawn(follow_disk(Rc::clone(&host), completions)),
-        compio::runtime::spawn(tick(Rc::clone(&host))),
-        compio::runtime::spawn(scrub(Rc::clone(&host))),
-        compio::runtime::spawn(accept_peers(Rc::clone(&host), peer_listener)),
+        compio::runtime::spawn(follow_disk(Rc::clone(&driver), completions)),
+        compio::runtime::spawn(tick_periodically(Rc::clone(&driver))),
+        compio::runtime::spawn(scrub_periodically(Rc::clone(&driver))),
+        compio::runtime::spawn(accept_peers(Rc::clone(&driver), peer_listener)),
         compio::runtime::spawn(accept(subscription_listener, publisher)),
         compio::runtime::spawn(http::serve(operator_listener, operator)),
-        compio::runtime::spawn(instance_list_polling::run(Rc::clone(&host), settings, random_seed)),
+        compio::runtime::spawn(instance_list_polling::run(Rc::clone(&driver), settings, random_seed)),
     ];
     stop.await;
     log::info!("stopping");
     // Ends an order under way, too: its connection is reset.
-    drop(orders);
-    host.dispatch(Event::Stop);
-    hand_over(&host, longest_hand_over).await;
+    drop(stage_assignment_task);
+    driver.dispatch(Event::Stop);
+    hand_over(&driver, hand_over_limit).await;
     Ok(())
 }
 
 /// Waits until the others do without this node, or for `limit` if they can't agree on that.
-async fn hand_over(host: &Host, limit: Duration) {
-    let begun = host.clock.millis();
-    sleep(HAND_OVER).await;
-    let is_over = || host.clock.millis() - begun >= limit.as_millis() as u64;
-    while !host.read(Replica::has_handed_over) && !is_over() {
-        sleep(TICK).await;
+async fn hand_over(driver: &ReplicaDriver, limit: Duration) {
+    let started = driver.clock.millis();
+    sleep(MIN_HAND_OVER).await;
+    let is_over = || driver.clock.millis() - started >= limit.as_millis() as u64;
+    while !driver.read(Replica::has_handed_over) && !is_over() {
+        sleep(TICK_INTERVAL).await;
     }
 }
 
-async fn follow_disk(host: Rc<Host>, mut completions: Completions) {
+async fn follow_disk(driver: Rc<ReplicaDriver>, mut completions: Completions) {
     while let Some(completion) = completions.next().await {
-        host.disk_completed(&completion);
+        driver.on_disk_completion(&completion);
     }
 }
 
-async fn tick(host: Rc<Host>) {
+async fn tick_periodically(driver: Rc<ReplicaDriver>) {
     loop {
-        sleep(TICK).await;
-        host.dispatch(Event::Tick);
-        host.refresh_status();
+        sleep(TICK_INTERVAL).await;
+        driver.dispatch(Event::Tick);
+        driver.refresh_status();
     }
 }
 
 /// Scrubs the disk now and then; the first pause is drawn anew by each node, so that they don't all read at once.
-async fn scrub(host: Rc<Host>) {
+async fn scrub_periodically(driver: Rc<ReplicaDriver>) {
     sleep(SCRUB_INTERVAL.mul_f64(rand::random_range(0.5..1.0))).await;
     loop {
-        host.scrub();
+        driver.scrub();
         sleep(SCRUB_INTERVAL).await;
     }
 }
 
-async fn accept_peers(host: Rc<Host>, listener: TcpListener) {
+async fn accept_peers(driver: Rc<ReplicaDriver>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let host = Rc::clone(&host);
+                let driver = Rc::clone(&driver);
                 let connection = async move {
                     let deliver = |from, envelope: crate::message::Envelope| {
-                        host.dispatch(Event::Message { from, message: envelope.message });
+                        driver.dispatch(Event::Message { from, message: envelope.message });
                     };
                     if let Err(error) = receive(stream, deliver).await {
                         log::debug!("peer: {error}");
@@ -172,7 +172,7 @@
             }
             Err(error) => {
                 log::warn!("accept: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/lockusher-control/tests/disk.rs
+++ b/crates/lockusher-control/tests/disk.rs
@@ -99,12 +99,12 @@
 async fn scrub(disk: &Disk, completions: &mut Completions, records: &[DurableRecord]) {
     disk.scrub_if_idle();
     let completion = completions.next().await.expect("an outcome");
-    assert_eq!(disk.completed(&completion), None);
-    disk.scrub_completed(&completion, |found| match found == records {
+    assert_eq!(disk.on_completion(&completion), None);
+    disk.on_scrub_completion(&completion, |found| match found == records {
         true => DiskComparison::Same,
         false => DiskComparison::DiskDiffers,
     });
-    disk.snapshot_if_wanted(|| records.to_vec());
+    disk.snapshot_if_due(|| records.to_vec());
 }
 
 #[compio::test]
@@ -119,7 +119,7 @@
     assert_eq!(disk.scrub_counters(), ScrubCounters { completed: 2, damage_found: 1 });
     let snapshot = completions.next().await.expect("the outcome of the snapshot");
     assert_eq!(snapshot.result, Ok(()));
-    assert_eq!(disk.completed(&snapshot), None);
+    assert_eq!(disk.on_completion(&snapshot), None);
     scrub(&disk, &mut completions, &records).await;
     assert_eq!(disk.scrub_counters(), ScrubCounters { completed: 3, damage_found: 1 });
     drop(disk);
