--- a/crates/lockusher-control-simulation/src/faults.rs
+++ b/crates/lockusher-control-simulation/src/faults.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{disk::Room, world::World};
-use lockusher_control::{Millis, planner::VOTER_LIMIT};
+use lockusher_control::{Millis, view_change::MAX_VOTERS};
 
 /// Longest time that a killed process is down.
 const DOWN: std::ops::Range<Millis> = 50..3000;
@@ -174,7 +174,7 @@
 
     /// A machine that was removed and replaced comes back with its disk, and stays.
     fn return_of_removed(&mut self) {
-        if self.present().len() >= VOTER_LIMIT {
+        if self.present().len() >= MAX_VOTERS {
             return;
         }
         let now = self.now;
--- a/crates/lockusher-control-simulation/src/losses.rs
+++ b/crates/lockusher-control-simulation/src/losses.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::world::{CATCH_UP_MS, World};
-use lockusher_control::{Millis, planner::VOTER_LIMIT};
+use lockusher_control::{Millis, view_change::MAX_VOTERS};
 
 /// Time that a machine that lost its disk is down, and that a replacement takes to come.
 const QUICK_RETURN: std::ops::Range<Millis> = 20..1000;
@@ -155,7 +155,7 @@
 
     /// The new machine comes first and has its time to catch up; then the former one leaves.
     fn replace_as_planned(&mut self, number: usize) {
-        if self.present().len() >= VOTER_LIMIT {
+        if self.present().len() >= MAX_VOTERS {
             return self.replace_after_loss(number, true);
         }
         self.end_faults();
--- a/crates/lockusher-control/src/lib.rs
+++ b/crates/lockusher-control/src/lib.rs
@@ -12,7 +12,6 @@
 mod durable_state;
 mod failure_detector;
 pub mod message;
-pub mod planner;
 pub mod proposer;
 pub mod replica;
 pub mod serve;
@@ -21,6 +20,7 @@
 pub mod state;
 mod timing;
 pub mod view;
+pub mod view_change;
 
 pub use document::{ConfigurationDocument, Digest};
 pub use durable::{DurableRecord, Position};
--- a/crates/lockusher-control/src/replica.rs
+++ b/crates/lockusher-control/src/replica.rs
@@ -178,7 +178,7 @@
     /// Present while this node is head of `view`, from the start of its service on.
     head: Option<Head>,
     /// This node is head by the view but can't serve in its epoch: it was restarted, or its disk failed.
-    renew: bool,
+    epoch_change_required: bool,
     proposal: Option<ViewProposal>,
     /// Nodes that hold this node's sealed state of the present epoch.
     joined: BTreeSet<Identity>,
--- a/crates/lockusher-control/src/replica/agreement.rs
+++ b/crates/lockusher-control/src/replica/agreement.rs
@@ -10,9 +10,9 @@
     acceptor_log::AfterAcceptorWrite,
     durable_state::payload_for,
     message::{AcceptedView, Health, MessageBody, ProposalNumber, Transfer, TransferPurpose},
-    planner::{self, Joiner, Plan, Situation},
     proposer::Proposer,
     view::Member,
+    view_change::{self, JoinCandidate, ViewChange, ViewChangeContext},
 };
 
 /// The time for a stage grows with the attempts, up to so many times the usual one: disks may be slow.
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(super) struct ViewProposal {
     proposer: Proposer,
-    plan: Plan,
+    change: ViewChange,
     stage: Stage,
     stage_since: Millis,
     sent_at: Millis,
@@ -108,29 +108,29 @@
         if !able || self.now < self.back_off_until {
             return;
         }
-        let Some((plan, wait)) = self.due_change() else {
+        let Some((change, wait)) = self.due_change() else {
             self.reason_since = None;
             return;
         };
         let since = *self.reason_since.get_or_insert(self.now);
         if self.now - since >= wait {
-            self.propose(plan);
+            self.propose(change);
         }
     }
 
     /// What to propose, and how long to leave it to others first. An agreement that may have been left unfinished
     /// is completed by anybody in time; else the first voter in good health decides.
-    fn due_change(&self) -> Option<(Plan, Millis)> {
+    fn due_change(&self) -> Option<(ViewChange, Millis)> {
         let rank = self.rank()?;
-        let plan = self.plan();
+        let change = self.plan_view_change();
         let unfinished = self.acceptor.accepted.as_ref();
         if let Some(accepted) = unfinished {
-            let unchanged = Plan { view: accepted.view.clone(), joiners: Vec::new() };
-            return Some((plan.unwrap_or(unchanged), self.timing.takeover_stagger * (rank + 1)));
+            let unchanged = ViewChange { view: accepted.view.clone(), joiners: Vec::new() };
+            return Some((change.unwrap_or(unchanged), self.timing.takeover_stagger * (rank + 1)));
         }
-        match plan {
-            Some(plan) if rank == 0 => Some((plan, 0)),
-            Some(plan) if self.acceptor.sealed => Some((plan, self.timing.takeover_stagger * rank)),
+        match change {
+            Some(change) if rank == 0 => Some((change, 0)),
+            Some(change) if self.acceptor.sealed => Some((change, self.timing.takeover_stagger * rank)),
             _ => None,
         }
     }
@@ -144,11 +144,11 @@
         let others = view.voters.iter().map(|voter| voter.identity).filter(|voter| !view.in_chain(*voter));
         let order = view.chain.iter().copied().chain(others);
         let before = order.take_while(|voter| *voter != self.identity);
-        Some(before.filter(|voter| self.is_fit(*voter)).count() as u64)
+        Some(before.filter(|voter| self.is_replicable(*voter)).count() as u64)
     }
 
     /// Whether a voter can replicate, as seen from here.
-    pub(super) fn is_fit(&self, voter: Identity) -> bool {
+    pub(super) fn is_replicable(&self, voter: Identity) -> bool {
         if voter == self.identity {
             return self.health() == Health::Good;
         }
@@ -157,26 +157,26 @@
         healthy && self.peers.is_reachable(address, voter, &self.timing, self.now) && !self.is_lagging(voter)
     }
 
-    fn plan(&self) -> Option<Plan> {
+    fn plan_view_change(&self) -> Option<ViewChange> {
         let view = self.view.as_ref()?;
-        let fit: BTreeSet<Identity> =
-            view.chain.iter().copied().filter(|member| self.is_fit(*member)).collect();
+        let healthy_members: BTreeSet<Identity> =
+            view.chain.iter().copied().filter(|member| self.is_replicable(*member)).collect();
         let unreachable = self.unreachable_voters(view);
         let removable = self.removable_voters(view, &unreachable);
         let minimum_voters = self.minimum_voters();
-        let situation = Situation {
+        let context = ViewChangeContext {
             view,
-            me: self.identity,
-            fit,
-            joiners: self.possible_joiners(view),
+            own_identity: self.identity,
+            healthy_members,
+            join_candidates: self.join_candidates(view),
             unreachable,
             removable,
-            renew: self.renew,
+            epoch_change_required: self.epoch_change_required,
             sealed: self.acceptor.sealed,
-            may_grow: self.may_grow(),
+            may_add_members: self.may_add_members(),
             minimum_voters: if self.has_bug(InjectedBug::VotersBelowMinimum) { 1 } else { minimum_voters },
         };
-        self.altered_plan(planner::plan(&situation), &situation)
+        self.altered_view_change(view_change::plan_view_change(&context), &context)
     }
 
     /// Voters are removed only down to this number.
@@ -213,34 +213,34 @@
         unreachable
     }
 
-    fn possible_joiners(&self, view: &View) -> Vec<Joiner> {
+    fn join_candidates(&self, view: &View) -> Vec<JoinCandidate> {
         let candidates = self.peers.iter().filter(|(_, peer)| {
             !view.in_chain(peer.identity) && peer.epoch == view.epoch && peer.may_join(&self.timing, self.now)
         });
         let committed = self.committed_history_digest();
         candidates
-            .map(|(address, peer)| Joiner {
+            .map(|(address, peer)| JoinCandidate {
                 member: Member { identity: peer.identity, address },
                 caught_up: committed.is_some() && peer.history_digest == committed,
-                joined: self.joined.contains(&peer.identity),
+                has_sealed_state: self.joined.contains(&peer.identity),
             })
             .collect()
     }
 
-    fn propose(&mut self, plan: Plan) {
+    fn propose(&mut self, change: ViewChange) {
         self.counters.proposals += 1;
         self.attempts += 1;
         self.highest_counter = self.highest_counter.max(self.acceptor.promised.counter) + 1;
         let proposal_number = ProposalNumber { counter: self.highest_counter, proposer: self.identity.0 };
         let majority = self.view.as_ref().map_or(usize::MAX, View::majority);
         let majority = if self.has_bug(InjectedBug::AdoptAfterOneAcceptance) { 1 } else { majority };
-        let proposer = Proposer::new(proposal_number, plan.view.clone(), majority);
-        let needs_joining = plan.joiners.iter().any(|joiner| !self.joined.contains(&joiner.identity));
+        let proposer = Proposer::new(proposal_number, change.view.clone(), majority);
+        let needs_joining = change.joiners.iter().any(|joiner| !self.joined.contains(&joiner.identity));
         let (now, address) = (self.now, self.setup.address);
-        log::debug!("{now} {address}: proposes {plan:?} under proposal number {}", proposal_number.counter);
+        log::debug!("{now} {address}: proposes {change:?} under proposal number {}", proposal_number.counter);
         self.proposal = Some(ViewProposal {
             proposer,
-            plan,
+            change,
             stage: Stage::Sealing,
             stage_since: self.now,
             sent_at: self.now,
@@ -309,7 +309,7 @@
 
     fn send_join_transfers(&mut self) {
         let Some(proposal) = &self.proposal else { return };
-        let missing = proposal.plan.joiners.iter().filter(|joiner| !self.joined.contains(&joiner.identity));
+        let missing = proposal.change.joiners.iter().filter(|joiner| !self.joined.contains(&joiner.identity));
         for address in missing.map(|joiner| joiner.address).collect::<Vec<_>>() {
             let history_digest = self.peers.at(address).and_then(|peer| peer.history_digest);
             self.send_join_transfer(address, history_digest);
@@ -340,7 +340,7 @@
         }
         self.joined.insert(joiner);
         let Some(proposal) = &self.proposal else { return };
-        let complete = proposal.plan.joiners.iter().all(|joiner| self.joined.contains(&joiner.identity));
+        let complete = proposal.change.joiners.iter().all(|joiner| self.joined.contains(&joiner.identity));
         if proposal.stage == Stage::Joining && complete {
             self.enter_stage(Stage::Preparing);
         }
@@ -416,7 +416,7 @@
         if proposal.stage != Stage::Joining {
             return;
         }
-        for joiner in &proposal.plan.joiners {
+        for joiner in &proposal.change.joiners {
             if !self.joined.contains(&joiner.identity) {
                 self.peers.on_join_failed(joiner.address, self.now);
             }
--- a/crates/lockusher-control/src/replica/head.rs
+++ b/crates/lockusher-control/src/replica/head.rs
@@ -62,7 +62,7 @@
         let may =
             view.head() == Some(self.identity) && self.is_established_in_view() && !self.acceptor.sealed;
         let able = self.durable_state.pending.is_none() && self.health() != Health::DiskFault;
-        if self.head.is_some() || self.renew || !may || !able {
+        if self.head.is_some() || self.epoch_change_required || !may || !able {
             return;
         }
         self.durable_state.position = Position { epoch: view.epoch, index: 0 };
@@ -112,7 +112,7 @@
     }
 
     /// Whether the epoch may be ended in order to take in others.
-    pub(super) fn may_grow(&self) -> bool {
+    pub(super) fn may_add_members(&self) -> bool {
         self.head.as_ref().is_some_and(|head| head.established) && !self.leaving
     }
 
@@ -132,7 +132,7 @@
     }
 
     pub(super) fn feed_whole(&mut self, to: SocketAddrV4) {
-        if self.may_grow() {
+        if self.may_add_members() {
             self.send_base(to, TransferPurpose::Learn, None);
         }
     }
--- a/crates/lockusher-control/src/replica/injected_bug.rs
+++ b/crates/lockusher-control/src/replica/injected_bug.rs
@@ -11,7 +11,7 @@
 use crate::{
     DurableRecord, Identity, View,
     message::{AcceptedView, MessageBody, Payload, Transfer},
-    planner::{Plan, Situation},
+    view_change::{ViewChange, ViewChangeContext},
 };
 
 /// A guard of the protocol that is left out.
@@ -164,12 +164,18 @@
         self.injected_bug == Some(injected_bug)
     }
 
-    /// The plan, changed by a mistake of the planner.
-    pub(super) fn altered_plan(&self, plan: Option<Plan>, situation: &Situation) -> Option<Plan> {
+    /// The planned view change, altered by the injected bug.
+    pub(super) fn altered_view_change(
+        &self,
+        change: Option<ViewChange>,
+        context: &ViewChangeContext,
+    ) -> Option<ViewChange> {
         match self.injected_bug {
-            Some(InjectedBug::ShortChain) => short_chain(situation).or(plan),
-            Some(InjectedBug::SeveralVotersChanged) => plan.map(|plan| without_unreachable(plan, situation)),
-            _ => plan,
+            Some(InjectedBug::ShortChain) => short_chain(context).or(change),
+            Some(InjectedBug::SeveralVotersChanged) => {
+                change.map(|change| without_unreachable(change, context))
+            }
+            _ => change,
         }
     }
 
@@ -231,24 +237,23 @@
 }
 
 #[cfg(feature = "injected-bugs")]
-fn short_chain(situation: &Situation) -> Option<Plan> {
-    let view = situation.view;
-    let is_fit = |member: &Identity| situation.fit.contains(member);
-    let chain: Vec<Identity> = view.chain.iter().copied().filter(is_fit).collect();
+fn short_chain(context: &ViewChangeContext) -> Option<ViewChange> {
+    let view = context.view;
+    let is_healthy = |member: &Identity| context.healthy_members.contains(member);
+    let chain: Vec<Identity> = view.chain.iter().copied().filter(is_healthy).collect();
     let is_short = !chain.is_empty() && chain.len() < view.majority();
-    is_short.then(|| Plan {
+    is_short.then(|| ViewChange {
         view: View { epoch: view.epoch + 1, voters: view.voters.clone(), chain },
         joiners: Vec::new(),
     })
 }
 
 #[cfg(feature = "injected-bugs")]
-fn without_unreachable(mut plan: Plan, situation: &Situation) -> Plan {
-    let chain = plan.view.chain.clone();
-    let is_gone =
-        |identity: Identity| situation.unreachable.contains(&identity) && !chain.contains(&identity);
-    plan.view.voters.retain(|voter| !is_gone(voter.identity));
-    plan
+fn without_unreachable(mut change: ViewChange, context: &ViewChangeContext) -> ViewChange {
+    let chain = change.view.chain.clone();
+    let is_gone = |identity: Identity| context.unreachable.contains(&identity) && !chain.contains(&identity);
+    change.view.voters.retain(|voter| !is_gone(voter.identity));
+    change
 }
 
 #[cfg(feature = "injected-bugs")]
@@ -266,8 +271,8 @@
     use crate::{
         DurableRecord,
         message::{AcceptedView, MessageBody},
-        planner::{Plan, Situation},
         replica::Replica,
+        view_change::{ViewChange, ViewChangeContext},
     };
 
     impl Replica {
@@ -275,12 +280,12 @@
             false
         }
 
-        pub(in crate::replica) fn altered_plan(
+        pub(in crate::replica) fn altered_view_change(
             &self,
-            plan: Option<Plan>,
-            _situation: &Situation,
-        ) -> Option<Plan> {
-            plan
+            change: Option<ViewChange>,
+            _context: &ViewChangeContext,
+        ) -> Option<ViewChange> {
+            change
         }
 
         pub(in crate::replica) fn altered_snapshot(&self, records: Vec<DurableRecord>) -> Vec<DurableRecord> {
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -186,7 +186,7 @@
         self.view = Some(view.clone());
         self.acceptor = AcceptorState::default();
         self.head = None;
-        self.renew = false;
+        self.epoch_change_required = false;
         self.proposal = None;
         self.attempts = 0;
         self.joined.clear();
--- a/crates/lockusher-control/src/replica/persistence.rs
+++ b/crates/lockusher-control/src/replica/persistence.rs
@@ -66,7 +66,7 @@
             return;
         }
         self.disk_failed_at = Some(self.now);
-        self.renew |= self.head.take().is_some();
+        self.epoch_change_required |= self.head.take().is_some();
         self.send_heartbeats();
     }
 
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -44,7 +44,7 @@
             committed: None,
             committed_at: Position::default(),
             head: None,
-            renew: false,
+            epoch_change_required: false,
             proposal: None,
             joined: BTreeSet::new(),
             highest_counter: 0,
@@ -79,7 +79,7 @@
             Some((identity, former)) if former == address => {
                 self.identity = identity;
                 let was_head = self.view.as_ref().is_some_and(|view| view.head() == Some(identity));
-                self.renew = was_head && !self.has_bug(InjectedBug::RestartedHeadServes);
+                self.epoch_change_required = was_head && !self.has_bug(InjectedBug::RestartedHeadServes);
             }
             Some(_) => {
                 self.acceptor = AcceptorState::default();
--- a/crates/lockusher-control/tests/membership_search.rs
+++ b/crates/lockusher-control/tests/membership_search.rs
@@ -14,7 +14,7 @@
 
 use lockusher_control::{
     Identity, Member, View,
-    planner::{Joiner, Situation, VOTER_LIMIT, plan},
+    view_change::{JoinCandidate, MAX_VOTERS, ViewChangeContext, plan_view_change},
 };
 use yare::parameterized;
 
@@ -144,18 +144,18 @@
         let here = self.machines.iter().filter(|machine| machine.presence == Presence::Here);
         let outside = here.filter(|machine| !self.view.in_chain(machine.member.identity));
         let joiners = outside
-            .map(|machine| Joiner { member: machine.member, caught_up: true, joined: false })
+            .map(|machine| JoinCandidate { member: machine.member, caught_up: true, has_sealed_state: false })
             .collect();
-        let planned = plan(&Situation {
+        let planned = plan_view_change(&ViewChangeContext {
             view: &self.view,
-            me,
-            fit: chain.filter(|member| seems_here(*member)).collect(),
-            joiners,
+            own_identity: me,
+            healthy_members: chain.filter(|member| seems_here(*member)).collect(),
+            join_candidates: joiners,
             unreachable,
             removable,
-            renew: false,
+            epoch_change_required: false,
             sealed: false,
-            may_grow: true,
+            may_add_members: true,
             minimum_voters: 2 * rules.tolerated + 1,
         })?;
         let mut next = self.clone();
@@ -224,7 +224,7 @@
         let voters = self.view.voters.iter().filter(|voter| self.has_disk(voter.identity)).count();
         let is_young = self.machines.iter().any(|machine| machine.young);
         let is_leaving = self.machines.iter().any(|machine| machine.presence == Presence::Leaving);
-        if present == machines && present < VOTER_LIMIT {
+        if present == machines && present < MAX_VOTERS {
             next.push(self.clone().with_new_machine(false));
         }
         for (place, machine) in self.machines.iter().enumerate() {
--- a/crates/lockusher-control/tests/recorded_bytes.rs
+++ b/crates/lockusher-control/tests/recorded_bytes.rs
@@ -360,14 +360,14 @@
 async fn append(disk: &Disk, completions: &mut Completions, ticket: u64, records: &[DurableRecord]) {
     disk.append(PersistTicket(ticket), records).expect("the writer takes it");
     let completion = completions.next().await.expect("an outcome");
-    assert_eq!(disk.completed(&completion), Some((PersistTicket(ticket), true)));
+    assert_eq!(disk.on_completion(&completion), Some((PersistTicket(ticket), true)));
 }
 
 async fn snapshot(disk: &Disk, completions: &mut Completions, records: &[DurableRecord]) {
-    disk.snapshot_if_wanted(|| records.to_vec());
+    disk.snapshot_if_due(|| records.to_vec());
     let completion = completions.next().await.expect("a snapshot's outcome");
     assert_eq!(completion.result, Ok(()));
-    assert_eq!(disk.completed(&completion), None);
+    assert_eq!(disk.on_completion(&completion), None);
 }
 
 fn all_records() -> Vec<DurableRecord> {
--- a/crates/lockusher-control/tests/planner.rs
+++ b/crates/lockusher-control/tests/view_change.rs
@@ -7,8 +7,8 @@
 
 use lockusher_control::{
     Identity, Member, View,
-    planner::{Joiner, Plan, Situation, VOTER_LIMIT, plan},
     view::majority_of,
+    view_change::{JoinCandidate, MAX_VOTERS, ViewChange, ViewChangeContext, plan_view_change},
 };
 use proptest::prelude::*;
 
@@ -27,93 +27,94 @@
     View { epoch: 4, voters, chain: identities(chain) }
 }
 
-fn joiner(number: u64) -> Joiner {
-    Joiner { member: member(number), caught_up: true, joined: false }
+fn joiner(number: u64) -> JoinCandidate {
+    JoinCandidate { member: member(number), caught_up: true, has_sealed_state: false }
 }
 
-/// Node 1 sees all that is in `fit` as well, and nothing else.
-fn situation<'a>(view: &'a View, fit: &[u64]) -> Situation<'a> {
-    Situation {
+/// Node 1 sees all that is in `healthy_members` as well, and nothing else.
+fn context<'a>(view: &'a View, healthy_members: &[u64]) -> ViewChangeContext<'a> {
+    ViewChangeContext {
         view,
-        me: Identity(1),
-        fit: identities(fit).into_iter().collect(),
-        joiners: Vec::new(),
+        own_identity: Identity(1),
+        healthy_members: identities(healthy_members).into_iter().collect(),
+        join_candidates: Vec::new(),
         unreachable: Vec::new(),
         removable: Vec::new(),
-        renew: false,
+        epoch_change_required: false,
         sealed: false,
-        may_grow: true,
+        may_add_members: true,
         minimum_voters: 3,
     }
 }
 
-fn chain_of(plan: Option<Plan>) -> Option<Vec<Identity>> {
-    plan.map(|plan| plan.view.chain)
+fn chain_of(change: Option<ViewChange>) -> Option<Vec<Identity>> {
+    change.map(|change| change.view.chain)
 }
 
 #[test]
 fn nothing_follows_while_all_is_well() {
     let view = view(&[1, 2, 3], &[1, 2, 3]);
-    assert_eq!(plan(&situation(&view, &[1, 2, 3])), None);
+    assert_eq!(plan_view_change(&context(&view, &[1, 2, 3])), None);
 }
 
 #[test]
 fn a_lost_member_is_left_out_in_order() {
     let view = view(&[1, 2, 3], &[3, 1, 2]);
-    assert_eq!(chain_of(plan(&situation(&view, &[1, 2]))), Some(identities(&[1, 2])));
+    assert_eq!(chain_of(plan_view_change(&context(&view, &[1, 2]))), Some(identities(&[1, 2])));
 }
 
 #[test]
 fn a_chain_below_the_majority_takes_in_a_voter() {
     let view = view(&[1, 2, 3], &[1, 2]);
-    let mut situation = situation(&view, &[1]);
-    assert_eq!(plan(&situation), None);
-    situation.joiners = vec![Joiner { caught_up: false, ..joiner(3) }];
-    assert_eq!(chain_of(plan(&situation)), Some(identities(&[1, 3])));
+    let mut context = context(&view, &[1]);
+    assert_eq!(plan_view_change(&context), None);
+    context.join_candidates = vec![JoinCandidate { caught_up: false, ..joiner(3) }];
+    assert_eq!(chain_of(plan_view_change(&context)), Some(identities(&[1, 3])));
 }
 
 #[test]
 fn a_new_disk_takes_the_place_of_the_old_one() {
     let view = view(&[1, 2, 3], &[1, 2]);
-    let mut situation = situation(&view, &[1, 2]);
+    let mut context = context(&view, &[1, 2]);
     let renewed = Member { identity: Identity(30), ..member(3) };
-    situation.joiners = vec![Joiner { member: renewed, caught_up: true, joined: false }];
-    let plan = plan(&situation).expect("a view with the new disk");
-    assert_eq!(plan.view.voters, vec![member(1), member(2), renewed]);
-    assert_eq!(plan.view.chain, identities(&[1, 2, 30]));
+    context.join_candidates =
+        vec![JoinCandidate { member: renewed, caught_up: true, has_sealed_state: false }];
+    let change = plan_view_change(&context).expect("a view with the new disk");
+    assert_eq!(change.view.voters, vec![member(1), member(2), renewed]);
+    assert_eq!(change.view.chain, identities(&[1, 2, 30]));
 }
 
 #[test]
 fn a_replacement_takes_the_place_of_an_unreachable_voter() {
     let view = view(&[1, 2, 3], &[1, 2]);
-    let mut situation = situation(&view, &[1, 2]);
-    situation.unreachable = identities(&[3]);
-    situation.joiners = vec![joiner(4)];
-    let plan = plan(&situation).expect("a view with the replacement");
-    assert_eq!(plan.view.voters, vec![member(1), member(2), member(4)]);
+    let mut context = context(&view, &[1, 2]);
+    context.unreachable = identities(&[3]);
+    context.join_candidates = vec![joiner(4)];
+    let change = plan_view_change(&context).expect("a view with the replacement");
+    assert_eq!(change.view.voters, vec![member(1), member(2), member(4)]);
 }
 
 #[test]
 fn a_further_node_is_added_up_to_the_limit() {
-    let numbers: Vec<u64> = (1..=VOTER_LIMIT as u64).collect();
+    let numbers: Vec<u64> = (1..=MAX_VOTERS as u64).collect();
     let small = view(&[1, 2, 3], &[1, 2, 3]);
-    let mut grows = situation(&small, &[1, 2, 3]);
-    grows.joiners = vec![joiner(4), joiner(5)];
-    assert_eq!(plan(&grows).map(|plan| plan.view.voters.len()), Some(4));
+    let mut grows = context(&small, &[1, 2, 3]);
+    grows.join_candidates = vec![joiner(4), joiner(5)];
+    assert_eq!(plan_view_change(&grows).map(|change| change.view.voters.len()), Some(4));
     let large = view(&numbers, &numbers);
-    let mut full = situation(&large, &numbers);
-    full.joiners = vec![joiner(20)];
-    assert_eq!(plan(&full), None);
+    let mut full = context(&large, &numbers);
+    full.join_candidates = vec![joiner(20)];
+    assert_eq!(plan_view_change(&full), None);
 }
 
 #[test]
 fn a_silent_voter_is_removed_down_to_the_minimum() {
     let large = view(&[1, 2, 3, 4], &[1, 2, 3]);
-    let mut situation = situation(&large, &[1, 2, 3]);
-    situation.removable = identities(&[4]);
-    assert_eq!(plan(&situation).map(|plan| plan.view.voters.len()), Some(3));
-    situation.minimum_voters = 4;
-    assert_eq!(plan(&situation), None);
+    let mut context = context(&large, &[1, 2, 3]);
+    context.removable = identities(&[4]);
+    assert_eq!(plan_view_change(&context).map(|change| change.view.voters.len()), Some(3));
+    context.minimum_voters = 4;
+    assert_eq!(plan_view_change(&context), None);
 }
 
 proptest! {
@@ -132,20 +133,20 @@
         let length = chain_length.clamp(majority_of(numbers.len()), numbers.len());
         let view = view(&numbers, &numbers[..length]);
         let marked = |mask: u16| numbers.iter().copied().filter(move |number| mask & 1 << number != 0);
-        let fit: Vec<u64> = marked(fit_mask).collect();
-        let mut situation = situation(&view, &fit);
-        situation.me = Identity(me.min(voters));
-        situation.unreachable = identities(&marked(unreachable_mask).collect::<Vec<_>>());
-        situation.removable = situation.unreachable.clone();
-        [situation.renew, situation.sealed, situation.may_grow] = flags;
+        let healthy_members: Vec<u64> = marked(fit_mask).collect();
+        let mut context = context(&view, &healthy_members);
+        context.own_identity = Identity(me.min(voters));
+        context.unreachable = identities(&marked(unreachable_mask).collect::<Vec<_>>());
+        context.removable = context.unreachable.clone();
+        [context.epoch_change_required, context.sealed, context.may_add_members] = flags;
         let mut seen = BTreeSet::new();
-        for (number, caught_up, joined) in joining {
+        for (number, caught_up, has_sealed_state) in joining {
             let in_chain = view.in_chain(Identity(number));
             if !in_chain && seen.insert(number) {
-                situation.joiners.push(Joiner { caught_up, joined, ..joiner(number) });
+                context.join_candidates.push(JoinCandidate { caught_up, has_sealed_state, ..joiner(number) });
             }
         }
-        let Some(Plan { view: next, joiners }) = plan(&situation) else { return Ok(()) };
+        let Some(ViewChange { view: next, joiners }) = plan_view_change(&context) else { return Ok(()) };
         let kept: Vec<Identity> =
             next.chain.iter().copied().filter(|member| view.in_chain(*member)).collect();
         let in_order: Vec<Identity> =
@@ -154,16 +155,16 @@
         prop_assert!(!kept.is_empty(), "a member of the old chain stays");
         prop_assert_eq!(&kept, &in_order);
         prop_assert_eq!(&next.chain[..kept.len()], &kept[..], "joiners come last");
-        prop_assert!(kept.iter().all(|member| situation.fit.contains(member)));
+        prop_assert!(kept.iter().all(|member| context.healthy_members.contains(member)));
         prop_assert!(next.chain.len() >= next.majority());
         prop_assert!(next.chain.iter().all(|member| next.is_voter(*member)));
         prop_assert_eq!(next.chain.len() - kept.len(), joiners.len());
-        prop_assert!(joiners.is_empty() || kept.contains(&situation.me));
+        prop_assert!(joiners.is_empty() || kept.contains(&context.own_identity));
         let added = next.voters.iter().filter(|voter| !view.is_voter(voter.identity)).count();
         let removed = view.voters.iter().filter(|voter| !next.is_voter(voter.identity)).count();
         prop_assert!(added <= 1 && removed <= 1, "one voter at a time");
-        prop_assert!(next.voters.len() <= VOTER_LIMIT);
-        prop_assert!(next.voters.len() >= view.voters.len().min(situation.minimum_voters));
+        prop_assert!(next.voters.len() <= MAX_VOTERS);
+        prop_assert!(next.voters.len() >= view.voters.len().min(context.minimum_voters));
         let unique: BTreeSet<SocketAddrV4> = next.voters.iter().map(|voter| voter.address).collect();
         prop_assert_eq!(unique.len(), next.voters.len(), "one voter at an address");
     }
@@ -173,11 +174,11 @@
 #[test]
 fn a_leaver_is_removed_by_the_view_that_shortens_the_chain_if_only_so_it_is_long_enough() {
     let view = view(&[1, 2, 3, 4], &[1, 2, 3, 4]);
-    let mut situation = situation(&view, &[1, 2]);
-    situation.unreachable = identities(&[4]);
-    assert_eq!(plan(&situation), None);
-    situation.removable = identities(&[3]);
-    let plan = plan(&situation).expect("a view without the leaver");
-    assert_eq!(plan.view.voters, vec![member(1), member(2), member(4)]);
-    assert_eq!(plan.view.chain, identities(&[1, 2]));
+    let mut context = context(&view, &[1, 2]);
+    context.unreachable = identities(&[4]);
+    assert_eq!(plan_view_change(&context), None);
+    context.removable = identities(&[3]);
+    let change = plan_view_change(&context).expect("a view without the leaver");
+    assert_eq!(change.view.voters, vec![member(1), member(2), member(4)]);
+    assert_eq!(change.view.chain, identities(&[1, 2]));
 }
