--- a/crates/lockusher-control-simulation/src/contents.rs
+++ b/crates/lockusher-control-simulation/src/contents.rs
@@ -76,7 +76,7 @@
 
     /// Whether the state contains this configuration or was built on it.
     pub fn has_taken(&self, digest: Digest) -> bool {
-        self.durable_state.state.has_taken(digest)
+        self.durable_state.state.has_applied(digest)
     }
 
     /// In what another sum, which should be the same, falls behind this one; none if it doesn't.
--- a/crates/lockusher-control/src/acceptor_log.rs
+++ b/crates/lockusher-control/src/acceptor_log.rs
@@ -23,10 +23,10 @@
     ticket: PersistTicket,
     records: Vec<DurableRecord>,
     progress: Progress,
-    since: Millis,
+    requested_at: Millis,
     /// Was refused at least once.
-    refused: bool,
-    then: Vec<AfterAcceptorWrite>,
+    was_refused: bool,
+    after_write: Vec<AfterAcceptorWrite>,
 }
 
 #[derive(Debug, Eq, PartialEq)]
@@ -42,74 +42,74 @@
         &mut self,
         ticket: PersistTicket,
         records: Vec<DurableRecord>,
-        then: Vec<AfterAcceptorWrite>,
+        after_write: Vec<AfterAcceptorWrite>,
         now: Millis,
     ) {
         self.writes.push_back(AcceptorWrite {
             ticket,
             records,
             progress: Progress::Writing,
-            since: now,
-            refused: false,
-            then,
+            requested_at: now,
+            was_refused: false,
+            after_write,
         });
     }
 
     /// Lets this wait for all writes under way; gives it back if there is none.
-    pub fn wait(&mut self, then: AfterAcceptorWrite) -> Option<AfterAcceptorWrite> {
-        let Some(last) = self.writes.back_mut() else { return Some(then) };
-        if !last.then.contains(&then) {
-            last.then.push(then);
+    pub fn defer(&mut self, after_write: AfterAcceptorWrite) -> Option<AfterAcceptorWrite> {
+        let Some(last) = self.writes.back_mut() else { return Some(after_write) };
+        if !last.after_write.contains(&after_write) {
+            last.after_write.push(after_write);
         }
         None
     }
 
     /// A write is durable: what may be done now, or `None` if the ticket isn't of this log.
-    pub fn persisted(&mut self, ticket: PersistTicket) -> Option<Vec<AfterAcceptorWrite>> {
+    pub fn on_persisted(&mut self, ticket: PersistTicket) -> Option<Vec<AfterAcceptorWrite>> {
         let is_it =
             |write: &&mut AcceptorWrite| write.ticket == ticket && write.progress == Progress::Writing;
         let write = self.writes.iter_mut().find(is_it)?;
         write.progress = Progress::Durable;
         let mut released = Vec::new();
         while self.writes.front().is_some_and(|write| write.progress == Progress::Durable) {
-            released.extend(self.writes.pop_front().into_iter().flat_map(|write| write.then));
+            released.extend(self.writes.pop_front().into_iter().flat_map(|write| write.after_write));
         }
         Some(released)
     }
 
     /// A write was refused. Whether the ticket is of this log.
-    pub fn refused(&mut self, ticket: PersistTicket, now: Millis) -> bool {
+    pub fn on_refused(&mut self, ticket: PersistTicket, now: Millis) -> bool {
         let Some(write) = self.writes.iter_mut().find(|write| write.ticket == ticket) else { return false };
         write.progress = Progress::Refused { at: now };
-        write.refused = true;
+        write.was_refused = true;
         true
     }
 
     /// Writes refused at least `interval` ago, to be written again under the tickets that `issue` gives.
-    pub fn again(
+    pub fn take_due_retries(
         &mut self,
         interval: Millis,
         now: Millis,
         mut issue: impl FnMut() -> PersistTicket,
     ) -> Vec<(PersistTicket, Vec<DurableRecord>)> {
-        let mut again = Vec::new();
+        let mut retries = Vec::new();
         for write in &mut self.writes {
             if matches!(write.progress, Progress::Refused { at } if now - at >= interval) {
                 write.ticket = issue();
                 write.progress = Progress::Writing;
-                again.push((write.ticket, write.records.clone()));
+                retries.push((write.ticket, write.records.clone()));
             }
         }
-        again
+        retries
     }
 
     /// Whether a write was refused and isn't durable yet.
     pub fn has_refused(&self) -> bool {
-        self.writes.iter().any(|write| write.refused)
+        self.writes.iter().any(|write| write.was_refused)
     }
 
     /// Since when the oldest write has waited.
-    pub fn oldest_since(&self) -> Option<Millis> {
-        self.writes.front().map(|write| write.since)
+    pub fn oldest_requested_at(&self) -> Option<Millis> {
+        self.writes.front().map(|write| write.requested_at)
     }
 }
--- a/crates/lockusher-control/src/durable_state.rs
+++ b/crates/lockusher-control/src/durable_state.rs
@@ -21,23 +21,23 @@
 #[derive(Clone, Debug)]
 pub struct PendingWrite {
     pub ticket: PersistTicket,
-    pub since: Millis,
+    pub requested_at: Millis,
     /// View in which it was asked for; what follows is done in this one only.
     pub epoch: u64,
     pub position: Position,
     pub state: ReplicatedState,
-    pub then: AfterWrite,
+    pub after_write: AfterWrite,
 }
 
 /// What is done once the state is durable.
 #[derive(Clone, Debug)]
 pub enum AfterWrite {
     /// As head: send it down the chain.
-    SendDown,
+    SendToSuccessor,
     /// As a member of the chain: pass the entry on, or answer.
-    PassOn { index: u64, previous: HistoryDigest, document: ConfigurationDocument, relay: bool },
+    ForwardAppend { index: u64, previous: HistoryDigest, document: ConfigurationDocument, relay: bool },
     /// Answer a transfer.
-    Answer { to: SocketAddrV4, purpose: TransferPurpose },
+    RespondToTransfer { to: SocketAddrV4, purpose: TransferPurpose },
     /// Nothing: the write showed only that the disk works.
     Nothing,
 }
--- a/crates/lockusher-control/src/replica.rs
+++ b/crates/lockusher-control/src/replica.rs
@@ -163,7 +163,7 @@
     injected_bug: Option<InjectedBug>,
     random: ChaCha8Rng,
     now: Millis,
-    started: Millis,
+    started_at: Millis,
     identity: Identity,
     /// The newest view known.
     view: Option<View>,
@@ -173,31 +173,31 @@
     acceptor: AcceptorState,
     acceptor_log: AcceptorLog,
     durable_state: DurableState,
-    committed: Option<ConfigurationDocument>,
-    committed_at: Position,
+    committed_document: Option<ConfigurationDocument>,
+    known_committed: Position,
     /// Present while this node is head of `view`, from the start of its service on.
     head: Option<Head>,
     /// This node is head by the view but can't serve in its epoch: it was restarted, or its disk failed.
     epoch_change_required: bool,
     proposal: Option<ViewProposal>,
     /// Nodes that hold this node's sealed state of the present epoch.
-    joined: BTreeSet<Identity>,
-    highest_counter: u64,
+    sealed_state_holders: BTreeSet<Identity>,
+    highest_proposal_counter: u64,
     /// Attempts of this node to have a view agreed on in this epoch.
-    attempts: u64,
+    proposal_attempts: u64,
     back_off_until: Millis,
     /// Since when a change of the view has been due.
-    reason_since: Option<Millis>,
+    change_due_since: Option<Millis>,
     peers: Peers,
     requests: Requests,
     next_ticket: u64,
     effects: Vec<Effect>,
     /// Messages to this node itself.
     loopback: VecDeque<Message>,
-    leaving: bool,
+    shutting_down: bool,
     disk_failed_at: Option<Millis>,
-    last_tick: Millis,
-    last_heartbeat: Millis,
+    last_tick_at: Millis,
+    last_heartbeat_at: Millis,
     reported_role: (bool, u64),
     reported_members: Vec<SocketAddrV4>,
     counters: Counters,
@@ -241,24 +241,24 @@
     }
 
     fn on_tick(&mut self) {
-        let pause = self.now - self.last_tick;
-        self.last_tick = self.now;
-        if pause > self.timing.suspicion_timeout / 2 {
+        let elapsed = self.now - self.last_tick_at;
+        self.last_tick_at = self.now;
+        if elapsed > self.timing.suspicion_timeout / 2 {
             self.peers.restart_observation(self.now, self.timing.suspicion_timeout);
         }
         self.expire_peers();
-        self.write_again();
-        if self.now - self.last_heartbeat >= self.timing.heartbeat_interval {
+        self.retry_refused_writes();
+        if self.now - self.last_heartbeat_at >= self.timing.heartbeat_interval {
             self.send_heartbeats();
         }
         self.on_head_tick();
         self.on_requests_tick();
-        self.consider_change();
+        self.consider_view_change();
         self.report_members();
     }
 
     fn on_stop(&mut self) {
-        self.leaving = true;
+        self.shutting_down = true;
         self.send_heartbeats();
     }
 
@@ -317,7 +317,7 @@
             self.send_message(to, message);
             return;
         }
-        if let Some(after) = self.acceptor_log.wait(AfterAcceptorWrite::Send { to, message }) {
+        if let Some(after) = self.acceptor_log.defer(AfterAcceptorWrite::Send { to, message }) {
             self.after_acceptor_write(after);
         }
     }
--- a/crates/lockusher-control/src/replica/agreement.rs
+++ b/crates/lockusher-control/src/replica/agreement.rs
@@ -23,13 +23,13 @@
 pub(super) struct ViewProposal {
     proposer: Proposer,
     change: ViewChange,
-    stage: Stage,
-    stage_since: Millis,
-    sent_at: Millis,
+    phase: Phase,
+    phase_started_at: Millis,
+    last_sent_at: Millis,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Stage {
+enum Phase {
     /// The seal, or a write of the state begun before it, isn't durable yet.
     Sealing,
     /// Joiners are given the sealed state.
@@ -44,10 +44,10 @@
     // Voter
 
     pub(super) fn on_prepare(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber) {
-        if !self.may_vote() {
+        if !self.acts_as_acceptor() {
             return;
         }
-        self.highest_counter = self.highest_counter.max(proposal_number.counter);
+        self.highest_proposal_counter = self.highest_proposal_counter.max(proposal_number.counter);
         let is_new = proposal_number > self.acceptor.promised;
         if let Err(promised) = self.acceptor.prepare(proposal_number)
             && !self.has_bug(InjectedBug::LowerBallotAccepted)
@@ -68,7 +68,7 @@
 
     pub(super) fn on_accept(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber, view: View) {
         let epoch = self.epoch();
-        if !self.may_vote() || view.epoch != epoch + 1 {
+        if !self.acts_as_acceptor() || view.epoch != epoch + 1 {
             return;
         }
         let is_new = self
@@ -92,51 +92,53 @@
         self.send_after_acceptor_writes(from, MessageBody::AcceptResponse { proposal_number });
     }
 
-    fn may_vote(&self) -> bool {
+    fn acts_as_acceptor(&self) -> bool {
         self.is_voter() || (self.has_bug(InjectedBug::StrangersCount) && self.view.is_some())
     }
 
     // Proposer
 
     /// Proposes a view if one is due and it falls to this node.
-    pub(super) fn consider_change(&mut self) {
+    pub(super) fn consider_view_change(&mut self) {
         if self.proposal.is_some() {
-            self.watch_proposal();
+            self.drive_proposal();
             return;
         }
         let able = self.is_established_in_view() && self.is_voter() && self.has_reachable_quorum();
         if !able || self.now < self.back_off_until {
             return;
         }
-        let Some((change, wait)) = self.due_change() else {
-            self.reason_since = None;
+        let Some((change, wait)) = self.due_view_change() else {
+            self.change_due_since = None;
             return;
         };
-        let since = *self.reason_since.get_or_insert(self.now);
+        let since = *self.change_due_since.get_or_insert(self.now);
         if self.now - since >= wait {
-            self.propose(change);
+            self.start_proposal(change);
         }
     }
 
     /// What to propose, and how long to leave it to others first. An agreement that may have been left unfinished
     /// is completed by anybody in time; else the first voter in good health decides.
-    fn due_change(&self) -> Option<(ViewChange, Millis)> {
-        let rank = self.rank()?;
+    fn due_view_change(&self) -> Option<(ViewChange, Millis)> {
+        let proposer_rank = self.proposer_rank()?;
         let change = self.plan_view_change();
         let unfinished = self.acceptor.accepted.as_ref();
         if let Some(accepted) = unfinished {
             let unchanged = ViewChange { view: accepted.view.clone(), joiners: Vec::new() };
-            return Some((change.unwrap_or(unchanged), self.timing.takeover_stagger * (rank + 1)));
+            return Some((change.unwrap_or(unchanged), self.timing.takeover_stagger * (proposer_rank + 1)));
         }
         match change {
-            Some(change) if rank == 0 => Some((change, 0)),
-            Some(change) if self.acceptor.sealed => Some((change, self.timing.takeover_stagger * rank)),
+            Some(change) if proposer_rank == 0 => Some((change, 0)),
+            Some(change) if self.acceptor.sealed => {
+                Some((change, self.timing.takeover_stagger * proposer_rank))
+            }
             _ => None,
         }
     }
 
     /// How many voters in good health come before this one, in the order of the chain.
-    fn rank(&self) -> Option<u64> {
+    fn proposer_rank(&self) -> Option<u64> {
         let view = self.view.as_ref()?;
         if self.health() != Health::Good {
             return None;
@@ -192,10 +194,10 @@
             peer.is_some_and(|peer| peer.health == Health::ShuttingDown)
                 && !self.has_bug(InjectedBug::DepartedVoterKept)
         };
-        let leaving = view.voters.iter().filter(is_leaving).map(|voter| voter.identity);
-        let long_silent =
+        let shutting_down = view.voters.iter().filter(is_leaving).map(|voter| voter.identity);
+        let long_unreachable =
             |voter: &&Identity| self.unreachable_time_of(view, **voter) >= self.timing.voter_removal_timeout;
-        leaving.chain(unreachable.iter().filter(long_silent).copied()).collect()
+        shutting_down.chain(unreachable.iter().filter(long_unreachable).copied()).collect()
     }
 
     fn unreachable_time_of(&self, view: &View, voter: Identity) -> Millis {
@@ -222,38 +224,40 @@
             .map(|(address, peer)| JoinCandidate {
                 member: Member { identity: peer.identity, address },
                 caught_up: committed.is_some() && peer.history_digest == committed,
-                has_sealed_state: self.joined.contains(&peer.identity),
+                has_sealed_state: self.sealed_state_holders.contains(&peer.identity),
             })
             .collect()
     }
 
-    fn propose(&mut self, change: ViewChange) {
+    fn start_proposal(&mut self, change: ViewChange) {
         self.counters.proposals += 1;
-        self.attempts += 1;
-        self.highest_counter = self.highest_counter.max(self.acceptor.promised.counter) + 1;
-        let proposal_number = ProposalNumber { counter: self.highest_counter, proposer: self.identity.0 };
+        self.proposal_attempts += 1;
+        self.highest_proposal_counter = self.highest_proposal_counter.max(self.acceptor.promised.counter) + 1;
+        let proposal_number =
+            ProposalNumber { counter: self.highest_proposal_counter, proposer: self.identity.0 };
         let majority = self.view.as_ref().map_or(usize::MAX, View::majority);
         let majority = if self.has_bug(InjectedBug::AdoptAfterOneAcceptance) { 1 } else { majority };
         let proposer = Proposer::new(proposal_number, change.view.clone(), majority);
-        let needs_joining = change.joiners.iter().any(|joiner| !self.joined.contains(&joiner.identity));
+        let needs_joining =
+            change.joiners.iter().any(|joiner| !self.sealed_state_holders.contains(&joiner.identity));
         let (now, address) = (self.now, self.setup.address);
         log::debug!("{now} {address}: proposes {change:?} under proposal number {}", proposal_number.counter);
         self.proposal = Some(ViewProposal {
             proposer,
             change,
-            stage: Stage::Sealing,
-            stage_since: self.now,
-            sent_at: self.now,
+            phase: Phase::Sealing,
+            phase_started_at: self.now,
+            last_sent_at: self.now,
         });
         if needs_joining && !self.has_bug(InjectedBug::JoinersUnfed) {
-            self.seal();
-            self.continue_join();
+            self.seal_epoch();
+            self.start_joining_once_sealed();
         } else {
-            self.enter_stage(Stage::Preparing);
+            self.enter_phase(Phase::Preparing);
         }
     }
 
-    fn seal(&mut self) {
+    fn seal_epoch(&mut self) {
         if self.acceptor.sealed {
             return;
         }
@@ -266,37 +270,37 @@
     }
 
     /// Goes on once the sealed state can't change any more.
-    pub(super) fn continue_join(&mut self) {
-        let sealing = self.proposal.as_ref().is_some_and(|proposal| proposal.stage == Stage::Sealing);
+    pub(super) fn start_joining_once_sealed(&mut self) {
+        let sealing = self.proposal.as_ref().is_some_and(|proposal| proposal.phase == Phase::Sealing);
         let sealed = self.acceptor.seal_durable || self.has_bug(InjectedBug::SealNotAwaited);
         if sealing && sealed && self.durable_state.pending.is_none() {
-            self.enter_stage(Stage::Joining);
+            self.enter_phase(Phase::Joining);
         }
     }
 
-    fn enter_stage(&mut self, stage: Stage) {
+    fn enter_phase(&mut self, phase: Phase) {
         let Some(proposal) = &mut self.proposal else { return };
-        proposal.stage = stage;
-        proposal.stage_since = self.now;
-        self.send_stage();
+        proposal.phase = phase;
+        proposal.phase_started_at = self.now;
+        self.send_phase_messages();
     }
 
     /// Sends the messages of the present stage to those that haven't responded.
-    fn send_stage(&mut self) {
+    fn send_phase_messages(&mut self) {
         let Some(proposal) = &mut self.proposal else { return };
-        proposal.sent_at = self.now;
+        proposal.last_sent_at = self.now;
         let (proposal_number, responders) =
             (proposal.proposer.proposal_number(), proposal.proposer.responders());
-        match (proposal.stage, proposal.proposer.proposed().cloned()) {
-            (Stage::Sealing, _) => {}
-            (Stage::Joining, _) => self.send_join_transfers(),
-            (Stage::Preparing, _) => {
+        match (proposal.phase, proposal.proposer.proposed().cloned()) {
+            (Phase::Sealing, _) => {}
+            (Phase::Joining, _) => self.send_join_transfers(),
+            (Phase::Preparing, _) => {
                 self.send_to_voters_except(&responders, MessageBody::Prepare { proposal_number })
             }
-            (Stage::Accepting, Some(view)) => {
+            (Phase::Accepting, Some(view)) => {
                 self.send_to_voters_except(&responders, MessageBody::Accept { proposal_number, view });
             }
-            (Stage::Accepting, None) => {}
+            (Phase::Accepting, None) => {}
         }
     }
 
@@ -309,7 +313,11 @@
 
     fn send_join_transfers(&mut self) {
         let Some(proposal) = &self.proposal else { return };
-        let missing = proposal.change.joiners.iter().filter(|joiner| !self.joined.contains(&joiner.identity));
+        let missing = proposal
+            .change
+            .joiners
+            .iter()
+            .filter(|joiner| !self.sealed_state_holders.contains(&joiner.identity));
         for address in missing.map(|joiner| joiner.address).collect::<Vec<_>>() {
             let history_digest = self.peers.at(address).and_then(|peer| peer.history_digest);
             self.send_join_transfer(address, history_digest);
@@ -328,7 +336,7 @@
     }
 
     /// A joiner holds the sealed state, or wants it whole.
-    pub(super) fn on_join_answer(&mut self, from: SocketAddrV4, joiner: Identity, stored: bool) {
+    pub(super) fn on_join_response(&mut self, from: SocketAddrV4, joiner: Identity, stored: bool) {
         let sealed = self.acceptor.seal_durable || self.has_bug(InjectedBug::SealNotAwaited);
         if !sealed || self.durable_state.pending.is_some() {
             return;
@@ -338,15 +346,16 @@
             self.send_join_transfer(from, None);
             return;
         }
-        self.joined.insert(joiner);
+        self.sealed_state_holders.insert(joiner);
         let Some(proposal) = &self.proposal else { return };
-        let complete = proposal.change.joiners.iter().all(|joiner| self.joined.contains(&joiner.identity));
-        if proposal.stage == Stage::Joining && complete {
-            self.enter_stage(Stage::Preparing);
+        let complete =
+            proposal.change.joiners.iter().all(|joiner| self.sealed_state_holders.contains(&joiner.identity));
+        if proposal.phase == Phase::Joining && complete {
+            self.enter_phase(Phase::Preparing);
         }
     }
 
-    fn counts_as_voter(&self, sender: Identity) -> bool {
+    fn accepts_votes_from(&self, sender: Identity) -> bool {
         let is_voter = self.view.as_ref().is_some_and(|view| view.is_voter(sender));
         is_voter || self.has_bug(InjectedBug::StrangersCount)
     }
@@ -357,67 +366,67 @@
         proposal_number: ProposalNumber,
         accepted: Option<AcceptedView>,
     ) {
-        if !self.counts_as_voter(sender) {
+        if !self.accepts_votes_from(sender) {
             return;
         }
         let accepted = self.altered_report(accepted);
         let Some(proposal) = &mut self.proposal else { return };
-        let may_complete = proposal.stage == Stage::Preparing;
+        let may_complete = proposal.phase == Phase::Preparing;
         if may_complete && proposal.proposer.on_prepare_response(sender, proposal_number, accepted) {
-            self.enter_stage(Stage::Accepting);
+            self.enter_phase(Phase::Accepting);
         }
     }
 
     pub(super) fn on_accept_response(&mut self, sender: Identity, proposal_number: ProposalNumber) {
-        if !self.counts_as_voter(sender) {
+        if !self.accepts_votes_from(sender) {
             return;
         }
         let Some(proposal) = &mut self.proposal else { return };
         if let Some(agreed) = proposal.proposer.on_accept_response(sender, proposal_number).cloned() {
-            self.announce(agreed);
+            self.install_and_announce(agreed);
         }
     }
 
     /// Adopts a view that was just agreed on and tells everybody.
-    fn announce(&mut self, view: View) {
+    fn install_and_announce(&mut self, view: View) {
         let former = self.view.iter().flat_map(|view| view.voters.iter());
         let known = self.peers.iter().map(|(address, _)| address);
         let mut targets: BTreeSet<SocketAddrV4> =
             former.chain(&view.voters).map(|voter| voter.address).chain(known).collect();
         targets.remove(&self.setup.address);
-        self.adopt(view.clone());
+        self.install_view(view.clone());
         for address in targets {
             self.send(address, MessageBody::NewView(view.clone()));
         }
     }
 
     pub(super) fn on_proposal_rejected(&mut self, promised: ProposalNumber) {
-        self.highest_counter = self.highest_counter.max(promised.counter);
+        self.highest_proposal_counter = self.highest_proposal_counter.max(promised.counter);
         if self.proposal.as_ref().is_some_and(|proposal| proposal.proposer.proposal_number() < promised) {
             self.abandon_proposal();
         }
     }
 
     /// Repeats messages, and gives up an attempt that gets no further.
-    fn watch_proposal(&mut self) {
+    fn drive_proposal(&mut self) {
         let Some(proposal) = &self.proposal else { return };
         let phase_timeout =
-            self.timing.agreement_phase_timeout * self.attempts.clamp(1, MAX_PHASE_TIMEOUT_FACTOR);
-        if self.now - proposal.stage_since >= phase_timeout {
-            self.note_failed_joiners();
+            self.timing.agreement_phase_timeout * self.proposal_attempts.clamp(1, MAX_PHASE_TIMEOUT_FACTOR);
+        if self.now - proposal.phase_started_at >= phase_timeout {
+            self.record_failed_joins();
             self.abandon_proposal();
-        } else if self.now - proposal.sent_at >= self.timing.retransmit_interval {
-            self.send_stage();
+        } else if self.now - proposal.last_sent_at >= self.timing.retransmit_interval {
+            self.send_phase_messages();
         }
     }
 
-    fn note_failed_joiners(&mut self) {
+    fn record_failed_joins(&mut self) {
         let Some(proposal) = &self.proposal else { return };
-        if proposal.stage != Stage::Joining {
+        if proposal.phase != Phase::Joining {
             return;
         }
         for joiner in &proposal.change.joiners {
-            if !self.joined.contains(&joiner.identity) {
+            if !self.sealed_state_holders.contains(&joiner.identity) {
                 self.peers.on_join_failed(joiner.address, self.now);
             }
         }
--- a/crates/lockusher-control/src/replica/chain.rs
+++ b/crates/lockusher-control/src/replica/chain.rs
@@ -12,7 +12,7 @@
 
 impl Replica {
     /// Whether this node may take part in the chain of the newest view.
-    fn replicates(&self) -> bool {
+    fn may_replicate(&self) -> bool {
         let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(self.identity));
         let open = !self.acceptor.sealed || self.has_bug(InjectedBug::EntryAfterSeal);
         in_chain && self.is_established_in_view() && open
@@ -26,34 +26,34 @@
 
     pub(super) fn on_transfer(&mut self, from: SocketAddrV4, sender: Identity, transfer: Transfer) {
         if transfer.purpose == TransferPurpose::Learn && self.is_view_head(sender) {
-            self.note_learned(&transfer);
+            self.record_learned_commit(&transfer);
         }
         if self.durable_state.pending.is_some() || !self.is_established_in_view() {
             return;
         }
         let Some(view) = &self.view else { return };
         let in_chain = view.in_chain(self.identity);
-        let wanted = match transfer.purpose {
+        let is_applicable = match transfer.purpose {
             TransferPurpose::Synchronise | TransferPurpose::Repair => {
-                self.replicates() && self.is_view_head(sender)
+                self.may_replicate() && self.is_view_head(sender)
             }
             TransferPurpose::Learn => !in_chain && self.is_view_head(sender),
             TransferPurpose::Join => !in_chain && view.in_chain(sender),
         };
-        if !wanted || transfer.position.epoch != self.epoch() {
+        if !is_applicable || transfer.position.epoch != self.epoch() {
             return;
         }
-        if self.already_stands(&transfer) {
-            self.answer_transfer(from, transfer.purpose, true);
+        if self.is_already_applied(&transfer) {
+            self.respond_to_transfer(from, transfer.purpose, true);
         } else if transfer.position >= self.durable_state.position
             || self.has_bug(InjectedBug::OlderTransferTaken)
         {
-            self.take_transfer(from, transfer);
+            self.apply_transfer(from, transfer);
         }
     }
 
     /// Whether nothing is to be written, because this or, from the same head, a later state is stored.
-    fn already_stands(&self, transfer: &Transfer) -> bool {
+    fn is_already_applied(&self, transfer: &Transfer) -> bool {
         let own = self.durable_state.position;
         match transfer.purpose {
             TransferPurpose::Synchronise => own.epoch == transfer.position.epoch && own >= transfer.position,
@@ -64,61 +64,71 @@
         }
     }
 
-    fn take_transfer(&mut self, from: SocketAddrV4, transfer: Transfer) {
+    fn apply_transfer(&mut self, from: SocketAddrV4, transfer: Transfer) {
         let (purpose, position) = (transfer.purpose, transfer.position);
         match self.durable_state.classify_transfer(&transfer) {
-            TransferOutcome::MissingBase => self.answer_transfer(from, purpose, false),
+            TransferOutcome::MissingBase => self.respond_to_transfer(from, purpose, false),
             TransferOutcome::AlreadyStored if purpose == TransferPurpose::Join => {
                 let state = self.durable_state.state.clone();
                 let record = DurableRecord::PositionAdvanced { position };
-                self.persist_state(record, position, state, AfterWrite::Answer { to: from, purpose });
+                self.persist_state(
+                    record,
+                    position,
+                    state,
+                    AfterWrite::RespondToTransfer { to: from, purpose },
+                );
             }
             TransferOutcome::AlreadyStored => {
                 self.durable_state.position = position;
-                self.answer_transfer(from, purpose, true);
+                self.respond_to_transfer(from, purpose, true);
             }
             TransferOutcome::Write(record, state) => {
                 let replaces = matches!(*record, DurableRecord::State { .. });
                 self.counters.repairs += u64::from(replaces && self.durable_state.state.document().is_some());
                 if purpose == TransferPurpose::Join && self.has_bug(InjectedBug::JoinAnsweredBeforeDurable) {
                     let history_digest = transfer.history_digest;
-                    let answer = TransferResponse { purpose, position, history_digest, stored: true };
-                    self.send(from, MessageBody::TransferResponse(answer));
+                    let response = TransferResponse { purpose, position, history_digest, stored: true };
+                    self.send(from, MessageBody::TransferResponse(response));
                 }
-                self.persist_state(*record, position, state, AfterWrite::Answer { to: from, purpose });
+                self.persist_state(
+                    *record,
+                    position,
+                    state,
+                    AfterWrite::RespondToTransfer { to: from, purpose },
+                );
             }
         }
     }
 
-    fn answer_transfer(&mut self, to: SocketAddrV4, purpose: TransferPurpose, stored: bool) {
+    fn respond_to_transfer(&mut self, to: SocketAddrV4, purpose: TransferPurpose, stored: bool) {
         if stored && purpose == TransferPurpose::Learn {
-            self.note_own_committed();
+            self.mark_durable_state_committed();
         }
-        let answer = TransferResponse {
+        let response = TransferResponse {
             purpose,
             position: self.durable_state.position,
             history_digest: self.durable_state.state.history_digest(),
             stored,
         };
-        self.send(to, MessageBody::TransferResponse(answer));
+        self.send(to, MessageBody::TransferResponse(response));
     }
 
     pub(super) fn on_transfer_response(
         &mut self,
         from: SocketAddrV4,
         sender: Identity,
-        answer: TransferResponse,
+        response: TransferResponse,
     ) {
-        match answer.purpose {
-            TransferPurpose::Synchronise => self.on_synchronised(from, sender, answer),
-            TransferPurpose::Learn if !answer.stored => self.feed_whole(from),
+        match response.purpose {
+            TransferPurpose::Synchronise => self.on_synchronised(from, sender, response),
+            TransferPurpose::Learn if !response.stored => self.send_full_snapshot_to_learner(from),
             TransferPurpose::Learn | TransferPurpose::Repair => {}
             TransferPurpose::Join => {
                 let sealed = Position { epoch: self.epoch(), index: Position::SEALED };
-                let same = answer.history_digest == self.durable_state.state.history_digest()
-                    && answer.position == sealed;
-                if same || !answer.stored {
-                    self.on_join_answer(from, sender, answer.stored);
+                let same = response.history_digest == self.durable_state.state.history_digest()
+                    && response.position == sealed;
+                if same || !response.stored {
+                    self.on_join_response(from, sender, response.stored);
                 }
             }
         }
@@ -135,14 +145,14 @@
         document: ConfigurationDocument,
         relay: bool,
     ) {
-        if !self.replicates() || self.durable_state.pending.is_some() || !self.is_upstream(sender) {
+        if !self.may_replicate() || self.durable_state.pending.is_some() || !self.is_upstream(sender) {
             return;
         }
         let epoch = self.epoch();
         let own = self.durable_state.position;
         let synchronised = own.epoch == epoch;
         if synchronised && index <= own.index {
-            self.pass_on(index, previous, document, relay);
+            self.forward_append(index, previous, document, relay);
             return;
         }
         let follows = !synchronised || index == own.index + 1;
@@ -153,15 +163,15 @@
             return;
         }
         self.durable_state.position = Position { epoch, index: index - 1 };
-        self.note_own_committed();
+        self.mark_durable_state_committed();
         let position = Position { epoch, index };
         let record = DurableRecord::Entry { position, previous, document: document.clone() };
         let state = self.durable_state.state.with(document.clone());
         if self.has_bug(InjectedBug::PassOnBeforeDurable) {
-            self.pass_on(index, previous, document.clone(), relay);
+            self.forward_append(index, previous, document.clone(), relay);
         }
-        let then = AfterWrite::PassOn { index, previous, document, relay };
-        self.persist_state(record, position, state, then);
+        let after_write = AfterWrite::ForwardAppend { index, previous, document, relay };
+        self.persist_state(record, position, state, after_write);
     }
 
     /// Whether entries may come from this node: the head or the predecessor.
@@ -176,7 +186,13 @@
         }
     }
 
-    fn pass_on(&mut self, index: u64, previous: HistoryDigest, document: ConfigurationDocument, relay: bool) {
+    fn forward_append(
+        &mut self,
+        index: u64,
+        previous: HistoryDigest,
+        document: ConfigurationDocument,
+        relay: bool,
+    ) {
         let Some(view) = &self.view else { return };
         let successor = view.successor_of(self.identity);
         let predecessor = view.predecessor_of(self.identity);
@@ -192,13 +208,13 @@
         }
     }
 
-    pub(super) fn after_write(&mut self, then: AfterWrite) {
-        match then {
-            AfterWrite::SendDown => self.send_down(),
-            AfterWrite::PassOn { index, previous, document, relay } => {
-                self.pass_on(index, previous, document, relay);
+    pub(super) fn after_write(&mut self, after_write: AfterWrite) {
+        match after_write {
+            AfterWrite::SendToSuccessor => self.send_to_successor(),
+            AfterWrite::ForwardAppend { index, previous, document, relay } => {
+                self.forward_append(index, previous, document, relay);
             }
-            AfterWrite::Answer { to, purpose } => self.answer_transfer(to, purpose, true),
+            AfterWrite::RespondToTransfer { to, purpose } => self.respond_to_transfer(to, purpose, true),
             AfterWrite::Nothing => {}
         }
     }
@@ -212,11 +228,11 @@
         }
         let predecessor = view.predecessor_of(self.identity);
         if own.index == index && self.head.is_none() {
-            self.note_own_committed();
+            self.mark_durable_state_committed();
         }
         match predecessor {
             Some(predecessor) => self.send_to_voter(predecessor, MessageBody::AppendAcknowledged { index }),
-            None => self.on_chain_holds(index),
+            None => self.on_append_stored_by_chain(index),
         }
     }
 
@@ -231,18 +247,18 @@
             return;
         }
         let committed = Position { epoch: self.epoch(), index };
-        if self.replicates() {
+        if self.may_replicate() {
             self.durable_state.position = committed;
         }
         if self.durable_state.position == committed {
-            self.note_own_committed();
+            self.mark_durable_state_committed();
         }
     }
 
     /// The head's heartbeat says what is committed; a head looks at how far the others are.
     pub(super) fn on_progress(&mut self, from: SocketAddrV4, sender: Identity, heartbeat: &Heartbeat) {
         if self.head.is_some() {
-            self.on_replica_progress(from, sender, heartbeat);
+            self.on_replica_heartbeat(from, sender, heartbeat);
         } else if let Some(history_digest) = heartbeat.committed_history_digest
             && heartbeat.committed.epoch == self.epoch()
         {
@@ -251,29 +267,29 @@
     }
 
     /// What the head lets others learn is committed, whether it can be written here or not.
-    fn note_learned(&mut self, transfer: &Transfer) {
+    fn record_learned_commit(&mut self, transfer: &Transfer) {
         let document = match &transfer.payload {
             Payload::Empty => None,
             Payload::LatestDocument { document, .. } => Some(document),
             Payload::FullSnapshot(state) => state.document(),
         };
         if let Some(document) = document.cloned() {
-            self.note_committed(document);
+            self.record_committed(document);
         }
     }
 
     /// All that this node holds is known to be committed.
-    pub(super) fn note_own_committed(&mut self) {
-        self.committed_at = self.durable_state.position;
+    pub(super) fn mark_durable_state_committed(&mut self) {
+        self.known_committed = self.durable_state.position;
         if let Some(document) = self.durable_state.state.document().cloned() {
-            self.note_committed(document);
+            self.record_committed(document);
         }
     }
 
-    fn note_committed(&mut self, document: ConfigurationDocument) {
-        let known = self.committed.as_ref().map_or(0, |committed| committed.version);
+    fn record_committed(&mut self, document: ConfigurationDocument) {
+        let known = self.committed_document.as_ref().map_or(0, |committed| committed.version);
         if document.version > known {
-            self.committed = Some(document.clone());
+            self.committed_document = Some(document.clone());
             self.effects.push(Effect::Committed(document));
         }
     }
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -7,41 +7,41 @@
 
 /// Rounds in which the voters are asked whether the epoch is the newest they know.
 #[derive(Debug, Default)]
-pub(super) struct Confirmation {
-    started: u64,
-    completed: u64,
-    voters: BTreeSet<Identity>,
+pub(super) struct EpochConfirmation {
+    last_started: u64,
+    last_completed: u64,
+    confirmed_by: BTreeSet<Identity>,
 }
 
 impl Replica {
     /// The sequence number of the confirmation that a request which comes now has to wait for.
     pub(super) fn next_confirmation(&self) -> u64 {
-        let started = self.head.as_ref().map_or(0, |head| head.confirmation.started);
-        if self.has_bug(InjectedBug::EarlierRoundCounts) { started.max(1) } else { started + 1 }
+        let last_started = self.head.as_ref().map_or(0, |head| head.confirmation.last_started);
+        if self.has_bug(InjectedBug::EarlierRoundCounts) { last_started.max(1) } else { last_started + 1 }
     }
 
-    pub(super) fn is_confirmed(&self, sequence: u64) -> bool {
-        self.head.as_ref().is_some_and(|head| head.confirmation.completed >= sequence)
+    pub(super) fn is_epoch_confirmed(&self, sequence: u64) -> bool {
+        self.head.as_ref().is_some_and(|head| head.confirmation.last_completed >= sequence)
     }
 
     /// Starts the confirmation with this sequence number, unless an earlier one is under way or it has been started.
     pub(super) fn request_confirmation(&mut self, sequence: u64) {
         let Some(head) = &mut self.head else { return };
         let confirmation = &mut head.confirmation;
-        if confirmation.started >= sequence || confirmation.started > confirmation.completed {
+        if confirmation.last_started >= sequence || confirmation.last_started > confirmation.last_completed {
             return;
         }
-        confirmation.started += 1;
-        confirmation.voters.clear();
+        confirmation.last_started += 1;
+        confirmation.confirmed_by.clear();
         self.send_confirm_epoch();
     }
 
     pub(super) fn send_confirm_epoch(&mut self) {
         let Some(head) = &self.head else { return };
         let confirmation = &head.confirmation;
-        if confirmation.started > confirmation.completed {
-            let sequence = confirmation.started;
-            let responders = confirmation.voters.clone();
+        if confirmation.last_started > confirmation.last_completed {
+            let sequence = confirmation.last_started;
+            let responders = confirmation.confirmed_by.clone();
             self.send_to_voters_except(&responders, MessageBody::ConfirmEpoch { sequence });
         }
     }
@@ -62,12 +62,12 @@
         let (is_voter, majority) = (view.is_voter(sender), view.majority());
         let Some(head) = &mut self.head else { return };
         let confirmation = &mut head.confirmation;
-        if !is_voter || sequence != confirmation.started || sequence <= confirmation.completed {
+        if !is_voter || sequence != confirmation.last_started || sequence <= confirmation.last_completed {
             return;
         }
-        confirmation.voters.insert(sender);
-        if confirmation.voters.len() >= majority {
-            confirmation.completed = sequence;
+        confirmation.confirmed_by.insert(sender);
+        if confirmation.confirmed_by.len() >= majority {
+            confirmation.last_completed = sequence;
         }
     }
 }
--- a/crates/lockusher-control/src/replica/head.rs
+++ b/crates/lockusher-control/src/replica/head.rs
@@ -7,9 +7,9 @@
 
 use super::{
     InjectedBug, Replica,
-    confirmation::Confirmation,
+    confirmation::EpochConfirmation,
     repair::NoticedBy,
-    requests::{Origin, Queued},
+    requests::{Origin, QueuedRequest},
 };
 use crate::{
     ConfigurationDocument, DurableRecord, Identity, Millis, Position, ReplicatedState, Reply,
@@ -32,11 +32,11 @@
     synchronised: BTreeSet<Identity>,
     /// All are: `base` is committed.
     pub(super) established: bool,
-    since: Millis,
+    activated_at: Millis,
     in_flight: Option<InFlight>,
-    pub(super) queue: VecDeque<Queued>,
-    pub(super) confirmation: Confirmation,
-    sent_at: Millis,
+    pub(super) queue: VecDeque<QueuedRequest>,
+    pub(super) confirmation: EpochConfirmation,
+    last_resend_at: Millis,
 }
 
 /// An entry that isn't known to be stored by the whole chain.
@@ -47,10 +47,10 @@
     document: ConfigurationDocument,
     state: ReplicatedState,
     origin: Origin,
-    since: Millis,
+    started_at: Millis,
     /// When it is sent directly to those that haven't confirmed it; the pauses grow.
-    send_again_at: Millis,
-    holders: BTreeSet<Identity>,
+    resend_at: Millis,
+    stored_by: BTreeSet<Identity>,
 }
 
 impl Replica {
@@ -71,15 +71,15 @@
             index: 0,
             synchronised: BTreeSet::from([self.identity]),
             established: false,
-            since: self.now,
+            activated_at: self.now,
             in_flight: None,
             queue: VecDeque::new(),
-            confirmation: Confirmation::default(),
-            sent_at: self.now,
+            confirmation: EpochConfirmation::default(),
+            last_resend_at: self.now,
         });
         self.send_synchronise();
         self.establish_if_complete();
-        self.requests.forward_again();
+        self.requests.forward_all_now();
         self.forward_requests();
     }
 
@@ -91,12 +91,12 @@
         for address in missing {
             let history_digest = self.peers.at(address).and_then(|peer| peer.history_digest);
             // A member that was never heard is asked what it holds before the state is sent whole.
-            let history_digest = history_digest.or_else(|| self.base_lineage());
+            let history_digest = history_digest.or_else(|| self.base_history_digest());
             self.send_base(address, TransferPurpose::Synchronise, history_digest);
         }
     }
 
-    fn base_lineage(&self) -> Option<HistoryDigest> {
+    fn base_history_digest(&self) -> Option<HistoryDigest> {
         self.head.as_ref().map(|head| head.base.history_digest())
     }
 
@@ -113,7 +113,7 @@
 
     /// Whether the epoch may be ended in order to take in others.
     pub(super) fn may_add_members(&self) -> bool {
-        self.head.as_ref().is_some_and(|head| head.established) && !self.leaving
+        self.head.as_ref().is_some_and(|head| head.established) && !self.shutting_down
     }
 
     /// Sends the base to a node that holds the state with this history digest.
@@ -131,21 +131,26 @@
         self.send(to, MessageBody::Transfer(transfer));
     }
 
-    pub(super) fn feed_whole(&mut self, to: SocketAddrV4) {
+    pub(super) fn send_full_snapshot_to_learner(&mut self, to: SocketAddrV4) {
         if self.may_add_members() {
             self.send_base(to, TransferPurpose::Learn, None);
         }
     }
 
-    pub(super) fn on_synchronised(&mut self, from: SocketAddrV4, sender: Identity, answer: TransferResponse) {
-        if !answer.stored {
+    pub(super) fn on_synchronised(
+        &mut self,
+        from: SocketAddrV4,
+        sender: Identity,
+        response: TransferResponse,
+    ) {
+        if !response.stored {
             self.send_base(from, TransferPurpose::Synchronise, None);
-        } else if answer.position.epoch == self.epoch() {
-            self.note_synchronised(sender);
+        } else if response.position.epoch == self.epoch() {
+            self.mark_synchronised(sender);
         }
     }
 
-    fn note_synchronised(&mut self, member: Identity) {
+    fn mark_synchronised(&mut self, member: Identity) {
         let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(member));
         let Some(head) = &mut self.head else { return };
         if in_chain && head.synchronised.insert(member) {
@@ -161,12 +166,12 @@
             return;
         }
         head.established = true;
-        self.note_own_committed();
-        self.tell_committed();
+        self.mark_durable_state_committed();
+        self.announce_committed();
     }
 
     /// Tells all nodes what is committed; those outside of the chain get it with the news.
-    fn tell_committed(&mut self) {
+    fn announce_committed(&mut self) {
         let (Some(head), Some(view)) = (&self.head, &self.view) else { return };
         let (index, history_digest) = (head.index, head.base.history_digest());
         let me = self.setup.address;
@@ -187,7 +192,7 @@
 
     // Progress of the others
 
-    pub(super) fn on_replica_progress(
+    pub(super) fn on_replica_heartbeat(
         &mut self,
         from: SocketAddrV4,
         sender: Identity,
@@ -198,7 +203,7 @@
         let lags = heartbeat.committed != committed;
         if !view.in_chain(sender) {
             if head.established && !self.acceptor.sealed {
-                self.feed_learner(from, heartbeat, lags);
+                self.update_learner(from, heartbeat, lags);
             }
             return;
         }
@@ -218,15 +223,15 @@
 
     /// Brings a node outside of the chain up to date. One whose disk is in trouble gets each configuration once
     /// only, to hand it on.
-    fn feed_learner(&mut self, to: SocketAddrV4, heartbeat: &Heartbeat, lags: bool) {
+    fn update_learner(&mut self, to: SocketAddrV4, heartbeat: &Heartbeat, lags: bool) {
         let Some(head) = &self.head else { return };
         if heartbeat.health != Health::DiskFault {
             if lags {
                 self.send_base(to, TransferPurpose::Learn, Some(heartbeat.history_digest));
             }
         } else if heartbeat.committed_version < head.base.version() {
-            let newest = head.base.previous_history_digest();
-            self.send_base(to, TransferPurpose::Learn, Some(newest));
+            let previous = head.base.previous_history_digest();
+            self.send_base(to, TransferPurpose::Learn, Some(previous));
         }
     }
 
@@ -236,26 +241,26 @@
         // A sealed head sends nothing down, so that nobody lags by it.
         if self.acceptor.sealed
             || !view.in_chain(member)
-            || self.now < self.started + self.timing.startup_grace
+            || self.now < self.started_at + self.timing.startup_grace
         {
             return false;
         }
         let unsynchronised = !head.synchronised.contains(&member);
-        if unsynchronised && self.now - head.since >= self.timing.write_timeout {
+        if unsynchronised && self.now - head.activated_at >= self.timing.write_timeout {
             return true;
         }
         head.in_flight.as_ref().is_some_and(|in_flight| {
             let limit = self.timing.write_timeout + in_flight.size_allowance();
-            !in_flight.holders.contains(&member) && self.now - in_flight.since >= limit
+            !in_flight.stored_by.contains(&member) && self.now - in_flight.started_at >= limit
         })
     }
 
     pub(super) fn on_head_tick(&mut self) {
         let Some(head) = &mut self.head else { return };
-        if self.now - head.sent_at < self.timing.retransmit_interval {
+        if self.now - head.last_resend_at < self.timing.retransmit_interval {
             return;
         }
-        head.sent_at = self.now;
+        head.last_resend_at = self.now;
         if !head.established {
             self.send_synchronise();
         }
@@ -267,15 +272,15 @@
     fn send_missing_entries(&mut self) {
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
         let Some(in_flight) = &mut head.in_flight else { return };
-        let due = self.now >= in_flight.send_again_at;
-        if !in_flight.holders.contains(&self.identity) || self.acceptor.sealed || !due {
+        let due = self.now >= in_flight.resend_at;
+        if !in_flight.stored_by.contains(&self.identity) || self.acceptor.sealed || !due {
             return;
         }
-        let waited = self.now - in_flight.since;
-        let pause = waited.clamp(self.timing.retransmit_interval, self.timing.write_timeout);
-        in_flight.send_again_at = self.now + pause;
+        let waited = self.now - in_flight.started_at;
+        let resend_delay = waited.clamp(self.timing.retransmit_interval, self.timing.write_timeout);
+        in_flight.resend_at = self.now + resend_delay;
         let body = in_flight.append(false);
-        let missing = view.chain.iter().filter(|member| !in_flight.holders.contains(member));
+        let missing = view.chain.iter().filter(|member| !in_flight.stored_by.contains(member));
         for member in missing.copied().collect::<Vec<_>>() {
             self.send_to_voter(member, body.clone());
         }
@@ -292,7 +297,7 @@
     // Writes
 
     /// Takes a configuration as the next entry.
-    pub(super) fn begin_write(&mut self, document: ConfigurationDocument, origin: Origin) {
+    pub(super) fn append(&mut self, document: ConfigurationDocument, origin: Origin) {
         let epoch = self.epoch();
         let Some(head) = &mut self.head else { return };
         let index = head.index + 1;
@@ -304,13 +309,13 @@
             document: document.clone(),
             state: state.clone(),
             origin,
-            since: self.now,
-            send_again_at: self.now,
-            holders: BTreeSet::new(),
+            started_at: self.now,
+            resend_at: self.now,
+            stored_by: BTreeSet::new(),
         });
         let position = Position { epoch, index };
         let record = DurableRecord::Entry { position, previous, document };
-        self.persist_state(record, position, state, AfterWrite::SendDown);
+        self.persist_state(record, position, state, AfterWrite::SendToSuccessor);
     }
 
     /// The origin of the entry under way.
@@ -319,23 +324,23 @@
     }
 
     /// The head's own disk holds the entry: it goes down the chain.
-    pub(super) fn send_down(&mut self) {
+    pub(super) fn send_to_successor(&mut self) {
         let me = self.identity;
         let successor = self.view.as_ref().and_then(|view| view.successor_of(me));
         let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else { return };
-        in_flight.holders.insert(me);
-        in_flight.since = self.now;
-        in_flight.send_again_at = self.now + self.timing.retransmit_interval + in_flight.size_allowance();
+        in_flight.stored_by.insert(me);
+        in_flight.started_at = self.now;
+        in_flight.resend_at = self.now + self.timing.retransmit_interval + in_flight.size_allowance();
         let body = in_flight.append(true);
         let open = !self.acceptor.sealed || self.has_bug(InjectedBug::ServeAfterSeal);
         if let (Some(successor), true) = (successor, open) {
             self.send_to_voter(successor, body);
         }
-        self.commit_if_held();
+        self.commit_if_stored_by_all();
     }
 
     /// All members after the head hold the entry.
-    pub(super) fn on_chain_holds(&mut self, index: u64) {
+    pub(super) fn on_append_stored_by_chain(&mut self, index: u64) {
         let chain = self.view.iter().flat_map(|view| view.chain.iter().skip(1).copied());
         for member in chain.collect::<Vec<_>>() {
             self.on_append_stored(member, index);
@@ -345,17 +350,17 @@
     pub(super) fn on_append_stored(&mut self, sender: Identity, index: u64) {
         let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else { return };
         if index >= in_flight.index && index != Position::SEALED {
-            in_flight.holders.insert(sender);
-            self.commit_if_held();
+            in_flight.stored_by.insert(sender);
+            self.commit_if_stored_by_all();
         }
     }
 
-    fn commit_if_held(&mut self) {
+    fn commit_if_stored_by_all(&mut self) {
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
         let Some(in_flight) = &head.in_flight else { return };
-        let all = view.chain.iter().all(|member| in_flight.holders.contains(member));
+        let all = view.chain.iter().all(|member| in_flight.stored_by.contains(member));
         let early = self.injected_bug == Some(InjectedBug::AcknowledgeBeforeTail)
-            && in_flight.holders.contains(&self.identity);
+            && in_flight.stored_by.contains(&self.identity);
         if !all && !early {
             return;
         }
@@ -364,8 +369,8 @@
         head.index = in_flight.index;
         self.counters.commits += 1;
         self.reply_to(in_flight.origin, Reply::Accepted);
-        self.note_own_committed();
-        self.tell_committed();
+        self.mark_durable_state_committed();
+        self.announce_committed();
     }
 
     /// The committed state, to decide requests by.
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -22,7 +22,7 @@
         let same_epoch = counts && epoch > 0;
         match body {
             MessageBody::Heartbeat(heartbeat) => self.on_heartbeat(from, sender, epoch, heartbeat),
-            MessageBody::NewView(view) => self.adopt(view),
+            MessageBody::NewView(view) => self.install_view(view),
             MessageBody::Forward { request, body } => self.on_forward(from, request, body),
             MessageBody::ForwardResponse { request, reply } => self.on_forward_response(request, reply),
             body if same_epoch => self.on_epoch_message(from, sender, body),
@@ -42,7 +42,7 @@
             }
             MessageBody::ProposalRejected { promised } => self.on_proposal_rejected(promised),
             MessageBody::Transfer(transfer) => self.on_transfer(from, sender, transfer),
-            MessageBody::TransferResponse(answer) => self.on_transfer_response(from, sender, answer),
+            MessageBody::TransferResponse(response) => self.on_transfer_response(from, sender, response),
             MessageBody::Append { index, previous, document, relay } => {
                 self.on_append(from, sender, index, previous, document, relay);
             }
@@ -89,24 +89,24 @@
         let health_before = self.peers.at(from).map(|peer| peer.health);
         self.peers.on_heartbeat(from, &heartbeat, self.identity, self.now);
         if first_contact && !heartbeat.recent_senders.contains(&self.identity) {
-            self.answer_first_heartbeat(from);
+            self.respond_to_first_heartbeat(from);
         }
         if epoch == self.epoch() {
             self.on_progress(from, sender, &heartbeat);
         }
         if health_before != Some(heartbeat.health) {
-            self.consider_change();
+            self.consider_view_change();
         }
     }
 
-    fn answer_first_heartbeat(&mut self, from: SocketAddrV4) {
+    fn respond_to_first_heartbeat(&mut self, from: SocketAddrV4) {
         if self.peers.may_send_view(from, self.timing.heartbeat_interval / 4, self.now) {
             self.send_heartbeat(from);
         }
     }
 
     pub(super) fn send_heartbeats(&mut self) {
-        self.last_heartbeat = self.now;
+        self.last_heartbeat_at = self.now;
         for address in self.heartbeat_targets() {
             self.send_heartbeat(address);
         }
@@ -117,9 +117,9 @@
             health: self.health(),
             position: self.durable_state.position,
             history_digest: self.durable_state.state.history_digest(),
-            committed: self.committed_at,
+            committed: self.known_committed,
             committed_history_digest: self.committed_history_digest(),
-            committed_version: self.committed.as_ref().map_or(0, |document| document.version),
+            committed_version: self.committed_document.as_ref().map_or(0, |document| document.version),
             recent_senders: self.peers.recent_senders(&self.timing, self.now),
         };
         self.send(to, MessageBody::Heartbeat(heartbeat));
@@ -127,8 +127,8 @@
 
     fn heartbeat_targets(&self) -> BTreeSet<SocketAddrV4> {
         let voters = self.view.iter().flat_map(|view| view.voters.iter().map(|voter| voter.address));
-        let heard = self.peers.iter().map(|(address, _)| address);
-        let mut targets: BTreeSet<SocketAddrV4> = voters.chain(heard).collect();
+        let contacted = self.peers.iter().map(|(address, _)| address);
+        let mut targets: BTreeSet<SocketAddrV4> = voters.chain(contacted).collect();
         if !self.is_voter() || !self.has_confirmed_quorum() {
             targets.extend(&self.setup.seeds);
         }
@@ -170,7 +170,7 @@
     }
 
     /// Takes a view that was agreed on, unless it is old.
-    pub(super) fn adopt(&mut self, view: View) {
+    pub(super) fn install_view(&mut self, view: View) {
         if view.epoch <= self.epoch() {
             return;
         }
@@ -188,9 +188,9 @@
         self.head = None;
         self.epoch_change_required = false;
         self.proposal = None;
-        self.attempts = 0;
-        self.joined.clear();
-        self.reason_since = None;
+        self.proposal_attempts = 0;
+        self.sealed_state_holders.clear();
+        self.change_due_since = None;
         self.back_off_until = self.now;
         self.persist_acceptor_records(
             vec![DurableRecord::View(view)],
@@ -202,7 +202,7 @@
         self.durable_epoch = self.durable_epoch.max(epoch);
         if epoch == self.epoch() {
             self.send_heartbeats();
-            self.requests.forward_again();
+            self.requests.forward_all_now();
             self.forward_requests();
         }
     }
--- a/crates/lockusher-control/src/replica/persistence.rs
+++ b/crates/lockusher-control/src/replica/persistence.rs
@@ -17,10 +17,10 @@
     pub(super) fn persist_acceptor_records(
         &mut self,
         records: Vec<DurableRecord>,
-        then: Vec<AfterAcceptorWrite>,
+        after_write: Vec<AfterAcceptorWrite>,
     ) {
         let ticket = self.issue_ticket();
-        self.acceptor_log.push(ticket, records.clone(), then, self.now);
+        self.acceptor_log.push(ticket, records.clone(), after_write, self.now);
         self.effects.push(Effect::Persist { ticket, records });
     }
 
@@ -30,17 +30,17 @@
         record: DurableRecord,
         position: Position,
         state: ReplicatedState,
-        then: AfterWrite,
+        after_write: AfterWrite,
     ) {
         let ticket = self.issue_ticket();
         let epoch = self.epoch();
         self.durable_state.pending =
-            Some(PendingWrite { ticket, since: self.now, epoch, position, state, then });
+            Some(PendingWrite { ticket, requested_at: self.now, epoch, position, state, after_write });
         self.effects.push(Effect::Persist { ticket, records: vec![record] });
     }
 
     pub(super) fn on_persisted(&mut self, ticket: PersistTicket) {
-        if let Some(released) = self.acceptor_log.persisted(ticket) {
+        if let Some(released) = self.acceptor_log.on_persisted(ticket) {
             released.into_iter().for_each(|after| self.after_acceptor_write(after));
             return;
         }
@@ -51,14 +51,14 @@
         self.durable_state.position = pending.position;
         self.durable_state.state = pending.state;
         if pending.epoch == self.epoch() {
-            self.after_write(pending.then);
+            self.after_write(pending.after_write);
         }
-        self.continue_join();
+        self.start_joining_once_sealed();
     }
 
     pub(super) fn on_persist_failed(&mut self, ticket: PersistTicket) {
         self.counters.persist_failures += 1;
-        if self.acceptor_log.refused(ticket, self.now) {
+        if self.acceptor_log.on_refused(ticket, self.now) {
             self.send_heartbeats();
             return;
         }
@@ -71,18 +71,18 @@
     }
 
     /// Repeats writes that the disk refused.
-    pub(super) fn write_again(&mut self) {
+    pub(super) fn retry_refused_writes(&mut self) {
         let next_ticket = &mut self.next_ticket;
-        let again = self.acceptor_log.again(self.timing.heartbeat_interval, self.now, || {
+        let retries = self.acceptor_log.take_due_retries(self.timing.heartbeat_interval, self.now, || {
             *next_ticket += 1;
             PersistTicket(*next_ticket)
         });
-        for (ticket, records) in again {
+        for (ticket, records) in retries {
             self.effects.push(Effect::Persist { ticket, records });
         }
-        let probe_due =
+        let retry_due =
             self.disk_failed_at.is_some_and(|at| self.now - at >= self.timing.disk_retry_interval);
-        if probe_due && self.durable_state.pending.is_none() {
+        if retry_due && self.durable_state.pending.is_none() {
             let record = self.durable_state.record();
             let (position, state) = (self.durable_state.position, self.durable_state.state.clone());
             self.persist_state(record, position, state, AfterWrite::Nothing);
@@ -100,7 +100,7 @@
             AfterAcceptorWrite::SealDurable { epoch } => {
                 if epoch == self.epoch() {
                     self.acceptor.seal_durable = true;
-                    self.continue_join();
+                    self.start_joining_once_sealed();
                 }
             }
         }
@@ -108,10 +108,11 @@
 
     /// Whether this node can replicate.
     pub(super) fn health(&self) -> Health {
-        let oldest = self.acceptor_log.oldest_since().into_iter();
-        let oldest = oldest.chain(self.durable_state.pending.as_ref().map(|pending| pending.since)).min();
+        let oldest = self.acceptor_log.oldest_requested_at().into_iter();
+        let oldest =
+            oldest.chain(self.durable_state.pending.as_ref().map(|pending| pending.requested_at)).min();
         let stalled = oldest.is_some_and(|since| self.now - since >= self.timing.write_timeout);
-        if self.leaving {
+        if self.shutting_down {
             Health::ShuttingDown
         } else if stalled || self.acceptor_log.has_refused() || self.disk_failed_at.is_some() {
             Health::DiskFault
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -27,39 +27,40 @@
         let numbers_restart = injected_bug == Some(InjectedBug::RequestNumbersRestart);
         let first_request = if numbers_restart { 0 } else { first_request };
         let view = newest_view(&recovered);
-        let acceptor =
-            view.as_ref().map_or_else(AcceptorState::default, |view| recovered_votes(&recovered, view.epoch));
+        let acceptor = view
+            .as_ref()
+            .map_or_else(AcceptorState::default, |view| recovered_acceptor(&recovered, view.epoch));
         let mut replica = Replica {
             timing,
             injected_bug,
             random,
             now,
-            started: now,
+            started_at: now,
             identity: drawn,
             durable_epoch: view.as_ref().map_or(0, |view| view.epoch),
             view,
             acceptor,
             acceptor_log: AcceptorLog::default(),
-            durable_state: recovered_holding(recovered),
-            committed: None,
-            committed_at: Position::default(),
+            durable_state: recovered_state(recovered),
+            committed_document: None,
+            known_committed: Position::default(),
             head: None,
             epoch_change_required: false,
             proposal: None,
-            joined: BTreeSet::new(),
-            highest_counter: 0,
-            attempts: 0,
+            sealed_state_holders: BTreeSet::new(),
+            highest_proposal_counter: 0,
+            proposal_attempts: 0,
             back_off_until: now,
-            reason_since: None,
+            change_due_since: None,
             peers: Peers::new(now, timing.startup_grace),
             requests: Requests::new(first_request),
             next_ticket: 0,
             effects: Vec::new(),
             loopback: VecDeque::new(),
-            leaving: false,
+            shutting_down: false,
             disk_failed_at: None,
-            last_tick: now,
-            last_heartbeat: now,
+            last_tick_at: now,
+            last_heartbeat_at: now,
             reported_role: (false, 0),
             reported_members: Vec::new(),
             counters: Counters::default(),
@@ -139,7 +140,7 @@
     views.max_by_key(|view| view.epoch).cloned()
 }
 
-fn recovered_votes(records: &[DurableRecord], current: u64) -> AcceptorState {
+fn recovered_acceptor(records: &[DurableRecord], current: u64) -> AcceptorState {
     let mut acceptor = AcceptorState::default();
     for record in records {
         match record {
@@ -156,7 +157,7 @@
     acceptor
 }
 
-fn recovered_holding(records: Vec<DurableRecord>) -> DurableState {
+fn recovered_state(records: Vec<DurableRecord>) -> DurableState {
     let mut durable_state = DurableState::default();
     for record in records {
         durable_state.recover(record);
--- a/crates/lockusher-control/src/replica/requests.rs
+++ b/crates/lockusher-control/src/replica/requests.rs
@@ -6,23 +6,23 @@
 use crate::{Digest, Millis, ReplicatedState, message::MessageBody};
 
 /// Most requests that wait at one node, and at the head.
-const REQUEST_LIMIT: usize = 64;
+const MAX_REQUESTS: usize = 64;
 
 /// Requests of this node's shell that aren't answered.
 #[derive(Debug)]
 pub(super) struct Requests {
-    waiting: BTreeMap<u64, Waiting>,
-    next: u64,
+    pending: BTreeMap<u64, PendingRequest>,
+    next_number: u64,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     ticket: RequestTicket,
     request: Request,
     deadline: Millis,
     /// When it is sent to the head again; the pauses double.
     forward_at: Millis,
-    since: Millis,
+    received_at: Millis,
 }
 
 /// Who asked: the node that a request came to, and its number there.
@@ -34,7 +34,7 @@
 
 /// A request at the head.
 #[derive(Clone, Debug)]
-pub(super) struct Queued {
+pub(super) struct QueuedRequest {
     origin: Origin,
     request: Request,
     deadline: Millis,
@@ -46,29 +46,29 @@
 enum Decision {
     Reply(Reply),
     /// Waits for the entry under way.
-    Wait,
+    AwaitWrite,
     /// Waits until the epoch is confirmed.
-    Confirm,
-    Write,
+    AwaitConfirmation,
+    Append,
 }
 
 /// What a request to change the configuration is decided by.
-struct Change {
+struct ConfigurationChange {
     if_match: u64,
     version: u64,
     request: Digest,
 }
 
-impl Change {
+impl ConfigurationChange {
     /// Nothing for a read.
     fn of(request: &Request) -> Option<Self> {
         match request {
             Request::Put { if_match, document } => {
                 let (version, request) = (document.version, document.request);
-                Some(Change { if_match: *if_match, version, request })
+                Some(ConfigurationChange { if_match: *if_match, version, request })
             }
             Request::Base { if_match, version, request } => {
-                Some(Change { if_match: *if_match, version: *version, request: *request })
+                Some(ConfigurationChange { if_match: *if_match, version: *version, request: *request })
             }
             Request::Read => None,
         }
@@ -78,12 +78,12 @@
 impl Requests {
     /// No requests; their numbers start here.
     pub(super) fn new(first: u64) -> Self {
-        Self { waiting: BTreeMap::new(), next: first }
+        Self { pending: BTreeMap::new(), next_number: first }
     }
 
     /// All are to be sent again, since the head may be another.
-    pub(super) fn forward_again(&mut self) {
-        self.waiting.values_mut().for_each(|waiting| waiting.forward_at = 0);
+    pub(super) fn forward_all_now(&mut self) {
+        self.pending.values_mut().for_each(|pending| pending.forward_at = 0);
     }
 }
 
@@ -91,15 +91,17 @@
     // At the node asked
 
     pub(super) fn on_request(&mut self, ticket: RequestTicket, request: Request) {
-        if self.requests.waiting.len() >= REQUEST_LIMIT {
+        if self.requests.pending.len() >= MAX_REQUESTS {
             self.effects.push(Effect::Reply { ticket, reply: Reply::Unavailable });
             return;
         }
-        let number = self.requests.next;
-        self.requests.next += 1;
+        let number = self.requests.next_number;
+        self.requests.next_number += 1;
         let deadline = self.now + self.timing.request_timeout;
-        let (since, forward_at) = (self.now, self.now);
-        self.requests.waiting.insert(number, Waiting { ticket, request, deadline, forward_at, since });
+        let (received_at, forward_at) = (self.now, self.now);
+        self.requests
+            .pending
+            .insert(number, PendingRequest { ticket, request, deadline, forward_at, received_at });
         self.forward_requests();
     }
 
@@ -109,10 +111,10 @@
         let Some(head) = view.head().and_then(|head| view.address_of(head)) else { return };
         let interval = self.timing.retransmit_interval;
         let mut due = Vec::new();
-        for (number, waiting) in &mut self.requests.waiting {
-            if self.now >= waiting.forward_at {
-                waiting.forward_at = self.now + interval.max(self.now - waiting.since);
-                due.push((*number, waiting.request.clone()));
+        for (number, pending) in &mut self.requests.pending {
+            if self.now >= pending.forward_at {
+                pending.forward_at = self.now + interval.max(self.now - pending.received_at);
+                due.push((*number, pending.request.clone()));
             }
         }
         for (request, body) in due {
@@ -126,11 +128,12 @@
         let now = self.now;
         let lacks_quorum = !self.has_reachable_quorum();
         let early = self.timing.minority_request_timeout;
-        let is_expired =
-            |waiting: &Waiting| waiting.deadline <= now || (lacks_quorum && now - waiting.since >= early);
-        let waiting = self.requests.waiting.iter();
+        let is_expired = |pending: &PendingRequest| {
+            pending.deadline <= now || (lacks_quorum && now - pending.received_at >= early)
+        };
+        let pending = self.requests.pending.iter();
         let expired: Vec<u64> =
-            waiting.filter(|(_, waiting)| is_expired(waiting)).map(|(number, _)| *number).collect();
+            pending.filter(|(_, pending)| is_expired(pending)).map(|(number, _)| *number).collect();
         for number in expired {
             self.on_forward_response(number, Reply::Unavailable);
         }
@@ -138,8 +141,8 @@
     }
 
     pub(super) fn on_forward_response(&mut self, number: u64, reply: Reply) {
-        if let Some(waiting) = self.requests.waiting.remove(&number) {
-            self.effects.push(Effect::Reply { ticket: waiting.ticket, reply });
+        if let Some(pending) = self.requests.pending.remove(&number) {
+            self.effects.push(Effect::Reply { ticket: pending.ticket, reply });
         }
     }
 
@@ -152,10 +155,10 @@
         let deadline = self.now + self.timing.request_timeout;
         let Some(head) = &mut self.head else { return };
         let known = in_flight || head.queue.iter().any(|queued| queued.origin == origin);
-        if known || head.queue.len() >= REQUEST_LIMIT {
+        if known || head.queue.len() >= MAX_REQUESTS {
             return;
         }
-        head.queue.push_back(Queued { origin, request: body, deadline, confirmation });
+        head.queue.push_back(QueuedRequest { origin, request: body, deadline, confirmation });
     }
 
     pub(super) fn reply_to(&mut self, origin: Origin, reply: Reply) {
@@ -174,43 +177,47 @@
             }
             match self.decide(&queued) {
                 Decision::Reply(reply) => self.reply_to(queued.origin, reply),
-                Decision::Wait => self.keep(queued),
-                Decision::Confirm => {
+                Decision::AwaitWrite => self.requeue(queued),
+                Decision::AwaitConfirmation => {
                     self.request_confirmation(queued.confirmation);
-                    self.keep(queued);
+                    self.requeue(queued);
                 }
-                Decision::Write => self.write(queued),
+                Decision::Append => self.write(queued),
             }
         }
     }
 
-    fn keep(&mut self, queued: Queued) {
+    fn requeue(&mut self, queued: QueuedRequest) {
         if let Some(head) = &mut self.head {
             head.queue.push_back(queued);
         }
     }
 
-    fn write(&mut self, queued: Queued) {
+    fn write(&mut self, queued: QueuedRequest) {
         if let Request::Put { document, .. } = queued.request {
-            self.begin_write(document, queued.origin);
+            self.append(document, queued.origin);
         }
     }
 
-    fn decide(&self, queued: &Queued) -> Decision {
-        let Some(state) = self.serving_state() else { return Decision::Wait };
-        let confirmed = self.is_confirmed(queued.confirmation);
+    fn decide(&self, queued: &QueuedRequest) -> Decision {
+        let Some(state) = self.serving_state() else { return Decision::AwaitWrite };
+        let confirmed = self.is_epoch_confirmed(queued.confirmation);
         let if_confirmed = |reply, unless: InjectedBug| {
-            if confirmed || self.has_bug(unless) { Decision::Reply(reply) } else { Decision::Confirm }
+            if confirmed || self.has_bug(unless) {
+                Decision::Reply(reply)
+            } else {
+                Decision::AwaitConfirmation
+            }
         };
         let newest = || Reply::Document(state.document().cloned());
-        let Some(change) = Change::of(&queued.request) else {
+        let Some(change) = ConfigurationChange::of(&queued.request) else {
             return if_confirmed(newest(), InjectedBug::ReadUnconfirmed);
         };
-        if self.is_taken(state, &change) {
+        if self.is_already_taken(state, &change) {
             return Decision::Reply(Reply::Accepted);
         }
         if self.durable_state.pending.is_some() || self.write_in_flight().is_some() {
-            return Decision::Wait;
+            return Decision::AwaitWrite;
         }
         let current = state.version();
         if change.if_match != current && !self.has_bug(InjectedBug::IfMatchIgnored) {
@@ -222,14 +229,14 @@
             // decided on its own.
             Decision::Reply(newest())
         } else {
-            Decision::Write
+            Decision::Append
         }
     }
 
-    fn is_taken(&self, state: &ReplicatedState, change: &Change) -> bool {
+    fn is_already_taken(&self, state: &ReplicatedState, change: &ConfigurationChange) -> bool {
         if self.has_bug(InjectedBug::VersionIdentifiesChange) && change.version == state.version() {
             return true;
         }
-        state.has_taken(change.request) && !self.has_bug(InjectedBug::TakenNotRecognized)
+        state.has_applied(change.request) && !self.has_bug(InjectedBug::TakenNotRecognized)
     }
 }
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -26,8 +26,8 @@
         let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(self.identity));
         in_chain
             && self.durable_state.pending.is_none()
-            && self.committed_at.epoch == self.epoch()
-            && self.committed_at == self.durable_state.position
+            && self.known_committed.epoch == self.epoch()
+            && self.known_committed == self.durable_state.position
     }
 
     /// Whether this node votes in the newest view that it knows and hears a majority of the voters.
@@ -39,13 +39,13 @@
     /// voters can be spared.
     pub fn has_handed_over(&self) -> bool {
         let Some(view) = &self.view else { return true };
-        let is_spared = !view.is_voter(self.identity) || view.voters.len() <= self.minimum_voters();
-        is_spared && !view.in_chain(self.identity)
+        let may_be_removed = !view.is_voter(self.identity) || view.voters.len() <= self.minimum_voters();
+        may_be_removed && !view.in_chain(self.identity)
     }
 
     /// The newest configuration known to be committed.
     pub fn committed(&self) -> Option<&ConfigurationDocument> {
-        self.committed.as_ref()
+        self.committed_document.as_ref()
     }
 
     /// Identifies the sequence of configurations that the durable state contains.
@@ -83,8 +83,8 @@
     /// Voters, and other control nodes heard lately, by address.
     fn known_members(&self) -> Vec<SocketAddrV4> {
         let voters = self.view.iter().flat_map(|view| view.voters.iter().map(|voter| voter.address));
-        let heard = self.peers.iter().filter(|(_, peer)| peer.reachable_since.is_some());
-        let mut members: Vec<SocketAddrV4> = voters.chain(heard.map(|(address, _)| address)).collect();
+        let contacted = self.peers.iter().filter(|(_, peer)| peer.reachable_since.is_some());
+        let mut members: Vec<SocketAddrV4> = voters.chain(contacted.map(|(address, _)| address)).collect();
         members.push(self.setup.address);
         members.sort();
         members.dedup();
--- a/crates/lockusher-control/src/state.rs
+++ b/crates/lockusher-control/src/state.rs
@@ -7,7 +7,7 @@
 use crate::document::{ConfigurationDocument, Digest};
 
 /// How many identities of taken requests are kept, so that one sent again is acknowledged again.
-pub const HISTORY_LIMIT: usize = 4096;
+pub const MAX_HISTORY: usize = 4096;
 
 /// Digest over the whole sequence of configurations taken: equal lineages mean equal states.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
@@ -50,8 +50,8 @@
         self.previous
     }
 
-    /// Whether this request of the operator has been taken (of the newest [`HISTORY_LIMIT`]).
-    pub fn has_taken(&self, request: Digest) -> bool {
+    /// Whether this request of the operator has been taken (of the newest [`MAX_HISTORY`]).
+    pub fn has_applied(&self, request: Digest) -> bool {
         self.history.contains(&request)
     }
 
@@ -71,7 +71,7 @@
                 .extended(&document.request.0.to_le_bytes())
                 .extended(&document.digest.0.to_le_bytes()),
         );
-        let surplus = (self.history.len() + 1).saturating_sub(HISTORY_LIMIT);
+        let surplus = (self.history.len() + 1).saturating_sub(MAX_HISTORY);
         let mut history = Vec::with_capacity(self.history.len() + 1 - surplus);
         history.extend_from_slice(&self.history[surplus..]);
         history.push(document.request);
--- a/crates/lockusher-control/src/view.rs
+++ b/crates/lockusher-control/src/view.rs
@@ -76,14 +76,14 @@
 
     /// The chain's member after this one.
     pub fn successor_of(&self, identity: Identity) -> Option<Identity> {
-        let place = self.chain.iter().position(|member| *member == identity)?;
-        self.chain.get(place + 1).copied()
+        let position = self.chain.iter().position(|member| *member == identity)?;
+        self.chain.get(position + 1).copied()
     }
 
     /// The chain's member before this one.
     pub fn predecessor_of(&self, identity: Identity) -> Option<Identity> {
-        let place = self.chain.iter().position(|member| *member == identity)?;
-        self.chain.get(place.checked_sub(1)?).copied()
+        let position = self.chain.iter().position(|member| *member == identity)?;
+        self.chain.get(position.checked_sub(1)?).copied()
     }
 }
 
@@ -95,14 +95,14 @@
 impl Identity {
     /// Identity of a seed with an empty disk at the first start of the whole system.
     pub fn of_first_start(address: SocketAddrV4) -> Self {
-        const FIRST_START_MARK: u64 = 1 << 63;
+        const FIRST_START_BIT: u64 = 1 << 63;
         let host = u64::from(address.ip().to_bits());
-        Self(FIRST_START_MARK | host << 16 | u64::from(address.port()))
+        Self(FIRST_START_BIT | host << 16 | u64::from(address.port()))
     }
 
     /// An identity drawn for a node that joins; it can't equal one of a first start.
     pub fn of_joiner(random: u64) -> Self {
-        const FIRST_START_MARK: u64 = 1 << 63;
-        Self(random & !FIRST_START_MARK)
+        const FIRST_START_BIT: u64 = 1 << 63;
+        Self(random & !FIRST_START_BIT)
     }
 }
--- a/crates/lockusher-control/tests/state.rs
+++ b/crates/lockusher-control/tests/state.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lockusher_control::{ConfigurationDocument, Digest, ReplicatedState, state::HISTORY_LIMIT};
+use lockusher_control::{ConfigurationDocument, Digest, ReplicatedState, state::MAX_HISTORY};
 
 fn document(version: u64) -> ConfigurationDocument {
     ConfigurationDocument::new(version, Arc::from(version.to_string().into_bytes()))
@@ -12,14 +12,14 @@
 fn the_newest_digests_are_kept() {
     let mut state = ReplicatedState::default();
     let mut taken: Vec<Digest> = Vec::new();
-    let count = HISTORY_LIMIT as u64 + 10;
+    let count = MAX_HISTORY as u64 + 10;
     for version in 1..=count {
         state = state.with(document(version));
         taken.push(document(version).digest);
     }
-    let (forgotten, kept) = taken.split_at(taken.len() - HISTORY_LIMIT);
-    assert!(kept.iter().all(|digest| state.has_taken(*digest)));
-    assert!(!forgotten.iter().any(|digest| state.has_taken(*digest)));
+    let (forgotten, kept) = taken.split_at(taken.len() - MAX_HISTORY);
+    assert!(kept.iter().all(|digest| state.has_applied(*digest)));
+    assert!(!forgotten.iter().any(|digest| state.has_applied(*digest)));
     assert_eq!(state.version(), count);
 }
 
