--- a/crates/lockusher-config/src/configuration.rs
+++ b/crates/lockusher-config/src/configuration.rs
@@ -1,51 +1,69 @@
-//! The operator's routing configuration.
+//! The operator's routing configuration: which requests go to which service, and how.
+//!
+//! [`configuration_reader`](crate::configuration_reader) makes it from the operator's document; the control plane
+//! replicates the document, and agents hand it to the proxies. The readers guarantee that every service that a route
+//! names exists, that no two routes share host and prefix, and that the weights of a split don't sum to 0. These types are
+//! sent in `bitcode`'s form, which goes by the order and types of fields and variants: neither may change. Source: the
+//! operators' pages (PROTOCOL, "Requests" and "The operator's API"). Fields are named after their keys; a duration is in
+//! milliseconds, whatever the key's unit.
 
 use bitcode::{Decode, Encode};
 
 /// One version of the routing configuration, checked.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Configuration {
-    /// Rises with each change, by uneven steps.
+    /// Rises with each change, by uneven steps; key `version`, required, above 0.
     pub version: u64,
+    /// The routes; key `routes`, required.
     pub routes: Vec<Route>,
+    /// The services to which routes lead; key `services`, required. Names are unique.
     pub services: Vec<Service>,
+    /// Limits on clients; key `limits`.
     pub limits: Limits,
 }
 
-/// What may be repeated of a route's requests.
+/// How often a request of a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// May run more than once: it may be retried and hedged.
     Idempotent,
-    /// May run at most once per try.
+    /// Must run at most once for each request of a client.
     NonIdempotent,
-    /// Answers with a series of events; runs at most once unless `resumable`.
+    /// Answered with a series of events (`text/event-stream`); runs at most once unless the route is `resumable`.
     Streaming,
 }
 
 /// A route: requests of one host whose path begins with a prefix.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
+    /// Name of the route, by which a patch refers to it; key `name`, by default empty.
     pub name: String,
+    /// The host that requests name in `Host`, compared without letter case and port; key `host`, required.
     pub host: String,
-    /// Starts and ends with a slash.
+    /// Beginning of the paths, which starts and ends with a slash; key `pathPrefix`, required.
     pub path_prefix: String,
+    /// How often a request may run; key `kind`, required.
     pub kind: RouteKind,
-    /// The longest that a request may be held, in milliseconds.
+    /// Timeout of a request, in milliseconds; key `timeoutMs`, required, above 0.
     pub timeout_ms: u64,
-    /// The time within which an answer earns its full worth, in milliseconds.
+    /// Latency target: the time within which an answer has its full value, to the first event of a stream, in milliseconds;
+    /// key `targetLatencyMs`, by default (and if 0) `timeout_ms`.
     pub target_latency_ms: u64,
-    /// Rank of the route's requests; 0 is the highest.
+    /// Priority of the route's requests, of which 0 is the highest; key `priority`, by default 5, at most 255. Load shedding
+    /// and searchers go by it.
     pub priority: u8,
-    /// The services that take the route's requests, by weight; never empty, weights never sum to 0.
+    /// The services that take the route's requests, by weight; key `trafficSplit`, or `service` for one alone. Never empty;
+    /// weights never sum to 0.
     pub split: Vec<WeightedService>,
-    /// The greatest number of searchers that one try may be sent to; at least 1.
+    /// The greatest number of searchers that one request of a client may be sent to; key `attempts`, by default 1, above 0.
     pub attempts: u32,
-    /// Whether requests name the parts of their prompts (`Prompt-Prefix`).
+    /// Whether requests name the shared prefixes of their prompts (`Prompt-Prefix`), for affinity to prefix caches; key
+    /// `sticky`, by default `false`. The proxy goes by the requests themselves.
     pub sticky: bool,
-    /// Whether a stream may be taken up elsewhere with `Last-Event-Id`.
+    /// Whether a stream may be resumed at another searcher with `Last-Event-Id`; key `resumable`, by default `false`.
     pub resumable: bool,
-    /// The longest pause between events of an answer in time, in milliseconds.
+    /// Latency target between events: the longest gap with which a stream is in time, in milliseconds; key `gap_aim_ms`, by
+    /// default (and if 0) none.
     pub gap_aim_ms: Option<u64>,
 }
 
@@ -60,51 +78,60 @@
     }
 }
 
-/// A service's share of a route's requests.
+/// One service of a route's traffic split.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct WeightedService {
+    /// Name of the service; key `service`, required.
     pub service: String,
+    /// Its weight among those of the split, which may be 0; key `weight`, required.
     pub weight: u32,
 }
 
-/// A service: searchers that answer alike.
+/// A service: searchers that give the same answers.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Service {
+    /// Name of the service, by which routes and instances refer to it; key `name`, required.
     pub name: String,
-    /// Path of the health check.
+    /// Path of the health check; key `healthCheck`, by default `/health`. No program acts on it.
     pub health_check: String,
-    /// Connections that one searcher accepts from all callers together.
+    /// Connections that one searcher accepts from all callers together; key `connectionLimit`, by default without limit.
     pub connection_limit: u32,
-    /// The inference engine of a service of language models; absent for plain services.
+    /// The inference engine of a service of language models; key `engine`, absent for other services.
     pub engine: Option<Engine>,
 }
 
-/// What is told of a service's inference engine.
+/// The inference engine of a service's searchers.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Engine {
-    /// Requests that run at once in a batch.
+    /// Requests that run at once in a batch; key `slots`, by default 1.
     pub slots: u32,
-    /// Tokens that the KV cache of one searcher holds.
+    /// Capacity of one searcher's KV cache, in tokens; key `cacheTokens`, by default 0.
     pub cache_tokens: u64,
-    /// Bytes of one token in the KV cache.
+    /// Size of one token in the KV cache, in bytes; key `cacheTokenBytes`, by default 0.
     pub cache_token_bytes: u64,
-    /// Rate of the link over which a searcher fetches KV cache, in megabits a second.
+    /// Bandwidth with which a searcher fetches KV cache from another, in megabits a second; key `linkMbps`, by default
+    /// 10,000.
     pub link_mbps: f64,
-    /// Tokens between two events of a stream, as told.
+    /// Tokens from one event of a stream to the next; key `stride`, by default 1. No program acts on it.
     pub stride: u32,
-    /// How long a prefilled prompt is held for its decode searcher, in milliseconds.
+    /// How long a prefill searcher reserves the KV cache of a prompt for the decode searcher that is to fetch it, in
+    /// milliseconds; key `handleHoldS`, by default 1 s.
     pub handle_hold_ms: u64,
-    /// How long a change of stage takes, in milliseconds.
+    /// How long a searcher takes to change its stage, in milliseconds; key `roleSwitchS`, by default 5 s.
     pub role_switch_ms: u64,
-    /// Names of the models that are served.
+    /// Names of the models that are served; key `models`, by default none.
     pub models: Vec<String>,
 }
 
-/// What a client may send, and how long it may take or rest.
+/// Limits on what a client may send, and on how long it may take or be idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Limits {
+    /// Largest head of a request, in bytes; key `headerBytes`, by default 16 KiB, above 0.
     pub header_bytes: u64,
+    /// Largest body of a request, in bytes; key `bodyBytes`, by default 4 MiB.
     pub body_bytes: u64,
+    /// Within what time a client sends the head of a request, in milliseconds; key `headerTimeoutMs`, by default 3 s.
     pub header_timeout_ms: u64,
+    /// How long a client's connection may be idle, in milliseconds; key `idleTimeoutMs`, by default 15 s.
     pub idle_timeout_ms: u64,
 }
--- a/crates/lockusher-config/src/configuration_reader/mod.rs
+++ b/crates/lockusher-config/src/configuration_reader/mod.rs
@@ -1,9 +1,12 @@
-//! Reads and checks the operator's configuration (PROTOCOL.md, "The operator's API").
+//! Reads and checks the operator's configuration.
 //!
-//! Faults: a document that can't be read whole, a needed field that is absent or wrong, a route to an unknown
-//! service, two routes with the same host and prefix, weights that sum to 0, a `timeoutMs` of 0. What the
-//! protocol does not name as needed has a default, said at its constant. Whether the version is above the current
-//! one is not decided here.
+//! Called by the control node, for the operator's request and for the newest replicated document, and by the program's
+//! `check`. A configuration that is read without a fault can be routed by.
+//!
+//! Faults: a document that can't be read to its end, a required field that is absent or wrong, a route to an unknown
+//! service, two routes with the same host and prefix, two services with the same name, weights that sum to 0, a `timeoutMs`
+//! of 0. A field that isn't required has a default, said at its field. Whether the version is above the current one is
+//! decided by the control plane. Source: the operators' pages (PROTOCOL, "The operator's API").
 
 mod limits;
 mod route;
@@ -21,7 +24,11 @@
 use service::{UniqueNames, service};
 
 impl Configuration {
-    /// Reads the body of `PUT /api/configuration` and finds all of its faults.
+    /// Reads the body of `PUT /api/configuration`.
+    ///
+    /// # Errors
+    ///
+    /// All faults of the configuration.
     pub fn parse(body: &[u8]) -> Result<Self, Faults> {
         read_document(body, configuration)
     }
--- a/crates/lockusher-config/src/configuration_reader/route.rs
+++ b/crates/lockusher-config/src/configuration_reader/route.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// The service that a route or a part of its split names.
+/// The service that a route or one entry of its traffic split names.
 fn target(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<String> {
     let service = reader.text("service")?;
     checks.check_service(&service, reader);
@@ -97,11 +97,11 @@
 fn weighted_services(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<Vec<WeightedService>> {
     let mut unreadable = false;
     let split = reader.objects("trafficSplit", |reader| {
-        let part = weighted_service(reader, checks);
-        unreadable |= part.is_none();
-        part
+        let weighted = weighted_service(reader, checks);
+        unreadable |= weighted.is_none();
+        weighted
     })?;
-    if !unreadable && split.iter().all(|part| part.weight == 0) {
+    if !unreadable && split.iter().all(|weighted| weighted.weight == 0) {
         reader.add_field_fault("trafficSplit", Problem::ZeroWeights);
     }
     Some(split)
@@ -109,6 +109,6 @@
 
 fn weighted_service(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<WeightedService> {
     let service = target(reader, checks);
-    let weight = reader.u32("weight");
+    let weight = reader.integer_u32("weight");
     Some(WeightedService { service: service?, weight: weight? })
 }
--- a/crates/lockusher-config/src/configuration_reader/route_checks.rs
+++ b/crates/lockusher-config/src/configuration_reader/route_checks.rs
@@ -33,7 +33,7 @@
         let key = (normalized_host(host).into_owned(), path_prefix.to_owned());
         match self.routes_by_host_and_prefix.entry(key) {
             Entry::Occupied(other) => {
-                reader.add_fault(Problem::DuplicateHostAndPrefix { other: other.get().clone() })
+                reader.add_fault(Problem::DuplicateHostAndPrefix { other: other.get().clone() });
             }
             Entry::Vacant(vacant) => {
                 vacant.insert(reader.path().to_string());
--- a/crates/lockusher-config/src/fault.rs
+++ b/crates/lockusher-config/src/fault.rs
@@ -1,13 +1,16 @@
-//! Faults found while reading a document: each with its location, all of them in one run.
+//! The faults of a document or a settings file: each with its location, all of them in one run.
+//!
+//! [`Faults`] is the error of every reader of this package. An operator reads its text, one fault a line; a caller that
+//! tries the same input again gets the same faults. The number of faults that are retained is bounded.
 
 use std::fmt;
 
 use derive_more::{Display, Error};
 
-/// At most this many faults are kept of one document, so that a hostile one takes no memory.
+/// At most this many faults of one document are retained, so that a hostile one takes no memory; more are counted.
 pub const MAX_FAULTS: usize = 1_000;
 
-/// At most this many characters of a wrong value are shown.
+/// At most this many characters of a wrong value stand in a message.
 const MAX_VALUE_CHARACTERS: usize = 40;
 
 /// One fault of a document.
@@ -16,6 +19,7 @@
 pub struct Fault {
     /// Where it is: a path such as `routes[3].timeoutMs`, or a line and key of a settings file.
     pub location: String,
+    /// What is wrong there.
     pub problem: Problem,
 }
 
@@ -25,20 +29,36 @@
     /// The document could not be read at all; the reader's message names line and column.
     #[display("unreadable: {_0}")]
     Unreadable(String),
+    /// A required field or key is absent.
     #[display("missing")]
     Missing,
     /// A value of the wrong type or outside its range.
     #[display("expected {expected}, found {found}")]
-    Unexpected { expected: &'static str, found: String },
-    /// A settings key that stands on an earlier line as well.
+    Unexpected {
+        /// What is valid here.
+        expected: &'static str,
+        /// The beginning of the wrong value.
+        found: String,
+    },
+    /// A settings key that stands on several lines.
     #[display("given twice, first on line {first_line}")]
-    DuplicateKey { first_line: usize },
+    DuplicateKey {
+        /// The number of the first of these lines, from 1.
+        first_line: usize,
+    },
     /// A name that another entry of the same list has.
     #[display("has the same name as {other}")]
-    DuplicateName { other: String },
+    DuplicateName {
+        /// The path of the other entry.
+        other: String,
+    },
     /// A route with the host and prefix of another.
     #[display("has the same host and prefix as {other}")]
-    DuplicateHostAndPrefix { other: String },
+    DuplicateHostAndPrefix {
+        /// The path of the other route.
+        other: String,
+    },
+    /// A route to a service that the configuration doesn't have.
     #[display("names the unknown service {_0:?}")]
     UnknownService(String),
     /// A route whose weights sum to 0.
@@ -47,7 +67,7 @@
     /// A route with both `service` and `trafficSplit`, or with neither.
     #[display("expected either service or trafficSplit")]
     ServiceOrSplit,
-    /// A field of a whole configuration in a patch.
+    /// A field that stands in a complete configuration only, in a patch.
     #[display(
         "can't be set by a patch; items go under upsert and remove, all else needs the whole configuration"
     )]
@@ -60,7 +80,12 @@
     UpsertedAndRemoved(String),
     /// A range whose first port is above its last.
     #[display("first port {first} is above the last, {last}")]
-    PortOrder { first: u16, last: u16 },
+    PortOrder {
+        /// The first port as given.
+        first: u16,
+        /// The last port as given.
+        last: u16,
+    },
 }
 
 /// All faults of a document, in the order in which they were found.
@@ -100,15 +125,17 @@
         self
     }
 
+    /// Whether no fault was found.
     pub fn is_empty(&self) -> bool {
         self.faults.is_empty()
     }
 
-    /// How many faults were found, also those that are not kept.
+    /// How many faults were found, also those that are not retained.
     pub fn count(&self) -> usize {
         self.faults.len() + self.omitted
     }
 
+    /// The retained faults, in the order in which they were found.
     pub fn iter(&self) -> impl Iterator<Item = &Fault> {
         self.faults.iter()
     }
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -1,4 +1,7 @@
-//! Reads one page of the platform's list of searchers (PROTOCOL.md, "Service discovery").
+//! Reads one page of the platform's instance list.
+//!
+//! Called by the instance-list poller. A page is never dropped for one bad entry: that entry alone is skipped. Source: the
+//! operators' pages (PROTOCOL, "Service discovery").
 
 use std::net::SocketAddrV4;
 
@@ -12,11 +15,12 @@
 use crate::json::object_reader::ObjectReader;
 use crate::json::unique_keys::parse_unique;
 
-/// One page of the list.
+/// One page of the instance list, as `GET /instances` answers it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstancePage {
+    /// The instances of this page; key `instances`, required.
     pub instances: Vec<Instance>,
-    /// Asks for the page that follows; `None` on the last one.
+    /// Asks for the page that follows; key `nextToken`, `None` on the last page.
     pub next_token: Option<String>,
     /// Faults of the entries that were left out.
     pub skipped: Vec<Fault>,
@@ -24,7 +28,11 @@
 
 impl InstancePage {
     /// Reads the answer of `GET /instances`. An entry with a fault is left out and reported under `skipped`: one
-    /// bad entry must not hide the others. A page that can't be read whole is an error.
+    /// bad entry must not hide the others.
+    ///
+    /// # Errors
+    ///
+    /// If the page can't be read to its end, or has no list of instances.
     pub fn parse(body: &[u8]) -> Result<Self, Faults> {
         let value = parse_unique(body).map_err(Faults::unreadable)?;
         let faults = FaultCollector::default();
--- a/crates/lockusher-config/src/json/field_path.rs
+++ b/crates/lockusher-config/src/json/field_path.rs
@@ -5,8 +5,11 @@
 /// Path of a value in the document; only spelled out for an error.
 #[derive(Clone, Copy, Debug)]
 pub enum FieldPath<'a> {
+    /// The document itself.
     Root,
+    /// The field of this name in the object at the path.
     Field(&'a FieldPath<'a>, &'a str),
+    /// The item with this index in the list at the path.
     Item(&'a FieldPath<'a>, usize),
 }
 
--- a/crates/lockusher-config/src/json/object_reader.rs
+++ b/crates/lockusher-config/src/json/object_reader.rs
@@ -1,4 +1,4 @@
-//! Typed access to one object of a JSON document.
+//! Typed access to the fields of one JSON object.
 //!
 //! A required field that is absent or wrong yields `None` (its fault is collected); an optional one that is absent or
 //! `null` yields the caller's default. Unknown fields are never looked at.
@@ -14,7 +14,7 @@
 use crate::json::fault_collector::FaultCollector;
 use crate::json::field_path::FieldPath;
 
-/// One object of the document.
+/// One object of the document. Its methods read a field each; `*_or` yields a default for a field that is absent.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectReader<'a> {
     fields: &'a Map<String, Value>,
@@ -32,10 +32,12 @@
         Some(Self { fields, path, faults })
     }
 
+    /// Where faults of this document are collected.
     pub fn faults(&self) -> &'a FaultCollector {
         self.faults
     }
 
+    /// The path of the object.
     pub fn path(&self) -> &FieldPath<'a> {
         &self.path
     }
@@ -94,40 +96,42 @@
         self.required(name, non_empty_text)
     }
 
+    /// A string, which may be empty.
     pub fn text_or(&self, name: &str, default: &str) -> Option<String> {
         self.optional(name, default.to_owned(), text)
     }
 
-    /// A whole number above 0.
+    /// An integer above 0.
     pub fn positive_integer(&self, name: &str) -> Option<u64> {
         self.required(name, positive_integer)
     }
 
+    /// As [`positive_integer`](Self::positive_integer), with a default.
     pub fn positive_integer_or(&self, name: &str, default: u64) -> Option<u64> {
         self.optional(name, default, positive_integer)
     }
 
-    /// A whole number above 0 that fits into 32 bits.
+    /// An integer above 0 that fits into 32 bits.
     pub fn positive_u32_or(&self, name: &str, default: u32) -> Option<u32> {
         self.optional(name, default, positive_u32)
     }
 
-    /// A whole number.
+    /// An integer of at least 0.
     pub fn integer_or(&self, name: &str, default: u64) -> Option<u64> {
         self.optional(name, default, integer)
     }
 
-    /// A whole number that fits into 32 bits.
-    pub fn u32(&self, name: &str) -> Option<u32> {
+    /// An integer that fits into 32 bits.
+    pub fn integer_u32(&self, name: &str) -> Option<u32> {
         self.required(name, integer_u32)
     }
 
-    /// A duration in milliseconds, not 0; fractions count as a whole millisecond.
+    /// A duration in milliseconds, not 0; rounded up.
     pub fn positive_ms(&self, name: &str) -> Option<u64> {
         self.required(name, |value| positive_number(value).map(rounded_up_ms))
     }
 
-    /// A duration in milliseconds; fractions count as a whole millisecond.
+    /// A duration in milliseconds; rounded up.
     pub fn ms_or(&self, name: &str, default: u64) -> Option<u64> {
         self.optional(name, default, |value| number(value).map(rounded_up_ms))
     }
@@ -142,6 +146,7 @@
         self.optional(name, default, positive_number)
     }
 
+    /// `true` or `false`.
     pub fn flag_or(&self, name: &str, default: bool) -> Option<bool> {
         self.optional(name, default, |value| {
             value.as_bool().ok_or_else(|| unexpected("true or false", value))
--- a/crates/lockusher-config/src/lib.rs
+++ b/crates/lockusher-config/src/lib.rs
@@ -1,5 +1,14 @@
-//! Plain values of a deployment: the settings of a node, the operator's routing configuration and the
-//! platform's instance list, with the readers that check them. Nothing here does I/O or reads a clock.
+//! The values that a deployment gives to the programs of the router fleet, with the readers that check them.
+//!
+//! | value | read from | reader |
+//! | --- | --- | --- |
+//! | [`settings::NodeSettings`] | a node's settings file | [`settings_reader`] |
+//! | [`configuration::Configuration`] | the operator's routing configuration | [`configuration_reader`] |
+//! | [`configuration_patch::ConfigurationPatch`] | the operator's changes to it by name | [`configuration_patch`] |
+//! | [`instances::Instance`] | the platform's instance list | [`instances_reader`] |
+//!
+//! The readers find all faults of their input in one run ([`fault::Faults`]). [`route_table`] finds the route of a request.
+//! Nothing here does I/O or reads a clock.
 
 pub mod configuration;
 pub mod configuration_patch;
--- a/crates/lockusher-config/src/route_table.rs
+++ b/crates/lockusher-config/src/route_table.rs
@@ -1,5 +1,7 @@
 //! Finds the route of a request by host and longest path prefix.
 //!
+//! The proxy makes a table from each configuration that it receives, and looks up every request. A table never changes.
+//!
 //! Prefixes start and end with a slash, so a route's prefix is a series of whole path segments. Each host has a
 //! tree of segments: a lookup costs time in the length of the path, however many routes there are.
 
@@ -9,7 +11,7 @@
 
 use crate::configuration::{Configuration, Route};
 
-/// Index of a node in [`HostTree::nodes`].
+/// Index of a node in the nodes of a [`HostTree`].
 type NodeIndex = usize;
 
 const ROOT: NodeIndex = 0;
@@ -36,6 +38,7 @@
 }
 
 impl RouteTable {
+    /// Builds the table of a configuration.
     pub fn new(configuration: Rc<Configuration>) -> Self {
         let mut hosts: HashMap<String, HostTree> = HashMap::new();
         for (index, route) in configuration.routes.iter().enumerate() {
--- a/crates/lockusher-config/src/settings_lines.rs
+++ b/crates/lockusher-config/src/settings_lines.rs
@@ -1,4 +1,6 @@
-//! The lines of a settings file, with typed access to their values. Every fault is collected with its line.
+//! The lines of a settings file, with typed access to their values.
+//!
+//! Every fault is collected with its line, and reading goes on, so that one run finds them all.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,6 +12,7 @@
 use crate::fault::{Faults, Problem, truncated_for_message};
 use crate::internal_ports::PortRange;
 
+/// Begins a line that is ignored.
 const COMMENT: char = '#';
 
 /// The value of a key, and where it stands.
@@ -62,6 +65,7 @@
             .or_insert(entry);
     }
 
+    /// All faults that were found.
     pub fn into_faults(self) -> Faults {
         self.faults
     }
@@ -142,7 +146,7 @@
         None
     }
 
-    /// A duration in milliseconds; fractions count as a whole millisecond.
+    /// A duration in milliseconds; rounded up.
     pub fn ms(&mut self, key: &str, default: u64) -> Option<u64> {
         self.number(key, default as f64).map(rounded_up_ms)
     }
--- a/crates/lockusher-config/src/settings_reader/bounds.rs
+++ b/crates/lockusher-config/src/settings_reader/bounds.rs
@@ -1,9 +1,9 @@
-//! Reads the bounds.
+//! Reads the bounds: the guarantees that the deployment's rules put figures on.
 
 use crate::settings::Bounds;
 use crate::settings_lines::SettingsLines;
 
-/// Bounds of a file that names none: on the strict side, so that a promise in force elsewhere is kept as well.
+/// Bounds of a file that names none: on the strict side, so that the guarantees of usual figures hold as well.
 const DEFAULT_BOUNDS: Bounds = Bounds {
     seed_lag_ms: 3_000,
     reuse_after_ms: 1_000,
--- a/crates/lockusher-config/src/settings_reader/limits.rs
+++ b/crates/lockusher-config/src/settings_reader/limits.rs
@@ -1,11 +1,11 @@
-//! Reads the limits of a process.
+//! Reads the limits of a process: what it may use of its machine.
 
 use std::str::FromStr;
 
 use crate::settings::NodeLimits;
 use crate::settings_lines::SettingsLines;
 
-/// Default of every rate, share and count that the file doesn't limit.
+/// Limits of a file that names none.
 const DEFAULT_LIMITS: NodeLimits = NodeLimits {
     cpu_share: 1.0,
     cores: 1,
--- a/crates/lockusher-config/src/settings_reader/mod.rs
+++ b/crates/lockusher-config/src/settings_reader/mod.rs
@@ -1,8 +1,10 @@
-//! Reads a node's settings file (DEPLOY.md, "Settings of a process"): `a.b=value` lines.
+//! Reads a node's settings file: `a.b=value` lines.
+//!
+//! Called at the start of each program, on SIGHUP, and by the program's `check`.
 //!
 //! Unknown keys are ignored, and so are empty lines and those that start with `#`. A key with an empty value
-//! counts as absent. Needed are `node`, `zone`, `ipAddress`, `internalPorts` and `cloud.address`; any other key
-//! has a default, named below.
+//! counts as absent. Required are `node`, `zone`, `ipAddress`, `internalPorts` and `cloud.address`; any other key
+//! has a default. Source: the operators' pages (DEPLOY, "Settings of a process").
 
 mod bounds;
 mod limits;
@@ -17,16 +19,22 @@
 use bounds::bounds;
 use limits::node_limits;
 
+/// Counted machines that may be lost at once.
 const DEFAULT_FAULT_TOLERANCE_MACHINES: u32 = 1;
 
 const DEFAULT_HEARTBEAT_MS: u64 = 1_000;
 
+/// Calls a second to the instance list, by all nodes together.
 const DEFAULT_CLOUD_RATE_PER_S: f64 = 1.0;
 
 const DEFAULT_CLOUD_LAG_MS: u64 = 1_000;
 
 impl NodeSettings {
-    /// Reads the text of a settings file and finds all of its faults.
+    /// Reads the text of a settings file.
+    ///
+    /// # Errors
+    ///
+    /// All faults of the file.
     pub fn parse(text: &str) -> Result<Self, Faults> {
         let mut lines = SettingsLines::split(text);
         let settings = settings(&mut lines);
