--- a/crates/lockusher-config/src/configuration_reader/limits.rs
+++ b/crates/lockusher-config/src/configuration_reader/limits.rs
@@ -7,6 +7,7 @@
 pub const DEFAULT_LIMITS: Limits =
     Limits { header_bytes: 16 << 10, body_bytes: 4 << 20, header_timeout_ms: 3_000, idle_timeout_ms: 15_000 };
 
+/// Reads the limits.
 pub fn limits(reader: &ObjectReader<'_>) -> Option<Limits> {
     let header_bytes = reader.positive_integer_or("headerBytes", DEFAULT_LIMITS.header_bytes);
     let body_bytes = reader.integer_or("bodyBytes", DEFAULT_LIMITS.body_bytes);
--- a/crates/lockusher-config/src/configuration_reader/route.rs
+++ b/crates/lockusher-config/src/configuration_reader/route.rs
@@ -14,6 +14,7 @@
 /// A route that names no number of attempts is not repeated.
 const DEFAULT_ATTEMPTS: u32 = 1;
 
+/// Reads a route and checks it against the rest of its configuration.
 pub fn route(reader: &ObjectReader<'_>, checks: &mut RouteChecks<'_>) -> Option<Route> {
     let name = reader.text_or("name", "");
     let host = reader.text("host");
--- a/crates/lockusher-config/src/configuration_reader/service.rs
+++ b/crates/lockusher-config/src/configuration_reader/service.rs
@@ -11,6 +11,7 @@
 use crate::json::field_path::FieldPath;
 use crate::json::object_reader::ObjectReader;
 
+/// Path of the health check of a service that names none.
 const DEFAULT_HEALTH_CHECK: &str = "/health";
 
 /// A service that names no limit of connections sets none.
@@ -19,13 +20,16 @@
 /// An engine that names no slots runs one request at a time.
 const DEFAULT_SLOTS: u32 = 1;
 
-/// Megabits a second.
+/// Bandwidth for KV cache of an engine that names none, in megabits a second.
 const DEFAULT_LINK_MBPS: f64 = 10_000.0;
 
+/// Tokens from one event to the next of an engine that names no stride.
 const DEFAULT_STRIDE: u32 = 1;
 
+/// How long an engine that doesn't say reserves the KV cache of a prefilled prompt.
 const DEFAULT_HANDLE_HOLD_MS: u64 = 1_000;
 
+/// How long a searcher takes to change its stage if the engine doesn't say.
 const DEFAULT_ROLE_SWITCH_MS: u64 = 5_000;
 
 /// Names seen so far, with the path of each.
@@ -44,6 +48,7 @@
     }
 }
 
+/// Reads a service; `names` are those of the services before it.
 pub fn service(reader: &ObjectReader<'_>, names: &mut UniqueNames) -> Option<Service> {
     let name = reader.text("name");
     if let Some(name) = &name {
--- a/crates/lockusher-config/src/settings_reader/mod.rs
+++ b/crates/lockusher-config/src/settings_reader/mod.rs
@@ -22,11 +22,13 @@
 /// Counted machines that may be lost at once.
 const DEFAULT_FAULT_TOLERANCE_MACHINES: u32 = 1;
 
+/// The deployment's interval of heartbeats.
 const DEFAULT_HEARTBEAT_MS: u64 = 1_000;
 
 /// Calls a second to the instance list, by all nodes together.
 const DEFAULT_CLOUD_RATE_PER_S: f64 = 1.0;
 
+/// How old the instance list is when it is served.
 const DEFAULT_CLOUD_LAG_MS: u64 = 1_000;
 
 impl NodeSettings {
--- a/crates/lockusher-config/tests/settings.rs
+++ b/crates/lockusher-config/tests/settings.rs
@@ -2,70 +2,13 @@
 
 use std::path::PathBuf;
 
+#[path = "support/settings_text.rs"]
+mod settings_text;
+
 use lockusher_config::settings::{NodeSettings, PortRange};
+use settings_text::{FULL, REQUIRED};
 use yare::parameterized;
 
-const FULL: &str = "\
-node=c-7
-role=keeper
-machineClass=core
-serves=control_plane
-ipAddress=172.18.4.5
-zone=east-2
-region=rhine
-zones.east-2=rhine
-zones.west-9=mosel
-listenAddresses.front=172.18.4.5:9001
-listenAddresses.readiness=172.18.4.5:9002
-listenAddresses.control=172.18.4.5:9003
-internalPorts=5100,5104
-seeds=172.18.4.5:9003,172.19.0.8:9003
-firstStart=true
-countsForQuorum=true
-limits.cpuShare=0.31
-limits.cores=3
-limits.memoryMb=97
-limits.fileDescriptors=2111
-limits.linkMbps=77.5
-limits.diskMb=45
-dataDirectory=/data/keeper
-heartbeatMs=1350
-faultTolerance.machines=2
-bounds.seedLagS=7
-bounds.reuseAfterS=1.5
-bounds.contactMs=3100
-bounds.acknowledgeMs=4300
-bounds.catchUpS=6.25
-bounds.drainMs=3700
-bounds.graceS=9
-bounds.lossSlackMs=210
-bounds.configurationMs=2900
-bounds.rollbackSlackMs=270
-bounds.outerBoundMs=6100
-bounds.retryBudgetRatio=0.13
-bounds.budgetWindowS=12
-bounds.retryBudgetSlack=34
-bounds.recoveryS=17
-bounds.transitMs=190
-bounds.again_s=8.4
-bounds.fenced=true
-bounds.leaseMs=2300
-bounds.thawMs=410
-cloud.address=172.31.0.2:8800
-cloud.ratePerS=12.5
-cloud.lagMs=930
-cloud.duties=
-";
-
-/// The lines that must be there.
-const NEEDED: &str = "\
-node=e-1
-zone=west-9
-ipAddress=172.18.9.1
-internalPorts=5100,5100
-cloud.address=172.31.0.2:8800
-";
-
 fn parse(text: &str) -> Result<NodeSettings, String> {
     NodeSettings::parse(text).map_err(|faults| faults.to_string())
 }
@@ -110,7 +53,7 @@
 
 #[test]
 fn the_needed_keys_suffice() {
-    let settings = parse(NEEDED).unwrap();
+    let settings = parse(REQUIRED).unwrap();
     assert!(settings.seeds.is_empty() && settings.zones.is_empty());
     assert_eq!((settings.front, settings.control, settings.data_directory), (None, None, None));
     assert!(!settings.first_start && !settings.counts_for_quorum && !settings.bounds.fenced);
@@ -118,7 +61,7 @@
 
 #[test]
 fn an_absent_region_follows_from_the_zone() {
-    let settings = parse(&format!("{NEEDED}zones.west-9=mosel\n")).unwrap();
+    let settings = parse(&format!("{REQUIRED}zones.west-9=mosel\n")).unwrap();
     assert_eq!(settings.region, "mosel");
 }
 
@@ -135,7 +78,7 @@
     fraction_of_a_millisecond = { "bounds.drainMs=0.25" },
 )]
 fn a_tolerated_line_is_taken(line: &str) {
-    parse(&format!("{NEEDED}{line}\n")).unwrap();
+    parse(&format!("{REQUIRED}{line}\n")).unwrap();
 }
 
 #[parameterized(
@@ -152,7 +95,7 @@
     twice = { "zone=a", "line 6, zone: given twice, first on line 2" },
 )]
 fn a_fault_is_told_with_its_line(line: &str, message: &str) {
-    assert_eq!(parse(&format!("{NEEDED}{line}\n")).unwrap_err(), message);
+    assert_eq!(parse(&format!("{REQUIRED}{line}\n")).unwrap_err(), message);
 }
 
 #[parameterized(
@@ -161,7 +104,7 @@
     too_high = { "9,70000", "line 4, internalPorts: expected FIRST,LAST port, found 9,70000" },
 )]
 fn ports_are_a_range(ports: &str, message: &str) {
-    let text = NEEDED.replace("5100,5100", ports);
+    let text = REQUIRED.replace("5100,5100", ports);
     assert_eq!(parse(&text).unwrap_err(), message);
 }
 
