--- a/crates/lockusher-config/tests/arbitrary_input.rs
+++ b/crates/lockusher-config/tests/arbitrary_input.rs
@@ -33,24 +33,24 @@
 
 proptest! {
     #[test]
-    fn bytes(body in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_make_no_reader_panic(body in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = Configuration::parse(&body);
         let _ = InstancePage::parse(&body);
     }
 
     #[test]
-    fn documents(body in json()) {
+    fn documents_with_known_fields_make_no_reader_panic(body in json()) {
         let _ = Configuration::parse(body.as_bytes());
         let _ = InstancePage::parse(body.as_bytes());
     }
 
     #[test]
-    fn text(text in "(?s).{0,300}") {
+    fn arbitrary_text_makes_no_reader_panic(text in "(?s).{0,300}") {
         let _ = NodeSettings::parse(&text);
     }
 
     #[test]
-    fn lines(
+    fn lines_with_known_keys_make_no_reader_panic(
         lines in prop::collection::vec(
             ("(node|zone|zones\\.a|ipAddress|internalPorts|seeds|bounds\\.graceS|limits\\.cores)", "=?", ".{0,12}"),
             0..12,
--- a/crates/lockusher-config/tests/configuration.rs
+++ b/crates/lockusher-config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The reader of configurations: what is taken, what is refused, and how faults are told.
+//! The reader of configurations: what is accepted, what is refused, and how faults are reported.
 
 #[path = "support/configuration_document.rs"]
 mod configuration_document;
@@ -12,6 +12,7 @@
 #[test]
 fn every_field_is_read() {
     let configuration = parse(&full()).unwrap();
+
     assert_eq!(configuration.version, 31);
     let limits = Limits {
         header_bytes: 9_000,
@@ -50,7 +51,7 @@
     version_as_float = { "/version", json!(31.0) },
     timeout_as_float = { "/routes/0/timeoutMs", json!(8100.0) },
     timeout_with_fraction = { "/routes/0/timeoutMs", json!(0.5) },
-    objective_with_fraction = { "/routes/0/targetLatencyMs", json!(333.3) },
+    latency_target_with_fraction = { "/routes/0/targetLatencyMs", json!(333.3) },
     weight_as_float = { "/routes/0/trafficSplit/0/weight", json!(7.0) },
     link_as_integer = { "/services/0/engine/linkMbps", json!(62_500) },
     hold_as_integer = { "/services/0/engine/handleHoldS", json!(3) },
@@ -65,7 +66,7 @@
     service_null_beside_split = { "/routes/0/service", json!(null) },
     one_service_twice_in_a_split = { "/routes/0/trafficSplit/1/service", json!("large") },
 )]
-fn a_valid_change_is_taken(pointer: &str, value: Value) {
+fn a_valid_change_is_accepted(pointer: &str, value: Value) {
     parse(&with(pointer, value)).unwrap();
 }
 
@@ -73,7 +74,7 @@
     limits = { "/limits" }, header_bytes = { "/limits/headerBytes" }, idle = { "/limits/idleTimeoutMs" },
     gap_aim = { "/routes/0/gap_aim_ms" }, sticky = { "/routes/0/sticky" },
     resumable = { "/routes/0/resumable" }, attempts = { "/routes/0/attempts" },
-    priority = { "/routes/0/priority" }, objective = { "/routes/0/targetLatencyMs" },
+    priority = { "/routes/0/priority" }, latency_target = { "/routes/0/targetLatencyMs" },
     name_of_route = { "/routes/0/name" }, engine = { "/services/0/engine" },
     health_check = { "/services/0/healthCheck" }, connections = { "/services/0/connectionLimit" },
     slots = { "/services/0/engine/slots" }, cache = { "/services/0/engine/cacheTokens" },
@@ -81,13 +82,14 @@
     stride = { "/services/0/engine/stride" }, hold = { "/services/0/engine/handleHoldS" },
     role_switch = { "/services/0/engine/roleSwitchS" }, models = { "/services/0/engine/models" },
 )]
-fn a_field_that_the_protocol_does_not_need_may_be_absent(pointer: &str) {
+fn an_optional_field_may_be_absent(pointer: &str) {
     parse(&without(pointer)).unwrap();
 }
 
 #[test]
-fn a_route_without_an_objective_has_all_of_its_time() {
+fn a_route_without_a_latency_target_has_its_timeout_for_one() {
     let configuration = parse(&without("/routes/0/targetLatencyMs")).unwrap();
+
     assert_eq!(configuration.routes[0].target_latency_ms, 8_100);
 }
 
@@ -103,9 +105,11 @@
     no_weight = { "/routes/0/trafficSplit/1/weight", "routes[0].trafficSplit[1].weight: missing" },
     no_name_of_service = { "/services/0/name", "services[0].name: missing" },
 )]
-fn a_needed_field_is_missed(pointer: &str, message: &str) {
+fn an_absent_required_field_is_a_fault(pointer: &str, message: &str) {
     let message = message.to_owned();
+
     let faults = parse(&without(pointer)).unwrap_err();
+
     assert_eq!(faults.lines().next(), Some(message.as_str()));
 }
 
@@ -158,8 +162,9 @@
     limits_list = { "/limits", json!([]), "limits: expected an object, found []" },
     sticky_text = { "/routes/0/sticky", json!("yes"), "routes[0].sticky: expected true or false, found \"yes\"" },
 )]
-fn an_invalid_change_is_refused_with_its_place(pointer: &str, value: Value, message: &str) {
+fn an_invalid_change_is_refused_with_its_path(pointer: &str, value: Value, message: &str) {
     let faults = parse(&with(pointer, value)).unwrap_err();
+
     assert_eq!(faults.lines().next(), Some(message));
 }
 
@@ -184,12 +189,14 @@
 #[test]
 fn a_service_with_a_fault_is_not_unknown_to_its_routes() {
     let faults = parse(&with("/services/1/connectionLimit", json!("many"))).unwrap_err();
+
     assert_eq!(faults.lines().count(), 1, "{faults}");
 }
 
 #[test]
 fn a_document_that_is_cut_short_is_refused_at_every_length() {
     let body = full().to_string();
+
     for length in 0..body.len() {
         assert!(Configuration::parse(&body.as_bytes()[..length]).is_err(), "{length} bytes");
     }
@@ -209,9 +216,11 @@
 }
 
 #[test]
-fn a_repeated_name_is_told_with_its_place() {
+fn a_duplicate_field_is_reported_with_its_line_and_column() {
     let body = "{\"version\":1,\n\"version\":2}";
+
     let faults = Configuration::parse(body.as_bytes()).unwrap_err().to_string();
+
     assert_eq!(faults, "document: unreadable: field \"version\" is given twice at line 2 column 9");
 }
 
@@ -226,7 +235,9 @@
 fn faults_beyond_the_limit_are_only_counted() {
     let routes = vec![json!(1); MAX_FAULTS + 5];
     let document = json!({"version": 1, "routes": routes, "services": []});
+
     let faults = Configuration::parse(document.to_string().as_bytes()).unwrap_err();
+
     assert_eq!((faults.iter().count(), faults.count()), (MAX_FAULTS, MAX_FAULTS + 5));
     assert!(faults.to_string().ends_with("\nand 5 more"));
 }
@@ -234,5 +245,6 @@
 #[test]
 fn long_durations_stay_small_enough_to_be_added() {
     let configuration = parse(&with("/routes/0/timeoutMs", json!(1e300))).unwrap();
+
     assert!(configuration.routes[0].timeout_ms < u64::MAX / 1_000);
 }
--- a/crates/lockusher-config/tests/configuration_patch.rs
+++ b/crates/lockusher-config/tests/configuration_patch.rs
@@ -1,4 +1,4 @@
-//! Patches of a configuration: what they change, what stays, and every fault at its place in the patch.
+//! Patches of a configuration: what they change, what stays, and every fault at its path in the patch.
 
 use lockusher_config::configuration::Configuration;
 use lockusher_config::configuration_patch::ConfigurationPatch;
@@ -27,12 +27,12 @@
         |faults: lockusher_config::fault::Faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
     let patch = ConfigurationPatch::parse(patch.to_string().as_bytes()).map_err(faults)?;
     let body = patch.apply(base().to_string().as_bytes()).map_err(faults)?;
-    Configuration::parse(&body).expect("what comes of a patch is a valid configuration");
+    Configuration::parse(&body).expect("an applied patch makes a valid configuration");
     Ok(serde_json::from_slice(&body).expect("JSON"))
 }
 
 #[test]
-fn upserts_replace_whole_and_in_place_and_others_go_to_the_end() {
+fn an_upsert_replaces_the_complete_item_in_its_position_or_is_appended() {
     let replacement = json!({
         "name": "b", "host": "h.test", "pathPrefix": "/b2/", "kind": "streaming", "timeoutMs": 5, "service": "u"
     });
@@ -45,13 +45,15 @@
     expected["version"] = json!(9);
     expected["routes"] = json!([replacement, route("c", "/c/", 30), route("d", "/d/", 40)]);
     expected["services"] = json!([{"name": "s"}, {"name": "u"}]);
+
     assert_eq!(applied(&patch), Ok(expected));
 }
 
 #[test]
-fn a_patch_without_changes_sets_the_version_alone() {
+fn a_patch_without_changes_sets_the_version_only() {
     let mut expected = base();
     expected["version"] = json!(8);
+
     assert_eq!(applied(&json!({"version": 8})), Ok(expected));
 }
 
@@ -60,13 +62,14 @@
     let patch = json!({
         "version": 8, "upsert": {"routes": [route("n", "/a/", 10)]}, "remove": {"routes": ["a"]}
     });
+
     assert_eq!(applied(&patch).expect("valid")["routes"][2]["name"], "n");
 }
 
 #[parameterized(
     no_version = { json!({"upsert": {}}), &["version: missing"] },
     no_object = { json!([1]), &["document: expected an object, found [1]"] },
-    whole_fields = {
+    fields_of_a_complete_configuration = {
         json!({"version": 8, "limits": {}, "routes": []}),
         &[
             "routes: can't be set by a patch; items go under upsert and remove, all else needs the whole configuration",
@@ -105,6 +108,6 @@
         ]
     },
 )]
-fn faults_are_told_at_their_places(patch: Value, expected: &[&str]) {
+fn faults_are_reported_at_their_paths_in_the_patch(patch: Value, expected: &[&str]) {
     assert_eq!(applied(&patch).expect_err("faulty"), expected);
 }
--- a/crates/lockusher-config/tests/instances.rs
+++ b/crates/lockusher-config/tests/instances.rs
@@ -1,4 +1,4 @@
-//! The reader of the platform's list.
+//! The reader of the platform's instance list.
 
 use lockusher_config::instances::{InstanceState, Stage};
 use lockusher_config::instances_reader::InstancePage;
@@ -20,6 +20,7 @@
 #[test]
 fn every_field_is_read() {
     let page = parse(&json!({"instances": [entry("s-1"), entry("s-2")], "nextToken": "after-2"}));
+
     assert_eq!(page.next_token.as_deref(), Some("after-2"));
     assert_eq!(page.instances.len(), 2);
     let first = &page.instances[0];
@@ -48,7 +49,10 @@
 fn only_a_ready_searcher_is_ready(state: &str, expected: InstanceState) {
     let mut searcher = entry("s-1");
     searcher["state"] = json!(state);
-    assert_eq!(parse(&json!({"instances": [searcher]})).instances[0].state, expected);
+
+    let page = parse(&json!({"instances": [searcher]}));
+
+    assert_eq!(page.instances[0].state, expected);
 }
 
 #[parameterized(null = { Some(json!(null)) }, absent = { None })]
@@ -59,7 +63,9 @@
     if let Some(stage) = stage {
         searcher["stage"] = stage;
     }
+
     let page = parse(&json!({"instances": [searcher]}));
+
     assert_eq!((page.instances[0].stage, page.instances[0].models.len()), (None, 0));
 }
 
@@ -70,12 +76,14 @@
     stage = { "stage", json!("both"), "instances[1].stage: expected prefill or decode, found \"both\"" },
     models = { "models", json!([{}]), "instances[1].models[0].name: missing" },
 )]
-fn a_bad_entry_is_reported_and_the_others_are_kept(field: &str, value: Value, message: &str) {
+fn an_entry_with_a_fault_is_skipped_and_the_others_are_read(field: &str, value: Value, message: &str) {
     let mut bad = entry("s-2");
     bad[field] = value;
+
     let page = parse(&json!({"instances": [entry("s-1"), bad, entry("s-3")], "nextToken": "t"}));
-    let kept: Vec<_> = page.instances.iter().map(|instance| instance.identifier.as_str()).collect();
-    assert_eq!(kept, ["s-1", "s-3"]);
+
+    let read: Vec<_> = page.instances.iter().map(|instance| instance.identifier.as_str()).collect();
+    assert_eq!(read, ["s-1", "s-3"]);
     let skipped: Vec<_> = page.skipped.iter().map(ToString::to_string).collect();
     assert_eq!(skipped, [message]);
 }
@@ -87,6 +95,6 @@
     wrong_token = { r#"{"instances":[],"nextToken":7}"# },
     twice = { r#"{"instances":[],"instances":[]}"# },
 )]
-fn a_page_that_cannot_be_read_whole_is_an_error(body: &str) {
+fn an_unreadable_page_is_an_error(body: &str) {
     assert_eq!(InstancePage::parse(body.as_bytes()).unwrap_err().count(), 1);
 }
--- /dev/null
+++ b/crates/lockusher-config/tests/internal_ports.rs
@@ -0,0 +1,26 @@
+//! The ports of internal listeners within a machine's range.
+
+use lockusher_config::settings::{InternalListener, PortRange};
+use yare::parameterized;
+
+#[parameterized(
+    subscriptions = { InternalListener::Subscriptions, 7_660 },
+    replicas = { InternalListener::Replicas, 7_661 },
+    agents = { InternalListener::Agents, 7_662 },
+)]
+fn each_listener_has_its_position_in_the_range(listener: InternalListener, port: u16) {
+    let range = PortRange { first: 7_660, last: 7_662 };
+
+    assert_eq!(range.port_of(listener), Ok(port));
+}
+
+#[parameterized(
+    one_port = { PortRange { first: 7_660, last: 7_660 } },
+    at_the_end_of_all_ports = { PortRange { first: u16::MAX, last: u16::MAX } },
+)]
+fn a_range_with_too_few_ports_is_an_error_that_says_how_many_are_needed(range: PortRange) {
+    let error = range.port_of(InternalListener::Replicas).unwrap_err();
+
+    assert_eq!(error.listener, InternalListener::Replicas);
+    assert_eq!(error.to_string(), "settings: internalPorts: expected 2 ports at least");
+}
--- a/crates/lockusher-config/tests/route_table.rs
+++ b/crates/lockusher-config/tests/route_table.rs
@@ -66,13 +66,16 @@
 )]
 fn the_longest_prefix_of_the_host_is_found(host: &str, path: &str, expected: Option<&str>) {
     let table = example();
+
     assert_eq!(table.lookup(host, path).map(|route| route.name.as_str()), expected);
 }
 
 #[test]
-fn routes_differ_by_their_index_too() {
+fn a_lookup_by_index_finds_the_route_in_the_configuration() {
     let table = example();
+
     let index = table.lookup_index("one.test", "/a/b/z").unwrap();
+
     assert_eq!(table.configuration().routes[index].path_prefix, "/a/b/");
 }
 
@@ -89,10 +92,10 @@
 proptest! {
     #[test]
     fn lookups_agree_with_a_linear_scan(
-        places in prop::collection::hash_set(("[ab]", "/([ab]{0,2}/){0,4}"), 0..40),
+        hosts_and_prefixes in prop::collection::hash_set(("[ab]", "/([ab]{0,2}/){0,4}"), 0..40),
         requests in prop::collection::vec(("[abABc](:[0-9]{1,3})?", "/?([ab]{0,2}[/?]){0,6}[ab]{0,2}"), 60),
     ) {
-        let routes: Vec<Route> = places.iter().map(|(host, prefix)| route(host, prefix)).collect();
+        let routes: Vec<Route> = hosts_and_prefixes.iter().map(|(host, prefix)| route(host, prefix)).collect();
         let table = table(routes.clone());
         for (host, path) in &requests {
             prop_assert_eq!(table.lookup(host, path), linear_scan(&routes, host, path), "{} {}", host, path);
--- a/crates/lockusher-config/tests/settings.rs
+++ b/crates/lockusher-config/tests/settings.rs
@@ -16,6 +16,7 @@
 #[test]
 fn every_key_is_read() {
     let settings = parse(FULL).unwrap();
+
     assert_eq!(
         (settings.node.as_str(), settings.zone.as_str(), settings.region.as_str()),
         ("c-7", "east-2", "rhine")
@@ -41,6 +42,7 @@
 #[test]
 fn every_bound_is_read_in_milliseconds() {
     let bounds = parse(FULL).unwrap().bounds;
+
     assert_eq!((bounds.seed_lag_ms, bounds.reuse_after_ms, bounds.contact_ms), (7_000, 1_500, 3_100));
     assert_eq!((bounds.acknowledge_ms, bounds.catch_up_ms, bounds.drain_ms), (4_300, 6_250, 3_700));
     assert_eq!((bounds.grace_ms, bounds.loss_slack_ms, bounds.configuration_ms), (9_000, 210, 2_900));
@@ -52,8 +54,9 @@
 }
 
 #[test]
-fn the_needed_keys_suffice() {
+fn the_required_keys_suffice() {
     let settings = parse(REQUIRED).unwrap();
+
     assert!(settings.seeds.is_empty() && settings.zones.is_empty());
     assert_eq!((settings.front, settings.control, settings.data_directory), (None, None, None));
     assert!(!settings.first_start && !settings.counts_for_quorum && !settings.bounds.fenced);
@@ -62,6 +65,7 @@
 #[test]
 fn an_absent_region_follows_from_the_zone() {
     let settings = parse(&format!("{REQUIRED}zones.west-9=mosel\n")).unwrap();
+
     assert_eq!(settings.region, "mosel");
 }
 
@@ -77,7 +81,7 @@
     spaces = { "  bounds.graceS = 4 \r" },
     fraction_of_a_millisecond = { "bounds.drainMs=0.25" },
 )]
-fn a_tolerated_line_is_taken(line: &str) {
+fn a_tolerated_line_is_accepted(line: &str) {
     parse(&format!("{REQUIRED}{line}\n")).unwrap();
 }
 
@@ -94,7 +98,7 @@
     seed = { "seeds=1.2.3.4:5,host:6", "line 6, seeds: expected IP:PORT, found host:6" },
     twice = { "zone=a", "line 6, zone: given twice, first on line 2" },
 )]
-fn a_fault_is_told_with_its_line(line: &str, message: &str) {
+fn a_fault_is_reported_with_its_line(line: &str, message: &str) {
     assert_eq!(parse(&format!("{REQUIRED}{line}\n")).unwrap_err(), message);
 }
 
@@ -105,6 +109,7 @@
 )]
 fn ports_are_a_range(ports: &str, message: &str) {
     let text = REQUIRED.replace("5100,5100", ports);
+
     assert_eq!(parse(&text).unwrap_err(), message);
 }
 
