--- a/crates/lockusher-agent/tests/capacity.rs
+++ b/crates/lockusher-agent/tests/capacity.rs
@@ -11,10 +11,10 @@
 
 /// Header bytes of a datagram over IPv4.
 const HEADER_BYTES: usize = 28;
-/// In a round each agent begins one exchange and, on average, answers one; both datagrams of both count.
-const DATAGRAMS_A_ROUND: usize = 4;
+/// In a gossip interval each agent starts one exchange and, on average, answers one; both datagrams of both count.
+const DATAGRAMS_PER_INTERVAL: usize = 4;
 /// What the operators allow for all of control at a mixer is ten times this.
-const MOST_BYTES_PER_S: usize = 500;
+const MAX_BYTES_PER_S: usize = 500;
 
 fn datagram_bytes(rumors: usize) -> usize {
     let entry = |number: u8| PeerEntry {
@@ -34,10 +34,10 @@
 #[test]
 fn gossip_at_rest_costs_a_tenth_of_what_control_may() {
     let at_rest = datagram_bytes(0);
-    let bytes_per_s = DATAGRAMS_A_ROUND * at_rest * 1_000 / IDLE_GOSSIP_INTERVAL_MS as usize;
+    let bytes_per_s = DATAGRAMS_PER_INTERVAL * at_rest * 1_000 / IDLE_GOSSIP_INTERVAL_MS as usize;
     println!(
-        "a datagram: {at_rest} bytes at rest, {} with 16 ends; {bytes_per_s} bytes/s at rest",
+        "a datagram: {at_rest} bytes at rest, {} with 16 departures; {bytes_per_s} bytes/s at rest",
         datagram_bytes(16)
     );
-    assert!(bytes_per_s < MOST_BYTES_PER_S, "{bytes_per_s} bytes a second");
+    assert!(bytes_per_s < MAX_BYTES_PER_S, "{bytes_per_s} bytes a second");
 }
--- /dev/null
+++ b/crates/lockusher-agent/tests/support/mod.rs
@@ -0,0 +1,15 @@
+//! What the tests of the agent share.
+#![allow(dead_code, reason = "each test file uses a part of it")]
+
+#[path = "../../../lockusher-distribution/tests/common/mod.rs"]
+pub mod common;
+pub mod edge;
+pub mod gossip_fleet;
+pub mod list_history;
+
+use lockusher_agent::peers::message::InstanceDeparture;
+use lockusher_distribution::departures::Departure;
+
+pub fn departed(identifier: &str, departure: Departure) -> InstanceDeparture {
+    InstanceDeparture { identifier: identifier.to_owned(), departure }
+}
