--- a/crates/lockusher-distribution/src/serve/shared_publisher.rs
+++ b/crates/lockusher-distribution/src/serve/shared_publisher.rs
@@ -1,4 +1,7 @@
 //! A publisher that the connections of one thread share.
+//!
+//! Owned by the program that publishes and by each connection's task. Invariant: whoever changes what is published by
+//! [`SharedPublisher::update`] wakes all connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -6,16 +9,17 @@
 use lockusher_transport::clock::Clock;
 
 use crate::change_notifier::ChangeNotifier;
-use crate::publisher::Publisher;
+use crate::message::FromSubscriber;
+use crate::publisher::{Publisher, SubscriberId};
 
-/// A publisher that several connections share, with the signal that wakes them.
+/// A publisher with what wakes its connections, and those who watch its subscribers.
 #[derive(Debug)]
 pub struct SharedPublisher {
-    pub(super) publisher: RefCell<Publisher>,
-    pub(super) changed: ChangeNotifier,
-    pub(super) subscriber_activity: ChangeNotifier,
-    pub(super) closed: Cell<bool>,
-    pub(super) clock: Clock,
+    publisher: RefCell<Publisher>,
+    changed: ChangeNotifier,
+    subscriber_activity: ChangeNotifier,
+    closed: Cell<bool>,
+    clock: Clock,
 }
 
 impl SharedPublisher {
@@ -53,8 +57,40 @@
         self.changed.notify();
     }
 
-    /// Signals each message of a subscriber, and each end of one.
+    /// Notified of each message of a subscriber, and of each end of a connection.
     pub fn subscriber_activity(&self) -> &ChangeNotifier {
         &self.subscriber_activity
     }
+
+    /// Notified of each change that connections may have to send.
+    pub(super) fn changed(&self) -> &ChangeNotifier {
+        &self.changed
+    }
+
+    /// Whether [`SharedPublisher::close`] was called.
+    pub(super) fn is_closed(&self) -> bool {
+        self.closed.get()
+    }
+
+    /// The time on the process's steady clock, in milliseconds.
+    pub(super) fn now_ms(&self) -> u64 {
+        self.clock.millis()
+    }
+
+    /// Adds a connection that has come up.
+    pub(super) fn connect(&self) -> SubscriberId {
+        self.publisher.borrow_mut().connect(self.now_ms())
+    }
+
+    /// Removes a connection that has ended.
+    pub(super) fn disconnect(&self, id: SubscriberId) {
+        self.publisher.borrow_mut().disconnect(id);
+        self.subscriber_activity.notify();
+    }
+
+    /// Takes a message of a subscriber.
+    pub(super) fn receive(&self, id: SubscriberId, message: FromSubscriber) {
+        self.publisher.borrow_mut().receive(id, self.now_ms(), message);
+        self.subscriber_activity.notify();
+    }
 }
--- a/crates/lockusher-distribution/src/subscribe.rs
+++ b/crates/lockusher-distribution/src/subscribe.rs
@@ -1,4 +1,7 @@
-//! Keeps subscriptions alive over TCP: a [`SharedSubscriber`] for an agent, a [`Feed`] for a proxy.
+//! Subscriptions over TCP: the side that connects.
+//!
+//! [`SharedSubscriber`] drives a [`Subscriber`](crate::subscriber::Subscriber); agents and control nodes use it as it
+//! is. A proxy uses [`Feed`], which turns its changes into a stream of updates.
 
 mod error;
 mod feed;
--- a/crates/lockusher-distribution/src/subscribe/error.rs
+++ b/crates/lockusher-distribution/src/subscribe/error.rs
@@ -5,15 +5,21 @@
 
 use crate::message::MessageError;
 
-/// Why a connection to a publisher ended.
+/// Why a connection to a publisher ended. Another attempt may succeed after each of these, at this publisher or at
+/// another one; after [`SubscribeError::Message`] at this one only once either side runs another release.
 #[derive(Debug, Display, Error, From)]
 pub enum SubscribeError {
+    /// Connecting, reading or writing failed, or the publisher closed the connection.
     #[display("{_0}")]
     Transport(TransportError),
+    /// The publisher sent what this process can't read.
     #[display("{_0}")]
     Message(MessageError),
-    #[display("the publisher fell silent")]
+    /// The publisher sent nothing for as long as the caller waits, usually
+    /// [`PUBLISHER_INACTIVITY_TIMEOUT_MS`](crate::reconnect::PUBLISHER_INACTIVITY_TIMEOUT_MS).
+    #[display("the publisher sent no message in time")]
     InactivityTimeout,
+    /// The publisher takes no part in the control plane's current view.
     #[display("the publisher is outside the current view")]
     OutOfView,
 }
--- a/crates/lockusher-distribution/src/subscribe/feed.rs
+++ b/crates/lockusher-distribution/src/subscribe/feed.rs
@@ -1,4 +1,8 @@
 //! A proxy's subscription to the agent beside it.
+//!
+//! Owned by the proxy, which takes one [`FeedUpdate`] after the other. Invariant: only the newest version of each kind
+//! is delivered; a proxy that is slow skips versions and never sees an older one after a newer, and a searcher that was
+//! seen draining or gone doesn't come back, also when the agent was restarted meanwhile.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -19,27 +23,29 @@
 /// Something newer for a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedUpdate {
+    /// The newest configuration.
     Configuration(Rc<Configuration>),
+    /// The newest list, without what has departed.
     Instances {
+        /// The list's revision.
         revision: InstanceListRevision,
+        /// Sorted as received.
         instances: Rc<Vec<Instance>>,
     },
-    /// Number of proxies in the fleet that are subscribed, for budgets that they share.
+    /// Number of proxies in the fleet that are subscribed, by which quotas of the fleet are divided.
     FleetSize(u32),
 }
 
-/// A proxy's subscription to the agent beside it; ends when dropped.
-///
-/// Only the newest is kept: a reader that is slow skips versions, and never sees an older one after a newer. A searcher
-/// that was seen draining or gone doesn't come back, also when the agent was restarted meanwhile.
+/// A running subscription; ends when dropped.
 pub struct Feed {
     shared: Rc<SharedSubscriber<FixedAddressPolicy>>,
+    /// Ends the connection when dropped.
     _connection: JoinHandle<()>,
     delivered_configuration_version: u64,
     delivered_list_revision: InstanceListRevision,
     delivered_instances: Rc<Vec<Instance>>,
     delivered_fleet_size: u32,
-    ended: DepartedInstances,
+    departed: DepartedInstances,
 }
 
 /// Subscribes to the publisher at `agent`; the connection is made, and made again, in a task of its own.
@@ -54,11 +60,11 @@
         delivered_list_revision: InstanceListRevision::default(),
         delivered_instances: Rc::default(),
         delivered_fleet_size: 0,
-        ended: DepartedInstances::default(),
+        departed: DepartedInstances::default(),
     }
 }
 
-/// Tells the publisher of a [`Feed`] what the proxy sees of its services.
+/// Reports to the publisher of a [`Feed`] what the proxy sees of its services.
 #[derive(Clone)]
 pub struct LoadReporter {
     shared: Rc<SharedSubscriber<FixedAddressPolicy>>,
@@ -80,11 +86,11 @@
     /// Waits for something newer than what was returned before. Dropping the future loses nothing.
     pub async fn next(&mut self) -> FeedUpdate {
         loop {
-            let seen = self.shared.changed.generation();
-            if let Some(update) = self.take() {
+            let seen = self.shared.changed().generation();
+            if let Some(update) = self.take_update() {
                 return update;
             }
-            self.shared.changed.changed_since(seen).await;
+            self.shared.changed().changed_since(seen).await;
         }
     }
 
@@ -96,28 +102,39 @@
         })
     }
 
-    fn take(&mut self) -> Option<FeedUpdate> {
-        let subscriber = self.shared.subscriber.borrow();
-        if let Some(configuration) = subscriber.configuration()
-            && configuration.version > self.delivered_configuration_version
-        {
-            self.delivered_configuration_version = configuration.version;
-            return Some(FeedUpdate::Configuration(Rc::clone(configuration)));
+    fn take_update(&mut self) -> Option<FeedUpdate> {
+        self.take_configuration().or_else(|| self.take_instances()).or_else(|| self.take_fleet_size())
+    }
+
+    fn take_configuration(&mut self) -> Option<FeedUpdate> {
+        let configuration = self.shared.read(|subscriber| subscriber.configuration().cloned())?;
+        if configuration.version <= self.delivered_configuration_version {
+            return None;
         }
-        if let Some(list) = subscriber.list()
-            && list.revision > self.delivered_list_revision
-        {
-            self.delivered_list_revision = list.revision;
-            let confirmed_at_ms = subscriber.list_confirmed_at_ms().unwrap_or_default();
-            let instances = self.ended.apply(confirmed_at_ms, &list.instances);
-            self.ended.record_list(self.shared.clock.millis(), &self.delivered_instances, &list.instances);
-            self.delivered_instances = Rc::clone(&instances);
-            return Some(FeedUpdate::Instances { revision: list.revision, instances });
+        self.delivered_configuration_version = configuration.version;
+        Some(FeedUpdate::Configuration(configuration))
+    }
+
+    fn take_instances(&mut self) -> Option<FeedUpdate> {
+        let list = self.shared.read(|subscriber| subscriber.list().cloned())?;
+        if list.revision <= self.delivered_list_revision {
+            return None;
         }
-        if subscriber.proxies() != self.delivered_fleet_size {
-            self.delivered_fleet_size = subscriber.proxies();
-            return Some(FeedUpdate::FleetSize(self.delivered_fleet_size));
+        self.delivered_list_revision = list.revision;
+        let confirmed_at_ms = self.shared.read(Subscriber::list_confirmed_at_ms).unwrap_or_default();
+        let instances = self.departed.apply(confirmed_at_ms, &list.instances);
+        let now_ms = self.shared.now_ms();
+        self.departed.record_list(now_ms, &self.delivered_instances, &list.instances);
+        self.delivered_instances = Rc::clone(&instances);
+        Some(FeedUpdate::Instances { revision: list.revision, instances })
+    }
+
+    fn take_fleet_size(&mut self) -> Option<FeedUpdate> {
+        let fleet_size = self.shared.read(Subscriber::proxies);
+        if fleet_size == self.delivered_fleet_size {
+            return None;
         }
-        None
+        self.delivered_fleet_size = fleet_size;
+        Some(FeedUpdate::FleetSize(fleet_size))
     }
 }
--- a/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
+++ b/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
@@ -1,7 +1,14 @@
-//! Keeps a subscription alive over TCP: connects, reads, acknowledges, and moves to another publisher when one is
-//! lost, silent or outside the current view.
+//! Keeps one subscription alive over TCP.
+//!
+//! A [`SharedSubscriber`] is owned by the program that subscribes, and by the task of [`SharedSubscriber::run`], which
+//! connects, reads and acknowledges. It moves on to the publisher that its [`ConnectionPolicy`] chooses when a
+//! connection is lost, when the publisher is inactive and, if the policy says so, when the publisher is outside the
+//! current view.
+//!
+//! Invariant: there is at most one connection at a time, and none of the cells is borrowed across an await.
 
 use std::cell::RefCell;
+use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -16,15 +23,15 @@
 use crate::subscribe::error::SubscribeError;
 use crate::subscriber::Subscriber;
 
-/// Pause when no publisher's address is known.
+/// Interval at which the policy is asked again while no publisher's address is known.
 const NO_ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A subscriber that its connection's task and its readers share.
+/// A subscriber that its connection's task shares with those who use what it has applied.
 pub struct SharedSubscriber<P> {
-    pub(super) subscriber: RefCell<Subscriber>,
+    subscriber: RefCell<Subscriber>,
     policy: RefCell<P>,
-    pub(super) changed: ChangeNotifier,
-    pub(super) clock: Clock,
+    changed: ChangeNotifier,
+    clock: Clock,
 }
 
 impl<P: ConnectionPolicy + 'static> SharedSubscriber<P> {
@@ -60,11 +67,16 @@
         change(&mut self.policy.borrow_mut())
     }
 
-    /// Signals each message that was received, and each loss of a publisher.
+    /// Notified of each message that was received, and of each loss of a publisher.
     pub fn changed(&self) -> &ChangeNotifier {
         &self.changed
     }
 
+    /// The time on the process's steady clock, in milliseconds.
+    pub fn now_ms(&self) -> u64 {
+        self.clock.millis()
+    }
+
     /// Keeps the subscription alive for ever.
     pub async fn run(self: Rc<Self>) {
         loop {
@@ -73,51 +85,64 @@
                 compio::time::sleep(NO_ADDRESS_RETRY_INTERVAL).await;
                 continue;
             };
-            if let Err(error) = self.follow(attempt).await {
-                log::debug!("publisher {}: {error}", attempt.address);
-            }
+            let Err(error) = self.follow(attempt).await;
+            log::debug!("publisher {}: {error}", attempt.address);
             self.policy.borrow_mut().lost(self.clock.millis());
             self.changed.notify();
         }
     }
 
-    /// Connects to one publisher and reads until the connection ends.
-    async fn follow(&self, attempt: Attempt) -> Result<(), SubscribeError> {
-        let delay_ms = attempt.at_ms.saturating_sub(self.clock.millis());
-        compio::time::sleep(Duration::from_millis(delay_ms)).await;
-        let connect_timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
-        let stream = lockusher_transport::tcp::connect(attempt.address, connect_timeout).await?;
-        let (mut reader, mut writer) = frame::split::<Envelope, Envelope>(stream)?;
+    /// Connects to one publisher and applies what it sends until the connection ends.
+    async fn follow(&self, attempt: Attempt) -> Result<Infallible, SubscribeError> {
+        let (mut reader, mut writer) = self.connect(attempt).await?;
         let subscribe = self.subscriber.borrow_mut().subscribe(self.clock.millis());
         writer.write(&Envelope::seal(&subscribe)).await?;
-        let mut established = false;
+        let mut is_established = false;
         let mut in_view_at_ms = self.clock.millis();
         loop {
             self.receive(&mut reader, &mut writer).await?;
             let now_ms = self.clock.millis();
-            if !established {
-                established = true;
+            if !is_established {
+                is_established = true;
                 self.policy.borrow_mut().established(now_ms);
             }
             if self.subscriber.borrow().publisher_in_view() {
                 in_view_at_ms = now_ms;
             }
-            let out_of_view = now_ms.saturating_sub(in_view_at_ms) >= OUT_OF_VIEW_TIMEOUT_MS;
-            if out_of_view && self.policy.borrow().leaves_out_of_view() {
-                return Err(SubscribeError::OutOfView);
-            }
+            self.check_view(now_ms, in_view_at_ms)?;
         }
     }
 
+    /// Connects to one publisher when the attempt is due.
+    async fn connect(
+        &self,
+        attempt: Attempt,
+    ) -> Result<(FrameReader<Envelope>, FrameWriter<Envelope>), SubscribeError> {
+        let delay_ms = attempt.at_ms.saturating_sub(self.clock.millis());
+        compio::time::sleep(Duration::from_millis(delay_ms)).await;
+        let timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
+        let stream = lockusher_transport::tcp::connect(attempt.address, timeout).await?;
+        Ok(frame::split(stream)?)
+    }
+
+    /// Fails if the publisher has been outside the current view for too long.
+    fn check_view(&self, now_ms: u64, in_view_at_ms: u64) -> Result<(), SubscribeError> {
+        let out_of_view = now_ms.saturating_sub(in_view_at_ms) >= OUT_OF_VIEW_TIMEOUT_MS;
+        if out_of_view && self.policy.borrow().leaves_out_of_view() {
+            return Err(SubscribeError::OutOfView);
+        }
+        Ok(())
+    }
+
+    /// Takes the next message and answers it.
     async fn receive(
         &self,
         reader: &mut FrameReader<Envelope>,
         writer: &mut FrameWriter<Envelope>,
     ) -> Result<(), SubscribeError> {
         let inactivity_timeout = Duration::from_millis(PUBLISHER_INACTIVITY_TIMEOUT_MS);
-        let envelope = compio::time::timeout(inactivity_timeout, reader.read())
-            .await
-            .map_err(|_| SubscribeError::InactivityTimeout)??;
+        let received = compio::time::timeout(inactivity_timeout, reader.read()).await;
+        let envelope = received.map_err(|_| SubscribeError::InactivityTimeout)??;
         let message: ToSubscriber = envelope.open()?;
         if let ToSubscriber::ControlNodes(addresses) = &message {
             self.policy.borrow_mut().learn(addresses);
