--- a/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
+++ b/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
@@ -1,4 +1,10 @@
-//! An agent's way to the control nodes.
+//! An agent's way to the control nodes: many addresses.
+//!
+//! Addresses are tried in passes: each address once, in an order that differs between agents. The first pass goes by
+//! highest-random-weight hash, so that a fleet that starts spreads evenly; later ones are shuffled.
+//!
+//! Invariant: within a pass, no address is tried twice, addresses that control nodes sent come before seeds, and the one
+//! that was just lost comes last.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddrV4;
@@ -9,25 +15,31 @@
 
 use crate::reconnect::policy::{Attempt, ConnectionPolicy};
 
-/// Upper end of the pause before the first attempt after a loss.
+/// Upper end of the back-off after the first failure, in milliseconds; doubles with each further one.
 const INITIAL_BACK_OFF_MS: u64 = 250;
-/// Upper end of the pause after many failures.
+/// Upper end of the back-off after many failures, in milliseconds.
 const MAX_BACK_OFF_MS: u64 = 3_000;
-/// A connection that lasted this long makes the earlier failures forgotten.
+/// Doublings after which [`MAX_BACK_OFF_MS`] is reached for certain.
+const MAX_BACK_OFF_DOUBLINGS: u32 = 8;
+/// The failures before a connection that lasted this long, in milliseconds, don't count any more.
 const STABLE_CONNECTION_MS: u64 = 3_000;
 
-/// An agent's way to the control nodes: spread by hash at first and in random order afterwards, with jittered
-/// exponential back-off. The addresses that control nodes told go first, the seeds come after a round of failures.
+/// Chooses among control nodes, with jittered exponential back-off.
 #[derive(Debug)]
 pub struct ControlNodePolicy {
     node_hash: u64,
+    /// Of the settings file.
     seeds: Vec<SocketAddrV4>,
+    /// Sent by control nodes.
     learned: Vec<SocketAddrV4>,
-    /// Addresses left in this round; the next one last.
+    /// Addresses left in this pass; the next one last.
     candidates: Vec<SocketAddrV4>,
     passes_started: u64,
+    /// Failures since the last stable connection.
     failures: u32,
+    /// Absent while not connected.
     established_at_ms: Option<u64>,
+    /// The address of the last attempt.
     last: Option<SocketAddrV4>,
     random: ChaCha8Rng,
 }
@@ -65,25 +77,28 @@
         self.candidates.is_empty() && self.failures > 0
     }
 
-    /// Addresses of the next round, the first to try last.
+    /// Fills in the candidates of the next pass, the first to try last.
     fn start_pass(&mut self) {
         let mut candidates = if self.learned.is_empty() { self.seeds.clone() } else { self.learned.clone() };
         if self.passes_started == 0 {
             candidates.sort_by_key(|address| self.rank(address));
         } else {
             candidates.shuffle(&mut self.random);
-        }
-        if self.passes_started > 0 {
-            let extra = self.seeds.iter().filter(|seed| !candidates.contains(seed)).copied();
-            let extra: Vec<SocketAddrV4> = extra.collect();
-            candidates.splice(0..0, extra);
+            self.put_other_seeds_at_the_end(&mut candidates);
         }
         self.put_last_tried_at_the_end(&mut candidates);
         self.passes_started += 1;
         self.candidates = candidates;
     }
 
-    /// The node that was just lost is tried after the others.
+    /// Seeds that no control node sent are tried after the others.
+    fn put_other_seeds_at_the_end(&self, candidates: &mut Vec<SocketAddrV4>) {
+        let others = self.seeds.iter().filter(|seed| !candidates.contains(seed)).copied();
+        let others: Vec<SocketAddrV4> = others.collect();
+        candidates.splice(0..0, others);
+    }
+
+    /// The node that was just lost is tried after all others.
     fn put_last_tried_at_the_end(&self, candidates: &mut Vec<SocketAddrV4>) {
         let Some(last) = self.last else { return };
         if let Some(position) = candidates.iter().position(|address| *address == last) {
@@ -101,9 +116,12 @@
 
     /// Full jitter below a limit that doubles with each failure.
     fn back_off_ms(&mut self) -> u64 {
-        let doublings = self.failures.saturating_sub(1).min(8);
+        if self.failures == 0 {
+            return 0;
+        }
+        let doublings = (self.failures - 1).min(MAX_BACK_OFF_DOUBLINGS);
         let limit_ms = (INITIAL_BACK_OFF_MS << doublings).min(MAX_BACK_OFF_MS);
-        if self.failures == 0 { 0 } else { self.random.random_range(0..=limit_ms) }
+        self.random.random_range(0..=limit_ms)
     }
 }
 
--- a/crates/lockusher-distribution/src/reconnect/policy.rs
+++ b/crates/lockusher-distribution/src/reconnect/policy.rs
@@ -1,24 +1,29 @@
-//! What chooses publishers, and when a connection to one is given up.
+//! The interface of what chooses publishers, and the timeouts of a connection to one.
 
 use std::net::SocketAddrV4;
 
-/// A publisher that says nothing for this long is given up.
+/// Without a message from the publisher for this long, in milliseconds, a subscriber closes the connection. It is four
+/// heartbeat intervals of the publisher.
 pub const PUBLISHER_INACTIVITY_TIMEOUT_MS: u64 = 1_200;
-/// A publisher outside the current view is given up after this long, so that one that is just joining isn't left.
+/// A publisher that is outside the current view for this long, in milliseconds, is left; one that is just joining
+/// isn't.
 pub const OUT_OF_VIEW_TIMEOUT_MS: u64 = 500;
-/// The longest that a connection may take to come up: an attempt to a machine without power hangs, and after a loss of
-/// power everywhere all first attempts may.
+/// Timeout of connecting to a publisher, in milliseconds: an attempt to a machine without power hangs, and after a loss
+/// of power everywhere all first attempts may.
 pub const CONNECT_TIMEOUT_MS: u64 = 300;
 
 /// One attempt to connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
+    /// Where the publisher listens.
     pub address: SocketAddrV4,
-    /// Not before this time.
+    /// Not before this time, in milliseconds on the process's steady clock.
     pub at_ms: u64,
 }
 
-/// Chooses publishers; told of each attempt's outcome.
+/// Chooses publishers, notified of each attempt's outcome. Called by one
+/// [`SharedSubscriber`](crate::subscribe::SharedSubscriber): each attempt is followed by at most one
+/// [`established`](ConnectionPolicy::established), then by one [`lost`](ConnectionPolicy::lost).
 pub trait ConnectionPolicy {
     /// The next attempt; none if no address is known.
     fn next_attempt(&mut self, now_ms: u64) -> Option<Attempt>;
@@ -26,10 +31,10 @@
     /// The publisher answered on the connection of the last attempt.
     fn established(&mut self, now_ms: u64);
 
-    /// The last attempt failed, or its connection was lost or given up.
+    /// The last attempt failed, or its connection was lost or closed.
     fn lost(&mut self, now_ms: u64);
 
-    /// Replaces the addresses that publishers told.
+    /// Replaces the addresses that publishers sent; ignored by default.
     fn learn(&mut self, _addresses: &[SocketAddrV4]) {}
 
     /// Whether a publisher that isn't in the current view is to be left.
