--- a/crates/lockusher-aggregator-testbed/src/mixers/ground.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/ground.rs
@@ -323,7 +323,7 @@
     }
 
     pub fn settles(&self, within: Duration) -> Option<Duration> {
-        self.until(within, |ground, views| ground.agrees(views))
+        self.until(within, Ground::agrees)
     }
 
     /// The processor time that each running mixer has had, in microseconds.
--- a/crates/lockusher-aggregator-testbed/src/registry/mod.rs
+++ b/crates/lockusher-aggregator-testbed/src/registry/mod.rs
@@ -15,7 +15,7 @@
 
 /// A lock whose holder never panics in between leaves nothing half done.
 pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|e| e.into_inner())
+    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// The store that all members serve.
--- a/crates/lockusher-aggregator-testbed/src/stand_in/searcher.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/searcher.rs
@@ -256,7 +256,7 @@
                     }
                 }
                 _ => self.note(|log| {
-                    log.probes.push(format!("{}{}", letter as char, String::from_utf8_lossy(&rest)))
+                    log.probes.push(format!("{}{}", letter as char, String::from_utf8_lossy(&rest)));
                 }),
             }
         }
--- a/crates/lockusher-aggregator/src/lib.rs
+++ b/crates/lockusher-aggregator/src/lib.rs
@@ -2,6 +2,9 @@
 //! back, [`routing`] owns the decision module; the program's own concerns are [`program`], [`config`],
 //! [`operator`], [`clock`] and [`report`].
 
+// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs, clippy::missing_errors_doc, clippy::too_many_lines, clippy::wildcard_imports)]
+
 pub mod clock;
 pub mod config;
 pub mod operator;
--- a/crates/lockusher-aggregator/src/protocol/fleet.rs
+++ b/crates/lockusher-aggregator/src/protocol/fleet.rs
@@ -16,7 +16,7 @@
                 "good": of.judged.good,
                 "slower": of.judged.slower,
                 "seen_ms_ago": now.since(of.judged.at).as_micros() / 1_000,
-                "witnesses": of.witnesses.iter().map(|name| name.as_str()).collect::<Vec<_>>(),
+                "witnesses": of.witnesses.iter().map(lockusher_membership::core::table::MixerName::as_str).collect::<Vec<_>>(),
             })
         })
         .collect();
@@ -77,7 +77,7 @@
                 "incarnation": record.incarnation,
                 "state": record.state.word(),
                 "since_ms": now.since(held.since).as_micros() / 1_000,
-                "by": record.by.as_ref().map(|by| by.as_str()),
+                "by": record.by.as_ref().map(lockusher_membership::core::table::MixerName::as_str),
             })
         })
         .collect();
--- a/crates/lockusher-aggregator/src/report.rs
+++ b/crates/lockusher-aggregator/src/report.rs
@@ -29,7 +29,7 @@
 
 /// Whether another line may be written.
 fn admit() -> bool {
-    let mut window = WINDOW_NOW.lock().unwrap_or_else(|e| e.into_inner());
+    let mut window = WINDOW_NOW.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     if window.since.is_none_or(|since| since.elapsed() >= WINDOW) {
         (window.since, window.lines) = (Some(Instant::now()), 0);
     }
@@ -44,7 +44,7 @@
 
 /// How many lines were left out before this one.
 fn left_out() -> u64 {
-    let mut window = WINDOW_NOW.lock().unwrap_or_else(|e| e.into_inner());
+    let mut window = WINDOW_NOW.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     std::mem::take(&mut window.left_out)
 }
 
--- a/crates/lockusher-aggregator/tests/endings.rs
+++ b/crates/lockusher-aggregator/tests/endings.rs
@@ -497,7 +497,7 @@
     match value {
         Value::Object(all) => all.iter().for_each(|(key, value)| leaves(&format!("{at}/{key}"), value, into)),
         Value::Array(all) => {
-            all.iter().enumerate().for_each(|(i, value)| leaves(&format!("{at}/{i}"), value, into))
+            all.iter().enumerate().for_each(|(i, value)| leaves(&format!("{at}/{i}"), value, into));
         }
         Value::Number(_) | Value::String(_) => into.push((at.to_owned(), value.clone())),
         _ => {}
--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -152,7 +152,7 @@
 /// A line for each searcher that is judged, and for each that no longer is.
 fn log_judged(before: &[Judged], now: &[Standing]) {
     for of in now.iter().filter(|of| before.iter().all(|before| before.id != of.judged.id)) {
-        let by: Vec<&str> = of.witnesses.iter().map(|name| name.as_str()).collect();
+        let by: Vec<&str> = of.witnesses.iter().map(super::core::table::MixerName::as_str).collect();
         let (id, fault, by) = (of.judged.id.as_str(), of.fault.word(), by.join(", "));
         tracing::info!(target: "lockusher::fleet", "fleet: searcher {id} is {fault}, say {by}");
     }
--- a/crates/lockusher-membership/src/lib.rs
+++ b/crates/lockusher-membership/src/lib.rs
@@ -2,6 +2,9 @@
 //! the same inputs make the same bytes. `io` carries it over one UDP socket in the mixer's own thread. The published
 //! roots (SWIM, Lifeguard) and what was changed are in `docs/fleet.md`.
 
+// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs, clippy::missing_errors_doc)]
+
 pub mod core;
 pub mod io;
 pub mod shared;
--- a/crates/lockusher-membership/tests/lending.rs
+++ b/crates/lockusher-membership/tests/lending.rs
@@ -134,7 +134,7 @@
                 for (from, word) in std::mem::take(&mut self.nodes[of].waiting) {
                     self.hear(of, &from, word);
                 }
-                let words = self.with_view(of, |lending, now, view| lending.due(now, view));
+                let words = self.with_view(of, lockusher_membership::shared::lend::Lending::due);
                 self.send(of, words);
             }
         }
@@ -217,7 +217,7 @@
     let calm = |world: &mut World| {
         world.now += 100_000;
         for of in 0..3 {
-            let words = world.with_view(of, |lending, now, view| lending.due(now, view));
+            let words = world.with_view(of, lockusher_membership::shared::lend::Lending::due);
             world.send(of, words);
             while let Some((_, to, from, word)) = world.flying.pop_front() {
                 world.hear(to, &from, word);
@@ -233,7 +233,7 @@
     (world.nodes[2].first, world.nodes[2].living) = (2, vec![2]);
     for _ in 0..200 {
         world.now += 100_000;
-        world.with_view(2, |lending, now, view| lending.due(now, view));
+        world.with_view(2, lockusher_membership::shared::lend::Lending::due);
     }
     let now = world.clock(2);
     let alone = world.nodes[2].lending.portions(now)[0];
--- a/crates/lockusher-registry-client/src/lib.rs
+++ b/crates/lockusher-registry-client/src/lib.rs
@@ -4,6 +4,9 @@
 //! what differs and is told, which endpoint is asked next and when, when a watch counts as silent. [`io`] carries its
 //! acts out: etcd's v3 API over gRPC, Consul's blocking reads over HTTP.
 
+// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs, clippy::missing_errors_doc)]
+
 pub mod core;
 pub mod io;
 
--- a/crates/lockusher-router-testbed/src/configuration.rs
+++ b/crates/lockusher-router-testbed/src/configuration.rs
@@ -32,7 +32,7 @@
         [only] => json["service"] = json!(only.service),
         several => {
             json["trafficSplit"] =
-                several.iter().map(|one| json!({"service": one.service, "weight": one.weight})).collect()
+                several.iter().map(|one| json!({"service": one.service, "weight": one.weight})).collect();
         }
     }
     if let Some(gap) = route.gap_aim_ms {
--- a/crates/lockusher-router-testbed/src/figures.rs
+++ b/crates/lockusher-router-testbed/src/figures.rs
@@ -68,7 +68,7 @@
             self.served += 1;
             self.in_time += u64::from(u128::from(latency) <= record.spec.aim.as_micros());
             self.latencies.add(latency);
-        } else if record.tries.last().is_some_and(|last| last.is_promise()) {
+        } else if record.tries.last().is_some_and(super::request::TryRecord::is_promise) {
             self.refused += 1;
         }
     }
--- a/crates/lockusher-router-testbed/src/hunt/player.rs
+++ b/crates/lockusher-router-testbed/src/hunt/player.rs
@@ -256,7 +256,7 @@
     }
 
     fn lapse(&mut self, until: Duration) {
-        self.world.models.iter().for_each(|model| model.lapse_all_handles());
+        self.world.models.iter().for_each(super::super::model_searcher::ModelSearcher::lapse_all_handles);
         if self.begun.elapsed() < until {
             self.plan_in(LAPSE_PERIOD, Action::Lapse { until });
         }
--- a/crates/lockusher-router-testbed/src/lib.rs
+++ b/crates/lockusher-router-testbed/src/lib.rs
@@ -4,6 +4,9 @@
 //! Everything here is a test tool: blocking sockets and plain threads, one job per module. The engine model
 //! ([`engine`]) has no I/O and no clock and may also be driven in virtual time.
 
+// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+#![allow(missing_docs, clippy::missing_errors_doc)]
+
 pub mod checker;
 pub mod client;
 pub mod configuration;
--- a/crates/lockusher-router-testbed/tests/crossings.rs
+++ b/crates/lockusher-router-testbed/tests/crossings.rs
@@ -189,7 +189,10 @@
     std::thread::scope(|scope| {
         scope.spawn(|| {
             while lapsing.load(std::sync::atomic::Ordering::SeqCst) {
-                world.models.iter().for_each(|model| model.lapse_all_handles());
+                world
+                    .models
+                    .iter()
+                    .for_each(lockusher_router_testbed::model_searcher::ModelSearcher::lapse_all_handles);
                 std::thread::yield_now();
             }
         });
--- a/crates/lockusher-simulator-adapter/src/main.rs
+++ b/crates/lockusher-simulator-adapter/src/main.rs
@@ -1,6 +1,9 @@
 //! Plays lockusher's decisions over the simulator's wire: batches on standard input, replies on
 //! standard output. It keeps the timers and the multigets in hand and decides nothing.
 
+// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+#![allow(clippy::wildcard_imports)]
+
 mod mixer;
 mod wire;
 
