--- a/crates/lockusher-proxy/src/decision/gate.rs
+++ b/crates/lockusher-proxy/src/decision/admission_control.rs
@@ -15,52 +15,52 @@
 const RANKS: usize = 10;
 
 /// The gate acts while answers take more than this share of the time that clients give, on average.
-const LATE: f64 = 0.3;
+const LATENESS_THRESHOLD: f64 = 0.3;
 
 /// The wait that is allowed, as a share of the time that clients give.
-const ALLOWED: f64 = 0.4;
+const ALLOWED_WAIT_SHARE: f64 = 0.4;
 
 /// One answer counts for at most all of its time: a single hanging searcher is no overload.
-const MOST_LATE: f64 = 1.0;
+const MAX_LATENESS: f64 = 1.0;
 
 /// Weight of the newest answer in the averages.
-const NEWEST: f64 = 1.0 / 12.0;
+const NEWEST_WEIGHT: f64 = 1.0 / 12.0;
 
 /// Each rank keeps this part of its share of the places, whatever the more urgent ones want.
-const KEPT: f64 = 0.5;
+const RESERVED_SHARE: f64 = 0.5;
 
 /// The pace of answers and the mix of ranks are half forgotten after this time, in microseconds.
-const FORGET: f64 = 1e6;
+const HALF_LIFE_MICROS: f64 = 1e6;
 
 /// The most urgent rank may fill this share of the places, the least urgent that share.
-const MOST_URGENT: f64 = 1.25;
-const LEAST_URGENT: f64 = 0.75;
+const MAX_RANK_FACTOR: f64 = 1.25;
+const MIN_RANK_FACTOR: f64 = 0.75;
 
 /// So many may always wait: fewer say nothing of a queue.
-const LEAST_PLACES: f64 = 2.0;
+const MIN_LIMIT: f64 = 2.0;
 
 /// Requests that wait for their first event, by rank.
 #[derive(Debug, Default)]
-struct Places([Cell<u32>; RANKS]);
+struct WaitingByRank([Cell<u32>; RANKS]);
 
 /// A place among those that wait; given back when dropped.
 #[derive(Debug)]
-pub struct Waiting {
-    places: Rc<Places>,
+pub struct WaitingPermit {
+    waiting: Rc<WaitingByRank>,
     rank: usize,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingPermit {
     fn drop(&mut self) {
-        let place = &self.places.0[self.rank];
-        place.set(place.get().saturating_sub(1));
+        let count = &self.waiting.0[self.rank];
+        count.set(count.get().saturating_sub(1));
     }
 }
 
 /// The gate of one service.
 #[derive(Debug, Default)]
-pub struct Gate {
-    places: Rc<Places>,
+pub struct AdmissionControl {
+    waiting: Rc<WaitingByRank>,
     /// Average time of answers as a share of the time given, and average time given in seconds, 0 at first.
     lateness: f64,
     given: f64,
@@ -71,66 +71,66 @@
     offered_at: Micros,
 }
 
-impl Gate {
+impl AdmissionControl {
     /// Takes a request of a rank, or doesn't.
-    pub fn offer(&mut self, now: Micros, rank: u8) -> Option<Waiting> {
+    pub fn try_admit(&mut self, now: Micros, rank: u8) -> Option<WaitingPermit> {
         let rank = usize::from(rank).min(RANKS - 1);
         let keep = fade(now, self.offered_at);
         self.offered.iter_mut().for_each(|count| *count *= keep);
         self.offered_at = now;
         self.offered[rank] += 1.0;
-        if self.lateness > LATE && !self.has_place(now, rank) {
+        if self.lateness > LATENESS_THRESHOLD && !self.has_capacity(now, rank) {
             return None;
         }
-        let place = &self.places.0[rank];
-        place.set(place.get() + 1);
-        Some(Waiting { places: Rc::clone(&self.places), rank })
+        let count = &self.waiting.0[rank];
+        count.set(count.get() + 1);
+        Some(WaitingPermit { waiting: Rc::clone(&self.waiting), rank })
     }
 
-    fn has_place(&self, now: Micros, rank: usize) -> bool {
-        let places = self.pace(now) * ALLOWED * self.given;
+    fn has_capacity(&self, now: Micros, rank: usize) -> bool {
+        let limit = self.pace(now) * ALLOWED_WAIT_SHARE * self.given;
         let all: f64 = self.offered.iter().sum();
-        let waiting: u32 = self.places.0.iter().map(Cell::get).sum();
-        let kept = KEPT * places * self.offered[rank] / all;
+        let waiting: u32 = self.waiting.0.iter().map(Cell::get).sum();
+        let reserved = RESERVED_SHARE * limit * self.offered[rank] / all;
         // The ranks that are asked for lie evenly between the most and the least urgent.
         let more_urgent: f64 = self.offered[..rank].iter().sum::<f64>() / all;
         let least = (1.0 - self.offered[rank] / all).max(f64::EPSILON);
-        let urgency = MOST_URGENT - (MOST_URGENT - LEAST_URGENT) * (more_urgent / least).min(1.0);
-        f64::from(waiting) < (places * urgency).max(LEAST_PLACES)
-            || f64::from(self.places.0[rank].get()) < kept
+        let urgency = MAX_RANK_FACTOR - (MAX_RANK_FACTOR - MIN_RANK_FACTOR) * (more_urgent / least).min(1.0);
+        f64::from(waiting) < (limit * urgency).max(MIN_LIMIT)
+            || f64::from(self.waiting.0[rank].get()) < reserved
     }
 
     /// Answers a second.
     fn pace(&self, now: Micros) -> f64 {
-        self.answers * fade(now, self.answers_at) * std::f64::consts::LN_2 * 1e6 / FORGET
+        self.answers * fade(now, self.answers_at) * std::f64::consts::LN_2 * 1e6 / HALF_LIFE_MICROS
     }
 
     /// Feeds an answer: the time that it took and the time that was given, in microseconds.
     pub fn answered(&mut self, now: Micros, elapsed: Micros, given: Micros) {
-        self.note_time(elapsed, given);
+        self.record_time(elapsed, given);
         self.answers = self.answers * fade(now, self.answers_at) + 1.0;
         self.answers_at = now;
     }
 
     /// Feeds a request that was given up after a time without an answer.
-    pub fn gave_up(&mut self, elapsed: Micros, given: Micros) {
-        self.note_time(elapsed, given);
+    pub fn abandoned(&mut self, elapsed: Micros, given: Micros) {
+        self.record_time(elapsed, given);
     }
 
-    fn note_time(&mut self, elapsed: Micros, given: Micros) {
+    fn record_time(&mut self, elapsed: Micros, given: Micros) {
         let given = given.max(1) as f64;
-        self.lateness += ((elapsed as f64 / given).min(MOST_LATE) - self.lateness) * NEWEST;
+        self.lateness += ((elapsed as f64 / given).min(MAX_LATENESS) - self.lateness) * NEWEST_WEIGHT;
         let given = given / 1e6;
-        self.given = if self.given > 0.0 { self.given + (given - self.given) * NEWEST } else { given };
+        self.given = if self.given > 0.0 { self.given + (given - self.given) * NEWEST_WEIGHT } else { given };
     }
 
     /// The time after which those that wait now will have been answered, in milliseconds.
     pub fn wait_ms(&self, now: Micros) -> u64 {
-        let waiting: u32 = self.places.0.iter().map(Cell::get).sum();
+        let waiting: u32 = self.waiting.0.iter().map(Cell::get).sum();
         (f64::from(waiting) / self.pace(now).max(1e-3) * 1e3) as u64
     }
 }
 
 fn fade(now: Micros, since: Micros) -> f64 {
-    0.5f64.powf(now.saturating_sub(since) as f64 / FORGET)
+    0.5f64.powf(now.saturating_sub(since) as f64 / HALF_LIFE_MICROS)
 }
--- a/crates/lockusher-proxy/src/decision/director.rs
+++ b/crates/lockusher-proxy/src/decision/director.rs
@@ -116,9 +116,9 @@
         if request.remaining_ms == 0 {
             return Admission::Refuse { retry_after_ms: SHORTEST_RETRY_MS };
         }
-        let gate = &mut self.services[service].gate;
-        let Some(waiting) = gate.offer(now, request.priority) else {
-            let retry_after_ms = gate.wait_ms(now).min(request.remaining_ms / 3).max(SHORTEST_RETRY_MS);
+        let admission = &mut self.services[service].admission;
+        let Some(waiting) = admission.try_admit(now, request.priority) else {
+            let retry_after_ms = admission.wait_ms(now).min(request.remaining_ms / 3).max(SHORTEST_RETRY_MS);
             return Admission::Refuse { retry_after_ms };
         };
         let prefixes = prefixes(&request.prompt);
--- a/crates/lockusher-proxy/src/decision/mod.rs
+++ b/crates/lockusher-proxy/src/decision/mod.rs
@@ -48,10 +48,10 @@
 //! | `Priority` of a prefill call follows the tokens to read, a step for each doubling of the mean; all other sends carry their route's rank (`director`) | a prompt of 70,000 tokens is read for over a second in front of short ones, whose clients leave meanwhile; no proxy sees a searcher's queue, the searcher does | always; it chooses no searcher |
 //! | The prompt is read in place if reading there what isn't held, counted ten times at half the pace, takes less than a prefill call's least time and moving the whole prompt, or if it is short, prefill searchers would take half of the target and a decode searcher answers within a quarter of it (`split`) | a hand-over of a long prompt of which little is to be read costs more than it saves; evading waits to decode searchers keeps them from making tokens | both stages were measured |
 
+mod admission_control;
 mod budget;
 mod chains;
 mod director;
-mod gate;
 mod handover;
 mod interface;
 mod load;
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -3,9 +3,9 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+use super::admission_control::WaitingPermit;
 use super::budget::Charge;
 use super::chains::Prefix;
-use super::gate::Waiting;
 use super::places::Place;
 use super::types::{Micros, Purpose, SearcherId, SendOutcome};
 
@@ -36,7 +36,7 @@
     pub admitted: Micros,
     pub given: Micros,
     /// Its place among those that wait for a first event.
-    pub waiting: RefCell<Option<Waiting>>,
+    pub waiting: RefCell<Option<WaitingPermit>>,
     /// Arrivals that count: all but the first prefill call that a searcher takes up.
     pub counted: Cell<u32>,
     /// Whether a searcher has taken up a prefill call, or may have.
@@ -175,7 +175,7 @@
 
 impl Progress {
     /// A request that nothing was sent of.
-    pub fn new(admitted: Micros, given: Micros, waiting: Waiting) -> Self {
+    pub fn new(admitted: Micros, given: Micros, waiting: WaitingPermit) -> Self {
         Progress {
             admitted,
             given,
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -5,9 +5,9 @@
 use lockusher_config::configuration::Engine;
 use lockusher_config::instances::{Instance, InstanceState, Stage};
 
+use super::admission_control::AdmissionControl;
 use super::budget::RetryBudget;
 use super::chains::{ChainKey, ChainMemory};
-use super::gate::Gate;
 use super::handover::Handovers;
 use super::places::{Distance, Place, Places};
 use super::plan::{Incarnation, SendRecord};
@@ -77,7 +77,7 @@
     pub engine: Option<Engine>,
     pub chains: ChainMemory,
     pub budget: RetryBudget,
-    pub gate: Gate,
+    pub admission: AdmissionControl,
     pub handovers: Handovers,
     searchers: Vec<Searcher>,
     unused: Vec<SearcherId>,
@@ -94,7 +94,7 @@
             engine: None,
             chains: ChainMemory::default(),
             budget,
-            gate: Gate::default(),
+            admission: AdmissionControl::default(),
             handovers: Handovers::default(),
             searchers: Vec::new(),
             unused: Vec::new(),
@@ -244,7 +244,7 @@
         }
         let peers = self.refresh_peers(now, kind);
         if elapsed.is_some() {
-            self.feed_gate(now, record, outcome);
+            self.feed_admission_control(now, record, outcome);
         }
         let is_first = elapsed.is_some();
         let work = &mut self.work[record.purpose as usize];
@@ -313,14 +313,16 @@
     }
 
     /// Feeds an answer, or that a request was given up while nothing was heard of it.
-    fn feed_gate(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome) {
+    fn feed_admission_control(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome) {
         let progress = &record.progress;
         let elapsed = now.saturating_sub(progress.admitted);
         match outcome {
             SendOutcome::FirstEvent | SendOutcome::Answered if record.purpose != Purpose::Prefill => {
-                self.gate.answered(now, elapsed, progress.given);
+                self.admission.answered(now, elapsed, progress.given);
+            }
+            SendOutcome::TimedOut | SendOutcome::Cancelled => {
+                self.admission.abandoned(elapsed, progress.given)
             }
-            SendOutcome::TimedOut | SendOutcome::Cancelled => self.gate.gave_up(elapsed, progress.given),
             _ => return,
         }
         progress.waiting.take();
