--- a/crates/lockusher-proxy/src/decision/director.rs
+++ b/crates/lockusher-proxy/src/decision/director.rs
@@ -13,7 +13,7 @@
 use super::chains::prefixes;
 use super::interface::{Admission, Choice, DirectorSettings, RequestFacts, SendTicket};
 use super::load::Loads;
-use super::places::{Place, Places};
+use super::locality::{Locality, LocalityRegistry};
 use super::plan::{Progress, RequestPlan, SendRecord, Settlement};
 use super::searcher::Searcher;
 use super::selection::{Errand, Pick, select};
@@ -42,8 +42,8 @@
 pub struct Director {
     settings: DirectorSettings,
     luck: ChaCha8Rng,
-    places: Places,
-    own_place: Place,
+    localities: LocalityRegistry,
+    own_locality: Locality,
     /// The time of the first call: the start of this life.
     started: Option<Micros>,
     /// The largest number of proxies told in this life. A cut makes the others seem gone: it never shrinks.
@@ -58,13 +58,13 @@
 impl Director {
     /// A director that knows no searcher and no configuration yet. The same seed and calls give the same choices.
     pub fn new(settings: DirectorSettings, seed: u64) -> Self {
-        let mut places = Places::new(settings.zones.clone());
-        let own_place = places.place(&settings.zone);
+        let mut localities = LocalityRegistry::new(settings.zones.clone());
+        let own_locality = localities.locality(&settings.zone);
         Director {
             settings,
             luck: ChaCha8Rng::seed_from_u64(seed),
-            places,
-            own_place,
+            localities,
+            own_locality,
             started: None,
             fleet: None,
             services: Vec::new(),
@@ -99,7 +99,7 @@
         }
         for service in &mut self.services {
             let listed = by_service.get(service.name.as_str()).map_or(&[][..], Vec::as_slice);
-            service.apply(now, listed, &mut self.places, self.own_place);
+            service.apply(now, listed, &mut self.localities, self.own_locality);
         }
     }
 
@@ -196,7 +196,7 @@
         }
         let searcher = service.searcher(pick.searcher);
         if purpose == Purpose::Prefill {
-            plan.source = Some(searcher.place);
+            plan.source = Some(searcher.locality);
         }
         let record = SendRecord {
             service: plan.service,
--- a/crates/lockusher-proxy/src/decision/places.rs
+++ b/crates/lockusher-proxy/src/decision/locality.rs
@@ -4,7 +4,7 @@
 
 /// A zone and its region, by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Locality {
     zone: u16,
     region: u16,
 }
@@ -17,9 +17,9 @@
     OtherRegion,
 }
 
-impl Place {
+impl Locality {
     /// How far another place is.
-    pub fn distance(self, other: Place) -> Distance {
+    pub fn distance(self, other: Locality) -> Distance {
         if self.zone == other.zone {
             Distance::SameZone
         } else if self.region == other.region {
@@ -32,22 +32,25 @@
 
 /// Numbers for the names of zones.
 #[derive(Debug)]
-pub struct Places {
+pub struct LocalityRegistry {
     regions: BTreeMap<String, String>,
     zone_numbers: HashMap<String, u16>,
     region_numbers: HashMap<String, u16>,
 }
 
-impl Places {
+impl LocalityRegistry {
     /// Knows the region of each zone; a zone that isn't told of is a region of its own.
     pub fn new(regions: BTreeMap<String, String>) -> Self {
-        Places { regions, zone_numbers: HashMap::new(), region_numbers: HashMap::new() }
+        LocalityRegistry { regions, zone_numbers: HashMap::new(), region_numbers: HashMap::new() }
     }
 
     /// The place that a zone names.
-    pub fn place(&mut self, zone: &str) -> Place {
+    pub fn locality(&mut self, zone: &str) -> Locality {
         let region = self.regions.get(zone).map_or(zone, String::as_str);
-        Place { zone: number(&mut self.zone_numbers, zone), region: number(&mut self.region_numbers, region) }
+        Locality {
+            zone: number(&mut self.zone_numbers, zone),
+            region: number(&mut self.region_numbers, region),
+        }
     }
 }
 
--- a/crates/lockusher-proxy/src/decision/mod.rs
+++ b/crates/lockusher-proxy/src/decision/mod.rs
@@ -55,7 +55,7 @@
 mod handover;
 mod interface;
 mod load;
-mod places;
+mod locality;
 mod plan;
 mod scoring;
 mod searcher;
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -6,7 +6,7 @@
 use super::admission_control::WaitingPermit;
 use super::budget::Charge;
 use super::chains::Prefix;
-use super::places::Place;
+use super::locality::Locality;
 use super::types::{Micros, Purpose, SearcherId, SendOutcome};
 
 /// A request from its admission to its end; kept by the caller.
@@ -25,7 +25,7 @@
     /// When its time is up.
     pub(super) deadline: Micros,
     /// Where its prompt was read last.
-    pub(super) source: Option<Place>,
+    pub(super) source: Option<Locality>,
     pub(super) progress: Rc<Progress>,
 }
 
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -3,7 +3,7 @@
 use lockusher_config::instances::{Instance, Stage};
 
 use super::chains::mix;
-use super::places::{Distance, Place};
+use super::locality::{Distance, Locality};
 use super::scoring::{NEWEST, blend};
 use super::types::{Micros, SendOutcome};
 
@@ -73,7 +73,7 @@
     silent_since: Micros,
     /// Own sends out at it: Q.
     pub in_flight: u16,
-    pub place: Place,
+    pub locality: Locality,
     pub distance: Distance,
     /// Whether it is listed as ready.
     pub ready: bool,
@@ -123,13 +123,13 @@
 impl Searcher {
     /// A searcher first seen, or one that has changed its stage. `fresh` says that others of its stage were
     /// known before, so that it is new among them.
-    pub fn new(now: Micros, instance: Instance, place: Place, distance: Distance, fresh: bool) -> Self {
+    pub fn new(now: Micros, instance: Instance, locality: Locality, distance: Distance, fresh: bool) -> Self {
         let hash = instance.identifier.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
         let ramp = if fresh { RAMP.max(instance.cold_remaining_ms * 1_000) } else { 0 };
         let ready = instance.state == lockusher_config::instances::InstanceState::Ready;
         Searcher {
             instance: Box::new(instance),
-            place,
+            locality,
             distance,
             hash,
             ready,
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -1,7 +1,7 @@
 //! Which searcher gets the next send of a request.
 
 use super::chains::{Prefix, mix, shared};
-use super::places::{Distance, Place};
+use super::locality::{Distance, Locality};
 use super::plan::Incarnation;
 use super::scoring::score;
 use super::searcher::{Peers, Searcher, Standing};
@@ -39,7 +39,7 @@
     /// No other searcher may be chosen, though it was tried.
     pub only: Option<Incarnation>,
     /// Where the KV cache is fetched from.
-    pub source: Option<Place>,
+    pub source: Option<Locality>,
     /// Whether a send that fails may be made good: only then is a suspect tried.
     pub repeatable: bool,
     /// What a searcher holds is still there if it was sent after this moment.
@@ -206,16 +206,16 @@
 
     /// The zone in which a decode searcher is to be at home: where the prompt was read, or would be, so that
     /// hand-overs stay within a zone.
-    fn near(&self, shared: Prefix) -> Option<Place> {
+    fn near(&self, shared: Prefix) -> Option<Locality> {
         match self.kind {
-            GroupKind::Decode => self.errand.source.or_else(|| self.place_of_reader(shared)),
+            GroupKind::Decode => self.errand.source.or_else(|| self.locality_of_prefill_home(shared)),
             GroupKind::Prefill | GroupKind::Plain => None,
         }
     }
 
-    fn place_of_reader(&self, shared: Prefix) -> Option<Place> {
+    fn locality_of_prefill_home(&self, shared: Prefix) -> Option<Locality> {
         let [first, _] = self.service.group(GroupKind::Prefill).homes(shared.key, None);
-        first.map(|id| self.service.searcher(id).place)
+        first.map(|id| self.service.searcher(id).locality)
     }
 
     /// Whether the searcher reads the prompt, so that held parts save time.
@@ -254,7 +254,7 @@
     /// fetched, the way from its holder counts, as that moves far more than the request does.
     fn distance(&self, searcher: &Searcher, usual: f64) -> f64 {
         let (distance, moves) = match self.errand.source {
-            Some(source) => (searcher.place.distance(source), self.handover),
+            Some(source) => (searcher.locality.distance(source), self.handover),
             None => (searcher.distance, 0.0),
         };
         match distance {
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -9,7 +9,7 @@
 use super::budget::RetryBudget;
 use super::chains::{ChainKey, ChainMemory};
 use super::handover::Handovers;
-use super::places::{Distance, Place, Places};
+use super::locality::{Distance, Locality, LocalityRegistry};
 use super::plan::{Incarnation, SendRecord};
 use super::searcher::{Peers, Searcher};
 use super::types::{Micros, Purpose, SearcherId, SendOutcome};
@@ -27,7 +27,7 @@
     pub candidates: Vec<SearcherId>,
     /// Hashes of their identifiers.
     hashes: Vec<u64>,
-    places: Vec<Place>,
+    localities: Vec<Locality>,
     peers: Peers,
     peers_at: Micros,
     stale: bool,
@@ -38,11 +38,11 @@
     /// The homes of a prompt by its shared parts, first and second: the highest by rendezvous hashing, those of
     /// the zone `near` before all others. All proxies that know the same candidates find the same ones, and one
     /// that leaves moves only its own.
-    pub fn homes(&self, chain: ChainKey, near: Option<Place>) -> [Option<SearcherId>; 2] {
+    pub fn homes(&self, chain: ChainKey, near: Option<Locality>) -> [Option<SearcherId>; 2] {
         // Weights and numbers from 1; weight 0 is that of no candidate.
         let (mut first, mut second) = ((0, 0), (0, 0));
-        for (number, (hash, place)) in self.hashes.iter().zip(&self.places).enumerate() {
-            let is_near = near.is_some_and(|near| near.distance(*place) == Distance::SameZone);
+        for (number, (hash, locality)) in self.hashes.iter().zip(&self.localities).enumerate() {
+            let is_near = near.is_some_and(|near| near.distance(*locality) == Distance::SameZone);
             let weight = rendezvous(chain, *hash) >> 1 | u64::from(is_near) << 63;
             if weight <= second.0 {
                 continue;
@@ -105,13 +105,19 @@
     }
 
     /// Takes the service's part of the list.
-    pub fn apply(&mut self, now: Micros, instances: &[&Instance], places: &mut Places, own: Place) {
+    pub fn apply(
+        &mut self,
+        now: Micros,
+        instances: &[&Instance],
+        localities: &mut LocalityRegistry,
+        own: Locality,
+    ) {
         let mut listed = HashSet::new();
         let running = !self.by_identifier.is_empty();
         for instance in instances {
             listed.insert(instance.identifier.as_str());
-            let place = places.place(&instance.zone);
-            self.apply_one(now, instance, place, place.distance(own), running);
+            let locality = localities.locality(&instance.zone);
+            self.apply_one(now, instance, locality, locality.distance(own), running);
         }
         self.drop_missing(&listed);
         self.rebuild_groups();
@@ -121,13 +127,13 @@
         &mut self,
         now: Micros,
         instance: &Instance,
-        place: Place,
+        locality: Locality,
         distance: Distance,
         running: bool,
     ) {
         let Some(&id) = self.by_identifier.get(&instance.identifier) else {
             let fresh = running && self.has_peers(instance.stage);
-            let id = self.insert(Searcher::new(now, instance.clone(), place, distance, fresh));
+            let id = self.insert(Searcher::new(now, instance.clone(), locality, distance, fresh));
             self.by_identifier.insert(instance.identifier.clone(), id);
             return;
         };
@@ -136,14 +142,14 @@
             self.chains.forget_searcher(id);
             let searcher = &mut self.searchers[id as usize];
             let in_flight = searcher.in_flight;
-            *searcher = Searcher::new(now, instance.clone(), place, distance, fresh);
+            *searcher = Searcher::new(now, instance.clone(), locality, distance, fresh);
             searcher.in_flight = in_flight;
             return;
         }
         let searcher = &mut self.searchers[id as usize];
         if *searcher.instance != *instance {
             *searcher.instance = instance.clone();
-            searcher.place = place;
+            searcher.locality = locality;
             searcher.distance = distance;
             searcher.ready = instance.state == InstanceState::Ready;
         }
@@ -186,7 +192,7 @@
         for group in &mut self.groups {
             group.candidates.clear();
             group.hashes.clear();
-            group.places.clear();
+            group.localities.clear();
             group.stale = true;
         }
         let mut ready: Vec<SearcherId> = self.by_identifier.values().copied().collect();
@@ -197,7 +203,7 @@
             let group = &mut self.groups[kind_of(searcher.instance.stage) as usize];
             group.candidates.push(id);
             group.hashes.push(searcher.hash);
-            group.places.push(searcher.place);
+            group.localities.push(searcher.locality);
         }
     }
 
