--- a/crates/lockusher-proxy/src/decision/director.rs
+++ b/crates/lockusher-proxy/src/decision/director.rs
@@ -10,11 +10,11 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::budget::{RetryBudget, UNKNOWN_FLEET};
-use super::chains::prefixes;
 use super::interface::{Admission, Choice, DirectorSettings, RequestFacts, SendTicket};
 use super::load::Loads;
 use super::locality::{Locality, LocalityRegistry};
 use super::plan::{Progress, RequestPlan, SendRecord, Settlement};
+use super::prefix_cache::prefixes;
 use super::searcher::Searcher;
 use super::selection::{Errand, Pick, select};
 use super::service::{GroupKind, Service};
@@ -24,7 +24,7 @@
 
 /// What a searcher was sent is taken to be there still for so many times the span in which a second reading is
 /// priced.
-const HELD_SPANS: u64 = 2;
+const CACHE_RETENTION_SPANS: u64 = 2;
 
 /// The shortest time after which a client is told to come back.
 const SHORTEST_RETRY_MS: u64 = 50;
@@ -190,7 +190,7 @@
         plan.progress.sent(purpose, counting);
         let service = &mut self.services[plan.service];
         service.searcher_mut(pick.searcher).sent(now, ticket);
-        service.chains.note(now, pick.searcher, &plan.prefixes);
+        service.prefix_cache.record(now, pick.searcher, &plan.prefixes);
         if purpose == Purpose::Prefill {
             service.handovers.begun(now);
         }
@@ -300,7 +300,7 @@
 
     fn pick(&self, now: Micros, plan: &RequestPlan, purpose: Purpose, luck: u64) -> Option<Pick> {
         let service = &self.services[plan.service];
-        let held_for = HELD_SPANS * self.settings.again_ms * MICROS_PER_MS;
+        let cache_retention = CACHE_RETENTION_SPANS * self.settings.again_ms * MICROS_PER_MS;
         let tried = plan.progress.tried.borrow();
         let errand = Errand {
             purpose,
@@ -310,7 +310,7 @@
             tried: &tried,
             source: if purpose == Purpose::Decode { plan.source } else { None },
             repeatable: plan.is_idempotent && plan.attempts > plan.progress.counted.get() + 1,
-            held_since: now.saturating_sub(held_for),
+            cached_since: now.saturating_sub(cache_retention),
             luck,
         };
         select(service, service.kind(purpose), now, &errand)
--- a/crates/lockusher-proxy/src/decision/mod.rs
+++ b/crates/lockusher-proxy/src/decision/mod.rs
@@ -50,13 +50,13 @@
 
 mod admission_control;
 mod budget;
-mod chains;
 mod director;
 mod handover;
 mod interface;
 mod load;
 mod locality;
 mod plan;
+mod prefix_cache;
 mod scoring;
 mod searcher;
 mod selection;
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -5,8 +5,8 @@
 
 use super::admission_control::WaitingPermit;
 use super::budget::Charge;
-use super::chains::Prefix;
 use super::locality::Locality;
+use super::prefix_cache::Prefix;
 use super::types::{Micros, Purpose, SearcherId, SendOutcome};
 
 /// A request from its admission to its end; kept by the caller.
--- a/crates/lockusher-proxy/src/decision/chains.rs
+++ b/crates/lockusher-proxy/src/decision/prefix_cache.rs
@@ -6,18 +6,18 @@
 use super::types::{Micros, PromptPart, SearcherId};
 
 /// Leading parts of a prompt, named by a hash of their ids in order.
-pub type ChainKey = u64;
+pub type PrefixHash = u64;
 
 /// Chains that are remembered for one service.
-const CHAINS: usize = 8_192;
+const MAX_PREFIXES: usize = 8_192;
 
 /// Searchers that are remembered for one chain; the newest stay.
-const HOLDERS: usize = 6;
+const MAX_HOLDERS_PER_PREFIX: usize = 6;
 
 /// One length of a prompt's leading parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefix {
-    pub key: ChainKey,
+    pub key: PrefixHash,
     /// Tokens of these parts together.
     pub tokens: u32,
 }
@@ -61,9 +61,9 @@
 
 /// Takes keys that are hashes already.
 #[derive(Debug, Default)]
-struct AsItIs(u64);
+struct IdentityHasher(u64);
 
-impl Hasher for AsItIs {
+impl Hasher for IdentityHasher {
     fn write(&mut self, bytes: &[u8]) {
         self.0 = bytes.iter().fold(self.0, |hash, byte| mix(hash ^ u64::from(*byte)));
     }
@@ -79,30 +79,30 @@
 
 /// What this proxy sent where, bounded: the chains that were used least recently give way.
 #[derive(Debug, Default)]
-pub struct ChainMemory {
-    holders: HashMap<ChainKey, Vec<Holder>, BuildHasherDefault<AsItIs>>,
+pub struct PrefixCacheIndex {
+    holders: HashMap<PrefixHash, Vec<Holder>, BuildHasherDefault<IdentityHasher>>,
     /// Every chain once, with the time when it was put here.
-    order: VecDeque<(ChainKey, Micros)>,
+    order: VecDeque<(PrefixHash, Micros)>,
 }
 
-impl ChainMemory {
+impl PrefixCacheIndex {
     /// Notes that a searcher holds a prompt's prefixes from now on.
-    pub fn note(&mut self, now: Micros, searcher: SearcherId, prefixes: &[Prefix]) {
+    pub fn record(&mut self, now: Micros, searcher: SearcherId, prefixes: &[Prefix]) {
         for prefix in prefixes {
-            self.note_one(now, searcher, prefix.key);
+            self.record_prefix(now, searcher, prefix.key);
         }
-        while self.holders.len() > CHAINS {
+        while self.holders.len() > MAX_PREFIXES {
             self.forget_oldest();
         }
     }
 
-    fn note_one(&mut self, now: Micros, searcher: SearcherId, key: ChainKey) {
+    fn record_prefix(&mut self, now: Micros, searcher: SearcherId, key: PrefixHash) {
         let holders = self.holders.entry(key).or_default();
         if holders.is_empty() {
             self.order.push_back((key, now));
         }
         holders.retain(|holder| holder.searcher != searcher);
-        if holders.len() == HOLDERS {
+        if holders.len() == MAX_HOLDERS_PER_PREFIX {
             holders.remove(0);
         }
         holders.push(Holder { searcher, sent: now });
@@ -131,7 +131,7 @@
     }
 
     /// The most tokens of these prefixes that a searcher holds of what it was sent after `since`.
-    pub fn held_by(&self, searcher: SearcherId, since: Micros, prefixes: &[Prefix]) -> u32 {
+    pub fn cached_tokens(&self, searcher: SearcherId, since: Micros, prefixes: &[Prefix]) -> u32 {
         let was_sent = |prefix: &&Prefix| {
             let mut holders = self.holders.get(&prefix.key).into_iter().flatten();
             holders.any(|holder| holder.searcher == searcher && holder.sent >= since)
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -2,8 +2,8 @@
 
 use lockusher_config::instances::{Instance, Stage};
 
-use super::chains::mix;
 use super::locality::{Distance, Locality};
+use super::prefix_cache::mix;
 use super::scoring::{NEWEST, blend};
 use super::types::{Micros, SendOutcome};
 
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -1,8 +1,8 @@
 //! Which searcher gets the next send of a request.
 
-use super::chains::{Prefix, mix, shared};
 use super::locality::{Distance, Locality};
 use super::plan::Incarnation;
+use super::prefix_cache::{Prefix, mix, shared};
 use super::scoring::score;
 use super::searcher::{Peers, Searcher, Standing};
 use super::service::{Group, GroupKind, Service};
@@ -11,11 +11,11 @@
 /// How many times longer than at the best searcher the wait at a prompt's home may be, if the home spared all of the
 /// reading; in proportion if it spares a part. What is read once more elsewhere makes all others wait there. Measured
 /// with 15 and 30 on the bench.
-const READER_PATIENCE: f64 = 30.0;
+const PREFILL_AFFINITY_PATIENCE: f64 = 30.0;
 
 /// The same for decode searchers, where a home saves a reading only if the prompt isn't handed over, and keeps
 /// hand-overs within a zone. Measured with 1.25 to 10.
-const DECODE_PATIENCE: f64 = 4.0;
+const DECODE_AFFINITY_PATIENCE: f64 = 4.0;
 
 /// A crossing between zones, and between regions, as added latency in shares of the usual: it is priced, and
 /// less than this is lost among the traces of single requests in idle searchers' averages.
@@ -43,7 +43,7 @@
     /// Whether a send that fails may be made good: only then is a suspect tried.
     pub repeatable: bool,
     /// What a searcher holds is still there if it was sent after this moment.
-    pub held_since: Micros,
+    pub cached_since: Micros,
     /// Decides between equal scores.
     pub luck: u64,
 }
@@ -125,7 +125,7 @@
         };
         let best = self.rate_reading(best, 0);
         let Some(shared) = shared(self.errand.prefixes) else { return Some(best) };
-        Some(self.prefer_home(best, shared, judge))
+        Some(self.prefer_affinity_target(best, shared, judge))
     }
 
     /// The one searcher that may be chosen, while it takes requests.
@@ -170,13 +170,14 @@
     }
 
     /// Takes the prompt's first home if the wait there isn't much longer than at the best, else the second.
-    fn prefer_home(&self, best: Rated, shared: Prefix, judge: bool) -> Rated {
+    fn prefer_affinity_target(&self, best: Rated, shared: Prefix, judge: bool) -> Rated {
         let mut likely = true;
-        for id in self.group.homes(shared.key, self.near(shared)).into_iter().flatten() {
+        for id in self.group.affinity_targets(shared.key, self.near(shared)).into_iter().flatten() {
             if !self.is_eligible(id, judge) {
                 continue;
             }
-            let known = self.service.chains.held_by(id, self.errand.held_since, self.errand.prefixes);
+            let known =
+                self.service.prefix_cache.cached_tokens(id, self.errand.cached_since, self.errand.prefixes);
             // Other proxies send it there too, so the first home that isn't new holds the shared parts. A prompt of one part
             // may be a session's, of which another proxy sent the turns before.
             let is_new = self.service.searcher(id).is_new(self.now);
@@ -188,7 +189,7 @@
                 rated.at_most = self.errand.tokens.saturating_sub(known);
             }
             let left = self.errand.tokens.saturating_sub(known.max(may_hold));
-            if rated.wait <= self.patience(left) * best.wait {
+            if rated.wait <= self.affinity_patience(left) * best.wait {
                 return rated;
             }
         }
@@ -196,25 +197,25 @@
     }
 
     /// How many times as long as at the best searcher the wait may be at a home that may have only `left` tokens to read.
-    fn patience(&self, left: u32) -> f64 {
+    fn affinity_patience(&self, left: u32) -> f64 {
         if self.kind == GroupKind::Decode {
-            return DECODE_PATIENCE;
+            return DECODE_AFFINITY_PATIENCE;
         }
         let spared = self.service.work(self.errand.purpose).spared_share(self.errand.tokens, left);
-        1.0 + READER_PATIENCE * spared
+        1.0 + PREFILL_AFFINITY_PATIENCE * spared
     }
 
     /// The zone in which a decode searcher is to be at home: where the prompt was read, or would be, so that
     /// hand-overs stay within a zone.
     fn near(&self, shared: Prefix) -> Option<Locality> {
         match self.kind {
-            GroupKind::Decode => self.errand.source.or_else(|| self.locality_of_prefill_home(shared)),
+            GroupKind::Decode => self.errand.source.or_else(|| self.locality_of_prefill_target(shared)),
             GroupKind::Prefill | GroupKind::Plain => None,
         }
     }
 
-    fn locality_of_prefill_home(&self, shared: Prefix) -> Option<Locality> {
-        let [first, _] = self.service.group(GroupKind::Prefill).homes(shared.key, None);
+    fn locality_of_prefill_target(&self, shared: Prefix) -> Option<Locality> {
+        let [first, _] = self.service.group(GroupKind::Prefill).affinity_targets(shared.key, None);
         first.map(|id| self.service.searcher(id).locality)
     }
 
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -7,10 +7,10 @@
 
 use super::admission_control::AdmissionControl;
 use super::budget::RetryBudget;
-use super::chains::{ChainKey, ChainMemory};
 use super::handover::Handovers;
 use super::locality::{Distance, Locality, LocalityRegistry};
 use super::plan::{Incarnation, SendRecord};
+use super::prefix_cache::{PrefixCacheIndex, PrefixHash};
 use super::searcher::{Peers, Searcher};
 use super::types::{Micros, Purpose, SearcherId, SendOutcome};
 use super::work::Work;
@@ -38,12 +38,12 @@
     /// The homes of a prompt by its shared parts, first and second: the highest by rendezvous hashing, those of
     /// the zone `near` before all others. All proxies that know the same candidates find the same ones, and one
     /// that leaves moves only its own.
-    pub fn homes(&self, chain: ChainKey, near: Option<Locality>) -> [Option<SearcherId>; 2] {
+    pub fn affinity_targets(&self, prefix: PrefixHash, near: Option<Locality>) -> [Option<SearcherId>; 2] {
         // Weights and numbers from 1; weight 0 is that of no candidate.
         let (mut first, mut second) = ((0, 0), (0, 0));
         for (number, (hash, locality)) in self.hashes.iter().zip(&self.localities).enumerate() {
             let is_near = near.is_some_and(|near| near.distance(*locality) == Distance::SameZone);
-            let weight = rendezvous(chain, *hash) >> 1 | u64::from(is_near) << 63;
+            let weight = rendezvous(prefix, *hash) >> 1 | u64::from(is_near) << 63;
             if weight <= second.0 {
                 continue;
             }
@@ -57,8 +57,8 @@
 }
 
 /// The weight of a searcher as a home. Both values are hashes, so that little mixing will do.
-fn rendezvous(chain: ChainKey, searcher: u64) -> u64 {
-    let both = chain ^ searcher;
+fn rendezvous(prefix: PrefixHash, searcher: u64) -> u64 {
+    let both = prefix ^ searcher;
     (both ^ (both >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93)
 }
 
@@ -75,7 +75,7 @@
 pub struct Service {
     pub name: String,
     pub engine: Option<Engine>,
-    pub chains: ChainMemory,
+    pub prefix_cache: PrefixCacheIndex,
     pub budget: RetryBudget,
     pub admission: AdmissionControl,
     pub handovers: Handovers,
@@ -92,7 +92,7 @@
         Service {
             name: name.to_owned(),
             engine: None,
-            chains: ChainMemory::default(),
+            prefix_cache: PrefixCacheIndex::default(),
             budget,
             admission: AdmissionControl::default(),
             handovers: Handovers::default(),
@@ -139,7 +139,7 @@
         };
         if self.searchers[id as usize].instance.stage != instance.stage {
             let fresh = self.has_peers(instance.stage);
-            self.chains.forget_searcher(id);
+            self.prefix_cache.forget_searcher(id);
             let searcher = &mut self.searchers[id as usize];
             let in_flight = searcher.in_flight;
             *searcher = Searcher::new(now, instance.clone(), locality, distance, fresh);
@@ -174,7 +174,7 @@
         for identifier in missing {
             let Some(id) = self.by_identifier.remove(&identifier) else { continue };
             self.searchers[id as usize].ready = false;
-            self.chains.forget_searcher(id);
+            self.prefix_cache.forget_searcher(id);
             self.reuse(id);
         }
     }
--- a/crates/lockusher-proxy/src/handle_reuse.rs
+++ b/crates/lockusher-proxy/src/handle_reuse.rs
@@ -21,8 +21,8 @@
 
 impl HandleReuse {
     /// Whether a handle of this age is worth another send after its first rejection.
-    pub(crate) fn is_worth_trying(&self, age: Duration, held_for: Duration) -> bool {
-        if age > held_for * FRESH_QUARTERS / 4 {
+    pub(crate) fn is_worth_trying(&self, age: Duration, cache_retention: Duration) -> bool {
+        if age > cache_retention * FRESH_QUARTERS / 4 {
             return false;
         }
         if !self.last_failed.get() {
--- a/crates/lockusher-proxy/tests/decision_homes.rs
+++ b/crates/lockusher-proxy/tests/decision_affinity.rs
@@ -8,7 +8,7 @@
 use lockusher_proxy::decision::*;
 
 /// Where each of so many openings goes, one request of each long after the other.
-fn homes(director: &mut Director, start: Micros, openings: u64) -> HashMap<u64, String> {
+fn affinity_targets(director: &mut Director, start: Micros, openings: u64) -> HashMap<u64, String> {
     let home = |opening| {
         let now = start + opening * 200 * MS;
         (opening, serve(director, now, &prompt(opening, 1_000_000 + now), Purpose::Prefill, 60 * MS))
@@ -32,7 +32,8 @@
             30 * MS + (step % 7) * MS,
         );
     }
-    let (mine, theirs) = (homes(&mut fresh, 0, 200), homes(&mut other, 60 * SECOND, 200));
+    let (mine, theirs) =
+        (affinity_targets(&mut fresh, 0, 200), affinity_targets(&mut other, 60 * SECOND, 200));
     let agreed = mine.iter().filter(|(opening, home)| theirs[opening] == **home).count();
     assert!(agreed >= 195, "{agreed} of 200");
     let mut spread: HashMap<&String, usize> = HashMap::new();
@@ -44,10 +45,10 @@
 fn one_that_leaves_moves_only_its_own() {
     let list = split_fleet(8, 8);
     let mut director = director(&list, 1);
-    let before = homes(&mut director, 0, 200);
+    let before = affinity_targets(&mut director, 0, 200);
     let fewer: Vec<_> = list.into_iter().filter(|instance| instance.identifier != "r3").collect();
     director.apply_instances(100 * SECOND, &fewer);
-    let after = homes(&mut director, 200 * SECOND, 200);
+    let after = affinity_targets(&mut director, 200 * SECOND, 200);
     let moved = before.iter().filter(|(opening, home)| *home != "r3" && after[opening] != **home).count();
     assert!(moved <= 4, "{moved} moved without need");
     assert!(after.values().all(|home| home != "r3"));
