--- a/crates/lockusher-proxy/src/decision/director.rs
+++ b/crates/lockusher-proxy/src/decision/director.rs
@@ -140,7 +140,7 @@
     /// Whether a prefill searcher reads the prompt first; else `choose` for `Purpose::Whole`.
     pub fn split(&self, now: Micros, plan: &RequestPlan) -> bool {
         let service = &self.services[plan.service];
-        if !plan.has_attempt(Purpose::Prefill) || !service.handovers.are_worth_trying(now) {
+        if !plan.has_attempt(Purpose::Prefill) || !service.kv_transfers.are_allowed(now) {
             return false;
         }
         let has = |kind: GroupKind| !service.group(kind).candidates.is_empty();
@@ -161,8 +161,8 @@
 
     /// Whether KV cache that one decode searcher rejected may be offered to another; else the whole request goes
     /// to a decode searcher.
-    pub fn may_hand_over_again(&self, now: Micros, plan: &RequestPlan) -> bool {
-        plan.may_hand_over_again() && self.services[plan.service].handovers.are_worth_trying(now)
+    pub fn may_transfer_again(&self, now: Micros, plan: &RequestPlan) -> bool {
+        plan.may_transfer_again() && self.services[plan.service].kv_transfers.are_allowed(now)
     }
 
     /// The searcher for the next send of a request.
@@ -192,7 +192,7 @@
         service.searcher_mut(pick.searcher).sent(now, ticket);
         service.prefix_cache.record(now, pick.searcher, &plan.prefixes);
         if purpose == Purpose::Prefill {
-            service.handovers.begun(now);
+            service.kv_transfers.started(now);
         }
         let searcher = service.searcher(pick.searcher);
         if purpose == Purpose::Prefill {
@@ -261,7 +261,7 @@
             service.learn(now, &record, outcome, elapsed);
         }
         if !service.seems_gone(now, &record) {
-            record.progress.rejected_handover.set(None);
+            record.progress.rejected_transfer.set(None);
         }
         service.reuse(record.searcher);
     }
--- a/crates/lockusher-proxy/src/decision/mod.rs
+++ b/crates/lockusher-proxy/src/decision/mod.rs
@@ -51,8 +51,8 @@
 mod admission_control;
 mod budget;
 mod director;
-mod handover;
 mod interface;
+mod kv_transfer;
 mod load;
 mod locality;
 mod plan;
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -55,7 +55,7 @@
     /// Which searcher holds the KV cache that was read last.
     pub holder: Cell<Option<Incarnation>>,
     /// The searcher of the newest send, if it rejected a hand-over whose handle seems to be gone.
-    pub rejected_handover: Cell<Option<Incarnation>>,
+    pub rejected_transfer: Cell<Option<Incarnation>>,
 }
 
 /// One life of a searcher.
@@ -122,8 +122,8 @@
 
     /// Whether another send counts among the attempts that are left; a further prefill leaves one for the run.
     pub(super) fn has_attempt(&self, purpose: Purpose) -> bool {
-        let further_prefill = purpose == Purpose::Prefill && !self.is_first_prefill(purpose);
-        let needed = if further_prefill { 2 } else { 1 };
+        let is_repeated_prefill = purpose == Purpose::Prefill && !self.is_first_prefill(purpose);
+        let needed = if is_repeated_prefill { 2 } else { 1 };
         self.progress.counted.get() + needed <= self.attempts
     }
 
@@ -131,13 +131,13 @@
     /// that a request is sent to, and this one had it already and didn't run it.
     pub(super) fn same_searcher(&self, purpose: Purpose) -> Option<Incarnation> {
         let is_last = purpose == Purpose::Whole && !self.has_attempt(purpose);
-        self.progress.rejected_handover.get().filter(|_| is_last)
+        self.progress.rejected_transfer.get().filter(|_| is_last)
     }
 
     /// Whether a handle that was rejected may be sent to one more searcher: where it seems to be gone, the last
     /// send is kept for the whole.
-    pub(super) fn may_hand_over_again(&self) -> bool {
-        let seems_gone = self.progress.rejected_handover.get().is_some();
+    pub(super) fn may_transfer_again(&self) -> bool {
+        let seems_gone = self.progress.rejected_transfer.get().is_some();
         let kept = u32::from(seems_gone);
         self.progress.counted.get() + 1 + kept <= self.attempts
     }
@@ -188,13 +188,13 @@
             may_have_run: Cell::new(false),
             tried: RefCell::new(Vec::new()),
             holder: Cell::new(None),
-            rejected_handover: Cell::new(None),
+            rejected_transfer: Cell::new(None),
         }
     }
 
     /// Notes a send.
     pub fn sent(&self, purpose: Purpose, counting: Counting) {
-        self.rejected_handover.set(None);
+        self.rejected_transfer.set(None);
         if purpose != Purpose::Prefill {
             self.running.set(self.running.get() + 1);
         }
@@ -216,7 +216,7 @@
         if !matches!(outcome, Answered | Cancelled) {
             self.tried.borrow_mut().push(record.searcher);
         }
-        self.note_handover(record, outcome);
+        self.record_transfer(record, outcome);
         if record.counting == Counting::FirstPrefill {
             return self.first_prefill_ended(outcome, proven_not_run);
         }
@@ -229,11 +229,11 @@
         Settlement::Refunded
     }
 
-    fn note_handover(&self, record: &SendRecord, outcome: SendOutcome) {
+    fn record_transfer(&self, record: &SendRecord, outcome: SendOutcome) {
         let ended = Incarnation { searcher: record.searcher, hash: record.hash };
         match (record.purpose, outcome) {
             (Purpose::Prefill, SendOutcome::Answered) => self.holder.set(Some(ended)),
-            (Purpose::Decode, SendOutcome::Rejected) => self.rejected_handover.set(Some(ended)),
+            (Purpose::Decode, SendOutcome::Rejected) => self.rejected_transfer.set(Some(ended)),
             _ => {}
         }
     }
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -214,7 +214,7 @@
     }
 
     /// Notes whether its handle was taken: only then has it done what it is for.
-    pub fn learn_handover(&mut self, now: Micros, taken: bool, weight: f64, peers: &Peers) {
+    pub fn learn_transfer(&mut self, now: Micros, taken: bool, weight: f64, peers: &Peers) {
         self.learn_acceptance(now, taken, weight);
         let standing = self.standing(now, peers);
         if !self.latency.is_nan() {
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -19,12 +19,12 @@
 
 /// A crossing between zones, and between regions, as added latency in shares of the usual: it is priced, and
 /// less than this is lost among the traces of single requests in idle searchers' averages.
-const ZONE_CROSSING: f64 = 1.0;
-const REGION_CROSSING: f64 = 10.0;
+const ZONE_CROSSING_COST: f64 = 1.0;
+const REGION_CROSSING_COST: f64 = 10.0;
 
 /// A hand-over between zones, and between regions, takes so many times as long as within a zone.
-const ZONE_HANDOVER: f64 = 2.0;
-const REGION_HANDOVER: f64 = 10.0;
+const ZONE_TRANSFER_FACTOR: f64 = 2.0;
+const REGION_TRANSFER_FACTOR: f64 = 10.0;
 
 /// What is sent, as far as it matters for the choice.
 #[derive(Clone, Copy, Debug)]
@@ -90,7 +90,7 @@
     /// The usual time of a searcher that holds nothing of the prompt.
     usual_of_all: f64,
     /// The time of a hand-over within a zone, in microseconds.
-    handover: f64,
+    transfer_time: f64,
 }
 
 /// The searcher with the lowest score, or the prompt's home if the wait there isn't much longer. Nothing
@@ -110,11 +110,11 @@
     fn new(service: &'a Service, kind: GroupKind, now: Micros, errand: &'a Errand<'a>) -> Self {
         let usual_of_all = service.work(errand.purpose).usual(f64::from(errand.tokens));
         let fetched = if errand.purpose == Purpose::Decode { errand.tokens } else { 0 };
-        let handover = service.engine.as_ref().map_or(0.0, |engine| {
+        let transfer_time = service.engine.as_ref().map_or(0.0, |engine| {
             f64::from(fetched) * engine.cache_token_bytes as f64 * 8.0 / engine.link_mbps.max(1.0)
         });
         let group = service.group(kind);
-        Rater { service, kind, group, errand, peers: *service.peers(kind), now, usual_of_all, handover }
+        Rater { service, kind, group, errand, peers: *service.peers(kind), now, usual_of_all, transfer_time }
     }
 
     /// The best by score, then what speaks for homes.
@@ -255,13 +255,13 @@
     /// fetched, the way from its holder counts, as that moves far more than the request does.
     fn distance(&self, searcher: &Searcher, usual: f64) -> f64 {
         let (distance, moves) = match self.errand.source {
-            Some(source) => (searcher.locality.distance(source), self.handover),
+            Some(source) => (searcher.locality.distance(source), self.transfer_time),
             None => (searcher.distance, 0.0),
         };
         match distance {
             Distance::SameZone => 0.0,
-            Distance::SameRegion => ZONE_CROSSING * usual + (ZONE_HANDOVER - 1.0) * moves,
-            Distance::OtherRegion => REGION_CROSSING * usual + (REGION_HANDOVER - 1.0) * moves,
+            Distance::SameRegion => ZONE_CROSSING_COST * usual + (ZONE_TRANSFER_FACTOR - 1.0) * moves,
+            Distance::OtherRegion => REGION_CROSSING_COST * usual + (REGION_TRANSFER_FACTOR - 1.0) * moves,
         }
     }
 }
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -7,7 +7,7 @@
 
 use super::admission_control::AdmissionControl;
 use super::budget::RetryBudget;
-use super::handover::Handovers;
+use super::kv_transfer::KvTransfers;
 use super::locality::{Distance, Locality, LocalityRegistry};
 use super::plan::{Incarnation, SendRecord};
 use super::prefix_cache::{PrefixCacheIndex, PrefixHash};
@@ -78,7 +78,7 @@
     pub prefix_cache: PrefixCacheIndex,
     pub budget: RetryBudget,
     pub admission: AdmissionControl,
-    pub handovers: Handovers,
+    pub kv_transfers: KvTransfers,
     searchers: Vec<Searcher>,
     unused: Vec<SearcherId>,
     by_identifier: HashMap<String, SearcherId>,
@@ -95,7 +95,7 @@
             prefix_cache: PrefixCacheIndex::default(),
             budget,
             admission: AdmissionControl::default(),
-            handovers: Handovers::default(),
+            kv_transfers: KvTransfers::default(),
             searchers: Vec::new(),
             unused: Vec::new(),
             by_identifier: HashMap::new(),
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Notes whether a decode searcher took a request, and with it a handle: see [`super::handover`].
+    /// Notes whether a decode searcher took a request, and with it a handle: see [`super::kv_transfer`].
     fn learn_acceptance(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome) {
         let taken = match outcome {
             SendOutcome::FirstEvent | SendOutcome::Answered => true,
@@ -284,24 +284,24 @@
             _ => return,
         };
         let accepts = self.searchers[record.searcher as usize].acceptance(now);
-        let is_handover = record.purpose == Purpose::Decode;
+        let is_transfer = record.purpose == Purpose::Decode;
         let holder = record.holder.filter(|holder| self.is_listed(*holder));
         let holds = holder.map_or(1.0, |holder| self.searchers[holder.searcher as usize].acceptance(now));
         self.searcher_mut(record.searcher).learn_acceptance(
             now,
             taken,
-            if is_handover { holds } else { 1.0 },
+            if is_transfer { holds } else { 1.0 },
         );
-        if !is_handover {
+        if !is_transfer {
             return;
         }
         match taken {
-            true => self.handovers.succeeded(),
-            false => self.handovers.failed(now, record.sent, accepts),
+            true => self.kv_transfers.succeeded(),
+            false => self.kv_transfers.failed(now, record.sent, accepts),
         }
         if let Some(holder) = holder {
             let peers = self.refresh_peers(now, GroupKind::Prefill);
-            self.searcher_mut(holder.searcher).learn_handover(now, taken, accepts, &peers);
+            self.searcher_mut(holder.searcher).learn_transfer(now, taken, accepts, &peers);
         }
     }
 
--- a/crates/lockusher-proxy/src/decision/split.rs
+++ b/crates/lockusher-proxy/src/decision/split.rs
@@ -45,9 +45,9 @@
     if !reads.is_known() || !moves.is_known() {
         return true;
     }
-    let handing_over = reads.least() + moves.slope() * f64::from(choice.tokens);
+    let transfer_time = reads.least() + moves.slope() * f64::from(choice.tokens);
     let reading = SLOWER_IN_PLACE * reads.quickest() * f64::from(choice.whole.at_most);
-    INTERFERENCE * reading >= handing_over && !evades_wait(choice, reading)
+    INTERFERENCE * reading >= transfer_time && !evades_wait(choice, reading)
 }
 
 /// Whether a short prompt goes to an idle decode searcher, as prefill searchers would be late with it.
--- a/crates/lockusher-proxy/src/send.rs
+++ b/crates/lockusher-proxy/src/send.rs
@@ -268,14 +268,14 @@
     }
 
     /// Whether a handle that was rejected may be sent once more.
-    fn may_hand_over_again(&self) -> bool {
+    fn may_transfer_again(&self) -> bool {
         let now = self.shared.clock.micros();
-        self.shared.director.borrow().may_hand_over_again(now, &self.plan)
+        self.shared.director.borrow().may_transfer_again(now, &self.plan)
     }
 
     /// After a failed send: decides whether the handle is still of use.
     fn settle_handle(&mut self, failure: &SendFailure) {
-        let may_hand_over_again = self.may_hand_over_again();
+        let may_transfer_again = self.may_transfer_again();
         let Some(mut handle) = self.handle.take() else { return };
         let reuse = &self.shared.handle_reuse;
         let keeps = match failure {
@@ -288,7 +288,7 @@
                 if !first {
                     reuse.learn(false);
                 }
-                first && may_hand_over_again && reuse.is_worth_trying(handle.age(), self.terms.handle_hold)
+                first && may_transfer_again && reuse.is_worth_trying(handle.age(), self.terms.handle_hold)
             }
         };
         if keeps {
--- a/crates/lockusher-proxy/tests/decision_handover.rs
+++ b/crates/lockusher-proxy/tests/decision_kv_transfer.rs
@@ -85,7 +85,7 @@
         if gone || full {
             director.outcome(now + 6 * MS, ticket, SendOutcome::Rejected);
             flow.rejected += 1;
-            let again = holder.is_some() && director.may_hand_over_again(now, &plan);
+            let again = holder.is_some() && director.may_transfer_again(now, &plan);
             flow.offered_again += usize::from(again);
             holder = holder.filter(|_| again);
             continue;
@@ -121,7 +121,7 @@
 fn the_last_attempt_goes_whole() {
     let (mut director, now) = calm(4, 4);
     let (mut plan, first) = handover_that_is_rejected(&mut director, now, 2);
-    assert!(!director.may_hand_over_again(now, &plan));
+    assert!(!director.may_transfer_again(now, &plan));
     assert!(!director.split(now, &plan));
     let (second, ticket) = send(&mut director, now, &mut plan, Purpose::Whole);
     assert_ne!(first, second);
@@ -133,7 +133,7 @@
 fn a_handle_is_sent_once_more_while_an_attempt_is_left_for_the_whole() {
     let (mut director, now) = calm(4, 4);
     let (plan, _) = handover_that_is_rejected(&mut director, now, 3);
-    assert!(director.may_hand_over_again(now, &plan));
+    assert!(director.may_transfer_again(now, &plan));
 }
 
 #[test]
