--- a/crates/lockusher-proxy/src/decision/director.rs
+++ b/crates/lockusher-proxy/src/decision/director.rs
@@ -16,7 +16,7 @@
 use super::plan::{Progress, RequestPlan, SendRecord, Settlement};
 use super::prefix_cache::prefixes;
 use super::searcher::Searcher;
-use super::selection::{Errand, Pick, select};
+use super::selection::{SelectedSearcher, SelectionCriteria, select};
 use super::service::{GroupKind, Service};
 use super::split::{ReadingChoice, is_split_cheaper};
 use super::trace;
@@ -147,8 +147,8 @@
         if !has(GroupKind::Prefill) || !has(GroupKind::Decode) {
             return false;
         }
-        let prefill = self.pick(now, plan, Purpose::Prefill, 0);
-        let whole = self.pick(now, plan, Purpose::Whole, 0);
+        let prefill = self.select_searcher(now, plan, Purpose::Prefill, 0);
+        let whole = self.select_searcher(now, plan, Purpose::Whole, 0);
         match (prefill, whole) {
             (Some(prefill), Some(whole)) => {
                 let (tokens, target) = (plan.tokens, plan.target);
@@ -173,7 +173,7 @@
         let kind = self.services[plan.service].kind(purpose);
         self.services[plan.service].refresh_peers(now, kind);
         let luck = self.luck.random();
-        let Some(pick) = self.pick(now, plan, purpose, luck) else {
+        let Some(selected) = self.select_searcher(now, plan, purpose, luck) else {
             return Choice::Refuse { retry_after_ms: self.retry_after_ms(now, plan) };
         };
         let fleet = self.fleet.unwrap_or(UNKNOWN_FLEET);
@@ -184,31 +184,31 @@
                 return Choice::Exhausted;
             }
         }
-        let priority = self.priority(plan, purpose, pick.tokens);
+        let priority = self.priority(plan, purpose, selected.tokens);
         let ticket = self.take_ticket();
         let counting = plan.counting(purpose);
         plan.progress.sent(purpose, counting);
         let service = &mut self.services[plan.service];
-        service.searcher_mut(pick.searcher).sent(now, ticket);
-        service.prefix_cache.record(now, pick.searcher, &plan.prefixes);
+        service.searcher_mut(selected.searcher).sent(now, ticket);
+        service.prefix_cache.record(now, selected.searcher, &plan.prefixes);
         if purpose == Purpose::Prefill {
             service.kv_transfers.started(now);
         }
-        let searcher = service.searcher(pick.searcher);
+        let searcher = service.searcher(selected.searcher);
         if purpose == Purpose::Prefill {
             plan.source = Some(searcher.locality);
         }
         let record = SendRecord {
             service: plan.service,
-            searcher: pick.searcher,
+            searcher: selected.searcher,
             hash: searcher.hash,
             purpose,
             sent: now,
-            tokens: pick.tokens,
-            expected: pick.expected,
+            tokens: selected.tokens,
+            expected: selected.expected,
             waited: now.saturating_sub(plan.progress.admitted),
             target: plan.target,
-            at_most: pick.at_most,
+            at_most: selected.at_most,
             counting,
             holder: plan.progress.holder.get().filter(|_| purpose == Purpose::Decode),
             heard: false,
@@ -298,22 +298,28 @@
         service.learn(now, record, SendOutcome::FirstEvent, elapsed);
     }
 
-    fn pick(&self, now: Micros, plan: &RequestPlan, purpose: Purpose, luck: u64) -> Option<Pick> {
+    fn select_searcher(
+        &self,
+        now: Micros,
+        plan: &RequestPlan,
+        purpose: Purpose,
+        luck: u64,
+    ) -> Option<SelectedSearcher> {
         let service = &self.services[plan.service];
         let cache_retention = CACHE_RETENTION_SPANS * self.settings.again_ms * MICROS_PER_MS;
         let tried = plan.progress.tried.borrow();
-        let errand = Errand {
+        let criteria = SelectionCriteria {
             purpose,
             only: plan.same_searcher(purpose),
             prefixes: &plan.prefixes,
             tokens: plan.tokens,
             tried: &tried,
             source: if purpose == Purpose::Decode { plan.source } else { None },
-            repeatable: plan.is_idempotent && plan.attempts > plan.progress.counted.get() + 1,
+            is_retryable: plan.is_idempotent && plan.attempts > plan.progress.counted.get() + 1,
             cached_since: now.saturating_sub(cache_retention),
             luck,
         };
-        select(service, service.kind(purpose), now, &errand)
+        select(service, service.kind(purpose), now, &criteria)
     }
 
     fn take_ticket(&mut self) -> u64 {
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -28,7 +28,7 @@
 
 /// What is sent, as far as it matters for the choice.
 #[derive(Clone, Copy, Debug)]
-pub struct Errand<'a> {
+pub struct SelectionCriteria<'a> {
     pub purpose: Purpose,
     /// The prefixes of the prompt.
     pub prefixes: &'a [Prefix],
@@ -41,7 +41,7 @@
     /// Where the KV cache is fetched from.
     pub source: Option<Locality>,
     /// Whether a send that fails may be made good: only then is a suspect tried.
-    pub repeatable: bool,
+    pub is_retryable: bool,
     /// What a searcher holds is still there if it was sent after this moment.
     pub cached_since: Micros,
     /// Decides between equal scores.
@@ -50,7 +50,7 @@
 
 /// The searcher that was chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pick {
+pub struct SelectedSearcher {
     pub searcher: SearcherId,
     /// The tokens that it is expected to read or move.
     pub tokens: u32,
@@ -62,7 +62,7 @@
 
 /// A searcher with its figures for one errand.
 #[derive(Clone, Copy, Debug)]
-struct Rated {
+struct EvaluatedCandidate {
     id: SearcherId,
     tokens: u32,
     at_most: u32,
@@ -80,11 +80,11 @@
 }
 
 /// Rates the searchers of one group for one errand.
-struct Rater<'a> {
+struct CandidateEvaluator<'a> {
     service: &'a Service,
     kind: GroupKind,
     group: &'a Group,
-    errand: &'a Errand<'a>,
+    criteria: &'a SelectionCriteria<'a>,
     peers: Peers,
     now: Micros,
     /// The usual time of a searcher that holds nothing of the prompt.
@@ -95,52 +95,66 @@
 
 /// The searcher with the lowest score, or the prompt's home if the wait there isn't much longer. Nothing
 /// if no searcher is left that wasn't tried.
-pub fn select(service: &Service, kind: GroupKind, now: Micros, errand: &Errand) -> Option<Pick> {
-    let rater = Rater::new(service, kind, now, errand);
+pub fn select(
+    service: &Service,
+    kind: GroupKind,
+    now: Micros,
+    criteria: &SelectionCriteria,
+) -> Option<SelectedSearcher> {
+    let evaluator = CandidateEvaluator::new(service, kind, now, criteria);
     // Suspects are passed over, but never the last ones.
-    let picked = match errand.only {
-        Some(only) => rater.rate_only(only)?,
-        None => rater.scan(true).or_else(|| rater.scan(false))?,
+    let selected = match criteria.only {
+        Some(only) => evaluator.evaluate_only(only)?,
+        None => evaluator.scan(true).or_else(|| evaluator.scan(false))?,
     };
-    let (searcher, tokens, at_most) = (picked.id, picked.tokens, picked.at_most);
-    Some(Pick { searcher, tokens, at_most, expected: picked.expected })
+    let (searcher, tokens, at_most) = (selected.id, selected.tokens, selected.at_most);
+    Some(SelectedSearcher { searcher, tokens, at_most, expected: selected.expected })
 }
 
-impl<'a> Rater<'a> {
-    fn new(service: &'a Service, kind: GroupKind, now: Micros, errand: &'a Errand<'a>) -> Self {
-        let usual_of_all = service.work(errand.purpose).usual(f64::from(errand.tokens));
-        let fetched = if errand.purpose == Purpose::Decode { errand.tokens } else { 0 };
+impl<'a> CandidateEvaluator<'a> {
+    fn new(service: &'a Service, kind: GroupKind, now: Micros, criteria: &'a SelectionCriteria<'a>) -> Self {
+        let usual_of_all = service.work(criteria.purpose).usual(f64::from(criteria.tokens));
+        let fetched = if criteria.purpose == Purpose::Decode { criteria.tokens } else { 0 };
         let transfer_time = service.engine.as_ref().map_or(0.0, |engine| {
             f64::from(fetched) * engine.cache_token_bytes as f64 * 8.0 / engine.link_mbps.max(1.0)
         });
         let group = service.group(kind);
-        Rater { service, kind, group, errand, peers: *service.peers(kind), now, usual_of_all, transfer_time }
+        CandidateEvaluator {
+            service,
+            kind,
+            group,
+            criteria,
+            peers: *service.peers(kind),
+            now,
+            usual_of_all,
+            transfer_time,
+        }
     }
 
     /// The best by score, then what speaks for homes.
-    fn scan(&self, judge: bool) -> Option<Rated> {
+    fn scan(&self, judge: bool) -> Option<EvaluatedCandidate> {
         let best = match self.lowest(judge) {
-            Found::Trial(id) => return Some(self.rate_reading(id, 0)),
+            Found::Trial(id) => return Some(self.evaluate(id, 0)),
             Found::Lowest(id) => id?,
         };
-        let best = self.rate_reading(best, 0);
-        let Some(shared) = shared(self.errand.prefixes) else { return Some(best) };
+        let best = self.evaluate(best, 0);
+        let Some(shared) = shared(self.criteria.prefixes) else { return Some(best) };
         Some(self.prefer_affinity_target(best, shared, judge))
     }
 
     /// The one searcher that may be chosen, while it takes requests.
-    fn rate_only(&self, only: Incarnation) -> Option<Rated> {
+    fn evaluate_only(&self, only: Incarnation) -> Option<EvaluatedCandidate> {
         let is_there = self.service.searcher(only.searcher).hash == only.hash;
         let takes = is_there && self.service.group_of(only.searcher) == Some(self.kind);
-        takes.then(|| self.rate_reading(only.searcher, 0))
+        takes.then(|| self.evaluate(only.searcher, 0))
     }
 
     /// One pass over the candidates for the lowest score. This is nearly all that a choice costs.
     fn lowest(&self, judge: bool) -> Found {
         let mut best = Best::default();
-        let any_tried = !self.errand.tried.is_empty();
+        let any_tried = !self.criteria.tried.is_empty();
         for &id in &self.group.candidates {
-            if any_tried && self.errand.tried.contains(&id) {
+            if any_tried && self.criteria.tried.contains(&id) {
                 continue;
             }
             let searcher = self.service.searcher(id);
@@ -150,14 +164,14 @@
             }
             let standing = searcher.standing(self.now, &self.peers);
             if judge && standing.is_suspect(&self.peers) {
-                if self.errand.repeatable && searcher.trial_due(self.now) {
+                if self.criteria.is_retryable && searcher.trial_due(self.now) {
                     return Found::Trial(id);
                 }
                 continue;
             }
             let latency = self.latency(searcher, &standing, self.usual_of_all);
             let score = score(standing.in_flight, standing.queue, latency);
-            best.offer(score, searcher.hash ^ self.errand.luck, id);
+            best.offer(score, searcher.hash ^ self.criteria.luck, id);
         }
         Found::Lowest(best.id)
     }
@@ -166,31 +180,39 @@
     fn is_eligible(&self, id: SearcherId, judge: bool) -> bool {
         let standing = self.service.searcher(id).standing(self.now, &self.peers);
         let is_out = judge && standing.is_suspect(&self.peers);
-        !is_out && !self.errand.tried.contains(&id)
+        !is_out && !self.criteria.tried.contains(&id)
     }
 
     /// Takes the prompt's first home if the wait there isn't much longer than at the best, else the second.
-    fn prefer_affinity_target(&self, best: Rated, shared: Prefix, judge: bool) -> Rated {
+    fn prefer_affinity_target(
+        &self,
+        best: EvaluatedCandidate,
+        shared: Prefix,
+        judge: bool,
+    ) -> EvaluatedCandidate {
         let mut likely = true;
         for id in self.group.affinity_targets(shared.key, self.near(shared)).into_iter().flatten() {
             if !self.is_eligible(id, judge) {
                 continue;
             }
-            let known =
-                self.service.prefix_cache.cached_tokens(id, self.errand.cached_since, self.errand.prefixes);
+            let known = self.service.prefix_cache.cached_tokens(
+                id,
+                self.criteria.cached_since,
+                self.criteria.prefixes,
+            );
             // Other proxies send it there too, so the first home that isn't new holds the shared parts. A prompt of one part
             // may be a session's, of which another proxy sent the turns before.
             let is_new = self.service.searcher(id).is_new(self.now);
             let may_hold = if likely && !is_new { shared.tokens } else { 0 };
-            let assumed = if self.errand.prefixes.len() > 1 { may_hold } else { 0 };
+            let assumed = if self.criteria.prefixes.len() > 1 { may_hold } else { 0 };
             likely &= is_new;
-            let mut rated = self.rate_reading(id, known.max(assumed));
+            let mut candidate = self.evaluate(id, known.max(assumed));
             if self.reads() {
-                rated.at_most = self.errand.tokens.saturating_sub(known);
+                candidate.at_most = self.criteria.tokens.saturating_sub(known);
             }
-            let left = self.errand.tokens.saturating_sub(known.max(may_hold));
-            if rated.wait <= self.affinity_patience(left) * best.wait {
-                return rated;
+            let left = self.criteria.tokens.saturating_sub(known.max(may_hold));
+            if candidate.wait <= self.affinity_patience(left) * best.wait {
+                return candidate;
             }
         }
         best
@@ -201,7 +223,7 @@
         if self.kind == GroupKind::Decode {
             return DECODE_AFFINITY_PATIENCE;
         }
-        let spared = self.service.work(self.errand.purpose).spared_share(self.errand.tokens, left);
+        let spared = self.service.work(self.criteria.purpose).spared_share(self.criteria.tokens, left);
         1.0 + PREFILL_AFFINITY_PATIENCE * spared
     }
 
@@ -209,7 +231,7 @@
     /// hand-overs stay within a zone.
     fn near(&self, shared: Prefix) -> Option<Locality> {
         match self.kind {
-            GroupKind::Decode => self.errand.source.or_else(|| self.locality_of_prefill_target(shared)),
+            GroupKind::Decode => self.criteria.source.or_else(|| self.locality_of_prefill_target(shared)),
             GroupKind::Prefill | GroupKind::Plain => None,
         }
     }
@@ -221,18 +243,18 @@
 
     /// Whether the searcher reads the prompt, so that held parts save time.
     fn reads(&self) -> bool {
-        self.errand.purpose != Purpose::Decode
+        self.criteria.purpose != Purpose::Decode
     }
 
     /// A searcher that holds so many tokens of the prompt.
-    fn rate_reading(&self, id: SearcherId, held: u32) -> Rated {
+    fn evaluate(&self, id: SearcherId, held: u32) -> EvaluatedCandidate {
         let held = if self.reads() { held } else { 0 };
-        let tokens = self.errand.tokens.saturating_sub(held);
-        let usual = self.service.work(self.errand.purpose).usual(f64::from(tokens));
+        let tokens = self.criteria.tokens.saturating_sub(held);
+        let usual = self.service.work(self.criteria.purpose).usual(f64::from(tokens));
         let searcher = self.service.searcher(id);
         let standing = searcher.standing(self.now, &self.peers);
         let latency = self.latency(searcher, &standing, usual);
-        Rated {
+        EvaluatedCandidate {
             id,
             tokens,
             at_most: tokens,
@@ -254,7 +276,7 @@
     /// What the distance adds: a stated price of crossings as time, and the longer hand-over. Where KV cache is
     /// fetched, the way from its holder counts, as that moves far more than the request does.
     fn distance(&self, searcher: &Searcher, usual: f64) -> f64 {
-        let (distance, moves) = match self.errand.source {
+        let (distance, moves) = match self.criteria.source {
             Some(source) => (searcher.locality.distance(source), self.transfer_time),
             None => (searcher.distance, 0.0),
         };
--- a/crates/lockusher-proxy/src/decision/split.rs
+++ b/crates/lockusher-proxy/src/decision/split.rs
@@ -4,7 +4,7 @@
 //! are long, the stages of searchers follow the load; long prompts that evade them to decode searchers take several times
 //! as much of a searcher there and keep it from making tokens.
 
-use super::selection::Pick;
+use super::selection::SelectedSearcher;
 use super::service::Service;
 use super::types::{Micros, Purpose};
 
@@ -32,9 +32,9 @@
     /// The time within which the answer should begin.
     pub target: Micros,
     /// The best prefill searcher.
-    pub prefill: &'a Pick,
+    pub prefill: &'a SelectedSearcher,
     /// The best decode searcher to read the prompt itself.
-    pub whole: &'a Pick,
+    pub whole: &'a SelectedSearcher,
 }
 
 /// Whether a prefill searcher reads the prompt, and a decode searcher fetches it. In place is cheaper where reading what
