--- a/crates/lockusher-proxy/src/decision/director.rs
+++ b/crates/lockusher-proxy/src/decision/director.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct Director {
     settings: DirectorSettings,
-    luck: ChaCha8Rng,
+    random: ChaCha8Rng,
     localities: LocalityRegistry,
     own_locality: Locality,
     /// The time of the first call: the start of this life.
@@ -62,7 +62,7 @@
         let own_locality = localities.locality(&settings.zone);
         Director {
             settings,
-            luck: ChaCha8Rng::seed_from_u64(seed),
+            random: ChaCha8Rng::seed_from_u64(seed),
             localities,
             own_locality,
             started: None,
@@ -172,8 +172,8 @@
         }
         let kind = self.services[plan.service].kind(purpose);
         self.services[plan.service].refresh_peers(now, kind);
-        let luck = self.luck.random();
-        let Some(selected) = self.select_searcher(now, plan, purpose, luck) else {
+        let tie_breaker = self.random.random();
+        let Some(selected) = self.select_searcher(now, plan, purpose, tie_breaker) else {
             return Choice::Refuse { retry_after_ms: self.retry_after_ms(now, plan) };
         };
         let fleet = self.fleet.unwrap_or(UNKNOWN_FLEET);
@@ -303,7 +303,7 @@
         now: Micros,
         plan: &RequestPlan,
         purpose: Purpose,
-        luck: u64,
+        tie_breaker: u64,
     ) -> Option<SelectedSearcher> {
         let service = &self.services[plan.service];
         let cache_retention = CACHE_RETENTION_SPANS * self.settings.again_ms * MICROS_PER_MS;
@@ -317,7 +317,7 @@
             source: if purpose == Purpose::Decode { plan.source } else { None },
             is_retryable: plan.is_idempotent && plan.attempts > plan.progress.counted.get() + 1,
             cached_since: now.saturating_sub(cache_retention),
-            luck,
+            tie_breaker,
         };
         select(service, service.kind(purpose), now, &criteria)
     }
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -45,7 +45,7 @@
     /// What a searcher holds is still there if it was sent after this moment.
     pub cached_since: Micros,
     /// Decides between equal scores.
-    pub luck: u64,
+    pub tie_breaker: u64,
 }
 
 /// The searcher that was chosen.
@@ -171,7 +171,7 @@
             }
             let latency = self.latency(searcher, &standing, self.usual_of_all);
             let score = score(standing.in_flight, standing.queue, latency);
-            best.offer(score, searcher.hash ^ self.criteria.luck, id);
+            best.offer(score, searcher.hash ^ self.criteria.tie_breaker, id);
         }
         Found::Lowest(best.id)
     }
@@ -292,21 +292,21 @@
 #[derive(Debug)]
 struct Best {
     score: f64,
-    luck: u64,
+    tie_breaker: u64,
     id: Option<SearcherId>,
 }
 
 impl Default for Best {
     fn default() -> Self {
-        Best { score: f64::INFINITY, luck: 0, id: None }
+        Best { score: f64::INFINITY, tie_breaker: 0, id: None }
     }
 }
 
 impl Best {
-    fn offer(&mut self, score: f64, luck: u64, id: SearcherId) {
-        if score > self.score || (score == self.score && mix(luck) >= mix(self.luck)) {
+    fn offer(&mut self, score: f64, tie_breaker: u64, id: SearcherId) {
+        if score > self.score || (score == self.score && mix(tie_breaker) >= mix(self.tie_breaker)) {
             return;
         }
-        *self = Best { score, luck, id: Some(id) };
+        *self = Best { score, tie_breaker, id: Some(id) };
     }
 }
