--- a/crates/lockusher-proxy/src/decision/interface.rs
+++ b/crates/lockusher-proxy/src/decision/interface.rs
@@ -1,4 +1,4 @@
-//! The values that go in and out of a [`Director`](super::Director).
+//! The values that go in and out of a [`RequestRouter`](super::RequestRouter).
 
 use std::collections::BTreeMap;
 
@@ -8,9 +8,9 @@
 use super::plan::RequestPlan;
 use super::types::PromptPart;
 
-/// What a director is told of its node and its promises.
+/// What a router is told of its node and its promises.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DirectorSettings {
+pub struct RequestRouterSettings {
     /// The zone of this proxy.
     pub zone: String,
     /// The region of each zone; may be empty.
@@ -26,9 +26,9 @@
     pub drain_ms: u64,
 }
 
-impl From<&NodeSettings> for DirectorSettings {
+impl From<&NodeSettings> for RequestRouterSettings {
     fn from(node: &NodeSettings) -> Self {
-        DirectorSettings {
+        RequestRouterSettings {
             zone: node.zone.clone(),
             zones: node.zones.clone(),
             retry_budget_ratio: node.bounds.retry_budget_ratio,
--- a/crates/lockusher-proxy/src/decision/mod.rs
+++ b/crates/lockusher-proxy/src/decision/mod.rs
@@ -45,18 +45,18 @@
 //! | A searcher that reads for others is good once its handles are taken: a rejected hand-over counts against it by as much as the decode searcher has taken lately (`handover`) | a handle that lapses shows only at the decode searcher, whose answer is the same when it is full | after rejected hand-overs |
 //! | No prompt is read for others while less than four tenths of the hand-overs succeed, except for a trial after 1 s, then 2, 4 and 8 | what can't be handed over is read for nothing and costs a repeat | most hand-overs fail |
 //! | If a rejected handle seems to be gone, the last send that the attempts allow goes whole to a decode searcher; the one that rejected a hand-over may be asked once more for the whole | a handle that is gone may not cost the request | after rejected hand-overs |
-//! | `Priority` of a prefill call follows the tokens to read, a step for each doubling of the mean; all other sends carry their route's rank (`director`) | a prompt of 70,000 tokens is read for over a second in front of short ones, whose clients leave meanwhile; no proxy sees a searcher's queue, the searcher does | always; it chooses no searcher |
+//! | `Priority` of a prefill call follows the tokens to read, a step for each doubling of the mean; all other sends carry their route's rank (`request_router`) | a prompt of 70,000 tokens is read for over a second in front of short ones, whose clients leave meanwhile; no proxy sees a searcher's queue, the searcher does | always; it chooses no searcher |
 //! | The prompt is read in place if reading there what isn't held, counted ten times at half the pace, takes less than a prefill call's least time and moving the whole prompt, or if it is short, prefill searchers would take half of the target and a decode searcher answers within a quarter of it (`split`) | a hand-over of a long prompt of which little is to be read costs more than it saves; evading waits to decode searchers keeps them from making tokens | both stages were measured |
 
 mod admission_control;
 mod budget;
-mod director;
 mod interface;
 mod kv_transfer;
 mod load;
 mod locality;
 mod plan;
 mod prefix_cache;
+mod request_router;
 mod scoring;
 mod searcher;
 mod selection;
@@ -66,7 +66,7 @@
 mod types;
 mod work;
 
-pub use director::Director;
-pub use interface::{Admission, Choice, DirectorSettings, RequestFacts, SendTicket};
+pub use interface::{Admission, Choice, RequestFacts, RequestRouterSettings, SendTicket};
 pub use plan::RequestPlan;
+pub use request_router::RequestRouter;
 pub use types::{MICROS_PER_MS, Micros, PromptPart, Purpose, SendOutcome};
--- a/crates/lockusher-proxy/src/decision/director.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -1,4 +1,4 @@
-//! The director: the entry points of all decisions.
+//! The router: the entry points of all decisions.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::budget::{RetryBudget, UNKNOWN_FLEET};
-use super::interface::{Admission, Choice, DirectorSettings, RequestFacts, SendTicket};
+use super::interface::{Admission, Choice, RequestFacts, RequestRouterSettings, SendTicket};
 use super::load::Loads;
 use super::locality::{Locality, LocalityRegistry};
 use super::plan::{Progress, RequestPlan, SendRecord, Settlement};
@@ -39,8 +39,8 @@
 
 /// All decisions of one proxy.
 #[derive(Debug)]
-pub struct Director {
-    settings: DirectorSettings,
+pub struct RequestRouter {
+    settings: RequestRouterSettings,
     random: ChaCha8Rng,
     localities: LocalityRegistry,
     own_locality: Locality,
@@ -55,12 +55,12 @@
     loads: Loads,
 }
 
-impl Director {
-    /// A director that knows no searcher and no configuration yet. The same seed and calls give the same choices.
-    pub fn new(settings: DirectorSettings, seed: u64) -> Self {
+impl RequestRouter {
+    /// A router that knows no searcher and no configuration yet. The same seed and calls give the same choices.
+    pub fn new(settings: RequestRouterSettings, seed: u64) -> Self {
         let mut localities = LocalityRegistry::new(settings.zones.clone());
         let own_locality = localities.locality(&settings.zone);
-        Director {
+        RequestRouter {
             settings,
             random: ChaCha8Rng::seed_from_u64(seed),
             localities,
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -39,7 +39,7 @@
     let deadlines = Deadlines::new(request.arrived, request.patience, timeout);
     let service = shared.choose_service(route);
     let facts = facts(&request, route, service, deadlines.answer);
-    let admission = shared.director.borrow_mut().admit(shared.clock.micros(), &facts);
+    let admission = shared.router.borrow_mut().admit(shared.clock.micros(), &facts);
     match admission {
         Admission::Refuse { retry_after_ms } => answer::refusal(retry_after_ms),
         Admission::Go(plan) => {
--- a/crates/lockusher-proxy/src/send.rs
+++ b/crates/lockusher-proxy/src/send.rs
@@ -215,15 +215,15 @@
     }
 
     fn not_run(&self) -> NoAnswer {
-        let director = self.shared.director.borrow();
-        let retry_after_ms = director.retry_after_ms(self.shared.clock.micros(), &self.plan);
+        let router = self.shared.router.borrow();
+        let retry_after_ms = router.retry_after_ms(self.shared.clock.micros(), &self.plan);
         NoAnswer::NotRun { retry_after_ms }
     }
 
-    /// Has the director choose a searcher.
+    /// Has the router choose a searcher.
     fn choose(&mut self, purpose: Purpose) -> Option<(Destination, SendGuard)> {
         let now = self.shared.clock.micros();
-        let choice = self.shared.director.borrow_mut().choose(now, &mut self.plan, purpose);
+        let choice = self.shared.router.borrow_mut().choose(now, &mut self.plan, purpose);
         match choice {
             Choice::Send { identifier, address, ticket, priority, .. } => {
                 self.priority = priority;
@@ -263,14 +263,13 @@
     }
 
     fn splits(&self) -> bool {
-        self.request.has_prompt()
-            && self.shared.director.borrow().split(self.shared.clock.micros(), &self.plan)
+        self.request.has_prompt() && self.shared.router.borrow().split(self.shared.clock.micros(), &self.plan)
     }
 
     /// Whether a handle that was rejected may be sent once more.
     fn may_transfer_again(&self) -> bool {
         let now = self.shared.clock.micros();
-        self.shared.director.borrow().may_transfer_again(now, &self.plan)
+        self.shared.router.borrow().may_transfer_again(now, &self.plan)
     }
 
     /// After a failed send: decides whether the handle is still of use.
--- a/crates/lockusher-proxy/src/serve.rs
+++ b/crates/lockusher-proxy/src/serve.rs
@@ -100,7 +100,7 @@
 async fn report_loads(shared: Rc<Shared>, report: impl Fn(Vec<ServiceLoad>)) {
     loop {
         compio::time::sleep(LOAD_PAUSE).await;
-        let loads = shared.director.borrow_mut().take_loads(shared.clock.micros());
+        let loads = shared.router.borrow_mut().take_loads(shared.clock.micros());
         if let Some(loads) = loads {
             report(loads);
         }
--- a/crates/lockusher-proxy/src/shared.rs
+++ b/crates/lockusher-proxy/src/shared.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::decision::{Director, DirectorSettings, SendOutcome, SendTicket};
+use crate::decision::{RequestRouter, RequestRouterSettings, SendOutcome, SendTicket};
 use crate::descriptors::Descriptors;
 use crate::handle_reuse::HandleReuse;
 use crate::memory::BodyMemory;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) clock: Clock,
-    pub(crate) director: RefCell<Director>,
+    pub(crate) router: RefCell<RequestRouter>,
     pub(crate) pool: Pool,
     pub(crate) descriptors: Rc<Descriptors>,
     pub(crate) body_memory: Rc<BodyMemory>,
@@ -50,7 +50,7 @@
         let body_bytes = settings.limits.memory_mb * BYTES_PER_MB / BODY_MEMORY_SHARE;
         Rc::new(Shared {
             clock: Clock::start(),
-            director: RefCell::new(Director::new(DirectorSettings::from(settings), seed)),
+            router: RefCell::new(RequestRouter::new(RequestRouterSettings::from(settings), seed)),
             pool: Pool::new(descriptors.clone()),
             descriptors,
             body_memory: BodyMemory::new(body_bytes),
@@ -67,21 +67,21 @@
     /// Takes an update whole; requests admitted before keep the snapshot that they have.
     pub(crate) fn apply(&self, update: FeedUpdate) {
         let now = self.clock.micros();
-        let mut director = self.director.borrow_mut();
+        let mut router = self.router.borrow_mut();
         match update {
             FeedUpdate::Configuration(configuration) => {
-                director.apply_configuration(now, configuration.clone());
+                router.apply_configuration(now, configuration.clone());
                 self.pool.apply_configuration(&configuration);
                 self.traffic_splits.borrow_mut().keep_only(&configuration.routes);
                 *self.routes.borrow_mut() = Some(Rc::new(RouteTable::new(configuration)));
             }
             FeedUpdate::Instances { instances, .. } => {
-                director.apply_instances(now, &instances);
+                router.apply_instances(now, &instances);
                 self.pool.apply_instances(&instances);
                 self.holds_instances.set(true);
             }
             FeedUpdate::FleetSize(proxies) => {
-                director.set_fleet_size(proxies);
+                router.set_fleet_size(proxies);
                 self.pool.set_fleet_size(proxies);
             }
         }
@@ -146,7 +146,7 @@
     }
 }
 
-/// Owes the director the outcome of one send. Dropped without one, the send was cancelled.
+/// Owes the router the outcome of one send. Dropped without one, the send was cancelled.
 #[derive(Debug)]
 pub(crate) struct SendGuard {
     shared: Rc<Shared>,
@@ -170,7 +170,7 @@
 
     fn report(&self, ticket: SendTicket, outcome: SendOutcome) {
         let now = self.shared.clock.micros();
-        self.shared.director.borrow_mut().outcome(now, ticket, outcome);
+        self.shared.router.borrow_mut().outcome(now, ticket, outcome);
     }
 }
 
--- a/crates/lockusher-proxy/src/upstream/exchange.rs
+++ b/crates/lockusher-proxy/src/upstream/exchange.rs
@@ -57,7 +57,7 @@
         !matches!(self, SendFailure::Broken)
     }
 
-    /// How the director is told.
+    /// How the router is told.
     pub(crate) fn outcome(&self) -> SendOutcome {
         match self {
             SendFailure::AtLimit | SendFailure::Unreachable => SendOutcome::Unreachable,
--- a/crates/lockusher-proxy/tests/decision_affinity.rs
+++ b/crates/lockusher-proxy/tests/decision_affinity.rs
@@ -8,21 +8,21 @@
 use lockusher_proxy::decision::*;
 
 /// Where each of so many openings goes, one request of each long after the other.
-fn affinity_targets(director: &mut Director, start: Micros, openings: u64) -> HashMap<u64, String> {
+fn affinity_targets(router: &mut RequestRouter, start: Micros, openings: u64) -> HashMap<u64, String> {
     let home = |opening| {
         let now = start + opening * 200 * MS;
-        (opening, serve(director, now, &prompt(opening, 1_000_000 + now), Purpose::Prefill, 60 * MS))
+        (opening, serve(router, now, &prompt(opening, 1_000_000 + now), Purpose::Prefill, 60 * MS))
     };
     (0..openings).map(home).collect()
 }
 
 #[test]
-fn directors_with_different_histories_agree_on_homes() {
+fn routers_with_different_histories_agree_on_homes() {
     let list = split_fleet(8, 8);
-    let mut fresh = director(&list, 1);
+    let mut fresh = router(&list, 1);
     let mut reversed: Vec<_> = list.clone();
     reversed.reverse();
-    let mut other = director(&reversed, 2);
+    let mut other = router(&reversed, 2);
     for step in 0..2_000 {
         serve(
             &mut other,
@@ -44,11 +44,11 @@
 #[test]
 fn one_that_leaves_moves_only_its_own() {
     let list = split_fleet(8, 8);
-    let mut director = director(&list, 1);
-    let before = affinity_targets(&mut director, 0, 200);
+    let mut router = router(&list, 1);
+    let before = affinity_targets(&mut router, 0, 200);
     let fewer: Vec<_> = list.into_iter().filter(|instance| instance.identifier != "r3").collect();
-    director.apply_instances(100 * SECOND, &fewer);
-    let after = affinity_targets(&mut director, 200 * SECOND, 200);
+    router.apply_instances(100 * SECOND, &fewer);
+    let after = affinity_targets(&mut router, 200 * SECOND, 200);
     let moved = before.iter().filter(|(opening, home)| *home != "r3" && after[opening] != **home).count();
     assert!(moved <= 4, "{moved} moved without need");
     assert!(after.values().all(|home| home != "r3"));
@@ -56,13 +56,13 @@
 
 #[test]
 fn a_session_comes_back_to_what_it_was_sent_to() {
-    let mut director = director(&split_fleet(8, 8), 1);
+    let mut router = router(&split_fleet(8, 8), 1);
     let session =
         RequestFacts { prompt: vec![PromptPart { id: 77, tokens: 4_000 }], tokens_in: 4_000, ..prompt(1, 1) };
-    let first = serve(&mut director, 0, &session, Purpose::Prefill, 60 * MS);
+    let first = serve(&mut router, 0, &session, Purpose::Prefill, 60 * MS);
     for turn in 1..10 {
         // What is kept needs no reading.
-        assert_eq!(serve(&mut director, turn * SECOND, &session, Purpose::Prefill, 8 * MS), first);
+        assert_eq!(serve(&mut router, turn * SECOND, &session, Purpose::Prefill, 8 * MS), first);
     }
 }
 
@@ -74,8 +74,8 @@
         let parts = vec![PromptPart { id, tokens: 3_000 }];
         let session = RequestFacts { prompt: parts, tokens_in: 3_000, ..prompt(1, 1) };
         let first_turn = |number: usize| {
-            let mut director = director_in(zone(number), &list, number as u64);
-            serve(&mut director, 0, &session, Purpose::Prefill, 60 * MS)
+            let mut router = router_in(zone(number), &list, number as u64);
+            serve(&mut router, 0, &session, Purpose::Prefill, 60 * MS)
         };
         assert_eq!(first_turn(0), first_turn(1));
         assert_eq!(first_turn(0), first_turn(2));
@@ -84,15 +84,15 @@
 
 #[test]
 fn a_home_that_is_busy_is_left() {
-    let mut director = director(&split_fleet(4, 4), 1);
+    let mut router = router(&split_fleet(4, 4), 1);
     for step in 0..50 {
-        serve(&mut director, step * 100 * MS, &prompt(step, step), Purpose::Prefill, 60 * MS);
+        serve(&mut router, step * 100 * MS, &prompt(step, step), Purpose::Prefill, 60 * MS);
     }
     let now = 10 * SECOND;
     let mut met = HashMap::new();
     for step in 0..60 {
-        let mut plan = admit(&mut director, now, &prompt(5, 1_000 + step));
-        let (identifier, _) = send(&mut director, now, &mut plan, Purpose::Prefill);
+        let mut plan = admit(&mut router, now, &prompt(5, 1_000 + step));
+        let (identifier, _) = send(&mut router, now, &mut plan, Purpose::Prefill);
         *met.entry(identifier).or_insert(0) += 1;
     }
     assert_eq!(met.len(), 4, "{met:?}");
@@ -101,7 +101,7 @@
 
 /// How many of sixty prompts that nobody has answered yet went to the searcher that got most.
 fn most_at_one(shared: u32, own: u32) -> u32 {
-    let mut director = director(&split_fleet(4, 4), 1);
+    let mut router = router(&split_fleet(4, 4), 1);
     let facts = |opening: u64, step: u64| RequestFacts {
         prompt: vec![
             PromptPart { id: opening, tokens: shared },
@@ -117,12 +117,12 @@
             tokens_in: tokens,
             ..prompt(1, 1)
         };
-        serve(&mut director, step * 100 * MS, &varied, Purpose::Prefill, Micros::from(tokens) * 20);
+        serve(&mut router, step * 100 * MS, &varied, Purpose::Prefill, Micros::from(tokens) * 20);
     }
     let mut met = HashMap::new();
     for step in 0..60 {
-        let mut plan = admit(&mut director, 10 * SECOND, &facts(5, step));
-        let (identifier, _) = send(&mut director, 10 * SECOND, &mut plan, Purpose::Prefill);
+        let mut plan = admit(&mut router, 10 * SECOND, &facts(5, step));
+        let (identifier, _) = send(&mut router, 10 * SECOND, &mut plan, Purpose::Prefill);
         *met.entry(identifier).or_insert(0) += 1;
     }
     met.into_values().max().expect("some were sent")
--- a/crates/lockusher-proxy/tests/decision_budget.rs
+++ b/crates/lockusher-proxy/tests/decision_budget.rs
@@ -53,26 +53,26 @@
 
 fn play(events: &[Event], told: bool) -> Seen {
     let fresh = |seed| {
-        let mut director = director(&plain(40), seed);
+        let mut router = router(&plain(40), seed);
         if told {
-            director.set_fleet_size(PROXIES as u32);
+            router.set_fleet_size(PROXIES as u32);
         }
-        director
+        router
     };
-    let mut directors: Vec<Director> = (0..PROXIES as u64).map(fresh).collect();
+    let mut routers: Vec<RequestRouter> = (0..PROXIES as u64).map(fresh).collect();
     let mut seen = Seen::default();
     for event in events {
         if event.restarts {
-            directors[event.proxy] = fresh(event.at);
-            directors[event.proxy].apply_instances(event.at, &plain(40));
+            routers[event.proxy] = fresh(event.at);
+            routers[event.proxy].apply_instances(event.at, &plain(40));
         }
-        let director = &mut directors[event.proxy];
+        let router = &mut routers[event.proxy];
         let facts = RequestFacts { attempts: event.attempts, ..request() };
         seen.requests.push(event.at);
-        let mut plan = admit(director, event.at, &facts);
+        let mut plan = admit(router, event.at, &facts);
         let mut sends = 0;
-        while let Choice::Send { ticket, .. } = director.choose(event.at, &mut plan, Purpose::Whole) {
-            director.outcome(event.at, ticket, SendOutcome::Failed);
+        while let Choice::Send { ticket, .. } = router.choose(event.at, &mut plan, Purpose::Whole) {
+            router.outcome(event.at, ticket, SendOutcome::Failed);
             sends += 1;
             if sends > 1 {
                 seen.repeats.push(event.at);
@@ -128,15 +128,15 @@
 
 #[test]
 fn a_smaller_fleet_told_later_does_not_raise_the_share() {
-    let mut director = director(&plain(40), 1);
-    director.set_fleet_size(60);
-    director.set_fleet_size(1);
+    let mut router = router(&plain(40), 1);
+    router.set_fleet_size(60);
+    router.set_fleet_size(1);
     let facts = RequestFacts { attempts: 9, ..request() };
     let now = 25 * SECOND;
-    let mut plan = admit(&mut director, now, &facts);
+    let mut plan = admit(&mut router, now, &facts);
     let mut sends = 0;
-    while let Choice::Send { ticket, .. } = director.choose(now, &mut plan, Purpose::Whole) {
-        director.outcome(now, ticket, SendOutcome::Failed);
+    while let Choice::Send { ticket, .. } = router.choose(now, &mut plan, Purpose::Whole) {
+        router.outcome(now, ticket, SendOutcome::Failed);
         sends += 1;
     }
     assert_eq!(sends, 1);
--- a/crates/lockusher-proxy/tests/decision_cost.rs
+++ b/crates/lockusher-proxy/tests/decision_cost.rs
@@ -23,10 +23,10 @@
 fn cost(candidates: usize, prompts: bool) -> f64 {
     let list: Vec<_> =
         (0..candidates).map(|number| searcher(&format!("d{number}"), "a", Some(Stage::Decode))).collect();
-    let mut director = director(&list, 1);
+    let mut router = router(&list, 1);
     let facts = |step: u64| if prompts { prompt(step % 500, step) } else { request() };
     for step in 0..20 * candidates as u64 {
-        serve(&mut director, step * 100, &facts(step), Purpose::Whole, 50 * MS + step % 7 * MS);
+        serve(&mut router, step * 100, &facts(step), Purpose::Whole, 50 * MS + step % 7 * MS);
     }
     let mut now = 10 * SECOND;
     let mut quickest = f64::MAX;
@@ -37,12 +37,12 @@
         let mut spent = 0.0;
         for step in 0..BATCH {
             now += 200;
-            let mut plan = admit(&mut director, now, &facts(batch * BATCH + step));
+            let mut plan = admit(&mut router, now, &facts(batch * BATCH + step));
             let begin = Instant::now();
-            let choice = director.choose(now, &mut plan, Purpose::Whole);
+            let choice = router.choose(now, &mut plan, Purpose::Whole);
             spent += begin.elapsed().as_secs_f64() * 1e6;
             let Choice::Send { ticket, .. } = choice else { panic!("no send") };
-            director.outcome(now + 50 * MS, ticket, SendOutcome::Answered);
+            router.outcome(now + 50 * MS, ticket, SendOutcome::Answered);
         }
         quickest = quickest.min(spent / BATCH as f64);
     }
@@ -64,7 +64,7 @@
 
 #[test]
 fn the_memory_of_a_searcher_is_bounded() {
-    let bytes = Director::searcher_bytes();
+    let bytes = RequestRouter::searcher_bytes();
     println!("{bytes} bytes a searcher, besides its entry of the list");
     assert!(bytes <= 512);
 }
--- a/crates/lockusher-proxy/tests/decision_gray.rs
+++ b/crates/lockusher-proxy/tests/decision_gray.rs
@@ -20,25 +20,30 @@
 
 /// Sends so many requests one after the other; `p0` ends them by its fault, the others answer in 30 ms. The
 /// number of sends to each.
-fn flow(director: &mut Director, start: Micros, requests: u64, fault: Option<Fault>) -> HashMap<String, u64> {
+fn flow(
+    router: &mut RequestRouter,
+    start: Micros,
+    requests: u64,
+    fault: Option<Fault>,
+) -> HashMap<String, u64> {
     let mut sends: HashMap<String, u64> = HashMap::new();
     let mut out: Vec<(Micros, SendTicket, SendOutcome)> = Vec::new();
     for step in 0..requests {
         let now = start + step * GAP;
         out.sort_by_key(|(at, ..)| *at);
         while let Some((at, ticket, outcome)) = out.first().copied().filter(|(at, ..)| *at <= now) {
-            director.outcome(at, ticket, outcome);
+            router.outcome(at, ticket, outcome);
             out.remove(0);
         }
-        let mut plan = admit(director, now, &request());
-        let (identifier, ticket) = send(director, now, &mut plan, Purpose::Whole);
+        let mut plan = admit(router, now, &request());
+        let (identifier, ticket) = send(router, now, &mut plan, Purpose::Whole);
         let good = Fault { outcome: SendOutcome::Answered, takes: 30 * MS + step % 5 * MS };
         let fault = fault.filter(|_| identifier == "p0").unwrap_or(good);
         out.push((now + fault.takes, ticket, fault.outcome));
         *sends.entry(identifier).or_default() += 1;
     }
     for (at, ticket, outcome) in out {
-        director.outcome(at, ticket, outcome);
+        router.outcome(at, ticket, outcome);
     }
     sends
 }
@@ -51,42 +56,42 @@
     is_silent = { SendOutcome::TimedOut, 5_000 },
 )]
 fn one_that_fails_loses_its_traffic_but_is_tried_again(outcome: SendOutcome, takes_ms: u64) {
-    let mut director = director(&plain(5), 3);
-    flow(&mut director, 0, 200, None);
+    let mut router = router(&plain(5), 3);
+    flow(&mut router, 0, 200, None);
     let fault = Fault { outcome, takes: takes_ms * MS };
-    let at_first = flow(&mut director, 3 * SECOND, 100, Some(fault));
+    let at_first = flow(&mut router, 3 * SECOND, 100, Some(fault));
     assert!(at_first.get("p0").is_none_or(|sends| *sends <= 20), "{at_first:?}");
     // Sixty seconds of it.
-    let later = flow(&mut director, 15 * SECOND, 6_000, Some(fault));
+    let later = flow(&mut router, 15 * SECOND, 6_000, Some(fault));
     let tried = later.get("p0").copied().unwrap_or(0);
     assert!((1..=40).contains(&tried), "{later:?}");
     // Once it is well again it gets its share back in a while.
-    flow(&mut director, 90 * SECOND, 6_000, None);
-    let well = flow(&mut director, 160 * SECOND, 1_000, None);
+    flow(&mut router, 90 * SECOND, 6_000, None);
+    let well = flow(&mut router, 160 * SECOND, 1_000, None);
     assert!(well.get("p0").is_some_and(|sends| *sends > 80), "{well:?}");
 }
 
 #[test]
 fn one_that_was_slow_once_recovers() {
-    let mut director = director(&plain(5), 3);
-    flow(&mut director, 0, 200, None);
+    let mut router = router(&plain(5), 3);
+    flow(&mut router, 0, 200, None);
     let slow = Fault { outcome: SendOutcome::Answered, takes: 600 * MS };
-    let while_slow = flow(&mut director, 3 * SECOND, 500, Some(slow));
+    let while_slow = flow(&mut router, 3 * SECOND, 500, Some(slow));
     assert!(while_slow["p0"] < 40, "{while_slow:?}");
-    flow(&mut director, 10 * SECOND, 4_000, None);
-    let after = flow(&mut director, 60 * SECOND, 1_000, None);
+    flow(&mut router, 10 * SECOND, 4_000, None);
+    let after = flow(&mut router, 60 * SECOND, 1_000, None);
     assert!(after["p0"] > 100, "{after:?}");
 }
 
 #[test]
 fn where_all_look_bad_none_is_ruled_out() {
-    let mut director = director(&plain(5), 3);
+    let mut router = router(&plain(5), 3);
     let mut met: HashMap<String, u64> = HashMap::new();
     for step in 0..500 {
         let now = step * GAP;
-        let mut plan = admit(&mut director, now, &request());
-        let (identifier, ticket) = send(&mut director, now, &mut plan, Purpose::Whole);
-        director.outcome(now + MS, ticket, SendOutcome::Failed);
+        let mut plan = admit(&mut router, now, &request());
+        let (identifier, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
+        router.outcome(now + MS, ticket, SendOutcome::Failed);
         *met.entry(identifier).or_default() += 1;
     }
     assert!(met.len() == 5 && met.values().all(|sends| *sends > 40), "{met:?}");
@@ -94,40 +99,40 @@
 
 #[test]
 fn the_last_one_is_not_ruled_out() {
-    let mut director = director(&plain(1), 3);
+    let mut router = router(&plain(1), 3);
     let fault = Fault { outcome: SendOutcome::Failed, takes: MS };
-    assert_eq!(flow(&mut director, 0, 100, Some(fault))["p0"], 100);
+    assert_eq!(flow(&mut router, 0, 100, Some(fault))["p0"], 100);
 }
 
 #[test]
 fn one_that_has_just_come_draws_no_rush() {
     // Sixty proxies with a few requests out at each of ten searchers; one more comes.
     let mut list = plain(10);
-    let mut directors: Vec<Director> = (0..60).map(|seed| director(&list, seed)).collect();
+    let mut routers: Vec<RequestRouter> = (0..60).map(|seed| router(&list, seed)).collect();
     let mut now = 0;
     let mut out: Vec<(usize, SendTicket)> = Vec::new();
     for _ in 0..40 {
         now += GAP;
-        for (number, director) in directors.iter_mut().enumerate() {
-            let mut plan = admit(director, now, &request());
-            out.push((number, send(director, now, &mut plan, Purpose::Whole).1));
+        for (number, router) in routers.iter_mut().enumerate() {
+            let mut plan = admit(router, now, &request());
+            out.push((number, send(router, now, &mut plan, Purpose::Whole).1));
         }
         while out.len() > 60 * 20 {
             let (number, ticket) = out.remove(0);
-            directors[number].outcome(now, ticket, SendOutcome::Answered);
+            routers[number].outcome(now, ticket, SendOutcome::Answered);
         }
     }
     list.push(searcher("new", "a", None));
     let mut to_new = 0;
-    for director in &mut directors {
-        director.apply_instances(now, &list);
+    for router in &mut routers {
+        router.apply_instances(now, &list);
     }
     // In the first tenth of a second after it came: its share of 600 sends would be 55.
     for _ in 0..10 {
         now += GAP;
-        for director in &mut directors {
-            let mut plan = admit(director, now, &request());
-            let (identifier, _) = send(director, now, &mut plan, Purpose::Whole);
+        for router in &mut routers {
+            let mut plan = admit(router, now, &request());
+            let (identifier, _) = send(router, now, &mut plan, Purpose::Whole);
             to_new += usize::from(identifier == "new");
         }
     }
--- a/crates/lockusher-proxy/tests/decision_load.rs
+++ b/crates/lockusher-proxy/tests/decision_load.rs
@@ -1,4 +1,4 @@
-//! What a director tells of its load, and how it treats a searcher that changes its stage.
+//! What a router tells of its load, and how it treats a searcher that changes its stage.
 
 mod decision_support;
 
@@ -8,15 +8,15 @@
 
 #[test]
 fn the_load_is_averaged_over_the_time_since_it_was_told() {
-    let mut director = director(&split_fleet(1, 1), 1);
-    director.take_loads(SECOND).expect("the first");
-    let mut plan = admit(&mut director, SECOND, &prompt(1, 2));
-    let (_, prefill) = send(&mut director, SECOND, &mut plan, Purpose::Prefill);
-    director.outcome(SECOND + 500 * MS, prefill, SendOutcome::Answered);
-    let (_, decode) = send(&mut director, SECOND + 500 * MS, &mut plan, Purpose::Decode);
-    director.outcome(SECOND + 600 * MS, decode, SendOutcome::FirstEvent);
-    director.outcome(SECOND + 900 * MS, decode, SendOutcome::Answered);
-    let loads = director.take_loads(2 * SECOND).expect("a second later");
+    let mut router = router(&split_fleet(1, 1), 1);
+    router.take_loads(SECOND).expect("the first");
+    let mut plan = admit(&mut router, SECOND, &prompt(1, 2));
+    let (_, prefill) = send(&mut router, SECOND, &mut plan, Purpose::Prefill);
+    router.outcome(SECOND + 500 * MS, prefill, SendOutcome::Answered);
+    let (_, decode) = send(&mut router, SECOND + 500 * MS, &mut plan, Purpose::Decode);
+    router.outcome(SECOND + 600 * MS, decode, SendOutcome::FirstEvent);
+    router.outcome(SECOND + 900 * MS, decode, SendOutcome::Answered);
+    let loads = router.take_loads(2 * SECOND).expect("a second later");
     assert_eq!(loads.len(), 1);
     let load = &loads[0];
     assert_eq!((load.service.as_str(), load.proxies, load.requests_per_s), (SERVICE, 1, 1));
@@ -24,34 +24,34 @@
     assert_eq!(load.prefill_tokens_per_s, 3_000);
     assert_eq!((load.prefill_in_flight, load.decode_in_flight, load.decode_waiting), (50, 40, 10));
     assert_eq!(load.decode_tokens, 6_000);
-    assert_eq!(director.take_loads(2 * SECOND + MS), None, "it was just told");
-    let later = director.take_loads(3 * SECOND).expect("a second later");
+    assert_eq!(router.take_loads(2 * SECOND + MS), None, "it was just told");
+    let later = router.take_loads(3 * SECOND).expect("a second later");
     assert_eq!((later[0].prefill_in_flight, later[0].decode_in_flight), (0, 0));
 }
 
 #[test]
 fn a_searcher_that_changes_its_stage_gets_nothing_until_it_is_back_in_the_other() {
     let mut list = split_fleet(2, 2);
-    let mut director = director(&list, 1);
+    let mut router = router(&list, 1);
     let changing = list.iter_mut().find(|one| one.identifier == "d0").expect("it is listed");
     changing.state = InstanceState::Changing;
-    director.apply_instances(SECOND, &list);
+    router.apply_instances(SECOND, &list);
     for number in 0..20 {
         let now = SECOND + number * MS;
-        let mut plan = admit(&mut director, now, &prompt(1, 100 + number));
-        let (reader, _) = send(&mut director, now, &mut plan, Purpose::Prefill);
-        let (maker, _) = send(&mut director, now, &mut plan, Purpose::Decode);
+        let mut plan = admit(&mut router, now, &prompt(1, 100 + number));
+        let (reader, _) = send(&mut router, now, &mut plan, Purpose::Prefill);
+        let (maker, _) = send(&mut router, now, &mut plan, Purpose::Decode);
         assert_ne!(reader, "d0");
         assert_eq!(maker, "d1");
     }
     let back = list.iter_mut().find(|one| one.identifier == "d0").expect("it is listed");
     (back.state, back.stage) = (InstanceState::Ready, Some(Stage::Prefill));
-    director.apply_instances(4 * SECOND, &list);
+    router.apply_instances(4 * SECOND, &list);
     let mut readers = Vec::new();
     for number in 0..60 {
         let now = 7 * SECOND + number * MS;
-        let mut plan = admit(&mut director, now, &prompt(200 + number, 300 + number));
-        let (reader, _) = send(&mut director, now, &mut plan, Purpose::Prefill);
+        let mut plan = admit(&mut router, now, &prompt(200 + number, 300 + number));
+        let (reader, _) = send(&mut router, now, &mut plan, Purpose::Prefill);
         readers.push(reader);
     }
     assert!(readers.iter().any(|reader| reader == "d0"), "it reads now");
--- a/crates/lockusher-proxy/tests/decision_model.rs
+++ b/crates/lockusher-proxy/tests/decision_model.rs
@@ -6,7 +6,7 @@
 use decision_support::engine::Speeds;
 use decision_support::fleet::*;
 use decision_support::*;
-use lockusher_proxy::decision::Director;
+use lockusher_proxy::decision::RequestRouter;
 
 fn speeds() -> Speeds {
     Speeds {
@@ -56,15 +56,15 @@
 }
 
 fn directed(day: &Day, always_split: bool) -> Figures {
-    play_directed(day, |director| Directed::new(director, always_split))
+    play_directed(day, |router| Directed::new(router, always_split))
 }
 
-fn play_directed(day: &Day, chooser: impl Fn(Director) -> Directed) -> Figures {
+fn play_directed(day: &Day, chooser: impl Fn(RequestRouter) -> Directed) -> Figures {
     let list = spread_fleet(day.prefill, day.decode, day.zones);
     let chooser = |number: u64| {
-        let mut director = director_in(zone(number as usize % day.zones), &list, number);
-        director.set_fleet_size(day.proxies as u32);
-        Box::new(chooser(director)) as Box<dyn Chooser>
+        let mut router = router_in(zone(number as usize % day.zones), &list, number);
+        router.set_fleet_size(day.proxies as u32);
+        Box::new(chooser(router)) as Box<dyn Chooser>
     };
     play(day, (0..day.proxies as u64).map(chooser).collect())
 }
@@ -84,7 +84,7 @@
     ];
     let split = directed(day, true);
     println!("{name}:");
-    println!("  director       {} {:?}", figures[0].line(), figures[0].prefills);
+    println!("  router       {} {:?}", figures[0].line(), figures[0].prefills);
     println!("  always split   {} {:?}", split.line(), split.prefills);
     println!("  round robin    {}", figures[1].line());
     println!("  least loaded   {}", figures[2].line());
--- a/crates/lockusher-proxy/tests/decision_scoring.rs
+++ b/crates/lockusher-proxy/tests/decision_scoring.rs
@@ -104,7 +104,7 @@
     #[test]
     fn the_lowest_score_wins(requests in requests(), seed: u64) {
         let list = plain(SEARCHERS);
-        let mut director = director(&list, seed);
+        let mut router = router(&list, seed);
         let mut model = Model::default();
         for instance in &list {
             model.searchers.insert(instance.identifier.clone(), Plain::default());
@@ -118,11 +118,11 @@
             out.sort();
             while out.first().is_some_and(|(at, ..)| *at <= now) {
                 let (at, sent, identifier, ticket) = out.remove(0);
-                director.outcome(at, ticket, SendOutcome::Answered);
+                router.outcome(at, ticket, SendOutcome::Answered);
                 model.answered(&identifier, sent, at);
             }
-            let mut plan = admit(&mut director, now, &facts);
-            let (identifier, ticket) = send(&mut director, now, &mut plan, Purpose::Whole);
+            let mut plan = admit(&mut router, now, &facts);
+            let (identifier, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
             let lowest = model.searchers.keys().map(|each| model.score(each, now)).fold(f64::MAX, f64::min);
             let chosen = model.score(&identifier, now);
             prop_assert!(chosen <= lowest * (1.0 + 1e-9), "{identifier}: {chosen}, but the lowest is {lowest}");
--- a/crates/lockusher-proxy/tests/decision_support/choosers.rs
+++ b/crates/lockusher-proxy/tests/decision_support/choosers.rs
@@ -1,4 +1,4 @@
-//! The director and the plain ways to choose that it is compared with.
+//! The router and the plain ways to choose that it is compared with.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 
 /// The proxy's own decisions.
 pub struct Directed {
-    director: Director,
+    router: RequestRouter,
     plans: HashMap<usize, RequestPlan>,
     tickets: HashMap<(usize, Purpose), SendTicket>,
     always_split: bool,
@@ -18,21 +18,21 @@
 }
 
 impl Directed {
-    /// A proxy's director; `always_split` leaves no choice where prompts are read.
-    pub fn new(director: Director, always_split: bool) -> Self {
-        Directed { director, plans: HashMap::new(), tickets: HashMap::new(), always_split, no_gate: false }
+    /// A proxy's router; `always_split` leaves no choice where prompts are read.
+    pub fn new(router: RequestRouter, always_split: bool) -> Self {
+        Directed { router, plans: HashMap::new(), tickets: HashMap::new(), always_split, no_gate: false }
     }
 
     /// The same without a gate at admission.
-    pub fn without_gate(director: Director) -> Self {
-        Directed { no_gate: true, ..Directed::new(director, false) }
+    pub fn without_gate(router: RequestRouter) -> Self {
+        Directed { no_gate: true, ..Directed::new(router, false) }
     }
 }
 
 impl Chooser for Directed {
     fn admit(&mut self, now: Micros, request: usize, facts: &RequestFacts) -> Result<(), u64> {
         let patient = RequestFacts { kind: RouteKind::Idempotent, remaining_ms: 3_600_000, ..facts.clone() };
-        match self.director.admit(now, if self.no_gate { &patient } else { facts }) {
+        match self.router.admit(now, if self.no_gate { &patient } else { facts }) {
             Admission::Go(plan) => {
                 self.plans.insert(request, plan);
                 Ok(())
@@ -42,7 +42,7 @@
     }
 
     fn split(&mut self, now: Micros, request: usize, _facts: &RequestFacts) -> bool {
-        self.always_split || self.director.split(now, &self.plans[&request])
+        self.always_split || self.router.split(now, &self.plans[&request])
     }
 
     fn choose(
@@ -53,7 +53,7 @@
         purpose: Purpose,
     ) -> Option<usize> {
         let plan = self.plans.get_mut(&request)?;
-        let Choice::Send { identifier, ticket, .. } = self.director.choose(now, plan, purpose) else {
+        let Choice::Send { identifier, ticket, .. } = self.router.choose(now, plan, purpose) else {
             return None;
         };
         self.tickets.insert((request, purpose), ticket);
@@ -69,7 +69,7 @@
         outcome: SendOutcome,
     ) {
         let ticket = self.tickets[&(request, purpose)];
-        self.director.outcome(now, ticket, outcome);
+        self.router.outcome(now, ticket, outcome);
         if outcome != SendOutcome::FirstEvent && purpose != Purpose::Prefill {
             self.plans.remove(&request);
         }
--- a/crates/lockusher-proxy/tests/decision_support/mod.rs
+++ b/crates/lockusher-proxy/tests/decision_support/mod.rs
@@ -23,8 +23,8 @@
 pub const MS: Micros = 1_000;
 
 /// Settings of a proxy in zone `a`.
-pub fn settings() -> DirectorSettings {
-    DirectorSettings {
+pub fn settings() -> RequestRouterSettings {
+    RequestRouterSettings {
         zone: "a".into(),
         zones: BTreeMap::from([
             ("a".into(), "r".into()),
@@ -109,17 +109,17 @@
     readers.chain(makers).collect()
 }
 
-/// A director of this list and configuration.
-pub fn director(instances: &[Instance], seed: u64) -> Director {
-    director_in("a", instances, seed)
+/// A router of this list and configuration.
+pub fn router(instances: &[Instance], seed: u64) -> RequestRouter {
+    router_in("a", instances, seed)
 }
 
 /// The same in another zone.
-pub fn director_in(zone: &str, instances: &[Instance], seed: u64) -> Director {
-    let mut director = Director::new(DirectorSettings { zone: zone.into(), ..settings() }, seed);
-    director.apply_configuration(0, configuration());
-    director.apply_instances(0, instances);
-    director
+pub fn router_in(zone: &str, instances: &[Instance], seed: u64) -> RequestRouter {
+    let mut router = RequestRouter::new(RequestRouterSettings { zone: zone.into(), ..settings() }, seed);
+    router.apply_configuration(0, configuration());
+    router.apply_instances(0, instances);
+    router
 }
 
 /// A plain request with two attempts that may be repeated.
@@ -145,8 +145,8 @@
 }
 
 /// Admits a request that must be taken.
-pub fn admit(director: &mut Director, now: Micros, facts: &RequestFacts) -> RequestPlan {
-    match director.admit(now, facts) {
+pub fn admit(router: &mut RequestRouter, now: Micros, facts: &RequestFacts) -> RequestPlan {
+    match router.admit(now, facts) {
         Admission::Go(plan) => plan,
         Admission::Refuse { .. } => panic!("refused"),
     }
@@ -154,12 +154,12 @@
 
 /// Chooses where a send must be possible: the searcher's identifier and the ticket.
 pub fn send(
-    director: &mut Director,
+    router: &mut RequestRouter,
     now: Micros,
     plan: &mut RequestPlan,
     purpose: Purpose,
 ) -> (String, SendTicket) {
-    match director.choose(now, plan, purpose) {
+    match router.choose(now, plan, purpose) {
         Choice::Send { identifier, ticket, .. } => (identifier, ticket),
         other => panic!("no send: {other:?}"),
     }
@@ -167,14 +167,14 @@
 
 /// One whole request that is answered after a time: the searcher that had it.
 pub fn serve(
-    director: &mut Director,
+    router: &mut RequestRouter,
     now: Micros,
     facts: &RequestFacts,
     purpose: Purpose,
     takes: Micros,
 ) -> String {
-    let mut plan = admit(director, now, facts);
-    let (identifier, ticket) = send(director, now, &mut plan, purpose);
-    director.outcome(now + takes, ticket, SendOutcome::Answered);
+    let mut plan = admit(router, now, facts);
+    let (identifier, ticket) = send(router, now, &mut plan, purpose);
+    router.outcome(now + takes, ticket, SendOutcome::Answered);
     identifier
 }
