--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -45,7 +45,7 @@
 const FULL: f64 = 2.0;
 
 /// For so long a searcher new in its stage is taken to be as busy as its peers.
-const RAMP: Micros = 2_000_000;
+const SLOW_START: Micros = 2_000_000;
 
 /// The first pause before a searcher that fails is tried again; it doubles with each failure.
 const FIRST_PAUSE: Micros = 2_000_000;
@@ -68,7 +68,7 @@
     good: f64,
     heard: Micros,
     /// Until when it is taken to be as busy as its peers.
-    ramp_end: Micros,
+    slow_start_end: Micros,
     /// When the oldest send was sent that nothing was heard of yet; the end of time if there is none.
     silent_since: Micros,
     /// Own sends out at it: Q.
@@ -83,7 +83,7 @@
     failures: u32,
     /// When it was last chosen.
     sent: Micros,
-    ramp: Micros,
+    slow_start: Micros,
     /// EWMA of the share that was taken: of its handles, or of the sends to it.
     accepts: f64,
     accepts_at: Micros,
@@ -121,11 +121,17 @@
 }
 
 impl Searcher {
-    /// A searcher first seen, or one that has changed its stage. `fresh` says that others of its stage were
+    /// A searcher first seen, or one that has changed its stage. `starts_slowly` says that others of its stage were
     /// known before, so that it is new among them.
-    pub fn new(now: Micros, instance: Instance, locality: Locality, distance: Distance, fresh: bool) -> Self {
+    pub fn new(
+        now: Micros,
+        instance: Instance,
+        locality: Locality,
+        distance: Distance,
+        starts_slowly: bool,
+    ) -> Self {
         let hash = instance.identifier.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
-        let ramp = if fresh { RAMP.max(instance.cold_remaining_ms * 1_000) } else { 0 };
+        let slow_start = if starts_slowly { SLOW_START.max(instance.cold_remaining_ms * 1_000) } else { 0 };
         let ready = instance.state == lockusher_config::instances::InstanceState::Ready;
         Searcher {
             instance: Box::new(instance),
@@ -140,8 +146,8 @@
             failures: 0,
             heard: now,
             sent: 0,
-            ramp_end: now + ramp,
-            ramp: ramp.max(1),
+            slow_start_end: now + slow_start,
+            slow_start: slow_start.max(1),
             accepts: 1.0,
             accepts_at: now,
             silent: Vec::new(),
@@ -270,8 +276,8 @@
             standing.good = 1.0 + (self.good - 1.0) * memory;
             standing.queue = self.queue * remembered(QUEUE_STEPS * steps);
         }
-        if now < self.ramp_end {
-            let new = (self.ramp_end - now) as f64 / self.ramp as f64;
+        if now < self.slow_start_end {
+            let new = (self.slow_start_end - now) as f64 / self.slow_start as f64;
             standing.in_flight += peers.in_flight * new;
             standing.queue = standing.queue.max(peers.queue * new);
         }
@@ -292,8 +298,8 @@
     }
 
     /// Whether it is new in its stage: it can't hold yet what its stage's searchers hold.
-    pub fn is_new(&self, now: Micros) -> bool {
-        now < self.ramp_end
+    pub fn is_in_slow_start(&self, now: Micros) -> bool {
+        now < self.slow_start_end
     }
 
     /// How long the oldest send has been out without a sign of life, in microseconds.
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -202,10 +202,10 @@
             );
             // Other proxies send it there too, so the first home that isn't new holds the shared parts. A prompt of one part
             // may be a session's, of which another proxy sent the turns before.
-            let is_new = self.service.searcher(id).is_new(self.now);
-            let may_hold = if likely && !is_new { shared.tokens } else { 0 };
+            let is_in_slow_start = self.service.searcher(id).is_in_slow_start(self.now);
+            let may_hold = if likely && !is_in_slow_start { shared.tokens } else { 0 };
             let assumed = if self.criteria.prefixes.len() > 1 { may_hold } else { 0 };
-            likely &= is_new;
+            likely &= is_in_slow_start;
             let mut candidate = self.evaluate(id, known.max(assumed));
             if self.reads() {
                 candidate.at_most = self.criteria.tokens.saturating_sub(known);
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -132,17 +132,17 @@
         running: bool,
     ) {
         let Some(&id) = self.by_identifier.get(&instance.identifier) else {
-            let fresh = running && self.has_peers(instance.stage);
-            let id = self.insert(Searcher::new(now, instance.clone(), locality, distance, fresh));
+            let starts_slowly = running && self.has_peers(instance.stage);
+            let id = self.insert(Searcher::new(now, instance.clone(), locality, distance, starts_slowly));
             self.by_identifier.insert(instance.identifier.clone(), id);
             return;
         };
         if self.searchers[id as usize].instance.stage != instance.stage {
-            let fresh = self.has_peers(instance.stage);
+            let starts_slowly = self.has_peers(instance.stage);
             self.prefix_cache.forget_searcher(id);
             let searcher = &mut self.searchers[id as usize];
             let in_flight = searcher.in_flight;
-            *searcher = Searcher::new(now, instance.clone(), locality, distance, fresh);
+            *searcher = Searcher::new(now, instance.clone(), locality, distance, starts_slowly);
             searcher.in_flight = in_flight;
             return;
         }
