--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -48,10 +48,10 @@
 const SLOW_START: Micros = 2_000_000;
 
 /// The first pause before a searcher that fails is tried again; it doubles with each failure.
-const FIRST_PAUSE: Micros = 2_000_000;
+const INITIAL_EJECTION: Micros = 2_000_000;
 
 /// The pause doubles so many times at most.
-const DOUBLINGS: u32 = 4;
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
 /// One searcher in its present stage. What a choice looks at comes first and fills one line of the cache.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
     /// EWMA of Q.
     queue: f64,
     /// EWMA of the share of sends that ended well.
-    good: f64,
+    success_rate: f64,
     heard: Micros,
     /// Until when it is taken to be as busy as its peers.
     slow_start_end: Micros,
@@ -80,7 +80,7 @@
     /// Its entry of the list.
     pub instance: Box<Instance>,
     /// Failures since the last good answer.
-    failures: u32,
+    consecutive_failures: u32,
     /// When it was last chosen.
     sent: Micros,
     slow_start: Micros,
@@ -101,13 +101,13 @@
     /// Mean queue average.
     pub queue: f64,
     /// The middle share of good sends.
-    pub good: f64,
+    pub success_rate: f64,
 }
 
 impl Default for Peers {
     fn default() -> Self {
         // With no peer heard from, a searcher takes what is usual.
-        Peers { latency: 1.0, in_flight: 0.0, queue: 0.0, good: 1.0 }
+        Peers { latency: 1.0, in_flight: 0.0, queue: 0.0, success_rate: 1.0 }
     }
 }
 
@@ -117,7 +117,7 @@
     pub in_flight: f64,
     pub queue: f64,
     pub latency: f64,
-    pub good: f64,
+    pub success_rate: f64,
 }
 
 impl Searcher {
@@ -142,8 +142,8 @@
             in_flight: 0,
             queue: 0.0,
             latency: f64::NAN,
-            good: 1.0,
-            failures: 0,
+            success_rate: 1.0,
+            consecutive_failures: 0,
             heard: now,
             sent: 0,
             slow_start_end: now + slow_start,
@@ -201,7 +201,7 @@
         blend(&mut latency, sample, weight);
         self.latency = latency;
         self.queue = standing.queue;
-        self.judge(outcome, standing.good);
+        self.record_success(outcome, standing.success_rate);
         self.heard = now;
     }
 
@@ -227,33 +227,33 @@
             self.latency = standing.latency;
         }
         self.queue = standing.queue;
-        self.good = standing.good;
+        self.success_rate = standing.success_rate;
         self.heard = now;
         if taken {
-            self.failures = 0;
-            blend(&mut self.good, 1.0, NEWEST);
+            self.consecutive_failures = 0;
+            blend(&mut self.success_rate, 1.0, NEWEST);
         } else {
-            self.failures += u32::from(weight > 0.5);
-            blend(&mut self.good, 0.0, NEWEST * weight);
+            self.consecutive_failures += u32::from(weight > 0.5);
+            blend(&mut self.success_rate, 0.0, NEWEST * weight);
         }
     }
 
-    fn judge(&mut self, outcome: SendOutcome, good: f64) {
-        self.good = good;
+    fn record_success(&mut self, outcome: SendOutcome, success_rate: f64) {
+        self.success_rate = success_rate;
         match outcome {
             // Reading for another is good once the handle was taken.
             SendOutcome::Answered if self.instance.stage == Some(Stage::Prefill) => {}
             SendOutcome::FirstEvent | SendOutcome::Answered => {
-                self.failures = 0;
-                blend(&mut self.good, 1.0, NEWEST);
+                self.consecutive_failures = 0;
+                blend(&mut self.success_rate, 1.0, NEWEST);
             }
             SendOutcome::Failed | SendOutcome::TimedOut | SendOutcome::Misdirected => {
-                self.failures += 1;
-                blend(&mut self.good, 0.0, NEWEST);
+                self.consecutive_failures += 1;
+                blend(&mut self.success_rate, 0.0, NEWEST);
             }
             SendOutcome::Unreachable => {
-                self.failures += 1;
-                blend(&mut self.good, 0.0, UNREACHABLE);
+                self.consecutive_failures += 1;
+                blend(&mut self.success_rate, 0.0, UNREACHABLE);
             }
             SendOutcome::Rejected | SendOutcome::Cancelled => {}
         }
@@ -267,13 +267,13 @@
             in_flight: f64::from(self.in_flight),
             queue: self.queue,
             latency: own,
-            good: self.good,
+            success_rate: self.success_rate,
         };
         if self.in_flight == 0 {
             let steps = self.idle_steps(now);
             let memory = remembered(steps);
             standing.latency = peers.latency + (own - peers.latency) * memory;
-            standing.good = 1.0 + (self.good - 1.0) * memory;
+            standing.success_rate = 1.0 + (self.success_rate - 1.0) * memory;
             standing.queue = self.queue * remembered(QUEUE_STEPS * steps);
         }
         if now < self.slow_start_end {
@@ -286,7 +286,7 @@
 
     /// A lower bound of its latency at any time, quick to work out; none for one that may be a suspect.
     pub fn least_latency(&self, peers: &Peers) -> f64 {
-        if self.good < peers.good / 2.0 {
+        if self.success_rate < peers.success_rate / 2.0 {
             return 0.0;
         }
         // The average drifts between its own and the peers'; `min` passes over an average that is none yet.
@@ -308,14 +308,15 @@
     }
 
     /// Whether a suspect may be tried again: nothing is out there, and its pause is over.
-    pub fn trial_due(&self, now: Micros) -> bool {
-        let pause = FIRST_PAUSE << self.failures.saturating_sub(1).min(DOUBLINGS);
-        self.in_flight == 0 && now >= self.heard.max(self.sent) + pause
+    pub fn is_probe_due(&self, now: Micros) -> bool {
+        let ejection =
+            INITIAL_EJECTION << self.consecutive_failures.saturating_sub(1).min(MAX_EJECTION_DOUBLINGS);
+        self.in_flight == 0 && now >= self.heard.max(self.sent) + ejection
     }
 
     /// The plain averages of queue and of good sends, for the peers' means.
     pub fn averages(&self) -> (f64, f64) {
-        (self.queue, self.good)
+        (self.queue, self.success_rate)
     }
 
     /// The latency average, if anything was heard.
@@ -331,7 +332,7 @@
 
 impl Standing {
     /// Whether it fails much more often than its peers do.
-    pub fn is_suspect(&self, peers: &Peers) -> bool {
-        self.good < peers.good / 2.0
+    pub fn is_outlier(&self, peers: &Peers) -> bool {
+        self.success_rate < peers.success_rate / 2.0
     }
 }
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -74,7 +74,7 @@
 /// What a pass over the candidates finds.
 enum Found {
     /// A suspect that is due to be tried again.
-    Trial(SearcherId),
+    Probe(SearcherId),
     /// The lowest score, if there is a candidate.
     Lowest(Option<SearcherId>),
 }
@@ -132,14 +132,14 @@
     }
 
     /// The best by score, then what speaks for homes.
-    fn scan(&self, judge: bool) -> Option<EvaluatedCandidate> {
-        let best = match self.lowest(judge) {
-            Found::Trial(id) => return Some(self.evaluate(id, 0)),
+    fn scan(&self, exclude_outliers: bool) -> Option<EvaluatedCandidate> {
+        let best = match self.lowest(exclude_outliers) {
+            Found::Probe(id) => return Some(self.evaluate(id, 0)),
             Found::Lowest(id) => id?,
         };
         let best = self.evaluate(best, 0);
         let Some(shared) = shared(self.criteria.prefixes) else { return Some(best) };
-        Some(self.prefer_affinity_target(best, shared, judge))
+        Some(self.prefer_affinity_target(best, shared, exclude_outliers))
     }
 
     /// The one searcher that may be chosen, while it takes requests.
@@ -150,7 +150,7 @@
     }
 
     /// One pass over the candidates for the lowest score. This is nearly all that a choice costs.
-    fn lowest(&self, judge: bool) -> Found {
+    fn lowest(&self, exclude_outliers: bool) -> Found {
         let mut best = Best::default();
         let any_tried = !self.criteria.tried.is_empty();
         for &id in &self.group.candidates {
@@ -163,9 +163,9 @@
                 continue;
             }
             let standing = searcher.standing(self.now, &self.peers);
-            if judge && standing.is_suspect(&self.peers) {
-                if self.criteria.is_retryable && searcher.trial_due(self.now) {
-                    return Found::Trial(id);
+            if exclude_outliers && standing.is_outlier(&self.peers) {
+                if self.criteria.is_retryable && searcher.is_probe_due(self.now) {
+                    return Found::Probe(id);
                 }
                 continue;
             }
@@ -177,9 +177,9 @@
     }
 
     /// Whether a searcher takes part in this choice.
-    fn is_eligible(&self, id: SearcherId, judge: bool) -> bool {
+    fn is_eligible(&self, id: SearcherId, exclude_outliers: bool) -> bool {
         let standing = self.service.searcher(id).standing(self.now, &self.peers);
-        let is_out = judge && standing.is_suspect(&self.peers);
+        let is_out = exclude_outliers && standing.is_outlier(&self.peers);
         !is_out && !self.criteria.tried.contains(&id)
     }
 
@@ -188,11 +188,11 @@
         &self,
         best: EvaluatedCandidate,
         shared: Prefix,
-        judge: bool,
+        exclude_outliers: bool,
     ) -> EvaluatedCandidate {
         let mut likely = true;
         for id in self.group.affinity_targets(shared.key, self.near(shared)).into_iter().flatten() {
-            if !self.is_eligible(id, judge) {
+            if !self.is_eligible(id, exclude_outliers) {
                 continue;
             }
             let known = self.service.prefix_cache.cached_tokens(
@@ -267,10 +267,10 @@
     fn latency(&self, searcher: &Searcher, standing: &Standing, usual: f64) -> f64 {
         let alone = (standing.latency * usual).max(searcher.silence(self.now));
         let latency = alone + self.distance(searcher, usual);
-        if standing.good >= 1.0 {
+        if standing.success_rate >= 1.0 {
             return latency;
         }
-        latency / (standing.good * standing.good).max(1e-6)
+        latency / (standing.success_rate * standing.success_rate).max(1e-6)
     }
 
     /// What the distance adds: a stated price of crossings as time, and the longer hand-over. Where KV cache is
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -380,22 +380,22 @@
     let (mut latency, mut heard, mut in_flight, mut queue) = (0.0, 0.0, 0.0, 0.0);
     for id in candidates {
         let searcher = &searchers[*id as usize];
-        let (queue_average, good_share) = searcher.averages();
+        let (queue_average, success_rate) = searcher.averages();
         if let Some(average) = searcher.latency() {
             latency += average;
             heard += 1.0;
         }
         in_flight += f64::from(searcher.in_flight);
         queue += queue_average;
-        good.push(good_share);
+        good.push(success_rate);
     }
     let middle = good.len() / 2;
-    let (_, good_share, _) = good.select_nth_unstable_by(middle, f64::total_cmp);
+    let (_, success_rate, _) = good.select_nth_unstable_by(middle, f64::total_cmp);
     let count = candidates.len() as f64;
     Peers {
         latency: if heard > 0.0 { latency / heard } else { Peers::default().latency },
         in_flight: in_flight / count,
         queue: queue / count,
-        good: *good_share,
+        success_rate: *success_rate,
     }
 }
