--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -18,7 +18,7 @@
 use super::searcher::Searcher;
 use super::selection::{SelectedSearcher, SelectionCriteria, select};
 use super::service::{GroupKind, Service};
-use super::split::{ReadingChoice, is_split_cheaper};
+use super::split::{SplitCandidates, is_split_cheaper};
 use super::trace;
 use super::types::{MICROS_PER_MS, Micros, Purpose, SendOutcome};
 
@@ -152,7 +152,7 @@
         match (prefill, whole) {
             (Some(prefill), Some(whole)) => {
                 let (tokens, target) = (plan.tokens, plan.target);
-                let choice = ReadingChoice { tokens, target, prefill: &prefill, whole: &whole };
+                let choice = SplitCandidates { tokens, target, prefill: &prefill, whole: &whole };
                 is_split_cheaper(service, &choice)
             }
             (prefill, _) => prefill.is_some(),
@@ -231,7 +231,7 @@
         match purpose {
             Purpose::Prefill => {
                 let usual = self.services[plan.service].work(purpose).mean_tokens();
-                reading_priority(f64::from(tokens), usual)
+                prefill_priority(f64::from(tokens), usual)
             }
             Purpose::Whole | Purpose::Decode => plan.priority.min(LOWEST_PRIORITY),
         }
@@ -342,7 +342,7 @@
 
 /// `Priority` of a prompt with so many tokens to read where a mean of `usual` is read: the middle for one like that, and
 /// a step for each doubling.
-fn reading_priority(tokens: f64, usual: f64) -> u8 {
+fn prefill_priority(tokens: f64, usual: f64) -> u8 {
     if usual <= 0.0 {
         return MIDDLE_PRIORITY;
     }
--- a/crates/lockusher-proxy/src/decision/split.rs
+++ b/crates/lockusher-proxy/src/decision/split.rs
@@ -9,24 +9,24 @@
 use super::types::{Micros, Purpose};
 
 /// The pages say that a decode searcher reads at half the pace.
-const SLOWER_IN_PLACE: f64 = 2.0;
+const DECODE_PREFILL_SLOWDOWN: f64 = 2.0;
 
 /// Reading in place keeps the other requests of the batch waiting: its reading time counts so many times more.
 const INTERFERENCE: f64 = 10.0;
 
 /// A prompt is short if reading it in place takes at most this share of its target latency.
-const SHORT_READING: f64 = 0.1;
+const SHORT_PREFILL_SHARE: f64 = 0.1;
 
 /// The wait at prefill searchers is long if the best is expected to take this share of the target latency.
-const LONG_WAIT: f64 = 0.5;
+const LONG_PREFILL_WAIT_SHARE: f64 = 0.5;
 
 /// Decode searchers have time if the best is expected to answer within this share of the target latency. Without this
 /// bound, short prompts clogged them under lasting load (measured: a day's score fell from 0.62 to below 0.2).
-const IDLE_DECODE: f64 = 0.25;
+const IDLE_DECODE_SHARE: f64 = 0.25;
 
 /// What is known of a request whose prompt may be read in either place.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadingChoice<'a> {
+pub struct SplitCandidates<'a> {
     /// All tokens of the prompt.
     pub tokens: u32,
     /// The time within which the answer should begin.
@@ -40,21 +40,21 @@
 /// Whether a prefill searcher reads the prompt, and a decode searcher fetches it. In place is cheaper where reading what
 /// isn't held there takes less than one more call and moving the whole prompt. Before reads and hand-overs were measured
 /// they are chosen, as nothing is known against them.
-pub fn is_split_cheaper(service: &Service, choice: &ReadingChoice) -> bool {
-    let (reads, moves) = (service.work(Purpose::Prefill), service.work(Purpose::Decode));
-    if !reads.is_known() || !moves.is_known() {
+pub fn is_split_cheaper(service: &Service, choice: &SplitCandidates) -> bool {
+    let (prefills, transfers) = (service.work(Purpose::Prefill), service.work(Purpose::Decode));
+    if !prefills.is_known() || !transfers.is_known() {
         return true;
     }
-    let transfer_time = reads.least() + moves.slope() * f64::from(choice.tokens);
-    let reading = SLOWER_IN_PLACE * reads.quickest() * f64::from(choice.whole.at_most);
-    INTERFERENCE * reading >= transfer_time && !evades_wait(choice, reading)
+    let transfer_time = prefills.least() + transfers.slope() * f64::from(choice.tokens);
+    let prefill_in_place = DECODE_PREFILL_SLOWDOWN * prefills.quickest() * f64::from(choice.whole.at_most);
+    INTERFERENCE * prefill_in_place >= transfer_time && !evades_wait(choice, prefill_in_place)
 }
 
 /// Whether a short prompt goes to an idle decode searcher, as prefill searchers would be late with it.
-fn evades_wait(choice: &ReadingChoice, reading: f64) -> bool {
+fn evades_wait(choice: &SplitCandidates, prefill_in_place: f64) -> bool {
     let target = choice.target as f64;
-    let is_short = reading <= SHORT_READING * target;
-    let prefill_is_late = choice.prefill.expected >= LONG_WAIT * target;
-    let decode_is_idle = choice.whole.expected <= IDLE_DECODE * target;
+    let is_short = prefill_in_place <= SHORT_PREFILL_SHARE * target;
+    let prefill_is_late = choice.prefill.expected >= LONG_PREFILL_WAIT_SHARE * target;
+    let decode_is_idle = choice.whole.expected <= IDLE_DECODE_SHARE * target;
     is_short && prefill_is_late && decode_is_idle
 }
