--- a/crates/lockusher-proxy/src/decision/mod.rs
+++ b/crates/lockusher-proxy/src/decision/mod.rs
@@ -61,10 +61,10 @@
 mod searcher;
 mod selection;
 mod service;
+mod service_time;
 mod split;
 mod trace;
 mod types;
-mod work;
 
 pub use interface::{Admission, Choice, RequestFacts, RequestRouterSettings, SendTicket};
 pub use plan::RequestPlan;
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -230,7 +230,7 @@
     fn priority(&self, plan: &RequestPlan, purpose: Purpose, tokens: u32) -> u8 {
         match purpose {
             Purpose::Prefill => {
-                let usual = self.services[plan.service].work(purpose).mean_tokens();
+                let usual = self.services[plan.service].service_time(purpose).mean_tokens();
                 prefill_priority(f64::from(tokens), usual)
             }
             Purpose::Whole | Purpose::Decode => plan.priority.min(LOWEST_PRIORITY),
@@ -270,8 +270,9 @@
     pub fn retry_after_ms(&self, now: Micros, plan: &RequestPlan) -> u64 {
         let service = &self.services[plan.service];
         let left = plan.deadline.saturating_sub(now) / MICROS_PER_MS;
-        let work = service.work(Purpose::Whole);
-        let usual = if work.is_known() { work.usual(f64::from(plan.tokens)) / 1e3 } else { 0.0 };
+        let service_time = service.service_time(Purpose::Whole);
+        let usual =
+            if service_time.is_known() { service_time.usual(f64::from(plan.tokens)) / 1e3 } else { 0.0 };
         (usual as u64).min(left / 3).max(SHORTEST_RETRY_MS)
     }
 
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -113,7 +113,7 @@
 
 impl<'a> CandidateEvaluator<'a> {
     fn new(service: &'a Service, kind: GroupKind, now: Micros, criteria: &'a SelectionCriteria<'a>) -> Self {
-        let usual_of_all = service.work(criteria.purpose).usual(f64::from(criteria.tokens));
+        let usual_of_all = service.service_time(criteria.purpose).usual(f64::from(criteria.tokens));
         let fetched = if criteria.purpose == Purpose::Decode { criteria.tokens } else { 0 };
         let transfer_time = service.engine.as_ref().map_or(0.0, |engine| {
             f64::from(fetched) * engine.cache_token_bytes as f64 * 8.0 / engine.link_mbps.max(1.0)
@@ -223,8 +223,8 @@
         if self.kind == GroupKind::Decode {
             return DECODE_AFFINITY_PATIENCE;
         }
-        let spared = self.service.work(self.criteria.purpose).spared_share(self.criteria.tokens, left);
-        1.0 + PREFILL_AFFINITY_PATIENCE * spared
+        let saved = self.service.service_time(self.criteria.purpose).saved_share(self.criteria.tokens, left);
+        1.0 + PREFILL_AFFINITY_PATIENCE * saved
     }
 
     /// The zone in which a decode searcher is to be at home: where the prompt was read, or would be, so that
@@ -250,7 +250,7 @@
     fn evaluate(&self, id: SearcherId, held: u32) -> EvaluatedCandidate {
         let held = if self.reads() { held } else { 0 };
         let tokens = self.criteria.tokens.saturating_sub(held);
-        let usual = self.service.work(self.criteria.purpose).usual(f64::from(tokens));
+        let usual = self.service.service_time(self.criteria.purpose).usual(f64::from(tokens));
         let searcher = self.service.searcher(id);
         let standing = searcher.standing(self.now, &self.peers);
         let latency = self.latency(searcher, &standing, usual);
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -12,8 +12,8 @@
 use super::plan::{Incarnation, SendRecord};
 use super::prefix_cache::{PrefixCacheIndex, PrefixHash};
 use super::searcher::{Peers, Searcher};
+use super::service_time::ServiceTimeModel;
 use super::types::{Micros, Purpose, SearcherId, SendOutcome};
-use super::work::Work;
 
 /// The means of a stage's searchers are worked out anew after this time at the latest, if anything was heard.
 const PEERS_AGE: Micros = 20_000;
@@ -83,7 +83,7 @@
     unused: Vec<SearcherId>,
     by_identifier: HashMap<String, SearcherId>,
     groups: [Group; 3],
-    work: [Work; 3],
+    service_times: [ServiceTimeModel; 3],
 }
 
 impl Service {
@@ -100,7 +100,7 @@
             unused: Vec::new(),
             by_identifier: HashMap::new(),
             groups: Default::default(),
-            work: Default::default(),
+            service_times: Default::default(),
         }
     }
 
@@ -253,15 +253,15 @@
             self.feed_admission_control(now, record, outcome);
         }
         let is_first = elapsed.is_some();
-        let work = &mut self.work[record.purpose as usize];
+        let service_time = &mut self.service_times[record.purpose as usize];
         let elapsed = elapsed.unwrap_or(0) as f64;
         let good = matches!(outcome, SendOutcome::FirstEvent | SendOutcome::Answered);
-        let sure = record.tokens == record.at_most || !work.is_known();
+        let sure = record.tokens == record.at_most || !service_time.is_known();
         if good && sure {
-            work.feed(f64::from(record.at_most), elapsed);
+            service_time.feed(f64::from(record.at_most), elapsed);
         }
-        let multiple = |tokens: u32| elapsed / work.usual(f64::from(tokens));
-        let multiple = match (work.is_measured(), sure) {
+        let multiple = |tokens: u32| elapsed / service_time.usual(f64::from(tokens));
+        let multiple = match (service_time.is_measured(), sure) {
             (false, _) => 1.0,
             (true, true) => multiple(record.at_most),
             (true, false) => nearer_to(
@@ -335,8 +335,8 @@
     }
 
     /// What requests of a purpose usually take.
-    pub fn work(&self, purpose: Purpose) -> &Work {
-        &self.work[purpose as usize]
+    pub fn service_time(&self, purpose: Purpose) -> &ServiceTimeModel {
+        &self.service_times[purpose as usize]
     }
 
     /// What the searchers of a kind have in common; worked out if it is out of date.
