--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -93,7 +93,7 @@
 
 /// What the searchers of one stage have in common.
 #[derive(Clone, Copy, Debug)]
-pub struct Peers {
+pub struct PeerStatistics {
     /// Mean latency average of those heard from.
     pub latency: f64,
     /// Mean number of own sends out.
@@ -104,16 +104,16 @@
     pub success_rate: f64,
 }
 
-impl Default for Peers {
+impl Default for PeerStatistics {
     fn default() -> Self {
         // With no peer heard from, a searcher takes what is usual.
-        Peers { latency: 1.0, in_flight: 0.0, queue: 0.0, success_rate: 1.0 }
+        PeerStatistics { latency: 1.0, in_flight: 0.0, queue: 0.0, success_rate: 1.0 }
     }
 }
 
 /// A searcher as the score sees it at one moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct EffectiveStatistics {
     pub in_flight: f64,
     pub queue: f64,
     pub latency: f64,
@@ -182,26 +182,26 @@
 
     /// Feeds an outcome with its elapsed time in multiples of the usual. Only good answers can lower the
     /// average: a failure that comes quickly says nothing of speed.
-    pub fn learn(&mut self, now: Micros, outcome: SendOutcome, elapsed: f64, peers: &Peers) {
-        let standing = self.standing(now, peers);
+    pub fn learn(&mut self, now: Micros, outcome: SendOutcome, elapsed: f64, peers: &PeerStatistics) {
+        let effective = self.effective_statistics(now, peers);
         let elapsed = elapsed.min(MOST_MULTIPLE);
-        let floor = standing.latency.max(peers.latency);
+        let floor = effective.latency.max(peers.latency);
         let sample = match outcome {
             SendOutcome::FirstEvent | SendOutcome::Answered => elapsed,
             SendOutcome::Rejected => elapsed.max(FULL * floor),
-            SendOutcome::Cancelled => elapsed.max(standing.latency),
+            SendOutcome::Cancelled => elapsed.max(effective.latency),
             _ => elapsed.max(floor),
         };
         let seconds = now.saturating_sub(self.heard) as f64 / 1e6;
         let weight = 1.0 - (1.0 - NEWEST).powf(1.0 + seconds);
-        let mut latency = standing.latency;
+        let mut latency = effective.latency;
         if self.latency.is_nan() {
             latency = sample;
         }
         blend(&mut latency, sample, weight);
         self.latency = latency;
-        self.queue = standing.queue;
-        self.record_success(outcome, standing.success_rate);
+        self.queue = effective.queue;
+        self.record_success(outcome, effective.success_rate);
         self.heard = now;
     }
 
@@ -220,14 +220,14 @@
     }
 
     /// Notes whether its handle was taken: only then has it done what it is for.
-    pub fn learn_transfer(&mut self, now: Micros, taken: bool, weight: f64, peers: &Peers) {
+    pub fn learn_transfer(&mut self, now: Micros, taken: bool, weight: f64, peers: &PeerStatistics) {
         self.learn_acceptance(now, taken, weight);
-        let standing = self.standing(now, peers);
+        let effective = self.effective_statistics(now, peers);
         if !self.latency.is_nan() {
-            self.latency = standing.latency;
+            self.latency = effective.latency;
         }
-        self.queue = standing.queue;
-        self.success_rate = standing.success_rate;
+        self.queue = effective.queue;
+        self.success_rate = effective.success_rate;
         self.heard = now;
         if taken {
             self.consecutive_failures = 0;
@@ -261,9 +261,9 @@
 
     /// Its figures as far as they still count: those of an idle searcher drift to its peers'. A new one counts
     /// as busy as its peers.
-    pub fn standing(&self, now: Micros, peers: &Peers) -> Standing {
+    pub fn effective_statistics(&self, now: Micros, peers: &PeerStatistics) -> EffectiveStatistics {
         let own = if self.latency.is_nan() { peers.latency } else { self.latency };
-        let mut standing = Standing {
+        let mut effective = EffectiveStatistics {
             in_flight: f64::from(self.in_flight),
             queue: self.queue,
             latency: own,
@@ -272,20 +272,20 @@
         if self.in_flight == 0 {
             let steps = self.idle_steps(now);
             let memory = remembered(steps);
-            standing.latency = peers.latency + (own - peers.latency) * memory;
-            standing.success_rate = 1.0 + (self.success_rate - 1.0) * memory;
-            standing.queue = self.queue * remembered(QUEUE_STEPS * steps);
+            effective.latency = peers.latency + (own - peers.latency) * memory;
+            effective.success_rate = 1.0 + (self.success_rate - 1.0) * memory;
+            effective.queue = self.queue * remembered(QUEUE_STEPS * steps);
         }
         if now < self.slow_start_end {
             let new = (self.slow_start_end - now) as f64 / self.slow_start as f64;
-            standing.in_flight += peers.in_flight * new;
-            standing.queue = standing.queue.max(peers.queue * new);
+            effective.in_flight += peers.in_flight * new;
+            effective.queue = effective.queue.max(peers.queue * new);
         }
-        standing
+        effective
     }
 
     /// A lower bound of its latency at any time, quick to work out; none for one that may be a suspect.
-    pub fn least_latency(&self, peers: &Peers) -> f64 {
+    pub fn least_latency(&self, peers: &PeerStatistics) -> f64 {
         if self.success_rate < peers.success_rate / 2.0 {
             return 0.0;
         }
@@ -330,9 +330,9 @@
     span as i64 as f64
 }
 
-impl Standing {
+impl EffectiveStatistics {
     /// Whether it fails much more often than its peers do.
-    pub fn is_outlier(&self, peers: &Peers) -> bool {
+    pub fn is_outlier(&self, peers: &PeerStatistics) -> bool {
         self.success_rate < peers.success_rate / 2.0
     }
 }
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -4,7 +4,7 @@
 use super::plan::Incarnation;
 use super::prefix_cache::{Prefix, mix, shared};
 use super::scoring::score;
-use super::searcher::{Peers, Searcher, Standing};
+use super::searcher::{EffectiveStatistics, PeerStatistics, Searcher};
 use super::service::{Group, GroupKind, Service};
 use super::types::{Micros, Purpose, SearcherId};
 
@@ -85,7 +85,7 @@
     kind: GroupKind,
     group: &'a Group,
     criteria: &'a SelectionCriteria<'a>,
-    peers: Peers,
+    peers: PeerStatistics,
     now: Micros,
     /// The usual time of a searcher that holds nothing of the prompt.
     usual_of_all: f64,
@@ -162,15 +162,15 @@
             if searcher.least_latency(&self.peers) * self.usual_of_all > best.score {
                 continue;
             }
-            let standing = searcher.standing(self.now, &self.peers);
-            if exclude_outliers && standing.is_outlier(&self.peers) {
+            let effective = searcher.effective_statistics(self.now, &self.peers);
+            if exclude_outliers && effective.is_outlier(&self.peers) {
                 if self.criteria.is_retryable && searcher.is_probe_due(self.now) {
                     return Found::Probe(id);
                 }
                 continue;
             }
-            let latency = self.latency(searcher, &standing, self.usual_of_all);
-            let score = score(standing.in_flight, standing.queue, latency);
+            let latency = self.latency(searcher, &effective, self.usual_of_all);
+            let score = score(effective.in_flight, effective.queue, latency);
             best.offer(score, searcher.hash ^ self.criteria.tie_breaker, id);
         }
         Found::Lowest(best.id)
@@ -178,8 +178,8 @@
 
     /// Whether a searcher takes part in this choice.
     fn is_eligible(&self, id: SearcherId, exclude_outliers: bool) -> bool {
-        let standing = self.service.searcher(id).standing(self.now, &self.peers);
-        let is_out = exclude_outliers && standing.is_outlier(&self.peers);
+        let effective = self.service.searcher(id).effective_statistics(self.now, &self.peers);
+        let is_out = exclude_outliers && effective.is_outlier(&self.peers);
         !is_out && !self.criteria.tried.contains(&id)
     }
 
@@ -252,25 +252,25 @@
         let tokens = self.criteria.tokens.saturating_sub(held);
         let usual = self.service.service_time(self.criteria.purpose).usual(f64::from(tokens));
         let searcher = self.service.searcher(id);
-        let standing = searcher.standing(self.now, &self.peers);
-        let latency = self.latency(searcher, &standing, usual);
+        let effective = searcher.effective_statistics(self.now, &self.peers);
+        let latency = self.latency(searcher, &effective, usual);
         EvaluatedCandidate {
             id,
             tokens,
             at_most: tokens,
-            wait: (standing.in_flight + standing.queue + 1.0) * latency,
-            expected: (standing.latency * usual).max(searcher.silence(self.now)),
+            wait: (effective.in_flight + effective.queue + 1.0) * latency,
+            expected: (effective.latency * usual).max(searcher.silence(self.now)),
         }
     }
 
     /// The latency that is scored: the average or the oldest silence, the distance, and what failures add.
-    fn latency(&self, searcher: &Searcher, standing: &Standing, usual: f64) -> f64 {
-        let alone = (standing.latency * usual).max(searcher.silence(self.now));
+    fn latency(&self, searcher: &Searcher, effective: &EffectiveStatistics, usual: f64) -> f64 {
+        let alone = (effective.latency * usual).max(searcher.silence(self.now));
         let latency = alone + self.distance(searcher, usual);
-        if standing.success_rate >= 1.0 {
+        if effective.success_rate >= 1.0 {
             return latency;
         }
-        latency / (standing.success_rate * standing.success_rate).max(1e-6)
+        latency / (effective.success_rate * effective.success_rate).max(1e-6)
     }
 
     /// What the distance adds: a stated price of crossings as time, and the longer hand-over. Where KV cache is
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -11,15 +11,15 @@
 use super::locality::{Distance, Locality, LocalityRegistry};
 use super::plan::{Incarnation, SendRecord};
 use super::prefix_cache::{PrefixCacheIndex, PrefixHash};
-use super::searcher::{Peers, Searcher};
+use super::searcher::{PeerStatistics, Searcher};
 use super::service_time::ServiceTimeModel;
 use super::types::{Micros, Purpose, SearcherId, SendOutcome};
 
 /// The means of a stage's searchers are worked out anew after this time at the latest, if anything was heard.
-const PEERS_AGE: Micros = 20_000;
+const MAX_PEER_STATISTICS_AGE: Micros = 20_000;
 
 /// Groups of up to so many searchers always use fresh means.
-const SMALL_GROUP: usize = 64;
+const MAX_ALWAYS_FRESH_GROUP: usize = 64;
 
 /// The searchers of one stage that take requests.
 #[derive(Debug, Default)]
@@ -28,7 +28,7 @@
     /// Hashes of their identifiers.
     hashes: Vec<u64>,
     localities: Vec<Locality>,
-    peers: Peers,
+    peers: PeerStatistics,
     peers_at: Micros,
     stale: bool,
     scratch: Vec<f64>,
@@ -340,11 +340,11 @@
     }
 
     /// What the searchers of a kind have in common; worked out if it is out of date.
-    pub fn refresh_peers(&mut self, now: Micros, kind: GroupKind) -> Peers {
+    pub fn refresh_peers(&mut self, now: Micros, kind: GroupKind) -> PeerStatistics {
         let group = &mut self.groups[kind as usize];
-        let small = group.candidates.len() <= SMALL_GROUP;
-        if group.stale && (small || now >= group.peers_at + PEERS_AGE) {
-            group.peers = peers_of(&self.searchers, &group.candidates, &mut group.scratch);
+        let small = group.candidates.len() <= MAX_ALWAYS_FRESH_GROUP;
+        if group.stale && (small || now >= group.peers_at + MAX_PEER_STATISTICS_AGE) {
+            group.peers = peer_statistics(&self.searchers, &group.candidates, &mut group.scratch);
             group.peers_at = now;
             group.stale = false;
         }
@@ -352,7 +352,7 @@
     }
 
     /// What the searchers of a kind had in common when it was last worked out.
-    pub fn peers(&self, kind: GroupKind) -> &Peers {
+    pub fn peers(&self, kind: GroupKind) -> &PeerStatistics {
         &self.groups[kind as usize].peers
     }
 }
@@ -372,9 +372,9 @@
     if apart(one) <= apart(other) { one } else { other }
 }
 
-fn peers_of(searchers: &[Searcher], candidates: &[SearcherId], good: &mut Vec<f64>) -> Peers {
+fn peer_statistics(searchers: &[Searcher], candidates: &[SearcherId], good: &mut Vec<f64>) -> PeerStatistics {
     if candidates.is_empty() {
-        return Peers::default();
+        return PeerStatistics::default();
     }
     good.clear();
     let (mut latency, mut heard, mut in_flight, mut queue) = (0.0, 0.0, 0.0, 0.0);
@@ -392,8 +392,8 @@
     let middle = good.len() / 2;
     let (_, success_rate, _) = good.select_nth_unstable_by(middle, f64::total_cmp);
     let count = candidates.len() as f64;
-    Peers {
-        latency: if heard > 0.0 { latency / heard } else { Peers::default().latency },
+    PeerStatistics {
+        latency: if heard > 0.0 { latency / heard } else { PeerStatistics::default().latency },
         in_flight: in_flight / count,
         queue: queue / count,
         success_rate: *success_rate,
