--- a/crates/lockusher-proxy/src/decision/load.rs
+++ b/crates/lockusher-proxy/src/decision/load.rs
@@ -99,7 +99,7 @@
             meter.prefill.fall(now, 1);
         } else {
             meter.decode.fall(now, 1);
-            if !record.heard {
+            if !record.has_response {
                 meter.decode_waiting.fall(now, 1);
             }
             meter.decode_tokens.fall(now, u64::from(record.tokens));
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -100,7 +100,7 @@
     /// Whose KV cache is handed over by it.
     pub holder: Option<Incarnation>,
     /// Whether a sign of life was heard.
-    pub heard: bool,
+    pub has_response: bool,
     pub charge: Option<Charge>,
     pub progress: Rc<Progress>,
 }
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -211,7 +211,7 @@
             at_most: selected.at_most,
             counting,
             holder: plan.progress.holder.get().filter(|_| purpose == Purpose::Decode),
-            heard: false,
+            has_response: false,
             charge,
             progress: Rc::clone(&plan.progress),
         };
@@ -256,8 +256,8 @@
         }
         service.searcher_mut(record.searcher).ended(ticket.0);
         // After a sign of life the time says nothing new, but a failure counts as such.
-        let elapsed = (!record.heard).then(|| now.saturating_sub(record.sent));
-        if !record.heard || !matches!(outcome, SendOutcome::Answered | SendOutcome::Cancelled) {
+        let elapsed = (!record.has_response).then(|| now.saturating_sub(record.sent));
+        if !record.has_response || !matches!(outcome, SendOutcome::Answered | SendOutcome::Cancelled) {
             service.learn(now, &record, outcome, elapsed);
         }
         if !service.seems_gone(now, &record) {
@@ -285,7 +285,7 @@
 
     fn first_event(&mut self, now: Micros, ticket: SendTicket) {
         let Some(record) = self.sends.get_mut(&ticket.0) else { return };
-        if std::mem::replace(&mut record.heard, true) {
+        if std::mem::replace(&mut record.has_response, true) {
             return;
         }
         self.loads.first_event(now, record);
@@ -294,7 +294,7 @@
         if service.searcher(record.searcher).hash != record.hash {
             return;
         }
-        service.searcher_mut(record.searcher).heard_of(ticket.0);
+        service.searcher_mut(record.searcher).responded(ticket.0);
         let elapsed = Some(now.saturating_sub(record.sent));
         service.learn(now, record, SendOutcome::FirstEvent, elapsed);
     }
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -9,22 +9,22 @@
 
 /// What is left after one step of the averages of an idle searcher: they are half forgotten in eight seconds,
 /// so that one that was slow once is tried again.
-const KEPT_IN_STEP: f64 = 0.977_54;
+const REMEMBERED_PER_STEP: f64 = 0.977_54;
 
 /// A step lasts 2^18 microseconds, about a quarter of a second.
 const STEP_BITS: u32 = 18;
 
 /// The queue average of an idle searcher is forgotten so many times as quickly: its queue is empty.
-const QUEUE_STEPS: usize = 8;
+const QUEUE_STEP_FACTOR: usize = 8;
 
 /// What is left of the averages after so many steps; spares a power for each candidate of a choice.
-static MEMORY: [f64; 512] = memory();
+static REMEMBERED_AFTER_STEPS: [f64; 512] = memory();
 
 const fn memory() -> [f64; 512] {
     let mut table = [1.0; 512];
     let mut step = 1;
     while step < table.len() {
-        table[step] = table[step - 1] * KEPT_IN_STEP;
+        table[step] = table[step - 1] * REMEMBERED_PER_STEP;
         step += 1;
     }
     table
@@ -32,17 +32,17 @@
 
 /// The share of averages that still counts after so many steps.
 fn remembered(steps: usize) -> f64 {
-    MEMORY[steps.min(MEMORY.len() - 1)]
+    REMEMBERED_AFTER_STEPS[steps.min(REMEMBERED_AFTER_STEPS.len() - 1)]
 }
 
 /// An elapsed time counts for at most so many times the usual: more says nothing more of a searcher.
-const MOST_MULTIPLE: f64 = 8.0;
+const MAX_MULTIPLE_OF_USUAL: f64 = 8.0;
 
 /// Weight of a connection that didn't come up in the share of good sends: it nearly proves a dead process.
-const UNREACHABLE: f64 = 0.9;
+const UNREACHABLE_WEIGHT: f64 = 0.9;
 
 /// A rejection counts as so many times the peers' usual time: the searcher is full.
-const FULL: f64 = 2.0;
+const REJECTION_MULTIPLE: f64 = 2.0;
 
 /// For so long a searcher new in its stage is taken to be as busy as its peers.
 const SLOW_START: Micros = 2_000_000;
@@ -66,11 +66,11 @@
     queue: f64,
     /// EWMA of the share of sends that ended well.
     success_rate: f64,
-    heard: Micros,
+    last_response: Micros,
     /// Until when it is taken to be as busy as its peers.
     slow_start_end: Micros,
     /// When the oldest send was sent that nothing was heard of yet; the end of time if there is none.
-    silent_since: Micros,
+    unanswered_since: Micros,
     /// Own sends out at it: Q.
     pub in_flight: u16,
     pub locality: Locality,
@@ -88,7 +88,7 @@
     accepts: f64,
     accepts_at: Micros,
     /// Sends that nothing was heard of yet: ticket and time, oldest first.
-    silent: Vec<(u64, Micros)>,
+    unanswered: Vec<(u64, Micros)>,
 }
 
 /// What the searchers of one stage have in common.
@@ -144,38 +144,38 @@
             latency: f64::NAN,
             success_rate: 1.0,
             consecutive_failures: 0,
-            heard: now,
+            last_response: now,
             sent: 0,
             slow_start_end: now + slow_start,
             slow_start: slow_start.max(1),
             accepts: 1.0,
             accepts_at: now,
-            silent: Vec::new(),
-            silent_since: Micros::MAX,
+            unanswered: Vec::new(),
+            unanswered_since: Micros::MAX,
         }
     }
 
     /// Notes a send.
     pub fn sent(&mut self, now: Micros, ticket: u64) {
         if self.in_flight == 0 {
-            self.queue *= remembered(QUEUE_STEPS * self.idle_steps(now));
+            self.queue *= remembered(QUEUE_STEP_FACTOR * self.idle_steps(now));
         }
         self.in_flight = self.in_flight.saturating_add(1);
         self.sent = now;
-        self.silent.push((ticket, now));
-        self.silent_since = self.silent_since.min(now);
+        self.unanswered.push((ticket, now));
+        self.unanswered_since = self.unanswered_since.min(now);
         blend(&mut self.queue, f64::from(self.in_flight), NEWEST);
     }
 
     /// Notes a sign of life for a send.
-    pub fn heard_of(&mut self, ticket: u64) {
-        self.silent.retain(|(of, _)| *of != ticket);
-        self.silent_since = self.silent.first().map_or(Micros::MAX, |(_, sent)| *sent);
+    pub fn responded(&mut self, ticket: u64) {
+        self.unanswered.retain(|(of, _)| *of != ticket);
+        self.unanswered_since = self.unanswered.first().map_or(Micros::MAX, |(_, sent)| *sent);
     }
 
     /// Notes the end of a send: it no longer counts as in flight.
     pub fn ended(&mut self, ticket: u64) {
-        self.heard_of(ticket);
+        self.responded(ticket);
         self.in_flight = self.in_flight.saturating_sub(1);
         blend(&mut self.queue, f64::from(self.in_flight), NEWEST);
     }
@@ -184,15 +184,15 @@
     /// average: a failure that comes quickly says nothing of speed.
     pub fn learn(&mut self, now: Micros, outcome: SendOutcome, elapsed: f64, peers: &PeerStatistics) {
         let effective = self.effective_statistics(now, peers);
-        let elapsed = elapsed.min(MOST_MULTIPLE);
+        let elapsed = elapsed.min(MAX_MULTIPLE_OF_USUAL);
         let floor = effective.latency.max(peers.latency);
         let sample = match outcome {
             SendOutcome::FirstEvent | SendOutcome::Answered => elapsed,
-            SendOutcome::Rejected => elapsed.max(FULL * floor),
+            SendOutcome::Rejected => elapsed.max(REJECTION_MULTIPLE * floor),
             SendOutcome::Cancelled => elapsed.max(effective.latency),
             _ => elapsed.max(floor),
         };
-        let seconds = now.saturating_sub(self.heard) as f64 / 1e6;
+        let seconds = now.saturating_sub(self.last_response) as f64 / 1e6;
         let weight = 1.0 - (1.0 - NEWEST).powf(1.0 + seconds);
         let mut latency = effective.latency;
         if self.latency.is_nan() {
@@ -202,7 +202,7 @@
         self.latency = latency;
         self.queue = effective.queue;
         self.record_success(outcome, effective.success_rate);
-        self.heard = now;
+        self.last_response = now;
     }
 
     /// The share of its handles, or of the sends to it, that were taken lately; what is old is forgotten.
@@ -228,7 +228,7 @@
         }
         self.queue = effective.queue;
         self.success_rate = effective.success_rate;
-        self.heard = now;
+        self.last_response = now;
         if taken {
             self.consecutive_failures = 0;
             blend(&mut self.success_rate, 1.0, NEWEST);
@@ -253,7 +253,7 @@
             }
             SendOutcome::Unreachable => {
                 self.consecutive_failures += 1;
-                blend(&mut self.success_rate, 0.0, UNREACHABLE);
+                blend(&mut self.success_rate, 0.0, UNREACHABLE_WEIGHT);
             }
             SendOutcome::Rejected | SendOutcome::Cancelled => {}
         }
@@ -274,7 +274,7 @@
             let memory = remembered(steps);
             effective.latency = peers.latency + (own - peers.latency) * memory;
             effective.success_rate = 1.0 + (self.success_rate - 1.0) * memory;
-            effective.queue = self.queue * remembered(QUEUE_STEPS * steps);
+            effective.queue = self.queue * remembered(QUEUE_STEP_FACTOR * steps);
         }
         if now < self.slow_start_end {
             let new = (self.slow_start_end - now) as f64 / self.slow_start as f64;
@@ -294,7 +294,7 @@
     }
 
     fn idle_steps(&self, now: Micros) -> usize {
-        (now.saturating_sub(self.heard) >> STEP_BITS) as usize
+        (now.saturating_sub(self.last_response) >> STEP_BITS) as usize
     }
 
     /// Whether it is new in its stage: it can't hold yet what its stage's searchers hold.
@@ -303,15 +303,15 @@
     }
 
     /// How long the oldest send has been out without a sign of life, in microseconds.
-    pub fn silence(&self, now: Micros) -> f64 {
-        micros(now.saturating_sub(self.silent_since))
+    pub fn oldest_unanswered(&self, now: Micros) -> f64 {
+        micros(now.saturating_sub(self.unanswered_since))
     }
 
     /// Whether a suspect may be tried again: nothing is out there, and its pause is over.
     pub fn is_probe_due(&self, now: Micros) -> bool {
         let ejection =
             INITIAL_EJECTION << self.consecutive_failures.saturating_sub(1).min(MAX_EJECTION_DOUBLINGS);
-        self.in_flight == 0 && now >= self.heard.max(self.sent) + ejection
+        self.in_flight == 0 && now >= self.last_response.max(self.sent) + ejection
     }
 
     /// The plain averages of queue and of good sends, for the peers' means.
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -259,13 +259,13 @@
             tokens,
             at_most: tokens,
             wait: (effective.in_flight + effective.queue + 1.0) * latency,
-            expected: (effective.latency * usual).max(searcher.silence(self.now)),
+            expected: (effective.latency * usual).max(searcher.oldest_unanswered(self.now)),
         }
     }
 
     /// The latency that is scored: the average or the oldest silence, the distance, and what failures add.
     fn latency(&self, searcher: &Searcher, effective: &EffectiveStatistics, usual: f64) -> f64 {
-        let alone = (effective.latency * usual).max(searcher.silence(self.now));
+        let alone = (effective.latency * usual).max(searcher.oldest_unanswered(self.now));
         let latency = alone + self.distance(searcher, usual);
         if effective.success_rate >= 1.0 {
             return latency;
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -377,13 +377,13 @@
         return PeerStatistics::default();
     }
     good.clear();
-    let (mut latency, mut heard, mut in_flight, mut queue) = (0.0, 0.0, 0.0, 0.0);
+    let (mut latency, mut measured, mut in_flight, mut queue) = (0.0, 0.0, 0.0, 0.0);
     for id in candidates {
         let searcher = &searchers[*id as usize];
         let (queue_average, success_rate) = searcher.averages();
         if let Some(average) = searcher.latency() {
             latency += average;
-            heard += 1.0;
+            measured += 1.0;
         }
         in_flight += f64::from(searcher.in_flight);
         queue += queue_average;
@@ -393,7 +393,7 @@
     let (_, success_rate, _) = good.select_nth_unstable_by(middle, f64::total_cmp);
     let count = candidates.len() as f64;
     PeerStatistics {
-        latency: if heard > 0.0 { latency / heard } else { PeerStatistics::default().latency },
+        latency: if measured > 0.0 { latency / measured } else { PeerStatistics::default().latency },
         in_flight: in_flight / count,
         queue: queue / count,
         success_rate: *success_rate,
--- a/crates/lockusher-proxy/src/decision/trace.rs
+++ b/crates/lockusher-proxy/src/decision/trace.rs
@@ -7,7 +7,7 @@
 
 /// Logs what became of a send: its first event, or its end where none came before.
 pub fn log_end(now: Micros, record: &SendRecord, outcome: SendOutcome) {
-    if record.heard && outcome != SendOutcome::FirstEvent {
+    if record.has_response && outcome != SendOutcome::FirstEvent {
         return;
     }
     let ms = |span: Micros| span / MICROS_PER_MS;
