--- a/crates/lockusher-proxy/src/decision/budget.rs
+++ b/crates/lockusher-proxy/src/decision/budget.rs
@@ -11,19 +11,19 @@
 const SLOTS: u64 = 64;
 
 /// Slots that lie whole in any window that ends within a given slot, not counting that slot.
-const WHOLE: u64 = SLOTS - 2;
+const FULL_SLOTS: u64 = SLOTS - 2;
 
 /// Slots kept: a window, the one before it, and room for both edges.
-const KEPT: usize = (2 * SLOTS + 3) as usize;
+const RETAINED_SLOTS: usize = (2 * SLOTS + 3) as usize;
 
 /// The share of the slack that proxies use once they have run for a window. The rest is left for the starts.
-const STEADY: f64 = 0.6;
+const STEADY_SLACK_SHARE: f64 = 0.6;
 
 /// The share of the slack with which a proxy starts: it can't know what its life before has used.
-const STARTING: f64 = 0.25;
+const STARTING_SLACK_SHARE: f64 = 0.25;
 
 /// As many proxies are assumed until their number is told.
-pub const UNKNOWN_FLEET: u32 = 64;
+pub const ASSUMED_PROXIES: u32 = 64;
 
 /// The part of a service's retry budget that this proxy may use.
 #[derive(Clone, Debug)]
@@ -35,8 +35,8 @@
     started: Micros,
     /// Number of the newest slot in the rings.
     newest: u64,
-    requests: [u32; KEPT],
-    repeats: [u32; KEPT],
+    requests: [u32; RETAINED_SLOTS],
+    retries: [u32; RETAINED_SLOTS],
 }
 
 /// A repeat that was paid for, by the number of its slot.
@@ -53,13 +53,13 @@
             slot,
             started,
             newest: started / slot,
-            requests: [0; KEPT],
-            repeats: [0; KEPT],
+            requests: [0; RETAINED_SLOTS],
+            retries: [0; RETAINED_SLOTS],
         }
     }
 
     /// Counts a request of a client, whatever becomes of it.
-    pub fn request(&mut self, now: Micros) {
+    pub fn record_request(&mut self, now: Micros) {
         let slot = self.advance(now);
         self.requests[ring(slot)] += 1;
     }
@@ -67,54 +67,54 @@
     /// Pays for one repeat, if every window that it falls into has room for it.
     pub fn charge(&mut self, now: Micros, fleet: u32) -> Option<Charge> {
         let slot = self.advance(now);
-        if !self.has_room(slot, fleet) {
+        if !self.has_capacity(slot, fleet) {
             return None;
         }
-        self.repeats[ring(slot)] += 1;
+        self.retries[ring(slot)] += 1;
         Some(Charge(slot))
     }
 
     /// Takes a charge back: the repeat has reached no searcher, or doesn't count.
     pub fn refund(&mut self, charge: Charge) {
-        if charge.0 + (KEPT as u64) > self.newest {
-            let repeats = &mut self.repeats[ring(charge.0)];
-            *repeats = repeats.saturating_sub(1);
+        if charge.0 + (RETAINED_SLOTS as u64) > self.newest {
+            let retries = &mut self.retries[ring(charge.0)];
+            *retries = retries.saturating_sub(1);
         }
     }
 
-    fn has_room(&self, newest: u64, fleet: u32) -> bool {
-        let share = self.share(newest, fleet);
-        let mut repeats = 1;
+    fn has_capacity(&self, newest: u64, fleet: u32) -> bool {
+        let share = self.slack_share(newest, fleet);
+        let mut retries = 1;
         // Requests in the whole slots of the window before one that begins in slot `begin`.
-        let mut before: u32 = (1..=WHOLE).map(|back| self.at(&self.requests, newest, back)).sum();
+        let mut before: u32 = (1..=FULL_SLOTS).map(|back| self.at(&self.requests, newest, back)).sum();
         for begin in 0..=SLOTS {
-            repeats += self.at(&self.repeats, newest, begin);
-            if f64::from(repeats) > self.ratio * f64::from(before) + share {
+            retries += self.at(&self.retries, newest, begin);
+            if f64::from(retries) > self.ratio * f64::from(before) + share {
                 return false;
             }
             before -= self.at(&self.requests, newest, begin + 1);
-            before += self.at(&self.requests, newest, begin + 1 + WHOLE);
+            before += self.at(&self.requests, newest, begin + 1 + FULL_SLOTS);
         }
         true
     }
 
-    fn share(&self, newest: u64, fleet: u32) -> f64 {
-        let young = newest <= self.started / self.slot + SLOTS + 1;
-        let part = if young { STARTING } else { STEADY };
+    fn slack_share(&self, newest: u64, fleet: u32) -> f64 {
+        let is_starting = newest <= self.started / self.slot + SLOTS + 1;
+        let part = if is_starting { STARTING_SLACK_SHARE } else { STEADY_SLACK_SHARE };
         part * self.slack / f64::from(fleet.max(1))
     }
 
-    fn at(&self, ring_of: &[u32; KEPT], newest: u64, back: u64) -> u32 {
+    fn at(&self, ring_of: &[u32; RETAINED_SLOTS], newest: u64, back: u64) -> u32 {
         newest.checked_sub(back).map_or(0, |slot| ring_of[ring(slot)])
     }
 
     /// Empties the slots that time has passed over; a clock that stands still or steps back changes nothing.
     fn advance(&mut self, now: Micros) -> u64 {
         let slot = now / self.slot;
-        let passed = slot.saturating_sub(self.newest).min(KEPT as u64);
+        let passed = slot.saturating_sub(self.newest).min(RETAINED_SLOTS as u64);
         for back in 0..passed {
             self.requests[ring(slot - back)] = 0;
-            self.repeats[ring(slot - back)] = 0;
+            self.retries[ring(slot - back)] = 0;
         }
         self.newest = self.newest.max(slot);
         self.newest
@@ -122,5 +122,5 @@
 }
 
 fn ring(slot: u64) -> usize {
-    (slot % KEPT as u64) as usize
+    (slot % RETAINED_SLOTS as u64) as usize
 }
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -107,7 +107,7 @@
 
 /// What an outcome means for the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settlement {
+pub enum ChargeOutcome {
     Spent,
     Refunded,
 }
@@ -163,7 +163,7 @@
     }
 
     /// Whether a send now would be an arrival beyond the first.
-    pub(super) fn is_repeat(&self) -> bool {
+    pub(super) fn is_retry(&self) -> bool {
         self.progress.counted.get() > 0 || self.progress.prefill_failed.get()
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Notes the end of a send, and says whether it counts as an arrival beyond the first.
-    pub fn ended(&self, record: &SendRecord, outcome: SendOutcome) -> Settlement {
+    pub fn ended(&self, record: &SendRecord, outcome: SendOutcome) -> ChargeOutcome {
         use SendOutcome::*;
         let proven_not_run = matches!(outcome, Rejected | Misdirected | Unreachable);
         if record.purpose != Purpose::Prefill {
@@ -221,12 +221,12 @@
             return self.first_prefill_ended(outcome, proven_not_run);
         }
         if outcome != Unreachable {
-            return Settlement::Spent;
+            return ChargeOutcome::Spent;
         }
         if record.counting == Counting::Attempt {
             self.counted.set(self.counted.get().saturating_sub(1));
         }
-        Settlement::Refunded
+        ChargeOutcome::Refunded
     }
 
     fn record_transfer(&self, record: &SendRecord, outcome: SendOutcome) {
@@ -238,18 +238,22 @@
         }
     }
 
-    fn first_prefill_ended(&self, outcome: SendOutcome, proven_not_run: bool) -> Settlement {
+    fn first_prefill_ended(&self, outcome: SendOutcome, proven_not_run: bool) -> ChargeOutcome {
         self.prefilling.set(false);
         if !proven_not_run {
             // It may have been taken up: that call is free, and the next one isn't.
             self.prefilled.set(true);
             self.prefill_failed.set(outcome != SendOutcome::Answered);
-            return if outcome == SendOutcome::Answered { Settlement::Refunded } else { Settlement::Spent };
+            return if outcome == SendOutcome::Answered {
+                ChargeOutcome::Refunded
+            } else {
+                ChargeOutcome::Spent
+            };
         }
         if outcome == SendOutcome::Unreachable {
-            return Settlement::Refunded;
+            return ChargeOutcome::Refunded;
         }
         self.counted.set(self.counted.get() + 1);
-        Settlement::Spent
+        ChargeOutcome::Spent
     }
 }
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -9,11 +9,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::budget::{RetryBudget, UNKNOWN_FLEET};
+use super::budget::{ASSUMED_PROXIES, RetryBudget};
 use super::interface::{Admission, Choice, RequestFacts, RequestRouterSettings, SendTicket};
 use super::load::Loads;
 use super::locality::{Locality, LocalityRegistry};
-use super::plan::{Progress, RequestPlan, SendRecord, Settlement};
+use super::plan::{ChargeOutcome, Progress, RequestPlan, SendRecord};
 use super::prefix_cache::prefixes;
 use super::searcher::Searcher;
 use super::selection::{SelectedSearcher, SelectionCriteria, select};
@@ -111,7 +111,7 @@
     /// Whether to take a request at all. Counts it for the retry budget.
     pub fn admit(&mut self, now: Micros, request: &RequestFacts) -> Admission {
         let service = self.service_index(now, &request.service);
-        self.services[service].budget.request(now);
+        self.services[service].budget.record_request(now);
         self.loads.request(service);
         if request.remaining_ms == 0 {
             return Admission::Refuse { retry_after_ms: SHORTEST_RETRY_MS };
@@ -176,9 +176,9 @@
         let Some(selected) = self.select_searcher(now, plan, purpose, tie_breaker) else {
             return Choice::Refuse { retry_after_ms: self.retry_after_ms(now, plan) };
         };
-        let fleet = self.fleet.unwrap_or(UNKNOWN_FLEET);
+        let fleet = self.fleet.unwrap_or(ASSUMED_PROXIES);
         let mut charge = None;
-        if plan.is_repeat() {
+        if plan.is_retry() {
             charge = self.services[plan.service].budget.charge(now, fleet);
             if charge.is_none() {
                 return Choice::Exhausted;
@@ -246,9 +246,9 @@
         let Some(record) = self.sends.remove(&ticket.0) else { return };
         self.loads.ended(now, &record);
         trace::log_end(now, &record, outcome);
-        let settlement = record.progress.ended(&record, outcome);
+        let charge_outcome = record.progress.ended(&record, outcome);
         let service = &mut self.services[record.service];
-        if let (Settlement::Refunded, Some(charge)) = (settlement, record.charge) {
+        if let (ChargeOutcome::Refunded, Some(charge)) = (charge_outcome, record.charge) {
             service.budget.refund(charge);
         }
         if service.searcher(record.searcher).hash != record.hash {
