--- a/crates/lockusher-distribution/src/change_notifier.rs
+++ b/crates/lockusher-distribution/src/change_notifier.rs
@@ -1,4 +1,7 @@
 //! Wakes the tasks of one thread when shared state has changed.
+//!
+//! A [`ChangeNotifier`] belongs to the owner of the state, who notifies it after each change. A task reads the
+//! generation, looks at the state, and then waits for another generation: no change is missed in between.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -12,12 +15,12 @@
 }
 
 impl ChangeNotifier {
-    /// How many changes there have been.
+    /// Number of changes so far.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Counts a change and wakes all who wait.
+    /// Counts a change and wakes all tasks that wait.
     pub fn notify(&self) {
         self.generation.set(self.generation.get() + 1);
         for waker in self.waiting.take() {
@@ -25,7 +28,7 @@
         }
     }
 
-    /// Waits until there have been more changes than `seen`; returns their number.
+    /// Waits until the generation differs from `seen`; returns it.
     pub async fn changed_since(&self, seen: u64) -> u64 {
         poll_fn(|context| {
             if self.generation.get() != seen {
--- a/crates/lockusher-distribution/src/difference.rs
+++ b/crates/lockusher-distribution/src/difference.rs
@@ -1,7 +1,8 @@
-//! Differences between two versions of a configuration or of a list.
+//! Differences between two versions of a configuration or of an instance list.
 //!
-//! The newer sequence is described by runs taken over from the older one and by elements that are new, so that order
-//! is kept and applying a difference gives exactly the newer version.
+//! Made by the publisher's version history, applied by the [`Subscriber`](crate::subscriber::Subscriber). The newer
+//! sequence is described by runs copied from the older one, the base, and by elements that are new. Invariant: applying
+//! a difference to its base gives exactly the newer version, order included.
 
 use std::collections::HashMap;
 
@@ -10,16 +11,18 @@
 use lockusher_config::configuration::{Configuration, Limits, Route, Service};
 use lockusher_config::instances::{Instance, InstanceListRevision};
 
-/// A difference that doesn't fit its base.
+/// A difference can't be applied; a full snapshot can.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum DifferenceError {
-    #[display("the difference is against another version than the one held")]
+    /// Its base is another version than the one applied.
+    #[display("the difference is against another version than the one applied")]
     BaseMismatch,
+    /// A segment lies outside of the base: the sender is at fault.
     #[display("the difference takes over elements that the base doesn't have")]
     SegmentOutOfRange,
 }
 
-/// Elements by whose name a sequence is compared.
+/// Elements that are matched by name when two sequences are compared.
 pub trait Named {
     /// The name; unique within one sequence.
     fn name(&self) -> &str;
@@ -43,27 +46,37 @@
     }
 }
 
-/// A part of the newer sequence.
+/// A run of the newer sequence.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Segment<T> {
-    /// Taken over from the base.
-    CopyFromBase { from: u32, count: u32 },
-    /// New or changed.
+    /// Elements that are the same in the base.
+    CopyFromBase {
+        /// Position in the base of the first one.
+        from: u32,
+        /// Number of elements.
+        count: u32,
+    },
+    /// Elements that are new or changed.
     Insert(Vec<T>),
 }
 
 /// A configuration as a difference.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ConfigurationDifference {
+    /// Version of the base.
     pub base_version: u64,
+    /// The newer version.
     pub version: u64,
+    /// The newer version's routes.
     pub routes: Vec<Segment<Route>>,
+    /// The newer version's services.
     pub services: Vec<Segment<Service>>,
+    /// The newer version's limits.
     pub limits: Limits,
 }
 
 impl ConfigurationDifference {
-    /// From `base` to `target`.
+    /// The difference that leads from `base` to `target`.
     pub fn between(base: &Configuration, target: &Configuration) -> Self {
         ConfigurationDifference {
             base_version: base.version,
@@ -75,6 +88,11 @@
     }
 
     /// The newer configuration.
+    ///
+    /// # Errors
+    ///
+    /// [`DifferenceError::BaseMismatch`] if `base` is of another version than the difference's base,
+    /// [`DifferenceError::SegmentOutOfRange`] if it lacks what the difference copies.
     pub fn apply(self, base: &Configuration) -> Result<Configuration, DifferenceError> {
         if base.version != self.base_version {
             return Err(DifferenceError::BaseMismatch);
@@ -88,16 +106,19 @@
     }
 }
 
-/// A list as a difference.
+/// An instance list as a difference.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct InstanceListDifference {
+    /// Revision of the base.
     pub base: InstanceListRevision,
+    /// The newer revision.
     pub revision: InstanceListRevision,
+    /// The newer list.
     pub instances: Vec<Segment<Instance>>,
 }
 
 impl InstanceListDifference {
-    /// From `base_instances` to `instances`.
+    /// The difference that leads from `base_instances` to `instances`.
     pub fn between(
         base: InstanceListRevision,
         base_instances: &[Instance],
@@ -108,6 +129,11 @@
     }
 
     /// The newer list.
+    ///
+    /// # Errors
+    ///
+    /// [`DifferenceError::BaseMismatch`] if `base` is another revision than the difference's base,
+    /// [`DifferenceError::SegmentOutOfRange`] if `base_instances` lacks what the difference copies.
     pub fn apply(
         self,
         base: InstanceListRevision,
@@ -120,7 +146,7 @@
     }
 }
 
-/// Describes `target` by what it takes over from `base`.
+/// Describes `target` by what it has in common with `base`.
 pub fn segments<T: Named + Clone + PartialEq>(base: &[T], target: &[T]) -> Vec<Segment<T>> {
     let positions: HashMap<&str, usize> =
         base.iter().enumerate().map(|(position, element)| (element.name(), position)).collect();
@@ -153,6 +179,10 @@
 }
 
 /// Builds the newer sequence out of the base.
+///
+/// # Errors
+///
+/// [`DifferenceError::SegmentOutOfRange`] if a segment lies outside of the base.
 pub fn join<T: Clone>(base: &[T], segments: Vec<Segment<T>>) -> Result<Vec<T>, DifferenceError> {
     let mut joined = Vec::new();
     for segment in segments {
--- a/crates/lockusher-distribution/src/lib.rs
+++ b/crates/lockusher-distribution/src/lib.rs
@@ -1,9 +1,26 @@
-//! Streams of versioned updates from the control plane to agents and proxies.
+//! Streams of versioned updates from the control plane to agents and proxies, like a small xDS.
 //!
-//! A [`publisher::Publisher`] holds the newest routing configuration and list of searchers and decides what each of
-//! its subscribers is sent; a [`subscriber::Subscriber`] applies what arrives and never goes back to an older version.
-//! An agent is both: it subscribes to a control node and publishes to the proxy beside it. Neither does I/O nor reads
-//! a clock: [`serve`] and [`subscribe`] drive them over TCP.
+//! What is distributed are the routing configuration and the list of searchers, each as full snapshots and differences.
+//! A [`publisher::Publisher`] has the newest versions and decides what each of its subscribers is sent; a
+//! [`subscriber::Subscriber`] applies what arrives. A control node publishes to agents, an agent to the proxy beside it:
+//! an agent is a subscriber and a publisher. The list is made by an [`instance_list_poller::InstanceListPoller`], which
+//! polls the platform.
+//!
+//! Invariants: a subscriber never goes back to an older version, whoever sends it, and at most one unacknowledged update
+//! of each kind is in flight to a subscriber.
+//!
+//! # Reading order
+//!
+//! | module | job |
+//! | --- | --- |
+//! | [`message`], [`frame`] | what is sent, and how it is encoded |
+//! | [`difference`], [`versioned`], [`version_history`] | versions, and what leads from one to the next |
+//! | [`publisher`], [`subscriber`] | the two ends, without I/O or clock |
+//! | [`reconnect`] | which publisher a subscriber connects to, and when |
+//! | [`serve`], [`subscribe`] | the two ends over TCP |
+//! | [`instance_list_poller`], [`instance_list_client`], [`revision`] | polling the platform |
+//! | [`departures`] | searchers that must not come back by an older list |
+//! | [`load`] | loads on their way from proxies to the head |
 //!
 //! Times are milliseconds on the process's own steady clock unless a name says otherwise.
 
--- a/crates/lockusher-distribution/src/revision.rs
+++ b/crates/lockusher-distribution/src/revision.rs
@@ -1,14 +1,14 @@
-//! Numbers for revisions of the list of searchers.
+//! Numbers for revisions of the instance list.
 //!
-//! The control plane's reader counts in large steps. An agent that has to read the list itself numbers its own
-//! readings in the gap above the last revision that it knows, so that the reader's next change is above them all.
+//! The control plane's poller counts in large steps. An agent that has to poll the platform itself numbers its own
+//! lists in the gap above the last revision that it knows. Invariant: the poller's next revision is above them all.
 
 use lockusher_config::instances::InstanceListRevision;
 
-/// Distance between two revisions of the control plane's reader: about one reading a second for twelve days.
+/// Distance between two revisions of the control plane's poller: room for an agent's poll each second for twelve days.
 pub const POLLER_REVISION_STEP: u64 = 1 << 20;
 
-/// The reader's next revision, `epoch` being the one in which it was appointed.
+/// The poller's revision after `last`, `epoch` being that of the control view in which it was appointed.
 pub fn next_poller_revision(last: InstanceListRevision, epoch: u64) -> InstanceListRevision {
     if epoch != last.epoch {
         return InstanceListRevision { epoch, sequence: POLLER_REVISION_STEP };
@@ -19,12 +19,12 @@
     }
 }
 
-/// A revision just above `last`, for a list that doesn't come from the reader.
+/// The revision just above `last`, for a list that an agent polled.
 pub fn next_agent_revision(last: InstanceListRevision) -> InstanceListRevision {
     InstanceListRevision { epoch: last.epoch, sequence: last.sequence + 1 }
 }
 
-/// Whether the control plane's reader made this revision.
+/// Whether the control plane's poller made this revision.
 pub fn is_poller_revision(revision: InstanceListRevision) -> bool {
     revision.sequence.is_multiple_of(POLLER_REVISION_STEP)
 }
--- a/crates/lockusher-distribution/src/subscriber.rs
+++ b/crates/lockusher-distribution/src/subscriber.rs
@@ -1,10 +1,16 @@
-//! Applies what publishers send, and never goes back to an older version within its life, whoever sends it.
+//! Applies what publishers send.
+//!
+//! A [`Subscriber`] is owned by a [`SharedSubscriber`](crate::subscribe::SharedSubscriber), which passes it the messages
+//! of one connection after the other. It does no I/O and reads no clock.
+//!
+//! Invariant: within its process's life it never goes back to an older version, whichever publisher sends it, and what it
+//! has applied is exactly what was published under its version. It answers each update, by an acknowledgement or by a
+//! request for a full snapshot.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
 use lockusher_config::configuration::Configuration;
-use lockusher_config::instances::{Instance, InstanceListRevision};
 
 use crate::difference::DifferenceError;
 use crate::instance_list::InstanceList;
@@ -14,17 +20,20 @@
     NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
 
-/// Acknowledgements that answer no update are sent this often, as a sign of life.
+/// Interval of the acknowledgements that answer no update, in milliseconds: keep-alives, which answer a heartbeat.
 const KEEP_ALIVE_INTERVAL_MS: u64 = 1_000;
 
-/// What a subscriber knows, and what it owes its publisher.
+/// What a subscriber has applied and received, and what its acknowledgements report.
 #[derive(Debug)]
 pub struct Subscriber {
     identity: SubscriberIdentity,
     configuration: Option<Rc<Configuration>>,
     list: Option<InstanceList>,
+    /// On this process's clock; absent if no heartbeat confirmed the list applied.
     list_confirmed_at_ms: Option<u64>,
+    /// 0 if unknown.
     calls_per_poll: u32,
+    /// In the fleet; 0 if unknown.
     proxies: u32,
     publisher_in_view: bool,
     publisher_list_age_ms: u64,
@@ -33,11 +42,12 @@
     downstream: Downstream,
     /// The loads of the last acknowledgement.
     reported_loads: Vec<ServiceLoad>,
+    /// When the last acknowledgement was made, or the connection came up.
     acknowledged_at_ms: u64,
 }
 
 impl Subscriber {
-    /// Knows nothing yet.
+    /// A subscriber that has applied nothing yet.
     pub fn new(identity: SubscriberIdentity) -> Self {
         Subscriber {
             identity,
@@ -56,52 +66,52 @@
         }
     }
 
-    /// The newest configuration received.
+    /// The configuration applied.
     pub fn configuration(&self) -> Option<&Rc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// The newest list received.
+    /// The list applied.
     pub fn list(&self) -> Option<&InstanceList> {
         self.list.as_ref()
     }
 
-    /// When a reader last confirmed the list that is held against the platform, as far as was heard.
+    /// When a poll last confirmed the list applied against the platform, as far as heartbeats reported it.
     pub fn list_confirmed_at_ms(&self) -> Option<u64> {
         self.list_confirmed_at_ms
     }
 
-    /// Calls to the platform that one reading of the whole list takes; 0 if unknown.
+    /// Calls to the platform that one poll of the full list takes; 0 if unknown.
     pub fn calls_per_poll(&self) -> u32 {
         self.calls_per_poll
     }
 
-    /// Subscribed proxies in the fleet, as last heard; 0 if unknown.
+    /// Subscribed proxies in the fleet, as last received; 0 if unknown.
     pub fn proxies(&self) -> u32 {
         self.proxies
     }
 
-    /// Whether the publisher takes part in the current view; true until it says otherwise.
+    /// Whether the publisher takes part in the current view; true until a heartbeat reports otherwise.
     pub fn publisher_in_view(&self) -> bool {
         self.publisher_in_view
     }
 
-    /// Age of the publisher's list by its last heartbeat.
+    /// Age of the publisher's list by its last heartbeat, in milliseconds; [`NEVER_MS`] before the first.
     pub fn publisher_list_age_ms(&self) -> u64 {
         self.publisher_list_age_ms
     }
 
-    /// Internal listeners of the control nodes, as last heard.
+    /// Internal listeners of the control nodes, as last received.
     pub fn control_nodes(&self) -> &[SocketAddrV4] {
         &self.control_nodes
     }
 
-    /// The last sample of other agents.
+    /// The sample of other agents, as last received.
     pub fn peers(&self) -> &[SocketAddrV4] {
         &self.peers
     }
 
-    /// The versions held.
+    /// The versions applied.
     pub fn applied(&self) -> AppliedVersions {
         AppliedVersions {
             configuration_version: self.configuration.as_ref().map_or(0, |applied| applied.version),
@@ -109,12 +119,12 @@
         }
     }
 
-    /// Says what stands behind this subscriber; the next acknowledgement carries it. A proxy needn't call this.
+    /// Sets what is fed by way of this subscriber; the next acknowledgement carries it. A proxy needn't call this.
     pub fn set_downstream(&mut self, downstream: Downstream) {
         self.downstream = downstream;
     }
 
-    /// Says what the proxy that this subscriber feeds sees of its services.
+    /// Sets the loads that acknowledgements report; those of a proxy are its own.
     pub fn set_loads(&mut self, loads: Vec<ServiceLoad>) {
         self.downstream.loads = loads;
     }
@@ -127,17 +137,11 @@
         FromSubscriber::Subscribe { identity: self.identity.clone(), applied: self.applied() }
     }
 
-    /// Takes a message of the publisher; returns the answer that is owed.
+    /// Takes a message of the publisher; returns the answer that is due.
     pub fn receive(&mut self, now_ms: u64, message: ToSubscriber) -> Option<FromSubscriber> {
         match message {
-            ToSubscriber::Configuration(update) => match self.apply_configuration(update) {
-                Ok(()) => Some(self.acknowledge(now_ms)),
-                Err(_) => Some(FromSubscriber::RequestFullSnapshot { configuration: true, list: false }),
-            },
-            ToSubscriber::Instances(update) => match self.apply_list(update) {
-                Ok(()) => Some(self.acknowledge(now_ms)),
-                Err(_) => Some(FromSubscriber::RequestFullSnapshot { configuration: false, list: true }),
-            },
+            ToSubscriber::Configuration(update) => Some(self.receive_configuration(now_ms, update)),
+            ToSubscriber::Instances(update) => Some(self.receive_list(now_ms, update)),
             ToSubscriber::Heartbeat(heartbeat) => self.receive_heartbeat(now_ms, heartbeat),
             ToSubscriber::ControlNodes(addresses) => {
                 self.control_nodes = addresses;
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Takes a whole configuration from elsewhere; false if it isn't newer.
+    /// Applies a configuration that was received from elsewhere; false, and without effect, if it isn't newer.
     pub fn offer_configuration(&mut self, configuration: Rc<Configuration>) -> bool {
         if configuration.version <= self.applied().configuration_version {
             return false;
@@ -159,6 +163,20 @@
         true
     }
 
+    fn receive_configuration(&mut self, now_ms: u64, update: ConfigurationUpdate) -> FromSubscriber {
+        match self.apply_configuration(update) {
+            Ok(()) => self.acknowledge(now_ms),
+            Err(_) => FromSubscriber::RequestFullSnapshot { configuration: true, list: false },
+        }
+    }
+
+    fn receive_list(&mut self, now_ms: u64, update: InstanceListUpdate) -> FromSubscriber {
+        match self.apply_list(update) {
+            Ok(()) => self.acknowledge(now_ms),
+            Err(_) => FromSubscriber::RequestFullSnapshot { configuration: false, list: true },
+        }
+    }
+
     fn apply_configuration(&mut self, update: ConfigurationUpdate) -> Result<(), DifferenceError> {
         let newer = match update {
             ConfigurationUpdate::FullSnapshot(configuration) => configuration,
@@ -186,14 +204,10 @@
                 (revision, difference.apply(base.revision, &base.instances)?)
             }
         };
-        self.take_list(revision, instances);
-        Ok(())
-    }
-
-    fn take_list(&mut self, revision: InstanceListRevision, instances: Vec<Instance>) {
         if revision > self.applied().list_revision {
             self.list = Some(InstanceList { revision, instances: Rc::new(instances) });
         }
+        Ok(())
     }
 
     fn receive_heartbeat(&mut self, now_ms: u64, heartbeat: Heartbeat) -> Option<FromSubscriber> {
@@ -205,15 +219,23 @@
         if heartbeat.calls_per_poll > 0 {
             self.calls_per_poll = heartbeat.calls_per_poll;
         }
-        let applied = self.applied();
-        if heartbeat.list_age_ms != NEVER_MS && heartbeat.newest.list_revision == applied.list_revision {
-            let confirmed = now_ms.saturating_sub(heartbeat.list_age_ms);
-            self.list_confirmed_at_ms = self.list_confirmed_at_ms.max(Some(confirmed));
+        self.confirm_list(now_ms, &heartbeat);
+        self.is_acknowledgement_due(now_ms).then(|| self.acknowledge(now_ms))
+    }
+
+    /// The age of the publisher's list is that of the list applied if both are of the same revision.
+    fn confirm_list(&mut self, now_ms: u64, heartbeat: &Heartbeat) {
+        let is_same_list = heartbeat.newest.list_revision == self.applied().list_revision;
+        if heartbeat.list_age_ms != NEVER_MS && is_same_list {
+            let confirmed_at_ms = now_ms.saturating_sub(heartbeat.list_age_ms);
+            self.list_confirmed_at_ms = self.list_confirmed_at_ms.max(Some(confirmed_at_ms));
         }
+    }
+
+    fn is_acknowledgement_due(&self, now_ms: u64) -> bool {
         let since_acknowledged_ms = now_ms.saturating_sub(self.acknowledged_at_ms);
-        let due = since_acknowledged_ms >= KEEP_ALIVE_INTERVAL_MS
-            || load::is_noticeable(&self.downstream.loads, &self.reported_loads);
-        due.then(|| self.acknowledge(now_ms))
+        since_acknowledged_ms >= KEEP_ALIVE_INTERVAL_MS
+            || load::is_noticeable(&self.downstream.loads, &self.reported_loads)
     }
 
     fn acknowledge(&mut self, now_ms: u64) -> FromSubscriber {
--- a/crates/lockusher-distribution/src/version_history.rs
+++ b/crates/lockusher-distribution/src/version_history.rs
@@ -1,5 +1,7 @@
-//! The newest version of something that is published, a few older ones to make differences from, and the frames that
-//! bring subscribers to the newest: each is encoded once, whoever needs it.
+//! The newest version of a value, a few older ones, and the frames that bring subscribers from these to the newest.
+//!
+//! Owned by the [`Publisher`](crate::publisher::Publisher), one for each kind of value. Invariants: versions rise, and a
+//! frame is encoded once for all subscribers that have applied the same version.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -7,14 +9,16 @@
 use crate::frame::{Frame, encode_frame};
 use crate::versioned::Versioned;
 
-/// Versions that are kept to make differences from.
+/// Number of versions that are retained, the newest included. A subscriber whose version isn't among them is sent a full
+/// snapshot.
 const MAX_RETAINED_VERSIONS: usize = 8;
 
-/// Versions of one value, newest last.
+/// Versions of one value.
 #[derive(Debug)]
 pub struct VersionHistory<T: Versioned> {
+    /// In order, newest last.
     versions: VecDeque<Rc<T>>,
-    /// Frames that lead to the newest version, by their base.
+    /// Frames that lead to the newest version, by the version that they differ from; by none the full snapshot.
     frames: BTreeMap<Option<T::Version>, Frame>,
 }
 
@@ -35,7 +39,7 @@
         self.newest().map(|newest| newest.version()).unwrap_or_default()
     }
 
-    /// Takes a newer value; false if it isn't newer.
+    /// Adds a value; false, and without effect, if it isn't newer.
     pub fn push(&mut self, value: Rc<T>) -> bool {
         if value.version() <= self.newest_version() {
             return false;
--- a/crates/lockusher-distribution/src/versioned.rs
+++ b/crates/lockusher-distribution/src/versioned.rs
@@ -1,4 +1,6 @@
-//! Values of which versions are published.
+//! The interface of values of which versions are published: configurations and instance lists.
+//!
+//! Used by [`VersionHistory`](crate::version_history::VersionHistory).
 
 use lockusher_config::configuration::Configuration;
 use lockusher_config::instances::InstanceListRevision;
@@ -9,7 +11,7 @@
 
 /// A value of which versions are published.
 pub trait Versioned {
-    /// Orders the versions; the default stands for "none".
+    /// Type of the versions, the newest being the greatest; the default stands for "none".
     type Version: Copy + Ord + Default;
 
     /// The version of this value.
