--- a/crates/lockusher-agent/tests/support/mod.rs
+++ b/crates/lockusher-agent/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests of the agent share.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-#[path = "../../../lockusher-distribution/tests/common/mod.rs"]
+#[path = "../../../lockusher-distribution/tests/support/mod.rs"]
 pub mod common;
 pub mod edge;
 pub mod gossip_fleet;
--- a/crates/lockusher-distribution/tests/capacity.rs
+++ b/crates/lockusher-distribution/tests/capacity.rs
@@ -1,17 +1,17 @@
 //! What a control node sends its agents at the size that docs/CAPACITY.md plans for, in simulated time and without
 //! sockets. `cargo test --release -p lockusher-distribution --test capacity -- --nocapture` prints the figures.
 
-mod common;
+mod support;
 
 use std::rc::Rc;
 use std::time::Instant;
 
-use common::{configuration, identity, instance, revision, route, service};
 use lockusher_config::configuration::{Configuration, Engine, Route, Service, WeightedService};
 use lockusher_config::instances::{Instance, InstanceState, ModelVersion, Stage};
 use lockusher_distribution::message::{Downstream, Envelope, FromSubscriber, ToSubscriber};
 use lockusher_distribution::publisher::{Publisher, PublisherStatus, SubscriberId};
 use lockusher_distribution::subscriber::Subscriber;
+use support::{configuration, identity, instance, revision, route, service};
 use yare::parameterized;
 
 const SEARCHERS: usize = 840;
--- a/crates/lockusher-distribution/tests/departures.rs
+++ b/crates/lockusher-distribution/tests/departures.rs
@@ -1,11 +1,11 @@
 //! Searchers that have ended don't come back by an older list.
 
-mod common;
+mod support;
 
 use std::rc::Rc;
 
-use common::{draining, instance};
 use lockusher_distribution::departures::{DepartedInstances, Departure};
+use support::{draining, instance};
 
 #[test]
 fn a_searcher_seen_draining_stays_draining_in_an_older_list() {
--- a/crates/lockusher-distribution/tests/difference.rs
+++ b/crates/lockusher-distribution/tests/difference.rs
@@ -1,14 +1,14 @@
 //! A difference gives exactly the newer version, whatever was added, removed, changed or moved.
 
-mod common;
+mod support;
 
-use common::{configuration, instance, revision};
 use lockusher_config::instances::Instance;
 use lockusher_distribution::difference::{
     ConfigurationDifference, DifferenceError, InstanceListDifference, Segment, join, segments,
 };
 use proptest::prelude::*;
 use proptest::sample::subsequence;
+use support::{configuration, instance, revision};
 
 fn instances() -> impl Strategy<Value = Vec<Instance>> {
     let names: Vec<u32> = (0..12).collect();
--- a/crates/lockusher-distribution/tests/instance_list_poller.rs
+++ b/crates/lockusher-distribution/tests/instance_list_poller.rs
@@ -1,13 +1,13 @@
 //! Pacing, paging and back-off of the platform's list.
 
-mod common;
+mod support;
 
 use std::collections::BTreeMap;
 
-use common::{cold, draining, instance};
 use lockusher_config::instances::Instance;
 use lockusher_config::instances_reader::InstancePage;
 use lockusher_distribution::instance_list_poller::{InstanceListPoll, InstanceListPoller, PollerStep};
+use support::{cold, draining, instance};
 
 fn page(instances: &[Instance], next_token: Option<&str>) -> InstancePage {
     InstancePage { instances: instances.to_vec(), next_token: next_token.map(str::to_owned), skipped: vec![] }
--- a/crates/lockusher-distribution/tests/load.rs
+++ b/crates/lockusher-distribution/tests/load.rs
@@ -1,10 +1,9 @@
 //! Loads on their way from the proxies to the head.
 
-mod common;
+mod support;
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use common::identity;
 use lockusher_distribution::load::{self, ServiceLoad};
 use lockusher_distribution::message::{
     AppliedVersions, Downstream, Envelope, FromSubscriber, Heartbeat, NEVER_MS, SubscriberIdentity,
@@ -13,6 +12,7 @@
 use lockusher_distribution::publisher::Publisher;
 use lockusher_distribution::subscriber::Subscriber;
 use proptest::prelude::*;
+use support::identity;
 
 fn service(name: &str, in_flight: u32) -> ServiceLoad {
     ServiceLoad {
--- a/crates/lockusher-distribution/tests/loopback.rs
+++ b/crates/lockusher-distribution/tests/loopback.rs
@@ -1,12 +1,11 @@
 //! Publishers and feeds over TCP on loopback; waits for states, never for time.
 
-mod common;
+mod support;
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{configuration, draining, identity, instance, revision};
 use compio::net::TcpListener;
 use compio::runtime::JoinHandle;
 use compio::time::timeout;
@@ -16,6 +15,7 @@
 use lockusher_distribution::subscribe::{self, FeedUpdate, SharedSubscriber};
 use lockusher_distribution::subscriber::Subscriber;
 use lockusher_transport::clock::Clock;
+use support::{configuration, draining, identity, instance, revision};
 
 /// No state takes this long to come about.
 const LIMIT: Duration = Duration::from_secs(20);
--- a/crates/lockusher-distribution/tests/streams.rs
+++ b/crates/lockusher-distribution/tests/streams.rs
@@ -2,12 +2,11 @@
 //! are lost with what was under way, several connections of one subscriber at once, messages of different connections
 //! in any order.
 
-mod common;
+mod support;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use common::{configuration, identity, instance, revision};
 use lockusher_config::configuration::Configuration;
 use lockusher_config::instances::{Instance, InstanceListRevision};
 use lockusher_distribution::message::{
@@ -18,6 +17,7 @@
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use support::{configuration, identity, instance, revision};
 
 const PUBLISHERS: usize = 3;
 const SUBSCRIBERS: usize = 4;
