--- a/crates/lockusher-distribution/tests/capacity.rs
+++ b/crates/lockusher-distribution/tests/capacity.rs
@@ -8,10 +8,10 @@
 
 use lockusher_config::configuration::{Configuration, Engine, Route, Service, WeightedService};
 use lockusher_config::instances::{Instance, InstanceState, ModelVersion, Stage};
-use lockusher_distribution::message::{Downstream, Envelope, FromSubscriber, ToSubscriber};
+use lockusher_distribution::message::{Downstream, Envelope, FromSubscriber};
 use lockusher_distribution::publisher::{Publisher, PublisherStatus, SubscriberId};
 use lockusher_distribution::subscriber::Subscriber;
-use support::{configuration, identity, instance, revision, route, service};
+use support::{configuration, decode_frame, identity, instance, revision, route, service};
 use yare::parameterized;
 
 const SEARCHERS: usize = 840;
@@ -123,8 +123,7 @@
         for (id, agent) in &mut agents {
             while let Some(frame) = self.publisher.next_frame(*id, now_ms) {
                 self.count(frame.len());
-                let envelope: Envelope = bitcode::decode(&frame[4..]).expect("an envelope");
-                let message: ToSubscriber = envelope.open().expect("a message");
+                let message = decode_frame(&frame);
                 agent.set_downstream(Downstream {
                     in_force_version: agent.applied().configuration_version,
                     ..Downstream::PROXY
--- a/crates/lockusher-distribution/tests/support/mod.rs
+++ b/crates/lockusher-distribution/tests/support/mod.rs
@@ -3,7 +3,9 @@
 
 use lockusher_config::configuration::{Configuration, Limits, Route, RouteKind, Service, WeightedService};
 use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState};
-use lockusher_distribution::message::SubscriberIdentity;
+use lockusher_distribution::message::{Envelope, SubscriberIdentity, ToSubscriber};
+use lockusher_distribution::publisher::{Publisher, SubscriberId};
+use lockusher_distribution::subscriber::Subscriber;
 
 pub fn route(name: &str, timeout_ms: u64) -> Route {
     Route {
@@ -71,3 +73,26 @@
 pub fn identity(node: &str) -> SubscriberIdentity {
     SubscriberIdentity { node: node.to_owned(), zone: "zone".to_owned(), agent_address: None }
 }
+
+/// The message of a publisher's frame.
+pub fn decode_frame(frame: &[u8]) -> ToSubscriber {
+    // The length before the envelope belongs to the connection.
+    let envelope: Envelope = bitcode::decode(&frame[4..]).expect("own encoding");
+    envelope.open().expect("own protocol")
+}
+
+/// All messages that are due to a subscriber.
+pub fn messages(publisher: &mut Publisher, id: SubscriberId, now_ms: u64) -> Vec<ToSubscriber> {
+    let mut messages = Vec::new();
+    while let Some(frame) = publisher.next_frame(id, now_ms) {
+        messages.push(decode_frame(&frame));
+    }
+    messages
+}
+
+/// Connects a subscriber that has applied nothing.
+pub fn subscribed(publisher: &mut Publisher, node: &str) -> SubscriberId {
+    let id = publisher.connect(0);
+    publisher.receive(id, 0, Subscriber::new(identity(node)).subscribe(0));
+    id
+}
