--- a/crates/lockusher-distribution/tests/streams.rs
+++ b/crates/lockusher-distribution/tests/streams.rs
@@ -1,5 +1,5 @@
 //! Publishers and subscribers against a plain model: several publishers that lag behind each other, connections that
-//! are lost with what was under way, several connections of one subscriber at once, messages of different connections
+//! are lost with what was in flight, several connections of one subscriber at once, messages of different connections
 //! in any order.
 
 mod support;
@@ -31,33 +31,34 @@
 
 /// What was published, by version.
 #[derive(Default)]
-struct Truth {
+struct Published {
     configurations: BTreeMap<u64, Rc<Configuration>>,
     lists: BTreeMap<InstanceListRevision, Rc<Vec<Instance>>>,
 }
 
-struct World {
+/// Publishers, subscribers and their connections, played in simulated time.
+struct Simulation {
     random: ChaCha8Rng,
     now_ms: u64,
-    truth: Truth,
+    published: Published,
     publishers: Vec<Publisher>,
     subscribers: Vec<Subscriber>,
     connections: Vec<Connection>,
-    wholes: usize,
+    full_snapshots: usize,
     differences: usize,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let subscriber = |number: usize| Subscriber::new(identity(&format!("node-{number}")));
-        World {
+        Simulation {
             random: ChaCha8Rng::seed_from_u64(seed),
             now_ms: 0,
-            truth: Truth::default(),
+            published: Published::default(),
             publishers: (0..PUBLISHERS).map(|number| Publisher::new(number as u64)).collect(),
             subscribers: (0..SUBSCRIBERS).map(subscriber).collect(),
             connections: Vec::new(),
-            wholes: 0,
+            full_snapshots: 0,
             differences: 0,
         }
     }
@@ -71,12 +72,12 @@
             25..32 => self.connect(),
             32..36 => self.lose_connection(),
             36..38 => self.restart_publisher(),
-            _ => self.carry(),
+            _ => self.carry_message(),
         }
     }
 
     fn change_configuration(&mut self) {
-        let last = self.truth.configurations.keys().next_back().copied().unwrap_or_default();
+        let last = self.published.configurations.keys().next_back().copied().unwrap_or_default();
         let version = last + self.random.random_range(1..4);
         let mut routes: Vec<(u8, u64)> = Vec::new();
         for number in 0..6 {
@@ -84,11 +85,11 @@
                 routes.push((number, self.random.random_range(1..3)));
             }
         }
-        self.truth.configurations.insert(version, Rc::new(configuration(version, &routes)));
+        self.published.configurations.insert(version, Rc::new(configuration(version, &routes)));
     }
 
     fn change_list(&mut self) {
-        let last = self.truth.lists.keys().next_back().copied().unwrap_or(revision(1, 0));
+        let last = self.published.lists.keys().next_back().copied().unwrap_or(revision(1, 0));
         let epoch = last.epoch + u64::from(self.random.random_bool(0.1));
         let next = revision(epoch, if epoch > last.epoch { 1 } else { last.sequence + 1 });
         let mut instances = Vec::new();
@@ -98,15 +99,15 @@
                 instances.push(Instance { slots, ..instance(&format!("i{number}")) });
             }
         }
-        self.truth.lists.insert(next, Rc::new(instances));
+        self.published.lists.insert(next, Rc::new(instances));
     }
 
     /// A publisher learns of some version, not always of the newest.
     fn catch_up_publisher(&mut self) {
         let number = self.random.random_range(0..PUBLISHERS);
         let skipped = self.random.random_range(0..3);
-        let configuration = self.truth.configurations.values().rev().nth(skipped).cloned();
-        let list = self.truth.lists.iter().rev().nth(skipped);
+        let configuration = self.published.configurations.values().rev().nth(skipped).cloned();
+        let list = self.published.lists.iter().rev().nth(skipped);
         let publisher = &mut self.publishers[number];
         if let Some(configuration) = configuration {
             publisher.publish_configuration(configuration);
@@ -145,7 +146,7 @@
     }
 
     /// Moves one message of one connection.
-    fn carry(&mut self) {
+    fn carry_message(&mut self) {
         if self.connections.is_empty() {
             return;
         }
@@ -173,50 +174,50 @@
     fn deliver_downward(&mut self, position: usize) {
         let connection = &mut self.connections[position];
         let Some(message) = connection.downward.pop_front() else { return };
-        self.count(&message);
+        self.count_update(&message);
         let connection = &mut self.connections[position];
         let subscriber = &mut self.subscribers[connection.subscriber];
         let before = subscriber.applied();
         let answer = subscriber.receive(self.now_ms, message);
         connection.upward.extend(answer);
         let subscriber = connection.subscriber;
-        self.check(subscriber, before);
+        self.check_applied(subscriber, before);
     }
 
-    fn count(&mut self, message: &ToSubscriber) {
+    fn count_update(&mut self, message: &ToSubscriber) {
         use lockusher_distribution::message::{ConfigurationUpdate, InstanceListUpdate};
         match message {
             ToSubscriber::Configuration(ConfigurationUpdate::FullSnapshot(_))
-            | ToSubscriber::Instances(InstanceListUpdate::FullSnapshot { .. }) => self.wholes += 1,
+            | ToSubscriber::Instances(InstanceListUpdate::FullSnapshot { .. }) => self.full_snapshots += 1,
             ToSubscriber::Configuration(_) | ToSubscriber::Instances(_) => self.differences += 1,
             _ => {}
         }
     }
 
-    /// Nothing goes back, and what is held is what was published under its version.
-    fn check(&self, subscriber: usize, before: AppliedVersions) {
+    /// Nothing goes back, and what is applied is what was published under its version.
+    fn check_applied(&self, subscriber: usize, before: AppliedVersions) {
         let subscriber = &self.subscribers[subscriber];
         let applied = subscriber.applied();
         assert!(applied.configuration_version >= before.configuration_version, "configuration went back");
         assert!(applied.list_revision >= before.list_revision, "list went back");
         if let Some(configuration) = subscriber.configuration() {
-            assert_eq!(configuration, &self.truth.configurations[&applied.configuration_version]);
+            assert_eq!(configuration, &self.published.configurations[&applied.configuration_version]);
         }
         if let Some(list) = subscriber.list() {
-            assert_eq!(&list.instances, &self.truth.lists[&applied.list_revision]);
+            assert_eq!(&list.instances, &self.published.lists[&applied.list_revision]);
         }
     }
 
     /// All publishers learn the newest, every subscriber has one connection, and messages flow.
-    fn settle(&mut self) {
+    fn bring_to_the_newest(&mut self) {
         while !self.connections.is_empty() {
             self.lose_connection();
         }
         for publisher in &mut self.publishers {
-            if let Some(newest) = self.truth.configurations.values().next_back() {
+            if let Some(newest) = self.published.configurations.values().next_back() {
                 publisher.publish_configuration(Rc::clone(newest));
             }
-            if let Some((revision, instances)) = self.truth.lists.iter().next_back() {
+            if let Some((revision, instances)) = self.published.lists.iter().next_back() {
                 publisher.publish_list(*revision, Rc::clone(instances));
             }
         }
@@ -238,8 +239,14 @@
 
     fn newest(&self) -> AppliedVersions {
         AppliedVersions {
-            configuration_version: self.truth.configurations.keys().next_back().copied().unwrap_or_default(),
-            list_revision: self.truth.lists.keys().next_back().copied().unwrap_or_default(),
+            configuration_version: self
+                .published
+                .configurations
+                .keys()
+                .next_back()
+                .copied()
+                .unwrap_or_default(),
+            list_revision: self.published.lists.keys().next_back().copied().unwrap_or_default(),
         }
     }
 }
@@ -249,30 +256,35 @@
 
     #[test]
     fn versions_never_go_back_and_reach_the_newest(seed in any::<u64>()) {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
+
         for _ in 0..600 {
-            world.step();
+            simulation.step();
         }
-        world.settle();
-        for subscriber in &world.subscribers {
-            prop_assert_eq!(subscriber.applied(), world.newest());
+        simulation.bring_to_the_newest();
+
+        for subscriber in &simulation.subscribers {
+            prop_assert_eq!(subscriber.applied(), simulation.newest());
         }
-        let counted: usize = world.publishers.iter().map(|known| known.acknowledged_versions().values().sum::<usize>()).sum();
+        let acknowledged = simulation.publishers.iter().flat_map(|publisher| publisher.acknowledged_versions().into_values());
+        let counted: usize = acknowledged.sum();
         prop_assert_eq!(counted, SUBSCRIBERS);
-        for publisher in &world.publishers {
+        for publisher in &simulation.publishers {
             let versions = publisher.acknowledged_versions();
-            let all_newest = versions.keys().all(|version| *version == world.newest().configuration_version);
+            let all_newest = versions.keys().all(|version| *version == simulation.newest().configuration_version);
             prop_assert!(all_newest);
         }
     }
 }
 
 #[test]
-fn the_random_lives_use_wholes_and_differences() {
-    let mut world = World::new(1);
+fn the_simulation_carries_full_snapshots_and_differences() {
+    let mut simulation = Simulation::new(1);
+
     for _ in 0..20_000 {
-        world.step();
+        simulation.step();
     }
-    assert!(world.wholes > 50, "{} wholes", world.wholes);
-    assert!(world.differences > 50, "{} differences", world.differences);
+
+    assert!(simulation.full_snapshots > 50, "{} full snapshots", simulation.full_snapshots);
+    assert!(simulation.differences > 50, "{} differences", simulation.differences);
 }
--- a/crates/lockusher-distribution/tests/support/mod.rs
+++ b/crates/lockusher-distribution/tests/support/mod.rs
@@ -3,7 +3,9 @@
 
 use lockusher_config::configuration::{Configuration, Limits, Route, RouteKind, Service, WeightedService};
 use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState};
-use lockusher_distribution::message::{Envelope, SubscriberIdentity, ToSubscriber};
+use lockusher_distribution::message::{
+    AppliedVersions, Downstream, Envelope, FromSubscriber, SubscriberIdentity, ToSubscriber,
+};
 use lockusher_distribution::publisher::{Publisher, SubscriberId};
 use lockusher_distribution::subscriber::Subscriber;
 
@@ -96,3 +98,21 @@
     publisher.receive(id, 0, Subscriber::new(identity(node)).subscribe(0));
     id
 }
+
+/// Passes on to a subscriber all messages that are due to it; its answers are dropped.
+pub fn deliver_due(publisher: &mut Publisher, id: SubscriberId, subscriber: &mut Subscriber, now_ms: u64) {
+    for message in messages(publisher, id, now_ms) {
+        subscriber.receive(now_ms, message);
+    }
+}
+
+/// A subscriber that has applied this configuration and no list.
+pub fn applied_configuration(configuration_version: u64) -> AppliedVersions {
+    AppliedVersions { configuration_version, ..AppliedVersions::default() }
+}
+
+/// The acknowledgement of a proxy that has applied this configuration.
+pub fn acknowledgement(configuration_version: u64) -> FromSubscriber {
+    let applied = applied_configuration(configuration_version);
+    FromSubscriber::Acknowledge { applied, downstream: Downstream::PROXY }
+}
