--- a/crates/lockusher-distribution/tests/difference.rs
+++ b/crates/lockusher-distribution/tests/difference.rs
@@ -9,6 +9,7 @@
 use proptest::prelude::*;
 use proptest::sample::subsequence;
 use support::{configuration, instance, revision};
+use yare::parameterized;
 
 fn instances() -> impl Strategy<Value = Vec<Instance>> {
     let names: Vec<u32> = (0..12).collect();
@@ -29,24 +30,28 @@
 
 proptest! {
     #[test]
-    fn list_differences_equal_wholes(base in instances(), target in instances()) {
+    fn a_list_difference_gives_the_target(base in instances(), target in instances()) {
         let difference = InstanceListDifference::between(revision(1, 1), &base, revision(1, 2), &target);
         let encoded = bitcode::encode(&difference);
         let decoded: InstanceListDifference = bitcode::decode(&encoded).expect("own encoding");
+
         prop_assert_eq!(decoded.apply(revision(1, 1), &base), Ok(target));
     }
 
     #[test]
-    fn configuration_differences_equal_wholes(base in routes(), target in routes()) {
+    fn a_configuration_difference_gives_the_target(base in routes(), target in routes()) {
         let base = configuration(3, &base);
         let target = configuration(7, &target);
+
         let difference = ConfigurationDifference::between(&base, &target);
+
         prop_assert_eq!(difference.apply(&base), Ok(target));
     }
 
     #[test]
-    fn only_what_changed_is_carried(base in instances()) {
+    fn an_unchanged_list_inserts_nothing(base in instances()) {
         let carried = segments(&base, &base);
+
         prop_assert!(carried.len() <= 1);
         let inserted = carried.iter().any(|segment| matches!(segment, Segment::Insert(_)));
         prop_assert!(!inserted);
@@ -54,20 +59,27 @@
 }
 
 #[test]
-fn a_difference_against_another_base_is_refused() {
+fn a_list_difference_against_another_base_is_rejected() {
     let difference = InstanceListDifference::between(revision(1, 1), &[], revision(1, 2), &[instance("a")]);
+
     assert_eq!(difference.apply(revision(1, 9), &[]), Err(DifferenceError::BaseMismatch));
+}
+
+#[test]
+fn a_configuration_difference_against_another_base_is_rejected() {
     let base = configuration(1, &[]);
     let difference = ConfigurationDifference::between(&configuration(2, &[]), &configuration(3, &[]));
+
     assert_eq!(difference.apply(&base), Err(DifferenceError::BaseMismatch));
 }
 
-#[yare::parameterized(
+#[parameterized(
     beyond_the_end = { 1, 2 },
     overflow = { u32::MAX, u32::MAX },
 )]
-fn a_segment_outside_the_base_is_refused(from: u32, count: u32) {
+fn a_segment_outside_the_base_is_rejected(from: u32, count: u32) {
     let base = [instance("a"), instance("b")];
+
     assert_eq!(
         join(&base, vec![Segment::CopyFromBase { from, count }]),
         Err(DifferenceError::SegmentOutOfRange)
--- a/crates/lockusher-distribution/tests/load.rs
+++ b/crates/lockusher-distribution/tests/load.rs
@@ -11,6 +11,7 @@
 };
 use lockusher_distribution::publisher::Publisher;
 use lockusher_distribution::subscriber::Subscriber;
+use proptest::collection::vec;
 use proptest::prelude::*;
 use support::identity;
 
@@ -45,22 +46,26 @@
 }
 
 #[test]
-fn a_publisher_adds_up_by_service() {
+fn a_publisher_sums_up_loads_by_service() {
     let mut publisher = Publisher::new(1);
     subscribe(&mut publisher, "a", vec![service("x", 100), service("y", 10)]);
     subscribe(&mut publisher, "b", vec![service("x", 300)]);
+
     let loads = publisher.downstream_loads();
+
     let found: Vec<_> =
         loads.iter().map(|load| (&*load.service, load.proxies, load.prefill_in_flight)).collect();
     assert_eq!(found, [("x", 2, 400), ("y", 1, 10)]);
 }
 
 #[test]
-fn a_node_with_two_connections_counts_by_the_newer() {
+fn the_load_of_a_node_with_two_connections_is_that_of_the_newer() {
     let mut publisher = Publisher::new(1);
     subscribe(&mut publisher, "a", vec![service("x", 100)]);
     subscribe(&mut publisher, "a", vec![service("x", 300)]);
+
     let loads = publisher.downstream_loads();
+
     assert_eq!((loads[0].proxies, loads[0].prefill_in_flight), (1, 300));
 }
 
@@ -75,14 +80,17 @@
 }
 
 #[test]
-fn a_load_that_grows_is_told_at_the_next_heartbeat_and_a_steady_one_each_second() {
+fn a_load_that_grows_is_reported_at_the_next_heartbeat_and_a_steady_one_each_second() {
     let mut subscriber = Subscriber::new(identity("a"));
     subscriber.subscribe(0);
+
     subscriber.set_loads(vec![service("x", 100)]);
     assert!(subscriber.receive(300, heartbeat()).is_some(), "it is new");
+
     subscriber.set_loads(vec![service("x", 130)]);
     assert!(subscriber.receive(600, heartbeat()).is_none(), "it is much the same");
     assert!(subscriber.receive(1_300, heartbeat()).is_some(), "a second has passed");
+
     subscriber.set_loads(vec![service("x", 270)]);
     assert!(subscriber.receive(1_600, heartbeat()).is_some(), "it has doubled");
 }
@@ -90,17 +98,21 @@
 #[test]
 fn a_load_takes_some_tens_of_bytes() {
     let bytes = |loads| Envelope::seal(&acknowledgement(loads)).body.len();
+
     let each = bytes(vec![service("huvo11a", 12_345)]) - bytes(Vec::new());
+
     assert!(each <= 64, "{each} bytes");
 }
 
 proptest! {
     /// However publishers are arranged, the sum is that over all proxies.
     #[test]
-    fn sums_of_sums_are_sums(groups in prop::collection::vec(prop::collection::vec((0usize..3, 0u32..100_000), 0..6), 0..6)) {
+    fn a_sum_of_sums_is_the_sum_over_all(groups in vec(vec((0usize..3, 0u32..100_000), 0..6), 0..6)) {
         let named = |(name, in_flight): &(usize, u32)| service(["x", "y", "z"][*name], *in_flight);
         let loads: Vec<Vec<ServiceLoad>> = groups.iter().map(|group| group.iter().map(named).collect()).collect();
-        let parts: Vec<ServiceLoad> = loads.iter().flat_map(load::sum).collect();
-        prop_assert_eq!(load::sum(&parts), load::sum(loads.iter().flatten()));
+
+        let sums: Vec<ServiceLoad> = loads.iter().flat_map(load::sum).collect();
+
+        prop_assert_eq!(load::sum(&sums), load::sum(loads.iter().flatten()));
     }
 }
--- a/crates/lockusher-distribution/tests/reconnect.rs
+++ b/crates/lockusher-distribution/tests/reconnect.rs
@@ -26,11 +26,13 @@
 #[test]
 fn agents_spread_evenly_at_the_start() {
     let mut counts = BTreeMap::new();
+
     for mut agent in agents(&seeds(5)) {
         let attempt = agent.next_attempt(0).expect("an attempt");
         assert_eq!(attempt.at_ms, 0);
         *counts.entry(attempt.address).or_insert(0) += 1;
     }
+
     assert_eq!(counts.len(), 5);
     assert!(counts.values().all(|count| (50..=115).contains(count)), "{counts:?}");
 }
@@ -38,7 +40,7 @@
 /// Four hundred agents lose a control node at once, and none of the others takes connections for ten seconds: at no
 /// control node do more arrive within any 100 ms than its share of the agents at the start, and far fewer in the end.
 #[test]
-fn agents_that_reconnect_at_once_do_not_bury_the_core() {
+fn agents_that_lose_a_control_node_at_once_do_not_overload_the_others() {
     let nodes = 5;
     let mut arrivals: BTreeMap<(SocketAddrV4, u64), usize> = BTreeMap::new();
     for mut agent in agents(&seeds(nodes)) {
@@ -53,6 +55,7 @@
             agent.lost(now_ms);
         }
     }
+
     let most = arrivals.values().max().copied().unwrap_or_default();
     assert!(most <= 80, "{most} within 100 ms at one control node");
     let late: Vec<usize> =
@@ -61,36 +64,43 @@
     assert!(mean <= 8.0, "{mean} on average within 100 ms at one control node after five seconds");
 }
 
+/// The addresses of so many attempts at the same time, which all fail.
+fn fail_attempts(agent: &mut ControlNodePolicy, attempts: usize) -> Vec<SocketAddrV4> {
+    let attempt = |_| {
+        let address = agent.next_attempt(60_000).expect("an attempt").address;
+        agent.lost(60_000);
+        address
+    };
+    (0..attempts).map(attempt).collect()
+}
+
 #[test]
 fn a_lost_node_is_tried_after_all_others() {
     let mut agent = ControlNodePolicy::new("edge", seeds(4), 9);
     let lost = agent.next_attempt(0).expect("an attempt").address;
     agent.established(1);
     agent.lost(60_000);
-    let mut tried: Vec<SocketAddrV4> = Vec::new();
-    for _ in 0..4 {
-        tried.push(agent.next_attempt(60_000).expect("an attempt").address);
-        agent.lost(60_000);
-    }
+
+    let tried = fail_attempts(&mut agent, 4);
+
     assert_eq!(tried.iter().collect::<HashSet<_>>().len(), 4);
     assert_eq!(tried[3], lost);
 }
 
 #[test]
-fn what_control_nodes_told_goes_before_the_seeds_and_seeds_come_back() {
+fn addresses_that_control_nodes_sent_are_tried_before_the_seeds() {
     let mut agent = ControlNodePolicy::new("edge", seeds(2), 9);
     agent.next_attempt(0);
     agent.established(1);
     agent.learn(&[address(8), address(9)]);
     agent.lost(60_000);
-    let mut tried = Vec::new();
-    for _ in 0..4 {
-        tried.push(agent.next_attempt(60_000).expect("an attempt").address);
-        agent.lost(60_000);
-    }
+
+    let tried = fail_attempts(&mut agent, 4);
+
     assert_eq!(tried[..2].iter().collect::<HashSet<_>>(), HashSet::from([&address(8), &address(9)]));
     assert_eq!(tried[2..].iter().collect::<HashSet<_>>(), HashSet::from([&address(1), &address(2)]));
     assert!(agent.is_out_of_addresses());
+
     agent.set_seeds(vec![address(77)]);
     let next: HashSet<_> = (0..3).map(|_| agent.next_attempt(60_000).expect("an attempt").address).collect();
     assert!(next.contains(&address(77)));
@@ -102,23 +112,26 @@
     let mut agent = ControlNodePolicy::new("edge", seeds(3), 9);
     let mut now_ms = 0;
     let mut attempts = 0;
+
     while now_ms < 60_000 {
         now_ms = agent.next_attempt(now_ms).expect("an attempt").at_ms;
         agent.established(now_ms);
         agent.lost(now_ms + 5);
         attempts += 1;
     }
+
     assert!(attempts <= 70, "{attempts} attempts in a minute");
 }
 
 #[test]
 fn a_proxy_tries_its_agent_again_within_a_fifth_of_a_second() {
     let mut proxy = FixedAddressPolicy::new(address(1), 3);
+
     assert_eq!(proxy.next_attempt(0).expect("an attempt").at_ms, 0);
     for _ in 0..50 {
         proxy.lost(0);
-        let pause_ms = proxy.next_attempt(0).expect("an attempt").at_ms;
-        assert!((50..=200).contains(&pause_ms), "{pause_ms} ms");
+        let back_off_ms = proxy.next_attempt(0).expect("an attempt").at_ms;
+        assert!((50..=200).contains(&back_off_ms), "{back_off_ms} ms");
     }
 }
 
@@ -128,13 +141,15 @@
 }
 
 /// After a loss of power everywhere the first attempt of an agent may go to a machine that is still down, and hangs. The
-/// next one begins before half of the time after which a silent control node is given up.
+/// next one begins before half of the time after which a control node that sends nothing is left.
 #[test]
 fn after_an_attempt_that_hangs_the_next_one_comes_soon() {
     for mut agent in agents(&seeds(3)) {
         agent.next_attempt(0).expect("an attempt");
         agent.lost(CONNECT_TIMEOUT_MS);
+
         let next = agent.next_attempt(CONNECT_TIMEOUT_MS).expect("an attempt");
+
         assert!(next.at_ms < PUBLISHER_INACTIVITY_TIMEOUT_MS / 2, "{next:?}");
     }
 }
