--- a/crates/lockusher-distribution/tests/capacity.rs
+++ b/crates/lockusher-distribution/tests/capacity.rs
@@ -24,8 +24,8 @@
 const HOUR_MS: u64 = 3_600_000;
 const PLAYED_MS: u64 = HOUR_MS / 6;
 const STEP_MS: u64 = 100;
-/// What the operators allow for control at a mixer.
-const MOST_BYTES_PER_S: f64 = 5_000.0;
+/// What the operators allow for control at an aggregator.
+const MAX_BYTES_PER_S: f64 = 5_000.0;
 /// Header bytes of a TCP segment over IPv4; each frame is counted as one segment, and each segment as acknowledged.
 const SEGMENT_BYTES: u64 = 2 * 40;
 
@@ -82,6 +82,27 @@
     Rc::new(list)
 }
 
+/// Changes at the planned rate, since time 0.
+struct PlannedChanges {
+    /// Of the newest configuration.
+    version: u64,
+    /// Of the newest list's revision.
+    sequence: u64,
+}
+
+impl PlannedChanges {
+    fn publish_due(&mut self, publisher: &mut Publisher, now_ms: u64) {
+        if now_ms * CONFIGURATION_CHANGES_AN_HOUR / HOUR_MS >= self.version {
+            self.version += 1;
+            publisher.publish_configuration(Rc::new(large_configuration(self.version)));
+        }
+        if now_ms * LIST_CHANGES_AN_HOUR / HOUR_MS >= self.sequence {
+            self.sequence += 1;
+            publisher.publish_list(revision(1, self.sequence), large_list(self.sequence));
+        }
+    }
+}
+
 /// A control node with its agents, which answer at once.
 struct Fleet {
     publisher: Publisher,
@@ -99,14 +120,14 @@
         for number in 0..agents {
             let id = fleet.publisher.connect(0);
             let mut agent = Subscriber::new(identity(&format!("edge-{number}")));
-            let hello = agent.subscribe(0);
-            fleet.upward(id, 0, hello);
+            let subscribe = agent.subscribe(0);
+            fleet.receive(id, 0, subscribe);
             fleet.agents.push((id, agent));
         }
         fleet
     }
 
-    fn upward(&mut self, id: SubscriberId, now_ms: u64, message: FromSubscriber) {
+    fn receive(&mut self, id: SubscriberId, now_ms: u64, message: FromSubscriber) {
         self.count(lockusher_transport::frame::encode(&Envelope::seal(&message)).len());
         self.publisher.receive(id, now_ms, message);
     }
@@ -129,21 +150,21 @@
                     ..Downstream::PROXY
                 });
                 if let Some(answer) = agent.receive(now_ms, message) {
-                    self.upward(*id, now_ms, answer);
+                    self.receive(*id, now_ms, answer);
                 }
             }
         }
         self.agents = agents;
     }
 
-    fn all_hold_the_newest(&self) -> bool {
+    fn all_have_applied_the_newest(&self) -> bool {
         self.agents.iter().all(|(_, agent)| agent.applied() == self.publisher.newest())
     }
 }
 
 #[parameterized(
-    share_of_nine = { 45 },
-    share_of_six = { 67 },
+    with_nine_control_nodes = { 45 },
+    with_six_control_nodes = { 67 },
 )]
 fn changes_at_the_planned_rate_stay_within_the_bytes_allowed(agents: usize) {
     let mut fleet = Fleet::start(agents);
@@ -152,18 +173,13 @@
     let agents = agents as f64;
     println!("{agents} agents: first state of all, {:.0} bytes an agent", start_bytes as f64 / agents);
     let started = Instant::now();
-    let (mut version, mut sequence) = (1, 1);
+
+    let mut changes = PlannedChanges { version: 1, sequence: 1 };
     for now_ms in (STEP_MS..=PLAYED_MS).step_by(STEP_MS as usize) {
-        if now_ms * CONFIGURATION_CHANGES_AN_HOUR / HOUR_MS >= version {
-            version += 1;
-            fleet.publisher.publish_configuration(Rc::new(large_configuration(version)));
-        }
-        if now_ms * LIST_CHANGES_AN_HOUR / HOUR_MS >= sequence {
-            sequence += 1;
-            fleet.publisher.publish_list(revision(1, sequence), large_list(sequence));
-        }
+        changes.publish_due(&mut fleet.publisher, now_ms);
         fleet.step(now_ms);
     }
+
     let played_s = PLAYED_MS as f64 / 1_000.0;
     let bytes_per_s = (fleet.bytes - start_bytes) as f64 / agents / played_s;
     let messages_per_s = (fleet.messages - start_messages) as f64 / agents / played_s;
@@ -171,8 +187,8 @@
         "{agents} agents: {bytes_per_s:.0} bytes/s and {messages_per_s:.2} messages/s an agent; both sides took {:.2} s",
         started.elapsed().as_secs_f64()
     );
-    assert!(fleet.all_hold_the_newest());
-    assert!(bytes_per_s < MOST_BYTES_PER_S, "{bytes_per_s} bytes a second");
+    assert!(fleet.all_have_applied_the_newest());
+    assert!(bytes_per_s < MAX_BYTES_PER_S, "{bytes_per_s} bytes a second");
 }
 
 #[test]
@@ -180,23 +196,27 @@
     let mut fleet = Fleet::start(1);
     fleet.step(0);
     let before = fleet.bytes;
+
     for version in 2..=51 {
         fleet.publisher.publish_configuration(Rc::new(large_configuration(version)));
     }
     fleet.step(STEP_MS);
+
     println!("fifty changes at once to one agent: {} bytes", fleet.bytes - before);
-    assert!(fleet.all_hold_the_newest());
+    assert!(fleet.all_have_applied_the_newest());
 }
 
 #[test]
-fn the_first_state_is_sent_whole_and_once() {
+fn the_first_state_is_sent_once_as_full_snapshots() {
     let mut publisher = Publisher::new(1);
     publisher.publish_configuration(Rc::new(large_configuration(1)));
     publisher.publish_list(revision(1, 1), large_list(1));
     let id = publisher.connect(0);
     publisher.receive(id, 0, Subscriber::new(identity("edge-1")).subscribe(0));
+
     let frames: Vec<usize> =
         std::iter::from_fn(|| publisher.next_frame(id, 0)).map(|frame| frame.len()).collect();
+
     println!("configuration, list, heartbeat: {frames:?} bytes");
     let [configuration, list, heartbeat] = frames[..] else { panic!("three frames are due: {frames:?}") };
     assert!(configuration < 64 * TENANTS, "{configuration} bytes");
--- a/crates/lockusher-distribution/tests/loopback.rs
+++ b/crates/lockusher-distribution/tests/loopback.rs
@@ -1,4 +1,7 @@
 //! Publishers and feeds over TCP on loopback; waits for states, never for time.
+//!
+//! Heartbeats and timeouts run on the real clock here: keep-alives come each second, and an inactive publisher is left
+//! after its timeout.
 
 mod support;
 
@@ -9,6 +12,7 @@
 use compio::net::TcpListener;
 use compio::runtime::JoinHandle;
 use compio::time::timeout;
+use lockusher_distribution::change_notifier::ChangeNotifier;
 use lockusher_distribution::publisher::{Publisher, PublisherStatus};
 use lockusher_distribution::reconnect::{ControlNodePolicy, FixedAddressPolicy};
 use lockusher_distribution::serve::{self, SharedPublisher};
@@ -17,10 +21,10 @@
 use lockusher_transport::clock::Clock;
 use support::{configuration, draining, identity, instance, revision};
 
-/// No state takes this long to come about.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of each wait: no state takes this long to come about.
+const STATE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A publisher that serves on loopback until it is ended.
+/// A publisher that serves on loopback until it is stopped.
 struct Server {
     address: SocketAddrV4,
     shared: Rc<SharedPublisher>,
@@ -36,7 +40,7 @@
         Server { address, shared, accepting }
     }
 
-    fn end(self) {
+    fn stop(self) {
         drop(self.accepting);
         self.shared.close();
     }
@@ -47,30 +51,35 @@
     }
 
     async fn wait_until(&self, reached: impl Fn(&Publisher) -> bool) {
-        let wait = async {
-            loop {
-                let seen = self.shared.subscriber_activity().generation();
-                if self.shared.read(&reached) {
-                    return;
-                }
-                self.shared.subscriber_activity().changed_since(seen).await;
-            }
-        };
-        timeout(LIMIT, wait).await.expect("the state comes about");
+        wait_for(self.shared.subscriber_activity(), || self.shared.read(&reached)).await;
     }
 }
 
-fn any_port() -> SocketAddrV4 {
+/// Waits until a state is reached that can be reached at a change only.
+async fn wait_for(changes: &ChangeNotifier, reached: impl Fn() -> bool) {
+    let wait = async {
+        loop {
+            let seen = changes.generation();
+            if reached() {
+                return;
+            }
+            changes.changed_since(seen).await;
+        }
+    };
+    timeout(STATE_TIMEOUT, wait).await.expect("the state comes about");
+}
+
+fn any_loopback_port() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)
 }
 
 async fn next(feed: &mut subscribe::Feed) -> FeedUpdate {
-    timeout(LIMIT, feed.next()).await.expect("an update")
+    timeout(STATE_TIMEOUT, feed.next()).await.expect("an update")
 }
 
 #[compio::test]
 async fn a_feed_follows_its_publisher_over_a_restart_and_never_goes_back() {
-    let server = Server::start(any_port()).await;
+    let server = Server::start(any_loopback_port()).await;
     let address = server.address;
     let mut feed = subscribe::subscribe(address, identity("proxy"), Clock::start(), 1);
     server.shared.update(|publisher| publisher.publish_configuration(Rc::new(configuration(5, &[(1, 1)]))));
@@ -84,7 +93,7 @@
     });
     assert_eq!(next(&mut feed).await, FeedUpdate::FleetSize(7));
     server.wait_for_acknowledgements(5, 1).await;
-    server.end();
+    server.stop();
 
     let server = Server::start(address).await;
     server.shared.update(|publisher| publisher.publish_configuration(Rc::new(configuration(3, &[]))));
@@ -96,7 +105,7 @@
 /// A new agent that knows less brings a newer revision of an older list.
 #[compio::test]
 async fn a_feed_does_not_bring_back_a_searcher_that_was_seen_draining_or_gone() {
-    let server = Server::start(any_port()).await;
+    let server = Server::start(any_loopback_port()).await;
     let address = server.address;
     let mut feed = subscribe::subscribe(address, identity("proxy"), Clock::start(), 1);
     for (sequence, list) in
@@ -107,17 +116,19 @@
         let update = FeedUpdate::Instances { revision: revision(1, sequence), instances: list };
         assert_eq!(next(&mut feed).await, update);
     }
-    server.end();
+    server.stop();
+
     let server = Server::start(address).await;
     let list = Rc::new(vec![instance("a"), instance("b"), instance("c"), instance("d")]);
     server.shared.update(|publisher| publisher.publish_list(revision(2, 1), list));
+
     let instances = Rc::new(vec![draining("a"), instance("c"), instance("d")]);
     assert_eq!(next(&mut feed).await, FeedUpdate::Instances { revision: revision(2, 1), instances });
 }
 
 #[compio::test]
-async fn many_feeds_acknowledge_every_version_at_last() {
-    let server = Server::start(any_port()).await;
+async fn many_feeds_acknowledge_the_newest_version_in_the_end() {
+    let server = Server::start(any_loopback_port()).await;
     let feeds: Vec<subscribe::Feed> = (0..40)
         .map(|number| {
             let identity = identity(&format!("proxy-{number}"));
@@ -128,9 +139,11 @@
         let newest = configuration(version, &[(1, version), (2, 1)]);
         server.shared.update(|publisher| publisher.publish_configuration(Rc::new(newest)));
     }
+
     server.wait_for_acknowledgements(10, 40).await;
     assert_eq!(server.shared.read(Publisher::subscribed_nodes), 40);
     assert_eq!(server.shared.read(Publisher::connections_made), 40, "no connection was made anew");
+
     drop(feeds);
     server.wait_until(|publisher| publisher.subscribed_nodes() == 0).await;
 }
@@ -138,7 +151,7 @@
 /// Acknowledgements, updates and heartbeats cross each other; none of them may cost the connection.
 #[compio::test]
 async fn one_connection_carries_many_updates_and_heartbeats() {
-    let server = Server::start(any_port()).await;
+    let server = Server::start(any_loopback_port()).await;
     let mut feed = subscribe::subscribe(server.address, identity("proxy"), Clock::start(), 1);
     for version in 1..=300 {
         let instances = Rc::new(vec![instance(&format!("i{version}"))]);
@@ -151,20 +164,20 @@
         }
         next(&mut feed).await;
     }
-    // Signs of life come every second, in answer to heartbeats.
+    // Keep-alives come every second, in answer to heartbeats.
     for _ in 0..2 {
         let seen = server.shared.subscriber_activity().generation();
-        timeout(LIMIT, server.shared.subscriber_activity().changed_since(seen))
+        timeout(STATE_TIMEOUT, server.shared.subscriber_activity().changed_since(seen))
             .await
-            .expect("a sign of life");
+            .expect("a keep-alive");
     }
     assert_eq!(server.shared.read(Publisher::connections_made), 1);
 }
 
 #[compio::test]
 async fn an_agent_leaves_a_control_node_that_is_lost_or_outside_the_view() {
-    let outside = Server::start(any_port()).await;
-    let inside = Server::start(any_port()).await;
+    let outside = Server::start(any_loopback_port()).await;
+    let inside = Server::start(any_loopback_port()).await;
     let in_view = PublisherStatus { in_view: true, ..PublisherStatus::default() };
     inside.shared.update(|publisher| {
         publisher.set_status(in_view);
@@ -177,39 +190,30 @@
     let _running = compio::runtime::spawn(Rc::clone(&agent).run());
     inside.wait_for_acknowledgements(4, 1).await;
 
-    // A control node that the agent was told of takes over when the first is lost and the other doesn't help.
-    let told = Server::start(any_port()).await;
-    told.shared.update(|publisher| {
+    // A control node of which the agent has received the address takes over when the first is lost and the other doesn't
+    // help.
+    let successor = Server::start(any_loopback_port()).await;
+    successor.shared.update(|publisher| {
         publisher.set_status(in_view);
         publisher.publish_configuration(Rc::new(configuration(6, &[])));
     });
-    let addresses = vec![told.address];
+    let addresses = vec![successor.address];
     inside.shared.update(|publisher| publisher.set_control_nodes(addresses));
-    wait_for(&agent, |subscriber| !subscriber.control_nodes().is_empty()).await;
-    inside.end();
-    told.wait_for_acknowledgements(6, 1).await;
-}
-
-async fn wait_for(agent: &SharedSubscriber<ControlNodePolicy>, reached: impl Fn(&Subscriber) -> bool) {
-    let wait = async {
-        loop {
-            let seen = agent.changed().generation();
-            if agent.read(&reached) {
-                return;
-            }
-            agent.changed().changed_since(seen).await;
-        }
-    };
-    timeout(LIMIT, wait).await.expect("the state comes about");
+    let has_received = || agent.read(|subscriber| !subscriber.control_nodes().is_empty());
+    wait_for(agent.changed(), has_received).await;
+    inside.stop();
+    successor.wait_for_acknowledgements(6, 1).await;
 }
 
 #[compio::test]
-async fn a_publisher_that_only_accepts_is_left_when_it_stays_silent() {
-    let silent = TcpListener::bind(any_port()).await.expect("a listener");
-    let SocketAddr::V4(address) = silent.local_addr().expect("an address") else { panic!("IPv4") };
+async fn a_publisher_that_accepts_and_sends_nothing_is_left_after_a_timeout() {
+    let listener = TcpListener::bind(any_loopback_port()).await.expect("a listener");
+    let SocketAddr::V4(address) = listener.local_addr().expect("an address") else { panic!("IPv4") };
     let policy = FixedAddressPolicy::new(address, 1);
     let proxy = SharedSubscriber::new(Subscriber::new(identity("proxy")), policy, Clock::start());
     let _running = compio::runtime::spawn(proxy.run());
-    let (_first, _) = timeout(LIMIT, silent.accept()).await.expect("a connection").expect("accepted");
-    let (_second, _) = timeout(LIMIT, silent.accept()).await.expect("another one").expect("accepted");
+    let (_first, _) =
+        timeout(STATE_TIMEOUT, listener.accept()).await.expect("a connection").expect("accepted");
+    let (_second, _) =
+        timeout(STATE_TIMEOUT, listener.accept()).await.expect("another one").expect("accepted");
 }
--- a/crates/lockusher-distribution/tests/support/mod.rs
+++ b/crates/lockusher-distribution/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Values that the tests share.
+//! Values and steps that the tests of this package share.
 #![allow(dead_code)]
 
 use lockusher_config::configuration::{Configuration, Limits, Route, RouteKind, Service, WeightedService};
@@ -64,7 +64,7 @@
     Instance { state: InstanceState::Draining, ..instance(identifier) }
 }
 
-pub fn cold(identifier: &str, cold_remaining_ms: u64) -> Instance {
+pub fn warming_up(identifier: &str, cold_remaining_ms: u64) -> Instance {
     Instance { cold_remaining_ms, ..instance(identifier) }
 }
 
