--- a/crates/lockusher-storage/src/disk.rs
+++ b/crates/lockusher-storage/src/disk.rs
@@ -2,18 +2,17 @@
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
-use crate::{FileError, FileSystem};
+use crate::{FileError, FileOperation, FileSystem};
 
-/// Files of one folder on the disk. Holds at most one of them open.
+/// Files of one directory on the disk. Keeps at most one of them open, the one that was written last.
 #[derive(Debug)]
 pub struct DiskFileSystem {
     directory: PathBuf,
-    open: Option<CachedHandle>,
+    cached: Option<CachedHandle>,
 }
 
-/// The file that was written last.
 #[derive(Debug)]
 struct CachedHandle {
     name: String,
@@ -21,9 +20,9 @@
 }
 
 impl DiskFileSystem {
-    /// Uses this folder; it is made at the first creation of a file if it doesn't exist.
+    /// Uses this directory; it is created with the first file if it doesn't exist.
     pub fn new(directory: PathBuf) -> DiskFileSystem {
-        DiskFileSystem { directory, open: None }
+        DiskFileSystem { directory, cached: None }
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -31,87 +30,117 @@
     }
 
     fn open_for_writing(&mut self, name: &str) -> io::Result<&mut File> {
-        let reuse = self.open.as_ref().is_some_and(|open| open.name == name);
-        if !reuse {
+        let is_cached = self.cached.as_ref().is_some_and(|cached| cached.name == name);
+        if !is_cached {
             let file = OpenOptions::new().write(true).open(self.path(name))?;
             return Ok(self.cache_handle(name, file));
         }
-        Ok(&mut self.open.as_mut().expect("checked above").file)
+        Ok(&mut self.cached.as_mut().expect("a handle is cached").file)
     }
 
     fn cache_handle(&mut self, name: &str, file: File) -> &mut File {
-        let open = CachedHandle { name: name.to_owned(), file };
-        &mut self.open.insert(open).file
+        let handle = CachedHandle { name: name.to_owned(), file };
+        &mut self.cached.insert(handle).file
     }
 
     fn drop_handle(&mut self, name: &str) {
-        if self.open.as_ref().is_some_and(|open| open.name == name) {
-            self.open = None;
+        if self.cached.as_ref().is_some_and(|cached| cached.name == name) {
+            self.cached = None;
         }
     }
+
+    /// Adds to an error what was tried on which file.
+    fn on_file<T>(
+        &self,
+        operation: FileOperation,
+        name: &str,
+        result: io::Result<T>,
+    ) -> Result<T, FileError> {
+        result.map_err(|error| file_error(operation, &self.path(name), error))
+    }
+
+    fn create_file(&mut self, name: &str) -> io::Result<()> {
+        if !self.directory.exists() {
+            fs::create_dir_all(&self.directory)?;
+        }
+        let file = OpenOptions::new().write(true).create(true).truncate(true).open(self.path(name))?;
+        self.cache_handle(name, file);
+        Ok(())
+    }
+
+    fn write_at(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        let file = self.open_for_writing(name)?;
+        file.seek(SeekFrom::Start(offset))?;
+        file.write_all(bytes)
+    }
 }
 
 impl FileSystem for DiskFileSystem {
     fn list(&mut self) -> Result<Vec<String>, FileError> {
-        let entries = match fs::read_dir(&self.directory) {
-            Ok(entries) => entries,
-            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
-            Err(error) => return Err(error.into()),
-        };
-        let mut names = Vec::new();
-        for entry in entries {
-            // Names that aren't text can't be the store's.
-            if let Ok(name) = entry?.file_name().into_string() {
-                names.push(name);
-            }
-        }
-        Ok(names)
+        list_names(&self.directory).map_err(|error| file_error(FileOperation::List, &self.directory, error))
     }
 
     fn length(&mut self, name: &str) -> Result<u64, FileError> {
-        Ok(fs::metadata(self.path(name))?.len())
+        let metadata = fs::metadata(self.path(name));
+        Ok(self.on_file(FileOperation::Length, name, metadata)?.len())
     }
 
     fn read(&mut self, name: &str) -> Result<Vec<u8>, FileError> {
-        Ok(fs::read(self.path(name))?)
+        self.on_file(FileOperation::Read, name, fs::read(self.path(name)))
     }
 
     fn create(&mut self, name: &str) -> Result<(), FileError> {
-        if !self.directory.exists() {
-            fs::create_dir_all(&self.directory)?;
-        }
-        let file = OpenOptions::new().write(true).create(true).truncate(true).open(self.path(name))?;
-        self.cache_handle(name, file);
-        Ok(())
+        let created = self.create_file(name);
+        self.on_file(FileOperation::Create, name, created)
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), FileError> {
-        let file = self.open_for_writing(name)?;
-        file.seek(SeekFrom::Start(offset))?;
-        file.write_all(bytes)?;
-        Ok(())
+        let written = self.write_at(name, offset, bytes);
+        self.on_file(FileOperation::Write, name, written)
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> Result<(), FileError> {
-        self.open_for_writing(name)?.set_len(length)?;
-        Ok(())
+        let truncated = self.open_for_writing(name).and_then(|file| file.set_len(length));
+        self.on_file(FileOperation::Truncate, name, truncated)
     }
 
     fn remove(&mut self, name: &str) -> Result<(), FileError> {
         self.drop_handle(name);
         match fs::remove_file(self.path(name)) {
-            Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error.into()),
-            _ => Ok(()),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
+            removed => self.on_file(FileOperation::Remove, name, removed),
         }
     }
 
     fn sync_file(&mut self, name: &str) -> Result<(), FileError> {
-        self.open_for_writing(name)?.sync_data()?;
-        Ok(())
+        let synced = self.open_for_writing(name).and_then(|file| file.sync_data());
+        self.on_file(FileOperation::SyncFile, name, synced)
     }
 
     fn sync_directory(&mut self) -> Result<(), FileError> {
-        File::open(&self.directory)?.sync_all()?;
-        Ok(())
+        File::open(&self.directory)
+            .and_then(|directory| directory.sync_all())
+            .map_err(|error| file_error(FileOperation::SyncDirectory, &self.directory, error))
+    }
+}
+
+/// Names of the files in a directory; none if it doesn't exist.
+fn list_names(directory: &Path) -> io::Result<Vec<String>> {
+    let entries = match fs::read_dir(directory) {
+        Ok(entries) => entries,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
+        Err(error) => return Err(error),
+    };
+    let mut names = Vec::new();
+    for entry in entries {
+        // Names that aren't UTF-8 can't be the store's.
+        if let Ok(name) = entry?.file_name().into_string() {
+            names.push(name);
+        }
     }
+    Ok(names)
+}
+
+fn file_error(operation: FileOperation, path: &Path, error: io::Error) -> FileError {
+    FileError { operation, path: path.to_owned(), cause: error.into() }
 }
--- a/crates/lockusher-storage/src/file_system.rs
+++ b/crates/lockusher-storage/src/file_system.rs
@@ -2,35 +2,71 @@
 
 use crate::FileError;
 
-/// One folder of files. There is no rename: the store never needs one (`docs/storage.md`).
+/// One directory of files. There is no rename: the store never needs one (`docs/storage.md`).
 ///
-/// Nothing endures a loss of power before [`sync_file`](FileSystem::sync_file), and no creation or removal of a name
-/// before [`sync_directory`](FileSystem::sync_directory).
+/// No content survives a power loss before [`sync_file`](FileSystem::sync_file), and no creation or removal of a name
+/// before [`sync_directory`](FileSystem::sync_directory); without them any part of it may survive, in any order.
 pub trait FileSystem {
     /// Names of all files, in no particular order.
+    ///
+    /// # Errors
+    ///
+    /// If the directory can't be read; one that doesn't exist yet is empty.
     fn list(&mut self) -> Result<Vec<String>, FileError>;
 
     /// Size of a file in bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the file doesn't exist or can't be looked up.
     fn length(&mut self, name: &str) -> Result<u64, FileError>;
 
-    /// The whole content of a file.
+    /// The complete content of a file.
+    ///
+    /// # Errors
+    ///
+    /// If the file doesn't exist or can't be read.
     fn read(&mut self, name: &str) -> Result<Vec<u8>, FileError>;
 
-    /// Makes an empty file, or empties the one that exists.
+    /// Creates an empty file, or empties the one that exists.
+    ///
+    /// # Errors
+    ///
+    /// If the disk refuses; the file may exist afterwards.
     fn create(&mut self, name: &str) -> Result<(), FileError>;
 
-    /// Writes at a place of an existing file. A failure may leave a part of the bytes in the file.
+    /// Writes at an offset of an existing file.
+    ///
+    /// # Errors
+    ///
+    /// If the file doesn't exist or the disk refuses; a part of the bytes may be in the file afterwards.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), FileError>;
 
-    /// Cuts an existing file to this length.
+    /// Shortens an existing file to this length.
+    ///
+    /// # Errors
+    ///
+    /// If the file doesn't exist or the disk refuses.
     fn truncate(&mut self, name: &str, length: u64) -> Result<(), FileError>;
 
     /// Removes a file; one that doesn't exist is no error.
+    ///
+    /// # Errors
+    ///
+    /// If the disk refuses.
     fn remove(&mut self, name: &str) -> Result<(), FileError>;
 
     /// Makes the content of a file durable.
+    ///
+    /// # Errors
+    ///
+    /// If the file doesn't exist or the disk refuses; what is durable is unknown then.
     fn sync_file(&mut self, name: &str) -> Result<(), FileError>;
 
     /// Makes creations and removals of names durable.
+    ///
+    /// # Errors
+    ///
+    /// If the disk refuses; what is durable is unknown then.
     fn sync_directory(&mut self) -> Result<(), FileError>;
 }
--- a/crates/lockusher-storage/src/format.rs
+++ b/crates/lockusher-storage/src/format.rs
@@ -1,11 +1,50 @@
-//! Layout of segments and snapshots; all integers are little-endian.
+//! The on-disk format: encoding and decoding of segments, frames and snapshots. No I/O.
 //!
-//! A segment is a header and then frames. A frame holds what one append brought, under one checksum, so that an append
-//! is there as a whole or not at all. Frames are numbered through the whole life of the store. The last frame of a
-//! segment that has a successor is a seal.
+//! All integers are little-endian; every checksum is a CRC-32 (IEEE). `version` is 1. Sizes are in bytes.
+//!
+//! **Segment** (`segment-N`): a header of 20 bytes, then frames numbered from N on.
+//!
+//! | offset | size | field |
+//! | --- | --- | --- |
+//! | 0 | 4 | magic, `F8 4C 53 F8` (`.LS.`) |
+//! | 4 | 4 | version |
+//! | 8 | 8 | number of the first frame, N |
+//! | 16 | 4 | checksum of bytes 0..16 |
+//!
+//! **Frame**: a header of 28 bytes, then the payload. A frame holds the records of one append under one checksum, so
+//! that an append is there as a whole or not at all.
+//!
+//! | offset | size | field |
+//! | --- | --- | --- |
+//! | 0 | 4 | magic, `F8 4C 46 F8` (`.LF.`) |
+//! | 4 | 4 | kind: 1 records, 2 seal |
+//! | 8 | 8 | number of the frame |
+//! | 16 | 4 | size of the payload |
+//! | 20 | 4 | checksum of the payload |
+//! | 24 | 4 | checksum of bytes 0..24 |
+//! | 28 | – | payload: for each record its size in 4 bytes, then the record; empty in a seal |
+//!
+//! A **seal** is the last frame of a segment that has a successor; it promises that the successor exists.
+//!
+//! **Snapshot** (`snapshot-N`): covers all frames before N.
+//!
+//! | offset | size | field |
+//! | --- | --- | --- |
+//! | 0 | 4 | magic, `F8 4C 50 F8` (`.LP.`) |
+//! | 4 | 4 | version |
+//! | 8 | 8 | N |
+//! | 16 | 8 | size of the content |
+//! | 24 | 4 | checksum of the content |
+//! | 28 | 4 | checksum of bytes 0..28 |
+//! | 32 | – | content |
+//!
+//! # Torn tail or damage
+//!
+//! A frame is written only after the one before it was synced, so a power loss can tear only the last frame of a file.
+//! An unreadable frame with a readable one of a higher number behind it is therefore [`Damage`].
 
-use crate::Damage;
 use crate::file_names::FileKind;
+use crate::{Damage, FrameNumber};
 
 /// Bytes of a segment's header: magic, version, first frame, checksum.
 pub(crate) const SEGMENT_HEADER_BYTES: usize = 4 + 4 + 8 + 4;
@@ -13,33 +52,39 @@
 pub(crate) const FRAME_HEADER_BYTES: usize = 4 + 4 + 8 + 4 + 4 + 4;
 /// Bytes of a snapshot's header: magic, version, first frame, length, its checksum, the header's checksum.
 pub(crate) const SNAPSHOT_HEADER_BYTES: usize = 4 + 4 + 8 + 8 + 4 + 4;
-/// Largest payload of a frame or a snapshot.
+/// Largest payload of a frame, and largest content of a snapshot, in bytes.
 pub(crate) const MAX_PAYLOAD_BYTES: u64 = 1 << 30;
 
 const VERSION: u32 = 1;
-// The first byte never occurs in UTF-8 text, so that no text is mistaken for a frame.
+/// Bytes of the size before each record.
+const RECORD_SIZE_BYTES: usize = 4;
+/// Bytes of the checksum that ends each header.
+const CHECKSUM_BYTES: usize = 4;
+// The first byte of each magic never occurs in UTF-8 text, so that no text in a record is mistaken for a frame.
 const SEGMENT_MAGIC: [u8; 4] = [0xF8, b'L', b'S', 0xF8];
 const FRAME_MAGIC: [u8; 4] = [0xF8, b'L', b'F', 0xF8];
 const SNAPSHOT_MAGIC: [u8; 4] = [0xF8, b'L', b'P', 0xF8];
 const KIND_RECORDS: u32 = 1;
 const KIND_SEAL: u32 = 2;
 
-pub(crate) fn encode_segment_header(first_frame: u64) -> Vec<u8> {
+/// The header of a segment.
+pub(crate) fn encode_segment_header(first_frame: FrameNumber) -> Vec<u8> {
     let mut header = Vec::with_capacity(SEGMENT_HEADER_BYTES);
     header.extend(SEGMENT_MAGIC);
     header.extend(VERSION.to_le_bytes());
-    header.extend(first_frame.to_le_bytes());
+    header.extend(first_frame.0.to_le_bytes());
     append_header_checksum(&mut header);
     header
 }
 
-/// Size of the frame that [`encode_records`] makes.
+/// Size in bytes of the frame that [`encode_records`] makes.
 pub(crate) fn records_frame_bytes(records: &[Vec<u8>]) -> u64 {
-    let payload: u64 = records.iter().map(|record| 4 + record.len() as u64).sum();
+    let payload: u64 = records.iter().map(|record| (RECORD_SIZE_BYTES + record.len()) as u64).sum();
     FRAME_HEADER_BYTES as u64 + payload
 }
 
-pub(crate) fn encode_records(number: u64, records: &[Vec<u8>]) -> Vec<u8> {
+/// A frame that holds these records.
+pub(crate) fn encode_records(number: FrameNumber, records: &[Vec<u8>]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(records_frame_bytes(records) as usize);
     frame.resize(FRAME_HEADER_BYTES, 0);
     for record in records {
@@ -51,26 +96,28 @@
     frame
 }
 
-pub(crate) fn encode_seal(number: u64) -> Vec<u8> {
+/// The seal of a segment.
+pub(crate) fn encode_seal(number: FrameNumber) -> Vec<u8> {
     frame_header(KIND_SEAL, number, &[])
 }
 
-fn frame_header(kind: u32, number: u64, payload: &[u8]) -> Vec<u8> {
+fn frame_header(kind: u32, number: FrameNumber, payload: &[u8]) -> Vec<u8> {
     let mut header = Vec::with_capacity(FRAME_HEADER_BYTES);
     header.extend(FRAME_MAGIC);
     header.extend(kind.to_le_bytes());
-    header.extend(number.to_le_bytes());
+    header.extend(number.0.to_le_bytes());
     header.extend((payload.len() as u32).to_le_bytes());
     header.extend(crc32fast::hash(payload).to_le_bytes());
     append_header_checksum(&mut header);
     header
 }
 
-pub(crate) fn encode_snapshot(first_frame: u64, snapshot: &[u8]) -> Vec<u8> {
+/// The file of a snapshot that covers all before `first_frame`.
+pub(crate) fn encode_snapshot(first_frame: FrameNumber, snapshot: &[u8]) -> Vec<u8> {
     let mut file = Vec::with_capacity(SNAPSHOT_HEADER_BYTES + snapshot.len());
     file.extend(SNAPSHOT_MAGIC);
     file.extend(VERSION.to_le_bytes());
-    file.extend(first_frame.to_le_bytes());
+    file.extend(first_frame.0.to_le_bytes());
     file.extend((snapshot.len() as u64).to_le_bytes());
     file.extend(crc32fast::hash(snapshot).to_le_bytes());
     append_header_checksum(&mut file);
@@ -78,72 +125,97 @@
     file
 }
 
-/// The snapshot in a file, or `None` if the file is torn or damaged.
-pub(crate) fn decode_snapshot(first_frame: u64, mut file: Vec<u8>) -> Option<Vec<u8>> {
+/// The content of a snapshot's file, or `None` if the file is torn or damaged.
+pub(crate) fn decode_snapshot(first_frame: FrameNumber, mut file: Vec<u8>) -> Option<Vec<u8>> {
     let header = checked_header(&file, SNAPSHOT_HEADER_BYTES, SNAPSHOT_MAGIC)?;
-    let whole = u32_at(header, 4) == VERSION
-        && u64_at(header, 8) == first_frame
+    let is_complete = u32_at(header, 4) == VERSION
+        && frame_number_at(header, 8) == first_frame
         && u64_at(header, 16) == (file.len() - SNAPSHOT_HEADER_BYTES) as u64
         && u32_at(header, 24) == crc32fast::hash(&file[SNAPSHOT_HEADER_BYTES..]);
-    whole.then(|| file.split_off(SNAPSHOT_HEADER_BYTES))
+    is_complete.then(|| file.split_off(SNAPSHOT_HEADER_BYTES))
 }
 
 /// What a segment's file holds.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(crate) struct Segment {
+pub(crate) struct DecodedSegment {
+    /// The records of all frames, in order.
     pub records: Vec<Vec<u8>>,
     /// Number of the frame after the last one, the seal included.
-    pub next_frame: u64,
+    pub next_frame: FrameNumber,
     /// Length of the readable part.
     pub length: u64,
     /// Bytes after the readable part: a torn append.
     pub torn_bytes: u64,
+    /// Whether the last frame is a seal.
     pub sealed: bool,
 }
 
-impl Segment {
+impl DecodedSegment {
     /// Whether the segment holds no frame.
     pub(crate) fn is_empty(&self) -> bool {
         self.length == SEGMENT_HEADER_BYTES as u64
     }
+
+    fn push(&mut self, frame: Frame) {
+        self.records.extend(frame.records);
+        self.sealed = frame.is_seal;
+        self.next_frame = self.next_frame.next();
+        self.length += frame.bytes as u64;
+    }
 }
 
 /// Reads a segment; `None` if its header never became durable, so that it was never used.
-pub(crate) fn decode_segment(first_frame: u64, file: &[u8]) -> Result<Option<Segment>, Damage> {
-    let name = || FileKind::Segment(first_frame).name();
-    let Some(header) = checked_header(file, SEGMENT_HEADER_BYTES, SEGMENT_MAGIC) else {
-        return match file.len() > SEGMENT_HEADER_BYTES {
-            true => Err(Damage::SegmentHeader { file: name() }),
-            false => Ok(None),
-        };
-    };
-    if u32_at(header, 4) != VERSION || u64_at(header, 8) != first_frame {
-        return Err(Damage::SegmentHeader { file: name() });
+///
+/// # Errors
+///
+/// [`Damage::SegmentHeader`] or [`Damage::Frame`] if a power loss doesn't explain what is unreadable.
+pub(crate) fn decode_segment(
+    first_frame: FrameNumber,
+    file: &[u8],
+) -> Result<Option<DecodedSegment>, Damage> {
+    if !has_segment_header(first_frame, file)? {
+        return Ok(None);
     }
-    let mut segment =
-        Segment { next_frame: first_frame, length: SEGMENT_HEADER_BYTES as u64, ..Segment::default() };
+    let mut segment = DecodedSegment {
+        next_frame: first_frame,
+        length: SEGMENT_HEADER_BYTES as u64,
+        ..DecodedSegment::default()
+    };
     while (segment.length as usize) < file.len() {
         let rest = &file[segment.length as usize..];
-        let frame = decode_frame(rest).filter(|frame| frame.number == segment.next_frame && !segment.sealed);
-        let Some(frame) = frame else {
+        let is_next = |frame: &Frame| frame.number == segment.next_frame && !segment.sealed;
+        let Some(frame) = decode_frame(rest).filter(is_next) else {
             if segment.sealed || is_followed_by_later_frame(rest, segment.next_frame) {
-                return Err(Damage::Frame { file: name(), offset: segment.length });
+                let file = FileKind::Segment(first_frame).name();
+                return Err(Damage::Frame { file, offset: segment.length });
             }
             segment.torn_bytes = rest.len() as u64;
             break;
         };
-        segment.records.extend(frame.records);
-        segment.sealed = frame.is_seal;
-        segment.next_frame += 1;
-        segment.length += frame.bytes as u64;
+        segment.push(frame);
     }
     Ok(Some(segment))
 }
 
+/// Whether the segment has a header; without one it was never used. A header that isn't this segment's is damage.
+fn has_segment_header(first_frame: FrameNumber, file: &[u8]) -> Result<bool, Damage> {
+    let is_valid = match checked_header(file, SEGMENT_HEADER_BYTES, SEGMENT_MAGIC) {
+        Some(header) => u32_at(header, 4) == VERSION && frame_number_at(header, 8) == first_frame,
+        None if file.len() <= SEGMENT_HEADER_BYTES => return Ok(false),
+        None => false,
+    };
+    match is_valid {
+        true => Ok(true),
+        false => Err(Damage::SegmentHeader { file: FileKind::Segment(first_frame).name() }),
+    }
+}
+
+/// A readable frame.
 struct Frame {
-    number: u64,
+    number: FrameNumber,
     is_seal: bool,
     records: Vec<Vec<u8>>,
+    /// Size of header and payload.
     bytes: usize,
 }
 
@@ -156,13 +228,13 @@
     }
     let is_seal = u32_at(header, 4) == KIND_SEAL;
     let records = split_records(payload)?;
-    Some(Frame { number: u64_at(header, 8), is_seal, records, bytes: end })
+    Some(Frame { number: frame_number_at(header, 8), is_seal, records, bytes: end })
 }
 
 fn split_records(mut payload: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut records = Vec::new();
     while !payload.is_empty() {
-        let (length, rest) = payload.split_first_chunk::<4>()?;
+        let (length, rest) = payload.split_first_chunk::<RECORD_SIZE_BYTES>()?;
         let (record, rest) = rest.split_at_checked(u32::from_le_bytes(*length) as usize)?;
         records.push(record.to_vec());
         payload = rest;
@@ -170,13 +242,13 @@
     Some(records)
 }
 
-/// Whether a readable frame with a higher number lies behind an unreadable one. A torn append is the last in its
-/// file, since the next is written only after a sync.
-fn is_followed_by_later_frame(bytes: &[u8], unreadable: u64) -> bool {
-    let own_payload = checked_header(bytes, FRAME_HEADER_BYTES, FRAME_MAGIC)
-        .filter(|header| u64_at(header, 8) == unreadable)
+/// Whether a readable frame with a higher number lies behind an unreadable one, so that no power loss explains it.
+fn is_followed_by_later_frame(bytes: &[u8], unreadable: FrameNumber) -> bool {
+    // Where the header is readable its payload is skipped: a record may hold the bytes of a frame.
+    let search_from = checked_header(bytes, FRAME_HEADER_BYTES, FRAME_MAGIC)
+        .filter(|header| frame_number_at(header, 8) == unreadable)
         .map_or(1, |header| FRAME_HEADER_BYTES + u32_at(header, 16) as usize);
-    let rest = bytes.get(own_payload..).unwrap_or_default();
+    let rest = bytes.get(search_from..).unwrap_or_default();
     (0..rest.len()).any(|offset| {
         let candidate = &rest[offset..];
         candidate.starts_with(&FRAME_MAGIC)
@@ -190,17 +262,22 @@
     header.extend(checksum.to_le_bytes());
 }
 
+/// The header at the start of `bytes`, if magic and checksum are right.
 fn checked_header(bytes: &[u8], length: usize, magic: [u8; 4]) -> Option<&[u8]> {
     let header = bytes.get(..length)?;
-    let (fields, checksum) = header.split_at(length - 4);
+    let (fields, checksum) = header.split_at(length - CHECKSUM_BYTES);
     let valid = header.starts_with(&magic) && checksum == crc32fast::hash(fields).to_le_bytes();
     valid.then_some(header)
 }
 
+fn frame_number_at(bytes: &[u8], offset: usize) -> FrameNumber {
+    FrameNumber(u64_at(bytes, offset))
+}
+
 fn u32_at(bytes: &[u8], offset: usize) -> u32 {
-    u32::from_le_bytes(bytes[offset..offset + 4].try_into().expect("four bytes"))
+    u32::from_le_bytes(bytes[offset..offset + 4].try_into().expect("the range has four bytes"))
 }
 
 fn u64_at(bytes: &[u8], offset: usize) -> u64 {
-    u64::from_le_bytes(bytes[offset..offset + 8].try_into().expect("eight bytes"))
+    u64::from_le_bytes(bytes[offset..offset + 8].try_into().expect("the range has eight bytes"))
 }
--- /dev/null
+++ b/crates/lockusher-storage/src/layout.rs
@@ -0,0 +1,64 @@
+//! Which files a store relies on, and which it no longer needs.
+
+use crate::file_names::FileKind;
+use crate::segment::OpenSegment;
+use crate::{FileError, FileSystem, FrameNumber};
+
+/// A file and its size.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct StoredFile {
+    pub name: String,
+    pub bytes: u64,
+}
+
+/// A readable snapshot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct SnapshotFile {
+    /// The snapshot covers all frames before this one.
+    pub first_frame: FrameNumber,
+    /// Size of the file.
+    pub bytes: u64,
+}
+
+impl SnapshotFile {
+    /// Name of the file.
+    pub(crate) fn name(self) -> String {
+        FileKind::Snapshot(self.first_frame).name()
+    }
+}
+
+/// The files as recovery finds them.
+#[derive(Debug, Default)]
+pub(crate) struct Layout {
+    /// The newest readable snapshot.
+    pub snapshot: Option<SnapshotFile>,
+    /// Segments before the last, oldest first.
+    pub closed_segments: Vec<StoredFile>,
+    /// The segment before the last, if its seal isn't written yet. It is among the closed ones as well.
+    pub unsealed: Option<OpenSegment>,
+    /// The last segment; `None` in an empty directory.
+    pub tail: Option<OpenSegment>,
+    /// Name of a segment that was created but whose header never became durable.
+    pub unused_segment: Option<String>,
+    /// Files no longer needed.
+    pub obsolete: Vec<StoredFile>,
+    /// Size of the reserve file; 0 if there is none.
+    pub reserve_bytes: u64,
+}
+
+impl Layout {
+    /// Makes everything that was read durable. A process that was killed may have left bytes that were written but
+    /// never synced: they can be read now, and must not vanish with the next power loss.
+    pub(crate) fn sync<F: FileSystem>(&self, files: &mut F) -> Result<(), FileError> {
+        for segment in &self.closed_segments {
+            files.sync_file(&segment.name)?;
+        }
+        if let Some(tail) = &self.tail {
+            files.sync_file(&tail.name())?;
+        }
+        if let Some(snapshot) = self.snapshot {
+            files.sync_file(&snapshot.name())?;
+        }
+        files.sync_directory()
+    }
+}
--- a/crates/lockusher-storage/src/options.rs
+++ b/crates/lockusher-storage/src/options.rs
@@ -1,18 +1,20 @@
 //! Settings of a store, and the thresholds that follow from the disk's size.
 
-/// A snapshot is wanted when the log is this part of the disk ...
-pub(crate) const LOG_DISK_DIVISOR: u64 = 16;
-/// ... and this many times as large as the newest snapshot, so that few bytes are written for one that is appended.
-pub(crate) const LOG_BYTES_PER_SNAPSHOT_BYTE: u64 = 2;
-/// A segment is ended at this part of the disk.
+/// A snapshot is due when the log is the size of the disk divided by this ...
+const LOG_DISK_DIVISOR: u64 = 16;
+/// ... and this many times as large as the newest snapshot, which bounds the write amplification.
+const LOG_BYTES_PER_SNAPSHOT_BYTE: u64 = 2;
+/// A segment is closed at the size of the disk divided by this.
 const SEGMENT_DISK_DIVISOR: u64 = 64;
-/// This part of the disk is kept for the next snapshot: appends don't use it.
+/// The size of the disk divided by this is left free by appends, for the next snapshot.
 const SNAPSHOT_DISK_DIVISOR: u64 = 4;
-/// The reserve file is at most this part of the disk ...
+/// The reserve file has at most the size of the disk divided by this ...
 const RESERVE_DISK_DIVISOR: u64 = 8;
-/// ... and at least this many bytes.
+/// ... and, within that, at least this many bytes ...
 const MIN_RESERVE_BYTES: u64 = 64 * 1024;
-/// Size that an unknown disk is taken to have, for the thresholds above.
+/// ... and this many times the size of the newest snapshot.
+const RESERVE_BYTES_PER_SNAPSHOT_BYTE: u64 = 2;
+/// Size that a disk of unknown size is assumed to have, for the thresholds above.
 const ASSUMED_DISK_BYTES: u64 = 128 * 1024 * 1024;
 
 /// Settings of a store.
@@ -23,24 +25,39 @@
 }
 
 impl StoreOptions {
-    pub(crate) fn disk(self) -> u64 {
-        match self.disk_bytes {
-            0 => ASSUMED_DISK_BYTES,
-            bytes => bytes,
-        }
+    /// Whether the size of the disk is known, so that the store refuses by itself what wouldn't fit.
+    pub(crate) fn disk_size_is_known(self) -> bool {
+        self.disk_bytes > 0
     }
 
+    /// Length at which a segment is closed.
     pub(crate) fn segment_bytes(self) -> u64 {
-        self.disk() / SEGMENT_DISK_DIVISOR
+        self.assumed_disk_bytes() / SEGMENT_DISK_DIVISOR
     }
 
     /// Most bytes of snapshot and log together.
-    pub(crate) fn append_limit(self) -> u64 {
-        self.disk() - self.disk() / SNAPSHOT_DISK_DIVISOR
+    pub(crate) fn append_limit_bytes(self) -> u64 {
+        self.assumed_disk_bytes() - self.assumed_disk_bytes() / SNAPSHOT_DISK_DIVISOR
+    }
+
+    /// Length of the log at which a snapshot is due, beside a newest snapshot of this size.
+    pub(crate) fn snapshot_due_bytes(self, snapshot_bytes: u64) -> u64 {
+        let efficient_bytes =
+            (self.assumed_disk_bytes() / LOG_DISK_DIVISOR).max(LOG_BYTES_PER_SNAPSHOT_BYTE * snapshot_bytes);
+        // However large the snapshot is, the log must not grow until appends are refused.
+        efficient_bytes.min(self.append_limit_bytes() / 2)
     }
 
+    /// Size of the reserve file beside a newest snapshot of this size.
     pub(crate) fn reserve_bytes(self, snapshot_bytes: u64) -> u64 {
-        let largest = self.disk() / RESERVE_DISK_DIVISOR;
-        (2 * snapshot_bytes).max(MIN_RESERVE_BYTES).min(largest)
+        let max_bytes = self.assumed_disk_bytes() / RESERVE_DISK_DIVISOR;
+        (RESERVE_BYTES_PER_SNAPSHOT_BYTE * snapshot_bytes).max(MIN_RESERVE_BYTES).min(max_bytes)
+    }
+
+    fn assumed_disk_bytes(self) -> u64 {
+        match self.disk_bytes {
+            0 => ASSUMED_DISK_BYTES,
+            bytes => bytes,
+        }
     }
 }
--- a/crates/lockusher-storage/src/recovery.rs
+++ b/crates/lockusher-storage/src/recovery.rs
@@ -1,14 +1,21 @@
-//! Reads what the files hold when a store is opened, and tells a torn end from damage.
+//! Recovery: reads what the files hold when a store is opened or scrubbed.
+//!
+//! The newest readable snapshot is taken, then the segments from its end on. What [`segment_sequence`] and the format
+//! accept as the trace of a power loss is cut off or ignored; everything else is [`Damage`](crate::Damage). Nothing is
+//! changed here, except that a reset that was interrupted is completed first.
+//!
+//! [`segment_sequence`]: crate::segment_sequence
 
 use crate::file_names::{FileKind, RESERVE_FILE};
-use crate::format;
+use crate::format::{self, DecodedSegment};
+use crate::layout::{Layout, SnapshotFile, StoredFile};
 use crate::reset::complete_reset;
 use crate::segment::OpenSegment;
-use crate::segment_sequence::{SegmentSequence, check_first_segment};
-use crate::{FileSystem, StoreError};
+use crate::segment_sequence::SegmentSequence;
+use crate::{FileError, FileSystem, FrameNumber, StoreError};
 
 /// What a store held when it was opened.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The newest snapshot.
     pub snapshot: Option<Vec<u8>>,
@@ -23,137 +30,133 @@
 pub struct RecoveryReport {
     /// Segments read.
     pub segments: usize,
-    /// Bytes cut off the end of the log: an append that was under way when power was lost, or damage to the last one.
+    /// Bytes cut off the end of the log: an append that was in flight when power was lost, or damage to the last one.
     pub torn_bytes: u64,
-    /// Snapshots left aside because they aren't whole; the log they would have replaced is complete.
+    /// Snapshots ignored because they are incomplete or damaged; the log they would have replaced is complete.
     pub unreadable_snapshots: usize,
     /// Files removed, or to be removed, since they are no longer needed.
     pub obsolete_files: usize,
-    /// A reset had been interrupted and was carried through.
+    /// A reset had been interrupted and was completed.
     pub reset_completed: bool,
 }
 
-/// A file and its size.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct StoredFile {
-    pub name: String,
-    pub bytes: u64,
-}
-
-/// Which files there are and what they are for.
-#[derive(Debug, Default)]
-pub(crate) struct Layout {
-    /// Frame before which the newest snapshot holds everything, and the size of its file.
-    pub snapshot: Option<(u64, u64)>,
-    /// Segments before the last, oldest first.
-    pub closed_segments: Vec<StoredFile>,
-    /// The segment before the last, where its seal isn't written yet. It is among the full ones as well.
-    pub unsealed: Option<OpenSegment>,
-    /// The last segment; `None` in an empty folder.
-    pub tail: Option<OpenSegment>,
-    /// A segment that was begun but never became durable.
-    pub unused_segment: Option<String>,
-    /// Files no longer needed.
-    pub obsolete: Vec<StoredFile>,
-    /// Size of the reserve.
-    pub reserve_bytes: u64,
+/// Reads all files.
+///
+/// # Errors
+///
+/// [`StoreError::Damaged`] if something acknowledged is unreadable or missing, and the errors of the file system.
+pub(crate) fn read<F: FileSystem>(files: &mut F) -> Result<(Layout, Recovered), StoreError> {
+    let reset_completed = complete_reset(files)?;
+    let mut recovery = Recovery { files, layout: Layout::default(), recovered: Recovered::default() };
+    recovery.recovered.report.reset_completed = reset_completed;
+    let found = recovery.list_files()?;
+    recovery.read_snapshots(&found.snapshots)?;
+    recovery.read_segments(&found)?;
+    let Recovery { layout, mut recovered, .. } = recovery;
+    recovered.report.obsolete_files = layout.obsolete.len();
+    Ok((layout, recovered))
 }
 
 /// Numbers in the names of segments and snapshots, in ascending order.
 #[derive(Default)]
-struct Names {
-    segments: Vec<u64>,
-    snapshots: Vec<u64>,
+struct FoundFiles {
+    segments: Vec<FrameNumber>,
+    snapshots: Vec<FrameNumber>,
 }
 
-/// Reads all files. Changes nothing, but for a reset that it carries through.
-pub(crate) fn read<F: FileSystem>(files: &mut F) -> Result<(Layout, Recovered), StoreError> {
-    let reset_completed = complete_reset(files)?;
-    let mut layout = Layout::default();
-    let names = list(files, &mut layout)?;
-    let mut recovered = Recovered { snapshot: None, records: Vec::new(), report: RecoveryReport::default() };
-    recovered.report.reset_completed = reset_completed;
-    read_snapshots(files, &names, &mut layout, &mut recovered)?;
-    read_segments(files, &names, &mut layout, &mut recovered)?;
-    recovered.report.obsolete_files = layout.obsolete.len();
-    Ok((layout, recovered))
+/// A recovery in progress.
+struct Recovery<'a, F> {
+    files: &'a mut F,
+    layout: Layout,
+    recovered: Recovered,
 }
 
-fn list<F: FileSystem>(files: &mut F, layout: &mut Layout) -> Result<Names, StoreError> {
-    let mut names = Names::default();
-    for name in files.list()? {
-        match FileKind::of(&name) {
-            Some(FileKind::Segment(first_frame)) => names.segments.push(first_frame),
-            Some(FileKind::Snapshot(first_frame)) => names.snapshots.push(first_frame),
-            None if name == RESERVE_FILE => layout.reserve_bytes = files.length(RESERVE_FILE)?,
-            None => log::warn!("{name}: not a file of the store, left alone"),
+impl<F: FileSystem> Recovery<'_, F> {
+    fn list_files(&mut self) -> Result<FoundFiles, FileError> {
+        let mut found = FoundFiles::default();
+        for name in self.files.list()? {
+            match FileKind::parse(&name) {
+                Some(FileKind::Segment(first_frame)) => found.segments.push(first_frame),
+                Some(FileKind::Snapshot(first_frame)) => found.snapshots.push(first_frame),
+                None if name == RESERVE_FILE => {
+                    self.layout.reserve_bytes = self.files.length(RESERVE_FILE)?;
+                }
+                None => log::warn!("{name}: not a file of the store, left alone"),
+            }
         }
+        found.segments.sort_unstable();
+        found.snapshots.sort_unstable();
+        Ok(found)
     }
-    names.segments.sort_unstable();
-    names.snapshots.sort_unstable();
-    Ok(names)
-}
 
-/// Takes the newest snapshot that is whole; the others are obsolete.
-fn read_snapshots<F: FileSystem>(
-    files: &mut F,
-    names: &Names,
-    layout: &mut Layout,
-    recovered: &mut Recovered,
-) -> Result<(), StoreError> {
-    for &first_frame in names.snapshots.iter().rev() {
-        let name = FileKind::Snapshot(first_frame).name();
-        let bytes = files.length(&name)?;
-        if layout.snapshot.is_none() {
-            recovered.snapshot = format::decode_snapshot(first_frame, files.read(&name)?);
-            if recovered.snapshot.is_some() {
-                layout.snapshot = Some((first_frame, bytes));
-                continue;
+    /// Takes the newest readable snapshot; the others are obsolete.
+    fn read_snapshots(&mut self, snapshots: &[FrameNumber]) -> Result<(), FileError> {
+        for &first_frame in snapshots.iter().rev() {
+            let name = FileKind::Snapshot(first_frame).name();
+            let bytes = self.files.length(&name)?;
+            if self.layout.snapshot.is_none() {
+                let content = self.files.read(&name)?;
+                self.recovered.snapshot = format::decode_snapshot(first_frame, content);
+                if self.recovered.snapshot.is_some() {
+                    self.layout.snapshot = Some(SnapshotFile { first_frame, bytes });
+                    continue;
+                }
+                self.recovered.report.unreadable_snapshots += 1;
             }
-            recovered.report.unreadable_snapshots += 1;
+            self.layout.obsolete.push(StoredFile { name, bytes });
         }
-        layout.obsolete.push(StoredFile { name, bytes });
+        Ok(())
     }
-    Ok(())
-}
 
-fn read_segments<F: FileSystem>(
-    files: &mut F,
-    names: &Names,
-    layout: &mut Layout,
-    recovered: &mut Recovered,
-) -> Result<(), StoreError> {
-    let start = layout.snapshot.map_or(0, |(first_frame, _)| first_frame);
-    let (obsolete, needed): (Vec<u64>, Vec<u64>) = names.segments.iter().partition(|&&first| first < start);
-    for first_frame in obsolete {
-        layout.obsolete.push(stored_segment(files, first_frame)?);
-    }
-    let folder_is_empty = needed.is_empty() && names.snapshots.is_empty();
-    if folder_is_empty {
-        return Ok(());
+    fn read_segments(&mut self, found: &FoundFiles) -> Result<(), StoreError> {
+        let snapshot_end = self.layout.snapshot.map(|snapshot| snapshot.first_frame);
+        let mut sequence = SegmentSequence::new(snapshot_end);
+        let needed_from = found.segments.partition_point(|&first_frame| first_frame < sequence.start());
+        let (obsolete, needed) = found.segments.split_at(needed_from);
+        for &first_frame in obsolete {
+            let name = FileKind::Segment(first_frame).name();
+            let bytes = self.files.length(&name)?;
+            self.layout.obsolete.push(StoredFile { name, bytes });
+        }
+        let is_new_store = needed.is_empty() && found.snapshots.is_empty();
+        if is_new_store {
+            return Ok(());
+        }
+        sequence.check_first(needed.first().copied())?;
+        for (index, &first_frame) in needed.iter().enumerate() {
+            let is_last = index + 1 == needed.len();
+            self.read_segment(first_frame, is_last, &mut sequence)?;
+        }
+        Ok(sequence.finish()?)
     }
-    check_first_segment(start, needed.first().copied(), layout)?;
 
-    let mut sequence = SegmentSequence { last_first_frame: start, previous: None };
-    for (index, &first_frame) in needed.iter().enumerate() {
-        let content = files.read(&FileKind::Segment(first_frame).name())?;
-        let is_last = index + 1 == needed.len();
-        let Some(mut segment) = format::decode_segment(first_frame, &content)? else {
-            sequence.check_unused(first_frame, is_last, layout)?;
-            layout.unused_segment = Some(FileKind::Segment(first_frame).name());
-            continue;
+    fn read_segment(
+        &mut self,
+        first_frame: FrameNumber,
+        is_last: bool,
+        sequence: &mut SegmentSequence,
+    ) -> Result<(), StoreError> {
+        let name = FileKind::Segment(first_frame).name();
+        let content = self.files.read(&name)?;
+        let Some(segment) = format::decode_segment(first_frame, &content)? else {
+            sequence.check_unused(first_frame, is_last)?;
+            self.layout.unused_segment = Some(name);
+            return Ok(());
         };
-        sequence.check(first_frame, &segment, is_last)?;
-        recovered.records.append(&mut segment.records);
-        recovered.report.segments += 1;
-        recovered.report.torn_bytes += segment.torn_bytes;
-        sequence.add(first_frame, segment, layout);
+        let previous_is_sealed = sequence.ends_with_seal();
+        sequence.push(first_frame, &segment, is_last)?;
+        if let Some(previous) = self.layout.tail.take() {
+            self.layout.closed_segments.push(StoredFile { name: previous.name(), bytes: previous.length });
+            self.layout.unsealed = (!previous_is_sealed).then_some(previous);
+        }
+        self.layout.tail = Some(OpenSegment::from_decoded(first_frame, &segment));
+        self.take_records(segment);
+        Ok(())
     }
-    sequence.finish(layout)
-}
 
-fn stored_segment<F: FileSystem>(files: &mut F, first_frame: u64) -> Result<StoredFile, StoreError> {
-    let name = FileKind::Segment(first_frame).name();
-    let bytes = files.length(&name)?;
-    Ok(StoredFile { name, bytes })
+    fn take_records(&mut self, segment: DecodedSegment) {
+        self.recovered.report.segments += 1;
+        self.recovered.report.torn_bytes += segment.torn_bytes;
+        self.recovered.records.extend(segment.records);
+    }
 }
--- a/crates/lockusher-storage/src/reset.rs
+++ b/crates/lockusher-storage/src/reset.rs
@@ -1,9 +1,13 @@
-//! Empties a folder, durably.
+//! Empties the directory of a damaged store, durably.
+//!
+//! A store that lost only some of its files would look damaged, or worse, like an older one. The marker file prevents
+//! that: it is durable before the first file is removed, and removed only once all removals are durable. A directory
+//! with a marker is emptied when it is opened.
 
 use crate::file_names::{FileKind, RESERVE_FILE, RESET_MARKER_FILE};
 use crate::{FileSystem, StoreError};
 
-/// Removes everything, in such an order that a loss of power between leaves a folder that is emptied at opening.
+/// Removes all files of the store. A power loss on the way leaves a directory that is unchanged or emptied at opening.
 pub(crate) fn reset<F: FileSystem>(files: &mut F) -> Result<(), StoreError> {
     files.create(RESET_MARKER_FILE)?;
     files.sync_file(RESET_MARKER_FILE)?;
@@ -11,6 +15,7 @@
     remove_all(files)
 }
 
+/// Finishes a reset that was interrupted; whether there was one.
 pub(crate) fn complete_reset<F: FileSystem>(files: &mut F) -> Result<bool, StoreError> {
     let reset_pending = files.list()?.iter().any(|name| name == RESET_MARKER_FILE);
     if reset_pending {
@@ -23,7 +28,7 @@
     // The marker may be there without being durable yet, and must outlast the files.
     files.sync_directory()?;
     for name in files.list()? {
-        if FileKind::of(&name).is_some() || name == RESERVE_FILE {
+        if FileKind::parse(&name).is_some() || name == RESERVE_FILE {
             files.remove(&name)?;
         }
     }
--- a/crates/lockusher-storage/src/segment.rs
+++ b/crates/lockusher-storage/src/segment.rs
@@ -1,26 +1,39 @@
-//! The segment that is written to.
+//! Writing of one segment: its header, its frames, its seal, and the repair of a torn tail.
+//!
+//! An [`OpenSegment`] knows how many bytes of its file are acknowledged. The file may hold more after a failed write
+//! ([`torn`](OpenSegment::torn)); nothing is appended before these bytes are cut off.
 
 use crate::file_names::FileKind;
-use crate::format::{self, Segment};
-use crate::{FileError, FileSystem};
+use crate::format::{self, DecodedSegment};
+use crate::{FileError, FileErrorCause, FileSystem, FrameNumber, StoreError};
 
 /// A segment that can be written to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OpenSegment {
-    pub first_frame: u64,
-    pub next_frame: u64,
-    /// Length of what is acknowledged.
+    pub first_frame: FrameNumber,
+    /// Number of the next frame to be appended.
+    pub next_frame: FrameNumber,
+    /// Bytes of the file that are acknowledged.
     pub length: u64,
     /// Whether the file may hold more than that.
     pub torn: bool,
 }
 
 impl OpenSegment {
-    pub(crate) fn name(&self) -> String {
-        FileKind::Segment(self.first_frame).name()
+    /// Creates a segment without frames; it is durable when this returns.
+    pub(crate) fn create<F: FileSystem>(
+        files: &mut F,
+        first_frame: FrameNumber,
+    ) -> Result<OpenSegment, FileError> {
+        let header = format::encode_segment_header(first_frame);
+        let segment =
+            OpenSegment { first_frame, next_frame: first_frame, length: header.len() as u64, torn: false };
+        write_new_file(files, &segment.name(), &header)?;
+        Ok(segment)
     }
 
-    pub(crate) fn of(first_frame: u64, segment: &Segment) -> OpenSegment {
+    /// The segment as it was read back.
+    pub(crate) fn from_decoded(first_frame: FrameNumber, segment: &DecodedSegment) -> OpenSegment {
         OpenSegment {
             first_frame,
             next_frame: segment.next_frame,
@@ -28,20 +41,64 @@
             torn: segment.torn_bytes > 0,
         }
     }
-}
 
-pub(crate) fn create_segment<F: FileSystem>(
-    files: &mut F,
-    first_frame: u64,
-) -> Result<OpenSegment, FileError> {
-    let header = format::encode_segment_header(first_frame);
-    let segment =
-        OpenSegment { first_frame, next_frame: first_frame, length: header.len() as u64, torn: false };
-    write_new_file(files, &segment.name(), &header)?;
-    Ok(segment)
+    /// Name of the file.
+    pub(crate) fn name(&self) -> String {
+        FileKind::Segment(self.first_frame).name()
+    }
+
+    /// Whether the segment holds a frame.
+    pub(crate) fn has_frames(&self) -> bool {
+        self.next_frame > self.first_frame
+    }
+
+    /// Appends an encoded frame; it is durable when this returns. The segment must not be torn.
+    ///
+    /// # Errors
+    ///
+    /// After [`StoreError::Uncertain`] the frame may be found after a restart, after any other error not.
+    pub(crate) fn append<F: FileSystem>(&mut self, files: &mut F, frame: &[u8]) -> Result<(), StoreError> {
+        let name = self.name();
+        self.torn = true;
+        if let Err(error) = files.write(&name, self.length, frame) {
+            let repaired = self.repair(files).is_ok();
+            // Without space for all bytes the frame is incomplete: it isn't found even if its bytes stay for now.
+            let absent = repaired || error.cause == FileErrorCause::NoSpace;
+            return Err(if absent { error.into() } else { StoreError::Uncertain { error } });
+        }
+        if let Err(error) = files.sync_file(&name) {
+            let repaired = self.repair(files).is_ok();
+            return Err(if repaired { error.into() } else { StoreError::Uncertain { error } });
+        }
+        self.torn = false;
+        self.next_frame = self.next_frame.next();
+        self.length += frame.len() as u64;
+        Ok(())
+    }
+
+    /// Cuts off what a failed append left behind, durably.
+    pub(crate) fn repair<F: FileSystem>(&mut self, files: &mut F) -> Result<(), FileError> {
+        if self.torn {
+            let name = self.name();
+            files.truncate(&name, self.length)?;
+            files.sync_file(&name)?;
+            self.torn = false;
+        }
+        Ok(())
+    }
+
+    /// Writes the seal, which promises that the next segment exists; it is durable when this returns. May be repeated
+    /// after a failure.
+    pub(crate) fn seal<F: FileSystem>(&mut self, files: &mut F) -> Result<(), FileError> {
+        self.repair(files)?;
+        let name = self.name();
+        self.torn = true;
+        files.write(&name, self.length, &format::encode_seal(self.next_frame))?;
+        files.sync_file(&name)
+    }
 }
 
-/// Makes a file with this content; both are durable when this returns.
+/// Creates a file with this content; content and name are durable when this returns, in this order.
 pub(crate) fn write_new_file<F: FileSystem>(
     files: &mut F,
     name: &str,
--- a/crates/lockusher-storage/src/segment_sequence.rs
+++ b/crates/lockusher-storage/src/segment_sequence.rs
@@ -1,37 +1,74 @@
-//! Checks that the segments of a log follow each other without a gap.
+//! Decides whether the segments found at recovery form one log without a gap.
+//!
+//! The log begins at the newest snapshot, or at frame 0 without one. Each segment but the last ends with a seal and the
+//! next begins right after it. Two irregularities are explained by a power loss while a new segment was created, and are
+//! accepted: a last segment without a durable header, and an empty last segment behind one that isn't sealed yet.
+//! Everything else is [`Damage`]. Nothing here does I/O.
 
 use crate::file_names::FileKind;
-use crate::format::Segment;
-use crate::recovery::{Layout, StoredFile};
-use crate::segment::OpenSegment;
-use crate::{Damage, StoreError};
+use crate::format::DecodedSegment;
+use crate::{Damage, FrameNumber};
 
-pub(crate) fn check_first_segment(start: u64, first: Option<u64>, layout: &Layout) -> Result<(), Damage> {
-    match first {
-        Some(first) if first == start => Ok(()),
-        Some(first_frame) if layout.snapshot.is_none() => Err(Damage::MissingSnapshot { first_frame }),
-        None if layout.snapshot.is_none() => Err(Damage::MissingSnapshot { first_frame: start }),
-        _ => Err(Damage::MissingSegment { first_frame: start }),
-    }
+/// The segments as far as they were checked.
+#[derive(Debug)]
+pub(crate) struct SegmentSequence {
+    /// Frame at which the log begins.
+    start: FrameNumber,
+    has_snapshot: bool,
+    previous: Option<CheckedSegment>,
 }
 
-/// The segments as far as they were read.
-pub(crate) struct SegmentSequence {
-    pub last_first_frame: u64,
-    pub previous: Option<Segment>,
+/// What the next segment is compared with.
+#[derive(Debug)]
+struct CheckedSegment {
+    first_frame: FrameNumber,
+    next_frame: FrameNumber,
+    sealed: bool,
 }
 
 impl SegmentSequence {
-    /// A segment whose header never became durable may only be the last, begun but not yet counted on.
-    pub(crate) fn check_unused(
-        &self,
-        first_frame: u64,
-        is_last: bool,
-        layout: &Layout,
-    ) -> Result<(), Damage> {
+    /// A log that begins where the snapshot ends, if there is one.
+    pub(crate) fn new(snapshot_end: Option<FrameNumber>) -> SegmentSequence {
+        SegmentSequence {
+            start: snapshot_end.unwrap_or(FrameNumber::FIRST),
+            has_snapshot: snapshot_end.is_some(),
+            previous: None,
+        }
+    }
+
+    /// Frame at which the log begins.
+    pub(crate) fn start(&self) -> FrameNumber {
+        self.start
+    }
+
+    /// Whether the last segment that was checked is followed by a seal.
+    pub(crate) fn ends_with_seal(&self) -> bool {
+        self.previous.as_ref().is_some_and(|previous| previous.sealed)
+    }
+
+    /// Checks where the oldest segment begins; `None` if there is no segment.
+    ///
+    /// # Errors
+    ///
+    /// [`Damage::MissingSegment`] or [`Damage::MissingSnapshot`] if that isn't where the log begins.
+    pub(crate) fn check_first(&self, first: Option<FrameNumber>) -> Result<(), Damage> {
+        match first {
+            Some(first) if first == self.start => Ok(()),
+            _ if self.has_snapshot => Err(Damage::MissingSegment { first_frame: self.start }),
+            Some(first_frame) => Err(Damage::MissingSnapshot { first_frame }),
+            None => Err(Damage::MissingSnapshot { first_frame: self.start }),
+        }
+    }
+
+    /// Checks a segment without a readable header: it may only be the last, created but not yet relied on.
+    ///
+    /// # Errors
+    ///
+    /// [`Damage::SegmentHeader`] if something relies on it.
+    pub(crate) fn check_unused(&self, first_frame: FrameNumber, is_last: bool) -> Result<(), Damage> {
         let may_be_unused = match &self.previous {
             Some(previous) => !previous.sealed,
-            None => first_frame == 0 && layout.snapshot.is_none(),
+            None => first_frame == FrameNumber::FIRST && !self.has_snapshot,
         };
         match is_last && may_be_unused {
             true => Ok(()),
@@ -39,47 +76,59 @@
         }
     }
 
-    /// A segment goes on where the one before ends. That one is sealed, unless power was lost between the making of
-    /// the new one, which is empty then, and the seal.
-    pub(crate) fn check(&self, first_frame: u64, segment: &Segment, is_last: bool) -> Result<(), Damage> {
-        let Some(previous) = &self.previous else {
-            return Ok(());
-        };
-        let next_frame = previous.next_frame;
-        if previous.sealed {
-            return match next_frame == first_frame {
-                true => Ok(()),
-                false => Err(Damage::MissingSegment { first_frame: next_frame }),
-            };
-        }
-        let seal_under_way = is_last && segment.is_empty() && next_frame + 1 == first_frame;
-        match seal_under_way {
-            true => Ok(()),
-            false => Err(Damage::SegmentEndsEarly {
-                file: FileKind::Segment(self.last_first_frame).name(),
-                next_frame,
-            }),
+    /// Checks that a segment continues where the previous one ends, and adds it.
+    ///
+    /// # Errors
+    ///
+    /// [`Damage::MissingSegment`] or [`Damage::SegmentEndsEarly`] for a gap.
+    pub(crate) fn push(
+        &mut self,
+        first_frame: FrameNumber,
+        segment: &DecodedSegment,
+        is_last: bool,
+    ) -> Result<(), Damage> {
+        if let Some(previous) = &self.previous {
+            previous.check_successor(first_frame, segment, is_last)?;
         }
+        self.previous =
+            Some(CheckedSegment { first_frame, next_frame: segment.next_frame, sealed: segment.sealed });
+        Ok(())
     }
 
-    pub(crate) fn add(&mut self, first_frame: u64, segment: Segment, layout: &mut Layout) {
-        if let Some(tail) = layout.tail.take() {
-            layout.closed_segments.push(StoredFile { name: tail.name(), bytes: tail.length });
-            let sealed = self.previous.as_ref().is_some_and(|previous| previous.sealed);
-            layout.unsealed = (!sealed).then_some(tail);
+    /// Checks the end of the log.
+    ///
+    /// # Errors
+    ///
+    /// [`Damage::MissingSegment`] if the last segment has a seal, which promises another.
+    pub(crate) fn finish(&self) -> Result<(), Damage> {
+        match &self.previous {
+            Some(last) if last.sealed => Err(Damage::MissingSegment { first_frame: last.next_frame }),
+            _ => Ok(()),
         }
-        layout.tail = Some(OpenSegment::of(first_frame, &segment));
-        self.last_first_frame = first_frame;
-        self.previous = Some(segment);
     }
+}
 
-    /// A seal says that another segment exists.
-    pub(crate) fn finish(&self, layout: &Layout) -> Result<(), StoreError> {
-        match (&self.previous, &layout.tail) {
-            (Some(last), Some(_)) if last.sealed => {
-                Err(Damage::MissingSegment { first_frame: last.next_frame }.into())
-            }
-            _ => Ok(()),
+impl CheckedSegment {
+    fn check_successor(
+        &self,
+        first_frame: FrameNumber,
+        segment: &DecodedSegment,
+        is_last: bool,
+    ) -> Result<(), Damage> {
+        if self.sealed {
+            return match self.next_frame == first_frame {
+                true => Ok(()),
+                false => Err(Damage::MissingSegment { first_frame: self.next_frame }),
+            };
+        }
+        // Power was lost between the creation of the new segment and the seal, which takes a number, too.
+        let awaits_seal = is_last && segment.is_empty() && self.next_frame.next() == first_frame;
+        match awaits_seal {
+            true => Ok(()),
+            false => Err(Damage::SegmentEndsEarly {
+                file: FileKind::Segment(self.first_frame).name(),
+                next_frame: self.next_frame,
+            }),
         }
     }
 }
--- a/crates/lockusher-storage/src/worker.rs
+++ b/crates/lockusher-storage/src/worker.rs
@@ -1,22 +1,29 @@
-//! The thread's side of a store writer.
+//! The storage thread: does the submitted jobs in order, and groups appends that wait (group commit).
+//!
+//! # Invariants
+//!
+//! - One completion for each job, in the order of submission, and none before the job's data is durable.
+//! - After an append failed, every job that was submitted before its submitter saw that failure is skipped: it may
+//!   depend on the append. The thread knows by comparing counts of failures.
 
 use std::sync::mpsc::Receiver;
 
 use futures_channel::mpsc::UnboundedSender;
 
 use crate::job::{Completion, Job};
-use crate::{FileSystem, Recovered, Store, StoreError};
+use crate::{FileSystem, Store, StoreError};
 
-/// Appends that wait are put into one write until it holds this many bytes.
+/// Appends that wait are put into one write until it holds this many bytes of records.
 const MAX_GROUP_BYTES: usize = 4 * 1024 * 1024;
 
+/// A job on its way to the thread.
 pub(crate) struct Submission {
     pub job: Job,
-    /// Failures of appends that the caller had taken at the submission.
+    /// Failures of appends that the submitter had seen.
     pub observed_failures: u64,
 }
 
-/// A completion on its way to the caller.
+/// A completion on its way to the submitter.
 #[derive(Debug)]
 pub(crate) struct Outcome {
     pub completion: Completion,
@@ -26,11 +33,11 @@
 
 /// The thread's side.
 pub(crate) struct Worker<F> {
-    pub store: Store<F>,
-    pub submissions: Receiver<Submission>,
-    pub completions: UnboundedSender<Outcome>,
+    store: Store<F>,
+    submissions: Receiver<Submission>,
+    outcomes: UnboundedSender<Outcome>,
     /// Failures of appends that were sent.
-    pub failures: u64,
+    failures: u64,
 }
 
 /// Appends that go into one write.
@@ -38,6 +45,7 @@
 struct Group {
     tickets: Vec<u64>,
     records: Vec<Vec<u8>>,
+    /// Bytes of the records.
     bytes: usize,
 }
 
@@ -50,6 +58,16 @@
 }
 
 impl<F: FileSystem> Worker<F> {
+    /// A worker that does what comes from `submissions` and sends the outcomes.
+    pub(crate) fn new(
+        store: Store<F>,
+        submissions: Receiver<Submission>,
+        outcomes: UnboundedSender<Outcome>,
+    ) -> Worker<F> {
+        Worker { store, submissions, outcomes, failures: 0 }
+    }
+
+    /// Does jobs until the submitter is gone and all are done.
     pub(crate) fn run(mut self) {
         while let Ok(submission) = self.submissions.recv() {
             let mut next = Some(submission);
@@ -59,68 +77,75 @@
         }
     }
 
-    /// Does a job, with the appends that wait behind it; returns a submission that was taken and doesn't belong to it.
+    /// Does a job, together with appends that wait behind it; returns a submission that was received on the way but not
+    /// done.
     fn execute(&mut self, submission: Submission) -> Option<Submission> {
         if submission.observed_failures < self.failures {
-            self.send(submission.job.ticket(), Err(StoreError::Skipped), false);
+            let completion = self.completion(submission.job.ticket(), Err(StoreError::Skipped));
+            self.send(completion);
             return None;
         }
         match submission.job {
-            Job::Append { ticket, records } => self.append_group(ticket, records),
+            Job::Append { ticket, records } => return self.append_group(ticket, records),
             Job::Snapshot { ticket, bytes } => {
                 let result = self.store.snapshot(&bytes);
-                self.send(ticket, result, false);
-                None
-            }
-            Job::Scrub { ticket } => {
-                let (result, scrubbed) = match self.store.scrub() {
-                    Ok(recovered) => (Ok(()), Some(recovered)),
-                    Err(error) => (Err(error), None),
-                };
-                self.send_with(ticket, result, scrubbed, false);
-                None
+                let completion = self.completion(ticket, result);
+                self.send(completion);
             }
+            Job::Scrub { ticket } => self.scrub(ticket),
         }
+        None
     }
 
     fn append_group(&mut self, ticket: u64, records: Vec<Vec<u8>>) -> Option<Submission> {
         let mut group = Group::default();
         group.add(ticket, records);
-        let mut left_over = None;
-        while group.bytes < MAX_GROUP_BYTES && left_over.is_none() {
-            match self.submissions.try_recv() {
-                Ok(Submission { job: Job::Append { ticket, records }, .. }) => group.add(ticket, records),
-                Ok(other) => left_over = Some(other),
-                Err(_) => break,
-            }
-        }
+        let next = self.fill(&mut group);
         let result = self.store.append(&group.records);
         for ticket in group.tickets {
             self.failures += u64::from(result.is_err());
-            self.send(ticket, result.clone(), result.is_err());
+            let completion = self.completion(ticket, result.clone());
+            self.send_outcome(Outcome { completion, append_failed: result.is_err() });
+        }
+        next
+    }
+
+    /// Adds appends that wait to the group, until it is large enough or something else waits, which is returned.
+    fn fill(&mut self, group: &mut Group) -> Option<Submission> {
+        while group.bytes < MAX_GROUP_BYTES {
+            match self.submissions.try_recv().ok()? {
+                Submission { job: Job::Append { ticket, records }, .. } => group.add(ticket, records),
+                other => return Some(other),
+            }
         }
-        left_over
+        None
     }
 
-    fn send(&mut self, ticket: u64, result: Result<(), StoreError>, append_failed: bool) {
-        self.send_with(ticket, result, None, append_failed);
+    fn scrub(&mut self, ticket: u64) {
+        let completion = match self.store.scrub() {
+            Ok(recovered) => Completion { scrubbed: Some(recovered), ..self.completion(ticket, Ok(())) },
+            Err(error) => self.completion(ticket, Err(error)),
+        };
+        self.send(completion);
     }
 
-    fn send_with(
-        &mut self,
-        ticket: u64,
-        result: Result<(), StoreError>,
-        scrubbed: Option<Recovered>,
-        append_failed: bool,
-    ) {
-        let completion = Completion {
+    fn completion(&self, ticket: u64, result: Result<(), StoreError>) -> Completion {
+        Completion {
             ticket,
             result,
-            scrubbed,
+            scrubbed: None,
             log_bytes: self.store.log_bytes(),
             snapshot_due: self.store.snapshot_due(),
-        };
+        }
+    }
+
+    /// Sends the completion of anything but a failed append.
+    fn send(&self, completion: Completion) {
+        self.send_outcome(Outcome { completion, append_failed: false });
+    }
+
+    fn send_outcome(&self, outcome: Outcome) {
         // Nobody listens any more when the process ends; the jobs are done all the same.
-        let _ = self.completions.unbounded_send(Outcome { completion, append_failed });
+        let _ = self.outcomes.unbounded_send(outcome);
     }
 }
--- a/crates/lockusher-storage/src/writer.rs
+++ b/crates/lockusher-storage/src/writer.rs
@@ -1,4 +1,8 @@
-//! A thread that owns a store, so that nobody else waits for the disk.
+//! The submitter's side of the storage thread.
+//!
+//! A write or a sync blocks its thread until the disk is done, so a store runs on a thread of its own. The control node
+//! holds a [`StoreWriter`] to submit jobs and [`Completions`] to await their outcomes on its async runtime; the
+//! [`worker`](crate::worker) does the jobs.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,16 +16,16 @@
 use crate::worker::{Outcome, Submission, Worker};
 use crate::{FileSystem, Store};
 
-/// Numbers that the two sides share.
+/// Counters that the submitter and the taker of completions share.
 #[derive(Debug, Default)]
 struct Progress {
     /// Jobs submitted and not yet taken from the completions.
     in_flight: AtomicU64,
-    /// Failures of appends that the caller has taken.
+    /// Failed appends whose completions were taken.
     observed_failures: AtomicU64,
 }
 
-/// Hands jobs to the thread. The thread ends when this is dropped, after the jobs submitted before.
+/// Submits jobs to the storage thread. The thread ends when this is dropped, after the jobs submitted before.
 #[derive(Debug)]
 pub struct StoreWriter {
     jobs: Option<Sender<Submission>>,
@@ -48,7 +52,7 @@
         let (jobs, submissions) = mpsc::channel();
         let (sender, receiver) = unbounded();
         let progress = Arc::new(Progress::default());
-        let worker = Worker { store, submissions, completions: sender, failures: 0 };
+        let worker = Worker::new(store, submissions, sender);
         let thread = thread::Builder::new().name("storage".to_owned()).spawn(move || worker.run())?;
         let writer = StoreWriter { jobs: Some(jobs), progress: progress.clone(), thread: Some(thread) };
         Ok((writer, Completions { receiver, progress }))
@@ -57,11 +61,11 @@
     /// Submits a job; its outcome comes from [`Completions`].
     ///
     /// When an append fails, the jobs that were submitted before its completion was taken are
-    /// [skipped](StoreError::Skipped): they may rest on it.
+    /// [skipped](crate::StoreError::Skipped): they may depend on it.
     ///
     /// # Errors
     ///
-    /// The job isn't done then.
+    /// The job isn't done then; see [`SubmitError`].
     pub fn submit(&self, job: Job) -> Result<(), SubmitError> {
         let is_append = matches!(job, Job::Append { .. });
         if !is_append && !self.is_idle() {
@@ -81,7 +85,7 @@
         self.progress.in_flight.load(Ordering::Acquire) == 0
     }
 
-    /// Ends the thread after the jobs submitted so far and waits for it; holds the caller until the disk is done.
+    /// Ends the thread after the jobs submitted so far and waits for it; blocks the caller until the disk is done.
     pub fn close(mut self) {
         self.jobs = None;
         if let Some(thread) = self.thread.take()
@@ -93,7 +97,7 @@
 }
 
 impl Completions {
-    /// The next outcome, or `None` once the writer is gone and all were taken.
+    /// The next outcome, or `None` once the writer is gone and all were taken. Dropping the future loses nothing.
     pub async fn next(&mut self) -> Option<Completion> {
         let Outcome { completion, append_failed } = self.receiver.next().await?;
         if append_failed {
--- a/crates/lockusher-storage/tests/damage.rs
+++ b/crates/lockusher-storage/tests/damage.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use lockusher_storage::{Damage, Store, StoreError};
+use lockusher_storage::{Damage, FrameNumber, Store, StoreError};
 use support::simulated_file_system::SimulatedFileSystem;
 use support::{Model, SMALL_DISK, all_records, snapshot_of};
 use yare::parameterized;
@@ -122,7 +122,10 @@
     files.erase(&name);
     let before = files.contents();
     let error = Store::open(files.clone(), SMALL_DISK).expect_err("damaged");
-    assert_eq!(error, StoreError::Damaged { damage: Damage::MissingSnapshot { first_frame: 2 } });
+    assert_eq!(
+        error,
+        StoreError::Damaged { damage: Damage::MissingSnapshot { first_frame: FrameNumber(2) } }
+    );
     assert_eq!(files.contents(), before);
 }
 
--- a/crates/lockusher-storage/tests/support/simulated_file_system.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file_system.rs
@@ -1,9 +1,11 @@
 //! A file system in memory that loses power, fills up and fails as told.
 
 use std::collections::BTreeMap;
+use std::io;
+use std::path::PathBuf;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use lockusher_storage::{FileError, FileSystem};
+use lockusher_storage::{FileError, FileErrorCause, FileOperation, FileSystem};
 
 use super::simulated_file::{Change, SimulatedFile};
 
@@ -48,7 +50,7 @@
     power_off_after: Option<u64>,
     faults: BTreeMap<u64, Fault>,
     capacity: Option<u64>,
-    read_only: bool,
+    full: bool,
     injected_bug: Option<InjectedBug>,
 }
 
@@ -103,7 +105,7 @@
 
     /// While set, whatever writes fails for want of space: creation, writing, cutting.
     pub fn set_full(&self, full: bool) {
-        self.disk().read_only = full;
+        self.disk().full = full;
     }
 
     /// Takes back all faults that haven't struck yet.
@@ -149,27 +151,25 @@
 impl FileSystem for SimulatedFileSystem {
     fn list(&mut self) -> Result<Vec<String>, FileError> {
         let disk = self.disk();
-        disk.check_power()?;
-        Ok(disk
-            .names
-            .iter()
-            .filter(|(_, value)| value.current().is_some())
-            .map(|(name, _)| name.clone())
-            .collect())
+        disk.check_power().map_err(|cause| file_error(FileOperation::List, "", cause))?;
+        let present = disk.names.iter().filter(|(_, value)| value.current().is_some());
+        Ok(present.map(|(name, _)| name.clone()).collect())
     }
 
     fn length(&mut self, name: &str) -> Result<u64, FileError> {
-        Ok(self.read(name)?.len() as u64)
+        let disk = self.disk();
+        let content = disk.read(name).map_err(|cause| file_error(FileOperation::Length, name, cause))?;
+        Ok(content.len() as u64)
     }
 
     fn read(&mut self, name: &str) -> Result<Vec<u8>, FileError> {
         let disk = self.disk();
-        disk.check_power()?;
-        Ok(disk.files[disk.find(name)?].content().to_vec())
+        let content = disk.read(name).map_err(|cause| file_error(FileOperation::Read, name, cause))?;
+        Ok(content.to_vec())
     }
 
     fn create(&mut self, name: &str) -> Result<(), FileError> {
-        self.disk().operate(true, |disk, _| match disk.find(name) {
+        self.disk().operate(FileOperation::Create, name, |disk, _| match disk.find(name) {
             Ok(file) => {
                 disk.files[file].change(Change::Truncate { length: 0 });
                 Ok(())
@@ -183,27 +183,27 @@
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), FileError> {
-        self.disk().operate(true, |disk, fault| {
+        self.disk().operate(FileOperation::Write, name, |disk, fault| {
             let file = disk.find(name)?;
-            let free_space = disk.bytes_that_fit(file, offset as usize, bytes.len());
+            let fitting = disk.bytes_that_fit(file, offset as usize, bytes.len());
             let written = match fault {
-                Some(Fault::NoSpace | Fault::Io) => free_space.min(bytes.len() / 2),
-                _ => free_space,
+                Some(Fault::NoSpace | Fault::Io) => fitting.min(bytes.len() / 2),
+                _ => fitting,
             };
             disk.written_bytes += written as u64;
             if written > 0 {
                 disk.files[file]
                     .change(Change::Write { offset: offset as usize, bytes: bytes[..written].to_vec() });
             }
-            match free_space < bytes.len() {
-                true => Err(FileError::NoSpace),
+            match fitting < bytes.len() {
+                true => Err(FileErrorCause::NoSpace),
                 false => Ok(()),
             }
         })
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> Result<(), FileError> {
-        self.disk().operate(true, |disk, fault| {
+        self.disk().operate(FileOperation::Truncate, name, |disk, fault| {
             let file = disk.find(name)?;
             if takes_effect(fault) {
                 disk.files[file].change(Change::Truncate { length: length as usize });
@@ -213,7 +213,7 @@
     }
 
     fn remove(&mut self, name: &str) -> Result<(), FileError> {
-        self.disk().operate(false, |disk, fault| {
+        self.disk().operate(FileOperation::Remove, name, |disk, fault| {
             if takes_effect(fault) && disk.find(name).is_ok() {
                 disk.set_name(name, None);
             }
@@ -222,7 +222,7 @@
     }
 
     fn sync_file(&mut self, name: &str) -> Result<(), FileError> {
-        self.disk().operate(false, |disk, fault| {
+        self.disk().operate(FileOperation::SyncFile, name, |disk, fault| {
             let file = disk.find(name)?;
             if takes_effect(fault) && disk.injected_bug != Some(InjectedBug::NoFileSync) {
                 disk.files[file].sync();
@@ -232,7 +232,7 @@
     }
 
     fn sync_directory(&mut self) -> Result<(), FileError> {
-        self.disk().operate(false, |disk, fault| {
+        self.disk().operate(FileOperation::SyncDirectory, "", |disk, fault| {
             if takes_effect(fault) && disk.injected_bug != Some(InjectedBug::NoDirectorySync) {
                 disk.names.values_mut().for_each(Name::sync);
                 disk.drop_unreferenced_contents();
@@ -242,6 +242,20 @@
     }
 }
 
+/// Whether a full disk refuses this.
+fn needs_space(operation: FileOperation) -> bool {
+    matches!(operation, FileOperation::Create | FileOperation::Write | FileOperation::Truncate)
+}
+
+fn file_error(operation: FileOperation, name: &str, cause: FileErrorCause) -> FileError {
+    FileError { operation, path: PathBuf::from(name), cause }
+}
+
+fn io_failure(message: &str) -> FileErrorCause {
+    FileErrorCause::Io { kind: io::ErrorKind::Other, message: message.to_owned() }
+}
+
+/// Whether an operation does its work although it may fail.
 fn takes_effect(fault: Option<Fault>) -> bool {
     !matches!(fault, Some(Fault::NoSpace | Fault::Io))
 }
@@ -250,34 +264,46 @@
     /// Counts an operation and lets it fail where it must.
     fn operate(
         &mut self,
-        writes: bool,
-        operation: impl FnOnce(&mut Disk, Option<Fault>) -> Result<(), FileError>,
+        operation: FileOperation,
+        name: &str,
+        effect: impl FnOnce(&mut Disk, Option<Fault>) -> Result<(), FileErrorCause>,
     ) -> Result<(), FileError> {
+        self.try_operate(operation, effect).map_err(|cause| file_error(operation, name, cause))
+    }
+
+    fn try_operate(
+        &mut self,
+        operation: FileOperation,
+        effect: impl FnOnce(&mut Disk, Option<Fault>) -> Result<(), FileErrorCause>,
+    ) -> Result<(), FileErrorCause> {
         self.check_power()?;
         let fault = self.faults.remove(&self.operations);
         self.operations += 1;
-        if writes && self.read_only {
-            return Err(FileError::NoSpace);
+        if self.full && needs_space(operation) {
+            return Err(FileErrorCause::NoSpace);
         }
-        operation(self, fault)?;
+        effect(self, fault)?;
         match fault {
             None => Ok(()),
-            Some(Fault::NoSpace) => Err(FileError::NoSpace),
-            Some(Fault::Io | Fault::IoAfterEffect) => {
-                Err(FileError::Io { message: "simulated fault".to_owned() })
-            }
+            Some(Fault::NoSpace) => Err(FileErrorCause::NoSpace),
+            Some(Fault::Io | Fault::IoAfterEffect) => Err(io_failure("simulated fault")),
         }
     }
 
-    fn check_power(&self) -> Result<(), FileError> {
+    fn check_power(&self) -> Result<(), FileErrorCause> {
         match self.power_off_after.is_some_and(|last| self.operations >= last) {
-            true => Err(FileError::Io { message: "power is off".to_owned() }),
+            true => Err(io_failure("power is off")),
             false => Ok(()),
         }
     }
 
-    fn find(&self, name: &str) -> Result<usize, FileError> {
-        self.names.get(name).and_then(Name::current).ok_or(FileError::NotFound)
+    fn read(&self, name: &str) -> Result<&[u8], FileErrorCause> {
+        self.check_power()?;
+        Ok(self.files[self.find(name)?].content())
+    }
+
+    fn find(&self, name: &str) -> Result<usize, FileErrorCause> {
+        self.names.get(name).and_then(Name::current).ok_or(FileErrorCause::NotFound)
     }
 
     fn add_file(&mut self) -> usize {
--- a/crates/lockusher-storage/tests/writer.rs
+++ b/crates/lockusher-storage/tests/writer.rs
@@ -2,11 +2,14 @@
 
 mod support;
 
+use std::io;
+use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, Sender, channel};
 
 use compio::runtime::Runtime;
 use lockusher_storage::{
-    Completions, DiskFileSystem, FileError, FileSystem, Job, Store, StoreError, StoreWriter, SubmitError,
+    Completions, DiskFileSystem, FileError, FileErrorCause, FileOperation, FileSystem, Job, Store,
+    StoreError, StoreWriter, SubmitError,
 };
 use support::simulated_file_system::{Fault, SimulatedFileSystem};
 use support::{SMALL_DISK, all_records};
@@ -190,7 +193,11 @@
             std::thread::yield_now();
         }
         writer.submit(append(2)).expect("submits");
-        let error = FileError::Io { message: "simulated fault".to_owned() };
+        let error = FileError {
+            operation: FileOperation::SyncFile,
+            path: PathBuf::from("segment-00000000000000000000"),
+            cause: FileErrorCause::Io { kind: io::ErrorKind::Other, message: "simulated fault".to_owned() },
+        };
         expect(&mut completions, 1, Err(StoreError::Refused { error })).await;
         expect(&mut completions, 2, Err(StoreError::Skipped)).await;
 
