--- a/crates/lockusher-storage/tests/crash_points.rs
+++ b/crates/lockusher-storage/tests/crash_points.rs
@@ -1,4 +1,4 @@
-//! Power lost after every operation of a scripted life, with every outcome for what wasn't synced.
+//! Power lost after every operation of a script, with every outcome for what wasn't synced.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use support::{EveryChoice, Model, SMALL_DISK, SeededChoice, open_and_check, snapshot_of};
 use yare::parameterized;
 
-/// Outcomes tried for one cut exhaustively; beyond that as many are sampled.
-const OUTCOMES_PER_CUT: u64 = 4_000;
+/// Outcomes tried for one crash point exhaustively; beyond that as many are sampled.
+const MAX_OUTCOMES_PER_CRASH_POINT: u64 = 4_000;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
@@ -20,7 +20,7 @@
 use Step::{Append, Open, Snapshot};
 
 /// Opens, appends in one and in several records, segment rolls, snapshots with and without records before, reopening.
-const LIFE: &[Step] = &[
+const SCRIPT: &[Step] = &[
     Open,
     Append(&[20]),
     Append(&[30, 0, 40]),
@@ -40,32 +40,32 @@
     Append(&[70]),
 ];
 
-/// Why a life ended early.
+/// Why a script ended early.
 #[derive(Debug)]
-enum LifeError {
+enum ScriptError {
     /// The disk failed, as it does without power.
     DiskFailed,
     /// What was found at opening isn't what was acknowledged.
     Broken(String),
 }
 
-impl From<StoreError> for LifeError {
-    fn from(error: StoreError) -> LifeError {
+impl From<StoreError> for ScriptError {
+    fn from(error: StoreError) -> ScriptError {
         match error {
-            StoreError::Damaged { damage } => LifeError::Broken(damage.to_string()),
-            _ => LifeError::DiskFailed,
+            StoreError::Damaged { damage } => ScriptError::Broken(damage.to_string()),
+            _ => ScriptError::DiskFailed,
         }
     }
 }
 
 /// Runs the steps until one fails.
-fn live(files: &SimulatedFileSystem, steps: &[Step], model: &mut Model) -> Result<(), LifeError> {
+fn run_script(files: &SimulatedFileSystem, steps: &[Step], model: &mut Model) -> Result<(), ScriptError> {
     let mut store: Option<Store<SimulatedFileSystem>> = None;
     for step in steps {
         match (step, &mut store) {
             (Open, _) => {
                 let (opened, recovered) = Store::open(files.clone(), SMALL_DISK)?;
-                model.check(&recovered).map_err(LifeError::Broken)?;
+                model.check(&recovered).map_err(ScriptError::Broken)?;
                 store = Some(opened);
             }
             (Append(sizes), Some(store)) => {
@@ -75,35 +75,35 @@
                 result?;
             }
             (Snapshot, Some(store)) => store.snapshot(&snapshot_of(&model.acknowledged))?,
-            (_, None) => panic!("the life begins with opening"),
+            (_, None) => panic!("the script starts with opening"),
         }
     }
     Ok(())
 }
 
-/// After a cut, the store opens with what was acknowledged, works on, and keeps that too.
-fn check_afterwards(
+/// After a crash, the store opens with what was acknowledged, works on, and that survives, too.
+fn check_after_crash(
     files: &SimulatedFileSystem,
     options: StoreOptions,
     mut model: Model,
 ) -> Result<(), String> {
     let mut store = open_and_check(files, options, &mut model)?;
     // Opening has made durable what it returned.
-    let cut_again = files.fork();
-    cut_again.lose_power(&mut LoseAll);
-    open_and_check(&cut_again, options, &mut model.clone())?;
+    let crashed_again = files.fork();
+    crashed_again.lose_power(&mut LoseAll);
+    open_and_check(&crashed_again, options, &mut model.clone())?;
 
     let records = model.new_records(&[80]);
     let result = store.append(&records);
     model.appended(records, &result);
-    result.map_err(|error| format!("append after the cut: {error}"))?;
-    let cut_again = files.fork();
-    cut_again.lose_power(&mut LoseAll);
-    open_and_check(&cut_again, options, &mut model.clone())?;
+    result.map_err(|error| format!("append after the crash: {error}"))?;
+    let crashed_again = files.fork();
+    crashed_again.lose_power(&mut LoseAll);
+    open_and_check(&crashed_again, options, &mut model.clone())?;
 
     store
         .snapshot(&snapshot_of(&model.acknowledged))
-        .map_err(|error| format!("snapshot after the cut: {error}"))?;
+        .map_err(|error| format!("snapshot after the crash: {error}"))?;
     files.lose_power(&mut LoseAll);
     open_and_check(files, options, &mut model).map(|_| ())
 }
@@ -119,36 +119,37 @@
 
 #[derive(Debug, Default)]
 struct Coverage {
-    cuts: u64,
+    crash_points: u64,
     outcomes: u64,
-    sampled_cuts: u64,
+    sampled_crash_points: u64,
 }
 
 /// Runs the steps on a disk that loses power at some point.
-fn live_until_cut(files: &SimulatedFileSystem, steps: &[Step], model: &mut Model) -> Result<(), String> {
-    match live(files, steps, model) {
-        Err(LifeError::Broken(error)) => Err(error),
-        Ok(()) | Err(LifeError::DiskFailed) => Ok(()),
+fn run_until_crash(files: &SimulatedFileSystem, steps: &[Step], model: &mut Model) -> Result<(), String> {
+    match run_script(files, steps, model) {
+        Err(ScriptError::Broken(error)) => Err(error),
+        Ok(()) | Err(ScriptError::DiskFailed) => Ok(()),
     }
 }
 
-/// Tries every cut; the error names the first that breaks a promise.
-fn try_every_cut(steps: &[Step], injected_bug: Option<InjectedBug>) -> Result<Coverage, String> {
+/// Tries every crash point; the error names the first that breaks a promise.
+fn try_every_crash_point(steps: &[Step], injected_bug: Option<InjectedBug>) -> Result<Coverage, String> {
     let disk = || {
         let files = SimulatedFileSystem::new();
         injected_bug.into_iter().for_each(|injected_bug| files.inject_bug(injected_bug));
         files
     };
     let whole = disk();
-    live(&whole, steps, &mut Model::default()).map_err(|error| format!("{error:?}"))?;
+    run_script(&whole, steps, &mut Model::default()).map_err(|error| format!("{error:?}"))?;
     let mut coverage = Coverage::default();
-    for cut in 0..=whole.operations() {
+    for crash_point in 0..=whole.operations() {
         let files = disk();
-        files.set_power_off_after(Some(cut));
+        files.set_power_off_after(Some(crash_point));
         let mut model = Model::default();
-        live_until_cut(&files, steps, &mut model)?;
-        try_every_outcome(&files, &model, &mut coverage).map_err(|error| format!("cut {cut}: {error}"))?;
-        coverage.cuts += 1;
+        run_until_crash(&files, steps, &mut model)?;
+        try_every_outcome(&files, &model, &mut coverage)
+            .map_err(|error| format!("crash point {crash_point}: {error}"))?;
+        coverage.crash_points += 1;
     }
     Ok(coverage)
 }
@@ -160,24 +161,24 @@
 ) -> Result<(), String> {
     let killed = files.fork();
     killed.set_power_off_after(None);
-    check_afterwards(&killed, SMALL_DISK, model.clone()).map_err(|error| format!("killed: {error}"))?;
+    check_after_crash(&killed, SMALL_DISK, model.clone()).map_err(|error| format!("killed: {error}"))?;
 
     let mut choices = EveryChoice::default();
-    for _ in 0..OUTCOMES_PER_CUT {
+    for _ in 0..MAX_OUTCOMES_PER_CRASH_POINT {
         let after = files.fork();
         after.lose_power(&mut choices);
-        check_afterwards(&after, SMALL_DISK, model.clone())
+        check_after_crash(&after, SMALL_DISK, model.clone())
             .map_err(|error| format!("{choices:?}: {error}"))?;
         coverage.outcomes += 1;
         if !choices.advance() {
             return Ok(());
         }
     }
-    coverage.sampled_cuts += 1;
-    for seed in 0..OUTCOMES_PER_CUT {
+    coverage.sampled_crash_points += 1;
+    for seed in 0..MAX_OUTCOMES_PER_CRASH_POINT {
         let after = files.fork();
         after.lose_power(&mut SeededChoice(seed));
-        check_afterwards(&after, SMALL_DISK, model.clone())
+        check_after_crash(&after, SMALL_DISK, model.clone())
             .map_err(|error| format!("seed {seed}: {error}"))?;
         coverage.outcomes += 1;
     }
@@ -185,28 +186,31 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlasts_every_cut() {
-    let coverage = try_every_cut(LIFE, None).expect("no promise is broken");
+fn acknowledged_records_survive_every_crash_point() {
+    let coverage = try_every_crash_point(SCRIPT, None).expect("no promise is broken");
     println!("{coverage:?}");
-    assert!(coverage.cuts > 60, "{coverage:?}");
-    assert_eq!(coverage.sampled_cuts, 0, "every outcome of every cut was tried: {coverage:?}");
+    assert!(coverage.crash_points > 60, "{coverage:?}");
+    assert_eq!(
+        coverage.sampled_crash_points, 0,
+        "every outcome of every crash point was tried: {coverage:?}"
+    );
 }
 
-/// What happens between the first cut and the second.
-const SECOND_LIFE: &[Step] = &[Open, Append(&[90]), Snapshot, Append(&[900]), Append(&[300]), Open];
+/// What happens between the first crash and the second.
+const SECOND_SCRIPT: &[Step] = &[Open, Append(&[90]), Snapshot, Append(&[900]), Append(&[300]), Open];
 
 /// Power lost twice, the second time also while the store recovers; the first may also be a kill that leaves the
 /// files as they are.
 #[test]
-fn what_was_acknowledged_outlasts_every_pair_of_cuts() {
+fn acknowledged_records_survive_every_pair_of_crash_points() {
     let whole = SimulatedFileSystem::new();
-    live(&whole, LIFE, &mut Model::default()).expect("lives");
+    run_script(&whole, SCRIPT, &mut Model::default()).expect("runs without a crash");
     let mut coverage = Coverage::default();
-    for cut in 0..=whole.operations() {
+    for crash_point in 0..=whole.operations() {
         let files = SimulatedFileSystem::new();
-        files.set_power_off_after(Some(cut));
+        files.set_power_off_after(Some(crash_point));
         let mut model = Model::default();
-        live_until_cut(&files, LIFE, &mut model).expect("no promise is broken");
+        run_until_crash(&files, SCRIPT, &mut model).expect("no promise is broken");
         let killed = files.fork();
         killed.set_power_off_after(None);
         let mut starts = vec![killed];
@@ -220,29 +224,33 @@
             }
         }
         for start in starts {
-            try_every_second_cut(&start, &model, &mut coverage)
-                .unwrap_or_else(|error| panic!("cut {cut}: {error}"));
+            try_every_second_crash_point(&start, &model, &mut coverage)
+                .unwrap_or_else(|error| panic!("crash point {crash_point}: {error}"));
         }
     }
     println!("{coverage:?}");
-    assert_eq!(coverage.sampled_cuts, 0, "every outcome of every cut was tried: {coverage:?}");
+    assert_eq!(
+        coverage.sampled_crash_points, 0,
+        "every outcome of every crash point was tried: {coverage:?}"
+    );
 }
 
-fn try_every_second_cut(
+fn try_every_second_crash_point(
     start: &SimulatedFileSystem,
     model: &Model,
     coverage: &mut Coverage,
 ) -> Result<(), String> {
     let begin = start.operations();
     let whole = start.fork();
-    live(&whole, SECOND_LIFE, &mut model.clone()).map_err(|error| format!("{error:?}"))?;
-    for cut in begin..=whole.operations() {
+    run_script(&whole, SECOND_SCRIPT, &mut model.clone()).map_err(|error| format!("{error:?}"))?;
+    for crash_point in begin..=whole.operations() {
         let files = start.fork();
         let mut model = model.clone();
-        files.set_power_off_after(Some(cut));
-        live_until_cut(&files, SECOND_LIFE, &mut model)?;
-        coverage.cuts += 1;
-        try_every_outcome(&files, &model, coverage).map_err(|error| format!("second cut {cut}: {error}"))?;
+        files.set_power_off_after(Some(crash_point));
+        run_until_crash(&files, SECOND_SCRIPT, &mut model)?;
+        coverage.crash_points += 1;
+        try_every_outcome(&files, &model, coverage)
+            .map_err(|error| format!("second crash point {crash_point}: {error}"))?;
     }
     Ok(())
 }
@@ -251,17 +259,17 @@
     no_directory_sync = { InjectedBug::NoDirectorySync },
     no_file_sync = { InjectedBug::NoFileSync },
 )]
-fn a_sync_left_out_is_found(injected_bug: InjectedBug) {
-    try_every_cut(LIFE, Some(injected_bug)).expect_err("the injected_bug is found");
+fn an_omitted_sync_is_detected(injected_bug: InjectedBug) {
+    try_every_crash_point(SCRIPT, Some(injected_bug)).expect_err("the injected_bug is found");
 }
 
-/// The first folder sync matters only before the next, so a short life is tried as well.
+/// The first directory sync matters only before the next, so a short script is tried as well.
 #[parameterized(
     at_first_append = { &[Open, Append(&[20])] },
     at_roll = { &[Open, Append(&[900]), Append(&[900])] },
     at_snapshot = { &[Open, Append(&[20]), Snapshot] },
 )]
-fn a_folder_sync_left_out_is_found_in_a_short_life(steps: &[Step]) {
-    try_every_cut(steps, Some(InjectedBug::NoDirectorySync)).expect_err("the injected_bug is found");
-    try_every_cut(steps, None).expect("without it no promise is broken");
+fn an_omitted_directory_sync_is_detected_in_a_short_script(steps: &[Step]) {
+    try_every_crash_point(steps, Some(InjectedBug::NoDirectorySync)).expect_err("the injected_bug is found");
+    try_every_crash_point(steps, None).expect("without it no promise is broken");
 }
--- a/crates/lockusher-storage/tests/damage.rs
+++ b/crates/lockusher-storage/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Damage that no loss of power explains: bytes changed, files cut short or gone.
+//! Damage that no power loss explains: bytes changed, files truncated or missing.
 
 mod support;
 
@@ -28,8 +28,8 @@
     (files, model)
 }
 
-/// Either the damage is reported, or only the last append is gone and the report says that something was cut.
-fn check_not_silent(files: &SimulatedFileSystem, model: &Model, what: &str) {
+/// Either the damage is reported, or only the last append is gone and the report says that bytes were cut off.
+fn assert_damage_is_reported(files: &SimulatedFileSystem, model: &Model, what: &str) {
     match Store::open(files.clone(), SMALL_DISK) {
         Err(StoreError::Damaged { .. }) => {}
         Err(error) => panic!("{what}: {error}"),
@@ -45,16 +45,16 @@
 }
 
 #[parameterized(plain = { false }, with_snapshot = { true })]
-fn a_changed_byte_is_seen(with_snapshot: bool) {
+fn a_changed_byte_is_detected(with_snapshot: bool) {
     let (files, model) = grown_store(with_snapshot);
     for (name, content) in files.contents().into_iter().filter(|(name, _)| name != "reserve") {
-        for place in 0..content.len() {
+        for offset in 0..content.len() {
             for bit in [0, 7] {
                 let damaged = files.fork();
                 let mut changed = content.clone();
-                changed[place] ^= 1 << bit;
+                changed[offset] ^= 1 << bit;
                 damaged.overwrite(&name, changed);
-                check_not_silent(&damaged, &model, &format!("{name} byte {place} bit {bit}"));
+                assert_damage_is_reported(&damaged, &model, &format!("{name} byte {offset} bit {bit}"));
             }
         }
     }
@@ -68,19 +68,19 @@
     for (name, content) in contents.into_iter().filter(|(name, _)| name != "reserve") {
         // The last append is one record of 30 bytes.
         let end = if name == last_segment { content.len() - 28 - 4 - 30 } else { content.len() };
-        for place in 0..end {
+        for offset in 0..end {
             let damaged = files.fork();
             let mut changed = content.clone();
-            changed[place] ^= 0x10;
+            changed[offset] ^= 0x10;
             damaged.overwrite(&name, changed);
             let opened = Store::open(damaged, SMALL_DISK);
-            assert!(matches!(opened, Err(StoreError::Damaged { .. })), "{name} byte {place}");
+            assert!(matches!(opened, Err(StoreError::Damaged { .. })), "{name} byte {offset}");
         }
     }
 }
 
 #[parameterized(plain = { false }, with_snapshot = { true })]
-fn a_file_cut_short_is_seen(with_snapshot: bool) {
+fn a_truncated_file_is_detected(with_snapshot: bool) {
     let (files, model) = grown_store(with_snapshot);
     let contents = files.contents();
     let last_segment = contents.keys().rfind(|name| name.starts_with("segment-")).expect("a segment").clone();
@@ -94,18 +94,18 @@
                 Ok((_, recovered)) if is_missing_tail => {
                     assert!(
                         model.acknowledged.starts_with(&all_records(&recovered)),
-                        "{name} cut to {length}"
+                        "{name} truncated to {length}"
                     );
                 }
-                Ok(_) => panic!("{name} cut to {length}: passed over in silence"),
-                Err(error) => panic!("{name} cut to {length}: {error}"),
+                Ok(_) => panic!("{name} truncated to {length}: passed over in silence"),
+                Err(error) => panic!("{name} truncated to {length}: {error}"),
             }
         }
     }
 }
 
 #[parameterized(plain = { false }, with_snapshot = { true })]
-fn a_missing_file_is_seen(with_snapshot: bool) {
+fn a_missing_file_is_detected(with_snapshot: bool) {
     let (files, _) = grown_store(with_snapshot);
     for name in files.contents().into_keys().filter(|name| name != "reserve") {
         let damaged = files.fork();
@@ -150,20 +150,22 @@
     let name = files.contents().into_keys().find(|name| name.starts_with("snapshot-")).expect("a snapshot");
     files.overwrite(&name, b"not a snapshot".to_vec());
     let start = files.operations();
-    let whole = files.fork();
-    Store::reset(&mut whole.clone()).expect("resets");
-    assert!(whole.contents().is_empty());
-    for cut in start..=whole.operations() {
+    let after_reset = files.fork();
+    Store::reset(&mut after_reset.clone()).expect("resets");
+    assert!(after_reset.contents().is_empty());
+    for crash_point in start..=after_reset.operations() {
         let mut choices = support::EveryChoice::default();
         loop {
             let after = files.fork();
-            after.set_power_off_after(Some(cut));
+            after.set_power_off_after(Some(crash_point));
             let _ = Store::reset(&mut after.clone());
             after.lose_power(&mut choices);
             match Store::open(after, SMALL_DISK) {
                 Err(StoreError::Damaged { .. }) => {}
-                Err(error) => panic!("cut {cut}: {error}"),
-                Ok((_, recovered)) => assert!(all_records(&recovered).is_empty(), "cut {cut}: neither"),
+                Err(error) => panic!("crash point {crash_point}: {error}"),
+                Ok((_, recovered)) => {
+                    assert!(all_records(&recovered).is_empty(), "crash point {crash_point}: neither")
+                }
             }
             if !choices.advance() {
                 break;
@@ -177,19 +179,19 @@
 fn a_scrub_finds_a_changed_byte_and_a_snapshot_repairs_it(with_snapshot: bool) {
     let (files, model) = grown_store(with_snapshot);
     for (name, content) in files.contents().into_iter().filter(|(name, _)| name != "reserve") {
-        for place in 0..content.len() {
+        for offset in 0..content.len() {
             let damaged = files.fork();
             let (mut store, _) = Store::open(damaged.clone(), SMALL_DISK).expect("opens");
-            let sound = store.scrub().expect("nothing is damaged");
-            assert!(all_records(&sound) == model.acknowledged);
+            let undamaged = store.scrub().expect("nothing is damaged");
+            assert!(all_records(&undamaged) == model.acknowledged);
             let mut changed = content.clone();
-            changed[place] ^= 0x10;
+            changed[offset] ^= 0x10;
             damaged.overwrite(&name, changed);
             let scrubbed = store.scrub();
-            assert!(matches!(scrubbed, Err(StoreError::Damaged { .. })), "{name} byte {place}");
+            assert!(matches!(scrubbed, Err(StoreError::Damaged { .. })), "{name} byte {offset}");
             store.snapshot(&snapshot_of(&model.acknowledged)).expect("takes a snapshot");
             let repaired = store.scrub().expect("repaired");
-            assert!(all_records(&repaired) == model.acknowledged, "{name} byte {place}");
+            assert!(all_records(&repaired) == model.acknowledged, "{name} byte {offset}");
         }
     }
 }
--- a/crates/lockusher-storage/tests/disk.rs
+++ b/crates/lockusher-storage/tests/disk.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn what_was_appended_is_there_after_opening_again() {
+fn appended_records_are_recovered_when_reopened() {
     let directory = tempfile::tempdir().expect("a folder");
     let (mut store, recovered) = open(&directory);
     assert_eq!((recovered.snapshot, recovered.records), (None, Vec::new()));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_file_cut_short_loses_its_last_append_only() {
+fn a_truncated_segment_loses_its_last_append_only() {
     let directory = tempfile::tempdir().expect("a folder");
     let (mut store, _) = open(&directory);
     store.append(&[b"one".to_vec()]).expect("appends");
--- a/crates/lockusher-storage/tests/support/mod.rs
+++ b/crates/lockusher-storage/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the store share: a life that counts what was acknowledged, and ways to choose an outcome.
+//! What the tests of the store share: a model that counts what was acknowledged, and ways to choose the outcome of a power loss.
 #![allow(dead_code)]
 
 mod simulated_file;
--- a/crates/lockusher-storage/tests/support/simulated_file_system.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file_system.rs
@@ -103,7 +103,7 @@
         self.disk().capacity = bytes;
     }
 
-    /// While set, whatever writes fails for want of space: creation, writing, cutting.
+    /// While set, creating, writing and truncating fail for want of space.
     pub fn set_full(&self, full: bool) {
         self.disk().full = full;
     }
--- a/crates/lockusher-storage/tests/writer.rs
+++ b/crates/lockusher-storage/tests/writer.rs
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn nothing_is_completed_before_the_sync() {
+fn no_append_is_completed_before_its_sync() {
     let files = SimulatedFileSystem::new();
     let (writer, mut completions, gate) = blocking_writer(&files);
     run(async {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn what_was_submitted_before_a_failure_was_seen_is_skipped() {
+fn jobs_submitted_before_a_failure_was_observed_are_skipped() {
     let files = SimulatedFileSystem::new();
     let (writer, mut completions, gate) = blocking_writer(&files);
     run(async {
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_snapshot_isnt_taken_while_appends_are_under_way() {
+fn a_snapshot_is_rejected_while_appends_are_in_flight() {
     let files = SimulatedFileSystem::new();
     let (writer, mut completions, gate) = blocking_writer(&files);
     run(async {
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn jobs_submitted_before_the_end_are_done() {
+fn jobs_submitted_before_closing_are_done() {
     let files = SimulatedFileSystem::new();
     let (store, _) = Store::open(files.clone(), SMALL_DISK).expect("opens");
     let (writer, completions) = StoreWriter::spawn(store).expect("the thread starts");
