--- /dev/null
+++ b/crates/lockusher-control/src/stage_scheduler/searcher_selection.rs
@@ -0,0 +1,67 @@
+//! Selection of the searcher that leaves a stage.
+//!
+//! Zones stay balanced, searchers that are still warming up are spared if others can go first, and no model is left
+//! without a searcher of the stage.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+
+use lockusher_config::instances::{Instance, InstanceState, Stage};
+
+/// Ready searchers of one zone.
+#[derive(Clone, Copy, Debug, Default)]
+struct ZoneCounts {
+    in_stage: usize,
+    in_other_stage: usize,
+}
+
+/// Whether a searcher serves this stage now.
+pub fn is_ready(searcher: &Instance, stage: Stage) -> bool {
+    searcher.stage == Some(stage) && searcher.state == InstanceState::Ready
+}
+
+/// The searcher that leaves the stage `from`: of the zone with the most of that stage, and the fewest of the other.
+pub fn select_searcher<'a>(
+    searchers: &[&'a Instance],
+    from: Stage,
+    is_excluded: impl Fn(&Instance) -> bool,
+) -> Option<&'a Instance> {
+    let zones = count_by_zone(searchers, from);
+    let may_leave = |searcher: &&Instance| {
+        is_ready(searcher, from)
+            && !is_excluded(searcher)
+            && !is_last_serving_a_model(searcher, from, searchers)
+    };
+    let preference = |searcher: &&'a Instance| {
+        let zone = zones.get(searcher.zone.as_str()).copied().unwrap_or_default();
+        (
+            Reverse(zone.in_stage),
+            zone.in_other_stage,
+            searcher.cold_remaining_ms,
+            searcher.identifier.as_str(),
+        )
+    };
+    searchers.iter().copied().filter(may_leave).min_by_key(preference)
+}
+
+fn count_by_zone<'a>(searchers: &[&'a Instance], stage: Stage) -> BTreeMap<&'a str, ZoneCounts> {
+    let mut zones: BTreeMap<&str, ZoneCounts> = BTreeMap::new();
+    for searcher in searchers.iter().filter(|searcher| searcher.state == InstanceState::Ready) {
+        let counts = zones.entry(&searcher.zone).or_default();
+        if searcher.stage == Some(stage) {
+            counts.in_stage += 1;
+        } else {
+            counts.in_other_stage += 1;
+        }
+    }
+    zones
+}
+
+/// Whether a model would be left without a searcher of the stage.
+fn is_last_serving_a_model(searcher: &Instance, stage: Stage, searchers: &[&Instance]) -> bool {
+    let others =
+        searchers.iter().filter(|other| is_ready(other, stage) && other.identifier != searcher.identifier);
+    let served_by_others: BTreeSet<&str> =
+        others.flat_map(|other| other.models.iter().map(|model| model.name.as_str())).collect();
+    searcher.models.iter().any(|model| !served_by_others.contains(model.name.as_str()))
+}
--- /dev/null
+++ b/crates/lockusher-control/src/stage_scheduler/service_state.rs
@@ -0,0 +1,155 @@
+//! What the scheduler remembers of one service, and the decision on its next change.
+//!
+//! Owned by the scheduler, which shows it the service's searchers and load with each observation. Demand says which
+//! stage should grow, hysteresis, budget and the changes in flight whether it may now, the selection which searcher
+//! goes.
+
+use std::collections::BTreeMap;
+
+use lockusher_config::configuration::Engine;
+use lockusher_config::instances::{Instance, InstanceState};
+use lockusher_distribution::load::ServiceLoad;
+
+use super::change_budget::ChangeBudget;
+use super::demand::{Demand, StageCounts};
+use super::hysteresis::Hysteresis;
+use super::searcher_selection::{is_ready, select_searcher};
+use super::stage_change::{OrderOutcome, StageChange, opposite};
+use crate::Millis;
+
+/// So many of a service's searchers may be changing at once, as a share of all; one always may.
+const MAX_IN_FLIGHT_SHARE: f64 = 0.25;
+/// How long a searcher that rejected an order, or didn't carry it out, is left alone.
+const EXCLUSION_MS: Millis = 10_000;
+/// Time beyond the change itself until the list must show it: requests in flight are finished first.
+const REQUEST_COMPLETION_ALLOWANCE_MS: Millis = 8_000;
+
+/// A change that was ordered, or is about to be, and that the list doesn't show yet.
+#[derive(Clone, Debug)]
+struct ChangeInFlight {
+    change: StageChange,
+    /// When it counts as failed if the list doesn't show it.
+    deadline: Millis,
+}
+
+/// The changes of one service.
+#[derive(Debug)]
+pub struct ServiceState {
+    in_flight: Vec<ChangeInFlight>,
+    hysteresis: Hysteresis,
+    budget: ChangeBudget,
+    /// Searchers that aren't chosen until the time given, by identifier.
+    excluded_until: BTreeMap<String, Millis>,
+}
+
+impl ServiceState {
+    /// The state of a service with so many searchers that has had no change.
+    pub fn new(now: Millis, searchers: usize) -> Self {
+        ServiceState {
+            in_flight: Vec::new(),
+            hysteresis: Hysteresis::default(),
+            budget: ChangeBudget::full(now, searchers),
+            excluded_until: BTreeMap::new(),
+        }
+    }
+
+    /// Ends the changes that the list shows as made, or that can't be made any more.
+    pub fn observe_instances(&mut self, now: Millis, searchers: &[&Instance]) {
+        self.budget.refill(now, searchers.len());
+        self.excluded_until.retain(|_, until| *until > now);
+        let before = self.in_flight.len();
+        let excluded_until = &mut self.excluded_until;
+        self.in_flight.retain(|in_flight| {
+            let is_open = is_open(&in_flight.change, searchers);
+            let has_expired = now >= in_flight.deadline;
+            if is_open && has_expired {
+                excluded_until.insert(in_flight.change.identifier.clone(), now + EXCLUSION_MS);
+            }
+            is_open && !has_expired
+        });
+        if self.in_flight.len() < before {
+            self.hysteresis.on_change_ended(now);
+        }
+    }
+
+    /// The load isn't known: what was desired before doesn't count any more.
+    pub fn forget_load(&mut self, now: Millis) {
+        self.hysteresis.observe(now, None);
+    }
+
+    /// The change to make now, if one is due. It isn't in flight until [`ServiceState::start_change`].
+    pub fn next_change(
+        &mut self,
+        now: Millis,
+        engine: &Engine,
+        load: &ServiceLoad,
+        searchers: &[&Instance],
+    ) -> Option<StageChange> {
+        let ready =
+            StageCounts::by_stage(|stage| searchers.iter().filter(|one| is_ready(one, stage)).count());
+        let demand = Demand::of(load, engine, ready.prefill);
+        let stage_to_grow = demand.stage_to_grow(ready, self.with_changes_made(ready));
+        self.hysteresis.observe(now, stage_to_grow);
+        let to = self.hysteresis.stage_due(now, !self.in_flight.is_empty())?;
+        if self.in_flight.len() >= max_in_flight(searchers.len()) || !self.budget.allows_change() {
+            return None;
+        }
+        let from = opposite(to);
+        let is_excluded = |searcher: &Instance| self.excluded_until.contains_key(&searcher.identifier);
+        let searcher = select_searcher(searchers, from, is_excluded)?;
+        Some(StageChange {
+            service: searcher.service.clone(),
+            identifier: searcher.identifier.clone(),
+            address: searcher.address.clone(),
+            from,
+            to,
+        })
+    }
+
+    /// The counts once the changes in flight are made. Searchers that are changing aren't ready.
+    fn with_changes_made(&self, ready: StageCounts) -> StageCounts {
+        let incoming = StageCounts::by_stage(|stage| {
+            self.in_flight.iter().filter(|in_flight| in_flight.change.to == stage).count()
+        });
+        StageCounts { prefill: ready.prefill + incoming.prefill, decode: ready.decode + incoming.decode }
+    }
+
+    /// Counts a change as in flight from now on.
+    pub fn start_change(&mut self, now: Millis, engine: &Engine, list_lag_ms: Millis, change: &StageChange) {
+        let deadline = now + engine.role_switch_ms + list_lag_ms + REQUEST_COMPLETION_ALLOWANCE_MS;
+        self.in_flight.push(ChangeInFlight { change: change.clone(), deadline });
+        self.hysteresis.on_change_started(now, change.to);
+        self.budget.take();
+    }
+
+    /// Takes what became of the order for a change. One that may have been accepted stays in flight.
+    pub fn on_order_outcome(&mut self, now: Millis, change: &StageChange, outcome: OrderOutcome) {
+        match outcome {
+            OrderOutcome::Accepted | OrderOutcome::Unknown => return,
+            OrderOutcome::Rejected => {
+                self.excluded_until.insert(change.identifier.clone(), now + EXCLUSION_MS);
+            }
+            OrderOutcome::Unsupported => self.hysteresis.on_order_unsupported(now),
+            OrderOutcome::NotSent => {}
+        }
+        self.in_flight.retain(|in_flight| in_flight.change.identifier != change.identifier);
+    }
+
+    /// The changes that were started and haven't ended.
+    pub fn changes_in_flight(&self) -> impl Iterator<Item = &StageChange> {
+        self.in_flight.iter().map(|in_flight| &in_flight.change)
+    }
+}
+
+/// Whether the list shows the searcher in the stage that it is to leave, so that the change may still be made.
+fn is_open(change: &StageChange, searchers: &[&Instance]) -> bool {
+    let listed = searchers.iter().find(|searcher| searcher.identifier == change.identifier);
+    listed.is_some_and(|searcher| {
+        searcher.stage == Some(change.from) && searcher.state != InstanceState::Draining
+    })
+}
+
+/// How many of a service's searchers may be changing at once.
+fn max_in_flight(searchers: usize) -> usize {
+    ((searchers as f64 * MAX_IN_FLIGHT_SHARE) as usize).max(1)
+}
--- a/crates/lockusher-control/tests/stage_scheduler.rs
+++ b/crates/lockusher-control/tests/stage_scheduler.rs
@@ -5,7 +5,9 @@
 use lockusher_config::configuration::{Configuration, Engine, Limits, Service};
 use lockusher_config::instances::{Instance, InstanceState, ModelVersion, Stage};
 use lockusher_control::Millis;
-use lockusher_control::stage_scheduler::{Demand, Observation, OrderOutcome, StageChange, StageScheduler};
+use lockusher_control::stage_scheduler::{
+    Demand, Observation, OrderOutcome, StageChange, StageCounts, StageScheduler,
+};
 use lockusher_distribution::load::ServiceLoad;
 use proptest::prelude::*;
 use yare::parameterized;
@@ -158,11 +160,10 @@
     let demanded = |fleet: &Fleet| load(queue(reading, fleet.count(Stage::Prefill)), streams);
     fleet.run(120, demanded);
     let settled = fleet.orders.len();
-    let counts = (fleet.count(Stage::Prefill), fleet.count(Stage::Decode));
+    let counts = StageCounts::by_stage(|stage| fleet.count(stage));
     let demand = Demand { prefill: reading, decode: streams / f64::from(engine().slots) };
-    let best = demand.best_prefill(prefill + decode, counts.0);
-    let (reached, least) =
-        (demand.pressure(counts.0, counts.1), demand.pressure(best, prefill + decode - best));
+    let best = demand.best_split(prefill + decode, counts.prefill);
+    let (reached, least) = (demand.pressure(counts), demand.pressure(best));
     assert!(settled > 0, "something was to be done");
     assert!(reached <= least * 1.25, "{counts:?}: pressure {reached:.2} where {least:.2} can be had");
     fleet.run(120, demanded);
