--- a/crates/lockusher-control/src/driver/instance_list_polling.rs
+++ b/crates/lockusher-control/src/driver/instance_list_polling.rs
@@ -80,9 +80,9 @@
     let instances = driver.stage_switch_overlay.apply(instances);
     let published = driver.publisher.update_quietly(|publisher| {
         let newest = publisher.newest().list_revision;
-        let highest_held = publisher.highest_applied_revision();
-        let is_current = newest.epoch == epoch && newest >= highest_held && !changed;
-        !is_current && publisher.publish_list(next_revision(epoch, newest.max(highest_held)), instances)
+        let highest_applied = publisher.highest_applied_revision();
+        let is_current = newest.epoch == epoch && newest >= highest_applied && !changed;
+        !is_current && publisher.publish_list(next_revision(epoch, newest.max(highest_applied)), instances)
     });
     if published {
         driver.publisher.update(|_| ());
