--- /dev/null
+++ b/crates/lockusher-control/src/chain_role.rs
@@ -0,0 +1,22 @@
+//! The role of a control node in the chain, as its replica reports it.
+
+/// Whether a node is head of the chain, and by which view.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ChainRole {
+    /// Head of the newest view known, and in touch with a majority of its voters.
+    pub is_head: bool,
+    /// Epoch of the view by which this was found.
+    pub epoch: u64,
+}
+
+impl ChainRole {
+    /// The head in this epoch.
+    pub fn head(epoch: u64) -> Self {
+        ChainRole { is_head: true, epoch }
+    }
+
+    /// Any other node in this epoch.
+    pub fn other(epoch: u64) -> Self {
+        ChainRole { is_head: false, epoch }
+    }
+}
--- a/crates/lockusher-control/src/driver/instance_list_polling.rs
+++ b/crates/lockusher-control/src/driver/instance_list_polling.rs
@@ -1,136 +1,124 @@
-//! The fleet's list of searchers at a control node: the head of the chain reads it from the platform, the others
-//! follow the head.
+//! The source of the instance list at a control node: the head polls the platform, the others follow the head.
+//!
+//! A task of the control node, started by [`crate::serve`]; a change of this node's role or of the head ends what it
+//! does and starts anew. Invariant: one node polls, the head of the newest view that it knows.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
-use std::time::{SystemTime, UNIX_EPOCH};
 
 use futures_util::{FutureExt, pin_mut, select_biased};
-use lockusher_config::instances::{Instance, InstanceListRevision};
 use lockusher_config::settings::NodeSettings;
 use lockusher_distribution::instance_list_client;
-use lockusher_distribution::instance_list_poller::{InstanceListPoll, InstanceListPoller};
+use lockusher_distribution::instance_list_poller::InstanceListPoller;
 use lockusher_distribution::message::{Downstream, SubscriberIdentity};
 use lockusher_distribution::publisher::{Publisher, PublisherStatus};
 use lockusher_distribution::reconnect::FixedAddressPolicy;
 use lockusher_distribution::subscribe::SharedSubscriber;
 use lockusher_distribution::subscriber::Subscriber;
 
-use super::replica_driver::{ReplicaDriver, Role};
+use super::instance_list_publisher::InstanceListPublisher;
+use super::replica_driver::ReplicaDriver;
+use crate::chain_role::ChainRole;
 
-/// Reads the list while this node is head and follows the head otherwise, for ever.
-pub async fn run(driver: Rc<ReplicaDriver>, settings: Rc<NodeSettings>, random_seed: u64) {
+/// Polls the list while this node is head and follows the head otherwise, for ever.
+pub async fn run(
+    driver: Rc<ReplicaDriver>,
+    list_publisher: Rc<InstanceListPublisher>,
+    settings: Rc<NodeSettings>,
+    random_seed: u64,
+) {
+    let source = InstanceListSource { driver, list_publisher, settings, random_seed };
     loop {
-        let seen_generation = driver.role_changed().generation();
-        let role = driver.role();
-        let changed = driver.role_changed().changed_since(seen_generation).fuse();
-        let run_in_role = run_in_role(&driver, &settings, role, random_seed).fuse();
-        pin_mut!(changed, run_in_role);
+        let seen_generation = source.driver.role_changed().generation();
+        let role = source.driver.role();
+        let changed = source.driver.role_changed().changed_since(seen_generation).fuse();
+        let work = source.run_in_role(role).fuse();
+        pin_mut!(changed, work);
         select_biased! {
             _ = changed => {}
-            () = run_in_role => {}
+            () = work => {}
         }
     }
 }
 
-async fn run_in_role(driver: &Rc<ReplicaDriver>, settings: &NodeSettings, role: Role, random_seed: u64) {
-    if role.head {
-        poll_platform(driver, settings, role.epoch, random_seed).await;
-    } else if let Some(head) = driver.head_address() {
-        follow_head(driver, settings, head, random_seed).await;
-    } else {
-        std::future::pending::<()>().await;
-    }
+struct InstanceListSource {
+    driver: Rc<ReplicaDriver>,
+    list_publisher: Rc<InstanceListPublisher>,
+    settings: Rc<NodeSettings>,
+    /// Seed of the poller's and of the connection's random delays.
+    random_seed: u64,
 }
 
-async fn poll_platform(driver: &ReplicaDriver, settings: &NodeSettings, epoch: u64, random_seed: u64) {
-    let drain_ms = settings.bounds.drain_ms;
-    let mut poller = InstanceListPoller::sole(settings.cloud_rate_per_s, drain_ms, random_seed);
-    poller.start(driver.clock.millis());
-    loop {
-        let poll = instance_list_client::next_poll(&mut poller, settings.cloud_address, driver.clock).await;
-        publish(driver, epoch, &poll);
+impl InstanceListSource {
+    async fn run_in_role(&self, role: ChainRole) {
+        if role.is_head {
+            self.poll_platform(role.epoch).await;
+        } else if let Some(head) = self.driver.head_address() {
+            self.follow(head).await;
+        } else {
+            std::future::pending::<()>().await;
+        }
     }
-}
-
-/// Publishes a poll if it differs from the newest list; in any case says how fresh the list is.
-fn publish(driver: &ReplicaDriver, epoch: u64, poll: &InstanceListPoll) {
-    driver.publisher.update_quietly(|publisher| {
-        let status = PublisherStatus {
-            list_confirmed_at_ms: Some(poll.started_at_ms),
-            calls_per_poll: poll.calls,
-            ..publisher.status()
-        };
-        publisher.set_status(status);
-    });
-    driver.last_poll.replace(Some((epoch, poll.instances.clone())));
-    publish_with_overlay(driver, epoch, &poll.instances, poll.changed);
-}
 
-/// Publishes the last poll of this epoch again, since other searchers of it are being changed.
-pub fn republish(driver: &ReplicaDriver) {
-    let last = driver.last_poll.borrow().clone();
-    let Some((epoch, instances)) = last else { return };
-    if driver.role() == (Role { head: true, epoch }) {
-        publish_with_overlay(driver, epoch, &instances, true);
+    /// Polls the platform for ever, as head in `epoch`.
+    async fn poll_platform(&self, epoch: u64) {
+        let settings = &self.settings;
+        let drain_ms = settings.bounds.drain_ms;
+        let mut poller = InstanceListPoller::sole(settings.cloud_rate_per_s, drain_ms, self.random_seed);
+        let clock = self.driver.clock;
+        poller.start(clock.millis());
+        loop {
+            let poll = instance_list_client::next_poll(&mut poller, settings.cloud_address, clock).await;
+            self.list_publisher.publish_poll(epoch, &poll);
+        }
     }
-}
 
-fn publish_with_overlay(driver: &ReplicaDriver, epoch: u64, instances: &Rc<Vec<Instance>>, changed: bool) {
-    let instances = driver.stage_switch_overlay.apply(instances);
-    let published = driver.publisher.update_quietly(|publisher| {
-        let newest = publisher.newest().list_revision;
-        let highest_applied = publisher.highest_applied_revision();
-        let is_current = newest.epoch == epoch && newest >= highest_applied && !changed;
-        !is_current && publisher.publish_list(next_revision(epoch, newest.max(highest_applied)), instances)
-    });
-    if published {
-        driver.publisher.update(|_| ());
+    /// Subscribes to the head and publishes what it publishes, for ever.
+    async fn follow(&self, head: SocketAddrV4) {
+        let identity = SubscriberIdentity {
+            node: self.settings.node.clone(),
+            zone: self.settings.zone.clone(),
+            agent_address: None,
+        };
+        let policy = FixedAddressPolicy::new(head, self.random_seed);
+        let subscriber = SharedSubscriber::new(Subscriber::new(identity), policy, self.driver.clock);
+        let _connection = compio::runtime::spawn(Rc::clone(&subscriber).run());
+        loop {
+            let seen_generation = subscriber.changed().generation();
+            let downstream = self.downstream();
+            let downstream_proxies = downstream.proxies;
+            subscriber.update_quietly(|subscriber| subscriber.set_downstream(downstream));
+            let relay = |subscriber: &Subscriber| {
+                let publisher = &self.driver.publisher;
+                publisher.update_quietly(|publisher| relay(subscriber, publisher, downstream_proxies))
+            };
+            if subscriber.read(relay) {
+                self.driver.publisher.update(|_| ());
+            }
+            subscriber.changed().changed_since(seen_generation).await;
+        }
     }
-}
 
-/// A revision above `newest`. Its number is at least the time of day in milliseconds, so that a poller that was
-/// restarted in the same view counts on from above what it gave before.
-fn next_revision(epoch: u64, newest: InstanceListRevision) -> InstanceListRevision {
-    let time_of_day = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    let epoch = epoch.max(newest.epoch);
-    let incremented = if newest.epoch == epoch { newest.sequence + 1 } else { 0 };
-    InstanceListRevision { epoch, sequence: incremented.max(time_of_day) }
-}
-
-/// Passes on what the head publishes.
-async fn follow_head(driver: &ReplicaDriver, settings: &NodeSettings, head: SocketAddrV4, random_seed: u64) {
-    let identity =
-        SubscriberIdentity { node: settings.node.clone(), zone: settings.zone.clone(), agent_address: None };
-    let policy = FixedAddressPolicy::new(head, random_seed);
-    let shared = SharedSubscriber::new(Subscriber::new(identity), policy, driver.clock);
-    let _connection = compio::runtime::spawn(Rc::clone(&shared).run());
-    loop {
-        let seen_generation = shared.changed().generation();
-        let (list, confirmed_at_ms, calls_per_poll, fleet_proxies) = shared.read(|subscriber| {
-            let list = subscriber.list().cloned();
-            (list, subscriber.list_confirmed_at_ms(), subscriber.calls_per_poll(), subscriber.proxies())
-        });
-        let downstream = driver.publisher.read(|publisher| Downstream {
+    /// What this node reports to the head of the proxies that it feeds.
+    fn downstream(&self) -> Downstream {
+        self.driver.publisher.read(|publisher| Downstream {
             in_force_version: 0,
             proxies: publisher.downstream_proxies(),
             loads: publisher.downstream_loads(),
-        });
-        let proxies = downstream.proxies;
-        shared.update_quietly(|subscriber| subscriber.set_downstream(downstream));
-        let relay = |publisher: &mut Publisher| {
-            let status = PublisherStatus {
-                list_confirmed_at_ms: confirmed_at_ms.or(publisher.status().list_confirmed_at_ms),
-                calls_per_poll,
-                proxies: fleet_proxies.max(proxies),
-                ..publisher.status()
-            };
-            publisher.set_status(status);
-            list.is_some_and(|list| publisher.publish_list(list.revision, list.instances))
-        };
-        if driver.publisher.update_quietly(relay) {
-            driver.publisher.update(|_| ());
-        }
-        shared.changed().changed_since(seen_generation).await;
+        })
     }
 }
+
+/// Publishes the head's list and status at this node; true if the list is newer than the one published before. The head
+/// counts the fleet's proxies; a node that was head a moment ago may know of more.
+fn relay(subscriber: &Subscriber, publisher: &mut Publisher, downstream_proxies: u32) -> bool {
+    let status = publisher.status();
+    publisher.set_status(PublisherStatus {
+        list_confirmed_at_ms: subscriber.list_confirmed_at_ms().or(status.list_confirmed_at_ms),
+        calls_per_poll: subscriber.calls_per_poll(),
+        proxies: subscriber.proxies().max(downstream_proxies),
+        ..status
+    });
+    let list = subscriber.list().cloned();
+    list.is_some_and(|list| publisher.publish_list(list.revision, list.instances))
+}
--- /dev/null
+++ b/crates/lockusher-control/src/driver/instance_list_publisher.rs
@@ -0,0 +1,99 @@
+//! Publishes the instance list that this node polled as head.
+//!
+//! Shared by the task that polls the platform and by the stage assignment, which says what searchers are changing.
+//! Owns the last poll and the overlay of changing searchers. Invariant: a list goes out only while this node is head
+//! in the epoch in which it polled it, and under a revision above all that subscribers have applied.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use lockusher_config::instances::Instance;
+use lockusher_distribution::instance_list_poller::InstanceListPoll;
+use lockusher_distribution::publisher::PublisherStatus;
+
+use super::instance_list_revision::{is_current, next_revision};
+use super::replica_driver::ReplicaDriver;
+use super::stage_switch_overlay::StageSwitchOverlay;
+use crate::chain_role::ChainRole;
+use crate::stage_scheduler::StageChange;
+
+/// The platform's list as this node last polled it.
+#[derive(Clone, Debug)]
+struct PolledList {
+    /// Epoch in which this node was head at the time.
+    epoch: u64,
+    instances: Rc<Vec<Instance>>,
+}
+
+/// Publishes polled lists with the searchers that are changing shown as such.
+pub struct InstanceListPublisher {
+    driver: Rc<ReplicaDriver>,
+    overlay: RefCell<StageSwitchOverlay>,
+    last_poll: RefCell<Option<PolledList>>,
+}
+
+impl InstanceListPublisher {
+    /// A publisher that has seen no poll yet.
+    pub fn new(driver: Rc<ReplicaDriver>) -> Rc<Self> {
+        Rc::new(InstanceListPublisher { driver, overlay: RefCell::default(), last_poll: RefCell::default() })
+    }
+
+    /// Publishes a poll made as head in `epoch` if it differs from the newest list; in any case says how fresh the list
+    /// is.
+    pub fn publish_poll(&self, epoch: u64, poll: &InstanceListPoll) {
+        self.driver.publisher.update_quietly(|publisher| {
+            let status = PublisherStatus {
+                list_confirmed_at_ms: Some(poll.started_at_ms),
+                calls_per_poll: poll.calls,
+                ..publisher.status()
+            };
+            publisher.set_status(status);
+        });
+        let polled = PolledList { epoch, instances: Rc::clone(&poll.instances) };
+        self.last_poll.replace(Some(polled.clone()));
+        self.publish(&polled, poll.changed);
+    }
+
+    /// Shows the searchers of these changes, and no others, as changing. If they differ from those before, the last poll
+    /// is published again.
+    pub fn set_switching<'a>(&self, changes: impl Iterator<Item = &'a StageChange>) {
+        if self.overlay.borrow_mut().set(changes) {
+            self.publish_again();
+        }
+    }
+
+    /// No searcher is changing by order of this node, which isn't head any more.
+    pub fn clear_switching(&self) {
+        self.overlay.borrow_mut().set(std::iter::empty());
+    }
+
+    fn publish_again(&self) {
+        let Some(polled) = self.last_poll.borrow().clone() else { return };
+        if self.driver.role() == ChainRole::head(polled.epoch) {
+            self.publish(&polled, true);
+        }
+    }
+
+    fn publish(&self, polled: &PolledList, has_changed: bool) {
+        let epoch = polled.epoch;
+        let instances = self.overlay.borrow().apply(&polled.instances);
+        let published = self.driver.publisher.update_quietly(|publisher| {
+            let newest = publisher.newest().list_revision;
+            let highest_applied = publisher.highest_applied_revision();
+            if is_current(epoch, newest, highest_applied) && !has_changed {
+                return false;
+            }
+            let revision = next_revision(epoch, newest.max(highest_applied), time_of_day_ms());
+            publisher.publish_list(revision, instances)
+        });
+        if published {
+            self.driver.publisher.update(|_| ());
+        }
+    }
+}
+
+fn time_of_day_ms() -> u64 {
+    // A clock before 1970 counts as 1970: revisions then count up by one.
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+}
--- a/crates/lockusher-control/src/driver/mod.rs
+++ b/crates/lockusher-control/src/driver/mod.rs
@@ -2,9 +2,12 @@
 
 pub mod disk;
 pub mod instance_list_polling;
+pub mod instance_list_publisher;
+pub mod instance_list_revision;
 pub mod operator_api;
 pub mod peer_links;
 pub mod replica_driver;
 pub mod stage_assignment;
+pub mod stage_change_order;
 pub mod stage_switch_overlay;
 pub mod status;
--- a/crates/lockusher-control/src/driver/replica_driver.rs
+++ b/crates/lockusher-control/src/driver/replica_driver.rs
@@ -7,7 +7,6 @@
 
 use futures_channel::oneshot;
 use lockusher_config::configuration::Configuration;
-use lockusher_config::instances::Instance;
 use lockusher_distribution::change_notifier::ChangeNotifier;
 use lockusher_distribution::publisher::PublisherStatus;
 use lockusher_distribution::serve::SharedPublisher;
@@ -16,18 +15,11 @@
 
 use super::disk::{Disk, ScrubCounters};
 use super::peer_links::PeerLinks;
-use super::stage_switch_overlay::StageSwitchOverlay;
+use crate::chain_role::ChainRole;
 use crate::document::ConfigurationDocument;
 use crate::message::Envelope;
 use crate::replica::{Effect, Event, Replica, Reply, Request, RequestTicket};
 
-/// Whether this node is head of the chain, and since which view.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Role {
-    pub head: bool,
-    pub epoch: u64,
-}
-
 /// One control node's replica with everything that it acts on.
 pub struct ReplicaDriver {
     pub clock: Clock,
@@ -37,13 +29,9 @@
     links: PeerLinks,
     pending_requests: RefCell<HashMap<RequestTicket, oneshot::Sender<Reply>>>,
     next_ticket: Cell<u64>,
-    role: Cell<Role>,
+    role: Cell<ChainRole>,
     reported_head_address: Cell<Option<SocketAddrV4>>,
     role_changed: ChangeNotifier,
-    /// Searchers that are being changed by order of this node.
-    pub stage_switch_overlay: StageSwitchOverlay,
-    /// The platform's list as this node last read it, and the epoch in which it did.
-    pub last_poll: RefCell<Option<(u64, Rc<Vec<Instance>>)>>,
     /// Port at which control nodes serve subscribers.
     subscription_port: u16,
 }
@@ -68,8 +56,6 @@
             role: Cell::default(),
             reported_head_address: Cell::default(),
             role_changed: ChangeNotifier::default(),
-            stage_switch_overlay: StageSwitchOverlay::default(),
-            last_poll: RefCell::default(),
             subscription_port,
         })
     }
@@ -79,7 +65,7 @@
         inspect(&self.replica.borrow())
     }
 
-    pub fn role(&self) -> Role {
+    pub fn role(&self) -> ChainRole {
         self.role.get()
     }
 
@@ -130,7 +116,7 @@
             }
             Effect::Reply { ticket, reply } => self.reply(ticket, reply),
             Effect::Committed(document) => self.publish_configuration(&document),
-            Effect::RoleChanged { head, epoch } => self.change_role(Role { head, epoch }),
+            Effect::RoleChanged { head, epoch } => self.change_role(ChainRole { is_head: head, epoch }),
             Effect::Members(members) => self.publish_members(&members),
         }
         None
@@ -154,9 +140,9 @@
         }
     }
 
-    fn change_role(&self, role: Role) {
+    fn change_role(&self, role: ChainRole) {
         if self.role.replace(role) != role {
-            log::info!("view {}: {}", role.epoch, if role.head { "head" } else { "not head" });
+            log::info!("view {}: {}", role.epoch, if role.is_head { "head" } else { "not head" });
             self.role_changed.notify();
         }
     }
@@ -181,10 +167,10 @@
     /// their number from it.
     pub fn refresh_status(&self) {
         let in_view = self.read(Replica::is_current);
-        let head = self.role().head;
+        let is_head = self.role().is_head;
         self.publisher.update_quietly(|publisher| {
             let downstream = publisher.downstream_proxies();
-            let proxies = if head { downstream } else { downstream.max(publisher.status().proxies) };
+            let proxies = if is_head { downstream } else { downstream.max(publisher.status().proxies) };
             publisher.set_status(PublisherStatus { in_view, proxies, ..publisher.status() });
         });
     }
--- a/crates/lockusher-control/src/driver/stage_assignment.rs
+++ b/crates/lockusher-control/src/driver/stage_assignment.rs
@@ -1,56 +1,72 @@
-//! Gives orders to searchers to change their stage, while this node is head.
+//! Stage assignment: while this node is head, it orders searchers to change their stage as the scheduler decides.
 //!
-//! Before an order the list that the fleet is given shows the searcher as changing, so that no request meets it on the way.
+//! A task of the control node, started by [`crate::serve`]. It owns the [`StageScheduler`] and the
+//! [`StageAssignmentLease`]; which searcher changes and whether an order may be sent is decided there.
+//!
+//! Before an order the list that the fleet is given shows the searcher as changing, so that no request meets it on the
+//! way. Invariant: an order is written only under a fencing token that was confirmed within half a lease, and is given
+//! up, its connection reset, within a fifth of the lease.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
 
 use compio::time::{sleep, timeout};
-use hyper::{Method, Request as HttpRequest, StatusCode};
-use lockusher_config::instances::Stage;
 use lockusher_config::settings::NodeSettings;
-use lockusher_transport::error::TransportError;
-use lockusher_transport::http::{self, FullBody};
-use lockusher_transport::tcp;
-use serde_json::json;
+use lockusher_transport::{http, tcp};
 
-use super::instance_list_polling;
+use super::instance_list_publisher::InstanceListPublisher;
 use super::replica_driver::ReplicaDriver;
+use super::stage_change_order::{order_outcome, stage_change_request};
 use crate::Millis;
 use crate::replica::{Reply, Request};
 use crate::stage_assignment_lease::StageAssignmentLease;
 use crate::stage_scheduler::{Observation, OrderOutcome, StageChange, StageScheduler};
 
-/// Pause between two looks at the loads.
+/// Between two decisions of the scheduler.
 const SCHEDULING_INTERVAL: Duration = Duration::from_millis(250);
-/// Time in which all proxies hear that a searcher is about to change.
-const OVERLAY_PROPAGATION_DELAY: Duration = Duration::from_millis(300);
-const STAGE_CHANGE_PATH: &str = "/api/order";
-
-/// Gives orders while this node is head, for ever. Dropping the future ends it at once, an order under way included.
-pub async fn run(driver: Rc<ReplicaDriver>, settings: Rc<NodeSettings>) {
-    let started = driver.clock.millis();
-    let mut assigner = StageAssigner {
-        lease: StageAssignmentLease::new(settings.bounds.lease_ms, started),
+/// Time in which all proxies are notified that a searcher is about to change.
+const LIST_PROPAGATION_DELAY: Duration = Duration::from_millis(300);
+/// The connection may take the limit of an attempt divided by this.
+const CONNECT_LIMIT_DIVISOR: u32 = 2;
+
+/// Orders changes while this node is head, for ever. Dropping the future ends it at once, an order in flight included.
+pub async fn run(
+    driver: Rc<ReplicaDriver>,
+    list_publisher: Rc<InstanceListPublisher>,
+    settings: Rc<NodeSettings>,
+) {
+    let started_at = driver.clock.millis();
+    let mut assignment = StageAssignment {
+        lease: StageAssignmentLease::new(settings.bounds.lease_ms, started_at),
         scheduler: StageScheduler::new(settings.cloud_lag_ms),
         driver,
+        list_publisher,
         settings,
     };
     loop {
         sleep(SCHEDULING_INTERVAL).await;
-        assigner.run_cycle().await;
+        assignment.run_cycle().await;
     }
 }
 
-struct StageAssigner {
+struct StageAssignment {
     driver: Rc<ReplicaDriver>,
+    list_publisher: Rc<InstanceListPublisher>,
     settings: Rc<NodeSettings>,
     lease: StageAssignmentLease,
     scheduler: StageScheduler,
 }
 
-impl StageAssigner {
+/// What entitles this node to send one order, as long as it is valid.
+#[derive(Clone, Copy, Debug)]
+struct OrderPermit {
+    fencing_token: u64,
+    /// When the confirmation of this node's epoch was requested of the voters.
+    requested_at: Millis,
+}
+
+impl StageAssignment {
     fn now(&self) -> Millis {
         self.driver.clock.millis()
     }
@@ -59,93 +75,88 @@
     fn fencing_token(&mut self) -> Option<u64> {
         let role = self.driver.role();
         let now = self.now();
-        self.lease.observe(now, role.head, role.epoch);
+        self.lease.observe(now, role);
         self.lease.fencing_token(now)
     }
 
+    /// Has the scheduler decide, and carries out the change that it returns, if any.
     async fn run_cycle(&mut self) {
         let Some(fencing_token) = self.fencing_token() else {
-            if !self.driver.role().head {
+            if !self.driver.role().is_head {
                 self.scheduler = StageScheduler::new(self.settings.cloud_lag_ms);
-                self.driver.stage_switch_overlay.set(Vec::new());
+                self.list_publisher.clear_switching();
             }
             return;
         };
-        let change = self.plan();
-        self.publish_overlay();
+        let change = self.next_change();
+        self.publish_switching();
         let Some(change) = change else { return };
-        sleep(OVERLAY_PROPAGATION_DELAY).await;
+        sleep(LIST_PROPAGATION_DELAY).await;
         let outcome = self.send_order(fencing_token, &change).await;
         log::info!("order: {} becomes {:?}: {outcome:?}", change.identifier, change.to);
         self.scheduler.order_completed(self.now(), &change, outcome);
-        self.publish_overlay();
+        self.publish_switching();
     }
 
-    fn plan(&mut self) -> Option<StageChange> {
+    fn next_change(&mut self) -> Option<StageChange> {
         let now = self.now();
-        let (configuration, list, loads, proxies) = self.driver.publisher.read(|publisher| {
-            let newest = (publisher.configuration().cloned(), publisher.list().cloned());
-            (newest.0, newest.1, publisher.downstream_loads(), publisher.downstream_proxies())
-        });
+        let publisher = &self.driver.publisher;
+        let configuration = publisher.read(|publisher| publisher.configuration().cloned())?;
+        let list = publisher.read(|publisher| publisher.list().cloned())?;
         let observation = Observation {
             now,
-            configuration: configuration.as_deref()?,
-            instances: &list.as_ref()?.instances,
-            loads: &loads,
-            proxies,
+            configuration: &configuration,
+            instances: &list.instances,
+            loads: &publisher.read(|publisher| publisher.downstream_loads()),
+            proxies: publisher.read(|publisher| publisher.downstream_proxies()),
         };
         self.scheduler.next_change(&observation)
     }
 
     /// Lets the published list show which searchers are changing.
-    fn publish_overlay(&self) {
-        let switching = self
-            .scheduler
-            .changes_in_flight()
-            .map(|change| (change.identifier.clone(), change.from))
-            .collect();
-        if self.driver.stage_switch_overlay.set(switching) {
-            instance_list_polling::republish(&self.driver);
-        }
+    fn publish_switching(&self) {
+        self.list_publisher.set_switching(self.scheduler.changes_in_flight());
     }
 
     async fn send_order(&mut self, fencing_token: u64, change: &StageChange) -> OrderOutcome {
         let Ok(address) = change.address.parse() else { return OrderOutcome::Rejected };
-        let requested_at = self.now();
-        let confirmed = matches!(self.driver.request(Request::Read).await, Reply::Document(_));
-        if !confirmed || !self.may_send(fencing_token, requested_at) {
-            return OrderOutcome::NotSent;
-        }
+        let Some(permit) = self.confirm(fencing_token).await else { return OrderOutcome::NotSent };
         let limit = Duration::from_millis(self.lease.attempt_limit());
-        let attempt = self.attempt(address, fencing_token, requested_at, change, limit / 2);
-        match timeout(limit, attempt).await {
-            Ok(outcome) => outcome,
-            Err(_) => OrderOutcome::Unknown,
-        }
+        let attempt = self.attempt(address, permit, change, limit / CONNECT_LIMIT_DIVISOR);
+        // What was given up may have been accepted.
+        timeout(limit, attempt).await.unwrap_or(OrderOutcome::Unknown)
+    }
+
+    /// Has a majority of the voters confirm that this node's epoch is the newest: a read does.
+    async fn confirm(&mut self, fencing_token: u64) -> Option<OrderPermit> {
+        let permit = OrderPermit { fencing_token, requested_at: self.now() };
+        let is_confirmed = matches!(self.driver.request(Request::Read).await, Reply::Document(_));
+        (is_confirmed && self.is_valid(permit)).then_some(permit)
     }
 
-    fn may_send(&mut self, fencing_token: u64, requested_at: Millis) -> bool {
-        self.fencing_token() == Some(fencing_token) && self.lease.is_confirmed(requested_at, self.now())
+    fn is_valid(&mut self, permit: OrderPermit) -> bool {
+        self.fencing_token() == Some(permit.fencing_token)
+            && self.lease.is_confirmed(permit.requested_at, self.now())
     }
 
+    /// One attempt to have the searcher carry the order out. The permit is looked at again right before the write.
     async fn attempt(
         &mut self,
         address: SocketAddrV4,
-        fencing_token: u64,
-        requested_at: Millis,
+        permit: OrderPermit,
         change: &StageChange,
         connect_limit: Duration,
     ) -> OrderOutcome {
         let Ok(stream) = tcp::connect(address, connect_limit).await else { return OrderOutcome::Rejected };
         // What is given up must not be sent again by the kernel later.
-        let discards = tcp::discard_on_close(&stream).is_ok();
-        let request = stage_change_request(address, change, &self.settings.node, fencing_token);
+        let discards_on_close = tcp::discard_on_close(&stream).is_ok();
+        let request = stage_change_request(address, change, &self.settings.node, permit.fencing_token);
         let Ok(request) = request else { return OrderOutcome::NotSent };
-        if !discards || !self.may_send(fencing_token, requested_at) {
+        if !discards_on_close || !self.is_valid(permit) {
             return OrderOutcome::NotSent;
         }
         match http::exchange(stream, request).await {
-            Ok(answer) => outcome_of(answer.status),
+            Ok(answer) => order_outcome(answer.status),
             Err(error) => {
                 log::debug!("order to {address}: {error}");
                 OrderOutcome::Unknown
@@ -153,37 +164,3 @@
         }
     }
 }
-
-/// The order as a request.
-pub fn stage_change_request(
-    address: SocketAddrV4,
-    change: &StageChange,
-    holder: &str,
-    fencing_token: u64,
-) -> Result<HttpRequest<FullBody>, TransportError> {
-    let stage = match change.to {
-        Stage::Prefill => "prefill",
-        Stage::Decode => "decode",
-    };
-    let body =
-        json!({"operation": "stage", "stage": stage, "holder": holder, "fence": fencing_token}).to_string();
-    let request = HttpRequest::builder()
-        .method(Method::POST)
-        .uri(STAGE_CHANGE_PATH)
-        .header("host", address.to_string())
-        .header("content-type", "application/json")
-        .header("expected-instance", &change.identifier)
-        .header("connection", "close")
-        .body(FullBody::from(body))?;
-    Ok(request)
-}
-
-/// What a searcher's answer means.
-pub fn outcome_of(status: StatusCode) -> OrderOutcome {
-    match status.as_u16() {
-        200 | 202 => OrderOutcome::Accepted,
-        400 | 404 | 405 => OrderOutcome::Unsupported,
-        409 | 412 | 421 => OrderOutcome::Rejected,
-        _ => OrderOutcome::Unknown,
-    }
-}
--- a/crates/lockusher-control/src/driver/status.rs
+++ b/crates/lockusher-control/src/driver/status.rs
@@ -30,7 +30,7 @@
     let role = driver.role();
     let report = json!({
         "identity": driver.read(|replica| replica.identity().0.to_string()),
-        "head": role.head,
+        "head": role.is_head,
         "clean": driver.read(|replica| replica.is_clean()),
         "view": view,
         "configuration": driver.read(|replica| replica.committed().map(|document| document.version)),
@@ -56,7 +56,7 @@
         ("control_scrub_damage_total", scrubs.damage_found),
         ("control_persist_failures_total", counters.persist_failures),
         ("control_configuration_version", newest.configuration_version),
-        ("control_is_head", u64::from(driver.role().head)),
+        ("control_is_head", u64::from(driver.role().is_head)),
     ];
     let mut text = String::new();
     for (name, value) in rows {
--- a/crates/lockusher-control/src/lib.rs
+++ b/crates/lockusher-control/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod acceptor;
 mod acceptor_log;
+pub mod chain_role;
 pub mod document;
 pub mod driver;
 pub mod durable;
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -18,6 +18,7 @@
 use lockusher_transport::{http, tcp};
 
 use crate::driver::disk::{Disk, DiskError};
+use crate::driver::instance_list_publisher::InstanceListPublisher;
 use crate::driver::peer_links::{LinkTiming, PeerLinks, receive};
 use crate::driver::replica_driver::ReplicaDriver;
 use crate::driver::{instance_list_polling, operator_api, stage_assignment};
@@ -101,9 +102,14 @@
     let operator = move |request| operator_api::handle(Rc::clone(&operator_driver), request);
     let hand_over_limit = Duration::from_millis(settings.bounds.grace_ms) / HAND_OVER_GRACE_DIVISOR;
     let settings = Rc::new(settings);
-    let stage_assignment_task = options
-        .stage_assignment
-        .then(|| compio::runtime::spawn(stage_assignment::run(Rc::clone(&driver), Rc::clone(&settings))));
+    let list_publisher = InstanceListPublisher::new(Rc::clone(&driver));
+    let stage_assignment_task = options.stage_assignment.then(|| {
+        compio::runtime::spawn(stage_assignment::run(
+            Rc::clone(&driver),
+            Rc::clone(&list_publisher),
+            Rc::clone(&settings),
+        ))
+    });
     let _tasks = [
         compio::runtime::spawn(follow_disk(Rc::clone(&driver), completions)),
         compio::runtime::spawn(tick_periodically(Rc::clone(&driver))),
@@ -111,7 +117,12 @@
         compio::runtime::spawn(accept_peers(Rc::clone(&driver), peer_listener)),
         compio::runtime::spawn(accept(subscription_listener, publisher)),
         compio::runtime::spawn(http::serve(operator_listener, operator)),
-        compio::runtime::spawn(instance_list_polling::run(Rc::clone(&driver), settings, random_seed)),
+        compio::runtime::spawn(instance_list_polling::run(
+            Rc::clone(&driver),
+            list_publisher,
+            settings,
+            random_seed,
+        )),
     ];
     stop.await;
     log::info!("stopping");
--- a/crates/lockusher-control/tests/stage_assignment_lease.rs
+++ b/crates/lockusher-control/tests/stage_assignment_lease.rs
@@ -1,6 +1,7 @@
 //! Orders of a head and the next one before simulated clocks, delays and pauses: they never take turns within the lease.
 
 use lockusher_control::Millis;
+use lockusher_control::chain_role::ChainRole;
 use lockusher_control::stage_assignment_lease::StageAssignmentLease;
 use proptest::prelude::*;
 
@@ -9,7 +10,7 @@
 #[test]
 fn a_new_head_waits_two_leases() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
-    lease.observe(10_000, true, 4);
+    lease.observe(10_000, ChainRole::head(4));
     assert_eq!(lease.fencing_token(15_999), None);
     assert_eq!(lease.fencing_token(16_000), Some(4));
 }
@@ -17,18 +18,18 @@
 #[test]
 fn a_head_that_goes_on_in_the_next_epoch_needs_no_wait() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
-    lease.observe(10_000, true, 4);
-    lease.observe(20_000, true, 5);
+    lease.observe(10_000, ChainRole::head(4));
+    lease.observe(20_000, ChainRole::head(5));
     assert_eq!(lease.fencing_token(20_000), Some(5));
 }
 
 #[test]
 fn a_head_that_was_followed_by_another_waits_anew() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
-    lease.observe(10_000, true, 4);
-    lease.observe(20_000, false, 5);
+    lease.observe(10_000, ChainRole::head(4));
+    lease.observe(20_000, ChainRole::other(5));
     assert_eq!(lease.fencing_token(30_000), None);
-    lease.observe(30_000, true, 6);
+    lease.observe(30_000, ChainRole::head(6));
     assert_eq!(lease.fencing_token(35_999), None);
     assert_eq!(lease.fencing_token(36_000), Some(6));
 }
@@ -36,10 +37,10 @@
 #[test]
 fn a_head_that_lost_touch_for_a_while_keeps_its_fencing_token() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
-    lease.observe(10_000, true, 4);
-    lease.observe(20_000, false, 4);
+    lease.observe(10_000, ChainRole::head(4));
+    lease.observe(20_000, ChainRole::other(4));
     assert_eq!(lease.fencing_token(20_500), None);
-    lease.observe(21_000, true, 4);
+    lease.observe(21_000, ChainRole::head(4));
     assert_eq!(lease.fencing_token(21_000), Some(4));
 }
 
@@ -85,7 +86,7 @@
     attempts: &[Attempt],
 ) -> Vec<Arrival> {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
-    lease.observe(head_from + skew, true, epoch);
+    lease.observe(head_from + skew, ChainRole::head(epoch));
     let mut arrivals = Vec::new();
     for attempt in attempts {
         let asked = attempt.begin;
--- a/crates/lockusher-control/tests/stage_assignment.rs
+++ b/crates/lockusher-control/tests/stage_change_order.rs
@@ -6,7 +6,7 @@
 use compio::net::TcpListener;
 use hyper::StatusCode;
 use lockusher_config::instances::Stage;
-use lockusher_control::driver::stage_assignment::{outcome_of, stage_change_request};
+use lockusher_control::driver::stage_change_order::{order_outcome, stage_change_request};
 use lockusher_control::stage_scheduler::{OrderOutcome, StageChange};
 use lockusher_transport::{http, tcp};
 use yare::parameterized;
@@ -54,7 +54,7 @@
     tcp::discard_on_close(&stream).expect("an option");
     let request = stage_change_request(address, &change(address), "node-7", 41).expect("a request");
     let answer = http::exchange(stream, request).await.expect("an answer");
-    assert_eq!(outcome_of(answer.status), OrderOutcome::Accepted);
+    assert_eq!(order_outcome(answer.status), OrderOutcome::Accepted);
     let request = searcher.await.expect("the searcher's task");
     let (head, body) = request.split_once("\r\n\r\n").expect("a head");
     assert!(head.starts_with("POST /api/order HTTP/1.1\r\n"), "{head}");
@@ -76,5 +76,5 @@
     trouble = { 500, OrderOutcome::Unknown },
 )]
 fn answers_are_understood(status: u16, outcome: OrderOutcome) {
-    assert_eq!(outcome_of(StatusCode::from_u16(status).expect("a status")), outcome);
+    assert_eq!(order_outcome(StatusCode::from_u16(status).expect("a status")), outcome);
 }
--- a/crates/lockusher-control/tests/stage_switch_overlay.rs
+++ b/crates/lockusher-control/tests/stage_switch_overlay.rs
@@ -1,9 +1,10 @@
-//! Marks on searchers that are being changed.
+//! Searchers that are changing their stage are shown as changing.
 
 use std::rc::Rc;
 
 use lockusher_config::instances::{Instance, InstanceState, Stage};
 use lockusher_control::driver::stage_switch_overlay::StageSwitchOverlay;
+use lockusher_control::stage_scheduler::StageChange;
 
 fn searcher(identifier: &str, stage: Stage, state: InstanceState) -> Instance {
     Instance {
@@ -20,22 +21,36 @@
     }
 }
 
+fn change(identifier: &str, from: Stage, to: Stage) -> StageChange {
+    StageChange {
+        service: "llm".to_owned(),
+        identifier: identifier.to_owned(),
+        address: "10.0.0.1:80".to_owned(),
+        from,
+        to,
+    }
+}
+
 #[test]
-fn a_marked_searcher_shows_as_changing_until_it_serves_its_new_stage_or_drains() {
-    let overlay = StageSwitchOverlay::default();
+fn a_switching_searcher_is_shown_as_changing_until_it_serves_its_new_stage_or_drains() {
+    let mut overlay = StageSwitchOverlay::default();
     let ready = Rc::new(vec![
         searcher("a", Stage::Decode, InstanceState::Ready),
         searcher("b", Stage::Decode, InstanceState::Ready),
     ]);
     assert!(Rc::ptr_eq(&overlay.apply(&ready), &ready));
-    assert!(overlay.set(vec![("a".to_owned(), Stage::Decode)]));
-    assert!(!overlay.set(vec![("a".to_owned(), Stage::Decode)]), "nothing new");
+
+    let change = change("a", Stage::Decode, Stage::Prefill);
+    assert!(overlay.set([&change].into_iter()));
+    assert!(!overlay.set([&change].into_iter()), "nothing new");
     let states: Vec<InstanceState> = overlay.apply(&ready).iter().map(|one| one.state).collect();
     assert_eq!(states, [InstanceState::Changing, InstanceState::Ready]);
+
     let changed = Rc::new(vec![searcher("a", Stage::Prefill, InstanceState::Ready)]);
     assert!(Rc::ptr_eq(&overlay.apply(&changed), &changed));
     let draining = Rc::new(vec![searcher("a", Stage::Decode, InstanceState::Draining)]);
     assert!(Rc::ptr_eq(&overlay.apply(&draining), &draining));
-    assert!(overlay.set(Vec::new()));
+
+    assert!(overlay.set(std::iter::empty()));
     assert!(Rc::ptr_eq(&overlay.apply(&ready), &ready));
 }
