--- a/crates/lockusher-control/src/driver/replica_driver.rs
+++ b/crates/lockusher-control/src/driver/replica_driver.rs
@@ -1,4 +1,9 @@
 //! Drives one replica: hands it events, carries out its effects.
+//!
+//! Owned by [`crate::serve`] and shared by the tasks of one control node, all on one thread. The replica decides; the
+//! driver owns what it acts on: the links to peers, the disk, the publisher of what is committed, and the operator's
+//! pending requests. Invariant: effects are carried out in the order in which the replica asked for them, and the events
+//! that they lead to at once are handed over before any other.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -13,7 +18,7 @@
 use lockusher_storage::Completion;
 use lockusher_transport::clock::Clock;
 
-use super::disk::{Disk, ScrubCounters};
+use super::disk::{AppendOutcome, Disk, ScrubCounters};
 use super::peer_links::PeerLinks;
 use crate::chain_role::ChainRole;
 use crate::document::ConfigurationDocument;
@@ -22,14 +27,18 @@
 
 /// One control node's replica with everything that it acts on.
 pub struct ReplicaDriver {
+    /// The process's steady clock.
     pub clock: Clock,
+    /// What this node publishes to its subscribers.
     pub publisher: Rc<SharedPublisher>,
     replica: RefCell<Replica>,
     disk: Disk,
     links: PeerLinks,
+    /// Where the reply to a request goes, until it comes.
     pending_requests: RefCell<HashMap<RequestTicket, oneshot::Sender<Reply>>>,
     next_ticket: Cell<u64>,
     role: Cell<ChainRole>,
+    /// The address of the head as [`ReplicaDriver::role_changed`] last reported it.
     reported_head_address: Cell<Option<SocketAddrV4>>,
     role_changed: ChangeNotifier,
     /// Port at which control nodes serve subscribers.
@@ -37,6 +46,8 @@
 }
 
 impl ReplicaDriver {
+    /// Puts a replica together with what it acts on. The effects of its start are to be carried out by
+    /// [`ReplicaDriver::apply_effects`].
     pub fn new(
         clock: Clock,
         publisher: Rc<SharedPublisher>,
@@ -65,6 +76,7 @@
         inspect(&self.replica.borrow())
     }
 
+    /// This node's role as the replica last reported it.
     pub fn role(&self) -> ChainRole {
         self.role.get()
     }
@@ -76,13 +88,13 @@
 
     /// Where the head of the newest view known serves subscribers; none if this node is the head or knows no view.
     pub fn head_address(&self) -> Option<SocketAddrV4> {
-        let (address, own) = self.read(|replica| {
+        let head_ip = self.read(|replica| {
             let view = replica.view()?;
-            let head = view.head()?;
+            let head = view.head().filter(|head| *head != replica.identity())?;
             let member = view.voters.iter().find(|member| member.identity == head)?;
-            Some((member.address, head == replica.identity()))
+            Some(*member.address.ip())
         })?;
-        (!own).then(|| SocketAddrV4::new(*address.ip(), self.subscription_port))
+        Some(SocketAddrV4::new(head_ip, self.subscription_port))
     }
 
     /// Hands the replica an event and carries out what it asks for.
@@ -105,6 +117,7 @@
         }
     }
 
+    /// Carries out one effect; the event that it leads to at once, if any.
     fn apply_effect(&self, effect: Effect) -> Option<Event> {
         match effect {
             Effect::Send { to, message } => self.links.send(to, &Envelope::new(message)),
@@ -153,7 +166,7 @@
         self.publisher.update(|publisher| publisher.set_control_nodes(addresses));
     }
 
-    /// Puts a request of the operator to the replica and waits for its reply.
+    /// Puts a request to the replica and waits for its reply; [`Reply::Unavailable`] if none comes.
     pub async fn request(&self, request: Request) -> Reply {
         let ticket = RequestTicket(self.next_ticket.get());
         self.next_ticket.set(ticket.0 + 1);
@@ -163,7 +176,7 @@
         receiver.await.unwrap_or(Reply::Unavailable)
     }
 
-    /// Brings what the heartbeats to subscribers say up to date. The head counts the fleet's proxies; the others learn
+    /// Updates the status that heartbeats to subscribers carry. The head counts the fleet's proxies; the others learn
     /// their number from it.
     pub fn refresh_status(&self) {
         let in_view = self.read(Replica::is_current);
@@ -175,7 +188,7 @@
         });
     }
 
-    /// Has the disk read back and compared with the state in memory.
+    /// Has the disk read back and compared with the state in memory, unless it is busy.
     pub fn scrub(&self) {
         self.disk.scrub_if_idle();
     }
@@ -188,12 +201,12 @@
     /// Takes a completion of the disk.
     pub fn on_disk_completion(&self, completion: &Completion) {
         match self.disk.on_completion(completion) {
-            Some((ticket, true)) => self.dispatch(Event::Persisted { ticket }),
-            Some((ticket, false)) => self.dispatch(Event::PersistFailed { ticket }),
+            Some(AppendOutcome::Durable(ticket)) => self.dispatch(Event::Persisted { ticket }),
+            Some(AppendOutcome::Failed(ticket)) => self.dispatch(Event::PersistFailed { ticket }),
             None => {}
         }
-        self.disk
-            .on_scrub_completion(completion, |records| self.read(|replica| replica.compare_disk(records)));
-        self.disk.snapshot_if_due(|| self.replica.borrow().snapshot());
+        let compare = |records| self.read(|replica| replica.compare_disk(records));
+        self.disk.on_scrub_completion(completion, compare);
+        self.disk.snapshot_if_due(|| self.read(Replica::snapshot));
     }
 }
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -17,7 +17,7 @@
 use lockusher_transport::error::TransportError;
 use lockusher_transport::{http, tcp};
 
-use crate::driver::disk::{Disk, DiskError};
+use crate::driver::disk::{Disk, DiskError, OpenedDisk};
 use crate::driver::instance_list_publisher::InstanceListPublisher;
 use crate::driver::peer_links::{LinkTiming, PeerLinks, receive};
 use crate::driver::replica_driver::ReplicaDriver;
@@ -35,6 +35,9 @@
 /// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
+/// Bytes of a megabyte of `limits.diskMb`.
+const BYTES_PER_MB: u64 = 1024 * 1024;
+
 /// Why a control node can't run.
 #[derive(Debug, Display, Error, From)]
 pub enum ControlError {
@@ -78,7 +81,8 @@
     let subscription = SocketAddrV4::new(settings.ip_address, subscription_port);
     let subscription_listener = tcp::listen(subscription).await?;
 
-    let (disk, completions, recovered) = Disk::open(&folder, settings.limits.disk_mb * 1024 * 1024).await?;
+    let OpenedDisk { disk, completions, recovered } =
+        Disk::open(&folder, settings.limits.disk_mb * BYTES_PER_MB).await?;
     let clock = Clock::start();
     let random_seed = RandomState::new().hash_one(own_address);
     let setup = ReplicaSetup {
--- a/crates/lockusher-control/tests/disk.rs
+++ b/crates/lockusher-control/tests/disk.rs
@@ -4,7 +4,7 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-use lockusher_control::driver::disk::{Disk, RecoveredRecords, ScrubCounters};
+use lockusher_control::driver::disk::{Disk, OpenedDisk, RecoveredRecords, ScrubCounters};
 use lockusher_control::{DiskComparison, DurableRecord, Identity};
 use lockusher_storage::{Completions, DiskFileSystem, Store, StoreOptions};
 use tempfile::TempDir;
@@ -51,8 +51,7 @@
 }
 
 async fn open(folder: &Path) -> RecoveredRecords {
-    let (_disk, _completions, recovered) = Disk::open(folder, DISK_BYTES).await.expect("opens");
-    recovered
+    Disk::open(folder, DISK_BYTES).await.expect("opens").recovered
 }
 
 #[compio::test]
@@ -111,7 +110,8 @@
 async fn a_scrub_finds_damage_and_rewrites_the_disk_from_memory() {
     let records = [record(1), record(2), record(3)];
     let folder = folder_with(&records);
-    let (disk, mut completions, _) = Disk::open(folder.path(), DISK_BYTES).await.expect("opens");
+    let opened = Disk::open(folder.path(), DISK_BYTES).await.expect("opens");
+    let OpenedDisk { disk, mut completions, .. } = opened;
     scrub(&disk, &mut completions, &records).await;
     assert_eq!(disk.scrub_counters(), ScrubCounters { completed: 1, damage_found: 0 });
     damage(folder.path());
@@ -132,7 +132,8 @@
 #[compio::test]
 async fn a_scrub_rewrites_a_disk_that_differs_from_memory() {
     let folder = folder_with(&[record(1)]);
-    let (disk, mut completions, _) = Disk::open(folder.path(), DISK_BYTES).await.expect("opens");
+    let opened = Disk::open(folder.path(), DISK_BYTES).await.expect("opens");
+    let OpenedDisk { disk, mut completions, .. } = opened;
     scrub(&disk, &mut completions, &[record(2)]).await;
     assert_eq!(disk.scrub_counters().damage_found, 1);
     assert_eq!(completions.next().await.expect("the snapshot").result, Ok(()));
--- a/crates/lockusher-control/tests/recorded_bytes.rs
+++ b/crates/lockusher-control/tests/recorded_bytes.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use lockusher_control::document::patch_identity;
-use lockusher_control::driver::disk::Disk;
+use lockusher_control::driver::disk::{AppendOutcome, Disk, OpenedDisk};
 use lockusher_control::driver::peer_links::PeerFrame;
 use lockusher_control::message::{
     AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer, TransferPurpose,
@@ -360,7 +360,7 @@
 async fn append(disk: &Disk, completions: &mut Completions, ticket: u64, records: &[DurableRecord]) {
     disk.append(PersistTicket(ticket), records).expect("the writer takes it");
     let completion = completions.next().await.expect("an outcome");
-    assert_eq!(disk.on_completion(&completion), Some((PersistTicket(ticket), true)));
+    assert_eq!(disk.on_completion(&completion), Some(AppendOutcome::Durable(PersistTicket(ticket))));
 }
 
 async fn snapshot(disk: &Disk, completions: &mut Completions, records: &[DurableRecord]) {
@@ -377,7 +377,7 @@
 /// Appends every record, replaces them by a snapshot of them, and appends them once more: each by itself, then two.
 async fn write_store(folder: &Path) {
     let records = all_records();
-    let (disk, mut completions, _) = Disk::open(folder, DISK_BYTES).await.expect("opens");
+    let OpenedDisk { disk, mut completions, .. } = Disk::open(folder, DISK_BYTES).await.expect("opens");
     let mut ticket = 0;
     for record in &records {
         append(&disk, &mut completions, ticket, std::slice::from_ref(record)).await;
@@ -428,7 +428,7 @@
     for (name, bytes) in &recorded {
         fs::write(folder.path().join(name), bytes).expect("writes");
     }
-    let (_disk, _completions, recovered) = Disk::open(folder.path(), DISK_BYTES).await.expect("opens");
+    let recovered = Disk::open(folder.path(), DISK_BYTES).await.expect("opens").recovered;
     assert_eq!(recovered.records, stored_records());
     assert!(!recovered.cleared);
     assert_eq!(files_in(folder.path()), recorded.into_iter().collect::<Vec<_>>());
