--- a/crates/lockusher-control/src/lib.rs
+++ b/crates/lockusher-control/src/lib.rs
@@ -28,9 +28,11 @@
 #[cfg(feature = "injected-bugs")]
 pub use durable_state::DurableState;
 pub use message::{Envelope, EnvelopeError, Message, PROTOCOL};
+#[cfg(feature = "injected-bugs")]
+pub use replica::InjectedBug;
 pub use replica::{
-    Counters, DiskComparison, Effect, Event, InjectedBug, PersistTicket, Replica, ReplicaSetup, Reply,
-    Request, RequestTicket,
+    Counters, DiskComparison, Effect, Event, PersistTicket, Replica, ReplicaSetup, Reply, Request,
+    RequestTicket,
 };
 pub use state::ReplicatedState;
 pub use view::{Identity, Member, View};
--- a/crates/lockusher-control/src/replica.rs
+++ b/crates/lockusher-control/src/replica.rs
@@ -19,9 +19,11 @@
 };
 
 mod agreement;
+mod bug_injection;
 mod chain;
 mod confirmation;
 mod head;
+#[cfg(feature = "injected-bugs")]
 mod injected_bug;
 mod membership;
 mod persistence;
@@ -31,7 +33,9 @@
 mod status;
 
 use agreement::ViewProposal;
+use bug_injection::{BugInjection, altered_by_bug, bug_injected};
 use head::Head;
+#[cfg(feature = "injected-bugs")]
 pub use injected_bug::InjectedBug;
 pub use repair::DiskComparison;
 use requests::Requests;
@@ -160,7 +164,7 @@
 pub struct Replica {
     setup: ReplicaSetup,
     timing: Timing,
-    injected_bug: Option<InjectedBug>,
+    bug_injection: BugInjection,
     random: ChaCha8Rng,
     now: Millis,
     started_at: Millis,
@@ -206,10 +210,10 @@
 impl Replica {
     /// A replica that starts now with what its disk held: snapshot records, then log records, in order.
     pub fn new(setup: ReplicaSetup, recovered: Vec<DurableRecord>, now: Millis) -> (Replica, Vec<Effect>) {
-        Self::start(setup, recovered, now, None)
+        Self::start(setup, recovered, now, BugInjection::default())
     }
 
-    /// A replica that makes a mistake, for tests of the simulation.
+    /// A replica with an injected bug, for tests.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected_bug(
         setup: ReplicaSetup,
@@ -217,7 +221,7 @@
         now: Millis,
         injected_bug: InjectedBug,
     ) -> (Replica, Vec<Effect>) {
-        Self::start(setup, recovered, now, Some(injected_bug))
+        Self::start(setup, recovered, now, BugInjection::of(injected_bug))
     }
 
     /// Takes an event and returns what is to be done, in order.
@@ -281,13 +285,14 @@
 
     /// Whether the newest view is on disk, so that this node may act in it.
     fn is_established_in_view(&self) -> bool {
-        let durable = self.durable_epoch == self.epoch() || self.has_bug(InjectedBug::ActBeforeViewDurable);
+        let durable =
+            self.durable_epoch == self.epoch() || bug_injected!(self.bug_injection, ActBeforeViewDurable);
         self.view.is_some() && durable
     }
 
     fn message(&self, body: MessageBody) -> Message {
-        let body = self.altered_body(body);
-        Message { sender: self.identity, epoch: self.epoch(), body }
+        let body_sent = altered_by_bug!(self.bug_injection, altered_body, body);
+        Message { sender: self.identity, epoch: self.epoch(), body: body_sent }
     }
 
     fn send(&mut self, to: SocketAddrV4, body: MessageBody) {
@@ -313,7 +318,7 @@
     /// Sends this once all votes cast so far are durable.
     fn send_after_acceptor_writes(&mut self, to: SocketAddrV4, body: MessageBody) {
         let message = self.message(body);
-        if self.has_bug(InjectedBug::VoteAnsweredBeforeDurable) {
+        if bug_injected!(self.bug_injection, VoteAnsweredBeforeDurable) {
             self.send_message(to, message);
             return;
         }
--- a/crates/lockusher-control/src/replica/agreement.rs
+++ b/crates/lockusher-control/src/replica/agreement.rs
@@ -4,7 +4,10 @@
 
 use rand::RngExt;
 
-use super::{InjectedBug, Replica};
+use super::{
+    Replica,
+    bug_injection::{altered_by_bug, bug_injected},
+};
 use crate::{
     DurableRecord, Identity, Millis, Position, View,
     acceptor_log::AfterAcceptorWrite,
@@ -50,7 +53,7 @@
         self.highest_proposal_counter = self.highest_proposal_counter.max(proposal_number.counter);
         let is_new = proposal_number > self.acceptor.promised;
         if let Err(promised) = self.acceptor.prepare(proposal_number)
-            && !self.has_bug(InjectedBug::LowerBallotAccepted)
+            && !bug_injected!(self.bug_injection, LowerBallotAccepted)
         {
             self.send(from, MessageBody::ProposalRejected { promised });
             return;
@@ -76,7 +79,7 @@
             .accepted
             .as_ref()
             .is_none_or(|accepted| accepted.proposal_number != proposal_number);
-        if self.has_bug(InjectedBug::LowerBallotAccepted) {
+        if bug_injected!(self.bug_injection, LowerBallotAccepted) {
             self.acceptor.promised = proposal_number;
         }
         if let Err(promised) = self.acceptor.accept(proposal_number, view.clone()) {
@@ -93,7 +96,7 @@
     }
 
     fn acts_as_acceptor(&self) -> bool {
-        self.is_voter() || (self.has_bug(InjectedBug::StrangersCount) && self.view.is_some())
+        self.is_voter() || (bug_injected!(self.bug_injection, StrangersCount) && self.view.is_some())
     }
 
     // Proposer
@@ -176,9 +179,18 @@
             epoch_change_required: self.epoch_change_required,
             sealed: self.acceptor.sealed,
             may_add_members: self.may_add_members(),
-            minimum_voters: if self.has_bug(InjectedBug::VotersBelowMinimum) { 1 } else { minimum_voters },
+            minimum_voters: if bug_injected!(self.bug_injection, VotersBelowMinimum) {
+                1
+            } else {
+                minimum_voters
+            },
         };
-        self.altered_view_change(view_change::plan_view_change(&context), &context)
+        altered_by_bug!(
+            self.bug_injection,
+            altered_view_change,
+            view_change::plan_view_change(&context),
+            &context
+        )
     }
 
     /// Voters are removed only down to this number.
@@ -192,7 +204,7 @@
         let is_leaving = |voter: &&Member| {
             let peer = self.peers.at(voter.address).filter(|peer| peer.identity == voter.identity);
             peer.is_some_and(|peer| peer.health == Health::ShuttingDown)
-                && !self.has_bug(InjectedBug::DepartedVoterKept)
+                && !bug_injected!(self.bug_injection, DepartedVoterKept)
         };
         let shutting_down = view.voters.iter().filter(is_leaving).map(|voter| voter.identity);
         let long_unreachable =
@@ -236,7 +248,7 @@
         let proposal_number =
             ProposalNumber { counter: self.highest_proposal_counter, proposer: self.identity.0 };
         let majority = self.view.as_ref().map_or(usize::MAX, View::majority);
-        let majority = if self.has_bug(InjectedBug::AdoptAfterOneAcceptance) { 1 } else { majority };
+        let majority = if bug_injected!(self.bug_injection, AdoptAfterOneAcceptance) { 1 } else { majority };
         let proposer = Proposer::new(proposal_number, change.view.clone(), majority);
         let needs_joining =
             change.joiners.iter().any(|joiner| !self.sealed_state_holders.contains(&joiner.identity));
@@ -249,7 +261,7 @@
             phase_started_at: self.now,
             last_sent_at: self.now,
         });
-        if needs_joining && !self.has_bug(InjectedBug::JoinersUnfed) {
+        if needs_joining && !bug_injected!(self.bug_injection, JoinersUnfed) {
             self.seal_epoch();
             self.start_joining_once_sealed();
         } else {
@@ -272,7 +284,7 @@
     /// Goes on once the sealed state can't change any more.
     pub(super) fn start_joining_once_sealed(&mut self) {
         let sealing = self.proposal.as_ref().is_some_and(|proposal| proposal.phase == Phase::Sealing);
-        let sealed = self.acceptor.seal_durable || self.has_bug(InjectedBug::SealNotAwaited);
+        let sealed = self.acceptor.seal_durable || bug_injected!(self.bug_injection, SealNotAwaited);
         if sealing && sealed && self.durable_state.pending.is_none() {
             self.enter_phase(Phase::Joining);
         }
@@ -337,7 +349,7 @@
 
     /// A joiner holds the sealed state, or wants it whole.
     pub(super) fn on_join_response(&mut self, from: SocketAddrV4, joiner: Identity, stored: bool) {
-        let sealed = self.acceptor.seal_durable || self.has_bug(InjectedBug::SealNotAwaited);
+        let sealed = self.acceptor.seal_durable || bug_injected!(self.bug_injection, SealNotAwaited);
         if !sealed || self.durable_state.pending.is_some() {
             return;
         }
@@ -357,7 +369,7 @@
 
     fn accepts_votes_from(&self, sender: Identity) -> bool {
         let is_voter = self.view.as_ref().is_some_and(|view| view.is_voter(sender));
-        is_voter || self.has_bug(InjectedBug::StrangersCount)
+        is_voter || bug_injected!(self.bug_injection, StrangersCount)
     }
 
     pub(super) fn on_prepare_response(
@@ -369,10 +381,10 @@
         if !self.accepts_votes_from(sender) {
             return;
         }
-        let accepted = self.altered_report(accepted);
+        let reported = altered_by_bug!(self.bug_injection, altered_report, accepted);
         let Some(proposal) = &mut self.proposal else { return };
         let may_complete = proposal.phase == Phase::Preparing;
-        if may_complete && proposal.proposer.on_prepare_response(sender, proposal_number, accepted) {
+        if may_complete && proposal.proposer.on_prepare_response(sender, proposal_number, reported) {
             self.enter_phase(Phase::Accepting);
         }
     }
--- a/crates/lockusher-control/src/replica/chain.rs
+++ b/crates/lockusher-control/src/replica/chain.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use super::{Effect, InjectedBug, Replica};
+use super::{Effect, Replica, bug_injection::bug_injected};
 use crate::{
     ConfigurationDocument, DurableRecord, Identity, Position,
     durable_state::{AfterWrite, TransferOutcome},
@@ -14,7 +14,7 @@
     /// Whether this node may take part in the chain of the newest view.
     fn may_replicate(&self) -> bool {
         let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(self.identity));
-        let open = !self.acceptor.sealed || self.has_bug(InjectedBug::EntryAfterSeal);
+        let open = !self.acceptor.sealed || bug_injected!(self.bug_injection, EntryAfterSeal);
         in_chain && self.is_established_in_view() && open
     }
 
@@ -46,7 +46,7 @@
         if self.is_already_applied(&transfer) {
             self.respond_to_transfer(from, transfer.purpose, true);
         } else if transfer.position >= self.durable_state.position
-            || self.has_bug(InjectedBug::OlderTransferTaken)
+            || bug_injected!(self.bug_injection, OlderTransferTaken)
         {
             self.apply_transfer(from, transfer);
         }
@@ -85,7 +85,9 @@
             TransferOutcome::Write(record, state) => {
                 let replaces = matches!(*record, DurableRecord::State { .. });
                 self.counters.repairs += u64::from(replaces && self.durable_state.state.document().is_some());
-                if purpose == TransferPurpose::Join && self.has_bug(InjectedBug::JoinAnsweredBeforeDurable) {
+                if purpose == TransferPurpose::Join
+                    && bug_injected!(self.bug_injection, JoinAnsweredBeforeDurable)
+                {
                     let history_digest = transfer.history_digest;
                     let response = TransferResponse { purpose, position, history_digest, stored: true };
                     self.send(from, MessageBody::TransferResponse(response));
@@ -157,7 +159,7 @@
         }
         let follows = !synchronised || index == own.index + 1;
         let complete = follows && previous == self.durable_state.state.history_digest();
-        if !complete && !self.has_bug(InjectedBug::EntryWithoutPredecessor) {
+        if !complete && !bug_injected!(self.bug_injection, EntryWithoutPredecessor) {
             log::debug!("lacks what precedes entry {index}, sent by {from}");
             self.send_to_head(MessageBody::AppendRejected { index });
             return;
@@ -167,7 +169,7 @@
         let position = Position { epoch, index };
         let record = DurableRecord::Entry { position, previous, document: document.clone() };
         let state = self.durable_state.state.with(document.clone());
-        if self.has_bug(InjectedBug::PassOnBeforeDurable) {
+        if bug_injected!(self.bug_injection, PassOnBeforeDurable) {
             self.forward_append(index, previous, document.clone(), relay);
         }
         let after_write = AfterWrite::ForwardAppend { index, previous, document, relay };
@@ -243,7 +245,7 @@
     pub(super) fn on_committed(&mut self, sender: Identity, index: u64, history_digest: HistoryDigest) {
         let same = self.durable_state.pending.is_none()
             && self.durable_state.state.history_digest() == history_digest;
-        if !self.is_view_head(sender) || !(same || self.has_bug(InjectedBug::CommittedUnchecked)) {
+        if !self.is_view_head(sender) || !(same || bug_injected!(self.bug_injection, CommittedUnchecked)) {
             return;
         }
         let committed = Position { epoch: self.epoch(), index };
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::SocketAddrV4};
 
-use super::{InjectedBug, Replica};
+use super::{Replica, bug_injection::bug_injected};
 use crate::{Identity, message::MessageBody};
 
 /// Rounds in which the voters are asked whether the epoch is the newest they know.
@@ -17,7 +17,11 @@
     /// The sequence number of the confirmation that a request which comes now has to wait for.
     pub(super) fn next_confirmation(&self) -> u64 {
         let last_started = self.head.as_ref().map_or(0, |head| head.confirmation.last_started);
-        if self.has_bug(InjectedBug::EarlierRoundCounts) { last_started.max(1) } else { last_started + 1 }
+        if bug_injected!(self.bug_injection, EarlierRoundCounts) {
+            last_started.max(1)
+        } else {
+            last_started + 1
+        }
     }
 
     pub(super) fn is_epoch_confirmed(&self, sequence: u64) -> bool {
@@ -49,7 +53,8 @@
     /// A voter that accepted a successor doesn't know any more that this epoch is the newest.
     pub(super) fn on_confirm_epoch(&mut self, from: SocketAddrV4, sender: Identity, sequence: u64) {
         let from_head = self.view.as_ref().is_some_and(|view| view.head() == Some(sender));
-        let newest = self.acceptor.accepted.is_none() || self.has_bug(InjectedBug::ConfirmAfterAccepting);
+        let newest =
+            self.acceptor.accepted.is_none() || bug_injected!(self.bug_injection, ConfirmAfterAccepting);
         if from_head && self.is_voter() && newest {
             let (position, history_digest) =
                 (self.durable_state.position, self.durable_state.state.history_digest());
--- a/crates/lockusher-control/src/replica/head.rs
+++ b/crates/lockusher-control/src/replica/head.rs
@@ -6,7 +6,8 @@
 };
 
 use super::{
-    InjectedBug, Replica,
+    Replica,
+    bug_injection::bug_injected,
     confirmation::EpochConfirmation,
     repair::NoticedBy,
     requests::{Origin, QueuedRequest},
@@ -160,7 +161,7 @@
 
     fn establish_if_complete(&mut self) {
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
-        let early = self.injected_bug == Some(InjectedBug::ServeBeforeSynchronised);
+        let early = bug_injected!(self.bug_injection, ServeBeforeSynchronised);
         let complete = view.chain.iter().all(|member| head.synchronised.contains(member));
         if head.established || !(complete || early) {
             return;
@@ -332,7 +333,7 @@
         in_flight.started_at = self.now;
         in_flight.resend_at = self.now + self.timing.retransmit_interval + in_flight.size_allowance();
         let body = in_flight.append(true);
-        let open = !self.acceptor.sealed || self.has_bug(InjectedBug::ServeAfterSeal);
+        let open = !self.acceptor.sealed || bug_injected!(self.bug_injection, ServeAfterSeal);
         if let (Some(successor), true) = (successor, open) {
             self.send_to_voter(successor, body);
         }
@@ -359,7 +360,7 @@
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
         let Some(in_flight) = &head.in_flight else { return };
         let all = view.chain.iter().all(|member| in_flight.stored_by.contains(member));
-        let early = self.injected_bug == Some(InjectedBug::AcknowledgeBeforeTail)
+        let early = bug_injected!(self.bug_injection, AcknowledgeBeforeTail)
             && in_flight.stored_by.contains(&self.identity);
         if !all && !early {
             return;
@@ -376,7 +377,7 @@
     /// The committed state, to decide requests by.
     pub(super) fn serving_state(&self) -> Option<&ReplicatedState> {
         let head = self.head.as_ref().filter(|head| head.established)?;
-        let open = !self.acceptor.sealed || self.has_bug(InjectedBug::ServeAfterSeal);
+        let open = !self.acceptor.sealed || bug_injected!(self.bug_injection, ServeAfterSeal);
         open.then_some(&head.base)
     }
 }
--- a/crates/lockusher-control/src/replica/injected_bug.rs
+++ b/crates/lockusher-control/src/replica/injected_bug.rs
@@ -5,9 +5,7 @@
 
 use derive_more::Display;
 
-#[cfg(feature = "injected-bugs")]
-use super::Replica;
-#[cfg(feature = "injected-bugs")]
+use super::bug_injection::{BugInjection, bug_injected};
 use crate::{
     DurableRecord, Identity, View,
     message::{AcceptedView, MessageBody, Payload, Transfer},
@@ -158,19 +156,14 @@
     }
 }
 
-#[cfg(feature = "injected-bugs")]
-impl Replica {
-    pub(super) fn has_bug(&self, injected_bug: InjectedBug) -> bool {
-        self.injected_bug == Some(injected_bug)
-    }
-
+impl BugInjection {
     /// The planned view change, altered by the injected bug.
     pub(super) fn altered_view_change(
-        &self,
+        self,
         change: Option<ViewChange>,
         context: &ViewChangeContext,
     ) -> Option<ViewChange> {
-        match self.injected_bug {
+        match self.bug() {
             Some(InjectedBug::ShortChain) => short_chain(context).or(change),
             Some(InjectedBug::SeveralVotersChanged) => {
                 change.map(|change| without_unreachable(change, context))
@@ -180,28 +173,25 @@
     }
 
     /// What of the votes and the state a snapshot holds, after a mistake.
-    pub(super) fn altered_snapshot(&self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
+    pub(super) fn altered_snapshot(self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
         let is_vote = |record: &DurableRecord| {
             matches!(
                 record,
                 DurableRecord::Promise { .. } | DurableRecord::Accept { .. } | DurableRecord::Seal { .. }
             )
         };
-        if self.has_bug(InjectedBug::SnapshotWithoutState) {
+        if bug_injected!(self, SnapshotWithoutState) {
             records.retain(|record| !matches!(record, DurableRecord::State { .. }));
         }
-        if self.has_bug(InjectedBug::SnapshotWithoutVotes) {
+        if bug_injected!(self, SnapshotWithoutVotes) {
             records.retain(|record| !is_vote(record));
         }
         records
     }
 
     /// What a start finds on its disk, after a mistake.
-    pub(super) fn altered_recovery(
-        injected_bug: Option<InjectedBug>,
-        mut records: Vec<DurableRecord>,
-    ) -> Vec<DurableRecord> {
-        match injected_bug {
+    pub(super) fn altered_recovery(self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
+        match self.bug() {
             Some(InjectedBug::PromiseForgotten) => {
                 records.retain(|record| !matches!(record, DurableRecord::Promise { .. }));
             }
@@ -217,8 +207,8 @@
     }
 
     /// A message on its way out, changed by a mistake.
-    pub(super) fn altered_body(&self, body: MessageBody) -> MessageBody {
-        match (self.injected_bug, body) {
+    pub(super) fn altered_body(self, body: MessageBody) -> MessageBody {
+        match (self.bug(), body) {
             (Some(InjectedBug::HistoryForgotten), MessageBody::Transfer(transfer)) => {
                 MessageBody::Transfer(without_history(transfer))
             }
@@ -231,12 +221,11 @@
     }
 
     /// What a proposer hears of views accepted before, after a mistake.
-    pub(super) fn altered_report(&self, accepted: Option<AcceptedView>) -> Option<AcceptedView> {
-        accepted.filter(|_| !self.has_bug(InjectedBug::AcceptedPassedOver))
+    pub(super) fn altered_report(self, accepted: Option<AcceptedView>) -> Option<AcceptedView> {
+        accepted.filter(|_| !bug_injected!(self, AcceptedPassedOver))
     }
 }
 
-#[cfg(feature = "injected-bugs")]
 fn short_chain(context: &ViewChangeContext) -> Option<ViewChange> {
     let view = context.view;
     let is_healthy = |member: &Identity| context.healthy_members.contains(member);
@@ -248,7 +237,6 @@
     })
 }
 
-#[cfg(feature = "injected-bugs")]
 fn without_unreachable(mut change: ViewChange, context: &ViewChangeContext) -> ViewChange {
     let chain = change.view.chain.clone();
     let is_gone = |identity: Identity| context.unreachable.contains(&identity) && !chain.contains(&identity);
@@ -256,58 +244,9 @@
     change
 }
 
-#[cfg(feature = "injected-bugs")]
 fn without_history(mut transfer: Transfer) -> Transfer {
     if let Payload::FullSnapshot(state) = &mut transfer.payload {
         *state = state.without_history();
     }
     transfer
 }
-
-/// Without the feature no mistake is made: these are the plain ways.
-#[cfg(not(feature = "injected-bugs"))]
-mod plain {
-    use super::InjectedBug;
-    use crate::{
-        DurableRecord,
-        message::{AcceptedView, MessageBody},
-        replica::Replica,
-        view_change::{ViewChange, ViewChangeContext},
-    };
-
-    impl Replica {
-        pub(in crate::replica) fn has_bug(&self, _mistake: InjectedBug) -> bool {
-            false
-        }
-
-        pub(in crate::replica) fn altered_view_change(
-            &self,
-            change: Option<ViewChange>,
-            _context: &ViewChangeContext,
-        ) -> Option<ViewChange> {
-            change
-        }
-
-        pub(in crate::replica) fn altered_snapshot(&self, records: Vec<DurableRecord>) -> Vec<DurableRecord> {
-            records
-        }
-
-        pub(in crate::replica) fn altered_recovery(
-            _mistake: Option<InjectedBug>,
-            records: Vec<DurableRecord>,
-        ) -> Vec<DurableRecord> {
-            records
-        }
-
-        pub(in crate::replica) fn altered_body(&self, body: MessageBody) -> MessageBody {
-            body
-        }
-
-        pub(in crate::replica) fn altered_report(
-            &self,
-            accepted: Option<AcceptedView>,
-        ) -> Option<AcceptedView> {
-            accepted
-        }
-    }
-}
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::SocketAddrV4};
 
-use super::{InjectedBug, Replica, repair::NoticedBy};
+use super::{Replica, bug_injection::bug_injected, repair::NoticedBy};
 use crate::{
     DurableRecord, Identity, Message, View,
     acceptor::AcceptorState,
@@ -17,8 +17,8 @@
             self.peers.on_message_received(from, sender, epoch, self.now);
             self.exchange_views(from, epoch, &body);
         }
-        let counts =
-            epoch == self.epoch() || (self.has_bug(InjectedBug::OlderEpochsCount) && epoch < self.epoch());
+        let counts = epoch == self.epoch()
+            || (bug_injected!(self.bug_injection, OlderEpochsCount) && epoch < self.epoch());
         let same_epoch = counts && epoch > 0;
         match body {
             MessageBody::Heartbeat(heartbeat) => self.on_heartbeat(from, sender, epoch, heartbeat),
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -5,7 +5,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{Counters, Effect, InjectedBug, Replica, ReplicaSetup, requests::Requests};
+use super::{
+    Counters, Effect, Replica, ReplicaSetup,
+    bug_injection::{BugInjection, altered_by_bug, bug_injected},
+    requests::Requests,
+};
 use crate::{
     DurableRecord, Identity, Millis, Position, View, acceptor::AcceptorState, acceptor_log::AcceptorLog,
     acceptor_log::AfterAcceptorWrite, durable_state::DurableState, failure_detector::Peers, timing::Timing,
@@ -14,17 +18,17 @@
 impl Replica {
     pub(super) fn start(
         setup: ReplicaSetup,
-        recovered: Vec<DurableRecord>,
+        records: Vec<DurableRecord>,
         now: Millis,
-        injected_bug: Option<InjectedBug>,
+        bug_injection: BugInjection,
     ) -> (Replica, Vec<Effect>) {
         let timing = Timing::new(setup.acknowledge_ms, setup.catch_up_ms);
         let mut random = ChaCha8Rng::seed_from_u64(setup.random_seed);
-        let recovered = Self::altered_recovery(injected_bug, recovered);
+        let recovered = altered_by_bug!(bug_injection, altered_recovery, records);
         let known = recovered_identity(&recovered);
         let drawn = Identity::of_joiner(random.random());
         let first_request = random.random::<u64>() >> 1;
-        let numbers_restart = injected_bug == Some(InjectedBug::RequestNumbersRestart);
+        let numbers_restart = bug_injected!(bug_injection, RequestNumbersRestart);
         let first_request = if numbers_restart { 0 } else { first_request };
         let view = newest_view(&recovered);
         let acceptor = view
@@ -32,7 +36,7 @@
             .map_or_else(AcceptorState::default, |view| recovered_acceptor(&recovered, view.epoch));
         let mut replica = Replica {
             timing,
-            injected_bug,
+            bug_injection,
             random,
             now,
             started_at: now,
@@ -80,7 +84,8 @@
             Some((identity, former)) if former == address => {
                 self.identity = identity;
                 let was_head = self.view.as_ref().is_some_and(|view| view.head() == Some(identity));
-                self.epoch_change_required = was_head && !self.has_bug(InjectedBug::RestartedHeadServes);
+                self.epoch_change_required =
+                    was_head && !bug_injected!(self.bug_injection, RestartedHeadServes);
             }
             Some(_) => {
                 self.acceptor = AcceptorState::default();
@@ -93,10 +98,10 @@
     fn start_on_empty_disk(&mut self) {
         let address = self.setup.address;
         let is_seed = self.setup.seeds.contains(&address);
-        if self.has_bug(InjectedBug::VoteAfterWipe) && is_seed {
+        if bug_injected!(self.bug_injection, VoteAfterWipe) && is_seed {
             self.identity = Identity::of_first_start(address);
         }
-        let first_start = self.setup.first_start || self.has_bug(InjectedBug::FirstStartAssumed);
+        let first_start = self.setup.first_start || bug_injected!(self.bug_injection, FirstStartAssumed);
         if !(first_start && is_seed) {
             self.persist_acceptor_records(vec![self.identity_record()], Vec::new());
             return;
@@ -121,7 +126,7 @@
             records.extend(self.acceptor.records(view.epoch));
         }
         records.push(self.durable_state.record());
-        self.altered_snapshot(records)
+        altered_by_bug!(self.bug_injection, altered_snapshot, records)
     }
 }
 
--- a/crates/lockusher-control/src/replica/requests.rs
+++ b/crates/lockusher-control/src/replica/requests.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
-use super::{Effect, InjectedBug, Replica, Reply, Request, RequestTicket};
+use super::{Effect, Replica, Reply, Request, RequestTicket, bug_injection::bug_injected};
 use crate::{Digest, Millis, ReplicatedState, message::MessageBody};
 
 /// Most requests that wait at one node, and at the head.
@@ -202,16 +202,12 @@
     fn decide(&self, queued: &QueuedRequest) -> Decision {
         let Some(state) = self.serving_state() else { return Decision::AwaitWrite };
         let confirmed = self.is_epoch_confirmed(queued.confirmation);
-        let if_confirmed = |reply, unless: InjectedBug| {
-            if confirmed || self.has_bug(unless) {
-                Decision::Reply(reply)
-            } else {
-                Decision::AwaitConfirmation
-            }
+        let if_confirmed = |reply, skips_confirmation: bool| {
+            if confirmed || skips_confirmation { Decision::Reply(reply) } else { Decision::AwaitConfirmation }
         };
         let newest = || Reply::Document(state.document().cloned());
         let Some(change) = ConfigurationChange::of(&queued.request) else {
-            return if_confirmed(newest(), InjectedBug::ReadUnconfirmed);
+            return if_confirmed(newest(), bug_injected!(self.bug_injection, ReadUnconfirmed));
         };
         if self.is_already_taken(state, &change) {
             return Decision::Reply(Reply::Accepted);
@@ -220,10 +216,10 @@
             return Decision::AwaitWrite;
         }
         let current = state.version();
-        if change.if_match != current && !self.has_bug(InjectedBug::IfMatchIgnored) {
-            if_confirmed(Reply::Conflict { current }, InjectedBug::ConflictUnconfirmed)
+        if change.if_match != current && !bug_injected!(self.bug_injection, IfMatchIgnored) {
+            if_confirmed(Reply::Conflict { current }, bug_injected!(self.bug_injection, ConflictUnconfirmed))
         } else if change.version <= current {
-            if_confirmed(Reply::NotNewer { current }, InjectedBug::NotNewerUnconfirmed)
+            if_confirmed(Reply::NotNewer { current }, bug_injected!(self.bug_injection, NotNewerUnconfirmed))
         } else if matches!(queued.request, Request::Base { .. }) {
             // It needs no confirmation: what was committed as this version is the only one, and the put that follows is
             // decided on its own.
@@ -234,9 +230,9 @@
     }
 
     fn is_already_taken(&self, state: &ReplicatedState, change: &ConfigurationChange) -> bool {
-        if self.has_bug(InjectedBug::VersionIdentifiesChange) && change.version == state.version() {
+        if bug_injected!(self.bug_injection, VersionIdentifiesChange) && change.version == state.version() {
             return true;
         }
-        state.has_applied(change.request) && !self.has_bug(InjectedBug::TakenNotRecognized)
+        state.has_applied(change.request) && !bug_injected!(self.bug_injection, TakenNotRecognized)
     }
 }
