--- a/crates/lockusher-control-simulation/src/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -2,9 +2,9 @@
 
 use rand::RngExt;
 
-use super::{
+use crate::{
+    cluster::World,
     operator::{Call, Change, Operator},
-    world::World,
 };
 use lockusher_control::{Event, Millis, Reply, Request, RequestTicket};
 
@@ -24,13 +24,13 @@
 }
 
 impl World {
-    pub(super) fn step_operators(&mut self) {
+    pub(crate) fn step_operators(&mut self) {
         for number in 0..self.operators.len() {
             self.step_operator(number, true);
         }
     }
 
-    pub(super) fn step_operator(&mut self, number: usize, may_read: bool) {
+    pub(crate) fn step_operator(&mut self, number: usize, may_read: bool) {
         self.expire_call(number);
         let operator = &mut self.operators[number];
         if operator.call.is_some() || self.now < operator.pause_until {
@@ -45,7 +45,7 @@
         self.call(number, change.request(), Some(change));
     }
 
-    pub(super) fn expire_call(&mut self, number: usize) {
+    pub(crate) fn expire_call(&mut self, number: usize) {
         let operator = &mut self.operators[number];
         if operator.call.as_ref().is_some_and(|call| call.deadline <= self.now) {
             operator.call = None;
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(super) fn call(&mut self, number: usize, request: Request, change: Option<Change>) {
+    pub(crate) fn call(&mut self, number: usize, request: Request, change: Option<Change>) {
         let mut running: Vec<usize> =
             (0..self.nodes.len()).filter(|node| self.nodes[*node].runs(self.now)).collect();
         if running.len() > 1 {
@@ -84,7 +84,7 @@
     }
 
     /// Delivers calls that were held, once their machine runs; one that is down or gone loses them.
-    pub(super) fn deliver_late_calls(&mut self) {
+    pub(crate) fn deliver_late_calls(&mut self) {
         let now = self.now;
         let (due, later): (Vec<LateCall>, Vec<LateCall>) =
             std::mem::take(&mut self.late_calls).into_iter().partition(|call| call.due <= now);
@@ -102,7 +102,7 @@
     }
 
     /// Asks one machine and waits for its answer.
-    pub(super) fn ask(&mut self, number: usize, request: Request) -> Option<Reply> {
+    pub(crate) fn ask(&mut self, number: usize, request: Request) -> Option<Reply> {
         self.ask_for(number, request, OPERATOR_PATIENCE)
     }
 
@@ -127,7 +127,7 @@
         None
     }
 
-    pub(super) fn on_reply(&mut self, ticket: RequestTicket, reply: Reply) {
+    pub(crate) fn on_reply(&mut self, ticket: RequestTicket, reply: Reply) {
         if let Some((asked, answer)) = &mut self.asked
             && *asked == ticket
         {
@@ -170,7 +170,7 @@
         }
     }
 
-    pub(super) fn on_read_reply(&mut self, ticket: RequestTicket, floor: u64, reply: Reply) {
+    pub(crate) fn on_read_reply(&mut self, ticket: RequestTicket, floor: u64, reply: Reply) {
         match reply {
             Reply::Document(document) => {
                 self.outcome.reads += 1;
--- a/crates/lockusher-control-simulation/src/world.rs
+++ b/crates/lockusher-control-simulation/src/cluster.rs
@@ -8,16 +8,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{
+use crate::{
     Outcome, SimulationOptions,
-    ambush::{Ambush, Strike},
     calls::LateCall,
     disk::Room,
-    history::History,
+    invariants::Obligations,
     network::{Delivery, Network},
     node::Node,
-    obligations::Obligations,
     operator::Operator,
+    reference_model::History,
+    targeted_faults::{Ambush, Strike},
 };
 use lockusher_control::{Effect, Event, Millis, Replica, ReplicaSetup, Reply, Request, RequestTicket};
 
@@ -25,8 +25,8 @@
 const FAULT_PERCENTS: [u32; 4] = [1, 3, 6, 12];
 
 /// Bounds of the simulated deployment.
-pub(super) const ACKNOWLEDGE_MS: Millis = 4000;
-pub(super) const CATCH_UP_MS: Millis = 4000;
+pub(crate) const ACKNOWLEDGE_MS: Millis = 4000;
+pub(crate) const CATCH_UP_MS: Millis = 4000;
 const TICK: Millis = 50;
 const SEEDS: usize = 3;
 const OPERATORS: usize = 3;
@@ -36,28 +36,28 @@
 /// A simulated deployment.
 #[derive(Debug)]
 pub struct World {
-    pub(super) options: SimulationOptions,
-    pub(super) now: Millis,
-    pub(super) random: ChaCha8Rng,
+    pub(crate) options: SimulationOptions,
+    pub(crate) now: Millis,
+    pub(crate) random: ChaCha8Rng,
     /// For the fault of the present step.
-    pub(super) fault_random: ChaCha8Rng,
-    pub(super) network: Network,
-    pub(super) nodes: Vec<Node>,
-    pub(super) operators: Vec<Operator>,
-    pub(super) history: History,
-    pub(super) obligations: Obligations,
+    pub(crate) fault_random: ChaCha8Rng,
+    pub(crate) network: Network,
+    pub(crate) nodes: Vec<Node>,
+    pub(crate) operators: Vec<Operator>,
+    pub(crate) history: History,
+    pub(crate) obligations: Obligations,
     /// A fault that waits for a step of the protocol.
-    pub(super) ambush: Option<Ambush>,
+    pub(crate) ambush: Option<Ambush>,
     /// Calls that were held on their way.
-    pub(super) late_calls: Vec<LateCall>,
+    pub(crate) late_calls: Vec<LateCall>,
     /// When a majority of the voters last wasn't well.
-    pub(super) minority_at: Millis,
-    pub(super) next_request: u64,
+    pub(crate) minority_at: Millis,
+    pub(crate) next_request: u64,
     /// A single request, and its answer.
-    pub(super) asked: Option<(RequestTicket, Option<Reply>)>,
+    pub(crate) asked: Option<(RequestTicket, Option<Reply>)>,
     /// How often a step is a fault or its end, in percent.
-    pub(super) fault_percent: u32,
-    pub(super) outcome: Outcome,
+    pub(crate) fault_percent: u32,
+    pub(crate) outcome: Outcome,
 }
 
 impl World {
@@ -170,7 +170,7 @@
     // Calm
 
     /// One operator writes, with retries; the version acknowledged.
-    pub(super) fn write_until_acknowledged(&mut self, limit: Millis) -> Option<u64> {
+    pub(crate) fn write_until_acknowledged(&mut self, limit: Millis) -> Option<u64> {
         let deadline = self.now + limit;
         self.operators.truncate(1);
         self.operators[0].change = None;
@@ -338,7 +338,7 @@
         present.iter().cycle().skip(skip).take(SEEDS.min(present.len())).copied().collect()
     }
 
-    pub(super) fn event(&mut self, number: usize, event: Event) {
+    pub(crate) fn event(&mut self, number: usize, event: Event) {
         let now = self.now;
         let Some(replica) = &mut self.nodes[number].replica else { return };
         let effects = replica.handle(now, event);
@@ -384,7 +384,7 @@
 }
 
 /// Address of the machine with this number.
-pub(super) fn address(number: usize) -> SocketAddrV4 {
+pub(crate) fn address(number: usize) -> SocketAddrV4 {
     let number = u8::try_from(number % 200).unwrap_or(0);
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number + 1), 7000)
 }
--- a/crates/lockusher-control-simulation/src/disk.rs
+++ b/crates/lockusher-control-simulation/src/disk.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::contents::Contents;
+use crate::disk_contents::Contents;
 use lockusher_control::{ConfigurationDocument, DurableRecord, Millis, PersistTicket, ReplicatedState};
 
 /// The log and the writes under way.
--- a/crates/lockusher-control-simulation/src/losses.rs
+++ b/crates/lockusher-control-simulation/src/disk_losses.rs
@@ -5,7 +5,7 @@
 
 use rand::RngExt;
 
-use super::world::{CATCH_UP_MS, World};
+use crate::cluster::{CATCH_UP_MS, World};
 use lockusher_control::{Millis, view_change::MAX_VOTERS};
 
 /// Time that a machine that lost its disk is down, and that a replacement takes to come.
@@ -25,7 +25,7 @@
 
 impl World {
     /// A machine counts as troubled until it has been well for a while; notes which are not well now.
-    pub(super) fn note_trouble(&mut self) {
+    pub(crate) fn note_trouble(&mut self) {
         let now = self.now;
         let lossy = self.network.loss > 0 || self.network.held > 0;
         for number in 0..self.nodes.len() {
@@ -55,13 +55,13 @@
     }
 
     /// How many machines may lose their disks now.
-    pub(super) fn wipes_allowed(&self) -> usize {
+    pub(crate) fn wipes_allowed(&self) -> usize {
         let lost = self.present().into_iter().filter(|number| self.nodes[*number].disk_lost);
         self.tolerated_losses().saturating_sub(lost.count())
     }
 
     /// Without further faults until a disk may be lost again; the operators go on. Whether one may.
-    pub(super) fn wait_until_wipe_allowed(&mut self) -> bool {
+    pub(crate) fn wait_until_wipe_allowed(&mut self) -> bool {
         if self.wipes_allowed() > 0 {
             return true;
         }
@@ -74,7 +74,7 @@
     }
 
     /// The operators go on for a moment within a fault.
-    pub(super) fn step_in_fault(&mut self, pause: std::ops::Range<Millis>) {
+    pub(crate) fn step_in_fault(&mut self, pause: std::ops::Range<Millis>) {
         self.note_trouble();
         self.step_operators();
         let pause = self.fault_random.random_range(pause);
@@ -102,7 +102,7 @@
     }
 
     /// Machines lose their disks, at times while all others lose power.
-    pub(super) fn wipe_some(&mut self, others_too: bool) {
+    pub(crate) fn wipe_some(&mut self, others_too: bool) {
         if !self.wait_until_wipe_allowed() {
             return;
         }
@@ -127,7 +127,7 @@
 
     /// A machine is removed for good and another one is added at a new address: after it, or before it and then the former
     /// one is stopped as planned.
-    pub(super) fn replace_one(&mut self) {
+    pub(crate) fn replace_one(&mut self) {
         if !self.wait_until_wipe_allowed() || self.nodes.len() >= MACHINE_LIMIT {
             return;
         }
@@ -172,7 +172,7 @@
     }
 
     /// One loss after another, each as soon as the one before is over.
-    pub(super) fn lose_in_a_row(&mut self) {
+    pub(crate) fn lose_in_a_row(&mut self) {
         let count = self.fault_random.random_range(2..=3);
         for _ in 0..count {
             match self.fault_random.random_range(0..4) {
@@ -184,7 +184,7 @@
     }
 
     /// A minority misses changes; one of the others loses its disk, the rest go dark, and the cut heals.
-    pub(super) fn leave_behind(&mut self) {
+    pub(crate) fn leave_behind(&mut self) {
         if !self.wait_until_wipe_allowed() {
             return;
         }
--- a/crates/lockusher-control-simulation/src/scenario.rs
+++ b/crates/lockusher-control-simulation/src/fault_actions.rs
@@ -1,10 +1,10 @@
 //! Faults and measurements by name, for scenarios.
 
-use super::{
+use crate::{
+    cluster::{ACKNOWLEDGE_MS, World, address},
     disk::Room,
     node::Node,
     operator::Change,
-    world::{ACKNOWLEDGE_MS, World, address},
 };
 use lockusher_control::{Event, Millis, Replica, Reply, Request};
 
--- a/crates/lockusher-control-simulation/src/faults.rs
+++ b/crates/lockusher-control-simulation/src/fault_schedule.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{disk::Room, world::World};
+use crate::{cluster::World, disk::Room};
 use lockusher_control::{Millis, view_change::MAX_VOTERS};
 
 /// Longest time that a killed process is down.
@@ -108,7 +108,7 @@
 impl World {
     /// Perhaps begins or ends a fault. What is drawn depends on the seed and the step alone, so that a fault that is left
     /// out of a run doesn't change the others.
-    pub(super) fn step_faults(&mut self, step: usize, left_out: &BTreeSet<usize>) {
+    pub(crate) fn step_faults(&mut self, step: usize, left_out: &BTreeSet<usize>) {
         self.note_trouble();
         if self.now < FIRST_FAULT {
             return;
@@ -147,11 +147,11 @@
         }
     }
 
-    pub(super) fn present(&self) -> Vec<usize> {
+    pub(crate) fn present(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|number| !self.nodes[*number].removed).collect()
     }
 
-    pub(super) fn pick(&mut self) -> usize {
+    pub(crate) fn pick(&mut self) -> usize {
         let present = self.present();
         present[self.fault_random.random_range(0..present.len())]
     }
@@ -166,7 +166,7 @@
         self.kill_for(number, DOWN);
     }
 
-    pub(super) fn kill_all(&mut self) {
+    pub(crate) fn kill_all(&mut self) {
         for number in self.present() {
             self.kill_for(number, QUICK_RETURN);
         }
@@ -222,7 +222,7 @@
     }
 
     /// Nothing passes between these machines and those.
-    pub(super) fn cut_apart(&mut self, some: &[usize], others: &[usize]) {
+    pub(crate) fn cut_apart(&mut self, some: &[usize], others: &[usize]) {
         for first in some {
             for second in others {
                 self.cut(*first, *second);
@@ -232,7 +232,7 @@
     }
 
     /// Nothing passes between a machine and all others.
-    pub(super) fn cut_off(&mut self, number: usize) {
+    pub(crate) fn cut_off(&mut self, number: usize) {
         let others: Vec<usize> = (0..self.nodes.len()).filter(|other| *other != number).collect();
         self.cut_apart(&[number], &others);
     }
--- a/crates/lockusher-control-simulation/src/checks.rs
+++ b/crates/lockusher-control-simulation/src/invariant_checks.rs
@@ -1,6 +1,6 @@
 //! Compares what the nodes do with what they owe: obligations towards each other, and copies of what is committed.
 
-use super::{contents::Contents, obligations::Breach, world::World};
+use crate::{cluster::World, disk_contents::Contents, invariants::Breach};
 use lockusher_control::{DurableRecord, Identity, Message};
 
 /// What a run is judged by.
@@ -26,7 +26,7 @@
     }
 
     /// A node sends a message.
-    pub(super) fn check_sent(&mut self, number: usize, message: &Message) {
+    pub(crate) fn check_sent(&mut self, number: usize, message: &Message) {
         if !self.looks_inside() {
             return;
         }
@@ -36,7 +36,7 @@
     }
 
     /// Records of a node have become durable.
-    pub(super) fn check_written(&mut self, number: usize, records: &[DurableRecord]) {
+    pub(crate) fn check_written(&mut self, number: usize, records: &[DurableRecord]) {
         if !self.looks_inside() {
             return;
         }
@@ -47,7 +47,7 @@
     }
 
     /// A node may have adopted a view.
-    pub(super) fn check_adopted(&mut self, number: usize) {
+    pub(crate) fn check_adopted(&mut self, number: usize) {
         let Some(view) = self.nodes[number].replica.as_ref().and_then(|replica| replica.view()) else {
             return;
         };
@@ -69,7 +69,7 @@
     }
 
     /// Every member of the newest chain whose disk isn't lost holds the newest configuration that was committed.
-    pub(super) fn check_copies(&mut self) {
+    pub(crate) fn check_copies(&mut self) {
         if !self.looks_inside() {
             return;
         }
@@ -91,7 +91,7 @@
     }
 
     /// A process has started: what it makes of its disk is what the disk holds.
-    pub(super) fn check_recovered(&mut self, number: usize) {
+    pub(crate) fn check_recovered(&mut self, number: usize) {
         let node = &self.nodes[number];
         let (Some(replica), Some(disk)) = (&node.replica, node.disk.contents()) else { return };
         if !self.looks_inside() || disk.identity().is_none() {
@@ -105,7 +105,7 @@
     }
 
     /// A snapshot takes the place of the log: it holds the same.
-    pub(super) fn check_snapshot(&mut self, number: usize, records: &[DurableRecord]) {
+    pub(crate) fn check_snapshot(&mut self, number: usize, records: &[DurableRecord]) {
         let node = &self.nodes[number];
         let Some(disk) = node.disk.contents().filter(|_| self.options.checks == Checks::Everything) else {
             return;
--- a/crates/lockusher-control-simulation/src/obligations.rs
+++ b/crates/lockusher-control-simulation/src/invariants.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use super::contents::Contents;
+use crate::disk_contents::Contents;
 use lockusher_control::{
     Digest, DurableRecord, Identity, Message, Position, View,
     message::{MessageBody, ProposalNumber, TransferPurpose},
--- a/crates/lockusher-control-simulation/src/lib.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -2,32 +2,32 @@
 //!
 //! Messages are lost, doubled, reordered and held up; processes are killed, frozen and cut off, one way and both;
 //! power fails, disks stall, fill up and are lost; machines are replaced; calls arrive late and twice. Some faults are
-//! aimed: at steps of the protocol (`ambush`), and at the moment in which an earlier loss is over (`losses`). What operators
+//! aimed: at steps of the protocol (`targeted_faults`), and at the moment in which an earlier loss is over (`disk_losses`). What operators
 //! are told is compared with a plain model of the configuration ([`History`]), and what the nodes do with what they owe each
-//! other (`obligations`).
+//! other (`invariants`).
 
-mod ambush;
 mod calls;
-mod checks;
-mod contents;
+mod cluster;
 mod disk;
-mod faults;
-mod history;
-mod losses;
+mod disk_contents;
+mod disk_losses;
+mod fault_actions;
+mod fault_schedule;
+mod invariant_checks;
+mod invariants;
 mod network;
 mod node;
-mod obligations;
 mod operator;
-mod scenario;
+mod reference_model;
 mod shrink;
-mod world;
+mod targeted_faults;
 
-pub use checks::Checks;
+pub use cluster::World;
 pub use disk::Room;
-pub use faults::{FaultKind, FaultStep};
-pub use history::History;
+pub use fault_schedule::{FaultKind, FaultStep};
+pub use invariant_checks::Checks;
+pub use reference_model::History;
 pub use shrink::{Shrunk, shrink};
-pub use world::World;
 
 use std::collections::BTreeSet;
 
--- a/crates/lockusher-control-simulation/src/node.rs
+++ b/crates/lockusher-control-simulation/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use super::disk::Disk;
+use crate::disk::Disk;
 use lockusher_control::{Millis, Replica};
 
 /// Longest time that a sync takes.
--- a/crates/lockusher-control-simulation/src/history.rs
+++ b/crates/lockusher-control-simulation/src/reference_model.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::operator::{Change, patched};
+use crate::operator::{Change, patched};
 use lockusher_control::{ConfigurationDocument, Digest, Millis};
 
 /// A configuration that an operator sent.
--- a/crates/lockusher-control-simulation/src/shrink.rs
+++ b/crates/lockusher-control-simulation/src/shrink.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{FaultStep, Outcome, SimulationOptions, simulate_without};
+use crate::{FaultStep, Outcome, SimulationOptions, simulate_without};
 
 /// Most runs that one shrinking takes.
 const RUN_LIMIT: usize = 600;
--- a/crates/lockusher-control-simulation/src/ambush.rs
+++ b/crates/lockusher-control-simulation/src/targeted_faults.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, seq::IndexedRandom};
 
-use super::world::World;
+use crate::cluster::World;
 use lockusher_control::{
     Effect, Millis,
     message::{MessageBody, TransferPurpose},
@@ -78,7 +78,7 @@
 
 impl World {
     /// Lays an ambush in place of the one that may be waiting.
-    pub(super) fn lay_ambush(&mut self) {
+    pub(crate) fn lay_ambush(&mut self) {
         let step = *STEPS.choose(&mut self.fault_random).unwrap_or(&ProtocolStep::Accepts);
         let time = self.fault_random.random_range(DOWN);
         let strike = match self.fault_random.random_range(0..5) {
@@ -92,7 +92,7 @@
     }
 
     /// The strike on a node that does this, if one waits for it.
-    pub(super) fn sprung_by(&mut self, effects: &[Effect]) -> Option<Strike> {
+    pub(crate) fn sprung_by(&mut self, effects: &[Effect]) -> Option<Strike> {
         let ambush = self.ambush.as_mut()?;
         if !effects.iter().any(|effect| step_of(effect) == Some(ambush.step)) {
             return None;
@@ -105,7 +105,7 @@
     }
 
     /// Strikes a node that has done what was waited for. Its effects have been carried out, unless it died before.
-    pub(super) fn strike(&mut self, number: usize, strike: Strike) {
+    pub(crate) fn strike(&mut self, number: usize, strike: Strike) {
         match strike {
             Strike::KillBefore { down } | Strike::KillAfter { down } => self.kill(number, down),
             Strike::CutOff => self.cut_off(number),
