--- a/crates/lockusher-aggregator-testbed/src/chain.rs
+++ b/crates/lockusher-aggregator-testbed/src/chain.rs
@@ -11,7 +11,7 @@
 use lockusher_control_simulation::{Checks, Outcome, SimulationOptions, shrink, simulate_with};
 
 /// The simulation has nodes at addresses of one network.
-const MOST_REPLICAS: usize = 9;
+const MAX_REPLICAS: usize = 9;
 
 /// What is run.
 #[derive(Clone, Copy, Debug)]
@@ -115,7 +115,7 @@
 
 /// Simulates the runs on several threads.
 pub fn simulate_all(options: &ChainRuns) -> anyhow::Result<ChainTotals> {
-    ensure!((1..=MOST_REPLICAS).contains(&options.replicas), "replicas: expected 1 to {MOST_REPLICAS}");
+    ensure!((1..=MAX_REPLICAS).contains(&options.replicas), "replicas: expected 1 to {MAX_REPLICAS}");
     ensure!(options.runs > 0, "runs: expected 1 at least");
     ensure!(options.seed.checked_add(options.runs).is_some(), "seed: too high for so many runs");
     let next_run = AtomicU64::new(0);
--- a/crates/lockusher-aggregator-testbed/src/lib.rs
+++ b/crates/lockusher-aggregator-testbed/src/lib.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs, clippy::missing_errors_doc, clippy::too_many_lines)]
 
 pub mod chain;
-pub mod chain_mistakes;
+pub mod chain_injected_bugs;
 pub mod check;
 pub mod demo;
 pub mod fleet;
--- a/crates/lockusher-aggregator-testbed/src/main.rs
+++ b/crates/lockusher-aggregator-testbed/src/main.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use lockusher_aggregator_testbed::{chain, chain_mistakes, demo, http2, large, mixers, soak, standstill};
+use lockusher_aggregator_testbed::{
+    chain, chain_injected_bugs, demo, http2, large, mixers, soak, standstill,
+};
 use lockusher_control::InjectedBug;
 use lockusher_control_simulation::Checks;
 use lockusher_policy::interface::Span;
@@ -163,8 +165,9 @@
         #[arg(long)]
         threads: Option<std::num::NonZero<usize>>,
     },
-    /// How often the same shows each mistake that is planted in it; a line for each.
-    ChainMistakes {
+    /// How often the same simulation detects each injected bug; a line for each.
+    #[command(alias = "chain-mistakes")]
+    ChainInjectedBugs {
         /// Control nodes at the start, 1 to 9.
         #[arg(long)]
         replicas: usize,
@@ -174,14 +177,14 @@
         /// Steps under faults in each run.
         #[arg(long, default_value_t = 500)]
         steps: usize,
-        /// Runs with each mistake.
+        /// Runs with each bug.
         #[arg(long, default_value_t = 200)]
         runs: u64,
-        /// Judge by what operators and agents are told alone, not by what nodes owe each other.
+        /// Check only what operators and agents observe, not the invariants between nodes.
         #[arg(long)]
         told_only: bool,
-        /// One mistake, by its name in lockusher_control::Mistake.
-        #[arg(long)]
+        /// One bug, by its name in lockusher_control::InjectedBug.
+        #[arg(long, alias = "mistake")]
         injected_bug: Option<String>,
     },
     /// The mixer itself, as the stories start it.
@@ -248,18 +251,18 @@
         }
         Command::Chain { replicas, seed, steps, runs, threads } => {
             let threads = threads.unwrap_or_else(chain::default_threads);
-            let (injected_bug, checks) = (None, Checks::Everything);
+            let (injected_bug, checks) = (None, Checks::All);
             let options = chain::ChainRuns { replicas, seed, steps, runs, threads, injected_bug, checks };
             chain::run(&options, &mut std::io::stdout().lock())
         }
-        Command::ChainMistakes { replicas, seed, steps, runs, told_only, injected_bug } => {
+        Command::ChainInjectedBugs { replicas, seed, steps, runs, told_only, injected_bug } => {
             let threads = chain::default_threads();
-            let checks = if told_only { Checks::ToldOnly } else { Checks::Everything };
+            let checks = if told_only { Checks::ExternallyVisible } else { Checks::All };
             let options =
                 chain::ChainRuns { replicas, seed, steps, runs, threads, injected_bug: None, checks };
             match injected_bug.map(|name| InjectedBug::named(&name).ok_or(name)).transpose() {
-                Ok(one) => chain_mistakes::run(&options, one, &mut std::io::stdout().lock()),
-                Err(name) => Err(anyhow::anyhow!("mistake: {name} is none of {:?}", InjectedBug::ALL)),
+                Ok(one) => chain_injected_bugs::run(&options, one, &mut std::io::stdout().lock()),
+                Err(name) => Err(anyhow::anyhow!("injected-bug: {name} is none of {:?}", InjectedBug::ALL)),
             }
         }
         Command::Large { protocol, entries, changes, seconds } => {
--- a/crates/lockusher-aggregator-testbed/tests/chain.rs
+++ b/crates/lockusher-aggregator-testbed/tests/chain.rs
@@ -8,7 +8,7 @@
 
 fn options(replicas: usize, runs: u64, threads: usize) -> ChainRuns {
     let threads = NonZero::new(threads).expect("at least one thread");
-    ChainRuns { replicas, seed: 40, steps: 60, runs, threads, injected_bug: None, checks: Checks::Everything }
+    ChainRuns { replicas, seed: 40, steps: 60, runs, threads, injected_bug: None, checks: Checks::All }
 }
 
 fn lines(output: Vec<u8>) -> Vec<String> {
--- a/crates/lockusher-control-simulation/src/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -3,27 +3,27 @@
 use rand::RngExt;
 
 use crate::{
-    cluster::World,
+    cluster::Cluster,
     operator::{Call, Change, Operator},
 };
 use lockusher_control::{Event, Millis, Reply, Request, RequestTicket};
 
 /// An operator moves on after this silence.
-const OPERATOR_PATIENCE: Millis = 1000;
+const OPERATOR_TIMEOUT_MS: Millis = 1000;
 /// One change in so many reaches another machine, too, sooner or later.
-const DOUBLED_CALLS: u32 = 8;
+const DUPLICATE_ONE_CALL_IN: u32 = 8;
 /// How late a doubled call comes at most.
-const LATE: std::ops::Range<Millis> = 1..12_000;
+const CALL_DELAY_MS: std::ops::Range<Millis> = 1..12_000;
 
 /// A call that is held on its way; nobody waits for its answer.
 #[derive(Clone, Debug)]
-pub struct LateCall {
+pub struct DelayedCall {
     pub due: Millis,
     node: usize,
     request: Request,
 }
 
-impl World {
+impl Cluster {
     pub(crate) fn step_operators(&mut self) {
         for number in 0..self.operators.len() {
             self.step_operator(number, true);
@@ -33,7 +33,7 @@
     pub(crate) fn step_operator(&mut self, number: usize, may_read: bool) {
         self.expire_call(number);
         let operator = &mut self.operators[number];
-        if operator.call.is_some() || self.now < operator.pause_until {
+        if operator.call.is_some() || self.now < operator.idle_until {
             return;
         }
         if may_read && operator.change.is_none() && self.random.random_ratio(1, 3) {
@@ -41,7 +41,7 @@
             return;
         }
         let change = operator.next_change(&mut self.random);
-        self.history.send(&change);
+        self.model.send(&change);
         self.call(number, change.request(), Some(change));
     }
 
@@ -49,7 +49,7 @@
         let operator = &mut self.operators[number];
         if operator.call.as_ref().is_some_and(|call| call.deadline <= self.now) {
             operator.call = None;
-            operator.begin_again();
+            operator.restart_patch();
             self.outcome.unanswered += 1;
         }
     }
@@ -58,41 +58,41 @@
         let mut running: Vec<usize> =
             (0..self.nodes.len()).filter(|node| self.nodes[*node].runs(self.now)).collect();
         if running.len() > 1 {
-            running.retain(|node| Some(*node) != self.operators[number].asked);
+            running.retain(|node| Some(*node) != self.operators[number].last_node);
         }
         if running.is_empty() {
             return;
         }
         let node = running[self.random.random_range(0..running.len())];
-        self.operators[number].asked = Some(node);
+        self.operators[number].last_node = Some(node);
         self.next_request += 1;
         let ticket = RequestTicket(self.next_request);
-        let floor = self.history.floor();
-        let deadline = self.now + OPERATOR_PATIENCE;
+        let floor = self.model.floor();
+        let deadline = self.now + OPERATOR_TIMEOUT_MS;
         self.operators[number].call = Some(Call { ticket, deadline, floor, is_read: change.is_none() });
-        if change.is_some() && self.random.random_ratio(1, DOUBLED_CALLS) {
-            self.hold_call(request.clone());
+        if change.is_some() && self.random.random_ratio(1, DUPLICATE_ONE_CALL_IN) {
+            self.delay_call(request.clone());
         }
         self.event(node, Event::Request { ticket, request });
     }
 
     /// The same call reaches some machine late, also one that doesn't run now.
-    fn hold_call(&mut self, request: Request) {
+    fn delay_call(&mut self, request: Request) {
         let node = self.random.random_range(0..self.nodes.len());
-        let due = self.now + self.random.random_range(LATE);
-        self.late_calls.push(LateCall { due, node, request });
+        let due = self.now + self.random.random_range(CALL_DELAY_MS);
+        self.delayed_calls.push(DelayedCall { due, node, request });
     }
 
     /// Delivers calls that were held, once their machine runs; one that is down or gone loses them.
-    pub(crate) fn deliver_late_calls(&mut self) {
+    pub(crate) fn deliver_delayed_calls(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<LateCall>, Vec<LateCall>) =
-            std::mem::take(&mut self.late_calls).into_iter().partition(|call| call.due <= now);
-        self.late_calls = later;
+        let (due, later): (Vec<DelayedCall>, Vec<DelayedCall>) =
+            std::mem::take(&mut self.delayed_calls).into_iter().partition(|call| call.due <= now);
+        self.delayed_calls = later;
         for call in due {
             let node = &self.nodes[call.node];
             if node.frozen_until > now && node.replica.is_some() {
-                self.late_calls.push(LateCall { due: node.frozen_until, ..call });
+                self.delayed_calls.push(DelayedCall { due: node.frozen_until, ..call });
             } else if node.runs(now) {
                 self.next_request += 1;
                 let ticket = RequestTicket(self.next_request);
@@ -102,24 +102,24 @@
     }
 
     /// Asks one machine and waits for its answer.
-    pub(crate) fn ask(&mut self, number: usize, request: Request) -> Option<Reply> {
-        self.ask_for(number, request, OPERATOR_PATIENCE)
+    pub(crate) fn request(&mut self, number: usize, request: Request) -> Option<Reply> {
+        self.request_within(number, request, OPERATOR_TIMEOUT_MS)
     }
 
-    /// Asks one machine and waits for its answer for this time. It may still come, see [`World::await_answer`].
-    pub fn ask_for(&mut self, number: usize, request: Request, patience: Millis) -> Option<Reply> {
+    /// Asks one machine and waits for its answer for this time. It may still come, see [`Cluster::await_reply`].
+    pub fn request_within(&mut self, number: usize, request: Request, timeout: Millis) -> Option<Reply> {
         self.next_request += 1;
         let ticket = RequestTicket(self.next_request);
-        self.asked = Some((ticket, None));
+        self.pending_request = Some((ticket, None));
         self.event(number, Event::Request { ticket, request });
-        self.await_answer(patience)
+        self.await_reply(timeout)
     }
 
     /// Waits for the answer to the last question.
-    pub fn await_answer(&mut self, patience: Millis) -> Option<Reply> {
-        let deadline = self.now + patience;
+    pub fn await_reply(&mut self, timeout: Millis) -> Option<Reply> {
+        let deadline = self.now + timeout;
         while self.now < deadline {
-            if let Some((_, Some(reply))) = &self.asked {
+            if let Some((_, Some(reply))) = &self.pending_request {
                 return Some(reply.clone());
             }
             self.advance(self.now + 5);
@@ -128,7 +128,7 @@
     }
 
     pub(crate) fn on_reply(&mut self, ticket: RequestTicket, reply: Reply) {
-        if let Some((asked, answer)) = &mut self.asked
+        if let Some((asked, answer)) = &mut self.pending_request
             && *asked == ticket
         {
             *answer = Some(reply);
@@ -138,7 +138,7 @@
             |operator: &&mut Operator| operator.call.as_ref().is_some_and(|call| call.ticket == ticket);
         let Some(operator) = self.operators.iter_mut().find(is_it) else { return };
         let Some(call) = operator.call.take() else { return };
-        operator.pause_until = self.now + self.random.random_range(0..100);
+        operator.idle_until = self.now + self.random.random_range(0..100);
         if call.is_read {
             self.on_read_reply(ticket, call.floor, reply);
             return;
@@ -147,24 +147,24 @@
         match reply {
             Reply::Accepted => {
                 operator.change = None;
-                operator.believed = operator.believed.max(change.version);
-                if !change.again {
-                    operator.acknowledged.push(change.clone().restarted());
+                operator.known_version = operator.known_version.max(change.version);
+                if !change.is_resent {
+                    operator.acknowledged.push(change.clone().without_base());
                 }
-                self.history.acknowledge(change.identity, self.now);
+                self.model.acknowledge(change.identity, self.now);
             }
             Reply::Conflict { current } | Reply::NotNewer { current } => {
                 operator.change = None;
-                operator.believed = current;
-                self.history.refuse(change.identity, call.floor, self.now);
+                operator.known_version = current;
+                self.model.refuse(change.identity, call.floor, self.now);
             }
             Reply::Unavailable => {
-                operator.begin_again();
+                operator.restart_patch();
                 self.outcome.unanswered += 1;
             }
             Reply::Document(document) => {
-                if !operator.take_base(document) {
-                    self.history.violations.push(format!("{}: a document answers {ticket:?}", self.now));
+                if !operator.receive_base(document) {
+                    self.model.violations.push(format!("{}: a document answers {ticket:?}", self.now));
                 }
             }
         }
@@ -174,10 +174,10 @@
         match reply {
             Reply::Document(document) => {
                 self.outcome.reads += 1;
-                self.history.read(document.as_ref(), floor, self.now);
+                self.model.read(document.as_ref(), floor, self.now);
             }
             Reply::Unavailable => self.outcome.unanswered += 1,
-            other => self.history.violations.push(format!("{}: {other:?} answers read {ticket:?}", self.now)),
+            other => self.model.violations.push(format!("{}: {other:?} answers read {ticket:?}", self.now)),
         }
     }
 }
--- a/crates/lockusher-control-simulation/src/cluster.rs
+++ b/crates/lockusher-control-simulation/src/cluster.rs
@@ -10,14 +10,14 @@
 
 use crate::{
     Outcome, SimulationOptions,
-    calls::LateCall,
-    disk::Room,
-    invariants::Obligations,
+    calls::DelayedCall,
+    disk::DiskSpace,
+    invariants::ProtocolInvariants,
     network::{Delivery, Network},
     node::Node,
     operator::Operator,
-    reference_model::History,
-    targeted_faults::{Ambush, Strike},
+    reference_model::ReferenceModel,
+    targeted_faults::{FaultAction, TargetedFault},
 };
 use lockusher_control::{Effect, Event, Millis, Replica, ReplicaSetup, Reply, Request, RequestTicket};
 
@@ -27,15 +27,15 @@
 /// Bounds of the simulated deployment.
 pub(crate) const ACKNOWLEDGE_MS: Millis = 4000;
 pub(crate) const CATCH_UP_MS: Millis = 4000;
-const TICK: Millis = 50;
-const SEEDS: usize = 3;
-const OPERATORS: usize = 3;
+const TICK_MS: Millis = 50;
+const SEED_COUNT: usize = 3;
+const OPERATOR_COUNT: usize = 3;
 /// Within this time every node knows the newest configuration.
-const LEARN_MS: Millis = 2000;
+const DISSEMINATION_MS: Millis = 2000;
 
 /// A simulated deployment.
 #[derive(Debug)]
-pub struct World {
+pub struct Cluster {
     pub(crate) options: SimulationOptions,
     pub(crate) now: Millis,
     pub(crate) random: ChaCha8Rng,
@@ -44,23 +44,23 @@
     pub(crate) network: Network,
     pub(crate) nodes: Vec<Node>,
     pub(crate) operators: Vec<Operator>,
-    pub(crate) history: History,
-    pub(crate) obligations: Obligations,
+    pub(crate) model: ReferenceModel,
+    pub(crate) invariants: ProtocolInvariants,
     /// A fault that waits for a step of the protocol.
-    pub(crate) ambush: Option<Ambush>,
+    pub(crate) targeted_fault: Option<TargetedFault>,
     /// Calls that were held on their way.
-    pub(crate) late_calls: Vec<LateCall>,
+    pub(crate) delayed_calls: Vec<DelayedCall>,
     /// When a majority of the voters last wasn't well.
-    pub(crate) minority_at: Millis,
+    pub(crate) majority_unhealthy_at: Millis,
     pub(crate) next_request: u64,
     /// A single request, and its answer.
-    pub(crate) asked: Option<(RequestTicket, Option<Reply>)>,
+    pub(crate) pending_request: Option<(RequestTicket, Option<Reply>)>,
     /// How often a step is a fault or its end, in percent.
     pub(crate) fault_percent: u32,
     pub(crate) outcome: Outcome,
 }
 
-impl World {
+impl Cluster {
     /// A first start of all nodes within 0.3 s.
     pub fn new(options: SimulationOptions) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(options.seed);
@@ -75,14 +75,14 @@
             random,
             network: Network::default(),
             nodes,
-            operators: (0..OPERATORS).map(Operator::new).collect(),
-            history: History::default(),
-            obligations: Obligations::default(),
-            ambush: None,
-            late_calls: Vec::new(),
-            minority_at: 0,
+            operators: (0..OPERATOR_COUNT).map(Operator::new).collect(),
+            model: ReferenceModel::default(),
+            invariants: ProtocolInvariants::default(),
+            targeted_fault: None,
+            delayed_calls: Vec::new(),
+            majority_unhealthy_at: 0,
             next_request: 0,
-            asked: None,
+            pending_request: None,
             fault_percent,
             outcome: Outcome::default(),
         }
@@ -94,40 +94,40 @@
     }
 
     /// Steps under faults and calls; the faults of some steps are left out.
-    pub fn run_faulty(&mut self, steps: usize, left_out: &BTreeSet<usize>) {
+    pub fn run_under_faults(&mut self, steps: usize, left_out: &BTreeSet<usize>) {
         for step in 0..steps {
-            if !self.history.violations.is_empty() {
+            if !self.model.violations.is_empty() {
                 return;
             }
             self.step_faults(step, left_out);
             self.step_operators();
-            let pause = self.random.random_range(5..60);
-            self.advance(self.now + pause);
+            let interval = self.random.random_range(5..60);
+            self.advance(self.now + interval);
         }
     }
 
     /// Ends all faults, and checks that the system comes back and holds what it told.
-    pub fn run_calm(&mut self) {
-        if !self.history.violations.is_empty() {
+    pub fn run_recovery(&mut self) {
+        if !self.model.violations.is_empty() {
             return;
         }
         self.end_faults();
-        let calm_since = self.now;
+        let faults_ended_at = self.now;
         let Some(version) = self.write_until_acknowledged(ACKNOWLEDGE_MS) else {
             let text = format!("{}: no write acknowledged after calm returned", self.now);
-            self.history.violations.push(text);
+            self.model.violations.push(text);
             return;
         };
-        self.outcome.recovery_ms = self.now - calm_since;
+        self.outcome.recovery_ms = self.now - faults_ended_at;
         let rest = CATCH_UP_MS.saturating_sub(self.outcome.recovery_ms);
-        if self.run_until_whole(rest).is_none() {
+        if self.run_until_all_members(rest).is_none() {
             let text = format!("{}: not all are members of the chain", self.now);
-            self.history.violations.push(text);
+            self.model.violations.push(text);
         }
-        self.outcome.settle_ms = self.now - calm_since;
-        self.check_learned(version);
+        self.outcome.settle_ms = self.now - faults_ended_at;
+        self.check_all_know(version);
         self.check_last_read();
-        self.history.finish(self.now);
+        self.model.finish(self.now);
     }
 
     /// The result.
@@ -136,8 +136,8 @@
             self.nodes.iter().filter_map(|node| node.replica.as_ref()?.view()).map(|view| view.epoch);
         Outcome {
             epochs: epochs.max().unwrap_or(0),
-            acknowledged: self.history.acknowledged,
-            violations: self.history.violations,
+            acknowledged: self.model.acknowledged,
+            violations: self.model.violations,
             messages: self.network.sent,
             ..self.outcome
         }
@@ -175,11 +175,11 @@
         self.operators.truncate(1);
         self.operators[0].change = None;
         self.operators[0].call = None;
-        self.operators[0].pause_until = 0;
+        self.operators[0].idle_until = 0;
         let acknowledged_before = self.operators[0].acknowledged.len();
         while self.now < deadline {
             if self.operators[0].call.is_none() && self.operators[0].change.is_none() {
-                let change = self.operators[0].new_whole(&mut self.random);
+                let change = self.operators[0].new_full_document(&mut self.random);
                 self.operators[0].change = Some(change);
             }
             self.step_operator(0, false);
@@ -192,13 +192,13 @@
         None
     }
 
-    fn check_learned(&mut self, version: u64) {
-        self.advance(self.now + LEARN_MS);
+    fn check_all_know(&mut self, version: u64) {
+        self.advance(self.now + DISSEMINATION_MS);
         for node in self.nodes.iter().filter(|node| !node.removed) {
             let known = node.replica.as_ref().and_then(|replica| replica.committed());
             if known.map_or(0, |document| document.version) < version {
                 let text = format!("{}: {} didn't learn version {version}", self.now, node.address);
-                self.history.violations.push(text);
+                self.model.violations.push(text);
             }
         }
     }
@@ -214,7 +214,7 @@
             self.expire_call(0);
         }
         if self.outcome.reads == reads {
-            self.history.violations.push(format!("{}: no read answered after calm returned", self.now));
+            self.model.violations.push(format!("{}: no read answered after calm returned", self.now));
         }
     }
 
@@ -225,7 +225,7 @@
         while let Some(next) = self.next_time().filter(|next| *next <= until) {
             self.now = self.now.max(next);
             self.deliver();
-            self.deliver_late_calls();
+            self.deliver_delayed_calls();
             for node in 0..self.nodes.len() {
                 self.run_node(node);
             }
@@ -240,7 +240,7 @@
             let disk = node.disk.next_due().filter(|_| node.replica.is_some());
             [start, tick, disk.map(|due| due.max(node.frozen_until))].into_iter().flatten()
         });
-        let late = self.late_calls.iter().map(|call| call.due);
+        let late = self.delayed_calls.iter().map(|call| call.due);
         nodes.chain(late).chain(self.network.next_due()).min()
     }
 
@@ -280,7 +280,7 @@
         }
         let node = &mut self.nodes[number];
         if node.next_tick <= now {
-            node.next_tick = now + TICK;
+            node.next_tick = now + TICK_MS;
             self.event(number, Event::Tick);
             self.take_snapshot(number);
         }
@@ -289,7 +289,7 @@
     /// As a storage does: the snapshot takes the place of the log while no write is under way.
     fn take_snapshot(&mut self, number: usize) {
         let node = &self.nodes[number];
-        if !node.disk.wants_snapshot() || node.disk.room != Room::Enough {
+        if !node.disk.wants_snapshot() || node.disk.space != DiskSpace::Sufficient {
             return;
         }
         let Some(records) = node.replica.as_ref().map(Replica::snapshot) else { return };
@@ -303,7 +303,7 @@
         let node = &mut self.nodes[number];
         let setup = ReplicaSetup {
             address: node.address,
-            seeds: (0..SEEDS.min(self.options.replicas)).map(address).collect(),
+            seeds: (0..SEED_COUNT.min(self.options.replicas)).map(address).collect(),
             first_start: node.first_start,
             tolerated_losses,
             acknowledge_ms: ACKNOWLEDGE_MS,
@@ -320,7 +320,7 @@
         let node = &mut self.nodes[number];
         node.replica = Some(replica);
         node.start_at = None;
-        node.next_tick = self.now + TICK;
+        node.next_tick = self.now + TICK_MS;
         node.committed_version = 0;
         self.check_recovered(number);
         self.carry_out(number, effects);
@@ -335,19 +335,19 @@
         let present: Vec<SocketAddrV4> =
             self.nodes.iter().filter(|node| !node.removed).map(|node| node.address).collect();
         let skip = self.random.random_range(0..present.len());
-        present.iter().cycle().skip(skip).take(SEEDS.min(present.len())).copied().collect()
+        present.iter().cycle().skip(skip).take(SEED_COUNT.min(present.len())).copied().collect()
     }
 
     pub(crate) fn event(&mut self, number: usize, event: Event) {
         let now = self.now;
         let Some(replica) = &mut self.nodes[number].replica else { return };
         let effects = replica.handle(now, event);
-        let strike = self.sprung_by(&effects);
-        if !matches!(strike, Some(Strike::KillBefore { .. })) {
+        let fault_action = self.targeted_fault_triggered_by(&effects);
+        if !matches!(fault_action, Some(FaultAction::CrashBeforeSend { .. })) {
             self.carry_out(number, effects);
         }
-        if let Some(strike) = strike {
-            self.strike(number, strike);
+        if let Some(fault_action) = fault_action {
+            self.apply_fault_action(number, fault_action);
         }
     }
 
@@ -366,17 +366,17 @@
                 }
                 Effect::Reply { ticket, reply } => self.on_reply(ticket, reply),
                 Effect::Committed(document) => {
-                    if self.history.commit(&document, now) {
-                        self.check_copies();
+                    if self.model.commit(&document, now) {
+                        self.check_committed_is_stored();
                     }
                     let node = &mut self.nodes[number];
                     if document.version <= node.committed_version {
                         let text = format!("{now}: {from} went back to version {}", document.version);
-                        self.history.violations.push(text);
+                        self.model.violations.push(text);
                     }
                     node.committed_version = document.version;
                 }
-                Effect::RoleChanged { head: true, epoch } => self.history.head(epoch, from, now),
+                Effect::RoleChanged { head: true, epoch } => self.model.head(epoch, from, now),
                 Effect::RoleChanged { .. } | Effect::Members(_) => {}
             }
         }
--- a/crates/lockusher-control-simulation/src/disk.rs
+++ b/crates/lockusher-control-simulation/src/disk.rs
@@ -5,7 +5,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::disk_contents::Contents;
+use crate::disk_contents::DiskContents;
 use lockusher_control::{ConfigurationDocument, DurableRecord, Millis, PersistTicket, ReplicatedState};
 
 /// The log and the writes under way.
@@ -13,28 +13,28 @@
 pub struct Disk {
     log: Vec<DurableRecord>,
     /// What the log adds up to.
-    contents: Contents,
+    contents: DiskContents,
     /// It was altered behind the back of its owner.
-    falsified: bool,
+    corrupted: bool,
     writes: VecDeque<Write>,
     /// Nothing is synced until then.
     pub stalled_until: Millis,
     /// What is refused.
-    pub room: Room,
-    usual_sync: Millis,
+    pub space: DiskSpace,
+    normal_max_sync: Millis,
     /// Longest time that a sync takes now.
-    pub slowest_sync: Millis,
+    pub max_sync: Millis,
 }
 
 /// Room on a disk.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Room {
+pub enum DiskSpace {
     #[default]
-    Enough,
+    Sufficient,
     /// For votes only: entries and states are refused.
-    Little,
+    VotesOnly,
     /// Every write is refused.
-    None,
+    Full,
 }
 
 #[derive(Debug)]
@@ -53,24 +53,24 @@
 }
 
 /// Log records after which the simulated storage asks for a snapshot.
-const SNAPSHOT_AFTER: usize = 60;
+const SNAPSHOT_AFTER_RECORDS: usize = 60;
 
 impl Disk {
     /// An empty disk whose syncs usually take up to this time.
-    pub fn new(usual_sync: Millis) -> Self {
-        Self { usual_sync, slowest_sync: usual_sync, ..Self::default() }
+    pub fn new(normal_max_sync: Millis) -> Self {
+        Self { normal_max_sync, max_sync: normal_max_sync, ..Self::default() }
     }
 
     /// Ends slowness, stalls and the lack of room; what waited is written at the usual pace.
-    pub fn relieve(&mut self, now: Millis) {
+    pub fn recover(&mut self, now: Millis) {
         let mut usual_due = now;
         for write in &mut self.writes {
-            usual_due += self.usual_sync;
+            usual_due += self.normal_max_sync;
             write.due = write.due.min(usual_due);
         }
-        self.slowest_sync = self.usual_sync;
+        self.max_sync = self.normal_max_sync;
         self.stalled_until = self.stalled_until.min(now);
-        self.room = Room::Enough;
+        self.space = DiskSpace::Sufficient;
     }
 
     /// Begins a write.
@@ -82,13 +82,15 @@
         random: &mut ChaCha8Rng,
     ) {
         let after_last = self.writes.back().map_or(now, |write| write.due).max(now);
-        let due = after_last + random.random_range(1..=self.slowest_sync.max(1));
+        let due = after_last + random.random_range(1..=self.max_sync.max(1));
         self.writes.push_back(Write { ticket, records, due });
     }
 
     /// Whether it works as usual.
-    pub fn is_well(&self, now: Millis) -> bool {
-        self.stalled_until <= now && self.room == Room::Enough && self.slowest_sync == self.usual_sync
+    pub fn is_healthy(&self, now: Millis) -> bool {
+        self.stalled_until <= now
+            && self.space == DiskSpace::Sufficient
+            && self.max_sync == self.normal_max_sync
     }
 
     /// When the next write ends.
@@ -102,57 +104,57 @@
             return None;
         }
         let write = self.writes.pop_front()?;
-        let refused = refuses(self.room, &write.records);
+        let refused = refuses(self.space, &write.records);
         if !refused {
-            self.keep(&write.records);
+            self.append(&write.records);
         }
         Some(Finished { ticket: write.ticket, durable: (!refused).then_some(write.records) })
     }
 
-    fn keep(&mut self, records: &[DurableRecord]) {
+    fn append(&mut self, records: &[DurableRecord]) {
         records.iter().for_each(|record| self.contents.add(record));
         self.log.extend_from_slice(records);
     }
 
     /// The process ends or power is lost: of the writes under way, some may be there, in order.
     pub fn interrupt(&mut self, random: &mut ChaCha8Rng) {
-        let kept = random.random_range(0..=self.writes.len());
-        for write in std::mem::take(&mut self.writes).into_iter().take(kept) {
-            if !refuses(self.room, &write.records) {
-                self.keep(&write.records);
+        let completed = random.random_range(0..=self.writes.len());
+        for write in std::mem::take(&mut self.writes).into_iter().take(completed) {
+            if !refuses(self.space, &write.records) {
+                self.append(&write.records);
             }
         }
     }
 
     /// Loses everything.
     pub fn wipe(&mut self) {
-        *self = Self::new(self.usual_sync);
+        *self = Self::new(self.normal_max_sync);
     }
 
     /// The newest configuration on it becomes another one, in a way that no checksum shows. Whether there was one.
-    pub fn falsify(&mut self) -> bool {
-        let false_document = |document: &ConfigurationDocument| {
+    pub fn corrupt(&mut self) -> bool {
+        let corrupted_document = |document: &ConfigurationDocument| {
             ConfigurationDocument::new(document.version, Arc::from(b"false".as_slice()))
         };
         for record in self.log.iter_mut().rev() {
             match record {
-                DurableRecord::Entry { document, .. } => *document = false_document(document),
+                DurableRecord::Entry { document, .. } => *document = corrupted_document(document),
                 DurableRecord::State { state, .. } => {
                     let Some(document) = state.document() else { return false };
-                    *state = ReplicatedState::default().with(false_document(document));
+                    *state = ReplicatedState::default().with(corrupted_document(document));
                 }
                 _ => continue,
             }
-            self.contents = Contents::of(&self.log);
-            self.falsified = true;
+            self.contents = DiskContents::of(&self.log);
+            self.corrupted = true;
             return true;
         }
         false
     }
 
     /// What it durably holds; none if it was altered behind the back of its owner.
-    pub fn contents(&self) -> Option<&Contents> {
-        (!self.falsified).then_some(&self.contents)
+    pub fn contents(&self) -> Option<&DiskContents> {
+        (!self.corrupted).then_some(&self.contents)
     }
 
     /// What a start finds.
@@ -162,21 +164,21 @@
 
     /// Whether the log is long enough to be replaced by a snapshot.
     pub fn wants_snapshot(&self) -> bool {
-        self.log.len() > SNAPSHOT_AFTER && self.writes.is_empty()
+        self.log.len() > SNAPSHOT_AFTER_RECORDS && self.writes.is_empty()
     }
 
     /// Replaces the log.
     pub fn replace(&mut self, records: Vec<DurableRecord>) {
-        self.contents = Contents::of(&records);
+        self.contents = DiskContents::of(&records);
         self.log = records;
     }
 }
 
-fn refuses(room: Room, records: &[DurableRecord]) -> bool {
-    match room {
-        Room::Enough => false,
-        Room::Little => records.iter().any(is_large),
-        Room::None => true,
+fn refuses(space: DiskSpace, records: &[DurableRecord]) -> bool {
+    match space {
+        DiskSpace::Sufficient => false,
+        DiskSpace::VotesOnly => records.iter().any(is_large),
+        DiskSpace::Full => true,
     }
 }
 
--- a/crates/lockusher-control-simulation/src/disk_contents.rs
+++ b/crates/lockusher-control-simulation/src/disk_contents.rs
@@ -9,14 +9,14 @@
 
 /// The sum of the records on one disk.
 #[derive(Clone, Debug, Default)]
-pub struct Contents {
+pub struct DiskContents {
     identity: Option<Identity>,
     view: Option<View>,
     acceptor: BTreeMap<u64, AcceptorState>,
     durable_state: DurableState,
 }
 
-impl Contents {
+impl DiskContents {
     /// The sum of these records, in their order.
     pub fn of(records: &[DurableRecord]) -> Self {
         let mut contents = Self::default();
@@ -80,7 +80,7 @@
     }
 
     /// In what another sum, which should be the same, falls behind this one; none if it doesn't.
-    pub fn lost_in(&self, other: &Contents) -> Option<&'static str> {
+    pub fn first_missing_in(&self, other: &DiskContents) -> Option<&'static str> {
         let epoch = self.epoch();
         if self.identity != other.identity {
             Some("the identity")
--- a/crates/lockusher-control-simulation/src/disk_losses.rs
+++ b/crates/lockusher-control-simulation/src/disk_losses.rs
@@ -1,17 +1,17 @@
 //! Losses of disks, and how many of them a deployment has to bear at once.
 //!
-//! Only lost disks are counted: machines may be dark, frozen or cut off beside them in any number. A lost disk counts until
+//! Only lost disks are counted: machines may be down, frozen or isolated beside them in any number. A lost disk counts until
 //! its successor has been well for the time to catch up, with a majority of the voters there to feed it.
 
 use rand::RngExt;
 
-use crate::cluster::{CATCH_UP_MS, World};
+use crate::cluster::{CATCH_UP_MS, Cluster};
 use lockusher_control::{Millis, view_change::MAX_VOTERS};
 
 /// Time that a machine that lost its disk is down, and that a replacement takes to come.
-const QUICK_RETURN: std::ops::Range<Millis> = 20..1000;
+const SHORT_DOWNTIME_MS: std::ops::Range<Millis> = 20..1000;
 /// Most machines ever added, so that addresses stay apart.
-const MACHINE_LIMIT: usize = 60;
+const MAX_MACHINES: usize = 60;
 
 /// Which machine a loss is aimed at.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -23,65 +23,66 @@
     OldestDisk,
 }
 
-impl World {
+impl Cluster {
     /// A machine counts as troubled until it has been well for a while; notes which are not well now.
-    pub(crate) fn note_trouble(&mut self) {
+    pub(crate) fn update_node_health(&mut self) {
         let now = self.now;
-        let lossy = self.network.loss > 0 || self.network.held > 0;
+        let lossy = self.network.loss > 0 || self.network.delayed > 0;
         for number in 0..self.nodes.len() {
             let node = &self.nodes[number];
-            let is_well = node.runs(now) && node.disk.is_well(now) && !self.network.is_cut(node.address);
-            if !is_well || lossy {
-                self.nodes[number].trouble_at = now;
+            let is_healthy =
+                node.runs(now) && node.disk.is_healthy(now) && !self.network.is_partitioned(node.address);
+            if !is_healthy || lossy {
+                self.nodes[number].unhealthy_at = now;
             }
         }
-        if !self.has_well_majority() {
-            self.minority_at = now;
+        if !self.has_healthy_majority() {
+            self.majority_unhealthy_at = now;
         }
         for number in 0..self.nodes.len() {
-            let unwell_at = self.nodes[number].trouble_at.max(self.minority_at);
-            if now - unwell_at >= CATCH_UP_MS {
+            let unhealthy_at = self.nodes[number].unhealthy_at.max(self.majority_unhealthy_at);
+            if now - unhealthy_at >= CATCH_UP_MS {
                 self.nodes[number].disk_lost = false;
             }
         }
     }
 
     /// Whether a majority of the newest view's voters, with their disks, are well.
-    fn has_well_majority(&self) -> bool {
-        let Some(view) = self.obligations.newest_view() else { return false };
-        let well = self.nodes.iter().filter(|node| !node.removed && node.trouble_at != self.now);
-        let voters = well.filter_map(|node| node.disk.contents()?.identity());
+    fn has_healthy_majority(&self) -> bool {
+        let Some(view) = self.invariants.newest_view() else { return false };
+        let healthy = self.nodes.iter().filter(|node| !node.removed && node.unhealthy_at != self.now);
+        let voters = healthy.filter_map(|node| node.disk.contents()?.identity());
         voters.filter(|identity| view.is_voter(*identity)).count() >= view.majority()
     }
 
     /// How many machines may lose their disks now.
-    pub(crate) fn wipes_allowed(&self) -> usize {
+    pub(crate) fn disk_losses_allowed(&self) -> usize {
         let lost = self.present().into_iter().filter(|number| self.nodes[*number].disk_lost);
         self.tolerated_losses().saturating_sub(lost.count())
     }
 
     /// Without further faults until a disk may be lost again; the operators go on. Whether one may.
-    pub(crate) fn wait_until_wipe_allowed(&mut self) -> bool {
-        if self.wipes_allowed() > 0 {
+    pub(crate) fn wait_until_disk_loss_allowed(&mut self) -> bool {
+        if self.disk_losses_allowed() > 0 {
             return true;
         }
         self.end_faults();
         let deadline = self.now + 3 * CATCH_UP_MS;
-        while self.wipes_allowed() == 0 && self.now < deadline {
-            self.step_in_fault(5..60);
+        while self.disk_losses_allowed() == 0 && self.now < deadline {
+            self.step_during_fault(5..60);
         }
-        self.wipes_allowed() > 0
+        self.disk_losses_allowed() > 0
     }
 
     /// The operators go on for a moment within a fault.
-    pub(crate) fn step_in_fault(&mut self, pause: std::ops::Range<Millis>) {
-        self.note_trouble();
+    pub(crate) fn step_during_fault(&mut self, interval: std::ops::Range<Millis>) {
+        self.update_node_health();
         self.step_operators();
-        let pause = self.fault_random.random_range(pause);
-        self.advance(self.now + pause);
+        let interval = self.fault_random.random_range(interval);
+        self.advance(self.now + interval);
     }
 
-    fn aim(&mut self) -> usize {
+    fn pick_target(&mut self) -> usize {
         let target = match self.fault_random.random_range(0..6) {
             0 => Target::Head,
             1 => Target::Tail,
@@ -98,40 +99,40 @@
             Target::NewestDisk => present.iter().copied().max_by_key(born),
             Target::OldestDisk => present.iter().copied().min_by_key(born),
         };
-        aimed.filter(|number| present.contains(number)).unwrap_or_else(|| self.pick())
+        aimed.filter(|number| present.contains(number)).unwrap_or_else(|| self.pick_machine())
     }
 
     /// Machines lose their disks, at times while all others lose power.
-    pub(crate) fn wipe_some(&mut self, others_too: bool) {
-        if !self.wait_until_wipe_allowed() {
+    pub(crate) fn lose_disks(&mut self, crash_others: bool) {
+        if !self.wait_until_disk_loss_allowed() {
             return;
         }
-        let count = self.fault_random.random_range(1..=self.wipes_allowed());
-        if others_too {
-            self.kill_all();
+        let count = self.fault_random.random_range(1..=self.disk_losses_allowed());
+        if crash_others {
+            self.crash_all();
         }
         for _ in 0..count {
-            let number = self.aim();
-            self.lose_disk(number);
+            let number = self.pick_target();
+            self.lose_disk_if_allowed(number);
         }
     }
 
-    fn lose_disk(&mut self, number: usize) {
-        if self.wipes_allowed() == 0 || self.nodes[number].disk_lost {
+    fn lose_disk_if_allowed(&mut self, number: usize) {
+        if self.disk_losses_allowed() == 0 || self.nodes[number].disk_lost {
             return;
         }
-        let down = self.fault_random.random_range(QUICK_RETURN);
-        self.kill(number, down);
-        self.wipe(number);
+        let downtime = self.fault_random.random_range(SHORT_DOWNTIME_MS);
+        self.crash(number, downtime);
+        self.lose_disk(number);
     }
 
     /// A machine is removed for good and another one is added at a new address: after it, or before it and then the former
     /// one is stopped as planned.
-    pub(crate) fn replace_one(&mut self) {
-        if !self.wait_until_wipe_allowed() || self.nodes.len() >= MACHINE_LIMIT {
+    pub(crate) fn replace_machine(&mut self) {
+        if !self.wait_until_disk_loss_allowed() || self.nodes.len() >= MAX_MACHINES {
             return;
         }
-        let number = self.aim();
+        let number = self.pick_target();
         if self.nodes[number].disk_lost {
             // It stands for a loss already; with it gone there would be two.
             return;
@@ -143,12 +144,12 @@
         }
     }
 
-    fn replace_after_loss(&mut self, number: usize, told: bool) {
-        if told {
+    fn replace_after_loss(&mut self, number: usize, is_announced: bool) {
+        if is_announced {
             self.stop(number);
         }
         self.remove(number);
-        let after = self.fault_random.random_range(QUICK_RETURN);
+        let after = self.fault_random.random_range(SHORT_DOWNTIME_MS);
         let successor = self.add(after);
         self.nodes[successor].disk_lost = true;
     }
@@ -163,7 +164,7 @@
         self.nodes[successor].disk_lost = true;
         let deadline = self.now + 3 * CATCH_UP_MS;
         while self.nodes[successor].disk_lost && self.now < deadline {
-            self.step_in_fault(5..60);
+            self.step_during_fault(5..60);
         }
         let joined = !self.nodes[successor].disk_lost;
         self.stop(number);
@@ -172,41 +173,41 @@
     }
 
     /// One loss after another, each as soon as the one before is over.
-    pub(crate) fn lose_in_a_row(&mut self) {
+    pub(crate) fn lose_disks_in_sequence(&mut self) {
         let count = self.fault_random.random_range(2..=3);
         for _ in 0..count {
             match self.fault_random.random_range(0..4) {
-                0 => self.replace_one(),
-                1 => self.wipe_some(true),
-                _ => self.wipe_some(false),
+                0 => self.replace_machine(),
+                1 => self.lose_disks(true),
+                _ => self.lose_disks(false),
             }
         }
     }
 
-    /// A minority misses changes; one of the others loses its disk, the rest go dark, and the cut heals.
-    pub(crate) fn leave_behind(&mut self) {
-        if !self.wait_until_wipe_allowed() {
+    /// A minority misses changes; one of the others loses its disk, the rest go down, and the partition heals.
+    pub(crate) fn lose_disk_behind_partition(&mut self) {
+        if !self.wait_until_disk_loss_allowed() {
             return;
         }
         let present = self.present();
         let skip = self.fault_random.random_range(0..present.len());
         let in_turn: Vec<usize> = present.iter().cycle().skip(skip).take(present.len()).copied().collect();
         let (minority, others) = in_turn.split_at((present.len() - 1) / 2);
-        self.cut_apart(minority, others);
+        self.partition_groups(minority, others);
         let until = self.now + self.fault_random.random_range(500..4000);
         while self.now < until {
-            self.step_in_fault(5..60);
+            self.step_during_fault(5..60);
         }
         let Some((lost, rest)) = others.split_first() else { return };
-        self.lose_disk(*lost);
-        let dark = self.fault_random.random_range(1000..8000);
+        self.lose_disk_if_allowed(*lost);
+        let downtime = self.fault_random.random_range(1000..8000);
         for number in rest {
-            self.kill(*number, dark);
+            self.crash(*number, downtime);
         }
-        self.heal();
-        let until = self.now + dark;
+        self.heal_network();
+        let until = self.now + downtime;
         while self.now < until {
-            self.step_in_fault(20..120);
+            self.step_during_fault(20..120);
         }
     }
 }
--- a/crates/lockusher-control-simulation/src/fault_actions.rs
+++ b/crates/lockusher-control-simulation/src/fault_actions.rs
@@ -1,8 +1,8 @@
 //! Faults and measurements by name, for scenarios.
 
 use crate::{
-    cluster::{ACKNOWLEDGE_MS, World, address},
-    disk::Room,
+    cluster::{ACKNOWLEDGE_MS, Cluster, address},
+    disk::DiskSpace,
     node::Node,
     operator::Change,
 };
@@ -11,27 +11,27 @@
 /// Time that a process is left after it was told to stop.
 const STOP_MS: Millis = 300;
 
-impl World {
+impl Cluster {
     /// Virtual time.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// Kills a process, which starts again after `down`. A loss of power is the same here: of what wasn't synced,
+    /// Kills a process, which starts again after `downtime`. A loss of power is the same here: of what wasn't synced,
     /// any number of writes may remain.
-    pub fn kill(&mut self, number: usize, down: Millis) {
-        log::debug!("{}: kill of machine {number} for {down} ms", self.now);
+    pub fn crash(&mut self, number: usize, downtime: Millis) {
+        log::debug!("{}: crash of machine {number} for {downtime} ms", self.now);
         let node = &mut self.nodes[number];
         node.disk.interrupt(&mut self.random);
         node.replica = None;
         node.adopted_epoch = 0;
         node.frozen_until = 0;
-        node.start_at = Some(self.now + down);
-        node.trouble_at = self.now;
+        node.start_at = Some(self.now + downtime);
+        node.unhealthy_at = self.now;
     }
 
     /// The disk of a process that was killed is lost.
-    pub fn wipe(&mut self, number: usize) {
+    pub fn lose_disk(&mut self, number: usize) {
         log::debug!("{}: disk of machine {number} lost", self.now);
         self.outcome.wipes += 1;
         let now = self.now;
@@ -43,9 +43,9 @@
     }
 
     /// The configuration on this machine's disk is another one from now on. Whether it held one.
-    pub fn falsify_disk(&mut self, number: usize) -> bool {
-        log::debug!("{}: disk of machine {number} falsified", self.now);
-        self.nodes[number].disk.falsify()
+    pub fn corrupt_disk(&mut self, number: usize) -> bool {
+        log::debug!("{}: disk of machine {number} corrupted", self.now);
+        self.nodes[number].disk.corrupt()
     }
 
     /// The replica of a machine, if it runs.
@@ -56,17 +56,17 @@
     /// Removes a machine for good.
     pub fn remove(&mut self, number: usize) {
         log::debug!("{}: machine {number} removed", self.now);
-        self.kill(number, 0);
+        self.crash(number, 0);
         self.outcome.wipes += 1;
         self.nodes[number].removed = true;
         self.nodes[number].start_at = None;
     }
 
     /// Adds an empty machine at a new address, which starts after this time. Its number.
-    pub fn add(&mut self, after: Millis) -> usize {
-        log::debug!("{}: machine {} added in {after} ms", self.now, self.nodes.len());
+    pub fn add(&mut self, delay: Millis) -> usize {
+        log::debug!("{}: machine {} added in {delay} ms", self.now, self.nodes.len());
         let number = self.nodes.len();
-        self.nodes.push(Node::new(address(number), false, self.now + after));
+        self.nodes.push(Node::new(address(number), false, self.now + delay));
         number
     }
 
@@ -77,54 +77,54 @@
     }
 
     /// A process doesn't run for a while.
-    pub fn freeze(&mut self, number: usize, time: Millis) {
-        log::debug!("{}: machine {number} frozen for {time} ms", self.now);
-        self.nodes[number].frozen_until = self.now + time;
+    pub fn freeze(&mut self, number: usize, duration: Millis) {
+        log::debug!("{}: machine {number} frozen for {duration} ms", self.now);
+        self.nodes[number].frozen_until = self.now + duration;
     }
 
     /// Messages of one machine to another are lost from now on.
-    pub fn cut(&mut self, from: usize, to: usize) {
+    pub fn partition_link(&mut self, from: usize, to: usize) {
         let (from, to) = (self.nodes[from].address, self.nodes[to].address);
-        log::debug!("{}: cut from {from} to {to}", self.now);
-        self.network.cut(from, to);
+        log::debug!("{}: link partitioned from {from} to {to}", self.now);
+        self.network.partition_link(from, to);
     }
 
     /// Ends all trouble of the network.
-    pub fn heal(&mut self) {
+    pub fn heal_network(&mut self) {
         log::debug!("{}: network healed", self.now);
         self.network.heal();
     }
 
     /// Nothing is synced for a while.
-    pub fn stall_disk(&mut self, number: usize, time: Millis) {
-        log::debug!("{}: disk of machine {number} stalled for {time} ms", self.now);
-        self.nodes[number].disk.stalled_until = self.now + time;
+    pub fn stall_disk(&mut self, number: usize, duration: Millis) {
+        log::debug!("{}: disk of machine {number} stalled for {duration} ms", self.now);
+        self.nodes[number].disk.stalled_until = self.now + duration;
     }
 
     /// The disk refuses writes from now on: all, or all but votes.
-    pub fn fill_disk(&mut self, number: usize, room: Room) {
+    pub fn fill_disk(&mut self, number: usize, space: DiskSpace) {
         log::debug!("{}: disk of machine {number} full", self.now);
-        self.nodes[number].disk.room = room;
+        self.nodes[number].disk.space = space;
     }
 
     /// Each sync takes up to this time from now on.
-    pub fn slow_disk(&mut self, number: usize, slowest_sync: Millis) {
-        log::debug!("{}: syncs of machine {number} take up to {slowest_sync} ms", self.now);
-        self.nodes[number].disk.slowest_sync = slowest_sync;
+    pub fn slow_disk(&mut self, number: usize, max_sync: Millis) {
+        log::debug!("{}: syncs of machine {number} take up to {max_sync} ms", self.now);
+        self.nodes[number].disk.max_sync = max_sync;
     }
 
     /// All disks work as usual again.
-    pub fn free_disks(&mut self) {
+    pub fn recover_disks(&mut self) {
         let now = self.now;
-        self.nodes.iter_mut().for_each(|node| node.disk.relieve(now));
+        self.nodes.iter_mut().for_each(|node| node.disk.recover(now));
     }
 
     /// All machines work, and all that are down start.
     pub fn end_faults(&mut self) {
         log::debug!("{}: all faults end", self.now);
         self.network.heal();
-        self.ambush = None;
-        self.free_disks();
+        self.targeted_fault = None;
+        self.recover_disks();
         let now = self.now;
         for node in &mut self.nodes {
             node.frozen_until = node.frozen_until.min(now);
@@ -169,9 +169,9 @@
     }
 
     /// Runs until the condition holds; the time it took, or `None` after `limit`.
-    pub fn run_until(&mut self, limit: Millis, holds: impl Fn(&Self) -> bool) -> Option<Millis> {
+    pub fn run_until(&mut self, limit: Millis, condition: impl Fn(&Self) -> bool) -> Option<Millis> {
         let since = self.now;
-        while !holds(self) {
+        while !condition(self) {
             if self.now - since >= limit {
                 return None;
             }
@@ -181,9 +181,9 @@
     }
 
     /// Runs until every machine that isn't removed is an up-to-date member of the chain.
-    pub fn run_until_whole(&mut self, limit: Millis) -> Option<Millis> {
-        self.run_until(limit, |world| {
-            (0..world.nodes.len()).all(|number| world.nodes[number].removed || world.is_member(number))
+    pub fn run_until_all_members(&mut self, limit: Millis) -> Option<Millis> {
+        self.run_until(limit, |cluster| {
+            (0..cluster.nodes.len()).all(|number| cluster.nodes[number].removed || cluster.is_member(number))
         })
     }
 
@@ -195,22 +195,22 @@
 
     /// Asks one machine to read; its answer within a second, if any.
     pub fn read_at(&mut self, number: usize) -> Option<Reply> {
-        self.ask(number, Request::Read)
+        self.request(number, Request::Read)
     }
 
     /// The newest version that was committed; 0 before the first.
     pub fn version(&self) -> u64 {
-        self.history.newest_version()
+        self.model.newest_version()
     }
 
-    /// The changes acknowledged to the one operator of [`World::write`], as they would be sent again.
+    /// The changes acknowledged to the one operator of [`Cluster::write`], as they would be sent again.
     pub fn acknowledged_changes(&self) -> Vec<Request> {
         self.operators[0].acknowledged.iter().map(Change::request).collect()
     }
 
     /// Broken promises so far.
     pub fn violations(&self) -> &[String] {
-        &self.history.violations
+        &self.model.violations
     }
 
     /// Messages sent so far.
--- a/crates/lockusher-control-simulation/src/invariant_checks.rs
+++ b/crates/lockusher-control-simulation/src/invariant_checks.rs
@@ -1,6 +1,6 @@
 //! Compares what the nodes do with what they owe: obligations towards each other, and copies of what is committed.
 
-use crate::{cluster::World, disk_contents::Contents, invariants::Breach};
+use crate::{cluster::Cluster, disk_contents::DiskContents, invariants::InvariantViolation};
 use lockusher_control::{DurableRecord, Identity, Message};
 
 /// What a run is judged by.
@@ -8,20 +8,20 @@
 pub enum Checks {
     /// What operators and agents are told, and what nodes owe each other.
     #[default]
-    Everything,
+    All,
     /// What operators and agents are told.
-    ToldOnly,
+    ExternallyVisible,
 }
 
-impl World {
+impl Cluster {
     fn looks_inside(&self) -> bool {
-        self.options.checks == Checks::Everything
+        self.options.checks == Checks::All
     }
 
-    fn note(&mut self, checked: Result<(), Breach>) {
+    fn report(&mut self, checked: Result<(), InvariantViolation>) {
         if let Err(breach) = checked {
             let now = self.now;
-            self.history.violations.push(format!("{now}: {breach}"));
+            self.model.violations.push(format!("{now}: {breach}"));
         }
     }
 
@@ -31,8 +31,8 @@
             return;
         }
         let Some(disk) = self.nodes[number].disk.contents() else { return };
-        let checked = self.obligations.sent(message, disk);
-        self.note(checked);
+        let checked = self.invariants.sent(message, disk);
+        self.report(checked);
     }
 
     /// Records of a node have become durable.
@@ -42,8 +42,8 @@
         }
         let Some(disk) = self.nodes[number].disk.contents() else { return };
         let Some(identity) = disk.identity() else { return };
-        let checked = self.obligations.written(identity, records, disk);
-        self.note(checked);
+        let checked = self.invariants.written(identity, records, disk);
+        self.report(checked);
     }
 
     /// A node may have adopted a view.
@@ -57,34 +57,34 @@
         let view = view.clone();
         self.nodes[number].adopted_epoch = view.epoch;
         let minimum = 2 * self.tolerated_losses() + 1;
-        let adopted = self.obligations.adopted(&view, minimum);
+        let adopted = self.invariants.adopted(&view, minimum);
         if !self.looks_inside() {
             return;
         }
         let is_first = adopted.as_ref().is_ok_and(|is_first| *is_first);
-        self.note(adopted.map(|_| ()));
+        self.report(adopted.map(|_| ()));
         if is_first {
-            self.check_copies();
+            self.check_committed_is_stored();
         }
     }
 
     /// Every member of the newest chain whose disk isn't lost holds the newest configuration that was committed.
-    pub(crate) fn check_copies(&mut self) {
+    pub(crate) fn check_committed_is_stored(&mut self) {
         if !self.looks_inside() {
             return;
         }
-        let Some((version, digest)) = self.history.newest_committed() else { return };
-        let Some(view) = self.obligations.newest_view() else { return };
+        let Some((version, digest)) = self.model.newest_committed() else { return };
+        let Some(view) = self.invariants.newest_view() else { return };
         let lacks = |member: &Identity| self.disk_of(*member).is_some_and(|disk| !disk.has_taken(digest));
         let lacking = view.chain.iter().copied().find(lacks);
         if let Some(member) = lacking {
             let epoch = view.epoch;
-            self.note(Err(format!("{member} is in the chain of view {epoch} without version {version}")));
+            self.report(Err(format!("{member} is in the chain of view {epoch} without version {version}")));
         }
     }
 
     /// What the disk with this identity holds; none if it is lost.
-    fn disk_of(&self, identity: Identity) -> Option<&Contents> {
+    fn disk_of(&self, identity: Identity) -> Option<&DiskContents> {
         let disks = self.nodes.iter().filter_map(|node| node.disk.contents());
         let mut of_identity = disks.filter(|disk| disk.identity() == Some(identity));
         of_identity.next()
@@ -97,23 +97,23 @@
         if !self.looks_inside() || disk.identity().is_none() {
             return;
         }
-        let lost = disk.lost_in(&Contents::of(&replica.snapshot()));
+        let lost = disk.first_missing_in(&DiskContents::of(&replica.snapshot()));
         let address = node.address;
         if let Some(lost) = lost {
-            self.note(Err(format!("{address} starts without {lost} that is on its disk")));
+            self.report(Err(format!("{address} starts without {lost} that is on its disk")));
         }
     }
 
     /// A snapshot takes the place of the log: it holds the same.
     pub(crate) fn check_snapshot(&mut self, number: usize, records: &[DurableRecord]) {
         let node = &self.nodes[number];
-        let Some(disk) = node.disk.contents().filter(|_| self.options.checks == Checks::Everything) else {
+        let Some(disk) = node.disk.contents().filter(|_| self.options.checks == Checks::All) else {
             return;
         };
-        let lost = disk.lost_in(&Contents::of(records));
+        let lost = disk.first_missing_in(&DiskContents::of(records));
         let address = node.address;
         if let Some(lost) = lost {
-            self.note(Err(format!("a snapshot of {address} leaves out {lost}")));
+            self.report(Err(format!("a snapshot of {address} leaves out {lost}")));
         }
     }
 }
--- a/crates/lockusher-control-simulation/src/invariants.rs
+++ b/crates/lockusher-control-simulation/src/invariants.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use crate::disk_contents::Contents;
+use crate::disk_contents::DiskContents;
 use lockusher_control::{
     Digest, DurableRecord, Identity, Message, Position, View,
     message::{MessageBody, ProposalNumber, TransferPurpose},
@@ -15,12 +15,12 @@
 
 /// All that was told and decided.
 #[derive(Debug, Default)]
-pub struct Obligations {
-    by_disk: BTreeMap<(Identity, u64), Told>,
+pub struct ProtocolInvariants {
+    sent_by_disk: BTreeMap<(Identity, u64), SentInEpoch>,
     /// Views that a majority was found to have accepted, by epoch.
     views: BTreeMap<u64, View>,
     /// Views that voters were asked to accept, by the epoch that they follow.
-    asked: BTreeMap<(u64, ProposalNumber), View>,
+    proposed_views: BTreeMap<(u64, ProposalNumber), View>,
     /// Disks that hold an acceptance, likewise.
     acceptances: BTreeMap<(u64, ProposalNumber), BTreeSet<Identity>>,
     /// Entries, by epoch and index.
@@ -30,7 +30,7 @@
 /// What the owner of a disk has told in an epoch. A vote that is durable and wasn't told binds nobody: a disk that refuses
 /// writes may hold one of an epoch whose view it lacks.
 #[derive(Debug, Default)]
-struct Told {
+struct SentInEpoch {
     /// Ballots promised, each with that of the view which it reported as accepted before.
     promises: BTreeMap<ProposalNumber, Option<ProposalNumber>>,
     accepted: BTreeSet<ProposalNumber>,
@@ -39,25 +39,25 @@
 }
 
 /// A broken obligation, in words.
-pub type Breach = String;
+pub type InvariantViolation = String;
 
-impl Obligations {
+impl ProtocolInvariants {
     /// A node sends a message while its disk holds this.
-    pub fn sent(&mut self, message: &Message, disk: &Contents) -> Result<(), Breach> {
+    pub fn sent(&mut self, message: &Message, disk: &DiskContents) -> Result<(), InvariantViolation> {
         let (sender, epoch) = (message.sender, message.epoch);
         match &message.body {
             MessageBody::PrepareResponse { proposal_number, accepted } => {
                 let reported = accepted.as_ref().map(|accepted| accepted.proposal_number);
-                self.promised(sender, epoch, *proposal_number, reported, disk)
+                self.check_promise(sender, epoch, *proposal_number, reported, disk)
             }
             MessageBody::Accept { proposal_number, view } => {
-                self.asked.insert((epoch, *proposal_number), view.clone());
+                self.proposed_views.insert((epoch, *proposal_number), view.clone());
                 Ok(())
             }
             MessageBody::AcceptResponse { proposal_number } => {
                 self.accepted(sender, epoch, *proposal_number, disk)
             }
-            MessageBody::EpochConfirmed { .. } => self.confirmed(sender, epoch),
+            MessageBody::EpochConfirmed { .. } => self.check_confirmation(sender, epoch),
             MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Join => {
                 self.handed_over(sender, epoch, transfer.history_digest, disk)
             }
@@ -67,32 +67,32 @@
                 Err(format!("{sender} says that it holds a state that isn't on its disk"))
             }
             MessageBody::Append { index, document, .. } => {
-                self.passed_on(epoch, *index, document.request, disk)
+                self.check_entry_sent(epoch, *index, document.request, disk)
             }
             MessageBody::AppendStored { index } | MessageBody::AppendAcknowledged { index } => {
-                self.holds(sender, epoch, *index, disk)
+                self.check_entry_stored(sender, epoch, *index, disk)
             }
             _ => Ok(()),
         }
     }
 
-    fn told(&mut self, sender: Identity, epoch: u64) -> &mut Told {
-        self.by_disk.entry((sender, epoch)).or_default()
+    fn sent_in_epoch(&mut self, sender: Identity, epoch: u64) -> &mut SentInEpoch {
+        self.sent_by_disk.entry((sender, epoch)).or_default()
     }
 
     /// A promise reports whatever was accepted under lower proposal numbers. Messages may be late, so that it doesn't matter which
     /// of the two was told first.
-    fn promised(
+    fn check_promise(
         &mut self,
         sender: Identity,
         epoch: u64,
         proposal_number: ProposalNumber,
         reported: Option<ProposalNumber>,
-        disk: &Contents,
-    ) -> Result<(), Breach> {
-        let told = self.told(sender, epoch);
-        told.promises.insert(proposal_number, reported);
-        let accepted_below = told.accepted.range(..proposal_number).next_back().copied();
+        disk: &DiskContents,
+    ) -> Result<(), InvariantViolation> {
+        let sent_in_epoch = self.sent_in_epoch(sender, epoch);
+        sent_in_epoch.promises.insert(proposal_number, reported);
+        let accepted_below = sent_in_epoch.accepted.range(..proposal_number).next_back().copied();
         if accepted_below > reported {
             return Err(format!("{sender} conceals in epoch {epoch} that it accepted {accepted_below:?}"));
         }
@@ -107,16 +107,17 @@
         sender: Identity,
         epoch: u64,
         proposal_number: ProposalNumber,
-        disk: &Contents,
-    ) -> Result<(), Breach> {
+        disk: &DiskContents,
+    ) -> Result<(), InvariantViolation> {
         self.acceptances.entry((epoch, proposal_number)).or_default().insert(sender);
-        let told = self.told(sender, epoch);
-        told.accepted.insert(proposal_number);
+        let sent_in_epoch = self.sent_in_epoch(sender, epoch);
+        sent_in_epoch.accepted.insert(proposal_number);
         let higher = (Bound::Excluded(proposal_number), Bound::Unbounded);
-        let broken = told.promises.range(higher).find(|(_, reported)| **reported < Some(proposal_number));
-        if let Some((promised, _)) = broken {
+        let broken =
+            sent_in_epoch.promises.range(higher).find(|(_, reported)| **reported < Some(proposal_number));
+        if let Some((check_promise, _)) = broken {
             return Err(format!(
-                "{sender} accepts {proposal_number:?} in epoch {epoch} after it promised {promised:?}"
+                "{sender} accepts {proposal_number:?} in epoch {epoch} after it promised {check_promise:?}"
             ));
         }
         if disk.accepted(epoch) < Some(proposal_number) {
@@ -125,8 +126,8 @@
         Ok(())
     }
 
-    fn confirmed(&mut self, sender: Identity, epoch: u64) -> Result<(), Breach> {
-        if self.told(sender, epoch).accepted.is_empty() {
+    fn check_confirmation(&mut self, sender: Identity, epoch: u64) -> Result<(), InvariantViolation> {
+        if self.sent_in_epoch(sender, epoch).accepted.is_empty() {
             Ok(())
         } else {
             Err(format!("{sender} confirms epoch {epoch}, although it accepted a successor"))
@@ -138,15 +139,15 @@
         sender: Identity,
         epoch: u64,
         history_digest: HistoryDigest,
-        disk: &Contents,
-    ) -> Result<(), Breach> {
+        disk: &DiskContents,
+    ) -> Result<(), InvariantViolation> {
         if !disk.is_sealed(epoch) {
             return Err(format!("{sender} hands over its state in epoch {epoch}; no seal is on its disk"));
         }
         if history_digest != disk.history_digest() {
             return Err(format!("{sender} hands over a state that isn't on its disk"));
         }
-        match self.told(sender, epoch).handed_over.replace(history_digest) {
+        match self.sent_in_epoch(sender, epoch).handed_over.replace(history_digest) {
             Some(former) if former != history_digest => {
                 Err(format!("{sender} hands over two states of epoch {epoch}"))
             }
@@ -155,7 +156,13 @@
     }
 
     /// An entry goes down the chain: the sender holds it.
-    fn passed_on(&mut self, epoch: u64, index: u64, digest: Digest, disk: &Contents) -> Result<(), Breach> {
+    fn check_entry_sent(
+        &mut self,
+        epoch: u64,
+        index: u64,
+        digest: Digest,
+        disk: &DiskContents,
+    ) -> Result<(), InvariantViolation> {
         let former = *self.entries.entry((epoch, index)).or_insert(digest);
         if former != digest {
             return Err(format!("two entries have the index {index} in epoch {epoch}"));
@@ -166,7 +173,13 @@
         Ok(())
     }
 
-    fn holds(&mut self, sender: Identity, epoch: u64, index: u64, disk: &Contents) -> Result<(), Breach> {
+    fn check_entry_stored(
+        &mut self,
+        sender: Identity,
+        epoch: u64,
+        index: u64,
+        disk: &DiskContents,
+    ) -> Result<(), InvariantViolation> {
         match self.entries.get(&(epoch, index)) {
             Some(digest) if !disk.has_taken(*digest) => Err(format!(
                 "{sender} says that it holds entry {index} of epoch {epoch}, which isn't on its disk"
@@ -180,16 +193,16 @@
         &mut self,
         identity: Identity,
         records: &[DurableRecord],
-        disk: &Contents,
-    ) -> Result<(), Breach> {
+        disk: &DiskContents,
+    ) -> Result<(), InvariantViolation> {
         for record in records {
             match record {
                 DurableRecord::Accept { epoch, proposal_number, view } => {
-                    self.asked.entry((*epoch, *proposal_number)).or_insert_with(|| view.clone());
+                    self.proposed_views.entry((*epoch, *proposal_number)).or_insert_with(|| view.clone());
                     self.acceptances.entry((*epoch, *proposal_number)).or_default().insert(identity);
                 }
                 DurableRecord::Entry { position, .. } | DurableRecord::State { position, .. } => {
-                    self.keeps_seal(identity, *position, disk)?;
+                    self.check_seal(identity, *position, disk)?;
                 }
                 _ => {}
             }
@@ -197,9 +210,14 @@
         Ok(())
     }
 
-    fn keeps_seal(&mut self, identity: Identity, position: Position, disk: &Contents) -> Result<(), Breach> {
+    fn check_seal(
+        &mut self,
+        identity: Identity,
+        position: Position,
+        disk: &DiskContents,
+    ) -> Result<(), InvariantViolation> {
         let epoch = position.epoch;
-        match self.told(identity, epoch).handed_over {
+        match self.sent_in_epoch(identity, epoch).handed_over {
             Some(history_digest) if history_digest != disk.history_digest() => {
                 Err(format!("{identity} goes on in epoch {epoch} after it handed over its state"))
             }
@@ -208,7 +226,7 @@
     }
 
     /// A node adopts a view. Whether it is the first to do so, or what is wrong with the view.
-    pub fn adopted(&mut self, view: &View, minimum_voters: usize) -> Result<bool, Breach> {
+    pub fn adopted(&mut self, view: &View, minimum_voters: usize) -> Result<bool, InvariantViolation> {
         if let Some(known) = self.views.get(&view.epoch) {
             return if known == view {
                 Ok(false)
@@ -224,9 +242,11 @@
         Ok(true)
     }
 
-    fn check_majority(&self, former: &View, view: &View) -> Result<(), Breach> {
-        let of_this =
-            self.asked.iter().filter(|((epoch, _), asked)| *epoch == former.epoch && *asked == view);
+    fn check_majority(&self, former: &View, view: &View) -> Result<(), InvariantViolation> {
+        let of_this = self
+            .proposed_views
+            .iter()
+            .filter(|((epoch, _), proposed_views)| *epoch == former.epoch && *proposed_views == view);
         let is_accepted = of_this.map(|(key, _)| self.acceptances.get(key)).any(|accepted_by| {
             let voters = accepted_by.into_iter().flatten().filter(|identity| former.is_voter(**identity));
             voters.count() >= former.majority()
@@ -241,20 +261,21 @@
 }
 
 /// The rules that each view keeps towards the one before it.
-fn check_succession(former: &View, view: &View, minimum_voters: usize) -> Result<(), Breach> {
+fn check_succession(former: &View, view: &View, minimum_voters: usize) -> Result<(), InvariantViolation> {
     let epoch = view.epoch;
     let added = view.voters.iter().filter(|voter| !former.is_voter(voter.identity)).count();
     let removed = former.voters.iter().filter(|voter| !view.is_voter(voter.identity)).count();
-    let kept: Vec<Identity> = view.chain.iter().copied().filter(|member| former.in_chain(*member)).collect();
+    let retained: Vec<Identity> =
+        view.chain.iter().copied().filter(|member| former.in_chain(*member)).collect();
     let in_order: Vec<Identity> =
         former.chain.iter().copied().filter(|member| view.in_chain(*member)).collect();
     if added > 1 || removed > 1 {
         Err(format!("view {epoch} changes more than one voter"))
     } else if view.chain.len() < view.majority() {
         Err(format!("the chain of view {epoch} is less than a majority"))
-    } else if kept.is_empty() {
+    } else if retained.is_empty() {
         Err(format!("view {epoch} keeps no member of the chain"))
-    } else if kept != in_order || view.chain[..kept.len()] != kept[..] {
+    } else if retained != in_order || view.chain[..retained.len()] != retained[..] {
         Err(format!("view {epoch} changes the order of the chain"))
     } else if !view.chain.iter().all(|member| view.is_voter(*member)) {
         Err(format!("view {epoch} has a member of the chain that is no voter"))
--- a/crates/lockusher-control-simulation/src/lib.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -3,7 +3,7 @@
 //! Messages are lost, doubled, reordered and held up; processes are killed, frozen and cut off, one way and both;
 //! power fails, disks stall, fill up and are lost; machines are replaced; calls arrive late and twice. Some faults are
 //! aimed: at steps of the protocol (`targeted_faults`), and at the moment in which an earlier loss is over (`disk_losses`). What operators
-//! are told is compared with a plain model of the configuration ([`History`]), and what the nodes do with what they owe each
+//! are told is compared with a plain model of the configuration ([`ReferenceModel`]), and what the nodes do with what they owe each
 //! other (`invariants`).
 
 mod calls;
@@ -22,11 +22,11 @@
 mod shrink;
 mod targeted_faults;
 
-pub use cluster::World;
-pub use disk::Room;
+pub use cluster::Cluster;
+pub use disk::DiskSpace;
 pub use fault_schedule::{FaultKind, FaultStep};
 pub use invariant_checks::Checks;
-pub use reference_model::History;
+pub use reference_model::ReferenceModel;
 pub use shrink::{Shrunk, shrink};
 
 use std::collections::BTreeSet;
@@ -85,8 +85,8 @@
 
 /// One run in which the faults of some steps are left out.
 pub fn simulate_without(options: SimulationOptions, left_out: &BTreeSet<usize>) -> Outcome {
-    let mut world = World::new(options);
-    world.run_faulty(options.steps, left_out);
-    world.run_calm();
-    world.into_outcome()
+    let mut cluster = Cluster::new(options);
+    cluster.run_under_faults(options.steps, left_out);
+    cluster.run_recovery();
+    cluster.into_outcome()
 }
--- a/crates/lockusher-control-simulation/src/node.rs
+++ b/crates/lockusher-control-simulation/src/node.rs
@@ -6,7 +6,7 @@
 use lockusher_control::{Millis, Replica};
 
 /// Longest time that a sync takes.
-const SLOWEST_SYNC: Millis = 6;
+const MAX_SYNC_MS: Millis = 6;
 
 /// One machine.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     pub start_at: Option<Millis>,
     pub next_tick: Millis,
     /// When trouble on this machine last was seen.
-    pub trouble_at: Millis,
+    pub unhealthy_at: Millis,
     /// Removed for good.
     pub removed: bool,
     /// Starts as part of the first start.
@@ -40,12 +40,12 @@
     pub fn new(address: SocketAddrV4, first_start: bool, start_at: Millis) -> Self {
         Self {
             address,
-            disk: Disk::new(SLOWEST_SYNC),
+            disk: Disk::new(MAX_SYNC_MS),
             replica: None,
             frozen_until: 0,
             start_at: Some(start_at),
             next_tick: start_at,
-            trouble_at: start_at,
+            unhealthy_at: start_at,
             removed: false,
             first_start,
             committed_version: 0,
--- a/crates/lockusher-control-simulation/src/operator.rs
+++ b/crates/lockusher-control-simulation/src/operator.rs
@@ -9,7 +9,7 @@
 use lockusher_control::{ConfigurationDocument, Digest, Millis, Request, RequestTicket};
 
 /// One change in so many is a patch.
-const PATCHES: u32 = 3;
+const PATCH_ONE_CHANGE_IN: u32 = 3;
 
 /// What a patch makes of a configuration: it depends on both.
 pub fn patched(version: u64, patch: Digest, base: Digest) -> ConfigurationDocument {
@@ -22,15 +22,15 @@
 pub struct Operator {
     pub number: usize,
     /// Version that it believes current.
-    pub believed: u64,
+    pub known_version: u64,
     /// The change that it wants taken, with the version it builds on.
     pub change: Option<Change>,
     pub call: Option<Call>,
     /// Nothing is sent before then.
-    pub pause_until: Millis,
+    pub idle_until: Millis,
     written: u64,
     /// Machine asked last; another one is asked next, if there is one.
-    pub asked: Option<usize>,
+    pub last_node: Option<usize>,
     /// Changes acknowledged to it, some of which it sends again.
     pub acknowledged: Vec<Change>,
 }
@@ -44,13 +44,13 @@
     pub if_match: u64,
     pub content: Content,
     /// It was acknowledged before, and is sent again.
-    pub again: bool,
+    pub is_resent: bool,
 }
 
 /// What a change consists of.
 #[derive(Clone, Debug)]
 pub enum Content {
-    Whole(ConfigurationDocument),
+    FullDocument(ConfigurationDocument),
     /// A patch, with the configuration to apply it to once that is known.
     Patch {
         base: Option<ConfigurationDocument>,
@@ -72,12 +72,12 @@
     pub fn new(number: usize) -> Self {
         Self {
             number,
-            believed: 0,
+            known_version: 0,
             change: None,
             call: None,
-            pause_until: 0,
+            idle_until: 0,
             written: 0,
-            asked: None,
+            last_node: None,
             acknowledged: Vec::new(),
         }
     }
@@ -89,7 +89,7 @@
         }
         let change = if !self.acknowledged.is_empty() && random.random_ratio(1, 5) {
             let old = &self.acknowledged[random.random_range(0..self.acknowledged.len())];
-            Change { again: true, ..old.clone() }
+            Change { is_resent: true, ..old.clone() }
         } else {
             self.new_change(random)
         };
@@ -99,41 +99,41 @@
 
     /// A change on top of what it believes current.
     fn new_change(&mut self, random: &mut ChaCha8Rng) -> Change {
-        if self.believed == 0 || !random.random_ratio(1, PATCHES) {
-            return self.new_whole(random);
+        if self.known_version == 0 || !random.random_ratio(1, PATCH_ONE_CHANGE_IN) {
+            return self.new_full_document(random);
         }
         let (version, body) = self.next_body(random);
-        let if_match = self.believed;
+        let if_match = self.known_version;
         let identity = patch_identity(if_match, body.as_bytes());
-        Change { identity, version, if_match, content: Content::Patch { base: None }, again: false }
+        Change { identity, version, if_match, content: Content::Patch { base: None }, is_resent: false }
     }
 
     /// A whole configuration on top of what it believes current.
-    pub fn new_whole(&mut self, random: &mut ChaCha8Rng) -> Change {
+    pub fn new_full_document(&mut self, random: &mut ChaCha8Rng) -> Change {
         let (version, body) = self.next_body(random);
         let document = ConfigurationDocument::new(version, Arc::from(body.into_bytes()));
-        let (identity, if_match) = (document.request, self.believed);
-        Change { identity, version, if_match, content: Content::Whole(document), again: false }
+        let (identity, if_match) = (document.request, self.known_version);
+        Change { identity, version, if_match, content: Content::FullDocument(document), is_resent: false }
     }
 
     /// The version of the next change, and a body that no other change has.
     fn next_body(&mut self, random: &mut ChaCha8Rng) -> (u64, String) {
         self.written += 1;
-        let version = self.believed + random.random_range(1..=3);
+        let version = self.known_version + random.random_range(1..=3);
         let body =
             format!("{{\"version\":{version},\"operator\":{},\"number\":{}}}", self.number, self.written);
         (version, body)
     }
 
     /// A patch without a clear answer is sent again from its beginning.
-    pub fn begin_again(&mut self) {
+    pub fn restart_patch(&mut self) {
         if let Some(Change { content: Content::Patch { base }, .. }) = &mut self.change {
             *base = None;
         }
     }
 
     /// A patch that is asked for was told what it builds on: it goes on, true, or can't be applied to nothing.
-    pub fn take_base(&mut self, document: Option<ConfigurationDocument>) -> bool {
+    pub fn receive_base(&mut self, document: Option<ConfigurationDocument>) -> bool {
         match (&mut self.change, document) {
             (Some(Change { content: Content::Patch { base: base @ None }, .. }), Some(document)) => {
                 *base = Some(document);
@@ -149,7 +149,7 @@
     pub fn request(&self) -> Request {
         let (if_match, version, request) = (self.if_match, self.version, self.identity);
         match &self.content {
-            Content::Whole(document) => Request::Put { if_match, document: document.clone() },
+            Content::FullDocument(document) => Request::Put { if_match, document: document.clone() },
             Content::Patch { base: None } => Request::Base { if_match, version, request },
             Content::Patch { base: Some(base) } => {
                 Request::Put { if_match, document: patched(version, request, base.digest) }
@@ -158,7 +158,7 @@
     }
 
     /// The same as it is to be sent first.
-    pub fn restarted(mut self) -> Self {
+    pub fn without_base(mut self) -> Self {
         if let Content::Patch { base } = &mut self.content {
             *base = None;
         }
--- a/crates/lockusher-control-simulation/src/reference_model.rs
+++ b/crates/lockusher-control-simulation/src/reference_model.rs
@@ -7,7 +7,7 @@
 
 /// A configuration that an operator sent.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentChange {
     if_match: u64,
     version: u64,
     acknowledged: bool,
@@ -18,8 +18,8 @@
 
 /// All that was sent, told and committed.
 #[derive(Debug, Default)]
-pub struct History {
-    sent: BTreeMap<Digest, Sent>,
+pub struct ReferenceModel {
+    sent: BTreeMap<Digest, SentChange>,
     /// Identities of the requests that were committed, and what came of them, by version.
     committed: BTreeMap<u64, (Digest, Digest)>,
     /// Highest version that was acknowledged or read, by time.
@@ -31,10 +31,10 @@
     pub acknowledged: usize,
 }
 
-impl History {
+impl ReferenceModel {
     /// An operator sends a configuration, perhaps again.
     pub fn send(&mut self, change: &Change) {
-        let sent = Sent {
+        let sent = SentChange {
             if_match: change.if_match,
             version: change.version,
             acknowledged: false,
--- a/crates/lockusher-control-simulation/src/shrink.rs
+++ b/crates/lockusher-control-simulation/src/shrink.rs
@@ -5,7 +5,7 @@
 use crate::{FaultStep, Outcome, SimulationOptions, simulate_without};
 
 /// Most runs that one shrinking takes.
-const RUN_LIMIT: usize = 600;
+const MAX_RUNS: usize = 600;
 
 /// A short run that breaks a promise.
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
 impl Search {
     /// Takes the run over if it fails, too.
     fn try_run(&mut self, steps: usize, left_out: BTreeSet<usize>) -> bool {
-        if self.runs >= RUN_LIMIT {
+        if self.runs >= MAX_RUNS {
             return false;
         }
         self.runs += 1;
@@ -59,32 +59,32 @@
 
     /// Takes steps off the end, in ever smaller pieces.
     fn drop_last_steps(&mut self) {
-        let mut piece = self.options.steps / 2;
-        while piece > 0 {
-            let shorter = self.options.steps.checked_sub(piece);
+        let mut chunk_size = self.options.steps / 2;
+        while chunk_size > 0 {
+            let shorter = self.options.steps.checked_sub(chunk_size);
             if !shorter.is_some_and(|steps| self.try_run(steps, self.left_out.clone())) {
-                piece /= 2;
+                chunk_size /= 2;
             }
         }
     }
 
     /// Leaves faults out, in ever smaller pieces, until each one that is left is needed.
     fn drop_faults(&mut self) {
-        let mut piece = self.failing.faults.len().div_ceil(2);
-        while piece > 0 {
-            let dropped = self.drop_pieces(piece);
-            if piece == 1 && !dropped {
+        let mut chunk_size = self.failing.faults.len().div_ceil(2);
+        while chunk_size > 0 {
+            let dropped = self.drop_chunks(chunk_size);
+            if chunk_size == 1 && !dropped {
                 return;
             }
-            piece = if dropped { piece.min(self.failing.faults.len()) } else { piece / 2 };
+            chunk_size = if dropped { chunk_size.min(self.failing.faults.len()) } else { chunk_size / 2 };
         }
     }
 
     /// Whether any piece of this many faults could be left out.
-    fn drop_pieces(&mut self, piece: usize) -> bool {
+    fn drop_chunks(&mut self, chunk_size: usize) -> bool {
         let steps: Vec<usize> = self.failing.faults.iter().map(|fault| fault.step).collect();
         let mut dropped = false;
-        for steps in steps.chunks(piece) {
+        for steps in steps.chunks(chunk_size) {
             let left_out = self.left_out.iter().chain(steps).copied().collect();
             dropped |= self.try_run(self.options.steps, left_out);
         }
--- a/crates/lockusher-control-simulation/src/targeted_faults.rs
+++ b/crates/lockusher-control-simulation/src/targeted_faults.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, seq::IndexedRandom};
 
-use crate::cluster::World;
+use crate::cluster::Cluster;
 use lockusher_control::{
     Effect, Millis,
     message::{MessageBody, TransferPurpose},
@@ -12,104 +12,106 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProtocolStep {
     /// A sealed member hands over its state to a joiner.
-    HandsOver,
+    JoinTransfer,
     /// A joiner says that it holds the sealed state.
-    Joins,
+    JoinTransferResponse,
     /// A proposer asks for promises.
-    Prepares,
+    Prepare,
     /// A voter promises.
-    Promises,
+    PrepareResponse,
     /// A proposer asks voters to accept a view.
-    Proposes,
+    Accept,
     /// A voter accepts.
-    Accepts,
+    AcceptResponse,
     /// A proposer tells the view that was agreed on.
-    Announces,
+    NewView,
     /// A new head brings members to its state.
-    Synchronises,
+    SynchroniseTransfer,
     /// An entry goes down the chain.
-    PassesOn,
+    Append,
     /// The tail's acknowledgement goes up.
-    Acknowledges,
+    AppendAcknowledged,
     /// A head tells what is committed.
-    Commits,
+    Committed,
 }
 
-const STEPS: [ProtocolStep; 11] = [
-    ProtocolStep::HandsOver,
-    ProtocolStep::Joins,
-    ProtocolStep::Prepares,
-    ProtocolStep::Promises,
-    ProtocolStep::Proposes,
-    ProtocolStep::Accepts,
-    ProtocolStep::Announces,
-    ProtocolStep::Synchronises,
-    ProtocolStep::PassesOn,
-    ProtocolStep::Acknowledges,
-    ProtocolStep::Commits,
+const PROTOCOL_STEPS: [ProtocolStep; 11] = [
+    ProtocolStep::JoinTransfer,
+    ProtocolStep::JoinTransferResponse,
+    ProtocolStep::Prepare,
+    ProtocolStep::PrepareResponse,
+    ProtocolStep::Accept,
+    ProtocolStep::AcceptResponse,
+    ProtocolStep::NewView,
+    ProtocolStep::SynchroniseTransfer,
+    ProtocolStep::Append,
+    ProtocolStep::AppendAcknowledged,
+    ProtocolStep::Committed,
 ];
 
 /// What happens to the node that takes the step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Strike {
+pub enum FaultAction {
     /// It is killed before it sends anything; what was durable stays.
-    KillBefore { down: Millis },
+    CrashBeforeSend { downtime: Millis },
     /// It is killed right after it has sent all.
-    KillAfter { down: Millis },
+    CrashAfterSend { downtime: Millis },
     /// It is cut off from all others right after.
-    CutOff,
+    Isolate,
     /// It doesn't run for a while.
-    Freeze { time: Millis },
+    Freeze { duration: Millis },
 }
 
 /// A strike that waits for its step.
 #[derive(Clone, Copy, Debug)]
-pub struct Ambush {
+pub struct TargetedFault {
     step: ProtocolStep,
-    strike: Strike,
+    action: FaultAction,
     /// How many more times the step is let pass.
-    passes: u32,
+    remaining_skips: u32,
 }
 
 /// Longest absence after a strike.
-const DOWN: std::ops::Range<Millis> = 50..6000;
+const DOWNTIME_MS: std::ops::Range<Millis> = 50..6000;
 /// A step is let pass so many times at most.
-const MOST_PASSES: u32 = 4;
+const MAX_SKIPPED_OCCURRENCES: u32 = 4;
 
-impl World {
+impl Cluster {
     /// Lays an ambush in place of the one that may be waiting.
-    pub(crate) fn lay_ambush(&mut self) {
-        let step = *STEPS.choose(&mut self.fault_random).unwrap_or(&ProtocolStep::Accepts);
-        let time = self.fault_random.random_range(DOWN);
-        let strike = match self.fault_random.random_range(0..5) {
-            0 | 1 => Strike::KillBefore { down: time },
-            2 => Strike::KillAfter { down: time },
-            3 => Strike::CutOff,
-            _ => Strike::Freeze { time },
+    pub(crate) fn arm_targeted_fault(&mut self) {
+        let step = *PROTOCOL_STEPS.choose(&mut self.fault_random).unwrap_or(&ProtocolStep::AcceptResponse);
+        let duration = self.fault_random.random_range(DOWNTIME_MS);
+        let fault_action = match self.fault_random.random_range(0..5) {
+            0 | 1 => FaultAction::CrashBeforeSend { downtime: duration },
+            2 => FaultAction::CrashAfterSend { downtime: duration },
+            3 => FaultAction::Isolate,
+            _ => FaultAction::Freeze { duration },
         };
-        let passes = self.fault_random.random_range(0..MOST_PASSES);
-        self.ambush = Some(Ambush { step, strike, passes });
+        let remaining_skips = self.fault_random.random_range(0..MAX_SKIPPED_OCCURRENCES);
+        self.targeted_fault = Some(TargetedFault { step, action: fault_action, remaining_skips });
     }
 
     /// The strike on a node that does this, if one waits for it.
-    pub(crate) fn sprung_by(&mut self, effects: &[Effect]) -> Option<Strike> {
-        let ambush = self.ambush.as_mut()?;
-        if !effects.iter().any(|effect| step_of(effect) == Some(ambush.step)) {
+    pub(crate) fn targeted_fault_triggered_by(&mut self, effects: &[Effect]) -> Option<FaultAction> {
+        let targeted_fault = self.targeted_fault.as_mut()?;
+        if !effects.iter().any(|effect| step_of(effect) == Some(targeted_fault.step)) {
             return None;
         }
-        if ambush.passes > 0 {
-            ambush.passes -= 1;
+        if targeted_fault.remaining_skips > 0 {
+            targeted_fault.remaining_skips -= 1;
             return None;
         }
-        self.ambush.take().map(|ambush| ambush.strike)
+        self.targeted_fault.take().map(|targeted_fault| targeted_fault.action)
     }
 
     /// Strikes a node that has done what was waited for. Its effects have been carried out, unless it died before.
-    pub(crate) fn strike(&mut self, number: usize, strike: Strike) {
-        match strike {
-            Strike::KillBefore { down } | Strike::KillAfter { down } => self.kill(number, down),
-            Strike::CutOff => self.cut_off(number),
-            Strike::Freeze { time } => self.freeze(number, time),
+    pub(crate) fn apply_fault_action(&mut self, number: usize, fault_action: FaultAction) {
+        match fault_action {
+            FaultAction::CrashBeforeSend { downtime } | FaultAction::CrashAfterSend { downtime } => {
+                self.crash(number, downtime)
+            }
+            FaultAction::Isolate => self.isolate(number),
+            FaultAction::Freeze { duration } => self.freeze(number, duration),
         }
     }
 }
@@ -118,22 +120,22 @@
     let Effect::Send { message, .. } = effect else { return None };
     match &message.body {
         MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Join => {
-            Some(ProtocolStep::HandsOver)
+            Some(ProtocolStep::JoinTransfer)
         }
         MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Synchronise => {
-            Some(ProtocolStep::Synchronises)
+            Some(ProtocolStep::SynchroniseTransfer)
         }
         MessageBody::TransferResponse(answer) if answer.purpose == TransferPurpose::Join => {
-            Some(ProtocolStep::Joins)
+            Some(ProtocolStep::JoinTransferResponse)
         }
-        MessageBody::Prepare { .. } => Some(ProtocolStep::Prepares),
-        MessageBody::PrepareResponse { .. } => Some(ProtocolStep::Promises),
-        MessageBody::Accept { .. } => Some(ProtocolStep::Proposes),
-        MessageBody::AcceptResponse { .. } => Some(ProtocolStep::Accepts),
-        MessageBody::NewView(_) => Some(ProtocolStep::Announces),
-        MessageBody::Append { .. } => Some(ProtocolStep::PassesOn),
-        MessageBody::AppendAcknowledged { .. } => Some(ProtocolStep::Acknowledges),
-        MessageBody::Committed { .. } => Some(ProtocolStep::Commits),
+        MessageBody::Prepare { .. } => Some(ProtocolStep::Prepare),
+        MessageBody::PrepareResponse { .. } => Some(ProtocolStep::PrepareResponse),
+        MessageBody::Accept { .. } => Some(ProtocolStep::Accept),
+        MessageBody::AcceptResponse { .. } => Some(ProtocolStep::AcceptResponse),
+        MessageBody::NewView(_) => Some(ProtocolStep::NewView),
+        MessageBody::Append { .. } => Some(ProtocolStep::Append),
+        MessageBody::AppendAcknowledged { .. } => Some(ProtocolStep::AppendAcknowledged),
+        MessageBody::Committed { .. } => Some(ProtocolStep::Committed),
         _ => None,
     }
 }
--- a/crates/lockusher-control-simulation/tests/injected_bugs.rs
+++ b/crates/lockusher-control-simulation/tests/injected_bugs.rs
@@ -1,13 +1,13 @@
 //! Every mistake that can be planted is found: by the simulation within a stated number of runs, or by a named test.
 
 use lockusher_control::{ConfigurationDocument, InjectedBug, Reply, Request};
-use lockusher_control_simulation::{Checks, SimulationOptions, World, simulate_with};
+use lockusher_control_simulation::{Checks, Cluster, SimulationOptions, simulate_with};
 use yare::parameterized;
 
-const STEPS: usize = 500;
+const STEPS_PER_RUN: usize = 500;
 
 /// How a mistake shows.
-enum Shown {
+enum Detection {
     /// By the simulation, in one of so many runs from seed 1 on, with 3, 5 and 9 replicas.
     Within([u64; 3]),
     /// By a test of its own; the simulation shows it too rarely.
@@ -16,23 +16,23 @@
     CoveredBy(#[expect(dead_code, reason = "names the guard for the reader")] &'static str),
 }
 
-use Shown::{ByTest, CoveredBy, Within};
+use Detection::{ByTest, CoveredBy, Within};
 
 /// A number of replicas with which the mistake does no harm.
 const HARMLESS: u64 = 0;
 
-fn shown(injected_bug: InjectedBug) -> Shown {
+fn detection(injected_bug: InjectedBug) -> Detection {
     match injected_bug {
         InjectedBug::ReadUnconfirmed | InjectedBug::EarlierRoundCounts => Within([30, 30, 30]),
         InjectedBug::ConflictUnconfirmed => Within([200, 200, 200]),
         InjectedBug::NotNewerUnconfirmed => CoveredBy(
-            "versions only rise: what isn't above a version that was once in place isn't above the newest one",
+            "versions only rise: what isn't above a version that was once in position isn't above the newest one",
         ),
         InjectedBug::ConfirmAfterAccepting => Within([40, 40, 40]),
         InjectedBug::IfMatchIgnored | InjectedBug::TakenNotRecognized => Within([5, 5, 5]),
         InjectedBug::VersionIdentifiesChange => Within([5, 5, 5]),
         InjectedBug::RequestNumbersRestart => {
-            ByTest("injected_bugs::an_answer_of_a_former_life_answers_nothing")
+            ByTest("injected_bugs::a_reply_to_a_former_incarnation_is_ignored")
         }
         InjectedBug::AcknowledgeBeforeTail | InjectedBug::PassOnBeforeDurable => Within([5, 5, 5]),
         InjectedBug::EntryWithoutPredecessor => CoveredBy(
@@ -74,19 +74,19 @@
         let options = SimulationOptions {
             replicas,
             seed: *seed,
-            steps: STEPS,
+            steps: STEPS_PER_RUN,
             injected_bug: Some(injected_bug),
-            checks: Checks::Everything,
+            checks: Checks::All,
         };
         !simulate_with(options).violations.is_empty()
     })
 }
 
 #[parameterized(three = { 0, 3 }, five = { 1, 5 }, nine = { 2, 9 })]
-fn planted_mistakes_are_found_within_the_stated_runs(column: usize, replicas: usize) {
+fn injected_bugs_are_found_within_the_stated_runs(column: usize, replicas: usize) {
     let mut missed = Vec::new();
     for injected_bug in InjectedBug::ALL {
-        let limit = match shown(injected_bug) {
+        let limit = match detection(injected_bug) {
             Within(limits) => limits[column],
             ByTest(_) | CoveredBy(_) => continue,
         };
@@ -102,9 +102,9 @@
 }
 
 #[test]
-fn all_mistakes_are_listed_once() {
-    for (place, injected_bug) in InjectedBug::ALL.into_iter().enumerate() {
-        assert!(!InjectedBug::ALL[..place].contains(&injected_bug), "{injected_bug:?}");
+fn all_injected_bugs_are_listed_once() {
+    for (position, injected_bug) in InjectedBug::ALL.into_iter().enumerate() {
+        assert!(!InjectedBug::ALL[..position].contains(&injected_bug), "{injected_bug:?}");
         assert_eq!(InjectedBug::named(&format!("{injected_bug:?}")), Some(injected_bug));
     }
     assert_eq!(InjectedBug::named("None"), None);
@@ -116,25 +116,25 @@
     guarded = { None, false },
     left_out = { Some(InjectedBug::RequestNumbersRestart), true },
 )]
-fn an_answer_of_a_former_life_answers_nothing(injected_bug: Option<InjectedBug>, confused: bool) {
+fn a_reply_to_a_former_incarnation_is_ignored(injected_bug: Option<InjectedBug>, is_confused: bool) {
     let options = SimulationOptions { replicas: 3, seed: 1, injected_bug, ..SimulationOptions::default() };
-    let mut world = World::new(options);
-    assert!(world.run_until_whole(4000).is_some(), "{}", world.describe());
-    let chain = world.chain();
+    let mut cluster = Cluster::new(options);
+    assert!(cluster.run_until_all_members(4000).is_some(), "{}", cluster.describe());
+    let chain = cluster.chain();
     let (asker, other) = (chain[1], chain[2]);
     // The first life of the asker ends, so that its numbers start anew; the one that follows asks for the first time.
-    world.kill(asker, 20);
-    assert!(world.run_until_whole(4000).is_some(), "{}", world.describe());
+    cluster.crash(asker, 20);
+    assert!(cluster.run_until_all_members(4000).is_some(), "{}", cluster.describe());
     // The tail's disk stalls, so that a change waits at the head.
-    world.stall_disk(other, 400);
+    cluster.stall_disk(other, 400);
     let change =
         Request::Put { if_match: 0, document: ConfigurationDocument::new(9, b"{}".as_slice().into()) };
-    assert_eq!(world.ask_for(asker, change, 60), None);
-    world.kill(asker, 1);
-    world.run_until(5, |_| false);
-    let at_once = world.ask_for(asker, Request::Read, 30);
-    world.free_disks();
-    let answer = at_once.or_else(|| world.await_answer(1000));
+    assert_eq!(cluster.request_within(asker, change, 60), None);
+    cluster.crash(asker, 1);
+    cluster.run_until(5, |_| false);
+    let at_once = cluster.request_within(asker, Request::Read, 30);
+    cluster.recover_disks();
+    let answer = at_once.or_else(|| cluster.await_reply(1000));
     let is_of_the_read = matches!(answer, None | Some(Reply::Document(_) | Reply::Unavailable));
-    assert_eq!(!is_of_the_read, confused, "{answer:?}");
+    assert_eq!(!is_of_the_read, is_confused, "{answer:?}");
 }
--- a/crates/lockusher-control-simulation/tests/scenarios.rs
+++ b/crates/lockusher-control-simulation/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Single faults, with the time that the control state takes to get over them.
 
 use lockusher_control::{ConfigurationDocument, Reply, Request};
-use lockusher_control_simulation::{Room, SimulationOptions, World};
+use lockusher_control_simulation::{Cluster, DiskSpace, SimulationOptions};
 use yare::parameterized;
 
 /// Milliseconds that the operator waits for an acknowledgement, and that a new node has to become a member.
@@ -10,25 +10,25 @@
 /// Within this time after a loss, a write is acknowledged.
 const FAILOVER_MS: u64 = 2000;
 /// Within this time after the end of a trouble, all is as it was.
-const SETTLE_MS: u64 = 2000;
+const CONVERGENCE_MS: u64 = 2000;
 
 /// All nodes are in the chain, and something has been written.
-fn whole_system(replicas: usize, seed: u64) -> World {
-    let mut world = World::new(SimulationOptions { replicas, seed, ..SimulationOptions::default() });
-    assert!(world.run_until_whole(CATCH_UP_MS).is_some(), "first start:\n{}", world.describe());
-    assert!(world.write().is_some(), "first write:\n{}", world.describe());
-    world
+fn cluster_of(replicas: usize, seed: u64) -> Cluster {
+    let mut cluster = Cluster::new(SimulationOptions { replicas, seed, ..SimulationOptions::default() });
+    assert!(cluster.run_until_all_members(CATCH_UP_MS).is_some(), "first start:\n{}", cluster.describe());
+    assert!(cluster.write().is_some(), "first write:\n{}", cluster.describe());
+    cluster
 }
 
-fn assert_writes(world: &mut World, limit: u64) {
-    let taken = world.write();
-    assert!(taken.is_some_and(|taken| taken <= limit), "write took {taken:?}:\n{}", world.describe());
+fn assert_writes(cluster: &mut Cluster, limit: u64) {
+    let taken = cluster.write();
+    assert!(taken.is_some_and(|taken| taken <= limit), "write took {taken:?}:\n{}", cluster.describe());
 }
 
-fn assert_whole(world: &mut World, limit: u64) {
-    let taken = world.run_until_whole(limit);
-    assert!(taken.is_some(), "not whole after {limit} ms:\n{}", world.describe());
-    assert_eq!(world.violations(), &[] as &[String]);
+fn assert_all_members(cluster: &mut Cluster, limit: u64) {
+    let taken = cluster.run_until_all_members(limit);
+    assert!(taken.is_some(), "not whole after {limit} ms:\n{}", cluster.describe());
+    assert_eq!(cluster.violations(), &[] as &[String]);
 }
 
 #[parameterized(
@@ -40,15 +40,15 @@
     tail_of_5 = { 5, 4 },
     head_of_9 = { 9, 0 },
 )]
-fn a_killed_member_is_left_out_and_taken_back(replicas: usize, place: usize) {
+fn a_crashed_member_is_removed_and_taken_back(replicas: usize, position: usize) {
     for seed in 0..10 {
-        let mut world = whole_system(replicas, seed);
-        let victim = world.chain()[place];
-        world.kill(victim, 3000);
-        assert_writes(&mut world, FAILOVER_MS);
-        assert!(!world.chain().contains(&victim));
-        world.run_until(3000, |world| world.now() % 10_000 == 0);
-        assert_whole(&mut world, CATCH_UP_MS);
+        let mut cluster = cluster_of(replicas, seed);
+        let target = cluster.chain()[position];
+        cluster.crash(target, 3000);
+        assert_writes(&mut cluster, FAILOVER_MS);
+        assert!(!cluster.chain().contains(&target));
+        cluster.run_until(3000, |cluster| cluster.now() % 10_000 == 0);
+        assert_all_members(&mut cluster, CATCH_UP_MS);
     }
 }
 
@@ -58,217 +58,222 @@
     head_of_5 = { 5, 0 },
     middle_of_5 = { 5, 2 },
 )]
-fn a_lost_disk_is_filled_again_in_time(replicas: usize, place: usize) {
+fn a_lost_disk_is_restored_in_time(replicas: usize, position: usize) {
     for seed in 0..10 {
-        let mut world = whole_system(replicas, seed);
-        let victim = world.chain()[place];
-        let voters = world.voters();
-        world.kill(victim, 200);
-        world.wipe(victim);
-        assert_writes(&mut world, FAILOVER_MS);
-        assert_whole(&mut world, CATCH_UP_MS);
-        assert_eq!(world.voters(), voters);
+        let mut cluster = cluster_of(replicas, seed);
+        let target = cluster.chain()[position];
+        let voters = cluster.voters();
+        cluster.crash(target, 200);
+        cluster.lose_disk(target);
+        assert_writes(&mut cluster, FAILOVER_MS);
+        assert_all_members(&mut cluster, CATCH_UP_MS);
+        assert_eq!(cluster.voters(), voters);
     }
 }
 
 #[parameterized(
-    head_told = { 3, 0, true },
-    head_untold = { 3, 0, false },
-    tail_told = { 3, 2, true },
-    tail_untold = { 3, 2, false },
+    head_announced = { 3, 0, true },
+    head_unannounced = { 3, 0, false },
+    tail_announced = { 3, 2, true },
+    tail_unannounced = { 3, 2, false },
     of_5 = { 5, 1, false },
 )]
-fn a_replacement_at_a_new_address_takes_the_place(replicas: usize, place: usize, told: bool) {
+fn a_replacement_at_a_new_address_takes_the_place(replicas: usize, position: usize, is_announced: bool) {
     for seed in 0..10 {
-        let mut world = whole_system(replicas, seed);
-        let victim = world.chain()[place];
-        if told {
-            world.stop(victim);
+        let mut cluster = cluster_of(replicas, seed);
+        let target = cluster.chain()[position];
+        if is_announced {
+            cluster.stop(target);
         }
-        world.remove(victim);
-        world.add(300);
-        assert_writes(&mut world, FAILOVER_MS);
-        assert_whole(&mut world, CATCH_UP_MS);
-        assert!(world.run_until(CATCH_UP_MS, |world| world.voters() == replicas).is_some());
+        cluster.remove(target);
+        cluster.add(300);
+        assert_writes(&mut cluster, FAILOVER_MS);
+        assert_all_members(&mut cluster, CATCH_UP_MS);
+        assert!(cluster.run_until(CATCH_UP_MS, |cluster| cluster.voters() == replicas).is_some());
     }
 }
 
 #[test]
 fn all_seeds_can_be_replaced_one_after_another() {
-    let mut world = whole_system(5, 3);
+    let mut cluster = cluster_of(5, 3);
     for seed in 0..3 {
-        world.remove(seed);
-        world.add(100);
-        assert_writes(&mut world, FAILOVER_MS);
-        assert_whole(&mut world, CATCH_UP_MS);
+        cluster.remove(seed);
+        cluster.add(100);
+        assert_writes(&mut cluster, FAILOVER_MS);
+        assert_all_members(&mut cluster, CATCH_UP_MS);
     }
-    for number in world.chain() {
-        world.kill(number, 500);
+    for number in cluster.chain() {
+        cluster.crash(number, 500);
     }
-    assert_writes(&mut world, ACKNOWLEDGE_MS);
-    assert_whole(&mut world, CATCH_UP_MS);
+    assert_writes(&mut cluster, ACKNOWLEDGE_MS);
+    assert_all_members(&mut cluster, CATCH_UP_MS);
 }
 
 #[parameterized(
     three = { 3, 1 },
     five = { 5, 2 },
 )]
-fn what_was_acknowledged_survives_a_kill_of_all_with_lost_disks(replicas: usize, wiped: usize) {
+fn what_was_acknowledged_survives_a_crash_of_all_with_lost_disks(replicas: usize, wiped: usize) {
     for seed in 0..20 {
-        let mut world = whole_system(replicas, seed);
-        let chain = world.chain();
-        for (place, number) in chain.iter().enumerate() {
-            world.kill(*number, 100 + 100 * place as u64);
+        let mut cluster = cluster_of(replicas, seed);
+        let chain = cluster.chain();
+        for (position, number) in chain.iter().enumerate() {
+            cluster.crash(*number, 100 + 100 * position as u64);
         }
         let first = seed as usize % replicas;
-        for place in 0..wiped {
-            world.wipe(chain[(first + place) % replicas]);
+        for position in 0..wiped {
+            cluster.lose_disk(chain[(first + position) % replicas]);
         }
-        assert_writes(&mut world, ACKNOWLEDGE_MS);
-        assert_whole(&mut world, CATCH_UP_MS);
+        assert_writes(&mut cluster, ACKNOWLEDGE_MS);
+        assert_all_members(&mut cluster, CATCH_UP_MS);
     }
 }
 
 #[parameterized(
-    hears_nothing = { true, false },
-    is_not_heard = { false, true },
+    receives_nothing = { true, false },
+    sends_nothing = { false, true },
     both = { true, true },
 )]
-fn a_head_that_is_cut_off_answers_neither_reads_nor_writes(deaf: bool, mute: bool) {
+fn an_isolated_head_answers_neither_reads_nor_writes(receives_nothing: bool, sends_nothing: bool) {
     for seed in 0..10 {
-        let mut world = whole_system(3, seed);
-        let head = world.chain()[0];
+        let mut cluster = cluster_of(3, seed);
+        let head = cluster.chain()[0];
         for other in (0..3).filter(|other| *other != head) {
-            if deaf {
-                world.cut(other, head);
+            if receives_nothing {
+                cluster.partition_link(other, head);
             }
-            if mute {
-                world.cut(head, other);
+            if sends_nothing {
+                cluster.partition_link(head, other);
             }
         }
-        assert!(matches!(world.read_at(head), None | Some(Reply::Unavailable)));
-        assert_writes(&mut world, FAILOVER_MS + 1000);
-        assert!(matches!(world.read_at(head), None | Some(Reply::Unavailable)));
-        world.heal();
-        let healed = world.read_at(head);
-        assert!(matches!(healed, Some(Reply::Document(Some(_)))), "{healed:?}:\n{}", world.describe());
-        assert_whole(&mut world, SETTLE_MS);
+        assert!(matches!(cluster.read_at(head), None | Some(Reply::Unavailable)));
+        assert_writes(&mut cluster, FAILOVER_MS + 1000);
+        assert!(matches!(cluster.read_at(head), None | Some(Reply::Unavailable)));
+        cluster.heal_network();
+        let healed = cluster.read_at(head);
+        assert!(matches!(healed, Some(Reply::Document(Some(_)))), "{healed:?}:\n{}", cluster.describe());
+        assert_all_members(&mut cluster, CONVERGENCE_MS);
     }
 }
 
 #[parameterized(head = { 0 }, middle = { 1 }, tail = { 2 })]
-fn a_frozen_member_comes_back(place: usize) {
+fn a_frozen_member_comes_back(position: usize) {
     for seed in 0..10 {
-        let mut world = whole_system(3, seed);
-        let victim = world.chain()[place];
-        world.freeze(victim, 3000);
-        assert_writes(&mut world, FAILOVER_MS + 1000);
-        world.run_until(3000, |world| world.now() % 10_000 == 0);
-        assert_whole(&mut world, SETTLE_MS);
+        let mut cluster = cluster_of(3, seed);
+        let target = cluster.chain()[position];
+        cluster.freeze(target, 3000);
+        assert_writes(&mut cluster, FAILOVER_MS + 1000);
+        cluster.run_until(3000, |cluster| cluster.now() % 10_000 == 0);
+        assert_all_members(&mut cluster, CONVERGENCE_MS);
     }
 }
 
 #[parameterized(head = { 0 }, middle = { 1 }, tail = { 2 })]
-fn a_stalled_disk_is_left_out(place: usize) {
+fn a_member_with_a_stalled_disk_is_removed(position: usize) {
     for seed in 0..10 {
-        let mut world = whole_system(3, seed);
-        let victim = world.chain()[place];
-        world.stall_disk(victim, 6000);
-        assert_writes(&mut world, FAILOVER_MS + 1000);
-        assert!(!world.chain().contains(&victim));
-        world.run_until(5000, |world| world.now() % 100_000 == 0);
-        assert_whole(&mut world, SETTLE_MS);
+        let mut cluster = cluster_of(3, seed);
+        let target = cluster.chain()[position];
+        cluster.stall_disk(target, 6000);
+        assert_writes(&mut cluster, FAILOVER_MS + 1000);
+        assert!(!cluster.chain().contains(&target));
+        cluster.run_until(5000, |cluster| cluster.now() % 100_000 == 0);
+        assert_all_members(&mut cluster, CONVERGENCE_MS);
     }
 }
 
 #[parameterized(
-    head = { 0, Room::Little },
-    middle = { 1, Room::Little },
-    tail = { 2, Room::Little },
-    head_no_votes = { 0, Room::None },
-    tail_no_votes = { 2, Room::None },
+    head = { 0, DiskSpace::VotesOnly },
+    middle = { 1, DiskSpace::VotesOnly },
+    tail = { 2, DiskSpace::VotesOnly },
+    head_without_votes = { 0, DiskSpace::Full },
+    tail_without_votes = { 2, DiskSpace::Full },
 )]
-fn a_full_disk_is_left_out_and_taken_back(place: usize, room: Room) {
+fn a_member_with_a_full_disk_is_removed_and_taken_back(position: usize, space: DiskSpace) {
     for seed in 0..10 {
-        let mut world = whole_system(3, seed);
-        let victim = world.chain()[place];
-        world.fill_disk(victim, room);
-        assert_writes(&mut world, FAILOVER_MS + 1000);
+        let mut cluster = cluster_of(3, seed);
+        let target = cluster.chain()[position];
+        cluster.fill_disk(target, space);
+        assert_writes(&mut cluster, FAILOVER_MS + 1000);
         for _ in 0..5 {
-            assert_writes(&mut world, 500);
+            assert_writes(&mut cluster, 500);
         }
-        assert!(!world.chain().contains(&victim));
-        world.free_disks();
-        assert_whole(&mut world, SETTLE_MS + 1000);
+        assert!(!cluster.chain().contains(&target));
+        cluster.recover_disks();
+        assert_all_members(&mut cluster, CONVERGENCE_MS + 1000);
     }
 }
 
 #[parameterized(head = { 0 }, middle = { 1 }, tail = { 2 })]
-fn a_slow_disk_does_not_stop_writes(place: usize) {
+fn a_slow_disk_does_not_stop_writes(position: usize) {
     for seed in 0..10 {
-        let mut world = whole_system(3, seed);
-        let victim = world.chain()[place];
-        world.slow_disk(victim, 400);
+        let mut cluster = cluster_of(3, seed);
+        let target = cluster.chain()[position];
+        cluster.slow_disk(target, 400);
         for _ in 0..5 {
-            assert_writes(&mut world, FAILOVER_MS);
+            assert_writes(&mut cluster, FAILOVER_MS);
         }
-        world.free_disks();
-        assert_whole(&mut world, SETTLE_MS + 1000);
+        cluster.recover_disks();
+        assert_all_members(&mut cluster, CONVERGENCE_MS + 1000);
     }
 }
 
 #[parameterized(three = { 3 }, five = { 5 })]
-fn a_roll_out_hardly_delays_writes(replicas: usize) {
-    let mut world = whole_system(replicas, 5);
+fn a_rolling_restart_hardly_delays_writes(replicas: usize) {
+    let mut cluster = cluster_of(replicas, 5);
     for number in 0..replicas {
-        world.stop(number);
-        assert_writes(&mut world, 200);
-        world.kill(number, 200);
-        assert_writes(&mut world, 200);
-        assert_whole(&mut world, CATCH_UP_MS);
+        cluster.stop(number);
+        assert_writes(&mut cluster, 200);
+        cluster.crash(number, 200);
+        assert_writes(&mut cluster, 200);
+        assert_all_members(&mut cluster, CATCH_UP_MS);
     }
 }
 
 #[test]
 fn two_nodes_can_join_at_once() {
-    let mut world = whole_system(3, 9);
-    world.add(10);
-    world.add(20);
-    assert_writes(&mut world, 500);
-    assert_whole(&mut world, SETTLE_MS);
-    assert_eq!(world.voters(), 5);
+    let mut cluster = cluster_of(3, 9);
+    cluster.add(10);
+    cluster.add(20);
+    assert_writes(&mut cluster, 500);
+    assert_all_members(&mut cluster, CONVERGENCE_MS);
+    assert_eq!(cluster.voters(), 5);
 }
 
 #[test]
-fn idle_nodes_say_little() {
-    let mut world = whole_system(5, 1);
-    let (messages, bytes) = (world.messages(), world.bytes());
-    let since = world.now();
-    world.run_until(10_000, |_| false);
-    let seconds = (world.now() - since) / 1000;
+fn idle_nodes_send_few_messages() {
+    let mut cluster = cluster_of(5, 1);
+    let (messages, bytes) = (cluster.messages(), cluster.bytes());
+    let since = cluster.now();
+    cluster.run_until(10_000, |_| false);
+    let seconds = (cluster.now() - since) / 1000;
     let pairs = 5 * 4;
-    assert!((world.messages() - messages) / seconds <= pairs * 5, "{} messages", world.messages() - messages);
-    assert!((world.bytes() - bytes) / seconds <= pairs * 1000, "{} bytes", world.bytes() - bytes);
+    assert!(
+        (cluster.messages() - messages) / seconds <= pairs * 5,
+        "{} messages",
+        cluster.messages() - messages
+    );
+    assert!((cluster.bytes() - bytes) / seconds <= pairs * 1000, "{} bytes", cluster.bytes() - bytes);
 }
 
 /// A member whose disk came back with another configuration is compared with the head by digests and is sent the
 /// committed state, without a write; until then it tells nobody what it holds.
 #[parameterized(middle_of_3 = { 3, 1 }, tail_of_3 = { 3, 2 }, tail_of_5 = { 5, 4 })]
-fn a_member_with_a_false_state_is_repaired(replicas: usize, place: usize) {
+fn a_member_with_a_corrupted_state_is_repaired(replicas: usize, position: usize) {
     for seed in 0..10 {
-        let mut world = whole_system(replicas, seed);
-        let chain = world.chain();
-        let (head, victim) = (chain[0], chain[place]);
-        let history_digest =
-            |world: &World, number: usize| world.replica(number).map(|replica| replica.history_digest());
-        world.kill(victim, 50);
-        assert!(world.falsify_disk(victim));
-        assert!(world.run_until(500, |world| world.replica(victim).is_some()).is_some());
-        assert_ne!(history_digest(&world, victim), history_digest(&world, head));
-        let is_same = |world: &World| history_digest(world, victim) == history_digest(world, head);
-        assert!(world.run_until(SETTLE_MS, is_same).is_some(), "{}", world.describe());
-        assert_whole(&mut world, CATCH_UP_MS);
-        let counters = world.replica(head).expect("the head runs").counters();
+        let mut cluster = cluster_of(replicas, seed);
+        let chain = cluster.chain();
+        let (head, target) = (chain[0], chain[position]);
+        let history_digest = |cluster: &Cluster, number: usize| {
+            cluster.replica(number).map(|replica| replica.history_digest())
+        };
+        cluster.crash(target, 50);
+        assert!(cluster.corrupt_disk(target));
+        assert!(cluster.run_until(500, |cluster| cluster.replica(target).is_some()).is_some());
+        assert_ne!(history_digest(&cluster, target), history_digest(&cluster, head));
+        let is_same = |cluster: &Cluster| history_digest(cluster, target) == history_digest(cluster, head);
+        assert!(cluster.run_until(CONVERGENCE_MS, is_same).is_some(), "{}", cluster.describe());
+        assert_all_members(&mut cluster, CATCH_UP_MS);
+        let counters = cluster.replica(head).expect("the head runs").counters();
         assert!(counters.digest_repairs + counters.read_repairs > 0, "{counters:?}");
     }
 }
@@ -281,40 +286,40 @@
     head_of_5 = { 5, 0, 2 },
     middle_of_5 = { 5, 2, 2 },
 )]
-fn disks_are_lost_right_after_a_planned_departure(replicas: usize, place: usize, lost: usize) {
+fn disks_are_lost_right_after_a_planned_departure(replicas: usize, position: usize, lost: usize) {
     for seed in 0..10 {
-        let mut world = whole_system(replicas, seed);
-        let leaver = world.chain()[place];
-        world.add(10);
-        assert_whole(&mut world, CATCH_UP_MS);
-        assert_eq!(world.voters(), replicas + 1);
-        world.stop(leaver);
-        world.remove(leaver);
-        for victim in world.chain().into_iter().rev().take(lost) {
-            world.kill(victim, 200);
-            world.wipe(victim);
+        let mut cluster = cluster_of(replicas, seed);
+        let leaver = cluster.chain()[position];
+        cluster.add(10);
+        assert_all_members(&mut cluster, CATCH_UP_MS);
+        assert_eq!(cluster.voters(), replicas + 1);
+        cluster.stop(leaver);
+        cluster.remove(leaver);
+        for target in cluster.chain().into_iter().rev().take(lost) {
+            cluster.crash(target, 200);
+            cluster.lose_disk(target);
         }
-        assert_writes(&mut world, ACKNOWLEDGE_MS);
-        assert_whole(&mut world, CATCH_UP_MS);
-        assert_eq!(world.voters(), replicas);
+        assert_writes(&mut cluster, ACKNOWLEDGE_MS);
+        assert_all_members(&mut cluster, CATCH_UP_MS);
+        assert_eq!(cluster.voters(), replicas);
     }
 }
 
 /// A member that is back before anybody missed it, in an epoch in which nothing was written: it is told what is committed, so
 /// that it goes on feeding its agents.
 #[parameterized(middle_of_3 = { 3, 1 }, tail_of_3 = { 3, 2 }, middle_of_5 = { 5, 2 })]
-fn a_member_back_at_once_knows_what_is_committed(replicas: usize, place: usize) {
+fn a_member_restarted_at_once_knows_what_is_committed(replicas: usize, position: usize) {
     for seed in 0..10 {
-        let mut world = whole_system(replicas, seed);
-        let other = world.chain()[0];
-        world.kill(other, 2000);
-        assert!(world.run_until(FAILOVER_MS, |world| !world.chain().contains(&other)).is_some());
-        world.run_until(2000, |_| false);
-        assert_whole(&mut world, CATCH_UP_MS);
-        let victim = world.chain()[place];
-        world.kill(victim, 20);
-        assert!(world.run_until(500, |world| world.replica(victim).is_some()).is_some());
-        assert_whole(&mut world, SETTLE_MS);
+        let mut cluster = cluster_of(replicas, seed);
+        let other = cluster.chain()[0];
+        cluster.crash(other, 2000);
+        assert!(cluster.run_until(FAILOVER_MS, |cluster| !cluster.chain().contains(&other)).is_some());
+        cluster.run_until(2000, |_| false);
+        assert_all_members(&mut cluster, CATCH_UP_MS);
+        let target = cluster.chain()[position];
+        cluster.crash(target, 20);
+        assert!(cluster.run_until(500, |cluster| cluster.replica(target).is_some()).is_some());
+        assert_all_members(&mut cluster, CONVERGENCE_MS);
     }
 }
 
@@ -322,46 +327,46 @@
 /// back nothing that it held takes effect.
 #[parameterized(
     head_both_ways = { 0, true, true },
-    head_hears_nothing = { 0, true, false },
-    head_is_not_heard = { 0, false, true },
+    head_receives_nothing = { 0, true, false },
+    head_sends_nothing = { 0, false, true },
     tail_both_ways = { 4, true, true },
-    tail_is_not_heard = { 4, false, true },
+    tail_sends_nothing = { 4, false, true },
 )]
-fn a_node_cut_off_for_twenty_seconds_answers_by_the_newest_or_not_at_all(
-    place: usize,
-    deaf: bool,
-    mute: bool,
+fn a_node_isolated_for_twenty_seconds_answers_by_the_newest_or_not_at_all(
+    position: usize,
+    receives_nothing: bool,
+    sends_nothing: bool,
 ) {
     for seed in 0..4 {
-        let mut world = whole_system(5, seed);
-        let victim = world.chain()[place];
-        for other in (0..5).filter(|other| *other != victim) {
-            if deaf {
-                world.cut(other, victim);
+        let mut cluster = cluster_of(5, seed);
+        let target = cluster.chain()[position];
+        for other in (0..5).filter(|other| *other != target) {
+            if receives_nothing {
+                cluster.partition_link(other, target);
             }
-            if mute {
-                world.cut(victim, other);
+            if sends_nothing {
+                cluster.partition_link(target, other);
             }
         }
         let outdated = Request::Put {
             if_match: 0,
             document: ConfigurationDocument::new(1_000_000, b"{}".as_slice().into()),
         };
-        assert_eq!(world.ask_for(victim, outdated, 1), None, "a refusal needs a majority");
-        let until = world.now() + 20_000;
-        while world.now() < until {
-            assert_writes(&mut world, FAILOVER_MS + 1000);
-            let newest = world.version();
-            match world.read_at(victim) {
+        assert_eq!(cluster.request_within(target, outdated, 1), None, "a refusal needs a majority");
+        let until = cluster.now() + 20_000;
+        while cluster.now() < until {
+            assert_writes(&mut cluster, FAILOVER_MS + 1000);
+            let newest = cluster.version();
+            match cluster.read_at(target) {
                 None | Some(Reply::Unavailable) => {}
                 Some(Reply::Document(Some(document))) => assert!(document.version >= newest),
                 other => panic!("{other:?}"),
             }
         }
-        let newest = world.version();
-        world.heal();
-        assert_whole(&mut world, CATCH_UP_MS);
-        assert_eq!(world.version(), newest, "what the node was asked before is in force nowhere");
+        let newest = cluster.version();
+        cluster.heal_network();
+        assert_all_members(&mut cluster, CATCH_UP_MS);
+        assert_eq!(cluster.version(), newest, "what the node was asked before is in force nowhere");
     }
 }
 
@@ -369,31 +374,31 @@
 /// is replaced. Every change that was acknowledged is known, to be told again.
 #[parameterized(three = { 3 }, five = { 5 })]
 fn hundreds_of_changes_outlast_a_restart(replicas: usize) {
-    let mut world = whole_system(replicas, 1);
-    let absent = world.chain()[1];
+    let mut cluster = cluster_of(replicas, 1);
+    let absent = cluster.chain()[1];
     for number in 0..300 {
         if number == 150 {
-            world.kill(absent, 1_000_000);
+            cluster.crash(absent, 1_000_000);
         }
-        assert_writes(&mut world, FAILOVER_MS);
+        assert_writes(&mut cluster, FAILOVER_MS);
     }
-    let newest = world.version();
-    let changes = world.acknowledged_changes();
+    let newest = cluster.version();
+    let changes = cluster.acknowledged_changes();
     assert_eq!(changes.len(), 301);
-    world.end_faults();
-    assert_whole(&mut world, CATCH_UP_MS);
-    let chain = world.chain();
-    for (place, number) in chain.iter().enumerate() {
-        world.kill(*number, 100 + 50 * place as u64);
+    cluster.end_faults();
+    assert_all_members(&mut cluster, CATCH_UP_MS);
+    let chain = cluster.chain();
+    for (position, number) in chain.iter().enumerate() {
+        cluster.crash(*number, 100 + 50 * position as u64);
     }
-    world.wipe(chain[0]);
-    assert!(world.run_until_whole(ACKNOWLEDGE_MS + CATCH_UP_MS).is_some(), "{}", world.describe());
-    assert_eq!(world.version(), newest);
-    world.remove(chain[1]);
-    let successor = world.add(300);
-    assert_writes(&mut world, FAILOVER_MS);
-    assert_whole(&mut world, CATCH_UP_MS);
+    cluster.lose_disk(chain[0]);
+    assert!(cluster.run_until_all_members(ACKNOWLEDGE_MS + CATCH_UP_MS).is_some(), "{}", cluster.describe());
+    assert_eq!(cluster.version(), newest);
+    cluster.remove(chain[1]);
+    let successor = cluster.add(300);
+    assert_writes(&mut cluster, FAILOVER_MS);
+    assert_all_members(&mut cluster, CATCH_UP_MS);
     for change in changes.into_iter().step_by(30) {
-        assert_eq!(world.ask_for(successor, change, ACKNOWLEDGE_MS), Some(Reply::Accepted));
+        assert_eq!(cluster.request_within(successor, change, ACKNOWLEDGE_MS), Some(Reply::Accepted));
     }
 }
--- a/crates/lockusher-control-simulation/tests/simulation.rs
+++ b/crates/lockusher-control-simulation/tests/simulation.rs
@@ -4,7 +4,7 @@
 
 use lockusher_control::InjectedBug;
 use lockusher_control_simulation::{
-    Outcome, SimulationOptions, World, shrink, simulate, simulate_with, simulate_without,
+    Cluster, Outcome, SimulationOptions, shrink, simulate, simulate_with, simulate_without,
 };
 use yare::parameterized;
 
@@ -34,11 +34,11 @@
     five = { 5 },
     nine = { 9 },
 )]
-fn a_calm_first_start_serves(replicas: usize) {
-    let mut world = World::new(SimulationOptions { replicas, seed: 1, ..SimulationOptions::default() });
-    world.run_calm();
-    let state = world.describe();
-    let outcome = world.into_outcome();
+fn a_first_start_without_faults_serves(replicas: usize) {
+    let mut cluster = Cluster::new(SimulationOptions { replicas, seed: 1, ..SimulationOptions::default() });
+    cluster.run_recovery();
+    let state = cluster.describe();
+    let outcome = cluster.into_outcome();
     assert_eq!(outcome.violations, Vec::<String>::new(), "{state}");
     assert!(outcome.recovery_ms < 500, "the write took {} ms", outcome.recovery_ms);
 }
@@ -50,7 +50,7 @@
     seven = { 7, 50 },
     nine = { 9, 30 },
 )]
-fn promises_are_kept_under_faults(replicas: usize, seeds: u64) {
+fn no_invariant_is_violated_under_faults(replicas: usize, seeds: u64) {
     if let Some((seed, outcome)) = first_violation(replicas, None, seeds, 500) {
         panic!("seed {seed}: {:#?}", outcome.violations);
     }
@@ -67,14 +67,14 @@
     acknowledge_before_tail = { InjectedBug::AcknowledgeBeforeTail },
     vote_after_wipe = { InjectedBug::VoteAfterWipe },
 )]
-fn a_mistake_is_found(injected_bug: InjectedBug) {
+fn an_injected_bug_is_found(injected_bug: InjectedBug) {
     assert!(first_violation(3, Some(injected_bug), 1000, 500).is_some());
 }
 
 #[test]
 fn a_failing_run_is_shrunk_to_faults_that_are_all_needed() {
     let injected_bug = Some(InjectedBug::VoteAfterWipe);
-    let (seed, whole) = first_violation(3, injected_bug, 1000, 500).expect("the mistake is found");
+    let (seed, full) = first_violation(3, injected_bug, 1000, 500).expect("the mistake is found");
     let shrunk = shrink(SimulationOptions {
         replicas: 3,
         seed,
@@ -84,7 +84,7 @@
     })
     .expect("it fails");
     assert!(!shrunk.violations.is_empty());
-    assert!(shrunk.faults.len() < whole.faults.len(), "{shrunk:?} of {} faults", whole.faults.len());
+    assert!(shrunk.faults.len() < full.faults.len(), "{shrunk:?} of {} faults", full.faults.len());
     // Any one more that is left out lets the run keep its promises.
     let options = SimulationOptions {
         replicas: 3,
@@ -93,17 +93,17 @@
         injected_bug,
         ..SimulationOptions::default()
     };
-    let kept: BTreeSet<usize> = shrunk.faults.iter().map(|fault| fault.step).collect();
-    let others: BTreeSet<usize> = (0..shrunk.steps).filter(|step| !kept.contains(step)).collect();
+    let needed: BTreeSet<usize> = shrunk.faults.iter().map(|fault| fault.step).collect();
+    let others: BTreeSet<usize> = (0..shrunk.steps).filter(|step| !needed.contains(step)).collect();
     assert!(!simulate_without(options, &others).violations.is_empty());
-    for step in kept {
+    for step in needed {
         let left_out = others.iter().copied().chain([step]).collect();
         assert!(simulate_without(options, &left_out).violations.is_empty(), "step {step} isn't needed");
     }
 }
 
 #[test]
-fn a_run_that_keeps_its_promises_is_not_shrunk() {
+fn a_run_without_violations_is_not_shrunk() {
     assert!(
         shrink(SimulationOptions { replicas: 3, seed: 1, steps: 50, ..SimulationOptions::default() })
             .is_none()
