--- a/crates/lockusher-control-simulation/src/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -1,12 +1,12 @@
 //! The operators' calls and what is made of the answers.
 
+use lockusher_control::{Event, Millis, Reply, Request, RequestTicket};
 use rand::RngExt;
 
 use crate::{
     cluster::Cluster,
-    operator::{Call, Change, Operator},
+    operator::{Call, Change, DelayedCall, Operator},
 };
-use lockusher_control::{Event, Millis, Reply, Request, RequestTicket};
 
 /// An operator moves on after this silence.
 const OPERATOR_TIMEOUT_MS: Millis = 1000;
@@ -15,14 +15,6 @@
 /// How late a doubled call comes at most.
 const CALL_DELAY_MS: std::ops::Range<Millis> = 1..12_000;
 
-/// A call that is held on its way; nobody waits for its answer.
-#[derive(Clone, Debug)]
-pub struct DelayedCall {
-    pub due: Millis,
-    node: usize,
-    request: Request,
-}
-
 impl Cluster {
     pub(crate) fn step_operators(&mut self) {
         for number in 0..self.operators.len() {
--- a/crates/lockusher-control-simulation/src/disk.rs
+++ b/crates/lockusher-control-simulation/src/disk.rs
@@ -2,11 +2,11 @@
 
 use std::{collections::VecDeque, sync::Arc};
 
+use lockusher_control::{ConfigurationDocument, DurableRecord, Millis, PersistTicket, ReplicatedState};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
 use crate::disk_contents::DiskContents;
-use lockusher_control::{ConfigurationDocument, DurableRecord, Millis, PersistTicket, ReplicatedState};
 
 /// The log and the writes under way.
 #[derive(Debug, Default)]
--- a/crates/lockusher-control-simulation/src/disk_losses.rs
+++ b/crates/lockusher-control-simulation/src/disk_losses.rs
@@ -3,10 +3,10 @@
 //! Only lost disks are counted: machines may be down, frozen or isolated beside them in any number. A lost disk counts until
 //! its successor has been well for the time to catch up, with a majority of the voters there to feed it.
 
+use lockusher_control::{Millis, view_change::MAX_VOTERS};
 use rand::RngExt;
 
 use crate::cluster::{CATCH_UP_MS, Cluster};
-use lockusher_control::{Millis, view_change::MAX_VOTERS};
 
 /// Time that a machine that lost its disk is down, and that a replacement takes to come.
 const SHORT_DOWNTIME_MS: std::ops::Range<Millis> = 20..1000;
--- a/crates/lockusher-control-simulation/src/fault_schedule.rs
+++ b/crates/lockusher-control-simulation/src/fault_schedule.rs
@@ -1,75 +1,117 @@
-//! Faults drawn at random, within what the deployment must bear.
-
-use std::collections::BTreeSet;
+//! Which fault a step of a run begins or ends: drawn from the seed, without a look at the cluster.
 
 use derive_more::Display;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::{cluster::Cluster, disk::DiskSpace};
-use lockusher_control::{Millis, view_change::MAX_VOTERS};
+/// How often steps are faults, in percent; each run draws one.
+const FAULT_PERCENTS: [u32; 4] = [1, 3, 6, 12];
+/// Faults are drawn by a number below this one, see [`FaultKind::from_draw`].
+const FAULT_DRAWS: u32 = 200;
+
+/// Draws the faults of a run.
+#[derive(Clone, Copy, Debug)]
+pub struct FaultSchedule {
+    seed: u64,
+    /// How often a step is a fault or its end.
+    fault_percent: u32,
+}
+
+/// What is drawn for one step.
+#[derive(Debug)]
+pub struct DrawnFault {
+    /// The fault that begins or ends; none if the step is without.
+    pub kind: Option<FaultKind>,
+    /// Draws everything else about the fault.
+    pub random: ChaCha8Rng,
+}
+
+impl FaultSchedule {
+    /// The schedule of the run with this seed; its frequency of faults is drawn from the run's own generator.
+    pub fn new(seed: u64, random: &mut ChaCha8Rng) -> Self {
+        let fault_percent = FAULT_PERCENTS[random.random_range(0..FAULT_PERCENTS.len())];
+        Self { seed, fault_percent }
+    }
 
-/// Longest time that a killed process is down.
-const DOWNTIME_MS: std::ops::Range<Millis> = 50..3000;
-/// Return after all were killed.
-const SHORT_DOWNTIME_MS: std::ops::Range<Millis> = 20..1000;
-const FREEZE_MS: std::ops::Range<Millis> = 100..3000;
-const DISK_STALL_MS: std::ops::Range<Millis> = 100..4000;
-/// Longest sync of a slow disk.
-const SLOW_SYNC_MS: std::ops::Range<Millis> = 20..900;
-/// The first start is left in peace until all have found each other: before, an empty disk is a lost one.
-const FIRST_FAULT_AT_MS: Millis = 1000;
-/// A machine is away for so long at most, and comes back with what it knew.
-const LONG_OUTAGE_MS: std::ops::Range<Millis> = 5_000..30_000;
+    /// The fault of a step. It depends on the seed and the step alone, so that a fault that is left out of a run doesn't
+    /// change the others.
+    pub fn draw(&self, step: usize) -> DrawnFault {
+        let mut random = ChaCha8Rng::seed_from_u64(self.seed);
+        random.set_stream(step as u64 + 1);
+        let is_due = random.random_ratio(self.fault_percent, 100);
+        let kind = FaultKind::from_draw(random.random_range(0..FAULT_DRAWS));
+        DrawnFault { kind: kind.filter(|_| is_due), random }
+    }
+}
 
 /// A fault, or the end of some.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 pub enum FaultKind {
+    /// One process is killed and starts again.
     #[display("a process is killed")]
     Crash,
+    /// All processes are killed at once and start again soon.
     #[display("all processes are killed")]
     CrashAll,
+    /// One process doesn't run for a while.
     #[display("a process freezes")]
     Freeze,
+    /// One link is partitioned, one way or both.
     #[display("a link is cut")]
     PartitionLink,
+    /// The machines are partitioned in two groups, one way or both.
     #[display("the machines are cut in two")]
     Partition,
+    /// All partitions and all degradation of the network end.
     #[display("all links are joined")]
     HealNetwork,
+    /// One disk syncs nothing for a while.
     #[display("a disk stalls")]
     StallDisk,
+    /// One disk refuses writes.
     #[display("a disk fills up")]
     FillDisk,
+    /// One disk syncs slowly.
     #[display("a disk turns slow")]
     SlowDisk,
+    /// All disks work as usual.
     #[display("all disks work as usual")]
     RecoverDisks,
+    /// Messages are lost, duplicated and delayed.
     #[display("messages are lost, doubled and held up")]
     DegradeNetwork,
+    /// Some machines lose their disks.
     #[display("disks are lost")]
     LoseDisks,
+    /// Some machines lose their disks while all processes are killed.
     #[display("disks are lost while all processes are killed")]
     LoseDisksAndCrashAll,
+    /// One machine is replaced by another one at a new address.
     #[display("a machine is replaced")]
     ReplaceMachine,
+    /// One process is stopped as planned and starts again.
     #[display("a process is stopped")]
     StopGracefully,
+    /// A machine that was removed returns with its disk.
     #[display("a machine that was replaced returns")]
     RestoreRemovedMachine,
+    /// One machine is isolated, frozen or stalled for many seconds.
     #[display("a machine is away for long")]
     LongOutage,
+    /// Disks are lost one after another, each as soon as the loss before is over.
     #[display("disks are lost one after another")]
     LoseDisksInSequence,
+    /// A minority misses changes; then one of the others loses its disk and the rest are killed.
     #[display("a minority misses changes, then the others are lost or go dark")]
     LoseDiskBehindPartition,
+    /// A targeted fault is armed.
     #[display("a node is struck in the middle of a step of the protocol")]
     TargetedFault,
 }
 
 impl FaultKind {
-    /// The kind that a number below 200 stands for, by frequency; none for the last ones.
-    fn drawn(number: u32) -> Option<FaultKind> {
+    /// The kind that a number below [`FAULT_DRAWS`] stands for, by frequency; none for the last ones.
+    fn from_draw(number: u32) -> Option<FaultKind> {
         let kind = match number {
             0..24 => FaultKind::Crash,
             24..34 => FaultKind::CrashAll,
@@ -101,184 +143,8 @@
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[display("step {step}: {kind}")]
 pub struct FaultStep {
+    /// Number of the step, from 0 on.
     pub step: usize,
+    /// What began or ended.
     pub kind: FaultKind,
 }
-
-impl Cluster {
-    /// Perhaps begins or ends a fault. What is drawn depends on the seed and the step alone, so that a fault that is left
-    /// out of a run doesn't change the others.
-    pub(crate) fn step_faults(&mut self, step: usize, left_out: &BTreeSet<usize>) {
-        self.update_node_health();
-        if self.now < FIRST_FAULT_AT_MS {
-            return;
-        }
-        self.fault_random = ChaCha8Rng::seed_from_u64(self.options.seed);
-        self.fault_random.set_stream(step as u64 + 1);
-        let is_due = self.fault_random.random_ratio(self.fault_percent, 100);
-        let drawn = FaultKind::drawn(self.fault_random.random_range(0..200));
-        let Some(kind) = drawn.filter(|_| is_due && !left_out.contains(&step)) else { return };
-        self.outcome.faults.push(FaultStep { step, kind });
-        self.begin_fault(kind);
-    }
-
-    fn begin_fault(&mut self, kind: FaultKind) {
-        match kind {
-            FaultKind::Crash => self.crash_one(),
-            FaultKind::CrashAll => self.crash_all(),
-            FaultKind::Freeze => self.freeze_one(),
-            FaultKind::PartitionLink => self.partition_one_link(),
-            FaultKind::Partition => self.partition_in_two(),
-            FaultKind::HealNetwork => self.heal_network(),
-            FaultKind::StallDisk => self.stall_one_disk(),
-            FaultKind::FillDisk => self.fill_one_disk(),
-            FaultKind::SlowDisk => self.slow_one_disk(),
-            FaultKind::RecoverDisks => self.recover_disks(),
-            FaultKind::DegradeNetwork => self.degrade_network(),
-            FaultKind::LoseDisks => self.lose_disks(false),
-            FaultKind::LoseDisksAndCrashAll => self.lose_disks(true),
-            FaultKind::ReplaceMachine => self.replace_machine(),
-            FaultKind::StopGracefully => self.stop_gracefully(),
-            FaultKind::RestoreRemovedMachine => self.restore_removed_machine(),
-            FaultKind::LongOutage => self.cause_long_outage(),
-            FaultKind::LoseDisksInSequence => self.lose_disks_in_sequence(),
-            FaultKind::LoseDiskBehindPartition => self.lose_disk_behind_partition(),
-            FaultKind::TargetedFault => self.arm_targeted_fault(),
-        }
-    }
-
-    pub(crate) fn present(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|number| !self.nodes[*number].removed).collect()
-    }
-
-    pub(crate) fn pick_machine(&mut self) -> usize {
-        let present = self.present();
-        present[self.fault_random.random_range(0..present.len())]
-    }
-
-    fn crash_for(&mut self, number: usize, downtime: std::ops::Range<Millis>) {
-        let downtime = self.fault_random.random_range(downtime);
-        self.crash(number, downtime);
-    }
-
-    fn crash_one(&mut self) {
-        let number = self.pick_machine();
-        self.crash_for(number, DOWNTIME_MS);
-    }
-
-    pub(crate) fn crash_all(&mut self) {
-        for number in self.present() {
-            self.crash_for(number, SHORT_DOWNTIME_MS);
-        }
-    }
-
-    /// A machine that was removed and replaced comes back with its disk, and stays.
-    fn restore_removed_machine(&mut self) {
-        if self.present().len() >= MAX_VOTERS {
-            return;
-        }
-        let now = self.now;
-        if let Some(node) = self.nodes.iter_mut().find(|node| node.removed) {
-            node.removed = false;
-            node.start_at = Some(now + 1);
-        }
-    }
-
-    fn stop_gracefully(&mut self) {
-        let number = self.pick_machine();
-        self.stop(number);
-        self.crash_for(number, SHORT_DOWNTIME_MS);
-    }
-
-    fn freeze_one(&mut self) {
-        let number = self.pick_machine();
-        let duration = self.fault_random.random_range(FREEZE_MS);
-        self.freeze(number, duration);
-    }
-
-    fn partition_one_link(&mut self) {
-        let (first, second) = (self.pick_machine(), self.pick_machine());
-        if first != second {
-            self.partition_link(first, second);
-            if self.fault_random.random_ratio(1, 2) {
-                self.partition_link(second, first);
-            }
-        }
-    }
-
-    fn partition_in_two(&mut self) {
-        let one_way = self.fault_random.random_ratio(1, 3);
-        let sides: Vec<bool> = self.nodes.iter().map(|_| self.fault_random.random_ratio(1, 2)).collect();
-        for first in 0..self.nodes.len() {
-            for second in 0..self.nodes.len() {
-                if sides[first] && !sides[second] {
-                    self.partition_link(first, second);
-                    if !one_way {
-                        self.partition_link(second, first);
-                    }
-                }
-            }
-        }
-    }
-
-    /// Nothing passes between these machines and those.
-    pub(crate) fn partition_groups(&mut self, some: &[usize], others: &[usize]) {
-        for first in some {
-            for second in others {
-                self.partition_link(*first, *second);
-                self.partition_link(*second, *first);
-            }
-        }
-    }
-
-    /// Nothing passes between a machine and all others.
-    pub(crate) fn isolate(&mut self, number: usize) {
-        let others: Vec<usize> = (0..self.nodes.len()).filter(|other| *other != number).collect();
-        self.partition_groups(&[number], &others);
-    }
-
-    /// A machine hears nothing, isn't heard, or both; or it is frozen, or its disk stalls; for many seconds, while the
-    /// operators go on and reach it.
-    fn cause_long_outage(&mut self) {
-        let number = if self.fault_random.random_ratio(1, 2) { self.head() } else { None };
-        let number = number.unwrap_or_else(|| self.pick_machine());
-        let duration = self.fault_random.random_range(LONG_OUTAGE_MS);
-        let others: Vec<usize> = (0..self.nodes.len()).filter(|other| *other != number).collect();
-        match self.fault_random.random_range(0..5) {
-            0 => self.isolate(number),
-            1 => others.iter().for_each(|other| self.partition_link(*other, number)),
-            2 => others.iter().for_each(|other| self.partition_link(number, *other)),
-            3 => self.freeze(number, duration),
-            _ => self.stall_disk(number, duration),
-        }
-        let until = self.now + duration;
-        while self.now < until {
-            self.step_during_fault(20..200);
-        }
-        self.heal_network();
-    }
-
-    fn stall_one_disk(&mut self) {
-        let number = self.pick_machine();
-        let duration = self.fault_random.random_range(DISK_STALL_MS);
-        self.stall_disk(number, duration);
-    }
-
-    fn slow_one_disk(&mut self) {
-        let number = self.pick_machine();
-        let max_sync = self.fault_random.random_range(SLOW_SYNC_MS);
-        self.slow_disk(number, max_sync);
-    }
-
-    fn fill_one_disk(&mut self) {
-        let number = self.pick_machine();
-        let space = if self.fault_random.random_ratio(1, 2) { DiskSpace::VotesOnly } else { DiskSpace::Full };
-        self.fill_disk(number, space);
-    }
-
-    fn degrade_network(&mut self) {
-        self.network.loss = self.fault_random.random_range(0..20);
-        self.network.duplicated = self.fault_random.random_range(0..20);
-        self.network.delayed = self.fault_random.random_range(0..15);
-    }
-}
--- a/crates/lockusher-control-simulation/src/invariant_checks.rs
+++ b/crates/lockusher-control-simulation/src/invariant_checks.rs
@@ -1,17 +1,8 @@
 //! Compares what the nodes do with what they owe: obligations towards each other, and copies of what is committed.
 
-use crate::{cluster::Cluster, disk_contents::DiskContents, invariants::InvariantViolation};
 use lockusher_control::{DurableRecord, Identity, Message};
 
-/// What a run is judged by.
-#[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Checks {
-    /// What operators and agents are told, and what nodes owe each other.
-    #[default]
-    All,
-    /// What operators and agents are told.
-    ExternallyVisible,
-}
+use crate::{cluster::Cluster, disk_contents::DiskContents, invariants::InvariantViolation, options::Checks};
 
 impl Cluster {
     fn looks_inside(&self) -> bool {
--- a/crates/lockusher-control-simulation/src/invariants.rs
+++ b/crates/lockusher-control-simulation/src/invariants.rs
@@ -6,13 +6,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use crate::disk_contents::DiskContents;
 use lockusher_control::{
     Digest, DurableRecord, Identity, Message, Position, View,
     message::{MessageBody, ProposalNumber, TransferPurpose},
     state::HistoryDigest,
 };
 
+use crate::disk_contents::DiskContents;
+
 /// All that was told and decided.
 #[derive(Debug, Default)]
 pub struct ProtocolInvariants {
--- a/crates/lockusher-control-simulation/src/network.rs
+++ b/crates/lockusher-control-simulation/src/network.rs
@@ -6,11 +6,10 @@
     net::SocketAddrV4,
 };
 
+use lockusher_control::{Envelope, Message, Millis};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use lockusher_control::{Envelope, Message, Millis};
-
 /// Messages are held by their order of arrival.
 #[derive(Debug, Default)]
 pub struct Network {
--- a/crates/lockusher-control-simulation/src/node.rs
+++ b/crates/lockusher-control-simulation/src/node.rs
@@ -2,9 +2,10 @@
 
 use std::net::SocketAddrV4;
 
-use crate::disk::Disk;
 use lockusher_control::{Millis, Replica};
 
+use crate::disk::Disk;
+
 /// Longest time that a sync takes.
 const MAX_SYNC_MS: Millis = 6;
 
--- a/crates/lockusher-control-simulation/src/operator.rs
+++ b/crates/lockusher-control-simulation/src/operator.rs
@@ -2,11 +2,10 @@
 
 use std::sync::Arc;
 
-use rand::RngExt;
-use rand_chacha::ChaCha8Rng;
-
 use lockusher_control::document::patch_identity;
 use lockusher_control::{ConfigurationDocument, Digest, Millis, Request, RequestTicket};
+use rand::RngExt;
+use rand_chacha::ChaCha8Rng;
 
 /// One change in so many is a patch.
 const PATCH_ONE_CHANGE_IN: u32 = 3;
@@ -67,6 +66,14 @@
     pub is_read: bool,
 }
 
+/// A call that is held on its way; nobody waits for its answer.
+#[derive(Clone, Debug)]
+pub struct DelayedCall {
+    pub due: Millis,
+    pub node: usize,
+    pub request: Request,
+}
+
 impl Operator {
     /// An operator that believes nothing is there.
     pub fn new(number: usize) -> Self {
--- /dev/null
+++ b/crates/lockusher-control-simulation/src/outcome.rs
@@ -0,0 +1,30 @@
+//! Result of a run.
+
+use lockusher_control::Millis;
+
+use crate::fault_schedule::FaultStep;
+
+/// Result of a run.
+#[derive(Clone, Debug, Default)]
+pub struct Outcome {
+    /// Broken promises, in words; empty if all were kept.
+    pub violations: Vec<String>,
+    /// Configurations acknowledged.
+    pub acknowledged: usize,
+    /// Requests answered as undecided or not at all.
+    pub unanswered: usize,
+    /// Reads answered.
+    pub reads: usize,
+    /// Disks lost, with or without their machines.
+    pub wipes: usize,
+    /// Newest epoch at the end.
+    pub epochs: u64,
+    /// Virtual time from the end of the faults until a write was acknowledged.
+    pub recovery_ms: Millis,
+    /// Virtual time from the end of the faults until all machines were members of the chain.
+    pub settle_ms: Millis,
+    /// Messages sent.
+    pub messages: u64,
+    /// Faults that began, and ends of faults.
+    pub faults: Vec<FaultStep>,
+}
--- /dev/null
+++ b/crates/lockusher-control-simulation/src/processes.rs
@@ -0,0 +1,145 @@
+//! The processes of the simulated machines: their start, the events they take and the effects they ask for.
+
+use std::net::SocketAddrV4;
+
+use lockusher_control::{Effect, Event, Millis, Replica, ReplicaSetup};
+use rand::RngExt;
+
+use crate::{
+    cluster::{ACKNOWLEDGE_MS, CATCH_UP_MS, Cluster, address},
+    disk::DiskSpace,
+    network::Delivery,
+    targeted_faults::FaultAction,
+};
+
+/// Interval of [`Event::Tick`].
+const TICK_MS: Millis = 50;
+/// Seeds that each process is given.
+const SEED_COUNT: usize = 3;
+
+impl Cluster {
+    pub(crate) fn run_node(&mut self, number: usize) {
+        let now = self.now;
+        let node = &mut self.nodes[number];
+        if node.replica.is_none() && node.start_at.is_some_and(|at| at <= now) {
+            self.start(number);
+            return;
+        }
+        if !node.runs(now) {
+            return;
+        }
+        while let Some(finished) = self.nodes[number].disk.finish(now) {
+            let ticket = finished.ticket;
+            let event = match &finished.durable {
+                Some(records) => {
+                    self.check_written(number, records);
+                    Event::Persisted { ticket }
+                }
+                None => Event::PersistFailed { ticket },
+            };
+            self.event(number, event);
+        }
+        let node = &mut self.nodes[number];
+        if node.next_tick <= now {
+            node.next_tick = now + TICK_MS;
+            self.event(number, Event::Tick);
+            self.take_snapshot(number);
+        }
+    }
+
+    /// As a storage does: the snapshot takes the place of the log while no write is under way.
+    fn take_snapshot(&mut self, number: usize) {
+        let node = &self.nodes[number];
+        if !node.disk.wants_snapshot() || node.disk.space != DiskSpace::Sufficient {
+            return;
+        }
+        let Some(records) = node.replica.as_ref().map(Replica::snapshot) else { return };
+        self.check_snapshot(number, &records);
+        self.nodes[number].disk.replace(records);
+    }
+
+    fn start(&mut self, number: usize) {
+        let tolerated_losses = self.tolerated_losses() as u32;
+        let random_seed = self.random.random();
+        let node = &mut self.nodes[number];
+        let setup = ReplicaSetup {
+            address: node.address,
+            seeds: (0..SEED_COUNT.min(self.options.replicas)).map(address).collect(),
+            first_start: node.first_start,
+            tolerated_losses,
+            acknowledge_ms: ACKNOWLEDGE_MS,
+            catch_up_ms: CATCH_UP_MS,
+            random_seed,
+        };
+        let setup = ReplicaSetup { seeds: self.seeds_for(number, setup.seeds), ..setup };
+        let records = self.nodes[number].disk.records();
+        log::trace!("{}: start of machine {number} with {records:?}", self.now);
+        let (replica, effects) = match self.options.injected_bug {
+            None => Replica::new(setup, records, self.now),
+            Some(injected_bug) => Replica::with_injected_bug(setup, records, self.now, injected_bug),
+        };
+        let node = &mut self.nodes[number];
+        node.replica = Some(replica);
+        node.start_at = None;
+        node.next_tick = self.now + TICK_MS;
+        node.committed_version = 0;
+        self.check_recovered(number);
+        self.carry_out(number, effects);
+    }
+
+    /// At the first start the fixed seeds, later any three machines.
+    fn seeds_for(&mut self, number: usize, first: Vec<SocketAddrV4>) -> Vec<SocketAddrV4> {
+        let node = &mut self.nodes[number];
+        if std::mem::replace(&mut node.first_start, false) {
+            return first;
+        }
+        let present: Vec<SocketAddrV4> =
+            self.nodes.iter().filter(|node| !node.removed).map(|node| node.address).collect();
+        let skip = self.random.random_range(0..present.len());
+        present.iter().cycle().skip(skip).take(SEED_COUNT.min(present.len())).copied().collect()
+    }
+
+    pub(crate) fn event(&mut self, number: usize, event: Event) {
+        let now = self.now;
+        let Some(replica) = &mut self.nodes[number].replica else { return };
+        let effects = replica.handle(now, event);
+        let fault_action = self.trigger_targeted_fault(&effects);
+        if !matches!(fault_action, Some(FaultAction::CrashBeforeSend { .. })) {
+            self.carry_out(number, effects);
+        }
+        if let Some(fault_action) = fault_action {
+            self.apply_fault_action(number, fault_action);
+        }
+    }
+
+    fn carry_out(&mut self, number: usize, effects: Vec<Effect>) {
+        self.check_adopted(number);
+        let now = self.now;
+        let from = self.nodes[number].address;
+        for effect in effects {
+            match effect {
+                Effect::Send { to, message } => {
+                    self.check_sent(number, &message);
+                    self.network.send(Delivery { from, to, message }, now, &mut self.random);
+                }
+                Effect::Persist { ticket, records } => {
+                    self.nodes[number].disk.write(ticket, records, now, &mut self.random);
+                }
+                Effect::Reply { ticket, reply } => self.on_reply(ticket, reply),
+                Effect::Committed(document) => {
+                    if self.model.commit(&document, now) {
+                        self.check_committed_is_stored();
+                    }
+                    let node = &mut self.nodes[number];
+                    if document.version <= node.committed_version {
+                        let text = format!("{now}: {from} went back to version {}", document.version);
+                        self.model.violations.push(text);
+                    }
+                    node.committed_version = document.version;
+                }
+                Effect::RoleChanged { head: true, epoch } => self.model.head(epoch, from, now),
+                Effect::RoleChanged { .. } | Effect::Members(_) => {}
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/lockusher-control-simulation/src/recovery.rs
@@ -0,0 +1,83 @@
+//! The recovery after the faults of a run.
+
+use lockusher_control::{Millis, Request};
+
+use crate::cluster::{ACKNOWLEDGE_MS, CATCH_UP_MS, Cluster};
+
+/// Within this time every node knows the newest configuration.
+const DISSEMINATION_MS: Millis = 2000;
+
+impl Cluster {
+    /// Ends all faults, and checks that the system comes back and holds what it told.
+    pub fn run_recovery(&mut self) {
+        if !self.model.violations.is_empty() {
+            return;
+        }
+        self.end_faults();
+        let faults_ended_at = self.now;
+        let Some(version) = self.write_until_acknowledged(ACKNOWLEDGE_MS) else {
+            let text = format!("{}: no write acknowledged after calm returned", self.now);
+            self.model.violations.push(text);
+            return;
+        };
+        self.outcome.recovery_ms = self.now - faults_ended_at;
+        let rest = CATCH_UP_MS.saturating_sub(self.outcome.recovery_ms);
+        if self.run_until_all_members(rest).is_none() {
+            let text = format!("{}: not all are members of the chain", self.now);
+            self.model.violations.push(text);
+        }
+        self.outcome.settle_ms = self.now - faults_ended_at;
+        self.check_all_know(version);
+        self.check_last_read();
+        self.model.finish(self.now);
+    }
+
+    /// One operator writes, with retries; the version acknowledged.
+    pub(crate) fn write_until_acknowledged(&mut self, limit: Millis) -> Option<u64> {
+        let deadline = self.now + limit;
+        self.operators.truncate(1);
+        self.operators[0].change = None;
+        self.operators[0].call = None;
+        self.operators[0].idle_until = 0;
+        let acknowledged_before = self.operators[0].acknowledged.len();
+        while self.now < deadline {
+            if self.operators[0].call.is_none() && self.operators[0].change.is_none() {
+                let change = self.operators[0].new_full_document(&mut self.random);
+                self.operators[0].change = Some(change);
+            }
+            self.step_operator(0, false);
+            self.advance(self.now + 5);
+            let acknowledged = &self.operators[0].acknowledged;
+            if let Some(change) = acknowledged[acknowledged_before..].last() {
+                return Some(change.version);
+            }
+        }
+        None
+    }
+
+    fn check_all_know(&mut self, version: u64) {
+        self.advance(self.now + DISSEMINATION_MS);
+        for node in self.nodes.iter().filter(|node| !node.removed) {
+            let known = node.replica.as_ref().and_then(|replica| replica.committed());
+            if known.map_or(0, |document| document.version) < version {
+                let text = format!("{}: {} didn't learn version {version}", self.now, node.address);
+                self.model.violations.push(text);
+            }
+        }
+    }
+
+    fn check_last_read(&mut self) {
+        let reads = self.outcome.reads;
+        let deadline = self.now + ACKNOWLEDGE_MS;
+        while self.outcome.reads == reads && self.now < deadline {
+            if self.operators[0].call.is_none() {
+                self.call(0, Request::Read, None);
+            }
+            self.advance(self.now + 10);
+            self.expire_call(0);
+        }
+        if self.outcome.reads == reads {
+            self.model.violations.push(format!("{}: no read answered after calm returned", self.now));
+        }
+    }
+}
--- a/crates/lockusher-control-simulation/src/reference_model.rs
+++ b/crates/lockusher-control-simulation/src/reference_model.rs
@@ -2,9 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::operator::{Change, patched};
 use lockusher_control::{ConfigurationDocument, Digest, Millis};
 
+use crate::operator::{Change, patched};
+
 /// A configuration that an operator sent.
 #[derive(Clone, Debug)]
 struct SentChange {
--- /dev/null
+++ b/crates/lockusher-control-simulation/src/run.rs
@@ -0,0 +1,23 @@
+//! Runs of the simulation: faults first, then the recovery from them.
+
+use std::collections::BTreeSet;
+
+use crate::{cluster::Cluster, options::SimulationOptions, outcome::Outcome};
+
+/// One run without mistakes.
+pub fn simulate(replicas: usize, seed: u64, steps: usize) -> Outcome {
+    simulate_with(SimulationOptions { replicas, seed, steps, ..SimulationOptions::default() })
+}
+
+/// One run.
+pub fn simulate_with(options: SimulationOptions) -> Outcome {
+    simulate_without(options, &BTreeSet::new())
+}
+
+/// One run in which the faults of some steps are left out.
+pub fn simulate_without(options: SimulationOptions, left_out: &BTreeSet<usize>) -> Outcome {
+    let mut cluster = Cluster::new(options);
+    cluster.run_under_faults(options.steps, left_out);
+    cluster.run_recovery();
+    cluster.into_outcome()
+}
--- a/crates/lockusher-control-simulation/src/shrink.rs
+++ b/crates/lockusher-control-simulation/src/shrink.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{FaultStep, Outcome, SimulationOptions, simulate_without};
+use crate::{fault_schedule::FaultStep, options::SimulationOptions, outcome::Outcome, run::simulate_without};
 
 /// Most runs that one shrinking takes.
 const MAX_RUNS: usize = 600;
--- a/crates/lockusher-control-simulation/src/targeted_faults.rs
+++ b/crates/lockusher-control-simulation/src/targeted_faults.rs
@@ -1,12 +1,14 @@
-//! Faults aimed at steps of the protocol: a node is struck in the middle of one, whenever that comes.
+//! Faults that hit a node in the middle of a step of the protocol, whenever that step comes.
+//!
+//! A fault at a random time seldom hits the few moments that matter. A targeted fault is armed once and is triggered by the
+//! messages that a node is about to send. It is drawn here; [`Cluster`](crate::Cluster) carries it out.
 
-use rand::{RngExt, seq::IndexedRandom};
-
-use crate::cluster::Cluster;
 use lockusher_control::{
     Effect, Millis,
     message::{MessageBody, TransferPurpose},
 };
+use rand::{RngExt, seq::IndexedRandom};
+use rand_chacha::ChaCha8Rng;
 
 /// A step of the protocol, as seen by what a node does.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -53,69 +55,67 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FaultAction {
     /// It is killed before it sends anything; what was durable stays.
-    CrashBeforeSend { downtime: Millis },
+    CrashBeforeSend {
+        /// How long the process is down.
+        downtime: Millis,
+    },
     /// It is killed right after it has sent all.
-    CrashAfterSend { downtime: Millis },
-    /// It is cut off from all others right after.
+    CrashAfterSend {
+        /// How long the process is down.
+        downtime: Millis,
+    },
+    /// It is partitioned from all others right after.
     Isolate,
     /// It doesn't run for a while.
-    Freeze { duration: Millis },
+    Freeze {
+        /// For how long.
+        duration: Millis,
+    },
 }
 
-/// A strike that waits for its step.
+/// An armed fault that waits for its step.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetedFault {
     step: ProtocolStep,
     action: FaultAction,
-    /// How many more times the step is let pass.
+    /// How many more occurrences of the step are let pass.
     remaining_skips: u32,
 }
 
-/// Longest absence after a strike.
+/// How long a node is down or frozen.
 const DOWNTIME_MS: std::ops::Range<Millis> = 50..6000;
-/// A step is let pass so many times at most.
+/// Below this many occurrences of a step are let pass.
 const MAX_SKIPPED_OCCURRENCES: u32 = 4;
 
-impl Cluster {
-    /// Lays an ambush in place of the one that may be waiting.
-    pub(crate) fn arm_targeted_fault(&mut self) {
-        let step = *PROTOCOL_STEPS.choose(&mut self.fault_random).unwrap_or(&ProtocolStep::AcceptResponse);
-        let duration = self.fault_random.random_range(DOWNTIME_MS);
-        let fault_action = match self.fault_random.random_range(0..5) {
+impl TargetedFault {
+    /// Draws a step, what happens at it, and how many of its occurrences are let pass before.
+    pub fn draw(random: &mut ChaCha8Rng) -> Self {
+        let step = *PROTOCOL_STEPS.choose(random).expect("there are steps");
+        let duration = random.random_range(DOWNTIME_MS);
+        let action = match random.random_range(0..5) {
             0 | 1 => FaultAction::CrashBeforeSend { downtime: duration },
             2 => FaultAction::CrashAfterSend { downtime: duration },
             3 => FaultAction::Isolate,
             _ => FaultAction::Freeze { duration },
         };
-        let remaining_skips = self.fault_random.random_range(0..MAX_SKIPPED_OCCURRENCES);
-        self.targeted_fault = Some(TargetedFault { step, action: fault_action, remaining_skips });
+        let remaining_skips = random.random_range(0..MAX_SKIPPED_OCCURRENCES);
+        Self { step, action, remaining_skips }
     }
 
-    /// The strike on a node that does this, if one waits for it.
-    pub(crate) fn targeted_fault_triggered_by(&mut self, effects: &[Effect]) -> Option<FaultAction> {
-        let targeted_fault = self.targeted_fault.as_mut()?;
-        if !effects.iter().any(|effect| step_of(effect) == Some(targeted_fault.step)) {
+    /// Counts an occurrence if a node takes the step by these effects: what happens to it, once no occurrence is let pass.
+    pub fn trigger(&mut self, effects: &[Effect]) -> Option<FaultAction> {
+        if !effects.iter().any(|effect| step_of(effect) == Some(self.step)) {
             return None;
         }
-        if targeted_fault.remaining_skips > 0 {
-            targeted_fault.remaining_skips -= 1;
+        if self.remaining_skips > 0 {
+            self.remaining_skips -= 1;
             return None;
         }
-        self.targeted_fault.take().map(|targeted_fault| targeted_fault.action)
-    }
-
-    /// Strikes a node that has done what was waited for. Its effects have been carried out, unless it died before.
-    pub(crate) fn apply_fault_action(&mut self, number: usize, fault_action: FaultAction) {
-        match fault_action {
-            FaultAction::CrashBeforeSend { downtime } | FaultAction::CrashAfterSend { downtime } => {
-                self.crash(number, downtime)
-            }
-            FaultAction::Isolate => self.isolate(number),
-            FaultAction::Freeze { duration } => self.freeze(number, duration),
-        }
+        Some(self.action)
     }
 }
 
+/// The step that a node takes by this effect, if it is one of those.
 fn step_of(effect: &Effect) -> Option<ProtocolStep> {
     let Effect::Send { message, .. } = effect else { return None };
     match &message.body {
