--- a/crates/lockusher-control/src/acceptor.rs
+++ b/crates/lockusher-control/src/acceptor.rs
@@ -1,9 +1,8 @@
 //! The voter's side of the agreement on the successor of one epoch.
 
-use crate::{
-    DurableRecord, View,
-    message::{AcceptedView, ProposalNumber},
-};
+use crate::durable_record::DurableRecord;
+use crate::proposal::{AcceptedView, ProposalNumber};
+use crate::view::View;
 
 /// What this voter has promised and accepted in its present epoch.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
--- a/crates/lockusher-control/src/acceptor_log.rs
+++ b/crates/lockusher-control/src/acceptor_log.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::VecDeque, net::SocketAddrV4};
 
-use crate::{DurableRecord, Message, Millis, PersistTicket};
+use crate::durable_record::{DurableRecord, PersistTicket};
+use crate::message::Message;
+use crate::time::Millis;
 
 /// What is done once a write, and all before it, are durable.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/lockusher-control/src/driver/disk.rs
+++ b/crates/lockusher-control/src/driver/disk.rs
@@ -14,8 +14,8 @@
     SubmitError,
 };
 
-use crate::durable::DurableRecord;
-use crate::replica::{DiskComparison, PersistTicket};
+use crate::durable_record::{DurableRecord, PersistTicket};
+use crate::replica::DiskComparison;
 
 /// Ticket of a snapshot; appends count up from 0 and don't reach it.
 const SNAPSHOT_TICKET: u64 = u64::MAX;
--- a/crates/lockusher-control/src/driver/operator_api.rs
+++ b/crates/lockusher-control/src/driver/operator_api.rs
@@ -15,7 +15,7 @@
 use super::replica_driver::ReplicaDriver;
 use super::status;
 use crate::document::{ConfigurationDocument, patch_identity};
-use crate::replica::{Reply, Request};
+use crate::request::{Reply, Request};
 
 /// The largest configuration that is taken, in bytes.
 const MAX_CONFIGURATION_BYTES: usize = 8 * 1024 * 1024;
--- a/crates/lockusher-control/src/driver/peer_links.rs
+++ b/crates/lockusher-control/src/driver/peer_links.rs
@@ -18,7 +18,7 @@
 use lockusher_transport::error::TransportError;
 use lockusher_transport::{frame, tcp};
 
-use crate::message::{Envelope, EnvelopeError};
+use crate::envelope::{Envelope, EnvelopeError};
 
 /// Bytes that may wait for one peer; the oldest messages give way.
 const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
--- a/crates/lockusher-control/src/driver/replica_driver.rs
+++ b/crates/lockusher-control/src/driver/replica_driver.rs
@@ -22,8 +22,9 @@
 use super::peer_links::PeerLinks;
 use crate::chain_role::ChainRole;
 use crate::document::ConfigurationDocument;
-use crate::message::Envelope;
-use crate::replica::{Effect, Event, Replica, Reply, Request, RequestTicket};
+use crate::envelope::Envelope;
+use crate::replica::{Effect, Event, Replica};
+use crate::request::{Reply, Request, RequestTicket};
 
 /// One control node's replica with everything that it acts on.
 pub struct ReplicaDriver {
--- a/crates/lockusher-control/src/driver/stage_assignment.rs
+++ b/crates/lockusher-control/src/driver/stage_assignment.rs
@@ -18,10 +18,10 @@
 use super::instance_list_publisher::InstanceListPublisher;
 use super::replica_driver::ReplicaDriver;
 use super::stage_change_order::{order_outcome, stage_change_request};
-use crate::Millis;
-use crate::replica::{Reply, Request};
+use crate::request::{Reply, Request};
 use crate::stage_assignment_lease::StageAssignmentLease;
 use crate::stage_scheduler::{Observation, OrderOutcome, StageChange, StageScheduler};
+use crate::time::Millis;
 
 /// Between two decisions of the scheduler.
 const SCHEDULING_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/lockusher-control/src/durable.rs
+++ b/crates/lockusher-control/src/durable_record.rs
@@ -4,25 +4,15 @@
 
 use bitcode::{Decode, Encode};
 
-use crate::{
-    document::ConfigurationDocument,
-    message::ProposalNumber,
-    state::{HistoryDigest, ReplicatedState},
-    view::{Identity, View},
-};
+use crate::document::ConfigurationDocument;
+use crate::position::Position;
+use crate::proposal::ProposalNumber;
+use crate::state::{HistoryDigest, ReplicatedState};
+use crate::view::{Identity, View};
 
-/// Where a state stands: the epoch in which it was written and how many entries of that epoch it contains.
-#[derive(Clone, Copy, Debug, Decode, Default, Encode, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Position {
-    pub epoch: u64,
-    /// Entries of this epoch contained. [`Position::SEALED`] marks a state handed over at the end of the epoch.
-    pub index: u64,
-}
-
-impl Position {
-    /// Index of a state handed over by a sealed replica: nothing of its epoch comes after it.
-    pub const SEALED: u64 = u64::MAX;
-}
+/// Names a write that a replica asked for until its outcome is known.
+#[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
+pub struct PersistTicket(pub u64);
 
 /// One durable record. Votes are merged by their order (epoch, proposal number), so it is harmless if they come twice or
 /// late; `Entry` and `State` are applied in their order.
--- a/crates/lockusher-control/src/durable_state.rs
+++ b/crates/lockusher-control/src/durable_state.rs
@@ -2,11 +2,12 @@
 
 use std::net::SocketAddrV4;
 
-use crate::{
-    ConfigurationDocument, DurableRecord, Millis, PersistTicket, Position, ReplicatedState,
-    message::{Payload, Transfer, TransferPurpose},
-    state::HistoryDigest,
-};
+use crate::document::ConfigurationDocument;
+use crate::durable_record::{DurableRecord, PersistTicket};
+use crate::message::{Payload, Transfer, TransferPurpose};
+use crate::position::Position;
+use crate::state::{HistoryDigest, ReplicatedState};
+use crate::time::Millis;
 
 /// The durable state. One write at a time is under way; it counts once it is durable.
 #[derive(Clone, Debug, Default)]
--- a/crates/lockusher-control/src/failure_detector.rs
+++ b/crates/lockusher-control/src/failure_detector.rs
@@ -2,12 +2,12 @@
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
-use crate::{
-    Identity, Millis, Position,
-    message::{Health, Heartbeat},
-    state::HistoryDigest,
-    timing::Timing,
-};
+use crate::message::{Health, Heartbeat};
+use crate::position::Position;
+use crate::state::HistoryDigest;
+use crate::time::Millis;
+use crate::timing::Timing;
+use crate::view::Identity;
 
 /// Most nodes remembered; the silent ones make room first.
 const MAX_PEERS: usize = 32;
--- a/crates/lockusher-control/src/lib.rs
+++ b/crates/lockusher-control/src/lib.rs
@@ -9,33 +9,37 @@
 pub mod chain_role;
 pub mod document;
 pub mod driver;
-pub mod durable;
+pub mod durable_record;
 mod durable_state;
+pub mod envelope;
 mod failure_detector;
 pub mod message;
+pub mod position;
+pub mod proposal;
 pub mod proposer;
 pub mod replica;
+pub mod request;
 pub mod serve;
 pub mod stage_assignment_lease;
 pub mod stage_scheduler;
 pub mod state;
+pub mod time;
 mod timing;
 pub mod view;
 pub mod view_change;
 
 pub use document::{ConfigurationDocument, Digest};
-pub use durable::{DurableRecord, Position};
+pub use durable_record::{DurableRecord, PersistTicket};
 #[cfg(feature = "injected-bugs")]
 pub use durable_state::DurableState;
-pub use message::{Envelope, EnvelopeError, Message, PROTOCOL};
+pub use envelope::{Envelope, EnvelopeError, PROTOCOL};
+pub use message::Message;
+pub use position::Position;
+pub use proposal::{AcceptedView, ProposalNumber};
 #[cfg(feature = "injected-bugs")]
 pub use replica::InjectedBug;
-pub use replica::{
-    Counters, DiskComparison, Effect, Event, PersistTicket, Replica, ReplicaSetup, Reply, Request,
-    RequestTicket,
-};
+pub use replica::{Counters, DiskComparison, Effect, Event, Replica, ReplicaSetup};
+pub use request::{Reply, Request, RequestTicket};
 pub use state::ReplicatedState;
+pub use time::Millis;
 pub use view::{Identity, Member, View};
-
-/// Milliseconds of the host's steady clock.
-pub type Millis = u64;
--- a/crates/lockusher-control/src/message.rs
+++ b/crates/lockusher-control/src/message.rs
@@ -1,25 +1,13 @@
 //! Messages between control nodes and their form on the wire.
 
 use bitcode::{Decode, Encode};
-use derive_more::{Display, Error, From};
 
-use crate::{
-    document::ConfigurationDocument,
-    durable::Position,
-    replica::{Reply, Request},
-    state::{HistoryDigest, ReplicatedState},
-    view::{Identity, View},
-};
-
-/// Number of the protocol that this release speaks.
-pub const PROTOCOL: u16 = 2;
-
-/// Number of an attempt to agree on a view; unique to its proposer.
-#[derive(Clone, Copy, Debug, Decode, Default, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct ProposalNumber {
-    pub counter: u64,
-    pub proposer: u64,
-}
+use crate::document::ConfigurationDocument;
+use crate::position::Position;
+pub use crate::proposal::{AcceptedView, ProposalNumber};
+use crate::request::{Reply, Request};
+use crate::state::{HistoryDigest, ReplicatedState};
+use crate::view::{Identity, View};
 
 /// A message of one control node to another.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
@@ -30,13 +18,6 @@
     pub body: MessageBody,
 }
 
-/// A view accepted under a proposal number.
-#[derive(Clone, Debug, Decode, Encode, Eq, Hash, PartialEq)]
-pub struct AcceptedView {
-    pub proposal_number: ProposalNumber,
-    pub view: View,
-}
-
 /// What a message says. All but `Heartbeat`, `NewView`, `Forward` and `ForwardResponse` hold for the sender's epoch only.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum MessageBody {
@@ -181,47 +162,3 @@
     /// Whether the state is durable now; if not, it is wanted whole.
     pub stored: bool,
 }
-
-/// A message as it goes on the wire.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Envelope {
-    pub protocol: u16,
-    pub message: Message,
-}
-
-/// Why received bytes aren't a message.
-#[derive(Debug, Display, Error, From)]
-pub enum EnvelopeError {
-    #[display("message of {length} bytes has no protocol number")]
-    Short { length: usize },
-    #[display("unknown protocol number {protocol}")]
-    UnknownProtocol { protocol: u16 },
-    #[display("unreadable message: {_0}")]
-    Unreadable(bitcode::Error),
-}
-
-impl Envelope {
-    /// The message under the current protocol number.
-    pub fn new(message: Message) -> Self {
-        Self { protocol: PROTOCOL, message }
-    }
-
-    /// Bytes for the wire: the protocol number (little endian), then the message.
-    pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = self.protocol.to_le_bytes().to_vec();
-        bytes.extend_from_slice(&bitcode::encode(&self.message));
-        bytes
-    }
-
-    /// Reads what [`Envelope::encode`] wrote. The protocol number is checked before anything else is read.
-    pub fn decode(bytes: &[u8]) -> Result<Self, EnvelopeError> {
-        let Some((number, rest)) = bytes.split_first_chunk::<2>() else {
-            return Err(EnvelopeError::Short { length: bytes.len() });
-        };
-        let protocol = u16::from_le_bytes(*number);
-        if protocol != PROTOCOL {
-            return Err(EnvelopeError::UnknownProtocol { protocol });
-        }
-        Ok(Self { protocol, message: bitcode::decode(rest)? })
-    }
-}
--- a/crates/lockusher-control/src/proposer.rs
+++ b/crates/lockusher-control/src/proposer.rs
@@ -2,10 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{
-    Identity, View,
-    message::{AcceptedView, ProposalNumber},
-};
+use crate::proposal::{AcceptedView, ProposalNumber};
+use crate::view::{Identity, View};
 
 /// One attempt. Messages of other proposal numbers are ignored; answers may come twice and in any order.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
--- /dev/null
+++ b/crates/lockusher-control/src/replica/bug_alterations.rs
@@ -0,0 +1,104 @@
+//! What injected bugs make of plans, messages and records: the hooks that `altered_by_bug!` calls.
+
+use super::bug_injection::{BugInjection, bug_injected};
+use super::injected_bug::InjectedBug;
+use crate::durable_record::DurableRecord;
+use crate::message::{MessageBody, Payload, Transfer};
+use crate::proposal::AcceptedView;
+use crate::view::{Identity, View};
+use crate::view_change::{ViewChange, ViewChangeContext};
+
+impl BugInjection {
+    /// The planned view change, altered by the injected bug.
+    pub(super) fn altered_view_change(
+        self,
+        change: Option<ViewChange>,
+        context: &ViewChangeContext,
+    ) -> Option<ViewChange> {
+        match self.bug() {
+            Some(InjectedBug::ShortChain) => short_chain(context).or(change),
+            Some(InjectedBug::SeveralVotersChanged) => {
+                change.map(|change| without_unreachable(change, context))
+            }
+            _ => change,
+        }
+    }
+
+    /// What of the votes and the state a snapshot holds, after a mistake.
+    pub(super) fn altered_snapshot(self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
+        let is_vote = |record: &DurableRecord| {
+            matches!(
+                record,
+                DurableRecord::Promise { .. } | DurableRecord::Accept { .. } | DurableRecord::Seal { .. }
+            )
+        };
+        if bug_injected!(self, SnapshotWithoutState) {
+            records.retain(|record| !matches!(record, DurableRecord::State { .. }));
+        }
+        if bug_injected!(self, SnapshotWithoutVotes) {
+            records.retain(|record| !is_vote(record));
+        }
+        records
+    }
+
+    /// What a start finds on its disk, after a mistake.
+    pub(super) fn altered_recovery(self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
+        match self.bug() {
+            Some(InjectedBug::PromiseForgotten) => {
+                records.retain(|record| !matches!(record, DurableRecord::Promise { .. }));
+            }
+            Some(InjectedBug::AcceptanceForgotten) => {
+                records.retain(|record| !matches!(record, DurableRecord::Accept { .. }));
+            }
+            Some(InjectedBug::SealForgotten) => {
+                records.retain(|record| !matches!(record, DurableRecord::Seal { .. }));
+            }
+            _ => {}
+        }
+        records
+    }
+
+    /// A message on its way out, changed by a mistake.
+    pub(super) fn altered_body(self, body: MessageBody) -> MessageBody {
+        match (self.bug(), body) {
+            (Some(InjectedBug::HistoryForgotten), MessageBody::Transfer(transfer)) => {
+                MessageBody::Transfer(without_history(transfer))
+            }
+            (
+                Some(InjectedBug::AcceptedNotReported),
+                MessageBody::PrepareResponse { proposal_number, .. },
+            ) => MessageBody::PrepareResponse { proposal_number, accepted: None },
+            (_, body) => body,
+        }
+    }
+
+    /// What a proposer hears of views accepted before, after a mistake.
+    pub(super) fn altered_report(self, accepted: Option<AcceptedView>) -> Option<AcceptedView> {
+        accepted.filter(|_| !bug_injected!(self, AcceptedPassedOver))
+    }
+}
+
+fn short_chain(context: &ViewChangeContext) -> Option<ViewChange> {
+    let view = context.view;
+    let is_healthy = |member: &Identity| context.healthy_members.contains(member);
+    let chain: Vec<Identity> = view.chain.iter().copied().filter(is_healthy).collect();
+    let is_short = !chain.is_empty() && chain.len() < view.majority();
+    is_short.then(|| ViewChange {
+        view: View { epoch: view.epoch + 1, voters: view.voters.clone(), chain },
+        joiners: Vec::new(),
+    })
+}
+
+fn without_unreachable(mut change: ViewChange, context: &ViewChangeContext) -> ViewChange {
+    let chain = change.view.chain.clone();
+    let is_gone = |identity: Identity| context.unreachable.contains(&identity) && !chain.contains(&identity);
+    change.view.voters.retain(|voter| !is_gone(voter.identity));
+    change
+}
+
+fn without_history(mut transfer: Transfer) -> Transfer {
+    if let Payload::FullSnapshot(state) = &mut transfer.payload {
+        *state = state.without_history();
+    }
+    transfer
+}
--- a/crates/lockusher-control/src/replica/bug_injection.rs
+++ b/crates/lockusher-control/src/replica/bug_injection.rs
@@ -5,7 +5,7 @@
 //! `false` and the second to the unaltered value: neither the bugs nor their hooks are compiled.
 
 #[cfg(feature = "injected-bugs")]
-use super::InjectedBug;
+use super::injected_bug::InjectedBug;
 
 /// The bug that is injected into a replica, if any. Has no size without the feature `injected-bugs`.
 #[derive(Clone, Copy, Debug, Default)]
@@ -31,7 +31,7 @@
 #[cfg(feature = "injected-bugs")]
 macro_rules! bug_injected {
     ($injection:expr, $bug:ident) => {
-        $injection.bug() == Some($crate::InjectedBug::$bug)
+        $injection.bug() == Some($crate::replica::injected_bug::InjectedBug::$bug)
     };
 }
 
--- /dev/null
+++ b/crates/lockusher-control/src/replica/change_planning.rs
@@ -0,0 +1,124 @@
+//! Whether a view change is due, and which: from what this node knows of the others.
+
+use std::collections::BTreeSet;
+
+use super::bug_injection::{altered_by_bug, bug_injected};
+use super::state_machine::Replica;
+use crate::message::Health;
+use crate::time::Millis;
+use crate::view::{Identity, Member, View};
+use crate::view_change;
+use crate::view_change::{JoinCandidate, ViewChange, ViewChangeContext};
+
+impl Replica {
+    /// What to propose, and how long to leave it to others first. An agreement that may have been left unfinished
+    /// is completed by anybody in time; else the first voter in good health decides.
+    pub(super) fn due_view_change(&self) -> Option<(ViewChange, Millis)> {
+        let proposer_rank = self.proposer_rank()?;
+        let change = self.plan_view_change();
+        let unfinished = self.acceptor.accepted.as_ref();
+        if let Some(accepted) = unfinished {
+            let unchanged = ViewChange { view: accepted.view.clone(), joiners: Vec::new() };
+            return Some((change.unwrap_or(unchanged), self.timing.takeover_stagger * (proposer_rank + 1)));
+        }
+        match change {
+            Some(change) if proposer_rank == 0 => Some((change, 0)),
+            Some(change) if self.acceptor.sealed => {
+                Some((change, self.timing.takeover_stagger * proposer_rank))
+            }
+            _ => None,
+        }
+    }
+
+    /// How many voters in good health come before this one, in the order of the chain.
+    fn proposer_rank(&self) -> Option<u64> {
+        let view = self.view.as_ref()?;
+        if self.health() != Health::Good {
+            return None;
+        }
+        let others = view.voters.iter().map(|voter| voter.identity).filter(|voter| !view.in_chain(*voter));
+        let order = view.chain.iter().copied().chain(others);
+        let before = order.take_while(|voter| *voter != self.identity);
+        Some(before.filter(|voter| self.is_replicable(*voter)).count() as u64)
+    }
+
+    /// Whether a voter can replicate, as seen from here.
+    fn is_replicable(&self, voter: Identity) -> bool {
+        if voter == self.identity {
+            return self.health() == Health::Good;
+        }
+        let Some(address) = self.view.as_ref().and_then(|view| view.address_of(voter)) else { return false };
+        let healthy = self.peers.at(address).is_none_or(|peer| peer.health == Health::Good);
+        healthy && self.peers.is_reachable(address, voter, &self.timing, self.now) && !self.is_lagging(voter)
+    }
+
+    fn plan_view_change(&self) -> Option<ViewChange> {
+        let view = self.view.as_ref()?;
+        let healthy_members: BTreeSet<Identity> =
+            view.chain.iter().copied().filter(|member| self.is_replicable(*member)).collect();
+        let unreachable = self.unreachable_voters(view);
+        let removable = self.removable_voters(view, &unreachable);
+        let minimum_voters = self.minimum_voters();
+        let context = ViewChangeContext {
+            view,
+            own_identity: self.identity,
+            healthy_members,
+            join_candidates: self.join_candidates(view),
+            unreachable,
+            removable,
+            epoch_change_required: self.epoch_change_required,
+            sealed: self.acceptor.sealed,
+            may_add_members: self.may_add_members(),
+            minimum_voters: if bug_injected!(self.bug_injection, VotersBelowMinimum) {
+                1
+            } else {
+                minimum_voters
+            },
+        };
+        let change = view_change::plan_view_change(&context);
+        altered_by_bug!(self.bug_injection, altered_view_change, change, &context)
+    }
+
+    /// Voters that announced their end, which may come before they would count as silent, and those silent for long. One
+    /// that is only restarted is taken back; one that is gone must not count when the next disk is lost.
+    fn removable_voters(&self, view: &View, unreachable: &[Identity]) -> Vec<Identity> {
+        let is_leaving = |voter: &&Member| {
+            let peer = self.peers.at(voter.address).filter(|peer| peer.identity == voter.identity);
+            peer.is_some_and(|peer| peer.health == Health::ShuttingDown)
+                && !bug_injected!(self.bug_injection, DepartedVoterKept)
+        };
+        let shutting_down = view.voters.iter().filter(is_leaving).map(|voter| voter.identity);
+        let long_unreachable =
+            |voter: &&Identity| self.unreachable_time_of(view, **voter) >= self.timing.voter_removal_timeout;
+        shutting_down.chain(unreachable.iter().filter(long_unreachable).copied()).collect()
+    }
+
+    fn unreachable_time_of(&self, view: &View, voter: Identity) -> Millis {
+        let address = view.address_of(voter);
+        address.map_or(0, |address| self.peers.unreachable_for(address, voter, self.now))
+    }
+
+    fn unreachable_voters(&self, view: &View) -> Vec<Identity> {
+        let is_reachable =
+            |voter: &&Member| self.peers.is_reachable(voter.address, voter.identity, &self.timing, self.now);
+        let others = view.voters.iter().filter(|voter| voter.identity != self.identity);
+        let mut unreachable: Vec<Identity> =
+            others.filter(|voter| !is_reachable(voter)).map(|voter| voter.identity).collect();
+        unreachable.sort_by_key(|voter| std::cmp::Reverse(self.unreachable_time_of(view, *voter)));
+        unreachable
+    }
+
+    fn join_candidates(&self, view: &View) -> Vec<JoinCandidate> {
+        let candidates = self.peers.iter().filter(|(_, peer)| {
+            !view.in_chain(peer.identity) && peer.epoch == view.epoch && peer.may_join(&self.timing, self.now)
+        });
+        let committed = self.committed_history_digest();
+        candidates
+            .map(|(address, peer)| JoinCandidate {
+                member: Member { identity: peer.identity, address },
+                caught_up: committed.is_some() && peer.history_digest == committed,
+                has_sealed_state: self.sealed_state_holders.contains(&peer.identity),
+            })
+            .collect()
+    }
+}
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -1,17 +1,11 @@
 //! Confirmation that the head's epoch is the newest: refusals and reads wait for it.
 
-use std::{collections::BTreeSet, net::SocketAddrV4};
+use std::net::SocketAddrV4;
 
-use super::{Replica, bug_injection::bug_injected};
-use crate::{Identity, message::MessageBody};
-
-/// Rounds in which the voters are asked whether the epoch is the newest they know.
-#[derive(Debug, Default)]
-pub(super) struct EpochConfirmation {
-    last_started: u64,
-    last_completed: u64,
-    confirmed_by: BTreeSet<Identity>,
-}
+use super::bug_injection::bug_injected;
+use super::state_machine::Replica;
+use crate::message::MessageBody;
+use crate::view::Identity;
 
 impl Replica {
     /// The sequence number of the confirmation that a request which comes now has to wait for.
--- a/crates/lockusher-control/src/replica/persistence.rs
+++ b/crates/lockusher-control/src/replica/persistence.rs
@@ -1,15 +1,16 @@
 //! Writes to the disk: what is asked for, and what follows when they are durable or refused.
 
-use super::{Effect, PersistTicket, Replica};
-use crate::{
-    DurableRecord, Position, ReplicatedState,
-    acceptor_log::AfterAcceptorWrite,
-    durable_state::{AfterWrite, PendingWrite},
-    message::Health,
-};
+use super::effect::Effect;
+use super::state_machine::Replica;
+use crate::acceptor_log::AfterAcceptorWrite;
+use crate::durable_record::{DurableRecord, PersistTicket};
+use crate::durable_state::{AfterWrite, PendingWrite};
+use crate::message::Health;
+use crate::position::Position;
+use crate::state::ReplicatedState;
 
 impl Replica {
-    pub(super) fn issue_ticket(&mut self) -> PersistTicket {
+    fn issue_ticket(&mut self) -> PersistTicket {
         self.next_ticket += 1;
         PersistTicket(self.next_ticket)
     }
--- /dev/null
+++ b/crates/lockusher-control/src/replica/progress.rs
@@ -0,0 +1,60 @@
+//! Progress of the other nodes, as the head sees it by their heartbeats.
+
+use std::net::SocketAddrV4;
+
+use super::repair::NoticedBy;
+use super::state_machine::Replica;
+use crate::message::{Heartbeat, MessageBody, TransferPurpose};
+use crate::position::Position;
+use crate::view::Identity;
+
+impl Replica {
+    pub(super) fn on_replica_heartbeat(
+        &mut self,
+        from: SocketAddrV4,
+        sender: Identity,
+        heartbeat: &Heartbeat,
+    ) {
+        let (Some(head), Some(view)) = (&self.head, &self.view) else { return };
+        let committed = Position { epoch: view.epoch, index: head.index };
+        let lags = heartbeat.committed != committed;
+        if !view.in_chain(sender) {
+            if head.established && !self.acceptor.sealed {
+                self.update_learner(from, heartbeat, lags);
+            }
+            return;
+        }
+        if !head.synchronised.contains(&sender) {
+            self.send_base(from, TransferPurpose::Synchronise, Some(heartbeat.history_digest));
+            return;
+        }
+        let (index, history_digest) = (head.index, head.base.history_digest());
+        if head.established && lags {
+            self.send(from, MessageBody::Committed { index, history_digest });
+        }
+        self.repair_if_different(sender, heartbeat.position, heartbeat.history_digest, NoticedBy::Heartbeat);
+        if heartbeat.position.epoch == committed.epoch {
+            self.on_append_stored(sender, heartbeat.position.index);
+        }
+    }
+
+    /// Whether a member keeps the chain waiting for too long.
+    pub(super) fn is_lagging(&self, member: Identity) -> bool {
+        let (Some(head), Some(view)) = (&self.head, &self.view) else { return false };
+        // A sealed head sends nothing down, so that nobody lags by it.
+        if self.acceptor.sealed
+            || !view.in_chain(member)
+            || self.now < self.started_at + self.timing.startup_grace
+        {
+            return false;
+        }
+        let unsynchronised = !head.synchronised.contains(&member);
+        if unsynchronised && self.now - head.activated_at >= self.timing.write_timeout {
+            return true;
+        }
+        head.in_flight.as_ref().is_some_and(|in_flight| {
+            let limit = self.timing.write_timeout + in_flight.size_allowance();
+            !in_flight.stored_by.contains(&member) && self.now - in_flight.started_at >= limit
+        })
+    }
+}
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -1,19 +1,25 @@
-//! Start of a replica from what its disk held.
+//! Start of a replica from what its disk holds.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::{
-    Counters, Effect, Replica, ReplicaSetup,
-    bug_injection::{BugInjection, altered_by_bug, bug_injected},
-    requests::Requests,
-};
-use crate::{
-    DurableRecord, Identity, Millis, Position, View, acceptor::AcceptorState, acceptor_log::AcceptorLog,
-    acceptor_log::AfterAcceptorWrite, durable_state::DurableState, failure_detector::Peers, timing::Timing,
-};
+use super::bug_injection::{BugInjection, altered_by_bug, bug_injected};
+use super::counters::Counters;
+use super::effect::Effect;
+use super::request_queue::Requests;
+use super::setup::ReplicaSetup;
+use super::state_machine::Replica;
+use crate::acceptor::AcceptorState;
+use crate::acceptor_log::{AcceptorLog, AfterAcceptorWrite};
+use crate::durable_record::DurableRecord;
+use crate::durable_state::DurableState;
+use crate::failure_detector::Peers;
+use crate::position::Position;
+use crate::time::Millis;
+use crate::timing::Timing;
+use crate::view::{Identity, View};
 
 impl Replica {
     pub(super) fn start(
--- a/crates/lockusher-control/src/replica/repair.rs
+++ b/crates/lockusher-control/src/replica/repair.rs
@@ -1,12 +1,13 @@
 //! Repair: members whose state differs from the head's at the same position, and a disk that differs from memory.
 
-use super::Replica;
-use crate::{
-    Digest, DurableRecord, Identity, Position,
-    durable_state::DurableState,
-    message::{MessageBody, Payload, Transfer, TransferPurpose},
-    state::HistoryDigest,
-};
+use super::state_machine::Replica;
+use crate::document::Digest;
+use crate::durable_record::DurableRecord;
+use crate::durable_state::DurableState;
+use crate::message::{MessageBody, Payload, Transfer, TransferPurpose};
+use crate::position::Position;
+use crate::state::HistoryDigest;
+use crate::view::Identity;
 
 /// How a difference was noticed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -79,6 +80,6 @@
 }
 
 /// Whether the newest configuration matches its digest.
-fn is_intact(state: &crate::ReplicatedState) -> bool {
+fn is_intact(state: &crate::state::ReplicatedState) -> bool {
     state.document().is_none_or(|document| Digest::of(&document.body) == document.digest)
 }
--- /dev/null
+++ b/crates/lockusher-control/src/replica/replication.rs
@@ -0,0 +1,120 @@
+//! Replication of one entry at a time from the head down the chain.
+
+use std::collections::BTreeSet;
+
+use super::bug_injection::bug_injected;
+use super::head::InFlight;
+use super::request_queue::Origin;
+use super::state_machine::Replica;
+use crate::document::ConfigurationDocument;
+use crate::durable_record::DurableRecord;
+use crate::durable_state::AfterWrite;
+use crate::message::TransferPurpose;
+use crate::position::Position;
+use crate::request::Reply;
+use crate::view::Identity;
+
+impl Replica {
+    /// Takes a configuration as the next entry.
+    pub(super) fn append(&mut self, document: ConfigurationDocument, origin: Origin) {
+        let epoch = self.epoch();
+        let Some(head) = &mut self.head else { return };
+        let index = head.index + 1;
+        let previous = head.base.history_digest();
+        let state = head.base.with(document.clone());
+        head.in_flight = Some(InFlight {
+            index,
+            previous,
+            document: document.clone(),
+            state: state.clone(),
+            origin,
+            started_at: self.now,
+            resend_at: self.now,
+            stored_by: BTreeSet::new(),
+        });
+        let position = Position { epoch, index };
+        let record = DurableRecord::Entry { position, previous, document };
+        self.persist_state(record, position, state, AfterWrite::SendToSuccessor);
+    }
+
+    /// The origin of the entry under way.
+    pub(super) fn write_in_flight(&self) -> Option<Origin> {
+        Some(self.head.as_ref()?.in_flight.as_ref()?.origin)
+    }
+
+    /// The head's own disk holds the entry: it goes down the chain.
+    pub(super) fn send_to_successor(&mut self) {
+        let me = self.identity;
+        let successor = self.view.as_ref().and_then(|view| view.successor_of(me));
+        let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else { return };
+        in_flight.stored_by.insert(me);
+        in_flight.started_at = self.now;
+        in_flight.resend_at = self.now + self.timing.retransmit_interval + in_flight.size_allowance();
+        let body = in_flight.append(true);
+        let open = !self.acceptor.sealed || bug_injected!(self.bug_injection, ServeAfterSeal);
+        if let (Some(successor), true) = (successor, open) {
+            self.send_to_voter(successor, body);
+        }
+        self.commit_if_stored_by_all();
+    }
+
+    /// All members after the head hold the entry.
+    pub(super) fn on_append_stored_by_chain(&mut self, index: u64) {
+        let chain = self.view.iter().flat_map(|view| view.chain.iter().skip(1).copied());
+        for member in chain.collect::<Vec<_>>() {
+            self.on_append_stored(member, index);
+        }
+    }
+
+    pub(super) fn on_append_stored(&mut self, sender: Identity, index: u64) {
+        let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else { return };
+        if index >= in_flight.index && index != Position::SEALED {
+            in_flight.stored_by.insert(sender);
+            self.commit_if_stored_by_all();
+        }
+    }
+
+    pub(super) fn on_append_rejected(&mut self, sender: Identity, _index: u64) {
+        let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(sender));
+        let address = self.view.as_ref().and_then(|view| view.address_of(sender));
+        if let (true, Some(address)) = (in_chain, address) {
+            self.send_base(address, TransferPurpose::Synchronise, None);
+        }
+    }
+
+    /// Sends the entry under way directly to members that haven't been seen to hold it.
+    pub(super) fn send_missing_entries(&mut self) {
+        let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
+        let Some(in_flight) = &mut head.in_flight else { return };
+        let due = self.now >= in_flight.resend_at;
+        if !in_flight.stored_by.contains(&self.identity) || self.acceptor.sealed || !due {
+            return;
+        }
+        let waited = self.now - in_flight.started_at;
+        let resend_delay = waited.clamp(self.timing.retransmit_interval, self.timing.write_timeout);
+        in_flight.resend_at = self.now + resend_delay;
+        let body = in_flight.append(false);
+        let missing = view.chain.iter().filter(|member| !in_flight.stored_by.contains(member));
+        for member in missing.copied().collect::<Vec<_>>() {
+            self.send_to_voter(member, body.clone());
+        }
+    }
+
+    fn commit_if_stored_by_all(&mut self) {
+        let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
+        let Some(in_flight) = &head.in_flight else { return };
+        let all = view.chain.iter().all(|member| in_flight.stored_by.contains(member));
+        let early = bug_injected!(self.bug_injection, AcknowledgeBeforeTail)
+            && in_flight.stored_by.contains(&self.identity);
+        if !all && !early {
+            return;
+        }
+        let Some(in_flight) = head.in_flight.take() else { return };
+        head.base = in_flight.state;
+        head.index = in_flight.index;
+        self.counters.commits += 1;
+        self.reply_to(in_flight.origin, Reply::Accepted);
+        self.mark_durable_state_committed();
+        self.announce_committed();
+    }
+}
--- /dev/null
+++ b/crates/lockusher-control/src/replica/sending.rs
@@ -0,0 +1,63 @@
+//! Sending messages, at once or after what they report is durable.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddrV4;
+
+use super::bug_injection::{altered_by_bug, bug_injected};
+use super::effect::Effect;
+use super::state_machine::Replica;
+use crate::acceptor_log::AfterAcceptorWrite;
+use crate::message::{Message, MessageBody};
+use crate::view::{Identity, Member};
+
+impl Replica {
+    fn message(&self, body: MessageBody) -> Message {
+        let body_sent = altered_by_bug!(self.bug_injection, altered_body, body);
+        Message { sender: self.identity, epoch: self.epoch(), body: body_sent }
+    }
+
+    pub(super) fn send(&mut self, to: SocketAddrV4, body: MessageBody) {
+        let message = self.message(body);
+        self.send_message(to, message);
+    }
+
+    pub(super) fn send_message(&mut self, to: SocketAddrV4, message: Message) {
+        if to == self.setup.address {
+            self.loopback.push_back(message);
+        } else {
+            self.effects.push(Effect::Send { to, message });
+        }
+    }
+
+    pub(super) fn send_to_voter(&mut self, voter: Identity, body: MessageBody) {
+        let address = self.view.as_ref().and_then(|view| view.address_of(voter));
+        if let Some(address) = address {
+            self.send(address, body);
+        }
+    }
+
+    pub(super) fn send_to_voters_except(&mut self, responders: &BTreeSet<Identity>, body: MessageBody) {
+        let voters: Vec<Member> = self.view.iter().flat_map(|view| view.voters.iter().copied()).collect();
+        for voter in voters.into_iter().filter(|voter| !responders.contains(&voter.identity)) {
+            self.send(voter.address, body.clone());
+        }
+    }
+
+    pub(super) fn send_to_head(&mut self, body: MessageBody) {
+        if let Some(head) = self.view.as_ref().and_then(|view| view.head()) {
+            self.send_to_voter(head, body);
+        }
+    }
+
+    /// Sends this once all votes cast so far are durable.
+    pub(super) fn send_after_acceptor_writes(&mut self, to: SocketAddrV4, body: MessageBody) {
+        let message = self.message(body);
+        if bug_injected!(self.bug_injection, VoteAnsweredBeforeDurable) {
+            self.send_message(to, message);
+            return;
+        }
+        if let Some(after) = self.acceptor_log.defer(AfterAcceptorWrite::Send { to, message }) {
+            self.after_acceptor_write(after);
+        }
+    }
+}
--- /dev/null
+++ b/crates/lockusher-control/src/replica/setup.rs
@@ -0,0 +1,22 @@
+//! What a replica is told at its start.
+
+use std::net::SocketAddrV4;
+
+/// What a replica is told at its start.
+#[derive(Clone, Debug)]
+pub struct ReplicaSetup {
+    /// Its own internal listener.
+    pub address: SocketAddrV4,
+    /// Internal listeners of the seeds.
+    pub seeds: Vec<SocketAddrV4>,
+    /// Whether the whole system starts for the first time.
+    pub first_start: bool,
+    /// How many voters may be lost at once.
+    pub tolerated_losses: u32,
+    /// How long the operator waits for an acknowledgement, in milliseconds.
+    pub acknowledge_ms: u64,
+    /// Within how long a new node must be a full member, in milliseconds.
+    pub catch_up_ms: u64,
+    /// Seed of the identity (on an empty disk) and of the back-off.
+    pub random_seed: u64,
+}
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -2,8 +2,13 @@
 
 use std::net::SocketAddrV4;
 
-use super::{Counters, Effect, Replica};
-use crate::{ConfigurationDocument, Identity, Position, View, state::HistoryDigest};
+use super::counters::Counters;
+use super::effect::Effect;
+use super::state_machine::Replica;
+use crate::document::ConfigurationDocument;
+use crate::position::Position;
+use crate::state::HistoryDigest;
+use crate::view::{Identity, View};
 
 impl Replica {
     /// The newest view known.
--- /dev/null
+++ b/crates/lockusher-control/src/replica/view_installation.rs
@@ -0,0 +1,64 @@
+//! Installation of agreed views.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddrV4;
+
+use super::state_machine::Replica;
+use crate::acceptor::AcceptorState;
+use crate::acceptor_log::AfterAcceptorWrite;
+use crate::durable_record::DurableRecord;
+use crate::message::MessageBody;
+use crate::view::View;
+
+impl Replica {
+    /// Takes a view that was agreed on, unless it is old.
+    pub(super) fn install_view(&mut self, view: View) {
+        if view.epoch <= self.epoch() {
+            return;
+        }
+        let (epoch, voters) = (view.epoch, view.voters.len());
+        log::info!(
+            "{} {}: view {epoch}, {voters} voters, chain {:?}",
+            self.now,
+            self.setup.address,
+            view.chain
+        );
+        self.counters.views_adopted += 1;
+        let epoch = view.epoch;
+        self.view = Some(view.clone());
+        self.acceptor = AcceptorState::default();
+        self.head = None;
+        self.epoch_change_required = false;
+        self.proposal = None;
+        self.proposal_attempts = 0;
+        self.sealed_state_holders.clear();
+        self.change_due_since = None;
+        self.back_off_until = self.now;
+        self.persist_acceptor_records(
+            vec![DurableRecord::View(view)],
+            vec![AfterAcceptorWrite::ViewDurable { epoch }],
+        );
+    }
+
+    pub(super) fn on_view_durable(&mut self, epoch: u64) {
+        self.durable_epoch = self.durable_epoch.max(epoch);
+        if epoch == self.epoch() {
+            self.send_heartbeats();
+            self.requests.forward_all_now();
+            self.forward_requests();
+        }
+    }
+
+    /// Adopts a view that was just agreed on and tells everybody.
+    pub(super) fn install_and_announce(&mut self, view: View) {
+        let former = self.view.iter().flat_map(|view| view.voters.iter());
+        let known = self.peers.iter().map(|(address, _)| address);
+        let mut targets: BTreeSet<SocketAddrV4> =
+            former.chain(&view.voters).map(|voter| voter.address).chain(known).collect();
+        targets.remove(&self.setup.address);
+        self.install_view(view.clone());
+        for address in targets {
+            self.send(address, MessageBody::NewView(view.clone()));
+        }
+    }
+}
--- /dev/null
+++ b/crates/lockusher-control/src/replica/voting.rs
@@ -0,0 +1,65 @@
+//! This node as an acceptor of the agreement on the next view.
+
+use std::net::SocketAddrV4;
+
+use super::bug_injection::bug_injected;
+use super::state_machine::Replica;
+use crate::durable_record::DurableRecord;
+use crate::message::MessageBody;
+use crate::proposal::ProposalNumber;
+use crate::view::View;
+
+impl Replica {
+    pub(super) fn on_prepare(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber) {
+        if !self.acts_as_acceptor() {
+            return;
+        }
+        self.highest_proposal_counter = self.highest_proposal_counter.max(proposal_number.counter);
+        let is_new = proposal_number > self.acceptor.promised;
+        if let Err(promised) = self.acceptor.prepare(proposal_number)
+            && !bug_injected!(self.bug_injection, LowerBallotAccepted)
+        {
+            self.send(from, MessageBody::ProposalRejected { promised });
+            return;
+        }
+        if is_new {
+            let epoch = self.epoch();
+            self.persist_acceptor_records(
+                vec![DurableRecord::Promise { epoch, proposal_number }],
+                Vec::new(),
+            );
+        }
+        let accepted = self.acceptor.accepted.clone();
+        self.send_after_acceptor_writes(from, MessageBody::PrepareResponse { proposal_number, accepted });
+    }
+
+    pub(super) fn on_accept(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber, view: View) {
+        let epoch = self.epoch();
+        if !self.acts_as_acceptor() || view.epoch != epoch + 1 {
+            return;
+        }
+        let is_new = self
+            .acceptor
+            .accepted
+            .as_ref()
+            .is_none_or(|accepted| accepted.proposal_number != proposal_number);
+        if bug_injected!(self.bug_injection, LowerBallotAccepted) {
+            self.acceptor.promised = proposal_number;
+        }
+        if let Err(promised) = self.acceptor.accept(proposal_number, view.clone()) {
+            self.send(from, MessageBody::ProposalRejected { promised });
+            return;
+        }
+        if is_new {
+            self.persist_acceptor_records(
+                vec![DurableRecord::Accept { epoch, proposal_number, view }],
+                Vec::new(),
+            );
+        }
+        self.send_after_acceptor_writes(from, MessageBody::AcceptResponse { proposal_number });
+    }
+
+    fn acts_as_acceptor(&self) -> bool {
+        self.is_voter() || (bug_injected!(self.bug_injection, StrangersCount) && self.view.is_some())
+    }
+}
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -176,7 +176,7 @@
             Ok((stream, _)) => {
                 let driver = Rc::clone(&driver);
                 let connection = async move {
-                    let deliver = |from, envelope: crate::message::Envelope| {
+                    let deliver = |from, envelope: crate::envelope::Envelope| {
                         driver.dispatch(Event::Message { from, message: envelope.message });
                     };
                     if let Err(error) = receive(stream, deliver).await {
--- a/crates/lockusher-control/src/stage_assignment_lease.rs
+++ b/crates/lockusher-control/src/stage_assignment_lease.rs
@@ -12,8 +12,8 @@
 //!
 //! Invariant: orders of two heads reach searchers at least a lease apart, and with rising fencing tokens.
 
-use crate::Millis;
 use crate::chain_role::ChainRole;
+use crate::time::Millis;
 
 /// So many leases pass between becoming head, or the start of the process, and the first order.
 const LEASES_BEFORE_FIRST_ORDER: u64 = 2;
--- a/crates/lockusher-control/src/stage_scheduler.rs
+++ b/crates/lockusher-control/src/stage_scheduler.rs
@@ -26,7 +26,7 @@
 use lockusher_distribution::load::ServiceLoad;
 
 use self::service_state::ServiceState;
-use crate::Millis;
+use crate::time::Millis;
 
 pub use self::demand::{Demand, StageCounts};
 pub use self::stage_change::{OrderOutcome, StageChange};
--- a/crates/lockusher-control/src/stage_scheduler/change_budget.rs
+++ b/crates/lockusher-control/src/stage_scheduler/change_budget.rs
@@ -3,7 +3,7 @@
 //! Owned by the service's state. Each change takes a token; tokens come with time, in proportion to the number of
 //! searchers, up to a capacity that allows a burst after a long rest.
 
-use crate::Millis;
+use crate::time::Millis;
 
 /// In the long run a service has one change for each of its searchers in this time.
 const REFILL_INTERVAL_MS: Millis = 50_000;
--- a/crates/lockusher-control/src/stage_scheduler/hysteresis.rs
+++ b/crates/lockusher-control/src/stage_scheduler/hysteresis.rs
@@ -5,7 +5,7 @@
 
 use lockusher_config::instances::Stage;
 
-use crate::Millis;
+use crate::time::Millis;
 
 /// A change must have been desired this long before it is made.
 const MIN_PERSISTENCE_MS: Millis = 400;
--- a/crates/lockusher-control/src/stage_scheduler/service_state.rs
+++ b/crates/lockusher-control/src/stage_scheduler/service_state.rs
@@ -15,7 +15,7 @@
 use super::hysteresis::Hysteresis;
 use super::searcher_selection::{is_ready, select_searcher};
 use super::stage_change::{OrderOutcome, StageChange, opposite};
-use crate::Millis;
+use crate::time::Millis;
 
 /// So many of a service's searchers may be changing at once, as a share of all; one always may.
 const MAX_IN_FLIGHT_SHARE: f64 = 0.25;
--- a/crates/lockusher-control/src/timing.rs
+++ b/crates/lockusher-control/src/timing.rs
@@ -1,6 +1,6 @@
 //! Intervals of the protocol, derived from the operator's bounds.
 
-use crate::Millis;
+use crate::time::Millis;
 
 /// All in milliseconds. The fractions leave room for a lost node to be noticed, a view agreed on and the write
 /// repeated within the operator's patience.
