--- a/crates/lockusher-proxy/src/client/listener.rs
+++ b/crates/lockusher-proxy/src/client/listener.rs
@@ -10,7 +10,7 @@
 
 use super::connection;
 use super::registry::{ClientRegistry, SWEEP_PERIOD};
-use crate::descriptors::DescriptorHold;
+use crate::descriptors::DescriptorPermit;
 use crate::error::ProxyError;
 use crate::shared::Shared;
 
@@ -18,7 +18,7 @@
 const BACKLOG: i32 = 1_024;
 
 /// How long accepting rests after it failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Opens a listener.
 ///
@@ -39,20 +39,20 @@
 /// Accepts clients for ever.
 pub(crate) async fn accept_clients(shared: Rc<Shared>, clients: Rc<ClientRegistry>, listener: TcpListener) {
     loop {
-        if !shared.descriptors.has_room() {
+        if !shared.descriptors.has_capacity() {
             clients.close_one_idle();
-            shared.descriptors.room().await;
+            shared.descriptors.capacity_available().await;
         }
         let socket = match accept(&listener).await {
             Ok(socket) => socket,
             Err(error) => {
                 log::warn!("cannot accept: {error}");
-                compio::time::sleep(ACCEPT_PAUSE).await;
+                compio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let hold = shared.descriptors.take();
-        let serving = serve(shared.clone(), clients.clone(), socket, hold);
+        let permit = shared.descriptors.acquire();
+        let serving = serve(shared.clone(), clients.clone(), socket, permit);
         compio::runtime::spawn(serving).detach();
     }
 }
@@ -65,7 +65,12 @@
     stream.into_poll_fd()
 }
 
-async fn serve(shared: Rc<Shared>, clients: Rc<ClientRegistry>, socket: ClientSocket, _hold: DescriptorHold) {
+async fn serve(
+    shared: Rc<Shared>,
+    clients: Rc<ClientRegistry>,
+    socket: ClientSocket,
+    _permit: DescriptorPermit,
+) {
     let (key, state) = clients.add();
     connection::serve(shared, socket, state).await;
     clients.remove(key);
--- a/crates/lockusher-proxy/src/descriptors.rs
+++ b/crates/lockusher-proxy/src/descriptors.rs
@@ -10,7 +10,7 @@
 pub(crate) struct Descriptors {
     limit: u64,
     open: Cell<u64>,
-    /// The accept loop, where it waits for room.
+    /// The accept loop, where it waits for capacity.
     waiting: RefCell<Option<Waker>>,
 }
 
@@ -20,20 +20,20 @@
     }
 
     /// Whether another socket may be opened.
-    pub(crate) fn has_room(&self) -> bool {
+    pub(crate) fn has_capacity(&self) -> bool {
         self.open.get() < self.limit
     }
 
     /// Counts a socket; it may exceed the limit by what was accepted already.
-    pub(crate) fn take(self: &Rc<Self>) -> DescriptorHold {
+    pub(crate) fn acquire(self: &Rc<Self>) -> DescriptorPermit {
         self.open.set(self.open.get() + 1);
-        DescriptorHold { descriptors: self.clone() }
+        DescriptorPermit { descriptors: self.clone() }
     }
 
     /// Waits until another socket may be opened. One waiter at a time.
-    pub(crate) async fn room(&self) {
+    pub(crate) async fn capacity_available(&self) {
         poll_fn(|cx| {
-            if self.has_room() {
+            if self.has_capacity() {
                 return Poll::Ready(());
             }
             *self.waiting.borrow_mut() = Some(cx.waker().clone());
@@ -43,13 +43,13 @@
     }
 }
 
-/// One open socket.
+/// Permit for one open socket; given back when dropped.
 #[derive(Debug)]
-pub(crate) struct DescriptorHold {
+pub(crate) struct DescriptorPermit {
     descriptors: Rc<Descriptors>,
 }
 
-impl Drop for DescriptorHold {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         let open = &self.descriptors.open;
         open.set(open.get() - 1);
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -16,7 +16,7 @@
 use crate::send::{Accepted, NoAnswer, Sends};
 use crate::shared::SendGuard;
 use crate::upstream::connection::UpstreamConnection;
-use crate::upstream::exchange::{Destination, Exchange, SendFailure, is_silence};
+use crate::upstream::exchange::{Destination, Exchange, SendFailure, is_acknowledgement_timeout};
 
 /// The answer broke off; the client's connection is closed without a proper end.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
@@ -210,8 +210,8 @@
             match item {
                 None => return Poll::Ready(Ok(None)),
                 Some(Err(error)) => {
-                    if is_silence(&error) {
-                        self.sends.shared().pool.distrust(&self.destination.identifier);
+                    if is_acknowledgement_timeout(&error) {
+                        self.sends.shared().pool.close_idle_to(&self.destination.identifier);
                     }
                     return Poll::Ready(Err(SendOutcome::Failed));
                 }
--- a/crates/lockusher-proxy/src/upstream/connection.rs
+++ b/crates/lockusher-proxy/src/upstream/connection.rs
@@ -20,7 +20,7 @@
 use hyper::{HeaderMap, Request, Response};
 use socket2::{Domain, Protocol, SockAddr, Socket, TcpKeepalive, Type};
 
-use crate::descriptors::DescriptorHold;
+use crate::descriptors::DescriptorPermit;
 use crate::headers;
 
 /// A machine that is there answers an opening packet within this; one that is dead says nothing.
@@ -32,8 +32,8 @@
 /// A silent connection is probed after this time, and so often: a dead machine ends no connection by itself.
 const KEEP_ALIVE_PERIOD: Duration = Duration::from_secs(1);
 
-/// How long a connection may rest where the searcher tells no time: its buffers cost memory, a new one a handshake.
-const DEFAULT_IDLE: Duration = Duration::from_secs(12);
+/// How long a connection may be idle where the searcher advertises no time: its buffers cost memory, a new one a handshake.
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(12);
 
 type Io = HyperStream<PollFd<Socket>>;
 
@@ -54,11 +54,11 @@
     connection: Connection<Io, Full<Bytes>>,
     /// The connection has ended; it must not be polled again.
     ended: bool,
-    /// The searcher, or something odd, forbids another request.
-    spent: bool,
+    /// The searcher announced that it closes the connection after the answer.
+    closes_after_answer: bool,
     idle_limit: Duration,
     idle_since: Instant,
-    _place: PlaceHold,
+    _permit: ConnectionPermit,
 }
 
 impl std::fmt::Debug for UpstreamConnection {
@@ -69,7 +69,7 @@
 
 impl UpstreamConnection {
     /// Dials a searcher. An error proves that nothing was sent.
-    pub(crate) async fn open(address: SocketAddrV4, place: PlaceHold) -> io::Result<Self> {
+    pub(crate) async fn open(address: SocketAddrV4, permit: ConnectionPermit) -> io::Result<Self> {
         let dial = compio::time::timeout(CONNECT_TIMEOUT, dial(address));
         let stream = dial.await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         let handshake = Builder::new().handshake(HyperStream::new_plain(stream));
@@ -78,10 +78,10 @@
             sender,
             connection,
             ended: false,
-            spent: false,
-            idle_limit: DEFAULT_IDLE,
+            closes_after_answer: false,
+            idle_limit: DEFAULT_IDLE_LIMIT,
             idle_since: Instant::now(),
-            _place: place,
+            _permit: permit,
         })
     }
 
@@ -103,17 +103,17 @@
             Some(_) => ExchangeError::NotWritten,
             None => ExchangeError::Broken(error.into_error()),
         })?;
-        self.learn(response.headers());
+        self.apply_connection_fields(response.headers());
         Ok(response)
     }
 
     /// Takes what the answer's head says of the connection.
-    fn learn(&mut self, answer: &HeaderMap) {
+    fn apply_connection_fields(&mut self, answer: &HeaderMap) {
         if headers::says_close(answer) {
-            self.spent = true;
+            self.closes_after_answer = true;
         }
         if let Some(seconds) = headers::keep_alive_seconds(answer) {
-            self.idle_limit = usable_idle(Duration::from_secs(seconds));
+            self.idle_limit = idle_limit_for(Duration::from_secs(seconds));
         }
     }
 
@@ -125,7 +125,7 @@
 
     /// Whether another request may be sent: the last answer was whole, nothing followed it, nobody closed.
     pub(crate) fn poll_reusable(&mut self, cx: &mut Context<'_>) -> bool {
-        !self.spent && !self.poll_drive(cx) && self.sender.is_ready()
+        !self.closes_after_answer && !self.poll_drive(cx) && self.sender.is_ready()
     }
 
     /// Waits for something that the connection brings, such as the rest of a body.
@@ -146,21 +146,21 @@
         poll_fn(|cx| Poll::Ready(self.poll_reusable(cx))).await
     }
 
-    /// Notes that the connection rests from now on.
-    pub(crate) fn rest(&mut self, now: Instant) {
+    /// Starts the time for which the connection is idle.
+    pub(crate) fn mark_idle(&mut self, now: Instant) {
         self.idle_since = now;
     }
 
-    /// Whether it has rested for so long that the searcher may soon close it.
-    pub(crate) fn has_rested_too_long(&self, now: Instant) -> bool {
+    /// Whether it has been idle for so long that the searcher may soon close it.
+    pub(crate) fn is_idle_for_too_long(&self, now: Instant) -> bool {
         now.duration_since(self.idle_since) >= self.idle_limit
     }
 }
 
 /// Well before the time at which the searcher closes an idle connection.
-fn usable_idle(told: Duration) -> Duration {
-    let early = told.saturating_sub(Duration::from_millis(1_500));
-    early.max(told / 3).min(DEFAULT_IDLE)
+fn idle_limit_for(advertised: Duration) -> Duration {
+    let early = advertised.saturating_sub(Duration::from_millis(1_500));
+    early.max(advertised / 3).min(DEFAULT_IDLE_LIMIT)
 }
 
 /// Polls a connection that has not ended; true if it has ended by now.
@@ -189,21 +189,21 @@
     Ok(stream)
 }
 
-/// One of the connections that a searcher may have from this proxy.
+/// Permit for one of the connections that a searcher may have from this proxy; given back when dropped.
 #[derive(Debug)]
-pub(crate) struct PlaceHold {
+pub(crate) struct ConnectionPermit {
     open: Rc<Cell<u32>>,
-    _descriptor: DescriptorHold,
+    _descriptor: DescriptorPermit,
 }
 
-impl PlaceHold {
-    pub(crate) fn new(open: Rc<Cell<u32>>, descriptor: DescriptorHold) -> Self {
+impl ConnectionPermit {
+    pub(crate) fn new(open: Rc<Cell<u32>>, descriptor: DescriptorPermit) -> Self {
         open.set(open.get() + 1);
-        PlaceHold { open, _descriptor: descriptor }
+        ConnectionPermit { open, _descriptor: descriptor }
     }
 }
 
-impl Drop for PlaceHold {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.open.set(self.open.get() - 1);
     }
--- a/crates/lockusher-proxy/src/upstream/exchange.rs
+++ b/crates/lockusher-proxy/src/upstream/exchange.rs
@@ -19,10 +19,10 @@
 use crate::shared::Shared;
 
 /// A rejection whose body is longer is not read for the sake of its connection.
-const MOST_REJECTION_BYTES: usize = 16 * 1_024;
+const MAX_REJECTION_BYTES: usize = 16 * 1_024;
 
 /// Nor is one that takes longer.
-const REJECTION_TIMEOUT: Duration = Duration::from_millis(500);
+const REJECTION_READ_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Where a request is sent.
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
     pub(crate) connection: UpstreamConnection,
 }
 
-/// Sends a request to a searcher and judges the head of the answer.
+/// Sends a request to a searcher and checks the head of the answer.
 ///
 /// # Errors
 /// A [`SendFailure`] that tells whether the request may have run.
@@ -89,11 +89,12 @@
     let mut connection = checkout.map_err(|error| failed_checkout(shared, destination, &error))?;
     let sent = connection.send(request).await;
     let response = sent.map_err(|error| failed_exchange(shared, destination, &error))?;
-    let judged = judge(destination, response.headers(), response.status(), identifier.as_ref());
-    if let Err(failure) = judged {
+    let checked = check_answer_head(destination, response.headers(), response.status(), identifier.as_ref());
+    if let Err(failure) = checked {
         if matches!(failure, SendFailure::Rejected { .. }) {
             let body = response.into_body();
-            compio::runtime::spawn(salvage(shared.clone(), destination.clone(), body, connection)).detach();
+            compio::runtime::spawn(drain_rejection(shared.clone(), destination.clone(), body, connection))
+                .detach();
         }
         return Err(failure);
     }
@@ -101,14 +102,14 @@
 }
 
 /// Reads the rest of a rejection aside, so that its connection can serve another request.
-async fn salvage(
+async fn drain_rejection(
     shared: Rc<Shared>,
     destination: Destination,
     body: Incoming,
     mut connection: UpstreamConnection,
 ) {
-    let whole = connection.drive_while(Limited::new(body, MOST_REJECTION_BYTES).collect());
-    let whole = compio::time::timeout(REJECTION_TIMEOUT, whole).await;
+    let whole = connection.drive_while(Limited::new(body, MAX_REJECTION_BYTES).collect());
+    let whole = compio::time::timeout(REJECTION_READ_TIMEOUT, whole).await;
     if matches!(whole, Ok(Ok(_))) && connection.is_reusable().await {
         shared.pool.checkin(&destination.identifier, connection);
     }
@@ -120,7 +121,7 @@
         CheckoutError::AtLimit => SendFailure::AtLimit,
         CheckoutError::BadAddress { .. } => SendFailure::Unreachable,
         CheckoutError::Unreachable(_) => {
-            shared.pool.distrust(&destination.identifier);
+            shared.pool.close_idle_to(&destination.identifier);
             SendFailure::Unreachable
         }
     }
@@ -131,8 +132,8 @@
     match error {
         ExchangeError::NotWritten => SendFailure::Unreachable,
         ExchangeError::Broken(error) => {
-            if is_silence(error) {
-                shared.pool.distrust(&destination.identifier);
+            if is_acknowledgement_timeout(error) {
+                shared.pool.close_idle_to(&destination.identifier);
             }
             SendFailure::Broken
         }
@@ -140,13 +141,13 @@
 }
 
 /// Whether the kernel gave the connection up because nothing was acknowledged: the machine may be dead.
-pub(crate) fn is_silence(error: &hyper::Error) -> bool {
+pub(crate) fn is_acknowledgement_timeout(error: &hyper::Error) -> bool {
     let cause = error.source().and_then(|cause| cause.downcast_ref::<io::Error>());
     cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut)
 }
 
 /// Whether the head of an answer is this request's, and no rejection.
-fn judge(
+fn check_answer_head(
     destination: &Destination,
     answer: &HeaderMap,
     status: StatusCode,
--- a/crates/lockusher-proxy/src/upstream/pool.rs
+++ b/crates/lockusher-proxy/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 use lockusher_config::configuration::Configuration;
 use lockusher_config::instances::{Instance, InstanceState};
 
-use super::connection::{PlaceHold, UpstreamConnection};
+use super::connection::{ConnectionPermit, UpstreamConnection};
 use crate::descriptors::Descriptors;
 
 /// Proxies assumed to share a searcher's connections until the fleet's size is known.
@@ -44,8 +44,8 @@
 #[derive(Debug)]
 struct SearcherConnections {
     service: String,
-    /// Whether connections are kept for another request: the searcher is listed and ready.
-    keeps_idle: bool,
+    /// Whether idle connections are pooled for another request: the searcher is listed and ready.
+    pools_idle: bool,
     idle: Vec<UpstreamConnection>,
     /// Connections open, in use or idle.
     open: Rc<Cell<u32>>,
@@ -67,23 +67,23 @@
         *self.limits.borrow_mut() = limits.collect();
     }
 
-    /// Closes idle connections to searchers that are draining or gone, and keeps none of theirs from now on.
+    /// Closes idle connections to searchers that are draining or gone, and pools none of theirs from now on.
     pub(crate) fn apply_instances(&self, instances: &[Instance]) {
         let mut old = self.searchers.take();
-        let kept = instances.iter().map(|instance| {
+        let listed = instances.iter().map(|instance| {
             let mut connections = old.remove(&instance.identifier).unwrap_or_else(|| SearcherConnections {
                 service: instance.service.clone(),
-                keeps_idle: true,
+                pools_idle: true,
                 idle: Vec::new(),
                 open: Rc::default(),
             });
-            connections.keeps_idle = instance.state != InstanceState::Draining;
-            if !connections.keeps_idle {
+            connections.pools_idle = instance.state != InstanceState::Draining;
+            if !connections.pools_idle {
                 connections.idle.clear();
             }
             (instance.identifier.clone(), connections)
         });
-        *self.searchers.borrow_mut() = kept.collect();
+        *self.searchers.borrow_mut() = listed.collect();
     }
 
     pub(crate) fn set_fleet_size(&self, proxies: u32) {
@@ -101,40 +101,42 @@
                 return Ok(connection);
             }
         }
-        let place = self.take_place(identifier).ok_or(CheckoutError::AtLimit)?;
+        let permit = self.acquire_permit(identifier).ok_or(CheckoutError::AtLimit)?;
         let address: SocketAddrV4 =
             address.parse().map_err(|_| CheckoutError::BadAddress { address: address.to_owned() })?;
-        UpstreamConnection::open(address, place).await.map_err(CheckoutError::Unreachable)
+        UpstreamConnection::open(address, permit).await.map_err(CheckoutError::Unreachable)
     }
 
     fn take_idle(&self, identifier: &str) -> Option<UpstreamConnection> {
         let mut searchers = self.searchers.borrow_mut();
         let idle = &mut searchers.get_mut(identifier)?.idle;
         let connection = idle.pop()?;
-        if connection.has_rested_too_long(Instant::now()) {
-            // Those below it have rested for longer.
+        if connection.is_idle_for_too_long(Instant::now()) {
+            // Those below it have been idle for longer.
             idle.clear();
             return None;
         }
         Some(connection)
     }
 
-    fn take_place(&self, identifier: &str) -> Option<PlaceHold> {
+    fn acquire_permit(&self, identifier: &str) -> Option<ConnectionPermit> {
         let searchers = self.searchers.borrow();
         let open = match searchers.get(identifier) {
-            Some(connections) if connections.open.get() >= self.share(&connections.service) => return None,
+            Some(connections) if connections.open.get() >= self.connection_quota(&connections.service) => {
+                return None;
+            }
             Some(connections) => connections.open.clone(),
             None => Rc::default(),
         };
         drop(searchers);
-        if !self.descriptors.has_room() {
+        if !self.descriptors.has_capacity() {
             self.close_idle();
         }
-        Some(PlaceHold::new(open, self.descriptors.take()))
+        Some(ConnectionPermit::new(open, self.descriptors.acquire()))
     }
 
     /// Connections that this proxy may have to one searcher of a service.
-    fn share(&self, service: &str) -> u32 {
+    fn connection_quota(&self, service: &str) -> u32 {
         let limit = self.limits.borrow().get(service).copied();
         let proxies = self.proxies.get().unwrap_or(ASSUMED_PROXIES);
         limit.map_or(ASSUMED_LIMIT, |limit| (limit / proxies).max(1))
@@ -144,25 +146,25 @@
     pub(crate) fn checkin(&self, identifier: &str, mut connection: UpstreamConnection) {
         let mut searchers = self.searchers.borrow_mut();
         let Some(connections) = searchers.get_mut(identifier) else { return };
-        if connections.keeps_idle {
-            connection.rest(Instant::now());
+        if connections.pools_idle {
+            connection.mark_idle(Instant::now());
             connections.idle.push(connection);
         }
     }
 
     /// Closes the idle connections to a searcher that seems dead: a send on one could not be proven not to have
     /// run, while a connection that does not come up proves it.
-    pub(crate) fn distrust(&self, identifier: &str) {
+    pub(crate) fn close_idle_to(&self, identifier: &str) {
         if let Some(connections) = self.searchers.borrow_mut().get_mut(identifier) {
             connections.idle.clear();
         }
     }
 
-    /// Closes connections that have rested for too long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn sweep(&self) {
         let now = Instant::now();
         for connections in self.searchers.borrow_mut().values_mut() {
-            connections.idle.retain(|connection| !connection.has_rested_too_long(now));
+            connections.idle.retain(|connection| !connection.is_idle_for_too_long(now));
         }
     }
 
