--- a/crates/lockusher-proxy/src/deadline.rs
+++ b/crates/lockusher-proxy/src/deadline.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 /// An answer of our own is begun this long before the client gives the request up by itself.
-pub(crate) const CLIENT_RESERVE: Duration = Duration::from_millis(40);
+pub(crate) const CLIENT_DEADLINE_RESERVE: Duration = Duration::from_millis(40);
 
 /// Of a short time the reserve is the whole divided by this at most.
 const RESERVE_DIVISOR: u32 = 10;
@@ -30,5 +30,5 @@
 
 /// What is left of a client's time once the reserve is kept.
 fn time_to_answer(patience: Duration) -> Duration {
-    patience - CLIENT_RESERVE.min(patience / RESERVE_DIVISOR)
+    patience - CLIENT_DEADLINE_RESERVE.min(patience / RESERVE_DIVISOR)
 }
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -15,7 +15,7 @@
 use crate::prefill::read_small;
 use crate::relay::{Relay, is_event_stream, outcome_of};
 use crate::request::{ClientRequest, RequestError};
-use crate::send::{Accepted, NoAnswer, SendTerms, Sends, TimeUp, until};
+use crate::send::{AcceptedAnswer, AttemptPolicy, DeadlineExceeded, NoAnswer, RequestAttempts, until};
 use crate::shared::Shared;
 use crate::upstream::exchange::{Exchange, SendFailure};
 
@@ -43,8 +43,8 @@
     match admission {
         Admission::Refuse { retry_after_ms } => answer::refusal(retry_after_ms),
         Admission::Go(plan) => {
-            let terms = SendTerms::new(route, handle_hold_ms(routes.configuration(), service));
-            pass_on(Sends::new(shared.clone(), request, terms, deadlines, plan)).await
+            let policy = AttemptPolicy::new(route, handle_hold_ms(routes.configuration(), service));
+            pass_on(RequestAttempts::new(shared.clone(), request, policy, deadlines, plan)).await
         }
     }
 }
@@ -76,24 +76,24 @@
 }
 
 /// Sends until there is an answer, or none can come any more.
-async fn pass_on(mut sends: Sends) -> Answer {
+async fn pass_on(mut attempts: RequestAttempts) -> Answer {
     // A searcher's own failure, kept in case no other searcher does better.
     let mut failure: Option<Answer> = None;
     loop {
-        let accepted = match sends.next_answer().await {
+        let accepted = match attempts.next_answer().await {
             Ok(accepted) => accepted,
             Err(none) => return failure.unwrap_or_else(|| without_answer(none)),
         };
         if !is_held_whole(&accepted.exchange.response) {
-            return relay(sends, accepted);
+            return relay(attempts, accepted);
         }
-        match hold(&mut sends, accepted).await {
+        match hold(&mut attempts, accepted).await {
             Err(none) => return failure.unwrap_or_else(|| without_answer(none)),
             Ok(None) => {}
-            Ok(Some(answer)) if answer.status().is_server_error() && sends.terms.is_idempotent => {
+            Ok(Some(answer)) if answer.status().is_server_error() && attempts.policy.is_idempotent => {
                 failure = Some(answer);
                 // The route allows repeats, so this cannot forbid one.
-                let _ = sends.note_failure(&SendFailure::Broken);
+                let _ = attempts.record_failure(&SendFailure::Broken);
             }
             Ok(Some(answer)) => return answer,
         }
@@ -114,33 +114,33 @@
 }
 
 /// Reads a short answer whole; `None` if it broke and the request may be sent again.
-async fn hold(sends: &mut Sends, accepted: Accepted) -> Result<Option<Answer>, NoAnswer> {
-    let Accepted { destination, mut send, exchange: Exchange { response, connection } } = accepted;
-    let shared = sends.shared().clone();
+async fn hold(attempts: &mut RequestAttempts, accepted: AcceptedAnswer) -> Result<Option<Answer>, NoAnswer> {
+    let AcceptedAnswer { destination, mut send, exchange: Exchange { response, connection } } = accepted;
+    let shared = attempts.shared().clone();
     let (parts, body) = response.into_parts();
     let read = read_small(&shared, &destination, body, connection);
-    match until(sends.timer(), read).await {
-        Err(TimeUp) => {
+    match until(attempts.timer(), read).await {
+        Err(DeadlineExceeded) => {
             send.finish(SendOutcome::TimedOut);
-            Err(sends.note_time_up())
+            Err(attempts.record_timeout())
         }
         Ok(Err(failure)) => {
             send.finish(failure.outcome());
-            sends.note_failure(&failure)?;
+            attempts.record_failure(&failure)?;
             Ok(None)
         }
         Ok(Ok(bytes)) => {
             send.finish(outcome_of(parts.status));
-            let is_head = sends.request().is_head();
+            let is_head = attempts.request().is_head();
             Ok(Some(stripped(Response::from_parts(parts, AnswerBody::Whole(bytes)), is_head)))
         }
     }
 }
 
 /// Passes an answer on piece by piece.
-fn relay(sends: Sends, accepted: Accepted) -> Answer {
-    let is_head = sends.request().is_head();
-    let (head, relay) = Relay::new(sends, accepted);
+fn relay(attempts: RequestAttempts, accepted: AcceptedAnswer) -> Answer {
+    let is_head = attempts.request().is_head();
+    let (head, relay) = Relay::new(attempts, accepted);
     stripped(head.map(|()| AnswerBody::Relay(Box::new(relay))), is_head)
 }
 
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -13,7 +13,7 @@
 use crate::decision::SendOutcome;
 use crate::events::{EventSplitter, lies_behind};
 use crate::headers;
-use crate::send::{Accepted, NoAnswer, Sends};
+use crate::send::{AcceptedAnswer, NoAnswer, RequestAttempts};
 use crate::shared::SendGuard;
 use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, is_acknowledgement_timeout};
@@ -44,7 +44,7 @@
 /// A searcher's stream that is being passed on.
 #[derive(Debug)]
 struct Running {
-    sends: Sends,
+    attempts: RequestAttempts,
     destination: Destination,
     body: Incoming,
     connection: UpstreamConnection,
@@ -58,8 +58,8 @@
 /// The search for a searcher that goes on with the stream.
 struct Resuming(Pin<Box<dyn Future<Output = Found>>>);
 
-/// The request's sends, given back, and the answer that goes on with the stream.
-type Found = (Sends, Result<Accepted, NoAnswer>);
+/// The request's attempts, given back, and the answer that goes on with the stream.
+type Found = (RequestAttempts, Result<AcceptedAnswer, NoAnswer>);
 
 impl std::fmt::Debug for Resuming {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -70,10 +70,10 @@
 type PolledFrame = Poll<Option<Result<Frame<Bytes>, AnswerAborted>>>;
 
 impl Relay {
-    pub(crate) fn new(mut sends: Sends, accepted: Accepted) -> (Response<()>, Self) {
-        sends.allow_whole_time();
-        let resumable = sends.terms.resumable && is_event_stream(&accepted.exchange.response);
-        let (head, running) = Running::new(sends, accepted);
+    pub(crate) fn new(mut attempts: RequestAttempts, accepted: AcceptedAnswer) -> (Response<()>, Self) {
+        attempts.extend_to_client_deadline();
+        let resumable = attempts.policy.resumable && is_event_stream(&accepted.exchange.response);
+        let (head, running) = Running::new(attempts, accepted);
         let splitter = resumable.then(EventSplitter::default);
         (head, Relay { state: State::Running(Box::new(running)), splitter, joins_behind: None })
     }
@@ -91,8 +91,8 @@
             match &mut self.state {
                 State::Ended => return Poll::Ready(None),
                 State::Resuming(search) => {
-                    let (sends, found) = ready!(search.0.as_mut().poll(cx));
-                    if !self.go_on(sends, found) {
+                    let (attempts, found) = ready!(search.0.as_mut().poll(cx));
+                    if !self.go_on(attempts, found) {
                         return self.abort();
                     }
                 }
@@ -151,7 +151,7 @@
     /// The stream broke: looks for a searcher that goes on with it, if one may.
     fn resume(&mut self, outcome: SendOutcome) -> bool {
         let State::Running(running) = std::mem::replace(&mut self.state, State::Ended) else { return false };
-        let Running { mut sends, destination, connection, mut send, .. } = *running;
+        let Running { mut attempts, destination, connection, mut send, .. } = *running;
         log::debug!("{}: answer broken off, {outcome:?}", destination.address);
         drop(connection);
         send.finish(outcome);
@@ -161,25 +161,25 @@
         splitter.take_unfinished();
         let event = splitter.last_id().map(|id| HeaderValue::from_bytes(id));
         let Ok(event) = event.transpose() else { return false };
-        if !splitter.can_join() || sends.note_failure(&SendFailure::Broken).is_err() {
+        if !splitter.can_join() || attempts.record_failure(&SendFailure::Broken).is_err() {
             return false;
         }
         self.joins_behind = splitter.last_id().cloned();
-        sends.resume_behind(event);
+        attempts.resume_after(event);
         self.state = State::Resuming(Resuming(Box::pin(async move {
-            let found = sends.next_answer().await;
-            (sends, found)
+            let found = attempts.next_answer().await;
+            (attempts, found)
         })));
         true
     }
 
     /// Goes on with the stream that was found; false if there is none.
-    fn go_on(&mut self, sends: Sends, found: Result<Accepted, NoAnswer>) -> bool {
+    fn go_on(&mut self, attempts: RequestAttempts, found: Result<AcceptedAnswer, NoAnswer>) -> bool {
         let Ok(accepted) = found else { return false };
         if !is_event_stream(&accepted.exchange.response) {
             return false;
         }
-        let (_, running) = Running::new(sends, accepted);
+        let (_, running) = Running::new(attempts, accepted);
         self.state = State::Running(Box::new(running));
         true
     }
@@ -191,12 +191,12 @@
 }
 
 impl Running {
-    fn new(sends: Sends, accepted: Accepted) -> (Response<()>, Self) {
-        let Accepted { destination, send, exchange: Exchange { response, connection } } = accepted;
+    fn new(attempts: RequestAttempts, accepted: AcceptedAnswer) -> (Response<()>, Self) {
+        let AcceptedAnswer { destination, send, exchange: Exchange { response, connection } } = accepted;
         let (parts, body) = response.into_parts();
         let left = body.size_hint().exact();
         let status = parts.status;
-        let running = Running { sends, destination, body, connection, send, status, left, started: false };
+        let running = Running { attempts, destination, body, connection, send, status, left, started: false };
         (Response::from_parts(parts, ()), running)
     }
 
@@ -204,14 +204,14 @@
     fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, SendOutcome>> {
         loop {
             let Poll::Ready(item) = self.poll_body(cx) else {
-                ready!(Pin::new(self.sends.timer()).poll(cx));
+                ready!(Pin::new(self.attempts.timer()).poll(cx));
                 return Poll::Ready(Err(SendOutcome::TimedOut));
             };
             match item {
                 None => return Poll::Ready(Ok(None)),
                 Some(Err(error)) => {
                     if is_acknowledgement_timeout(&error) {
-                        self.sends.shared().pool.close_idle_to(&self.destination.identifier);
+                        self.attempts.shared().pool.close_idle_to(&self.destination.identifier);
                     }
                     return Poll::Ready(Err(SendOutcome::Failed));
                 }
@@ -248,7 +248,7 @@
     fn finish(mut self, cx: &mut Context<'_>) {
         self.send.finish(outcome_of(self.status));
         if self.connection.poll_reusable(cx) {
-            self.sends.shared().pool.checkin(&self.destination.identifier, self.connection);
+            self.attempts.shared().pool.checkin(&self.destination.identifier, self.connection);
         }
     }
 }
--- a/crates/lockusher-proxy/src/send.rs
+++ b/crates/lockusher-proxy/src/send.rs
@@ -1,4 +1,4 @@
-//! The sends of one request: attempts one after another until a searcher's answer may be used.
+//! The attempts of one request, one after another, until a searcher's answer may be passed on.
 
 use std::future::{Future, poll_fn};
 use std::pin::{Pin, pin};
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use lockusher_config::configuration::{Route, RouteKind};
 
-use crate::deadline::{CLIENT_RESERVE, Deadlines};
+use crate::deadline::{CLIENT_DEADLINE_RESERVE, Deadlines};
 use crate::decision::{Choice, Purpose, RequestPlan, SendOutcome};
 use crate::headers;
 use crate::prefill::{KvHandle, PrefillFailure, prefill};
@@ -22,46 +22,53 @@
 use crate::shared::{SendGuard, Shared};
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
 
-/// What is kept of the client's time for the answer's way back.
+/// What is reserved of the client's time for the answer's way back.
 const TRANSIT_RESERVE: Duration = Duration::from_millis(5);
 
-/// With less time left than this nothing is sent any more.
-const LEAST_SEND_TIME: Duration = Duration::from_millis(10);
+/// With less time left than this, no attempt is begun.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(10);
 
-/// Prefill calls for one request, whatever else allows more.
-const MOST_PREFILLS: u32 = 4;
+/// Most prefill calls for one request, whatever else allows more.
+const MAX_PREFILL_CALLS: u32 = 4;
 
-/// Clients give no stream up after a shorter silence.
-const LEAST_SILENCE_BORNE: Duration = Duration::from_secs(2);
+/// Clients give no stream up after a shorter inactivity.
+const MIN_CLIENT_INACTIVITY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a route says of its requests' sends.
+/// Clients bear an inactivity of this many latency targets.
+const INACTIVITY_LATENCY_TARGETS: u64 = 4;
+
+/// Clients bear an inactivity of this many latency targets between events.
+const INACTIVITY_GAP_TARGETS: u64 = 8;
+
+/// What a route says of the attempts of its requests.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SendTerms {
+pub(crate) struct AttemptPolicy {
     pub(crate) is_idempotent: bool,
-    /// Whether a stream may be taken up elsewhere within one answer.
+    /// Whether a stream may be resumed at another searcher within one answer.
     pub(crate) resumable: bool,
-    /// How long a searcher holds KV cache that it read for another.
-    handle_hold: Duration,
+    /// How long a prefill searcher reserves KV cache for a decode searcher.
+    handle_lifetime: Duration,
     /// How long the client waits for the first event of a stream; absent for other answers.
-    first_event: Option<Duration>,
+    first_event_timeout: Option<Duration>,
 }
 
-impl SendTerms {
+impl AttemptPolicy {
     pub(crate) fn new(route: &Route, handle_hold_ms: u64) -> Self {
-        SendTerms {
+        AttemptPolicy {
             is_idempotent: route.is_idempotent(),
             resumable: route.resumable,
-            handle_hold: Duration::from_millis(handle_hold_ms),
-            first_event: (route.kind == RouteKind::Streaming).then(|| silence_borne(route)),
+            handle_lifetime: Duration::from_millis(handle_hold_ms),
+            first_event_timeout: (route.kind == RouteKind::Streaming)
+                .then(|| client_inactivity_timeout(route)),
         }
     }
 }
 
-/// After this silence clients give a stream up, also before its first event.
-fn silence_borne(route: &Route) -> Duration {
-    let of_target = Duration::from_millis(4 * route.target_latency_ms);
-    let of_gap = Duration::from_millis(8 * route.gap_aim_ms.unwrap_or(0));
-    LEAST_SILENCE_BORNE.max(of_target).max(of_gap)
+/// How long a stream may be inactive before clients give it up, also before its first event (PROTOCOL, "Requests").
+fn client_inactivity_timeout(route: &Route) -> Duration {
+    let by_target = Duration::from_millis(INACTIVITY_LATENCY_TARGETS * route.target_latency_ms);
+    let by_gap = Duration::from_millis(INACTIVITY_GAP_TARGETS * route.gap_aim_ms.unwrap_or(0));
+    MIN_CLIENT_INACTIVITY_TIMEOUT.max(by_target).max(by_gap)
 }
 
 /// Why no answer of a searcher can be used.
@@ -77,54 +84,54 @@
 
 /// An answer whose head may be passed on, with what its body needs.
 #[derive(Debug)]
-pub(crate) struct Accepted {
+pub(crate) struct AcceptedAnswer {
     pub(crate) destination: Destination,
     pub(crate) send: SendGuard,
     pub(crate) exchange: Exchange,
 }
 
-/// The time of a request or of one of its calls is up.
+/// The deadline of a request or of one of its calls has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct TimeUp;
+pub(crate) struct DeadlineExceeded;
 
-/// One admitted request and its sends so far.
+/// One admitted request and its attempts so far.
 #[derive(Debug)]
-pub(crate) struct Sends {
+pub(crate) struct RequestAttempts {
     shared: Rc<Shared>,
     request: ClientRequest,
-    pub(crate) terms: SendTerms,
+    pub(crate) policy: AttemptPolicy,
     deadlines: Deadlines,
     timer: Sleep,
     plan: RequestPlan,
     /// A send may have run the request.
     may_have_run: bool,
-    /// KV cache read for this request that no decode searcher has taken yet.
+    /// KV cache that was prefilled for this request and that no decode searcher has fetched yet.
     handle: Option<KvHandle>,
-    prefills: u32,
+    prefill_calls: u32,
     /// `Priority` of the send that was chosen last.
     priority: u8,
-    /// The stream is taken up behind this event.
+    /// The stream is resumed after this event.
     last_event: Option<HeaderValue>,
 }
 
-impl Sends {
+impl RequestAttempts {
     pub(crate) fn new(
         shared: Rc<Shared>,
         request: ClientRequest,
-        terms: SendTerms,
+        policy: AttemptPolicy,
         deadlines: Deadlines,
         plan: RequestPlan,
     ) -> Self {
-        Sends {
+        RequestAttempts {
             shared,
             request,
-            terms,
+            policy,
             deadlines,
             timer: compio::time::sleep_until(deadlines.answer),
             plan,
             may_have_run: false,
             handle: None,
-            prefills: 0,
+            prefill_calls: 0,
             priority: 0,
             last_event: None,
         }
@@ -142,55 +149,55 @@
         &mut self.timer
     }
 
-    /// An answer has begun: it may take all of the client's time.
-    pub(crate) fn allow_whole_time(&mut self) {
+    /// An answer has begun: it may take until the client's deadline.
+    pub(crate) fn extend_to_client_deadline(&mut self) {
         self.timer = compio::time::sleep_until(self.deadlines.end);
     }
 
-    /// Goes on with a stream that broke behind an event that the client was given.
-    pub(crate) fn resume_behind(&mut self, event_id: Option<HeaderValue>) {
+    /// Resumes a stream that broke, after the last event that the client was given.
+    pub(crate) fn resume_after(&mut self, event_id: Option<HeaderValue>) {
         self.last_event = event_id.or(self.last_event.take());
     }
 
     /// Sends until an answer may be passed on.
-    pub(crate) async fn next_answer(&mut self) -> Result<Accepted, NoAnswer> {
+    pub(crate) async fn next_answer(&mut self) -> Result<AcceptedAnswer, NoAnswer> {
         loop {
-            if self.remaining() < LEAST_SEND_TIME {
-                return Err(self.out_of_time());
+            if self.remaining() < MIN_ATTEMPT_TIME {
+                return Err(self.deadline_exceeded());
             }
-            self.obtain_handle().await;
-            if self.may_have_run && !self.terms.is_idempotent {
+            self.obtain_kv_handle().await;
+            if self.may_have_run && !self.policy.is_idempotent {
                 return Err(NoAnswer::Failed);
             }
-            if self.handle.is_none() && self.prefills > 0 && self.prefill_time() < LEAST_SEND_TIME {
+            if self.handle.is_none() && self.prefill_calls > 0 && self.prefill_time() < MIN_ATTEMPT_TIME {
                 // Its time went by in a prefill queue, and the client is about to leave.
-                return Err(self.out_of_time());
+                return Err(self.deadline_exceeded());
             }
             let purpose = if self.handle.is_some() { Purpose::Decode } else { Purpose::Whole };
             let Some((destination, send)) = self.choose(purpose) else { return Err(self.no_searcher()) };
             match self.attempt(destination, send).await {
                 Ok(Ok(accepted)) => return Ok(accepted),
-                Ok(Err(failure)) => self.note_failure(&failure)?,
-                Err(TimeUp) => return Err(self.out_of_time()),
+                Ok(Err(failure)) => self.record_failure(&failure)?,
+                Err(DeadlineExceeded) => return Err(self.deadline_exceeded()),
             }
         }
     }
 
-    /// Notes that a send, or the body of its answer, failed.
+    /// Records that a send, or the body of its answer, failed.
     ///
     /// # Errors
     /// [`NoAnswer`] if the request may not be sent again.
-    pub(crate) fn note_failure(&mut self, failure: &SendFailure) -> Result<(), NoAnswer> {
+    pub(crate) fn record_failure(&mut self, failure: &SendFailure) -> Result<(), NoAnswer> {
         self.may_have_run |= !failure.proves_not_run();
-        if self.may_have_run && !self.terms.is_idempotent {
+        if self.may_have_run && !self.policy.is_idempotent {
             return Err(NoAnswer::Failed);
         }
-        self.settle_handle(failure);
+        self.keep_or_release_handle(failure);
         Ok(())
     }
 
-    /// Notes that the time ran out while a searcher was at work.
-    pub(crate) fn note_time_up(&mut self) -> NoAnswer {
+    /// Records that the deadline passed while a searcher was at work.
+    pub(crate) fn record_timeout(&mut self) -> NoAnswer {
         self.may_have_run = true;
         NoAnswer::TimedOut
     }
@@ -201,12 +208,12 @@
 
     /// How long a prefill call may take: what comes after the client has given up is read for nothing.
     fn prefill_time(&self) -> Duration {
-        let Some(first_event) = self.terms.first_event else { return self.remaining() };
+        let Some(first_event_timeout) = self.policy.first_event_timeout else { return self.remaining() };
         let waited = self.request.arrived.elapsed();
-        self.remaining().min(first_event.saturating_sub(waited + CLIENT_RESERVE))
+        self.remaining().min(first_event_timeout.saturating_sub(waited + CLIENT_DEADLINE_RESERVE))
     }
 
-    fn out_of_time(&self) -> NoAnswer {
+    fn deadline_exceeded(&self) -> NoAnswer {
         if self.may_have_run { NoAnswer::TimedOut } else { self.not_run() }
     }
 
@@ -235,13 +242,13 @@
 
     /// Where the work is split, has a prefill searcher read the prompt. Without a handle afterwards, a decode
     /// searcher reads it itself.
-    async fn obtain_handle(&mut self) {
-        while self.handle.is_none() && self.prefills < MOST_PREFILLS && self.splits() {
-            if self.prefill_time() < LEAST_SEND_TIME {
+    async fn obtain_kv_handle(&mut self) {
+        while self.handle.is_none() && self.prefill_calls < MAX_PREFILL_CALLS && self.is_split() {
+            if self.prefill_time() < MIN_ATTEMPT_TIME {
                 return;
             }
             let Some((holder, mut send)) = self.choose(Purpose::Prefill) else { return };
-            self.prefills += 1;
+            self.prefill_calls += 1;
             let limit = self.prefill_time();
             let mut request = self.outgoing(&holder, limit);
             request.headers_mut().insert(headers::STAGE, HeaderValue::from_static("prefill"));
@@ -262,22 +269,22 @@
         }
     }
 
-    fn splits(&self) -> bool {
+    fn is_split(&self) -> bool {
         self.request.has_prompt() && self.shared.router.borrow().split(self.shared.clock.micros(), &self.plan)
     }
 
-    /// Whether a handle that was rejected may be sent once more.
-    fn may_transfer_again(&self) -> bool {
+    /// Whether a handle that was rejected may be sent to another decode searcher.
+    fn may_retry_handover(&self) -> bool {
         let now = self.shared.clock.micros();
         self.shared.router.borrow().may_transfer_again(now, &self.plan)
     }
 
-    /// After a failed send: decides whether the handle is still of use.
-    fn settle_handle(&mut self, failure: &SendFailure) {
-        let may_transfer_again = self.may_transfer_again();
+    /// After a failed send: keeps the handle if it may still be of use, else releases it.
+    fn keep_or_release_handle(&mut self, failure: &SendFailure) {
+        let may_retry_handover = self.may_retry_handover();
         let Some(mut handle) = self.handle.take() else { return };
         let reuse = &self.shared.handle_reuse;
-        let keeps = match failure {
+        let keep = match failure {
             // The searcher did not reach for it.
             SendFailure::AtLimit | SendFailure::Unreachable | SendFailure::Misdirected => true,
             SendFailure::Broken => false,
@@ -287,16 +294,18 @@
                 if !first {
                     reuse.learn(false);
                 }
-                first && may_transfer_again && reuse.is_worth_trying(handle.age(), self.terms.handle_hold)
+                first
+                    && may_retry_handover
+                    && reuse.is_worth_trying(handle.age(), self.policy.handle_lifetime)
             }
         };
-        if keeps {
+        if keep {
             self.handle = Some(handle);
         }
     }
 
-    /// A decode searcher has taken the handle.
-    fn hand_over(&mut self) {
+    /// A decode searcher has fetched the KV cache.
+    fn mark_handle_transferred(&mut self) {
         let Some(mut handle) = self.handle.take() else { return };
         handle.mark_taken();
         if handle.rejections > 0 {
@@ -325,17 +334,17 @@
         &mut self,
         destination: Destination,
         mut send: SendGuard,
-    ) -> Result<Result<Accepted, SendFailure>, TimeUp> {
+    ) -> Result<Result<AcceptedAnswer, SendFailure>, DeadlineExceeded> {
         let mut request = self.outgoing(&destination, self.remaining());
         if let Some(source) = self.handle.as_ref().and_then(KvHandle::header_value) {
             request.headers_mut().insert(headers::KV_FROM, source);
         }
         let exchange = exchange(&self.shared, &destination, request);
         match until(&mut self.timer, exchange).await {
-            Err(TimeUp) => {
+            Err(DeadlineExceeded) => {
                 send.finish(SendOutcome::TimedOut);
                 self.may_have_run = true;
-                Err(TimeUp)
+                Err(DeadlineExceeded)
             }
             Ok(Err(failure)) => {
                 send.finish(failure.outcome());
@@ -352,9 +361,9 @@
             }
             Ok(Ok(exchange)) => {
                 if exchange.response.status().is_success() {
-                    self.hand_over();
+                    self.mark_handle_transferred();
                 }
-                Ok(Ok(Accepted { destination, send, exchange }))
+                Ok(Ok(AcceptedAnswer { destination, send, exchange }))
             }
         }
     }
@@ -381,13 +390,13 @@
 }
 
 /// Waits for a future, but no longer than a timer runs.
-pub(crate) async fn until<F: Future>(timer: &mut Sleep, awaited: F) -> Result<F::Output, TimeUp> {
+pub(crate) async fn until<F: Future>(timer: &mut Sleep, awaited: F) -> Result<F::Output, DeadlineExceeded> {
     let mut awaited = pin!(awaited);
     poll_fn(|cx| {
         if let Poll::Ready(output) = awaited.as_mut().poll(cx) {
             return Poll::Ready(Ok(output));
         }
-        Pin::new(&mut *timer).poll(cx).map(|()| Err(TimeUp))
+        Pin::new(&mut *timer).poll(cx).map(|()| Err(DeadlineExceeded))
     })
     .await
 }
