--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -9,13 +9,13 @@
 use lockusher_config::configuration::{Configuration, Route};
 
 use crate::answer::{self, Answer, AnswerBody};
+use crate::attempts::{AcceptedAnswer, AttemptPolicy, DeadlineExceeded, NoAnswer, RequestAttempts, until};
 use crate::deadline::Deadlines;
 use crate::decision::{Admission, RequestFacts, SendOutcome};
 use crate::headers;
 use crate::prefill::read_small;
 use crate::relay::{Relay, is_event_stream, outcome_of};
 use crate::request::{ClientRequest, RequestError};
-use crate::send::{AcceptedAnswer, AttemptPolicy, DeadlineExceeded, NoAnswer, RequestAttempts, until};
 use crate::shared::Shared;
 use crate::upstream::exchange::{Exchange, SendFailure};
 
--- a/crates/lockusher-proxy/src/lib.rs
+++ b/crates/lockusher-proxy/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod traffic_split;
 
 mod answer;
+mod attempts;
 mod client;
 mod deadline;
 mod descriptors;
@@ -19,7 +20,6 @@
 mod prefill;
 mod relay;
 mod request;
-mod send;
 mod shared;
 mod upstream;
 
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -10,10 +10,10 @@
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode};
 
+use crate::attempts::{AcceptedAnswer, NoAnswer, RequestAttempts};
 use crate::decision::SendOutcome;
 use crate::events::{EventSplitter, lies_behind};
 use crate::headers;
-use crate::send::{AcceptedAnswer, NoAnswer, RequestAttempts};
 use crate::shared::SendGuard;
 use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, is_acknowledgement_timeout};
