--- a/crates/lockusher-proxy/src/events.rs
+++ b/crates/lockusher-proxy/src/events.rs
@@ -1,72 +1,72 @@
-//! Splits a stream into whole events, so that another searcher can go on exactly behind the last one passed on.
+//! Splits a stream into complete events, so that another searcher can resume exactly after the last one forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// An event longer than this is not held back; a stream that has one can't be joined any more.
-const MOST_EVENT_BYTES: usize = 256 * 1_024;
+/// An event longer than this is not held back; a stream that has one can't be resumed any more.
+const MAX_HELD_BACK_BYTES: usize = 256 * 1_024;
 
-/// Holds an unfinished event back, and remembers the id of the last whole one.
+/// Holds an unfinished event back, and remembers the id of the last complete one.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
-    unfinished: BytesMut,
+    incomplete: BytesMut,
     last_id: Option<Bytes>,
-    /// Something was passed on that no id names.
-    unnamed: bool,
+    /// Something was forwarded that no id names.
+    has_event_without_id: bool,
 }
 
 impl EventSplitter {
-    /// Takes a piece of the stream; returns the whole events that it completes, possibly none.
-    pub(crate) fn take(&mut self, piece: Bytes) -> Bytes {
-        let whole = if self.unfinished.is_empty() {
-            self.split_first(piece)
+    /// Adds a chunk of the stream; returns the events that it completes, possibly none.
+    pub(crate) fn push(&mut self, chunk: Bytes) -> Bytes {
+        let complete = if self.incomplete.is_empty() {
+            self.split_first(chunk)
         } else {
-            self.unfinished.extend_from_slice(&piece);
-            let end = end_of_events(&self.unfinished);
-            self.unfinished.split_to(end).freeze()
+            self.incomplete.extend_from_slice(&chunk);
+            let end = end_of_events(&self.incomplete);
+            self.incomplete.split_to(end).freeze()
         };
-        if !whole.is_empty() {
-            self.note_id(&whole);
+        if !complete.is_empty() {
+            self.record_last_id(&complete);
         }
-        if self.unfinished.len() > MOST_EVENT_BYTES {
-            self.unnamed = true;
-            return [whole, self.take_unfinished()].concat().into();
+        if self.incomplete.len() > MAX_HELD_BACK_BYTES {
+            self.has_event_without_id = true;
+            return [complete, self.take_incomplete()].concat().into();
         }
-        whole
+        complete
     }
 
-    /// Splits a piece that begins with an event; the usual piece is passed on without a copy.
-    fn split_first(&mut self, mut piece: Bytes) -> Bytes {
-        let end = end_of_events(&piece);
-        let whole = piece.split_to(end);
-        self.unfinished.extend_from_slice(&piece);
-        whole
+    /// Splits a chunk that begins with an event; the usual chunk is passed on without a copy.
+    fn split_first(&mut self, mut chunk: Bytes) -> Bytes {
+        let end = end_of_events(&chunk);
+        let complete = chunk.split_to(end);
+        self.incomplete.extend_from_slice(&chunk);
+        complete
     }
 
-    fn note_id(&mut self, whole: &Bytes) {
-        match last_id(whole) {
-            Some(id) => self.last_id = Some(whole.slice_ref(id)),
-            None => self.unnamed = true,
+    fn record_last_id(&mut self, complete: &Bytes) {
+        match last_id(complete) {
+            Some(id) => self.last_id = Some(complete.slice_ref(id)),
+            None => self.has_event_without_id = true,
         }
     }
 
-    /// What is held back, given up: for the end of a stream, or a stream that broke.
-    pub(crate) fn take_unfinished(&mut self) -> Bytes {
-        self.unfinished.split().freeze()
+    /// Takes what is held back: at the end of a stream, or when it broke.
+    pub(crate) fn take_incomplete(&mut self) -> Bytes {
+        self.incomplete.split().freeze()
     }
 
-    /// Whether a new run can go on behind what was passed on.
-    pub(crate) fn can_join(&self) -> bool {
-        !self.unnamed
+    /// Whether a new run can resume after what was forwarded.
+    pub(crate) fn can_resume(&self) -> bool {
+        !self.has_event_without_id
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub(crate) fn last_id(&self) -> Option<&Bytes> {
         self.last_id.as_ref()
     }
 }
 
-/// Whether the first event of some lies behind the event `last`, where both ids are numbers.
-pub(crate) fn lies_behind(events: &[u8], last: &[u8]) -> bool {
+/// Whether the first of these events comes after the event `last`, where both ids are numbers.
+pub(crate) fn begins_after(events: &[u8], last: &[u8]) -> bool {
     let number = |id: &[u8]| std::str::from_utf8(id).ok()?.parse::<u64>().ok();
     let first = ids(events).next().and_then(number);
     match (first, number(last)) {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Where the last whole event ends: behind its empty line.
+/// Where the last complete event ends: behind its empty line.
 fn end_of_events(bytes: &[u8]) -> usize {
     let line_feeds = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|position| position + 2);
     let returns = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|position| position + 4);
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -1,5 +1,5 @@
-//! Passes the body of a searcher's answer on, piece by piece as it comes. Where the route allows it, a stream that
-//! breaks is taken up at another searcher, behind the last whole event that the client was given.
+//! Passes the body of a searcher's answer on, chunk by chunk as it comes. Where the route allows it, a stream that
+//! breaks is resumed at another searcher, after the last complete event that the client was given.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -12,7 +12,7 @@
 
 use crate::attempts::{AcceptedAnswer, NoAnswer, RequestAttempts};
 use crate::decision::SendOutcome;
-use crate::events::{EventSplitter, lies_behind};
+use crate::events::{EventSplitter, begins_after};
 use crate::headers;
 use crate::shared::SendGuard;
 use crate::upstream::connection::UpstreamConnection;
@@ -28,38 +28,38 @@
 #[derive(Debug)]
 pub(crate) struct Relay {
     state: State,
-    /// Present where a break may be mended within the answer.
+    /// Present where a stream that breaks may be resumed within the answer.
     splitter: Option<EventSplitter>,
-    /// The new run's first event must lie behind this one.
-    joins_behind: Option<Bytes>,
+    /// The id of the event after which the stream was resumed: the first event of the new run must come after it.
+    resumed_after: Option<Bytes>,
 }
 
 #[derive(Debug)]
 enum State {
-    Running(Box<Running>),
+    Relaying(Box<RelayedAnswer>),
     Resuming(Resuming),
     Ended,
 }
 
 /// A searcher's stream that is being passed on.
 #[derive(Debug)]
-struct Running {
+struct RelayedAnswer {
     attempts: RequestAttempts,
     destination: Destination,
     body: Incoming,
     connection: UpstreamConnection,
     send: SendGuard,
     status: StatusCode,
-    /// Bytes still to come, where the searcher told the length.
-    left: Option<u64>,
+    /// Bytes still to come, where the searcher announced the length.
+    remaining_bytes: Option<u64>,
     started: bool,
 }
 
-/// The search for a searcher that goes on with the stream.
-struct Resuming(Pin<Box<dyn Future<Output = Found>>>);
+/// The attempts at resuming the stream.
+struct Resuming(Pin<Box<dyn Future<Output = ResumeResult>>>);
 
 /// The request's attempts, given back, and the answer that goes on with the stream.
-type Found = (RequestAttempts, Result<AcceptedAnswer, NoAnswer>);
+type ResumeResult = (RequestAttempts, Result<AcceptedAnswer, NoAnswer>);
 
 impl std::fmt::Debug for Resuming {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -73,15 +73,15 @@
     pub(crate) fn new(mut attempts: RequestAttempts, accepted: AcceptedAnswer) -> (Response<()>, Self) {
         attempts.extend_to_client_deadline();
         let resumable = attempts.policy.resumable && is_event_stream(&accepted.exchange.response);
-        let (head, running) = Running::new(attempts, accepted);
+        let (head, relayed) = RelayedAnswer::new(attempts, accepted);
         let splitter = resumable.then(EventSplitter::default);
-        (head, Relay { state: State::Running(Box::new(running)), splitter, joins_behind: None })
+        (head, Relay { state: State::Relaying(Box::new(relayed)), splitter, resumed_after: None })
     }
 
-    /// The length that the searcher told, if it did.
+    /// The length that the searcher announced, if it did.
     pub(crate) fn size_hint(&self) -> SizeHint {
         match &self.state {
-            State::Running(running) => running.left.map(SizeHint::with_exact).unwrap_or_default(),
+            State::Relaying(relayed) => relayed.remaining_bytes.map(SizeHint::with_exact).unwrap_or_default(),
             _ => SizeHint::default(),
         }
     }
@@ -92,14 +92,14 @@
                 State::Ended => return Poll::Ready(None),
                 State::Resuming(search) => {
                     let (attempts, found) = ready!(search.0.as_mut().poll(cx));
-                    if !self.go_on(attempts, found) {
+                    if !self.continue_with(attempts, found) {
                         return self.abort();
                     }
                 }
-                State::Running(running) => match ready!(running.poll_piece(cx)) {
-                    Ok(Some(piece)) => match self.pass(piece, cx) {
-                        Ok(piece) if piece.is_empty() => {}
-                        Ok(piece) => return Poll::Ready(Some(Ok(Frame::data(piece)))),
+                State::Relaying(relayed) => match ready!(relayed.poll_chunk(cx)) {
+                    Ok(Some(chunk)) => match self.complete_events(chunk, cx) {
+                        Ok(chunk) if chunk.is_empty() => {}
+                        Ok(chunk) => return Poll::Ready(Some(Ok(Frame::data(chunk)))),
                         Err(AnswerAborted) => return self.abort(),
                     },
                     Ok(None) => {
@@ -117,54 +117,54 @@
         }
     }
 
-    /// What of a piece goes to the client now.
-    fn pass(&mut self, piece: Bytes, cx: &mut Context<'_>) -> Result<Bytes, AnswerAborted> {
-        if let State::Running(running) = &mut self.state
-            && running.left == Some(0)
+    /// What of a chunk is forwarded now: all of it, or its complete events where the stream may be resumed.
+    fn complete_events(&mut self, chunk: Bytes, cx: &mut Context<'_>) -> Result<Bytes, AnswerAborted> {
+        if let State::Relaying(relayed) = &mut self.state
+            && relayed.remaining_bytes == Some(0)
         {
             // Whoever writes a body of known length does not ask for more.
             self.finish(cx);
         }
-        let Some(splitter) = &mut self.splitter else { return Ok(piece) };
-        let whole = splitter.take(piece);
-        if whole.is_empty() {
-            return Ok(whole);
+        let Some(splitter) = &mut self.splitter else { return Ok(chunk) };
+        let complete = splitter.push(chunk);
+        if complete.is_empty() {
+            return Ok(complete);
         }
-        if let Some(last) = self.joins_behind.take()
-            && !lies_behind(&whole, &last)
+        if let Some(last) = self.resumed_after.take()
+            && !begins_after(&complete, &last)
         {
             log::warn!("a resumed stream does not go on behind the last event");
             return Err(AnswerAborted);
         }
-        Ok(whole)
+        Ok(complete)
     }
 
-    /// The body is whole; returns what was held back of it.
+    /// The body is complete; returns what was held back of it.
     fn finish(&mut self, cx: &mut Context<'_>) -> Option<Bytes> {
-        if let State::Running(running) = std::mem::replace(&mut self.state, State::Ended) {
-            running.finish(cx);
+        if let State::Relaying(relayed) = std::mem::replace(&mut self.state, State::Ended) {
+            relayed.finish(cx);
         }
-        let rest = self.splitter.as_mut()?.take_unfinished();
+        let rest = self.splitter.as_mut()?.take_incomplete();
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// The stream broke: looks for a searcher that goes on with it, if one may.
+    /// The stream broke: looks for a searcher that resumes it, if it may be resumed.
     fn resume(&mut self, outcome: SendOutcome) -> bool {
-        let State::Running(running) = std::mem::replace(&mut self.state, State::Ended) else { return false };
-        let Running { mut attempts, destination, connection, mut send, .. } = *running;
+        let State::Relaying(relayed) = std::mem::replace(&mut self.state, State::Ended) else { return false };
+        let RelayedAnswer { mut attempts, destination, connection, mut send, .. } = *relayed;
         log::debug!("{}: answer broken off, {outcome:?}", destination.address);
         drop(connection);
         send.finish(outcome);
         let Some(splitter) = self.splitter.as_mut().filter(|_| outcome == SendOutcome::Failed) else {
             return false;
         };
-        splitter.take_unfinished();
+        splitter.take_incomplete();
         let event = splitter.last_id().map(|id| HeaderValue::from_bytes(id));
         let Ok(event) = event.transpose() else { return false };
-        if !splitter.can_join() || attempts.record_failure(&SendFailure::Broken).is_err() {
+        if !splitter.can_resume() || attempts.record_failure(&SendFailure::Broken).is_err() {
             return false;
         }
-        self.joins_behind = splitter.last_id().cloned();
+        self.resumed_after = splitter.last_id().cloned();
         attempts.resume_after(event);
         self.state = State::Resuming(Resuming(Box::pin(async move {
             let found = attempts.next_answer().await;
@@ -173,14 +173,14 @@
         true
     }
 
-    /// Goes on with the stream that was found; false if there is none.
-    fn go_on(&mut self, attempts: RequestAttempts, found: Result<AcceptedAnswer, NoAnswer>) -> bool {
+    /// Continues with the answer that resumes the stream; false if there is none.
+    fn continue_with(&mut self, attempts: RequestAttempts, found: Result<AcceptedAnswer, NoAnswer>) -> bool {
         let Ok(accepted) = found else { return false };
         if !is_event_stream(&accepted.exchange.response) {
             return false;
         }
-        let (_, running) = Running::new(attempts, accepted);
-        self.state = State::Running(Box::new(running));
+        let (_, relayed) = RelayedAnswer::new(attempts, accepted);
+        self.state = State::Relaying(Box::new(relayed));
         true
     }
 
@@ -190,18 +190,27 @@
     }
 }
 
-impl Running {
+impl RelayedAnswer {
     fn new(attempts: RequestAttempts, accepted: AcceptedAnswer) -> (Response<()>, Self) {
         let AcceptedAnswer { destination, send, exchange: Exchange { response, connection } } = accepted;
         let (parts, body) = response.into_parts();
-        let left = body.size_hint().exact();
+        let remaining_bytes = body.size_hint().exact();
         let status = parts.status;
-        let running = Running { attempts, destination, body, connection, send, status, left, started: false };
-        (Response::from_parts(parts, ()), running)
+        let relayed = RelayedAnswer {
+            attempts,
+            destination,
+            body,
+            connection,
+            send,
+            status,
+            remaining_bytes,
+            started: false,
+        };
+        (Response::from_parts(parts, ()), relayed)
     }
 
-    /// The next piece; `None` at the end of the body.
-    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, SendOutcome>> {
+    /// The next chunk; `None` at the end of the body.
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, SendOutcome>> {
         loop {
             let Poll::Ready(item) = self.poll_body(cx) else {
                 ready!(Pin::new(self.attempts.timer()).poll(cx));
@@ -217,7 +226,7 @@
                 }
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
-                        self.count(&data);
+                        self.record_data(&data);
                         return Poll::Ready(Ok(Some(data)));
                     }
                 }
@@ -234,17 +243,17 @@
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
-    fn count(&mut self, data: &Bytes) {
+    fn record_data(&mut self, data: &Bytes) {
         if !self.started {
             self.started = true;
             self.send.first_event();
         }
-        if let Some(left) = &mut self.left {
-            *left -= data.len() as u64;
+        if let Some(remaining_bytes) = &mut self.remaining_bytes {
+            *remaining_bytes -= data.len() as u64;
         }
     }
 
-    /// The body is whole: the connection may serve another request if nothing odd follows.
+    /// The body is complete: the connection may serve another request if nothing odd follows.
     fn finish(mut self, cx: &mut Context<'_>) {
         self.send.finish(outcome_of(self.status));
         if self.connection.poll_reusable(cx) {
