--- a/crates/lockusher-proxy/src/answer.rs
+++ b/crates/lockusher-proxy/src/answer.rs
@@ -11,15 +11,15 @@
 use crate::relay::{AnswerAborted, Relay};
 use crate::request::RequestError;
 
-/// When to come back after the proxy itself has no room or is not set up yet, in milliseconds.
+/// When to come back after the proxy itself has no capacity or is not set up yet, in milliseconds.
 const DEFAULT_RETRY_MS: u64 = 250;
 
 /// The body of an answer to a client.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
-    /// Held whole.
-    Whole(Bytes),
-    /// Passed on piece by piece as a searcher sends it.
+    /// Buffered completely.
+    Buffered(Bytes),
+    /// Forwarded chunk by chunk as a searcher sends it.
     Relay(Box<Relay>),
 }
 
@@ -32,22 +32,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            AnswerBody::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            AnswerBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            AnswerBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             AnswerBody::Relay(relay) => relay.poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(bytes) => bytes.is_empty(),
+            AnswerBody::Buffered(bytes) => bytes.is_empty(),
             AnswerBody::Relay(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            AnswerBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             AnswerBody::Relay(relay) => relay.size_hint(),
         }
     }
@@ -56,23 +56,23 @@
 /// An answer to a client.
 pub(crate) type Answer = Response<AnswerBody>;
 
-/// An answer of the proxy's own.
-pub(crate) fn own(status: StatusCode) -> Answer {
-    let mut answer = Response::new(AnswerBody::Whole(Bytes::new()));
+/// An answer that the proxy itself gives.
+pub(crate) fn local(status: StatusCode) -> Answer {
+    let mut answer = Response::new(AnswerBody::Buffered(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
 
 /// 503: the request has not run and never will; come back after a while.
 pub(crate) fn refusal(retry_after_ms: u64) -> Answer {
-    let mut answer = own(StatusCode::SERVICE_UNAVAILABLE);
+    let mut answer = local(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{}.{:03}", retry_after_ms / 1_000, retry_after_ms % 1_000);
     let value = HeaderValue::try_from(seconds).expect("digits and a dot make a field value");
     answer.headers_mut().insert(header::RETRY_AFTER, value);
     answer
 }
 
-/// 503 where nothing tells when there will be room.
+/// 503 where nothing tells when there will be capacity.
 pub(crate) fn refusal_without_estimate() -> Answer {
     refusal(DEFAULT_RETRY_MS)
 }
@@ -81,11 +81,11 @@
 pub(crate) fn rejection(error: RequestError) -> Answer {
     match error {
         RequestError::BadHost | RequestError::MissingIdentifier | RequestError::BadTarget => {
-            own(StatusCode::BAD_REQUEST)
+            local(StatusCode::BAD_REQUEST)
         }
-        RequestError::BodyBroken => closing(own(StatusCode::BAD_REQUEST)),
-        RequestError::BodyTooLarge => closing(own(StatusCode::PAYLOAD_TOO_LARGE)),
-        RequestError::BodyTooSlow => closing(own(StatusCode::REQUEST_TIMEOUT)),
+        RequestError::BodyBroken => closing(local(StatusCode::BAD_REQUEST)),
+        RequestError::BodyTooLarge => closing(local(StatusCode::PAYLOAD_TOO_LARGE)),
+        RequestError::BodyTooSlow => closing(local(StatusCode::REQUEST_TIMEOUT)),
         RequestError::MemoryFull => closing(refusal_without_estimate()),
     }
 }
--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -292,11 +292,9 @@
                 handle.rejections += 1;
                 let first = handle.rejections == 1;
                 if !first {
-                    reuse.learn(false);
+                    reuse.record(false);
                 }
-                first
-                    && may_retry_handover
-                    && reuse.is_worth_trying(handle.age(), self.policy.handle_lifetime)
+                first && may_retry_handover && reuse.should_retry(handle.age(), self.policy.handle_lifetime)
             }
         };
         if keep {
@@ -307,9 +305,9 @@
     /// A decode searcher has fetched the KV cache.
     fn mark_handle_transferred(&mut self) {
         let Some(mut handle) = self.handle.take() else { return };
-        handle.mark_taken();
+        handle.mark_transferred();
         if handle.rejections > 0 {
-            self.shared.handle_reuse.learn(true);
+            self.shared.handle_reuse.record(true);
         }
     }
 
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -13,14 +13,14 @@
 use crate::deadline::Deadlines;
 use crate::decision::{Admission, RequestFacts, SendOutcome};
 use crate::headers;
-use crate::prefill::read_small;
+use crate::prefill::read_small_answer;
 use crate::relay::{Relay, is_event_stream, outcome_of};
 use crate::request::{ClientRequest, RequestError};
 use crate::shared::Shared;
 use crate::upstream::exchange::{Exchange, SendFailure};
 
-/// Answers up to this length are held whole before they are passed on, so that a broken one is never begun.
-const MOST_HELD_ANSWER: u64 = 64 * 1_024;
+/// Answers up to this length are buffered completely before they are forwarded, so that a broken one is never begun.
+const MAX_BUFFERED_ANSWER_BYTES: u64 = 64 * 1_024;
 
 /// Forwards a client's request and answers it.
 pub(crate) async fn forward(shared: &Rc<Shared>, request: Request<Incoming>) -> Answer {
@@ -33,10 +33,10 @@
     // The configuration may have changed while the body came.
     let Some(routes) = shared.routes() else { return answer::refusal_without_estimate() };
     let Some(route) = routes.lookup(&request.host, request.path()) else {
-        return answer::own(StatusCode::NOT_FOUND);
+        return answer::local(StatusCode::NOT_FOUND);
     };
     let timeout = Duration::from_millis(route.timeout_ms);
-    let deadlines = Deadlines::new(request.arrived, request.patience, timeout);
+    let deadlines = Deadlines::new(request.arrived, request.deadline_remaining, timeout);
     let service = shared.choose_service(route);
     let facts = facts(&request, route, service, deadlines.answer);
     let admission = shared.router.borrow_mut().admit(shared.clock.micros(), &facts);
@@ -44,7 +44,7 @@
         Admission::Refuse { retry_after_ms } => answer::refusal(retry_after_ms),
         Admission::Go(plan) => {
             let policy = AttemptPolicy::new(route, handle_hold_ms(routes.configuration(), service));
-            pass_on(RequestAttempts::new(shared.clone(), request, policy, deadlines, plan)).await
+            answer_by_attempts(RequestAttempts::new(shared.clone(), request, policy, deadlines, plan)).await
         }
     }
 }
@@ -75,20 +75,20 @@
     }
 }
 
-/// Sends until there is an answer, or none can come any more.
-async fn pass_on(mut attempts: RequestAttempts) -> Answer {
-    // A searcher's own failure, kept in case no other searcher does better.
+/// Attempts the request until there is an answer, or none can come any more.
+async fn answer_by_attempts(mut attempts: RequestAttempts) -> Answer {
+    // A searcher's own failure, retained in case no other searcher does better.
     let mut failure: Option<Answer> = None;
     loop {
         let accepted = match attempts.next_answer().await {
             Ok(accepted) => accepted,
-            Err(none) => return failure.unwrap_or_else(|| without_answer(none)),
+            Err(no_answer) => return failure.unwrap_or_else(|| answer_to_failure(no_answer)),
         };
-        if !is_held_whole(&accepted.exchange.response) {
+        if !is_buffered(&accepted.exchange.response) {
             return relay(attempts, accepted);
         }
-        match hold(&mut attempts, accepted).await {
-            Err(none) => return failure.unwrap_or_else(|| without_answer(none)),
+        match buffer_answer(&mut attempts, accepted).await {
+            Err(no_answer) => return failure.unwrap_or_else(|| answer_to_failure(no_answer)),
             Ok(None) => {}
             Ok(Some(answer)) if answer.status().is_server_error() && attempts.policy.is_idempotent => {
                 failure = Some(answer);
@@ -100,25 +100,28 @@
     }
 }
 
-fn without_answer(none: NoAnswer) -> Answer {
-    match none {
+fn answer_to_failure(no_answer: NoAnswer) -> Answer {
+    match no_answer {
         NoAnswer::NotRun { retry_after_ms } => answer::refusal(retry_after_ms),
-        NoAnswer::Failed => answer::own(StatusCode::BAD_GATEWAY),
-        NoAnswer::TimedOut => answer::own(StatusCode::GATEWAY_TIMEOUT),
+        NoAnswer::Failed => answer::local(StatusCode::BAD_GATEWAY),
+        NoAnswer::TimedOut => answer::local(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
-fn is_held_whole(response: &Response<Incoming>) -> bool {
+fn is_buffered(response: &Response<Incoming>) -> bool {
     let length = response.body().size_hint().exact();
-    length.is_some_and(|length| length <= MOST_HELD_ANSWER) && !is_event_stream(response)
+    length.is_some_and(|length| length <= MAX_BUFFERED_ANSWER_BYTES) && !is_event_stream(response)
 }
 
-/// Reads a short answer whole; `None` if it broke and the request may be sent again.
-async fn hold(attempts: &mut RequestAttempts, accepted: AcceptedAnswer) -> Result<Option<Answer>, NoAnswer> {
+/// Buffers a short answer; `None` if it broke and the request may be sent again.
+async fn buffer_answer(
+    attempts: &mut RequestAttempts,
+    accepted: AcceptedAnswer,
+) -> Result<Option<Answer>, NoAnswer> {
     let AcceptedAnswer { destination, mut send, exchange: Exchange { response, connection } } = accepted;
     let shared = attempts.shared().clone();
     let (parts, body) = response.into_parts();
-    let read = read_small(&shared, &destination, body, connection);
+    let read = read_small_answer(&shared, &destination, body, connection);
     match until(attempts.timer(), read).await {
         Err(DeadlineExceeded) => {
             send.finish(SendOutcome::TimedOut);
@@ -132,12 +135,12 @@
         Ok(Ok(bytes)) => {
             send.finish(outcome_of(parts.status));
             let is_head = attempts.request().is_head();
-            Ok(Some(stripped(Response::from_parts(parts, AnswerBody::Whole(bytes)), is_head)))
+            Ok(Some(stripped(Response::from_parts(parts, AnswerBody::Buffered(bytes)), is_head)))
         }
     }
 }
 
-/// Passes an answer on piece by piece.
+/// Forwards an answer chunk by chunk.
 fn relay(attempts: RequestAttempts, accepted: AcceptedAnswer) -> Answer {
     let is_head = attempts.request().is_head();
     let (head, relay) = Relay::new(attempts, accepted);
--- a/crates/lockusher-proxy/src/memory.rs
+++ b/crates/lockusher-proxy/src/memory.rs
@@ -1,18 +1,18 @@
-//! Bounds the memory held by the bodies of requests in hand.
+//! Bounds the memory reserved for the bodies of requests in flight.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes of request bodies that may be held at once.
+/// Bytes of request bodies that may be in memory at once.
 #[derive(Debug)]
 pub(crate) struct BodyMemory {
     limit: u64,
-    held: Cell<u64>,
+    reserved: Cell<u64>,
 }
 
 impl BodyMemory {
     pub(crate) fn new(limit: u64) -> Rc<Self> {
-        Rc::new(BodyMemory { limit, held: Cell::new(0) })
+        Rc::new(BodyMemory { limit, reserved: Cell::new(0) })
     }
 
     /// A reservation of nothing, to grow as a body arrives.
@@ -21,7 +21,7 @@
     }
 }
 
-/// Memory held by one body; given back when dropped.
+/// Memory reserved for one body; given back when dropped.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     memory: Rc<BodyMemory>,
@@ -29,13 +29,13 @@
 }
 
 impl Reservation {
-    /// Takes more bytes; false, with nothing taken, if the limit would be exceeded.
+    /// Reserves more bytes; false, with nothing reserved, if the limit would be exceeded.
     pub(crate) fn grow(&mut self, bytes: u64) -> bool {
-        let held = self.memory.held.get() + bytes;
-        if held > self.memory.limit {
+        let reserved = self.memory.reserved.get() + bytes;
+        if reserved > self.memory.limit {
             return false;
         }
-        self.memory.held.set(held);
+        self.memory.reserved.set(reserved);
         self.bytes += bytes;
         true
     }
@@ -43,6 +43,6 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.memory.held.set(self.memory.held.get() - self.bytes);
+        self.memory.reserved.set(self.memory.reserved.get() - self.bytes);
     }
 }
--- a/crates/lockusher-proxy/src/prefill.rs
+++ b/crates/lockusher-proxy/src/prefill.rs
@@ -1,4 +1,4 @@
-//! The prefill call: has one searcher read the prompt, and holds the KV cache until another takes it.
+//! The prefill call: has one searcher prefill the prompt, and owns the KV-cache handle until a decode searcher fetches it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,18 +15,18 @@
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
 
 /// An answer to a prefill call holds one small object.
-const MOST_ANSWER_BYTES: usize = 64 * 1_024;
+const MAX_ANSWER_BYTES: usize = 64 * 1_024;
 
-/// A searcher that does not free a handle in this time lets it lapse.
-const FREE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A searcher that does not release a handle in this time lets it lapse.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// KV cache that a prefill searcher holds for one request. Unless it is taken, it is freed when dropped.
+/// KV cache that a prefill searcher reserves for one request. Unless it was transferred, it is released when dropped.
 #[derive(Debug)]
 pub(crate) struct KvHandle {
     shared: Rc<Shared>,
-    holder: Destination,
+    prefill_searcher: Destination,
     handle: String,
-    taken: bool,
+    transferred: bool,
     obtained: Instant,
     /// Decode searchers that rejected it.
     pub(crate) rejections: u32,
@@ -35,7 +35,7 @@
 impl KvHandle {
     /// The value of `Kv-From`.
     pub(crate) fn header_value(&self) -> Option<HeaderValue> {
-        HeaderValue::try_from(format!("{}/{}", self.holder.address, self.handle)).ok()
+        HeaderValue::try_from(format!("{}/{}", self.prefill_searcher.address, self.handle)).ok()
     }
 
     /// How long ago it was obtained.
@@ -44,18 +44,19 @@
     }
 
     /// A decode searcher has fetched the KV cache, or may have.
-    pub(crate) fn mark_taken(&mut self) {
-        self.taken = true;
+    pub(crate) fn mark_transferred(&mut self) {
+        self.transferred = true;
     }
 }
 
 impl Drop for KvHandle {
     fn drop(&mut self) {
-        if self.taken {
+        if self.transferred {
             return;
         }
-        let free = free(self.shared.clone(), self.holder.clone(), std::mem::take(&mut self.handle));
-        compio::runtime::spawn(free).detach();
+        let release =
+            release(self.shared.clone(), self.prefill_searcher.clone(), std::mem::take(&mut self.handle));
+        compio::runtime::spawn(release).detach();
     }
 }
 
@@ -76,22 +77,22 @@
 /// [`PrefillFailure`], which tells whether the request ran.
 pub(crate) async fn prefill(
     shared: &Rc<Shared>,
-    holder: &Destination,
+    prefill_searcher: &Destination,
     request: Request<Full<Bytes>>,
 ) -> Result<KvHandle, PrefillFailure> {
-    let Exchange { response, connection } = exchange(shared, holder, request).await?;
+    let Exchange { response, connection } = exchange(shared, prefill_searcher, request).await?;
     let status = response.status();
     if response.headers().contains_key(headers::SERVER_SIGNATURE) {
         return Err(PrefillFailure::Ran);
     }
-    let body = read_small(shared, holder, response.into_body(), connection).await?;
+    let body = read_small_answer(shared, prefill_searcher, response.into_body(), connection).await?;
     let handle = (status == StatusCode::OK).then(|| handle_in(&body)).flatten();
     let handle = handle.ok_or(SendFailure::Broken)?;
     Ok(KvHandle {
         shared: shared.clone(),
-        holder: holder.clone(),
+        prefill_searcher: prefill_searcher.clone(),
         handle,
-        taken: false,
+        transferred: false,
         obtained: Instant::now(),
         rejections: 0,
     })
@@ -102,38 +103,38 @@
     answer.get("promptHandle")?.as_str().map(str::to_owned)
 }
 
-/// Reads a small answer whole and gives the connection back.
-pub(crate) async fn read_small(
+/// Reads a small answer completely and gives the connection back.
+pub(crate) async fn read_small_answer(
     shared: &Shared,
     destination: &Destination,
     body: hyper::body::Incoming,
     mut connection: UpstreamConnection,
 ) -> Result<Bytes, SendFailure> {
-    let whole = connection.drive_while(Limited::new(body, MOST_ANSWER_BYTES).collect()).await;
-    let whole = whole.map_err(|_| SendFailure::Broken)?.to_bytes();
+    let complete = connection.drive_while(Limited::new(body, MAX_ANSWER_BYTES).collect()).await;
+    let complete = complete.map_err(|_| SendFailure::Broken)?.to_bytes();
     if connection.is_reusable().await {
         shared.pool.checkin(&destination.identifier, connection);
     }
-    Ok(whole)
+    Ok(complete)
 }
 
-/// Frees a handle that was not taken. Failures need no care: it lapses by itself.
-async fn free(shared: Rc<Shared>, holder: Destination, handle: String) {
+/// Releases a handle that was not transferred. Failures need no care: it lapses by itself.
+async fn release(shared: Rc<Shared>, prefill_searcher: Destination, handle: String) {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::DELETE;
     let Ok(target) = format!("/api/kv-handle/{handle}").parse() else { return };
     *request.uri_mut() = target;
     let fields = request.headers_mut();
-    let Ok(host) = HeaderValue::try_from(&holder.address) else { return };
-    let Ok(instance) = HeaderValue::try_from(&holder.identifier) else { return };
+    let Ok(host) = HeaderValue::try_from(&prefill_searcher.address) else { return };
+    let Ok(instance) = HeaderValue::try_from(&prefill_searcher.identifier) else { return };
     fields.insert(HOST, host);
     fields.insert(headers::EXPECTED_INSTANCE, instance);
-    let sent = exchange(&shared, &holder, request);
-    let answer = compio::time::timeout(FREE_TIMEOUT, async {
+    let sent = exchange(&shared, &prefill_searcher, request);
+    let answer = compio::time::timeout(RELEASE_TIMEOUT, async {
         let Exchange { response, connection } = sent.await?;
-        read_small(&shared, &holder, response.into_body(), connection).await
+        read_small_answer(&shared, &prefill_searcher, response.into_body(), connection).await
     });
     if let Ok(Err(error)) = answer.await {
-        log::debug!("{}: a handle was not freed: {error}", holder.address);
+        log::debug!("{}: a handle was not freed: {error}", prefill_searcher.address);
     }
 }
--- a/crates/lockusher-proxy/src/request.rs
+++ b/crates/lockusher-proxy/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, read whole and checked: what may be forwarded, and what its head says of it.
+//! A client's request, read completely and checked: what may be forwarded, and what its head says of it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -33,11 +33,11 @@
     BodyBroken,
     #[display("the body did not come in time")]
     BodyTooSlow,
-    #[display("bodies in hand take all memory set aside for them")]
+    #[display("bodies in flight take all memory reserved for them")]
     MemoryFull,
 }
 
-/// A request read whole.
+/// A request that was read completely.
 #[derive(Debug)]
 pub(crate) struct ClientRequest {
     method: Method,
@@ -50,7 +50,7 @@
     _memory: Reservation,
     pub(crate) arrived: Instant,
     /// `Deadline-Remaining` as it arrived.
-    pub(crate) patience: Option<Duration>,
+    pub(crate) deadline_remaining: Option<Duration>,
 }
 
 impl ClientRequest {
@@ -63,21 +63,30 @@
     ) -> Result<Self, RequestError> {
         let arrived = Instant::now();
         let (parts, body) = request.into_parts();
-        let patience = headers::number(&parts.headers, &headers::DEADLINE_REMAINING);
-        let patience = patience.map(Duration::from_millis);
+        let deadline_remaining = headers::number(&parts.headers, &headers::DEADLINE_REMAINING);
+        let deadline_remaining = deadline_remaining.map(Duration::from_millis);
         let mut reservation = memory.reserve();
         let body = if body.is_end_stream() {
             Bytes::new()
         } else {
             let collected = collect(body, body_limit, &mut reservation);
-            let limit = arrived + patience.unwrap_or(BODY_TIMEOUT);
+            let limit = arrived + deadline_remaining.unwrap_or(BODY_TIMEOUT);
             compio::time::timeout_at(limit, collected).await.map_err(|_| RequestError::BodyTooSlow)??
         };
         let (host, target) = check_head(&parts)?;
         let mut headers = parts.headers;
         headers::strip_request(&mut headers);
         let method = parts.method;
-        Ok(ClientRequest { method, target, host, headers, body, _memory: reservation, arrived, patience })
+        Ok(ClientRequest {
+            method,
+            target,
+            host,
+            headers,
+            body,
+            _memory: reservation,
+            arrived,
+            deadline_remaining,
+        })
     }
 
     pub(crate) fn path(&self) -> &str {
@@ -135,7 +144,7 @@
     Ok((host.to_owned(), Uri::from(target.clone())))
 }
 
-/// Reads a body whole, within a limit and the memory set aside.
+/// Reads a complete body, within a limit and the memory reserved.
 async fn collect(
     mut body: Incoming,
     limit: u64,
@@ -144,8 +153,8 @@
     if body.size_hint().lower() > limit {
         return Err(RequestError::BodyTooLarge);
     }
-    let mut whole = Bytes::new();
-    let mut parts = BytesMut::new();
+    let mut first = Bytes::new();
+    let mut joined = BytesMut::new();
     let mut length = 0;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| RequestError::BodyBroken)?;
@@ -157,13 +166,13 @@
         if !reservation.grow(data.len() as u64) {
             return Err(RequestError::MemoryFull);
         }
-        if whole.is_empty() && parts.is_empty() {
-            whole = data;
+        if first.is_empty() && joined.is_empty() {
+            first = data;
             continue;
         }
-        parts.extend_from_slice(&whole);
-        whole = Bytes::new();
-        parts.extend_from_slice(&data);
+        joined.extend_from_slice(&first);
+        first = Bytes::new();
+        joined.extend_from_slice(&data);
     }
-    Ok(if parts.is_empty() { whole } else { parts.freeze() })
+    Ok(if joined.is_empty() { first } else { joined.freeze() })
 }
--- a/crates/lockusher-proxy/src/shared.rs
+++ b/crates/lockusher-proxy/src/shared.rs
@@ -21,8 +21,8 @@
 /// Descriptors kept for files outside the disk folder, listeners and the runtime.
 const RESERVED_DESCRIPTORS: u64 = 220;
 
-/// The part of the process's memory that bodies in hand may take.
-const BODY_MEMORY_SHARE: u64 = 4;
+/// The part of the process's memory that bodies in flight may take (divisor).
+const BODY_MEMORY_DIVISOR: u64 = 4;
 
 const BYTES_PER_MB: u64 = 1_048_576;
 
@@ -47,7 +47,7 @@
     pub(crate) fn new(settings: &NodeSettings, seed: u64) -> Rc<Self> {
         let limit = settings.limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(8);
         let descriptors = Descriptors::new(limit);
-        let body_bytes = settings.limits.memory_mb * BYTES_PER_MB / BODY_MEMORY_SHARE;
+        let body_bytes = settings.limits.memory_mb * BYTES_PER_MB / BODY_MEMORY_DIVISOR;
         Rc::new(Shared {
             clock: Clock::start(),
             router: RefCell::new(RequestRouter::new(RequestRouterSettings::from(settings), seed)),
