--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -19,7 +19,7 @@
 use crate::headers;
 use crate::prefill::{KvHandle, PrefillFailure, prefill};
 use crate::request::ClientRequest;
-use crate::shared::{SendGuard, Shared};
+use crate::shared::{ProxyState, SendGuard};
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
 
 /// What is reserved of the client's time for the answer's way back.
@@ -97,7 +97,7 @@
 /// One admitted request and its attempts so far.
 #[derive(Debug)]
 pub(crate) struct RequestAttempts {
-    shared: Rc<Shared>,
+    shared: Rc<ProxyState>,
     request: ClientRequest,
     pub(crate) policy: AttemptPolicy,
     deadlines: Deadlines,
@@ -116,7 +116,7 @@
 
 impl RequestAttempts {
     pub(crate) fn new(
-        shared: Rc<Shared>,
+        shared: Rc<ProxyState>,
         request: ClientRequest,
         policy: AttemptPolicy,
         deadlines: Deadlines,
@@ -137,7 +137,7 @@
         }
     }
 
-    pub(crate) fn shared(&self) -> &Rc<Shared> {
+    pub(crate) fn shared(&self) -> &Rc<ProxyState> {
         &self.shared
     }
 
--- a/crates/lockusher-proxy/src/client/connection.rs
+++ b/crates/lockusher-proxy/src/client/connection.rs
@@ -19,20 +19,20 @@
 use crate::answer::{AnswerBody, closing};
 use crate::forward::forward;
 use crate::relay::AnswerAborted;
-use crate::shared::{RequestInHand, Shared};
+use crate::shared::{ProxyState, RequestInFlight};
 
 /// The least buffer that the HTTP library works with.
-const LEAST_HEAD_BUFFER: usize = 8_192;
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
 /// Serves a client until it leaves, is asked to close, or breaks the protocol.
-pub(crate) async fn serve(shared: Rc<Shared>, socket: PollFd<Socket>, state: Rc<ClientState>) {
+pub(crate) async fn serve(shared: Rc<ProxyState>, socket: PollFd<Socket>, state: Rc<ClientState>) {
     let header_bytes = shared.routes().map(|routes| routes.configuration().limits.header_bytes as usize);
     let stream = ClientStream::new(socket, state.clone());
     let service = service_fn(|request| answer(shared.clone(), state.clone(), request));
     let mut builder = Builder::new();
     builder.auto_date_header(false);
     if let Some(limit) = header_bytes {
-        builder.max_buf_size(limit.max(LEAST_HEAD_BUFFER));
+        builder.max_buf_size(limit.max(MIN_HEAD_BUFFER_BYTES));
     }
     let mut connection = pin!(builder.serve_connection(stream, service));
     poll_fn(|cx| {
@@ -49,35 +49,35 @@
 }
 
 async fn answer(
-    shared: Rc<Shared>,
+    shared: Rc<ProxyState>,
     state: Rc<ClientState>,
     request: Request<Incoming>,
 ) -> Result<Response<ClientBody>, Infallible> {
     state.begin_request();
-    let in_hand = InHand { state, _count: shared.take_request() };
+    let in_flight = ExchangeInFlight { state, _count: shared.start_request() };
     let mut answer = forward(&shared, request).await;
-    if shared.is_stopping() {
+    if shared.is_draining() {
         answer = closing(answer);
     }
-    Ok(answer.map(|body| ClientBody { body, _in_hand: in_hand }))
+    Ok(answer.map(|body| ClientBody { body, _in_flight: in_flight }))
 }
 
 /// A request from its head to the end of its answer.
-struct InHand {
+struct ExchangeInFlight {
     state: Rc<ClientState>,
-    _count: RequestInHand,
+    _count: RequestInFlight,
 }
 
-impl Drop for InHand {
+impl Drop for ExchangeInFlight {
     fn drop(&mut self) {
         self.state.end_request();
     }
 }
 
-/// The body of an answer; the request is in hand until it is dropped.
+/// The body of an answer; the request is in flight until it is dropped.
 struct ClientBody {
     body: AnswerBody,
-    _in_hand: InHand,
+    _in_flight: ExchangeInFlight,
 }
 
 impl Body for ClientBody {
--- a/crates/lockusher-proxy/src/client/listener.rs
+++ b/crates/lockusher-proxy/src/client/listener.rs
@@ -12,7 +12,7 @@
 use super::registry::{ClientRegistry, SWEEP_PERIOD};
 use crate::descriptors::DescriptorPermit;
 use crate::error::ProxyError;
-use crate::shared::Shared;
+use crate::shared::ProxyState;
 
 /// Connections that may wait to be accepted; a full queue drops opening packets.
 const BACKLOG: i32 = 1_024;
@@ -37,7 +37,11 @@
 }
 
 /// Accepts clients for ever.
-pub(crate) async fn accept_clients(shared: Rc<Shared>, clients: Rc<ClientRegistry>, listener: TcpListener) {
+pub(crate) async fn accept_clients(
+    shared: Rc<ProxyState>,
+    clients: Rc<ClientRegistry>,
+    listener: TcpListener,
+) {
     loop {
         if !shared.descriptors.has_capacity() {
             clients.close_one_idle();
@@ -66,7 +70,7 @@
 }
 
 async fn serve(
-    shared: Rc<Shared>,
+    shared: Rc<ProxyState>,
     clients: Rc<ClientRegistry>,
     socket: ClientSocket,
     _permit: DescriptorPermit,
@@ -77,7 +81,7 @@
 }
 
 /// Closes what has rested for too long, of clients and of searchers, for ever.
-pub(crate) async fn sweep(shared: Rc<Shared>, clients: Rc<ClientRegistry>) {
+pub(crate) async fn sweep(shared: Rc<ProxyState>, clients: Rc<ClientRegistry>) {
     loop {
         compio::time::sleep(SWEEP_PERIOD).await;
         shared.pool.sweep();
--- a/crates/lockusher-proxy/src/client/registry.rs
+++ b/crates/lockusher-proxy/src/client/registry.rs
@@ -14,9 +14,9 @@
 enum Activity {
     /// Between requests.
     Idle { since: u64 },
-    /// A part of a head has come.
+    /// Some bytes of a head have arrived.
     ReadingHead { since: u64 },
-    /// A request is in hand.
+    /// A request is in flight.
     Serving,
 }
 
@@ -30,19 +30,19 @@
 }
 
 impl ClientState {
-    /// Bytes came; outside a request they begin a head.
-    pub(super) fn note_read(&self) {
+    /// Records that bytes arrived; outside a request they begin a head.
+    pub(super) fn record_read(&self) {
         if let Activity::Idle { .. } = self.activity.get() {
             self.activity.set(Activity::ReadingHead { since: self.sweeps.get() });
         }
     }
 
-    /// A request's head is whole.
+    /// A request's head is complete.
     pub(super) fn begin_request(&self) {
         self.activity.set(Activity::Serving);
     }
 
-    /// The answer is whole.
+    /// The answer is complete.
     pub(super) fn end_request(&self) {
         self.activity.set(Activity::Idle { since: self.sweeps.get() });
     }
@@ -52,14 +52,14 @@
         if self.close.get() {
             return true;
         }
-        let mut held = self.waker.borrow_mut();
-        if !held.as_ref().is_some_and(|held| held.will_wake(waker)) {
-            *held = Some(waker.clone());
+        let mut stored = self.waker.borrow_mut();
+        if !stored.as_ref().is_some_and(|stored| stored.will_wake(waker)) {
+            *stored = Some(waker.clone());
         }
         false
     }
 
-    fn ask_to_close(&self) {
+    fn request_close(&self) {
         self.close.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
@@ -106,7 +106,7 @@
                 Activity::Serving => false,
             };
             if late {
-                state.ask_to_close();
+                state.request_close();
             }
         }
     }
@@ -115,7 +115,7 @@
     pub(crate) fn close_idle(&self) {
         for state in self.clients.borrow().values() {
             if let Activity::Idle { .. } = state.activity.get() {
-                state.ask_to_close();
+                state.request_close();
             }
         }
     }
@@ -129,7 +129,7 @@
             _ => None,
         });
         let Some((_, state)) = idle.min_by_key(|(since, _)| *since) else { return false };
-        state.ask_to_close();
+        state.request_close();
         true
     }
 }
--- a/crates/lockusher-proxy/src/client/stream.rs
+++ b/crates/lockusher-proxy/src/client/stream.rs
@@ -32,7 +32,7 @@
     ) -> Poll<io::Result<()>> {
         let read = ready!(Pin::new(&mut self.inner).poll_read(cx, buffer));
         // At the end of the stream this notes too much, but then the connection is about to end.
-        self.state.note_read();
+        self.state.record_read();
         Poll::Ready(read)
     }
 }
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -16,14 +16,14 @@
 use crate::prefill::read_small_answer;
 use crate::relay::{Relay, is_event_stream, outcome_of};
 use crate::request::{ClientRequest, RequestError};
-use crate::shared::Shared;
+use crate::shared::ProxyState;
 use crate::upstream::exchange::{Exchange, SendFailure};
 
 /// Answers up to this length are buffered completely before they are forwarded, so that a broken one is never begun.
 const MAX_BUFFERED_ANSWER_BYTES: u64 = 64 * 1_024;
 
 /// Forwards a client's request and answers it.
-pub(crate) async fn forward(shared: &Rc<Shared>, request: Request<Incoming>) -> Answer {
+pub(crate) async fn forward(shared: &Rc<ProxyState>, request: Request<Incoming>) -> Answer {
     let Some(routes) = shared.routes() else { return answer::closing(answer::refusal_without_estimate()) };
     let limit = routes.configuration().limits.body_bytes;
     let request = match ClientRequest::read(request, limit, &shared.body_memory).await {
--- a/crates/lockusher-proxy/src/prefill.rs
+++ b/crates/lockusher-proxy/src/prefill.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, Request, StatusCode};
 
 use crate::headers;
-use crate::shared::Shared;
+use crate::shared::ProxyState;
 use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
 
@@ -23,7 +23,7 @@
 /// KV cache that a prefill searcher reserves for one request. Unless it was transferred, it is released when dropped.
 #[derive(Debug)]
 pub(crate) struct KvHandle {
-    shared: Rc<Shared>,
+    shared: Rc<ProxyState>,
     prefill_searcher: Destination,
     handle: String,
     transferred: bool,
@@ -76,7 +76,7 @@
 /// # Errors
 /// [`PrefillFailure`], which tells whether the request ran.
 pub(crate) async fn prefill(
-    shared: &Rc<Shared>,
+    shared: &Rc<ProxyState>,
     prefill_searcher: &Destination,
     request: Request<Full<Bytes>>,
 ) -> Result<KvHandle, PrefillFailure> {
@@ -105,7 +105,7 @@
 
 /// Reads a small answer completely and gives the connection back.
 pub(crate) async fn read_small_answer(
-    shared: &Shared,
+    shared: &ProxyState,
     destination: &Destination,
     body: hyper::body::Incoming,
     mut connection: UpstreamConnection,
@@ -119,7 +119,7 @@
 }
 
 /// Releases a handle that was not transferred. Failures need no care: it lapses by itself.
-async fn release(shared: Rc<Shared>, prefill_searcher: Destination, handle: String) {
+async fn release(shared: Rc<ProxyState>, prefill_searcher: Destination, handle: String) {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::DELETE;
     let Ok(target) = format!("/api/kv-handle/{handle}").parse() else { return };
--- a/crates/lockusher-proxy/src/serve.rs
+++ b/crates/lockusher-proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a proxy from its start to its orderly end.
+//! Runs a proxy from its start to the end of its graceful shutdown.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -21,24 +21,24 @@
 use crate::client::listener::{accept_clients, listen, sweep};
 use crate::client::registry::ClientRegistry;
 use crate::error::ProxyError;
-use crate::shared::Shared;
+use crate::shared::ProxyState;
 
 const READINESS_PATH: &str = "/api/readiness";
 
-/// The entry needs this long at most to notice that a proxy is no longer ready.
-const ENTRY_NOTICE: Duration = Duration::from_secs(3);
+/// The platform detects within this time that a proxy is no longer ready.
+const READINESS_DETECTION: Duration = Duration::from_secs(3);
 
-/// Where the grace is short, this part of it is left to the entry to notice (eighths).
-const ENTRY_NOTICE_EIGHTHS: u32 = 3;
+/// Where the grace is short, this part of it is left to the platform for that (eighths).
+const READINESS_DETECTION_EIGHTHS: u32 = 3;
 
-/// Kept of the grace for the end itself.
-const END_RESERVE: Duration = Duration::from_millis(500);
+/// Reserved of the grace for the end of the process itself.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(500);
 
-/// A stopping proxy is looked at this often.
-const STOP_POLL: Duration = Duration::from_millis(50);
+/// How often a draining proxy looks whether all requests are answered; and the delay after a failed accept.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause between two reports of this proxy's load.
-const LOAD_PAUSE: Duration = Duration::from_millis(500);
+/// Interval between two reports of this proxy's load.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// [`run_and_report`] without reports.
 ///
@@ -53,7 +53,7 @@
 }
 
 /// Serves until `stop` is ready, and calls `report` twice a second with the load on the searchers. Then it is no longer ready, but serves on until the entry has noticed; from then
-/// it accepts no client, finishes the requests in hand and returns, within the grace.
+/// it accepts no client, finishes the requests in flight and returns, within the grace.
 ///
 /// # Errors
 /// [`ProxyError`] if an address is missing or cannot be listened on.
@@ -67,7 +67,7 @@
     let readiness = settings.readiness.ok_or(ProxyError::MissingAddress { name: "readiness" })?;
     let front = listen(front)?;
     let readiness = listen(readiness)?;
-    let shared = Shared::new(&settings, rand::random());
+    let shared = ProxyState::new(&settings, rand::random());
     let clients = Rc::new(ClientRegistry::default());
     // Tasks end when their handles are dropped.
     let accepting = compio::runtime::spawn(accept_clients(shared.clone(), clients.clone(), front));
@@ -80,26 +80,26 @@
     stop.await;
     let grace = Duration::from_millis(settings.bounds.grace_ms);
     let start = Instant::now();
-    let notice = ENTRY_NOTICE.min(grace * ENTRY_NOTICE_EIGHTHS / 8);
-    shared.begin_stop();
-    compio::time::sleep(notice).await;
+    let detection = READINESS_DETECTION.min(grace * READINESS_DETECTION_EIGHTHS / 8);
+    shared.begin_draining();
+    compio::time::sleep(detection).await;
     drop(accepting);
     clients.close_idle();
-    finish_requests(&shared, start + grace.saturating_sub(END_RESERVE).max(notice)).await;
+    drain_requests(&shared, start + grace.saturating_sub(SHUTDOWN_RESERVE).max(detection)).await;
     Ok(())
 }
 
-async fn take_updates(shared: Rc<Shared>, feed: impl Stream<Item = FeedUpdate>) {
+async fn take_updates(shared: Rc<ProxyState>, feed: impl Stream<Item = FeedUpdate>) {
     let mut feed = std::pin::pin!(feed);
     while let Some(update) = feed.next().await {
         shared.apply(update);
     }
-    log::warn!("the feed ended; serving on with what is held");
+    log::warn!("the feed ended; serving on with the last state");
 }
 
-async fn report_loads(shared: Rc<Shared>, report: impl Fn(Vec<ServiceLoad>)) {
+async fn report_loads(shared: Rc<ProxyState>, report: impl Fn(Vec<ServiceLoad>)) {
     loop {
-        compio::time::sleep(LOAD_PAUSE).await;
+        compio::time::sleep(LOAD_REPORT_INTERVAL).await;
         let loads = shared.router.borrow_mut().take_loads(shared.clock.micros());
         if let Some(loads) = loads {
             report(loads);
@@ -107,21 +107,21 @@
     }
 }
 
-/// Waits until no request is in hand and none has come lately, at most until `last`.
-async fn finish_requests(shared: &Shared, last: Instant) {
-    let mut taken = shared.requests_taken();
+/// Waits until no request is in flight and none has come since the last look, at most until `last`.
+async fn drain_requests(shared: &ProxyState, last: Instant) {
+    let mut accepted = shared.requests_accepted();
     while Instant::now() < last {
-        compio::time::sleep(STOP_POLL).await;
-        let quiet = shared.requests_in_hand() == 0 && shared.requests_taken() == taken;
+        compio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
+        let quiet = shared.requests_in_flight() == 0 && shared.requests_accepted() == accepted;
         if quiet {
             return;
         }
-        taken = shared.requests_taken();
+        accepted = shared.requests_accepted();
     }
-    log::warn!("ended with {} requests in hand", shared.requests_in_hand());
+    log::warn!("ended with {} requests in flight", shared.requests_in_flight());
 }
 
-async fn answer_readiness(shared: Rc<Shared>, listener: TcpListener) {
+async fn answer_readiness(shared: Rc<ProxyState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -129,14 +129,14 @@
             }
             Err(error) => {
                 log::warn!("cannot accept a readiness probe: {error}");
-                compio::time::sleep(STOP_POLL).await;
+                compio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
             }
         }
     }
 }
 
 /// Answers the probes that come over one connection.
-async fn answer_probes(shared: Rc<Shared>, stream: TcpStream) {
+async fn answer_probes(shared: Rc<ProxyState>, stream: TcpStream) {
     let Ok(stream) = stream.into_poll_fd() else { return };
     let service = service_fn(|request| {
         let answer = probe_answer(&shared, &request);
@@ -149,7 +149,7 @@
     }
 }
 
-fn probe_answer(shared: &Shared, request: &Request<Incoming>) -> Response<Empty<Bytes>> {
+fn probe_answer(shared: &ProxyState, request: &Request<Incoming>) -> Response<Empty<Bytes>> {
     let status = match request.uri().path() {
         READINESS_PATH if shared.is_ready() => StatusCode::OK,
         READINESS_PATH => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/lockusher-proxy/src/shared.rs
+++ b/crates/lockusher-proxy/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one proxy share: the snapshots in force, the decisions, the pools and the counts.
+//! What the tasks of one proxy share: the configuration and instances in force, the decisions, the pools and the counts.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -28,7 +28,7 @@
 
 /// The state of one proxy; one thread, so cells suffice.
 #[derive(Debug)]
-pub(crate) struct Shared {
+pub(crate) struct ProxyState {
     pub(crate) clock: Clock,
     pub(crate) router: RefCell<RequestRouter>,
     pub(crate) pool: Pool,
@@ -37,18 +37,18 @@
     pub(crate) handle_reuse: HandleReuse,
     routes: RefCell<Option<Rc<RouteTable>>>,
     traffic_splits: RefCell<TrafficSplits>,
-    holds_instances: Cell<bool>,
-    stopping: Cell<bool>,
-    requests_in_hand: Cell<u64>,
-    requests_taken: Cell<u64>,
+    has_instances: Cell<bool>,
+    draining: Cell<bool>,
+    requests_in_flight: Cell<u64>,
+    requests_accepted: Cell<u64>,
 }
 
-impl Shared {
+impl ProxyState {
     pub(crate) fn new(settings: &NodeSettings, seed: u64) -> Rc<Self> {
         let limit = settings.limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(8);
         let descriptors = Descriptors::new(limit);
         let body_bytes = settings.limits.memory_mb * BYTES_PER_MB / BODY_MEMORY_DIVISOR;
-        Rc::new(Shared {
+        Rc::new(ProxyState {
             clock: Clock::start(),
             router: RefCell::new(RequestRouter::new(RequestRouterSettings::from(settings), seed)),
             pool: Pool::new(descriptors.clone()),
@@ -57,14 +57,14 @@
             handle_reuse: HandleReuse::default(),
             routes: RefCell::new(None),
             traffic_splits: RefCell::new(TrafficSplits::new(ChaCha8Rng::seed_from_u64(seed).random())),
-            holds_instances: Cell::new(false),
-            stopping: Cell::new(false),
-            requests_in_hand: Cell::new(0),
-            requests_taken: Cell::new(0),
+            has_instances: Cell::new(false),
+            draining: Cell::new(false),
+            requests_in_flight: Cell::new(0),
+            requests_accepted: Cell::new(0),
         })
     }
 
-    /// Takes an update whole; requests admitted before keep the snapshot that they have.
+    /// Applies a complete update; requests admitted before go on with their snapshot.
     pub(crate) fn apply(&self, update: FeedUpdate) {
         let now = self.clock.micros();
         let mut router = self.router.borrow_mut();
@@ -78,7 +78,7 @@
             FeedUpdate::Instances { instances, .. } => {
                 router.apply_instances(now, &instances);
                 self.pool.apply_instances(&instances);
-                self.holds_instances.set(true);
+                self.has_instances.set(true);
             }
             FeedUpdate::FleetSize(proxies) => {
                 router.set_fleet_size(proxies);
@@ -94,15 +94,15 @@
 
     /// Whether clients may be sent here.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.stopping.get() && self.holds_instances.get() && self.routes.borrow().is_some()
+        !self.draining.get() && self.has_instances.get() && self.routes.borrow().is_some()
     }
 
-    pub(crate) fn is_stopping(&self) -> bool {
-        self.stopping.get()
+    pub(crate) fn is_draining(&self) -> bool {
+        self.draining.get()
     }
 
-    pub(crate) fn begin_stop(&self) {
-        self.stopping.set(true);
+    pub(crate) fn begin_draining(&self) {
+        self.draining.set(true);
     }
 
     /// The service that takes the next request of this route.
@@ -111,20 +111,20 @@
     }
 
     /// Counts a request until the guard is dropped, after the last byte of its answer.
-    pub(crate) fn take_request(self: &Rc<Self>) -> RequestInHand {
-        self.requests_in_hand.set(self.requests_in_hand.get() + 1);
-        self.requests_taken.set(self.requests_taken.get() + 1);
-        RequestInHand { shared: self.clone() }
+    pub(crate) fn start_request(self: &Rc<Self>) -> RequestInFlight {
+        self.requests_in_flight.set(self.requests_in_flight.get() + 1);
+        self.requests_accepted.set(self.requests_accepted.get() + 1);
+        RequestInFlight { shared: self.clone() }
     }
 
-    /// Requests whose answers are not whole yet.
-    pub(crate) fn requests_in_hand(&self) -> u64 {
-        self.requests_in_hand.get()
+    /// Requests whose answers are not complete yet.
+    pub(crate) fn requests_in_flight(&self) -> u64 {
+        self.requests_in_flight.get()
     }
 
-    /// Requests taken since the start.
-    pub(crate) fn requests_taken(&self) -> u64 {
-        self.requests_taken.get()
+    /// Requests accepted since the start.
+    pub(crate) fn requests_accepted(&self) -> u64 {
+        self.requests_accepted.get()
     }
 
     /// A guard that reports what became of a send exactly once.
@@ -133,15 +133,15 @@
     }
 }
 
-/// A request in hand; see [`Shared::take_request`].
+/// A request in flight; see [`ProxyState::start_request`].
 #[derive(Debug)]
-pub(crate) struct RequestInHand {
-    shared: Rc<Shared>,
+pub(crate) struct RequestInFlight {
+    shared: Rc<ProxyState>,
 }
 
-impl Drop for RequestInHand {
+impl Drop for RequestInFlight {
     fn drop(&mut self) {
-        let count = &self.shared.requests_in_hand;
+        let count = &self.shared.requests_in_flight;
         count.set(count.get() - 1);
     }
 }
@@ -149,7 +149,7 @@
 /// Owes the router the outcome of one send. Dropped without one, the send was cancelled.
 #[derive(Debug)]
 pub(crate) struct SendGuard {
-    shared: Rc<Shared>,
+    shared: Rc<ProxyState>,
     ticket: Option<SendTicket>,
 }
 
--- a/crates/lockusher-proxy/src/upstream/exchange.rs
+++ b/crates/lockusher-proxy/src/upstream/exchange.rs
@@ -16,7 +16,7 @@
 use super::pool::CheckoutError;
 use crate::decision::SendOutcome;
 use crate::headers;
-use crate::shared::Shared;
+use crate::shared::ProxyState;
 
 /// A rejection whose body is longer is not read for the sake of its connection.
 const MAX_REJECTION_BYTES: usize = 16 * 1_024;
@@ -80,7 +80,7 @@
 /// # Errors
 /// A [`SendFailure`] that tells whether the request may have run.
 pub(crate) async fn exchange(
-    shared: &Rc<Shared>,
+    shared: &Rc<ProxyState>,
     destination: &Destination,
     request: Request<Full<Bytes>>,
 ) -> Result<Exchange, SendFailure> {
@@ -103,7 +103,7 @@
 
 /// Reads the rest of a rejection aside, so that its connection can serve another request.
 async fn drain_rejection(
-    shared: Rc<Shared>,
+    shared: Rc<ProxyState>,
     destination: Destination,
     body: Incoming,
     mut connection: UpstreamConnection,
@@ -115,7 +115,7 @@
     }
 }
 
-fn failed_checkout(shared: &Shared, destination: &Destination, error: &CheckoutError) -> SendFailure {
+fn failed_checkout(shared: &ProxyState, destination: &Destination, error: &CheckoutError) -> SendFailure {
     log::debug!("{}: {error}", destination.address);
     match error {
         CheckoutError::AtLimit => SendFailure::AtLimit,
@@ -127,7 +127,7 @@
     }
 }
 
-fn failed_exchange(shared: &Shared, destination: &Destination, error: &ExchangeError) -> SendFailure {
+fn failed_exchange(shared: &ProxyState, destination: &Destination, error: &ExchangeError) -> SendFailure {
     log::debug!("{}: {error}", destination.address);
     match error {
         ExchangeError::NotWritten => SendFailure::Unreachable,
