--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -18,8 +18,8 @@
 use crate::decision::{Choice, Purpose, RequestPlan, SendOutcome};
 use crate::headers;
 use crate::prefill::{KvHandle, PrefillFailure, prefill};
+use crate::proxy_state::{ProxyState, SendGuard};
 use crate::request::ClientRequest;
-use crate::shared::{ProxyState, SendGuard};
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
 
 /// What is reserved of the client's time for the answer's way back.
--- a/crates/lockusher-proxy/src/client/listener.rs
+++ b/crates/lockusher-proxy/src/client/listener.rs
@@ -12,7 +12,7 @@
 use super::registry::{ClientRegistry, SWEEP_PERIOD};
 use crate::descriptors::DescriptorPermit;
 use crate::error::ProxyError;
-use crate::shared::ProxyState;
+use crate::proxy_state::ProxyState;
 
 /// Connections that may wait to be accepted; a full queue drops opening packets.
 const BACKLOG: i32 = 1_024;
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -14,9 +14,9 @@
 use crate::decision::{Admission, RequestFacts, SendOutcome};
 use crate::headers;
 use crate::prefill::read_small_answer;
+use crate::proxy_state::ProxyState;
 use crate::relay::{Relay, is_event_stream, outcome_of};
 use crate::request::{ClientRequest, RequestError};
-use crate::shared::ProxyState;
 use crate::upstream::exchange::{Exchange, SendFailure};
 
 /// Answers up to this length are buffered completely before they are forwarded, so that a broken one is never begun.
--- a/crates/lockusher-proxy/src/lib.rs
+++ b/crates/lockusher-proxy/src/lib.rs
@@ -18,9 +18,9 @@
 mod headers;
 mod memory;
 mod prefill;
+mod proxy_state;
 mod relay;
 mod request;
-mod shared;
 mod upstream;
 
 pub use error::ProxyError;
--- a/crates/lockusher-proxy/src/prefill.rs
+++ b/crates/lockusher-proxy/src/prefill.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, Request, StatusCode};
 
 use crate::headers;
-use crate::shared::ProxyState;
+use crate::proxy_state::ProxyState;
 use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
 
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -14,7 +14,7 @@
 use crate::decision::SendOutcome;
 use crate::events::{EventSplitter, begins_after};
 use crate::headers;
-use crate::shared::SendGuard;
+use crate::proxy_state::SendGuard;
 use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, is_acknowledgement_timeout};
 
--- a/crates/lockusher-proxy/src/serve.rs
+++ b/crates/lockusher-proxy/src/serve.rs
@@ -21,7 +21,7 @@
 use crate::client::listener::{accept_clients, listen, sweep};
 use crate::client::registry::ClientRegistry;
 use crate::error::ProxyError;
-use crate::shared::ProxyState;
+use crate::proxy_state::ProxyState;
 
 const READINESS_PATH: &str = "/api/readiness";
 
--- a/crates/lockusher-proxy/src/upstream/exchange.rs
+++ b/crates/lockusher-proxy/src/upstream/exchange.rs
@@ -16,7 +16,7 @@
 use super::pool::CheckoutError;
 use crate::decision::SendOutcome;
 use crate::headers;
-use crate::shared::ProxyState;
+use crate::proxy_state::ProxyState;
 
 /// A rejection whose body is longer is not read for the sake of its connection.
 const MAX_REJECTION_BYTES: usize = 16 * 1_024;
