--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -1,25 +1,24 @@
 //! The attempts of one request, one after another, until a searcher's answer may be passed on.
 
-use std::future::{Future, poll_fn};
-use std::pin::{Pin, pin};
 use std::rc::Rc;
-use std::task::Poll;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use compio::time::Sleep;
+use derive_more::From;
 use http_body_util::Full;
-use hyper::body::{Body, Incoming};
-use hyper::header::{self, HeaderValue};
-use hyper::{Request, Response, StatusCode};
-use lockusher_config::configuration::{Route, RouteKind};
+use hyper::Request;
+use hyper::header::HeaderValue;
 
+use crate::answer_check::may_be_forwarded;
+use crate::attempt_policy::AttemptPolicy;
 use crate::deadline::{CLIENT_DEADLINE_RESERVE, Deadlines};
 use crate::decision::{Choice, Purpose, RequestPlan, SendOutcome};
 use crate::headers;
 use crate::prefill::{KvHandle, PrefillFailure, prefill};
 use crate::proxy_state::{ProxyState, SendGuard};
 use crate::request::ClientRequest;
+use crate::timer::until;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
 
 /// What is reserved of the client's time for the answer's way back.
@@ -31,46 +30,6 @@
 /// Most prefill calls for one request, whatever else allows more.
 const MAX_PREFILL_CALLS: u32 = 4;
 
-/// Clients give no stream up after a shorter inactivity.
-const MIN_CLIENT_INACTIVITY_TIMEOUT: Duration = Duration::from_secs(2);
-
-/// Clients bear an inactivity of this many latency targets.
-const INACTIVITY_LATENCY_TARGETS: u64 = 4;
-
-/// Clients bear an inactivity of this many latency targets between events.
-const INACTIVITY_GAP_TARGETS: u64 = 8;
-
-/// What a route says of the attempts of its requests.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct AttemptPolicy {
-    pub(crate) is_idempotent: bool,
-    /// Whether a stream may be resumed at another searcher within one answer.
-    pub(crate) resumable: bool,
-    /// How long a prefill searcher reserves KV cache for a decode searcher.
-    handle_lifetime: Duration,
-    /// How long the client waits for the first event of a stream; absent for other answers.
-    first_event_timeout: Option<Duration>,
-}
-
-impl AttemptPolicy {
-    pub(crate) fn new(route: &Route, handle_hold_ms: u64) -> Self {
-        AttemptPolicy {
-            is_idempotent: route.is_idempotent(),
-            resumable: route.resumable,
-            handle_lifetime: Duration::from_millis(handle_hold_ms),
-            first_event_timeout: (route.kind == RouteKind::Streaming)
-                .then(|| client_inactivity_timeout(route)),
-        }
-    }
-}
-
-/// How long a stream may be inactive before clients give it up, also before its first event (PROTOCOL, "Requests").
-fn client_inactivity_timeout(route: &Route) -> Duration {
-    let by_target = Duration::from_millis(INACTIVITY_LATENCY_TARGETS * route.target_latency_ms);
-    let by_gap = Duration::from_millis(INACTIVITY_GAP_TARGETS * route.gap_aim_ms.unwrap_or(0));
-    MIN_CLIENT_INACTIVITY_TIMEOUT.max(by_target).max(by_gap)
-}
-
 /// Why no answer of a searcher can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoAnswer {
@@ -82,7 +41,17 @@
     TimedOut,
 }
 
-/// An answer whose head may be passed on, with what its body needs.
+/// Why one attempt brought no answer that may be forwarded.
+#[derive(Debug, From)]
+enum AttemptFailure {
+    /// The send failed; whether another attempt may follow is for [`RequestAttempts::record_failure`] to say.
+    Send(SendFailure),
+    /// The request's deadline passed while a searcher was at work.
+    #[from(ignore)]
+    DeadlineExceeded,
+}
+
+/// An answer whose head may be forwarded, with what its body needs.
 #[derive(Debug)]
 pub(crate) struct AcceptedAnswer {
     pub(crate) destination: Destination,
@@ -90,10 +59,6 @@
     pub(crate) exchange: Exchange,
 }
 
-/// The deadline of a request or of one of its calls has passed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct DeadlineExceeded;
-
 /// One admitted request and its attempts so far.
 #[derive(Debug)]
 pub(crate) struct RequestAttempts {
@@ -176,9 +141,9 @@
             let purpose = if self.handle.is_some() { Purpose::Decode } else { Purpose::Whole };
             let Some((destination, send)) = self.choose(purpose) else { return Err(self.no_searcher()) };
             match self.attempt(destination, send).await {
-                Ok(Ok(accepted)) => return Ok(accepted),
-                Ok(Err(failure)) => self.record_failure(&failure)?,
-                Err(DeadlineExceeded) => return Err(self.deadline_exceeded()),
+                Ok(accepted) => return Ok(accepted),
+                Err(AttemptFailure::Send(failure)) => self.record_failure(&failure)?,
+                Err(AttemptFailure::DeadlineExceeded) => return Err(self.deadline_exceeded()),
             }
         }
     }
@@ -328,73 +293,35 @@
     }
 
     /// One send to a searcher that runs the request.
+    ///
+    /// # Errors
+    ///
+    /// [`AttemptFailure`] if its answer can't be forwarded.
     async fn attempt(
         &mut self,
         destination: Destination,
         mut send: SendGuard,
-    ) -> Result<Result<AcceptedAnswer, SendFailure>, DeadlineExceeded> {
+    ) -> Result<AcceptedAnswer, AttemptFailure> {
         let mut request = self.outgoing(&destination, self.remaining());
         if let Some(source) = self.handle.as_ref().and_then(KvHandle::header_value) {
             request.headers_mut().insert(headers::KV_FROM, source);
         }
         let exchange = exchange(&self.shared, &destination, request);
-        match until(&mut self.timer, exchange).await {
-            Err(DeadlineExceeded) => {
-                send.finish(SendOutcome::TimedOut);
-                self.may_have_run = true;
-                Err(DeadlineExceeded)
-            }
-            Ok(Err(failure)) => {
-                send.finish(failure.outcome());
-                Ok(Err(failure))
-            }
-            Ok(Ok(exchange)) if !may_be_passed_on(&exchange.response) => {
-                log::debug!(
-                    "{}: answer {} can't be passed on",
-                    destination.address,
-                    exchange.response.status()
-                );
-                send.finish(SendOutcome::Failed);
-                Ok(Err(SendFailure::Broken))
-            }
-            Ok(Ok(exchange)) => {
-                if exchange.response.status().is_success() {
-                    self.mark_handle_transferred();
-                }
-                Ok(Ok(AcceptedAnswer { destination, send, exchange }))
-            }
+        let Ok(exchanged) = until(&mut self.timer, exchange).await else {
+            send.finish(SendOutcome::TimedOut);
+            self.may_have_run = true;
+            return Err(AttemptFailure::DeadlineExceeded);
+        };
+        let exchange = exchanged.inspect_err(|failure| send.finish(failure.outcome()))?;
+        let status = exchange.response.status();
+        if !may_be_forwarded(&exchange.response) {
+            log::debug!("{}: answer {status} can't be passed on", destination.address);
+            send.finish(SendOutcome::Failed);
+            return Err(SendFailure::Broken.into());
         }
-    }
-}
-
-/// Whether an answer without `Not-Executed` may reach the client as it is.
-fn may_be_passed_on(response: &Response<Incoming>) -> bool {
-    let status = response.status();
-    if status.is_success() && !response.headers().contains_key(headers::SERVER_SIGNATURE) {
-        return false;
-    }
-    // These promise that the request has not run, which only `Not-Executed` proves.
-    let promises_not_run = matches!(
-        status,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT
-    );
-    !promises_not_run && has_visible_end(response)
-}
-
-/// Whether the end of the body can be told from a connection that broke.
-fn has_visible_end(response: &Response<Incoming>) -> bool {
-    let chunked = response.headers().contains_key(header::TRANSFER_ENCODING);
-    chunked || response.body().size_hint().exact().is_some()
-}
-
-/// Waits for a future, but no longer than a timer runs.
-pub(crate) async fn until<F: Future>(timer: &mut Sleep, awaited: F) -> Result<F::Output, DeadlineExceeded> {
-    let mut awaited = pin!(awaited);
-    poll_fn(|cx| {
-        if let Poll::Ready(output) = awaited.as_mut().poll(cx) {
-            return Poll::Ready(Ok(output));
+        if status.is_success() {
+            self.mark_handle_transferred();
         }
-        Pin::new(&mut *timer).poll(cx).map(|()| Err(DeadlineExceeded))
-    })
-    .await
+        Ok(AcceptedAnswer { destination, send, exchange })
+    }
 }
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -9,7 +9,8 @@
 use lockusher_config::configuration::{Configuration, Route};
 
 use crate::answer::{self, Answer, AnswerBody};
-use crate::attempts::{AcceptedAnswer, AttemptPolicy, DeadlineExceeded, NoAnswer, RequestAttempts, until};
+use crate::attempt_policy::AttemptPolicy;
+use crate::attempts::{AcceptedAnswer, NoAnswer, RequestAttempts};
 use crate::deadline::Deadlines;
 use crate::decision::{Admission, RequestFacts, SendOutcome};
 use crate::headers;
@@ -17,6 +18,7 @@
 use crate::proxy_state::ProxyState;
 use crate::relay::{Relay, is_event_stream, outcome_of};
 use crate::request::{ClientRequest, RequestError};
+use crate::timer::{DeadlineExceeded, until};
 use crate::upstream::exchange::{Exchange, SendFailure};
 
 /// Answers up to this length are buffered completely before they are forwarded, so that a broken one is never begun.
--- a/crates/lockusher-proxy/src/lib.rs
+++ b/crates/lockusher-proxy/src/lib.rs
@@ -7,6 +7,8 @@
 pub mod traffic_split;
 
 mod answer;
+mod answer_check;
+mod attempt_policy;
 mod attempts;
 mod client;
 mod deadline;
@@ -21,6 +23,7 @@
 mod proxy_state;
 mod relay;
 mod request;
+mod timer;
 mod upstream;
 
 pub use error::ProxyError;
