--- a/crates/lockusher-proxy/src/descriptors.rs
+++ b/crates/lockusher-proxy/src/descriptors.rs
@@ -39,7 +39,7 @@
             *self.waiting.borrow_mut() = Some(cx.waker().clone());
             Poll::Pending
         })
-        .await
+        .await;
     }
 }
 
--- a/crates/lockusher-proxy/src/error.rs
+++ b/crates/lockusher-proxy/src/error.rs
@@ -10,8 +10,16 @@
 pub enum ProxyError {
     /// The settings lack an address that the role needs.
     #[display("the settings name no listenAddresses.{name}")]
-    MissingAddress { name: &'static str },
+    MissingAddress {
+        /// Its key below `listenAddresses`.
+        name: &'static str,
+    },
     /// A listener could not be opened.
     #[display("cannot listen on {address}: {source}")]
-    Listen { address: SocketAddrV4, source: io::Error },
+    Listen {
+        /// Where it was to listen.
+        address: SocketAddrV4,
+        /// Why the system refused.
+        source: io::Error,
+    },
 }
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -62,7 +62,7 @@
 }
 
 fn facts(request: &ClientRequest, route: &Route, service: &str, deadline: Instant) -> RequestFacts {
-    let (tokens_in, tokens_out) = request.token_counts();
+    let token_counts = request.token_counts();
     RequestFacts {
         service: service.to_owned(),
         kind: route.kind,
@@ -72,8 +72,8 @@
         target_latency_ms: route.target_latency_ms,
         remaining_ms: deadline.saturating_duration_since(Instant::now()).as_millis() as u64,
         prompt: request.prompt(),
-        tokens_in,
-        tokens_out,
+        tokens_in: token_counts.prompt,
+        tokens_out: token_counts.max_answer,
     }
 }
 
--- a/crates/lockusher-proxy/src/lib.rs
+++ b/crates/lockusher-proxy/src/lib.rs
@@ -21,6 +21,7 @@
 mod memory;
 mod prefill;
 mod proxy_state;
+mod readiness;
 mod relay;
 mod request;
 mod timer;
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -58,8 +58,13 @@
 /// The attempts at resuming the stream.
 struct Resuming(Pin<Box<dyn Future<Output = ResumeResult>>>);
 
-/// The request's attempts, given back, and the answer that goes on with the stream.
-type ResumeResult = (RequestAttempts, Result<AcceptedAnswer, NoAnswer>);
+/// The end of the attempts at resuming a stream.
+struct ResumeResult {
+    /// The request's attempts, given back.
+    attempts: RequestAttempts,
+    /// The answer that resumes the stream.
+    answer: Result<AcceptedAnswer, NoAnswer>,
+}
 
 impl std::fmt::Debug for Resuming {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -91,8 +96,8 @@
             match &mut self.state {
                 State::Ended => return Poll::Ready(None),
                 State::Resuming(search) => {
-                    let (attempts, found) = ready!(search.0.as_mut().poll(cx));
-                    if !self.continue_with(attempts, found) {
+                    let resumed = ready!(search.0.as_mut().poll(cx));
+                    if !self.continue_with(resumed) {
                         return self.abort();
                     }
                 }
@@ -167,15 +172,15 @@
         self.resumed_after = splitter.last_id().cloned();
         attempts.resume_after(event);
         self.state = State::Resuming(Resuming(Box::pin(async move {
-            let found = attempts.next_answer().await;
-            (attempts, found)
+            let answer = attempts.next_answer().await;
+            ResumeResult { attempts, answer }
         })));
         true
     }
 
     /// Continues with the answer that resumes the stream; false if there is none.
-    fn continue_with(&mut self, attempts: RequestAttempts, found: Result<AcceptedAnswer, NoAnswer>) -> bool {
-        let Ok(accepted) = found else { return false };
+    fn continue_with(&mut self, resumed: ResumeResult) -> bool {
+        let ResumeResult { attempts, answer: Ok(accepted) } = resumed else { return false };
         if !is_event_stream(&accepted.exchange.response) {
             return false;
         }
--- a/crates/lockusher-proxy/src/request.rs
+++ b/crates/lockusher-proxy/src/request.rs
@@ -7,7 +7,7 @@
 use derive_more::Display;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
-use hyper::header::{HOST, HeaderMap};
+use hyper::header::{HOST, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Uri};
 
@@ -37,6 +37,15 @@
     MemoryFull,
 }
 
+/// What `Token-Counts` says of a request; zeros where it says nothing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct TokenCounts {
+    /// Tokens of the prompt.
+    pub(crate) prompt: u32,
+    /// Most tokens of the answer.
+    pub(crate) max_answer: u32,
+}
+
 /// A request that was read completely.
 #[derive(Debug)]
 pub(crate) struct ClientRequest {
@@ -115,16 +124,16 @@
 
     /// Whether there is a prompt that one searcher could read for another.
     pub(crate) fn has_prompt(&self) -> bool {
-        self.headers.contains_key(headers::PROMPT_PREFIX) || self.token_counts().0 > 0
+        self.headers.contains_key(headers::PROMPT_PREFIX) || self.token_counts().prompt > 0
     }
 
-    /// Tokens in and most tokens out, as `Token-Counts` tells them; zeros if it does not.
-    pub(crate) fn token_counts(&self) -> (u32, u32) {
+    /// The value of `Token-Counts`.
+    pub(crate) fn token_counts(&self) -> TokenCounts {
         let value = headers::single(&self.headers, &headers::TOKEN_COUNTS);
         let text = value.and_then(|value| value.to_str().ok()).unwrap_or_default();
-        let (tokens_in, tokens_out) = text.split_once(',').unwrap_or((text, ""));
+        let (prompt, max_answer) = text.split_once(',').unwrap_or((text, ""));
         let number = |text: &str| text.trim().parse().unwrap_or(0);
-        (number(tokens_in), number(tokens_out))
+        TokenCounts { prompt: number(prompt), max_answer: number(max_answer) }
     }
 }
 
@@ -137,7 +146,7 @@
     let host = headers::single(&parts.headers, &HOST).and_then(|host| host.to_str().ok());
     let host = host.filter(|host| !host.is_empty()).ok_or(RequestError::BadHost)?;
     let identifier = headers::single(&parts.headers, &headers::REQUEST_IDENTIFIER);
-    if identifier.is_none_or(|value| value.is_empty()) {
+    if identifier.is_none_or(HeaderValue::is_empty) {
         return Err(RequestError::MissingIdentifier);
     }
     let target = parts.uri.path_and_query().ok_or(RequestError::BadTarget)?;
--- a/crates/lockusher-proxy/src/serve.rs
+++ b/crates/lockusher-proxy/src/serve.rs
@@ -1,19 +1,10 @@
 //! Runs a proxy from its start to the end of its graceful shutdown.
 
-use std::convert::Infallible;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use bytes::Bytes;
-use compio::net::{TcpListener, TcpStream};
-use cyper_core::HyperStream;
 use futures_util::{Stream, StreamExt};
-use http_body_util::Empty;
-use hyper::body::Incoming;
-use hyper::server::conn::http1::Builder;
-use hyper::service::service_fn;
-use hyper::{Request, Response, StatusCode};
 use lockusher_config::settings::NodeSettings;
 use lockusher_distribution::load::ServiceLoad;
 use lockusher_distribution::subscribe::FeedUpdate;
@@ -22,8 +13,7 @@
 use crate::client::registry::ClientRegistry;
 use crate::error::ProxyError;
 use crate::proxy_state::ProxyState;
-
-const READINESS_PATH: &str = "/api/readiness";
+use crate::readiness::answer_readiness;
 
 /// The platform detects within this time that a proxy is no longer ready.
 const READINESS_DETECTION: Duration = Duration::from_secs(3);
@@ -34,7 +24,7 @@
 /// Reserved of the grace for the end of the process itself.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(500);
 
-/// How often a draining proxy looks whether all requests are answered; and the delay after a failed accept.
+/// How often a draining proxy looks whether all requests are answered.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Interval between two reports of this proxy's load.
@@ -43,6 +33,7 @@
 /// [`run_and_report`] without reports.
 ///
 /// # Errors
+///
 /// [`ProxyError`] if an address is missing or cannot be listened on.
 pub async fn run(
     settings: NodeSettings,
@@ -52,10 +43,13 @@
     run_and_report(settings, feed, |_| (), stop).await
 }
 
-/// Serves until `stop` is ready, and calls `report` twice a second with the load on the searchers. Then it is no longer ready, but serves on until the entry has noticed; from then
-/// it accepts no client, finishes the requests in flight and returns, within the grace.
+/// Serves until `stop` is ready, and calls `report` twice a second with the load on the searchers.
+///
+/// Then it shuts down gracefully: it is no longer ready, but serves on until the platform has detected that; from then it
+/// accepts no client, finishes the requests in flight and returns, within the grace.
 ///
 /// # Errors
+///
 /// [`ProxyError`] if an address is missing or cannot be listened on.
 pub async fn run_and_report(
     settings: NodeSettings,
@@ -120,42 +114,3 @@
     }
     log::warn!("ended with {} requests in flight", shared.requests_in_flight());
 }
-
-async fn answer_readiness(shared: Rc<ProxyState>, listener: TcpListener) {
-    loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                compio::runtime::spawn(answer_probes(shared.clone(), stream)).detach();
-            }
-            Err(error) => {
-                log::warn!("cannot accept a readiness probe: {error}");
-                compio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
-            }
-        }
-    }
-}
-
-/// Answers the probes that come over one connection.
-async fn answer_probes(shared: Rc<ProxyState>, stream: TcpStream) {
-    let Ok(stream) = stream.into_poll_fd() else { return };
-    let service = service_fn(|request| {
-        let answer = probe_answer(&shared, &request);
-        async move { Ok::<_, Infallible>(answer) }
-    });
-    let connection =
-        Builder::new().auto_date_header(false).serve_connection(HyperStream::new_plain(stream), service);
-    if let Err(error) = connection.await {
-        log::debug!("readiness connection ended: {error}");
-    }
-}
-
-fn probe_answer(shared: &ProxyState, request: &Request<Incoming>) -> Response<Empty<Bytes>> {
-    let status = match request.uri().path() {
-        READINESS_PATH if shared.is_ready() => StatusCode::OK,
-        READINESS_PATH => StatusCode::SERVICE_UNAVAILABLE,
-        _ => StatusCode::NOT_FOUND,
-    };
-    let mut answer = Response::new(Empty::new());
-    *answer.status_mut() = status;
-    answer
-}
