--- a/crates/lockusher-proxy/tests/crossings.rs
+++ b/crates/lockusher-proxy/tests/crossings.rs
@@ -37,7 +37,7 @@
             Trouble::Close => {}
             Trouble::WrongIdentifier => wire.succeed("id-of-another", "roster").await,
             Trouble::NoIdentifier => {
-                wire.write("HTTP/1.1 200 OK\r\nServer-Signature: s\r\nContent-Length: 0\r\n\r\n").await
+                wire.write("HTTP/1.1 200 OK\r\nServer-Signature: s\r\nContent-Length: 0\r\n\r\n").await;
             }
             Trouble::NoSignature => wire.answer("200 OK", identifier, "", "roster").await,
             Trouble::ShortAnswer => {
--- a/crates/lockusher-proxy/tests/resumption.rs
+++ b/crates/lockusher-proxy/tests/resumption.rs
@@ -89,7 +89,7 @@
             }
             Misfit::IsNoStream => second.succeed("id-1", "text").await,
             Misfit::FailsItself => {
-                second.answer("500 Internal Server Error", "id-1", "Server-Signature: s\r\n", "").await
+                second.answer("500 Internal Server Error", "id-1", "Server-Signature: s\r\n", "").await;
             }
             Misfit::NamesAnother => {
                 second.begin_stream("id-2").await;
