--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -1,5 +1,7 @@
 //! The attempts of one request, one after another, until a searcher's answer may be passed on.
 
+mod handover;
+
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -12,10 +14,10 @@
 
 use crate::answer_check::may_be_forwarded;
 use crate::attempt_policy::AttemptPolicy;
-use crate::deadline::{CLIENT_DEADLINE_RESERVE, Deadlines};
+use crate::deadline::Deadlines;
 use crate::decision::{Choice, Purpose, RequestPlan, SendOutcome};
 use crate::headers;
-use crate::prefill::{KvHandle, PrefillFailure, prefill};
+use crate::prefill::KvHandle;
 use crate::proxy_state::{ProxyState, SendGuard};
 use crate::request::ClientRequest;
 use crate::timer::until;
@@ -27,9 +29,6 @@
 /// With less time left than this, no attempt is begun.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(10);
 
-/// Most prefill calls for one request, whatever else allows more.
-const MAX_PREFILL_CALLS: u32 = 4;
-
 /// Why no answer of a searcher can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoAnswer {
@@ -171,13 +170,6 @@
         self.deadlines.answer.saturating_duration_since(Instant::now())
     }
 
-    /// How long a prefill call may take: what comes after the client has given up is read for nothing.
-    fn prefill_time(&self) -> Duration {
-        let Some(first_event_timeout) = self.policy.first_event_timeout else { return self.remaining() };
-        let waited = self.request.arrived.elapsed();
-        self.remaining().min(first_event_timeout.saturating_sub(waited + CLIENT_DEADLINE_RESERVE))
-    }
-
     fn deadline_exceeded(&self) -> NoAnswer {
         if self.may_have_run { NoAnswer::TimedOut } else { self.not_run() }
     }
@@ -205,77 +197,6 @@
         }
     }
 
-    /// Where the work is split, has a prefill searcher read the prompt. Without a handle afterwards, a decode
-    /// searcher reads it itself.
-    async fn obtain_kv_handle(&mut self) {
-        while self.handle.is_none() && self.prefill_calls < MAX_PREFILL_CALLS && self.is_split() {
-            if self.prefill_time() < MIN_ATTEMPT_TIME {
-                return;
-            }
-            let Some((holder, mut send)) = self.choose(Purpose::Prefill) else { return };
-            self.prefill_calls += 1;
-            let limit = self.prefill_time();
-            let mut request = self.outgoing(&holder, limit);
-            request.headers_mut().insert(headers::STAGE, HeaderValue::from_static("prefill"));
-            let call = compio::time::timeout(limit, prefill(&self.shared, &holder, request));
-            match call.await {
-                Ok(Ok(handle)) => {
-                    send.finish(SendOutcome::Answered);
-                    self.handle = Some(handle);
-                }
-                Ok(Err(PrefillFailure::Ran)) => {
-                    send.finish(SendOutcome::Failed);
-                    self.may_have_run = true;
-                    return;
-                }
-                Ok(Err(PrefillFailure::Send(failure))) => send.finish(failure.outcome()),
-                Err(_) => send.finish(SendOutcome::TimedOut),
-            }
-        }
-    }
-
-    fn is_split(&self) -> bool {
-        self.request.has_prompt() && self.shared.router.borrow().split(self.shared.clock.micros(), &self.plan)
-    }
-
-    /// Whether a handle that was rejected may be sent to another decode searcher.
-    fn may_retry_handover(&self) -> bool {
-        let now = self.shared.clock.micros();
-        self.shared.router.borrow().may_transfer_again(now, &self.plan)
-    }
-
-    /// After a failed send: keeps the handle if it may still be of use, else releases it.
-    fn keep_or_release_handle(&mut self, failure: &SendFailure) {
-        let may_retry_handover = self.may_retry_handover();
-        let Some(mut handle) = self.handle.take() else { return };
-        let reuse = &self.shared.handle_reuse;
-        let keep = match failure {
-            // The searcher did not reach for it.
-            SendFailure::AtLimit | SendFailure::Unreachable | SendFailure::Misdirected => true,
-            SendFailure::Broken => false,
-            SendFailure::Rejected { .. } => {
-                handle.rejections += 1;
-                let first = handle.rejections == 1;
-                if !first {
-                    reuse.record(false);
-                }
-                first && may_retry_handover && reuse.should_retry(handle.age(), self.policy.handle_lifetime)
-            }
-        };
-        if keep {
-            self.handle = Some(handle);
-        }
-    }
-
-    /// A decode searcher has fetched the KV cache.
-    fn mark_handle_transferred(&mut self) {
-        let Some(mut handle) = self.handle.take() else { return };
-        handle.mark_transferred();
-        if handle.rejections > 0 {
-            self.shared.handle_reuse.record(true);
-        }
-    }
-
     /// The request as it goes to one searcher, to be done within a time.
     fn outgoing(&self, destination: &Destination, time: Duration) -> Request<Full<Bytes>> {
         let mut request = self.request.to_forward();
