--- a/crates/lockusher-proxy/src/answer_check.rs
+++ b/crates/lockusher-proxy/src/answer_check.rs
@@ -1,4 +1,7 @@
 //! Whether the head of a searcher's answer may reach the client as it is.
+//!
+//! Source: the operators' pages (PROTOCOL, "Answers"): a 2xx counts only with the searcher's signature, and 429, 503 and 408
+//! promise that the request has not run.
 
 use hyper::body::{Body, Incoming};
 use hyper::{Response, StatusCode, header};
--- a/crates/lockusher-proxy/src/attempt_policy.rs
+++ b/crates/lockusher-proxy/src/attempt_policy.rs
@@ -16,6 +16,7 @@
 /// What a route says of the attempts of its requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptPolicy {
+    /// Whether the request may run more than once.
     pub(crate) is_idempotent: bool,
     /// Whether a stream may be resumed at another searcher within one answer.
     pub(crate) resumable: bool,
--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -1,4 +1,8 @@
-//! The attempts of one request, one after another, until a searcher's answer may be passed on.
+//! The attempts of one request, one after another, until a searcher's answer may be forwarded.
+//!
+//! `forward` makes one [`RequestAttempts`] for each admitted request; `relay` asks it for another answer if a stream breaks.
+//! Invariant: once a send may have run the request, a request that isn't idempotent is not sent again; and each send reports
+//! its outcome to the request router exactly once (`SendGuard`).
 
 mod handover;
 
@@ -150,6 +154,7 @@
     /// Records that a send, or the body of its answer, failed.
     ///
     /// # Errors
+    ///
     /// [`NoAnswer`] if the request may not be sent again.
     pub(crate) fn record_failure(&mut self, failure: &SendFailure) -> Result<(), NoAnswer> {
         self.may_have_run |= !failure.proves_not_run();
--- a/crates/lockusher-proxy/src/client/listener.rs
+++ b/crates/lockusher-proxy/src/client/listener.rs
@@ -23,6 +23,7 @@
 /// Opens a listener.
 ///
 /// # Errors
+///
 /// [`ProxyError::Listen`] with the address.
 pub(crate) fn listen(address: SocketAddrV4) -> Result<TcpListener, ProxyError> {
     open(address).map_err(|source| ProxyError::Listen { address, source })
--- a/crates/lockusher-proxy/src/deadline.rs
+++ b/crates/lockusher-proxy/src/deadline.rs
@@ -1,4 +1,4 @@
-//! Until when a request may be worked on. An answer that is begun when the client's time is up comes after the client
+//! The deadlines of a request. An answer that is begun when the client's time is up comes after the client
 //! has left, so a part of that time is reserved for its way back.
 
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 pub(crate) struct Deadlines {
     /// Until when the head of an answer is waited for.
     pub(crate) answer: Instant,
-    /// Until when an answer that was begun may go on.
+    /// Until when an answer that has begun may go on.
     pub(crate) end: Instant,
 }
 
--- a/crates/lockusher-proxy/src/descriptors.rs
+++ b/crates/lockusher-proxy/src/descriptors.rs
@@ -1,4 +1,6 @@
 //! Counts the descriptors of clients and searchers together against the limit of the process.
+//!
+//! The listener and the pool acquire a permit for each socket; dropped with the socket, it gives the descriptor back.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
--- a/crates/lockusher-proxy/src/events.rs
+++ b/crates/lockusher-proxy/src/events.rs
@@ -1,4 +1,4 @@
-//! Splits a stream into complete events, so that another searcher can resume exactly after the last one forwarded.
+//! Splits a stream of server-sent events into complete events, so that another searcher can resume exactly after the last one forwarded.
 
 use bytes::{Bytes, BytesMut};
 
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -1,4 +1,7 @@
-//! Forwards one request: reads it, routes it, has it admitted and sent, and answers the client.
+//! Forwards one request: reads it, routes it, has it admitted and attempted, and answers the client.
+//!
+//! Called by `client::connection` for each request. Short answers are buffered, so that a broken one is never begun; a
+//! searcher's own failure is replaced by another searcher's answer where the route allows a retry.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/lockusher-proxy/src/handle_reuse.rs
+++ b/crates/lockusher-proxy/src/handle_reuse.rs
@@ -1,4 +1,4 @@
-//! Whether a decode searcher's rejection means that the KV cache handle is gone, or only that this searcher is full.
+//! Retries of a handover: whether a decode searcher's rejection means that the KV cache handle is gone, or only that this searcher is full.
 //!
 //! The answer is the same for both. A handle that is still there is of use at another searcher, and prefilling the
 //! prompt again is expensive; a handle that is gone costs another rejected send. What the last trials found decides.
--- a/crates/lockusher-proxy/src/lib.rs
+++ b/crates/lockusher-proxy/src/lib.rs
@@ -1,6 +1,8 @@
-//! The data plane: forwards requests to searchers that prefill and decode.
+//! The data plane: an HTTP/1.1 reverse proxy that forwards requests to searchers, which prefill and decode.
 //!
-//! [`serve::run`] listens, takes updates from its feed and forwards; [`decision`] decides, without I/O.
+//! [`serve::run`] listens, applies the updates of its feed and forwards. The way of a request: `client` accepts and parses
+//! it, `forward` routes it and has it admitted, `attempts` sends it by way of `upstream`, `relay` forwards the answer. All
+//! choices are made in [`decision`], without I/O and clock. A proxy runs on one thread; its tasks share one `ProxyState`.
 
 pub mod decision;
 pub mod serve;
--- a/crates/lockusher-proxy/src/memory.rs
+++ b/crates/lockusher-proxy/src/memory.rs
@@ -1,4 +1,6 @@
 //! Bounds the memory reserved for the bodies of requests in flight.
+//!
+//! Each request owns a reservation, which grows as its body arrives and is given back when dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/lockusher-proxy/src/prefill.rs
+++ b/crates/lockusher-proxy/src/prefill.rs
@@ -74,6 +74,7 @@
 /// Sends a request with `Stage: prefill` and reads the handle.
 ///
 /// # Errors
+///
 /// [`PrefillFailure`], which tells whether the request ran.
 pub(crate) async fn prefill(
     shared: &Rc<ProxyState>,
--- a/crates/lockusher-proxy/src/proxy_state.rs
+++ b/crates/lockusher-proxy/src/proxy_state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one proxy share: the configuration and instances in force, the decisions, the pools and the counts.
+//! The state that the tasks of one proxy share: the configuration and instances in force, the decisions, the pools and the counts.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passes the body of a searcher's answer on, chunk by chunk as it comes. Where the route allows it, a stream that
+//! Forwards the body of a searcher's answer, chunk by chunk as it comes. Where the route allows it, a stream that
 //! breaks is resumed at another searcher, after the last complete event that the client was given.
 
 use std::pin::Pin;
--- a/crates/lockusher-proxy/src/request.rs
+++ b/crates/lockusher-proxy/src/request.rs
@@ -21,18 +21,25 @@
 /// Why a request cannot be forwarded.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum RequestError {
+    /// No single, non-empty `Host`.
     #[display("one Host field is needed")]
     BadHost,
+    /// No single, non-empty `Request-Identifier`.
     #[display("one Request-Identifier field is needed")]
     MissingIdentifier,
+    /// The request target has no path.
     #[display("the request names no path")]
     BadTarget,
+    /// The body exceeds `limits.bodyBytes`.
     #[display("the body is larger than limits.bodyBytes")]
     BodyTooLarge,
+    /// The body is cut short or malformed.
     #[display("the body ended early or is no valid body")]
     BodyBroken,
+    /// The body did not arrive by the deadline.
     #[display("the body did not come in time")]
     BodyTooSlow,
+    /// Bodies of other requests take all memory reserved for them.
     #[display("bodies in flight take all memory reserved for them")]
     MemoryFull,
 }
--- a/crates/lockusher-proxy/src/traffic_split.rs
+++ b/crates/lockusher-proxy/src/traffic_split.rs
@@ -1,4 +1,5 @@
-//! Which service of a route takes a request: by weight, in every window of requests and not only on the average.
+//! Weighted traffic split: which service of a route takes a request, by weight, in every window of requests and not only on
+//! the average.
 //!
 //! Independent draws stray: of 200 requests, a service with half of the weight gets between 80 and 120. The positions of a
 //! sequence that steps by the golden ratio lie as evenly as can be in every run of consecutive requests.
--- a/crates/lockusher-proxy/src/upstream/exchange.rs
+++ b/crates/lockusher-proxy/src/upstream/exchange.rs
@@ -1,4 +1,7 @@
-//! One request sent to one searcher, up to the head of its answer: what may be believed of it.
+//! One request sent to one searcher, up to the head of its answer, which is checked: it must name the request.
+//!
+//! Called by `attempts` and `prefill`. A [`SendFailure`] says whether the request may have run. Source: the operators' pages
+//! (PROTOCOL, "Searchers").
 
 use std::error::Error as _;
 use std::io;
@@ -57,7 +60,7 @@
         !matches!(self, SendFailure::Broken)
     }
 
-    /// How the router is told.
+    /// The outcome that is reported to the request router.
     pub(crate) fn outcome(&self) -> SendOutcome {
         match self {
             SendFailure::AtLimit | SendFailure::Unreachable => SendOutcome::Unreachable,
@@ -78,6 +81,7 @@
 /// Sends a request to a searcher and checks the head of the answer.
 ///
 /// # Errors
+///
 /// A [`SendFailure`] that tells whether the request may have run.
 pub(crate) async fn exchange(
     shared: &Rc<ProxyState>,
--- a/crates/lockusher-proxy/src/upstream/pool.rs
+++ b/crates/lockusher-proxy/src/upstream/pool.rs
@@ -1,4 +1,7 @@
-//! Idle connections, by incarnation of a searcher: addresses may pass to other services.
+//! Connection pool: idle connections by incarnation of a searcher, as addresses may pass to other services.
+//!
+//! Each searcher's connections are limited by this proxy's quota of the service's `connectionLimit`. `exchange` checks
+//! connections out and in; the feed's updates change limits and searchers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,10 +26,13 @@
 /// Why no connection could be had; nothing was sent.
 #[derive(Debug, Display, Error)]
 pub(crate) enum CheckoutError {
+    /// The listed address is none.
     #[display("the address {address:?} cannot be read")]
     BadAddress { address: String },
+    /// The quota of connections to this searcher is used up.
     #[display("all connections that this proxy may have are in use")]
     AtLimit,
+    /// The connection could not be established.
     #[display("no connection came up: {_0}")]
     Unreachable(io::Error),
 }
