--- a/crates/lockusher-proxy/src/decision/admission_control.rs
+++ b/crates/lockusher-proxy/src/decision/admission_control.rs
@@ -1,20 +1,24 @@
-//! The gate: how many requests of a service may wait for their first event at once.
+//! Admission control: how many requests of a service may wait for their first event at once.
 //!
-//! It goes by own requests and answers alone. Answers come at the pace that the searchers have left for this
-//! proxy, so those that wait will have theirs after (waiting / pace). While answers take much of the time that
-//! clients give, no more are taken than can be answered well before that time is up. A late answer still earns
-//! something, a refusal nothing: an answer that is merely late is no reason to refuse. A request's own size plays
-//! no part: large ones aren't turned away for it.
+//! A concurrency limit in the way of Little's law, by own requests and answers alone. Answers come at the rate that the
+//! searchers have left for this proxy, so requests that wait will have theirs after (waiting / rate). While answers take
+//! much of the time that clients give, no more are admitted than can be answered well before that time is up. A late
+//! answer still earns something, a refusal nothing: an answer that is merely late is no reason to refuse. A request's own
+//! size plays no part: large ones aren't refused for it.
+//!
+//! Owned by `Service`, asked by `RequestRouter::admit`. Invariant:
+//! the number that waits is that of the permits alive. Without it
+//! `decision_model::the_gate_keeps_answers_in_time_under_overload` fails.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use super::types::Micros;
 
-/// Ranks that are told apart; lower ones count as the last.
+/// Ranks that are distinguished; lower ones count as the last.
 const RANKS: usize = 10;
 
-/// The gate acts while answers take more than this share of the time that clients give, on average.
+/// Requests are refused only while answers take more than this share of the time that clients give, on average.
 const LATENESS_THRESHOLD: f64 = 0.3;
 
 /// The wait that is allowed, as a share of the time that clients give.
@@ -26,24 +30,24 @@
 /// Weight of the newest answer in the averages.
 const NEWEST_WEIGHT: f64 = 1.0 / 12.0;
 
-/// Each rank keeps this part of its share of the places, whatever the more urgent ones want.
+/// Each rank has this part of its share of the limit reserved, whatever the more urgent ones use.
 const RESERVED_SHARE: f64 = 0.5;
 
 /// The pace of answers and the mix of ranks are half forgotten after this time, in microseconds.
 const HALF_LIFE_MICROS: f64 = 1e6;
 
-/// The most urgent rank may fill this share of the places, the least urgent that share.
+/// The most urgent rank may use this multiple of the limit, the least urgent that multiple.
 const MAX_RANK_FACTOR: f64 = 1.25;
 const MIN_RANK_FACTOR: f64 = 0.75;
 
-/// So many may always wait: fewer say nothing of a queue.
+/// The lowest limit: fewer requests say nothing of a queue.
 const MIN_LIMIT: f64 = 2.0;
 
 /// Requests that wait for their first event, by rank.
 #[derive(Debug, Default)]
 struct WaitingByRank([Cell<u32>; RANKS]);
 
-/// A place among those that wait; given back when dropped.
+/// A permit to wait for a first event; returned when dropped.
 #[derive(Debug)]
 pub struct WaitingPermit {
     waiting: Rc<WaitingByRank>,
@@ -57,7 +61,7 @@
     }
 }
 
-/// The gate of one service.
+/// The admission control of one service.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
     waiting: Rc<WaitingByRank>,
@@ -72,7 +76,7 @@
 }
 
 impl AdmissionControl {
-    /// Takes a request of a rank, or doesn't.
+    /// Admits a request of a rank, or refuses it by returning none.
     pub fn try_admit(&mut self, now: Micros, rank: u8) -> Option<WaitingPermit> {
         let rank = usize::from(rank).min(RANKS - 1);
         let keep = fade(now, self.offered_at);
@@ -105,14 +109,14 @@
         self.answers * fade(now, self.answers_at) * std::f64::consts::LN_2 * 1e6 / HALF_LIFE_MICROS
     }
 
-    /// Feeds an answer: the time that it took and the time that was given, in microseconds.
+    /// Records an answer: the time that it took and the time that was given, in microseconds.
     pub fn answered(&mut self, now: Micros, elapsed: Micros, given: Micros) {
         self.record_time(elapsed, given);
         self.answers = self.answers * fade(now, self.answers_at) + 1.0;
         self.answers_at = now;
     }
 
-    /// Feeds a request that was given up after a time without an answer.
+    /// Records a request that was abandoned after a time without an answer.
     pub fn abandoned(&mut self, elapsed: Micros, given: Micros) {
         self.record_time(elapsed, given);
     }
--- a/crates/lockusher-proxy/src/decision/budget.rs
+++ b/crates/lockusher-proxy/src/decision/budget.rs
@@ -1,19 +1,23 @@
-//! The retry budget of one service: this proxy's part of a budget that binds all proxies together.
+//! The retry budget of one service: this proxy's share of a budget that binds all proxies together.
 //!
-//! The rule: in every window of length W the repeats of all proxies are at most `ratio` x their requests +
-//! `slack`, where the requests are those of that window or of the one before it, whichever are more. Each
-//! proxy keeps, for every window, `repeats <= ratio x own requests in the window before it + its share of the
-//! slack`. These bounds add up over the proxies to the rule, without any talk.
+//! The rule: in every window of length W the retries of all proxies are at most `ratio` x their requests + `slack`,
+//! where the requests are those of that window or of the one before it, whichever are more. Each proxy keeps, for every
+//! window, `retries <= ratio x own requests in the window before it + its share of the slack`. These bounds add up over
+//! the proxies to the rule, without any communication.
+//!
+//! Owned by `Service`, charged by `RequestRouter::choose` before
+//! each retry. Invariant: the rule above, in every sliding window, over restarts of all proxies
+//! (`tests/decision_budget.rs`).
 
 use super::types::Micros;
 
 /// Slots that a window is cut into.
 const SLOTS: u64 = 64;
 
-/// Slots that lie whole in any window that ends within a given slot, not counting that slot.
+/// Slots that lie completely in any window that ends within a given slot, not counting that slot.
 const FULL_SLOTS: u64 = SLOTS - 2;
 
-/// Slots kept: a window, the one before it, and room for both edges.
+/// Slots that are retained: a window, the one before it, and both edges.
 const RETAINED_SLOTS: usize = (2 * SLOTS + 3) as usize;
 
 /// The share of the slack that proxies use once they have run for a window. The rest is left for the starts.
@@ -22,7 +26,7 @@
 /// The share of the slack with which a proxy starts: it can't know what its life before has used.
 const STARTING_SLACK_SHARE: f64 = 0.25;
 
-/// As many proxies are assumed until their number is told.
+/// So many proxies are assumed until their number is known.
 pub const ASSUMED_PROXIES: u32 = 64;
 
 /// The part of a service's retry budget that this proxy may use.
@@ -39,7 +43,7 @@
     retries: [u32; RETAINED_SLOTS],
 }
 
-/// A repeat that was paid for, by the number of its slot.
+/// A retry that was charged to the budget, by the number of its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Charge(u64);
 
@@ -64,7 +68,7 @@
         self.requests[ring(slot)] += 1;
     }
 
-    /// Pays for one repeat, if every window that it falls into has room for it.
+    /// Charges one retry, if every window that it falls into has capacity for it.
     pub fn charge(&mut self, now: Micros, fleet: u32) -> Option<Charge> {
         let slot = self.advance(now);
         if !self.has_capacity(slot, fleet) {
@@ -74,7 +78,7 @@
         Some(Charge(slot))
     }
 
-    /// Takes a charge back: the repeat has reached no searcher, or doesn't count.
+    /// Refunds a charge: the retry has reached no searcher, or doesn't count.
     pub fn refund(&mut self, charge: Charge) {
         if charge.0 + (RETAINED_SLOTS as u64) > self.newest {
             let retries = &mut self.retries[ring(charge.0)];
@@ -85,7 +89,7 @@
     fn has_capacity(&self, newest: u64, fleet: u32) -> bool {
         let share = self.slack_share(newest, fleet);
         let mut retries = 1;
-        // Requests in the whole slots of the window before one that begins in slot `begin`.
+        // Requests in the full slots of the window before one that begins in slot `begin`.
         let mut before: u32 = (1..=FULL_SLOTS).map(|back| self.at(&self.requests, newest, back)).sum();
         for begin in 0..=SLOTS {
             retries += self.at(&self.retries, newest, begin);
--- a/crates/lockusher-proxy/src/decision/interface.rs
+++ b/crates/lockusher-proxy/src/decision/interface.rs
@@ -1,4 +1,7 @@
-//! The values that go in and out of a [`RequestRouter`](super::RequestRouter).
+//! The values that go in and out of a `RequestRouter`.
+//!
+//! The proxy's side of the decisions: the router's settings, the facts of a request, whether it is admitted, and where its
+//! next send goes.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +11,7 @@
 use super::plan::RequestPlan;
 use super::types::PromptPart;
 
-/// What a router is told of its node and its promises.
+/// What a router has to know of its node and of the service level objectives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestRouterSettings {
     /// The zone of this proxy.
@@ -58,13 +61,13 @@
     pub remaining_ms: u64,
     /// The parts of the prompt in order; empty where it names none.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the prompt; 0 if not told.
+    /// Tokens of the prompt; 0 if unknown.
     pub tokens_in: u32,
-    /// The most tokens of the answer; 0 if not told.
+    /// The most tokens of the answer; 0 if unknown.
     pub tokens_out: u32,
 }
 
-/// Whether a request is taken.
+/// Whether a request is admitted.
 #[derive(Debug)]
 pub enum Admission {
     /// To be sent.
--- a/crates/lockusher-proxy/src/decision/load.rs
+++ b/crates/lockusher-proxy/src/decision/load.rs
@@ -1,5 +1,7 @@
-//! Measures the load that this proxy puts on the searchers of each service: the control plane chooses their stages
-//! by it.
+//! Measures the load that this proxy puts on the searchers of each service: the control plane assigns their stages by it.
+//!
+//! Owned by `RequestRouter`; taken by the proxy's load report. Counts and time averages since the
+//! last report, from own sends alone.
 
 use std::collections::HashMap;
 
@@ -11,7 +13,7 @@
 /// A second in microseconds.
 const SECOND: Micros = 1_000 * MICROS_PER_MS;
 
-/// Loads over less time than this aren't told.
+/// Loads over less time than this aren't reported.
 const SHORTEST_WINDOW: Micros = SECOND / 4;
 
 /// A number that changes by steps, averaged over time.
--- a/crates/lockusher-proxy/src/decision/locality.rs
+++ b/crates/lockusher-proxy/src/decision/locality.rs
@@ -1,4 +1,7 @@
-//! Zones and regions, and how far two places are from each other.
+//! Locality: the zone and region of proxies and searchers, and the distance between two of them.
+//!
+//! Names of zones become numbers, so that a choice among many searchers compares integers. The registry is owned by
+//! `RequestRouter`.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,7 +12,7 @@
     region: u16,
 }
 
-/// How far two places are from each other.
+/// How far two localities are from each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
     SameZone,
@@ -18,7 +21,7 @@
 }
 
 impl Locality {
-    /// How far another place is.
+    /// The distance to another locality.
     pub fn distance(self, other: Locality) -> Distance {
         if self.zone == other.zone {
             Distance::SameZone
@@ -39,12 +42,12 @@
 }
 
 impl LocalityRegistry {
-    /// Knows the region of each zone; a zone that isn't told of is a region of its own.
+    /// `regions`: the region of each zone; a zone that isn't listed is a region of its own.
     pub fn new(regions: BTreeMap<String, String>) -> Self {
         LocalityRegistry { regions, zone_numbers: HashMap::new(), region_numbers: HashMap::new() }
     }
 
-    /// The place that a zone names.
+    /// The locality of a zone.
     pub fn locality(&mut self, zone: &str) -> Locality {
         let region = self.regions.get(zone).map_or(zone, String::as_str);
         Locality {
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -1,4 +1,8 @@
 //! What was decided of one request so far, and what became of its sends.
+//!
+//! The caller owns the plan from admission to the end; the records of its sends share its [`Progress`]. Invariants: a
+//! request is sent to at most `attempts` searchers, the first prefill call that is taken up apart, and one that may run
+//! once only is sent again only after proof that it hasn't run (`tests/decision_attempts.rs`).
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -35,7 +39,7 @@
     /// When the request was admitted, and the time that it had then.
     pub admitted: Micros,
     pub given: Micros,
-    /// Its place among those that wait for a first event.
+    /// Its permit to wait for a first event.
     pub waiting: RefCell<Option<WaitingPermit>>,
     /// Arrivals that count: all but the first prefill call that a searcher takes up.
     pub counted: Cell<u32>,
@@ -44,7 +48,7 @@
     /// Whether a prefill call is out.
     pub prefilling: Cell<bool>,
     /// Whether a prefill call reached a searcher that gave no handle. It may not have been taken up, and then it was
-    /// the first arrival of the request: whatever follows is a repeat.
+    /// the first arrival of the request: whatever follows is a retry.
     pub prefill_failed: Cell<bool>,
     /// Sends out that run the request.
     pub running: Cell<u32>,
@@ -54,11 +58,11 @@
     pub tried: RefCell<Vec<SearcherId>>,
     /// Which searcher holds the KV cache that was read last.
     pub holder: Cell<Option<Incarnation>>,
-    /// The searcher of the newest send, if it rejected a hand-over whose handle seems to be gone.
+    /// The searcher of the newest send, if it rejected a transfer whose handle seems to be gone.
     pub rejected_transfer: Cell<Option<Incarnation>>,
 }
 
-/// One life of a searcher.
+/// One incarnation of a searcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation {
     pub searcher: SearcherId,
@@ -73,7 +77,7 @@
     Attempt,
     /// The first prefill call, which counts only if it is not taken up.
     FirstPrefill,
-    /// The searcher that rejected a hand-over is asked for the whole: it is no further searcher.
+    /// The searcher that rejected a transfer gets the complete request: it is no additional searcher.
     SameSearcher,
 }
 
@@ -94,12 +98,12 @@
     pub waited: Micros,
     /// The request's target latency.
     pub target: Micros,
-    /// Tokens that it reads if it holds only what this proxy itself sent it lately.
+    /// Tokens that it prefills if it has cached only what this proxy itself sent it lately.
     pub at_most: u32,
     pub counting: Counting,
-    /// Whose KV cache is handed over by it.
+    /// Whose KV cache it transfers.
     pub holder: Option<Incarnation>,
-    /// Whether a sign of life was heard.
+    /// Whether anything was received for it.
     pub has_response: bool,
     pub charge: Option<Charge>,
     pub progress: Rc<Progress>,
@@ -127,7 +131,7 @@
         self.progress.counted.get() + needed <= self.attempts
     }
 
-    /// The searcher that may still be asked for the whole though no attempt is left: attempts bound the searchers
+    /// The searcher that may still get the complete request though no attempt is left: attempts bound the searchers
     /// that a request is sent to, and this one had it already and didn't run it.
     pub(super) fn same_searcher(&self, purpose: Purpose) -> Option<Incarnation> {
         let is_last = purpose == Purpose::Whole && !self.has_attempt(purpose);
@@ -135,7 +139,7 @@
     }
 
     /// Whether a handle that was rejected may be sent to one more searcher: where it seems to be gone, the last
-    /// send is kept for the whole.
+    /// send is reserved for the complete request.
     pub(super) fn may_transfer_again(&self) -> bool {
         let seems_gone = self.progress.rejected_transfer.get().is_some();
         let kept = u32::from(seems_gone);
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Notes a send.
+    /// Records a send.
     pub fn sent(&self, purpose: Purpose, counting: Counting) {
         self.rejected_transfer.set(None);
         if purpose != Purpose::Prefill {
@@ -205,7 +209,7 @@
         }
     }
 
-    /// Notes the end of a send, and says whether it counts as an arrival beyond the first.
+    /// Records the end of a send, and returns whether it counts as an arrival beyond the first.
     pub fn ended(&self, record: &SendRecord, outcome: SendOutcome) -> ChargeOutcome {
         use SendOutcome::*;
         let proven_not_run = matches!(outcome, Rejected | Misdirected | Unreachable);
--- a/crates/lockusher-proxy/src/decision/prefix_cache.rs
+++ b/crates/lockusher-proxy/src/decision/prefix_cache.rs
@@ -1,17 +1,22 @@
-//! Which searchers were lately sent which leading parts of prompts, by this proxy.
+//! An index of the searchers' prefix caches: which were lately sent which prefixes of prompts, by this proxy.
+//!
+//! A prompt's parts are hashed in order, so that each prefix has one hash that names all of its parts. Owned by
+//! `Service`; asked by `selection` for the tokens that a searcher needn't
+//! prefill again. Invariant: at most [`MAX_PREFIXES`] prefixes, those used least recently evicted first, and at most
+//! [`MAX_HOLDERS_PER_PREFIX`] searchers for each.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{BuildHasherDefault, Hasher};
 
 use super::types::{Micros, PromptPart, SearcherId};
 
-/// Leading parts of a prompt, named by a hash of their ids in order.
+/// The hash of a prefix: of the ids of its parts in order.
 pub type PrefixHash = u64;
 
-/// Chains that are remembered for one service.
+/// Prefixes that are retained for one service.
 const MAX_PREFIXES: usize = 8_192;
 
-/// Searchers that are remembered for one chain; the newest stay.
+/// Searchers that are retained for one prefix; the newest stay.
 const MAX_HOLDERS_PER_PREFIX: usize = 6;
 
 /// One length of a prompt's leading parts.
@@ -52,7 +57,7 @@
     value ^ (value >> 31)
 }
 
-/// A searcher that was sent a chain, and when.
+/// A searcher that was sent a prefix, and when.
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     searcher: SearcherId,
@@ -77,16 +82,16 @@
     }
 }
 
-/// What this proxy sent where, bounded: the chains that were used least recently give way.
+/// What this proxy sent where; bounded, the prefixes used least recently are evicted.
 #[derive(Debug, Default)]
 pub struct PrefixCacheIndex {
     holders: HashMap<PrefixHash, Vec<Holder>, BuildHasherDefault<IdentityHasher>>,
-    /// Every chain once, with the time when it was put here.
+    /// Every prefix once, with the time when it was put here.
     order: VecDeque<(PrefixHash, Micros)>,
 }
 
 impl PrefixCacheIndex {
-    /// Notes that a searcher holds a prompt's prefixes from now on.
+    /// Records that a searcher has cached a prompt's prefixes from now on.
     pub fn record(&mut self, now: Micros, searcher: SearcherId, prefixes: &[Prefix]) {
         for prefix in prefixes {
             self.record_prefix(now, searcher, prefix.key);
@@ -108,7 +113,7 @@
         holders.push(Holder { searcher, sent: now });
     }
 
-    /// Forgets the chain put in first, unless it was used since: then it goes to the end of the queue.
+    /// Evicts the prefix put in first, unless it was used since: then it goes to the end of the queue.
     fn forget_oldest(&mut self) {
         while let Some((key, since)) = self.order.pop_front() {
             let newest = self.holders.get(&key).and_then(|of| of.last()).map_or(0, |holder| holder.sent);
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Takes a searcher out that has lost what it held.
+    /// Removes a searcher that has lost its cache.
     pub fn forget_searcher(&mut self, searcher: SearcherId) {
         for holders in self.holders.values_mut() {
             holders.retain(|holder| holder.searcher != searcher);
@@ -130,7 +135,7 @@
         self.order.retain(|(key, _)| holders.contains_key(key));
     }
 
-    /// The most tokens of these prefixes that a searcher holds of what it was sent after `since`.
+    /// The most tokens of these prefixes that a searcher has cached, by what it was sent after `since`.
     pub fn cached_tokens(&self, searcher: SearcherId, since: Micros, prefixes: &[Prefix]) -> u32 {
         let was_sent = |prefix: &&Prefix| {
             let mut holders = self.holders.get(&prefix.key).into_iter().flatten();
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -1,4 +1,8 @@
-//! The router: the entry points of all decisions.
+//! The request router: the entry points of all decisions.
+//!
+//! Owned by the proxy's shared state, one for each process; called for each request (`admit`, `split`, `choose`), for each
+//! outcome, and for each new configuration, instance list and fleet size. It joins the modules beside it and draws the
+//! random numbers, one for each choice. Invariant: the same seed and calls give the same choices.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -26,7 +30,7 @@
 /// priced.
 const CACHE_RETENTION_SPANS: u64 = 2;
 
-/// The shortest time after which a client is told to come back.
+/// The shortest `Retry-After`, in milliseconds.
 const SHORTEST_RETRY_MS: u64 = 50;
 
 /// Clients give a silent stream up after so many target latencies, but not before this time.
@@ -44,9 +48,9 @@
     random: ChaCha8Rng,
     localities: LocalityRegistry,
     own_locality: Locality,
-    /// The time of the first call: the start of this life.
+    /// The time of the first call: the start of this process.
     started: Option<Micros>,
-    /// The largest number of proxies told in this life. A cut makes the others seem gone: it never shrinks.
+    /// The largest number of proxies received by this process. A partition makes the others seem gone: it never shrinks.
     fleet: Option<u32>,
     services: Vec<Service>,
     by_name: HashMap<String, usize>,
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Takes the whole list of searchers.
+    /// Takes the complete list of searchers.
     pub fn apply_instances(&mut self, now: Micros, instances: &[Instance]) {
         let mut by_service: HashMap<&str, Vec<&Instance>> = HashMap::new();
         for instance in instances {
@@ -255,7 +259,7 @@
             return;
         }
         service.searcher_mut(record.searcher).ended(ticket.0);
-        // After a sign of life the time says nothing new, but a failure counts as such.
+        // After a first event the time says nothing new, but a failure counts as such.
         let elapsed = (!record.has_response).then(|| now.saturating_sub(record.sent));
         if !record.has_response || !matches!(outcome, SendOutcome::Answered | SendOutcome::Cancelled) {
             service.learn(now, &record, outcome, elapsed);
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -1,4 +1,9 @@
 //! What this proxy knows of one searcher: its own sends there and their outcomes, nothing else.
+//!
+//! Averages for the load balancing score, slow start, and outlier detection: a searcher whose success rate falls below
+//! half of its peers' is ejected, and probed again after a time that doubles with each failure. Owned by
+//! `Service`. Invariant: `in_flight` is the number of own sends without a final outcome. Without
+//! slow start `decision_gray::one_that_has_just_come_draws_no_rush` fails.
 
 use lockusher_config::instances::{Instance, Stage};
 
@@ -47,10 +52,10 @@
 /// For so long a searcher new in its stage is taken to be as busy as its peers.
 const SLOW_START: Micros = 2_000_000;
 
-/// The first pause before a searcher that fails is tried again; it doubles with each failure.
+/// How long a searcher that fails is ejected before it is probed; doubles with each failure.
 const INITIAL_EJECTION: Micros = 2_000_000;
 
-/// The pause doubles so many times at most.
+/// The ejection doubles so many times at most.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
 /// One searcher in its present stage. What a choice looks at comes first and fills one line of the cache.
@@ -60,7 +65,7 @@
     /// Hash of the identifier, the same in all proxies.
     pub hash: u64,
     /// EWMA of latency, in multiples of what a request of the same size usually takes here; not a number until
-    /// it was heard from.
+    /// it has responded.
     latency: f64,
     /// EWMA of Q.
     queue: f64,
@@ -69,7 +74,7 @@
     last_response: Micros,
     /// Until when it is taken to be as busy as its peers.
     slow_start_end: Micros,
-    /// When the oldest send was sent that nothing was heard of yet; the end of time if there is none.
+    /// When the oldest send without a response was sent; the end of time if there is none.
     unanswered_since: Micros,
     /// Own sends out at it: Q.
     pub in_flight: u16,
@@ -87,14 +92,14 @@
     /// EWMA of the share that was taken: of its handles, or of the sends to it.
     accepts: f64,
     accepts_at: Micros,
-    /// Sends that nothing was heard of yet: ticket and time, oldest first.
+    /// Sends without a response: ticket and time, oldest first.
     unanswered: Vec<(u64, Micros)>,
 }
 
 /// What the searchers of one stage have in common.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerStatistics {
-    /// Mean latency average of those heard from.
+    /// Mean latency average of those that have responded.
     pub latency: f64,
     /// Mean number of own sends out.
     pub in_flight: f64,
@@ -106,7 +111,7 @@
 
 impl Default for PeerStatistics {
     fn default() -> Self {
-        // With no peer heard from, a searcher takes what is usual.
+        // While no peer has responded, a searcher takes what is usual.
         PeerStatistics { latency: 1.0, in_flight: 0.0, queue: 0.0, success_rate: 1.0 }
     }
 }
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Notes a send.
+    /// Records a send.
     pub fn sent(&mut self, now: Micros, ticket: u64) {
         if self.in_flight == 0 {
             self.queue *= remembered(QUEUE_STEP_FACTOR * self.idle_steps(now));
@@ -167,13 +172,13 @@
         blend(&mut self.queue, f64::from(self.in_flight), NEWEST);
     }
 
-    /// Notes a sign of life for a send.
+    /// Records the response to a send.
     pub fn responded(&mut self, ticket: u64) {
         self.unanswered.retain(|(of, _)| *of != ticket);
         self.unanswered_since = self.unanswered.first().map_or(Micros::MAX, |(_, sent)| *sent);
     }
 
-    /// Notes the end of a send: it no longer counts as in flight.
+    /// Records the end of a send: it no longer counts as in flight.
     pub fn ended(&mut self, ticket: u64) {
         self.responded(ticket);
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -211,7 +216,7 @@
         1.0 + (self.accepts - 1.0) * remembered(steps)
     }
 
-    /// Notes whether a handle of it, or a send to it, was taken. `weight` from 0 to 1 says how much it is to blame.
+    /// Records whether a handle of it, or a send to it, was taken. `weight` from 0 to 1 says how much it is to blame.
     pub fn learn_acceptance(&mut self, now: Micros, taken: bool, weight: f64) {
         self.accepts = self.acceptance(now);
         self.accepts_at = now;
@@ -219,7 +224,7 @@
         blend(&mut self.accepts, sample, weight);
     }
 
-    /// Notes whether its handle was taken: only then has it done what it is for.
+    /// Records whether its handle was taken: only then has it done what it is for.
     pub fn learn_transfer(&mut self, now: Micros, taken: bool, weight: f64, peers: &PeerStatistics) {
         self.learn_acceptance(now, taken, weight);
         let effective = self.effective_statistics(now, peers);
@@ -284,7 +289,7 @@
         effective
     }
 
-    /// A lower bound of its latency at any time, quick to work out; none for one that may be a suspect.
+    /// A lower bound of its latency at any time, quick to work out; none for one that may be an outlier.
     pub fn least_latency(&self, peers: &PeerStatistics) -> f64 {
         if self.success_rate < peers.success_rate / 2.0 {
             return 0.0;
@@ -302,12 +307,12 @@
         now < self.slow_start_end
     }
 
-    /// How long the oldest send has been out without a sign of life, in microseconds.
+    /// How long the oldest send has been out without a response, in microseconds.
     pub fn oldest_unanswered(&self, now: Micros) -> f64 {
         micros(now.saturating_sub(self.unanswered_since))
     }
 
-    /// Whether a suspect may be tried again: nothing is out there, and its pause is over.
+    /// Whether an outlier may be probed: nothing is in flight there, and its ejection is over.
     pub fn is_probe_due(&self, now: Micros) -> bool {
         let ejection =
             INITIAL_EJECTION << self.consecutive_failures.saturating_sub(1).min(MAX_EJECTION_DOUBLINGS);
@@ -319,7 +324,7 @@
         (self.queue, self.success_rate)
     }
 
-    /// The latency average, if anything was heard.
+    /// The latency average, if it has responded.
     pub fn latency(&self) -> Option<f64> {
         Some(self.latency).filter(|average| !average.is_nan())
     }
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -1,4 +1,10 @@
-//! Which searcher gets the next send of a request.
+//! Load balancing: which searcher gets the next send of a request.
+//!
+//! The searcher with the lowest score among those of the service that serve the purpose, outliers ejected; or the prompt's
+//! affinity target if the wait there isn't much longer than what its cached prefix saves. Called by
+//! `RequestRouter`; reads the `Service` and changes nothing. Invariant: no searcher that was
+//! tried for this request, but the one that `only` names. The score is shared with the aggregator
+//! (`lockusher_policy::scoring`).
 
 use super::locality::{Distance, Locality};
 use super::plan::Incarnation;
@@ -8,13 +14,13 @@
 use super::service::{Group, GroupKind, Service};
 use super::types::{Micros, Purpose, SearcherId};
 
-/// How many times longer than at the best searcher the wait at a prompt's home may be, if the home spared all of the
-/// reading; in proportion if it spares a part. What is read once more elsewhere makes all others wait there. Measured
+/// How many times longer than at the best searcher the wait at a prompt's affinity target may be, if its cache saved all
+/// of the prefill; in proportion if it spares a part. What is read once more elsewhere makes all others wait there. Measured
 /// with 15 and 30 on the bench.
 const PREFILL_AFFINITY_PATIENCE: f64 = 30.0;
 
-/// The same for decode searchers, where a home saves a reading only if the prompt isn't handed over, and keeps
-/// hand-overs within a zone. Measured with 1.25 to 10.
+/// The same for decode searchers, where a cached prefix saves a prefill only without a KV transfer, and affinity keeps
+/// transfers within a zone. Measured with 1.25 to 10.
 const DECODE_AFFINITY_PATIENCE: f64 = 4.0;
 
 /// A crossing between zones, and between regions, as added latency in shares of the usual: it is priced, and
@@ -22,7 +28,7 @@
 const ZONE_CROSSING_COST: f64 = 1.0;
 const REGION_CROSSING_COST: f64 = 10.0;
 
-/// A hand-over between zones, and between regions, takes so many times as long as within a zone.
+/// A KV transfer between zones, and between regions, takes so many times as long as within a zone.
 const ZONE_TRANSFER_FACTOR: f64 = 2.0;
 const REGION_TRANSFER_FACTOR: f64 = 10.0;
 
@@ -40,9 +46,9 @@
     pub only: Option<Incarnation>,
     /// Where the KV cache is fetched from.
     pub source: Option<Locality>,
-    /// Whether a send that fails may be made good: only then is a suspect tried.
+    /// Whether a send that fails may be retried: only then is an outlier probed.
     pub is_retryable: bool,
-    /// What a searcher holds is still there if it was sent after this moment.
+    /// What a searcher has cached is still there if it was sent after this moment.
     pub cached_since: Micros,
     /// Decides between equal scores.
     pub tie_breaker: u64,
@@ -54,13 +60,13 @@
     pub searcher: SearcherId,
     /// The tokens that it is expected to read or move.
     pub tokens: u32,
-    /// The tokens that it reads if it holds only what this proxy itself sent it lately.
+    /// The tokens that it prefills if it has cached only what this proxy itself sent it lately.
     pub at_most: u32,
     /// How long it is expected to take, in microseconds.
     pub expected: f64,
 }
 
-/// A searcher with its figures for one errand.
+/// A searcher with its figures for one choice.
 #[derive(Clone, Copy, Debug)]
 struct EvaluatedCandidate {
     id: SearcherId,
@@ -73,13 +79,13 @@
 
 /// What a pass over the candidates finds.
 enum Found {
-    /// A suspect that is due to be tried again.
+    /// An outlier that is due to be probed.
     Probe(SearcherId),
     /// The lowest score, if there is a candidate.
     Lowest(Option<SearcherId>),
 }
 
-/// Rates the searchers of one group for one errand.
+/// Evaluates the searchers of one group for one choice.
 struct CandidateEvaluator<'a> {
     service: &'a Service,
     kind: GroupKind,
@@ -87,13 +93,13 @@
     criteria: &'a SelectionCriteria<'a>,
     peers: PeerStatistics,
     now: Micros,
-    /// The usual time of a searcher that holds nothing of the prompt.
+    /// The usual time of a searcher that has cached nothing of the prompt.
     usual_of_all: f64,
-    /// The time of a hand-over within a zone, in microseconds.
+    /// The time of a KV transfer within a zone, in microseconds.
     transfer_time: f64,
 }
 
-/// The searcher with the lowest score, or the prompt's home if the wait there isn't much longer. Nothing
+/// The searcher with the lowest score, or the prompt's affinity target if the wait there isn't much longer. Nothing
 /// if no searcher is left that wasn't tried.
 pub fn select(
     service: &Service,
@@ -102,7 +108,7 @@
     criteria: &SelectionCriteria,
 ) -> Option<SelectedSearcher> {
     let evaluator = CandidateEvaluator::new(service, kind, now, criteria);
-    // Suspects are passed over, but never the last ones.
+    // Outliers are ejected, but never the last ones.
     let selected = match criteria.only {
         Some(only) => evaluator.evaluate_only(only)?,
         None => evaluator.scan(true).or_else(|| evaluator.scan(false))?,
@@ -131,7 +137,7 @@
         }
     }
 
-    /// The best by score, then what speaks for homes.
+    /// The best by score, then what speaks for affinity targets.
     fn scan(&self, exclude_outliers: bool) -> Option<EvaluatedCandidate> {
         let best = match self.lowest(exclude_outliers) {
             Found::Probe(id) => return Some(self.evaluate(id, 0)),
@@ -183,7 +189,7 @@
         !is_out && !self.criteria.tried.contains(&id)
     }
 
-    /// Takes the prompt's first home if the wait there isn't much longer than at the best, else the second.
+    /// Takes the prompt's first affinity target if the wait there isn't much longer than at the best, else the second.
     fn prefer_affinity_target(
         &self,
         best: EvaluatedCandidate,
@@ -200,7 +206,7 @@
                 self.criteria.cached_since,
                 self.criteria.prefixes,
             );
-            // Other proxies send it there too, so the first home that isn't new holds the shared parts. A prompt of one part
+            // Other proxies send it there too, so the first target after its slow start has cached the shared parts. A prompt of one part
             // may be a session's, of which another proxy sent the turns before.
             let is_in_slow_start = self.service.searcher(id).is_in_slow_start(self.now);
             let may_hold = if likely && !is_in_slow_start { shared.tokens } else { 0 };
@@ -218,7 +224,7 @@
         best
     }
 
-    /// How many times as long as at the best searcher the wait may be at a home that may have only `left` tokens to read.
+    /// How many times as long as at the best searcher the wait may be at a target that may have only `left` tokens to read.
     fn affinity_patience(&self, left: u32) -> f64 {
         if self.kind == GroupKind::Decode {
             return DECODE_AFFINITY_PATIENCE;
@@ -227,8 +233,8 @@
         1.0 + PREFILL_AFFINITY_PATIENCE * saved
     }
 
-    /// The zone in which a decode searcher is to be at home: where the prompt was read, or would be, so that
-    /// hand-overs stay within a zone.
+    /// The locality in which a decode searcher is preferred: where the prompt was prefilled, or would be, so that KV
+    /// transfers stay within a zone.
     fn near(&self, shared: Prefix) -> Option<Locality> {
         match self.kind {
             GroupKind::Decode => self.criteria.source.or_else(|| self.locality_of_prefill_target(shared)),
@@ -241,12 +247,12 @@
         first.map(|id| self.service.searcher(id).locality)
     }
 
-    /// Whether the searcher reads the prompt, so that held parts save time.
+    /// Whether the searcher prefills the prompt, so that cached parts save time.
     fn reads(&self) -> bool {
         self.criteria.purpose != Purpose::Decode
     }
 
-    /// A searcher that holds so many tokens of the prompt.
+    /// A searcher that has cached so many tokens of the prompt.
     fn evaluate(&self, id: SearcherId, held: u32) -> EvaluatedCandidate {
         let held = if self.reads() { held } else { 0 };
         let tokens = self.criteria.tokens.saturating_sub(held);
@@ -263,7 +269,7 @@
         }
     }
 
-    /// The latency that is scored: the average or the oldest silence, the distance, and what failures add.
+    /// The latency that is scored: the average or the oldest send without a response, the distance, and what failures add.
     fn latency(&self, searcher: &Searcher, effective: &EffectiveStatistics, usual: f64) -> f64 {
         let alone = (effective.latency * usual).max(searcher.oldest_unanswered(self.now));
         let latency = alone + self.distance(searcher, usual);
@@ -273,7 +279,7 @@
         latency / (effective.success_rate * effective.success_rate).max(1e-6)
     }
 
-    /// What the distance adds: a stated price of crossings as time, and the longer hand-over. Where KV cache is
+    /// What the distance adds: a stated price of crossings as time, and the longer KV transfer. Where KV cache is
     /// fetched, the way from its holder counts, as that moves far more than the request does.
     fn distance(&self, searcher: &Searcher, usual: f64) -> f64 {
         let (distance, moves) = match self.criteria.source {
@@ -288,7 +294,7 @@
     }
 }
 
-/// The lowest score so far; between equal ones luck decides.
+/// The lowest score so far; between equal ones the tie-breaker decides.
 #[derive(Debug)]
 struct Best {
     score: f64,
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -1,4 +1,8 @@
 //! What this proxy knows of one service: its searchers by stage, and what its requests usually take.
+//!
+//! Owned by `RequestRouter`. Holds the state of the service's other decisions (prefix cache index,
+//! retry budget, admission control, KV transfers) and feeds them with outcomes. Invariants: a group has the ready searchers
+//! of its stage and no other; the slot of a searcher is reused only once it is neither listed nor has a send in flight.
 
 use std::collections::{HashMap, HashSet};
 
@@ -15,7 +19,7 @@
 use super::service_time::ServiceTimeModel;
 use super::types::{Micros, Purpose, SearcherId, SendOutcome};
 
-/// The means of a stage's searchers are worked out anew after this time at the latest, if anything was heard.
+/// The means of a stage's searchers are worked out anew after this time at the latest, if anything has changed.
 const MAX_PEER_STATISTICS_AGE: Micros = 20_000;
 
 /// Groups of up to so many searchers always use fresh means.
@@ -35,7 +39,7 @@
 }
 
 impl Group {
-    /// The homes of a prompt by its shared parts, first and second: the highest by rendezvous hashing, those of
+    /// The affinity targets of a prompt by its shared parts, first and second: the highest by rendezvous hashing, those of
     /// the zone `near` before all others. All proxies that know the same candidates find the same ones, and one
     /// that leaves moves only its own.
     pub fn affinity_targets(&self, prefix: PrefixHash, near: Option<Locality>) -> [Option<SearcherId>; 2] {
@@ -56,7 +60,7 @@
     }
 }
 
-/// The weight of a searcher as a home. Both values are hashes, so that little mixing will do.
+/// The weight of a searcher as an affinity target (rendezvous hashing, Thaler and Ravishankar, 1998). Both values are hashes, so that little mixing will do.
 fn rendezvous(prefix: PrefixHash, searcher: u64) -> u64 {
     let both = prefix ^ searcher;
     (both ^ (both >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93)
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Lets a searcher's place be used again once it is neither listed nor owes an outcome.
+    /// Lets a searcher's slot be used again once it is neither listed nor owes an outcome.
     pub fn reuse(&mut self, id: SearcherId) {
         let searcher = &self.searchers[id as usize];
         let listed = self.by_identifier.get(&searcher.instance.identifier) == Some(&id);
@@ -276,7 +280,7 @@
         }
     }
 
-    /// Notes whether a decode searcher took a request, and with it a handle: see [`super::kv_transfer`].
+    /// Records whether a decode searcher took a request, and with it a handle: see [`super::kv_transfer`].
     fn learn_acceptance(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome) {
         let taken = match outcome {
             SendOutcome::FirstEvent | SendOutcome::Answered => true,
@@ -305,20 +309,20 @@
         }
     }
 
-    /// Whether a rejected hand-over failed rather for its handle than for a full decode searcher: the handles of its
+    /// Whether a rejected transfer failed rather for its handle than for a full decode searcher: the handles of its
     /// holder were taken no more often lately than the sends to that searcher.
     pub fn seems_gone(&self, now: Micros, record: &SendRecord) -> bool {
         let Some(holder) = record.holder.filter(|holder| self.is_listed(*holder)) else { return true };
         self.searcher(holder.searcher).acceptance(now) <= self.searcher(record.searcher).acceptance(now)
     }
 
-    /// Whether that life of a searcher still is a reader for others.
+    /// Whether that incarnation of a searcher still prefills for others.
     fn is_listed(&self, holder: Incarnation) -> bool {
         let is_there = self.searcher(holder.searcher).hash == holder.hash;
         is_there && self.group_of(holder.searcher) == Some(GroupKind::Prefill)
     }
 
-    /// Feeds an answer, or that a request was given up while nothing was heard of it.
+    /// Feeds an answer, or that a request was abandoned without a response.
     fn feed_admission_control(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome) {
         let progress = &record.progress;
         let elapsed = now.saturating_sub(progress.admitted);
--- a/crates/lockusher-proxy/src/decision/service_time.rs
+++ b/crates/lockusher-proxy/src/decision/service_time.rs
@@ -1,4 +1,8 @@
-//! How long requests of one purpose usually take, by the tokens that they must read or move.
+//! How long requests of one purpose usually take, by the tokens that they must prefill or transfer.
+//!
+//! An exponentially weighted ridge regression of the measured times over the tokens, so that latency tells of a searcher's
+//! speed and not of prompts' lengths. One for each purpose, owned by `Service` and fed with good
+//! answers alone. Invariant: both the fixed part and the time for each token are at least 0.
 
 /// The newest sample weighs at least one in so many: the load of a service changes within tens of seconds.
 const SAMPLE_MEMORY: f64 = 256.0;
--- a/crates/lockusher-proxy/src/decision/split.rs
+++ b/crates/lockusher-proxy/src/decision/split.rs
@@ -1,20 +1,22 @@
-//! Whether handing a prompt's KV cache over is cheaper than reading the prompt where the tokens are made.
+//! Whether to split prefill and decode: whether transferring a prompt's KV cache is cheaper than prefilling the prompt at
+//! the decode searcher.
 //!
-//! Waits play a part for short prompts only, and only while decode searchers have time. Where waits at prefill searchers
-//! are long, the stages of searchers follow the load; long prompts that evade them to decode searchers take several times
-//! as much of a searcher there and keep it from making tokens.
+//! Called by `RequestRouter::split`, without state. Waits play a part for short prompts only,
+//! and only while decode searchers have time. Where waits at prefill searchers are long, the stages of searchers follow the
+//! load; long prompts that evade them to decode searchers take several times as much of a searcher there and keep it from
+//! making tokens. `tests/decision_locality.rs` has a test for each side.
 
 use super::selection::SelectedSearcher;
 use super::service::Service;
 use super::types::{Micros, Purpose};
 
-/// The pages say that a decode searcher reads at half the pace.
+/// A decode searcher prefills at half the pace, as the operators state.
 const DECODE_PREFILL_SLOWDOWN: f64 = 2.0;
 
-/// Reading in place keeps the other requests of the batch waiting: its reading time counts so many times more.
+/// Prefill in place keeps the other requests of the batch waiting: its time counts so many times more.
 const INTERFERENCE: f64 = 10.0;
 
-/// A prompt is short if reading it in place takes at most this share of its target latency.
+/// A prompt is short if its prefill in place takes at most this share of its target latency.
 const SHORT_PREFILL_SHARE: f64 = 0.1;
 
 /// The wait at prefill searchers is long if the best is expected to take this share of the target latency.
@@ -24,7 +26,7 @@
 /// bound, short prompts clogged them under lasting load (measured: a day's score fell from 0.62 to below 0.2).
 const IDLE_DECODE_SHARE: f64 = 0.25;
 
-/// What is known of a request whose prompt may be read in either place.
+/// The best searchers of a request whose prompt may be prefilled in either stage.
 #[derive(Clone, Copy, Debug)]
 pub struct SplitCandidates<'a> {
     /// All tokens of the prompt.
@@ -37,8 +39,8 @@
     pub whole: &'a SelectedSearcher,
 }
 
-/// Whether a prefill searcher reads the prompt, and a decode searcher fetches it. In place is cheaper where reading what
-/// isn't held there takes less than one more call and moving the whole prompt. Before reads and hand-overs were measured
+/// Whether a prefill searcher reads the prompt, and a decode searcher fetches it. In place is cheaper where the prefill of
+/// what isn't cached there takes less than one more call and transferring all of the prompt. Before both were measured
 /// they are chosen, as nothing is known against them.
 pub fn is_split_cheaper(service: &Service, choice: &SplitCandidates) -> bool {
     let (prefills, transfers) =
--- a/crates/lockusher-proxy/src/decision/trace.rs
+++ b/crates/lockusher-proxy/src/decision/trace.rs
@@ -1,6 +1,7 @@
 //! The decision trace: one line of the log for each send, at the level `debug`, which is off by default.
 //!
-//! `lockusher-router-testbed decisions` makes a table of these lines.
+//! Written by `RequestRouter`. `lockusher-router-testbed decisions` makes a table of these lines, so
+//! their form stays.
 
 use super::plan::SendRecord;
 use super::types::{MICROS_PER_MS, Micros, SendOutcome};
--- a/crates/lockusher-proxy/src/decision/types.rs
+++ b/crates/lockusher-proxy/src/decision/types.rs
@@ -1,4 +1,4 @@
-//! The values that all parts of the decisions speak of.
+//! The values that all modules of the decisions share: time, identities, purposes and outcomes of sends.
 
 /// A moment on a steady clock, in microseconds since any fixed start.
 pub type Micros = u64;
