--- a/crates/lockusher-control/src/acceptor.rs
+++ b/crates/lockusher-control/src/acceptor.rs
@@ -1,10 +1,13 @@
-//! The voter's side of the agreement on the successor of one epoch.
+//! The acceptor of the agreement on the successor of one epoch: single-decree Paxos (Lamport, "Paxos Made Simple").
+//!
+//! Owned by the replica and reset with each installed view. Invariant: `promised` never decreases within an epoch, and
+//! no view is accepted under a lower number. The replica answers only after the records of a change are durable.
 
 use crate::durable_record::DurableRecord;
 use crate::proposal::{AcceptedView, ProposalNumber};
 use crate::view::View;
 
-/// What this voter has promised and accepted in its present epoch.
+/// What this voter has promised and accepted in its present epoch, and whether it has sealed it.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct AcceptorState {
     /// No proposal number below this one is accepted.
@@ -18,7 +21,11 @@
 }
 
 impl AcceptorState {
-    /// Promises the proposal number, or says which higher one was promised.
+    /// Phase 1b: promises to accept no lower number.
+    ///
+    /// # Errors
+    ///
+    /// The higher number promised before.
     pub fn prepare(&mut self, proposal_number: ProposalNumber) -> Result<(), ProposalNumber> {
         if proposal_number < self.promised {
             return Err(self.promised);
@@ -27,7 +34,11 @@
         Ok(())
     }
 
-    /// Accepts the view, or says which higher proposal number was promised.
+    /// Phase 2b: accepts the view.
+    ///
+    /// # Errors
+    ///
+    /// The higher number promised before.
     pub fn accept(&mut self, proposal_number: ProposalNumber, view: View) -> Result<(), ProposalNumber> {
         self.prepare(proposal_number)?;
         self.accepted = Some(AcceptedView { proposal_number, view });
@@ -38,10 +49,10 @@
     pub fn recover(&mut self, record: &DurableRecord) {
         match record {
             DurableRecord::Promise { proposal_number, .. } => {
-                self.promised = self.promised.max(*proposal_number)
+                self.promised = self.promised.max(*proposal_number);
             }
             DurableRecord::Accept { proposal_number, view, .. } => {
-                self.recover_accepted(*proposal_number, view)
+                self.recover_accepted(*proposal_number, view);
             }
             DurableRecord::Seal { .. } => {
                 self.sealed = true;
@@ -58,7 +69,7 @@
         }
     }
 
-    /// Records from which [`AcceptorState::recover`] restores these votes.
+    /// Records from which [`AcceptorState::recover`] restores this state.
     pub fn records(&self, epoch: u64) -> Vec<DurableRecord> {
         let mut records = vec![DurableRecord::Promise { epoch, proposal_number: self.promised }];
         if let Some(AcceptedView { proposal_number, view }) = &self.accepted {
--- a/crates/lockusher-control/src/acceptor_log.rs
+++ b/crates/lockusher-control/src/acceptor_log.rs
@@ -1,4 +1,7 @@
-//! Writes of votes and views that are under way, and what waits for them.
+//! Writes of the acceptor's records and of views that aren't durable yet, and what waits for them.
+//!
+//! Owned by the replica. Invariant: what waits is released in the order of the writes, and only once that write and all
+//! before it are durable; a refused write is repeated until the disk takes it.
 
 use std::{collections::VecDeque, net::SocketAddrV4};
 
@@ -9,12 +12,26 @@
 /// What is done once a write, and all before it, are durable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AfterAcceptorWrite {
-    Send { to: SocketAddrV4, message: Message },
-    ViewDurable { epoch: u64 },
-    SealDurable { epoch: u64 },
+    /// Send a message that reports what the write stored.
+    Send {
+        /// The receiver.
+        to: SocketAddrV4,
+        /// The message.
+        message: Message,
+    },
+    /// Act in a view.
+    ViewDurable {
+        /// Epoch of the view.
+        epoch: u64,
+    },
+    /// Hand over the sealed state.
+    SealDurable {
+        /// The sealed epoch.
+        epoch: u64,
+    },
 }
 
-/// Writes in their order. A refused one is written again; what waits is released in order only.
+/// The writes that aren't durable yet, and those that wait for an earlier one, in their order.
 #[derive(Debug, Default)]
 pub struct AcceptorLog {
     writes: VecDeque<AcceptorWrite>,
@@ -26,7 +43,7 @@
     records: Vec<DurableRecord>,
     progress: Progress,
     requested_at: Millis,
-    /// Was refused at least once.
+    /// Whether the disk refused it at least once.
     was_refused: bool,
     after_write: Vec<AfterAcceptorWrite>,
 }
@@ -39,7 +56,7 @@
 }
 
 impl AcceptorLog {
-    /// Notes a write that was asked for.
+    /// Adds a write that the driver was asked for.
     pub fn push(
         &mut self,
         ticket: PersistTicket,
@@ -57,7 +74,7 @@
         });
     }
 
-    /// Lets this wait for all writes under way; gives it back if there is none.
+    /// Defers this until all writes so far are durable; returns it if there is none.
     pub fn defer(&mut self, after_write: AfterAcceptorWrite) -> Option<AfterAcceptorWrite> {
         let Some(last) = self.writes.back_mut() else { return Some(after_write) };
         if !last.after_write.contains(&after_write) {
@@ -79,7 +96,7 @@
         Some(released)
     }
 
-    /// A write was refused. Whether the ticket is of this log.
+    /// A write was refused. Returns whether the ticket is of this log.
     pub fn on_refused(&mut self, ticket: PersistTicket, now: Millis) -> bool {
         let Some(write) = self.writes.iter_mut().find(|write| write.ticket == ticket) else { return false };
         write.progress = Progress::Refused { at: now };
--- a/crates/lockusher-control/src/document.rs
+++ b/crates/lockusher-control/src/document.rs
@@ -1,4 +1,6 @@
-//! Configuration documents and their digests.
+//! Configuration documents as the operator sent them, and the digests that identify them.
+//!
+//! The content is opaque here: the operator's API validates it before it becomes a document.
 
 use std::sync::Arc;
 
--- a/crates/lockusher-control/src/durable_state.rs
+++ b/crates/lockusher-control/src/durable_state.rs
@@ -1,4 +1,7 @@
-//! The replicated state that this node holds, and the one write of it that is under way.
+//! This node's durable copy of the replicated state, and the one write of it that may be in flight.
+//!
+//! Owned by the replica. Invariant: `state` at `position` is on disk; a pending write counts only once the driver has
+//! reported it durable, and a refused one is dropped.
 
 use std::net::SocketAddrV4;
 
@@ -9,46 +12,67 @@
 use crate::state::{HistoryDigest, ReplicatedState};
 use crate::time::Millis;
 
-/// The durable state. One write at a time is under way; it counts once it is durable.
+/// The durable state. At most one write is in flight; it counts once it is durable.
 #[derive(Clone, Debug, Default)]
 pub struct DurableState {
     /// Where the durable state stands.
     pub position: Position,
+    /// The durable state.
     pub state: ReplicatedState,
+    /// The write in flight.
     pub pending: Option<PendingWrite>,
 }
 
 /// A write of the state that isn't durable yet.
 #[derive(Clone, Debug)]
 pub struct PendingWrite {
+    /// Ticket that its outcome will name.
     pub ticket: PersistTicket,
+    /// When the driver was asked for it.
     pub requested_at: Millis,
-    /// View in which it was asked for; what follows is done in this one only.
+    /// Epoch in which it was asked for; what follows is done in this one only.
     pub epoch: u64,
+    /// Position of the state once it is durable.
     pub position: Position,
+    /// The state once it is durable.
     pub state: ReplicatedState,
+    /// What is done then.
     pub after_write: AfterWrite,
 }
 
 /// What is done once the state is durable.
 #[derive(Clone, Debug)]
 pub enum AfterWrite {
-    /// As head: send it down the chain.
+    /// As head: send the entry to the successor.
     SendToSuccessor,
-    /// As a member of the chain: pass the entry on, or answer.
-    ForwardAppend { index: u64, previous: HistoryDigest, document: ConfigurationDocument, relay: bool },
+    /// As a member of the chain: forward the append, or answer it.
+    ForwardAppend {
+        /// Index of the entry.
+        index: u64,
+        /// History digest of the state that it follows.
+        previous: HistoryDigest,
+        /// The entry's configuration.
+        document: ConfigurationDocument,
+        /// Whether it goes on to the successor.
+        relay: bool,
+    },
     /// Answer a transfer.
-    RespondToTransfer { to: SocketAddrV4, purpose: TransferPurpose },
+    RespondToTransfer {
+        /// Where the transfer came from.
+        to: SocketAddrV4,
+        /// Purpose of the transfer.
+        purpose: TransferPurpose,
+    },
     /// Nothing: the write showed only that the disk works.
     Nothing,
 }
 
-/// What a transfer asks of the state held.
+/// How a transfer relates to the durable state.
 #[derive(Clone, Debug)]
 pub enum TransferOutcome {
     /// The receiver lacks what the transfer builds on.
     MissingBase,
-    /// The same state is held already.
+    /// The same state is stored already.
     AlreadyStored,
     /// To be written: the record, and the state after it.
     Write(Box<DurableRecord>, ReplicatedState),
@@ -84,7 +108,7 @@
         }
     }
 
-    /// How a transfer relates to the state held.
+    /// How a transfer relates to the durable state.
     pub fn classify_transfer(&self, transfer: &Transfer) -> TransferOutcome {
         let position = transfer.position;
         if self.state.history_digest() == transfer.history_digest {
--- a/crates/lockusher-control/src/envelope.rs
+++ b/crates/lockusher-control/src/envelope.rs
@@ -1,4 +1,7 @@
-//! The form of messages between control nodes on the wire.
+//! The form of messages between control nodes on the wire: a protocol number, then the encoded [`Message`].
+//!
+//! The driver's peer links frame and send it; a node refuses what another protocol number precedes, so that releases
+//! with different encodings can't misread one another.
 
 use derive_more::{Display, Error, From};
 
@@ -10,17 +13,28 @@
 /// A message as it goes on the wire.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
+    /// Number of the protocol that the message is encoded by.
     pub protocol: u16,
+    /// The message.
     pub message: Message,
 }
 
 /// Why received bytes aren't a message.
 #[derive(Debug, Display, Error, From)]
 pub enum EnvelopeError {
+    /// There are too few bytes for a protocol number.
     #[display("message of {length} bytes has no protocol number")]
-    Short { length: usize },
+    Short {
+        /// Bytes received.
+        length: usize,
+    },
+    /// The sender speaks another protocol.
     #[display("unknown protocol number {protocol}")]
-    UnknownProtocol { protocol: u16 },
+    UnknownProtocol {
+        /// The number received.
+        protocol: u16,
+    },
+    /// The bytes after the protocol number aren't an encoded message.
     #[display("unreadable message: {_0}")]
     Unreadable(bitcode::Error),
 }
@@ -39,6 +53,10 @@
     }
 
     /// Reads what [`Envelope::encode`] wrote. The protocol number is checked before anything else is read.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are too few, of another protocol, or no message.
     pub fn decode(bytes: &[u8]) -> Result<Self, EnvelopeError> {
         let Some((number, rest)) = bytes.split_first_chunk::<2>() else {
             return Err(EnvelopeError::Short { length: bytes.len() });
--- a/crates/lockusher-control/src/failure_detector.rs
+++ b/crates/lockusher-control/src/failure_detector.rs
@@ -1,4 +1,9 @@
-//! What this node has heard from the others, and whom it can reach.
+//! Failure detection by heartbeats: what this node has received from the others, and whom it can reach.
+//!
+//! Owned by the replica, which reports every message and each tick. A peer counts as reachable while heartbeats show
+//! contact in both directions within the suspicion timeout; after a start or a halt of this node's own process everybody
+//! counts as reachable for a grace period, since a missing message says nothing then. The detector only decides when a
+//! view change is attempted: safety doesn't rest on it.
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
@@ -9,14 +14,15 @@
 use crate::timing::Timing;
 use crate::view::Identity;
 
-/// Most nodes remembered; the silent ones make room first.
+/// Most peers remembered; the one that was silent for longest is evicted first.
 const MAX_PEERS: usize = 32;
 
 /// What is known about one address.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Who spoke from there last.
+    /// Identity of the newest sender at this address.
     pub identity: Identity,
+    /// When a message last came from it.
     pub last_received_at: Millis,
     /// When a heartbeat last showed that the peer receives from this node.
     pub last_bidirectional_at: Option<Millis>,
@@ -24,22 +30,27 @@
     pub reachable_since: Option<Millis>,
     /// Epoch of the newest view that the peer knows.
     pub epoch: u64,
+    /// Health by its newest heartbeat.
     pub health: Health,
+    /// Position of its durable state by its newest heartbeat.
     pub position: Position,
+    /// History digest of that state; `None` before the first heartbeat.
     pub history_digest: Option<HistoryDigest>,
     /// Version that the peer knows committed.
     pub committed_version: u64,
+    /// When a view was last sent to it.
     view_sent_at: Option<Millis>,
+    /// When it last failed to answer as a joiner.
     join_failed_at: Option<Millis>,
 }
 
-/// All nodes that were heard, by address.
+/// All nodes from which messages came, by address.
 #[derive(Debug, Default)]
 pub struct Peers {
     peers: BTreeMap<SocketAddrV4, Peer>,
     /// Until then every node that isn't known to be somebody else counts as reachable.
     grace_until: Millis,
-    /// Start of the observation: silence is counted from there at the earliest.
+    /// Start of the observation: inactivity is counted from there at the earliest.
     observing_since: Millis,
 }
 
@@ -49,13 +60,13 @@
         Self { peers: BTreeMap::new(), grace_until: now + grace, observing_since: now }
     }
 
-    /// This node didn't run for a while: what it hasn't heard says nothing.
+    /// This node didn't run for a while: that messages are missing says nothing.
     pub fn restart_observation(&mut self, now: Millis, grace: Millis) {
         self.grace_until = self.grace_until.max(now + grace);
         self.observing_since = now;
     }
 
-    /// Notes that a message came.
+    /// A message came.
     pub fn on_message_received(&mut self, from: SocketAddrV4, identity: Identity, epoch: u64, now: Millis) {
         let peer = self.peers.entry(from).or_insert_with(|| Peer::new(identity, now));
         if peer.identity != identity {
@@ -66,7 +77,7 @@
         self.evict_oldest();
     }
 
-    /// Notes what a heartbeat says.
+    /// A heartbeat came, after [`Peers::on_message_received`].
     pub fn on_heartbeat(&mut self, from: SocketAddrV4, heartbeat: &Heartbeat, me: Identity, now: Millis) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
         peer.health = heartbeat.health;
@@ -90,7 +101,7 @@
         }
     }
 
-    /// Ends the reachable time of those that fell silent, and forgets old ones that needn't be kept.
+    /// Ends the reachable time of those that fell silent, and evicts old ones unless `keep` holds.
     pub fn expire(&mut self, timing: &Timing, now: Millis, keep: impl Fn(SocketAddrV4) -> bool) {
         self.peers.retain(|address, peer| now - peer.last_received_at < timing.peer_expiry || keep(*address));
         for peer in self.peers.values_mut() {
@@ -105,7 +116,7 @@
         self.peers.get(&address)
     }
 
-    /// All addresses heard.
+    /// All peers, by address.
     pub fn iter(&self) -> impl Iterator<Item = (SocketAddrV4, &Peer)> {
         self.peers.iter().map(|(address, peer)| (*address, peer))
     }
@@ -148,7 +159,7 @@
         }
     }
 
-    /// Identities heard lately, for the heartbeat.
+    /// Identities from which messages came recently, for the heartbeat.
     pub fn recent_senders(&self, timing: &Timing, now: Millis) -> Vec<Identity> {
         let is_recent =
             |peer: &&Peer| now - peer.last_received_at < timing.suspicion_timeout - timing.heartbeat_interval;
@@ -166,7 +177,7 @@
         true
     }
 
-    /// Notes that a node didn't answer as a joiner.
+    /// A node didn't answer as a joiner in time.
     pub fn on_join_failed(&mut self, address: SocketAddrV4, now: Millis) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.join_failed_at = Some(now);
--- a/crates/lockusher-control/src/proposer.rs
+++ b/crates/lockusher-control/src/proposer.rs
@@ -1,4 +1,8 @@
-//! The proposer's side of the agreement on the successor of one epoch: one attempt under one proposal number.
+//! The proposer of the agreement on the successor of one epoch: one attempt under one proposal number.
+//!
+//! Single-decree Paxos (Lamport, "Paxos Made Simple"). Owned by the replica's view proposal, which sends the messages.
+//! Invariant: once a majority has responded to the prepare, the view to accept is the one accepted under the highest
+//! number among the responses, if any.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,14 +12,17 @@
 /// One attempt. Messages of other proposal numbers are ignored; answers may come twice and in any order.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Proposer {
+    /// Number of all messages of this attempt.
     proposal_number: ProposalNumber,
     /// View that is proposed unless a voter has accepted another one.
     preferred_view: View,
     /// Number of voters whose responses make a majority.
     majority: usize,
+    /// Responses to the prepare, by voter, each with the view accepted before.
     prepare_responses: BTreeMap<Identity, Option<AcceptedView>>,
     /// View that the voters are asked to accept, once a majority has promised.
     proposed: Option<View>,
+    /// Voters that have accepted `proposed`.
     accept_responses: BTreeSet<Identity>,
 }
 
--- a/crates/lockusher-control/src/replica/appends.rs
+++ b/crates/lockusher-control/src/replica/appends.rs
@@ -1,4 +1,6 @@
-//! Entries received as a member of the chain.
+//! Entries received as a member of the chain, and acknowledgements on their way back to the head.
+//!
+//! Invariant: an entry is stored only on top of the state that it follows, and forwarded or answered only once it is durable.
 
 use std::net::SocketAddrV4;
 
--- a/crates/lockusher-control/src/replica/change_planning.rs
+++ b/crates/lockusher-control/src/replica/change_planning.rs
@@ -1,4 +1,7 @@
-//! Whether a view change is due, and which: from what this node knows of the others.
+//! Which view change is due, from what this node observes of the others, and whose turn it is to propose it.
+//!
+//! Collects the context for `view_change::plan_view_change`. Ranks among the healthy voters, which all of them compute
+//! alike, make it unlikely that two propose at once.
 
 use std::collections::BTreeSet;
 
--- a/crates/lockusher-control/src/replica/commit.rs
+++ b/crates/lockusher-control/src/replica/commit.rs
@@ -1,4 +1,7 @@
-//! What is known to be committed.
+//! What is known to be committed, at the head and at the other nodes.
+//!
+//! Invariant: a state is taken for committed only if every member of the chain has stored it; the versions reported to the
+//! driver only rise.
 
 use super::bug_injection::bug_injected;
 use super::effect::Effect;
@@ -28,13 +31,13 @@
         open.then_some(&head.base)
     }
 
-    /// Whether the epoch may be ended in order to take in others.
+    /// Whether the epoch may be ended in order to add members.
     pub(super) fn may_add_members(&self) -> bool {
         self.head.as_ref().is_some_and(|head| head.established) && !self.shutting_down
     }
 
-    /// The head says what is committed. A member that was restarted holds that state, too, though its disk tells only where
-    /// it stood when the state was written.
+    /// The head announces what is committed. A member that was restarted may have that state, too, though its disk says
+    /// only where it stood when the state was written.
     pub(super) fn on_committed(&mut self, sender: Identity, index: u64, history_digest: HistoryDigest) {
         let same = self.durable_state.pending.is_none()
             && self.durable_state.state.history_digest() == history_digest;
@@ -50,7 +53,7 @@
         }
     }
 
-    /// What the head lets others learn is committed, whether it can be written here or not.
+    /// What the head transfers to learners is committed, whether it can be written here or not.
     pub(super) fn record_learned_commit(&mut self, transfer: &Transfer) {
         let document = match &transfer.payload {
             Payload::Empty => None,
@@ -62,7 +65,7 @@
         }
     }
 
-    /// All that this node holds is known to be committed.
+    /// The whole durable state of this node is known to be committed.
     pub(super) fn mark_durable_state_committed(&mut self) {
         self.known_committed = self.durable_state.position;
         if let Some(document) = self.durable_state.state.document().cloned() {
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -1,4 +1,8 @@
 //! Confirmation that the head's epoch is the newest: refusals and reads wait for it.
+//!
+//! The idea is that of Raft's read index (Ongaro, dissertation, section 6.4): a majority that confirms the epoch after a
+//! request came shows that no newer head had committed anything by then. A request waits for a confirmation that starts after
+//! its arrival. Invariant: a voter that has accepted a successor view confirms no more.
 
 use std::net::SocketAddrV4;
 
@@ -22,7 +26,7 @@
         self.head.as_ref().is_some_and(|head| head.confirmation.last_completed >= sequence)
     }
 
-    /// Starts the confirmation with this sequence number, unless an earlier one is under way or it has been started.
+    /// Starts the confirmation with this sequence number, unless an earlier one is in progress or it has been started.
     pub(super) fn request_confirmation(&mut self, sequence: u64) {
         let Some(head) = &mut self.head else { return };
         let confirmation = &mut head.confirmation;
--- a/crates/lockusher-control/src/replica/counters.rs
+++ b/crates/lockusher-control/src/replica/counters.rs
@@ -1,15 +1,15 @@
-//! What a replica counts.
+//! Counters of a replica, for the status page and the metrics.
 
-/// Counts since the start, for the status page.
+/// Counts since the start of the process.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counters {
-    /// Views adopted.
+    /// Views installed.
     pub views_adopted: u64,
     /// Attempts to agree on a view.
     pub proposals: u64,
     /// Configurations committed while head.
     pub commits: u64,
-    /// States sent whole to another replica.
+    /// Full snapshots sent to another replica.
     pub full_snapshots_sent: u64,
     /// States received that replaced a differing one.
     pub repairs: u64,
--- a/crates/lockusher-control/src/replica/dispatch.rs
+++ b/crates/lockusher-control/src/replica/dispatch.rs
@@ -1,4 +1,7 @@
-//! Dispatch of received messages, by epoch and kind.
+//! Dispatch of received messages by epoch and kind.
+//!
+//! Invariant: messages of the agreement and of replication have an effect in their own epoch only. A sender of an older
+//! epoch is sent the newest view.
 
 use std::net::SocketAddrV4;
 
@@ -32,11 +35,11 @@
         match body {
             MessageBody::Prepare { proposal_number } => self.on_prepare(from, proposal_number),
             MessageBody::PrepareResponse { proposal_number, accepted } => {
-                self.on_prepare_response(sender, proposal_number, accepted)
+                self.on_prepare_response(sender, proposal_number, accepted);
             }
             MessageBody::Accept { proposal_number, view } => self.on_accept(from, proposal_number, view),
             MessageBody::AcceptResponse { proposal_number } => {
-                self.on_accept_response(sender, proposal_number)
+                self.on_accept_response(sender, proposal_number);
             }
             MessageBody::ProposalRejected { promised } => self.on_proposal_rejected(promised),
             MessageBody::Transfer(transfer) => self.on_transfer(from, sender, transfer),
@@ -48,7 +51,7 @@
             MessageBody::AppendStored { index } => self.on_append_stored(sender, index),
             MessageBody::AppendRejected { index } => self.on_append_rejected(sender, index),
             MessageBody::Committed { index, history_digest } => {
-                self.on_committed(sender, index, history_digest)
+                self.on_committed(sender, index, history_digest);
             }
             MessageBody::ConfirmEpoch { sequence } => self.on_confirm_epoch(from, sender, sequence),
             MessageBody::EpochConfirmed { sequence, position, history_digest } => {
@@ -62,7 +65,8 @@
         }
     }
 
-    /// Tells a sender of an older epoch the newest view, and one of a newer epoch that it is newer.
+    /// Sends the newest view to a sender of an older epoch, and a heartbeat to one of a newer epoch, which answers with its
+    /// view.
     fn exchange_views(&mut self, from: SocketAddrV4, epoch: u64, body: &MessageBody) {
         if epoch == self.epoch() || matches!(body, MessageBody::NewView(_)) {
             return;
--- a/crates/lockusher-control/src/replica/event.rs
+++ b/crates/lockusher-control/src/replica/event.rs
@@ -6,17 +6,33 @@
 use crate::message::Message;
 use crate::request::{Request, RequestTicket};
 
-/// What happens to a replica.
+/// What happens to a replica. [`Replica::handle`](super::Replica::handle) takes it with the time.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A message came; `from` is the sender's internal listener.
-    Message { from: SocketAddrV4, message: Message },
+    /// A message came.
+    Message {
+        /// The sender's internal listener.
+        from: SocketAddrV4,
+        /// The message.
+        message: Message,
+    },
     /// The records of this ticket are durable.
-    Persisted { ticket: PersistTicket },
+    Persisted {
+        /// Ticket of the [`Effect::Persist`](super::Effect::Persist).
+        ticket: PersistTicket,
+    },
     /// The records of this ticket were refused by the disk; none of them counts.
-    PersistFailed { ticket: PersistTicket },
+    PersistFailed {
+        /// Ticket of the [`Effect::Persist`](super::Effect::Persist).
+        ticket: PersistTicket,
+    },
     /// The operator asks for something.
-    Request { ticket: RequestTicket, request: Request },
+    Request {
+        /// Names the request until it is answered.
+        ticket: RequestTicket,
+        /// The request.
+        request: Request,
+    },
     /// Comes about every 50 ms.
     Tick,
     /// The process will end soon: hand over.
--- a/crates/lockusher-control/src/replica/forwarding.rs
+++ b/crates/lockusher-control/src/replica/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests at the node that was asked: forwarded to the head until it answers.
+//! Requests at the node that was asked: forwarded to the head, and retransmitted, until it replies or the deadline passes.
 
 use super::effect::Effect;
 use super::request_queue::{MAX_REQUESTS, PendingRequest};
--- a/crates/lockusher-control/src/replica/heartbeats.rs
+++ b/crates/lockusher-control/src/replica/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: sent at intervals, and what received ones say.
+//! Heartbeats: sent to all known nodes at intervals, and what received ones report.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
--- a/crates/lockusher-control/src/replica/joining.rs
+++ b/crates/lockusher-control/src/replica/joining.rs
@@ -1,4 +1,7 @@
-//! Sealing of the epoch, and transfer of the sealed state to nodes that join the next chain.
+//! Sealing of the epoch, and the transfer of the sealed state to nodes that join the next chain.
+//!
+//! Invariant: a joiner is given a member's state only after that member has durably sealed the epoch and has no write in
+//! flight, so that no entry can be committed that the joiner lacks.
 
 use std::net::SocketAddrV4;
 
@@ -25,7 +28,7 @@
         );
     }
 
-    /// Goes on once the sealed state can't change any more.
+    /// Starts the transfer to the joiners once the sealed state can't change any more.
     pub(super) fn start_joining_once_sealed(&mut self) {
         let sealing = self.proposal.as_ref().is_some_and(|proposal| proposal.phase == Phase::Sealing);
         let sealed = self.acceptor.seal_durable || bug_injected!(self.bug_injection, SealNotAwaited);
@@ -58,7 +61,7 @@
         self.send(to, MessageBody::Transfer(transfer));
     }
 
-    /// A joiner holds the sealed state, or wants it whole.
+    /// A joiner has stored the sealed state, or needs a full snapshot.
     pub(super) fn on_join_response(&mut self, from: SocketAddrV4, joiner: Identity, stored: bool) {
         let sealed = self.acceptor.seal_durable || bug_injected!(self.bug_injection, SealNotAwaited);
         if !sealed || self.durable_state.pending.is_some() {
--- a/crates/lockusher-control/src/replica/learners.rs
+++ b/crates/lockusher-control/src/replica/learners.rs
@@ -1,4 +1,4 @@
-//! Distribution of the committed state, to the chain and to nodes outside of it.
+//! Distribution of the committed state: announced to the chain, transferred to nodes outside of it (learners).
 
 use std::net::SocketAddrV4;
 
@@ -7,7 +7,7 @@
 use crate::state::HistoryDigest;
 
 impl Replica {
-    /// Tells all nodes what is committed; those outside of the chain get it with the news.
+    /// Announces what is committed to the chain, and transfers it to the reachable nodes outside of it.
     pub(super) fn announce_committed(&mut self) {
         let (Some(head), Some(view)) = (&self.head, &self.view) else { return };
         let (index, history_digest) = (head.index, head.base.history_digest());
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Brings a node outside of the chain up to date. One whose disk is in trouble gets each configuration once
-    /// only, to hand it on.
+    /// Brings a node outside of the chain up to date. One with a faulty disk is sent each configuration once only, so that
+    /// it can distribute it to its agents.
     pub(super) fn update_learner(&mut self, to: SocketAddrV4, heartbeat: &Heartbeat, lags: bool) {
         let Some(head) = &self.head else { return };
         if heartbeat.health != Health::DiskFault {
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! This node's place in the newest view, and its contact with the voters.
+//! This node's place in the newest view, and its contact with the voters of it.
 
 use std::net::SocketAddrV4;
 
@@ -31,14 +31,14 @@
         2 * self.setup.tolerated_losses as usize + 1
     }
 
-    /// Whether fresh heartbeats show that a majority of the voters is in touch with this node.
+    /// Whether recent heartbeats show contact with a majority of the voters, in both directions.
     pub(super) fn has_confirmed_quorum(&self) -> bool {
         self.count_voters(|address, identity| {
             self.peers.is_confirmed(address, identity, &self.timing, self.now)
         })
     }
 
-    /// The same, but with the benefit of the doubt after a start.
+    /// The same, but everybody counts as reachable for a grace period after a start.
     pub(super) fn has_reachable_quorum(&self) -> bool {
         self.count_voters(|address, identity| {
             self.peers.is_reachable(address, identity, &self.timing, self.now)
--- a/crates/lockusher-control/src/replica/persistence.rs
+++ b/crates/lockusher-control/src/replica/persistence.rs
@@ -1,4 +1,7 @@
 //! Writes to the disk: what is asked for, and what follows when they are durable or refused.
+//!
+//! Records of the agreement go through `acceptor_log` and are retried until they are durable; of the replicated state one
+//! write at a time is in flight, and a refused one ends the node's service as head.
 
 use super::effect::Effect;
 use super::state_machine::Replica;
@@ -25,7 +28,7 @@
         self.effects.push(Effect::Persist { ticket, records });
     }
 
-    /// Writes the replicated state. The caller has checked that no such write is under way.
+    /// Writes the replicated state. The caller has checked that no such write is in flight.
     pub(super) fn persist_state(
         &mut self,
         record: DurableRecord,
--- a/crates/lockusher-control/src/replica/progress.rs
+++ b/crates/lockusher-control/src/replica/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of the other nodes, as the head sees it by their heartbeats.
+//! Progress of the other nodes, as the head observes it by their heartbeats, and members that lag.
 
 use std::net::SocketAddrV4;
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether a member keeps the chain waiting for too long.
+    /// Whether a member has delayed the chain for too long, so that it should be left out of the next view.
     pub(super) fn is_lagging(&self, member: Identity) -> bool {
         let (Some(head), Some(view)) = (&self.head, &self.view) else { return false };
         // A sealed head sends nothing down, so that nobody lags by it.
--- a/crates/lockusher-control/src/replica/proposing.rs
+++ b/crates/lockusher-control/src/replica/proposing.rs
@@ -1,4 +1,7 @@
-//! This node as a proposer of the next view.
+//! This node as the proposer of the next view: when it starts a proposal, its phases, retransmission and back-off.
+//!
+//! The phases are sealing, joining (see `joining`), prepare and accept. A proposal that makes no progress within the timeout
+//! of a phase is abandoned and started anew after a random back-off, so that competing proposers don't block one another.
 
 use rand::RngExt;
 
@@ -77,7 +80,7 @@
             (Phase::Sealing, _) => {}
             (Phase::Joining, _) => self.send_join_transfers(),
             (Phase::Preparing, _) => {
-                self.send_to_voters_except(&responders, MessageBody::Prepare { proposal_number })
+                self.send_to_voters_except(&responders, MessageBody::Prepare { proposal_number });
             }
             (Phase::Accepting, Some(view)) => {
                 self.send_to_voters_except(&responders, MessageBody::Accept { proposal_number, view });
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -1,4 +1,7 @@
-//! Start of a replica from what its disk holds.
+//! Start of a replica from the records on its disk.
+//!
+//! Invariant: an identity is used with the records of its own disk and at its own address only; whoever lost the disk comes
+//! back under another identity and isn't a voter, so that nobody votes who may have forgotten an earlier vote.
 
 use std::collections::{BTreeSet, VecDeque};
 
--- a/crates/lockusher-control/src/replica/repair.rs
+++ b/crates/lockusher-control/src/replica/repair.rs
@@ -1,4 +1,5 @@
-//! Repair: members whose state differs from the head's at the same position, and a disk that differs from memory.
+//! Anti-entropy: repair of members whose state differs from the head's at the same position, and of a disk that differs from
+//! memory.
 
 use super::state_machine::Replica;
 use crate::document::Digest;
@@ -9,7 +10,7 @@
 use crate::state::HistoryDigest;
 use crate::view::Identity;
 
-/// How a difference was noticed.
+/// How a difference was detected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum NoticedBy {
     /// A member confirmed the epoch for a request that waits.
@@ -21,6 +22,7 @@
 /// How what lies on disk compares with the state in memory.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DiskComparison {
+    /// They are equal.
     Same,
     /// The disk differs: a snapshot of the state in memory repairs it.
     DiskDiffers,
@@ -29,7 +31,7 @@
 }
 
 impl Replica {
-    /// Sends the committed state to a member of the chain that holds another one at the same position. Entries are
+    /// Sends the committed state to a member of the chain that has another one at the same position. Entries are
     /// identified by position, so that this shows a damaged disk or a fault of the program, never a mere delay.
     pub(super) fn repair_if_different(
         &mut self,
--- a/crates/lockusher-control/src/replica/replication.rs
+++ b/crates/lockusher-control/src/replica/replication.rs
@@ -1,4 +1,9 @@
-//! Replication of one entry at a time from the head down the chain.
+//! Replication of an entry from the head down the chain, after van Renesse and Schneider, "Chain Replication for Supporting
+//! High Throughput and Availability" (OSDI 2004).
+//!
+//! The head persists the entry and sends it to its successor; acknowledgements travel back from the tail. A member that
+//! hasn't answered is sent the entry directly. Invariant: an entry is committed, and its request acknowledged, only once every
+//! member of the chain has stored it.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +20,7 @@
 use crate::view::Identity;
 
 impl Replica {
-    /// Takes a configuration as the next entry.
+    /// Appends a configuration as the next entry. The caller has checked that none is in flight.
     pub(super) fn append(&mut self, document: ConfigurationDocument, origin: Origin) {
         let epoch = self.epoch();
         let Some(head) = &mut self.head else { return };
@@ -37,12 +42,12 @@
         self.persist_state(record, position, state, AfterWrite::SendToSuccessor);
     }
 
-    /// The origin of the entry under way.
+    /// The origin of the entry in flight.
     pub(super) fn write_in_flight(&self) -> Option<Origin> {
         Some(self.head.as_ref()?.in_flight.as_ref()?.origin)
     }
 
-    /// The head's own disk holds the entry: it goes down the chain.
+    /// The head's own disk has stored the entry: it goes down the chain.
     pub(super) fn send_to_successor(&mut self) {
         let me = self.identity;
         let successor = self.view.as_ref().and_then(|view| view.successor_of(me));
@@ -58,7 +63,7 @@
         self.commit_if_stored_by_all();
     }
 
-    /// All members after the head hold the entry.
+    /// All members after the head have stored the entry.
     pub(super) fn on_append_stored_by_chain(&mut self, index: u64) {
         let chain = self.view.iter().flat_map(|view| view.chain.iter().skip(1).copied());
         for member in chain.collect::<Vec<_>>() {
@@ -82,7 +87,7 @@
         }
     }
 
-    /// Sends the entry under way directly to members that haven't been seen to hold it.
+    /// Sends the entry in flight directly to members that aren't known to have stored it.
     pub(super) fn send_missing_entries(&mut self) {
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
         let Some(in_flight) = &mut head.in_flight else { return };
--- a/crates/lockusher-control/src/replica/request_queue.rs
+++ b/crates/lockusher-control/src/replica/request_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait: at the node that was asked, and at the head.
+//! Requests that wait: at the node that was asked for the head's reply, and at the head for a decision.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -6,10 +6,10 @@
 use crate::request::{Request, RequestTicket};
 use crate::time::Millis;
 
-/// Most requests that wait at one node, and at the head.
+/// Most requests that wait at one node, and most in the queue of the head.
 pub(super) const MAX_REQUESTS: usize = 64;
 
-/// Requests of this node's shell that aren't answered.
+/// Requests of this node's driver that aren't answered.
 #[derive(Debug)]
 pub(super) struct Requests {
     pub(super) pending: BTreeMap<u64, PendingRequest>,
@@ -22,7 +22,7 @@
         Self { pending: BTreeMap::new(), next_number: first }
     }
 
-    /// All are to be sent again, since the head may be another.
+    /// All are to be forwarded at once, since the head may be another.
     pub(super) fn forward_all_now(&mut self) {
         self.pending.values_mut().for_each(|pending| pending.forward_at = 0);
     }
@@ -33,7 +33,7 @@
     pub(super) ticket: RequestTicket,
     pub(super) request: Request,
     pub(super) deadline: Millis,
-    /// When it is sent to the head again; the pauses double.
+    /// When it is forwarded to the head again; the delays double.
     pub(super) forward_at: Millis,
     pub(super) received_at: Millis,
 }
--- a/crates/lockusher-control/src/replica/sending.rs
+++ b/crates/lockusher-control/src/replica/sending.rs
@@ -1,4 +1,6 @@
-//! Sending messages, at once or after what they report is durable.
+//! Sending of messages: to other nodes by an effect, to this node itself by the loopback queue.
+//!
+//! Invariant: a message that reports a change of the acceptor is sent only after the change is durable.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -8,7 +10,7 @@
 use super::state_machine::Replica;
 use crate::acceptor_log::AfterAcceptorWrite;
 use crate::message::{Message, MessageBody};
-use crate::view::{Identity, Member};
+use crate::view::{Identity, Member, View};
 
 impl Replica {
     fn message(&self, body: MessageBody) -> Message {
@@ -44,7 +46,7 @@
     }
 
     pub(super) fn send_to_head(&mut self, body: MessageBody) {
-        if let Some(head) = self.view.as_ref().and_then(|view| view.head()) {
+        if let Some(head) = self.view.as_ref().and_then(View::head) {
             self.send_to_voter(head, body);
         }
     }
--- a/crates/lockusher-control/src/replica/service.rs
+++ b/crates/lockusher-control/src/replica/service.rs
@@ -1,4 +1,7 @@
-//! Requests at the head: decided in order.
+//! Requests at the head: decided in order against the committed state.
+//!
+//! Invariant: a change is acknowledged only once it is committed, and a refusal or a read is answered only after the epoch
+//! was confirmed to be the newest.
 
 use std::net::SocketAddrV4;
 
@@ -13,7 +16,7 @@
 /// What is to be done with a request at the head.
 enum Decision {
     Reply(Reply),
-    /// Waits for the entry under way.
+    /// Waits for the write in flight.
     AwaitWrite,
     /// Waits until the epoch is confirmed.
     AwaitConfirmation,
--- a/crates/lockusher-control/src/replica/setup.rs
+++ b/crates/lockusher-control/src/replica/setup.rs
@@ -1,4 +1,4 @@
-//! What a replica is told at its start.
+//! What a replica is told at its start. The driver makes it of the settings.
 
 use std::net::SocketAddrV4;
 
@@ -13,10 +13,10 @@
     pub first_start: bool,
     /// How many voters may be lost at once.
     pub tolerated_losses: u32,
-    /// How long the operator waits for an acknowledgement, in milliseconds.
+    /// How long the operator waits for an acknowledgement, in milliseconds; the intervals of the protocol follow from it.
     pub acknowledge_ms: u64,
     /// Within how long a new node must be a full member, in milliseconds.
     pub catch_up_ms: u64,
-    /// Seed of the identity (on an empty disk) and of the back-off.
+    /// Seed of the identity (on an empty disk), of the request numbers and of the back-off.
     pub random_seed: u64,
 }
--- a/crates/lockusher-control/src/replica/state_machine.rs
+++ b/crates/lockusher-control/src/replica/state_machine.rs
@@ -1,4 +1,8 @@
-//! The state machine of one control node: its state and the events that advance it.
+//! The state of one control node, and the events that advance it.
+//!
+//! Owned by the driver, which calls [`Replica::handle`] with one event at a time and carries out the effects in order. The
+//! modules beside this one add the methods of each concern. No I/O, clock or thread: the same events at the same times,
+//! with the same seed, give the same effects.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -30,53 +34,80 @@
 /// The state machine of one control node.
 #[derive(Debug)]
 pub struct Replica {
+    /// Address, seeds and the operator's bounds; never changed.
     pub(super) setup: ReplicaSetup,
+    /// Intervals that follow from `setup`.
     pub(super) timing: Timing,
+    /// The guard of the protocol that a test has left out, if any.
     pub(super) bug_injection: BugInjection,
+    /// Source of all random numbers; each draw is part of the reproducible behaviour.
     pub(super) random: ChaCha8Rng,
+    /// Time of the newest event. Never decreases.
     pub(super) now: Millis,
+    /// Time of the start.
     pub(super) started_at: Millis,
+    /// Identity of this node's disk.
     pub(super) identity: Identity,
-    /// The newest view known.
+    /// The newest view known. Its epoch never decreases.
     pub(super) view: Option<View>,
-    /// Epoch of the newest view on disk.
+    /// Epoch of the newest view on disk: at most that of `view`. The node acts in `view` once they are equal.
     pub(super) durable_epoch: u64,
-    /// Votes on the successor of `view`.
+    /// The acceptor of the agreement on the successor of `view`. May be ahead of the disk; messages that report it wait
+    /// in `acceptor_log`.
     pub(super) acceptor: AcceptorState,
+    /// Writes of `acceptor` and of views that aren't durable yet.
     pub(super) acceptor_log: AcceptorLog,
+    /// This node's copy of the replicated state, and the write of it in flight.
     pub(super) durable_state: DurableState,
+    /// The newest configuration known to be committed. Its version never decreases.
     pub(super) committed_document: Option<ConfigurationDocument>,
+    /// Position up to which the durable state is known to be committed.
     pub(super) known_committed: Position,
     /// Present while this node is head of `view`, from the start of its service on.
     pub(super) head: Option<Head>,
-    /// This node is head by the view but can't serve in its epoch: it was restarted, or its disk failed.
+    /// This node is head by the view but can't serve in its epoch: it was restarted, or its disk failed. Only a further
+    /// view ends this.
     pub(super) epoch_change_required: bool,
+    /// The attempt of this node to have a view agreed on, while one is in progress.
     pub(super) proposal: Option<ViewProposal>,
-    /// Nodes that hold this node's sealed state of the present epoch.
+    /// Nodes that have stored this node's sealed state of the present epoch.
     pub(super) sealed_state_holders: BTreeSet<Identity>,
+    /// Highest counter of a proposal number seen: the next proposal's is above it.
     pub(super) highest_proposal_counter: u64,
     /// Attempts of this node to have a view agreed on in this epoch.
     pub(super) proposal_attempts: u64,
+    /// No proposal is started before this time.
     pub(super) back_off_until: Millis,
     /// Since when a change of the view has been due.
     pub(super) change_due_since: Option<Millis>,
+    /// What the other nodes have reported, and whom this node can reach.
     pub(super) peers: Peers,
+    /// Requests of this node's driver that aren't answered.
     pub(super) requests: Requests,
+    /// Number of the newest [`PersistTicket`](crate::durable_record::PersistTicket).
     pub(super) next_ticket: u64,
+    /// Effects of the present event, in order. Empty between events.
     pub(super) effects: Vec<Effect>,
-    /// Messages to this node itself.
+    /// Messages to this node itself, delivered before the present event ends. Empty between events.
     pub(super) loopback: VecDeque<Message>,
+    /// [`Event::Stop`] has come.
     pub(super) shutting_down: bool,
+    /// When the disk refused a write of the replicated state; `None` once it has taken a later one.
     pub(super) disk_failed_at: Option<Millis>,
+    /// Time of the newest tick.
     pub(super) last_tick_at: Millis,
+    /// When heartbeats were last sent to everybody.
     pub(super) last_heartbeat_at: Millis,
+    /// Whether this node was head, and the epoch, by the newest [`Effect::RoleChanged`].
     pub(super) reported_role: (bool, u64),
+    /// Nodes named by the newest [`Effect::Members`].
     pub(super) reported_members: Vec<SocketAddrV4>,
+    /// Counts since the start.
     pub(super) counters: Counters,
 }
 
 impl Replica {
-    /// A replica that starts now with what its disk held: snapshot records, then log records, in order.
+    /// A replica that starts now with the records of its disk: those of the snapshot, then those of the log, in order.
     pub fn new(setup: ReplicaSetup, recovered: Vec<DurableRecord>, now: Millis) -> (Replica, Vec<Effect>) {
         Self::start(setup, recovered, now, BugInjection::default())
     }
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! What the replica reports about itself.
+//! What the replica reports about itself: to the driver on request, and by effects when its role or the known nodes change.
 
 use std::net::SocketAddrV4;
 
@@ -21,12 +21,12 @@
         self.identity
     }
 
-    /// Whether this node is head of the newest view it knows and hears a majority of the voters.
+    /// Whether this node serves as head of the newest view it knows and is in contact with a majority of the voters.
     pub fn is_head(&self) -> bool {
         self.head.is_some() && self.has_confirmed_quorum()
     }
 
-    /// Whether this node is in the chain and knows all that it holds to be committed.
+    /// Whether this node is in the chain and knows its whole state to be committed.
     pub fn is_clean(&self) -> bool {
         let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(self.identity));
         in_chain
@@ -35,7 +35,7 @@
             && self.known_committed == self.durable_state.position
     }
 
-    /// Whether this node votes in the newest view that it knows and hears a majority of the voters.
+    /// Whether this node votes in the newest view that it knows and is in contact with a majority of the voters.
     pub fn is_current(&self) -> bool {
         self.view.as_ref().is_some_and(|view| view.is_voter(self.identity)) && self.has_confirmed_quorum()
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Voters, and other control nodes heard lately, by address.
+    /// Voters, and other control nodes that are reachable, by address.
     fn known_members(&self) -> Vec<SocketAddrV4> {
         let voters = self.view.iter().flat_map(|view| view.voters.iter().map(|voter| voter.address));
         let contacted = self.peers.iter().filter(|(_, peer)| peer.reachable_since.is_some());
--- a/crates/lockusher-control/src/replica/synchronisation.rs
+++ b/crates/lockusher-control/src/replica/synchronisation.rs
@@ -1,4 +1,6 @@
-//! Start of a head's service: its chain is brought to its state.
+//! Start of the service as head: every member of the chain is brought to the head's state.
+//!
+//! Invariant: the head decides no request before all members have confirmed its state, which is committed by that.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -58,7 +60,7 @@
         self.head.as_ref().map(|head| head.base.history_digest())
     }
 
-    /// Sends the base to a node that holds the state with this history digest.
+    /// Sends the base to a node whose state has this history digest; `None` for a full snapshot.
     pub(super) fn send_base(
         &mut self,
         to: SocketAddrV4,
--- a/crates/lockusher-control/src/replica/transfers.rs
+++ b/crates/lockusher-control/src/replica/transfers.rs
@@ -1,4 +1,7 @@
-//! State received from another replica.
+//! State received from another replica, in whole or in part, and the answers to it.
+//!
+//! Invariant: a transfer is applied only in its own epoch, from a node that may send it, and never in place of a state at a
+//! later position; it is answered as stored only once it is durable.
 
 use std::net::SocketAddrV4;
 
@@ -39,7 +42,7 @@
         }
     }
 
-    /// Whether nothing is to be written, because this or, from the same head, a later state is stored.
+    /// Whether nothing is to be written, because this state or, from the same head, a later one is stored.
     fn is_already_applied(&self, transfer: &Transfer) -> bool {
         let own = self.durable_state.position;
         match transfer.purpose {
--- a/crates/lockusher-control/src/replica/view_installation.rs
+++ b/crates/lockusher-control/src/replica/view_installation.rs
@@ -1,4 +1,7 @@
 //! Installation of agreed views.
+//!
+//! Invariant: epochs of installed views only rise, everything that was valid in the former epoch is reset, and the node acts
+//! in the new view only once its record is durable.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -11,7 +14,7 @@
 use crate::view::View;
 
 impl Replica {
-    /// Takes a view that was agreed on, unless it is old.
+    /// Installs a view that was agreed on, unless it is old.
     pub(super) fn install_view(&mut self, view: View) {
         if view.epoch <= self.epoch() {
             return;
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Adopts a view that was just agreed on and tells everybody.
+    /// Installs a view that was just agreed on and announces it to all known nodes.
     pub(super) fn install_and_announce(&mut self, view: View) {
         let former = self.view.iter().flat_map(|view| view.voters.iter());
         let known = self.peers.iter().map(|(address, _)| address);
--- a/crates/lockusher-control/src/replica/view_proposal.rs
+++ b/crates/lockusher-control/src/replica/view_proposal.rs
@@ -1,10 +1,10 @@
-//! A proposal of the next view that is under way at this node.
+//! A proposal of the next view that is in progress at this node, and the phase that it is in.
 
 use crate::proposer::Proposer;
 use crate::time::Millis;
 use crate::view_change::ViewChange;
 
-/// The time for a stage grows with the attempts, up to so many times the usual one: disks may be slow.
+/// The timeout of a phase grows with the attempts up to this factor, since disks may be slow.
 pub(super) const MAX_PHASE_TIMEOUT_FACTOR: u64 = 3;
 
 /// An attempt of this node to have a view agreed on.
--- a/crates/lockusher-control/src/replica/voting.rs
+++ b/crates/lockusher-control/src/replica/voting.rs
@@ -1,4 +1,6 @@
-//! This node as an acceptor of the agreement on the next view.
+//! This node as an acceptor of the agreement on the next view: it answers prepares and accepts.
+//!
+//! Invariant: a node that isn't a voter of the newest view under its present identity answers none.
 
 use std::net::SocketAddrV4;
 
--- a/crates/lockusher-control/src/request.rs
+++ b/crates/lockusher-control/src/request.rs
@@ -1,20 +1,24 @@
 //! Requests of the operator and the replies to them.
+//!
+//! The driver hands them to the [`Replica`](crate::Replica) of the node that was asked; it forwards them to the head,
+//! where they are decided. Both travel between nodes, so that their encoding is part of the protocol.
 
 use bitcode::{Decode, Encode};
 
 use crate::document::{ConfigurationDocument, Digest};
 
-/// Names a request of the shell until it is answered.
+/// Names a request of the driver until it is answered.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RequestTicket(pub u64);
 
 /// What the operator asks for.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Request {
-    /// Takes a configuration that the shell has found valid.
+    /// Takes a configuration that the driver has found valid.
     Put {
         /// Version that it builds on; 0 for the first.
         if_match: u64,
+        /// The new configuration.
         document: ConfigurationDocument,
     },
     /// Asks for the configuration that a patch builds on, unless the patch was taken or can't be.
@@ -33,14 +37,20 @@
 /// Answer to a [`Request`].
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Reply {
-    /// The configuration is taken.
+    /// The configuration is committed.
     Accepted,
-    /// Another version than the one built on is in place.
-    Conflict { current: u64 },
+    /// Another version than the one built on is current.
+    Conflict {
+        /// The current version.
+        current: u64,
+    },
     /// The version isn't above the current one.
-    NotNewer { current: u64 },
+    NotNewer {
+        /// The current version.
+        current: u64,
+    },
     /// The newest configuration, or the one that a patch builds on.
     Document(Option<ConfigurationDocument>),
-    /// Undecided: ask again.
+    /// Undecided: the operator may retry.
     Unavailable,
 }
--- a/crates/lockusher-control/src/state.rs
+++ b/crates/lockusher-control/src/state.rs
@@ -1,4 +1,7 @@
-//! The replicated state: the newest configuration and the identities of the requests taken before.
+//! The replicated state: the newest configuration and the identities of the requests applied before it.
+//!
+//! Every replica of the chain has a copy; a state is changed only by applying a further configuration
+//! ([`ReplicatedState::with`]), so that states with equal history digests are equal.
 
 use std::sync::Arc;
 
@@ -6,19 +9,23 @@
 
 use crate::document::{ConfigurationDocument, Digest};
 
-/// How many identities of taken requests are kept, so that one sent again is acknowledged again.
+/// How many identities of applied requests are retained, so that a retry is acknowledged again.
 pub const MAX_HISTORY: usize = 4096;
 
-/// Digest over the whole sequence of configurations taken: equal lineages mean equal states.
+/// Digest over the whole sequence of configurations applied: equal digests mean equal states.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct HistoryDigest(pub Digest);
 
-/// What each replica of the chain holds.
+/// The state that each replica of the chain has a copy of.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct ReplicatedState {
+    /// The newest configuration.
     document: Option<ConfigurationDocument>,
+    /// Identities of the newest [`MAX_HISTORY`] requests applied, oldest first.
     history: Arc<Vec<Digest>>,
+    /// Digest over all configurations applied.
     history_digest: HistoryDigest,
+    /// The same before the newest configuration.
     previous: HistoryDigest,
 }
 
@@ -40,7 +47,7 @@
         self.document.as_ref().map_or(0, |document| document.version)
     }
 
-    /// Identifies the sequence of configurations taken.
+    /// Identifies the sequence of configurations applied.
     pub fn history_digest(&self) -> HistoryDigest {
         self.history_digest
     }
@@ -50,18 +57,18 @@
         self.previous
     }
 
-    /// Whether this request of the operator has been taken (of the newest [`MAX_HISTORY`]).
+    /// Whether this request of the operator has been applied (of the newest [`MAX_HISTORY`]).
     pub fn has_applied(&self, request: Digest) -> bool {
         self.history.contains(&request)
     }
 
-    /// The same without the identities of requests taken, as a mistake leaves it.
+    /// The same without the identities of applied requests, as an injected bug leaves it.
     #[cfg(feature = "injected-bugs")]
     pub(crate) fn without_history(&self) -> Self {
         Self { history: Arc::default(), ..self.clone() }
     }
 
-    /// The state after this configuration has been taken.
+    /// The state after this configuration has been applied.
     pub fn with(&self, document: ConfigurationDocument) -> Self {
         let history_digest = HistoryDigest(
             self.history_digest
--- a/crates/lockusher-control/src/timing.rs
+++ b/crates/lockusher-control/src/timing.rs
@@ -1,38 +1,40 @@
-//! Intervals of the protocol, derived from the operator's bounds.
+//! Intervals and timeouts of the protocol, derived from the operator's bounds.
+//!
+//! Owned by the replica. Safety rests on none of them.
 
 use crate::time::Millis;
 
-/// All in milliseconds. The fractions leave room for a lost node to be noticed, a view agreed on and the write
-/// repeated within the operator's patience.
+/// All in milliseconds. The fractions leave time for a lost node to be suspected, a view to be agreed on and the write
+/// to be retried before the operator's timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Between two heartbeats.
     pub heartbeat_interval: Millis,
-    /// Silence after which a node is suspected.
+    /// Inactivity after which a node is suspected.
     pub suspicion_timeout: Millis,
-    /// Time that a member has for one write.
+    /// Time that a member has for one write before it counts as lagging, and its disk as faulty.
     pub write_timeout: Millis,
-    /// Time after which an unanswered message is sent again.
+    /// Time after which an unanswered message is retransmitted.
     pub retransmit_interval: Millis,
-    /// Time for one stage of an agreement.
+    /// Time for one phase of a proposal; it grows with the attempts.
     pub agreement_phase_timeout: Millis,
-    /// Between the attempts of voters to complete an agreement that somebody else left.
+    /// Delay, by rank among the healthy voters, before one takes over a proposal that another left.
     pub takeover_stagger: Millis,
-    /// How long a request is held before it is answered as unavailable.
+    /// How long a request waits before it is answered as unavailable.
     pub request_timeout: Millis,
-    /// The same at a node that doesn't hear a majority.
+    /// The same at a node that can't reach a majority.
     pub minority_request_timeout: Millis,
-    /// How long a node has been reachable before it is taken in.
+    /// How long a node must have been reachable before it may join.
     pub join_stability_period: Millis,
-    /// Silence after which a voter may be removed.
+    /// Inactivity after which a voter may be removed.
     pub voter_removal_timeout: Millis,
     /// How long all nodes count as reachable after the start.
     pub startup_grace: Millis,
-    /// Between two attempts to write to a disk that failed.
+    /// Between two attempts to write the state to a disk that refused it.
     pub disk_retry_interval: Millis,
-    /// How long a node that didn't answer as a joiner is left out.
+    /// How long a node that didn't answer as a joiner isn't asked again.
     pub join_retry: Millis,
-    /// How long a silent node that is no voter is remembered.
+    /// Inactivity after which a node that is no voter is forgotten.
     pub peer_expiry: Millis,
 }
 
--- a/crates/lockusher-control/src/view.rs
+++ b/crates/lockusher-control/src/view.rs
@@ -1,4 +1,7 @@
-//! Views: who votes, and who replicates in which order.
+//! Views: the membership of each epoch, that is who votes and who replicates in which order.
+//!
+//! As in Vertical Paxos (Lamport, Malkhi, Zhou; PODC 2009), the membership is replaced as a whole and its members transfer
+//! the state; unlike there, the view's own voters agree on its successor, no separate master. The chain is that of chain replication (van Renesse and Schneider, OSDI 2004).
 
 use std::net::SocketAddrV4;
 
@@ -13,8 +16,9 @@
 /// A voter and where it listens.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Member {
+    /// Identity of the voter's disk.
     pub identity: Identity,
-    /// Internal listener.
+    /// Its internal listener.
     pub address: SocketAddrV4,
 }
 
--- a/crates/lockusher-control/src/view_change.rs
+++ b/crates/lockusher-control/src/view_change.rs
@@ -1,4 +1,8 @@
-//! Decides which view should follow, from what one voter sees.
+//! Decides which view should follow, from what one voter observes.
+//!
+//! A pure function called by the replica when it considers a proposal. Invariants of every view it plans, which safety
+//! rests on: a member of the present chain stays, the remaining ones keep their order and joiners come last; the chain is a
+//! majority of the new voters; at most one voter is added and one removed.
 
 use std::collections::BTreeSet;
 
@@ -7,29 +11,33 @@
 /// Most voters of a view.
 pub const MAX_VOTERS: usize = 9;
 
-/// A reachable node in good health outside of the chain.
+/// A reachable node in good health outside of the chain, which may join it.
 #[derive(Clone, Copy, Debug)]
 pub struct JoinCandidate {
+    /// Who it is and where it listens.
     pub member: Member,
     /// Its durable state equals the committed one.
     pub caught_up: bool,
-    /// It holds this node's sealed state.
+    /// It has stored this node's sealed state.
     pub has_sealed_state: bool,
 }
 
-/// What a voter sees.
+/// What a voter observes.
 #[derive(Debug)]
 pub struct ViewChangeContext<'a> {
+    /// The newest view.
     pub view: &'a View,
+    /// Identity of the observing voter.
     pub own_identity: Identity,
     /// Members of the chain that can replicate.
     pub healthy_members: BTreeSet<Identity>,
+    /// Nodes that may join the chain.
     pub join_candidates: Vec<JoinCandidate>,
-    /// Voters that can't be reached now, the longest silent first.
+    /// Voters that can't be reached now, the longest unreachable first.
     pub unreachable: Vec<Identity>,
-    /// Voters that announced their end or have been silent long enough to be removed.
+    /// Voters that announced their shutdown or have been unreachable long enough to be removed.
     pub removable: Vec<Identity>,
-    /// The epoch must end although its chain is well.
+    /// The epoch must end although its chain is healthy.
     pub epoch_change_required: bool,
     /// This node takes nothing more in this epoch.
     pub sealed: bool,
@@ -42,6 +50,7 @@
 /// A view to propose.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ViewChange {
+    /// The view.
     pub view: View,
     /// Members of its chain that need this node's sealed state first.
     pub joiners: Vec<Member>,
@@ -98,7 +107,7 @@
     compose_view(context, remaining, &ready).filter(|change| !change.joiners.is_empty())
 }
 
-/// Removes a voter that isn't kept in the chain. The chain may be long enough for the voters that are left only.
+/// Removes a voter that doesn't remain in the chain. The chain may be long enough for the voters that are left only.
 fn plan_removal(context: &ViewChangeContext, remaining: &[Identity]) -> Option<ViewChange> {
     let view = context.view;
     if view.voters.len() <= context.minimum_voters {
