--- a/crates/lockusher-control/src/driver/peer_links.rs
+++ b/crates/lockusher-control/src/driver/peer_links.rs
@@ -1,10 +1,11 @@
-//! Connections between control nodes: one outgoing connection for each peer, made again when it ends.
+//! Outgoing links to other control nodes: one connection for each peer, made again when it ends.
 //!
-//! Messages may be lost: the replica's protocol repeats what matters. A peer that can't be reached costs a bounded
-//! queue.
+//! Owned by the [`ReplicaDriver`](super::replica_driver::ReplicaDriver), which sends the replica's messages on them.
+//! Messages may be lost: the replica's protocol repeats what matters. Invariant: a peer that can't be reached costs a
+//! bounded queue, and what waited for it isn't sent once it is back.
 
 use std::cell::RefCell;
-use std::collections::{HashMap, VecDeque};
+use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,19 +13,17 @@
 use bitcode::{Decode, Encode};
 use compio::net::TcpStream;
 use compio::time::{sleep, timeout};
-use derive_more::{Display, Error, From};
 use futures_channel::mpsc;
 use futures_util::StreamExt;
 use lockusher_transport::error::TransportError;
 use lockusher_transport::{frame, tcp};
 
-use crate::envelope::{Envelope, EnvelopeError};
+use super::send_queue::SendQueue;
+use crate::envelope::Envelope;
 
-/// Bytes that may wait for one peer; the oldest messages give way.
-const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
-/// A connection attempt has this part of `acknowledgeMs`, the interval of heartbeats ...
+/// A connection attempt may take `acknowledgeMs` divided by this, the interval of heartbeats,
 const CONNECT_LIMIT_DIVISOR: u32 = 20;
-/// ... and the next one follows after this part of it.
+/// and the next one follows after it divided by this.
 const RECONNECT_DELAY_DIVISOR: u32 = 80;
 /// A connection attempt has this long at least, for a way between regions.
 const MIN_CONNECT_LIMIT: Duration = Duration::from_millis(100);
@@ -42,11 +41,13 @@
     pub envelope: Vec<u8>,
 }
 
-/// Times of a link. An attempt to connect to a machine without power hangs, so that the whole round must be over before
-/// nodes that have come back together suspect each other.
+/// Times of a link. An attempt to connect to a machine without power hangs, so that an attempt, the delay and the next
+/// attempt must be over before nodes that have come back together suspect each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkTiming {
+    /// How long a connection attempt may take.
     pub connect_limit: Duration,
+    /// Delay between the end of a connection, or of an attempt, and the next attempt.
     pub reconnect_delay: Duration,
 }
 
@@ -67,38 +68,15 @@
     links: RefCell<HashMap<SocketAddrV4, Link>>,
 }
 
+/// The sending side of a link. Its task ends after a while without messages.
 struct Link {
-    queue: Rc<RefCell<Queue>>,
+    queue: Rc<RefCell<SendQueue>>,
+    /// Wakes the link's task; one pending wake-up is enough.
     wake: mpsc::Sender<()>,
 }
 
-#[derive(Default)]
-struct Queue {
-    frames: VecDeque<Vec<u8>>,
-    bytes: usize,
-}
-
-impl Queue {
-    fn push(&mut self, frame: Vec<u8>) {
-        self.bytes += frame.len();
-        self.frames.push_back(frame);
-        while self.bytes > MAX_QUEUED_BYTES && self.frames.len() > 1 {
-            self.pop();
-        }
-    }
-
-    fn pop(&mut self) -> Option<Vec<u8>> {
-        let frame = self.frames.pop_front()?;
-        self.bytes -= frame.len();
-        Some(frame)
-    }
-
-    fn clear(&mut self) {
-        *self = Queue::default();
-    }
-}
-
 impl PeerLinks {
+    /// Links of the node with this internal listener; none is open yet.
     pub fn new(own_address: SocketAddrV4, timing: LinkTiming) -> Self {
         PeerLinks { own_address, timing, links: RefCell::default() }
     }
@@ -107,88 +85,75 @@
     pub fn send(&self, to: SocketAddrV4, envelope: &Envelope) {
         let frame = frame::encode(&PeerFrame { from: self.own_address, envelope: envelope.encode() });
         let mut links = self.links.borrow_mut();
-        let link = links.entry(to).or_insert_with(|| open_link(to, self.timing));
+        let link = links.entry(to).or_insert_with(|| Link::open(to, self.timing, SendQueue::default()));
         link.queue.borrow_mut().push(frame);
-        if let Err(error) = link.wake.try_send(())
-            && error.is_disconnected()
-        {
-            let queue = link.queue.take();
-            *link = open_link(to, self.timing);
-            link.queue.replace(queue);
-            let _ = link.wake.try_send(());
+        if !link.wake() {
+            *link = Link::open(to, self.timing, link.queue.take());
+            link.wake();
         }
     }
 }
 
-fn open_link(to: SocketAddrV4, timing: LinkTiming) -> Link {
-    let queue = Rc::new(RefCell::new(Queue::default()));
-    let (wake, wakeups) = mpsc::channel(1);
-    compio::runtime::spawn(run_link(to, timing, queue.clone(), wakeups)).detach();
-    Link { queue, wake }
+impl Link {
+    fn open(to: SocketAddrV4, timing: LinkTiming, queue: SendQueue) -> Link {
+        let queue = Rc::new(RefCell::new(queue));
+        let (wake, wake_ups) = mpsc::channel(1);
+        let task = LinkTask { to, timing, queue: Rc::clone(&queue), wake_ups };
+        compio::runtime::spawn(task.run()).detach();
+        Link { queue, wake }
+    }
+
+    /// Wakes the task; false if it has ended.
+    fn wake(&mut self) -> bool {
+        // A full channel is a wake-up that the task hasn't seen yet.
+        !self.wake.try_send(()).is_err_and(|error| error.is_disconnected())
+    }
 }
 
-/// Keeps one link until nothing was sent on it for a while.
-async fn run_link(
+/// The task that connects one link and writes what is queued.
+struct LinkTask {
     to: SocketAddrV4,
     timing: LinkTiming,
-    queue: Rc<RefCell<Queue>>,
-    mut wakeups: mpsc::Receiver<()>,
-) {
-    loop {
-        match tcp::connect(to, timing.connect_limit).await {
-            Ok(stream) => match write_queue(stream, &queue, &mut wakeups).await {
+    queue: Rc<RefCell<SendQueue>>,
+    wake_ups: mpsc::Receiver<()>,
+}
+
+impl LinkTask {
+    /// Serves the link until nothing was sent on it for a while.
+    async fn run(mut self) {
+        loop {
+            match self.connect_and_write().await {
                 Ok(()) => return,
-                Err(error) => log::debug!("link to {to}: {error}"),
-            },
-            Err(error) => log::debug!("link to {to}: {error}"),
-        }
-        // What waited is old news by the time the peer is back; the replica repeats what matters.
-        queue.borrow_mut().clear();
-        sleep(timing.reconnect_delay).await;
-        if timeout(IDLE_TIMEOUT, wakeups.next()).await.is_err() {
-            return;
+                Err(error) => log::debug!("link to {}: {error}", self.to),
+            }
+            // What waited is out of date by the time the peer is back; the replica repeats what matters.
+            self.queue.borrow_mut().clear();
+            sleep(self.timing.reconnect_delay).await;
+            if timeout(IDLE_TIMEOUT, self.wake_ups.next()).await.is_err() {
+                return;
+            }
         }
     }
-}
 
-async fn write_queue(
-    stream: TcpStream,
-    queue: &RefCell<Queue>,
-    wakeups: &mut mpsc::Receiver<()>,
-) -> Result<(), TransportError> {
-    let (_reader, mut writer) = frame::split::<(), PeerFrame>(stream)?;
-    loop {
-        let next = queue.borrow_mut().pop();
-        match next {
-            Some(frame) => timeout(WRITE_TIMEOUT, writer.write_encoded(&frame))
-                .await
-                .map_err(|_| TransportError::TimedOut)??,
-            None => match timeout(IDLE_TIMEOUT, wakeups.next()).await {
+    /// One connection; in order if it was idle for a while.
+    async fn connect_and_write(&mut self) -> Result<(), TransportError> {
+        let stream = tcp::connect(self.to, self.timing.connect_limit).await?;
+        self.write_queue(stream).await
+    }
+
+    async fn write_queue(&mut self, stream: TcpStream) -> Result<(), TransportError> {
+        let (_reader, mut writer) = frame::split::<(), PeerFrame>(stream)?;
+        loop {
+            let next = self.queue.borrow_mut().pop();
+            if let Some(frame) = next {
+                let write = timeout(WRITE_TIMEOUT, writer.write_encoded(&frame)).await;
+                write.map_err(|_| TransportError::TimedOut)??;
+                continue;
+            }
+            match timeout(IDLE_TIMEOUT, self.wake_ups.next()).await {
                 Ok(Some(())) => {}
                 Ok(None) | Err(_) => return Ok(()),
-            },
+            }
         }
     }
 }
-
-/// Why a peer's connection ended.
-#[derive(Debug, Display, Error, From)]
-pub enum ReceiveError {
-    #[display("{_0}")]
-    Net(TransportError),
-    #[display("{_0}")]
-    Envelope(EnvelopeError),
-}
-
-/// Reads a peer's messages from an accepted connection and hands each to `deliver`, until the connection ends.
-pub async fn receive(
-    stream: TcpStream,
-    deliver: impl Fn(SocketAddrV4, Envelope),
-) -> Result<(), ReceiveError> {
-    tcp::set_options(&stream)?;
-    let (mut reader, _writer) = frame::split::<PeerFrame, ()>(stream)?;
-    loop {
-        let PeerFrame { from, envelope } = reader.read().await?;
-        deliver(from, Envelope::decode(&envelope)?);
-    }
-}
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -6,7 +6,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use compio::net::TcpListener;
 use compio::time::sleep;
 use derive_more::{Display, Error, From};
 use lockusher_config::settings::{InternalListener, NodeSettings, TooFewPorts};
@@ -19,9 +18,9 @@
 
 use crate::driver::disk::{Disk, DiskError, OpenedDisk};
 use crate::driver::instance_list_publisher::InstanceListPublisher;
-use crate::driver::peer_links::{LinkTiming, PeerLinks, receive};
+use crate::driver::peer_links::{LinkTiming, PeerLinks};
 use crate::driver::replica_driver::ReplicaDriver;
-use crate::driver::{instance_list_polling, operator_api, stage_assignment};
+use crate::driver::{instance_list_polling, operator_api, peer_listener, stage_assignment};
 use crate::replica::{Event, Replica, ReplicaSetup};
 
 /// Pause between two ticks of the replica.
@@ -32,8 +31,6 @@
 const HAND_OVER_GRACE_DIVISOR: u32 = 2;
 /// Pause between two scrubs of the disk.
 const SCRUB_INTERVAL: Duration = Duration::from_secs(600);
-/// Pause after a failed accept.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Bytes of a megabyte of `limits.diskMb`.
 const BYTES_PER_MB: u64 = 1024 * 1024;
@@ -77,7 +74,7 @@
     let subscription_port = settings.internal_port(InternalListener::Subscriptions)?;
     let own_address = SocketAddrV4::new(settings.ip_address, replica_port);
     let operator_listener = tcp::listen(operator_address).await?;
-    let peer_listener = tcp::listen(own_address).await?;
+    let peer_socket = tcp::listen(own_address).await?;
     let subscription = SocketAddrV4::new(settings.ip_address, subscription_port);
     let subscription_listener = tcp::listen(subscription).await?;
 
@@ -118,7 +115,7 @@
         compio::runtime::spawn(follow_disk(Rc::clone(&driver), completions)),
         compio::runtime::spawn(tick_periodically(Rc::clone(&driver))),
         compio::runtime::spawn(scrub_periodically(Rc::clone(&driver))),
-        compio::runtime::spawn(accept_peers(Rc::clone(&driver), peer_listener)),
+        compio::runtime::spawn(peer_listener::run(Rc::clone(&driver), peer_socket)),
         compio::runtime::spawn(accept(subscription_listener, publisher)),
         compio::runtime::spawn(http::serve(operator_listener, operator)),
         compio::runtime::spawn(instance_list_polling::run(
@@ -169,26 +166,3 @@
         sleep(SCRUB_INTERVAL).await;
     }
 }
-
-async fn accept_peers(driver: Rc<ReplicaDriver>, listener: TcpListener) {
-    loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                let driver = Rc::clone(&driver);
-                let connection = async move {
-                    let deliver = |from, envelope: crate::envelope::Envelope| {
-                        driver.dispatch(Event::Message { from, message: envelope.message });
-                    };
-                    if let Err(error) = receive(stream, deliver).await {
-                        log::debug!("peer: {error}");
-                    }
-                };
-                compio::runtime::spawn(connection).detach();
-            }
-            Err(error) => {
-                log::warn!("accept: {error}");
-                sleep(ACCEPT_RETRY_DELAY).await;
-            }
-        }
-    }
-}
--- a/crates/lockusher-control/tests/peer_links.rs
+++ b/crates/lockusher-control/tests/peer_links.rs
@@ -1,8 +1,10 @@
-//! The times of the links between control nodes.
+//! The times and the queue of the links between control nodes.
 
 use std::time::Duration;
 
 use lockusher_control::driver::peer_links::LinkTiming;
+use lockusher_control::driver::send_queue::{MAX_QUEUED_BYTES, SendQueue};
+use yare::parameterized;
 
 /// Heartbeats go every twentieth of `acknowledgeMs`; a node is suspected after a fifth of it.
 const HEARTBEAT_DIVISOR: u32 = 20;
@@ -10,18 +12,51 @@
 
 /// After a loss of power at all nodes, the first attempts go to machines that are still down and hang. The attempts that
 /// follow must be through before the nodes suspect each other, or the next view waits for that.
+#[parameterized(
+    one_second = { 1_000 },
+    two_seconds = { 2_000 },
+    four_seconds = { 4_000 },
+    five_seconds = { 5_000 },
+    twenty_seconds = { 20_000 },
+)]
+fn a_hanging_attempt_and_the_next_fit_before_a_node_is_suspected(acknowledge_ms: u64) {
+    let acknowledge = Duration::from_millis(acknowledge_ms);
+
+    let timing = LinkTiming::new(acknowledge);
+
+    let next_message = acknowledge / HEARTBEAT_DIVISOR;
+    let cycle = timing.connect_limit + timing.reconnect_delay + next_message;
+    assert!(cycle < acknowledge / SUSPECT_DIVISOR, "{timing:?}");
+}
+
+#[test]
+fn an_attempt_has_time_for_a_way_between_regions() {
+    let timing = LinkTiming::new(Duration::from_millis(200));
+
+    assert!(timing.connect_limit >= Duration::from_millis(100));
+}
+
 #[test]
-fn a_hanging_attempt_and_the_next_fit_before_a_node_is_suspected() {
-    for acknowledge_ms in [1_000, 2_000, 4_000, 5_000, 20_000] {
-        let acknowledge = Duration::from_millis(acknowledge_ms);
-        let timing = LinkTiming::new(acknowledge);
-        let next_message = acknowledge / HEARTBEAT_DIVISOR;
-        let cycle = timing.connect_limit + timing.reconnect_delay + next_message;
-        assert!(cycle < acknowledge / SUSPECT_DIVISOR, "{timing:?} at {acknowledge_ms} ms");
+fn the_oldest_frames_give_way_when_too_many_bytes_wait() {
+    let mut queue = SendQueue::default();
+    let half = MAX_QUEUED_BYTES / 2;
+
+    for frame in [vec![1; half], vec![2; half], vec![3; 1]] {
+        queue.push(frame);
     }
+
+    assert_eq!(queue.pop(), Some(vec![2; half]));
+    assert_eq!(queue.pop(), Some(vec![3; 1]));
+    assert_eq!(queue.pop(), None);
 }
 
 #[test]
-fn an_attempt_has_time_for_a_way_between_regions() {
-    assert!(LinkTiming::new(Duration::from_millis(200)).connect_limit >= Duration::from_millis(100));
+fn a_frame_over_the_bound_is_sent_alone() {
+    let mut queue = SendQueue::default();
+    queue.push(vec![1; 1]);
+
+    queue.push(vec![2; MAX_QUEUED_BYTES + 1]);
+
+    assert_eq!(queue.pop(), Some(vec![2; MAX_QUEUED_BYTES + 1]));
+    assert_eq!(queue.pop(), None);
 }
