--- a/crates/lockusher-aggregator-testbed/src/chain.rs
+++ b/crates/lockusher-aggregator-testbed/src/chain.rs
@@ -8,7 +8,7 @@
 
 use anyhow::ensure;
 use lockusher_control::InjectedBug;
-use lockusher_control_simulation::{Checks, Outcome, SimulationOptions, shrink, simulate_with};
+use lockusher_control_simulation::{Checks, Outcome, SimulationOptions, Violation, shrink, simulate_with};
 
 /// The simulation has nodes at addresses of one network.
 const MAX_REPLICAS: usize = 9;
@@ -43,8 +43,8 @@
 #[derive(Clone, Debug)]
 pub struct FailedRun {
     pub seed: u64,
-    /// Broken promises, in words.
-    pub violations: Vec<String>,
+    /// What it violated.
+    pub violations: Vec<Violation>,
 }
 
 /// Totals over runs.
--- a/crates/lockusher-aggregator-testbed/src/chain_injected_bugs.rs
+++ b/crates/lockusher-aggregator-testbed/src/chain_injected_bugs.rs
@@ -17,7 +17,8 @@
         let first = totals.failed.first();
         let first_run =
             first.map_or_else(|| "-".to_owned(), |failed| (failed.seed - options.seed + 1).to_string());
-        let says = first.and_then(|failed| failed.violations.first()).map_or("", String::as_str);
+        let says =
+            first.and_then(|failed| failed.violations.first()).map_or_else(String::new, ToString::to_string);
         let found = totals.failed.len();
         all_found &= found > 0;
         writeln!(output, "{injected_bug:?} found={found} runs={} first_run={first_run} {says}", totals.runs)?;
--- a/crates/lockusher-aggregator-testbed/tests/chain.rs
+++ b/crates/lockusher-aggregator-testbed/tests/chain.rs
@@ -3,7 +3,7 @@
 use std::num::NonZero;
 
 use lockusher_aggregator_testbed::chain::{ChainRuns, ChainTotals, report, run, simulate_all};
-use lockusher_control_simulation::{Checks, Outcome, simulate};
+use lockusher_control_simulation::{Checks, ModelViolation, Outcome, Violation, simulate};
 use rstest::rstest;
 
 fn options(replicas: usize, runs: u64, threads: usize) -> ChainRuns {
@@ -47,7 +47,8 @@
 
 #[test]
 fn a_failed_run_is_named_with_its_seed() {
-    let broken = Outcome { violations: vec!["17: read version 1".to_owned()], ..Outcome::default() };
+    let stale_read = Violation { at: 17, kind: ModelViolation::StaleRead { version: 1, floor: 2 }.into() };
+    let broken = Outcome { violations: vec![stale_read], ..Outcome::default() };
     let mut totals = ChainTotals::default();
     totals.add(40, Outcome::default());
     totals.add(41, broken);
--- a/crates/lockusher-control-simulation/src/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -6,6 +6,7 @@
 use crate::{
     cluster::Cluster,
     operator::{Call, Change, DelayedCall, Operator},
+    violation::ModelViolation,
 };
 
 /// An operator moves on after this silence.
@@ -33,7 +34,7 @@
             return;
         }
         let change = operator.next_change(&mut self.random);
-        self.model.send(&change);
+        self.model.record_sent(&change);
         self.call(number, change.request(), Some(change));
     }
 
@@ -143,12 +144,12 @@
                 if !change.is_resent {
                     operator.acknowledged.push(change.clone().without_base());
                 }
-                self.model.acknowledge(change.identity, self.now);
+                self.model.record_acknowledged(change.identity, self.now, &mut self.violations);
             }
             Reply::Conflict { current } | Reply::NotNewer { current } => {
                 operator.change = None;
                 operator.known_version = current;
-                self.model.refuse(change.identity, call.floor, self.now);
+                self.model.record_rejected(change.identity, call.floor, self.now, &mut self.violations);
             }
             Reply::Unavailable => {
                 operator.restart_patch();
@@ -156,7 +157,7 @@
             }
             Reply::Document(document) => {
                 if !operator.receive_base(document) {
-                    self.model.violations.push(format!("{}: a document answers {ticket:?}", self.now));
+                    self.violations.report(self.now, ModelViolation::UnexpectedDocument { ticket });
                 }
             }
         }
@@ -166,10 +167,10 @@
         match reply {
             Reply::Document(document) => {
                 self.outcome.reads += 1;
-                self.model.read(document.as_ref(), floor, self.now);
+                self.model.record_read(document.as_ref(), floor, self.now, &mut self.violations);
             }
             Reply::Unavailable => self.outcome.unanswered += 1,
-            other => self.model.violations.push(format!("{}: {other:?} answers read {ticket:?}", self.now)),
+            reply => self.violations.report(self.now, ModelViolation::UnexpectedReadReply { reply, ticket }),
         }
     }
 }
--- a/crates/lockusher-control-simulation/src/cluster.rs
+++ b/crates/lockusher-control-simulation/src/cluster.rs
@@ -26,6 +26,7 @@
     outcome::Outcome,
     reference_model::ReferenceModel,
     targeted_faults::TargetedFault,
+    violation::ViolationLog,
 };
 
 /// The operator's bound for an acknowledgement, as given to the replicas.
@@ -51,6 +52,7 @@
     /// All machines that ever were, by their number.
     pub(crate) nodes: Vec<Node>,
     pub(crate) operators: Vec<Operator>,
+    pub(crate) violations: ViolationLog,
     pub(crate) model: ReferenceModel,
     pub(crate) invariants: ProtocolInvariants,
     /// An armed fault that waits for a step of the protocol.
@@ -83,6 +85,7 @@
             network: Network::default(),
             nodes,
             operators: (0..OPERATOR_COUNT).map(Operator::new).collect(),
+            violations: ViolationLog::default(),
             model: ReferenceModel::default(),
             invariants: ProtocolInvariants::default(),
             targeted_fault: None,
@@ -107,7 +110,7 @@
         Outcome {
             epochs: epochs.max().unwrap_or(0),
             acknowledged: self.model.acknowledged,
-            violations: self.model.violations,
+            violations: self.violations.into_vec(),
             messages: self.network.sent,
             ..self.outcome
         }
--- a/crates/lockusher-control-simulation/src/disk_contents.rs
+++ b/crates/lockusher-control-simulation/src/disk_contents.rs
@@ -7,6 +7,8 @@
     state::HistoryDigest,
 };
 
+use crate::violation::DurablePart;
+
 /// The sum of the records on one disk.
 #[derive(Clone, Debug, Default)]
 pub struct DiskContents {
@@ -80,20 +82,20 @@
     }
 
     /// In what another sum, which should be the same, falls behind this one; none if it doesn't.
-    pub fn first_missing_in(&self, other: &DiskContents) -> Option<&'static str> {
+    pub fn first_missing_in(&self, other: &DiskContents) -> Option<DurablePart> {
         let epoch = self.epoch();
         if self.identity != other.identity {
-            Some("the identity")
+            Some(DurablePart::Identity)
         } else if epoch > other.epoch() {
-            Some("the view")
+            Some(DurablePart::View)
         } else if self.history_digest() != other.history_digest() {
-            Some("the state")
+            Some(DurablePart::State)
         } else if epoch == other.epoch() && self.promised(epoch) > other.promised(epoch) {
-            Some("a promise")
+            Some(DurablePart::Promise)
         } else if epoch == other.epoch() && self.accepted(epoch) > other.accepted(epoch) {
-            Some("an acceptance")
+            Some(DurablePart::Acceptance)
         } else if epoch == other.epoch() && self.is_sealed(epoch) && !other.is_sealed(epoch) {
-            Some("a seal")
+            Some(DurablePart::Seal)
         } else {
             None
         }
--- a/crates/lockusher-control-simulation/src/fault_injection.rs
+++ b/crates/lockusher-control-simulation/src/fault_injection.rs
@@ -42,7 +42,7 @@
     /// Steps under faults and calls; the faults of some steps are left out.
     pub fn run_under_faults(&mut self, steps: usize, left_out: &BTreeSet<usize>) {
         for step in 0..steps {
-            if !self.model.violations.is_empty() {
+            if !self.violations.is_empty() {
                 return;
             }
             self.step_faults(step, left_out);
--- a/crates/lockusher-control-simulation/src/invariant_checks.rs
+++ b/crates/lockusher-control-simulation/src/invariant_checks.rs
@@ -2,23 +2,22 @@
 
 use lockusher_control::{DurableRecord, Identity, Message};
 
-use crate::{cluster::Cluster, disk_contents::DiskContents, invariants::InvariantViolation, options::Checks};
+use crate::{cluster::Cluster, disk_contents::DiskContents, options::Checks, violation::InvariantViolation};
 
 impl Cluster {
-    fn looks_inside(&self) -> bool {
+    fn checks_invariants(&self) -> bool {
         self.options.checks == Checks::All
     }
 
     fn report(&mut self, checked: Result<(), InvariantViolation>) {
-        if let Err(breach) = checked {
-            let now = self.now;
-            self.model.violations.push(format!("{now}: {breach}"));
+        if let Err(violation) = checked {
+            self.violations.report(self.now, violation);
         }
     }
 
     /// A node sends a message.
     pub(crate) fn check_sent(&mut self, number: usize, message: &Message) {
-        if !self.looks_inside() {
+        if !self.checks_invariants() {
             return;
         }
         let Some(disk) = self.nodes[number].disk.contents() else { return };
@@ -28,7 +27,7 @@
 
     /// Records of a node have become durable.
     pub(crate) fn check_written(&mut self, number: usize, records: &[DurableRecord]) {
-        if !self.looks_inside() {
+        if !self.checks_invariants() {
             return;
         }
         let Some(disk) = self.nodes[number].disk.contents() else { return };
@@ -49,7 +48,7 @@
         self.nodes[number].adopted_epoch = view.epoch;
         let minimum = 2 * self.tolerated_losses() + 1;
         let adopted = self.invariants.adopted(&view, minimum);
-        if !self.looks_inside() {
+        if !self.checks_invariants() {
             return;
         }
         let is_first = adopted.as_ref().is_ok_and(|is_first| *is_first);
@@ -61,7 +60,7 @@
 
     /// Every member of the newest chain whose disk isn't lost holds the newest configuration that was committed.
     pub(crate) fn check_committed_is_stored(&mut self) {
-        if !self.looks_inside() {
+        if !self.checks_invariants() {
             return;
         }
         let Some((version, digest)) = self.model.newest_committed() else { return };
@@ -70,7 +69,8 @@
         let lacking = view.chain.iter().copied().find(lacks);
         if let Some(member) = lacking {
             let epoch = view.epoch;
-            self.report(Err(format!("{member} is in the chain of view {epoch} without version {version}")));
+            self.violations
+                .report(self.now, InvariantViolation::CommittedNotStored { member, epoch, version });
         }
     }
 
@@ -85,26 +85,26 @@
     pub(crate) fn check_recovered(&mut self, number: usize) {
         let node = &self.nodes[number];
         let (Some(replica), Some(disk)) = (&node.replica, node.disk.contents()) else { return };
-        if !self.looks_inside() || disk.identity().is_none() {
+        if !self.checks_invariants() || disk.identity().is_none() {
             return;
         }
-        let lost = disk.first_missing_in(&DiskContents::of(&replica.snapshot()));
-        let address = node.address;
-        if let Some(lost) = lost {
-            self.report(Err(format!("{address} starts without {lost} that is on its disk")));
+        let missing = disk.first_missing_in(&DiskContents::of(&replica.snapshot()));
+        let node = node.address;
+        if let Some(missing) = missing {
+            self.violations.report(self.now, InvariantViolation::NotRecovered { node, missing });
         }
     }
 
     /// A snapshot takes the place of the log: it holds the same.
     pub(crate) fn check_snapshot(&mut self, number: usize, records: &[DurableRecord]) {
         let node = &self.nodes[number];
-        let Some(disk) = node.disk.contents().filter(|_| self.options.checks == Checks::All) else {
+        let Some(disk) = node.disk.contents().filter(|_| self.checks_invariants()) else {
             return;
         };
-        let lost = disk.first_missing_in(&DiskContents::of(records));
-        let address = node.address;
-        if let Some(lost) = lost {
-            self.report(Err(format!("a snapshot of {address} leaves out {lost}")));
+        let missing = disk.first_missing_in(&DiskContents::of(records));
+        let node = node.address;
+        if let Some(missing) = missing {
+            self.violations.report(self.now, InvariantViolation::MissingInSnapshot { node, missing });
         }
     }
 }
--- a/crates/lockusher-control-simulation/src/invariants.rs
+++ b/crates/lockusher-control-simulation/src/invariants.rs
@@ -12,7 +12,7 @@
     state::HistoryDigest,
 };
 
-use crate::disk_contents::DiskContents;
+use crate::{disk_contents::DiskContents, view_succession::check_succession, violation::InvariantViolation};
 
 /// All that was told and decided.
 #[derive(Debug, Default)]
@@ -39,9 +39,6 @@
     handed_over: Option<HistoryDigest>,
 }
 
-/// A broken obligation, in words.
-pub type InvariantViolation = String;
-
 impl ProtocolInvariants {
     /// A node sends a message while its disk holds this.
     pub fn sent(&mut self, message: &Message, disk: &DiskContents) -> Result<(), InvariantViolation> {
@@ -56,16 +53,16 @@
                 Ok(())
             }
             MessageBody::AcceptResponse { proposal_number } => {
-                self.accepted(sender, epoch, *proposal_number, disk)
+                self.check_acceptance(sender, epoch, *proposal_number, disk)
             }
             MessageBody::EpochConfirmed { .. } => self.check_confirmation(sender, epoch),
             MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Join => {
-                self.handed_over(sender, epoch, transfer.history_digest, disk)
+                self.check_join_transfer(sender, epoch, transfer.history_digest, disk)
             }
             MessageBody::TransferResponse(answer)
                 if answer.stored && answer.history_digest != disk.history_digest() =>
             {
-                Err(format!("{sender} says that it holds a state that isn't on its disk"))
+                Err(InvariantViolation::TransferResponseNotDurable { member: sender })
             }
             MessageBody::Append { index, document, .. } => {
                 self.check_entry_sent(epoch, *index, document.request, disk)
@@ -91,19 +88,23 @@
         reported: Option<ProposalNumber>,
         disk: &DiskContents,
     ) -> Result<(), InvariantViolation> {
-        let sent_in_epoch = self.sent_in_epoch(sender, epoch);
-        sent_in_epoch.promises.insert(proposal_number, reported);
-        let accepted_below = sent_in_epoch.accepted.range(..proposal_number).next_back().copied();
+        let sent = self.sent_in_epoch(sender, epoch);
+        sent.promises.insert(proposal_number, reported);
+        let accepted_below = sent.accepted.range(..proposal_number).next_back().copied();
         if accepted_below > reported {
-            return Err(format!("{sender} conceals in epoch {epoch} that it accepted {accepted_below:?}"));
+            return Err(InvariantViolation::AcceptanceConcealed {
+                voter: sender,
+                epoch,
+                accepted: accepted_below,
+            });
         }
         if disk.promised(epoch) < proposal_number {
-            return Err(format!("{sender} answers a promise in epoch {epoch} that isn't on its disk"));
+            return Err(InvariantViolation::PromiseNotDurable { voter: sender, epoch });
         }
         Ok(())
     }
 
-    fn accepted(
+    fn check_acceptance(
         &mut self,
         sender: Identity,
         epoch: u64,
@@ -111,18 +112,20 @@
         disk: &DiskContents,
     ) -> Result<(), InvariantViolation> {
         self.acceptances.entry((epoch, proposal_number)).or_default().insert(sender);
-        let sent_in_epoch = self.sent_in_epoch(sender, epoch);
-        sent_in_epoch.accepted.insert(proposal_number);
+        let sent = self.sent_in_epoch(sender, epoch);
+        sent.accepted.insert(proposal_number);
         let higher = (Bound::Excluded(proposal_number), Bound::Unbounded);
-        let broken =
-            sent_in_epoch.promises.range(higher).find(|(_, reported)| **reported < Some(proposal_number));
-        if let Some((check_promise, _)) = broken {
-            return Err(format!(
-                "{sender} accepts {proposal_number:?} in epoch {epoch} after it promised {check_promise:?}"
-            ));
+        let broken = sent.promises.range(higher).find(|(_, reported)| **reported < Some(proposal_number));
+        if let Some((promised, _)) = broken {
+            return Err(InvariantViolation::PromiseBroken {
+                voter: sender,
+                epoch,
+                accepted: proposal_number,
+                promised: *promised,
+            });
         }
         if disk.accepted(epoch) < Some(proposal_number) {
-            return Err(format!("{sender} answers an acceptance in epoch {epoch} that isn't on its disk"));
+            return Err(InvariantViolation::AcceptanceNotDurable { voter: sender, epoch });
         }
         Ok(())
     }
@@ -131,11 +134,11 @@
         if self.sent_in_epoch(sender, epoch).accepted.is_empty() {
             Ok(())
         } else {
-            Err(format!("{sender} confirms epoch {epoch}, although it accepted a successor"))
+            Err(InvariantViolation::ConfirmedAfterAcceptance { voter: sender, epoch })
         }
     }
 
-    fn handed_over(
+    fn check_join_transfer(
         &mut self,
         sender: Identity,
         epoch: u64,
@@ -143,14 +146,14 @@
         disk: &DiskContents,
     ) -> Result<(), InvariantViolation> {
         if !disk.is_sealed(epoch) {
-            return Err(format!("{sender} hands over its state in epoch {epoch}; no seal is on its disk"));
+            return Err(InvariantViolation::TransferUnsealed { member: sender, epoch });
         }
         if history_digest != disk.history_digest() {
-            return Err(format!("{sender} hands over a state that isn't on its disk"));
+            return Err(InvariantViolation::TransferNotDurable { member: sender });
         }
         match self.sent_in_epoch(sender, epoch).handed_over.replace(history_digest) {
             Some(former) if former != history_digest => {
-                Err(format!("{sender} hands over two states of epoch {epoch}"))
+                Err(InvariantViolation::TwoSealedStates { member: sender, epoch })
             }
             _ => Ok(()),
         }
@@ -166,10 +169,10 @@
     ) -> Result<(), InvariantViolation> {
         let former = *self.entries.entry((epoch, index)).or_insert(digest);
         if former != digest {
-            return Err(format!("two entries have the index {index} in epoch {epoch}"));
+            return Err(InvariantViolation::TwoEntries { index, epoch });
         }
         if !disk.has_taken(digest) {
-            return Err(format!("entry {index} of epoch {epoch} is passed on before it is durable"));
+            return Err(InvariantViolation::EntrySentBeforeDurable { index, epoch });
         }
         Ok(())
     }
@@ -182,9 +185,9 @@
         disk: &DiskContents,
     ) -> Result<(), InvariantViolation> {
         match self.entries.get(&(epoch, index)) {
-            Some(digest) if !disk.has_taken(*digest) => Err(format!(
-                "{sender} says that it holds entry {index} of epoch {epoch}, which isn't on its disk"
-            )),
+            Some(digest) if !disk.has_taken(*digest) => {
+                Err(InvariantViolation::AcknowledgedEntryNotDurable { member: sender, index, epoch })
+            }
             _ => Ok(()),
         }
     }
@@ -220,7 +223,7 @@
         let epoch = position.epoch;
         match self.sent_in_epoch(identity, epoch).handed_over {
             Some(history_digest) if history_digest != disk.history_digest() => {
-                Err(format!("{identity} goes on in epoch {epoch} after it handed over its state"))
+                Err(InvariantViolation::WrittenAfterTransfer { member: identity, epoch })
             }
             _ => Ok(()),
         }
@@ -232,7 +235,7 @@
             return if known == view {
                 Ok(false)
             } else {
-                Err(format!("two views have epoch {}", view.epoch))
+                Err(InvariantViolation::TwoViews { epoch: view.epoch })
             };
         }
         self.views.insert(view.epoch, view.clone());
@@ -244,15 +247,15 @@
     }
 
     fn check_majority(&self, former: &View, view: &View) -> Result<(), InvariantViolation> {
-        let of_this = self
+        let proposals = self
             .proposed_views
             .iter()
-            .filter(|((epoch, _), proposed_views)| *epoch == former.epoch && *proposed_views == view);
-        let is_accepted = of_this.map(|(key, _)| self.acceptances.get(key)).any(|accepted_by| {
+            .filter(|((epoch, _), proposed)| *epoch == former.epoch && *proposed == view);
+        let is_accepted = proposals.map(|(key, _)| self.acceptances.get(key)).any(|accepted_by| {
             let voters = accepted_by.into_iter().flatten().filter(|identity| former.is_voter(**identity));
             voters.count() >= former.majority()
         });
-        if is_accepted { Ok(()) } else { Err(format!("view {} wasn't accepted by a majority", view.epoch)) }
+        if is_accepted { Ok(()) } else { Err(InvariantViolation::ViewNotAccepted { epoch: view.epoch }) }
     }
 
     /// The newest view that was adopted.
@@ -260,29 +263,3 @@
         self.views.values().next_back()
     }
 }
-
-/// The rules that each view keeps towards the one before it.
-fn check_succession(former: &View, view: &View, minimum_voters: usize) -> Result<(), InvariantViolation> {
-    let epoch = view.epoch;
-    let added = view.voters.iter().filter(|voter| !former.is_voter(voter.identity)).count();
-    let removed = former.voters.iter().filter(|voter| !view.is_voter(voter.identity)).count();
-    let retained: Vec<Identity> =
-        view.chain.iter().copied().filter(|member| former.in_chain(*member)).collect();
-    let in_order: Vec<Identity> =
-        former.chain.iter().copied().filter(|member| view.in_chain(*member)).collect();
-    if added > 1 || removed > 1 {
-        Err(format!("view {epoch} changes more than one voter"))
-    } else if view.chain.len() < view.majority() {
-        Err(format!("the chain of view {epoch} is less than a majority"))
-    } else if retained.is_empty() {
-        Err(format!("view {epoch} keeps no member of the chain"))
-    } else if retained != in_order || view.chain[..retained.len()] != retained[..] {
-        Err(format!("view {epoch} changes the order of the chain"))
-    } else if !view.chain.iter().all(|member| view.is_voter(*member)) {
-        Err(format!("view {epoch} has a member of the chain that is no voter"))
-    } else if view.voters.len() < former.voters.len().min(minimum_voters) {
-        Err(format!("view {epoch} has {} voters only", view.voters.len()))
-    } else {
-        Ok(())
-    }
-}
--- a/crates/lockusher-control-simulation/src/lib.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -28,6 +28,8 @@
 mod run;
 mod shrink;
 mod targeted_faults;
+mod view_succession;
+mod violation;
 
 pub use cluster::Cluster;
 pub use disk::DiskSpace;
@@ -36,3 +38,6 @@
 pub use outcome::Outcome;
 pub use run::{simulate, simulate_with, simulate_without};
 pub use shrink::{Shrunk, shrink};
+pub use violation::{
+    DurablePart, InvariantViolation, ModelViolation, RecoveryViolation, Violation, ViolationKind,
+};
--- a/crates/lockusher-control-simulation/src/observation.rs
+++ b/crates/lockusher-control-simulation/src/observation.rs
@@ -5,6 +5,7 @@
 use crate::{
     cluster::{ACKNOWLEDGE_MS, Cluster},
     operator::Change,
+    violation::Violation,
 };
 
 impl Cluster {
@@ -92,9 +93,9 @@
         self.operators[0].acknowledged.iter().map(Change::request).collect()
     }
 
-    /// Broken promises so far.
-    pub fn violations(&self) -> &[String] {
-        &self.model.violations
+    /// Violations found so far.
+    pub fn violations(&self) -> &[Violation] {
+        self.violations.as_slice()
     }
 
     /// Messages sent so far.
--- a/crates/lockusher-control-simulation/src/outcome.rs
+++ b/crates/lockusher-control-simulation/src/outcome.rs
@@ -2,13 +2,13 @@
 
 use lockusher_control::Millis;
 
-use crate::fault_schedule::FaultStep;
+use crate::{fault_schedule::FaultStep, violation::Violation};
 
 /// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Broken promises, in words; empty if all were kept.
-    pub violations: Vec<String>,
+    /// Violations of guarantees and invariants; empty if none was found.
+    pub violations: Vec<Violation>,
     /// Configurations acknowledged.
     pub acknowledged: usize,
     /// Requests answered as undecided or not at all.
--- a/crates/lockusher-control-simulation/src/processes.rs
+++ b/crates/lockusher-control-simulation/src/processes.rs
@@ -10,6 +10,7 @@
     disk::DiskSpace,
     network::Delivery,
     targeted_faults::FaultAction,
+    violation::ModelViolation,
 };
 
 /// Interval of [`Event::Tick`].
@@ -127,17 +128,20 @@
                 }
                 Effect::Reply { ticket, reply } => self.on_reply(ticket, reply),
                 Effect::Committed(document) => {
-                    if self.model.commit(&document, now) {
+                    if self.model.record_committed(&document, now, &mut self.violations) {
                         self.check_committed_is_stored();
                     }
                     let node = &mut self.nodes[number];
                     if document.version <= node.committed_version {
-                        let text = format!("{now}: {from} went back to version {}", document.version);
-                        self.model.violations.push(text);
+                        let version = document.version;
+                        let violation = ModelViolation::CommittedVersionDecreased { node: from, version };
+                        self.violations.report(now, violation);
                     }
                     node.committed_version = document.version;
                 }
-                Effect::RoleChanged { head: true, epoch } => self.model.head(epoch, from, now),
+                Effect::RoleChanged { head: true, epoch } => {
+                    self.model.record_head(epoch, from, now, &mut self.violations)
+                }
                 Effect::RoleChanged { .. } | Effect::Members(_) => {}
             }
         }
--- a/crates/lockusher-control-simulation/src/recovery.rs
+++ b/crates/lockusher-control-simulation/src/recovery.rs
@@ -2,7 +2,10 @@
 
 use lockusher_control::{Millis, Request};
 
-use crate::cluster::{ACKNOWLEDGE_MS, CATCH_UP_MS, Cluster};
+use crate::{
+    cluster::{ACKNOWLEDGE_MS, CATCH_UP_MS, Cluster},
+    violation::RecoveryViolation,
+};
 
 /// Within this time every node knows the newest configuration.
 const DISSEMINATION_MS: Millis = 2000;
@@ -10,26 +13,24 @@
 impl Cluster {
     /// Ends all faults, and checks that the system comes back and holds what it told.
     pub fn run_recovery(&mut self) {
-        if !self.model.violations.is_empty() {
+        if !self.violations.is_empty() {
             return;
         }
         self.end_faults();
         let faults_ended_at = self.now;
         let Some(version) = self.write_until_acknowledged(ACKNOWLEDGE_MS) else {
-            let text = format!("{}: no write acknowledged after calm returned", self.now);
-            self.model.violations.push(text);
+            self.violations.report(self.now, RecoveryViolation::NoWriteAcknowledged);
             return;
         };
         self.outcome.recovery_ms = self.now - faults_ended_at;
         let rest = CATCH_UP_MS.saturating_sub(self.outcome.recovery_ms);
         if self.run_until_all_members(rest).is_none() {
-            let text = format!("{}: not all are members of the chain", self.now);
-            self.model.violations.push(text);
+            self.violations.report(self.now, RecoveryViolation::NotAllMembers);
         }
         self.outcome.settle_ms = self.now - faults_ended_at;
         self.check_all_know(version);
         self.check_last_read();
-        self.model.finish(self.now);
+        self.model.check_order(self.now, &mut self.violations);
     }
 
     /// One operator writes, with retries; the version acknowledged.
@@ -60,8 +61,8 @@
         for node in self.nodes.iter().filter(|node| !node.removed) {
             let known = node.replica.as_ref().and_then(|replica| replica.committed());
             if known.map_or(0, |document| document.version) < version {
-                let text = format!("{}: {} didn't learn version {version}", self.now, node.address);
-                self.model.violations.push(text);
+                let violation = RecoveryViolation::VersionNotLearned { node: node.address, version };
+                self.violations.report(self.now, violation);
             }
         }
     }
@@ -77,7 +78,7 @@
             self.expire_call(0);
         }
         if self.outcome.reads == reads {
-            self.model.violations.push(format!("{}: no read answered after calm returned", self.now));
+            self.violations.report(self.now, RecoveryViolation::NoReadAnswered);
         }
     }
 }
--- a/crates/lockusher-control-simulation/src/reference_model.rs
+++ b/crates/lockusher-control-simulation/src/reference_model.rs
@@ -4,7 +4,10 @@
 
 use lockusher_control::{ConfigurationDocument, Digest, Millis};
 
-use crate::operator::{Change, patched};
+use crate::{
+    operator::{Change, patched},
+    violation::{ModelViolation, ViolationLog},
+};
 
 /// A configuration that an operator sent.
 #[derive(Clone, Debug)]
@@ -12,7 +15,7 @@
     if_match: u64,
     version: u64,
     acknowledged: bool,
-    refused: bool,
+    rejected: bool,
     committed: bool,
     is_patch: bool,
 }
@@ -26,20 +29,18 @@
     /// Highest version that was acknowledged or read, by time.
     floor: u64,
     heads: BTreeMap<u64, std::net::SocketAddrV4>,
-    /// Broken promises.
-    pub violations: Vec<String>,
     /// Configurations acknowledged.
     pub acknowledged: usize,
 }
 
 impl ReferenceModel {
     /// An operator sends a configuration, perhaps again.
-    pub fn send(&mut self, change: &Change) {
+    pub fn record_sent(&mut self, change: &Change) {
         let sent = SentChange {
             if_match: change.if_match,
             version: change.version,
             acknowledged: false,
-            refused: false,
+            rejected: false,
             committed: false,
             is_patch: change.is_patch(),
         };
@@ -47,15 +48,15 @@
     }
 
     /// A configuration was acknowledged.
-    pub fn acknowledge(&mut self, digest: Digest, now: Millis) {
+    pub fn record_acknowledged(&mut self, digest: Digest, now: Millis, violations: &mut ViolationLog) {
         let Some(sent) = self.sent.get_mut(&digest) else { return };
         let (version, if_match) = (sent.version, sent.if_match);
-        if sent.refused {
-            self.violations.push(format!("{now}: version {version} acknowledged after it was refused"));
+        if sent.rejected {
+            violations.report(now, ModelViolation::AcknowledgedAfterRejection { version });
             return;
         }
         if !sent.committed {
-            self.violations.push(format!("{now}: version {version} acknowledged, but nowhere committed"));
+            violations.report(now, ModelViolation::AcknowledgedUncommitted { version });
         }
         if !std::mem::replace(&mut sent.acknowledged, true) {
             self.acknowledged += 1;
@@ -66,22 +67,26 @@
             .iter()
             .filter(|(other, sent)| **other != digest && sent.if_match == if_match && sent.acknowledged);
         if rivals.count() > 0 {
-            self.violations.push(format!("{now}: two changes of version {if_match} acknowledged"));
+            violations.report(now, ModelViolation::TwoChangesAcknowledged { base: if_match });
         }
     }
 
     /// A configuration was refused by a call that began when `in_place` was the newest version.
-    pub fn refuse(&mut self, digest: Digest, in_place: u64, now: Millis) {
+    pub fn record_rejected(
+        &mut self,
+        digest: Digest,
+        in_place: u64,
+        now: Millis,
+        violations: &mut ViolationLog,
+    ) {
         let newest = self.newest_version();
         let Some(sent) = self.sent.get_mut(&digest) else { return };
-        sent.refused = true;
+        sent.rejected = true;
         let (version, if_match) = (sent.version, sent.if_match);
         if sent.acknowledged || sent.committed {
-            self.violations.push(format!("{now}: version {version} refused after it was taken"));
+            violations.report(now, ModelViolation::RejectedAfterCommit { version });
         } else if version > if_match && in_place == if_match && newest == if_match {
-            let text =
-                format!("{now}: version {version} refused, although {if_match} was in place all the time");
-            self.violations.push(text);
+            violations.report(now, ModelViolation::RejectedWithoutConflict { version, base: if_match });
         }
     }
 
@@ -89,6 +94,7 @@
     pub fn newest_version(&self) -> u64 {
         self.newest_committed().map_or(0, |(version, _)| version)
     }
+
     /// The newest configuration that a node holds to be committed: its version and the identity of its request.
     pub fn newest_committed(&self) -> Option<(u64, Digest)> {
         self.committed.last_key_value().map(|(version, (request, _))| (*version, *request))
@@ -100,31 +106,42 @@
     }
 
     /// A read was answered that began when `floor` was the highest version told.
-    pub fn read(&mut self, document: Option<&ConfigurationDocument>, floor: u64, now: Millis) {
+    pub fn record_read(
+        &mut self,
+        document: Option<&ConfigurationDocument>,
+        floor: u64,
+        now: Millis,
+        violations: &mut ViolationLog,
+    ) {
         let version = document.map_or(0, |document| document.version);
         if version < floor {
-            self.violations.push(format!("{now}: read version {version}, although {floor} was told before"));
+            violations.report(now, ModelViolation::StaleRead { version, floor });
         }
         if let Some(document) = document {
-            self.commit(document, now);
+            self.record_committed(document, now, violations);
         }
         self.floor = self.floor.max(version);
     }
 
     /// A node holds this configuration to be committed. Whether it is the first to do so.
-    pub fn commit(&mut self, document: &ConfigurationDocument, now: Millis) -> bool {
+    pub fn record_committed(
+        &mut self,
+        document: &ConfigurationDocument,
+        now: Millis,
+        violations: &mut ViolationLog,
+    ) -> bool {
         let version = document.version;
         let is_first = !self.committed.contains_key(&version);
         let identity = (document.request, document.digest);
         let former = *self.committed.entry(version).or_insert(identity);
         if former != identity {
-            self.violations.push(format!("{now}: two configurations committed as version {version}"));
+            violations.report(now, ModelViolation::TwoConfigurationsCommitted { version });
         }
-        self.check_patched(document, now);
+        self.check_patched(document, now, violations);
         match self.sent.get_mut(&document.request) {
-            None => self.violations.push(format!("{now}: version {version} committed, but never sent")),
-            Some(sent) if sent.refused => {
-                self.violations.push(format!("{now}: version {version} committed, but refused"));
+            None => violations.report(now, ModelViolation::CommittedUnsent { version }),
+            Some(sent) if sent.rejected => {
+                violations.report(now, ModelViolation::CommittedAfterRejection { version });
             }
             Some(sent) => sent.committed = true,
         }
@@ -132,31 +149,39 @@
     }
 
     /// What a patch made is what it makes of the configuration that it builds on.
-    fn check_patched(&mut self, document: &ConfigurationDocument, now: Millis) {
+    fn check_patched(&self, document: &ConfigurationDocument, now: Millis, violations: &mut ViolationLog) {
         let Some(sent) = self.sent.get(&document.request).filter(|sent| sent.is_patch) else { return };
         let Some((_, base)) = self.committed.get(&sent.if_match) else { return };
         if patched(sent.version, document.request, *base).digest != document.digest {
             let version = document.version;
-            self.violations.push(format!("{now}: version {version} isn't its patch applied to its base"));
+            violations.report(now, ModelViolation::WrongPatchResult { version });
         }
     }
 
     /// A node calls itself head of an epoch.
-    pub fn head(&mut self, epoch: u64, address: std::net::SocketAddrV4, now: Millis) {
+    pub fn record_head(
+        &mut self,
+        epoch: u64,
+        address: std::net::SocketAddrV4,
+        now: Millis,
+        violations: &mut ViolationLog,
+    ) {
         let former = *self.heads.entry(epoch).or_insert(address);
         if former != address {
-            self.violations.push(format!("{now}: {former} and {address} are heads of epoch {epoch}"));
+            violations.report(now, ModelViolation::TwoHeads { first: former, second: address, epoch });
         }
     }
 
     /// Checks what can be told at the end only: each configuration was built on the one before it.
-    pub fn finish(&mut self, now: Millis) {
+    pub fn check_order(&mut self, now: Millis, violations: &mut ViolationLog) {
         for sent in self.sent.values().filter(|sent| sent.committed || sent.acknowledged) {
             let (low, high) = (sent.if_match, sent.version);
             let mut between = self.committed.range(low + 1..high);
             if let Some((version, _)) = between.next() {
-                let text = format!("{now}: version {high} was built on {low}, but {version} is between them");
-                self.violations.push(text);
+                violations.report(
+                    now,
+                    ModelViolation::NotBuiltOnPredecessor { version: high, base: low, between: *version },
+                );
             }
         }
     }
--- a/crates/lockusher-control-simulation/src/shrink.rs
+++ b/crates/lockusher-control-simulation/src/shrink.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use crate::{fault_schedule::FaultStep, options::SimulationOptions, outcome::Outcome, run::simulate_without};
+use crate::{
+    fault_schedule::FaultStep, options::SimulationOptions, outcome::Outcome, run::simulate_without,
+    violation::Violation,
+};
 
 /// Most runs that one shrinking takes.
 const MAX_RUNS: usize = 600;
@@ -13,8 +16,8 @@
     pub steps: usize,
     /// The faults that are left; without all others the run still breaks a promise.
     pub faults: Vec<FaultStep>,
-    /// The promises that it breaks, in words.
-    pub violations: Vec<String>,
+    /// The violations that it shows.
+    pub violations: Vec<Violation>,
     /// Runs that were tried.
     pub runs: usize,
 }
--- /dev/null
+++ b/crates/lockusher-control-simulation/src/view_succession.rs
@@ -0,0 +1,42 @@
+//! The rules that each view keeps towards the one before it, so that the two always share enough disks.
+
+use lockusher_control::{Identity, View};
+
+use crate::violation::InvariantViolation;
+
+/// Checks the view that follows `former`; voters may be removed only down to `minimum_voters`.
+///
+/// # Errors
+///
+/// The first rule that the view violates.
+pub fn check_succession(former: &View, view: &View, minimum_voters: usize) -> Result<(), InvariantViolation> {
+    let epoch = view.epoch;
+    if changes_several_voters(former, view) {
+        Err(InvariantViolation::SeveralVotersChanged { epoch })
+    } else if view.chain.len() < view.majority() {
+        Err(InvariantViolation::ChainBelowMajority { epoch })
+    } else if !view.chain.iter().any(|member| former.in_chain(*member)) {
+        Err(InvariantViolation::NoMemberRetained { epoch })
+    } else if !keeps_order_of_chain(former, view) {
+        Err(InvariantViolation::ChainReordered { epoch })
+    } else if !view.chain.iter().all(|member| view.is_voter(*member)) {
+        Err(InvariantViolation::MemberWithoutVote { epoch })
+    } else if view.voters.len() < former.voters.len().min(minimum_voters) {
+        Err(InvariantViolation::TooFewVoters { epoch, voters: view.voters.len() })
+    } else {
+        Ok(())
+    }
+}
+
+fn changes_several_voters(former: &View, view: &View) -> bool {
+    let added = view.voters.iter().filter(|voter| !former.is_voter(voter.identity));
+    let removed = former.voters.iter().filter(|voter| !view.is_voter(voter.identity));
+    added.count() > 1 || removed.count() > 1
+}
+
+/// Whether the members that stay are at the front of the chain, in their former order.
+fn keeps_order_of_chain(former: &View, view: &View) -> bool {
+    let in_former_order: Vec<Identity> =
+        former.chain.iter().copied().filter(|member| view.in_chain(*member)).collect();
+    view.chain.starts_with(&in_former_order)
+}
--- a/crates/lockusher-control-simulation/tests/scenarios.rs
+++ b/crates/lockusher-control-simulation/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Single faults, with the time that the control state takes to get over them.
 
 use lockusher_control::{ConfigurationDocument, Reply, Request};
-use lockusher_control_simulation::{Cluster, DiskSpace, SimulationOptions};
+use lockusher_control_simulation::{Cluster, DiskSpace, SimulationOptions, Violation};
 use yare::parameterized;
 
 /// Milliseconds that the operator waits for an acknowledgement, and that a new node has to become a member.
@@ -28,7 +28,7 @@
 fn assert_all_members(cluster: &mut Cluster, limit: u64) {
     let taken = cluster.run_until_all_members(limit);
     assert!(taken.is_some(), "not whole after {limit} ms:\n{}", cluster.describe());
-    assert_eq!(cluster.violations(), &[] as &[String]);
+    assert_eq!(cluster.violations(), &[] as &[Violation]);
 }
 
 #[parameterized(
--- a/crates/lockusher-control-simulation/tests/simulation.rs
+++ b/crates/lockusher-control-simulation/tests/simulation.rs
@@ -4,7 +4,7 @@
 
 use lockusher_control::InjectedBug;
 use lockusher_control_simulation::{
-    Cluster, Outcome, SimulationOptions, shrink, simulate, simulate_with, simulate_without,
+    Cluster, Outcome, SimulationOptions, Violation, shrink, simulate, simulate_with, simulate_without,
 };
 use yare::parameterized;
 
@@ -39,7 +39,7 @@
     cluster.run_recovery();
     let state = cluster.describe();
     let outcome = cluster.into_outcome();
-    assert_eq!(outcome.violations, Vec::<String>::new(), "{state}");
+    assert_eq!(outcome.violations, Vec::<Violation>::new(), "{state}");
     assert!(outcome.recovery_ms < 500, "the write took {} ms", outcome.recovery_ms);
 }
 
