--- a/crates/lockusher-agent/src/peers/configuration_fetch.rs
+++ b/crates/lockusher-agent/src/peers/configuration_fetch.rs
@@ -51,17 +51,17 @@
     let unreadable = |source| ConfigurationFetchError::Message { peer, source };
     let stream = lockusher_transport::tcp::connect(peer, FETCH_TIMEOUT).await.map_err(broken)?;
     let (mut reader, mut writer) = frame::split::<Envelope, Envelope>(stream).map_err(broken)?;
-    writer.write(&Envelope::seal(&subscriber.subscribe(clock.millis()))).await.map_err(broken)?;
+    writer.write(&Envelope::encode(&subscriber.subscribe(clock.millis()))).await.map_err(broken)?;
     loop {
         let envelope = reader.read().await.map_err(broken)?;
-        let message: ToSubscriber = envelope.open().map_err(unreadable)?;
+        let message: ToSubscriber = envelope.decode().map_err(unreadable)?;
         let answer = subscriber.receive(clock.millis(), message);
         match subscriber.configuration() {
             Some(newest) if newest.version > local_version => return Ok(Rc::clone(newest)),
             _ => {}
         }
         if let Some(answer) = answer {
-            writer.write(&Envelope::seal(&answer)).await.map_err(broken)?;
+            writer.write(&Envelope::encode(&answer)).await.map_err(broken)?;
         }
     }
 }
--- a/crates/lockusher-agent/src/peers/socket.rs
+++ b/crates/lockusher-agent/src/peers/socket.rs
@@ -110,7 +110,7 @@
     }
 
     async fn send(&self, outgoing: Outgoing) {
-        let datagram = bitcode::encode(&Envelope::seal(&outgoing.message));
+        let datagram = bitcode::encode(&Envelope::encode(&outgoing.message));
         let BufResult(sent, _) = self.socket.send_to(datagram, outgoing.to).await;
         if let Err(error) = sent {
             log::debug!("peers: {}: {error}", outgoing.to);
@@ -120,5 +120,5 @@
 
 fn decode(datagram: &[u8]) -> Option<PeerMessage> {
     let envelope: Envelope = bitcode::decode(datagram).ok()?;
-    envelope.open().ok()
+    envelope.decode().ok()
 }
--- a/crates/lockusher-agent/tests/capacity.rs
+++ b/crates/lockusher-agent/tests/capacity.rs
@@ -28,7 +28,7 @@
     let update =
         GossipUpdate { configuration_version: 2_300_000, departures: (0..rumors).map(rumor).collect() };
     let entries = (1..=SHUFFLE_SIZE as u8).map(entry).collect();
-    HEADER_BYTES + bitcode::encode(&Envelope::seal(&PeerMessage::ShuffleRequest { entries, update })).len()
+    HEADER_BYTES + bitcode::encode(&Envelope::encode(&PeerMessage::ShuffleRequest { entries, update })).len()
 }
 
 #[test]
--- a/crates/lockusher-agent/tests/recorded_bytes.rs
+++ b/crates/lockusher-agent/tests/recorded_bytes.rs
@@ -47,12 +47,12 @@
 
 /// A message as a datagram: the envelope around it.
 fn encode(message: &PeerMessage) -> Vec<u8> {
-    bitcode::encode(&Envelope::seal(message))
+    bitcode::encode(&Envelope::encode(message))
 }
 
 fn decode(datagram: &[u8]) -> PeerMessage {
     let envelope: Envelope = bitcode::decode(datagram).expect("a readable envelope");
-    envelope.open().expect("a readable message")
+    envelope.decode().expect("a readable message")
 }
 
 #[test]
--- a/crates/lockusher-agent/tests/support/gossip_fleet.rs
+++ b/crates/lockusher-agent/tests/support/gossip_fleet.rs
@@ -97,7 +97,7 @@
     }
 
     fn deliver(&mut self, from: SocketAddrV4, outgoing: &Outgoing) -> Option<Outgoing> {
-        let bytes = bitcode::encode(&Envelope::seal(&outgoing.message)).len();
+        let bytes = bitcode::encode(&Envelope::encode(&outgoing.message)).len();
         self.sent_bytes += bytes;
         self.longest_message = self.longest_message.max(bytes);
         if self.random.random_bool(self.loss) {
--- a/crates/lockusher-distribution/src/frame.rs
+++ b/crates/lockusher-distribution/src/frame.rs
@@ -9,5 +9,5 @@
 
 /// Encodes a message as a frame.
 pub fn encode_frame(message: &ToSubscriber) -> Frame {
-    lockusher_transport::frame::encode(&Envelope::seal(message)).into()
+    lockusher_transport::frame::encode(&Envelope::encode(message)).into()
 }
--- a/crates/lockusher-distribution/src/message.rs
+++ b/crates/lockusher-distribution/src/message.rs
@@ -46,7 +46,7 @@
 
 impl Envelope {
     /// Encodes a message.
-    pub fn seal<T: Encode>(message: &T) -> Self {
+    pub fn encode<T: Encode>(message: &T) -> Self {
         Envelope { protocol: PROTOCOL, body: bitcode::encode(message) }
     }
 
@@ -56,7 +56,7 @@
     ///
     /// [`MessageError::ProtocolMismatch`] if the sender is of another protocol, [`MessageError::Decode`] if the body
     /// isn't a message of type `T`.
-    pub fn open<T: DecodeOwned>(&self) -> Result<T, MessageError> {
+    pub fn decode<T: DecodeOwned>(&self) -> Result<T, MessageError> {
         if self.protocol != PROTOCOL {
             return Err(MessageError::ProtocolMismatch(self.protocol));
         }
--- a/crates/lockusher-distribution/src/serve/connection.rs
+++ b/crates/lockusher-distribution/src/serve/connection.rs
@@ -80,7 +80,7 @@
     }
 
     fn receive(&self, envelope: &Envelope) -> Result<(), ServeError> {
-        let message: FromSubscriber = envelope.open()?;
+        let message: FromSubscriber = envelope.decode()?;
         self.shared.receive(self.id, message);
         Ok(())
     }
--- a/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
+++ b/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
@@ -96,7 +96,7 @@
     async fn follow(&self, attempt: Attempt) -> Result<Infallible, SubscribeError> {
         let (mut reader, mut writer) = self.connect(attempt).await?;
         let subscribe = self.subscriber.borrow_mut().subscribe(self.clock.millis());
-        writer.write(&Envelope::seal(&subscribe)).await?;
+        writer.write(&Envelope::encode(&subscribe)).await?;
         let mut is_established = false;
         let mut in_view_at_ms = self.clock.millis();
         loop {
@@ -143,14 +143,14 @@
         let inactivity_timeout = Duration::from_millis(PUBLISHER_INACTIVITY_TIMEOUT_MS);
         let received = compio::time::timeout(inactivity_timeout, reader.read()).await;
         let envelope = received.map_err(|_| SubscribeError::InactivityTimeout)??;
-        let message: ToSubscriber = envelope.open()?;
+        let message: ToSubscriber = envelope.decode()?;
         if let ToSubscriber::ControlNodes(addresses) = &message {
             self.policy.borrow_mut().learn(addresses);
         }
         let answer = self.subscriber.borrow_mut().receive(self.clock.millis(), message);
         self.changed.notify();
         if let Some(answer) = answer {
-            writer.write(&Envelope::seal(&answer)).await?;
+            writer.write(&Envelope::encode(&answer)).await?;
         }
         Ok(())
     }
--- a/crates/lockusher-distribution/src/version_history.rs
+++ b/crates/lockusher-distribution/src/version_history.rs
@@ -52,7 +52,7 @@
         true
     }
 
-    /// The frame that brings a subscriber that holds `held` to the newest version; none if it needs none.
+    /// The frame that brings a subscriber from `applied` to the newest version; none if that is what it has applied.
     pub fn update_frame(&mut self, applied: T::Version) -> Option<Frame> {
         let newest = self.versions.back()?;
         if applied >= newest.version() {
--- a/crates/lockusher-distribution/tests/capacity.rs
+++ b/crates/lockusher-distribution/tests/capacity.rs
@@ -128,7 +128,7 @@
     }
 
     fn receive(&mut self, id: SubscriberId, now_ms: u64, message: FromSubscriber) {
-        self.count(lockusher_transport::frame::encode(&Envelope::seal(&message)).len());
+        self.count(lockusher_transport::frame::encode(&Envelope::encode(&message)).len());
         self.publisher.receive(id, now_ms, message);
     }
 
--- a/crates/lockusher-distribution/tests/load.rs
+++ b/crates/lockusher-distribution/tests/load.rs
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_load_takes_some_tens_of_bytes() {
-    let bytes = |loads| Envelope::seal(&acknowledgement(loads)).body.len();
+    let bytes = |loads| Envelope::encode(&acknowledgement(loads)).body.len();
 
     let each = bytes(vec![service("huvo11a", 12_345)]) - bytes(Vec::new());
 
--- a/crates/lockusher-distribution/tests/publisher.rs
+++ b/crates/lockusher-distribution/tests/publisher.rs
@@ -110,11 +110,11 @@
 
 #[test]
 fn an_envelope_of_another_protocol_is_recognized() {
-    let mut envelope = Envelope::seal(&ToSubscriber::Peers(vec![]));
-    assert!(envelope.open::<ToSubscriber>().is_ok());
+    let mut envelope = Envelope::encode(&ToSubscriber::Peers(vec![]));
+    assert!(envelope.decode::<ToSubscriber>().is_ok());
 
     envelope.protocol += 1;
-    let error = envelope.open::<ToSubscriber>().expect_err("another protocol").to_string();
+    let error = envelope.decode::<ToSubscriber>().expect_err("another protocol").to_string();
 
     assert_eq!(error, "the peer speaks protocol 3, this process 2");
 }
@@ -206,6 +206,6 @@
 
     let heartbeat_bytes = frames.last().expect("a heartbeat").len();
     assert!(heartbeat_bytes <= 80, "{heartbeat_bytes} bytes");
-    let answer = lockusher_transport::frame::encode(&Envelope::seal(&answer.expect("a keep-alive")));
+    let answer = lockusher_transport::frame::encode(&Envelope::encode(&answer.expect("a keep-alive")));
     assert!(answer.len() <= 60, "{} bytes", answer.len());
 }
--- a/crates/lockusher-distribution/tests/recorded_bytes.rs
+++ b/crates/lockusher-distribution/tests/recorded_bytes.rs
@@ -293,14 +293,14 @@
 
 /// A message as a frame: a length, then the envelope around the message.
 fn encode<T: Encode>(message: &T) -> Vec<u8> {
-    frame::encode(&Envelope::seal(message))
+    frame::encode(&Envelope::encode(message))
 }
 
 fn decode<T: DecodeOwned>(frame: &[u8]) -> T {
     let (length, envelope) = frame.split_first_chunk::<4>().expect("a length");
     assert_eq!(u32::from_le_bytes(*length) as usize, envelope.len());
     let envelope: Envelope = bitcode::decode(envelope).expect("a readable envelope");
-    envelope.open().expect("a readable message")
+    envelope.decode().expect("a readable message")
 }
 
 fn assert_frames_as_recorded<T: Debug + DecodeOwned + Encode + PartialEq>(
--- a/crates/lockusher-distribution/tests/support/mod.rs
+++ b/crates/lockusher-distribution/tests/support/mod.rs
@@ -80,7 +80,7 @@
 pub fn decode_frame(frame: &[u8]) -> ToSubscriber {
     // The length before the envelope belongs to the connection.
     let envelope: Envelope = bitcode::decode(&frame[4..]).expect("own encoding");
-    envelope.open().expect("own protocol")
+    envelope.decode().expect("own protocol")
 }
 
 /// All messages that are due to a subscriber.
