--- a/crates/lockusher-agent/src/state.rs
+++ b/crates/lockusher-agent/src/state.rs
@@ -16,6 +16,7 @@
 use lockusher_distribution::subscribe::SharedSubscriber;
 use lockusher_distribution::subscriber::Subscriber;
 use lockusher_transport::clock::Clock;
+use lockusher_transport::error::{Operation, TransportError};
 
 use crate::addresses::InternalPorts;
 use crate::error::AgentError;
@@ -56,7 +57,11 @@
         let address = ports.peer_address(&settings);
         let peers = PeerSocket::bind(address, random_seed(), clock)
             .await
-            .map_err(|error| AgentError::Listen { address, source: error.into() })?;
+            .map_err(|source| {
+                let (operation, address) = (Operation::Listen, Some(address));
+                TransportError::Io { operation, address, source }
+            })
+            .map_err(|source| AgentError::Listen { address, source })?;
         let subscriber = Subscriber::new(ports.identity(&settings));
         Ok(AgentState {
             subscriber: SharedSubscriber::new(subscriber, policy, clock),
--- a/crates/lockusher-control/src/driver/peer_links.rs
+++ b/crates/lockusher-control/src/driver/peer_links.rs
@@ -15,7 +15,7 @@
 use compio::time::{sleep, timeout};
 use futures_channel::mpsc;
 use futures_util::StreamExt;
-use lockusher_transport::error::TransportError;
+use lockusher_transport::error::{Operation, TransportError};
 use lockusher_transport::{frame, tcp};
 
 use super::send_queue::SendQueue;
@@ -147,7 +147,8 @@
             let next = self.queue.borrow_mut().pop();
             if let Some(frame) = next {
                 let write = timeout(WRITE_TIMEOUT, writer.write_encoded(&frame)).await;
-                write.map_err(|_| TransportError::TimedOut)??;
+                write
+                    .map_err(|_| TransportError::TimedOut { operation: Operation::Write, address: None })??;
                 continue;
             }
             match timeout(IDLE_TIMEOUT, self.wake_ups.next()).await {
--- a/crates/lockusher-transport/src/clock.rs
+++ b/crates/lockusher-transport/src/clock.rs
@@ -1,8 +1,11 @@
-//! The steady clock of a process.
+//! The monotonic clock of a process.
+//!
+//! Decision modules take time as milliseconds or microseconds since the process started and never read a clock; the
+//! code that drives them reads this one. It never goes backwards and says nothing about the time of day.
 
 use std::time::Instant;
 
-/// Milliseconds and microseconds since the process started.
+/// Time since the process started. Copies share the start, so that their readings can be compared.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
--- a/crates/lockusher-transport/src/http.rs
+++ b/crates/lockusher-transport/src/http.rs
@@ -1,4 +1,8 @@
-//! Small HTTP/1.1 servers and clients for the fleet's own interfaces; the data plane has its own.
+//! Small HTTP/1.1 servers and clients for the fleet's own interfaces: the operators' API, health checks, the platform's
+//! instance list. The data plane has its own.
+//!
+//! Requests and responses have complete bodies ([`FullBody`]) of bounded size. A client uses a new connection for each
+//! request; a server keeps connections open.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -14,59 +18,68 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 
-use crate::error::TransportError;
+use crate::error::{Operation, TransportError};
 use crate::tcp;
 
-/// How long a caller may take to send a request's head.
-const HEADER_LIMIT: Duration = Duration::from_secs(5);
-/// The largest answer that [`get`] takes.
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Pause after a failed accept, so that a lack of descriptors doesn't spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// How long a client may take to send a request's head.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// The largest body of a response that [`get`] and [`exchange`] accept, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
+/// Delay after a failed accept, so that a lack of file descriptors doesn't spin.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A body that is there at once.
+/// A body that is complete from the start, not streamed.
 pub type FullBody = Full<Bytes>;
 
-/// An answer read whole.
+/// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct Answer {
+    /// Status of the response.
     pub status: StatusCode,
+    /// Complete body of the response.
     pub body: Bytes,
 }
 
-/// One request on a connection of its own, answered within `limit`.
-pub async fn get(address: SocketAddrV4, path: &str, limit: Duration) -> Result<Answer, TransportError> {
+/// Sends a GET request on a connection of its own and receives the response, all within `time_limit`.
+///
+/// # Errors
+///
+/// [`TransportError::TimedOut`]; [`TransportError::Request`] if `path` isn't one; and those of [`tcp::connect`] and
+/// [`exchange`].
+pub async fn get(address: SocketAddrV4, path: &str, time_limit: Duration) -> Result<Answer, TransportError> {
     let request = Request::builder()
         .method(Method::GET)
         .uri(path)
         .header("host", address.to_string())
         .header("connection", "close")
         .body(FullBody::default())?;
-    timeout(limit, send(address, request, limit)).await.map_err(|_| TransportError::TimedOut)?
+    let response = async { exchange(tcp::connect(address, time_limit).await?, request).await };
+    timeout(time_limit, response)
+        .await
+        .map_err(|_| TransportError::TimedOut { operation: Operation::HttpRequest, address: Some(address) })?
 }
 
-async fn send(
-    address: SocketAddrV4,
-    request: Request<FullBody>,
-    limit: Duration,
-) -> Result<Answer, TransportError> {
-    exchange(tcp::connect(address, limit).await?, request).await
-}
-
-/// One request on a connection that is there; the connection ends with the answer, or when the future is dropped.
+/// Sends one request on an open connection and receives the response. The connection is closed after it, or when the
+/// future is dropped.
+///
+/// # Errors
+///
+/// [`TransportError::Http`] if the connection fails, [`TransportError::BodyTooLong`] if the response is too long or ends
+/// early, and [`TransportError::Io`] if the socket can't be registered with the runtime.
 pub async fn exchange(stream: TcpStream, request: Request<FullBody>) -> Result<Answer, TransportError> {
-    let stream = HyperStream::new_plain(stream.into_poll_fd()?);
+    let socket = stream.into_poll_fd().map_err(TransportError::io(Operation::SetUp))?;
+    let stream = HyperStream::new_plain(socket);
     let (mut sender, connection) = hyper::client::conn::http1::handshake(stream).await?;
     let driver = compio::runtime::spawn(connection);
     let response = sender.send_request(request).await?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await;
-    let body = body.map_err(|_| TransportError::BodyTooLong(MAX_ANSWER_BYTES))?.to_bytes();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
+    let body = body.map_err(|_| TransportError::BodyTooLong { max_bytes: MAX_RESPONSE_BYTES })?.to_bytes();
     drop(driver);
     Ok(Answer { status, body })
 }
 
-/// Serves every connection of a listener with `handler`, for ever.
+/// Serves every connection of a listener with `handler`; never returns. A connection that fails is logged and dropped.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -79,7 +92,7 @@
             }
             Err(error) => {
                 log::warn!("accept: {error}");
-                compio::time::sleep(ACCEPT_PAUSE).await;
+                compio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -95,12 +108,12 @@
     }
     let Ok(stream) = stream.into_poll_fd() else { return };
     let service = service_fn(move |request| {
-        let answer = handler(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let served = hyper::server::conn::http1::Builder::new()
         .timer(CompioTimer)
-        .header_read_timeout(HEADER_LIMIT)
+        .header_read_timeout(REQUEST_HEAD_TIMEOUT)
         .serve_connection(HyperStream::new_plain(stream), service)
         .await;
     if let Err(error) = served {
@@ -108,13 +121,17 @@
     }
 }
 
-/// A request's body, if it is no longer than `limit` bytes.
-pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, TransportError> {
-    let read = Limited::new(body, limit).collect().await;
-    Ok(read.map_err(|_| TransportError::BodyTooLong(limit))?.to_bytes())
+/// Reads a request's body of at most `max_bytes`.
+///
+/// # Errors
+///
+/// [`TransportError::BodyTooLong`] if it is longer, or if the connection fails before its end.
+pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, TransportError> {
+    let read = Limited::new(body, max_bytes).collect().await;
+    Ok(read.map_err(|_| TransportError::BodyTooLong { max_bytes })?.to_bytes())
 }
 
-/// An answer with a text.
+/// A response with this status, content type and body.
 pub fn answer(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Response<FullBody> {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
--- a/crates/lockusher-transport/src/lib.rs
+++ b/crates/lockusher-transport/src/lib.rs
@@ -1,6 +1,15 @@
 //! Sockets of the fleet: TCP options, framed internal messages, and small HTTP/1.1 servers and clients.
 //!
-//! Everything runs on one compio runtime per process; nothing here decides.
+//! The lowest layer of the fleet's I/O, called by the control, distribution, agent and proxy packages. Everything runs
+//! on one compio runtime per process, on one thread; nothing here makes decisions or keeps state beyond a connection.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | [`tcp`] | connections and their options |
+//! | [`frame`] | messages between the fleet's processes |
+//! | [`http`] | servers and clients of the fleet's own interfaces |
+//! | [`clock`] | the monotonic clock that drives the decision modules |
+//! | [`error`] | what fails in all of these |
 
 pub mod clock;
 pub mod error;
--- a/crates/lockusher-transport/tests/sockets.rs
+++ b/crates/lockusher-transport/tests/sockets.rs
@@ -49,7 +49,7 @@
         writer.write_encoded(&u32::MAX.to_le_bytes()).await.unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let (mut reader, _writer) = frame::split::<Vec<u8>, ()>(stream).unwrap();
-        assert!(matches!(reader.read().await, Err(TransportError::FrameTooLong(..))));
+        assert!(matches!(reader.read().await, Err(TransportError::FrameTooLong { .. })));
     });
 }
 
