--- a/crates/lockusher-storage/tests/crash_points.rs
+++ b/crates/lockusher-storage/tests/crash_points.rs
@@ -4,7 +4,9 @@
 
 use lockusher_storage::{Store, StoreError, StoreOptions};
 use support::simulated_file_system::{Choices, InjectedBug, SimulatedFileSystem};
-use support::{EveryChoice, Model, SMALL_DISK, SeededChoice, open_and_check, snapshot_of};
+use support::{
+    EveryChoice, Model, SMALL_DISK, SeededChoice, after_kill, every_power_loss, open_and_check, snapshot_of,
+};
 use yare::parameterized;
 
 /// Outcomes tried for one crash point exhaustively; beyond that as many are sampled.
@@ -19,7 +21,7 @@
 
 use Step::{Append, Open, Snapshot};
 
-/// Opens, appends in one and in several records, segment rolls, snapshots with and without records before, reopening.
+/// Opens, appends of one and of several records, segment rolls, snapshots with and without records before, reopening.
 const SCRIPT: &[Step] = &[
     Open,
     Append(&[20]),
@@ -68,12 +70,7 @@
                 model.check(&recovered).map_err(ScriptError::Broken)?;
                 store = Some(opened);
             }
-            (Append(sizes), Some(store)) => {
-                let records = model.new_records(sizes);
-                let result = store.append(&records);
-                model.appended(records, &result);
-                result?;
-            }
+            (Append(sizes), Some(store)) => model.append(store, sizes)?,
             (Snapshot, Some(store)) => store.snapshot(&snapshot_of(&model.acknowledged))?,
             (_, None) => panic!("the script starts with opening"),
         }
@@ -93,10 +90,7 @@
     crashed_again.lose_power(&mut LoseAll);
     open_and_check(&crashed_again, options, &mut model.clone())?;
 
-    let records = model.new_records(&[80]);
-    let result = store.append(&records);
-    model.appended(records, &result);
-    result.map_err(|error| format!("append after the crash: {error}"))?;
+    model.append(&mut store, &[80]).map_err(|error| format!("append after the crash: {error}"))?;
     let crashed_again = files.fork();
     crashed_again.lose_power(&mut LoseAll);
     open_and_check(&crashed_again, options, &mut model.clone())?;
@@ -139,10 +133,10 @@
         injected_bug.into_iter().for_each(|injected_bug| files.inject_bug(injected_bug));
         files
     };
-    let whole = disk();
-    run_script(&whole, steps, &mut Model::default()).map_err(|error| format!("{error:?}"))?;
+    let complete = disk();
+    run_script(&complete, steps, &mut Model::default()).map_err(|error| format!("{error:?}"))?;
     let mut coverage = Coverage::default();
-    for crash_point in 0..=whole.operations() {
+    for crash_point in 0..=complete.operations() {
         let files = disk();
         files.set_power_off_after(Some(crash_point));
         let mut model = Model::default();
@@ -154,14 +148,14 @@
     Ok(coverage)
 }
 
+/// Checks the disk as a kill leaves it, and after every outcome of the power loss.
 fn try_every_outcome(
     files: &SimulatedFileSystem,
     model: &Model,
     coverage: &mut Coverage,
 ) -> Result<(), String> {
-    let killed = files.fork();
-    killed.set_power_off_after(None);
-    check_after_crash(&killed, SMALL_DISK, model.clone()).map_err(|error| format!("killed: {error}"))?;
+    check_after_crash(&after_kill(files), SMALL_DISK, model.clone())
+        .map_err(|error| format!("killed: {error}"))?;
 
     let mut choices = EveryChoice::default();
     for _ in 0..MAX_OUTCOMES_PER_CRASH_POINT {
@@ -175,6 +169,14 @@
         }
     }
     coverage.sampled_crash_points += 1;
+    try_sampled_outcomes(files, model, coverage)
+}
+
+fn try_sampled_outcomes(
+    files: &SimulatedFileSystem,
+    model: &Model,
+    coverage: &mut Coverage,
+) -> Result<(), String> {
     for seed in 0..MAX_OUTCOMES_PER_CRASH_POINT {
         let after = files.fork();
         after.lose_power(&mut SeededChoice(seed));
@@ -203,26 +205,16 @@
 /// files as they are.
 #[test]
 fn acknowledged_records_survive_every_pair_of_crash_points() {
-    let whole = SimulatedFileSystem::new();
-    run_script(&whole, SCRIPT, &mut Model::default()).expect("runs without a crash");
+    let complete = SimulatedFileSystem::new();
+    run_script(&complete, SCRIPT, &mut Model::default()).expect("runs without a crash");
     let mut coverage = Coverage::default();
-    for crash_point in 0..=whole.operations() {
+    for crash_point in 0..=complete.operations() {
         let files = SimulatedFileSystem::new();
         files.set_power_off_after(Some(crash_point));
         let mut model = Model::default();
         run_until_crash(&files, SCRIPT, &mut model).expect("no promise is broken");
-        let killed = files.fork();
-        killed.set_power_off_after(None);
-        let mut starts = vec![killed];
-        let mut choices = EveryChoice::default();
-        loop {
-            let after = files.fork();
-            after.lose_power(&mut choices);
-            starts.push(after);
-            if !choices.advance() {
-                break;
-            }
-        }
+        let mut starts = vec![after_kill(&files)];
+        starts.extend(every_power_loss(&files));
         for start in starts {
             try_every_second_crash_point(&start, &model, &mut coverage)
                 .unwrap_or_else(|error| panic!("crash point {crash_point}: {error}"));
@@ -241,9 +233,9 @@
     coverage: &mut Coverage,
 ) -> Result<(), String> {
     let begin = start.operations();
-    let whole = start.fork();
-    run_script(&whole, SECOND_SCRIPT, &mut model.clone()).map_err(|error| format!("{error:?}"))?;
-    for crash_point in begin..=whole.operations() {
+    let complete = start.fork();
+    run_script(&complete, SECOND_SCRIPT, &mut model.clone()).map_err(|error| format!("{error:?}"))?;
+    for crash_point in begin..=complete.operations() {
         let files = start.fork();
         let mut model = model.clone();
         files.set_power_off_after(Some(crash_point));
@@ -260,7 +252,7 @@
     no_file_sync = { InjectedBug::NoFileSync },
 )]
 fn an_omitted_sync_is_detected(injected_bug: InjectedBug) {
-    try_every_crash_point(SCRIPT, Some(injected_bug)).expect_err("the injected_bug is found");
+    try_every_crash_point(SCRIPT, Some(injected_bug)).expect_err("the injected bug is found");
 }
 
 /// The first directory sync matters only before the next, so a short script is tried as well.
@@ -270,6 +262,6 @@
     at_snapshot = { &[Open, Append(&[20]), Snapshot] },
 )]
 fn an_omitted_directory_sync_is_detected_in_a_short_script(steps: &[Step]) {
-    try_every_crash_point(steps, Some(InjectedBug::NoDirectorySync)).expect_err("the injected_bug is found");
+    try_every_crash_point(steps, Some(InjectedBug::NoDirectorySync)).expect_err("the injected bug is found");
     try_every_crash_point(steps, None).expect("without it no promise is broken");
 }
--- a/crates/lockusher-storage/tests/damage.rs
+++ b/crates/lockusher-storage/tests/damage.rs
@@ -2,32 +2,67 @@
 
 mod support;
 
+use std::collections::BTreeMap;
+
 use lockusher_storage::{Damage, FrameNumber, Store, StoreError};
 use support::simulated_file_system::SimulatedFileSystem;
-use support::{Model, SMALL_DISK, all_records, snapshot_of};
+use support::{Model, SMALL_DISK, all_records, every_power_loss, open_and_check, snapshot_of};
 use yare::parameterized;
 
-/// Two full segments and one begun, after a snapshot or without one.
+/// Bytes of the last append of [`grown_store`] in its segment: header of the frame, size of its record, the record.
+const LAST_APPEND_BYTES: usize = 28 + 4 + 30;
+
+/// Two closed segments and a third in use, after a snapshot or without one.
 fn grown_store(with_snapshot: bool) -> (SimulatedFileSystem, Model) {
     let files = SimulatedFileSystem::new();
     let mut model = Model::default();
     let (mut store, _) = Store::open(files.clone(), SMALL_DISK).expect("opens");
-    let append = |store: &mut Store<SimulatedFileSystem>, model: &mut Model, sizes: &[usize]| {
-        let records = model.new_records(sizes);
-        let result = store.append(&records);
-        model.appended(records, &result);
-        result.expect("appends");
-    };
-    append(&mut store, &mut model, &[50]);
+    model.append(&mut store, &[50]).expect("appends");
     if with_snapshot {
         store.snapshot(&snapshot_of(&model.acknowledged)).expect("takes a snapshot");
     }
     for sizes in [&[500, 20][..], &[300], &[800], &[600], &[40], &[30]] {
-        append(&mut store, &mut model, sizes);
+        model.append(&mut store, sizes).expect("appends");
     }
     (files, model)
 }
 
+/// All files but the reserve, whose content means nothing.
+fn log_files(files: &SimulatedFileSystem) -> BTreeMap<String, Vec<u8>> {
+    let mut contents = files.contents();
+    contents.remove("reserve");
+    contents
+}
+
+/// Name of the last file whose name begins so.
+fn last_file(files: &SimulatedFileSystem, prefix: &str) -> String {
+    let contents = files.contents();
+    contents.keys().rfind(|name| name.starts_with(prefix)).expect("there is such a file").clone()
+}
+
+/// The disk with a file whose byte at this offset is changed by these bits.
+fn with_changed_byte(
+    files: &SimulatedFileSystem,
+    name: &str,
+    offset: usize,
+    bits: u8,
+) -> SimulatedFileSystem {
+    let damaged = files.fork();
+    change_byte(&damaged, name, offset, bits);
+    damaged
+}
+
+fn change_byte(files: &SimulatedFileSystem, name: &str, offset: usize, bits: u8) {
+    let mut content = files.contents()[name].clone();
+    content[offset] ^= bits;
+    files.overwrite(name, content);
+}
+
+fn assert_damaged(files: SimulatedFileSystem, what: &str) {
+    let opened = Store::open(files, SMALL_DISK);
+    assert!(matches!(opened, Err(StoreError::Damaged { .. })), "{what}");
+}
+
 /// Either the damage is reported, or only the last append is gone and the report says that bytes were cut off.
 fn assert_damage_is_reported(files: &SimulatedFileSystem, model: &Model, what: &str) {
     match Store::open(files.clone(), SMALL_DISK) {
@@ -38,7 +73,7 @@
             if found != model.acknowledged {
                 let without_last = &model.acknowledged[..model.acknowledged.len() - 1];
                 assert!(found == without_last, "{what}: something else than the last append differs");
-                assert!(recovered.report.torn_bytes > 0, "{what}: passed over in silence");
+                assert!(recovered.report.torn_bytes > 0, "{what}: not reported");
             }
         }
     }
@@ -47,13 +82,10 @@
 #[parameterized(plain = { false }, with_snapshot = { true })]
 fn a_changed_byte_is_detected(with_snapshot: bool) {
     let (files, model) = grown_store(with_snapshot);
-    for (name, content) in files.contents().into_iter().filter(|(name, _)| name != "reserve") {
+    for (name, content) in log_files(&files) {
         for offset in 0..content.len() {
             for bit in [0, 7] {
-                let damaged = files.fork();
-                let mut changed = content.clone();
-                changed[offset] ^= 1 << bit;
-                damaged.overwrite(&name, changed);
+                let damaged = with_changed_byte(&files, &name, offset, 1 << bit);
                 assert_damage_is_reported(&damaged, &model, &format!("{name} byte {offset} bit {bit}"));
             }
         }
@@ -63,62 +95,63 @@
 #[parameterized(plain = { false }, with_snapshot = { true })]
 fn a_changed_byte_before_the_last_append_is_damage(with_snapshot: bool) {
     let (files, _) = grown_store(with_snapshot);
-    let contents = files.contents();
-    let last_segment = contents.keys().rfind(|name| name.starts_with("segment-")).expect("a segment").clone();
-    for (name, content) in contents.into_iter().filter(|(name, _)| name != "reserve") {
-        // The last append is one record of 30 bytes.
-        let end = if name == last_segment { content.len() - 28 - 4 - 30 } else { content.len() };
+    let last_segment = last_file(&files, "segment-");
+    for (name, content) in log_files(&files) {
+        let end = if name == last_segment { content.len() - LAST_APPEND_BYTES } else { content.len() };
         for offset in 0..end {
-            let damaged = files.fork();
-            let mut changed = content.clone();
-            changed[offset] ^= 0x10;
-            damaged.overwrite(&name, changed);
-            let opened = Store::open(damaged, SMALL_DISK);
-            assert!(matches!(opened, Err(StoreError::Damaged { .. })), "{name} byte {offset}");
+            let damaged = with_changed_byte(&files, &name, offset, 0x10);
+            assert_damaged(damaged, &format!("{name} byte {offset}"));
         }
     }
 }
 
+/// A truncated last segment looks like a torn write, unless something relies on its header.
 #[parameterized(plain = { false }, with_snapshot = { true })]
-fn a_truncated_file_is_detected(with_snapshot: bool) {
+fn a_truncated_last_segment_loses_appends_from_its_end_only(with_snapshot: bool) {
     let (files, model) = grown_store(with_snapshot);
-    let contents = files.contents();
-    let last_segment = contents.keys().rfind(|name| name.starts_with("segment-")).expect("a segment").clone();
-    for (name, content) in contents.into_iter().filter(|(name, _)| name != "reserve") {
-        for length in 0..content.len() {
-            let damaged = files.fork();
-            damaged.overwrite(&name, content[..length].to_vec());
-            let is_missing_tail = name == last_segment;
-            match Store::open(damaged, SMALL_DISK) {
-                Err(StoreError::Damaged { .. }) => {}
-                Ok((_, recovered)) if is_missing_tail => {
-                    assert!(
-                        model.acknowledged.starts_with(&all_records(&recovered)),
-                        "{name} truncated to {length}"
-                    );
-                }
-                Ok(_) => panic!("{name} truncated to {length}: passed over in silence"),
-                Err(error) => panic!("{name} truncated to {length}: {error}"),
+    let last_segment = last_file(&files, "segment-");
+    let content = files.contents()[&last_segment].clone();
+    for length in 0..content.len() {
+        let truncated = files.fork();
+        truncated.overwrite(&last_segment, content[..length].to_vec());
+        match Store::open(truncated, SMALL_DISK) {
+            Err(StoreError::Damaged { .. }) => {}
+            Ok((_, recovered)) => {
+                let found = all_records(&recovered);
+                assert!(model.acknowledged.starts_with(&found), "truncated to {length}");
             }
+            Err(error) => panic!("truncated to {length}: {error}"),
         }
     }
 }
 
 #[parameterized(plain = { false }, with_snapshot = { true })]
-fn a_missing_file_is_detected(with_snapshot: bool) {
+fn any_other_truncated_file_is_damage(with_snapshot: bool) {
     let (files, _) = grown_store(with_snapshot);
-    for name in files.contents().into_keys().filter(|name| name != "reserve") {
+    let last_segment = last_file(&files, "segment-");
+    for (name, content) in log_files(&files).into_iter().filter(|(name, _)| *name != last_segment) {
+        for length in 0..content.len() {
+            let truncated = files.fork();
+            truncated.overwrite(&name, content[..length].to_vec());
+            assert_damaged(truncated, &format!("{name} truncated to {length}"));
+        }
+    }
+}
+
+#[parameterized(plain = { false }, with_snapshot = { true })]
+fn a_missing_file_is_damage(with_snapshot: bool) {
+    let (files, _) = grown_store(with_snapshot);
+    for name in log_files(&files).into_keys() {
         let damaged = files.fork();
         damaged.erase(&name);
-        let opened = Store::open(damaged, SMALL_DISK);
-        assert!(matches!(opened, Err(StoreError::Damaged { .. })), "{name}");
+        assert_damaged(damaged, &name);
     }
 }
 
 #[test]
 fn the_damage_is_named_and_nothing_is_changed() {
     let (files, _) = grown_store(true);
-    let name = files.contents().into_keys().find(|name| name.starts_with("snapshot-")).expect("a snapshot");
+    let name = last_file(&files, "snapshot-");
     files.erase(&name);
     let before = files.contents();
     let error = Store::open(files.clone(), SMALL_DISK).expect_err("damaged");
@@ -129,66 +162,71 @@
     assert_eq!(files.contents(), before);
 }
 
-/// Old segments that come back after a loss of power don't matter beside the snapshot.
+/// Old segments that reappear after a power loss don't matter beside the snapshot.
 #[test]
-fn files_that_were_removed_and_come_back_are_ignored() {
+fn removed_files_that_reappear_are_ignored() {
     let (files, mut model) = grown_store(false);
     let old = files.contents();
     let (mut store, _) = Store::open(files.clone(), SMALL_DISK).expect("opens");
     store.snapshot(&snapshot_of(&model.acknowledged)).expect("takes a snapshot");
     for (name, content) in old {
-        let returned = files.fork();
-        returned.overwrite(&name, content);
-        support::open_and_check(&returned, SMALL_DISK, &mut model).expect("opens");
+        let reappeared = files.fork();
+        reappeared.overwrite(&name, content);
+        open_and_check(&reappeared, SMALL_DISK, &mut model).expect("opens");
     }
 }
 
-/// Power lost at any point of a reset leaves a folder that is damaged still or empty.
 #[test]
-fn a_reset_is_whole() {
-    let (files, _) = grown_store(true);
-    let name = files.contents().into_keys().find(|name| name.starts_with("snapshot-")).expect("a snapshot");
-    files.overwrite(&name, b"not a snapshot".to_vec());
-    let start = files.operations();
-    let after_reset = files.fork();
-    Store::reset(&mut after_reset.clone()).expect("resets");
-    assert!(after_reset.contents().is_empty());
-    for crash_point in start..=after_reset.operations() {
-        let mut choices = support::EveryChoice::default();
-        loop {
-            let after = files.fork();
-            after.set_power_off_after(Some(crash_point));
-            let _ = Store::reset(&mut after.clone());
-            after.lose_power(&mut choices);
-            match Store::open(after, SMALL_DISK) {
+fn a_reset_empties_a_damaged_directory() {
+    let files = damaged_store();
+    Store::reset(&mut files.clone()).expect("resets");
+    assert!(files.contents().is_empty());
+}
+
+#[test]
+fn a_reset_that_loses_power_leaves_the_directory_damaged_or_empty() {
+    let files = damaged_store();
+    let complete = files.fork();
+    Store::reset(&mut complete.clone()).expect("resets");
+    for crash_point in files.operations()..=complete.operations() {
+        let interrupted = files.fork();
+        interrupted.set_power_off_after(Some(crash_point));
+        // Fails at the crash point, if it reaches it.
+        let _ = Store::reset(&mut interrupted.clone());
+        for disk in every_power_loss(&interrupted) {
+            match Store::open(disk, SMALL_DISK) {
                 Err(StoreError::Damaged { .. }) => {}
                 Err(error) => panic!("crash point {crash_point}: {error}"),
                 Ok((_, recovered)) => {
-                    assert!(all_records(&recovered).is_empty(), "crash point {crash_point}: neither")
+                    assert!(all_records(&recovered).is_empty(), "crash point {crash_point}: neither");
                 }
             }
-            if !choices.advance() {
-                break;
-            }
         }
     }
 }
 
+/// A store whose snapshot is unreadable.
+fn damaged_store() -> SimulatedFileSystem {
+    let (files, _) = grown_store(true);
+    files.overwrite(&last_file(&files, "snapshot-"), b"not a snapshot".to_vec());
+    files
+}
+
 /// While the store is in use: any changed byte is found by a scrub, and a snapshot repairs the disk.
 #[parameterized(plain = { false }, with_snapshot = { true })]
 fn a_scrub_finds_a_changed_byte_and_a_snapshot_repairs_it(with_snapshot: bool) {
     let (files, model) = grown_store(with_snapshot);
-    for (name, content) in files.contents().into_iter().filter(|(name, _)| name != "reserve") {
+    for (name, content) in log_files(&files) {
         for offset in 0..content.len() {
-            let damaged = files.fork();
-            let (mut store, _) = Store::open(damaged.clone(), SMALL_DISK).expect("opens");
+            let disk = files.fork();
+            let (mut store, _) = Store::open(disk.clone(), SMALL_DISK).expect("opens");
             let undamaged = store.scrub().expect("nothing is damaged");
             assert!(all_records(&undamaged) == model.acknowledged);
-            let mut changed = content.clone();
-            changed[offset] ^= 0x10;
-            damaged.overwrite(&name, changed);
+
+            change_byte(&disk, &name, offset, 0x10);
             let scrubbed = store.scrub();
             assert!(matches!(scrubbed, Err(StoreError::Damaged { .. })), "{name} byte {offset}");
+
             store.snapshot(&snapshot_of(&model.acknowledged)).expect("takes a snapshot");
             let repaired = store.scrub().expect("repaired");
             assert!(all_records(&repaired) == model.acknowledged, "{name} byte {offset}");
--- a/crates/lockusher-storage/tests/model.rs
+++ b/crates/lockusher-storage/tests/model.rs
@@ -1,4 +1,4 @@
-//! Random operations, failures, full disks, kills and losses of power, compared with a plain model.
+//! Random operations, failures, full disks, kills and power losses, compared with a reference model.
 
 mod support;
 
@@ -7,6 +7,9 @@
 use support::simulated_file_system::{Fault, SimulatedFileSystem};
 use support::{Model, SMALL_DISK, SeededChoice, all_records, open_and_check, snapshot_of};
 
+/// Size of a log without appends.
+const SEGMENT_HEADER_BYTES: u64 = 20;
+
 #[derive(Clone, Debug)]
 enum Event {
     Append(Vec<usize>),
@@ -24,7 +27,7 @@
         fault: Fault,
     },
     Full(bool),
-    /// The disk has room for this many bytes more than it holds, or for all.
+    /// The disk has space for this many bytes more than it holds, or for any number.
     FreeSpace(Option<u64>),
 }
 
@@ -47,22 +50,13 @@
     files: SimulatedFileSystem,
     store: Option<Store<SimulatedFileSystem>>,
     model: Model,
-    /// Seed of the loss of power that is under way.
+    /// Seed of the power loss that is due once an operation fails.
     power_loss: Option<u64>,
-    full: bool,
-    limited: bool,
 }
 
 impl Trial {
     fn new() -> Trial {
-        Trial {
-            files: SimulatedFileSystem::new(),
-            store: None,
-            model: Model::default(),
-            power_loss: None,
-            full: false,
-            limited: false,
-        }
+        Trial { files: SimulatedFileSystem::new(), store: None, model: Model::default(), power_loss: None }
     }
 
     fn play(&mut self, event: &Event) -> Result<(), String> {
@@ -75,15 +69,11 @@
                 self.power_loss = Some(*seed);
             }
             Event::Fault { operations, fault } => {
-                self.files.set_fault(self.files.operations() + operations, *fault)
-            }
-            Event::Full(full) => {
-                self.files.set_full(*full);
-                self.full = *full;
+                self.files.set_fault(self.files.operations() + operations, *fault);
             }
+            Event::Full(full) => self.files.set_full(*full),
             Event::FreeSpace(free_bytes) => {
                 self.files.set_capacity(free_bytes.map(|free_bytes| self.files.used_bytes() + free_bytes));
-                self.limited = free_bytes.is_some();
             }
         }
         Ok(())
@@ -93,16 +83,12 @@
         if !self.ensure_open()? {
             return Ok(());
         }
-        let records = self.model.new_records(sizes);
-        let store = self.store.as_mut().expect("open");
-        let result = store.append(&records);
-        if result == Err(StoreError::NoSpace) && !store.snapshot_due() {
-            let has_log = store.log_bytes() > 20;
-            if has_log {
-                return Err("no space, and no snapshot is wanted".to_owned());
-            }
+        let store = self.store.as_mut().expect("ensure_open opened it");
+        let result = self.model.append(store, sizes);
+        let log_is_empty = store.log_bytes() <= SEGMENT_HEADER_BYTES;
+        if result == Err(StoreError::NoSpace) && !store.snapshot_due() && !log_is_empty {
+            return Err("no space, and no snapshot is due".to_owned());
         }
-        self.model.appended(records, &result);
         self.end_if_power_is_lost(result.is_err());
         Ok(())
     }
@@ -112,7 +98,7 @@
             return Ok(());
         }
         let snapshot = snapshot_of(&self.model.acknowledged);
-        let result = self.store.as_mut().expect("open").snapshot(&snapshot);
+        let result = self.store.as_mut().expect("ensure_open opened it").snapshot(&snapshot);
         if result.is_ok() {
             // The snapshot replaces the log with everything in it.
             self.model.uncertain.clear();
@@ -149,7 +135,7 @@
         }
     }
 
-    /// With all trouble over, the store works at once, without being opened again.
+    /// With all faults over, the store works at once, without being opened again.
     fn finish(mut self) -> Result<(), String> {
         self.files.set_power_off_after(None);
         self.files.clear_faults();
@@ -160,14 +146,14 @@
         let records = self.model.new_records(&[100]);
         let mut result = store.append(&records);
         if result == Err(StoreError::NoSpace) {
-            // The log has used its part of the disk.
+            // The log has used its share of the disk.
             store
                 .snapshot(&snapshot_of(&self.model.acknowledged))
                 .map_err(|error| format!("snapshot: {error}"))?;
             result = store.append(&records);
         }
         self.model.appended(records, &result);
-        result.map_err(|error| format!("append with all trouble over: {error}"))?;
+        result.map_err(|error| format!("append with all faults over: {error}"))?;
         self.files.lose_power(&mut SeededChoice(0));
         open_and_check(&self.files, SMALL_DISK, &mut self.model).map(|_| ())
     }
@@ -186,7 +172,7 @@
     }
 }
 
-/// Fills the disk, whose size the store may know or not, and regains room by a snapshot.
+/// Fills the disk, whose size the store may know or not, and frees space by a snapshot.
 #[yare::parameterized(
     size_known = { SMALL_DISK },
     size_unknown = { StoreOptions { disk_bytes: 0 } },
@@ -196,16 +182,14 @@
     files.set_capacity(Some(90 * 1024));
     let mut model = Model::default();
     let mut store = open_and_check(&files, options, &mut model).expect("opens");
-    loop {
-        let records = model.new_records(&[400]);
-        let result = store.append(&records);
-        model.appended(records, &result);
-        if result.is_err() {
-            assert_eq!(result, Err(StoreError::NoSpace));
-            break;
+    let error = loop {
+        if let Err(error) = model.append(&mut store, &[400]) {
+            break error;
         }
-    }
+    };
+    assert_eq!(error, StoreError::NoSpace);
     assert!(store.snapshot_due());
+
     let mut reopened = open_and_check(&files.fork(), options, &mut model.clone()).expect("opens");
     reopened.snapshot(b"").expect("takes a snapshot after opening, too");
 
@@ -217,7 +201,7 @@
     assert_eq!(all_records(&recovered).len(), 3);
 }
 
-/// Others fill the disk to the last byte: the reserve gives room for the snapshot.
+/// Others fill the disk to the last byte: the reserve leaves space for the snapshot.
 #[test]
 fn the_reserve_leaves_space_for_a_snapshot() {
     let files = SimulatedFileSystem::new();
@@ -231,27 +215,23 @@
     store.append(&[vec![3; 500]]).expect("appends");
 }
 
-/// A disk that refuses every write opens with all that was acknowledged, and works again when the trouble is over.
+/// A disk that refuses every write opens with all that was acknowledged, and works again once it has space.
 #[test]
-fn a_full_disk_is_no_reason_not_to_open() {
+fn a_full_disk_can_be_opened() {
     let files = SimulatedFileSystem::new();
     let mut model = Model::default();
     let mut store = open_and_check(&files, SMALL_DISK, &mut model).expect("opens");
     for _ in 0..5 {
-        let records = model.new_records(&[400]);
-        let result = store.append(&records);
-        model.appended(records, &result);
+        model.append(&mut store, &[400]).expect("appends");
     }
+
     files.set_full(true);
-    let records = model.new_records(&[400]);
-    let result = store.append(&records);
-    assert_eq!(result, Err(StoreError::NoSpace));
+    assert_eq!(model.append(&mut store, &[400]), Err(StoreError::NoSpace));
     let mut store = open_and_check(&files, SMALL_DISK, &mut model).expect("opens while full");
-    assert_eq!(store.append(&records), Err(StoreError::NoSpace));
+    assert_eq!(model.append(&mut store, &[400]), Err(StoreError::NoSpace));
+
     files.set_full(false);
-    let result = store.append(&records);
-    assert_eq!(result, Ok(()));
-    model.appended(records, &result);
+    assert_eq!(model.append(&mut store, &[400]), Ok(()));
     open_and_check(&files, SMALL_DISK, &mut model).expect("opens");
 }
 
@@ -266,20 +246,24 @@
     let files = SimulatedFileSystem::new();
     files.set_capacity(Some(options.disk_bytes));
     let (mut store, _) = Store::open(files.clone(), options).expect("opens");
-    let mut appended = 0;
-    let mut most_used = 0;
+    let mut appended_bytes = 0;
+    let mut max_used_bytes = 0;
     for change in 0..CHANGES {
         let record = vec![change as u8; (change * 97 % 257) as usize];
-        appended += record.len() as u64;
+        appended_bytes += record.len() as u64;
         store.append(&[record]).expect("appends");
         if store.snapshot_due() {
             store.snapshot(&state).expect("takes a snapshot");
         }
-        most_used = most_used.max(files.used_bytes());
+        max_used_bytes = max_used_bytes.max(files.used_bytes());
     }
-    println!("used at most {most_used} bytes, {} written for {appended}", files.written_bytes());
-    assert!(most_used < options.disk_bytes / 3, "{most_used} bytes used");
-    assert!(files.written_bytes() < 2 * appended, "{} bytes written for {appended}", files.written_bytes());
+    println!("used at most {max_used_bytes} bytes, {} written for {appended_bytes}", files.written_bytes());
+    assert!(max_used_bytes < options.disk_bytes / 3, "{max_used_bytes} bytes used");
+    assert!(
+        files.written_bytes() < 2 * appended_bytes,
+        "{} bytes written for {appended_bytes}",
+        files.written_bytes()
+    );
 }
 
 #[test]
--- a/crates/lockusher-storage/tests/support/mod.rs
+++ b/crates/lockusher-storage/tests/support/mod.rs
@@ -4,7 +4,7 @@
 mod simulated_file;
 pub mod simulated_file_system;
 
-use lockusher_storage::{Recovered, Store, StoreError, StoreOptions};
+use lockusher_storage::{FileSystem, Recovered, Store, StoreError, StoreOptions};
 
 use simulated_file_system::{Choices, SimulatedFileSystem};
 
@@ -49,6 +49,27 @@
     }
 }
 
+/// The disk after a power loss, once for each outcome of what wasn't synced.
+pub fn every_power_loss(files: &SimulatedFileSystem) -> Vec<SimulatedFileSystem> {
+    let mut choices = EveryChoice::default();
+    let mut disks = Vec::new();
+    loop {
+        let disk = files.fork();
+        disk.lose_power(&mut choices);
+        disks.push(disk);
+        if !choices.advance() {
+            return disks;
+        }
+    }
+}
+
+/// The disk after the process was killed: power is on, and the files are as they were, also what isn't synced.
+pub fn after_kill(files: &SimulatedFileSystem) -> SimulatedFileSystem {
+    let disk = files.fork();
+    disk.set_power_off_after(None);
+    disk
+}
+
 /// Choices that follow from a seed.
 #[derive(Debug)]
 pub struct SeededChoice(pub u64);
@@ -87,10 +108,12 @@
     records
 }
 
-/// The plain model: what was acknowledged, and what may be there besides.
+/// The reference model: what was acknowledged, and what may be there besides.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
+    /// Records that must be found, in order.
     pub acknowledged: Vec<Vec<u8>>,
+    /// Records that may be found behind them.
     pub uncertain: Vec<Vec<u8>>,
     next_record: u64,
 }
@@ -108,6 +131,14 @@
         records
     }
 
+    /// Appends new records of these sizes and takes note of the outcome.
+    pub fn append<F: FileSystem>(&mut self, store: &mut Store<F>, sizes: &[usize]) -> Result<(), StoreError> {
+        let records = self.new_records(sizes);
+        let result = store.append(&records);
+        self.appended(records, &result);
+        result
+    }
+
     /// Takes note of an append's outcome.
     pub fn appended(&mut self, records: Vec<Vec<u8>>, result: &Result<(), StoreError>) {
         match result {
@@ -120,7 +151,7 @@
         }
     }
 
-    /// Compares with what was found, and goes on from it.
+    /// Compares with what was found, which is acknowledged from now on.
     pub fn check(&mut self, recovered: &Recovered) -> Result<(), String> {
         let found = all_records(recovered);
         let with_uncertain = [self.acknowledged.clone(), self.uncertain.clone()].concat();
@@ -139,7 +170,7 @@
     }
 }
 
-/// Opens and compares.
+/// Opens the store and compares what it holds with the model.
 pub fn open_and_check(
     files: &SimulatedFileSystem,
     options: StoreOptions,
