--- a/crates/lockusher-transport/tests/sockets.rs
+++ b/crates/lockusher-transport/tests/sockets.rs
@@ -1,98 +1,148 @@
 //! Frames and the small HTTP server and client, over loopback.
 
-use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
+mod support;
+
 use std::time::Duration;
 
-use compio::net::TcpListener;
-use compio::runtime::Runtime;
+use bytes::Bytes;
 use futures_util::FutureExt;
-use hyper::StatusCode;
-use lockusher_transport::error::TransportError;
-use lockusher_transport::{frame, http, tcp};
-
-const LIMIT: Duration = Duration::from_secs(5);
-
-async fn listener() -> (TcpListener, SocketAddrV4) {
-    let listener = tcp::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).await.unwrap();
-    let SocketAddr::V4(address) = listener.local_addr().unwrap() else { panic!("not IPv4") };
-    (listener, address)
-}
+use hyper::{Request, StatusCode};
+use lockusher_transport::error::{Operation, TransportError};
+use lockusher_transport::frame::{self, MAX_FRAME_BYTES};
+use lockusher_transport::http;
+use lockusher_transport::tcp;
+use support::{TIME_LIMIT, UNUSED_ADDRESS, connected_pair, listener, run, serve};
+use yare::parameterized;
 
 #[test]
-fn frames_arrive_whole_and_in_order_both_ways() {
-    Runtime::new().unwrap().block_on(async {
-        let (listener, address) = listener().await;
-        let server = compio::runtime::spawn(async move {
-            let (stream, _) = listener.accept().await.unwrap();
-            let (mut reader, mut writer) = frame::split::<Vec<u8>, usize>(stream).unwrap();
+fn frames_arrive_complete_and_in_order_both_ways() {
+    run(async {
+        let (client, server) = connected_pair().await;
+        let echo_lengths = compio::runtime::spawn(async move {
+            let (mut reader, mut writer) = frame::split::<Vec<u8>, usize>(server).expect("splits");
             while let Ok(message) = reader.read().await {
-                writer.write(&message.len()).await.unwrap();
+                writer.write(&message.len()).await.expect("writes");
             }
         });
-        let stream = tcp::connect(address, LIMIT).await.unwrap();
-        let (mut reader, mut writer) = frame::split::<usize, Vec<u8>>(stream).unwrap();
+        let (mut reader, mut writer) = frame::split::<usize, Vec<u8>>(client).expect("splits");
         for length in [0, 1, 20_000, 3_000_000, 5] {
-            writer.write(&vec![7u8; length]).await.unwrap();
-            assert_eq!(reader.read().await.unwrap(), length);
+            writer.write(&vec![7u8; length]).await.expect("writes");
+            assert_eq!(reader.read().await.expect("an echo"), length);
         }
         drop((reader, writer));
-        server.await.unwrap();
+        echo_lengths.await.expect("the echo ends with the connection");
     });
 }
 
+/// What a reader of strings says of these bytes from its peer.
+async fn read_error(sent: &[u8]) -> TransportError {
+    let (client, server) = connected_pair().await;
+    let (reader, mut writer) = frame::split::<(), ()>(client).expect("splits");
+    writer.write_encoded(sent).await.expect("writes");
+    drop((reader, writer));
+    let (mut reader, _writer) = frame::split::<Vec<String>, ()>(server).expect("splits");
+    reader.read().await.expect_err("the bytes are no message")
+}
+
 #[test]
-fn a_frame_over_the_limit_is_refused() {
-    Runtime::new().unwrap().block_on(async {
-        let (listener, address) = listener().await;
-        let stream = tcp::connect(address, LIMIT).await.unwrap();
-        let (_reader, mut writer) = frame::split::<(), ()>(stream).unwrap();
-        writer.write_encoded(&u32::MAX.to_le_bytes()).await.unwrap();
-        let (stream, _) = listener.accept().await.unwrap();
-        let (mut reader, _writer) = frame::split::<Vec<u8>, ()>(stream).unwrap();
-        assert!(matches!(reader.read().await, Err(TransportError::FrameTooLong { .. })));
-    });
+fn a_frame_over_the_limit_is_rejected() {
+    let error = run(read_error(&u32::MAX.to_le_bytes()));
+    let expected_bytes = u32::MAX as usize;
+    assert!(matches!(
+        error,
+        TransportError::FrameTooLong { bytes, max_bytes: MAX_FRAME_BYTES } if bytes == expected_bytes
+    ));
 }
 
 #[test]
 fn bytes_that_are_no_message_are_an_error() {
-    Runtime::new().unwrap().block_on(async {
-        let (listener, address) = listener().await;
-        let stream = tcp::connect(address, LIMIT).await.unwrap();
-        let (_reader, mut writer) = frame::split::<(), ()>(stream).unwrap();
-        writer.write_encoded(&[3, 0, 0, 0, 255, 255, 255]).await.unwrap();
-        let (stream, _) = listener.accept().await.unwrap();
-        let (mut reader, _writer) = frame::split::<Vec<String>, ()>(stream).unwrap();
-        assert!(matches!(reader.read().await, Err(TransportError::Decode(_))));
+    let error = run(read_error(&[3, 0, 0, 0, 255, 255, 255]));
+    assert!(matches!(error, TransportError::Decode(_)));
+}
+
+#[parameterized(
+    between_frames = { &[] },
+    within_a_length = { &[3, 0] },
+    within_a_message = { &[3, 0, 0, 0, 255] },
+)]
+fn the_end_of_the_stream_is_an_error(sent: &[u8]) {
+    let error = run(read_error(sent));
+    assert!(matches!(error, TransportError::Closed));
+}
+
+#[test]
+fn a_read_that_is_dropped_loses_nothing() {
+    run(async {
+        let (client, server) = connected_pair().await;
+        let (_reader, mut writer) = frame::split::<(), ()>(client).expect("splits");
+        let (mut reader, _writer) = frame::split::<String, ()>(server).expect("splits");
+        let encoded = frame::encode(&"a message in several pieces".to_owned());
+        for piece in encoded.chunks(3) {
+            // Polled once before the piece is there, then dropped.
+            assert!(reader.read().now_or_never().is_none());
+            writer.write_encoded(piece).await.expect("writes");
+        }
+        assert_eq!(reader.read().await.expect("the message"), "a message in several pieces");
+    });
+}
+
+#[test]
+fn an_error_of_a_connection_names_operation_and_address() {
+    run(async {
+        let error = tcp::connect(UNUSED_ADDRESS, TIME_LIMIT).await.expect_err("nobody listens");
+        assert!(error.to_string().starts_with(&format!("connect {UNUSED_ADDRESS}: ")), "{error}");
+        assert!(matches!(
+            error,
+            TransportError::Io { operation: Operation::Connect, address: Some(UNUSED_ADDRESS), .. }
+        ));
     });
 }
 
 #[test]
 fn a_request_is_answered() {
-    Runtime::new().unwrap().block_on(async {
-        let (listener, address) = listener().await;
-        let handler = |request: hyper::Request<_>| async move {
+    run(async {
+        let address = serve(|request: Request<_>| async move {
             http::answer(StatusCode::OK, "text/plain", request.uri().path().to_owned())
-        };
-        compio::runtime::spawn(http::serve(listener, handler)).detach();
-        let answer = http::get(address, "/some/path", LIMIT).await.unwrap();
+        })
+        .await;
+        let answer = http::get(address, "/some/path", TIME_LIMIT).await.expect("an answer");
         assert_eq!((answer.status, &answer.body[..]), (StatusCode::OK, &b"/some/path"[..]));
     });
 }
 
 #[test]
-fn a_reader_that_gives_up_waiting_loses_nothing() {
-    Runtime::new().unwrap().block_on(async {
-        let (listener, address) = listener().await;
-        let stream = tcp::connect(address, LIMIT).await.unwrap();
-        let (_reader, mut writer) = frame::split::<(), ()>(stream).unwrap();
-        let (stream, _) = listener.accept().await.unwrap();
-        let (mut reader, _writer) = frame::split::<String, ()>(stream).unwrap();
-        let whole = frame::encode(&"a message in several pieces".to_owned());
-        for piece in whole.chunks(3) {
-            // Polled once before the piece is there, then dropped.
-            assert!(reader.read().now_or_never().is_none());
-            writer.write_encoded(piece).await.unwrap();
-        }
-        assert_eq!(reader.read().await.unwrap(), "a message in several pieces");
+fn a_request_without_an_answer_times_out() {
+    run(async {
+        let (_listener, address) = listener().await;
+        let error = http::get(address, "/", Duration::from_millis(500)).await.expect_err("nobody answers");
+        assert!(matches!(
+            error,
+            TransportError::TimedOut { operation: Operation::HttpRequest, address: Some(named) }
+                if named == address
+        ));
+    });
+}
+
+/// A body of four bytes, read by a server that accepts as many as `max_bytes`.
+#[parameterized(
+    at_the_limit = { 4, StatusCode::OK },
+    over_the_limit = { 3, StatusCode::PAYLOAD_TOO_LARGE },
+)]
+fn a_body_is_read_up_to_the_limit(max_bytes: usize, expected: StatusCode) {
+    run(async {
+        let address = serve(move |request: Request<_>| async move {
+            match http::read_body(request.into_body(), max_bytes).await {
+                Ok(body) => http::answer(StatusCode::OK, "text/plain", body),
+                Err(_) => http::answer(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", ""),
+            }
+        })
+        .await;
+        let request = Request::put("/")
+            .header("host", address.to_string())
+            .body(http::FullBody::new(Bytes::from_static(b"body")))
+            .expect("a request");
+        let stream = tcp::connect(address, TIME_LIMIT).await.expect("connects");
+        let answer = http::exchange(stream, request).await.expect("an answer");
+        assert_eq!(answer.status, expected);
     });
 }
