--- a/crates/lockusher-proxy/src/decision/admission_control.rs
+++ b/crates/lockusher-proxy/src/decision/admission_control.rs
@@ -67,7 +67,7 @@
     waiting: Rc<WaitingByRank>,
     /// Average time of answers as a share of the time given, and average time given in seconds, 0 at first.
     lateness: f64,
-    given: f64,
+    mean_patience_s: f64,
     /// Answers and, by rank, requests; both fade.
     answers: f64,
     answers_at: Micros,
@@ -92,14 +92,15 @@
     }
 
     fn has_capacity(&self, now: Micros, rank: usize) -> bool {
-        let limit = self.pace(now) * ALLOWED_WAIT_SHARE * self.given;
+        let limit = self.pace(now) * ALLOWED_WAIT_SHARE * self.mean_patience_s;
         let all: f64 = self.offered.iter().sum();
         let waiting: u32 = self.waiting.0.iter().map(Cell::get).sum();
         let reserved = RESERVED_SHARE * limit * self.offered[rank] / all;
         // The ranks that are asked for lie evenly between the most and the least urgent.
         let more_urgent: f64 = self.offered[..rank].iter().sum::<f64>() / all;
-        let least = (1.0 - self.offered[rank] / all).max(f64::EPSILON);
-        let urgency = MAX_RANK_FACTOR - (MAX_RANK_FACTOR - MIN_RANK_FACTOR) * (more_urgent / least).min(1.0);
+        let other_ranks_share = (1.0 - self.offered[rank] / all).max(f64::EPSILON);
+        let urgency = MAX_RANK_FACTOR
+            - (MAX_RANK_FACTOR - MIN_RANK_FACTOR) * (more_urgent / other_ranks_share).min(1.0);
         f64::from(waiting) < (limit * urgency).max(MIN_LIMIT)
             || f64::from(self.waiting.0[rank].get()) < reserved
     }
@@ -110,22 +111,26 @@
     }
 
     /// Records an answer: the time that it took and the time that was given, in microseconds.
-    pub fn answered(&mut self, now: Micros, elapsed: Micros, given: Micros) {
-        self.record_time(elapsed, given);
+    pub fn answered(&mut self, now: Micros, elapsed: Micros, patience: Micros) {
+        self.record_time(elapsed, patience);
         self.answers = self.answers * fade(now, self.answers_at) + 1.0;
         self.answers_at = now;
     }
 
     /// Records a request that was abandoned after a time without an answer.
-    pub fn abandoned(&mut self, elapsed: Micros, given: Micros) {
-        self.record_time(elapsed, given);
+    pub fn abandoned(&mut self, elapsed: Micros, patience: Micros) {
+        self.record_time(elapsed, patience);
     }
 
-    fn record_time(&mut self, elapsed: Micros, given: Micros) {
-        let given = given.max(1) as f64;
-        self.lateness += ((elapsed as f64 / given).min(MAX_LATENESS) - self.lateness) * NEWEST_WEIGHT;
-        let given = given / 1e6;
-        self.given = if self.given > 0.0 { self.given + (given - self.given) * NEWEST_WEIGHT } else { given };
+    fn record_time(&mut self, elapsed: Micros, patience: Micros) {
+        let patience = patience.max(1) as f64;
+        self.lateness += ((elapsed as f64 / patience).min(MAX_LATENESS) - self.lateness) * NEWEST_WEIGHT;
+        let patience = patience / 1e6;
+        self.mean_patience_s = if self.mean_patience_s > 0.0 {
+            self.mean_patience_s + (patience - self.mean_patience_s) * NEWEST_WEIGHT
+        } else {
+            patience
+        };
     }
 
     /// The time after which those that wait now will have been answered, in milliseconds.
--- a/crates/lockusher-proxy/src/decision/load.rs
+++ b/crates/lockusher-proxy/src/decision/load.rs
@@ -14,36 +14,36 @@
 const SECOND: Micros = 1_000 * MICROS_PER_MS;
 
 /// Loads over less time than this aren't reported.
-const SHORTEST_WINDOW: Micros = SECOND / 4;
+const MIN_WINDOW: Micros = SECOND / 4;
 
 /// A number that changes by steps, averaged over time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Level {
+struct TimeAverage {
     now: u64,
     /// Integral over time, in microseconds.
     area: u64,
     changed: Micros,
 }
 
-impl Level {
-    fn settle(&mut self, now: Micros) {
+impl TimeAverage {
+    fn accumulate(&mut self, now: Micros) {
         self.area += self.now * now.saturating_sub(self.changed);
         self.changed = self.changed.max(now);
     }
 
     fn rise(&mut self, now: Micros, by: u64) {
-        self.settle(now);
+        self.accumulate(now);
         self.now += by;
     }
 
     fn fall(&mut self, now: Micros, by: u64) {
-        self.settle(now);
+        self.accumulate(now);
         self.now = self.now.saturating_sub(by);
     }
 
     /// The mean since the last call, in hundredths; starts anew.
     fn take_hundredths(&mut self, now: Micros, window: Micros) -> u32 {
-        self.settle(now);
+        self.accumulate(now);
         let area = std::mem::take(&mut self.area);
         saturate(area.saturating_mul(u64::from(HUNDREDTHS)) / window)
     }
@@ -54,10 +54,10 @@
 struct Meter {
     requests: u64,
     read_tokens: u64,
-    prefill: Level,
-    decode: Level,
-    decode_waiting: Level,
-    decode_tokens: Level,
+    prefill: TimeAverage,
+    decode: TimeAverage,
+    decode_waiting: TimeAverage,
+    decode_tokens: TimeAverage,
 }
 
 /// The loads on all services, by their index.
@@ -115,7 +115,7 @@
         name: impl Fn(usize) -> Option<&'a str>,
     ) -> Option<Vec<ServiceLoad>> {
         let window = now.saturating_sub(self.taken);
-        if window < SHORTEST_WINDOW {
+        if window < MIN_WINDOW {
             return None;
         }
         self.taken = now;
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -38,7 +38,7 @@
 pub struct Progress {
     /// When the request was admitted, and the time that it had then.
     pub admitted: Micros,
-    pub given: Micros,
+    pub client_patience: Micros,
     /// Its permit to wait for a first event.
     pub waiting: RefCell<Option<WaitingPermit>>,
     /// Arrivals that count: all but the first prefill call that a searcher takes up.
@@ -99,7 +99,7 @@
     /// The request's target latency.
     pub target: Micros,
     /// Tokens that it prefills if it has cached only what this proxy itself sent it lately.
-    pub at_most: u32,
+    pub tokens_upper_bound: u32,
     pub counting: Counting,
     /// Whose KV cache it transfers.
     pub holder: Option<Incarnation>,
@@ -141,9 +141,9 @@
     /// Whether a handle that was rejected may be sent to one more searcher: where it seems to be gone, the last
     /// send is reserved for the complete request.
     pub(super) fn may_transfer_again(&self) -> bool {
-        let seems_gone = self.progress.rejected_transfer.get().is_some();
-        let kept = u32::from(seems_gone);
-        self.progress.counted.get() + 1 + kept <= self.attempts
+        let is_handle_likely_gone = self.progress.rejected_transfer.get().is_some();
+        let reserved_attempts = u32::from(is_handle_likely_gone);
+        self.progress.counted.get() + 1 + reserved_attempts <= self.attempts
     }
 
     /// How a send for a purpose would count.
@@ -179,10 +179,10 @@
 
 impl Progress {
     /// A request that nothing was sent of.
-    pub fn new(admitted: Micros, given: Micros, waiting: WaitingPermit) -> Self {
+    pub fn new(admitted: Micros, client_patience: Micros, waiting: WaitingPermit) -> Self {
         Progress {
             admitted,
-            given,
+            client_patience,
             waiting: RefCell::new(Some(waiting)),
             counted: Cell::new(0),
             prefilled: Cell::new(false),
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -31,11 +31,11 @@
 const CACHE_RETENTION_SPANS: u64 = 2;
 
 /// The shortest `Retry-After`, in milliseconds.
-const SHORTEST_RETRY_MS: u64 = 50;
+const MIN_RETRY_AFTER_MS: u64 = 50;
 
 /// Clients give a silent stream up after so many target latencies, but not before this time.
-const STREAM_PATIENCE: u64 = 4;
-const LEAST_STREAM_PATIENCE_MS: u64 = 2_000;
+const STREAM_PATIENCE_TARGETS: u64 = 4;
+const MIN_STREAM_PATIENCE_MS: u64 = 2_000;
 
 /// The lowest rank that `Priority` can name, and that of a request without it.
 const LOWEST_PRIORITY: u8 = 9;
@@ -118,11 +118,11 @@
         self.services[service].budget.record_request(now);
         self.loads.request(service);
         if request.remaining_ms == 0 {
-            return Admission::Refuse { retry_after_ms: SHORTEST_RETRY_MS };
+            return Admission::Refuse { retry_after_ms: MIN_RETRY_AFTER_MS };
         }
         let admission = &mut self.services[service].admission;
         let Some(waiting) = admission.try_admit(now, request.priority) else {
-            let retry_after_ms = admission.wait_ms(now).min(request.remaining_ms / 3).max(SHORTEST_RETRY_MS);
+            let retry_after_ms = admission.wait_ms(now).min(request.remaining_ms / 3).max(MIN_RETRY_AFTER_MS);
             return Admission::Refuse { retry_after_ms };
         };
         let prefixes = prefixes(&request.prompt);
@@ -137,7 +137,7 @@
             target: request.target_latency_ms * MICROS_PER_MS,
             deadline: now + request.remaining_ms * MICROS_PER_MS,
             source: None,
-            progress: Rc::new(Progress::new(now, time_given(request) * MICROS_PER_MS, waiting)),
+            progress: Rc::new(Progress::new(now, client_patience_ms(request) * MICROS_PER_MS, waiting)),
         })
     }
 
@@ -212,7 +212,7 @@
             expected: selected.expected,
             waited: now.saturating_sub(plan.progress.admitted),
             target: plan.target,
-            at_most: selected.at_most,
+            tokens_upper_bound: selected.tokens_upper_bound,
             counting,
             holder: plan.progress.holder.get().filter(|_| purpose == Purpose::Decode),
             has_response: false,
@@ -264,7 +264,7 @@
         if !record.has_response || !matches!(outcome, SendOutcome::Answered | SendOutcome::Cancelled) {
             service.learn(now, &record, outcome, elapsed);
         }
-        if !service.seems_gone(now, &record) {
+        if !service.is_handle_likely_gone(now, &record) {
             record.progress.rejected_transfer.set(None);
         }
         service.reuse(record.searcher);
@@ -277,7 +277,7 @@
         let service_time = service.service_time(Purpose::Whole);
         let usual =
             if service_time.is_known() { service_time.usual(f64::from(plan.tokens)) / 1e3 } else { 0.0 };
-        (usual as u64).min(left / 3).max(SHORTEST_RETRY_MS)
+        (usual as u64).min(left / 3).max(MIN_RETRY_AFTER_MS)
     }
 
     /// The load that this proxy has put on each service with an inference engine since the last call; nothing if that
@@ -357,8 +357,8 @@
 
 /// The time in milliseconds after which a client gives a request up that it has heard nothing of. Clients of
 /// streams don't wait for their deadline.
-fn time_given(request: &RequestFacts) -> u64 {
-    let patience = LEAST_STREAM_PATIENCE_MS.max(STREAM_PATIENCE * request.target_latency_ms);
+fn client_patience_ms(request: &RequestFacts) -> u64 {
+    let patience = MIN_STREAM_PATIENCE_MS.max(STREAM_PATIENCE_TARGETS * request.target_latency_ms);
     match request.kind {
         RouteKind::Streaming => request.remaining_ms.min(patience),
         RouteKind::Idempotent | RouteKind::NonIdempotent => request.remaining_ms,
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -290,7 +290,7 @@
     }
 
     /// A lower bound of its latency at any time, quick to work out; none for one that may be an outlier.
-    pub fn least_latency(&self, peers: &PeerStatistics) -> f64 {
+    pub fn min_latency(&self, peers: &PeerStatistics) -> f64 {
         if self.success_rate < peers.success_rate / 2.0 {
             return 0.0;
         }
--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -61,7 +61,7 @@
     /// The tokens that it is expected to read or move.
     pub tokens: u32,
     /// The tokens that it prefills if it has cached only what this proxy itself sent it lately.
-    pub at_most: u32,
+    pub tokens_upper_bound: u32,
     /// How long it is expected to take, in microseconds.
     pub expected: f64,
 }
@@ -71,7 +71,7 @@
 struct EvaluatedCandidate {
     id: SearcherId,
     tokens: u32,
-    at_most: u32,
+    tokens_upper_bound: u32,
     /// The score with an exponent of 1: grows as the wait at a searcher that reads one prompt after the other.
     wait: f64,
     expected: f64,
@@ -113,8 +113,8 @@
         Some(only) => evaluator.evaluate_only(only)?,
         None => evaluator.scan(true).or_else(|| evaluator.scan(false))?,
     };
-    let (searcher, tokens, at_most) = (selected.id, selected.tokens, selected.at_most);
-    Some(SelectedSearcher { searcher, tokens, at_most, expected: selected.expected })
+    let (searcher, tokens, tokens_upper_bound) = (selected.id, selected.tokens, selected.tokens_upper_bound);
+    Some(SelectedSearcher { searcher, tokens, tokens_upper_bound, expected: selected.expected })
 }
 
 impl<'a> CandidateEvaluator<'a> {
@@ -165,7 +165,7 @@
             }
             let searcher = self.service.searcher(id);
             // Most can't win whatever their queue is: nothing more is worked out for them.
-            if searcher.least_latency(&self.peers) * self.usual_of_all > best.score {
+            if searcher.min_latency(&self.peers) * self.usual_of_all > best.score {
                 continue;
             }
             let effective = searcher.effective_statistics(self.now, &self.peers);
@@ -209,14 +209,14 @@
             // Other proxies send it there too, so the first target after its slow start has cached the shared parts. A prompt of one part
             // may be a session's, of which another proxy sent the turns before.
             let is_in_slow_start = self.service.searcher(id).is_in_slow_start(self.now);
-            let may_hold = if likely && !is_in_slow_start { shared.tokens } else { 0 };
-            let assumed = if self.criteria.prefixes.len() > 1 { may_hold } else { 0 };
+            let may_have_cached = if likely && !is_in_slow_start { shared.tokens } else { 0 };
+            let assumed = if self.criteria.prefixes.len() > 1 { may_have_cached } else { 0 };
             likely &= is_in_slow_start;
             let mut candidate = self.evaluate(id, known.max(assumed));
             if self.reads() {
-                candidate.at_most = self.criteria.tokens.saturating_sub(known);
+                candidate.tokens_upper_bound = self.criteria.tokens.saturating_sub(known);
             }
-            let left = self.criteria.tokens.saturating_sub(known.max(may_hold));
+            let left = self.criteria.tokens.saturating_sub(known.max(may_have_cached));
             if candidate.wait <= self.affinity_patience(left) * best.wait {
                 return candidate;
             }
@@ -253,9 +253,9 @@
     }
 
     /// A searcher that has cached so many tokens of the prompt.
-    fn evaluate(&self, id: SearcherId, held: u32) -> EvaluatedCandidate {
-        let held = if self.reads() { held } else { 0 };
-        let tokens = self.criteria.tokens.saturating_sub(held);
+    fn evaluate(&self, id: SearcherId, cached: u32) -> EvaluatedCandidate {
+        let cached = if self.reads() { cached } else { 0 };
+        let tokens = self.criteria.tokens.saturating_sub(cached);
         let usual = self.service.service_time(self.criteria.purpose).usual(f64::from(tokens));
         let searcher = self.service.searcher(id);
         let effective = searcher.effective_statistics(self.now, &self.peers);
@@ -263,7 +263,7 @@
         EvaluatedCandidate {
             id,
             tokens,
-            at_most: tokens,
+            tokens_upper_bound: tokens,
             wait: (effective.in_flight + effective.queue + 1.0) * latency,
             expected: (effective.latency * usual).max(searcher.oldest_unanswered(self.now)),
         }
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -260,18 +260,18 @@
         let service_time = &mut self.service_times[record.purpose as usize];
         let elapsed = elapsed.unwrap_or(0) as f64;
         let good = matches!(outcome, SendOutcome::FirstEvent | SendOutcome::Answered);
-        let sure = record.tokens == record.at_most || !service_time.is_known();
+        let sure = record.tokens == record.tokens_upper_bound || !service_time.is_known();
         if good && sure {
-            service_time.feed(f64::from(record.at_most), elapsed);
+            service_time.feed(f64::from(record.tokens_upper_bound), elapsed);
         }
         let multiple = |tokens: u32| elapsed / service_time.usual(f64::from(tokens));
         let multiple = match (service_time.is_measured(), sure) {
             (false, _) => 1.0,
-            (true, true) => multiple(record.at_most),
+            (true, true) => multiple(record.tokens_upper_bound),
             (true, false) => nearer_to(
                 self.searchers[record.searcher as usize].latency().unwrap_or(peers.latency),
                 multiple(record.tokens),
-                multiple(record.at_most),
+                multiple(record.tokens_upper_bound),
             ),
         };
         self.searcher_mut(record.searcher).learn(now, outcome, multiple, &peers);
@@ -287,31 +287,32 @@
             SendOutcome::Rejected => false,
             _ => return,
         };
-        let accepts = self.searchers[record.searcher as usize].acceptance(now);
+        let acceptance = self.searchers[record.searcher as usize].acceptance(now);
         let is_transfer = record.purpose == Purpose::Decode;
         let holder = record.holder.filter(|holder| self.is_listed(*holder));
-        let holds = holder.map_or(1.0, |holder| self.searchers[holder.searcher as usize].acceptance(now));
+        let holder_acceptance =
+            holder.map_or(1.0, |holder| self.searchers[holder.searcher as usize].acceptance(now));
         self.searcher_mut(record.searcher).learn_acceptance(
             now,
             taken,
-            if is_transfer { holds } else { 1.0 },
+            if is_transfer { holder_acceptance } else { 1.0 },
         );
         if !is_transfer {
             return;
         }
         match taken {
             true => self.kv_transfers.succeeded(),
-            false => self.kv_transfers.failed(now, record.sent, accepts),
+            false => self.kv_transfers.failed(now, record.sent, acceptance),
         }
         if let Some(holder) = holder {
             let peers = self.refresh_peers(now, GroupKind::Prefill);
-            self.searcher_mut(holder.searcher).learn_transfer(now, taken, accepts, &peers);
+            self.searcher_mut(holder.searcher).learn_transfer(now, taken, acceptance, &peers);
         }
     }
 
     /// Whether a rejected transfer failed rather for its handle than for a full decode searcher: the handles of its
     /// holder were taken no more often lately than the sends to that searcher.
-    pub fn seems_gone(&self, now: Micros, record: &SendRecord) -> bool {
+    pub fn is_handle_likely_gone(&self, now: Micros, record: &SendRecord) -> bool {
         let Some(holder) = record.holder.filter(|holder| self.is_listed(*holder)) else { return true };
         self.searcher(holder.searcher).acceptance(now) <= self.searcher(record.searcher).acceptance(now)
     }
@@ -328,10 +329,10 @@
         let elapsed = now.saturating_sub(progress.admitted);
         match outcome {
             SendOutcome::FirstEvent | SendOutcome::Answered if record.purpose != Purpose::Prefill => {
-                self.admission.answered(now, elapsed, progress.given);
+                self.admission.answered(now, elapsed, progress.client_patience);
             }
             SendOutcome::TimedOut | SendOutcome::Cancelled => {
-                self.admission.abandoned(elapsed, progress.given)
+                self.admission.abandoned(elapsed, progress.client_patience)
             }
             _ => return,
         }
@@ -372,15 +373,19 @@
 /// Of two multiples of the usual time the one that differs less from what the searcher took so far: whether it
 /// held a prompt's shared parts shows in its time.
 fn nearer_to(average: f64, one: f64, other: f64) -> f64 {
-    let apart = |multiple: f64| (multiple.max(1e-9) / average.max(1e-9)).ln().abs();
-    if apart(one) <= apart(other) { one } else { other }
+    let distance = |multiple: f64| (multiple.max(1e-9) / average.max(1e-9)).ln().abs();
+    if distance(one) <= distance(other) { one } else { other }
 }
 
-fn peer_statistics(searchers: &[Searcher], candidates: &[SearcherId], good: &mut Vec<f64>) -> PeerStatistics {
+fn peer_statistics(
+    searchers: &[Searcher],
+    candidates: &[SearcherId],
+    success_rates: &mut Vec<f64>,
+) -> PeerStatistics {
     if candidates.is_empty() {
         return PeerStatistics::default();
     }
-    good.clear();
+    success_rates.clear();
     let (mut latency, mut measured, mut in_flight, mut queue) = (0.0, 0.0, 0.0, 0.0);
     for id in candidates {
         let searcher = &searchers[*id as usize];
@@ -391,10 +396,10 @@
         }
         in_flight += f64::from(searcher.in_flight);
         queue += queue_average;
-        good.push(success_rate);
+        success_rates.push(success_rate);
     }
-    let middle = good.len() / 2;
-    let (_, success_rate, _) = good.select_nth_unstable_by(middle, f64::total_cmp);
+    let middle = success_rates.len() / 2;
+    let (_, success_rate, _) = success_rates.select_nth_unstable_by(middle, f64::total_cmp);
     let count = candidates.len() as f64;
     PeerStatistics {
         latency: if measured > 0.0 { latency / measured } else { PeerStatistics::default().latency },
--- a/crates/lockusher-proxy/src/decision/split.rs
+++ b/crates/lockusher-proxy/src/decision/split.rs
@@ -50,7 +50,7 @@
     }
     let transfer_time = prefills.minimum() + transfers.slope() * f64::from(choice.tokens);
     let prefill_in_place =
-        DECODE_PREFILL_SLOWDOWN * prefills.min_per_token() * f64::from(choice.whole.at_most);
+        DECODE_PREFILL_SLOWDOWN * prefills.min_per_token() * f64::from(choice.whole.tokens_upper_bound);
     INTERFERENCE * prefill_in_place >= transfer_time && !evades_wait(choice, prefill_in_place)
 }
 
