--- a/crates/lockusher-control/src/durable_state.rs
+++ b/crates/lockusher-control/src/durable_state.rs
@@ -46,16 +46,7 @@
     /// As head: send the entry to the successor.
     SendToSuccessor,
     /// As a member of the chain: forward the append, or answer it.
-    ForwardAppend {
-        /// Index of the entry.
-        index: u64,
-        /// History digest of the state that it follows.
-        previous: HistoryDigest,
-        /// The entry's configuration.
-        document: ConfigurationDocument,
-        /// Whether it goes on to the successor.
-        relay: bool,
-    },
+    ForwardAppend(AppendedEntry),
     /// Answer a transfer.
     RespondToTransfer {
         /// Where the transfer came from.
@@ -67,6 +58,19 @@
     Nothing,
 }
 
+/// The content of a [`MessageBody::Append`](crate::message::MessageBody::Append).
+#[derive(Clone, Debug)]
+pub struct AppendedEntry {
+    /// Index of the entry in its epoch.
+    pub index: u64,
+    /// History digest of the state that it follows.
+    pub previous: HistoryDigest,
+    /// The entry's configuration.
+    pub document: ConfigurationDocument,
+    /// Whether it goes on to the successor; else the head is answered directly.
+    pub relay: bool,
+}
+
 /// How a transfer relates to the durable state.
 #[derive(Clone, Debug)]
 pub enum TransferOutcome {
--- a/crates/lockusher-control/src/replica/appends.rs
+++ b/crates/lockusher-control/src/replica/appends.rs
@@ -6,43 +6,34 @@
 
 use super::bug_injection::bug_injected;
 use super::state_machine::Replica;
-use crate::document::ConfigurationDocument;
 use crate::durable_record::DurableRecord;
-use crate::durable_state::AfterWrite;
+use crate::durable_state::{AfterWrite, AppendedEntry};
 use crate::message::MessageBody;
 use crate::position::Position;
-use crate::state::HistoryDigest;
 use crate::view::Identity;
 
 impl Replica {
     /// Whether this node may take part in the chain of the newest view.
     pub(super) fn may_replicate(&self) -> bool {
-        let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(self.identity));
+        let in_chain = self.is_in_chain(self.identity);
         let open = !self.acceptor.sealed || bug_injected!(self.bug_injection, EntryAfterSeal);
         in_chain && self.is_established_in_view() && open
     }
 
-    pub(super) fn on_append(
-        &mut self,
-        from: SocketAddrV4,
-        sender: Identity,
-        index: u64,
-        previous: HistoryDigest,
-        document: ConfigurationDocument,
-        relay: bool,
-    ) {
+    pub(super) fn on_append(&mut self, from: SocketAddrV4, sender: Identity, entry: AppendedEntry) {
         if !self.may_replicate() || self.durable_state.pending.is_some() || !self.is_upstream(sender) {
             return;
         }
         let epoch = self.epoch();
         let own = self.durable_state.position;
         let synchronised = own.epoch == epoch;
-        if synchronised && index <= own.index {
-            self.forward_append(index, previous, document, relay);
+        if synchronised && entry.index <= own.index {
+            self.forward_append(entry);
             return;
         }
-        let follows = !synchronised || index == own.index + 1;
-        let complete = follows && previous == self.durable_state.state.history_digest();
+        let follows = !synchronised || entry.index == own.index + 1;
+        let complete = follows && entry.previous == self.durable_state.state.history_digest();
+        let index = entry.index;
         if !complete && !bug_injected!(self.bug_injection, EntryWithoutPredecessor) {
             log::debug!("lacks what precedes entry {index}, sent by {from}");
             self.send_to_head(MessageBody::AppendRejected { index });
@@ -51,13 +42,13 @@
         self.durable_state.position = Position { epoch, index: index - 1 };
         self.mark_durable_state_committed();
         let position = Position { epoch, index };
-        let record = DurableRecord::Entry { position, previous, document: document.clone() };
-        let state = self.durable_state.state.with(document.clone());
+        let record =
+            DurableRecord::Entry { position, previous: entry.previous, document: entry.document.clone() };
+        let state = self.durable_state.state.with(entry.document.clone());
         if bug_injected!(self.bug_injection, PassOnBeforeDurable) {
-            self.forward_append(index, previous, document.clone(), relay);
+            self.forward_append(entry.clone());
         }
-        let after_write = AfterWrite::ForwardAppend { index, previous, document, relay };
-        self.persist_state(record, position, state, after_write);
+        self.persist_state(record, position, state, AfterWrite::ForwardAppend(entry));
     }
 
     /// Whether entries may come from this node: the head or the predecessor.
@@ -66,16 +57,13 @@
         sender != self.identity && (predecessor == Some(sender) || self.is_view_head(sender))
     }
 
-    fn forward_append(
-        &mut self,
-        index: u64,
-        previous: HistoryDigest,
-        document: ConfigurationDocument,
-        relay: bool,
-    ) {
+    /// Forwards an entry that is durable here to the successor; the tail and a member that was sent the entry directly
+    /// answer it.
+    fn forward_append(&mut self, entry: AppendedEntry) {
         let Some(view) = &self.view else { return };
         let successor = view.successor_of(self.identity);
         let predecessor = view.predecessor_of(self.identity);
+        let AppendedEntry { index, previous, document, relay } = entry;
         match (relay, successor, predecessor) {
             (false, ..) => self.send_to_head(MessageBody::AppendStored { index }),
             (true, Some(successor), _) => {
@@ -91,9 +79,7 @@
     pub(super) fn after_write(&mut self, after_write: AfterWrite) {
         match after_write {
             AfterWrite::SendToSuccessor => self.send_to_successor(),
-            AfterWrite::ForwardAppend { index, previous, document, relay } => {
-                self.forward_append(index, previous, document, relay);
-            }
+            AfterWrite::ForwardAppend(entry) => self.forward_append(entry),
             AfterWrite::RespondToTransfer { to, purpose } => self.respond_to_transfer(to, purpose, true),
             AfterWrite::Nothing => {}
         }
--- a/crates/lockusher-control/src/replica/change_planning.rs
+++ b/crates/lockusher-control/src/replica/change_planning.rs
@@ -13,21 +13,30 @@
 use crate::view_change;
 use crate::view_change::{JoinCandidate, ViewChange, ViewChangeContext};
 
+/// A view change that is due.
+pub(super) struct DueViewChange {
+    /// What to propose.
+    pub(super) change: ViewChange,
+    /// How long it is left to voters of a lower rank first.
+    pub(super) delay: Millis,
+}
+
 impl Replica {
     /// What to propose, and how long to leave it to others first. An agreement that may have been left unfinished
     /// is completed by anybody in time; else the first voter in good health decides.
-    pub(super) fn due_view_change(&self) -> Option<(ViewChange, Millis)> {
+    pub(super) fn due_view_change(&self) -> Option<DueViewChange> {
         let proposer_rank = self.proposer_rank()?;
         let change = self.plan_view_change();
         let unfinished = self.acceptor.accepted.as_ref();
         if let Some(accepted) = unfinished {
             let unchanged = ViewChange { view: accepted.view.clone(), joiners: Vec::new() };
-            return Some((change.unwrap_or(unchanged), self.timing.takeover_stagger * (proposer_rank + 1)));
+            let delay = self.timing.takeover_stagger * (proposer_rank + 1);
+            return Some(DueViewChange { change: change.unwrap_or(unchanged), delay });
         }
         match change {
-            Some(change) if proposer_rank == 0 => Some((change, 0)),
+            Some(change) if proposer_rank == 0 => Some(DueViewChange { change, delay: 0 }),
             Some(change) if self.acceptor.sealed => {
-                Some((change, self.timing.takeover_stagger * proposer_rank))
+                Some(DueViewChange { change, delay: self.timing.takeover_stagger * proposer_rank })
             }
             _ => None,
         }
@@ -82,15 +91,15 @@
         altered_by_bug!(self.bug_injection, altered_view_change, change, &context)
     }
 
-    /// Voters that announced their end, which may come before they would count as silent, and those silent for long. One
-    /// that is only restarted is taken back; one that is gone must not count when the next disk is lost.
+    /// Voters that announced their shutdown, before they would count as unreachable, and those unreachable for long. One
+    /// that is only restarted is added again; one that is lost must not count when the next disk is lost.
     fn removable_voters(&self, view: &View, unreachable: &[Identity]) -> Vec<Identity> {
-        let is_leaving = |voter: &&Member| {
+        let is_shutting_down = |voter: &&Member| {
             let peer = self.peers.at(voter.address).filter(|peer| peer.identity == voter.identity);
             peer.is_some_and(|peer| peer.health == Health::ShuttingDown)
                 && !bug_injected!(self.bug_injection, DepartedVoterKept)
         };
-        let shutting_down = view.voters.iter().filter(is_leaving).map(|voter| voter.identity);
+        let shutting_down = view.voters.iter().filter(is_shutting_down).map(|voter| voter.identity);
         let long_unreachable =
             |voter: &&Identity| self.unreachable_time_of(view, **voter) >= self.timing.voter_removal_timeout;
         shutting_down.chain(unreachable.iter().filter(long_unreachable).copied()).collect()
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -14,7 +14,7 @@
 impl Replica {
     /// The sequence number of the confirmation that a request which comes now has to wait for.
     pub(super) fn next_confirmation(&self) -> u64 {
-        let last_started = self.head.as_ref().map_or(0, |head| head.confirmation.last_started);
+        let last_started = self.head.as_ref().map_or(0, |head| head.confirmation.last_started());
         if bug_injected!(self.bug_injection, EarlierRoundCounts) {
             last_started.max(1)
         } else {
@@ -22,35 +22,31 @@
         }
     }
 
+    /// Whether a majority has answered this confirmation.
     pub(super) fn is_epoch_confirmed(&self, sequence: u64) -> bool {
-        self.head.as_ref().is_some_and(|head| head.confirmation.last_completed >= sequence)
+        self.head.as_ref().is_some_and(|head| head.confirmation.is_completed(sequence))
     }
 
     /// Starts the confirmation with this sequence number, unless an earlier one is in progress or it has been started.
     pub(super) fn request_confirmation(&mut self, sequence: u64) {
         let Some(head) = &mut self.head else { return };
-        let confirmation = &mut head.confirmation;
-        if confirmation.last_started >= sequence || confirmation.last_started > confirmation.last_completed {
-            return;
+        if head.confirmation.start(sequence) {
+            self.send_confirm_epoch();
         }
-        confirmation.last_started += 1;
-        confirmation.confirmed_by.clear();
-        self.send_confirm_epoch();
     }
 
+    /// Asks the voters that haven't answered the confirmation in progress.
     pub(super) fn send_confirm_epoch(&mut self) {
         let Some(head) = &self.head else { return };
-        let confirmation = &head.confirmation;
-        if confirmation.last_started > confirmation.last_completed {
-            let sequence = confirmation.last_started;
-            let responders = confirmation.confirmed_by.clone();
+        if let Some(sequence) = head.confirmation.in_progress() {
+            let responders = head.confirmation.confirmed_by().clone();
             self.send_to_voters_except(&responders, MessageBody::ConfirmEpoch { sequence });
         }
     }
 
     /// A voter that accepted a successor doesn't know any more that this epoch is the newest.
     pub(super) fn on_confirm_epoch(&mut self, from: SocketAddrV4, sender: Identity, sequence: u64) {
-        let from_head = self.view.as_ref().is_some_and(|view| view.head() == Some(sender));
+        let from_head = self.is_view_head(sender);
         let newest =
             self.acceptor.accepted.is_none() || bug_injected!(self.bug_injection, ConfirmAfterAccepting);
         if from_head && self.is_voter() && newest {
@@ -64,13 +60,8 @@
         let Some(view) = &self.view else { return };
         let (is_voter, majority) = (view.is_voter(sender), view.majority());
         let Some(head) = &mut self.head else { return };
-        let confirmation = &mut head.confirmation;
-        if !is_voter || sequence != confirmation.last_started || sequence <= confirmation.last_completed {
-            return;
-        }
-        confirmation.confirmed_by.insert(sender);
-        if confirmation.confirmed_by.len() >= majority {
-            confirmation.last_completed = sequence;
+        if is_voter {
+            head.confirmation.on_confirmed(sender, sequence, majority);
         }
     }
 }
--- a/crates/lockusher-control/src/replica/dispatch.rs
+++ b/crates/lockusher-control/src/replica/dispatch.rs
@@ -8,6 +8,7 @@
 use super::bug_injection::bug_injected;
 use super::repair::NoticedBy;
 use super::state_machine::Replica;
+use crate::durable_state::AppendedEntry;
 use crate::message::{Message, MessageBody};
 use crate::view::Identity;
 
@@ -45,7 +46,8 @@
             MessageBody::Transfer(transfer) => self.on_transfer(from, sender, transfer),
             MessageBody::TransferResponse(response) => self.on_transfer_response(from, sender, response),
             MessageBody::Append { index, previous, document, relay } => {
-                self.on_append(from, sender, index, previous, document, relay);
+                let entry = AppendedEntry { index, previous, document, relay };
+                self.on_append(from, sender, entry);
             }
             MessageBody::AppendAcknowledged { index } => self.on_append_acknowledged(sender, index),
             MessageBody::AppendStored { index } => self.on_append_stored(sender, index),
--- a/crates/lockusher-control/src/replica/epoch_confirmation.rs
+++ b/crates/lockusher-control/src/replica/epoch_confirmation.rs
@@ -8,9 +8,52 @@
 #[derive(Debug, Default)]
 pub(super) struct EpochConfirmation {
     /// Number of the newest confirmation started.
-    pub(super) last_started: u64,
+    last_started: u64,
     /// Number of the newest confirmation that a majority has answered.
-    pub(super) last_completed: u64,
+    last_completed: u64,
     /// Voters that have answered the newest one.
-    pub(super) confirmed_by: BTreeSet<Identity>,
+    confirmed_by: BTreeSet<Identity>,
+}
+
+impl EpochConfirmation {
+    /// Number of the newest confirmation started; 0 before the first.
+    pub(super) fn last_started(&self) -> u64 {
+        self.last_started
+    }
+
+    /// Whether a majority has answered this confirmation or a later one.
+    pub(super) fn is_completed(&self, sequence: u64) -> bool {
+        self.last_completed >= sequence
+    }
+
+    /// Starts the next confirmation, unless one is in progress or the given one has been started. Returns whether it did.
+    pub(super) fn start(&mut self, sequence: u64) -> bool {
+        if self.last_started >= sequence || self.in_progress().is_some() {
+            return false;
+        }
+        self.last_started += 1;
+        self.confirmed_by.clear();
+        true
+    }
+
+    /// Number of the confirmation in progress.
+    pub(super) fn in_progress(&self) -> Option<u64> {
+        (self.last_started > self.last_completed).then_some(self.last_started)
+    }
+
+    /// Voters that have answered the newest confirmation.
+    pub(super) fn confirmed_by(&self) -> &BTreeSet<Identity> {
+        &self.confirmed_by
+    }
+
+    /// A voter confirms; with a majority of the voters the confirmation is completed.
+    pub(super) fn on_confirmed(&mut self, voter: Identity, sequence: u64, majority: usize) {
+        if self.in_progress() != Some(sequence) {
+            return;
+        }
+        self.confirmed_by.insert(voter);
+        if self.confirmed_by.len() >= majority {
+            self.last_completed = sequence;
+        }
+    }
 }
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -18,10 +18,17 @@
         self.view.is_some() && durable
     }
 
+    /// Whether this node votes on the successor of the newest view.
     pub(super) fn is_voter(&self) -> bool {
         self.view.as_ref().is_some_and(|view| view.is_voter(self.identity))
     }
 
+    /// Whether this replica is a member of the chain of the newest view.
+    pub(super) fn is_in_chain(&self, identity: Identity) -> bool {
+        self.view.as_ref().is_some_and(|view| view.in_chain(identity))
+    }
+
+    /// Whether this replica is head of the newest view.
     pub(super) fn is_view_head(&self, identity: Identity) -> bool {
         self.view.as_ref().is_some_and(|view| view.head() == Some(identity))
     }
--- a/crates/lockusher-control/src/replica/proposing.rs
+++ b/crates/lockusher-control/src/replica/proposing.rs
@@ -25,13 +25,13 @@
         if !able || self.now < self.back_off_until {
             return;
         }
-        let Some((change, wait)) = self.due_view_change() else {
+        let Some(due) = self.due_view_change() else {
             self.change_due_since = None;
             return;
         };
         let since = *self.change_due_since.get_or_insert(self.now);
-        if self.now - since >= wait {
-            self.start_proposal(change);
+        if self.now - since >= due.delay {
+            self.start_proposal(due.change);
         }
     }
 
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -4,6 +4,7 @@
 //! back under another identity and isn't a voter, so that nobody votes who may have forgotten an earlier vote.
 
 use std::collections::{BTreeSet, VecDeque};
+use std::net::SocketAddrV4;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,7 +14,7 @@
 use super::effect::Effect;
 use super::request_queue::Requests;
 use super::setup::ReplicaSetup;
-use super::state_machine::Replica;
+use super::state_machine::{Replica, ReportedRole};
 use crate::acceptor::AcceptorState;
 use crate::acceptor_log::{AcceptorLog, AfterAcceptorWrite};
 use crate::durable_record::DurableRecord;
@@ -24,6 +25,33 @@
 use crate::timing::Timing;
 use crate::view::{Identity, View};
 
+/// Whose disk it is.
+struct DiskOwner {
+    identity: Identity,
+    /// Address that the disk was used at.
+    address: SocketAddrV4,
+}
+
+/// What the records of a disk restore.
+struct RecoveredDisk {
+    owner: Option<DiskOwner>,
+    /// The newest view.
+    view: Option<View>,
+    /// The acceptor's state in the epoch of `view`.
+    acceptor: AcceptorState,
+    durable_state: DurableState,
+}
+
+impl RecoveredDisk {
+    fn replay(records: Vec<DurableRecord>) -> Self {
+        let view = newest_view(&records);
+        let acceptor = view
+            .as_ref()
+            .map_or_else(AcceptorState::default, |view| recovered_acceptor(&records, view.epoch));
+        Self { owner: recovered_owner(&records), view, acceptor, durable_state: recovered_state(records) }
+    }
+}
+
 impl Replica {
     pub(super) fn start(
         setup: ReplicaSetup,
@@ -33,16 +61,12 @@
     ) -> (Replica, Vec<Effect>) {
         let timing = Timing::new(setup.acknowledge_ms, setup.catch_up_ms);
         let mut random = ChaCha8Rng::seed_from_u64(setup.random_seed);
-        let recovered = altered_by_bug!(bug_injection, altered_recovery, records);
-        let known = recovered_identity(&recovered);
+        let records = altered_by_bug!(bug_injection, altered_recovery, records);
+        let recovered = RecoveredDisk::replay(records);
         let drawn = Identity::of_joiner(random.random());
         let first_request = random.random::<u64>() >> 1;
         let numbers_restart = bug_injected!(bug_injection, RequestNumbersRestart);
         let first_request = if numbers_restart { 0 } else { first_request };
-        let view = newest_view(&recovered);
-        let acceptor = view
-            .as_ref()
-            .map_or_else(AcceptorState::default, |view| recovered_acceptor(&recovered, view.epoch));
         let mut replica = Replica {
             timing,
             bug_injection,
@@ -50,11 +74,11 @@
             now,
             started_at: now,
             identity: drawn,
-            durable_epoch: view.as_ref().map_or(0, |view| view.epoch),
-            view,
-            acceptor,
+            durable_epoch: recovered.view.as_ref().map_or(0, |view| view.epoch),
+            view: recovered.view,
+            acceptor: recovered.acceptor,
             acceptor_log: AcceptorLog::default(),
-            durable_state: recovered_state(recovered),
+            durable_state: recovered.durable_state,
             committed_document: None,
             known_committed: Position::default(),
             head: None,
@@ -74,12 +98,12 @@
             disk_failed_at: None,
             last_tick_at: now,
             last_heartbeat_at: now,
-            reported_role: (false, 0),
+            reported_role: ReportedRole::default(),
             reported_members: Vec::new(),
             counters: Counters::default(),
             setup,
         };
-        replica.take_identity(known);
+        replica.take_identity(recovered.owner);
         replica.send_heartbeats();
         replica.settle();
         replica.report_members();
@@ -87,10 +111,11 @@
         (replica, effects)
     }
 
-    fn take_identity(&mut self, known: Option<(Identity, std::net::SocketAddrV4)>) {
+    /// Goes on under the identity of the disk if it was used at this address, else under a new one.
+    fn take_identity(&mut self, owner: Option<DiskOwner>) {
         let address = self.setup.address;
-        match known {
-            Some((identity, former)) if former == address => {
+        match owner {
+            Some(DiskOwner { identity, address: former }) if former == address => {
                 self.identity = identity;
                 let was_head = self.view.as_ref().is_some_and(|view| view.head() == Some(identity));
                 self.epoch_change_required =
@@ -139,9 +164,11 @@
     }
 }
 
-fn recovered_identity(records: &[DurableRecord]) -> Option<(Identity, std::net::SocketAddrV4)> {
+fn recovered_owner(records: &[DurableRecord]) -> Option<DiskOwner> {
     records.iter().rev().find_map(|record| match record {
-        DurableRecord::Identity { identity, address } => Some((*identity, *address)),
+        DurableRecord::Identity { identity, address } => {
+            Some(DiskOwner { identity: *identity, address: *address })
+        }
         _ => None,
     })
 }
--- a/crates/lockusher-control/src/replica/replication.rs
+++ b/crates/lockusher-control/src/replica/replication.rs
@@ -80,7 +80,7 @@
     }
 
     pub(super) fn on_append_rejected(&mut self, sender: Identity, _index: u64) {
-        let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(sender));
+        let in_chain = self.is_in_chain(sender);
         let address = self.view.as_ref().and_then(|view| view.address_of(sender));
         if let (true, Some(address)) = (in_chain, address) {
             self.send_base(address, TransferPurpose::Synchronise, None);
--- a/crates/lockusher-control/src/replica/state_machine.rs
+++ b/crates/lockusher-control/src/replica/state_machine.rs
@@ -31,6 +31,15 @@
 use crate::timing::Timing;
 use crate::view::{Identity, View};
 
+/// Whether this node is head, and in which epoch, as its driver was last told.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ReportedRole {
+    /// Whether it is head.
+    pub(super) head: bool,
+    /// Epoch of the newest view at that time.
+    pub(super) epoch: u64,
+}
+
 /// The state machine of one control node.
 #[derive(Debug)]
 pub struct Replica {
@@ -98,8 +107,8 @@
     pub(super) last_tick_at: Millis,
     /// When heartbeats were last sent to everybody.
     pub(super) last_heartbeat_at: Millis,
-    /// Whether this node was head, and the epoch, by the newest [`Effect::RoleChanged`].
-    pub(super) reported_role: (bool, u64),
+    /// What the newest [`Effect::RoleChanged`] said.
+    pub(super) reported_role: ReportedRole,
     /// Nodes named by the newest [`Effect::Members`].
     pub(super) reported_members: Vec<SocketAddrV4>,
     /// Counts since the start.
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -4,7 +4,7 @@
 
 use super::counters::Counters;
 use super::effect::Effect;
-use super::state_machine::Replica;
+use super::state_machine::{Replica, ReportedRole};
 use crate::document::ConfigurationDocument;
 use crate::position::Position;
 use crate::state::HistoryDigest;
@@ -28,7 +28,7 @@
 
     /// Whether this node is in the chain and knows its whole state to be committed.
     pub fn is_clean(&self) -> bool {
-        let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(self.identity));
+        let in_chain = self.is_in_chain(self.identity);
         in_chain
             && self.durable_state.pending.is_none()
             && self.known_committed.epoch == self.epoch()
@@ -37,7 +37,7 @@
 
     /// Whether this node votes in the newest view that it knows and is in contact with a majority of the voters.
     pub fn is_current(&self) -> bool {
-        self.view.as_ref().is_some_and(|view| view.is_voter(self.identity)) && self.has_confirmed_quorum()
+        self.is_voter() && self.has_confirmed_quorum()
     }
 
     /// Whether a node that was told to stop may end without harm: it isn't in the chain, and it votes only where no more
@@ -69,11 +69,11 @@
     }
 
     pub(super) fn report_role(&mut self) {
-        let role = (self.is_head(), self.epoch());
-        let changed = role.0 != self.reported_role.0 || (role.0 && role.1 != self.reported_role.1);
-        if changed {
-            self.reported_role = role;
-            self.effects.push(Effect::RoleChanged { head: role.0, epoch: role.1 });
+        let (head, epoch) = (self.is_head(), self.epoch());
+        let reported = self.reported_role;
+        if head != reported.head || (head && epoch != reported.epoch) {
+            self.reported_role = ReportedRole { head, epoch };
+            self.effects.push(Effect::RoleChanged { head, epoch });
         }
     }
 
--- a/crates/lockusher-control/src/replica/synchronisation.rs
+++ b/crates/lockusher-control/src/replica/synchronisation.rs
@@ -89,7 +89,7 @@
     }
 
     fn mark_synchronised(&mut self, member: Identity) {
-        let in_chain = self.view.as_ref().is_some_and(|view| view.in_chain(member));
+        let in_chain = self.is_in_chain(member);
         let Some(head) = &mut self.head else { return };
         if in_chain && head.synchronised.insert(member) {
             self.establish_if_complete();
--- a/crates/lockusher-control/src/view.rs
+++ b/crates/lockusher-control/src/view.rs
@@ -96,17 +96,18 @@
     count / 2 + 1
 }
 
+/// Set in the identities of a first start, and in no other.
+const FIRST_START_BIT: u64 = 1 << 63;
+
 impl Identity {
     /// Identity of a seed with an empty disk at the first start of the whole system.
     pub fn of_first_start(address: SocketAddrV4) -> Self {
-        const FIRST_START_BIT: u64 = 1 << 63;
         let host = u64::from(address.ip().to_bits());
         Self(FIRST_START_BIT | host << 16 | u64::from(address.port()))
     }
 
     /// An identity drawn for a node that joins; it can't equal one of a first start.
     pub fn of_joiner(random: u64) -> Self {
-        const FIRST_START_BIT: u64 = 1 << 63;
         Self(random & !FIRST_START_BIT)
     }
 }
