--- a/crates/lockusher-aggregator/src/program/signals.rs
+++ b/crates/lockusher-aggregator/src/program/signals.rs
@@ -2,8 +2,9 @@
 //! program's one thread through a pipe of its own.
 //!
 //! Guarded against: tokio's own signal handling holds a pair of Unix sockets for its wake-ups, and the platform's
-//! standing test allows TCP and UDP over IPv4 alone (docs/standing.md). A pipe is no socket. Each handler only sets
-//! a flag and writes one byte, both safe in a signal handler; the byte wakes the reader, the flags say what came.
+//! standing test allows TCP and UDP over IPv4 alone (docs/design/platform-rules.md). A pipe is no socket. Each
+//! handler only sets a flag and writes one byte, both safe in a signal handler; the byte wakes the reader, the flags
+//! say what came.
 
 use std::io;
 use std::os::fd::{AsRawFd, IntoRawFd, OwnedFd, RawFd};
--- a/crates/lockusher-aggregator/src/routing/tally.rs
+++ b/crates/lockusher-aggregator/src/routing/tally.rs
@@ -1,7 +1,7 @@
 //! What became of the multigets of each second, for the log: a push-back for which nothing was sent tells of a gate
 //! that would not let it in; one after sends, of parts that could not be had. At 300 mixers the first kind, if it
 //! comes from a gate that has stopped learning, shows as mixers that push back nearly all while their neighbours do
-//! not (issue 25, docs/standing.md). Decides nothing, reads no clock: the router gives the time.
+//! not (issue 25, docs/design/platform-rules.md). Decides nothing, reads no clock: the router gives the time.
 
 use lockusher_membership::core::share::Totals;
 use lockusher_policy::interface::{Reply, Span, Time};
--- a/crates/lockusher-aggregator/tests/endings.rs
+++ b/crates/lockusher-aggregator/tests/endings.rs
@@ -1,5 +1,5 @@
 //! Rare moments: what ends while something is still owed. Each story holds one side until the mixer is seen at the
-//! point in question, and then lets the other happen. `docs/endings.md` lists them.
+//! point in question, and then lets the other happen. `docs/design/shutdown-and-races.md` lists them.
 
 mod connections;
 
--- a/crates/lockusher-storage/src/file_system.rs
+++ b/crates/lockusher-storage/src/file_system.rs
@@ -2,7 +2,7 @@
 
 use crate::FileError;
 
-/// One directory of files. There is no rename: the store never needs one (`docs/storage.md`).
+/// One directory of files. There is no rename: the store never needs one (`docs/design/storage.md`).
 ///
 /// No content survives a power loss before [`sync_file`](FileSystem::sync_file), and no creation or removal of a name
 /// before [`sync_directory`](FileSystem::sync_directory); without them any part of it may survive, in any order.
--- a/crates/lockusher-storage/src/lib.rs
+++ b/crates/lockusher-storage/src/lib.rs
@@ -20,7 +20,7 @@
 //!    and sync the directory.
 //!
 //! Recovery relies on nothing else. The format is described in the `format` module, the choices and the tests of each
-//! promise in `docs/storage.md`.
+//! promise in `docs/design/storage.md`.
 //!
 //! # Modules
 //!
