--- a/crates/lockusher-router-testbed/tests/links.rs
+++ b/crates/lockusher-router-testbed/tests/links.rs
@@ -1,5 +1,6 @@
-//! Links of the documentation: every relative link or image of a Markdown page leads to a file of the repository, and
-//! every page of `docs/` that a source, schema or settings file names exists.
+//! Links of the documentation: every relative link or image of a Markdown page leads to a file of the repository, every
+//! page of `docs/` that a source, schema or settings file names exists, and so does every type that the glossary and the
+//! architecture page name.
 //!
 //! Neither network nor programs are used. The journal of the benches and build directories are left out.
 
@@ -31,6 +32,25 @@
     assert_eq!(missing, Vec::<String>::new(), "files that name a page which doesn't exist");
 }
 
+#[yare::parameterized(glossary = { "docs/glossary.md" }, architecture = { "docs/architecture.md" })]
+fn every_type_that_a_page_names_exists(page: &str) {
+    let root = repository_root();
+    let sources = files_with_extension(&root.join("crates"), &["rs"]);
+    let text = fs::read_to_string(root.join(page)).expect("a page is UTF-8");
+    let sources: Vec<String> = sources
+        .iter()
+        .filter(|source| !source.ends_with("tests/links.rs"))
+        .map(|source| fs::read_to_string(source).expect("a source is UTF-8"))
+        .collect();
+    let names = named_types(&text);
+    assert!(!names.is_empty(), "{page} names no type");
+
+    let unknown: Vec<String> =
+        names.into_iter().filter(|name| !sources.iter().any(|source| has_word(source, name))).collect();
+
+    assert_eq!(unknown, Vec::<String>::new(), "types that {page} names and no source has");
+}
+
 #[yare::parameterized(
     link = { "see [the design](design/http2.md).", &["design/http2.md"] },
     image = { "![a drawing](drawing.svg)", &["drawing.svg"] },
@@ -59,6 +79,18 @@
     assert_eq!(named_pages(text), expected);
 }
 
+#[yare::parameterized(
+    types = { "`Publisher` and `SharedPublisher`", &["Publisher", "SharedPublisher"] },
+    variant = { "`InstanceState::Ready`", &["InstanceState", "Ready"] },
+    key_of_settings = { "`cloud.ratePerS` and `coldRemainingMs`", &[] },
+    module_and_function = { "`list_selection`, `Director::admit`", &["Director"] },
+    method_of_http = { "`PUT /api/configuration`", &[] },
+    plain_word = { "Publisher", &[] },
+)]
+fn named_types_are_recognized(text: &str, expected: &[&str]) {
+    assert_eq!(named_types(text), expected);
+}
+
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
@@ -154,3 +186,30 @@
         .map(str::to_owned)
         .collect()
 }
+
+/// Names in camel case that stand between back-ticks, the parts of a path each by itself. HTTP methods and record
+/// titles in capitals are none.
+fn named_types(text: &str) -> Vec<String> {
+    let is_type = |name: &&str| {
+        name.starts_with(|first: char| first.is_ascii_uppercase())
+            && name.chars().all(|c| c.is_ascii_alphanumeric())
+            && name.contains(|c: char| c.is_ascii_lowercase())
+    };
+    text.lines()
+        .flat_map(|line| line.split('`').skip(1).step_by(2))
+        .filter(|code| !code.contains(' '))
+        .flat_map(|code| code.split("::"))
+        .filter(is_type)
+        .map(str::to_owned)
+        .collect()
+}
+
+/// Whether a text has a name as a whole word.
+fn has_word(text: &str, word: &str) -> bool {
+    let is_part = |c: char| c.is_ascii_alphanumeric() || c == '_';
+    text.match_indices(word).any(|(start, _)| {
+        let before = text[..start].chars().next_back();
+        let after = text[start + word.len()..].chars().next();
+        !before.is_some_and(is_part) && !after.is_some_and(is_part)
+    })
+}
