--- a/crates/lockusher-control/src/stage_scheduler.rs
+++ b/crates/lockusher-control/src/stage_scheduler.rs
@@ -10,7 +10,7 @@
 //! `searcher_selection` chooses the searcher, and `service_state` puts them together for one service.
 //!
 //! Invariant: a change leaves each stage of a service with one searcher at least, and with two in a service of four or
-//! more. The rules are described in `docs/control.md`, section "Orders to searchers".
+//! more. The rules are described in `docs/design/control.md`, section "Stage assignment".
 
 mod change_budget;
 mod demand;
