--- a/crates/lockusher-router-testbed/tests/links.rs
+++ b/crates/lockusher-router-testbed/tests/links.rs
@@ -1,6 +1,6 @@
 //! Links of the documentation: every relative link or image of a Markdown page leads to a file of the repository, every
 //! page of `docs/` that a source, schema or settings file names exists, and so does every type that the glossary and the
-//! architecture page name.
+//! architecture page name, and every test by which a design note or an operators' page backs what it says.
 //!
 //! Neither network nor programs are used. The journal of the benches and build directories are left out.
 
@@ -35,13 +35,8 @@
 #[yare::parameterized(glossary = { "docs/glossary.md" }, architecture = { "docs/architecture.md" })]
 fn every_type_that_a_page_names_exists(page: &str) {
     let root = repository_root();
-    let sources = files_with_extension(&root.join("crates"), &["rs"]);
+    let sources = sources(&root);
     let text = fs::read_to_string(root.join(page)).expect("a page is UTF-8");
-    let sources: Vec<String> = sources
-        .iter()
-        .filter(|source| !source.ends_with("tests/links.rs"))
-        .map(|source| fs::read_to_string(source).expect("a source is UTF-8"))
-        .collect();
     let names = named_types(&text);
     assert!(!names.is_empty(), "{page} names no type");
 
@@ -51,6 +46,24 @@
     assert_eq!(unknown, Vec::<String>::new(), "types that {page} names and no source has");
 }
 
+#[yare::parameterized(design = { "docs/design" }, operators = { "docs/operators" })]
+fn every_test_that_a_page_names_exists(folder: &str) {
+    let root = repository_root();
+    let sources = sources(&root);
+    let pages = files_with_extension(&root.join(folder), &["md"]);
+    let names: Vec<String> = pages
+        .iter()
+        .flat_map(|page| named_tests(&fs::read_to_string(page).expect("a page is UTF-8")))
+        .collect();
+    assert!(!names.is_empty(), "no page of {folder} names a test");
+
+    // A name may be shortened at its end, or be a metric whose prefix the page gives once.
+    let unknown: Vec<String> =
+        names.into_iter().filter(|name| !sources.iter().any(|source| source.contains(name))).collect();
+
+    assert_eq!(unknown, Vec::<String>::new(), "tests that pages of {folder} name and no source has");
+}
+
 #[yare::parameterized(
     link = { "see [the design](design/http2.md).", &["design/http2.md"] },
     image = { "![a drawing](drawing.svg)", &["drawing.svg"] },
@@ -91,6 +104,16 @@
     assert_eq!(named_types(text), expected);
 }
 
+#[yare::parameterized(
+    test_of_a_file = { "`disk::a_reset_is_carried_through`", &["a_reset_is_carried_through"] },
+    shortened = { "`a_crash_is_known...`", &["a_crash_is_known"] },
+    module = { "`stage_assignment_lease`", &[] },
+    plain_words = { "a_reset_is_carried_through", &[] },
+)]
+fn named_tests_are_recognized(text: &str, expected: &[&str]) {
+    assert_eq!(named_tests(text), expected);
+}
+
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../..")
@@ -113,6 +136,15 @@
     files
 }
 
+/// All sources of the packages but this file, which names what doesn't exist as cases.
+fn sources(root: &Path) -> Vec<String> {
+    files_with_extension(&root.join("crates"), &["rs"])
+        .iter()
+        .filter(|source| !source.ends_with("tests/links.rs"))
+        .map(|source| fs::read_to_string(source).expect("a source is UTF-8"))
+        .collect()
+}
+
 fn broken_links(page: &Path) -> Vec<String> {
     let text = fs::read_to_string(page).expect("a page is UTF-8");
     let folder = page.parent().expect("a page stands in a folder");
@@ -204,6 +236,17 @@
         .collect()
 }
 
+/// Names of four words and more in snake case that stand between back-ticks: these are tests.
+fn named_tests(text: &str) -> Vec<String> {
+    const LEAST_UNDERSCORES: usize = 3;
+    text.lines()
+        .flat_map(|line| line.split('`').skip(1).step_by(2))
+        .flat_map(|code| code.split(|c: char| !c.is_ascii_lowercase() && !c.is_ascii_digit() && c != '_'))
+        .filter(|name| name.matches('_').count() >= LEAST_UNDERSCORES)
+        .map(|name| name.trim_matches('_').to_owned())
+        .collect()
+}
+
 /// Whether a text has a name as a whole word.
 fn has_word(text: &str, word: &str) -> bool {
     let is_part = |c: char| c.is_ascii_alphanumeric() || c == '_';
