--- a/crates/lockusher-storage/tests/crash_points.rs
+++ b/crates/lockusher-storage/tests/crash_points.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use lockusher_storage::{Store, StoreError, StoreOptions};
-use support::simulated_file_system::{Choices, InjectedBug, SimulatedFileSystem};
+use support::simulated_disk::{Choices, InjectedBug};
+use support::simulated_file_system::SimulatedFileSystem;
 use support::{
     EveryChoice, Model, SMALL_DISK, SeededChoice, after_kill, every_power_loss, open_and_check, snapshot_of,
 };
--- a/crates/lockusher-storage/tests/model.rs
+++ b/crates/lockusher-storage/tests/model.rs
@@ -4,7 +4,8 @@
 
 use lockusher_storage::{Store, StoreError, StoreOptions};
 use proptest::prelude::*;
-use support::simulated_file_system::{Fault, SimulatedFileSystem};
+use support::simulated_disk::Fault;
+use support::simulated_file_system::SimulatedFileSystem;
 use support::{Model, SMALL_DISK, SeededChoice, all_records, open_and_check, snapshot_of};
 
 /// Size of a log without appends.
--- a/crates/lockusher-storage/tests/support/mod.rs
+++ b/crates/lockusher-storage/tests/support/mod.rs
@@ -1,12 +1,14 @@
 //! What the tests of the store share: a model that counts what was acknowledged, and ways to choose the outcome of a power loss.
 #![allow(dead_code)]
 
+pub mod simulated_disk;
 mod simulated_file;
 pub mod simulated_file_system;
 
 use lockusher_storage::{FileSystem, Recovered, Store, StoreError, StoreOptions};
 
-use simulated_file_system::{Choices, SimulatedFileSystem};
+use simulated_disk::Choices;
+use simulated_file_system::SimulatedFileSystem;
 
 /// Segments of 1 KiB; a snapshot is wanted after 4 KiB of log.
 pub const SMALL_DISK: StoreOptions = StoreOptions { disk_bytes: 64 * 1024 };
--- a/crates/lockusher-storage/tests/support/simulated_file.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file.rs
@@ -1,6 +1,6 @@
 //! One file of the simulated disk.
 
-use super::simulated_file_system::Choices;
+use super::simulated_disk::Choices;
 
 /// Ways in which a write that wasn't synced may be found.
 const WRITE_OUTCOMES: usize = 5;
--- a/crates/lockusher-storage/tests/writer.rs
+++ b/crates/lockusher-storage/tests/writer.rs
@@ -11,7 +11,8 @@
     Completions, DiskFileSystem, FileError, FileErrorCause, FileOperation, FileSystem, Job, Store,
     StoreError, StoreWriter, SubmitError,
 };
-use support::simulated_file_system::{Fault, SimulatedFileSystem};
+use support::simulated_disk::Fault;
+use support::simulated_file_system::SimulatedFileSystem;
 use support::{SMALL_DISK, all_records};
 
 /// A disk that says when it begins to sync a file, and goes on when it is told to.
