--- a/crates/lockusher-storage/src/lib.rs
+++ b/crates/lockusher-storage/src/lib.rs
@@ -1,8 +1,8 @@
 //! Durable log of a control node, with snapshots (write-ahead logging).
 //!
 //! A [`Store`] keeps records and snapshots of what they add up to, in the files of one directory ([`FileSystem`]). A
-//! control node owns one through a [`StoreWriter`], which runs it on a thread of its own; its persistence module is the
-//! only caller.
+//! control node owns one through a [`StoreWriter`], which runs it on a thread of its own; the control package's disk
+//! module is the only caller.
 //!
 //! # What survives a power loss
 //!
--- a/crates/lockusher-storage/src/reserve.rs
+++ b/crates/lockusher-storage/src/reserve.rs
@@ -1,4 +1,4 @@
-//! Space reserved for the next snapshot, held by a file of zeros.
+//! Space reserved for the next snapshot, occupied by a file of zeros.
 //!
 //! Appends leave a part of the disk free by themselves ([`StoreOptions`](crate::StoreOptions)); the reserve file helps
 //! where something else fills the disk. It is removed when a snapshot finds no space, and written again after one.
--- a/crates/lockusher-storage/tests/support/mod.rs
+++ b/crates/lockusher-storage/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use simulated_disk::Choices;
 use simulated_file_system::SimulatedFileSystem;
 
-/// Segments of 1 KiB; a snapshot is wanted after 4 KiB of log.
+/// Segments of 1 KiB; a snapshot is due after 4 KiB of log.
 pub const SMALL_DISK: StoreOptions = StoreOptions { disk_bytes: 64 * 1024 };
 
 /// All ways of choosing, one after the other.
--- a/crates/lockusher-storage/tests/support/simulated_disk.rs
+++ b/crates/lockusher-storage/tests/support/simulated_disk.rs
@@ -8,13 +8,13 @@
 
 use super::simulated_file::SimulatedFile;
 
-/// Decides what a loss of power leaves of what wasn't synced.
+/// Chooses what a power loss leaves of what wasn't synced, one uncertain change after the other.
 pub trait Choices {
-    /// Picks one of `options` ways, from 0.
+    /// Picks one of `options` outcomes, from 0.
     fn choose(&mut self, options: usize) -> usize;
 }
 
-/// What befalls an operation.
+/// How an operation fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// It fails for want of space; a write leaves half of its bytes.
@@ -25,15 +25,16 @@
     IoAfterEffect,
 }
 
-/// A mistake put in on purpose, which a test must find.
+/// A bug put in on purpose, which a test must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// The sync of the folder does nothing.
+    /// The sync of the directory does nothing.
     NoDirectorySync,
     /// The sync of a file does nothing.
     NoFileSync,
 }
 
+/// The state of the disk, with the faults that are due.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Disk {
     pub(super) files: Vec<SimulatedFile>,
@@ -47,8 +48,8 @@
     pub(super) injected_bug: Option<InjectedBug>,
 }
 
-/// A name with what it may stand for after a loss of power: the last value is the current one, and the first is the
-/// one at the last sync of the folder.
+/// A name with the files that it may refer to after a power loss: the last value is the current one, and the first is
+/// the one at the last sync of the directory; `None` is no file.
 #[derive(Clone, Debug)]
 pub(super) struct Name {
     pub(super) values: Vec<Option<usize>>,
@@ -136,7 +137,7 @@
             .sum()
     }
 
-    /// How many of the bytes fit.
+    /// How many of `length` bytes at `offset` fit on the disk.
     pub(super) fn bytes_that_fit(&self, file: usize, offset: usize, length: usize) -> usize {
         let Some(capacity) = self.capacity else {
             return length;
@@ -146,7 +147,7 @@
         (inside + free).min(length)
     }
 
-    /// Drops the contents of files that no name stands for, nor may after a loss of power.
+    /// Drops the contents of files that no name refers to, nor may after a power loss.
     pub(super) fn drop_unreferenced_contents(&mut self) {
         self.names.retain(|_, name| name.values != [None]);
         let present: Vec<usize> =
--- a/crates/lockusher-storage/tests/support/simulated_file.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file.rs
@@ -5,7 +5,7 @@
 /// Ways in which a write that wasn't synced may be found.
 const WRITE_OUTCOMES: usize = 5;
 
-/// A file as it can be read, and what of it endures a loss of power.
+/// A file as it can be read, and what of it survives a power loss.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedFile {
     durable: Vec<u8>,
--- a/crates/lockusher-storage/tests/support/simulated_file_system.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file_system.rs
@@ -1,4 +1,4 @@
-//! A file system in memory that loses power, fills up and fails as told.
+//! A file system in memory that loses power, fills up and fails as a test says.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -71,7 +71,7 @@
         self.disk().injected_bug = Some(injected_bug);
     }
 
-    /// Loses power: of what wasn't synced, each part is kept, lost or torn as the choices say. Then power is back.
+    /// Loses power: of what wasn't synced, each part survives, is lost or torn as the choices say. Then power is back.
     pub fn lose_power(&self, choices: &mut dyn Choices) {
         self.disk().lose_power(choices);
     }
--- a/crates/lockusher-storage/tests/writer.rs
+++ b/crates/lockusher-storage/tests/writer.rs
@@ -15,7 +15,7 @@
 use support::simulated_file_system::SimulatedFileSystem;
 use support::{SMALL_DISK, all_records};
 
-/// A disk that says when it begins to sync a file, and goes on when it is told to.
+/// A disk that reports when it starts to sync an append, and blocks until the test releases it.
 struct BlockingFileSystem {
     files: SimulatedFileSystem,
     started: Sender<()>,
@@ -73,7 +73,7 @@
     fn sync_file(&mut self, name: &str) -> Result<(), FileError> {
         if std::mem::take(&mut self.next_sync_blocks) {
             self.started.send(()).expect("the test listens");
-            self.release.recv().expect("the test lets go on");
+            self.release.recv().expect("the test releases the sync");
         }
         self.files.sync_file(name)
     }
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_completion_wakes_the_runtime_and_the_records_are_there() {
-    let directory = tempfile::tempdir().expect("a folder");
+    let directory = tempfile::tempdir().expect("a directory");
     let files = || DiskFileSystem::new(directory.path().to_owned());
     let (store, _) = Store::open(files(), SMALL_DISK).expect("opens");
     run(async {
--- a/crates/lockusher-transport/src/http.rs
+++ b/crates/lockusher-transport/src/http.rs
@@ -1,5 +1,5 @@
-//! Small HTTP/1.1 servers and clients for the fleet's own interfaces: the operators' API, health checks, the platform's
-//! instance list. The data plane has its own.
+//! Small HTTP/1.1 servers and clients for the fleet's own interfaces: the operators' API and the agent's redirect to it,
+//! the platform's instance list, stage assignments to searchers. The data plane has its own.
 //!
 //! Requests and responses have complete bodies ([`FullBody`]) of bounded size. A client uses a new connection for each
 //! request; a server keeps connections open.
--- a/crates/lockusher-transport/src/lib.rs
+++ b/crates/lockusher-transport/src/lib.rs
@@ -1,6 +1,6 @@
 //! Sockets of the fleet: TCP options, framed internal messages, and small HTTP/1.1 servers and clients.
 //!
-//! The lowest layer of the fleet's I/O, called by the control, distribution, agent and proxy packages. Everything runs
+//! The lowest layer of the fleet's I/O, called by the control, distribution, agent, proxy and node packages. Everything runs
 //! on one compio runtime per process, on one thread; nothing here makes decisions or keeps state beyond a connection.
 //!
 //! | module | job |
