--- a/crates/lockusher-proxy/src/decision/admission_control.rs
+++ b/crates/lockusher-proxy/src/decision/admission_control.rs
@@ -65,8 +65,9 @@
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
     waiting: Rc<WaitingByRank>,
-    /// Average time of answers as a share of the time given, and average time given in seconds, 0 at first.
+    /// Average time of answers as a share of the clients' patience; 0 at first.
     lateness: f64,
+    /// Average patience of clients in seconds; 0 at first.
     mean_patience_s: f64,
     /// Answers and, by rank, requests; both fade.
     answers: f64,
--- a/crates/lockusher-proxy/src/decision/interface.rs
+++ b/crates/lockusher-proxy/src/decision/interface.rs
@@ -22,6 +22,7 @@
     pub retry_budget_ratio: f64,
     /// Sends beyond that share, in one window, over all proxies.
     pub retry_budget_slack: f64,
+    /// Length of the retry budget's sliding window.
     pub budget_window_ms: u64,
     /// Reading a part of a prompt again within this time is priced.
     pub again_ms: u64,
@@ -48,12 +49,13 @@
 pub struct RequestFacts {
     /// The service that the route's traffic split gave it.
     pub service: String,
+    /// Whether the answer is streamed, and whether the request may run more than once.
     pub kind: RouteKind,
     /// Whether the request may run more than once (`Route::is_idempotent`).
     pub is_idempotent: bool,
     /// Rank of the route; 0 is the highest.
     pub priority: u8,
-    /// The greatest number of searchers that it may be sent to.
+    /// The maximum number of searchers that it may be sent to.
     pub attempts: u32,
     /// The time within which an answer earns its full worth.
     pub target_latency_ms: u64,
@@ -73,7 +75,10 @@
     /// To be sent.
     Go(RequestPlan),
     /// To be refused at once: 503 with `Retry-After`.
-    Refuse { retry_after_ms: u64 },
+    Refuse {
+        /// When the client should send it again.
+        retry_after_ms: u64,
+    },
 }
 
 /// Names one send between its choice and its final outcome.
@@ -85,15 +90,22 @@
 pub enum Choice {
     /// Send there and report every outcome with the ticket.
     Send {
+        /// The searcher's identifier on the platform.
         identifier: String,
+        /// Its address and port.
         address: String,
+        /// Its zone.
         zone: String,
+        /// Names the send in the reports of its outcomes.
         ticket: SendTicket,
         /// The value of `Priority`, 0 first.
         priority: u8,
     },
     /// No searcher can take it now; the request hasn't run at a searcher that was asked for this purpose.
-    Refuse { retry_after_ms: u64 },
+    Refuse {
+        /// When the client should send it again.
+        retry_after_ms: u64,
+    },
     /// No further send is allowed: attempts or the retry budget are used up, or no time is left.
     Exhausted,
 }
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -36,8 +36,9 @@
 /// What became of a request's sends; shared with the records of its sends.
 #[derive(Debug)]
 pub struct Progress {
-    /// When the request was admitted, and the time that it had then.
+    /// When the request was admitted.
     pub admitted: Micros,
+    /// The time, counted from then, after which the client abandons the request.
     pub client_patience: Micros,
     /// Its permit to wait for a first event.
     pub waiting: RefCell<Option<WaitingPermit>>,
@@ -98,7 +99,7 @@
     pub waited: Micros,
     /// The request's target latency.
     pub target: Micros,
-    /// Tokens that it prefills if it has cached only what this proxy itself sent it lately.
+    /// The same if the searcher has cached only what this proxy itself sent it lately.
     pub tokens_upper_bound: u32,
     pub counting: Counting,
     /// Whose KV cache it transfers.
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -332,7 +332,7 @@
                 self.admission.answered(now, elapsed, progress.client_patience);
             }
             SendOutcome::TimedOut | SendOutcome::Cancelled => {
-                self.admission.abandoned(elapsed, progress.client_patience)
+                self.admission.abandoned(elapsed, progress.client_patience);
             }
             _ => return,
         }
--- a/crates/lockusher-proxy/src/decision/types.rs
+++ b/crates/lockusher-proxy/src/decision/types.rs
@@ -12,7 +12,9 @@
 /// One part of a prompt, as named in `Prompt-Prefix`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PromptPart {
+    /// Identity of its text: the same part has the same id in all prompts.
     pub id: u64,
+    /// Tokens of the part.
     pub tokens: u32,
 }
 
