--- a/crates/lockusher-proxy/src/decision/admission_control.rs
+++ b/crates/lockusher-proxy/src/decision/admission_control.rs
@@ -8,7 +8,7 @@
 //!
 //! Owned by `Service`, asked by `RequestRouter::admit`. Invariant:
 //! the number that waits is that of the permits alive. Without it
-//! `decision_model::the_gate_keeps_answers_in_time_under_overload` fails.
+//! `decision_model::admission_control_keeps_answers_in_time_under_overload` fails.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -3,7 +3,7 @@
 //! Averages for the load balancing score, slow start, and outlier detection: a searcher whose success rate falls below
 //! half of its peers' is ejected, and probed again after a time that doubles with each failure. Owned by
 //! `Service`. Invariant: `in_flight` is the number of own sends without a final outcome. Without
-//! slow start `decision_gray::one_that_has_just_come_draws_no_rush` fails.
+//! slow start `decision_outliers::one_that_has_just_come_draws_no_rush` fails.
 
 use lockusher_config::instances::{Instance, Stage};
 
--- a/crates/lockusher-proxy/tests/decision_affinity.rs
+++ b/crates/lockusher-proxy/tests/decision_affinity.rs
@@ -1,4 +1,4 @@
-//! Shared parts of prompts: all proxies compute the same homes.
+//! Shared parts of prompts: all proxies compute the same affinity targets.
 
 mod decision_support;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn routers_with_different_histories_agree_on_homes() {
+fn routers_with_different_histories_agree_on_affinity_targets() {
     let list = split_fleet(8, 8);
     let mut fresh = router(&list, 1);
     let mut reversed: Vec<_> = list.clone();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_home_that_is_busy_is_left() {
+fn an_affinity_target_that_is_busy_is_left() {
     let mut router = router(&split_fleet(4, 4), 1);
     for step in 0..50 {
         serve(&mut router, step * 100 * MS, &prompt(step, step), Purpose::Prefill, 60 * MS);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_home_that_spares_little_reading_is_left_early() {
+fn an_affinity_target_that_saves_little_prefill_is_left_early() {
     let spares_most = most_at_one(3_800, 200);
     let spares_little = most_at_one(200, 3_800);
     assert!(spares_most >= 40, "{spares_most} of 60 wait for what is held");
--- a/crates/lockusher-proxy/tests/decision_kv_transfer.rs
+++ b/crates/lockusher-proxy/tests/decision_kv_transfer.rs
@@ -1,4 +1,4 @@
-//! Hand-overs that fail: what is sent instead, and what is learned of the searchers and of the service.
+//! KV transfers that fail: what is sent instead, and what is learned of the searchers and of the service.
 
 mod decision_support;
 
@@ -113,7 +113,7 @@
     (router, 20 * SECOND)
 }
 
-fn handover_that_is_rejected(
+fn transfer_that_is_rejected(
     router: &mut RequestRouter,
     now: Micros,
     attempts: u32,
@@ -130,7 +130,7 @@
 #[test]
 fn the_last_attempt_goes_whole() {
     let (mut router, now) = calm(4, 4);
-    let (mut plan, first) = handover_that_is_rejected(&mut router, now, 2);
+    let (mut plan, first) = transfer_that_is_rejected(&mut router, now, 2);
     assert!(!router.may_transfer_again(now, &plan));
     assert!(!router.split(now, &plan));
     let (second, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
@@ -142,14 +142,14 @@
 #[test]
 fn a_handle_is_sent_once_more_while_an_attempt_is_left_for_the_whole() {
     let (mut router, now) = calm(4, 4);
-    let (plan, _) = handover_that_is_rejected(&mut router, now, 3);
+    let (plan, _) = transfer_that_is_rejected(&mut router, now, 3);
     assert!(router.may_transfer_again(now, &plan));
 }
 
 #[test]
-fn without_attempts_left_the_searcher_that_rejected_a_handover_is_asked_for_the_whole_once() {
+fn without_attempts_left_the_searcher_that_rejected_a_transfer_is_asked_for_the_whole_once() {
     let (mut router, now) = calm(4, 4);
-    let (mut plan, first) = handover_that_is_rejected(&mut router, now, 1);
+    let (mut plan, first) = transfer_that_is_rejected(&mut router, now, 1);
     assert!(!router.split(now, &plan));
     assert_eq!(router.choose(now, &mut plan, Purpose::Decode), Choice::Exhausted);
     let (second, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
@@ -162,7 +162,7 @@
 #[test]
 fn a_searcher_that_has_left_is_not_asked_for_the_whole() {
     let (mut router, now) = calm(4, 4);
-    let (mut plan, first) = handover_that_is_rejected(&mut router, now, 1);
+    let (mut plan, first) = transfer_that_is_rejected(&mut router, now, 1);
     let mut list = split_fleet(4, 4);
     list.retain(|instance| instance.identifier != first);
     router.apply_instances(now, &list);
@@ -174,7 +174,7 @@
     let mut router = router(&split_fleet(4, 4), 1);
     // Without requests and with a share of nothing, the budget has no room for a repeat.
     router.set_fleet_size(u32::MAX);
-    let (mut plan, _) = handover_that_is_rejected(&mut router, 0, 1);
+    let (mut plan, _) = transfer_that_is_rejected(&mut router, 0, 1);
     assert_eq!(router.choose(0, &mut plan, Purpose::Whole), Choice::Exhausted);
 }
 
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_full_decode_searcher_costs_neither_the_readers_nor_the_hand_overs() {
+fn a_full_decode_searcher_costs_neither_the_prefill_searchers_nor_the_kv_transfers() {
     let (mut router, now) = calm(4, 4);
     let full = flow(&mut router, now, 500, &prompt(0, 0), Fault::Full("d2"));
     assert!(full.read.values().sum::<usize>() > 450, "{full:?}");
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn hand_overs_go_on_while_most_decode_searchers_are_full() {
+fn kv_transfers_go_on_while_most_decode_searchers_are_full() {
     let (mut router, now) = calm(4, 4);
     let facts = RequestFacts { attempts: 4, ..prompt(0, 0) };
     let full = flow(&mut router, now, 500, &facts, Fault::FullBut("d0"));
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn hand_overs_are_back_soon_after_all_decode_searchers_were_full() {
+fn kv_transfers_are_back_soon_after_all_decode_searchers_were_full() {
     let (mut router, now) = calm(4, 4);
     flow(&mut router, now, 400, &prompt(0, 0), Fault::AllFull);
     let after = flow(&mut router, now + 8 * SECOND, 150, &prompt(0, 0), Fault::None);
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn slow_moves_cost_a_decode_searcher_its_handovers() {
+fn slow_moves_cost_a_decode_searcher_its_kv_transfers() {
     let (mut router, now) = calm(4, 4);
     let slow = flow(&mut router, now, 500, &prompt(0, 0), Fault::SlowMoves("d2"));
     assert!(slow.handed.get("d2").copied().unwrap_or(0) <= 40, "{slow:?}");
--- a/crates/lockusher-proxy/tests/decision_locality.rs
+++ b/crates/lockusher-proxy/tests/decision_locality.rs
@@ -1,4 +1,4 @@
-//! Zones, and where prompts are read.
+//! Locality, and whether prefill and decode are split.
 
 mod decision_support;
 
--- a/crates/lockusher-proxy/tests/decision_model.rs
+++ b/crates/lockusher-proxy/tests/decision_model.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_slow_prefill_searcher_is_passed_over_though_it_is_a_home() {
+fn a_slow_prefill_searcher_is_passed_over_though_it_is_an_affinity_target() {
     let slow = Day { slow_prefill: vec![(1, 6.0)], ..day(1.0, 10) };
     let [directed, round_robin, least_loaded, hash] =
         compare("one prefill searcher six times as slow", &slow);
@@ -148,7 +148,7 @@
 
 /// The same number of searchers throughout; under overload the control plane has had more of them read.
 #[test]
-fn the_gate_keeps_answers_in_time_under_overload() {
+fn admission_control_keeps_answers_in_time_under_overload() {
     for (scale, least_worth, least_gain) in LOADS {
         let (prefill, decode) = if scale > 1.0 { (6, 3) } else { (4, 5) };
         let on_seed = |seed| Day { prefill, decode, ..day(scale, seed) };
