--- a/crates/lockusher-control/src/driver/mod.rs
+++ b/crates/lockusher-control/src/driver/mod.rs
@@ -1,4 +1,10 @@
-//! The I/O around the replica: peers, operator, subscribers, disk and clock of one control node.
+//! The driver of one control node's replica: peers, operator, subscribers, disk and clock.
+//!
+//! The replica ([`crate::replica::Replica`]) and the stage scheduler ([`crate::stage_scheduler`]) decide without I/O; the
+//! modules here own the sockets, the disk and the clock, hand events to them and carry out what they decide.
+//! [`crate::serve`] puts them together and starts their tasks. Of those that decide something by themselves, each is a
+//! module without I/O: `instance_list_revision`, `operator_error`, `send_queue`,
+//! `stage_change_order` and `stage_switch_overlay`.
 
 pub mod change_request;
 pub mod disk;
--- a/crates/lockusher-control/src/driver/stage_assignment.rs
+++ b/crates/lockusher-control/src/driver/stage_assignment.rs
@@ -13,6 +13,7 @@
 
 use compio::time::{sleep, timeout};
 use lockusher_config::settings::NodeSettings;
+use lockusher_distribution::publisher::Publisher;
 use lockusher_transport::{http, tcp};
 
 use super::instance_list_publisher::InstanceListPublisher;
@@ -107,8 +108,8 @@
             now,
             configuration: &configuration,
             instances: &list.instances,
-            loads: &publisher.read(|publisher| publisher.downstream_loads()),
-            proxies: publisher.read(|publisher| publisher.downstream_proxies()),
+            loads: &publisher.read(Publisher::downstream_loads),
+            proxies: publisher.read(Publisher::downstream_proxies),
         };
         self.scheduler.next_change(&observation)
     }
--- a/crates/lockusher-control/src/driver/status.rs
+++ b/crates/lockusher-control/src/driver/status.rs
@@ -1,49 +1,61 @@
-//! What a control node tells of itself.
+//! The status and the metrics of a control node, as the operator's HTTP interface answers them.
+//!
+//! Reads the replica and the publisher; changes nothing. The keys of the report and the names of the metrics are
+//! described in `docs/control-operators.md`.
 
 use std::fmt::Write;
 
+use lockusher_distribution::publisher::{Publisher, SubscriberStatus};
 use serde_json::{Value, json};
 
 use super::replica_driver::ReplicaDriver;
+use crate::replica::Replica;
+use crate::view::{Member, View};
 
 /// The state of this control node as JSON.
 pub fn report(driver: &ReplicaDriver) -> String {
-    let view = driver.read(|replica| {
-        let view = replica.view()?;
-        let member = |member: &crate::view::Member| json!({"identity": member.identity.0.to_string(), "address": member.address.to_string()});
-        let voters: Vec<Value> = view.voters.iter().map(member).collect();
-        let chain: Vec<String> = view.chain.iter().map(|identity| identity.0.to_string()).collect();
-        Some(json!({"epoch": view.epoch, "voters": voters, "chain": chain}))
-    });
-    let subscribers: Vec<Value> = driver.publisher.read(|publisher| {
-        let subscriber = |status: lockusher_distribution::publisher::SubscriberStatus| {
-            json!({
-                "node": status.identity.node,
-                "configuration": status.acknowledged.configuration_version,
-                "inForce": status.downstream.in_force_version,
-                "proxies": status.downstream.proxies,
-                "list": format!("{}.{}", status.acknowledged.list_revision.epoch, status.acknowledged.list_revision.sequence),
-            })
-        };
-        publisher.subscribers().map(subscriber).collect()
-    });
-    let role = driver.role();
-    let report = json!({
-        "identity": driver.read(|replica| replica.identity().0.to_string()),
-        "head": role.is_head,
-        "clean": driver.read(|replica| replica.is_clean()),
-        "view": view,
-        "configuration": driver.read(|replica| replica.committed().map(|document| document.version)),
-        "subscribers": subscribers,
+    let subscribers: Vec<Value> =
+        driver.publisher.read(|publisher| publisher.subscribers().map(subscriber_report).collect());
+    let is_head = driver.role().is_head;
+    let report = driver.read(|replica| {
+        json!({
+            "identity": replica.identity().0.to_string(),
+            "head": is_head,
+            "clean": replica.is_clean(),
+            "view": replica.view().map(view_report),
+            "configuration": replica.committed().map(|document| document.version),
+            "subscribers": subscribers,
+        })
     });
     format!("{report}\n")
 }
 
+fn view_report(view: &View) -> Value {
+    let voters: Vec<Value> = view.voters.iter().map(member_report).collect();
+    let chain: Vec<String> = view.chain.iter().map(|identity| identity.0.to_string()).collect();
+    json!({"epoch": view.epoch, "voters": voters, "chain": chain})
+}
+
+fn member_report(member: &Member) -> Value {
+    json!({"identity": member.identity.0.to_string(), "address": member.address.to_string()})
+}
+
+fn subscriber_report(status: SubscriberStatus) -> Value {
+    let revision = status.acknowledged.list_revision;
+    json!({
+        "node": status.identity.node,
+        "configuration": status.acknowledged.configuration_version,
+        "inForce": status.downstream.in_force_version,
+        "proxies": status.downstream.proxies,
+        "list": format!("{}.{}", revision.epoch, revision.sequence),
+    })
+}
+
 /// Counters of this control node in the common text format.
 pub fn metrics(driver: &ReplicaDriver) -> String {
-    let counters = driver.read(|replica| replica.counters());
+    let counters = driver.read(Replica::counters);
     let scrubs = driver.scrub_counters();
-    let newest = driver.publisher.read(|publisher| publisher.newest());
+    let newest = driver.publisher.read(Publisher::newest);
     let rows = [
         ("control_views_adopted_total", counters.views_adopted),
         ("control_view_proposals_total", counters.proposals),
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -1,11 +1,18 @@
 //! One control node: opens its disk, starts its replica and serves until it is told to stop.
+//!
+//! Called by the program's roles `control` and, on some machines, `agent`. Everything runs as tasks on the caller's
+//! runtime, that of one thread, except for the storage thread. Invariant: listeners are bound before the disk is read, so
+//! that a second process on the machine ends before it touches the disk.
 
 use std::future::Future;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddrV4;
+use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 
+use compio::net::TcpListener;
+use compio::runtime::{JoinHandle, spawn};
 use compio::time::sleep;
 use derive_more::{Display, Error, From};
 use lockusher_config::settings::{InternalListener, NodeSettings, TooFewPorts};
@@ -16,37 +23,40 @@
 use lockusher_transport::error::TransportError;
 use lockusher_transport::{http, tcp};
 
-use crate::driver::disk::{Disk, DiskError, OpenedDisk};
+use crate::driver::disk::{Disk, DiskError, OpenedDisk, RecoveredRecords};
 use crate::driver::instance_list_publisher::InstanceListPublisher;
 use crate::driver::peer_links::{LinkTiming, PeerLinks};
 use crate::driver::replica_driver::ReplicaDriver;
 use crate::driver::{instance_list_polling, operator_api, peer_listener, stage_assignment};
 use crate::replica::{Event, Replica, ReplicaSetup};
 
-/// Pause between two ticks of the replica.
+/// Between two ticks of the replica.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a node that was told to stop goes on at least, so that others take over what it did.
 const MIN_HAND_OVER: Duration = Duration::from_millis(600);
-/// It goes on until it has handed over, for this part of the grace at most.
+/// It goes on until it has handed over, for the grace divided by this at most.
 const HAND_OVER_GRACE_DIVISOR: u32 = 2;
-/// Pause between two scrubs of the disk.
+/// Between two scrubs of the disk.
 const SCRUB_INTERVAL: Duration = Duration::from_secs(600);
-
 /// Bytes of a megabyte of `limits.diskMb`.
 const BYTES_PER_MB: u64 = 1024 * 1024;
 
-/// Why a control node can't run.
+/// Why a control node can't run. Starting again helps only if the settings or the machine have changed.
 #[derive(Debug, Display, Error, From)]
 pub enum ControlError {
+    /// A setting that a control node needs is missing; its key.
     #[display("settings: {_0} is missing")]
     #[from(ignore)]
     Missing(#[error(not(source))] &'static str),
+    /// The settings name too few internal ports.
     #[display("{_0}")]
     Ports(TooFewPorts),
+    /// The disk can't be used.
     #[display("{_0}")]
     Disk(DiskError),
+    /// A listener can't be bound.
     #[display("{_0}")]
-    Net(TransportError),
+    Transport(TransportError),
 }
 
 /// What the command line says of a control node.
@@ -63,82 +73,145 @@
 }
 
 /// Runs a control node until `stop` is done; then hands over and returns.
+///
+/// # Errors
+///
+/// [`ControlError`] if a setting is missing, a listener can't be bound, or the disk can't be used. Once it serves, a node
+/// doesn't fail.
 pub async fn run(
     settings: NodeSettings,
     options: ControlOptions,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ControlError> {
-    let operator_address = settings.control.ok_or(ControlError::Missing("listenAddresses.control"))?;
-    let folder = settings.data_directory.clone().ok_or(ControlError::Missing("dataDirectory"))?;
-    let replica_port = settings.internal_port(InternalListener::Replicas)?;
-    let subscription_port = settings.internal_port(InternalListener::Subscriptions)?;
-    let own_address = SocketAddrV4::new(settings.ip_address, replica_port);
-    let operator_listener = tcp::listen(operator_address).await?;
-    let peer_socket = tcp::listen(own_address).await?;
-    let subscription = SocketAddrV4::new(settings.ip_address, subscription_port);
-    let subscription_listener = tcp::listen(subscription).await?;
-
+    let resources = Resources::named_by(&settings)?;
+    let listeners = Listeners::bind(&resources).await?;
+    let disk_bytes = settings.limits.disk_mb * BYTES_PER_MB;
     let OpenedDisk { disk, completions, recovered } =
-        Disk::open(&folder, settings.limits.disk_mb * BYTES_PER_MB).await?;
-    let clock = Clock::start();
-    let random_seed = RandomState::new().hash_one(own_address);
-    let setup = ReplicaSetup {
-        address: own_address,
-        seeds: settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), replica_port)).collect(),
-        first_start: settings.first_start && !recovered.cleared,
-        tolerated_losses: settings.fault_tolerance_machines,
-        acknowledge_ms: settings.bounds.acknowledge_ms,
-        catch_up_ms: settings.bounds.catch_up_ms,
-        random_seed,
-    };
-    log::info!("control node at {own_address}, {} records on disk", recovered.records.len());
-    let (replica, effects) = Replica::new(setup, recovered.records, clock.millis());
-    let publisher = SharedPublisher::new(Publisher::new(random_seed), clock);
-    let acknowledge = Duration::from_millis(settings.bounds.acknowledge_ms);
-    let links = PeerLinks::new(own_address, LinkTiming::new(acknowledge));
-    let driver = ReplicaDriver::new(clock, Rc::clone(&publisher), replica, disk, links, subscription_port);
-    driver.apply_effects(effects);
+        Disk::open(&resources.data_directory, disk_bytes).await?;
+    let random_seed = RandomState::new().hash_one(resources.peer_address);
+    let driver = start_driver(&settings, &resources, disk, recovered, random_seed);
 
-    let operator_driver = Rc::clone(&driver);
-    let operator = move |request| operator_api::handle(Rc::clone(&operator_driver), request);
     let hand_over_limit = Duration::from_millis(settings.bounds.grace_ms) / HAND_OVER_GRACE_DIVISOR;
     let settings = Rc::new(settings);
     let list_publisher = InstanceListPublisher::new(Rc::clone(&driver));
     let stage_assignment_task = options.stage_assignment.then(|| {
-        compio::runtime::spawn(stage_assignment::run(
-            Rc::clone(&driver),
-            Rc::clone(&list_publisher),
-            Rc::clone(&settings),
-        ))
+        spawn(stage_assignment::run(Rc::clone(&driver), Rc::clone(&list_publisher), Rc::clone(&settings)))
     });
-    let _tasks = [
-        compio::runtime::spawn(follow_disk(Rc::clone(&driver), completions)),
-        compio::runtime::spawn(tick_periodically(Rc::clone(&driver))),
-        compio::runtime::spawn(scrub_periodically(Rc::clone(&driver))),
-        compio::runtime::spawn(peer_listener::run(Rc::clone(&driver), peer_socket)),
-        compio::runtime::spawn(accept(subscription_listener, publisher)),
-        compio::runtime::spawn(http::serve(operator_listener, operator)),
-        compio::runtime::spawn(instance_list_polling::run(
-            Rc::clone(&driver),
-            list_publisher,
-            settings,
-            random_seed,
-        )),
-    ];
+    let list_polling = instance_list_polling::run(Rc::clone(&driver), list_publisher, settings, random_seed);
+    let _tasks = (spawn_tasks(&driver, completions, listeners), spawn(list_polling));
     stop.await;
     log::info!("stopping");
-    // Ends an order under way, too: its connection is reset.
+    // Ends an order in flight, too: its connection is reset.
     drop(stage_assignment_task);
     driver.dispatch(Event::Stop);
     hand_over(&driver, hand_over_limit).await;
     Ok(())
 }
 
+/// What a control node needs of its machine.
+struct Resources {
+    operator_address: SocketAddrV4,
+    /// Where other control nodes send their messages; names this node among them.
+    peer_address: SocketAddrV4,
+    subscription_address: SocketAddrV4,
+    data_directory: PathBuf,
+}
+
+impl Resources {
+    fn named_by(settings: &NodeSettings) -> Result<Self, ControlError> {
+        let operator_address = settings.control.ok_or(ControlError::Missing("listenAddresses.control"))?;
+        let data_directory = settings.data_directory.clone().ok_or(ControlError::Missing("dataDirectory"))?;
+        let peer_port = settings.internal_port(InternalListener::Replicas)?;
+        let subscription_port = settings.internal_port(InternalListener::Subscriptions)?;
+        Ok(Resources {
+            operator_address,
+            peer_address: SocketAddrV4::new(settings.ip_address, peer_port),
+            subscription_address: SocketAddrV4::new(settings.ip_address, subscription_port),
+            data_directory,
+        })
+    }
+}
+
+/// The sockets at which a control node is called.
+struct Listeners {
+    operator: TcpListener,
+    peers: TcpListener,
+    subscriptions: TcpListener,
+}
+
+impl Listeners {
+    async fn bind(resources: &Resources) -> Result<Self, TransportError> {
+        Ok(Listeners {
+            operator: tcp::listen(resources.operator_address).await?,
+            peers: tcp::listen(resources.peer_address).await?,
+            subscriptions: tcp::listen(resources.subscription_address).await?,
+        })
+    }
+}
+
+/// Starts the replica with what its disk held, and carries out what it asks for first.
+fn start_driver(
+    settings: &NodeSettings,
+    resources: &Resources,
+    disk: Disk,
+    recovered: RecoveredRecords,
+    random_seed: u64,
+) -> Rc<ReplicaDriver> {
+    let clock = Clock::start();
+    let own_address = resources.peer_address;
+    let setup = replica_setup(settings, own_address, &recovered, random_seed);
+    log::info!("control node at {own_address}, {} records on disk", recovered.records.len());
+    let (replica, effects) = Replica::new(setup, recovered.records, clock.millis());
+    let publisher = SharedPublisher::new(Publisher::new(random_seed), clock);
+    let acknowledge = Duration::from_millis(settings.bounds.acknowledge_ms);
+    let links = PeerLinks::new(own_address, LinkTiming::new(acknowledge));
+    let subscription_port = resources.subscription_address.port();
+    let driver = ReplicaDriver::new(clock, publisher, replica, disk, links, subscription_port);
+    driver.apply_effects(effects);
+    driver
+}
+
+fn replica_setup(
+    settings: &NodeSettings,
+    address: SocketAddrV4,
+    recovered: &RecoveredRecords,
+    random_seed: u64,
+) -> ReplicaSetup {
+    let peer_port = address.port();
+    ReplicaSetup {
+        address,
+        seeds: settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), peer_port)).collect(),
+        first_start: settings.first_start && !recovered.cleared,
+        tolerated_losses: settings.fault_tolerance_machines,
+        acknowledge_ms: settings.bounds.acknowledge_ms,
+        catch_up_ms: settings.bounds.catch_up_ms,
+        random_seed,
+    }
+}
+
+/// Starts the tasks that serve the replica's disk, clock, peers, subscribers and operator; they end when dropped.
+fn spawn_tasks(
+    driver: &Rc<ReplicaDriver>,
+    completions: Completions,
+    listeners: Listeners,
+) -> [JoinHandle<()>; 6] {
+    let operator_driver = Rc::clone(driver);
+    let operator = move |request| operator_api::handle(Rc::clone(&operator_driver), request);
+    [
+        spawn(follow_disk(Rc::clone(driver), completions)),
+        spawn(tick_periodically(Rc::clone(driver))),
+        spawn(scrub_periodically(Rc::clone(driver))),
+        spawn(peer_listener::run(Rc::clone(driver), listeners.peers)),
+        spawn(accept(listeners.subscriptions, Rc::clone(&driver.publisher))),
+        spawn(http::serve(listeners.operator, operator)),
+    ]
+}
+
 /// Waits until the others do without this node, or for `limit` if they can't agree on that.
 async fn hand_over(driver: &ReplicaDriver, limit: Duration) {
-    let started = driver.clock.millis();
+    let started_at = driver.clock.millis();
     sleep(MIN_HAND_OVER).await;
-    let is_over = || driver.clock.millis() - started >= limit.as_millis() as u64;
+    let is_over = || driver.clock.millis() - started_at >= limit.as_millis() as u64;
     while !driver.read(Replica::has_handed_over) && !is_over() {
         sleep(TICK_INTERVAL).await;
     }
@@ -158,7 +231,7 @@
     }
 }
 
-/// Scrubs the disk now and then; the first pause is drawn anew by each node, so that they don't all read at once.
+/// Scrubs the disk now and then; the first delay is drawn anew by each node, so that they don't all read at once.
 async fn scrub_periodically(driver: Rc<ReplicaDriver>) {
     sleep(SCRUB_INTERVAL.mul_f64(rand::random_range(0.5..1.0))).await;
     loop {
