--- a/crates/lockusher-control/tests/stage_assignment_lease.rs
+++ b/crates/lockusher-control/tests/stage_assignment_lease.rs
@@ -59,18 +59,23 @@
     holder: usize,
 }
 
-/// One attempt of a head: it asks the voters, waits for their answers, is held up, and sends.
+/// One attempt of a head: it asks the voters, waits for their answers, stalls, and sends.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     begin: Millis,
     answered_after: Millis,
-    held_up: Millis,
+    stalled_for: Millis,
     transit: Millis,
 }
 
 fn attempts() -> impl Strategy<Value = Vec<Attempt>> {
     let attempt = (0u64..30_000, 0u64..4_000, 0u64..6_000, 0u64..600).prop_map(
-        |(begin, answered_after, held_up, transit)| Attempt { begin, answered_after, held_up, transit },
+        |(begin, answered_after, stalled_for, transit)| Attempt {
+            begin,
+            answered_after,
+            stalled_for,
+            transit,
+        },
     );
     prop::collection::vec(attempt, 0..60)
 }
@@ -89,15 +94,17 @@
     lease.observe(head_from + skew, ChainRole::head(epoch));
     let mut arrivals = Vec::new();
     for attempt in attempts {
-        let asked = attempt.begin;
+        let requested_at = attempt.begin;
         // Voters answer at any moment between question and answer; none does once the next epoch is accepted.
-        if asked < head_from || asked >= agreed {
+        if requested_at < head_from || requested_at >= agreed {
             continue;
         }
-        let sent = asked + attempt.answered_after + attempt.held_up;
+        let sent = requested_at + attempt.answered_after + attempt.stalled_for;
         let transit = attempt.transit.min(lease.attempt_limit());
         let fencing_token = lease.fencing_token(sent + skew);
-        if let (Some(fencing_token), true) = (fencing_token, lease.is_confirmed(asked + skew, sent + skew)) {
+        if let (Some(fencing_token), true) =
+            (fencing_token, lease.is_confirmed(requested_at + skew, sent + skew))
+        {
             arrivals.push(Arrival { at: sent + transit, fencing_token, holder });
         }
     }
--- a/crates/lockusher-control/tests/stage_change_order.rs
+++ b/crates/lockusher-control/tests/stage_change_order.rs
@@ -67,14 +67,14 @@
 }
 
 #[parameterized(
-    done = { 200, OrderOutcome::Accepted },
-    begun = { 202, OrderOutcome::Accepted },
+    already_in_the_stage = { 200, OrderOutcome::Accepted },
+    started = { 202, OrderOutcome::Accepted },
     no_such_order = { 400, OrderOutcome::Unsupported },
-    another_under_way = { 409, OrderOutcome::Rejected },
-    fence_too_low = { 412, OrderOutcome::Rejected },
+    another_in_flight = { 409, OrderOutcome::Rejected },
+    fencing_token_too_low = { 412, OrderOutcome::Rejected },
     another_searcher = { 421, OrderOutcome::Rejected },
-    trouble = { 500, OrderOutcome::Unknown },
+    fault = { 500, OrderOutcome::Unknown },
 )]
-fn answers_are_understood(status: u16, outcome: OrderOutcome) {
+fn the_status_of_an_answer_says_what_became_of_the_order(status: u16, outcome: OrderOutcome) {
     assert_eq!(order_outcome(StatusCode::from_u16(status).expect("a status")), outcome);
 }
