--- a/crates/lockusher-proxy/tests/clients.rs
+++ b/crates/lockusher-proxy/tests/clients.rs
@@ -19,7 +19,7 @@
     two_identifiers = { ONCE, "Request-Identifier: a\r\nRequest-Identifier: b\r\nContent-Length: 0\r\n", 400 },
     large_body = { ONCE, "Request-Identifier: id-1\r\nContent-Length: 65537\r\n", 413 },
 )]
-fn what_cannot_be_forwarded_has_its_own_answer(path: &str, fields: &str, status: u16) {
+fn a_request_that_cannot_be_forwarded_has_an_answer_of_its_own(path: &str, fields: &str, status: u16) {
     run(async {
         let proxy = Proxy::serving(&[]).await;
         let mut client = proxy.client().await;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_chunked_body_reaches_the_searcher_whole() {
+fn a_chunked_body_reaches_the_searcher_complete() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn it_is_ready_once_it_holds_a_configuration_and_a_list() {
+fn a_proxy_is_ready_once_it_has_a_configuration_and_an_instance_list() {
     run(async {
         let proxy = Proxy::bare();
         assert_eq!(proxy.readiness().await, 503);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn where_descriptors_run_short_the_longest_idle_client_gives_way() {
+fn when_descriptors_run_out_the_longest_idle_client_is_closed() {
     run(async {
         // 220 descriptors are kept for other uses: eight are left.
         let searcher = Searcher::plain("i-1").await;
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn bodies_beyond_the_memory_set_aside_are_refused() {
+fn bodies_beyond_the_reserved_memory_are_refused() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::start(|settings| settings.limits.memory_mb = 0);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn idle_clients_are_closed_when_their_time_is_over() {
+fn idle_clients_are_closed_after_their_timeout() {
     run(async {
         let proxy = Proxy::serving(&[]).await;
         let mut client = proxy.client().await;
--- a/crates/lockusher-proxy/tests/crossings.rs
+++ b/crates/lockusher-proxy/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! A searcher's troubles, each forced at the moment where it matters: what runs at most once is sent again only
+//! A searcher's faults, each forced at the moment where it matters: what runs at most once is sent again only
 //! after proof, and nothing odd reaches a client as an answer.
 
 mod support;
@@ -17,69 +17,73 @@
 
 /// What a searcher does once it has read the last byte of a request.
 #[derive(Clone, Copy)]
-enum Trouble {
+enum SearcherFault {
     Reset,
     Close,
     WrongIdentifier,
     NoIdentifier,
     NoSignature,
     ShortAnswer,
-    NoEndToBeSeen,
-    NoAnswerAtAll,
-    PromiseWithoutProof,
-    ForeignProof,
+    EndByClose,
+    NoHttp,
+    UnavailableWithoutNotExecuted,
+    NotExecutedOfAnother,
 }
 
-impl Trouble {
-    async fn happen(self, mut wire: Wire, identifier: &str) {
+impl SearcherFault {
+    async fn inject(self, mut wire: Wire, identifier: &str) {
         match self {
-            Trouble::Reset => wire.reset(),
-            Trouble::Close => {}
-            Trouble::WrongIdentifier => wire.succeed("id-of-another", "roster").await,
-            Trouble::NoIdentifier => {
+            SearcherFault::Reset => wire.reset(),
+            SearcherFault::Close => {}
+            SearcherFault::WrongIdentifier => wire.succeed("id-of-another", "roster").await,
+            SearcherFault::NoIdentifier => {
                 wire.write("HTTP/1.1 200 OK\r\nServer-Signature: s\r\nContent-Length: 0\r\n\r\n").await;
             }
-            Trouble::NoSignature => wire.answer("200 OK", identifier, "", "roster").await,
-            Trouble::ShortAnswer => {
+            SearcherFault::NoSignature => wire.answer("200 OK", identifier, "", "roster").await,
+            SearcherFault::ShortAnswer => {
                 let head = "Server-Signature: s\r\nContent-Length: 9";
                 wire.write(&format!(
                     "HTTP/1.1 200 OK\r\nRequest-Identifier: {identifier}\r\n{head}\r\n\r\nrost"
                 ))
                 .await;
             }
-            Trouble::NoEndToBeSeen => {
+            SearcherFault::EndByClose => {
                 let head = "Server-Signature: s\r\nConnection: close";
                 wire.write(&format!(
                     "HTTP/1.1 200 OK\r\nRequest-Identifier: {identifier}\r\n{head}\r\n\r\nrost"
                 ))
                 .await;
             }
-            Trouble::NoAnswerAtAll => wire.write("\x01\x02 what is this\r\n\r\n").await,
-            Trouble::PromiseWithoutProof => wire.answer("503 Service Unavailable", identifier, "", "").await,
-            Trouble::ForeignProof => wire.reject("503 Service Unavailable", "id-of-another").await,
+            SearcherFault::NoHttp => wire.write("\x01\x02 what is this\r\n\r\n").await,
+            SearcherFault::UnavailableWithoutNotExecuted => {
+                wire.answer("503 Service Unavailable", identifier, "", "").await
+            }
+            SearcherFault::NotExecutedOfAnother => {
+                wire.reject("503 Service Unavailable", "id-of-another").await
+            }
         }
     }
 }
 
 #[parameterized(
-    reset = { Trouble::Reset },
-    close = { Trouble::Close },
-    wrong_identifier = { Trouble::WrongIdentifier },
-    no_identifier = { Trouble::NoIdentifier },
-    no_signature = { Trouble::NoSignature },
-    short_answer = { Trouble::ShortAnswer },
-    no_end_to_be_seen = { Trouble::NoEndToBeSeen },
-    no_answer_at_all = { Trouble::NoAnswerAtAll },
-    promise_without_proof = { Trouble::PromiseWithoutProof },
-    foreign_proof = { Trouble::ForeignProof },
+    reset = { SearcherFault::Reset },
+    close = { SearcherFault::Close },
+    wrong_identifier = { SearcherFault::WrongIdentifier },
+    no_identifier = { SearcherFault::NoIdentifier },
+    no_signature = { SearcherFault::NoSignature },
+    short_answer = { SearcherFault::ShortAnswer },
+    end_by_close = { SearcherFault::EndByClose },
+    no_http = { SearcherFault::NoHttp },
+    unavailable_without_not_executed = { SearcherFault::UnavailableWithoutNotExecuted },
+    not_executed_of_another = { SearcherFault::NotExecutedOfAnother },
 )]
-fn what_may_have_run_once_is_not_sent_again(trouble: Trouble) {
+fn a_non_idempotent_request_that_may_have_run_is_not_retried(fault: SearcherFault) {
     run(async {
         let (one, two, _proxy, mut client) = two_plain().await;
         client.ask(ONCE, "id-1", "", "body").await;
         let (mut wire, other) = accept_either(&one, &two).await;
         wire.message().await;
-        trouble.happen(wire, "id-1").await;
+        fault.inject(wire, "id-1").await;
         let (answer, _) = client.message().await;
         assert_eq!(answer.status(), 502);
         assert_eq!(answer.field("server-signature"), None);
@@ -91,18 +95,18 @@
 }
 
 #[parameterized(
-    reset = { Trouble::Reset },
-    wrong_identifier = { Trouble::WrongIdentifier },
-    short_answer = { Trouble::ShortAnswer },
-    no_answer_at_all = { Trouble::NoAnswerAtAll },
+    reset = { SearcherFault::Reset },
+    wrong_identifier = { SearcherFault::WrongIdentifier },
+    short_answer = { SearcherFault::ShortAnswer },
+    no_http = { SearcherFault::NoHttp },
 )]
-fn what_may_run_twice_is_sent_to_another(trouble: Trouble) {
+fn an_idempotent_request_is_retried_at_another_searcher(fault: SearcherFault) {
     run(async {
         let (one, two, _proxy, mut client) = two_plain().await;
         client.ask(REPEAT, "id-1", "", "body").await;
         let (mut wire, other) = accept_either(&one, &two).await;
         wire.message().await;
-        trouble.happen(wire, "id-1").await;
+        fault.inject(wire, "id-1").await;
         let mut wire = other.accept().await;
         let (request, body) = wire.message().await;
         assert_eq!(request.field("request-identifier"), Some("id-1"));
@@ -117,7 +121,7 @@
     too_many = { "429 Too Many Requests", "Not-Executed: 1\r\n" },
     misdirected = { "421 Misdirected Request", "Instance-Identifier: i-9\r\n" },
 )]
-fn what_has_not_run_is_sent_to_another(status: &str, fields: &str) {
+fn a_request_that_has_not_run_is_retried_at_another_searcher(status: &str, fields: &str) {
     run(async {
         let (one, two, _proxy, mut client) = two_plain().await;
         client.ask(ONCE, "id-1", "", "body").await;
@@ -152,7 +156,7 @@
 }
 
 #[test]
-fn a_machine_that_says_nothing_proves_that_nothing_ran() {
+fn a_connect_timeout_proves_that_nothing_ran() {
     run(async {
         let (silent, _filling) = Searcher::silent("i-1").await;
         let there = Searcher::plain("i-2").await;
@@ -171,7 +175,7 @@
 }
 
 #[test]
-fn rejected_by_all_it_is_refused_with_a_time_to_come_back() {
+fn a_request_rejected_by_all_is_refused_with_retry_after() {
     run(async {
         let (one, two, _proxy, mut client) = two_plain().await;
         client.ask(ONCE, "id-1", "", "body").await;
@@ -189,7 +193,7 @@
 }
 
 #[test]
-fn a_searchers_own_failure_passes_with_its_signature() {
+fn a_searchers_own_failure_is_forwarded_with_its_signature() {
     run(async {
         let (one, two, _proxy, mut client) = two_plain().await;
         client.ask(ONCE, "id-1", "", "").await;
@@ -203,7 +207,7 @@
 }
 
 #[test]
-fn bytes_after_a_whole_answer_belong_to_no_request() {
+fn bytes_after_a_complete_answer_belong_to_no_request() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
@@ -226,7 +230,7 @@
 }
 
 #[test]
-fn bytes_on_an_idle_connection_end_it() {
+fn bytes_on_an_idle_connection_close_it() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
@@ -270,7 +274,7 @@
     says_close = { "Connection: close\r\n" },
     closes_soon = { "Keep-Alive: timeout=1\r\n" },
 )]
-fn a_connection_that_the_searcher_will_close_is_retired(fields: &str) {
+fn a_connection_that_the_searcher_will_close_is_not_pooled(fields: &str) {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
@@ -323,7 +327,7 @@
 }
 
 #[test]
-fn silence_until_the_deadline_promises_nothing() {
+fn a_searcher_without_an_answer_by_the_deadline_leads_to_504() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
@@ -344,7 +348,7 @@
     of_a_long_time = { 5_000, 4_955 },
     of_a_short_time = { 100, 85 },
 )]
-fn a_searchers_time_leaves_time_for_the_way_back(client_ms: u64, most_ms: u64) {
+fn a_searchers_deadline_reserves_time_for_the_way_back(client_ms: u64, most_ms: u64) {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
@@ -378,7 +382,7 @@
     within_an_event = { Point::WithinAnEvent },
     before_the_end = { Point::BeforeTheEnd },
 )]
-fn a_stream_that_breaks_does_not_appear_whole(point: Point) {
+fn a_broken_stream_does_not_appear_complete(point: Point) {
     run(async {
         let decode = Searcher::decode("d-1").await;
         let proxy = Proxy::serving(&[&decode]).await;
@@ -406,7 +410,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_stream_along() {
+fn a_client_that_leaves_cancels_its_stream() {
     run(async {
         let decode = Searcher::decode("d-1").await;
         let proxy = Proxy::serving(&[&decode]).await;
@@ -423,7 +427,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_before_the_answer_takes_its_request_along() {
+fn a_client_that_leaves_before_the_answer_cancels_its_request() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
--- a/crates/lockusher-proxy/tests/handles.rs
+++ b/crates/lockusher-proxy/tests/handles.rs
@@ -1,4 +1,4 @@
-//! KV cache handles: handed over once, freed when not taken, read anew when gone.
+//! KV cache handles: handed over once, released when not transferred, prefilled anew when gone.
 
 mod support;
 
@@ -18,19 +18,24 @@
 
 const LONG: &str = "Token-Counts: 9000,12\r\n";
 
-/// What a prefill searcher was asked.
+/// A request that a prefill searcher received.
 #[derive(Debug, PartialEq, Eq)]
-enum Asked {
+enum PrefillRequest {
     Prefill(String),
-    Free(String),
+    Release(String),
 }
 
-/// A prefill searcher that grants a new handle to each call, and tells what it was asked.
-async fn serve_prefill(searcher: Searcher, name: &'static str, told: mpsc::UnboundedSender<Asked>) {
+/// A prefill searcher that grants a new handle to each call, and reports what it received.
+async fn serve_prefill(
+    searcher: Searcher,
+    name: &'static str,
+    requests: mpsc::UnboundedSender<PrefillRequest>,
+) {
     let granted = Rc::new(Cell::new(0));
     loop {
         let wire = searcher.accept().await;
-        compio::runtime::spawn(serve_prefill_connection(wire, name, granted.clone(), told.clone())).detach();
+        compio::runtime::spawn(serve_prefill_connection(wire, name, granted.clone(), requests.clone()))
+            .detach();
     }
 }
 
@@ -38,12 +43,12 @@
     mut wire: Wire,
     name: &'static str,
     granted: Rc<Cell<u32>>,
-    told: mpsc::UnboundedSender<Asked>,
+    requests: mpsc::UnboundedSender<PrefillRequest>,
 ) {
     while let Some((request, _)) = wire.next_message().await {
         if let Some(handle) = request.line().strip_prefix("DELETE /api/kv-handle/") {
             let handle = handle.strip_suffix(" HTTP/1.1").expect("a version").to_owned();
-            let _ = told.unbounded_send(Asked::Free(handle));
+            let _ = requests.unbounded_send(PrefillRequest::Release(handle));
             wire.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
             continue;
         }
@@ -51,7 +56,7 @@
         let handle = format!("{name}-{}", granted.get());
         let body = format!(r#"{{"promptHandle":"{handle}","tokens":9,"version":1}}"#);
         let identifier = request.field("request-identifier").expect("an id").to_owned();
-        let _ = told.unbounded_send(Asked::Prefill(handle));
+        let _ = requests.unbounded_send(PrefillRequest::Prefill(handle));
         wire.answer("200 OK", &identifier, "", &body).await;
     }
 }
@@ -59,7 +64,7 @@
 /// A proxy before two prefill searchers and three decode searchers, and a client.
 struct Fleet {
     decodes: Vec<Searcher>,
-    asked: mpsc::UnboundedReceiver<Asked>,
+    received: mpsc::UnboundedReceiver<PrefillRequest>,
     _proxy: Proxy,
     client: Wire,
     _prefills: Vec<JoinHandle<()>>,
@@ -67,7 +72,7 @@
 
 impl Fleet {
     async fn start() -> Self {
-        let (told, asked) = mpsc::unbounded();
+        let (requests, received) = mpsc::unbounded();
         let prefills = [Searcher::prefill("p-1").await, Searcher::prefill("p-2").await];
         let mut decodes = Vec::new();
         for identifier in ["d-1", "d-2", "d-3"] {
@@ -77,16 +82,16 @@
         let proxy = Proxy::serving(&all).await;
         let client = proxy.client().await;
         let serving = prefills.into_iter().zip(["one", "two"]);
-        let serving = serving.map(|(searcher, name)| serve_prefill(searcher, name, told.clone()));
+        let serving = serving.map(|(searcher, name)| serve_prefill(searcher, name, requests.clone()));
         let prefills = serving.map(compio::runtime::spawn).collect();
-        Fleet { decodes, asked, _proxy: proxy, client, _prefills: prefills }
+        Fleet { decodes, received, _proxy: proxy, client, _prefills: prefills }
     }
 
     /// The handle that was granted next.
     async fn granted(&mut self) -> String {
-        match self.asked.next().await.expect("the searchers run") {
-            Asked::Prefill(handle) => handle,
-            Asked::Free(handle) => panic!("{handle} was freed"),
+        match self.received.next().await.expect("the searchers run") {
+            PrefillRequest::Prefill(handle) => handle,
+            PrefillRequest::Release(handle) => panic!("{handle} was released"),
         }
     }
 
@@ -118,7 +123,7 @@
 }
 
 #[test]
-fn a_fresh_handle_serves_at_another_searcher_where_the_first_is_full() {
+fn a_fresh_handle_is_sent_to_another_searcher_if_the_first_is_full() {
     run(async {
         let mut fleet = Fleet::start().await;
         fleet.client.ask(STREAM, "id-1", LONG, "prompt").await;
@@ -138,9 +143,12 @@
         assert_eq!(fleet.reject_decode("id-1").await, gone);
         // It is freed where it was held, and the prompt is read again.
         let anew = fleet.stream("id-1").await;
-        let mut asked = [fleet.asked.next().await, fleet.asked.next().await];
-        asked.sort_by_key(|asked| matches!(asked, Some(Asked::Free(_))));
-        assert_eq!(asked, [Some(Asked::Prefill(anew.clone())), Some(Asked::Free(gone.clone()))]);
+        let mut received = [fleet.received.next().await, fleet.received.next().await];
+        received.sort_by_key(|request| matches!(request, Some(PrefillRequest::Release(_))));
+        assert_eq!(
+            received,
+            [Some(PrefillRequest::Prefill(anew.clone())), Some(PrefillRequest::Release(gone.clone()))]
+        );
         assert_ne!(anew, gone);
     });
 }
@@ -160,7 +168,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_frees_the_handle() {
+fn a_client_that_leaves_releases_the_handle() {
     run(async {
         let prefill = Searcher::prefill("p-1").await;
         let decode = Searcher::decode("d-1").await;
@@ -180,7 +188,7 @@
 }
 
 #[test]
-fn a_prefill_that_breaks_is_repeated_or_left_out() {
+fn a_prefill_that_breaks_is_retried_or_left_out() {
     run(async {
         let prefill = Searcher::prefill("p-1").await;
         let decode = Searcher::decode("d-1").await;
@@ -203,7 +211,7 @@
 }
 
 #[test]
-fn a_searcher_that_ran_what_it_should_only_read_gets_it_once() {
+fn a_searcher_that_runs_a_prefill_call_gets_the_request_once() {
     run(async {
         let prefill = Searcher::prefill("p-1").await;
         let decode = Searcher::decode("d-1").await;
@@ -218,7 +226,7 @@
 }
 
 #[test]
-fn what_waits_for_its_prefill_until_the_client_gives_up_is_refused() {
+fn a_request_in_a_prefill_queue_until_the_client_gives_up_is_refused() {
     run(async {
         let prefill = Searcher::prefill("p-1").await;
         let decode = Searcher::decode("d-1").await;
@@ -227,9 +235,10 @@
         client.ask(STREAM, "id-1", LONG, "prompt").await;
         let mut reader = prefill.accept().await;
         let (call, _) = reader.message().await;
-        let told: u64 = call.field("deadline-remaining").expect("a deadline").parse().expect("a number");
+        let remaining_ms: u64 =
+            call.field("deadline-remaining").expect("a deadline").parse().expect("a number");
         // Eight times the longest pause in time, 250 ms, is as long as the least silence that clients bear.
-        assert!(told < 2_000, "{told}");
+        assert!(remaining_ms < 2_000, "{remaining_ms}");
         // The searcher holds the call until it is given up.
         reader.rest().await;
         let (answer, _) = client.message().await;
--- a/crates/lockusher-proxy/tests/path.rs
+++ b/crates/lockusher-proxy/tests/path.rs
@@ -5,7 +5,7 @@
 use support::{ONCE, Proxy, RESUME, STREAM, Searcher, run};
 
 #[test]
-fn a_plain_answer_passes_unchanged() {
+fn a_plain_answer_is_forwarded_unchanged() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn connections_on_both_sides_serve_again() {
+fn connections_on_both_sides_are_reused() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_pair_hands_the_kv_cache_over() {
+fn prefill_and_decode_searchers_hand_the_kv_cache_over() {
     run(async {
         let prefill = Searcher::prefill("p-1").await;
         let decode = Searcher::decode("d-1").await;
--- a/crates/lockusher-proxy/tests/resumption.rs
+++ b/crates/lockusher-proxy/tests/resumption.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn it_goes_on_behind_the_last_whole_event() {
+fn a_stream_is_resumed_after_the_last_complete_event() {
     run(async {
         let mut pair = Pair::start().await;
         let mut second = pair.break_within_an_event().await;
@@ -59,7 +59,7 @@
 
 /// What the second searcher answers that can't be joined.
 #[derive(Clone, Copy)]
-enum Misfit {
+enum InvalidResumption {
     RepeatsAnEvent,
     NamesNoEvent,
     IsNoStream,
@@ -68,30 +68,30 @@
 }
 
 #[parameterized(
-    repeats_an_event = { Misfit::RepeatsAnEvent },
-    names_no_event = { Misfit::NamesNoEvent },
-    is_no_stream = { Misfit::IsNoStream },
-    fails_itself = { Misfit::FailsItself },
-    names_another = { Misfit::NamesAnother },
+    repeats_an_event = { InvalidResumption::RepeatsAnEvent },
+    names_no_event = { InvalidResumption::NamesNoEvent },
+    is_no_stream = { InvalidResumption::IsNoStream },
+    fails_itself = { InvalidResumption::FailsItself },
+    names_another = { InvalidResumption::NamesAnother },
 )]
-fn what_does_not_fit_ends_the_answer_visibly(misfit: Misfit) {
+fn an_invalid_resumption_breaks_the_answer_off(invalid: InvalidResumption) {
     run(async {
         let mut pair = Pair::start().await;
         let mut second = pair.break_within_an_event().await;
-        match misfit {
-            Misfit::RepeatsAnEvent => {
+        match invalid {
+            InvalidResumption::RepeatsAnEvent => {
                 second.begin_stream("id-1").await;
                 second.chunk("id: 5\ndata: a\n\n").await;
             }
-            Misfit::NamesNoEvent => {
+            InvalidResumption::NamesNoEvent => {
                 second.begin_stream("id-1").await;
                 second.chunk("data: a\n\n").await;
             }
-            Misfit::IsNoStream => second.succeed("id-1", "text").await,
-            Misfit::FailsItself => {
+            InvalidResumption::IsNoStream => second.succeed("id-1", "text").await,
+            InvalidResumption::FailsItself => {
                 second.answer("500 Internal Server Error", "id-1", "Server-Signature: s\r\n", "").await;
             }
-            Misfit::NamesAnother => {
+            InvalidResumption::NamesAnother => {
                 second.begin_stream("id-2").await;
                 second.chunk("id: 6\ndata: b\n\n").await;
             }
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn without_another_searcher_the_answer_ends_visibly() {
+fn without_another_searcher_the_answer_breaks_off() {
     run(async {
         let decode = Searcher::decode("d-1").await;
         let proxy = Proxy::serving(&[&decode]).await;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_stream_that_ends_within_an_event_is_passed_on_as_it_is() {
+fn a_stream_that_ends_within_an_event_is_forwarded_as_it_is() {
     run(async {
         let decode = Searcher::decode("d-1").await;
         let proxy = Proxy::serving(&[&decode]).await;
@@ -140,7 +140,7 @@
 
 /// The slow plain model of a joined stream: whatever was cut off, the client gets each event once, in order.
 #[test]
-fn wherever_it_breaks_each_event_comes_once() {
+fn wherever_a_stream_breaks_each_event_arrives_once() {
     run(async {
         let events: Vec<String> = (1..=4).map(|id| format!("id: {id}\ndata: {id}\n\n")).collect();
         let whole = events.concat();
--- a/crates/lockusher-proxy/tests/stopping.rs
+++ b/crates/lockusher-proxy/tests/stopping.rs
@@ -1,11 +1,11 @@
-//! SIGTERM in each state of a request: what is in hand is finished, and the proxy ends within its grace.
+//! SIGTERM in each state of a request: requests in flight are finished, and the proxy ends within its grace.
 
 mod support;
 
 use support::{Ending, ONCE, Proxy, STREAM, Searcher, run};
 
 #[test]
-fn idle_it_ends_after_the_entry_has_noticed() {
+fn an_idle_proxy_ends_once_the_platform_has_detected_that() {
     run(async {
         let mut proxy = Proxy::serving(&[]).await;
         proxy.stop();
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn while_stopping_it_serves_and_says_close() {
+fn a_draining_proxy_serves_and_closes_connections() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let mut proxy = Proxy::serving(&[&searcher]).await;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_request_at_a_searcher_is_finished() {
+fn a_request_in_flight_is_finished() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let mut proxy = Proxy::serving(&[&searcher]).await;
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_request_whose_body_still_comes_is_served() {
+fn a_request_whose_body_is_arriving_is_served() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let mut proxy = Proxy::serving(&[&searcher]).await;
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_searcher_that_never_answers_does_not_hold_the_end() {
+fn a_searcher_that_never_answers_does_not_delay_the_end() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let mut proxy = Proxy::serving(&[&searcher]).await;
--- a/crates/lockusher-proxy/tests/traffic_split.rs
+++ b/crates/lockusher-proxy/tests/traffic_split.rs
@@ -31,13 +31,13 @@
 }
 
 /// The numbers of the services that took the requests, in order.
-fn taken(splits: &mut TrafficSplits, route: &Route, requests: usize) -> Vec<usize> {
+fn chosen(splits: &mut TrafficSplits, route: &Route, requests: usize) -> Vec<usize> {
     (0..requests).map(|_| splits.choose(route)[1..].parse().expect("a number")).collect()
 }
 
 /// How many of the first requests went to the service, for every number of them.
-fn counts_up_to(taken: &[usize], service: usize) -> Vec<u32> {
-    let counts = taken.iter().scan(0, |count, taker| {
+fn counts_up_to(chosen: &[usize], service: usize) -> Vec<u32> {
+    let counts = chosen.iter().scan(0, |count, taker| {
         *count += u32::from(*taker == service);
         Some(*count)
     });
@@ -51,31 +51,31 @@
             .prop_filter("some weight", |weights| weights.iter().any(|weight| *weight > 0)),
         start in 0.0f64..1.0,
     ) {
-        let taken = taken(&mut TrafficSplits::new(start), &route("r", &weights), REQUESTS);
+        let chosen = chosen(&mut TrafficSplits::new(start), &route("r", &weights), REQUESTS);
         let total: u32 = weights.iter().sum();
         for (service, weight) in weights.iter().enumerate() {
             let owed = f64::from(*weight) / f64::from(total);
-            let counted = counts_up_to(&taken, service);
+            let counted = counts_up_to(&chosen, service);
             for (before, up_to) in counted.iter().zip(&counted[WINDOW..]) {
                 let share = f64::from(up_to - before) / WINDOW as f64;
                 prop_assert!((share - owed).abs() <= MOST_OFF, "service {service}: {share} of {owed}");
             }
             if *weight == 0 {
-                prop_assert!(!taken.contains(&service), "a service without weight gets nothing");
+                prop_assert!(!chosen.contains(&service), "a service without weight gets nothing");
             }
         }
     }
 }
 
 #[test]
-fn routes_go_on_apart_from_each_other() {
+fn routes_have_sequences_of_their_own() {
     let (one, other) = (route("one", &[1, 1]), route("other", &[1, 1]));
-    let alone = taken(&mut TrafficSplits::new(0.3), &one, 20);
+    let alone = chosen(&mut TrafficSplits::new(0.3), &one, 20);
     let mut splits = TrafficSplits::new(0.3);
     let beside: Vec<usize> = (0..20)
         .flat_map(|_| {
-            let first = taken(&mut splits, &one, 1);
-            taken(&mut splits, &other, 3);
+            let first = chosen(&mut splits, &one, 1);
+            chosen(&mut splits, &other, 3);
             first
         })
         .collect();
@@ -83,14 +83,14 @@
 }
 
 #[test]
-fn a_route_that_stays_goes_on_where_it_was() {
+fn a_route_that_remains_continues_its_sequence() {
     let (stays, goes) = (route("stays", &[1, 3]), route("goes", &[1, 3]));
-    let whole = taken(&mut TrafficSplits::new(0.7), &stays, 20);
+    let whole = chosen(&mut TrafficSplits::new(0.7), &stays, 20);
     let mut splits = TrafficSplits::new(0.7);
-    let mut parts = taken(&mut splits, &stays, 10);
-    taken(&mut splits, &goes, 5);
+    let mut parts = chosen(&mut splits, &stays, 10);
+    chosen(&mut splits, &goes, 5);
     splits.keep_only(std::slice::from_ref(&stays));
-    parts.extend(taken(&mut splits, &stays, 10));
+    parts.extend(chosen(&mut splits, &stays, 10));
     assert_eq!(whole, parts);
-    assert_eq!(taken(&mut splits, &goes, 5), taken(&mut TrafficSplits::new(0.7), &goes, 5));
+    assert_eq!(chosen(&mut splits, &goes, 5), chosen(&mut TrafficSplits::new(0.7), &goes, 5));
 }
