--- a/crates/lockusher-proxy/src/answer.rs
+++ b/crates/lockusher-proxy/src/answer.rs
@@ -72,7 +72,7 @@
     answer
 }
 
-/// 503 where nothing tells when there will be capacity.
+/// 503 where it is unknown when there will be capacity.
 pub(crate) fn refusal_without_estimate() -> Answer {
     refusal(DEFAULT_RETRY_MS)
 }
--- a/crates/lockusher-proxy/src/answer_check.rs
+++ b/crates/lockusher-proxy/src/answer_check.rs
@@ -22,7 +22,7 @@
     !promises_not_run && has_visible_end(response)
 }
 
-/// Whether the end of the body can be told from a connection that broke.
+/// Whether the end of the body can be distinguished from a connection that broke.
 fn has_visible_end(response: &Response<Incoming>) -> bool {
     let chunked = response.headers().contains_key(header::TRANSFER_ENCODING);
     chunked || response.body().size_hint().exact().is_some()
--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -127,7 +127,7 @@
         self.last_event = event_id.or(self.last_event.take());
     }
 
-    /// Sends until an answer may be passed on.
+    /// Attempts the request until an answer may be forwarded.
     pub(crate) async fn next_answer(&mut self) -> Result<AcceptedAnswer, NoAnswer> {
         loop {
             if self.remaining() < MIN_ATTEMPT_TIME {
--- a/crates/lockusher-proxy/src/client/listener.rs
+++ b/crates/lockusher-proxy/src/client/listener.rs
@@ -17,7 +17,7 @@
 /// Connections that may wait to be accepted; a full queue drops opening packets.
 const BACKLOG: i32 = 1_024;
 
-/// How long accepting rests after it failed.
+/// Delay before the next accept after one that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Opens a listener.
@@ -81,7 +81,7 @@
     clients.remove(key);
 }
 
-/// Closes what has rested for too long, of clients and of searchers, for ever.
+/// Closes connections of clients and to searchers that have been idle for too long, for ever.
 pub(crate) async fn sweep(shared: Rc<ProxyState>, clients: Rc<ClientRegistry>) {
     loop {
         compio::time::sleep(SWEEP_PERIOD).await;
--- a/crates/lockusher-proxy/src/error.rs
+++ b/crates/lockusher-proxy/src/error.rs
@@ -5,7 +5,7 @@
 
 use derive_more::{Display, Error};
 
-/// A failure that keeps the whole proxy from serving.
+/// A failure that prevents the proxy from serving.
 #[derive(Debug, Display, Error)]
 pub enum ProxyError {
     /// The settings lack an address that the role needs.
--- a/crates/lockusher-proxy/src/events.rs
+++ b/crates/lockusher-proxy/src/events.rs
@@ -34,7 +34,7 @@
         complete
     }
 
-    /// Splits a chunk that begins with an event; the usual chunk is passed on without a copy.
+    /// Splits a chunk that begins with an event; the usual chunk is forwarded without a copy.
     fn split_first(&mut self, mut chunk: Bytes) -> Bytes {
         let end = end_of_events(&chunk);
         let complete = chunk.split_to(end);
--- a/crates/lockusher-proxy/src/headers.rs
+++ b/crates/lockusher-proxy/src/headers.rs
@@ -97,7 +97,7 @@
     values.next().is_none().then_some(first)
 }
 
-/// A field that holds one whole number.
+/// A field that holds one integer.
 pub(crate) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     single(headers, name)?.to_str().ok()?.trim().parse().ok()
 }
--- a/crates/lockusher-proxy/src/prefill.rs
+++ b/crates/lockusher-proxy/src/prefill.rs
@@ -75,7 +75,7 @@
 ///
 /// # Errors
 ///
-/// [`PrefillFailure`], which tells whether the request ran.
+/// [`PrefillFailure`], which says whether the request ran.
 pub(crate) async fn prefill(
     shared: &Rc<ProxyState>,
     prefill_searcher: &Destination,
--- a/crates/lockusher-proxy/src/proxy_state.rs
+++ b/crates/lockusher-proxy/src/proxy_state.rs
@@ -18,7 +18,7 @@
 use crate::traffic_split::TrafficSplits;
 use crate::upstream::pool::Pool;
 
-/// Descriptors kept for files outside the disk folder, listeners and the runtime.
+/// Descriptors reserved for files outside the disk folder, listeners and the runtime.
 const RESERVED_DESCRIPTORS: u64 = 220;
 
 /// The part of the process's memory that bodies in flight may take (divisor).
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -41,7 +41,7 @@
     Ended,
 }
 
-/// A searcher's stream that is being passed on.
+/// A searcher's stream that is being forwarded.
 #[derive(Debug)]
 struct RelayedAnswer {
     attempts: RequestAttempts,
@@ -267,12 +267,12 @@
     }
 }
 
-/// A searcher's own failure counts against it, also where its answer is passed on.
+/// A searcher's own failure counts against it, also where its answer is forwarded.
 pub(crate) fn outcome_of(status: StatusCode) -> SendOutcome {
     if status.is_server_error() { SendOutcome::Failed } else { SendOutcome::Answered }
 }
 
-/// Whether an answer is a stream whose events can be told apart.
+/// Whether an answer is a stream of server-sent events.
 pub(crate) fn is_event_stream(response: &Response<Incoming>) -> bool {
     let content_type = headers::single(response.headers(), &hyper::header::CONTENT_TYPE);
     let content_type = content_type.map(HeaderValue::as_bytes).unwrap_or_default();
--- a/crates/lockusher-proxy/src/upstream/connection.rs
+++ b/crates/lockusher-proxy/src/upstream/connection.rs
@@ -123,7 +123,7 @@
         self.ended
     }
 
-    /// Whether another request may be sent: the last answer was whole, nothing followed it, nobody closed.
+    /// Whether another request may be sent: the last answer was complete, nothing followed it, neither side closed.
     pub(crate) fn poll_reusable(&mut self, cx: &mut Context<'_>) -> bool {
         !self.closes_after_answer && !self.poll_drive(cx) && self.sender.is_ready()
     }
--- a/crates/lockusher-proxy/src/upstream/exchange.rs
+++ b/crates/lockusher-proxy/src/upstream/exchange.rs
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 ///
-/// A [`SendFailure`] that tells whether the request may have run.
+/// A [`SendFailure`] that says whether the request may have run.
 pub(crate) async fn exchange(
     shared: &Rc<ProxyState>,
     destination: &Destination,
@@ -105,16 +105,16 @@
     Ok(Exchange { response, connection })
 }
 
-/// Reads the rest of a rejection aside, so that its connection can serve another request.
+/// Reads the rest of a rejection in a task of its own, so that its connection can serve another request.
 async fn drain_rejection(
     shared: Rc<ProxyState>,
     destination: Destination,
     body: Incoming,
     mut connection: UpstreamConnection,
 ) {
-    let whole = connection.drive_while(Limited::new(body, MAX_REJECTION_BYTES).collect());
-    let whole = compio::time::timeout(REJECTION_READ_TIMEOUT, whole).await;
-    if matches!(whole, Ok(Ok(_))) && connection.is_reusable().await {
+    let body_read = connection.drive_while(Limited::new(body, MAX_REJECTION_BYTES).collect());
+    let body_read = compio::time::timeout(REJECTION_READ_TIMEOUT, body_read).await;
+    if matches!(body_read, Ok(Ok(_))) && connection.is_reusable().await {
         shared.pool.checkin(&destination.identifier, connection);
     }
 }
--- a/crates/lockusher-proxy/src/upstream/pool.rs
+++ b/crates/lockusher-proxy/src/upstream/pool.rs
@@ -148,7 +148,7 @@
         limit.map_or(ASSUMED_LIMIT, |limit| (limit / proxies).max(1))
     }
 
-    /// Takes a connection back after a whole answer, if it can serve another request.
+    /// Takes a connection back after a complete answer, if it can serve another request.
     pub(crate) fn checkin(&self, identifier: &str, mut connection: UpstreamConnection) {
         let mut searchers = self.searchers.borrow_mut();
         let Some(connections) = searchers.get_mut(identifier) else { return };
