--- a/crates/lockusher-control/tests/joining.rs
+++ b/crates/lockusher-control/tests/joining.rs
@@ -1,15 +1,18 @@
 //! Steps by which a node joins the chain, message by message; each guard is also left out to show that its test notices.
 
-use std::{net::SocketAddrV4, sync::Arc};
+mod support;
+
+use std::net::SocketAddrV4;
 
 use lockusher_control::{
-    ConfigurationDocument, DurableRecord, Effect, Event, Identity, InjectedBug, Message, PersistTicket,
-    Position, Replica, ReplicaSetup, ReplicatedState, View,
+    DurableRecord, Effect, Event, InjectedBug, Message, PersistTicket, Position, Replica, ReplicaSetup,
+    ReplicatedState,
     message::{
         AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer, TransferPurpose,
         TransferResponse,
     },
 };
+use support::{address, document, identity, setup, state, state_of, view};
 use yare::parameterized;
 
 /// Epoch of the view in which the first two of three voters are the chain.
@@ -18,39 +21,6 @@
 /// Within this time a member notices that the other one is gone, and seals itself.
 const LIMIT: u64 = 5000;
 
-fn address(host: u8) -> SocketAddrV4 {
-    SocketAddrV4::new([10, 0, 0, host].into(), 7000)
-}
-
-fn identity(host: u8) -> Identity {
-    Identity::of_first_start(address(host))
-}
-
-fn setup(host: u8, first_start: bool) -> ReplicaSetup {
-    ReplicaSetup {
-        address: address(host),
-        seeds: vec![address(1), address(2), address(3)],
-        first_start,
-        tolerated_losses: 1,
-        acknowledge_ms: 4000,
-        catch_up_ms: 4000,
-        random_seed: u64::from(host),
-    }
-}
-
-fn view(epoch: u64, chain: &[u8]) -> View {
-    let chain = chain.iter().map(|host| identity(*host)).collect();
-    View { epoch, chain, ..View::first(&[address(1), address(2), address(3)]) }
-}
-
-fn document(version: u64) -> ConfigurationDocument {
-    ConfigurationDocument::new(version, Arc::from(version.to_string().into_bytes()))
-}
-
-fn state(versions: &[u64]) -> ReplicatedState {
-    versions.iter().fold(ReplicatedState::default(), |state, version| state.with(document(*version)))
-}
-
 /// A replica whose writes become durable at once, and what it did.
 struct Node {
     replica: Replica,
@@ -153,11 +123,7 @@
     }
 
     fn version(&self) -> u64 {
-        let state = self.replica.snapshot().into_iter().find_map(|record| match record {
-            DurableRecord::State { state, .. } => Some(state),
-            _ => None,
-        });
-        state.map_or(0, |state| state.version())
+        state_of(&self.replica).map_or(0, |state| state.version())
     }
 }
 
--- a/crates/lockusher-control/tests/recovery.rs
+++ b/crates/lockusher-control/tests/recovery.rs
@@ -1,45 +1,13 @@
 //! What a replica makes of its disk at a start.
 
-use std::{net::SocketAddrV4, sync::Arc};
+mod support;
 
-use lockusher_control::{
-    ConfigurationDocument, DurableRecord, Effect, Event, Identity, PersistTicket, Position, Replica,
-    ReplicaSetup, ReplicatedState, View, message::ProposalNumber,
-};
-
-fn address(host: u8) -> SocketAddrV4 {
-    SocketAddrV4::new([10, 0, 0, host].into(), 7000)
-}
+use lockusher_control::{DurableRecord, Identity, Position, Replica, ReplicaSetup, ReplicatedState, View};
+use support::{address, document, first_view, persist, proposal_number, records, state_of};
 
+/// The seeds are named in another order than that of their addresses.
 fn setup(host: u8, first_start: bool) -> ReplicaSetup {
-    ReplicaSetup {
-        address: address(host),
-        seeds: vec![address(3), address(1), address(2)],
-        first_start,
-        tolerated_losses: 1,
-        acknowledge_ms: 4000,
-        catch_up_ms: 4000,
-        random_seed: u64::from(host),
-    }
-}
-
-fn document(version: u64) -> ConfigurationDocument {
-    ConfigurationDocument::new(version, Arc::from(version.to_string().into_bytes()))
-}
-
-fn records(effects: &[Effect]) -> Vec<DurableRecord> {
-    let persisted = effects.iter().filter_map(|effect| match effect {
-        Effect::Persist { records, .. } => Some(records.clone()),
-        _ => None,
-    });
-    persisted.flatten().collect()
-}
-
-fn held(replica: &Replica) -> Option<ReplicatedState> {
-    replica.snapshot().into_iter().find_map(|record| match record {
-        DurableRecord::State { state, .. } => Some(state),
-        _ => None,
-    })
+    ReplicaSetup { seeds: vec![address(3), address(1), address(2)], ..support::setup(host, first_start) }
 }
 
 #[test]
@@ -78,9 +46,8 @@
 
 #[test]
 fn votes_count_in_their_epoch_only_and_in_any_order() {
-    let view = View::first(&[address(1), address(2), address(3)]);
+    let view = first_view();
     let next = View { epoch: 2, ..view.clone() };
-    let proposal_number = |counter| ProposalNumber { counter, proposer: 7 };
     let identity = DurableRecord::Identity { identity: Identity(5), address: address(1) };
     let log = vec![
         identity,
@@ -115,7 +82,7 @@
         },
     ];
     let (replica, _) = Replica::new(setup(1, false), log, 0);
-    assert_eq!(held(&replica), Some(third));
+    assert_eq!(state_of(&replica), Some(third));
 }
 
 #[test]
@@ -134,19 +101,13 @@
         entry(2, &one, 2),
     ];
     let (replica, _) = Replica::new(setup(1, false), log, 0);
-    assert_eq!(held(&replica), Some(one.with(document(2))));
+    assert_eq!(state_of(&replica), Some(one.with(document(2))));
 }
 
 #[test]
 fn a_snapshot_restores_what_it_was_taken_of() {
     let (mut replica, effects) = Replica::new(setup(1, true), Vec::new(), 0);
-    let tickets = effects.iter().filter_map(|effect| match effect {
-        Effect::Persist { ticket, .. } => Some(*ticket),
-        _ => None,
-    });
-    for ticket in tickets.collect::<Vec<PersistTicket>>() {
-        replica.handle(1, Event::Persisted { ticket });
-    }
+    persist(&mut replica, 1, &effects);
     let snapshot = replica.snapshot();
     let (restored, _) = Replica::new(setup(1, false), snapshot.clone(), 0);
     assert_eq!(restored.snapshot(), snapshot);
--- a/crates/lockusher-control/tests/state.rs
+++ b/crates/lockusher-control/tests/state.rs
@@ -1,12 +1,9 @@
 //! The replicated state against a plain list.
 
-use std::sync::Arc;
+mod support;
 
-use lockusher_control::{ConfigurationDocument, Digest, ReplicatedState, state::MAX_HISTORY};
-
-fn document(version: u64) -> ConfigurationDocument {
-    ConfigurationDocument::new(version, Arc::from(version.to_string().into_bytes()))
-}
+use lockusher_control::{Digest, ReplicatedState, state::MAX_HISTORY};
+use support::document;
 
 #[test]
 fn the_newest_digests_are_kept() {
--- a/crates/lockusher-control/tests/voting.rs
+++ b/crates/lockusher-control/tests/voting.rs
@@ -1,51 +1,20 @@
 //! One voter's answers, message by message.
 
-use std::net::SocketAddrV4;
+mod support;
 
-use lockusher_control::{
-    Effect, Event, Message, PersistTicket, Position, Replica, ReplicaSetup, ReplicatedState, View,
-    message::{MessageBody, ProposalNumber},
-};
+use lockusher_control::message::MessageBody;
+use lockusher_control::{Effect, Event, Message, Position, Replica, ReplicatedState, View};
+use support::{address, first_view, identity, persist, proposal_number, setup, tickets};
 
 const START: u64 = 0;
 
-fn address(host: u8) -> SocketAddrV4 {
-    SocketAddrV4::new([10, 0, 0, host].into(), 7000)
-}
-
-fn setup(host: u8, first_start: bool) -> ReplicaSetup {
-    ReplicaSetup {
-        address: address(host),
-        seeds: vec![address(1), address(2), address(3)],
-        first_start,
-        tolerated_losses: 1,
-        acknowledge_ms: 4000,
-        catch_up_ms: 4000,
-        random_seed: u64::from(host),
-    }
-}
-
 /// The second seed, with its first view on disk.
 fn voter() -> Replica {
     let (mut replica, effects) = Replica::new(setup(2, true), Vec::new(), START);
-    persist(&mut replica, &effects);
+    persist(&mut replica, START, &effects);
     replica
 }
 
-fn tickets(effects: &[Effect]) -> Vec<PersistTicket> {
-    let persists = effects.iter().filter_map(|effect| match effect {
-        Effect::Persist { ticket, .. } => Some(*ticket),
-        _ => None,
-    });
-    persists.collect()
-}
-
-/// All writes asked for become durable; what follows.
-fn persist(replica: &mut Replica, effects: &[Effect]) -> Vec<Effect> {
-    let tickets = tickets(effects);
-    tickets.into_iter().flat_map(|ticket| replica.handle(START, Event::Persisted { ticket })).collect()
-}
-
 /// What is sent to the first seed, heartbeats aside.
 fn answers(effects: &[Effect]) -> Vec<MessageBody> {
     let sent = effects.iter().filter_map(|effect| match effect {
@@ -57,29 +26,20 @@
 
 /// The first seed, head of the first view, says this.
 fn from_head(replica: &mut Replica, epoch: u64, body: MessageBody) -> Vec<Effect> {
-    let view = first_view();
-    let sender = view.voter_at(address(1)).expect("a voter at the first seed");
-    replica.handle(START, Event::Message { from: address(1), message: Message { sender, epoch, body } })
-}
-
-fn first_view() -> View {
-    View::first(&[address(1), address(2), address(3)])
+    let message = Message { sender: identity(1), epoch, body };
+    replica.handle(START, Event::Message { from: address(1), message })
 }
 
 fn next_view() -> View {
     View { epoch: 2, ..first_view() }
 }
 
-fn proposal_number(counter: u64) -> ProposalNumber {
-    ProposalNumber { counter, proposer: 1 }
-}
-
 #[test]
 fn a_promise_is_answered_once_it_is_durable() {
     let mut voter = voter();
     let effects = from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(3) });
     assert_eq!(answers(&effects), Vec::new());
-    let effects = persist(&mut voter, &effects);
+    let effects = persist(&mut voter, START, &effects);
     assert_eq!(
         answers(&effects),
         vec![MessageBody::PrepareResponse { proposal_number: proposal_number(3), accepted: None }]
@@ -94,7 +54,7 @@
     assert_eq!(answers(&voter.handle(START, Event::PersistFailed { ticket: first })), Vec::new());
     assert_eq!(answers(&voter.handle(START, Event::Persisted { ticket: first })), Vec::new());
     let again = voter.handle(START + 300, Event::Tick);
-    let effects = persist(&mut voter, &again);
+    let effects = persist(&mut voter, START, &again);
     assert_eq!(
         answers(&effects),
         vec![MessageBody::PrepareResponse { proposal_number: proposal_number(3), accepted: None }]
@@ -105,7 +65,7 @@
 fn a_lower_ballot_is_rejected() {
     let mut voter = voter();
     let effects = from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(3) });
-    persist(&mut voter, &effects);
+    persist(&mut voter, START, &effects);
     let body = MessageBody::Accept { proposal_number: proposal_number(2), view: next_view() };
     let effects = from_head(&mut voter, 1, body);
     assert_eq!(answers(&effects), vec![MessageBody::ProposalRejected { promised: proposal_number(3) }]);
@@ -120,10 +80,10 @@
         MessageBody::Accept { proposal_number: proposal_number(3), view: next_view() },
     );
     assert_eq!(answers(&effects), Vec::new());
-    let effects = persist(&mut voter, &effects);
+    let effects = persist(&mut voter, START, &effects);
     assert_eq!(answers(&effects), vec![MessageBody::AcceptResponse { proposal_number: proposal_number(3) }]);
     let effects = from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(4) });
-    let effects = persist(&mut voter, &effects);
+    let effects = persist(&mut voter, START, &effects);
     let answers = answers(&effects);
     assert!(
         matches!(&answers[..], [MessageBody::PrepareResponse { accepted: Some(accepted), .. }]
@@ -151,13 +111,13 @@
 fn an_older_epoch_is_answered_by_the_newer_view() {
     let mut voter = voter();
     let effects = from_head(&mut voter, 1, MessageBody::NewView(next_view()));
-    persist(&mut voter, &effects);
+    persist(&mut voter, START, &effects);
     for body in [
         MessageBody::ConfirmEpoch { sequence: 5 },
         MessageBody::Prepare { proposal_number: proposal_number(9) },
     ] {
         let effects = voter.handle(START + 1000, Event::Tick);
-        persist(&mut voter, &effects);
+        persist(&mut voter, START, &effects);
         let effects = from_head(&mut voter, 1, body);
         let told = answers(&effects);
         assert!(told.iter().all(|body| *body == MessageBody::NewView(next_view())), "{told:?}");
@@ -167,9 +127,9 @@
 #[test]
 fn a_wiped_voter_does_not_vote() {
     let (mut wiped, effects) = Replica::new(setup(2, false), Vec::new(), START);
-    persist(&mut wiped, &effects);
+    persist(&mut wiped, START, &effects);
     let effects = from_head(&mut wiped, 1, MessageBody::NewView(first_view()));
-    persist(&mut wiped, &effects);
+    persist(&mut wiped, START, &effects);
     assert_eq!(wiped.view(), Some(&first_view()));
     for body in [
         MessageBody::Prepare { proposal_number: proposal_number(9) },
