--- a/crates/lockusher-control/tests/joining.rs
+++ b/crates/lockusher-control/tests/joining.rs
@@ -27,7 +27,7 @@
     now: u64,
     /// All that is on its disk.
     disk: Vec<DurableRecord>,
-    /// Messages since the last look, heartbeats aside.
+    /// Messages sent, heartbeats aside.
     sent: Vec<(SocketAddrV4, MessageBody)>,
 }
 
@@ -35,7 +35,7 @@
     /// The seed with this number, in the view of [`EPOCH`].
     fn in_view(host: u8, injected_bug: Option<InjectedBug>) -> Node {
         let mut node = Node::start(setup(host, true), Vec::new(), 0, injected_bug);
-        node.hear(1, 1, MessageBody::NewView(view(EPOCH, &[1, 2])));
+        node.receive(1, 1, MessageBody::NewView(view(EPOCH, &[1, 2])));
         node
     }
 
@@ -82,12 +82,12 @@
         self.carry_out(effects);
     }
 
-    fn hear(&mut self, host: u8, epoch: u64, body: MessageBody) {
+    fn receive(&mut self, host: u8, epoch: u64, body: MessageBody) {
         let message = Message { sender: identity(host), epoch, body };
         self.event(Event::Message { from: address(host), message });
     }
 
-    fn hear_heartbeat(&mut self, host: u8) {
+    fn receive_heartbeat(&mut self, host: u8) {
         let heartbeat = Heartbeat {
             health: Health::Good,
             position: Position::default(),
@@ -97,10 +97,10 @@
             committed_version: 0,
             recent_senders: vec![self.replica.identity()],
         };
-        self.hear(host, EPOCH, MessageBody::Heartbeat(heartbeat));
+        self.receive(host, EPOCH, MessageBody::Heartbeat(heartbeat));
     }
 
-    /// Time passes, in which only the third node is heard, until a message of this kind is sent; the message.
+    /// Time passes, in which heartbeats come from the third node only, until a message of this kind is sent; the message.
     fn wait_for(&mut self, is_it: impl Fn(&MessageBody) -> bool) -> MessageBody {
         let deadline = self.now + LIMIT;
         while self.now < deadline {
@@ -108,13 +108,13 @@
                 return body.clone();
             }
             self.now += TICK;
-            self.hear_heartbeat(3);
+            self.receive_heartbeat(3);
             self.event(Event::Tick);
         }
         panic!("not sent within {LIMIT} ms: {:?}", self.sent);
     }
 
-    fn holds(&self, version: u64) -> bool {
+    fn has_stored(&self, version: u64) -> bool {
         self.disk.iter().any(|record| match record {
             DurableRecord::Entry { document, .. } => document.version == version,
             DurableRecord::State { state, .. } => state.version() == version,
@@ -127,14 +127,14 @@
     }
 }
 
-fn is_hand_over(body: &MessageBody) -> bool {
+fn is_join_transfer(body: &MessageBody) -> bool {
     matches!(body, MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Join)
 }
 
-/// The second member of the chain, which has sealed itself and handed over its state, as the head is silent.
+/// The second member of the chain, which has sealed itself and handed over its state, as nothing comes from the head.
 fn sealed_member(injected_bug: Option<InjectedBug>) -> Node {
     let mut member = Node::in_view(2, injected_bug);
-    member.wait_for(is_hand_over);
+    member.wait_for(is_join_transfer);
     member
 }
 
@@ -147,28 +147,32 @@
     guarded = { None, false },
     left_out = { Some(InjectedBug::EntryAfterSeal), true },
 )]
-fn a_sealed_member_takes_no_entries(injected_bug: Option<InjectedBug>, taken: bool) {
+fn a_sealed_member_stores_no_entries(injected_bug: Option<InjectedBug>, taken: bool) {
     let mut member = sealed_member(injected_bug);
-    member.hear(1, EPOCH, entry(7));
-    assert_eq!(member.holds(7), taken);
+
+    member.receive(1, EPOCH, entry(7));
+
+    assert_eq!(member.has_stored(7), taken);
 }
 
 #[parameterized(
     guarded = { None, false },
     left_out = { Some(InjectedBug::SealForgotten), true },
 )]
-fn a_seal_holds_after_a_restart(injected_bug: Option<InjectedBug>, taken: bool) {
+fn a_seal_is_in_force_after_a_restart(injected_bug: Option<InjectedBug>, taken: bool) {
     let mut member = sealed_member(injected_bug).restart(2, injected_bug);
-    member.hear(1, EPOCH, entry(7));
-    assert_eq!(member.holds(7), taken);
+
+    member.receive(1, EPOCH, entry(7));
+
+    assert_eq!(member.has_stored(7), taken);
 }
 
-/// A state of the head that was long on its way reaches a node that holds the sealed state, which goes further.
+/// A delayed transfer from the head reaches a node that has stored the sealed state, which contains more.
 #[parameterized(
     guarded = { None, 6 },
     left_out = { Some(InjectedBug::OlderTransferTaken), 5 },
 )]
-fn an_older_state_handed_over_is_not_taken(injected_bug: Option<InjectedBug>, version: u64) {
+fn a_transfer_of_an_older_state_is_not_applied(injected_bug: Option<InjectedBug>, version: u64) {
     let mut joiner = Node::in_view(3, injected_bug);
     let transfer = |purpose, index, versions: &[u64]| {
         let state = state(versions);
@@ -181,9 +185,11 @@
             payload: Payload::FullSnapshot(state),
         })
     };
-    joiner.hear(2, EPOCH, transfer(TransferPurpose::Join, Position::SEALED, &[5, 6]));
+    joiner.receive(2, EPOCH, transfer(TransferPurpose::Join, Position::SEALED, &[5, 6]));
     assert_eq!(joiner.version(), 6);
-    joiner.hear(1, EPOCH, transfer(TransferPurpose::Learn, 1, &[5]));
+
+    joiner.receive(1, EPOCH, transfer(TransferPurpose::Learn, 1, &[5]));
+
     assert_eq!(joiner.version(), version);
 }
 
@@ -192,7 +198,7 @@
     guarded = { None, true },
     left_out = { Some(InjectedBug::AcceptedPassedOver), false },
 )]
-fn a_view_accepted_before_is_taken_over(injected_bug: Option<InjectedBug>, taken_over: bool) {
+fn a_view_accepted_under_a_lower_number_is_proposed(injected_bug: Option<InjectedBug>, taken_over: bool) {
     let mut member = sealed_member(injected_bug);
     let stored = TransferResponse {
         purpose: TransferPurpose::Join,
@@ -200,26 +206,30 @@
         history_digest: ReplicatedState::default().history_digest(),
         stored: true,
     };
-    member.hear(3, EPOCH, MessageBody::TransferResponse(stored));
+    member.receive(3, EPOCH, MessageBody::TransferResponse(stored));
     let prepare = member.wait_for(|body| matches!(body, MessageBody::Prepare { .. }));
     let MessageBody::Prepare { proposal_number } = prepare else { unreachable!("it was waited for") };
     let earlier = view(EPOCH + 1, &[1, 2, 3]);
     let lower = ProposalNumber { counter: 0, proposer: identity(1).0 };
     let accepted = Some(AcceptedView { proposal_number: lower, view: earlier.clone() });
-    member.hear(3, EPOCH, MessageBody::PrepareResponse { proposal_number, accepted });
+    member.receive(3, EPOCH, MessageBody::PrepareResponse { proposal_number, accepted });
+
     let accept = member.wait_for(|body| matches!(body, MessageBody::Accept { .. }));
     let MessageBody::Accept { view: proposed, .. } = accept else { unreachable!("it was waited for") };
+
     assert_eq!(proposed == earlier, taken_over);
 }
 
-/// The head of an epoch that has ended, to which word of that hasn't come, sends an entry down.
+/// The head of an epoch that has ended, which doesn't know that yet, sends an entry down the chain.
 #[parameterized(
     guarded = { None, false },
     left_out = { Some(InjectedBug::OlderEpochsCount), true },
 )]
-fn an_entry_of_an_older_epoch_is_not_taken(injected_bug: Option<InjectedBug>, taken: bool) {
+fn an_entry_of_an_older_epoch_is_not_stored(injected_bug: Option<InjectedBug>, taken: bool) {
     let mut member = Node::in_view(2, injected_bug);
-    member.hear(3, EPOCH, MessageBody::NewView(view(EPOCH + 1, &[1, 2, 3])));
-    member.hear(1, EPOCH, entry(7));
-    assert_eq!(member.holds(7), taken);
+    member.receive(3, EPOCH, MessageBody::NewView(view(EPOCH + 1, &[1, 2, 3])));
+
+    member.receive(1, EPOCH, entry(7));
+
+    assert_eq!(member.has_stored(7), taken);
 }
--- a/crates/lockusher-control/tests/messages.rs
+++ b/crates/lockusher-control/tests/messages.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_message_comes_out_as_it_went_in() {
+fn a_message_is_decoded_as_it_was_encoded() {
     for body in bodies() {
         let envelope = Envelope::new(Message { sender: Identity(5), epoch: 3, body });
         let decoded = Envelope::decode(&envelope.encode()).expect("a readable message");
@@ -69,7 +69,7 @@
     next = { PROTOCOL + 1 },
     last = { u16::MAX },
 )]
-fn an_unknown_protocol_is_refused(protocol: u16) {
+fn an_unknown_protocol_is_rejected(protocol: u16) {
     let message = Message { sender: Identity(5), epoch: 3, body: MessageBody::NewView(view()) };
     let bytes = Envelope { protocol, message }.encode();
     let error = Envelope::decode(&bytes).expect_err("an unknown protocol");
@@ -77,13 +77,13 @@
 }
 
 #[parameterized(empty = { &[] }, one = { &[1] })]
-fn a_message_without_protocol_is_refused(bytes: &[u8]) {
+fn a_message_without_protocol_is_rejected(bytes: &[u8]) {
     let error = Envelope::decode(bytes).expect_err("no protocol");
     assert!(matches!(error, EnvelopeError::Short { length } if length == bytes.len()));
 }
 
 #[test]
-fn a_cut_message_is_refused() {
+fn a_truncated_message_is_rejected() {
     for body in bodies() {
         let bytes = Envelope::new(Message { sender: Identity(5), epoch: 3, body }).encode();
         for length in 0..bytes.len() {
--- a/crates/lockusher-control/tests/recovery.rs
+++ b/crates/lockusher-control/tests/recovery.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_wiped_seed_comes_back_as_somebody_else() {
+fn a_seed_that_lost_its_disk_comes_back_under_another_identity() {
     let (first, _) = Replica::new(setup(1, true), Vec::new(), 0);
     let (wiped, _) = Replica::new(setup(1, false), Vec::new(), 0);
     assert_ne!(first.identity(), wiped.identity());
@@ -31,7 +31,9 @@
 #[test]
 fn a_restart_keeps_identity_and_view() {
     let (first, effects) = Replica::new(setup(1, true), Vec::new(), 0);
+
     let (restarted, _) = Replica::new(setup(1, false), records(&effects), 0);
+
     assert_eq!(first.identity(), restarted.identity());
     assert_eq!(first.view(), restarted.view());
 }
@@ -39,13 +41,15 @@
 #[test]
 fn a_disk_used_at_another_address_gets_a_new_identity() {
     let (first, effects) = Replica::new(setup(1, true), Vec::new(), 0);
+
     let (moved, _) = Replica::new(setup(9, false), records(&effects), 0);
+
     assert_ne!(first.identity(), moved.identity());
     assert_eq!(first.view(), moved.view());
 }
 
 #[test]
-fn votes_count_in_their_epoch_only_and_in_any_order() {
+fn records_of_the_acceptor_count_in_their_epoch_only_and_in_any_order() {
     let view = first_view();
     let next = View { epoch: 2, ..view.clone() };
     let identity = DurableRecord::Identity { identity: Identity(5), address: address(1) };
@@ -58,7 +62,9 @@
         DurableRecord::View(view),
         DurableRecord::Seal { epoch: 1 },
     ];
+
     let (replica, _) = Replica::new(setup(1, false), log, 0);
+
     let snapshot = replica.snapshot();
     assert!(snapshot.contains(&DurableRecord::View(next)));
     assert!(snapshot.contains(&DurableRecord::Promise { epoch: 2, proposal_number: proposal_number(4) }));
@@ -81,12 +87,14 @@
             document: document(3),
         },
     ];
+
     let (replica, _) = Replica::new(setup(1, false), log, 0);
+
     assert_eq!(state_of(&replica), Some(third));
 }
 
 #[test]
-fn entries_that_come_twice_or_without_their_base_are_left_out() {
+fn entries_that_come_twice_or_without_their_predecessor_are_left_out() {
     let start = ReplicatedState::default();
     let one = start.with(document(1));
     let entry = |index, previous: &ReplicatedState, version| DurableRecord::Entry {
@@ -100,7 +108,9 @@
         entry(3, &one.with(document(8)), 9),
         entry(2, &one, 2),
     ];
+
     let (replica, _) = Replica::new(setup(1, false), log, 0);
+
     assert_eq!(state_of(&replica), Some(one.with(document(2))));
 }
 
@@ -108,7 +118,9 @@
 fn a_snapshot_restores_what_it_was_taken_of() {
     let (mut replica, effects) = Replica::new(setup(1, true), Vec::new(), 0);
     persist(&mut replica, 1, &effects);
+
     let snapshot = replica.snapshot();
     let (restored, _) = Replica::new(setup(1, false), snapshot.clone(), 0);
+
     assert_eq!(restored.snapshot(), snapshot);
 }
--- a/crates/lockusher-control/tests/state.rs
+++ b/crates/lockusher-control/tests/state.rs
@@ -6,22 +6,23 @@
 use support::document;
 
 #[test]
-fn the_newest_digests_are_kept() {
+fn the_newest_request_identities_are_retained() {
     let mut state = ReplicatedState::default();
-    let mut taken: Vec<Digest> = Vec::new();
+    let mut applied: Vec<Digest> = Vec::new();
     let count = MAX_HISTORY as u64 + 10;
     for version in 1..=count {
         state = state.with(document(version));
-        taken.push(document(version).digest);
+        applied.push(document(version).digest);
     }
-    let (forgotten, kept) = taken.split_at(taken.len() - MAX_HISTORY);
-    assert!(kept.iter().all(|digest| state.has_applied(*digest)));
+
+    let (forgotten, retained) = applied.split_at(applied.len() - MAX_HISTORY);
+    assert!(retained.iter().all(|digest| state.has_applied(*digest)));
     assert!(!forgotten.iter().any(|digest| state.has_applied(*digest)));
     assert_eq!(state.version(), count);
 }
 
 #[test]
-fn lineages_tell_sequences_apart() {
+fn history_digests_tell_sequences_apart() {
     let start = ReplicatedState::default();
     let one = start.with(document(1));
     let two = one.with(document(2));
@@ -30,7 +31,7 @@
     let other = start.with(document(2));
     let history_digests =
         [start.history_digest(), one.history_digest(), two.history_digest(), other.history_digest()];
-    for (place, history_digest) in history_digests.iter().enumerate() {
-        assert!(!history_digests[..place].contains(history_digest));
+    for (index, history_digest) in history_digests.iter().enumerate() {
+        assert!(!history_digests[..index].contains(history_digest));
     }
 }
--- a/crates/lockusher-control/tests/view_agreement.rs
+++ b/crates/lockusher-control/tests/view_agreement.rs
@@ -20,7 +20,7 @@
 const EPOCH: u64 = 1;
 const VOTERS: usize = 3;
 const MAJORITY: usize = 2;
-/// Ballots in the order of their counters, with the proposer that uses them.
+/// Attempts in the order of their counters, with the proposer that uses them.
 const ATTEMPTS: [(u64, usize); 2] = [(1, 0), (2, 1)];
 
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
@@ -34,8 +34,8 @@
     voters: [Voter; VOTERS],
     /// The newest attempt of each proposer.
     attempts: [Option<Proposer>; 2],
-    /// How many of [`ATTEMPTS`] have begun.
-    begun: [bool; ATTEMPTS.len()],
+    /// How many of [`ATTEMPTS`] have started.
+    started: [bool; ATTEMPTS.len()],
     /// Views that voters were asked to accept.
     proposed: BTreeSet<(ProposalNumber, usize)>,
     /// Voters that ever accepted under a proposal number; no voter looks at it.
@@ -46,10 +46,10 @@
 
 /// What a voter that lost its disk does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum AfterLoss {
+enum AfterDiskLoss {
     /// It takes no part under its former identity.
     StaysSilent,
-    /// It votes as if it had never voted: the mistake.
+    /// It votes as if it had never voted: the injected bug.
     VotesAgain,
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// The view that a proposer wants; views are told apart by their chains.
-fn wanted(proposer: usize) -> View {
+fn preferred_view(proposer: usize) -> View {
     View { epoch: EPOCH + 1, voters: Vec::new(), chain: vec![identity(proposer)] }
 }
 
@@ -73,17 +73,19 @@
 
 impl State {
     /// All states that one step leads to.
-    fn successors(&self, after_loss: AfterLoss) -> Vec<State> {
+    fn successors(&self, after_disk_loss: AfterDiskLoss) -> Vec<State> {
         let mut states = Vec::new();
         for attempt in 0..ATTEMPTS.len() {
-            states.extend(self.begin(attempt));
+            states.extend(self.start_attempt(attempt));
             for voter in 0..VOTERS {
-                states.extend(self.prepare(attempt, voter, after_loss).into_iter().flatten());
+                states.extend(self.prepare(attempt, voter, after_disk_loss).into_iter().flatten());
             }
         }
         for (proposal_number, view) in &self.proposed {
             for voter in 0..VOTERS {
-                states.extend(self.accept(*proposal_number, *view, voter, after_loss).into_iter().flatten());
+                states.extend(
+                    self.accept(*proposal_number, *view, voter, after_disk_loss).into_iter().flatten(),
+                );
             }
         }
         if self.voters.iter().all(|voter| !voter.lost_its_disk) {
@@ -92,20 +94,21 @@
         states
     }
 
-    fn begin(&self, attempt: usize) -> Option<State> {
+    fn start_attempt(&self, attempt: usize) -> Option<State> {
         let (_, proposer) = ATTEMPTS[attempt];
-        let earlier = (0..attempt).all(|earlier| ATTEMPTS[earlier].1 != proposer || self.begun[earlier]);
-        if self.begun[attempt] || !earlier {
+        let earlier = (0..attempt).all(|earlier| ATTEMPTS[earlier].1 != proposer || self.started[earlier]);
+        if self.started[attempt] || !earlier {
             return None;
         }
         let mut next = self.clone();
-        next.begun[attempt] = true;
-        next.attempts[proposer] = Some(Proposer::new(proposal_number(attempt), wanted(proposer), MAJORITY));
+        next.started[attempt] = true;
+        next.attempts[proposer] =
+            Some(Proposer::new(proposal_number(attempt), preferred_view(proposer), MAJORITY));
         Some(next)
     }
 
-    fn may_vote(&self, voter: usize, after_loss: AfterLoss) -> bool {
-        !self.voters[voter].lost_its_disk || after_loss == AfterLoss::VotesAgain
+    fn may_vote(&self, voter: usize, after_disk_loss: AfterDiskLoss) -> bool {
+        !self.voters[voter].lost_its_disk || after_disk_loss == AfterDiskLoss::VotesAgain
     }
 
     /// The voter's state comes back from its records, as after a restart.
@@ -116,23 +119,23 @@
         self.voters[voter].acceptor = restored;
     }
 
-    /// A voter is asked to promise: the states in which its answer is lost and in which it arrives.
-    fn prepare(&self, attempt: usize, voter: usize, after_loss: AfterLoss) -> Option<[State; 2]> {
-        if !self.begun[attempt] || !self.may_vote(voter, after_loss) {
+    /// A voter is sent a prepare: the states in which its answer is lost and in which it arrives.
+    fn prepare(&self, attempt: usize, voter: usize, after_disk_loss: AfterDiskLoss) -> Option<[State; 2]> {
+        if !self.started[attempt] || !self.may_vote(voter, after_disk_loss) {
             return None;
         }
-        let (mut lost, proposal_number) = (self.clone(), proposal_number(attempt));
-        lost.voters[voter].acceptor.prepare(proposal_number).ok()?;
-        lost.restart(voter);
-        let mut taken = lost.clone();
-        let accepted: Option<AcceptedView> = lost.voters[voter].acceptor.accepted.clone();
-        if let Some(attempt) = taken.attempt_of(proposal_number)
+        let (mut response_lost, proposal_number) = (self.clone(), proposal_number(attempt));
+        response_lost.voters[voter].acceptor.prepare(proposal_number).ok()?;
+        response_lost.restart(voter);
+        let mut response_received = response_lost.clone();
+        let accepted: Option<AcceptedView> = response_lost.voters[voter].acceptor.accepted.clone();
+        if let Some(attempt) = response_received.attempt_of(proposal_number)
             && attempt.on_prepare_response(identity(voter), proposal_number, accepted)
         {
             let view = attempt.proposed().map(|view| (proposal_number, number_of(view)));
-            taken.proposed.extend(view);
+            response_received.proposed.extend(view);
         }
-        Some([lost, taken])
+        Some([response_lost, response_received])
     }
 
     /// A voter is asked to accept, likewise.
@@ -141,21 +144,21 @@
         proposal_number: ProposalNumber,
         view: usize,
         voter: usize,
-        after_loss: AfterLoss,
+        after_disk_loss: AfterDiskLoss,
     ) -> Option<[State; 2]> {
-        if !self.may_vote(voter, after_loss) {
+        if !self.may_vote(voter, after_disk_loss) {
             return None;
         }
-        let mut lost = self.clone();
-        lost.voters[voter].acceptor.accept(proposal_number, wanted(view)).ok()?;
-        lost.restart(voter);
-        lost.acceptances.insert((proposal_number, voter));
-        let mut taken = lost.clone();
-        if let Some(attempt) = taken.attempt_of(proposal_number) {
+        let mut response_lost = self.clone();
+        response_lost.voters[voter].acceptor.accept(proposal_number, preferred_view(view)).ok()?;
+        response_lost.restart(voter);
+        response_lost.acceptances.insert((proposal_number, voter));
+        let mut response_received = response_lost.clone();
+        if let Some(attempt) = response_received.attempt_of(proposal_number) {
             let agreed = attempt.on_accept_response(identity(voter), proposal_number).map(number_of);
-            taken.agreed.extend(agreed);
+            response_received.agreed.extend(agreed);
         }
-        Some([lost, taken])
+        Some([response_lost, response_received])
     }
 
     /// The newest attempt of the proposal number's proposer; it ignores answers to an older one.
@@ -178,8 +181,8 @@
         chosen.map(|(_, view)| *view).collect()
     }
 
-    fn acceptances(&self, wanted: ProposalNumber) -> usize {
-        self.acceptances.iter().filter(|(proposal_number, _)| *proposal_number == wanted).count()
+    fn acceptances(&self, searched: ProposalNumber) -> usize {
+        self.acceptances.iter().filter(|(proposal_number, _)| *proposal_number == searched).count()
     }
 
     /// Voters that would confirm to a head that its epoch is the newest they know.
@@ -188,7 +191,7 @@
         self.voters.iter().filter(confirms).count()
     }
 
-    fn broken_promise(&self) -> Option<&'static str> {
+    fn broken_invariant(&self) -> Option<&'static str> {
         let chosen = self.chosen();
         if chosen.len() > 1 || self.agreed.len() > 1 {
             Some("two views follow one epoch")
@@ -214,36 +217,36 @@
     states: usize,
     /// States in which a view is chosen.
     with_choice: usize,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-/// Visits every state, or stops at the first broken promise.
-fn search(after_loss: AfterLoss) -> Search {
+/// Visits every state, or stops at the first broken invariant.
+fn search(after_disk_loss: AfterDiskLoss) -> Search {
     let mut visited = HashSet::new();
     let mut open = vec![State::default()];
     let mut found = Search::default();
     while let Some(state) = open.pop() {
         found.states += 1;
         found.with_choice += usize::from(!state.chosen().is_empty());
-        found.broken = state.broken_promise();
-        if found.broken.is_some() {
+        found.violation = state.broken_invariant();
+        if found.violation.is_some() {
             return found;
         }
         let is_new = |next: &State| visited.insert(next.fingerprint());
-        open.extend(state.successors(after_loss).into_iter().filter(is_new));
+        open.extend(state.successors(after_disk_loss).into_iter().filter(is_new));
     }
     found
 }
 
 #[test]
 fn no_order_of_messages_losses_and_one_lost_disk_leads_to_two_views() {
-    let found = search(AfterLoss::StaysSilent);
+    let found = search(AfterDiskLoss::StaysSilent);
     println!("{found:?}");
-    assert_eq!(found.broken, None);
+    assert_eq!(found.violation, None);
     assert!(found.with_choice > 0, "{found:?}");
 }
 
 #[test]
-fn a_voter_that_votes_again_after_it_lost_its_disk_is_found() {
-    assert!(search(AfterLoss::VotesAgain).broken.is_some());
+fn a_voter_that_votes_again_after_it_lost_its_disk_is_detected() {
+    assert!(search(AfterDiskLoss::VotesAgain).violation.is_some());
 }
--- a/crates/lockusher-control/tests/view_change.rs
+++ b/crates/lockusher-control/tests/view_change.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn nothing_follows_while_all_is_well() {
+fn no_change_is_planned_while_the_chain_is_healthy() {
     let view = view(&[1, 2, 3], &[1, 2, 3]);
     assert_eq!(plan_view_change(&context(&view, &[1, 2, 3])), None);
 }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_chain_below_the_majority_takes_in_a_voter() {
+fn a_chain_below_the_majority_is_extended_by_a_voter() {
     let view = view(&[1, 2, 3], &[1, 2]);
     let mut context = context(&view, &[1]);
     assert_eq!(plan_view_change(&context), None);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_new_disk_takes_the_place_of_the_old_one() {
+fn a_node_with_a_new_disk_replaces_its_former_identity() {
     let view = view(&[1, 2, 3], &[1, 2]);
     let mut context = context(&view, &[1, 2]);
     let renewed = Member { identity: Identity(30), ..member(3) };
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_replacement_takes_the_place_of_an_unreachable_voter() {
+fn a_new_node_replaces_an_unreachable_voter() {
     let view = view(&[1, 2, 3], &[1, 2]);
     let mut context = context(&view, &[1, 2]);
     context.unreachable = identities(&[3]);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_silent_voter_is_removed_down_to_the_minimum() {
+fn an_unreachable_voter_is_removed_down_to_the_minimum() {
     let large = view(&[1, 2, 3, 4], &[1, 2, 3]);
     let mut context = context(&large, &[1, 2, 3]);
     context.removable = identities(&[4]);
@@ -118,9 +118,9 @@
 }
 
 proptest! {
-    /// Whatever is seen, a proposed view keeps the rules that safety rests on.
+    /// Whatever is seen, a proposed view keeps the invariants that safety rests on.
     #[test]
-    fn a_view_keeps_the_rules(
+    fn a_planned_view_keeps_the_invariants(
         voters in 1u64..=9,
         chain_length in 1usize..=9,
         fit_mask in any::<u16>(),
@@ -132,11 +132,11 @@
         let numbers: Vec<u64> = (1..=voters).collect();
         let length = chain_length.clamp(majority_of(numbers.len()), numbers.len());
         let view = view(&numbers, &numbers[..length]);
-        let marked = |mask: u16| numbers.iter().copied().filter(move |number| mask & 1 << number != 0);
-        let healthy_members: Vec<u64> = marked(fit_mask).collect();
+        let selected = |mask: u16| numbers.iter().copied().filter(move |number| mask & 1 << number != 0);
+        let healthy_members: Vec<u64> = selected(fit_mask).collect();
         let mut context = context(&view, &healthy_members);
         context.own_identity = Identity(me.min(voters));
-        context.unreachable = identities(&marked(unreachable_mask).collect::<Vec<_>>());
+        context.unreachable = identities(&selected(unreachable_mask).collect::<Vec<_>>());
         context.removable = context.unreachable.clone();
         [context.epoch_change_required, context.sealed, context.may_add_members] = flags;
         let mut seen = BTreeSet::new();
@@ -147,19 +147,19 @@
             }
         }
         let Some(ViewChange { view: next, joiners }) = plan_view_change(&context) else { return Ok(()) };
-        let kept: Vec<Identity> =
+        let remaining: Vec<Identity> =
             next.chain.iter().copied().filter(|member| view.in_chain(*member)).collect();
         let in_order: Vec<Identity> =
-            view.chain.iter().copied().filter(|member| kept.contains(member)).collect();
+            view.chain.iter().copied().filter(|member| remaining.contains(member)).collect();
         prop_assert_eq!(next.epoch, view.epoch + 1);
-        prop_assert!(!kept.is_empty(), "a member of the old chain stays");
-        prop_assert_eq!(&kept, &in_order);
-        prop_assert_eq!(&next.chain[..kept.len()], &kept[..], "joiners come last");
-        prop_assert!(kept.iter().all(|member| context.healthy_members.contains(member)));
+        prop_assert!(!remaining.is_empty(), "a member of the old chain stays");
+        prop_assert_eq!(&remaining, &in_order);
+        prop_assert_eq!(&next.chain[..remaining.len()], &remaining[..], "joiners come last");
+        prop_assert!(remaining.iter().all(|member| context.healthy_members.contains(member)));
         prop_assert!(next.chain.len() >= next.majority());
         prop_assert!(next.chain.iter().all(|member| next.is_voter(*member)));
-        prop_assert_eq!(next.chain.len() - kept.len(), joiners.len());
-        prop_assert!(joiners.is_empty() || kept.contains(&context.own_identity));
+        prop_assert_eq!(next.chain.len() - remaining.len(), joiners.len());
+        prop_assert!(joiners.is_empty() || remaining.contains(&context.own_identity));
         let added = next.voters.iter().filter(|voter| !view.is_voter(voter.identity)).count();
         let removed = view.voters.iter().filter(|voter| !next.is_voter(voter.identity)).count();
         prop_assert!(added <= 1 && removed <= 1, "one voter at a time");
