--- a/crates/lockusher-control/src/acceptor.rs
+++ b/crates/lockusher-control/src/acceptor.rs
@@ -62,6 +62,7 @@
         }
     }
 
+    /// Merges an acceptance; the highest number wins.
     fn recover_accepted(&mut self, proposal_number: ProposalNumber, view: &View) {
         self.promised = self.promised.max(proposal_number);
         if self.accepted.as_ref().is_none_or(|accepted| accepted.proposal_number <= proposal_number) {
--- a/crates/lockusher-control/src/failure_detector.rs
+++ b/crates/lockusher-control/src/failure_detector.rs
@@ -101,9 +101,11 @@
         }
     }
 
-    /// Ends the reachable time of those that fell silent, and evicts old ones unless `keep` holds.
-    pub fn expire(&mut self, timing: &Timing, now: Millis, keep: impl Fn(SocketAddrV4) -> bool) {
-        self.peers.retain(|address, peer| now - peer.last_received_at < timing.peer_expiry || keep(*address));
+    /// Ends the reachable time of those that fell silent, and evicts old ones unless `must_retain` says so.
+    pub fn expire(&mut self, timing: &Timing, now: Millis, must_retain: impl Fn(SocketAddrV4) -> bool) {
+        self.peers.retain(|address, peer| {
+            now - peer.last_received_at < timing.peer_expiry || must_retain(*address)
+        });
         for peer in self.peers.values_mut() {
             if !peer.is_bidirectional(timing, now) {
                 peer.reachable_since = None;
@@ -202,6 +204,7 @@
         }
     }
 
+    /// Whether recent messages show contact in both directions.
     fn is_bidirectional(&self, timing: &Timing, now: Millis) -> bool {
         let fresh = now - self.last_received_at < timing.suspicion_timeout;
         let bidirectional = self
--- a/crates/lockusher-control/src/replica/appends.rs
+++ b/crates/lockusher-control/src/replica/appends.rs
@@ -20,6 +20,7 @@
         in_chain && self.is_established_in_view() && open
     }
 
+    /// An entry came from the head or the predecessor: store it, or say that what precedes it is missing.
     pub(super) fn on_append(&mut self, from: SocketAddrV4, sender: Identity, entry: AppendedEntry) {
         if !self.may_replicate() || self.durable_state.pending.is_some() || !self.is_upstream(sender) {
             return;
@@ -76,6 +77,7 @@
         }
     }
 
+    /// Does what waited for a write of the state. Called in the epoch of the write only.
     pub(super) fn after_write(&mut self, after_write: AfterWrite) {
         match after_write {
             AfterWrite::SendToSuccessor => self.send_to_successor(),
@@ -85,6 +87,7 @@
         }
     }
 
+    /// Every member from the successor to the tail has stored the entry.
     pub(super) fn on_append_acknowledged(&mut self, sender: Identity, index: u64) {
         let Some(view) = &self.view else { return };
         let own = self.durable_state.position;
--- a/crates/lockusher-control/src/replica/change_planning.rs
+++ b/crates/lockusher-control/src/replica/change_planning.rs
@@ -64,6 +64,7 @@
         healthy && self.peers.is_reachable(address, voter, &self.timing, self.now) && !self.is_lagging(voter)
     }
 
+    /// The view that should follow by what this node observes.
     fn plan_view_change(&self) -> Option<ViewChange> {
         let view = self.view.as_ref()?;
         let healthy_members: BTreeSet<Identity> =
@@ -105,11 +106,13 @@
         shutting_down.chain(unreachable.iter().filter(long_unreachable).copied()).collect()
     }
 
+    /// For how long a voter hasn't been reachable, in milliseconds.
     fn unreachable_time_of(&self, view: &View, voter: Identity) -> Millis {
         let address = view.address_of(voter);
         address.map_or(0, |address| self.peers.unreachable_for(address, voter, self.now))
     }
 
+    /// Voters that can't be reached now, the longest unreachable first.
     fn unreachable_voters(&self, view: &View) -> Vec<Identity> {
         let is_reachable =
             |voter: &&Member| self.peers.is_reachable(voter.address, voter.identity, &self.timing, self.now);
@@ -120,6 +123,7 @@
         unreachable
     }
 
+    /// Reachable nodes in good health outside of the chain.
     fn join_candidates(&self, view: &View) -> Vec<JoinCandidate> {
         let candidates = self.peers.iter().filter(|(_, peer)| {
             !view.in_chain(peer.identity) && peer.epoch == view.epoch && peer.may_join(&self.timing, self.now)
--- a/crates/lockusher-control/src/replica/commit.rs
+++ b/crates/lockusher-control/src/replica/commit.rs
@@ -73,6 +73,7 @@
         }
     }
 
+    /// Reports a configuration to the driver, unless it or a newer one was reported.
     fn record_committed(&mut self, document: ConfigurationDocument) {
         let known = self.committed_document.as_ref().map_or(0, |committed| committed.version);
         if document.version > known {
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -56,6 +56,7 @@
         }
     }
 
+    /// A voter answers the confirmation.
     pub(super) fn on_epoch_confirmed(&mut self, sender: Identity, sequence: u64) {
         let Some(view) = &self.view else { return };
         let (is_voter, majority) = (view.is_voter(sender), view.majority());
--- a/crates/lockusher-control/src/replica/dispatch.rs
+++ b/crates/lockusher-control/src/replica/dispatch.rs
@@ -13,6 +13,7 @@
 use crate::view::Identity;
 
 impl Replica {
+    /// A message came; the sender may be this node itself.
     pub(super) fn on_message(&mut self, from: SocketAddrV4, message: Message) {
         let Message { sender, epoch, body } = message;
         if from != self.setup.address {
@@ -32,6 +33,7 @@
         }
     }
 
+    /// A message that is valid in its epoch only, which is this node's.
     fn on_epoch_message(&mut self, from: SocketAddrV4, sender: Identity, body: MessageBody) {
         match body {
             MessageBody::Prepare { proposal_number } => self.on_prepare(from, proposal_number),
--- a/crates/lockusher-control/src/replica/forwarding.rs
+++ b/crates/lockusher-control/src/replica/forwarding.rs
@@ -7,6 +7,7 @@
 use crate::request::{Reply, Request, RequestTicket};
 
 impl Replica {
+    /// The driver hands over a request of the operator.
     pub(super) fn on_request(&mut self, ticket: RequestTicket, request: Request) {
         if self.requests.pending.len() >= MAX_REQUESTS {
             self.effects.push(Effect::Reply { ticket, reply: Reply::Unavailable });
@@ -57,6 +58,7 @@
         self.forward_requests();
     }
 
+    /// The head, or this node in its place, replies to a pending request.
     pub(super) fn on_forward_response(&mut self, number: u64, reply: Reply) {
         if let Some(pending) = self.requests.pending.remove(&number) {
             self.effects.push(Effect::Reply { ticket: pending.ticket, reply });
--- a/crates/lockusher-control/src/replica/head.rs
+++ b/crates/lockusher-control/src/replica/head.rs
@@ -65,6 +65,7 @@
         self.document.body.len() as Millis / BYTES_PER_MS
     }
 
+    /// The message that carries the entry.
     pub(super) fn append(&self, relay: bool) -> MessageBody {
         MessageBody::Append {
             index: self.index,
--- a/crates/lockusher-control/src/replica/heartbeats.rs
+++ b/crates/lockusher-control/src/replica/heartbeats.rs
@@ -8,6 +8,7 @@
 use crate::view::Identity;
 
 impl Replica {
+    /// A heartbeat came.
     pub(super) fn on_heartbeat(
         &mut self,
         from: SocketAddrV4,
@@ -43,12 +44,14 @@
         }
     }
 
+    /// Lets a new peer know at once that this node receives from it.
     fn respond_to_first_heartbeat(&mut self, from: SocketAddrV4) {
         if self.peers.may_send_view(from, self.timing.heartbeat_interval / 4, self.now) {
             self.send_heartbeat(from);
         }
     }
 
+    /// Sends a heartbeat to every known node.
     pub(super) fn send_heartbeats(&mut self) {
         self.last_heartbeat_at = self.now;
         for address in self.heartbeat_targets() {
@@ -69,6 +72,7 @@
         self.send(to, MessageBody::Heartbeat(heartbeat));
     }
 
+    /// Voters and peers; also the seeds, while this node needs them to find the others.
     fn heartbeat_targets(&self) -> BTreeSet<SocketAddrV4> {
         let voters = self.view.iter().flat_map(|view| view.voters.iter().map(|voter| voter.address));
         let contacted = self.peers.iter().map(|(address, _)| address);
@@ -80,6 +84,7 @@
         targets
     }
 
+    /// Lets the failure detector expire peers, voters excepted.
     pub(super) fn expire_peers(&mut self) {
         let view = &self.view;
         let is_voter = |address| view.as_ref().is_some_and(|view| view.voter_at(address).is_some());
--- a/crates/lockusher-control/src/replica/joining.rs
+++ b/crates/lockusher-control/src/replica/joining.rs
@@ -16,6 +16,7 @@
 use crate::view::Identity;
 
 impl Replica {
+    /// Takes no further entry in this epoch, durably.
     pub(super) fn seal_epoch(&mut self) {
         if self.acceptor.sealed {
             return;
@@ -37,6 +38,7 @@
         }
     }
 
+    /// Sends the sealed state to the joiners that haven't stored it.
     pub(super) fn send_join_transfers(&mut self) {
         let Some(proposal) = &self.proposal else { return };
         let missing = proposal
@@ -50,6 +52,7 @@
         }
     }
 
+    /// Sends what a joiner with this history digest lacks; `None` for a full snapshot.
     fn send_join_transfer(&mut self, to: SocketAddrV4, history_digest: Option<crate::state::HistoryDigest>) {
         let state = &self.durable_state.state;
         let transfer = Transfer {
--- a/crates/lockusher-control/src/replica/learners.rs
+++ b/crates/lockusher-control/src/replica/learners.rs
@@ -41,6 +41,7 @@
         }
     }
 
+    /// A learner lacks what a smaller transfer builds on.
     pub(super) fn send_full_snapshot_to_learner(&mut self, to: SocketAddrV4) {
         if self.may_add_members() {
             self.send_base(to, TransferPurpose::Learn, None);
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -7,6 +7,7 @@
 use crate::view::Identity;
 
 impl Replica {
+    /// Epoch of the newest view; 0 before the first.
     pub(super) fn epoch(&self) -> u64 {
         self.view.as_ref().map_or(0, |view| view.epoch)
     }
@@ -52,6 +53,7 @@
         })
     }
 
+    /// Whether this node, if it votes, and the voters that `counts` admits are a majority.
     fn count_voters(&self, counts: impl Fn(SocketAddrV4, Identity) -> bool) -> bool {
         let Some(view) = &self.view else { return false };
         let counted = view
--- a/crates/lockusher-control/src/replica/persistence.rs
+++ b/crates/lockusher-control/src/replica/persistence.rs
@@ -13,11 +13,13 @@
 use crate::state::ReplicatedState;
 
 impl Replica {
+    /// A ticket that no other write of this process has.
     fn issue_ticket(&mut self) -> PersistTicket {
         self.next_ticket += 1;
         PersistTicket(self.next_ticket)
     }
 
+    /// Writes records of the agreement, and does this once they are durable.
     pub(super) fn persist_acceptor_records(
         &mut self,
         records: Vec<DurableRecord>,
@@ -43,6 +45,7 @@
         self.effects.push(Effect::Persist { ticket, records: vec![record] });
     }
 
+    /// A write is durable.
     pub(super) fn on_persisted(&mut self, ticket: PersistTicket) {
         if let Some(released) = self.acceptor_log.on_persisted(ticket) {
             released.into_iter().for_each(|after| self.after_acceptor_write(after));
@@ -60,6 +63,7 @@
         self.start_joining_once_sealed();
     }
 
+    /// A write was refused. The node's service as head ends if it was one of the state.
     pub(super) fn on_persist_failed(&mut self, ticket: PersistTicket) {
         self.counters.persist_failures += 1;
         if self.acceptor_log.on_refused(ticket, self.now) {
@@ -93,6 +97,7 @@
         }
     }
 
+    /// Does what waited for records of the agreement.
     pub(super) fn after_acceptor_write(&mut self, after: AfterAcceptorWrite) {
         match after {
             AfterAcceptorWrite::Send { to, message } => {
--- a/crates/lockusher-control/src/replica/progress.rs
+++ b/crates/lockusher-control/src/replica/progress.rs
@@ -9,6 +9,7 @@
 use crate::view::Identity;
 
 impl Replica {
+    /// As head: a node's heartbeat shows how far it is; send it what it lacks.
     pub(super) fn on_replica_heartbeat(
         &mut self,
         from: SocketAddrV4,
--- a/crates/lockusher-control/src/replica/proposing.rs
+++ b/crates/lockusher-control/src/replica/proposing.rs
@@ -35,6 +35,7 @@
         }
     }
 
+    /// Starts a proposal under a number above all that were seen.
     fn start_proposal(&mut self, change: ViewChange) {
         self.counters.proposals += 1;
         self.proposal_attempts += 1;
@@ -63,6 +64,7 @@
         }
     }
 
+    /// Goes to a phase and sends its messages.
     pub(super) fn enter_phase(&mut self, phase: Phase) {
         let Some(proposal) = &mut self.proposal else { return };
         proposal.phase = phase;
@@ -89,6 +91,7 @@
         }
     }
 
+    /// An acceptor answers the prepare.
     pub(super) fn on_prepare_response(
         &mut self,
         sender: Identity,
@@ -106,6 +109,7 @@
         }
     }
 
+    /// An acceptor has accepted the proposal; with a majority the view is agreed on.
     pub(super) fn on_accept_response(&mut self, sender: Identity, proposal_number: ProposalNumber) {
         if !self.accepts_votes_from(sender) {
             return;
@@ -116,11 +120,13 @@
         }
     }
 
+    /// Whether this sender's responses count: it votes in the newest view.
     fn accepts_votes_from(&self, sender: Identity) -> bool {
         let is_voter = self.view.as_ref().is_some_and(|view| view.is_voter(sender));
         is_voter || bug_injected!(self.bug_injection, StrangersCount)
     }
 
+    /// An acceptor has promised a higher number.
     pub(super) fn on_proposal_rejected(&mut self, promised: ProposalNumber) {
         self.highest_proposal_counter = self.highest_proposal_counter.max(promised.counter);
         if self.proposal.as_ref().is_some_and(|proposal| proposal.proposer.proposal_number() < promised) {
@@ -141,6 +147,7 @@
         }
     }
 
+    /// Joiners that didn't answer aren't asked again for a while.
     fn record_failed_joins(&mut self) {
         let Some(proposal) = &self.proposal else { return };
         if proposal.phase != Phase::Joining {
@@ -153,6 +160,7 @@
         }
     }
 
+    /// Ends the attempt; the next one waits for a random back-off.
     fn abandon_proposal(&mut self) {
         log::debug!("{} {}: gives up a proposal", self.now, self.setup.address);
         self.proposal = None;
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -53,6 +53,7 @@
 }
 
 impl Replica {
+    /// Restores the state from the records and sends the first heartbeats.
     pub(super) fn start(
         setup: ReplicaSetup,
         records: Vec<DurableRecord>,
@@ -105,7 +106,7 @@
         };
         replica.take_identity(recovered.owner);
         replica.send_heartbeats();
-        replica.settle();
+        replica.advance();
         replica.report_members();
         let effects = std::mem::take(&mut replica.effects);
         (replica, effects)
@@ -129,6 +130,7 @@
         }
     }
 
+    /// A seed at the first start installs the first view; everybody else takes a new identity and waits to join.
     fn start_on_empty_disk(&mut self) {
         let address = self.setup.address;
         let is_seed = self.setup.seeds.contains(&address);
@@ -181,6 +183,7 @@
     views.max_by_key(|view| view.epoch).cloned()
 }
 
+/// The acceptor's state in this epoch; records of other epochs don't count.
 fn recovered_acceptor(records: &[DurableRecord], current: u64) -> AcceptorState {
     let mut acceptor = AcceptorState::default();
     for record in records {
--- a/crates/lockusher-control/src/replica/repair.rs
+++ b/crates/lockusher-control/src/replica/repair.rs
@@ -60,6 +60,7 @@
         self.send(address, MessageBody::Transfer(transfer));
     }
 
+    /// Where this member of the chain listens.
     fn chain_address_of(&self, member: Identity) -> Option<std::net::SocketAddrV4> {
         let view = self.view.as_ref().filter(|view| view.in_chain(member))?;
         view.address_of(member)
--- a/crates/lockusher-control/src/replica/replication.rs
+++ b/crates/lockusher-control/src/replica/replication.rs
@@ -71,6 +71,7 @@
         }
     }
 
+    /// A member of the chain has stored the entries up to this one.
     pub(super) fn on_append_stored(&mut self, sender: Identity, index: u64) {
         let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else { return };
         if index >= in_flight.index && index != Position::SEALED {
@@ -79,6 +80,7 @@
         }
     }
 
+    /// A member lacks what precedes an entry: it is sent a full snapshot.
     pub(super) fn on_append_rejected(&mut self, sender: Identity, _index: u64) {
         let in_chain = self.is_in_chain(sender);
         let address = self.view.as_ref().and_then(|view| view.address_of(sender));
@@ -105,6 +107,7 @@
         }
     }
 
+    /// Commits the entry in flight once every member of the chain has stored it.
     fn commit_if_stored_by_all(&mut self) {
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
         let Some(in_flight) = &head.in_flight else { return };
--- a/crates/lockusher-control/src/replica/sending.rs
+++ b/crates/lockusher-control/src/replica/sending.rs
@@ -13,16 +13,19 @@
 use crate::view::{Identity, Member, View};
 
 impl Replica {
+    /// A message of this node in its present epoch.
     fn message(&self, body: MessageBody) -> Message {
         let body_sent = altered_by_bug!(self.bug_injection, altered_body, body);
         Message { sender: self.identity, epoch: self.epoch(), body: body_sent }
     }
 
+    /// Sends this to a node.
     pub(super) fn send(&mut self, to: SocketAddrV4, body: MessageBody) {
         let message = self.message(body);
         self.send_message(to, message);
     }
 
+    /// Sends this to a node; to itself by the loopback queue.
     pub(super) fn send_message(&mut self, to: SocketAddrV4, message: Message) {
         if to == self.setup.address {
             self.loopback.push_back(message);
@@ -31,6 +34,7 @@
         }
     }
 
+    /// Sends this to a voter of the newest view; nothing if it is none.
     pub(super) fn send_to_voter(&mut self, voter: Identity, body: MessageBody) {
         let address = self.view.as_ref().and_then(|view| view.address_of(voter));
         if let Some(address) = address {
@@ -38,6 +42,7 @@
         }
     }
 
+    /// Sends this to all voters but those that have responded.
     pub(super) fn send_to_voters_except(&mut self, responders: &BTreeSet<Identity>, body: MessageBody) {
         let voters: Vec<Member> = self.view.iter().flat_map(|view| view.voters.iter().copied()).collect();
         for voter in voters.into_iter().filter(|voter| !responders.contains(&voter.identity)) {
@@ -45,6 +50,7 @@
         }
     }
 
+    /// Sends this to the head of the newest view.
     pub(super) fn send_to_head(&mut self, body: MessageBody) {
         if let Some(head) = self.view.as_ref().and_then(View::head) {
             self.send_to_voter(head, body);
--- a/crates/lockusher-control/src/replica/service.rs
+++ b/crates/lockusher-control/src/replica/service.rs
@@ -47,6 +47,7 @@
 }
 
 impl Replica {
+    /// A node forwards a request. A retransmitted one is recognised by its origin.
     pub(super) fn on_forward(&mut self, from: SocketAddrV4, request: u64, body: Request) {
         let origin = Origin { address: from, request };
         let in_flight = self.write_in_flight() == Some(origin);
@@ -60,6 +61,7 @@
         head.queue.push_back(QueuedRequest { origin, request: body, deadline, confirmation });
     }
 
+    /// Replies to the node that forwarded the request.
     pub(super) fn reply_to(&mut self, origin: Origin, reply: Reply) {
         self.send(origin.address, MessageBody::ForwardResponse { request: origin.request, reply });
     }
@@ -86,18 +88,21 @@
         }
     }
 
+    /// Leaves a request undecided.
     fn requeue(&mut self, queued: QueuedRequest) {
         if let Some(head) = &mut self.head {
             head.queue.push_back(queued);
         }
     }
 
+    /// Appends the configuration of a put.
     fn write(&mut self, queued: QueuedRequest) {
         if let Request::Put { document, .. } = queued.request {
             self.append(document, queued.origin);
         }
     }
 
+    /// What is to be done with a request now.
     fn decide(&self, queued: &QueuedRequest) -> Decision {
         let Some(state) = self.serving_state() else { return Decision::AwaitWrite };
         let confirmed = self.is_epoch_confirmed(queued.confirmation);
@@ -128,6 +133,7 @@
         }
     }
 
+    /// Whether the same change was applied before: a retry is acknowledged again.
     fn is_already_taken(&self, state: &ReplicatedState, change: &ConfigurationChange) -> bool {
         if bug_injected!(self.bug_injection, VersionIdentifiesChange) && change.version == state.version() {
             return true;
--- a/crates/lockusher-control/src/replica/state_machine.rs
+++ b/crates/lockusher-control/src/replica/state_machine.rs
@@ -143,7 +143,7 @@
             Event::Tick => self.on_tick(),
             Event::Stop => self.on_stop(),
         }
-        self.settle();
+        self.advance();
         std::mem::take(&mut self.effects)
     }
 
@@ -152,6 +152,7 @@
         self.durable_records()
     }
 
+    /// Whatever depends on time alone.
     fn on_tick(&mut self) {
         let elapsed = self.now - self.last_tick_at;
         self.last_tick_at = self.now;
@@ -169,13 +170,14 @@
         self.report_members();
     }
 
+    /// Announces the shutdown, so that the others replace this node.
     fn on_stop(&mut self) {
         self.shutting_down = true;
         self.send_heartbeats();
     }
 
     /// Does what has become possible by an event.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn advance(&mut self) {
         loop {
             self.activate_head();
             self.serve_queue();
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -68,6 +68,7 @@
         self.counters
     }
 
+    /// Reports a change of role, or of the epoch while head.
     pub(super) fn report_role(&mut self) {
         let (head, epoch) = (self.is_head(), self.epoch());
         let reported = self.reported_role;
@@ -77,6 +78,7 @@
         }
     }
 
+    /// Reports a change of the known nodes.
     pub(super) fn report_members(&mut self) {
         let members = self.known_members();
         if members != self.reported_members {
--- a/crates/lockusher-control/src/replica/synchronisation.rs
+++ b/crates/lockusher-control/src/replica/synchronisation.rs
@@ -75,6 +75,7 @@
         self.send(to, MessageBody::Transfer(transfer));
     }
 
+    /// A member of the chain answers the transfer of the base.
     pub(super) fn on_synchronised(
         &mut self,
         from: SocketAddrV4,
@@ -88,6 +89,7 @@
         }
     }
 
+    /// A member has stored the base.
     fn mark_synchronised(&mut self, member: Identity) {
         let in_chain = self.is_in_chain(member);
         let Some(head) = &mut self.head else { return };
@@ -96,6 +98,7 @@
         }
     }
 
+    /// Once all members have stored the base it is committed, and the head serves.
     fn establish_if_complete(&mut self) {
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
         let early = bug_injected!(self.bug_injection, ServeBeforeSynchronised);
@@ -108,6 +111,7 @@
         self.announce_committed();
     }
 
+    /// Retransmits, as head, what isn't answered.
     pub(super) fn on_head_tick(&mut self) {
         let Some(head) = &mut self.head else { return };
         if self.now - head.last_resend_at < self.timing.retransmit_interval {
--- a/crates/lockusher-control/src/replica/transfers.rs
+++ b/crates/lockusher-control/src/replica/transfers.rs
@@ -14,6 +14,7 @@
 use crate::view::Identity;
 
 impl Replica {
+    /// A transfer came: apply it if its sender may send it and it isn't older.
     pub(super) fn on_transfer(&mut self, from: SocketAddrV4, sender: Identity, transfer: Transfer) {
         if transfer.purpose == TransferPurpose::Learn && self.is_view_head(sender) {
             self.record_learned_commit(&transfer);
@@ -54,6 +55,7 @@
         }
     }
 
+    /// Writes what the transfer adds, and answers once that is durable.
     fn apply_transfer(&mut self, from: SocketAddrV4, transfer: Transfer) {
         let (purpose, position) = (transfer.purpose, transfer.position);
         match self.durable_state.classify_transfer(&transfer) {
@@ -92,6 +94,7 @@
         }
     }
 
+    /// Answers whether the state transferred is durable here.
     pub(super) fn respond_to_transfer(&mut self, to: SocketAddrV4, purpose: TransferPurpose, stored: bool) {
         if stored && purpose == TransferPurpose::Learn {
             self.mark_durable_state_committed();
@@ -105,6 +108,7 @@
         self.send(to, MessageBody::TransferResponse(response));
     }
 
+    /// A node answers a transfer of this node.
     pub(super) fn on_transfer_response(
         &mut self,
         from: SocketAddrV4,
--- a/crates/lockusher-control/src/replica/view_installation.rs
+++ b/crates/lockusher-control/src/replica/view_installation.rs
@@ -43,6 +43,7 @@
         );
     }
 
+    /// A view is on disk: this node may act in it if it is the newest.
     pub(super) fn on_view_durable(&mut self, epoch: u64) {
         self.durable_epoch = self.durable_epoch.max(epoch);
         if epoch == self.epoch() {
--- a/crates/lockusher-control/src/replica/voting.rs
+++ b/crates/lockusher-control/src/replica/voting.rs
@@ -12,6 +12,7 @@
 use crate::view::View;
 
 impl Replica {
+    /// Phase 1b: promise, and report what was accepted before.
     pub(super) fn on_prepare(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber) {
         if !self.acts_as_acceptor() {
             return;
@@ -35,6 +36,7 @@
         self.send_after_acceptor_writes(from, MessageBody::PrepareResponse { proposal_number, accepted });
     }
 
+    /// Phase 2b: accept, unless a higher number was promised.
     pub(super) fn on_accept(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber, view: View) {
         let epoch = self.epoch();
         if !self.acts_as_acceptor() || view.epoch != epoch + 1 {
@@ -61,6 +63,7 @@
         self.send_after_acceptor_writes(from, MessageBody::AcceptResponse { proposal_number });
     }
 
+    /// Whether this node votes in the newest view.
     fn acts_as_acceptor(&self) -> bool {
         self.is_voter() || (bug_injected!(self.bug_injection, StrangersCount) && self.view.is_some())
     }
--- a/crates/lockusher-control/src/view_change.rs
+++ b/crates/lockusher-control/src/view_change.rs
@@ -70,16 +70,19 @@
     plan_addition(context, &remaining).or_else(|| plan_removal(context, &remaining))
 }
 
+/// Healthy members of the present chain, in its order.
 fn remaining_chain(context: &ViewChangeContext) -> Vec<Identity> {
     let chain = context.view.chain.iter();
     chain.copied().filter(|member| context.healthy_members.contains(member)).collect()
 }
 
+/// A view for an epoch that must end: with the joiners that have the sealed state, else the remaining chain, else as
+/// few joiners as it takes.
 fn plan_required_change(context: &ViewChangeContext, remaining: &[Identity]) -> Option<ViewChange> {
-    let holding_sealed_state: Vec<JoinCandidate> =
+    let candidates_with_sealed_state: Vec<JoinCandidate> =
         context.join_candidates.iter().copied().filter(|joiner| joiner.has_sealed_state).collect();
     let with_sealed_state =
-        context.sealed.then(|| compose_view(context, remaining, &holding_sealed_state)).flatten();
+        context.sealed.then(|| compose_view(context, remaining, &candidates_with_sealed_state)).flatten();
     with_sealed_state
         .or_else(|| compose_view(context, remaining, &[]))
         .or_else(|| compose_shortest_view(context, remaining))
@@ -95,6 +98,7 @@
     (1..=joiners.len()).find_map(|count| compose_view(context, remaining, &joiners[..count]))
 }
 
+/// A view with further members, for an epoch that could go on.
 fn plan_addition(context: &ViewChangeContext, remaining: &[Identity]) -> Option<ViewChange> {
     if !context.may_add_members {
         return None;
@@ -176,6 +180,7 @@
     }
 }
 
+/// The view, if its chain is a majority of its voters.
 fn finish_view(
     context: &ViewChangeContext,
     voters: Vec<Member>,
