--- a/crates/lockusher-control-simulation/src/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -1,4 +1,6 @@
-//! The operators' calls and what is made of the answers.
+//! The operators' calls: which node they reach and when, and what the operator and the reference model make of the replies.
+
+use std::ops::Range;
 
 use lockusher_control::{Event, Millis, Reply, Request, RequestTicket};
 use rand::RngExt;
@@ -9,12 +11,12 @@
     violation::ModelViolation,
 };
 
-/// An operator moves on after this silence.
+/// An operator gives a call up if no reply has come after this time.
 const OPERATOR_TIMEOUT_MS: Millis = 1000;
-/// One change in so many reaches another machine, too, sooner or later.
+/// One call with a change in so many is duplicated; the duplicate reaches some machine later.
 const DUPLICATE_ONE_CALL_IN: u32 = 8;
-/// How late a doubled call comes at most.
-const CALL_DELAY_MS: std::ops::Range<Millis> = 1..12_000;
+/// How late a duplicated call arrives.
+const CALL_DELAY_MS: Range<Millis> = 1..12_000;
 
 impl Cluster {
     pub(crate) fn step_operators(&mut self) {
@@ -69,14 +71,14 @@
         self.event(node, Event::Request { ticket, request });
     }
 
-    /// The same call reaches some machine late, also one that doesn't run now.
+    /// A duplicate of the call reaches some machine later, also one that doesn't run now.
     fn delay_call(&mut self, request: Request) {
         let node = self.random.random_range(0..self.nodes.len());
         let due = self.now + self.random.random_range(CALL_DELAY_MS);
         self.delayed_calls.push(DelayedCall { due, node, request });
     }
 
-    /// Delivers calls that were held, once their machine runs; one that is down or gone loses them.
+    /// Delivers delayed calls that are due: to a frozen process once it runs again, and not at all to one that is down.
     pub(crate) fn deliver_delayed_calls(&mut self) {
         let now = self.now;
         let (due, later): (Vec<DelayedCall>, Vec<DelayedCall>) =
@@ -94,12 +96,12 @@
         }
     }
 
-    /// Asks one machine and waits for its answer.
+    /// Calls one machine and waits for its reply.
     pub(crate) fn request(&mut self, number: usize, request: Request) -> Option<Reply> {
         self.request_within(number, request, OPERATOR_TIMEOUT_MS)
     }
 
-    /// Asks one machine and waits for its answer for this time. It may still come, see [`Cluster::await_reply`].
+    /// Calls one machine and waits for its reply for this time. It may still come, see [`Cluster::await_reply`].
     pub fn request_within(&mut self, number: usize, request: Request, timeout: Millis) -> Option<Reply> {
         self.next_request += 1;
         let ticket = RequestTicket(self.next_request);
@@ -108,7 +110,7 @@
         self.await_reply(timeout)
     }
 
-    /// Waits for the answer to the last question.
+    /// Waits for the reply to the last call of [`Cluster::request_within`].
     pub fn await_reply(&mut self, timeout: Millis) -> Option<Reply> {
         let deadline = self.now + timeout;
         while self.now < deadline {
@@ -121,15 +123,15 @@
     }
 
     pub(crate) fn on_reply(&mut self, ticket: RequestTicket, reply: Reply) {
-        if let Some((asked, answer)) = &mut self.pending_request
-            && *asked == ticket
+        if let Some((pending, pending_reply)) = &mut self.pending_request
+            && *pending == ticket
         {
-            *answer = Some(reply);
+            *pending_reply = Some(reply);
             return;
         }
-        let is_it =
+        let is_caller =
             |operator: &&mut Operator| operator.call.as_ref().is_some_and(|call| call.ticket == ticket);
-        let Some(operator) = self.operators.iter_mut().find(is_it) else { return };
+        let Some(operator) = self.operators.iter_mut().find(is_caller) else { return };
         let Some(call) = operator.call.take() else { return };
         operator.idle_until = self.now + self.random.random_range(0..100);
         if call.is_read {
--- a/crates/lockusher-control-simulation/src/disk.rs
+++ b/crates/lockusher-control-simulation/src/disk.rs
@@ -8,30 +8,31 @@
 
 use crate::disk_contents::DiskContents;
 
-/// The log and the writes under way.
+/// The log and the writes in flight.
 #[derive(Debug, Default)]
 pub struct Disk {
     log: Vec<DurableRecord>,
     /// What the log adds up to.
     contents: DiskContents,
-    /// It was altered behind the back of its owner.
+    /// It was corrupted in a way that its owner can't notice.
     corrupted: bool,
     writes: VecDeque<Write>,
     /// Nothing is synced until then.
     pub stalled_until: Millis,
-    /// What is refused.
+    /// Free space: what is refused.
     pub space: DiskSpace,
     normal_max_sync: Millis,
     /// Longest time that a sync takes now.
     pub max_sync: Millis,
 }
 
-/// Room on a disk.
+/// Free space on a disk.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum DiskSpace {
+    /// Nothing is refused.
     #[default]
     Sufficient,
-    /// For votes only: entries and states are refused.
+    /// Enough for the acceptor's records: entries and states are refused.
     VotesOnly,
     /// Every write is refused.
     Full,
@@ -56,12 +57,12 @@
 const SNAPSHOT_AFTER_RECORDS: usize = 60;
 
 impl Disk {
-    /// An empty disk whose syncs usually take up to this time.
+    /// An empty disk whose syncs normally take up to this time.
     pub fn new(normal_max_sync: Millis) -> Self {
         Self { normal_max_sync, max_sync: normal_max_sync, ..Self::default() }
     }
 
-    /// Ends slowness, stalls and the lack of room; what waited is written at the usual pace.
+    /// Ends slowness, stalls and the lack of space; writes in flight go on at the normal pace.
     pub fn recover(&mut self, now: Millis) {
         let mut usual_due = now;
         for write in &mut self.writes {
@@ -73,7 +74,7 @@
         self.space = DiskSpace::Sufficient;
     }
 
-    /// Begins a write.
+    /// Starts a write.
     pub fn write(
         &mut self,
         ticket: PersistTicket,
@@ -86,7 +87,7 @@
         self.writes.push_back(Write { ticket, records, due });
     }
 
-    /// Whether it works as usual.
+    /// Whether it works as normal.
     pub fn is_healthy(&self, now: Millis) -> bool {
         self.stalled_until <= now
             && self.space == DiskSpace::Sufficient
@@ -116,7 +117,7 @@
         self.log.extend_from_slice(records);
     }
 
-    /// The process ends or power is lost: of the writes under way, some may be there, in order.
+    /// The process ends or power is lost: of the writes in flight, the first few may be durable.
     pub fn interrupt(&mut self, random: &mut ChaCha8Rng) {
         let completed = random.random_range(0..=self.writes.len());
         for write in std::mem::take(&mut self.writes).into_iter().take(completed) {
@@ -152,7 +153,7 @@
         false
     }
 
-    /// What it durably holds; none if it was altered behind the back of its owner.
+    /// What it durably holds; none if it was corrupted.
     pub fn contents(&self) -> Option<&DiskContents> {
         (!self.corrupted).then_some(&self.contents)
     }
--- a/crates/lockusher-control-simulation/src/disk_contents.rs
+++ b/crates/lockusher-control-simulation/src/disk_contents.rs
@@ -81,7 +81,7 @@
         self.durable_state.state.has_applied(digest)
     }
 
-    /// In what another sum, which should be the same, falls behind this one; none if it doesn't.
+    /// The first part that is missing or older in another sum, which should be the same; none if there is none.
     pub fn first_missing_in(&self, other: &DiskContents) -> Option<DurablePart> {
         let epoch = self.epoch();
         if self.identity != other.identity {
--- a/crates/lockusher-control-simulation/src/disk_losses.rs
+++ b/crates/lockusher-control-simulation/src/disk_losses.rs
@@ -1,19 +1,30 @@
 //! Losses of disks, and how many of them a deployment has to bear at once.
 //!
 //! Only lost disks are counted: machines may be down, frozen or isolated beside them in any number. A lost disk counts until
-//! its successor has been well for the time to catch up, with a majority of the voters there to feed it.
+//! its successor has been healthy for the time to catch up, with a majority of the voters there to update it.
+
+use std::ops::Range;
 
 use lockusher_control::{Millis, view_change::MAX_VOTERS};
 use rand::RngExt;
 
 use crate::cluster::{CATCH_UP_MS, Cluster};
 
-/// Time that a machine that lost its disk is down, and that a replacement takes to come.
-const SHORT_DOWNTIME_MS: std::ops::Range<Millis> = 20..1000;
+/// How long a machine that lost its disk is down, and a replacement takes to come.
+const SHORT_DOWNTIME_MS: Range<Millis> = 20..1000;
 /// Most machines ever added, so that addresses stay apart.
 const MAX_MACHINES: usize = 60;
 
-/// Which machine a loss is aimed at.
+/// How long the operators go on between two looks at the cluster.
+const STEP_MS: Range<Millis> = 5..60;
+/// The same while most processes are down.
+const ALL_DOWN_STEP_MS: Range<Millis> = 20..120;
+/// How long a minority is partitioned from the others.
+const PARTITION_MS: Range<Millis> = 500..4000;
+/// How long the others are down after that.
+const LONG_DOWNTIME_MS: Range<Millis> = 1000..8000;
+
+/// Which machine a loss hits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Target {
     Any,
@@ -24,7 +35,7 @@
 }
 
 impl Cluster {
-    /// A machine counts as troubled until it has been well for a while; notes which are not well now.
+    /// Records which machines are unhealthy now, and which have been healthy for long enough to have caught up.
     pub(crate) fn update_node_health(&mut self) {
         let now = self.now;
         let lossy = self.network.loss > 0 || self.network.delayed > 0;
@@ -47,7 +58,7 @@
         }
     }
 
-    /// Whether a majority of the newest view's voters, with their disks, are well.
+    /// Whether a majority of the newest view's voters, with their disks, are healthy.
     fn has_healthy_majority(&self) -> bool {
         let Some(view) = self.invariants.newest_view() else { return false };
         let healthy = self.nodes.iter().filter(|node| !node.removed && node.unhealthy_at != self.now);
@@ -61,7 +72,7 @@
         self.tolerated_losses().saturating_sub(lost.count())
     }
 
-    /// Without further faults until a disk may be lost again; the operators go on. Whether one may.
+    /// Ends the faults and waits until a disk may be lost again; the operators go on. Whether one may.
     pub(crate) fn wait_until_disk_loss_allowed(&mut self) -> bool {
         if self.disk_losses_allowed() > 0 {
             return true;
@@ -69,13 +80,13 @@
         self.end_faults();
         let deadline = self.now + 3 * CATCH_UP_MS;
         while self.disk_losses_allowed() == 0 && self.now < deadline {
-            self.step_during_fault(5..60);
+            self.step_during_fault(STEP_MS);
         }
         self.disk_losses_allowed() > 0
     }
 
-    /// The operators go on for a moment within a fault.
-    pub(crate) fn step_during_fault(&mut self, interval: std::ops::Range<Millis>) {
+    /// The operators go on for a moment while a fault lasts.
+    pub(crate) fn step_during_fault(&mut self, interval: Range<Millis>) {
         self.update_node_health();
         self.step_operators();
         let interval = self.fault_random.random_range(interval);
@@ -91,18 +102,18 @@
             _ => Target::Any,
         };
         let present = self.present();
-        let born = |number: &usize| self.nodes[*number].disk_born;
-        let aimed = match target {
+        let disk_age = |number: &usize| self.nodes[*number].disk_born;
+        let machine = match target {
             Target::Any => None,
             Target::Head => self.head(),
             Target::Tail => self.chain().last().copied(),
-            Target::NewestDisk => present.iter().copied().max_by_key(born),
-            Target::OldestDisk => present.iter().copied().min_by_key(born),
+            Target::NewestDisk => present.iter().copied().max_by_key(disk_age),
+            Target::OldestDisk => present.iter().copied().min_by_key(disk_age),
         };
-        aimed.filter(|number| present.contains(number)).unwrap_or_else(|| self.pick_machine())
+        machine.filter(|number| present.contains(number)).unwrap_or_else(|| self.pick_machine())
     }
 
-    /// Machines lose their disks, at times while all others lose power.
+    /// Machines lose their disks; with `crash_others`, while all processes are killed.
     pub(crate) fn lose_disks(&mut self, crash_others: bool) {
         if !self.wait_until_disk_loss_allowed() {
             return;
@@ -164,7 +175,7 @@
         self.nodes[successor].disk_lost = true;
         let deadline = self.now + 3 * CATCH_UP_MS;
         while self.nodes[successor].disk_lost && self.now < deadline {
-            self.step_during_fault(5..60);
+            self.step_during_fault(STEP_MS);
         }
         let joined = !self.nodes[successor].disk_lost;
         self.stop(number);
@@ -194,20 +205,20 @@
         let in_turn: Vec<usize> = present.iter().cycle().skip(skip).take(present.len()).copied().collect();
         let (minority, others) = in_turn.split_at((present.len() - 1) / 2);
         self.partition_groups(minority, others);
-        let until = self.now + self.fault_random.random_range(500..4000);
+        let until = self.now + self.fault_random.random_range(PARTITION_MS);
         while self.now < until {
-            self.step_during_fault(5..60);
+            self.step_during_fault(STEP_MS);
         }
         let Some((lost, rest)) = others.split_first() else { return };
         self.lose_disk_if_allowed(*lost);
-        let downtime = self.fault_random.random_range(1000..8000);
+        let downtime = self.fault_random.random_range(LONG_DOWNTIME_MS);
         for number in rest {
             self.crash(*number, downtime);
         }
         self.heal_network();
         let until = self.now + downtime;
         while self.now < until {
-            self.step_during_fault(20..120);
+            self.step_during_fault(ALL_DOWN_STEP_MS);
         }
     }
 }
--- a/crates/lockusher-control-simulation/src/fault_actions.rs
+++ b/crates/lockusher-control-simulation/src/fault_actions.rs
@@ -8,7 +8,7 @@
     node::Node,
 };
 
-/// Time that a process is left after it was told to stop.
+/// Time that a process has to hand over after it was announced that it stops.
 const STOP_MS: Millis = 300;
 
 impl Cluster {
@@ -37,7 +37,7 @@
         node.disk_born = now;
     }
 
-    /// The configuration on this machine's disk is another one from now on. Whether it held one.
+    /// Replaces the configuration on this machine's disk by another one, which no checksum shows. Whether it held one.
     pub fn corrupt_disk(&mut self, number: usize) -> bool {
         log::debug!("{}: disk of machine {number} corrupted", self.now);
         self.nodes[number].disk.corrupt()
@@ -72,14 +72,14 @@
         self.nodes[number].frozen_until = self.now + duration;
     }
 
-    /// Messages of one machine to another are lost from now on.
+    /// Loses the messages of one machine to another from now on.
     pub fn partition_link(&mut self, from: usize, to: usize) {
         let (from, to) = (self.nodes[from].address, self.nodes[to].address);
         log::debug!("{}: link partitioned from {from} to {to}", self.now);
         self.network.partition_link(from, to);
     }
 
-    /// Ends all trouble of the network.
+    /// Ends all partitions, losses, duplicates and delays of the network.
     pub fn heal_network(&mut self) {
         log::debug!("{}: network healed", self.now);
         self.network.heal();
@@ -91,7 +91,7 @@
         self.nodes[number].disk.stalled_until = self.now + duration;
     }
 
-    /// The disk refuses writes from now on: all, or all but votes.
+    /// Lets a disk refuse writes from now on, according to its free space.
     pub fn fill_disk(&mut self, number: usize, space: DiskSpace) {
         log::debug!("{}: disk of machine {number} full", self.now);
         self.nodes[number].disk.space = space;
@@ -103,13 +103,13 @@
         self.nodes[number].disk.max_sync = max_sync;
     }
 
-    /// All disks work as usual again.
+    /// Lets all disks work as normal again.
     pub fn recover_disks(&mut self) {
         let now = self.now;
         self.nodes.iter_mut().for_each(|node| node.disk.recover(now));
     }
 
-    /// All machines work, and all that are down start.
+    /// Ends all faults: every machine works, and all that are down start.
     pub fn end_faults(&mut self) {
         log::debug!("{}: all faults end", self.now);
         self.network.heal();
--- a/crates/lockusher-control-simulation/src/fault_injection.rs
+++ b/crates/lockusher-control-simulation/src/fault_injection.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Nothing passes between these machines and those.
+    /// Partitions two groups of machines from each other.
     pub(crate) fn partition_groups(&mut self, some: &[usize], others: &[usize]) {
         for first in some {
             for second in others {
@@ -174,14 +174,14 @@
         }
     }
 
-    /// Nothing passes between a machine and all others.
+    /// Partitions a machine from all others.
     pub(crate) fn isolate(&mut self, number: usize) {
         let others: Vec<usize> = (0..self.nodes.len()).filter(|other| *other != number).collect();
         self.partition_groups(&[number], &others);
     }
 
-    /// A machine hears nothing, isn't heard, or both; or it is frozen, or its disk stalls; for many seconds, while the
-    /// operators go on and reach it.
+    /// A machine receives nothing, or sends nothing, or both; or it is frozen, or its disk stalls; for many seconds, while
+    /// the operators go on and reach it.
     fn cause_long_outage(&mut self) {
         let number = if self.fault_random.random_ratio(1, 2) { self.head() } else { None };
         let number = number.unwrap_or_else(|| self.pick_machine());
--- a/crates/lockusher-control-simulation/src/invariant_checks.rs
+++ b/crates/lockusher-control-simulation/src/invariant_checks.rs
@@ -1,6 +1,6 @@
-//! Compares what the nodes do with what they owe: obligations towards each other, and copies of what is committed.
+//! Where a run checks the invariants of the protocol: at each message sent, record stored, view adopted, start and snapshot.
 
-use lockusher_control::{DurableRecord, Identity, Message};
+use lockusher_control::{DurableRecord, Identity, Message, Replica};
 
 use crate::{cluster::Cluster, disk_contents::DiskContents, options::Checks, violation::InvariantViolation};
 
@@ -15,7 +15,7 @@
         }
     }
 
-    /// A node sends a message.
+    /// Checks a message that a node sends.
     pub(crate) fn check_sent(&mut self, number: usize, message: &Message) {
         if !self.checks_invariants() {
             return;
@@ -25,7 +25,7 @@
         self.report(checked);
     }
 
-    /// Records of a node have become durable.
+    /// Checks records of a node that have become durable.
     pub(crate) fn check_written(&mut self, number: usize, records: &[DurableRecord]) {
         if !self.checks_invariants() {
             return;
@@ -36,9 +36,9 @@
         self.report(checked);
     }
 
-    /// A node may have adopted a view.
+    /// Checks the view of a node, if it has adopted a new one.
     pub(crate) fn check_adopted(&mut self, number: usize) {
-        let Some(view) = self.nodes[number].replica.as_ref().and_then(|replica| replica.view()) else {
+        let Some(view) = self.nodes[number].replica.as_ref().and_then(Replica::view) else {
             return;
         };
         if view.epoch <= self.nodes[number].adopted_epoch {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Every member of the newest chain whose disk isn't lost holds the newest configuration that was committed.
+    /// Checks that every member of the newest chain whose disk isn't lost has stored the newest committed configuration.
     pub(crate) fn check_committed_is_stored(&mut self) {
         if !self.checks_invariants() {
             return;
@@ -81,7 +81,7 @@
         of_identity.next()
     }
 
-    /// A process has started: what it makes of its disk is what the disk holds.
+    /// Checks that a process that has started recovered all that its disk holds.
     pub(crate) fn check_recovered(&mut self, number: usize) {
         let node = &self.nodes[number];
         let (Some(replica), Some(disk)) = (&node.replica, node.disk.contents()) else { return };
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A snapshot takes the place of the log: it holds the same.
+    /// Checks that a snapshot that is about to replace the log holds the same.
     pub(crate) fn check_snapshot(&mut self, number: usize, records: &[DurableRecord]) {
         let node = &self.nodes[number];
         let Some(disk) = node.disk.contents().filter(|_| self.checks_invariants()) else {
--- a/crates/lockusher-control-simulation/src/invariants.rs
+++ b/crates/lockusher-control-simulation/src/invariants.rs
@@ -1,7 +1,9 @@
-//! What each node owes by what it has told others or made durable, whatever the operators notice of it.
+//! Invariants of the protocol: what a node may send and store, given what it sent and stored before.
 //!
-//! A broken obligation is a mistake of the program even in a run in which another guard prevents the harm. It shows long
-//! before the rare sequence of faults in which an operator would be told something wrong.
+//! A violation is a bug even in a run in which another guard prevents the harm. It shows long before the rare sequence of
+//! faults in which an operator would observe something wrong. The rules of the agreement are those of an acceptor of
+//! single-decree Paxos (Lamport, "Paxos Made Simple", 2001), those of the chain are chain replication's (van Renesse and
+//! Schneider, OSDI 2004), with reconfiguration by sealing the former chain.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -14,11 +16,11 @@
 
 use crate::{disk_contents::DiskContents, view_succession::check_succession, violation::InvariantViolation};
 
-/// All that was told and decided.
+/// All that nodes have sent and decided, as far as invariants depend on it.
 #[derive(Debug, Default)]
 pub struct ProtocolInvariants {
     sent_by_disk: BTreeMap<(Identity, u64), SentInEpoch>,
-    /// Views that a majority was found to have accepted, by epoch.
+    /// Views that nodes have adopted, by epoch.
     views: BTreeMap<u64, View>,
     /// Views that voters were asked to accept, by the epoch that they follow.
     proposed_views: BTreeMap<(u64, ProposalNumber), View>,
@@ -28,11 +30,11 @@
     entries: BTreeMap<(u64, u64), Digest>,
 }
 
-/// What the owner of a disk has told in an epoch. A vote that is durable and wasn't told binds nobody: a disk that refuses
-/// writes may hold one of an epoch whose view it lacks.
+/// What the owner of a disk has sent in an epoch. A promise or acceptance that is durable and wasn't sent binds nobody: a
+/// disk that refuses writes may hold one of an epoch whose view it lacks.
 #[derive(Debug, Default)]
 struct SentInEpoch {
-    /// Ballots promised, each with that of the view which it reported as accepted before.
+    /// Proposal numbers promised, each with that of the accepted view which the response reported.
     promises: BTreeMap<ProposalNumber, Option<ProposalNumber>>,
     accepted: BTreeSet<ProposalNumber>,
     /// History digest of the sealed state that it handed over.
@@ -40,7 +42,11 @@
 }
 
 impl ProtocolInvariants {
-    /// A node sends a message while its disk holds this.
+    /// Checks a message that a node sends while its disk holds this.
+    ///
+    /// # Errors
+    ///
+    /// The invariant that the message violates.
     pub fn sent(&mut self, message: &Message, disk: &DiskContents) -> Result<(), InvariantViolation> {
         let (sender, epoch) = (message.sender, message.epoch);
         match &message.body {
@@ -79,7 +85,7 @@
     }
 
     /// A promise reports whatever was accepted under lower proposal numbers. Messages may be late, so that it doesn't matter which
-    /// of the two was told first.
+    /// of the two was sent first.
     fn check_promise(
         &mut self,
         sender: Identity,
@@ -159,7 +165,7 @@
         }
     }
 
-    /// An entry goes down the chain: the sender holds it.
+    /// An entry that is sent down the chain has been stored by the sender.
     fn check_entry_sent(
         &mut self,
         epoch: u64,
@@ -192,7 +198,11 @@
         }
     }
 
-    /// Records of this disk have become durable.
+    /// Checks records of this disk that have become durable.
+    ///
+    /// # Errors
+    ///
+    /// The invariant that a record violates.
     pub fn written(
         &mut self,
         identity: Identity,
@@ -229,7 +239,11 @@
         }
     }
 
-    /// A node adopts a view. Whether it is the first to do so, or what is wrong with the view.
+    /// Checks a view that a node adopts. Whether it is the first to do so.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with the view.
     pub fn adopted(&mut self, view: &View, minimum_voters: usize) -> Result<bool, InvariantViolation> {
         if let Some(known) = self.views.get(&view.epoch) {
             return if known == view {
--- a/crates/lockusher-control-simulation/src/lib.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -1,10 +1,18 @@
 //! Deterministic simulation of a group of control nodes in virtual time, under faults drawn from a seed.
 //!
-//! Messages are lost, doubled, reordered and held up; processes are killed, frozen and cut off, one way and both;
-//! power fails, disks stall, fill up and are lost; machines are replaced; calls arrive late and twice. Some faults are
-//! aimed: at steps of the protocol (`targeted_faults`), and at the moment in which an earlier loss is over (`disk_losses`). What operators
-//! are told is compared with a plain model of the configuration ([`ReferenceModel`]), and what the nodes do with what they owe each
-//! other (`invariants`).
+//! A run plays the replicas of `lockusher-control`, which have no I/O and no clock, against a simulated network, simulated
+//! disks and operators that write and read. Messages are lost, duplicated, reordered and delayed; processes are killed,
+//! frozen and partitioned, one way and both; disks stall, fill up and are lost; machines are replaced; calls arrive late and
+//! twice. Targeted faults hit a node in the middle of a step of the protocol.
+//!
+//! Two things are checked: what operators and agents observe is compared with a reference model of the configuration, and
+//! what each node sends and stores with the invariants of the protocol. See [`ViolationKind`].
+//!
+//! The same [`SimulationOptions`] play the same run, event by event. [`shrink`] reduces a run with a violation to few steps
+//! and few faults. [`Cluster`] is for scenarios that name their faults.
+//!
+//! Called by this package's tests and by `lockusher-aggregator-testbed chain` and `chain-injected-bugs`; never part of the
+//! product.
 
 mod calls;
 mod cluster;
--- a/crates/lockusher-control-simulation/src/network.rs
+++ b/crates/lockusher-control-simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! A simulated network: messages under way, and cuts.
+//! A simulated network: messages in flight, and partitioned links.
 
 use std::{
     cmp::Reverse,
@@ -10,7 +10,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Messages are held by their order of arrival.
+/// The network between all machines. Messages in flight are ordered by their time of arrival.
 #[derive(Debug, Default)]
 pub struct Network {
     arrivals: BinaryHeap<Reverse<(Millis, u64)>>,
@@ -19,9 +19,9 @@
     partitioned_links: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
     /// Messages lost, in percent.
     pub loss: u32,
-    /// Messages doubled, in percent.
+    /// Messages duplicated, in percent.
     pub duplicated: u32,
-    /// Messages held up for long, in percent.
+    /// Messages delayed for long, in percent.
     pub delayed: u32,
     /// Messages sent.
     pub sent: u64,
@@ -39,9 +39,9 @@
 
 /// One message in so many is encoded and decoded on its way.
 const ENCODE_ONE_MESSAGE_IN: u64 = 16;
-/// Usual time on the way.
+/// Normal time in flight.
 const NORMAL_DELAY_MS: std::ops::RangeInclusive<Millis> = 1..=12;
-/// Time on the way of a message held up.
+/// Time in flight of a delayed message.
 const LONG_DELAY_MS: std::ops::RangeInclusive<Millis> = 20..=1500;
 
 impl Network {
@@ -71,7 +71,7 @@
         self.arrivals.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Takes the next message if it is due. A sample takes its form on the wire. Messages into a cut are lost.
+    /// Takes the next message if it is due. A sample takes its form on the wire. Messages on a partitioned link are lost.
     pub fn arrive(&mut self, now: Millis) -> Option<Option<Delivery>> {
         if self.next_due()? > now {
             return None;
@@ -90,12 +90,12 @@
         Some(message.map(|message| Delivery { message, ..delivery }))
     }
 
-    /// Cuts one direction.
+    /// Partitions one direction of a link.
     pub fn partition_link(&mut self, from: SocketAddrV4, to: SocketAddrV4) {
         self.partitioned_links.insert((from, to));
     }
 
-    /// Ends all cuts and all trouble.
+    /// Ends all partitions, losses, duplicates and delays.
     pub fn heal(&mut self) {
         self.partitioned_links.clear();
         self.loss = 0;
@@ -103,7 +103,7 @@
         self.delayed = 0;
     }
 
-    /// Whether a node is on either side of a cut.
+    /// Whether any link of a node is partitioned.
     pub fn is_partitioned(&self, address: SocketAddrV4) -> bool {
         self.partitioned_links.iter().any(|(from, to)| *from == address || *to == address)
     }
--- a/crates/lockusher-control-simulation/src/node.rs
+++ b/crates/lockusher-control-simulation/src/node.rs
@@ -6,7 +6,7 @@
 
 use crate::disk::Disk;
 
-/// Longest time that a sync takes.
+/// Longest time that a sync of a healthy disk takes.
 const MAX_SYNC_MS: Millis = 6;
 
 /// One machine.
@@ -20,17 +20,17 @@
     /// When a process that is down starts again; `None` for a removed machine.
     pub start_at: Option<Millis>,
     pub next_tick: Millis,
-    /// When trouble on this machine last was seen.
+    /// When this machine was last unhealthy.
     pub unhealthy_at: Millis,
     /// Removed for good.
     pub removed: bool,
     /// Starts as part of the first start.
     pub first_start: bool,
-    /// Version last reported as committed in this life.
+    /// Version last reported as committed by this incarnation of the process.
     pub committed_version: u64,
     /// Epoch of the newest view that it was seen to adopt.
     pub adopted_epoch: u64,
-    /// Its disk is empty and hasn't had the time to be filled again, or it is a new machine in place of a lost one.
+    /// Its disk was lost, or it is new, and it hasn't had the time to catch up.
     pub disk_lost: bool,
     /// When its disk was new.
     pub disk_born: Millis,
--- a/crates/lockusher-control-simulation/src/observation.rs
+++ b/crates/lockusher-control-simulation/src/observation.rs
@@ -22,12 +22,12 @@
     /// The machine that is head, if exactly one calls itself so in the newest epoch.
     pub fn head(&self) -> Option<usize> {
         let heads = (0..self.nodes.len())
-            .filter(|number| self.nodes[*number].replica.as_ref().is_some_and(|replica| replica.is_head()));
+            .filter(|number| self.nodes[*number].replica.as_ref().is_some_and(Replica::is_head));
         heads.max_by_key(|number| self.epoch_of(*number))
     }
 
     fn epoch_of(&self, number: usize) -> u64 {
-        let view = self.nodes[number].replica.as_ref().and_then(|replica| replica.view());
+        let view = self.nodes[number].replica.as_ref().and_then(Replica::view);
         view.map_or(0, |view| view.epoch)
     }
 
@@ -50,7 +50,7 @@
     pub fn is_member(&self, number: usize) -> bool {
         let newest = (0..self.nodes.len()).map(|number| self.epoch_of(number)).max();
         newest == Some(self.epoch_of(number))
-            && self.nodes[number].replica.as_ref().is_some_and(|replica| replica.is_clean())
+            && self.nodes[number].replica.as_ref().is_some_and(Replica::is_clean)
     }
 
     /// Runs until the condition holds; the time it took, or `None` after `limit`.
--- a/crates/lockusher-control-simulation/src/operator.rs
+++ b/crates/lockusher-control-simulation/src/operator.rs
@@ -1,4 +1,4 @@
-//! A simulated operator: sends configurations and reads them, and repeats what wasn't answered.
+//! A simulated operator: sends configurations, whole ones and patches, reads them, and retries what wasn't answered.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 /// One change in so many is a patch.
 const PATCH_ONE_CHANGE_IN: u32 = 3;
 
-/// What a patch makes of a configuration: it depends on both.
+/// The configuration that a patch makes of another one: it depends on both.
 pub fn patched(version: u64, patch: Digest, base: Digest) -> ConfigurationDocument {
     let body = format!("{{\"version\":{version},\"patch\":\"{patch}\",\"base\":\"{base}\"}}");
     ConfigurationDocument::patched(version, patch, Arc::from(body.into_bytes()))
@@ -20,17 +20,17 @@
 #[derive(Debug)]
 pub struct Operator {
     pub number: usize,
-    /// Version that it believes current.
+    /// The newest version that it knows.
     pub known_version: u64,
-    /// The change that it wants taken, with the version it builds on.
+    /// The change that it wants committed, until that is decided.
     pub change: Option<Change>,
     pub call: Option<Call>,
     /// Nothing is sent before then.
     pub idle_until: Millis,
     written: u64,
-    /// Machine asked last; another one is asked next, if there is one.
+    /// The machine called last; another one is called next, if there is one.
     pub last_node: Option<usize>,
-    /// Changes acknowledged to it, some of which it sends again.
+    /// Changes acknowledged to it, some of which it resends.
     pub acknowledged: Vec<Change>,
 }
 
@@ -42,7 +42,7 @@
     pub version: u64,
     pub if_match: u64,
     pub content: Content,
-    /// It was acknowledged before, and is sent again.
+    /// It was acknowledged before, and is resent.
     pub is_resent: bool,
 }
 
@@ -56,17 +56,17 @@
     },
 }
 
-/// A call under way.
+/// A call in flight.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub ticket: RequestTicket,
     pub deadline: Millis,
-    /// Highest version told when it began.
+    /// Highest version acknowledged or read when the call started: a later read must not be below.
     pub floor: u64,
     pub is_read: bool,
 }
 
-/// A call that is held on its way; nobody waits for its answer.
+/// A duplicated call that is delayed on its way; nobody waits for its reply.
 #[derive(Clone, Debug)]
 pub struct DelayedCall {
     pub due: Millis,
@@ -75,7 +75,7 @@
 }
 
 impl Operator {
-    /// An operator that believes nothing is there.
+    /// An operator that knows of no configuration.
     pub fn new(number: usize) -> Self {
         Self {
             number,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The next change to be sent; the present one if it isn't decided.
+    /// The next change to be sent: the present one if it isn't decided yet.
     pub fn next_change(&mut self, random: &mut ChaCha8Rng) -> Change {
         if let Some(change) = &self.change {
             return change.clone();
@@ -104,7 +104,7 @@
         change
     }
 
-    /// A change on top of what it believes current.
+    /// A change that builds on the newest version it knows.
     fn new_change(&mut self, random: &mut ChaCha8Rng) -> Change {
         if self.known_version == 0 || !random.random_ratio(1, PATCH_ONE_CHANGE_IN) {
             return self.new_full_document(random);
@@ -115,7 +115,7 @@
         Change { identity, version, if_match, content: Content::Patch { base: None }, is_resent: false }
     }
 
-    /// A whole configuration on top of what it believes current.
+    /// A full configuration that builds on the newest version it knows.
     pub fn new_full_document(&mut self, random: &mut ChaCha8Rng) -> Change {
         let (version, body) = self.next_body(random);
         let document = ConfigurationDocument::new(version, Arc::from(body.into_bytes()));
@@ -132,14 +132,14 @@
         (version, body)
     }
 
-    /// A patch without a clear answer is sent again from its beginning.
+    /// A patch without a clear reply is retried from its first step, the request for its base.
     pub fn restart_patch(&mut self) {
         if let Some(Change { content: Content::Patch { base }, .. }) = &mut self.change {
             *base = None;
         }
     }
 
-    /// A patch that is asked for was told what it builds on: it goes on, true, or can't be applied to nothing.
+    /// Applies the patch to the configuration that it builds on. Whether there is a patch that waits for one.
     pub fn receive_base(&mut self, document: Option<ConfigurationDocument>) -> bool {
         match (&mut self.change, document) {
             (Some(Change { content: Content::Patch { base: base @ None }, .. }), Some(document)) => {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The same as it is to be sent first.
+    /// The same change before its base is known.
     pub fn without_base(mut self) -> Self {
         if let Content::Patch { base } = &mut self.content {
             *base = None;
--- a/crates/lockusher-control-simulation/src/options.rs
+++ b/crates/lockusher-control-simulation/src/options.rs
@@ -2,7 +2,7 @@
 
 use lockusher_control::InjectedBug;
 
-/// What is simulated.
+/// What is simulated; the same options play the same run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SimulationOptions {
     /// Control nodes at the start.
@@ -11,18 +11,18 @@
     pub seed: u64,
     /// Steps under faults; each is a fault, its end or an operator's call, and some tens of milliseconds.
     pub steps: usize,
-    /// A mistake that all nodes make, to show that it is found.
+    /// A bug that is injected into all nodes, to show that it is found.
     pub injected_bug: Option<InjectedBug>,
-    /// What the run is judged by.
+    /// What is checked.
     pub checks: Checks,
 }
 
-/// What a run is judged by.
+/// What is checked in a run.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Checks {
-    /// What operators and agents are told, and what nodes owe each other.
+    /// What operators and agents observe, and the invariants between nodes.
     #[default]
     All,
-    /// What operators and agents are told.
+    /// Only what operators and agents observe.
     ExternallyVisible,
 }
--- a/crates/lockusher-control-simulation/src/outcome.rs
+++ b/crates/lockusher-control-simulation/src/outcome.rs
@@ -19,12 +19,12 @@
     pub wipes: usize,
     /// Newest epoch at the end.
     pub epochs: u64,
-    /// Virtual time from the end of the faults until a write was acknowledged.
+    /// Virtual time from the end of the faults until a write was acknowledged, in milliseconds.
     pub recovery_ms: Millis,
-    /// Virtual time from the end of the faults until all machines were members of the chain.
+    /// Virtual time from the end of the faults until all machines were members of the chain, in milliseconds.
     pub settle_ms: Millis,
     /// Messages sent.
     pub messages: u64,
-    /// Faults that began, and ends of faults.
+    /// Faults that began or ended, in order.
     pub faults: Vec<FaultStep>,
 }
--- a/crates/lockusher-control-simulation/src/processes.rs
+++ b/crates/lockusher-control-simulation/src/processes.rs
@@ -140,7 +140,7 @@
                     node.committed_version = document.version;
                 }
                 Effect::RoleChanged { head: true, epoch } => {
-                    self.model.record_head(epoch, from, now, &mut self.violations)
+                    self.model.record_head(epoch, from, now, &mut self.violations);
                 }
                 Effect::RoleChanged { .. } | Effect::Members(_) => {}
             }
--- a/crates/lockusher-control-simulation/src/recovery.rs
+++ b/crates/lockusher-control-simulation/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The recovery after the faults of a run.
+//! The recovery after the faults of a run: writes go on, all machines become members, and everything acknowledged is there.
 
 use lockusher_control::{Millis, Request};
 
@@ -11,7 +11,7 @@
 const DISSEMINATION_MS: Millis = 2000;
 
 impl Cluster {
-    /// Ends all faults, and checks that the system comes back and holds what it told.
+    /// Ends all faults, and checks that the cluster recovers in time and holds what it acknowledged.
     pub fn run_recovery(&mut self) {
         if !self.violations.is_empty() {
             return;
--- a/crates/lockusher-control-simulation/src/reference_model.rs
+++ b/crates/lockusher-control-simulation/src/reference_model.rs
@@ -1,4 +1,8 @@
-//! The plain model: what operators were told, and whether it fits together.
+//! The reference model: a register of one configuration with compare-and-swap, to which everything that operators and agents
+//! observe is compared.
+//!
+//! What was acknowledged is never lost and never rejected later; of two changes that build on one version at most one is
+//! acknowledged; reads don't go back; an epoch has one head.
 
 use std::collections::BTreeMap;
 
@@ -20,13 +24,13 @@
     is_patch: bool,
 }
 
-/// All that was sent, told and committed.
+/// All changes that were sent, and what became of them.
 #[derive(Debug, Default)]
 pub struct ReferenceModel {
     sent: BTreeMap<Digest, SentChange>,
-    /// Identities of the requests that were committed, and what came of them, by version.
+    /// Identities of the requests that were committed, and the configurations that they made, by version.
     committed: BTreeMap<u64, (Digest, Digest)>,
-    /// Highest version that was acknowledged or read, by time.
+    /// Highest version that was acknowledged or read so far.
     floor: u64,
     heads: BTreeMap<u64, std::net::SocketAddrV4>,
     /// Configurations acknowledged.
@@ -71,7 +75,7 @@
         }
     }
 
-    /// A configuration was refused by a call that began when `in_place` was the newest version.
+    /// A configuration was rejected by a call that began when `in_place` was the newest version.
     pub fn record_rejected(
         &mut self,
         digest: Digest,
@@ -95,7 +99,7 @@
         self.newest_committed().map_or(0, |(version, _)| version)
     }
 
-    /// The newest configuration that a node holds to be committed: its version and the identity of its request.
+    /// The newest configuration that a node reported as committed: its version and the identity of its request.
     pub fn newest_committed(&self) -> Option<(u64, Digest)> {
         self.committed.last_key_value().map(|(version, (request, _))| (*version, *request))
     }
@@ -105,7 +109,7 @@
         self.floor
     }
 
-    /// A read was answered that began when `floor` was the highest version told.
+    /// A read was answered that began when `floor` was the highest version acknowledged or read.
     pub fn record_read(
         &mut self,
         document: Option<&ConfigurationDocument>,
@@ -123,7 +127,7 @@
         self.floor = self.floor.max(version);
     }
 
-    /// A node holds this configuration to be committed. Whether it is the first to do so.
+    /// A node reports this configuration as committed. Whether it is the first to do so.
     pub fn record_committed(
         &mut self,
         document: &ConfigurationDocument,
@@ -158,7 +162,7 @@
         }
     }
 
-    /// A node calls itself head of an epoch.
+    /// A node acts as head of an epoch.
     pub fn record_head(
         &mut self,
         epoch: u64,
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Checks what can be told at the end only: each configuration was built on the one before it.
+    /// Checks what shows at the end only: each configuration was built on the one before it.
     pub fn check_order(&mut self, now: Millis, violations: &mut ViolationLog) {
         for sent in self.sent.values().filter(|sent| sent.committed || sent.acknowledged) {
             let (low, high) = (sent.if_match, sent.version);
--- a/crates/lockusher-control-simulation/src/run.rs
+++ b/crates/lockusher-control-simulation/src/run.rs
@@ -4,17 +4,17 @@
 
 use crate::{cluster::Cluster, options::SimulationOptions, outcome::Outcome};
 
-/// One run without mistakes.
+/// Plays one run without an injected bug.
 pub fn simulate(replicas: usize, seed: u64, steps: usize) -> Outcome {
     simulate_with(SimulationOptions { replicas, seed, steps, ..SimulationOptions::default() })
 }
 
-/// One run.
+/// Plays one run.
 pub fn simulate_with(options: SimulationOptions) -> Outcome {
     simulate_without(options, &BTreeSet::new())
 }
 
-/// One run in which the faults of some steps are left out.
+/// Plays one run in which the faults of some steps are left out.
 pub fn simulate_without(options: SimulationOptions, left_out: &BTreeSet<usize>) -> Outcome {
     let mut cluster = Cluster::new(options);
     cluster.run_under_faults(options.steps, left_out);
--- a/crates/lockusher-control-simulation/src/shrink.rs
+++ b/crates/lockusher-control-simulation/src/shrink.rs
@@ -1,4 +1,5 @@
-//! Shrinks a run that breaks a promise to few steps and few faults.
+//! Reduces a run with a violation to few steps and few faults, in the manner of delta debugging (Zeller and Hildebrandt,
+//! 2002): ever smaller chunks are left out as long as some violation remains.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +8,15 @@
     violation::Violation,
 };
 
-/// Most runs that one shrinking takes.
+/// Runs that one shrinking takes at most.
 const MAX_RUNS: usize = 600;
 
-/// A short run that breaks a promise.
+/// A short run with a violation.
 #[derive(Clone, Debug)]
 pub struct Shrunk {
+    /// Its steps under faults.
     pub steps: usize,
-    /// The faults that are left; without all others the run still breaks a promise.
+    /// The faults that are left; without all others the run still has a violation.
     pub faults: Vec<FaultStep>,
     /// The violations that it shows.
     pub violations: Vec<Violation>,
@@ -22,7 +24,7 @@
     pub runs: usize,
 }
 
-/// Shrinks this run; `None` if it keeps all promises.
+/// Shrinks this run; `None` if it has no violation.
 pub fn shrink(options: SimulationOptions) -> Option<Shrunk> {
     let mut search = Search { options, left_out: BTreeSet::new(), failing: Outcome::default(), runs: 0 };
     if !search.try_run(options.steps, BTreeSet::new()) {
@@ -60,7 +62,7 @@
         fails
     }
 
-    /// Takes steps off the end, in ever smaller pieces.
+    /// Takes steps off the end, in ever smaller chunks.
     fn drop_last_steps(&mut self) {
         let mut chunk_size = self.options.steps / 2;
         while chunk_size > 0 {
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Leaves faults out, in ever smaller pieces, until each one that is left is needed.
+    /// Leaves faults out, in ever smaller chunks, until each one that is left is needed.
     fn drop_faults(&mut self) {
         let mut chunk_size = self.failing.faults.len().div_ceil(2);
         while chunk_size > 0 {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Whether any piece of this many faults could be left out.
+    /// Whether any chunk of this many faults could be left out.
     fn drop_chunks(&mut self, chunk_size: usize) -> bool {
         let steps: Vec<usize> = self.failing.faults.iter().map(|fault| fault.step).collect();
         let mut dropped = false;
--- a/crates/lockusher-control-simulation/tests/scenarios.rs
+++ b/crates/lockusher-control-simulation/tests/scenarios.rs
@@ -264,7 +264,7 @@
         let chain = cluster.chain();
         let (head, target) = (chain[0], chain[position]);
         let history_digest = |cluster: &Cluster, number: usize| {
-            cluster.replica(number).map(|replica| replica.history_digest())
+            cluster.replica(number).map(lockusher_control::Replica::history_digest)
         };
         cluster.crash(target, 50);
         assert!(cluster.corrupt_disk(target));
--- a/crates/lockusher-control/src/replica/injected_bug.rs
+++ b/crates/lockusher-control/src/replica/injected_bug.rs
@@ -1,104 +1,102 @@
-//! Mistakes put in on purpose, so that tests can show that the simulation and its checks find them.
+//! Bugs that tests inject, to show that the simulation and its checks find them.
 //!
-//! Each variant leaves out one guard of the protocol. A replica makes a mistake only if the crate is built with the feature
-//! `injected-bugs`; what is shipped is built without it.
-
-use derive_more::Display;
+//! Each one leaves out one guard of the protocol. The simulation's test `injected_bugs` says for each how it is found, or
+//! which other guard covers it. This module is compiled with the feature `injected-bugs` only; the product is built without.
 
 /// A guard of the protocol that is left out.
-#[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
+#[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum InjectedBug {
     // Reads and refusals
-    #[display("reads are answered without a round of confirmation")]
+    /// Reads are answered without a confirmation of the epoch by a majority.
     ReadUnconfirmed,
-    #[display("412 is answered without a round of confirmation")]
+    /// 412 is answered without a confirmation of the epoch by a majority.
     ConflictUnconfirmed,
-    #[display("the refusal of a version that isn't newer is answered without a round of confirmation")]
+    /// The refusal of a version that isn't newer is answered without a confirmation of the epoch by a majority.
     NotNewerUnconfirmed,
-    #[display("a round that began before the request came counts for it")]
+    /// A confirmation that began before the request came counts for it.
     EarlierRoundCounts,
-    #[display("a voter confirms an epoch although it has accepted a successor")]
+    /// A voter confirms an epoch although it has accepted a successor.
     ConfirmAfterAccepting,
-    #[display("the version that a change builds on isn't compared")]
+    /// The version that a change builds on isn't compared.
     IfMatchIgnored,
-    #[display("a change that was taken before isn't recognized")]
+    /// A change that was taken before isn't recognized.
     TakenNotRecognized,
-    #[display("a change counts as taken if its version is in place")]
+    /// A change counts as taken if its version is in place.
     VersionIdentifiesChange,
-    #[display("the numbers of forwarded requests begin at 0 at each start")]
+    /// The numbers of forwarded requests begin at 0 at each start.
     RequestNumbersRestart,
     // Chain
-    #[display("the head acknowledges what it alone holds")]
+    /// The head acknowledges what it alone has stored.
     AcknowledgeBeforeTail,
-    #[display("a member passes an entry on before it is durable")]
+    /// A member sends an entry to its successor before it is durable.
     PassOnBeforeDurable,
-    #[display("a member takes an entry without what precedes it")]
+    /// A member appends an entry without its predecessor.
     EntryWithoutPredecessor,
-    #[display("the head serves before all members hold its state")]
+    /// The head serves before all members have stored its state.
     ServeBeforeSynchronised,
-    #[display("a head that was restarted serves on in its epoch")]
+    /// A head that was restarted serves on in its epoch.
     RestartedHeadServes,
-    #[display("a member takes for committed what differs from the committed state")]
+    /// A member takes for committed what differs from the committed state.
     CommittedUnchecked,
     // Joining
-    #[display("a sealed member goes on taking entries")]
+    /// A sealed member goes on appending entries.
     EntryAfterSeal,
-    #[display("a sealed head goes on serving")]
+    /// A sealed head goes on serving.
     ServeAfterSeal,
-    #[display("the sealed state is handed over before the seal is durable")]
+    /// The sealed state is transferred before the seal is durable.
     SealNotAwaited,
-    #[display("joiners are never given the sealed state")]
+    /// Joiners are never sent the sealed state.
     JoinersUnfed,
-    #[display("a joiner says that it holds the sealed state before it is durable")]
+    /// A joiner answers that it has stored the sealed state before it is durable.
     JoinAnsweredBeforeDurable,
-    #[display("an older state handed over is taken")]
+    /// A transferred state is stored although it is older.
     OlderTransferTaken,
-    #[display("the history of taken changes isn't handed over")]
+    /// A transfer leaves out the history of committed changes.
     HistoryForgotten,
     // Agreement
-    #[display("a chain below the majority is proposed")]
+    /// A chain below the majority is proposed.
     ShortChain,
-    #[display("several voters are changed in one view")]
+    /// Several voters are changed in one view.
     SeveralVotersChanged,
-    #[display("voters are removed below twice the tolerated losses and one")]
+    /// Voters are removed below twice the tolerated losses plus one.
     VotersBelowMinimum,
-    #[display("a voter that left stays a voter until it has been silent for long")]
+    /// A voter that shut down stays a voter until it has been unreachable for long.
     DepartedVoterKept,
-    #[display("a lower ballot is accepted")]
+    /// A lower proposal number than the promised one is accepted.
     LowerBallotAccepted,
-    #[display("a promise doesn't report the view accepted before")]
+    /// A prepare response doesn't report the view accepted before.
     AcceptedNotReported,
-    #[display("a proposer passes over a view accepted before")]
+    /// A proposer ignores a view accepted before.
     AcceptedPassedOver,
-    #[display("votes are answered before they are durable")]
+    /// Promises and acceptances are answered before they are durable.
     VoteAnsweredBeforeDurable,
-    #[display("a view is adopted after one acceptance")]
+    /// A view is adopted after one acceptance.
     AdoptAfterOneAcceptance,
-    #[display("answers of nodes that aren't voters count")]
+    /// Responses of nodes that aren't voters count.
     StrangersCount,
-    #[display("a node acts in a view that isn't on its disk")]
+    /// A node acts in a view that isn't on its disk.
     ActBeforeViewDurable,
-    #[display("messages of older epochs count")]
+    /// Messages of older epochs count.
     OlderEpochsCount,
     // Disk
-    #[display("a seed that lost its disk takes its former identity")]
+    /// A seed that lost its disk uses its former identity again.
     VoteAfterWipe,
-    #[display("a seed with an empty disk assumes the first start")]
+    /// A seed with an empty disk assumes the first start.
     FirstStartAssumed,
-    #[display("a promise isn't recovered after a restart")]
+    /// A promise isn't recovered after a restart.
     PromiseForgotten,
-    #[display("an acceptance isn't recovered after a restart")]
+    /// An acceptance isn't recovered after a restart.
     AcceptanceForgotten,
-    #[display("a seal isn't recovered after a restart")]
+    /// A seal isn't recovered after a restart.
     SealForgotten,
-    #[display("a snapshot leaves out the state")]
+    /// A snapshot leaves out the state.
     SnapshotWithoutState,
-    #[display("a snapshot leaves out the votes")]
+    /// A snapshot leaves out the acceptor's state.
     SnapshotWithoutVotes,
 }
 
 impl InjectedBug {
-    /// All mistakes.
+    /// All bugs, in the order of their declaration.
     pub const ALL: [InjectedBug; 41] = [
         InjectedBug::ReadUnconfirmed,
         InjectedBug::ConflictUnconfirmed,
@@ -143,7 +141,7 @@
         InjectedBug::SnapshotWithoutVotes,
     ];
 
-    /// The mistake with this name, as [`std::fmt::Debug`] writes it.
+    /// The bug with this name, as [`std::fmt::Debug`] writes it.
     pub fn named(name: &str) -> Option<InjectedBug> {
         Self::ALL.into_iter().find(|injected_bug| format!("{injected_bug:?}") == name)
     }
