--- a/crates/lockusher-proxy/tests/crossings.rs
+++ b/crates/lockusher-proxy/tests/crossings.rs
@@ -56,10 +56,10 @@
             }
             SearcherFault::NoHttp => wire.write("\x01\x02 what is this\r\n\r\n").await,
             SearcherFault::UnavailableWithoutNotExecuted => {
-                wire.answer("503 Service Unavailable", identifier, "", "").await
+                wire.answer("503 Service Unavailable", identifier, "", "").await;
             }
             SearcherFault::NotExecutedOfAnother => {
-                wire.reject("503 Service Unavailable", "id-of-another").await
+                wire.reject("503 Service Unavailable", "id-of-another").await;
             }
         }
     }
