--- a/crates/lockusher-control/tests/membership_search.rs
+++ b/crates/lockusher-control/tests/membership_search.rs
@@ -1,11 +1,11 @@
 //! Exhaustive search over membership: every sequence of losses, replacements, planned departures, absences and view changes up
-//! to a depth. Whatever comes, the deployment can recover: a majority of the present voters still have their disks, and so
+//! to a depth. After each, the deployment can recover: a majority of the present voters still have their disks, and so
 //! has a member of the chain, which holds all that was acknowledged.
 //!
 //! Which view follows is decided by the code that the replicas use ([`plan`]). An agreed change counts as one step, and a loss
 //! may come before and after each; what happens within one is searched by the simulation. Disks are lost only as the
 //! deployment allows: a lost disk, also that of a removed machine, counts until its successor is in the chain and has had its
-//! time. Absences (dark, cut off, frozen) are not limited.
+//! time. Absences (down, partitioned, frozen) are not limited.
 
 use std::{
     collections::HashMap,
@@ -20,22 +20,22 @@
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Presence {
-    Here,
-    /// Its process or its links are down; its disk is kept.
-    Dark,
-    /// Told to stop; it still runs.
-    Leaving,
-    Gone,
+    Running,
+    /// Its process or its links are down; it has its disk.
+    Unreachable,
+    /// Its end is announced; it still runs.
+    ShuttingDown,
+    Removed,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Machine {
     member: Member,
     presence: Presence,
-    /// It stands for a lost disk and hasn't been filled again.
-    filling: bool,
-    /// It came in addition and hasn't had its time yet.
-    young: bool,
+    /// It stands for a lost disk and hasn't caught up yet.
+    catching_up: bool,
+    /// It was added beside the others and hasn't had its time to catch up.
+    new_addition: bool,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -44,23 +44,23 @@
     machines: Vec<Machine>,
 }
 
-/// What nodes have noticed of machines that are gone or dark.
+/// What nodes have detected of machines that are removed or unreachable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Noticed {
+enum Detected {
     /// Nothing yet.
-    Nothing,
-    /// That they are silent.
-    Silence,
-    /// That they have been silent for long.
-    LongSilence,
+    None,
+    /// That they are unreachable.
+    Unreachable,
+    /// That they have been unreachable for long.
+    LongUnreachable,
 }
 
-/// What differs between deployments, and a mistake to be found.
+/// What differs between deployments, and an injected bug to be found.
 #[derive(Clone, Copy, Debug)]
 struct Rules {
-    tolerated: usize,
-    /// Voters that leave stay voters until they have been silent for long.
-    keeps_departed_voters: bool,
+    tolerated_losses: usize,
+    /// Voters that shut down stay voters until they have been unreachable for long.
+    retains_departed_voters: bool,
 }
 
 fn member(number: usize) -> Member {
@@ -72,13 +72,14 @@
 }
 
 impl State {
-    fn settled(machines: usize) -> State {
+    fn initial(machines: usize) -> State {
         let members: Vec<Member> = (0..machines).map(member).collect();
         let chain = members.iter().map(|member| member.identity).collect();
-        let here = |member| Machine { member, presence: Presence::Here, filling: false, young: false };
+        let running =
+            |member| Machine { member, presence: Presence::Running, catching_up: false, new_addition: false };
         State {
             view: View { epoch: 1, voters: members.clone(), chain },
-            machines: members.into_iter().map(here).collect(),
+            machines: members.into_iter().map(running).collect(),
         }
     }
 
@@ -87,12 +88,12 @@
     }
 
     fn has_disk(&self, identity: Identity) -> bool {
-        self.machine(identity).is_some_and(|machine| machine.presence != Presence::Gone)
+        self.machine(identity).is_some_and(|machine| machine.presence != Presence::Removed)
     }
 
     fn runs(&self, identity: Identity) -> bool {
         let presence = self.machine(identity).map(|machine| machine.presence);
-        matches!(presence, Some(Presence::Here | Presence::Leaving))
+        matches!(presence, Some(Presence::Running | Presence::ShuttingDown))
     }
 
     fn can_agree(&self) -> bool {
@@ -106,90 +107,92 @@
     }
 
     /// The state after the next view, if one is due.
-    fn next_view(&self, rules: Rules, noticed: Noticed) -> Option<State> {
+    fn next_view(&self, rules: Rules, detected: Detected) -> Option<State> {
         if !self.can_agree() {
             return None;
         }
-        let seems_here = |identity: Identity| {
+        let seems_running = |identity: Identity| {
             let presence = self.machine(identity).map(|machine| machine.presence);
             match presence {
-                Some(Presence::Here) => true,
-                Some(Presence::Dark | Presence::Gone) => noticed == Noticed::Nothing,
-                Some(Presence::Leaving) | None => false,
+                Some(Presence::Running) => true,
+                Some(Presence::Unreachable | Presence::Removed) => detected == Detected::None,
+                Some(Presence::ShuttingDown) | None => false,
             }
         };
         let chain = self.view.chain.iter().copied();
-        let me = chain.clone().find(|member| self.runs(*member) && seems_here(*member))?;
+        let me = chain.clone().find(|member| self.runs(*member) && seems_running(*member))?;
         let unreachable: Vec<Identity> = self.view.voters.iter().map(|voter| voter.identity).collect();
         let mut unreachable: Vec<Identity> = unreachable
             .into_iter()
             .filter(|voter| match self.machine(*voter).map(|machine| machine.presence) {
-                Some(Presence::Here | Presence::Leaving) => false,
-                Some(Presence::Dark | Presence::Gone) => noticed != Noticed::Nothing,
+                Some(Presence::Running | Presence::ShuttingDown) => false,
+                Some(Presence::Unreachable | Presence::Removed) => detected != Detected::None,
                 None => true,
             })
             .collect();
-        // Who is gone for good has been silent for longer than who is dark beside it.
-        let is_dark =
-            |voter: &Identity| self.machine(*voter).is_some_and(|machine| machine.presence == Presence::Dark);
-        unreachable.sort_by_key(is_dark);
-        let leaves = |machine: &&Machine| {
-            machine.presence == Presence::Leaving && self.view.is_voter(machine.member.identity)
+        // A removed machine has been unreachable for longer than one that will return.
+        let is_unreachable = |voter: &Identity| {
+            self.machine(*voter).is_some_and(|machine| machine.presence == Presence::Unreachable)
         };
-        let leaving = self.machines.iter().filter(leaves).map(|machine| machine.member.identity);
-        let mut removable: Vec<Identity> = leaving.filter(|_| !rules.keeps_departed_voters).collect();
-        if noticed == Noticed::LongSilence {
+        unreachable.sort_by_key(is_unreachable);
+        let shuts_down = |machine: &&Machine| {
+            machine.presence == Presence::ShuttingDown && self.view.is_voter(machine.member.identity)
+        };
+        let shutting_down = self.machines.iter().filter(shuts_down).map(|machine| machine.member.identity);
+        let mut removable: Vec<Identity> = shutting_down.filter(|_| !rules.retains_departed_voters).collect();
+        if detected == Detected::LongUnreachable {
             removable.extend(&unreachable);
         }
-        let here = self.machines.iter().filter(|machine| machine.presence == Presence::Here);
-        let outside = here.filter(|machine| !self.view.in_chain(machine.member.identity));
-        let joiners = outside
+        let running = self.machines.iter().filter(|machine| machine.presence == Presence::Running);
+        let outside_chain = running.filter(|machine| !self.view.in_chain(machine.member.identity));
+        let joiners = outside_chain
             .map(|machine| JoinCandidate { member: machine.member, caught_up: true, has_sealed_state: false })
             .collect();
         let planned = plan_view_change(&ViewChangeContext {
             view: &self.view,
             own_identity: me,
-            healthy_members: chain.filter(|member| seems_here(*member)).collect(),
+            healthy_members: chain.filter(|member| seems_running(*member)).collect(),
             join_candidates: joiners,
             unreachable,
             removable,
             epoch_change_required: false,
             sealed: false,
             may_add_members: true,
-            minimum_voters: 2 * rules.tolerated + 1,
+            minimum_voters: 2 * rules.tolerated_losses + 1,
         })?;
         let mut next = self.clone();
         next.view = View { epoch: 1, ..planned.view };
         Some(next)
     }
 
-    /// Time passes in which nothing happens: all that can be changed is changed, and who is in the chain is filled.
-    fn after_calm(&self, rules: Rules) -> State {
+    /// Time passes without faults: all that can be changed is changed, and who is in the chain has caught up.
+    fn after_fault_free_time(&self, rules: Rules) -> State {
         let mut state = self.clone();
-        while let Some(next) = state.next_view(rules, Noticed::LongSilence) {
+        while let Some(next) = state.next_view(rules, Detected::LongUnreachable) {
             state = next;
         }
         let view = state.view.clone();
         if state.can_agree() {
             let in_chain = |machine: &&mut Machine| view.in_chain(machine.member.identity);
             for machine in state.machines.iter_mut().filter(in_chain) {
-                machine.filling = false;
-                machine.young = false;
+                machine.catching_up = false;
+                machine.new_addition = false;
             }
         }
         state
     }
 
     fn may_lose(&self, rules: Rules) -> bool {
-        self.machines.iter().filter(|machine| machine.filling).count() < rules.tolerated
+        self.machines.iter().filter(|machine| machine.catching_up).count() < rules.tolerated_losses
     }
 
-    /// Whether this machine may be removed for good: those that are dark count as lost for that, since nobody can tell which
-    /// of two silent voters will come back.
-    fn may_be_removed(&self, place: usize, rules: Rules) -> bool {
-        let others = self.machines.iter().enumerate().filter(|(other, _)| *other != place);
-        let lost = others.filter(|(_, machine)| machine.filling || machine.presence == Presence::Dark);
-        lost.count() < rules.tolerated
+    /// Whether this machine may be removed for good: unreachable ones count as lost for that, since nobody can tell which of
+    /// two unreachable voters will come back.
+    fn may_be_removed(&self, index: usize, rules: Rules) -> bool {
+        let others = self.machines.iter().enumerate().filter(|(other, _)| *other != index);
+        let lost =
+            others.filter(|(_, machine)| machine.catching_up || machine.presence == Presence::Unreachable);
+        lost.count() < rules.tolerated_losses
     }
 
     fn unused_identity(&self) -> u64 {
@@ -202,62 +205,68 @@
         member(usize::from(number.unwrap_or(0))).address
     }
 
-    fn with(&self, place: usize, change: impl FnOnce(&mut Machine)) -> State {
+    fn with(&self, index: usize, change: impl FnOnce(&mut Machine)) -> State {
         let mut next = self.clone();
-        change(&mut next.machines[place]);
+        change(&mut next.machines[index]);
         next
     }
 
-    fn with_new_machine(mut self, filling: bool) -> State {
+    fn with_new_machine(mut self, catching_up: bool) -> State {
         let member = Member { identity: Identity(self.unused_identity()), address: self.unused_address() };
-        let young = !filling;
-        self.machines.push(Machine { member, presence: Presence::Here, filling, young });
+        let new_addition = !catching_up;
+        self.machines.push(Machine { member, presence: Presence::Running, catching_up, new_addition });
         self
     }
 
     /// All states that one event leads to.
     fn successors(&self, rules: Rules, machines: usize) -> Vec<State> {
-        let mut next = vec![self.after_calm(rules)];
-        next.extend(self.next_view(rules, Noticed::Nothing));
-        next.extend(self.next_view(rules, Noticed::Silence));
-        let present = self.machines.iter().filter(|machine| machine.presence != Presence::Gone).count();
+        let mut next = vec![self.after_fault_free_time(rules)];
+        next.extend(self.next_view(rules, Detected::None));
+        next.extend(self.next_view(rules, Detected::Unreachable));
+        let present = self.machines.iter().filter(|machine| machine.presence != Presence::Removed).count();
         let voters = self.view.voters.iter().filter(|voter| self.has_disk(voter.identity)).count();
-        let is_young = self.machines.iter().any(|machine| machine.young);
-        let is_leaving = self.machines.iter().any(|machine| machine.presence == Presence::Leaving);
+        let has_new_addition = self.machines.iter().any(|machine| machine.new_addition);
+        let is_any_shutting_down =
+            self.machines.iter().any(|machine| machine.presence == Presence::ShuttingDown);
         if present == machines && present < MAX_VOTERS {
             next.push(self.clone().with_new_machine(false));
         }
-        for (place, machine) in self.machines.iter().enumerate() {
+        for (index, machine) in self.machines.iter().enumerate() {
             match machine.presence {
-                Presence::Gone => continue,
-                Presence::Here => next.push(self.with(place, |machine| machine.presence = Presence::Dark)),
-                Presence::Dark => next.push(self.with(place, |machine| machine.presence = Presence::Here)),
-                Presence::Leaving => {
+                Presence::Removed => continue,
+                Presence::Running => {
+                    next.push(self.with(index, |machine| machine.presence = Presence::Unreachable));
+                }
+                Presence::Unreachable => {
+                    next.push(self.with(index, |machine| machine.presence = Presence::Running));
+                }
+                Presence::ShuttingDown => {
                     // It goes once it has handed over; without a majority it waits.
-                    if self.can_agree() && self.next_view(rules, Noticed::Silence).is_none() {
-                        next.push(self.with(place, |machine| machine.presence = Presence::Gone));
+                    if self.can_agree() && self.next_view(rules, Detected::Unreachable).is_none() {
+                        next.push(self.with(index, |machine| machine.presence = Presence::Removed));
                     }
                     continue;
                 }
             }
             // Its successor is a voter by then.
-            let may_leave = voters > machines && !is_young && !is_leaving && !machine.filling;
-            if may_leave && machine.presence == Presence::Here {
-                next.push(self.with(place, |machine| machine.presence = Presence::Leaving));
+            let may_shut_down =
+                voters > machines && !has_new_addition && !is_any_shutting_down && !machine.catching_up;
+            if may_shut_down && machine.presence == Presence::Running {
+                next.push(self.with(index, |machine| machine.presence = Presence::ShuttingDown));
             }
-            if machine.filling || !self.may_lose(rules) {
+            if machine.catching_up || !self.may_lose(rules) {
                 continue;
             }
-            let may_be_removed = self.may_be_removed(place, rules);
+            let may_be_removed = self.may_be_removed(index, rules);
             let identity = Identity(self.unused_identity());
-            next.push(self.with(place, |machine| {
+            next.push(self.with(index, |machine| {
                 machine.member.identity = identity;
-                machine.presence = Presence::Here;
-                machine.filling = true;
+                machine.presence = Presence::Running;
+                machine.catching_up = true;
             }));
             if may_be_removed {
-                let gone = self.with(place, |machine| machine.presence = Presence::Gone);
-                next.push(gone.with_new_machine(true));
+                let removed = self.with(index, |machine| machine.presence = Presence::Removed);
+                next.push(removed.with_new_machine(true));
             }
         }
         next
@@ -266,7 +275,7 @@
     /// The same state with identities and addresses numbered in the order of the view and the machines.
     fn canonical(&self) -> State {
         let is_needed = |machine: &&Machine| {
-            machine.presence != Presence::Gone || self.view.is_voter(machine.member.identity)
+            machine.presence != Presence::Removed || self.view.is_voter(machine.member.identity)
         };
         let order = |identity: Identity| {
             let in_chain = self.view.chain.iter().position(|member| *member == identity);
@@ -287,12 +296,12 @@
                 addresses.push(member.address);
             }
         }
-        let place = |identity: Identity| identities.iter().position(|known| *known == identity).unwrap_or(0);
+        let index = |identity: Identity| identities.iter().position(|known| *known == identity).unwrap_or(0);
         let renamed = |old: Member| {
             let address = addresses.iter().position(|known| *known == old.address).unwrap_or(0);
-            Member { identity: Identity(place(old.identity) as u64), address: member(address).address }
+            Member { identity: Identity(index(old.identity) as u64), address: member(address).address }
         };
-        let chain = self.view.chain.iter().map(|member| Identity(place(*member) as u64)).collect();
+        let chain = self.view.chain.iter().map(|member| Identity(index(*member) as u64)).collect();
         State {
             view: View { epoch: 1, voters: voters.into_iter().map(renamed).collect(), chain },
             machines: machines
@@ -303,49 +312,49 @@
     }
 }
 
-/// Visits every state that so many events lead to: their number, or the way to one that can't recover.
+/// Visits every state that so many events lead to: their number, or the path to one that can't recover.
 fn search(machines: usize, rules: Rules, depth: usize) -> Result<usize, Vec<State>> {
-    let start = State::settled(machines).canonical();
-    let mut came_from: HashMap<State, Option<State>> = HashMap::from([(start.clone(), None)]);
-    let mut open = vec![start];
+    let start = State::initial(machines).canonical();
+    let mut predecessors: HashMap<State, Option<State>> = HashMap::from([(start.clone(), None)]);
+    let mut frontier = vec![start];
     for _ in 0..depth {
         let mut reached = Vec::new();
-        for state in &open {
+        for state in &frontier {
             for next in state.successors(rules, machines) {
                 let next = next.canonical();
                 if !next.is_recoverable() {
-                    return Err(way_to(&came_from, state, next));
+                    return Err(path_to(&predecessors, state, next));
                 }
-                if !came_from.contains_key(&next) {
-                    came_from.insert(next.clone(), Some(state.clone()));
+                if !predecessors.contains_key(&next) {
+                    predecessors.insert(next.clone(), Some(state.clone()));
                     reached.push(next);
                 }
             }
         }
-        open = reached;
+        frontier = reached;
     }
-    Ok(came_from.len())
+    Ok(predecessors.len())
 }
 
-fn way_to(came_from: &HashMap<State, Option<State>>, before: &State, last: State) -> Vec<State> {
-    let mut way = vec![last];
+fn path_to(predecessors: &HashMap<State, Option<State>>, before: &State, last: State) -> Vec<State> {
+    let mut path = vec![last];
     let mut at = Some(before.clone());
     while let Some(state) = at {
-        at = came_from.get(&state).cloned().flatten();
-        way.push(state);
+        at = predecessors.get(&state).cloned().flatten();
+        path.push(state);
     }
-    way.reverse();
-    way
+    path.reverse();
+    path
 }
 
-/// One line for a state: voters, chain, and machines with what is the matter with them.
-fn line(state: &State) -> String {
+/// One line for a state: voters, chain, and machines with what they lack.
+fn describe(state: &State) -> String {
     let voters: Vec<u64> = state.view.voters.iter().map(|voter| voter.identity.0).collect();
     let chain: Vec<u64> = state.view.chain.iter().map(|member| member.0).collect();
     let machines = state.machines.iter().map(|machine| {
-        let marks = [(machine.filling, " filling"), (machine.young, " young")];
-        let marks: String = marks.iter().filter(|(is_so, _)| *is_so).map(|(_, mark)| *mark).collect();
-        format!("{}:{:?}{marks}", machine.member.identity.0, machine.presence)
+        let notes = [(machine.catching_up, " catching up"), (machine.new_addition, " new")];
+        let notes: String = notes.iter().filter(|(applies, _)| *applies).map(|(_, note)| *note).collect();
+        format!("{}:{:?}{notes}", machine.member.identity.0, machine.presence)
     });
     format!("voters {voters:?} chain {chain:?} machines {:?}", machines.collect::<Vec<_>>())
 }
@@ -357,16 +366,22 @@
     five_with_two_losses = { 5, 2, 6 },
     nine_with_two_losses = { 9, 2, 4 },
 )]
-fn every_sequence_leaves_a_majority_and_a_copy(machines: usize, tolerated: usize, depth: usize) {
-    let rules = Rules { tolerated, keeps_departed_voters: false };
+fn every_sequence_leaves_a_majority_and_a_holder_of_the_state(
+    machines: usize,
+    tolerated_losses: usize,
+    depth: usize,
+) {
+    let rules = Rules { tolerated_losses, retains_departed_voters: false };
     match search(machines, rules, depth) {
-        Ok(states) => println!("{machines} machines, {tolerated} tolerated, depth {depth}: {states} states"),
-        Err(way) => panic!("can't recover:\n{}", way.iter().map(line).collect::<Vec<_>>().join("\n")),
+        Ok(states) => {
+            println!("{machines} machines, {tolerated_losses} tolerated, depth {depth}: {states} states")
+        }
+        Err(path) => panic!("can't recover:\n{}", path.iter().map(describe).collect::<Vec<_>>().join("\n")),
     }
 }
 
 #[parameterized(three_with_one_loss = { 3, 1, 6 }, five_with_two_losses = { 5, 2, 8 })]
-fn a_voter_kept_after_its_departure_is_found(machines: usize, tolerated: usize, depth: usize) {
-    let rules = Rules { tolerated, keeps_departed_voters: true };
+fn a_voter_retained_after_its_departure_is_found(machines: usize, tolerated_losses: usize, depth: usize) {
+    let rules = Rules { tolerated_losses, retains_departed_voters: true };
     assert!(search(machines, rules, depth).is_err());
 }
