--- a/crates/lockusher-control-simulation/tests/injected_bugs.rs
+++ b/crates/lockusher-control-simulation/tests/injected_bugs.rs
@@ -1,12 +1,16 @@
-//! Every mistake that can be planted is found: by the simulation within a stated number of runs, or by a named test.
+//! Every bug that can be injected is found: by the simulation within a stated number of runs, or by a named test.
 
 use lockusher_control::{ConfigurationDocument, InjectedBug, Reply, Request};
-use lockusher_control_simulation::{Checks, Cluster, SimulationOptions, simulate_with};
+use lockusher_control_simulation::{Checks, SimulationOptions, simulate_with};
 use yare::parameterized;
 
+use support::{CATCH_UP_MS, started_cluster};
+
+mod support;
+
 const STEPS_PER_RUN: usize = 500;
 
-/// How a mistake shows.
+/// How an injected bug is detected.
 enum Detection {
     /// By the simulation, in one of so many runs from seed 1 on, with 3, 5 and 9 replicas.
     Within([u64; 3]),
@@ -18,7 +22,7 @@
 
 use Detection::{ByTest, CoveredBy, Within};
 
-/// A number of replicas with which the mistake does no harm.
+/// Stands for a number of replicas with which the bug does no harm.
 const HARMLESS: u64 = 0;
 
 fn detection(injected_bug: InjectedBug) -> Detection {
@@ -110,31 +114,30 @@
     assert_eq!(InjectedBug::named("None"), None);
 }
 
-/// A node is killed while a request of it waits at the head, and asks for something else under the number that its first
-/// request of this life has. The answer to the former request mustn't answer this one.
+/// A node is killed while a request that it forwarded waits at the head, and forwards another one as the first request of its
+/// new incarnation. The reply to the former request mustn't answer this one, also if both have the same number.
 #[parameterized(
     guarded = { None, false },
     left_out = { Some(InjectedBug::RequestNumbersRestart), true },
 )]
-fn a_reply_to_a_former_incarnation_is_ignored(injected_bug: Option<InjectedBug>, is_confused: bool) {
+fn a_reply_to_a_former_incarnation_is_ignored(injected_bug: Option<InjectedBug>, answers_another: bool) {
     let options = SimulationOptions { replicas: 3, seed: 1, injected_bug, ..SimulationOptions::default() };
-    let mut cluster = Cluster::new(options);
-    assert!(cluster.run_until_all_members(4000).is_some(), "{}", cluster.describe());
+    let mut cluster = started_cluster(options);
     let chain = cluster.chain();
-    let (asker, other) = (chain[1], chain[2]);
-    // The first life of the asker ends, so that its numbers start anew; the one that follows asks for the first time.
-    cluster.crash(asker, 20);
-    assert!(cluster.run_until_all_members(4000).is_some(), "{}", cluster.describe());
+    let (forwarder, tail) = (chain[1], chain[2]);
+    // The first incarnation of the node ends, so that its numbers start anew; the next one forwards for the first time.
+    cluster.crash(forwarder, 20);
+    assert!(cluster.run_until_all_members(CATCH_UP_MS).is_some(), "{}", cluster.describe());
     // The tail's disk stalls, so that a change waits at the head.
-    cluster.stall_disk(other, 400);
+    cluster.stall_disk(tail, 400);
     let change =
         Request::Put { if_match: 0, document: ConfigurationDocument::new(9, b"{}".as_slice().into()) };
-    assert_eq!(cluster.request_within(asker, change, 60), None);
-    cluster.crash(asker, 1);
+    assert_eq!(cluster.request_within(forwarder, change, 60), None);
+    cluster.crash(forwarder, 1);
     cluster.run_until(5, |_| false);
-    let at_once = cluster.request_within(asker, Request::Read, 30);
+    let at_once = cluster.request_within(forwarder, Request::Read, 30);
     cluster.recover_disks();
     let answer = at_once.or_else(|| cluster.await_reply(1000));
-    let is_of_the_read = matches!(answer, None | Some(Reply::Document(_) | Reply::Unavailable));
-    assert_eq!(!is_of_the_read, is_confused, "{answer:?}");
+    let answers_the_read = matches!(answer, None | Some(Reply::Document(_) | Reply::Unavailable));
+    assert_eq!(!answers_the_read, answers_another, "{answer:?}");
 }
--- a/crates/lockusher-control-simulation/tests/scenarios.rs
+++ b/crates/lockusher-control-simulation/tests/scenarios.rs
@@ -1,21 +1,23 @@
-//! Single faults, with the time that the control state takes to get over them.
+//! Single faults by name, and the time in which the cluster recovers from them.
 
 use lockusher_control::{ConfigurationDocument, Reply, Request};
 use lockusher_control_simulation::{Cluster, DiskSpace, SimulationOptions, Violation};
 use yare::parameterized;
 
-/// Milliseconds that the operator waits for an acknowledgement, and that a new node has to become a member.
+use support::{CATCH_UP_MS, started_cluster};
+
+mod support;
+
+/// Bound in which a write is acknowledged whatever happens, in milliseconds.
 const ACKNOWLEDGE_MS: u64 = 4000;
-const CATCH_UP_MS: u64 = 4000;
-/// Within this time after a loss, a write is acknowledged.
+/// Within this time after a loss, a write is acknowledged, in milliseconds.
 const FAILOVER_MS: u64 = 2000;
-/// Within this time after the end of a trouble, all is as it was.
+/// Within this time after the end of a fault, all nodes are members again, in milliseconds.
 const CONVERGENCE_MS: u64 = 2000;
 
 /// All nodes are in the chain, and something has been written.
 fn cluster_of(replicas: usize, seed: u64) -> Cluster {
-    let mut cluster = Cluster::new(SimulationOptions { replicas, seed, ..SimulationOptions::default() });
-    assert!(cluster.run_until_all_members(CATCH_UP_MS).is_some(), "first start:\n{}", cluster.describe());
+    let mut cluster = started_cluster(SimulationOptions { replicas, seed, ..SimulationOptions::default() });
     assert!(cluster.write().is_some(), "first write:\n{}", cluster.describe());
     cluster
 }
@@ -27,7 +29,7 @@
 
 fn assert_all_members(cluster: &mut Cluster, limit: u64) {
     let taken = cluster.run_until_all_members(limit);
-    assert!(taken.is_some(), "not whole after {limit} ms:\n{}", cluster.describe());
+    assert!(taken.is_some(), "not all are members after {limit} ms:\n{}", cluster.describe());
     assert_eq!(cluster.violations(), &[] as &[Violation]);
 }
 
@@ -256,7 +258,7 @@
 }
 
 /// A member whose disk came back with another configuration is compared with the head by digests and is sent the
-/// committed state, without a write; until then it tells nobody what it holds.
+/// committed state, without a write; until then it reports to nobody what it has stored.
 #[parameterized(middle_of_3 = { 3, 1 }, tail_of_3 = { 3, 2 }, tail_of_5 = { 5, 4 })]
 fn a_member_with_a_corrupted_state_is_repaired(replicas: usize, position: usize) {
     for seed in 0..10 {
@@ -278,8 +280,8 @@
     }
 }
 
-/// The new machine comes first, then the former one leaves as planned. The new one has had its time by then, so that as many
-/// disks as are tolerated may be lost right after the departure.
+/// The new machine is added first, then the former one leaves as planned. The new one has had its time to catch up by then, so
+/// that as many disks as are tolerated may be lost right after the departure.
 #[parameterized(
     head_of_3 = { 3, 0, 1 },
     tail_of_3 = { 3, 2, 1 },
@@ -305,8 +307,8 @@
     }
 }
 
-/// A member that is back before anybody missed it, in an epoch in which nothing was written: it is told what is committed, so
-/// that it goes on feeding its agents.
+/// A member restarts before any peer suspects it, in an epoch in which nothing was written: it is notified of what is
+/// committed, so that it goes on serving its subscribers.
 #[parameterized(middle_of_3 = { 3, 1 }, tail_of_3 = { 3, 2 }, middle_of_5 = { 5, 2 })]
 fn a_member_restarted_at_once_knows_what_is_committed(replicas: usize, position: usize) {
     for seed in 0..10 {
@@ -323,8 +325,8 @@
     }
 }
 
-/// Cut off for twenty seconds, while the others go on with changes: it answers nothing by its old state, and once the links are
-/// back nothing that it held takes effect.
+/// Isolated for twenty seconds, while the others go on with changes: it answers nothing by its old state, and once the links
+/// are back nothing that it had in flight takes effect.
 #[parameterized(
     head_both_ways = { 0, true, true },
     head_receives_nothing = { 0, true, false },
@@ -366,12 +368,12 @@
         let newest = cluster.version();
         cluster.heal_network();
         assert_all_members(&mut cluster, CATCH_UP_MS);
-        assert_eq!(cluster.version(), newest, "what the node was asked before is in force nowhere");
+        assert_eq!(cluster.version(), newest, "the change sent to the isolated node is in force nowhere");
     }
 }
 
-/// Three hundred changes; then all are killed, and one comes back without its disk, one was away for half of the changes, and one
-/// is replaced. Every change that was acknowledged is known, to be told again.
+/// Three hundred changes; then all are killed: one restarts without its disk, one was down for half of the changes, and one is
+/// replaced. Every change that was acknowledged is acknowledged again when it is resent.
 #[parameterized(three = { 3 }, five = { 5 })]
 fn hundreds_of_changes_outlast_a_restart(replicas: usize) {
     let mut cluster = cluster_of(replicas, 1);
--- a/crates/lockusher-control-simulation/tests/simulation.rs
+++ b/crates/lockusher-control-simulation/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! The replicated control state under random faults, compared with a plain model.
+//! The replicated control state under random faults: no guarantee and no invariant is violated, and injected bugs are found.
 
 use std::collections::BTreeSet;
 
@@ -74,7 +74,7 @@
 #[test]
 fn a_failing_run_is_shrunk_to_faults_that_are_all_needed() {
     let injected_bug = Some(InjectedBug::VoteAfterWipe);
-    let (seed, full) = first_violation(3, injected_bug, 1000, 500).expect("the mistake is found");
+    let (seed, full) = first_violation(3, injected_bug, 1000, 500).expect("the injected bug is found");
     let shrunk = shrink(SimulationOptions {
         replicas: 3,
         seed,
@@ -85,7 +85,7 @@
     .expect("it fails");
     assert!(!shrunk.violations.is_empty());
     assert!(shrunk.faults.len() < full.faults.len(), "{shrunk:?} of {} faults", full.faults.len());
-    // Any one more that is left out lets the run keep its promises.
+    // Without any one of them the run has no violation.
     let options = SimulationOptions {
         replicas: 3,
         seed,
