--- a/crates/lockusher-aggregator-testbed/src/chain.rs
+++ b/crates/lockusher-aggregator-testbed/src/chain.rs
@@ -1,4 +1,4 @@
-//! Runs of the simulated control state: random faults, compared with a plain model, over many seeds.
+//! The sub-command `chain`: runs of the simulated control state over many seeds, shared between threads, and their totals.
 
 use std::io::Write;
 use std::num::NonZero;
@@ -10,10 +10,10 @@
 use lockusher_control::InjectedBug;
 use lockusher_control_simulation::{Checks, Outcome, SimulationOptions, Violation, shrink, simulate_with};
 
-/// The simulation has nodes at addresses of one network.
+/// Most control nodes that a run starts with: the largest group that is supported.
 const MAX_REPLICAS: usize = 9;
 
-/// What is run.
+/// Which runs are simulated.
 #[derive(Clone, Copy, Debug)]
 pub struct ChainRuns {
     /// Control nodes at the start of each run, 1 to 9.
@@ -26,9 +26,9 @@
     pub runs: u64,
     /// Threads that share them.
     pub threads: NonZero<usize>,
-    /// A mistake that all nodes make.
+    /// A bug that is injected into all nodes.
     pub injected_bug: Option<InjectedBug>,
-    /// What the runs are judged by.
+    /// What is checked in the runs.
     pub checks: Checks,
 }
 
@@ -39,19 +39,21 @@
     }
 }
 
-/// A run that broke a promise.
+/// A run with violations.
 #[derive(Clone, Debug)]
 pub struct FailedRun {
+    /// Seed of the run.
     pub seed: u64,
-    /// What it violated.
+    /// What it violated, in the order in which it was found.
     pub violations: Vec<Violation>,
 }
 
 /// Totals over runs.
 #[derive(Clone, Debug, Default)]
 pub struct ChainTotals {
+    /// Number of runs.
     pub runs: u64,
-    /// Runs that broke a promise, by seed.
+    /// Runs with violations, by seed.
     pub failed: Vec<FailedRun>,
     /// Configurations acknowledged.
     pub acknowledged: u64,
@@ -72,7 +74,7 @@
 }
 
 impl ChainTotals {
-    /// Broken promises of all runs.
+    /// Number of violations in all runs.
     pub fn violations(&self) -> usize {
         self.failed.iter().map(|failed| failed.violations.len()).sum()
     }
@@ -114,6 +116,10 @@
 }
 
 /// Simulates the runs on several threads.
+///
+/// # Errors
+///
+/// Options out of their range.
 pub fn simulate_all(options: &ChainRuns) -> anyhow::Result<ChainTotals> {
     ensure!((1..=MAX_REPLICAS).contains(&options.replicas), "replicas: expected 1 to {MAX_REPLICAS}");
     ensure!(options.runs > 0, "runs: expected 1 at least");
@@ -145,7 +151,11 @@
     }
 }
 
-/// Simulates the runs and writes what broke a promise and, as the last line, the totals; whether all promises were kept.
+/// Simulates the runs and writes the violations and, as the last line, the totals. Whether there was no violation.
+///
+/// # Errors
+///
+/// Options out of their range, or an output that can't be written.
 pub fn run(options: &ChainRuns, output: &mut impl Write) -> anyhow::Result<bool> {
     let started = Instant::now();
     let totals = simulate_all(options)?;
@@ -154,6 +164,10 @@
 }
 
 /// Writes the failed runs, each with the command that repeats it, and the totals.
+///
+/// # Errors
+///
+/// An output that can't be written.
 pub fn report(
     options: &ChainRuns,
     totals: &ChainTotals,
@@ -190,7 +204,7 @@
     )
 }
 
-/// Writes the fewest steps and faults found with which a failed run still breaks a promise.
+/// Writes the fewest steps and faults found with which a failed run still has a violation.
 fn report_shrunk(options: SimulationOptions, output: &mut impl Write) -> std::io::Result<()> {
     let Some(shrunk) = shrink(options) else { return Ok(()) };
     let (seed, steps, count) = (options.seed, shrunk.steps, shrunk.faults.len());
--- a/crates/lockusher-aggregator-testbed/tests/chain.rs
+++ b/crates/lockusher-aggregator-testbed/tests/chain.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_last_line_says_that_nothing_was_broken() {
+fn the_last_line_says_that_nothing_was_violated() {
     let mut output = Vec::new();
     assert!(run(&options(3, 2, 2), &mut output).expect("a run"));
     let lines = lines(output);
@@ -48,10 +48,10 @@
 #[test]
 fn a_failed_run_is_named_with_its_seed() {
     let stale_read = Violation { at: 17, kind: ModelViolation::StaleRead { version: 1, floor: 2 }.into() };
-    let broken = Outcome { violations: vec![stale_read], ..Outcome::default() };
+    let failed = Outcome { violations: vec![stale_read], ..Outcome::default() };
     let mut totals = ChainTotals::default();
     totals.add(40, Outcome::default());
-    totals.add(41, broken);
+    totals.add(41, failed);
     let mut output = Vec::new();
     report(&options(3, 2, 1), &totals, 0.0, &mut output).expect("written");
     let lines = lines(output);
