--- a/crates/lockusher-control/src/driver/instance_list_publisher.rs
+++ b/crates/lockusher-control/src/driver/instance_list_publisher.rs
@@ -59,7 +59,7 @@
     /// is published again.
     pub fn set_switching<'a>(&self, changes: impl Iterator<Item = &'a StageChange>) {
         if self.overlay.borrow_mut().set(changes) {
-            self.publish_again();
+            self.republish();
         }
     }
 
@@ -68,7 +68,7 @@
         self.overlay.borrow_mut().set(std::iter::empty());
     }
 
-    fn publish_again(&self) {
+    fn republish(&self) {
         let Some(polled) = self.last_poll.borrow().clone() else { return };
         if self.driver.role() == ChainRole::head(polled.epoch) {
             self.publish(&polled, true);
--- a/crates/lockusher-control/src/stage_scheduler/hysteresis.rs
+++ b/crates/lockusher-control/src/stage_scheduler/hysteresis.rs
@@ -10,7 +10,7 @@
 /// A change must have been desired this long before it is made.
 const MIN_PERSISTENCE_MS: Millis = 400;
 /// After a change has ended, loads aren't used for this long: they are of the time before.
-const LOAD_SETTLING_MS: Millis = 1_500;
+const LOAD_STABILIZATION_MS: Millis = 1_500;
 /// A change in the other direction than the last one must wait this long since that one,
 const MIN_REVERSAL_INTERVAL_MS: Millis = 10_000;
 /// and be desired for this long without a break.
@@ -71,7 +71,7 @@
 
     /// A change has ended: loads are of the time before for a while.
     pub fn on_change_ended(&mut self, now: Millis) {
-        self.resting_until = self.resting_until.max(now + LOAD_SETTLING_MS);
+        self.resting_until = self.resting_until.max(now + LOAD_STABILIZATION_MS);
     }
 
     /// The service's searchers don't know the order.
--- a/crates/lockusher-node/src/check.rs
+++ b/crates/lockusher-node/src/check.rs
@@ -11,7 +11,7 @@
 
 use crate::command_line::FilesToCheck;
 
-/// Where the outcome is told: good files on `good`, one line for each fault on `faults`.
+/// Where the outcome is written: good files on `good`, one line for each fault on `faults`.
 #[derive(Debug)]
 pub struct Report<G, F> {
     pub good: G,
@@ -22,17 +22,17 @@
 pub fn check<G: Write, F: Write>(files: &FilesToCheck, report: &mut Report<G, F>) -> io::Result<bool> {
     let mut all_good = true;
     for file in &files.settings {
-        all_good &= report.tell(file, check_settings(file))?;
+        all_good &= report.write_finding(file, check_settings(file))?;
     }
     for file in &files.configurations {
-        all_good &= report.tell(file, check_configuration(file))?;
+        all_good &= report.write_finding(file, check_configuration(file))?;
     }
     Ok(all_good)
 }
 
 /// What a file is found to be.
 enum Finding {
-    /// With a few words on what it holds.
+    /// With a short description of what it holds.
     Good(String),
     Unreadable(io::Error),
     Faulty(Faults),
@@ -44,13 +44,13 @@
         Err(error) => return Finding::Unreadable(error),
     };
     match NodeSettings::parse(&text) {
-        Ok(settings) => Finding::Good(settings_words(&settings)),
+        Ok(settings) => Finding::Good(describe_settings(&settings)),
         Err(faults) => Finding::Faulty(faults),
     }
 }
 
 /// What the settings make of the machine.
-fn settings_words(settings: &NodeSettings) -> String {
+fn describe_settings(settings: &NodeSettings) -> String {
     let node = &settings.node;
     let with_agent = match settings.edge_control() {
         EdgeControl::ControlNode => ", a control node: in the role agent beside the agent",
@@ -79,11 +79,11 @@
 }
 
 impl<G: Write, F: Write> Report<G, F> {
-    /// Tells of one file; returns whether it is good.
-    fn tell(&mut self, file: &Path, finding: Finding) -> io::Result<bool> {
+    /// Writes what was found of one file; returns whether it is good.
+    fn write_finding(&mut self, file: &Path, finding: Finding) -> io::Result<bool> {
         match finding {
-            Finding::Good(words) => {
-                writeln!(self.good, "{}: good: {words}", file.display())?;
+            Finding::Good(description) => {
+                writeln!(self.good, "{}: good: {description}", file.display())?;
                 return Ok(true);
             }
             Finding::Unreadable(error) => self.fault(file, format_args!("cannot be read: {error}"))?,
--- a/crates/lockusher-node/src/command_line.rs
+++ b/crates/lockusher-node/src/command_line.rs
@@ -13,7 +13,7 @@
 pub const CHECK: &str = "check";
 
 /// The roles that take [`STAGE_ORDERS`]: a control node may run in both.
-const WITH_CONTROL_NODE: [&str; 2] = ["control", "agent"];
+const ROLES_WITH_CONTROL_NODE: [&str; 2] = ["control", "agent"];
 const STAGE_ORDERS: &str = "stage-orders";
 
 const DEFAULT_LEVEL: LevelFilter = LevelFilter::Info;
@@ -99,7 +99,7 @@
         "log up to this level: off, error, warn, info (default), debug, trace",
         "LEVEL",
     );
-    let has_stage_orders = WITH_CONTROL_NODE.contains(&role.name);
+    let has_stage_orders = ROLES_WITH_CONTROL_NODE.contains(&role.name);
     if has_stage_orders {
         options.optopt(
             "",
--- a/crates/lockusher-node/src/program.rs
+++ b/crates/lockusher-node/src/program.rs
@@ -73,15 +73,15 @@
     match start_role(role, level, options) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tell(role, &error);
+            report_error(role, &error);
             let faulty = matches!(error, StartError::Settings(SettingsError::Faulty { .. }));
             if faulty { ExitCode::from(FAULTY) } else { ExitCode::FAILURE }
         }
     }
 }
 
-/// Tells of an error in the log, or plainly while there is none.
-fn tell(role: Role, error: &StartError) {
+/// Reports an error in the log, or on standard error while there is no log.
+fn report_error(role: Role, error: &StartError) {
     if log::log_enabled!(log::Level::Error) {
         log::error!("{error}");
     } else {
--- a/crates/lockusher-node/src/role.rs
+++ b/crates/lockusher-node/src/role.rs
@@ -45,11 +45,11 @@
         let signals = self.signals.polled()?;
         let file = self.settings_file;
         let stop = async move {
-            let read_again = || match settings_file::load(&file) {
+            let reload = || match settings_file::load(&file) {
                 Ok(settings) => settings_changed(settings),
                 Err(error) => log::error!("the changed settings are not used: {error}"),
             };
-            if let Err(error) = signals.until_stop(read_again).await {
+            if let Err(error) = signals.until_stop(reload).await {
                 log::error!("stopping, signals can't be read: {error}");
             }
         };
--- a/crates/lockusher-node/src/signals.rs
+++ b/crates/lockusher-node/src/signals.rs
@@ -27,43 +27,43 @@
 
 const NO_PIPE: c_int = -1;
 
-/// The pipe's writing end, for the handler. It is never closed: a signal may come at any time.
-static WRITING_END: AtomicI32 = AtomicI32::new(NO_PIPE);
+/// The pipe's write end, for the handler. It is never closed: a signal may come at any time.
+static WRITE_END: AtomicI32 = AtomicI32::new(NO_PIPE);
 
 /// Whether the handlers are in place.
-static HANDLED: AtomicBool = AtomicBool::new(false);
+static INSTALLED: AtomicBool = AtomicBool::new(false);
 
 /// The signals that the process has received, in their order.
 #[derive(Debug)]
 pub struct Signals {
-    reading_end: File,
+    read_end: File,
 }
 
 /// The same, polled by the runtime.
 #[derive(Debug)]
 pub struct PolledSignals {
-    reading_end: PollFd<File>,
+    read_end: PollFd<File>,
 }
 
 impl Signals {
     /// Handles SIGTERM, SIGINT and SIGHUP from now on, and ignores SIGPIPE. To be called once, early: an
     /// unhandled SIGHUP ends the process.
     pub fn install() -> io::Result<Self> {
-        if HANDLED.swap(true, Ordering::SeqCst) {
+        if INSTALLED.swap(true, Ordering::SeqCst) {
             return Err(io::Error::new(ErrorKind::AlreadyExists, "signals are handled already"));
         }
-        let (reading_end, writing_end) = non_blocking_pipe()?;
-        WRITING_END.store(writing_end.into_raw_fd(), Ordering::SeqCst);
+        let (read_end, write_end) = non_blocking_pipe()?;
+        WRITE_END.store(write_end.into_raw_fd(), Ordering::SeqCst);
         for signal in [libc::SIGTERM, libc::SIGINT, libc::SIGHUP] {
             set_handler(signal, handle as *const () as libc::sighandler_t)?;
         }
         set_handler(libc::SIGPIPE, libc::SIG_IGN)?;
-        Ok(Self { reading_end: File::from(reading_end) })
+        Ok(Self { read_end: File::from(read_end) })
     }
 
     /// Has the runtime poll for signals.
     pub fn polled(self) -> io::Result<PolledSignals> {
-        Ok(PolledSignals { reading_end: PollFd::new(self.reading_end)? })
+        Ok(PolledSignals { read_end: PollFd::new(self.read_end)? })
     }
 }
 
@@ -71,7 +71,7 @@
     /// Waits for the next signal.
     pub async fn next(&self) -> io::Result<Signal> {
         loop {
-            let byte = poll_fn(|context| self.reading_end.poll_read_with(context, read_byte)).await?;
+            let byte = poll_fn(|context| self.read_end.poll_read_with(context, read_byte)).await?;
             match byte {
                 STOP_BYTE => return Ok(Signal::Stop),
                 SETTINGS_CHANGED_BYTE => return Ok(Signal::SettingsChanged),
@@ -98,13 +98,13 @@
 /// The signal handler. It may run between any two instructions: it calls nothing but `write`, and keeps `errno`.
 extern "C" fn handle(signal: c_int) {
     let byte = if signal == libc::SIGHUP { SETTINGS_CHANGED_BYTE } else { STOP_BYTE };
-    let writing_end = WRITING_END.load(Ordering::SeqCst);
+    let write_end = WRITE_END.load(Ordering::SeqCst);
     // SAFETY: `write` may be called in a handler, and the byte outlives the call; the pipe is never closed.
     unsafe {
         let errno = libc::__errno_location();
-        let kept = *errno;
-        libc::write(writing_end, (&raw const byte).cast(), 1);
-        *errno = kept;
+        let saved_errno = *errno;
+        libc::write(write_end, (&raw const byte).cast(), 1);
+        *errno = saved_errno;
     }
 }
 
@@ -118,7 +118,7 @@
     if result == 0 { Ok(()) } else { Err(io::Error::last_os_error()) }
 }
 
-/// The reading and the writing end of a new pipe.
+/// The read and the write end of a new pipe.
 fn non_blocking_pipe() -> io::Result<(OwnedFd, OwnedFd)> {
     let mut ends = [NO_PIPE; 2];
     // SAFETY: there is room for both descriptors.
