--- a/crates/lockusher-node/src/check.rs
+++ b/crates/lockusher-node/src/check.rs
@@ -1,4 +1,7 @@
 //! `check`: reads files as the roles would, and prints all of their faults.
+//!
+//! Called by the program for the command of this name. It parses with the parsers of the roles, so that what it calls good
+//! is what they accept.
 
 use std::fmt::Display;
 use std::fs;
@@ -14,11 +17,17 @@
 /// Where the outcome is written: good files on `good`, one line for each fault on `faults`.
 #[derive(Debug)]
 pub struct Report<G, F> {
+    /// For files that are good.
     pub good: G,
+    /// For faults.
     pub faults: F,
 }
 
 /// Checks all files; returns whether all are good.
+///
+/// # Errors
+///
+/// If the report can't be written. A file that can't be read is a fault of the file.
 pub fn check<G: Write, F: Write>(files: &FilesToCheck, report: &mut Report<G, F>) -> io::Result<bool> {
     let mut all_good = true;
     for file in &files.settings {
--- a/crates/lockusher-node/src/command_line.rs
+++ b/crates/lockusher-node/src/command_line.rs
@@ -1,4 +1,6 @@
 //! The command line: what is to be done, and the help.
+//!
+//! Called by the program with its arguments; pure, without I/O.
 
 use std::path::PathBuf;
 
@@ -8,8 +10,10 @@
 
 use crate::role::{Role, RoleOptions};
 
+/// The program's name, as help and messages show it.
 pub const PROGRAM: &str = "lockusher-node";
 
+/// The command that checks files.
 pub const CHECK: &str = "check";
 
 /// The roles that take [`STAGE_ORDERS`]: a control node may run in both.
@@ -24,7 +28,14 @@
     /// Print this text.
     Print(String),
     /// Run a role.
-    Run { role: Role, level: LevelFilter, options: RoleOptions },
+    Run {
+        /// The role.
+        role: Role,
+        /// Up to which level it logs.
+        level: LevelFilter,
+        /// Options of the role.
+        options: RoleOptions,
+    },
     /// Check files.
     Check(FilesToCheck),
 }
@@ -32,38 +43,51 @@
 /// The files that `check` is to read.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct FilesToCheck {
+    /// Settings files of nodes.
     pub settings: Vec<PathBuf>,
+    /// Routing configurations.
     pub configurations: Vec<PathBuf>,
 }
 
 impl FilesToCheck {
+    /// Whether no file is named.
     pub fn is_empty(&self) -> bool {
         self.settings.is_empty() && self.configurations.is_empty()
     }
 }
 
-/// What is wrong with a command line.
+/// What is wrong with a command line. The same again is as wrong.
 #[derive(Debug, Display, Error, From)]
 pub enum CommandLineError {
+    /// Nothing says what to do.
     #[display("no command")]
     NoCommand,
+    /// No role and no other command has this name.
     #[display("unknown command {_0:?}")]
     #[from(ignore)]
     UnknownCommand(#[error(not(source))] String),
+    /// An argument that isn't an option.
     #[display("unexpected argument {_0:?}")]
     #[from(ignore)]
     UnexpectedArgument(#[error(not(source))] String),
+    /// The value of `--log`.
     #[display("unknown log level {_0:?}: expected off, error, warn, info, debug or trace")]
     #[from(ignore)]
     UnknownLevel(#[error(not(source))] String),
+    /// The value of `--stage-orders`.
     #[display("unknown value {_0:?} of --stage-orders: expected on or off")]
     #[from(ignore)]
     UnknownStageOrders(#[error(not(source))] String),
+    /// An option is unknown, lacks its value, or is given twice.
     #[display("{_0}")]
     Options(getopts::Fail),
 }
 
-/// Reads the arguments, without the program's name.
+/// Parses the arguments, without the program's name.
+///
+/// # Errors
+///
+/// [`CommandLineError`] with the first fault.
 pub fn parse(roles: &[Role], arguments: &[String]) -> Result<Command, CommandLineError> {
     let Some((first, rest)) = arguments.split_first() else { return Err(CommandLineError::NoCommand) };
     if first.starts_with('-') {
--- a/crates/lockusher-node/src/composition.rs
+++ b/crates/lockusher-node/src/composition.rs
@@ -1,16 +1,32 @@
-//! Two parts of the fleet in one process: one that the process is about, and one that accompanies it to its end.
+//! Two roles of the fleet in one process: one that the process is about, and one that accompanies it to its end.
+//!
+//! Called by the role `agent` on machines that run a control node, too. Invariant: neither goes on without the other: half
+//! a process would look alive.
 
 use std::future::Future;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
+use derive_more::{Display, Error};
 use futures_channel::oneshot;
 use futures_util::future::{Either, select};
 use futures_util::pin_mut;
 
-use crate::role::RoleError;
+/// Why two roles of a process have ended otherwise than in order.
+#[derive(Debug, Display, Error)]
+pub enum CompositionError<L, A> {
+    /// The leading role failed.
+    #[display("{_0}")]
+    Leading(L),
+    /// The accompanying role failed.
+    #[display("{_0}")]
+    Accompanying(A),
+    /// The accompanying role ended in order while the leading one was at work.
+    #[display("a part of the process has ended before it was told to")]
+    EndedEarly,
+}
 
-/// Ready once the accompanying part is to stop.
+/// Ready once the accompanying role is to stop.
 #[derive(Debug)]
 pub struct StopSignal(oneshot::Receiver<()>);
 
@@ -22,16 +38,18 @@
     }
 }
 
-/// Runs two parts side by side. `leading` ends by itself when the process is to stop, and `accompany` makes the part that
-/// goes on until then, and is told to stop once `leading` has ended in order. If either ends with an error, or the second
-/// one ends first, the other is dropped and the error returned: half a process would look alive.
-pub async fn run_accompanied<L, A, S, E, F>(leading: L, accompany: A) -> Result<(), RoleError>
+/// Runs two roles side by side. `leading` ends by itself when the process is to stop; `accompany` makes the role that goes
+/// on until then, and is notified to stop once `leading` has ended in order. When one ends otherwise, the other is
+/// dropped.
+///
+/// # Errors
+///
+/// [`CompositionError`] with the error of the role that failed first, or if the accompanying one ended first.
+pub async fn run_accompanied<L, A, S, E, F>(leading: L, accompany: A) -> Result<(), CompositionError<E, F>>
 where
     L: Future<Output = Result<(), E>>,
     A: FnOnce(StopSignal) -> S,
     S: Future<Output = Result<(), F>>,
-    E: Into<RoleError>,
-    F: Into<RoleError>,
 {
     let (stop, stopped) = oneshot::channel();
     let accompanying = accompany(StopSignal(stopped));
@@ -40,10 +58,10 @@
         Either::Left((Ok(()), accompanying)) => {
             // It has ended by itself if it no longer listens.
             let _ = stop.send(());
-            accompanying.await.map_err(Into::into)
+            accompanying.await.map_err(CompositionError::Accompanying)
         }
-        Either::Left((Err(error), _)) => Err(error.into()),
-        Either::Right((Ok(()), _)) => Err("a part of the process has ended before it was told to".into()),
-        Either::Right((Err(error), _)) => Err(error.into()),
+        Either::Left((Err(error), _)) => Err(CompositionError::Leading(error)),
+        Either::Right((Ok(()), _)) => Err(CompositionError::EndedEarly),
+        Either::Right((Err(error), _)) => Err(CompositionError::Accompanying(error)),
     }
 }
--- a/crates/lockusher-node/src/lib.rs
+++ b/crates/lockusher-node/src/lib.rs
@@ -1,5 +1,9 @@
-//! The program of the fleet: command line, logging, signals and the start of a role. What the roles do is in the
-//! crates `lockusher-control`, `lockusher-agent` and `lockusher-proxy`; `roles` starts them.
+//! The program of the fleet: command line, logging, signals and the start of a role.
+//!
+//! What the roles do is in the packages `lockusher-control`, `lockusher-agent` and `lockusher-proxy`; [`roles`] starts
+//! them. [`program::run`] is the entry: it parses the [`command_line`] and either prints, runs [`check`], or installs the
+//! [`signals`], loads the [`settings_file`], starts [`logging`] and runs a [`role`] on a runtime of one thread. A process
+//! may run two roles side by side ([`composition`]).
 
 // Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
 #![allow(missing_docs, clippy::missing_errors_doc)]
--- a/crates/lockusher-node/src/logging.rs
+++ b/crates/lockusher-node/src/logging.rs
@@ -1,15 +1,22 @@
 //! Log lines on standard error: `SECONDS LEVEL ROLE NODE MESSAGE`, with the time since the start.
+//!
+//! Started once by the program, before its role runs.
 
 use std::time::Instant;
 
 use log::{LevelFilter, Metadata, SetLoggerError};
 
-/// Of other crates than the project's, only these lines are logged.
+/// Of other packages than the project's, only lines up to this level are logged.
 const LEVEL_OF_LIBRARIES: LevelFilter = LevelFilter::Warn;
 
+/// Targets of the project's log lines start with this.
 const PROJECT: &str = "lockusher";
 
 /// Starts logging. To be called once.
+///
+/// # Errors
+///
+/// If the process logs already.
 pub fn start(level: LevelFilter, role: &str, node: &str) -> Result<(), SetLoggerError> {
     let start = Instant::now();
     let origin = format!("{role} {node}");
--- a/crates/lockusher-node/src/program.rs
+++ b/crates/lockusher-node/src/program.rs
@@ -1,4 +1,6 @@
 //! Does what the command line asks for.
+//!
+//! Called by `main`. Exit codes: 0 in order, 1 if a role can't start or fails, 2 for a wrong command line or faulty files.
 
 use std::io::{self, Write};
 use std::process::ExitCode;
@@ -16,17 +18,21 @@
 /// Exit code for a wrong command line or faulty files.
 const FAULTY: u8 = 2;
 
-/// Why a role could not be run, or has ended.
+/// Why a role could not be run, or has ended otherwise than by a planned stop.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
+    /// There are no settings, or faulty ones.
     #[display("{_0}")]
     Settings(SettingsError),
+    /// Signals can't be handled, or there is no runtime: the machine is out of descriptors or memory.
     #[display("cannot start: {_0}")]
     System(io::Error),
+    /// The process logs already.
     #[display("cannot log: {_0}")]
     Logging(SetLoggerError),
+    /// The role failed.
     #[display("{_0}")]
-    Role(#[error(not(source))] RoleError),
+    Role(RoleError),
 }
 
 /// Runs the program with its arguments, without the program's name.
@@ -42,7 +48,7 @@
     }
 }
 
-/// A reader that is gone is no reason to fail.
+/// Prints a text. If nobody reads it any more, that is no reason to fail.
 fn print(text: &str) -> ExitCode {
     let _ = io::stdout().write_all(text.as_bytes());
     ExitCode::SUCCESS
--- a/crates/lockusher-node/src/role.rs
+++ b/crates/lockusher-node/src/role.rs
@@ -1,23 +1,32 @@
-//! Roles of the program, and what a role is given at its start.
+//! A role of the program: what it is, what it is started with, and why it fails.
+//!
+//! The roles themselves are listed in [`crate::roles`]; the program runs one of them.
 
-use std::error::Error;
 use std::future::Future;
 use std::io;
 use std::path::PathBuf;
 use std::pin::Pin;
 
-use lockusher_config::settings::NodeSettings;
+use derive_more::{Display, Error, From};
+use lockusher_agent::error::AgentError;
+use lockusher_config::settings::{NodeSettings, TooFewPorts};
+use lockusher_control::serve::ControlError;
+use lockusher_proxy::ProxyError;
 
+use crate::composition::CompositionError;
 use crate::settings_file;
 use crate::signals::Signals;
 
 /// What a role is started with.
 #[derive(Debug)]
 pub struct RoleContext {
+    /// The node's settings as they were at the start.
     pub settings: NodeSettings,
     /// The file that the settings were read from; it may change.
     pub settings_file: PathBuf,
+    /// Signals to the process.
     pub signals: Signals,
+    /// What the command line says.
     pub options: RoleOptions,
 }
 
@@ -38,6 +47,10 @@
     /// The settings, and a future that ends when the process is to stop. Until then a signal that the settings
     /// file has changed has it read again, and `settings_changed` is called with what it says; a faulty file is
     /// logged and changes nothing.
+    ///
+    /// # Errors
+    ///
+    /// If the runtime can't poll for signals.
     pub fn start(
         self,
         mut settings_changed: impl FnMut(NodeSettings),
@@ -57,8 +70,23 @@
     }
 }
 
-/// Why a role has ended otherwise than by a planned stop.
-pub type RoleError = Box<dyn Error>;
+/// Why a role has ended otherwise than by a planned stop. Each of its errors says whether another start may help.
+#[derive(Debug, Display, Error, From)]
+#[display("{_0}")]
+pub enum RoleError {
+    /// The runtime can't poll for signals.
+    Signals(io::Error),
+    /// The settings name too few internal ports.
+    Ports(TooFewPorts),
+    /// The control node failed.
+    Control(ControlError),
+    /// The agent failed.
+    Agent(AgentError),
+    /// The proxy failed.
+    Proxy(ProxyError),
+    /// The control node or the agent beside it failed.
+    ControlAndAgent(CompositionError<ControlError, AgentError>),
+}
 
 /// A running role; it ends on [`Signal::Stop`](crate::signals::Signal::Stop).
 pub type RunningRole = Pin<Box<dyn Future<Output = Result<(), RoleError>>>>;
@@ -66,6 +94,7 @@
 /// One role of the program. Its name is also its command.
 #[derive(Clone, Copy, Debug)]
 pub struct Role {
+    /// Its name, which is its command.
     pub name: &'static str,
     /// One line for the help.
     pub summary: &'static str,
--- a/crates/lockusher-node/src/roles.rs
+++ b/crates/lockusher-node/src/roles.rs
@@ -1,4 +1,6 @@
-//! The roles that are built into the program.
+//! The roles that are built into the program, and how each is started from its settings.
+//!
+//! Passed to [`crate::program::run`] by `main`.
 
 use std::hash::{BuildHasher, RandomState};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -40,7 +42,7 @@
         }
         log::info!("a control node runs beside the agent");
         let control = lockusher_control::serve::run(settings.clone(), options, stop);
-        run_accompanied(control, |stop| lockusher_agent::serve::run(settings, stop)).await
+        Ok(run_accompanied(control, |stop| lockusher_agent::serve::run(settings, stop)).await?)
     })
 }
 
--- a/crates/lockusher-node/src/signals.rs
+++ b/crates/lockusher-node/src/signals.rs
@@ -21,10 +21,13 @@
     SettingsChanged,
 }
 
+/// Written by the handler of SIGTERM and SIGINT.
 const STOP_BYTE: u8 = b's';
 
+/// Written by the handler of SIGHUP.
 const SETTINGS_CHANGED_BYTE: u8 = b'c';
 
+/// In place of a descriptor while there is no pipe.
 const NO_PIPE: c_int = -1;
 
 /// The pipe's write end, for the handler. It is never closed: a signal may come at any time.
@@ -48,6 +51,10 @@
 impl Signals {
     /// Handles SIGTERM, SIGINT and SIGHUP from now on, and ignores SIGPIPE. To be called once, early: an
     /// unhandled SIGHUP ends the process.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::AlreadyExists`] on another call; or if the system refuses the pipe or a handler.
     pub fn install() -> io::Result<Self> {
         if INSTALLED.swap(true, Ordering::SeqCst) {
             return Err(io::Error::new(ErrorKind::AlreadyExists, "signals are handled already"));
@@ -62,6 +69,10 @@
     }
 
     /// Has the runtime poll for signals.
+    ///
+    /// # Errors
+    ///
+    /// If the runtime can't watch the pipe.
     pub fn polled(self) -> io::Result<PolledSignals> {
         Ok(PolledSignals { read_end: PollFd::new(self.read_end)? })
     }
@@ -69,6 +80,10 @@
 
 impl PolledSignals {
     /// Waits for the next signal.
+    ///
+    /// # Errors
+    ///
+    /// If the pipe can't be read.
     pub async fn next(&self) -> io::Result<Signal> {
         loop {
             let byte = poll_fn(|context| self.read_end.poll_read_with(context, read_byte)).await?;
@@ -81,6 +96,10 @@
     }
 
     /// Waits for a signal to stop; calls `settings_changed` for each that comes before and says so.
+    ///
+    /// # Errors
+    ///
+    /// If the pipe can't be read.
     pub async fn until_stop(&self, mut settings_changed: impl FnMut()) -> io::Result<()> {
         while self.next().await? == Signal::SettingsChanged {
             settings_changed();
