--- a/crates/lockusher-node/tests/check.rs
+++ b/crates/lockusher-node/tests/check.rs
@@ -1,7 +1,13 @@
 //! `check` as a process: it reads all files, prints all faults, and its exit code says whether there are any.
 
-use std::path::{Path, PathBuf};
-use std::process::{Command, Output};
+mod support;
+
+use std::path::Path;
+use std::process::Output;
+
+use yare::parameterized;
+
+use support::{program, program_with_settings, text, write_file};
 
 const GOOD_SETTINGS: &str =
     "node=n-4\nzone=z\nipAddress=172.20.1.2\ninternalPorts=4400,4410\ncloud.address=172.20.9.9:81\n";
@@ -27,32 +33,26 @@
     "services": [{"name": "s"}]
 }"#;
 
-fn file(name: &str, text: &str) -> PathBuf {
-    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, text).unwrap();
-    path
-}
+const OPERATOR_ADDRESS: &str = "listenAddresses.control=172.20.1.2:4500\n";
+const COUNTS_FOR_QUORUM: &str = "countsForQuorum=true\n";
+const DATA_DIRECTORY: &str = "dataDirectory=/data\n";
 
 fn check(settings: &[&Path], configurations: &[&Path]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_lockusher-node"));
-    command.arg("check").env_remove("LOCKUSHER_NODE_FILE");
+    let mut command = program();
+    command.arg("check");
     for file in settings {
         command.arg("--settings").arg(file);
     }
     for file in configurations {
         command.arg("--configuration").arg(file);
     }
-    command.output().unwrap()
-}
-
-fn text(bytes: &[u8]) -> String {
-    String::from_utf8(bytes.to_vec()).unwrap()
+    command.output().expect("the program runs")
 }
 
 #[test]
 fn good_files_are_named() {
-    let settings = file("good.conf", GOOD_SETTINGS);
-    let configuration = file("good.json", GOOD_CONFIGURATION);
+    let settings = write_file("good.conf", GOOD_SETTINGS);
+    let configuration = write_file("good.json", GOOD_CONFIGURATION);
     let output = check(&[&settings], &[&configuration]);
     assert_eq!(output.status.code(), Some(0));
     assert!(output.stderr.is_empty());
@@ -66,9 +66,9 @@
 
 #[test]
 fn all_faults_of_all_files_are_printed() {
-    let settings = file("faulty.conf", FAULTY_SETTINGS);
-    let configuration = file("faulty.json", FAULTY_CONFIGURATION);
-    let good = file("good-among-faulty.conf", GOOD_SETTINGS);
+    let settings = write_file("faulty.conf", FAULTY_SETTINGS);
+    let configuration = write_file("faulty.json", FAULTY_CONFIGURATION);
+    let good = write_file("good-among-faulty.conf", GOOD_SETTINGS);
     let absent = Path::new("does/not/exist.json");
     let output = check(&[&settings, &good], &[absent, &configuration]);
     assert_eq!(output.status.code(), Some(2));
@@ -88,35 +88,35 @@
 
 #[test]
 fn without_files_the_nodes_own_settings_are_checked() {
-    let settings = file("own.conf", GOOD_SETTINGS);
-    let output = Command::new(env!("CARGO_BIN_EXE_lockusher-node"))
-        .arg("check")
-        .env("LOCKUSHER_NODE_FILE", &settings)
-        .output()
-        .unwrap();
+    let settings = write_file("own.conf", GOOD_SETTINGS);
+    let output = program_with_settings(&settings).arg("check").output().expect("the program runs");
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(text(&output.stdout), format!("{}: good: settings of node n-4\n", settings.display()));
 }
 
-#[test]
-fn settings_say_what_they_make_of_a_machine() {
-    let machine = |lines: &str| format!("{GOOD_SETTINGS}{lines}");
-    let operator = "listenAddresses.control=172.20.1.2:4500\n";
-    let counted = "countsForQuorum=true\n";
-    let disk = "dataDirectory=/data\n";
-    let cases = [
-        (format!("{operator}{counted}{disk}"), ", a control node: in the role agent beside the agent"),
-        (operator.to_owned(), ", the role agent sends operators on to a control node"),
-        (
-            format!("{operator}{counted}"),
-            ", the role agent sends operators on to a control node, counts for the quorum but has no dataDirectory",
-        ),
-        (format!("{counted}{disk}"), ""),
-    ];
-    for (number, (lines, expected)) in cases.into_iter().enumerate() {
-        let settings = file(&format!("machine-{number}.conf"), &machine(&lines));
-        let output = check(&[&settings], &[]);
-        let expected = format!("{}: good: settings of node n-4{expected}\n", settings.display());
-        assert_eq!(text(&output.stdout), expected);
-    }
+#[parameterized(
+    control_node_beside_the_agent = {
+        "control-node-beside",
+        &[OPERATOR_ADDRESS, COUNTS_FOR_QUORUM, DATA_DIRECTORY],
+        ", a control node: in the role agent beside the agent",
+    },
+    operators_are_redirected = {
+        "operators-redirected",
+        &[OPERATOR_ADDRESS],
+        ", the role agent sends operators on to a control node",
+    },
+    no_disk = {
+        "no-disk",
+        &[OPERATOR_ADDRESS, COUNTS_FOR_QUORUM],
+        ", the role agent sends operators on to a control node, counts for the quorum but has no dataDirectory",
+    },
+    no_operator_address = { "no-operator-address", &[COUNTS_FOR_QUORUM, DATA_DIRECTORY], "" },
+)]
+fn settings_say_what_they_make_of_a_machine(name: &str, lines: &[&str], expected: &str) {
+    let settings = write_file(&format!("machine-{name}.conf"), &format!("{GOOD_SETTINGS}{}", lines.concat()));
+
+    let output = check(&[&settings], &[]);
+
+    let expected = format!("{}: good: settings of node n-4{expected}\n", settings.display());
+    assert_eq!(text(&output.stdout), expected);
 }
--- a/crates/lockusher-node/tests/command_line.rs
+++ b/crates/lockusher-node/tests/command_line.rs
@@ -1,19 +1,15 @@
 //! The program as a process: help, version, wrong command lines, roles that can't start.
 
-use std::process::{Command, Output};
+mod support;
+
+use std::process::Output;
 
 use yare::parameterized;
 
-fn node(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_lockusher-node"))
-        .args(arguments)
-        .env_remove("LOCKUSHER_NODE_FILE")
-        .output()
-        .unwrap()
-}
+use support::{program, program_with_settings, text, write_file};
 
-fn text(bytes: &[u8]) -> String {
-    String::from_utf8(bytes.to_vec()).unwrap()
+fn node(arguments: &[&str]) -> Output {
+    program().args(arguments).output().expect("the program runs")
 }
 
 #[test]
@@ -63,7 +59,7 @@
     no_level = { &["proxy", "--log"], "Argument to option 'log' missing" },
     nothing_to_check = { &["check"], "nothing to check" },
 )]
-fn a_wrong_command_line_is_refused(arguments: &[&str], message: &str) {
+fn a_wrong_command_line_is_rejected(arguments: &[&str], message: &str) {
     let output = node(arguments);
     assert_eq!(output.status.code(), Some(2));
     assert!(output.stdout.is_empty());
@@ -81,14 +77,11 @@
 
 #[test]
 fn a_role_names_the_faults_of_its_settings() {
-    let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("faulty-role.conf");
-    std::fs::write(&file, "node=x\nzone=y\nipAddress=1.2.3\ninternalPorts=1,2\ncloud.address=1.2.3.4:5\n")
-        .unwrap();
-    let output = Command::new(env!("CARGO_BIN_EXE_lockusher-node"))
-        .arg("proxy")
-        .env("LOCKUSHER_NODE_FILE", &file)
-        .output()
-        .unwrap();
+    let text_of_settings = "node=x\nzone=y\nipAddress=1.2.3\ninternalPorts=1,2\ncloud.address=1.2.3.4:5\n";
+    let settings = write_file("faulty-role.conf", text_of_settings);
+
+    let output = program_with_settings(&settings).arg("proxy").output().expect("the program runs");
+
     assert_eq!(output.status.code(), Some(2));
     let error = text(&output.stderr);
     assert!(error.contains("line 3, ipAddress: expected an IPv4 address, found 1.2.3"), "{error}");
@@ -96,20 +89,15 @@
 
 #[test]
 fn a_role_that_cannot_start_says_so_in_the_log() {
-    let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("no-listener.conf");
-    std::fs::write(
-        &file,
-        "node=n-6\nzone=y\nipAddress=1.2.3.9\ninternalPorts=1,2\ncloud.address=1.2.3.4:5\n",
-    )
-    .unwrap();
-    let output = Command::new(env!("CARGO_BIN_EXE_lockusher-node"))
-        .arg("control")
-        .env("LOCKUSHER_NODE_FILE", &file)
-        .output()
-        .unwrap();
+    let text_of_settings =
+        "node=n-6\nzone=y\nipAddress=1.2.3.9\ninternalPorts=1,2\ncloud.address=1.2.3.4:5\n";
+    let settings = write_file("no-listener.conf", text_of_settings);
+
+    let output = program_with_settings(&settings).arg("control").output().expect("the program runs");
+
     assert_eq!(output.status.code(), Some(1));
     let error = text(&output.stderr);
-    let (seconds, line) = error.split_once(' ').unwrap();
+    let (seconds, line) = error.split_once(' ').expect("a time");
     assert!(seconds.parse::<f64>().is_ok(), "{error}");
     assert!(line.starts_with("ERROR control n-6 ") && line.contains("listenAddresses.control"), "{error}");
     assert_eq!(line.lines().count(), 1, "{error}");
