--- a/crates/lockusher-control/src/driver/status.rs
+++ b/crates/lockusher-control/src/driver/status.rs
@@ -1,7 +1,7 @@
 //! The status and the metrics of a control node, as the operator's HTTP interface answers them.
 //!
 //! Reads the replica and the publisher; changes nothing. The keys of the report and the names of the metrics are
-//! described in `docs/control-operators.md`.
+//! described in `docs/operators/control-plane.md`.
 
 use std::fmt::Write;
 
