--- a/crates/lockusher-control/tests/membership_search.rs
+++ b/crates/lockusher-control/tests/membership_search.rs
@@ -374,7 +374,7 @@
     let rules = Rules { tolerated_losses, retains_departed_voters: false };
     match search(machines, rules, depth) {
         Ok(states) => {
-            println!("{machines} machines, {tolerated_losses} tolerated, depth {depth}: {states} states")
+            println!("{machines} machines, {tolerated_losses} tolerated, depth {depth}: {states} states");
         }
         Err(path) => panic!("can't recover:\n{}", path.iter().map(describe).collect::<Vec<_>>().join("\n")),
     }
--- a/crates/lockusher-node/src/lib.rs
+++ b/crates/lockusher-node/src/lib.rs
@@ -5,9 +5,6 @@
 //! [`signals`], loads the [`settings_file`], starts [`logging`] and runs a [`role`] on a runtime of one thread. A process
 //! may run two roles side by side ([`composition`]).
 
-// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs, clippy::missing_errors_doc)]
-
 pub mod check;
 pub mod command_line;
 pub mod composition;
