--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -62,8 +62,7 @@
     ) -> (Replica, Vec<Effect>) {
         let timing = Timing::new(setup.acknowledge_ms, setup.catch_up_ms);
         let mut random = ChaCha8Rng::seed_from_u64(setup.random_seed);
-        let records = altered_by_bug!(bug_injection, altered_recovery, records);
-        let recovered = RecoveredDisk::replay(records);
+        let recovered = RecoveredDisk::replay(altered_by_bug!(bug_injection, altered_recovery, records));
         let drawn = Identity::of_joiner(random.random());
         let first_request = random.random::<u64>() >> 1;
         let numbers_restart = bug_injected!(bug_injection, RequestNumbersRestart);
