--- a/crates/lockusher-control/tests/disk.rs
+++ b/crates/lockusher-control/tests/disk.rs
@@ -1,14 +1,18 @@
 //! What a control node makes of its folder at a start, on the machine's file system.
 
-use std::fs::{self, OpenOptions};
-use std::os::unix::fs::FileExt;
-use std::path::{Path, PathBuf};
+#[path = "support/disk_damage.rs"]
+mod disk_damage;
+
+use std::fs;
+use std::path::Path;
 
 use lockusher_control::driver::disk::{Disk, OpenedDisk, RecoveredRecords, ScrubCounters};
 use lockusher_control::{DiskComparison, DurableRecord, Identity};
 use lockusher_storage::{Completions, DiskFileSystem, Store, StoreOptions};
 use tempfile::TempDir;
 
+use disk_damage::damage_first_append;
+
 const DISK_BYTES: u64 = 1024 * 1024;
 
 fn record(number: u64) -> DurableRecord {
@@ -33,23 +37,6 @@
     folder
 }
 
-fn file_named(folder: &Path, prefix: &str) -> PathBuf {
-    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
-    let is_it = |path: &PathBuf| {
-        path.file_name().and_then(|name| name.to_str()).is_some_and(|name| name.starts_with(prefix))
-    };
-    entries.into_iter().find(is_it).expect("such a file")
-}
-
-/// Changes a byte of the first append.
-fn damage(folder: &Path) {
-    let file = OpenOptions::new().read(true).write(true).open(file_named(folder, "segment-")).expect("opens");
-    let place = 48;
-    let mut byte = [0];
-    file.read_exact_at(&mut byte, place).expect("reads");
-    file.write_all_at(&[byte[0] ^ 0x10], place).expect("writes");
-}
-
 async fn open(folder: &Path) -> RecoveredRecords {
     Disk::open(folder, DISK_BYTES).await.expect("opens").recovered
 }
@@ -74,7 +61,7 @@
 #[compio::test]
 async fn a_damaged_folder_is_cleared_and_nothing_is_recovered() {
     let folder = folder_with(&[record(1), record(2), record(3)]);
-    damage(folder.path());
+    damage_first_append(folder.path());
     let recovered = open(folder.path()).await;
     assert_eq!(recovered.records, []);
     assert!(recovered.cleared);
@@ -114,7 +101,7 @@
     let OpenedDisk { disk, mut completions, .. } = opened;
     scrub(&disk, &mut completions, &records).await;
     assert_eq!(disk.scrub_counters(), ScrubCounters { completed: 1, damage_found: 0 });
-    damage(folder.path());
+    damage_first_append(folder.path());
     scrub(&disk, &mut completions, &records).await;
     assert_eq!(disk.scrub_counters(), ScrubCounters { completed: 2, damage_found: 1 });
     let snapshot = completions.next().await.expect("the outcome of the snapshot");
--- a/crates/lockusher-control/tests/loopback.rs
+++ b/crates/lockusher-control/tests/loopback.rs
@@ -1,16 +1,15 @@
 //! Control nodes on the loopback, as an operator sees them over HTTP.
 
+#[path = "support/disk_damage.rs"]
+mod disk_damage;
 #[path = "support/machines.rs"]
-mod support;
-
-use std::fs::{self, OpenOptions};
-use std::os::unix::fs::FileExt;
-use std::path::Path;
+mod machines;
 
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 
-use support::{Machine, call, machines};
+use disk_damage::damage_first_append;
+use machines::{Machine, call, machines};
 
 fn configuration(version: u64) -> String {
     let route = json!({
@@ -119,18 +118,6 @@
     assert_eq!(machines[0].read().await.body[..], *configuration(8).as_bytes());
 }
 
-/// Changes a byte of the first append, many appends ago.
-fn damage(folder: &Path) {
-    let names = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
-    let segment =
-        names.into_iter().find(|path| path.to_string_lossy().contains("segment-")).expect("a segment");
-    let file = OpenOptions::new().read(true).write(true).open(segment).expect("opens");
-    let place = 48;
-    let mut byte = [0];
-    file.read_exact_at(&mut byte, place).expect("reads");
-    file.write_all_at(&[byte[0] ^ 0x10], place).expect("writes");
-}
-
 /// Though told that it is the first start, a node whose disk was damaged neither takes its former identity nor serves what
 /// it can't know; it joins and is fed.
 #[compio::test]
@@ -142,7 +129,7 @@
     let before = last.wait_until("a whole chain", |status| chain_length(status) == 3).await;
     let former = before["identity"].clone();
     machines[2].stop();
-    damage(machines[2].folder.path());
+    damage_first_append(machines[2].folder.path());
 
     machines.iter_mut().take(2).for_each(Machine::stop);
     machines[2].start(true);
