--- a/crates/lockusher-agent/src/addresses.rs
+++ b/crates/lockusher-agent/src/addresses.rs
@@ -39,7 +39,11 @@
 
     /// Internal listeners of the control nodes that the settings name.
     pub fn control_listeners(self, settings: &NodeSettings) -> Vec<SocketAddrV4> {
-        settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), self.subscriptions)).collect()
+        settings
+            .seeds
+            .iter()
+            .map(|seed| SocketAddrV4::new(*seed.ip(), self.subscriptions))
+            .collect()
     }
 
     /// How this agent names itself to control nodes and to peers from which it fetches.
--- a/crates/lockusher-agent/src/departure_recorder.rs
+++ b/crates/lockusher-agent/src/departure_recorder.rs
@@ -35,7 +35,11 @@
 
     /// Records what a list shows as departed, once for each list. `in_force`: the list before it.
     pub fn record_list(&mut self, now_ms: u64, list: &ConfirmedList, in_force: &[Instance]) {
-        if self.last_list.as_ref().is_some_and(|last| Rc::ptr_eq(last, &list.instances)) {
+        if self
+            .last_list
+            .as_ref()
+            .is_some_and(|last| Rc::ptr_eq(last, &list.instances))
+        {
             return;
         }
         let missing = self.departed.record_list(now_ms, in_force, &list.instances);
@@ -48,7 +52,8 @@
 
     /// Records a departure that another agent observed; true if it is new here.
     pub fn record_peer_departure(&mut self, now_ms: u64, observed: &InstanceDeparture) -> bool {
-        self.departed.record(now_ms, &observed.identifier, observed.departure)
+        self.departed
+            .record(now_ms, &observed.identifier, observed.departure)
     }
 
     /// The list with searchers that are known to have departed marked as draining, or left out.
@@ -63,7 +68,10 @@
 
     fn queue(&mut self, identifiers: Vec<String>, departure: Departure) {
         let free = MAX_PENDING.saturating_sub(self.pending.len());
-        let observed = identifiers.into_iter().map(|identifier| InstanceDeparture { identifier, departure });
+        let observed = identifiers.into_iter().map(|identifier| InstanceDeparture {
+            identifier,
+            departure,
+        });
         self.pending.extend(observed.take(free));
     }
 }
--- a/crates/lockusher-agent/src/fleet_size.rs
+++ b/crates/lockusher-agent/src/fleet_size.rs
@@ -29,10 +29,17 @@
         if proxies == 0 {
             return;
         }
-        while self.counts.back().is_some_and(|known| known.proxies <= proxies) {
+        while self
+            .counts
+            .back()
+            .is_some_and(|known| known.proxies <= proxies)
+        {
             self.counts.pop_back();
         }
-        self.counts.push_back(RecordedCount { received_at_ms: now_ms, proxies });
+        self.counts.push_back(RecordedCount {
+            received_at_ms: now_ms,
+            proxies,
+        });
         while self.counts.len() > 1 && self.counts[0].received_at_ms + COUNT_VALID_MS <= now_ms {
             self.counts.pop_front();
         }
--- a/crates/lockusher-agent/src/forward.rs
+++ b/crates/lockusher-agent/src/forward.rs
@@ -21,12 +21,18 @@
 }
 
 fn forward_configuration(agent: &AgentState) {
-    let newest = agent.subscriber.read(|subscriber| subscriber.configuration().cloned());
+    let newest = agent
+        .subscriber
+        .read(|subscriber| subscriber.configuration().cloned());
     let Some(configuration) = newest else { return };
-    let published = agent.publisher.read(|publisher| publisher.newest().configuration_version);
+    let published = agent
+        .publisher
+        .read(|publisher| publisher.newest().configuration_version);
     if configuration.version > published {
         log::info!("configuration {}", configuration.version);
-        agent.publisher.update(|publisher| publisher.publish_configuration(configuration));
+        agent
+            .publisher
+            .update(|publisher| publisher.publish_configuration(configuration));
     }
 }
 
@@ -37,9 +43,14 @@
             lists.receive_control_list(now_ms, list, subscriber.list_confirmed_at_ms());
         }
     });
-    lists.receive_proxy_revision(now_ms, agent.publisher.read(Publisher::highest_applied_revision));
+    lists.receive_proxy_revision(
+        now_ms,
+        agent.publisher.read(Publisher::highest_applied_revision),
+    );
     if let Some(list) = lists.take_update(now_ms) {
-        agent.publisher.update(|publisher| publisher.publish_list(list.revision, list.instances));
+        agent
+            .publisher
+            .update(|publisher| publisher.publish_list(list.revision, list.instances));
     }
 }
 
@@ -55,19 +66,29 @@
         proxies: fleet_size.proxies(),
         in_view: true,
     };
-    agent.publisher.update_quietly(|publisher| publisher.set_status(status));
+    agent
+        .publisher
+        .update_quietly(|publisher| publisher.set_status(status));
 }
 
 /// What the next acknowledgement to the control node carries.
 fn report_downstream(agent: &AgentState) {
     let downstream = agent.publisher.read(|publisher| {
         // Peers that fetch have an address; proxies have none.
-        let proxies = publisher.subscribers().filter(|known| known.identity.agent_address.is_none());
+        let proxies = publisher
+            .subscribers()
+            .filter(|known| known.identity.agent_address.is_none());
         let versions = proxies.map(|known| known.acknowledged.configuration_version);
         let in_force_version = versions.max().unwrap_or_default();
-        Downstream { in_force_version, proxies: 1, loads: publisher.downstream_loads() }
+        Downstream {
+            in_force_version,
+            proxies: 1,
+            loads: publisher.downstream_loads(),
+        }
     });
-    agent.subscriber.update_quietly(|subscriber| subscriber.set_downstream(downstream));
+    agent
+        .subscriber
+        .update_quietly(|subscriber| subscriber.set_downstream(downstream));
 }
 
 fn update_gossip(agent: &AgentState) {
@@ -77,6 +98,8 @@
             gossip.introduce(subscriber.peers());
             gossip.set_configuration_version(subscriber.applied().configuration_version);
         });
-        departures.into_iter().for_each(|observed| gossip.add_rumor(observed));
+        departures
+            .into_iter()
+            .for_each(|observed| gossip.add_rumor(observed));
     });
 }
--- a/crates/lockusher-agent/src/gossip_tasks.rs
+++ b/crates/lockusher-agent/src/gossip_tasks.rs
@@ -14,13 +14,18 @@
 /// Receives what peers spread, for ever.
 pub async fn receive_from_peers(agent: Rc<AgentState>) {
     let peers = Rc::clone(&agent.peers);
-    peers.receive(move |departures| receive_departures(&agent, departures)).await;
+    peers
+        .receive(move |departures| receive_departures(&agent, departures))
+        .await;
 }
 
 fn receive_departures(agent: &AgentState, departures: Vec<InstanceDeparture>) {
     let now_ms = agent.clock.millis();
     for observed in departures {
-        let is_new = agent.lists.borrow_mut().record_peer_departure(now_ms, &observed);
+        let is_new = agent
+            .lists
+            .borrow_mut()
+            .record_peer_departure(now_ms, &observed);
         if is_new {
             agent.peers.update(|gossip| gossip.add_rumor(observed));
         }
@@ -43,12 +48,19 @@
         let Some(peer) = peers.update(|gossip| gossip.take_due_fetch(agent.clock.millis())) else {
             continue;
         };
-        let local = agent.subscriber.read(|subscriber| subscriber.configuration().cloned());
+        let local = agent
+            .subscriber
+            .read(|subscriber| subscriber.configuration().cloned());
         let identity = agent.ports.identity(&agent.settings);
         match fetch_configuration(peer, identity, local, agent.clock).await {
             Ok(configuration) => {
-                log::info!("configuration {} comes from the agent {peer}", configuration.version);
-                agent.subscriber.update(|subscriber| subscriber.offer_configuration(configuration));
+                log::info!(
+                    "configuration {} comes from the agent {peer}",
+                    configuration.version
+                );
+                agent
+                    .subscriber
+                    .update(|subscriber| subscriber.offer_configuration(configuration));
             }
             Err(error) => log::debug!("{error}"),
         }
--- a/crates/lockusher-agent/src/list_fallback.rs
+++ b/crates/lockusher-agent/src/list_fallback.rs
@@ -19,8 +19,11 @@
 /// Polls while no fresh list is received from the control plane, for ever.
 pub async fn poll_while_stale(agent: Rc<AgentState>) {
     let settings = &agent.settings;
-    let mut poller =
-        InstanceListPoller::concurrent(settings.cloud_rate_per_s, settings.bounds.drain_ms, random_seed());
+    let mut poller = InstanceListPoller::concurrent(
+        settings.cloud_rate_per_s,
+        settings.bounds.drain_ms,
+        random_seed(),
+    );
     loop {
         let now_ms = agent.clock.millis();
         let stale_at_ms = agent.lists.borrow().control_stale_at_ms();
@@ -31,9 +34,13 @@
             continue;
         }
         set_pace_and_start(&agent, &mut poller, now_ms);
-        let poll = instance_list_client::step(&mut poller, settings.cloud_address, agent.clock).await;
+        let poll =
+            instance_list_client::step(&mut poller, settings.cloud_address, agent.clock).await;
         if let Some(poll) = poll {
-            agent.lists.borrow_mut().receive_own_poll(agent.clock.millis(), &poll);
+            agent
+                .lists
+                .borrow_mut()
+                .receive_own_poll(agent.clock.millis(), &poll);
             forward(&agent);
         }
     }
--- a/crates/lockusher-agent/src/list_selection.rs
+++ b/crates/lockusher-agent/src/list_selection.rs
@@ -38,22 +38,33 @@
 
 impl ListSelection {
     /// Takes the control plane's list, and when it was last confirmed.
-    pub fn receive_control_list(&mut self, now_ms: u64, list: &InstanceList, confirmed_at_ms: Option<u64>) {
-        let is_newer = self.control.as_ref().is_none_or(|known| known.revision < list.revision);
+    pub fn receive_control_list(
+        &mut self,
+        now_ms: u64,
+        list: &InstanceList,
+        confirmed_at_ms: Option<u64>,
+    ) {
+        let is_newer = self
+            .control
+            .as_ref()
+            .is_none_or(|known| known.revision < list.revision);
         if is_newer {
             self.departures.record_draining(now_ms, &list.instances);
             self.control = Some(list.clone());
         }
         self.control_confirmed_at_ms = self.control_confirmed_at_ms.max(confirmed_at_ms);
         let confirmed_at_ms = self.control_confirmed_at_ms.unwrap_or_default();
-        self.own.take_if(|own| is_surely_later(confirmed_at_ms, own.confirmed_at_ms));
+        self.own
+            .take_if(|own| is_surely_later(confirmed_at_ms, own.confirmed_at_ms));
     }
 
     /// Takes a list that the agent polled itself.
     pub fn receive_own_poll(&mut self, now_ms: u64, poll: &InstanceListPoll) {
         self.departures.record_draining(now_ms, &poll.instances);
         let control = self.control_confirmed_at_ms;
-        if control.is_some_and(|confirmed_at_ms| is_surely_later(confirmed_at_ms, poll.started_at_ms)) {
+        if control
+            .is_some_and(|confirmed_at_ms| is_surely_later(confirmed_at_ms, poll.started_at_ms))
+        {
             return;
         }
         self.own = Some(ConfirmedList {
@@ -97,11 +108,18 @@
     /// The list to publish, if there is a newer one.
     pub fn take_update(&mut self, now_ms: u64) -> Option<InstanceList> {
         let newest = self.last_confirmed()?;
-        let in_force = self.in_force.as_ref().map(|list| list.instances.as_slice()).unwrap_or_default();
+        let in_force = self
+            .in_force
+            .as_ref()
+            .map(|list| list.instances.as_slice())
+            .unwrap_or_default();
         self.departures.record_list(now_ms, &newest, in_force);
         let instances = self.departures.apply(&newest);
         let revision = self.assign_revision(&newest, &instances)?;
-        let update = InstanceList { revision, instances };
+        let update = InstanceList {
+            revision,
+            instances,
+        };
         self.in_force = Some(update.clone());
         Some(update)
     }
@@ -130,9 +148,11 @@
         };
         let in_force = self.in_force.as_ref();
         let is_in_force = || {
-            in_force
-                .is_some_and(|known| Rc::ptr_eq(&known.instances, instances) || known.instances == *instances)
+            in_force.is_some_and(|known| {
+                Rc::ptr_eq(&known.instances, instances) || known.instances == *instances
+            })
         };
-        self.revisions.assign(control_revision, newest.confirmed_at_ms, is_in_force)
+        self.revisions
+            .assign(control_revision, newest.confirmed_at_ms, is_in_force)
     }
 }
--- a/crates/lockusher-agent/src/peers/configuration_fetch.rs
+++ b/crates/lockusher-agent/src/peers/configuration_fetch.rs
@@ -36,8 +36,13 @@
         subscriber.offer_configuration(local);
     }
     let fetch = receive_newer(peer, subscriber, local_version, clock);
-    let timed_out = |_| ConfigurationFetchError::TimedOut { peer, local_version };
-    compio::time::timeout(FETCH_TIMEOUT, fetch).await.map_err(timed_out)?
+    let timed_out = |_| ConfigurationFetchError::TimedOut {
+        peer,
+        local_version,
+    };
+    compio::time::timeout(FETCH_TIMEOUT, fetch)
+        .await
+        .map_err(timed_out)?
 }
 
 /// Subscribes at `peer` until a configuration above `local_version` comes.
@@ -49,9 +54,14 @@
 ) -> Result<Rc<Configuration>, ConfigurationFetchError> {
     let broken = |source| ConfigurationFetchError::Transport { peer, source };
     let unreadable = |source| ConfigurationFetchError::Message { peer, source };
-    let stream = lockusher_transport::tcp::connect(peer, FETCH_TIMEOUT).await.map_err(broken)?;
+    let stream = lockusher_transport::tcp::connect(peer, FETCH_TIMEOUT)
+        .await
+        .map_err(broken)?;
     let (mut reader, mut writer) = frame::split::<Envelope, Envelope>(stream).map_err(broken)?;
-    writer.write(&Envelope::encode(&subscriber.subscribe(clock.millis()))).await.map_err(broken)?;
+    writer
+        .write(&Envelope::encode(&subscriber.subscribe(clock.millis())))
+        .await
+        .map_err(broken)?;
     loop {
         let envelope = reader.read().await.map_err(broken)?;
         let message: ToSubscriber = envelope.decode().map_err(unreadable)?;
@@ -61,7 +71,10 @@
             _ => {}
         }
         if let Some(answer) = answer {
-            writer.write(&Envelope::encode(&answer)).await.map_err(broken)?;
+            writer
+                .write(&Envelope::encode(&answer))
+                .await
+                .map_err(broken)?;
         }
     }
 }
--- a/crates/lockusher-agent/src/peers/fetch_policy.rs
+++ b/crates/lockusher-agent/src/peers/fetch_policy.rs
@@ -38,7 +38,13 @@
                     newest.peer = peer;
                 }
             }
-            _ => self.newest = Some(AdvertisedVersion { version, peer, since_ms: now_ms }),
+            _ => {
+                self.newest = Some(AdvertisedVersion {
+                    version,
+                    peer,
+                    since_ms: now_ms,
+                });
+            }
         }
     }
 
--- a/crates/lockusher-agent/src/peers/gossip.rs
+++ b/crates/lockusher-agent/src/peers/gossip.rs
@@ -89,8 +89,11 @@
     /// When the next exchange is due; `is_partitioned`: nothing is received from the control plane.
     pub fn next_exchange_ms(&self, is_partitioned: bool) -> u64 {
         let is_urgent = is_partitioned && !self.rumors.is_empty();
-        let interval_ms =
-            if is_urgent { URGENT_GOSSIP_INTERVAL_MS } else { IDLE_GOSSIP_INTERVAL_MS + self.jitter_ms };
+        let interval_ms = if is_urgent {
+            URGENT_GOSSIP_INTERVAL_MS
+        } else {
+            IDLE_GOSSIP_INTERVAL_MS + self.jitter_ms
+        };
         self.last_exchange_ms + interval_ms
     }
 
@@ -99,7 +102,10 @@
         self.last_exchange_ms = now_ms;
         self.jitter_ms = draw_jitter_ms(&mut self.random);
         let Shuffle { peer, entries } = self.view.start_shuffle(&mut self.random)?;
-        let message = PeerMessage::ShuffleRequest { entries, update: self.next_update() };
+        let message = PeerMessage::ShuffleRequest {
+            entries,
+            update: self.next_update(),
+        };
         Some(Outgoing { to: peer, message })
     }
 
@@ -108,13 +114,22 @@
         match message {
             PeerMessage::ShuffleRequest { entries, update } => {
                 let entries = self.view.answer_shuffle(from, &entries, &mut self.random);
-                let message = PeerMessage::ShuffleResponse { entries, update: self.next_update() };
+                let message = PeerMessage::ShuffleResponse {
+                    entries,
+                    update: self.next_update(),
+                };
                 let departures = self.receive_update(now_ms, from, update);
-                Received { response: Some(Outgoing { to: from, message }), departures }
+                Received {
+                    response: Some(Outgoing { to: from, message }),
+                    departures,
+                }
             }
             PeerMessage::ShuffleResponse { entries, update } => {
                 self.view.finish_shuffle(from, &entries);
-                Received { response: None, departures: self.receive_update(now_ms, from, update) }
+                Received {
+                    response: None,
+                    departures: self.receive_update(now_ms, from, update),
+                }
             }
         }
     }
@@ -130,7 +145,12 @@
         from: SocketAddrV4,
         update: GossipUpdate,
     ) -> Vec<InstanceDeparture> {
-        self.fetch.advertise(now_ms, from, update.configuration_version, self.configuration_version);
+        self.fetch.advertise(
+            now_ms,
+            from,
+            update.configuration_version,
+            self.configuration_version,
+        );
         update.departures
     }
 
--- a/crates/lockusher-agent/src/peers/rumors.rs
+++ b/crates/lockusher-agent/src/peers/rumors.rs
@@ -41,8 +41,12 @@
         if rumor.identifier.len() > MAX_IDENTIFIER_BYTES {
             return;
         }
-        self.pending.retain(|known| known.rumor.identifier != rumor.identifier);
-        self.pending.push_back(PendingRumor { rumor, transmissions_left: TRANSMISSIONS_PER_RUMOR });
+        self.pending
+            .retain(|known| known.rumor.identifier != rumor.identifier);
+        self.pending.push_back(PendingRumor {
+            rumor,
+            transmissions_left: TRANSMISSIONS_PER_RUMOR,
+        });
         if self.pending.len() > MAX_PENDING_RUMORS {
             self.pending.pop_front();
         }
@@ -55,13 +59,16 @@
 
     /// The rumors for one message, those sent least first; each counts as sent once more.
     pub fn take_for_message(&mut self) -> Vec<InstanceDeparture> {
-        self.pending.make_contiguous().sort_by_key(|pending| Reverse(pending.transmissions_left));
+        self.pending
+            .make_contiguous()
+            .sort_by_key(|pending| Reverse(pending.transmissions_left));
         let mut selected = Vec::new();
         for pending in self.pending.iter_mut().take(MAX_RUMORS_PER_MESSAGE) {
             selected.push(pending.rumor.clone());
             pending.transmissions_left -= 1;
         }
-        self.pending.retain(|pending| pending.transmissions_left > 0);
+        self.pending
+            .retain(|pending| pending.transmissions_left > 0);
         selected
     }
 }
--- a/crates/lockusher-agent/src/peers/socket.rs
+++ b/crates/lockusher-agent/src/peers/socket.rs
@@ -37,10 +37,19 @@
     /// # Errors
     ///
     /// If the address isn't this machine's or is in use.
-    pub async fn bind(own: SocketAddrV4, random_seed: u64, clock: Clock) -> std::io::Result<Rc<Self>> {
+    pub async fn bind(
+        own: SocketAddrV4,
+        random_seed: u64,
+        clock: Clock,
+    ) -> std::io::Result<Rc<Self>> {
         let socket = UdpSocket::bind(own).await?;
         let gossip = RefCell::new(Gossip::new(own, random_seed));
-        Ok(Rc::new(PeerSocket { socket, gossip, received: ChangeNotifier::default(), clock }))
+        Ok(Rc::new(PeerSocket {
+            socket,
+            gossip,
+            received: ChangeNotifier::default(),
+            clock,
+        }))
     }
 
     /// Looks at or changes the gossip.
@@ -61,7 +70,9 @@
             let BufResult(received, filled) = self.socket.recv_from(buffer).await;
             buffer = filled;
             match received {
-                Ok((_, SocketAddr::V4(from))) => self.receive_datagram(from, &buffer, &on_departures).await,
+                Ok((_, SocketAddr::V4(from))) => {
+                    self.receive_datagram(from, &buffer, &on_departures).await;
+                }
                 Ok(_) => {}
                 Err(error) => {
                     log::debug!("peers: {error}");
@@ -99,7 +110,10 @@
             log::debug!("peers: a datagram of {from} can't be read");
             return;
         };
-        let received = self.gossip.borrow_mut().receive(self.clock.millis(), from, message);
+        let received = self
+            .gossip
+            .borrow_mut()
+            .receive(self.clock.millis(), from, message);
         if !received.departures.is_empty() {
             on_departures(received.departures);
         }
--- a/crates/lockusher-agent/src/peers/view.rs
+++ b/crates/lockusher-agent/src/peers/view.rs
@@ -47,7 +47,12 @@
 impl PeerView {
     /// An empty view of the agent at `own`.
     pub fn new(own: SocketAddrV4) -> Self {
-        PeerView { own, entries: Vec::new(), pending_shuffle: None, introduced: Vec::new() }
+        PeerView {
+            own,
+            entries: Vec::new(),
+            pending_shuffle: None,
+            introduced: Vec::new(),
+        }
     }
 
     /// Addresses of the peers in the view.
@@ -74,8 +79,14 @@
         }
         let peer = self.remove_oldest()?;
         let mut entries = self.sample(SHUFFLE_SIZE - 1, peer, random);
-        self.pending_shuffle = Some(PendingShuffle { peer, sent: addresses_of(&entries) });
-        entries.push(PeerEntry { address: self.own, age: 0 });
+        self.pending_shuffle = Some(PendingShuffle {
+            peer,
+            sent: addresses_of(&entries),
+        });
+        entries.push(PeerEntry {
+            address: self.own,
+            age: 0,
+        });
         Some(Shuffle { peer, entries })
     }
 
@@ -93,10 +104,15 @@
 
     /// Takes the response to the exchange that was started last; others are ignored.
     pub fn finish_shuffle(&mut self, peer: SocketAddrV4, received: &[PeerEntry]) {
-        let Some(pending) = self.pending_shuffle.take_if(|pending| pending.peer == peer) else { return };
+        let Some(pending) = self.pending_shuffle.take_if(|pending| pending.peer == peer) else {
+            return;
+        };
         self.merge(received, pending.sent);
         if self.entries.len() < VIEW_SIZE {
-            self.add(PeerEntry { address: peer, age: 0 });
+            self.add(PeerEntry {
+                address: peer,
+                age: 0,
+            });
         }
     }
 
@@ -106,9 +122,18 @@
     }
 
     /// Up to `count` random entries in random order, that of `except` not among them.
-    fn sample(&self, count: usize, except: SocketAddrV4, random: &mut ChaCha8Rng) -> Vec<PeerEntry> {
-        let others: Vec<PeerEntry> =
-            self.entries.iter().filter(|entry| entry.address != except).copied().collect();
+    fn sample(
+        &self,
+        count: usize,
+        except: SocketAddrV4,
+        random: &mut ChaCha8Rng,
+    ) -> Vec<PeerEntry> {
+        let others: Vec<PeerEntry> = self
+            .entries
+            .iter()
+            .filter(|entry| entry.address != except)
+            .copied()
+            .collect();
         let mut sample: Vec<PeerEntry> = others.sample(random, count).copied().collect();
         sample.shuffle(random);
         sample
@@ -129,14 +154,23 @@
 
     /// Takes the younger age of a peer that is known; false if it isn't known.
     fn refresh(&mut self, entry: &PeerEntry) -> bool {
-        let known = self.entries.iter_mut().find(|known| known.address == entry.address);
-        known.map(|known| known.age = known.age.min(entry.age)).is_some()
+        let known = self
+            .entries
+            .iter_mut()
+            .find(|known| known.address == entry.address);
+        known
+            .map(|known| known.age = known.age.min(entry.age))
+            .is_some()
     }
 
     /// Makes capacity by removing one of the entries that were sent; false if none is left in the view.
     fn remove_one_of(&mut self, sent: &mut Vec<SocketAddrV4>) -> bool {
         while let Some(address) = sent.pop() {
-            if let Some(position) = self.entries.iter().position(|entry| entry.address == address) {
+            if let Some(position) = self
+                .entries
+                .iter()
+                .position(|entry| entry.address == address)
+            {
                 self.entries.swap_remove(position);
                 return true;
             }
@@ -145,7 +179,10 @@
     }
 
     fn add(&mut self, entry: PeerEntry) {
-        let known = self.entries.iter().any(|known| known.address == entry.address);
+        let known = self
+            .entries
+            .iter()
+            .any(|known| known.address == entry.address);
         if !known && entry.address != self.own && self.entries.len() < VIEW_SIZE {
             self.entries.push(entry);
         }
--- a/crates/lockusher-agent/src/redirect.rs
+++ b/crates/lockusher-agent/src/redirect.rs
@@ -43,7 +43,11 @@
     operator_port: u16,
     request: Request<Incoming>,
 ) -> Response<FullBody> {
-    let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_owned();
+    let path = request
+        .uri()
+        .path_and_query()
+        .map_or("/", |path| path.as_str())
+        .to_owned();
     // A connection that is closed with part of the body unread is reset, and the answer may be lost.
     discard_body(request.into_body()).await;
     let node = subscriber.update_policy(|policy| policy.connected());
@@ -54,7 +58,11 @@
             response
         }
         None => {
-            let mut response = answer(StatusCode::SERVICE_UNAVAILABLE, TEXT, "no control node is known\n");
+            let mut response = answer(
+                StatusCode::SERVICE_UNAVAILABLE,
+                TEXT,
+                "no control node is known\n",
+            );
             response.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_S);
             response
         }
--- a/crates/lockusher-agent/src/revision_assignment.rs
+++ b/crates/lockusher-agent/src/revision_assignment.rs
@@ -30,7 +30,10 @@
     /// Takes the revision that a proxy reports to have applied.
     pub fn receive_proxy_revision(&mut self, now_ms: u64, revision: InstanceListRevision) {
         if revision > self.last && revision > self.proxy.revision {
-            self.proxy = ProxyRevision { revision, reported_at_ms: now_ms };
+            self.proxy = ProxyRevision {
+                revision,
+                reported_at_ms: now_ms,
+            };
         }
     }
 
--- a/crates/lockusher-agent/src/seed_reload.rs
+++ b/crates/lockusher-agent/src/seed_reload.rs
@@ -25,7 +25,10 @@
         if now_ms < self.last_reload_ms + MIN_RELOAD_INTERVAL_MS {
             return;
         }
-        if !agent.subscriber.update_policy(|policy| policy.is_out_of_addresses()) {
+        if !agent
+            .subscriber
+            .update_policy(|policy| policy.is_out_of_addresses())
+        {
             return;
         }
         self.last_reload_ms = now_ms;
@@ -34,11 +37,15 @@
 }
 
 fn reload(agent: &AgentState) {
-    let Some(path) = std::env::var_os(SETTINGS_VARIABLE) else { return };
+    let Some(path) = std::env::var_os(SETTINGS_VARIABLE) else {
+        return;
+    };
     match std::fs::read_to_string(&path).map(|text| NodeSettings::parse(&text)) {
         Ok(Ok(settings)) => {
             let seeds = agent.ports.control_listeners(&settings);
-            agent.subscriber.update_policy(|policy| policy.set_seeds(seeds));
+            agent
+                .subscriber
+                .update_policy(|policy| policy.set_seeds(seeds));
         }
         Ok(Err(faults)) => log::warn!("settings: {faults}"),
         Err(error) => log::warn!("settings: {error}"),
--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -33,7 +33,11 @@
 pub async fn run(settings: NodeSettings, stop: impl Future<Output = ()>) -> Result<(), AgentError> {
     let ports = InternalPorts::of(&settings).map_err(AgentError::Ports)?;
     let proxy_listener = listen(ports.proxy_listener()).await?;
-    log::info!("agent {}: proxies are served at {}", settings.node, ports.proxy_listener());
+    log::info!(
+        "agent {}: proxies are served at {}",
+        settings.node,
+        ports.proxy_listener()
+    );
     let agent = Rc::new(AgentState::create(settings, ports).await?);
     let peer_listener = listen(ports.peer_address(&agent.settings)).await?;
     let _redirecting = start_redirecting(&agent).await?;
@@ -64,7 +68,10 @@
         forward(agent);
         seed_reload.reload_if_exhausted(agent);
         let subscription = agent.subscriber.changed().changed_since(subscription_seen);
-        let acknowledgements = agent.publisher.subscriber_activity().changed_since(acknowledgements_seen);
+        let acknowledgements = agent
+            .publisher
+            .subscriber_activity()
+            .changed_since(acknowledgements_seen);
         pin_mut!(subscription, acknowledgements);
         select(subscription, acknowledgements).await;
     }
@@ -73,16 +80,25 @@
 /// Redirects operators if a machine without a control node has an operators' address.
 async fn start_redirecting(agent: &AgentState) -> Result<Option<JoinHandle<()>>, AgentError> {
     let settings = &agent.settings;
-    let Some(address) = settings.control.filter(|_| settings.edge_control() == EdgeControl::Redirect) else {
+    let Some(address) = settings
+        .control
+        .filter(|_| settings.edge_control() == EdgeControl::Redirect)
+    else {
         return Ok(None);
     };
     let listener = listen(address).await?;
     let subscriber = Rc::clone(&agent.subscriber);
-    Ok(Some(spawn(redirect::serve(listener, subscriber, address.port()))))
+    Ok(Some(spawn(redirect::serve(
+        listener,
+        subscriber,
+        address.port(),
+    ))))
 }
 
 async fn listen(address: SocketAddrV4) -> Result<TcpListener, AgentError> {
-    lockusher_transport::tcp::listen(address).await.map_err(|source| AgentError::Listen { address, source })
+    lockusher_transport::tcp::listen(address)
+        .await
+        .map_err(|source| AgentError::Listen { address, source })
 }
 
 /// Closes the connections of a publisher's subscribers, also when the agent's future is dropped.
--- a/crates/lockusher-agent/src/state.rs
+++ b/crates/lockusher-agent/src/state.rs
@@ -52,14 +52,21 @@
     /// If the socket can't be bound.
     pub async fn create(settings: NodeSettings, ports: InternalPorts) -> Result<Self, AgentError> {
         let clock = Clock::start();
-        let policy =
-            ControlNodePolicy::new(&settings.node, ports.control_listeners(&settings), random_seed());
+        let policy = ControlNodePolicy::new(
+            &settings.node,
+            ports.control_listeners(&settings),
+            random_seed(),
+        );
         let address = ports.peer_address(&settings);
         let peers = PeerSocket::bind(address, random_seed(), clock)
             .await
             .map_err(|source| {
                 let (operation, address) = (Operation::Listen, Some(address));
-                TransportError::Io { operation, address, source }
+                TransportError::Io {
+                    operation,
+                    address,
+                    source,
+                }
             })
             .map_err(|source| AgentError::Listen { address, source })?;
         let subscriber = Subscriber::new(ports.identity(&settings));
--- a/crates/lockusher-agent/tests/capacity.rs
+++ b/crates/lockusher-agent/tests/capacity.rs
@@ -25,10 +25,17 @@
         identifier: format!("i-{number:010x}"),
         departure: Departure::Draining,
     };
-    let update =
-        GossipUpdate { configuration_version: 2_300_000, departures: (0..rumors).map(rumor).collect() };
+    let update = GossipUpdate {
+        configuration_version: 2_300_000,
+        departures: (0..rumors).map(rumor).collect(),
+    };
     let entries = (1..=SHUFFLE_SIZE as u8).map(entry).collect();
-    HEADER_BYTES + bitcode::encode(&Envelope::encode(&PeerMessage::ShuffleRequest { entries, update })).len()
+    HEADER_BYTES
+        + bitcode::encode(&Envelope::encode(&PeerMessage::ShuffleRequest {
+            entries,
+            update,
+        }))
+        .len()
 }
 
 #[test]
@@ -39,5 +46,8 @@
         "a datagram: {at_rest} bytes at rest, {} with 16 departures; {bytes_per_s} bytes/s at rest",
         datagram_bytes(16)
     );
-    assert!(bytes_per_s < MAX_BYTES_PER_S, "{bytes_per_s} bytes a second");
+    assert!(
+        bytes_per_s < MAX_BYTES_PER_S,
+        "{bytes_per_s} bytes a second"
+    );
 }
--- a/crates/lockusher-agent/tests/list_selection.rs
+++ b/crates/lockusher-agent/tests/list_selection.rs
@@ -8,7 +8,9 @@
 use lockusher_config::instances::{Instance, InstanceListRevision};
 use lockusher_distribution::departures::Departure;
 use lockusher_distribution::instance_list::InstanceList;
-use lockusher_distribution::revision::{POLLER_REVISION_STEP, is_poller_revision, next_poller_revision};
+use lockusher_distribution::revision::{
+    POLLER_REVISION_STEP, is_poller_revision, next_poller_revision,
+};
 use proptest::prelude::*;
 use support::common::{draining, instance, revision};
 use support::departed;
@@ -30,7 +32,11 @@
 }
 
 fn names(update: &InstanceList) -> Vec<&str> {
-    update.instances.iter().map(|instance| instance.identifier.as_str()).collect()
+    update
+        .instances
+        .iter()
+        .map(|instance| instance.identifier.as_str())
+        .collect()
 }
 
 #[test]
@@ -54,11 +60,17 @@
     assert!(!is_poller_revision(own.revision));
 
     // A control node that lags brings a newer revision of an older list.
-    lists.receive_control_list(3_000, &list(2, &[instance("a"), instance("c")]), Some(3_000));
+    lists.receive_control_list(
+        3_000,
+        &list(2, &[instance("a"), instance("c")]),
+        Some(3_000),
+    );
     assert_eq!(lists.take_update(5_200), None);
 
     lists.receive_control_list(6_000, &list(3, &[instance("b")]), Some(6_000));
-    let caught_up = lists.take_update(6_100).expect("the control plane's list is newer");
+    let caught_up = lists
+        .take_update(6_100)
+        .expect("the control plane's list is newer");
     assert_eq!(caught_up, list(3, &[instance("b")]));
 }
 
@@ -67,15 +79,23 @@
 fn a_confirmed_list_that_did_not_change_is_published_under_a_higher_revision() {
     let unchanged = list(1, &[instance("a"), instance("b")]);
     let mut lists = selection_with(&unchanged, 1_000);
-    lists.receive_own_poll(5_000, &own_poll(5_000, &[instance("a"), instance("b"), instance("c")]));
+    lists.receive_own_poll(
+        5_000,
+        &own_poll(5_000, &[instance("a"), instance("b"), instance("c")]),
+    );
     let own = lists.take_update(5_100).expect("the own poll is newer");
 
     lists.receive_control_list(6_000, &unchanged, Some(6_000));
 
-    let update = lists.take_update(6_100).expect("the confirmed list is newer");
+    let update = lists
+        .take_update(6_100)
+        .expect("the confirmed list is newer");
     assert_eq!(update.instances, unchanged.instances);
     assert!(update.revision > own.revision);
-    assert!(update.revision < list(2, &[]).revision, "the control plane's next change is above it");
+    assert!(
+        update.revision < list(2, &[]).revision,
+        "the control plane's next change is above it"
+    );
 }
 
 #[test]
@@ -97,7 +117,11 @@
     // By a wrong date the older list counts as confirmed later.
     lists.receive_control_list(5_400, &control, Some(5_400));
 
-    assert_eq!(lists.take_update(5_500), None, "the same list remains: a drains, b is gone");
+    assert_eq!(
+        lists.take_update(5_500),
+        None,
+        "the same list remains: a drains, b is gone"
+    );
     let in_force = lists.in_force().expect("a list was published");
     assert_eq!(*in_force.instances, [draining("a"), instance("c")]);
 }
@@ -127,7 +151,9 @@
     assert_eq!(lists.take_update(1_100), None);
 
     lists.receive_control_list(1_400, &control, Some(1_400));
-    let update = lists.take_update(1_400).expect("surely newer than what the proxy has applied");
+    let update = lists
+        .take_update(1_400)
+        .expect("surely newer than what the proxy has applied");
     assert!(update.revision > applied);
     assert_eq!(update.instances, control.instances);
     assert_eq!(lists.take_update(1_500), None);
--- a/crates/lockusher-agent/tests/loopback.rs
+++ b/crates/lockusher-agent/tests/loopback.rs
@@ -16,8 +16,8 @@
 use support::common::{configuration, identity, instance};
 use support::departed;
 use support::edge::{
-    ControlNode, LIMIT, OperatorAnswer, Platform, Proxy, call_operator, control_address, free_ports,
-    operator_address, settings, settings_with_ports, start_agent,
+    ControlNode, LIMIT, OperatorAnswer, Platform, Proxy, call_operator, control_address,
+    free_ports, operator_address, settings, settings_with_ports, start_agent,
 };
 
 #[compio::test]
@@ -34,7 +34,9 @@
 
     proxy.wait_for_configuration(3).await;
     proxy.wait_for_list(&["a"]).await;
-    proxy.wait_until("the size of the fleet", |proxy| proxy.fleet_size == 1).await;
+    proxy
+        .wait_until("the size of the fleet", |proxy| proxy.fleet_size == 1)
+        .await;
 
     // The control node restarts.
     control.stop();
@@ -68,12 +70,18 @@
     proxy.wait_for_configuration(8).await;
 
     // The configuration is there to be fetched.
-    let fetched = fetch_configuration(connected_address, identity("cut-off"), None, Clock::start()).await;
-    assert_eq!(*fetched.expect("the peer has a configuration"), configuration(8, &[(1, 1)]));
+    let fetched =
+        fetch_configuration(connected_address, identity("cut-off"), None, Clock::start()).await;
+    assert_eq!(
+        *fetched.expect("the peer has a configuration"),
+        configuration(8, &[(1, 1)])
+    );
 
     // A departure reaches the proxy of the peer.
     let own = SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 4), ports.agents());
-    let partitioned = PeerSocket::bind(own, 1, Clock::start()).await.expect("the address is free");
+    let partitioned = PeerSocket::bind(own, 1, Clock::start())
+        .await
+        .expect("the address is free");
     partitioned.update(|gossip| gossip.introduce(&[connected_address]));
     let _gossiping = compio::runtime::spawn(Rc::clone(&partitioned).run_gossip(|| true));
     let _receiving = compio::runtime::spawn(Rc::clone(&partitioned).receive(|_| ()));
@@ -84,13 +92,17 @@
     let fetch_is_due = async {
         loop {
             let seen = partitioned.received().generation();
-            if partitioned.update(|gossip| gossip.take_due_fetch(u64::MAX)) == Some(connected_address) {
+            if partitioned.update(|gossip| gossip.take_due_fetch(u64::MAX))
+                == Some(connected_address)
+            {
                 return;
             }
             partitioned.received().changed_since(seen).await;
         }
     };
-    timeout(LIMIT, fetch_is_due).await.expect("the peer advertises its version");
+    timeout(LIMIT, fetch_is_due)
+        .await
+        .expect("the peer advertises its version");
 }
 
 #[compio::test]
@@ -108,7 +120,10 @@
     assert!(platform.calls.get() >= 5);
 
     let control = ControlNode::start(control_address(ports)).await;
-    control.publish_list(1, &[instance("a"), instance("b"), instance("c"), instance("d")]);
+    control.publish_list(
+        1,
+        &[instance("a"), instance("b"), instance("c"), instance("d")],
+    );
     proxy.wait_for_list(&["a", "b", "c", "d"]).await;
 }
 
@@ -123,7 +138,12 @@
     let _agent = start_agent(&settings);
     let mut proxy = Proxy::start(ports);
     // The agent listens once it accepts a connection.
-    let ready = async { while lockusher_transport::tcp::connect(here, LIMIT).await.is_err() {} };
+    let ready = async {
+        while lockusher_transport::tcp::connect(here, LIMIT)
+            .await
+            .is_err()
+        {}
+    };
     timeout(LIMIT, ready).await.expect("the agent listens");
 
     let without_control_node = call_operator(here).await;
@@ -132,10 +152,19 @@
     proxy.wait_for_configuration(4).await;
     let with_control_node = call_operator(here).await;
 
-    let unavailable = OperatorAnswer { status: StatusCode::SERVICE_UNAVAILABLE, location: None };
+    let unavailable = OperatorAnswer {
+        status: StatusCode::SERVICE_UNAVAILABLE,
+        location: None,
+    };
     assert_eq!(without_control_node, unavailable);
-    let location = format!("http://{}/api/configuration?x=1", operator_address(ports, 3));
-    let redirect = OperatorAnswer { status: StatusCode::TEMPORARY_REDIRECT, location: Some(location) };
+    let location = format!(
+        "http://{}/api/configuration?x=1",
+        operator_address(ports, 3)
+    );
+    let redirect = OperatorAnswer {
+        status: StatusCode::TEMPORARY_REDIRECT,
+        location: Some(location),
+    };
     assert_eq!(with_control_node, redirect);
 }
 
@@ -148,5 +177,8 @@
     let result = serve::run(settings, std::future::pending()).await;
 
     let error = result.expect_err("two ports are too few");
-    assert_eq!(error.to_string(), "settings: internalPorts: expected 3 ports at least");
+    assert_eq!(
+        error.to_string(),
+        "settings: internalPorts: expected 3 ports at least"
+    );
 }
--- a/crates/lockusher-agent/tests/modules.rs
+++ b/crates/lockusher-agent/tests/modules.rs
@@ -9,6 +9,9 @@
 fn no_module_imports_from_one_that_imports_from_it() {
     let modules = ModuleGraph::of_package(env!("CARGO_MANIFEST_DIR"));
 
-    assert!(modules.module_count() > 10, "the sources were found: {modules:?}");
+    assert!(
+        modules.module_count() > 10,
+        "the sources were found: {modules:?}"
+    );
     assert_eq!(modules.cycles(), Vec::new());
 }
--- a/crates/lockusher-agent/tests/peers.rs
+++ b/crates/lockusher-agent/tests/peers.rs
@@ -28,13 +28,23 @@
         let peers: Vec<SocketAddrV4> = agent.gossip.view().addresses().collect();
         assert!(peers.len() <= VIEW_SIZE);
         assert!(!peers.contains(own), "an agent isn't in its own view");
-        assert_eq!(peers.iter().collect::<BTreeSet<_>>().len(), peers.len(), "no peer is in a view twice");
+        assert_eq!(
+            peers.iter().collect::<BTreeSet<_>>().len(),
+            peers.len(),
+            "no peer is in a view twice"
+        );
     }
     assert_eq!(fleet.connected_agents(), count);
     let degrees = fleet.in_degrees();
-    assert!(degrees.values().all(|degree| *degree <= 4 * VIEW_SIZE), "{degrees:?}");
+    assert!(
+        degrees.values().all(|degree| *degree <= 4 * VIEW_SIZE),
+        "{degrees:?}"
+    );
     let bytes_per_interval = fleet.sent_bytes / 60 / count;
-    assert!(bytes_per_interval <= 160, "{bytes_per_interval} bytes an interval and agent");
+    assert!(
+        bytes_per_interval <= 160,
+        "{bytes_per_interval} bytes an interval and agent"
+    );
 }
 
 #[test]
@@ -48,7 +58,11 @@
     fleet.gossip(40);
 
     assert_eq!(fleet.connected_agents(), fleet.alive().count());
-    let dead = fleet.in_degrees().into_keys().filter(|peer| !fleet.agents[peer].is_alive).count();
+    let dead = fleet
+        .in_degrees()
+        .into_keys()
+        .filter(|peer| !fleet.agents[peer].is_alive)
+        .count();
     assert_eq!(dead, 0, "no view has one of the dead");
 }
 
@@ -64,7 +78,10 @@
         fleet.gossip(10);
         fleet.agent(0).observe(rumor(1));
         fleet.gossip(10);
-        reached += fleet.alive().filter(|agent| agent.known_departed.contains(&rumor(1).identifier)).count();
+        reached += fleet
+            .alive()
+            .filter(|agent| agent.known_departed.contains(&rumor(1).identifier))
+            .count();
     }
 
     let share = reached as f64 / (5 * count) as f64;
@@ -75,7 +92,10 @@
 fn many_rumors_fit_a_datagram_and_cease_to_be_spread() {
     let mut fleet = Fleet::new(50, 0.0, 5);
     for number in 0..300 {
-        fleet.agent(0).gossip.add_rumor(departed(&rumor(number).identifier, Departure::Gone));
+        fleet
+            .agent(0)
+            .gossip
+            .add_rumor(departed(&rumor(number).identifier, Departure::Gone));
     }
 
     fleet.gossip(100);
@@ -84,7 +104,10 @@
     fleet.gossip(1);
     let longest_at_rest = fleet.longest_message;
 
-    assert!(longest_while_spreading <= 1_200, "{longest_while_spreading} bytes");
+    assert!(
+        longest_while_spreading <= 1_200,
+        "{longest_while_spreading} bytes"
+    );
     assert!(longest_at_rest <= 100, "{longest_at_rest} bytes at rest");
 }
 
@@ -116,7 +139,11 @@
     rumors.add(rumor(2));
     rumors.add(departed(&"x".repeat(100), Departure::Gone));
 
-    assert_eq!(rumors.take_for_message().len(), 2, "an endless identifier isn't spread");
+    assert_eq!(
+        rumors.take_for_message().len(),
+        2,
+        "an endless identifier isn't spread"
+    );
 }
 
 #[test]
@@ -147,8 +174,16 @@
 #[test]
 fn strange_entries_do_no_harm() {
     let mut gossip = Gossip::new(address(0), 1);
-    let entries = (0..1_000).map(|number| PeerEntry { address: address(number / 2), age: 0 }).collect();
-    let message = PeerMessage::ShuffleRequest { entries, update: Default::default() };
+    let entries = (0..1_000)
+        .map(|number| PeerEntry {
+            address: address(number / 2),
+            age: 0,
+        })
+        .collect();
+    let message = PeerMessage::ShuffleRequest {
+        entries,
+        update: Default::default(),
+    };
 
     gossip.receive(0, address(7), message);
 
@@ -161,7 +196,11 @@
     let mut policy = FetchPolicy::default();
     policy.advertise(0, address(1), 5, 5);
 
-    assert_eq!(policy.take_due(10_000, 5), None, "nothing newer was advertised");
+    assert_eq!(
+        policy.take_due(10_000, 5),
+        None,
+        "nothing newer was advertised"
+    );
 }
 
 #[test]
@@ -171,7 +210,11 @@
     policy.advertise(10_100, address(2), 9, 5);
     policy.advertise(10_200, address(3), 8, 5);
 
-    assert_eq!(policy.take_due(10_300, 5), None, "the control plane may still bring it");
+    assert_eq!(
+        policy.take_due(10_300, 5),
+        None,
+        "the control plane may still bring it"
+    );
     assert_eq!(policy.take_due(10_800, 5), Some(address(2)));
     assert_eq!(policy.take_due(20_000, 5), None);
 }
@@ -181,5 +224,9 @@
     let mut policy = FetchPolicy::default();
     policy.advertise(30_000, address(2), 9, 5);
 
-    assert_eq!(policy.take_due(40_000, 9), None, "the control plane brought it");
+    assert_eq!(
+        policy.take_due(40_000, 9),
+        None,
+        "the control plane brought it"
+    );
 }
--- a/crates/lockusher-agent/tests/recorded_bytes.rs
+++ b/crates/lockusher-agent/tests/recorded_bytes.rs
@@ -11,17 +11,31 @@
 
 const DATAGRAMS: &str = include_str!("recorded_bytes/datagrams.hex");
 
-kinds_of!(PeerMessage, MESSAGE_KINDS, message_kind, [ShuffleRequest, ShuffleResponse]);
+kinds_of!(
+    PeerMessage,
+    MESSAGE_KINDS,
+    message_kind,
+    [ShuffleRequest, ShuffleResponse]
+);
 kinds_of!(Departure, DEPARTURE_KINDS, departure_kind, [Draining, Gone]);
 
 fn entries() -> Vec<PeerEntry> {
-    let entry = |address: &str, age| PeerEntry { address: address.parse().expect("a valid address"), age };
-    vec![entry("10.3.0.7:7670", 0), entry("10.3.0.8:7671", 12), entry("10.3.1.9:65535", u16::MAX)]
+    let entry = |address: &str, age| PeerEntry {
+        address: address.parse().expect("a valid address"),
+        age,
+    };
+    vec![
+        entry("10.3.0.7:7670", 0),
+        entry("10.3.0.8:7671", 12),
+        entry("10.3.1.9:65535", u16::MAX),
+    ]
 }
 
 fn departures() -> Vec<InstanceDeparture> {
-    let rumor =
-        |identifier: &str, departure| InstanceDeparture { identifier: identifier.to_owned(), departure };
+    let rumor = |identifier: &str, departure| InstanceDeparture {
+        identifier: identifier.to_owned(),
+        departure,
+    };
     vec![
         rumor("chat-3-1", Departure::Draining),
         rumor("search-0-17", Departure::Gone),
@@ -30,17 +44,38 @@
 }
 
 fn messages() -> Vec<(&'static str, PeerMessage)> {
-    let update = || GossipUpdate { configuration_version: 70_000, departures: departures() };
+    let update = || GossipUpdate {
+        configuration_version: 70_000,
+        departures: departures(),
+    };
     vec![
-        ("shuffle", PeerMessage::ShuffleRequest { entries: entries(), update: update() }),
+        (
+            "shuffle",
+            PeerMessage::ShuffleRequest {
+                entries: entries(),
+                update: update(),
+            },
+        ),
         (
             "shuffle-empty",
-            PeerMessage::ShuffleRequest { entries: Vec::new(), update: GossipUpdate::default() },
+            PeerMessage::ShuffleRequest {
+                entries: Vec::new(),
+                update: GossipUpdate::default(),
+            },
+        ),
+        (
+            "answer",
+            PeerMessage::ShuffleResponse {
+                entries: entries(),
+                update: update(),
+            },
         ),
-        ("answer", PeerMessage::ShuffleResponse { entries: entries(), update: update() }),
         (
             "answer-empty",
-            PeerMessage::ShuffleResponse { entries: Vec::new(), update: GossipUpdate::default() },
+            PeerMessage::ShuffleResponse {
+                entries: Vec::new(),
+                update: GossipUpdate::default(),
+            },
         ),
     ]
 }
@@ -57,10 +92,15 @@
 
 #[test]
 fn every_kind_of_message_has_a_sample() {
-    assert_every_kind_is_sampled(MESSAGE_KINDS, messages().iter().map(|(_, message)| message_kind(message)));
+    assert_every_kind_is_sampled(
+        MESSAGE_KINDS,
+        messages().iter().map(|(_, message)| message_kind(message)),
+    );
     assert_every_kind_is_sampled(
         DEPARTURE_KINDS,
-        departures().iter().map(|rumor| departure_kind(&rumor.departure)),
+        departures()
+            .iter()
+            .map(|rumor| departure_kind(&rumor.departure)),
     );
 }
 
--- a/crates/lockusher-agent/tests/support/edge.rs
+++ b/crates/lockusher-agent/tests/support/edge.rs
@@ -32,15 +32,23 @@
 
 impl ControlNode {
     pub async fn start(address: SocketAddrV4) -> Self {
-        let listener = TcpListener::bind(address).await.expect("the address is free");
+        let listener = TcpListener::bind(address)
+            .await
+            .expect("the address is free");
         let publisher = SharedPublisher::new(Publisher::new(1), Clock::start());
-        let accepting =
-            compio::runtime::spawn(lockusher_distribution::serve::accept(listener, Rc::clone(&publisher)));
-        ControlNode { publisher, accepting }
+        let accepting = compio::runtime::spawn(lockusher_distribution::serve::accept(
+            listener,
+            Rc::clone(&publisher),
+        ));
+        ControlNode {
+            publisher,
+            accepting,
+        }
     }
 
     pub fn publish_configuration(&self, configuration: Configuration) {
-        self.publisher.update(|publisher| publisher.publish_configuration(Rc::new(configuration)));
+        self.publisher
+            .update(|publisher| publisher.publish_configuration(Rc::new(configuration)));
     }
 
     /// Publishes a list that counts as confirmed for the rest of the test.
@@ -73,8 +81,12 @@
 
 impl Platform {
     pub async fn start() -> Self {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a listener");
-        let SocketAddr::V4(address) = listener.local_addr().expect("an address") else { panic!("IPv4") };
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+            .await
+            .expect("a listener");
+        let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
+            panic!("IPv4")
+        };
         let identifiers: Rc<RefCell<Vec<&'static str>>> = Rc::default();
         let calls: Rc<Cell<u32>> = Rc::default();
         let (listed, counted) = (Rc::clone(&identifiers), Rc::clone(&calls));
@@ -84,7 +96,12 @@
             async move { lockusher_transport::http::answer(StatusCode::OK, "application/json", body) }
         };
         let _serving = compio::runtime::spawn(lockusher_transport::http::serve(listener, handler));
-        Platform { address, identifiers, calls, _serving }
+        Platform {
+            address,
+            identifiers,
+            calls,
+            _serving,
+        }
     }
 }
 
@@ -98,8 +115,11 @@
         )
     };
     let entry: String = identifiers.get(position).map(entry).unwrap_or_default();
-    let next =
-        if position + 1 < identifiers.len() { format!("\"p-{}\"", position + 1) } else { "null".to_owned() };
+    let next = if position + 1 < identifiers.len() {
+        format!("\"p-{}\"", position + 1)
+    } else {
+        "null".to_owned()
+    };
     format!(r#"{{"instances":[{entry}],"nextToken":{next}}}"#)
 }
 
@@ -128,12 +148,19 @@
 
 pub async fn free_ports() -> Ports {
     for _ in 0..100 {
-        let first = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a listener");
+        let first = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
+            .await
+            .expect("a listener");
         let port = first.local_addr().expect("an address").port();
-        let all = |port: u16| [1, 2, 3].map(|host| SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, host), port));
+        let all = |port: u16| {
+            [1, 2, 3].map(|host| SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, host), port))
+        };
         drop(first);
         let addresses = [all(port), all(port + 1), all(port + 2)].concat();
-        if addresses.iter().all(|address| std::net::TcpListener::bind(address).is_ok()) {
+        if addresses
+            .iter()
+            .all(|address| std::net::TcpListener::bind(address).is_ok())
+        {
             return Ports { first: port };
         }
     }
@@ -165,7 +192,9 @@
 pub fn start_agent(settings: &NodeSettings) -> JoinHandle<()> {
     let settings = settings.clone();
     compio::runtime::spawn(async move {
-        serve::run(settings, std::future::pending()).await.expect("the agent runs");
+        serve::run(settings, std::future::pending())
+            .await
+            .expect("the agent runs");
     })
 }
 
@@ -181,17 +210,28 @@
     pub fn start(ports: Ports) -> Self {
         let agent = SocketAddrV4::new(Ipv4Addr::LOCALHOST, ports.subscriptions());
         let feed = subscribe::subscribe(agent, identity("proxy"), Clock::start(), 1);
-        Proxy { feed, configuration_version: 0, listed: vec![], fleet_size: 0 }
+        Proxy {
+            feed,
+            configuration_version: 0,
+            listed: vec![],
+            fleet_size: 0,
+        }
     }
 
     async fn take_update(&mut self) {
         match self.feed.next().await {
             FeedUpdate::Configuration(configuration) => {
-                assert!(configuration.version > self.configuration_version, "a version went back");
+                assert!(
+                    configuration.version > self.configuration_version,
+                    "a version went back"
+                );
                 self.configuration_version = configuration.version;
             }
             FeedUpdate::Instances { instances, .. } => {
-                self.listed = instances.iter().map(|entry| entry.identifier.clone()).collect();
+                self.listed = instances
+                    .iter()
+                    .map(|entry| entry.identifier.clone())
+                    .collect();
             }
             FeedUpdate::FleetSize(proxies) => self.fleet_size = proxies,
         }
@@ -204,16 +244,22 @@
                 self.take_update().await;
             }
         };
-        timeout(LIMIT, wait).await.unwrap_or_else(|_| panic!("{state} doesn't come about"));
+        timeout(LIMIT, wait)
+            .await
+            .unwrap_or_else(|_| panic!("{state} doesn't come about"));
     }
 
     pub async fn wait_for_configuration(&mut self, version: u64) {
         let state = format!("configuration {version}");
-        self.wait_until(&state, |proxy| proxy.configuration_version == version).await;
+        self.wait_until(&state, |proxy| proxy.configuration_version == version)
+            .await;
     }
 
     pub async fn wait_for_list(&mut self, identifiers: &[&str]) {
-        self.wait_until(&format!("list {identifiers:?}"), |proxy| proxy.listed == identifiers).await;
+        self.wait_until(&format!("list {identifiers:?}"), |proxy| {
+            proxy.listed == identifiers
+        })
+        .await;
     }
 }
 
@@ -226,17 +272,29 @@
 
 /// Sends an operator's request with a large body.
 pub async fn call_operator(address: SocketAddrV4) -> OperatorAnswer {
-    let stream = lockusher_transport::tcp::connect(address, LIMIT).await.expect("a connection");
+    let stream = lockusher_transport::tcp::connect(address, LIMIT)
+        .await
+        .expect("a connection");
     let stream = cyper_core::HyperStream::new_plain(stream.into_poll_fd().expect("polled"));
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(stream).await.expect("a handshake");
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(stream)
+        .await
+        .expect("a handshake");
     let _driver = compio::runtime::spawn(connection);
     let request = hyper::Request::builder()
         .method("PUT")
         .uri("/api/configuration?x=1")
         .header("host", address.to_string())
-        .body(http_body_util::Full::<hyper::body::Bytes>::from(vec![b'x'; 300_000]))
+        .body(http_body_util::Full::<hyper::body::Bytes>::from(
+            vec![b'x'; 300_000],
+        ))
         .expect("a request");
     let response = sender.send_request(request).await.expect("an answer");
-    let location = response.headers().get("location").map(|value| value.to_str().expect("text").to_owned());
-    OperatorAnswer { status: response.status(), location }
+    let location = response
+        .headers()
+        .get("location")
+        .map(|value| value.to_str().expect("text").to_owned());
+    OperatorAnswer {
+        status: response.status(),
+        location,
+    }
 }
--- a/crates/lockusher-agent/tests/support/gossip_fleet.rs
+++ b/crates/lockusher-agent/tests/support/gossip_fleet.rs
@@ -17,7 +17,10 @@
 }
 
 pub fn rumor(number: u32) -> InstanceDeparture {
-    InstanceDeparture { identifier: format!("i-{number:08x}"), departure: Departure::Draining }
+    InstanceDeparture {
+        identifier: format!("i-{number:08x}"),
+        departure: Departure::Draining,
+    }
 }
 
 /// An agent of the fleet.
@@ -56,11 +59,26 @@
         for number in 0..count {
             let mut gossip = Gossip::new(address(number), number as u64);
             let before: Vec<SocketAddrV4> = (0..number).map(address).collect();
-            let sample: Vec<SocketAddrV4> = before.sample(&mut random, VIEW_SIZE).copied().collect();
+            let sample: Vec<SocketAddrV4> =
+                before.sample(&mut random, VIEW_SIZE).copied().collect();
             gossip.introduce(&sample);
-            agents.insert(address(number), Agent { gossip, known_departed: BTreeSet::new(), is_alive: true });
+            agents.insert(
+                address(number),
+                Agent {
+                    gossip,
+                    known_departed: BTreeSet::new(),
+                    is_alive: true,
+                },
+            );
+        }
+        Fleet {
+            agents,
+            random,
+            loss,
+            now_ms: 0,
+            sent_bytes: 0,
+            longest_message: 0,
         }
-        Fleet { agents, random, loss, now_ms: 0, sent_bytes: 0, longest_message: 0 }
     }
 
     pub fn alive(&self) -> impl Iterator<Item = &Agent> {
@@ -68,7 +86,9 @@
     }
 
     pub fn agent(&mut self, number: usize) -> &mut Agent {
-        self.agents.get_mut(&address(number)).expect("the number is below the fleet's size")
+        self.agents
+            .get_mut(&address(number))
+            .expect("the number is below the fleet's size")
     }
 
     /// Lets a number of gossip intervals pass.
@@ -83,12 +103,20 @@
         self.now_ms += IDLE_GOSSIP_INTERVAL_MS;
         let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
         for from in addresses {
-            let agent = self.agents.get_mut(&from).expect("addresses are those of agents");
+            let agent = self
+                .agents
+                .get_mut(&from)
+                .expect("addresses are those of agents");
             if !agent.is_alive {
                 continue;
             }
             let mut in_flight: VecDeque<(SocketAddrV4, Outgoing)> = VecDeque::new();
-            in_flight.extend(agent.gossip.start_exchange(self.now_ms).map(|outgoing| (from, outgoing)));
+            in_flight.extend(
+                agent
+                    .gossip
+                    .start_exchange(self.now_ms)
+                    .map(|outgoing| (from, outgoing)),
+            );
             while let Some((from, outgoing)) = in_flight.pop_front() {
                 let answer = self.deliver(from, &outgoing);
                 in_flight.extend(answer.map(|answer| (outgoing.to, answer)));
@@ -103,8 +131,13 @@
         if self.random.random_bool(self.loss) {
             return None;
         }
-        let agent = self.agents.get_mut(&outgoing.to).filter(|agent| agent.is_alive)?;
-        let received = agent.gossip.receive(self.now_ms, from, outgoing.message.clone());
+        let agent = self
+            .agents
+            .get_mut(&outgoing.to)
+            .filter(|agent| agent.is_alive)?;
+        let received = agent
+            .gossip
+            .receive(self.now_ms, from, outgoing.message.clone());
         for observed in received.departures {
             if !agent.known_departed.contains(&observed.identifier) {
                 agent.observe(observed);
@@ -117,12 +150,19 @@
     pub fn connected_agents(&self) -> usize {
         let mut neighbours: BTreeMap<SocketAddrV4, BTreeSet<SocketAddrV4>> = BTreeMap::new();
         for (own, agent) in self.agents.iter().filter(|(_, agent)| agent.is_alive) {
-            for peer in agent.gossip.view().addresses().filter(|peer| self.agents[peer].is_alive) {
+            for peer in agent
+                .gossip
+                .view()
+                .addresses()
+                .filter(|peer| self.agents[peer].is_alive)
+            {
                 neighbours.entry(*own).or_default().insert(peer);
                 neighbours.entry(peer).or_default().insert(*own);
             }
         }
-        let Some(first) = neighbours.keys().next().copied() else { return 0 };
+        let Some(first) = neighbours.keys().next().copied() else {
+            return 0;
+        };
         let mut reached = BTreeSet::from([first]);
         let mut open = vec![first];
         while let Some(next) = open.pop() {
--- a/crates/lockusher-agent/tests/support/list_history.rs
+++ b/crates/lockusher-agent/tests/support/list_history.rs
@@ -16,7 +16,12 @@
 
 /// A poll that an agent made itself.
 pub fn own_poll(started_at_ms: u64, instances: &[Instance]) -> InstanceListPoll {
-    InstanceListPoll { instances: Rc::new(instances.to_vec()), changed: true, started_at_ms, calls: 1 }
+    InstanceListPoll {
+        instances: Rc::new(instances.to_vec()),
+        changed: true,
+        started_at_ms,
+        calls: 1,
+    }
 }
 
 /// The platform: searchers that start, drain and terminate, each by its time.
@@ -30,20 +35,31 @@
 
 impl Platform {
     fn new() -> Self {
-        Platform { states: BTreeMap::new(), started: 0, history: BTreeMap::from([(0, Rc::new(vec![]))]) }
+        Platform {
+            states: BTreeMap::new(),
+            started: 0,
+            history: BTreeMap::from([(0, Rc::new(vec![]))]),
+        }
     }
 
     /// Starts a searcher, or lets one drain or terminate.
     fn change(&mut self, now_ms: u64, random: &mut ChaCha8Rng) {
-        let running: Vec<String> =
-            self.states.iter().filter(|(_, state)| state.is_some()).map(|(name, _)| name.clone()).collect();
+        let running: Vec<String> = self
+            .states
+            .iter()
+            .filter(|(_, state)| state.is_some())
+            .map(|(name, _)| name.clone())
+            .collect();
         if running.len() < 4 || random.random_bool(0.4) {
             self.started += 1;
-            self.states.insert(format!("i{:04}", self.started), Some(InstanceState::Ready));
+            self.states
+                .insert(format!("i{:04}", self.started), Some(InstanceState::Ready));
         } else {
             let name = &running[random.random_range(0..running.len())];
             let next = match self.states[name] {
-                Some(InstanceState::Ready) if random.random_bool(0.7) => Some(InstanceState::Draining),
+                Some(InstanceState::Ready) if random.random_bool(0.7) => {
+                    Some(InstanceState::Draining)
+                }
                 _ => None,
             };
             self.states.insert(name.clone(), next);
@@ -52,13 +68,26 @@
     }
 
     fn listed(&self) -> Vec<Instance> {
-        let running = self.states.iter().filter_map(|(name, state)| state.map(|state| (name, state)));
-        running.map(|(name, state)| Instance { state, ..instance(name) }).collect()
+        let running = self
+            .states
+            .iter()
+            .filter_map(|(name, state)| state.map(|state| (name, state)));
+        running
+            .map(|(name, state)| Instance {
+                state,
+                ..instance(name)
+            })
+            .collect()
     }
 
     fn list_at(&self, now_ms: u64) -> Rc<Vec<Instance>> {
         let mut until_now = self.history.range(..=now_ms);
-        Rc::clone(until_now.next_back().expect("the history begins with an empty list").1)
+        Rc::clone(
+            until_now
+                .next_back()
+                .expect("the history begins with an empty list")
+                .1,
+        )
     }
 }
 
@@ -115,13 +144,18 @@
         }
         for instance in update.instances.iter() {
             let shown = presence(&listed, &instance.identifier);
-            self.seen.entry(instance.identifier.clone()).or_insert(shown);
+            self.seen
+                .entry(instance.identifier.clone())
+                .or_insert(shown);
         }
     }
 }
 
 fn by_name(instances: &[Instance]) -> HashMap<&str, InstanceState> {
-    instances.iter().map(|entry| (entry.identifier.as_str(), entry.state)).collect()
+    instances
+        .iter()
+        .map(|entry| (entry.identifier.as_str(), entry.state))
+        .collect()
 }
 
 fn presence(listed: &HashMap<&str, InstanceState>, name: &str) -> Presence {
@@ -148,13 +182,22 @@
 
 impl ListSimulation {
     pub fn new(seed: u64) -> Self {
-        let empty = InstanceList { revision: InstanceListRevision::default(), instances: Rc::new(vec![]) };
+        let empty = InstanceList {
+            revision: InstanceListRevision::default(),
+            instances: Rc::new(vec![]),
+        };
         ListSimulation {
             random: ChaCha8Rng::seed_from_u64(seed),
             now_ms: 1_000,
             platform: Platform::new(),
             polled: InstanceListRevision::default(),
-            nodes: vec![ControlNode { list: empty, polled_at_ms: 0 }; 3],
+            nodes: vec![
+                ControlNode {
+                    list: empty,
+                    polled_at_ms: 0
+                };
+                3
+            ],
             lists: ListSelection::default(),
             subscribed: InstanceListRevision::default(),
             proxy: Proxy::default(),
@@ -177,7 +220,8 @@
             _ if self.random.random_bool(0.1) => self.agent_restarts(),
             _ => {}
         }
-        self.lists.receive_proxy_revision(self.now_ms, self.proxy.revision);
+        self.lists
+            .receive_proxy_revision(self.now_ms, self.proxy.revision);
         self.publish();
     }
 
@@ -185,8 +229,12 @@
     pub fn recover(&mut self) -> Rc<Vec<Instance>> {
         self.now_ms += 31_000;
         self.polled = next_poller_revision(self.polled, 2);
-        let newest = InstanceList { revision: self.polled, instances: self.platform.list_at(self.now_ms) };
-        self.lists.receive_control_list(self.now_ms, &newest, Some(self.now_ms));
+        let newest = InstanceList {
+            revision: self.polled,
+            instances: self.platform.list_at(self.now_ms),
+        };
+        self.lists
+            .receive_control_list(self.now_ms, &newest, Some(self.now_ms));
         self.publish();
         newest.instances
     }
@@ -194,13 +242,20 @@
     /// Some control nodes receive the poll.
     fn control_plane_polls(&mut self) {
         let instances = self.platform.list_at(self.now_ms);
-        let is_known =
-            |node: &ControlNode| node.list.revision == self.polled && node.list.instances == instances;
+        let is_known = |node: &ControlNode| {
+            node.list.revision == self.polled && node.list.instances == instances
+        };
         if !self.nodes.iter().any(is_known) {
             self.polled = next_poller_revision(self.polled, 1);
         }
-        let list = InstanceList { revision: self.polled, instances };
-        let polled = ControlNode { list, polled_at_ms: self.now_ms };
+        let list = InstanceList {
+            revision: self.polled,
+            instances,
+        };
+        let polled = ControlNode {
+            list,
+            polled_at_ms: self.now_ms,
+        };
         for node in &mut self.nodes {
             if self.random.random_bool(0.5) {
                 *node = polled.clone();
@@ -217,7 +272,8 @@
             // Heartbeats take their time, so that a confirmation seems later than it was.
             let delay_ms = self.random.random_range(0..1_500);
             let confirmed_at_ms = (node.polled_at_ms + delay_ms).min(self.now_ms);
-            self.lists.receive_control_list(self.now_ms, &node.list, Some(confirmed_at_ms));
+            self.lists
+                .receive_control_list(self.now_ms, &node.list, Some(confirmed_at_ms));
         }
     }
 
@@ -229,14 +285,16 @@
     fn agent_restarts(&mut self) {
         self.lists = ListSelection::default();
         self.subscribed = InstanceListRevision::default();
-        self.lists.receive_proxy_revision(self.now_ms, self.proxy.revision);
+        self.lists
+            .receive_proxy_revision(self.now_ms, self.proxy.revision);
         // What the agent before saw draining isn't remembered by the new one; it may come back.
         self.proxy.seen.clear();
     }
 
     fn publish(&mut self) {
         if let Some(update) = self.lists.take_update(self.now_ms) {
-            self.proxy.take(&update, &self.platform.list_at(self.now_ms));
+            self.proxy
+                .take(&update, &self.platform.list_at(self.now_ms));
         }
     }
 }
--- a/crates/lockusher-agent/tests/support/mod.rs
+++ b/crates/lockusher-agent/tests/support/mod.rs
@@ -11,5 +11,8 @@
 use lockusher_distribution::departures::Departure;
 
 pub fn departed(identifier: &str, departure: Departure) -> InstanceDeparture {
-    InstanceDeparture { identifier: identifier.to_owned(), departure }
+    InstanceDeparture {
+        identifier: identifier.to_owned(),
+        departure,
+    }
 }
--- a/crates/lockusher-aggregator-testbed/src/chain.rs
+++ b/crates/lockusher-aggregator-testbed/src/chain.rs
@@ -8,7 +8,9 @@
 
 use anyhow::ensure;
 use lockusher_control::InjectedBug;
-use lockusher_control_simulation::{Checks, Outcome, SimulationOptions, Violation, shrink, simulate_with};
+use lockusher_control_simulation::{
+    Checks, Outcome, SimulationOptions, Violation, shrink, simulate_with,
+};
 
 /// Most control nodes that a run starts with: the largest group that is supported.
 const MAX_REPLICAS: usize = 9;
@@ -34,8 +36,20 @@
 
 impl ChainRuns {
     fn simulation(&self, seed: u64) -> SimulationOptions {
-        let ChainRuns { replicas, steps, injected_bug, checks, .. } = *self;
-        SimulationOptions { replicas, seed, steps, injected_bug, checks }
+        let ChainRuns {
+            replicas,
+            steps,
+            injected_bug,
+            checks,
+            ..
+        } = *self;
+        SimulationOptions {
+            replicas,
+            seed,
+            steps,
+            injected_bug,
+            checks,
+        }
     }
 }
 
@@ -76,7 +90,10 @@
 impl ChainTotals {
     /// Number of violations in all runs.
     pub fn violations(&self) -> usize {
-        self.failed.iter().map(|failed| failed.violations.len()).sum()
+        self.failed
+            .iter()
+            .map(|failed| failed.violations.len())
+            .sum()
     }
 
     /// Adds a run.
@@ -91,7 +108,10 @@
         self.longest_recovery_ms = self.longest_recovery_ms.max(outcome.recovery_ms);
         self.longest_settle_ms = self.longest_settle_ms.max(outcome.settle_ms);
         if !outcome.violations.is_empty() {
-            self.failed.push(FailedRun { seed, violations: outcome.violations });
+            self.failed.push(FailedRun {
+                seed,
+                violations: outcome.violations,
+            });
         }
     }
 
@@ -121,14 +141,21 @@
 ///
 /// Options out of their range.
 pub fn simulate_all(options: &ChainRuns) -> anyhow::Result<ChainTotals> {
-    ensure!((1..=MAX_REPLICAS).contains(&options.replicas), "replicas: expected 1 to {MAX_REPLICAS}");
+    ensure!(
+        (1..=MAX_REPLICAS).contains(&options.replicas),
+        "replicas: expected 1 to {MAX_REPLICAS}"
+    );
     ensure!(options.runs > 0, "runs: expected 1 at least");
-    ensure!(options.seed.checked_add(options.runs).is_some(), "seed: too high for so many runs");
+    ensure!(
+        options.seed.checked_add(options.runs).is_some(),
+        "seed: too high for so many runs"
+    );
     let next_run = AtomicU64::new(0);
     let mut totals = ChainTotals::default();
     thread::scope(|scope| {
-        let workers: Vec<_> =
-            (0..options.threads.get()).map(|_| scope.spawn(|| take_runs(options, &next_run))).collect();
+        let workers: Vec<_> = (0..options.threads.get())
+            .map(|_| scope.spawn(|| take_runs(options, &next_run)))
+            .collect();
         for worker in workers {
             match worker.join() {
                 Ok(share) => totals.merge(share),
@@ -174,9 +201,14 @@
     seconds: f64,
     output: &mut impl Write,
 ) -> std::io::Result<()> {
-    let ChainRuns { replicas, steps, .. } = *options;
+    let ChainRuns {
+        replicas, steps, ..
+    } = *options;
     for FailedRun { seed, violations } in &totals.failed {
-        writeln!(output, "seed {seed} (chain --replicas {replicas} --seed {seed} --steps {steps}):")?;
+        writeln!(
+            output,
+            "seed {seed} (chain --replicas {replicas} --seed {seed} --steps {steps}):"
+        )?;
         for violation in violations {
             writeln!(output, "  {violation}")?;
         }
@@ -206,9 +238,15 @@
 
 /// Writes the fewest steps and faults found with which a failed run still has a violation.
 fn report_shrunk(options: SimulationOptions, output: &mut impl Write) -> std::io::Result<()> {
-    let Some(shrunk) = shrink(options) else { return Ok(()) };
+    let Some(shrunk) = shrink(options) else {
+        return Ok(());
+    };
     let (seed, steps, count) = (options.seed, shrunk.steps, shrunk.faults.len());
-    writeln!(output, "seed {seed}, shrunk to {steps} steps and {count} faults in {} runs:", shrunk.runs)?;
+    writeln!(
+        output,
+        "seed {seed}, shrunk to {steps} steps and {count} faults in {} runs:",
+        shrunk.runs
+    )?;
     for fault in &shrunk.faults {
         writeln!(output, "  {fault}")?;
     }
--- a/crates/lockusher-aggregator-testbed/src/chain_injected_bugs.rs
+++ b/crates/lockusher-aggregator-testbed/src/chain_injected_bugs.rs
@@ -12,17 +12,28 @@
 /// # Errors
 ///
 /// Options out of their range, or an output that can't be written.
-pub fn run(options: &ChainRuns, one: Option<InjectedBug>, output: &mut impl Write) -> anyhow::Result<bool> {
+pub fn run(
+    options: &ChainRuns,
+    one: Option<InjectedBug>,
+    output: &mut impl Write,
+) -> anyhow::Result<bool> {
     let mut all_found = true;
-    for injected_bug in
-        InjectedBug::ALL.into_iter().filter(|injected_bug| one.is_none_or(|one| one == *injected_bug))
+    for injected_bug in InjectedBug::ALL
+        .into_iter()
+        .filter(|injected_bug| one.is_none_or(|one| one == *injected_bug))
     {
-        let totals = simulate_all(&ChainRuns { injected_bug: Some(injected_bug), ..*options })?;
+        let totals = simulate_all(&ChainRuns {
+            injected_bug: Some(injected_bug),
+            ..*options
+        })?;
         let first = totals.failed.first();
-        let first_run =
-            first.map_or_else(|| "-".to_owned(), |failed| (failed.seed - options.seed + 1).to_string());
-        let first_violation =
-            first.and_then(|failed| failed.violations.first()).map_or_else(String::new, ToString::to_string);
+        let first_run = first.map_or_else(
+            || "-".to_owned(),
+            |failed| (failed.seed - options.seed + 1).to_string(),
+        );
+        let first_violation = first
+            .and_then(|failed| failed.violations.first())
+            .map_or_else(String::new, ToString::to_string);
         let found = totals.failed.len();
         all_found &= found > 0;
         writeln!(
--- a/crates/lockusher-aggregator-testbed/src/check.rs
+++ b/crates/lockusher-aggregator-testbed/src/check.rs
@@ -31,7 +31,10 @@
 impl Truth {
     /// A host is in this state from a revision on.
     pub fn note(&mut self, revision: u64, host: &str, state: State) {
-        self.hosts.entry(host.to_owned()).or_default().insert(revision, state);
+        self.hosts
+            .entry(host.to_owned())
+            .or_default()
+            .insert(revision, state);
     }
 
     pub fn at(&self, revision: u64, host: &str) -> State {
@@ -64,11 +67,18 @@
         for (host, at) in sends {
             let until = ordered.partition_point(|(told, _)| told <= at);
             // Back to the first of the tellings in a row that say so.
-            let said = ordered[..until].iter().rev().take_while(|(_, r)| self.at(*r, host) != State::Up);
+            let said = ordered[..until]
+                .iter()
+                .rev()
+                .take_while(|(_, r)| self.at(*r, host) != State::Up);
             if let Some((told, _)) = said.last()
                 && at.saturating_sub(*told) > grace
             {
-                late.push(Late { host: host.clone(), at: *at, told: *told });
+                late.push(Late {
+                    host: host.clone(),
+                    at: *at,
+                    told: *told,
+                });
             }
         }
         late
@@ -83,11 +93,20 @@
     /// Up from revision 2, draining from 5, up again from 9, absent from 12; told at 1 s up to 2, and so on.
     fn truth() -> (Truth, Vec<(Span, u64)>) {
         let mut truth = Truth::default();
-        for (revision, state) in [(2, State::Up), (5, State::Draining), (9, State::Up), (12, State::Absent)] {
+        for (revision, state) in [
+            (2, State::Up),
+            (5, State::Draining),
+            (9, State::Up),
+            (12, State::Absent),
+        ] {
             truth.note(revision, "h", state);
         }
         let told = [(1_000, 2), (2_000, 5), (2_500, 7), (6_000, 9), (7_000, 12)];
-        (truth, told.map(|(ms, revision)| (Span::from_millis(ms), revision)).to_vec())
+        (
+            truth,
+            told.map(|(ms, revision)| (Span::from_millis(ms), revision))
+                .to_vec(),
+        )
     }
 
     #[rstest]
@@ -101,7 +120,10 @@
         let (truth, tellings) = truth();
         let sends = [("h".to_owned(), Span::from_millis(at))];
         let late = truth.late(&tellings, &sends, Span::from_millis(2_000));
-        assert_eq!(late.first().map(|late| late.told), told.map(Span::from_millis));
+        assert_eq!(
+            late.first().map(|late| late.told),
+            told.map(Span::from_millis)
+        );
     }
 
     /// What a lagging member says of the past takes nothing back.
@@ -110,6 +132,11 @@
         let (truth, mut tellings) = truth();
         tellings.push((Span::from_millis(2_200), 3));
         let sends = [("h".to_owned(), Span::from_millis(4_200))];
-        assert_eq!(truth.late(&tellings, &sends, Span::from_millis(2_000)).len(), 1);
+        assert_eq!(
+            truth
+                .late(&tellings, &sends, Span::from_millis(2_000))
+                .len(),
+            1
+        );
     }
 }
--- a/crates/lockusher-aggregator-testbed/src/fleet.rs
+++ b/crates/lockusher-aggregator-testbed/src/fleet.rs
@@ -45,7 +45,10 @@
             Protocol::Etcd => etcd::start(registry).await?,
             Protocol::Consul => consul::start(registry).await?,
         };
-        out.push(Endpoint { member, relay: Relay::start(address).await? });
+        out.push(Endpoint {
+            member,
+            relay: Relay::start(address).await?,
+        });
     }
     Ok(out)
 }
@@ -56,8 +59,10 @@
         Protocol::Etcd => "ETCD",
         Protocol::Consul => "CONSUL",
     };
-    let addresses: String =
-        endpoints.iter().map(|e| format!("  endpoints: \"{}\"\n", e.relay.address)).collect();
+    let addresses: String = endpoints
+        .iter()
+        .map(|e| format!("  endpoints: \"{}\"\n", e.relay.address))
+        .collect();
     format!("registry {{\n  protocol: {protocol}\n{addresses}  prefix: \"{PREFIX}\"\n{more}}}\n")
 }
 
@@ -72,7 +77,10 @@
     pub fn start(setup: &Setup, text: &str, quiet: bool) -> std::io::Result<Self> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let file = format!("lockusher-aggregator-testbed-{}-{number}.txtpb", std::process::id());
+        let file = format!(
+            "lockusher-aggregator-testbed-{}-{number}.txtpb",
+            std::process::id()
+        );
         let file = std::env::temp_dir().join(file);
         std::fs::write(&file, text)?;
         let config = json!({
@@ -80,7 +88,11 @@
             "limits": { "sockets": setup.sockets, "memory_mb": setup.memory_mb },
         });
         let mixer = Mixer::start(&config, Some(&file), quiet);
-        Ok(Followed { mixer, settings: file, config })
+        Ok(Followed {
+            mixer,
+            settings: file,
+            config,
+        })
     }
 
     /// Other settings from here on.
@@ -110,15 +122,22 @@
 
 /// The hosts of a view, with their statuses, in the order of their names.
 pub fn statuses(registry: &Value) -> Vec<(String, String)> {
-    let lines = registry["view"]["endpoints"].as_array().into_iter().flatten();
+    let lines = registry["view"]["endpoints"]
+        .as_array()
+        .into_iter()
+        .flatten();
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
-    let mut all: Vec<_> = lines.map(|line| (text(&line["name"]), text(&line["status"]))).collect();
+    let mut all: Vec<_> = lines
+        .map(|line| (text(&line["name"]), text(&line["status"])))
+        .collect();
     all.sort();
     all
 }
 
 pub fn searchers(count: usize) -> Vec<Arc<Searcher>> {
-    (0..count).map(|i| Searcher::start(&format!("h{i}"))).collect()
+    (0..count)
+        .map(|i| Searcher::start(&format!("h{i}")))
+        .collect()
 }
 
 /// Clients that ask a mixer for three shards each, on a schedule of their own.
@@ -133,7 +152,8 @@
         let threads = (0..clients).map(|number| {
             let stop = stop.clone();
             std::thread::spawn(move || {
-                let (mut client, mut outcomes, mut due) = (Client::to(mixer), Vec::new(), Instant::now());
+                let (mut client, mut outcomes, mut due) =
+                    (Client::to(mixer), Vec::new(), Instant::now());
                 let mut asked = 0_usize;
                 while !stop.load(Ordering::Relaxed) {
                     std::thread::sleep(due.saturating_duration_since(Instant::now()));
@@ -147,14 +167,20 @@
                 outcomes
             })
         });
-        Load { threads: threads.collect(), stop }
+        Load {
+            threads: threads.collect(),
+            stop,
+        }
     }
 
     /// Status and time of each multiget.
     pub fn end(mut self) -> Vec<(u16, Duration)> {
         self.stop.store(true, Ordering::Relaxed);
         let threads = std::mem::take(&mut self.threads);
-        threads.into_iter().flat_map(|thread| thread.join().unwrap_or_default()).collect()
+        threads
+            .into_iter()
+            .flat_map(|thread| thread.join().unwrap_or_default())
+            .collect()
     }
 }
 
--- a/crates/lockusher-aggregator-testbed/src/http2.rs
+++ b/crates/lockusher-aggregator-testbed/src/http2.rs
@@ -49,41 +49,65 @@
 }
 
 impl Load {
-    fn start(mixers: &[SocketAddr], width: usize, shards: usize, every: Duration, once: bool) -> Self {
+    fn start(
+        mixers: &[SocketAddr],
+        width: usize,
+        shards: usize,
+        every: Duration,
+        once: bool,
+    ) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let threads = (0..4).map(|number| {
             let (stop, mixer) = (stop.clone(), mixers[number % mixers.len()]);
             std::thread::spawn(move || {
-                let (mut client, mut ends, mut due) = (Client::to(mixer), Vec::new(), Instant::now());
+                let (mut client, mut ends, mut due) =
+                    (Client::to(mixer), Vec::new(), Instant::now());
                 let mut asked = 0;
                 while !stop.load(Ordering::Relaxed) {
                     std::thread::sleep(due.saturating_duration_since(Instant::now()));
                     let once = once && asked % 2 == 0;
-                    let (kind, id) = (if once { "once" } else { "look" }, format!("c{number}n{asked}"));
+                    let (kind, id) = (
+                        if once { "once" } else { "look" },
+                        format!("c{number}n{asked}"),
+                    );
                     let asks: Vec<usize> = (0..width).map(|i| (asked * 7 + i) % shards).collect();
                     let wrote = client.try_write(&request_of(kind, &id, &body(&asks)));
                     let answer = if wrote { client.read() } else { None };
                     let right = answer.as_ref().is_none_or(|answer| {
                         answer.status != 200
-                            || answer.values().iter().all(|(shard, value)| *value == format!("v{id}.{shard}"))
+                            || answer
+                                .values()
+                                .iter()
+                                .all(|(shard, value)| *value == format!("v{id}.{shard}"))
                     });
                     if answer.is_none() {
                         client = Client::to(mixer);
                     }
                     let status = answer.map(|answer| answer.status);
-                    ends.push(Ended { once, status, took: due.elapsed(), right });
+                    ends.push(Ended {
+                        once,
+                        status,
+                        took: due.elapsed(),
+                        right,
+                    });
                     asked += 1;
                     due += every;
                 }
                 ends
             })
         });
-        Load { threads: threads.collect(), stop }
+        Load {
+            threads: threads.collect(),
+            stop,
+        }
     }
 
     fn end(self) -> Vec<Ended> {
         self.stop.store(true, Ordering::Relaxed);
-        self.threads.into_iter().flat_map(|thread| thread.join().unwrap_or_default()).collect()
+        self.threads
+            .into_iter()
+            .flat_map(|thread| thread.join().unwrap_or_default())
+            .collect()
     }
 }
 
@@ -94,7 +118,10 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// What ends a trouble, and when.
@@ -115,7 +142,11 @@
 impl World {
     fn set(&mut self, host: usize, state: State) {
         let searcher = &self.hosts[host];
-        let status = if state == State::Up { "active" } else { "leaving" };
+        let status = if state == State::Up {
+            "active"
+        } else {
+            "leaving"
+        };
         let line = line(searcher.address, host % 3, status, self.since[host]);
         let revision = self.registry.put(&fleet::key(&searcher.name), line);
         self.truth.note(revision, &searcher.name, state);
@@ -134,7 +165,9 @@
         let host = self.rng.random_range(0..self.hosts.len());
         let searcher = self.hosts[host].clone();
         let after = |ms| Instant::now() + Duration::from_millis(ms);
-        let well = move |world: &mut World| world.hosts[host].does(|_| Does::Slow(Duration::from_millis(2)));
+        let well = move |world: &mut World| {
+            world.hosts[host].does(|_| Does::Slow(Duration::from_millis(2)));
+        };
         match self.rng.random_range(0..9) {
             0 => {
                 searcher.says(Says::Graceful);
@@ -161,8 +194,14 @@
                 let mut rng = ChaCha8Rng::seed_from_u64(self.rng.random());
                 let salt: u64 = rng.random();
                 searcher.does(move |id| {
-                    let odd = id.bytes().fold(salt, |sum, byte| sum.wrapping_mul(31) ^ u64::from(byte));
-                    if odd % 5 == 0 { Does::Reset(code) } else { Does::Slow(Duration::from_millis(2)) }
+                    let odd = id
+                        .bytes()
+                        .fold(salt, |sum, byte| sum.wrapping_mul(31) ^ u64::from(byte));
+                    if odd % 5 == 0 {
+                        Does::Reset(code)
+                    } else {
+                        Does::Slow(Duration::from_millis(2))
+                    }
                 });
                 self.counted("refusing");
                 return Some((after(500), Box::new(well)));
@@ -198,9 +237,13 @@
 
 /// Plays a run; tells whether all promises were kept. The last line it prints has its figures.
 pub fn run(seed: u64, span: Duration, count: usize, width: usize) -> Result<bool> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     let registry = Registry::new(seed | 1);
-    let endpoints: Vec<Endpoint> = runtime.block_on(fleet::endpoints(&registry, Protocol::Etcd, MIXERS))?;
+    let endpoints: Vec<Endpoint> =
+        runtime.block_on(fleet::endpoints(&registry, Protocol::Etcd, MIXERS))?;
     let mut hosts = Vec::new();
     for i in 0..count {
         hosts.push(runtime.block_on(Http2Searcher::start(&format!("h{i}"), Some(100)))?);
@@ -218,15 +261,29 @@
         world.hosts[host].does(|_| Does::Slow(Duration::from_millis(2)));
         world.set(host, State::Up);
     }
-    let setup = Setup { knows: false, mixers: MIXERS, once: true, most_parts: 3, ..Setup::default() };
+    let setup = Setup {
+        knows: false,
+        mixers: MIXERS,
+        once: true,
+        most_parts: 3,
+        ..Setup::default()
+    };
     let mut mixers = Vec::new();
     for endpoint in endpoints.chunks(1) {
-        let text = format!("{}{SETTINGS}", fleet::settings_text(Protocol::Etcd, endpoint, ""));
+        let text = format!(
+            "{}{SETTINGS}",
+            fleet::settings_text(Protocol::Etcd, endpoint, "")
+        );
         mixers.push(Followed::start(&setup, &text, true)?);
     }
-    mixers.iter().for_each(|m| until(|| m.mixer.get("/up").status == 200));
+    mixers
+        .iter()
+        .for_each(|m| until(|| m.mixer.get("/up").status == 200));
     let addresses: Vec<SocketAddr> = mixers.iter().map(|m| m.mixer.address).collect();
-    let (began, load) = (Instant::now(), Load::start(&addresses, width, 24, Duration::from_millis(25), true));
+    let (began, load) = (
+        Instant::now(),
+        Load::start(&addresses, width, 24, Duration::from_millis(25), true),
+    );
     let mut mending: Vec<Mending> = Vec::new();
     let mut next = Instant::now() + Duration::from_millis(1_000);
     while began.elapsed() < span {
@@ -253,16 +310,24 @@
     ends: &[Ended],
     began: Instant,
 ) -> Result<bool> {
-    let since = |at: Instant| Span::from_micros(at.saturating_duration_since(began).as_micros() as u64);
+    let since =
+        |at: Instant| Span::from_micros(at.saturating_duration_since(began).as_micros() as u64);
     let logs: Vec<_> = world.hosts.iter().map(|host| host.log()).collect();
     let (mut came, mut ran): (HashMap<&str, usize>, HashMap<&str, usize>) = Default::default();
     for log in &logs {
-        log.came.iter().for_each(|(id, _)| *came.entry(id).or_default() += 1);
-        log.ran.iter().for_each(|(id, _)| *ran.entry(id).or_default() += 1);
+        log.came
+            .iter()
+            .for_each(|(id, _)| *came.entry(id).or_default() += 1);
+        log.ran
+            .iter()
+            .for_each(|(id, _)| *ran.entry(id).or_default() += 1);
     }
     // Each other multiget of a client must not be repeated: its number is even.
     let once = |id: &str| {
-        let number = id.split('n').nth(1).and_then(|rest| rest.split('.').next()?.parse::<u64>().ok());
+        let number = id
+            .split('n')
+            .nth(1)
+            .and_then(|rest| rest.split('.').next()?.parse::<u64>().ok());
         number.is_some_and(|number| number % 2 == 0)
     };
     let twice = ran.iter().filter(|(_, times)| **times > 1);
@@ -274,11 +339,17 @@
     // it is past the grace for the mixer that was told last.
     let mut late = 0;
     for (host, log) in world.hosts.iter().zip(&logs) {
-        let parts: Vec<(String, Span)> =
-            log.came.iter().map(|(_, at)| (host.name.clone(), since(*at))).collect();
+        let parts: Vec<(String, Span)> = log
+            .came
+            .iter()
+            .map(|(_, at)| (host.name.clone(), since(*at)))
+            .collect();
         let of = |endpoint: &Endpoint| {
             let told = endpoint.member.told();
-            let told: Vec<(Span, u64)> = told.iter().map(|told| (since(told.at), told.revision)).collect();
+            let told: Vec<(Span, u64)> = told
+                .iter()
+                .map(|told| (since(told.at), told.revision))
+                .collect();
             world.truth.late(&told, &parts, GRACE).len()
         };
         late += endpoints.iter().map(of).min().unwrap_or(0);
@@ -304,9 +375,18 @@
         of.iter().filter(|end| end.status == Some(200)).count() as f64 / of.len().max(1) as f64
     };
     let connections: usize = logs.iter().map(|log| log.opened).sum();
-    let kept = once_twice == 0 && past_cap == 0 && late == 0 && pushed_over == 0 && lost == 0 && wrong == 0;
+    let kept = once_twice == 0
+        && past_cap == 0
+        && late == 0
+        && pushed_over == 0
+        && lost == 0
+        && wrong == 0;
     let kept = kept && share(false) > 0.5;
-    let troubles: Vec<String> = world.counts.iter().map(|(what, count)| format!("{what}={count}")).collect();
+    let troubles: Vec<String> = world
+        .counts
+        .iter()
+        .map(|(what, count)| format!("{what}={count}"))
+        .collect();
     println!(
         "seed={seed} seconds={} {} multigets={} parts={} sends={sends} resends={} known_never_run={} run_twice={} \
          non_retriable_twice={once_twice} past_cap={past_cap} past_grace={late} pushed_over={pushed_over} lost={lost} \
@@ -338,8 +418,10 @@
 ) -> String {
     let mut took: Vec<Duration> = ends.iter().map(|end| end.took).collect();
     took.sort();
-    let at =
-        |share: f64| took.get((took.len() as f64 * share) as usize).map_or(0.0, |t| t.as_secs_f64() * 1e3);
+    let at = |share: f64| {
+        took.get((took.len() as f64 * share) as usize)
+            .map_or(0.0, |t| t.as_secs_f64() * 1e3)
+    };
     let share = |once: bool| {
         let of: Vec<&Ended> = ends.iter().filter(|end| end.once == once).collect();
         of.iter().filter(|end| end.status == Some(200)).count() as f64 / of.len().max(1) as f64
@@ -357,8 +439,17 @@
 }
 
 /// The same load over frames, then over HTTP/2; with `restarts`, a host drops what it has not begun, one after the other.
-pub fn carriers(width: usize, span: Duration, restarts: bool, calls: usize, sockets: usize) -> Result<bool> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+pub fn carriers(
+    width: usize,
+    span: Duration,
+    restarts: bool,
+    calls: usize,
+    sockets: usize,
+) -> Result<bool> {
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     let setup = Setup {
         knows: false,
         once: true,
@@ -374,7 +465,11 @@
     for http2 in [false, true] {
         let registry = Registry::new(1);
         let endpoints = runtime.block_on(fleet::endpoints(&registry, Protocol::Etcd, 1))?;
-        let frames = if http2 { Vec::new() } else { fleet::searchers(HOSTS) };
+        let frames = if http2 {
+            Vec::new()
+        } else {
+            fleet::searchers(HOSTS)
+        };
         let mut wide = Vec::new();
         for i in 0..if http2 { HOSTS } else { 0 } {
             let host = runtime.block_on(Http2Searcher::start(&format!("h{i}"), Some(100)))?;
@@ -390,7 +485,10 @@
             registry.put(&fleet::key(name), line(*address, group % 3, "active", 0));
         }
         let carrier = if http2 { SETTINGS } else { "" };
-        let text = format!("{}{carrier}", fleet::settings_text(Protocol::Etcd, &endpoints, ""));
+        let text = format!(
+            "{}{carrier}",
+            fleet::settings_text(Protocol::Etcd, &endpoints, "")
+        );
         let mixer = Followed::start(&setup, &text, true)?;
         until(|| mixer.mixer.get("/up").status == 200);
         let cpu = mixer.mixer.cpu_us();
@@ -404,7 +502,12 @@
             }
         }
         let ends = load.end();
-        for (nth, end) in ends.iter().enumerate().filter(|(_, end)| end.status != Some(200)).take(8) {
+        for (nth, end) in ends
+            .iter()
+            .enumerate()
+            .filter(|(_, end)| end.status != Some(200))
+            .take(8)
+        {
             eprintln!(
                 "http2={http2}: the {nth}th: {:?} after {:.1?}, once={}",
                 end.status, end.took, end.once
@@ -437,7 +540,10 @@
     if let Some(host) = wide.get(host) {
         host.does(|_| Does::Slow(Duration::from_millis(60)));
         std::thread::sleep(lasts);
-        host.says(Says::Goes { less: 1_000, code: 0 });
+        host.says(Says::Goes {
+            less: 1_000,
+            code: 0,
+        });
         host.does(|_| Does::Good);
     }
 }
--- a/crates/lockusher-aggregator-testbed/src/large.rs
+++ b/crates/lockusher-aggregator-testbed/src/large.rs
@@ -25,7 +25,10 @@
 fn wait(what: &str, holds: impl Fn() -> bool) -> Result<Duration> {
     let began = Instant::now();
     while !holds() {
-        ensure!(began.elapsed() < PATIENCE, "{what}: not within {PATIENCE:?}");
+        ensure!(
+            began.elapsed() < PATIENCE,
+            "{what}: not within {PATIENCE:?}"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
     Ok(began.elapsed())
@@ -35,13 +38,18 @@
 fn service(mut outcomes: Vec<(u16, Duration)>) -> (f64, Duration) {
     let answered = outcomes.iter().filter(|(status, _)| *status == 200).count();
     outcomes.sort_by_key(|(_, took)| *took);
-    let p99 = outcomes.get(outcomes.len() * 99 / 100).map_or(Duration::MAX, |(_, took)| *took);
+    let p99 = outcomes
+        .get(outcomes.len() * 99 / 100)
+        .map_or(Duration::MAX, |(_, took)| *took);
     (answered as f64 / outcomes.len().max(1) as f64, p99)
 }
 
 /// Plays it; tells whether the view came to the truth each time and multigets went on being answered.
 pub fn run(protocol: Protocol, entries: usize, changes: usize, seconds: Duration) -> Result<bool> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     let registry = Registry::new(1);
     let endpoints = runtime.block_on(fleet::endpoints(&registry, protocol, 2))?;
     let searchers = fleet::searchers(LISTENING);
@@ -67,8 +75,10 @@
     let mixer = &followed.mixer;
     wait("the start", || mixer.get("/up").status == 200)?;
     let started = began.elapsed();
-    let (start_kb, calm) =
-        (mixer.most_memory(), Load::start(mixer.address, 4, Duration::from_millis(20), cells));
+    let (start_kb, calm) = (
+        mixer.most_memory(),
+        Load::start(mixer.address, 4, Duration::from_millis(20), cells),
+    );
     std::thread::sleep(Duration::from_secs(3));
     let (_, calm_p99) = service(calm.end());
 
@@ -77,8 +87,13 @@
     let mut status = vec![true; entries];
     while began.elapsed() < seconds {
         if done < (began.elapsed().as_secs_f64() * changes as f64) as usize {
-            let hosts =
-                (done..done + TOGETHER).map(|i| if i % 2 == 0 { i * 7 % entries } else { i * 7 % HOT });
+            let hosts = (done..done + TOGETHER).map(|i| {
+                if i % 2 == 0 {
+                    i * 7 % entries
+                } else {
+                    i * 7 % HOT
+                }
+            });
             let writes: Vec<Write> = hosts
                 .map(|host| {
                     status[host] = !status[host];
@@ -95,14 +110,25 @@
     let (answered, burst_p99) = service(load.end());
     let newest = registry.store().revision();
     let reaches = |newest: u64| move |held: u64| held >= newest;
-    let holds = |reached: &dyn Fn(u64) -> bool| followed.registry()["revision"].as_u64().is_some_and(reached);
+    let holds = |reached: &dyn Fn(u64) -> bool| {
+        followed.registry()["revision"]
+            .as_u64()
+            .is_some_and(reached)
+    };
     let caught_up = wait("the burst", || holds(&reaches(newest)))?;
     let burst_cpu = (mixer.cpu_us() - cpu) as f64 / (wrote + caught_up).as_micros() as f64;
-    let (folded, burst_kb) = (followed.registry()["counts"]["folded"].clone(), mixer.most_memory());
+    let (folded, burst_kb) = (
+        followed.registry()["counts"]["folded"].clone(),
+        mixer.most_memory(),
+    );
     std::thread::sleep(Duration::from_millis(300));
     let differs = |status: &[bool]| {
         let view = fleet::statuses(&followed.view());
-        let wrong = view.iter().zip(status).filter(|((_, said), up)| (said == "active") != **up).count();
+        let wrong = view
+            .iter()
+            .zip(status)
+            .filter(|((_, said), up)| (said == "active") != **up)
+            .count();
         wrong + view.len().abs_diff(status.len())
     };
     let mut differ = differs(&status);
--- a/crates/lockusher-aggregator-testbed/src/main.rs
+++ b/crates/lockusher-aggregator-testbed/src/main.rs
@@ -213,10 +213,20 @@
 fn main() -> ExitCode {
     let kept = match Line::parse().command {
         Command::Mixer { args } => {
-            return lockusher_aggregator::program::run(std::iter::once("lockusher".into()).chain(args));
+            return lockusher_aggregator::program::run(
+                std::iter::once("lockusher".into()).chain(args),
+            );
         }
         Command::Demo => demo::run(),
-        Command::Registry { protocol, seed, seconds, hosts, baseline, calm, verbose } => {
+        Command::Registry {
+            protocol,
+            seed,
+            seconds,
+            hosts,
+            baseline,
+            calm,
+            verbose,
+        } => {
             let span = Duration::from_secs(seconds);
             soak::run(&soak::Run {
                 protocol: protocol.into(),
@@ -228,46 +238,120 @@
                 quiet: !verbose,
             })
         }
-        Command::Http2 { seed, seconds, hosts, width } => {
-            http2::run(seed, Duration::from_secs(seconds), hosts, width)
-        }
-        Command::Standstill { seed, seconds, silent_one_in } => {
-            standstill::run(seed, Duration::from_secs(seconds), silent_one_in)
-        }
-        Command::Carriers { width, seconds, restarts, calls, sockets } => {
-            http2::carriers(width, Duration::from_secs(seconds), restarts, calls, sockets)
-        }
-        Command::Fleet { mixers, seed, seconds, rate, verbose } => {
-            mixers::run::run(mixers, seed, Duration::from_secs(seconds), rate, verbose)
-        }
-        Command::Shared { mixers, seed, seconds, rate, verbose } => {
-            mixers::shared::run(mixers, seed, Duration::from_secs(seconds), rate, verbose)
-        }
-        Command::SharedSim { members, seed, seconds } => {
-            mixers::shared_sim::run(members, seed, Span::from_millis(seconds * 1_000))
-        }
-        Command::FleetSim { members, seed, seconds, verbose } => {
-            mixers::simulate::run(members, seed, Span::from_millis(seconds * 1_000), verbose)
-        }
-        Command::Chain { replicas, seed, steps, runs, threads } => {
+        Command::Http2 {
+            seed,
+            seconds,
+            hosts,
+            width,
+        } => http2::run(seed, Duration::from_secs(seconds), hosts, width),
+        Command::Standstill {
+            seed,
+            seconds,
+            silent_one_in,
+        } => standstill::run(seed, Duration::from_secs(seconds), silent_one_in),
+        Command::Carriers {
+            width,
+            seconds,
+            restarts,
+            calls,
+            sockets,
+        } => http2::carriers(
+            width,
+            Duration::from_secs(seconds),
+            restarts,
+            calls,
+            sockets,
+        ),
+        Command::Fleet {
+            mixers,
+            seed,
+            seconds,
+            rate,
+            verbose,
+        } => mixers::run::run(mixers, seed, Duration::from_secs(seconds), rate, verbose),
+        Command::Shared {
+            mixers,
+            seed,
+            seconds,
+            rate,
+            verbose,
+        } => mixers::shared::run(mixers, seed, Duration::from_secs(seconds), rate, verbose),
+        Command::SharedSim {
+            members,
+            seed,
+            seconds,
+        } => mixers::shared_sim::run(members, seed, Span::from_millis(seconds * 1_000)),
+        Command::FleetSim {
+            members,
+            seed,
+            seconds,
+            verbose,
+        } => mixers::simulate::run(members, seed, Span::from_millis(seconds * 1_000), verbose),
+        Command::Chain {
+            replicas,
+            seed,
+            steps,
+            runs,
+            threads,
+        } => {
             let threads = threads.unwrap_or_else(chain::default_threads);
             let (injected_bug, checks) = (None, Checks::All);
-            let options = chain::ChainRuns { replicas, seed, steps, runs, threads, injected_bug, checks };
+            let options = chain::ChainRuns {
+                replicas,
+                seed,
+                steps,
+                runs,
+                threads,
+                injected_bug,
+                checks,
+            };
             chain::run(&options, &mut std::io::stdout().lock())
         }
-        Command::ChainInjectedBugs { replicas, seed, steps, runs, told_only, injected_bug } => {
+        Command::ChainInjectedBugs {
+            replicas,
+            seed,
+            steps,
+            runs,
+            told_only,
+            injected_bug,
+        } => {
             let threads = chain::default_threads();
-            let checks = if told_only { Checks::ExternallyVisible } else { Checks::All };
-            let options =
-                chain::ChainRuns { replicas, seed, steps, runs, threads, injected_bug: None, checks };
-            match injected_bug.map(|name| InjectedBug::named(&name).ok_or(name)).transpose() {
+            let checks = if told_only {
+                Checks::ExternallyVisible
+            } else {
+                Checks::All
+            };
+            let options = chain::ChainRuns {
+                replicas,
+                seed,
+                steps,
+                runs,
+                threads,
+                injected_bug: None,
+                checks,
+            };
+            match injected_bug
+                .map(|name| InjectedBug::named(&name).ok_or(name))
+                .transpose()
+            {
                 Ok(one) => chain_injected_bugs::run(&options, one, &mut std::io::stdout().lock()),
-                Err(name) => Err(anyhow::anyhow!("injected-bug: {name} is none of {:?}", InjectedBug::ALL)),
+                Err(name) => Err(anyhow::anyhow!(
+                    "injected-bug: {name} is none of {:?}",
+                    InjectedBug::ALL
+                )),
             }
         }
-        Command::Large { protocol, entries, changes, seconds } => {
-            large::run(protocol.into(), entries, changes, Duration::from_secs(seconds))
-        }
+        Command::Large {
+            protocol,
+            entries,
+            changes,
+            seconds,
+        } => large::run(
+            protocol.into(),
+            entries,
+            changes,
+            Duration::from_secs(seconds),
+        ),
     };
     match kept {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/lockusher-aggregator-testbed/src/mixers/clients.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/clients.rs
@@ -49,7 +49,10 @@
 
 impl Default for Door {
     fn default() -> Self {
-        Door { address: Mutex::new(None), unused: Mutex::default() }
+        Door {
+            address: Mutex::new(None),
+            unused: Mutex::default(),
+        }
     }
 }
 
@@ -96,7 +99,9 @@
             let (_, _, body) = read_answer(&mut stream).await?;
             serde_json::from_str(&body).ok()
         };
-        tokio::time::timeout(Duration::from_millis(1_000), asked).await.ok()?
+        tokio::time::timeout(Duration::from_millis(1_000), asked)
+            .await
+            .ok()?
     }
 }
 
@@ -122,7 +127,11 @@
                 length = value.trim().parse().ok()?;
             }
             (_, Some((name, value))) if name.eq_ignore_ascii_case("retry-after") => {
-                back = value.trim().parse::<f64>().ok().map(Duration::from_secs_f64);
+                back = value
+                    .trim()
+                    .parse::<f64>()
+                    .ok()
+                    .map(Duration::from_secs_f64);
             }
             _ => {}
         }
@@ -152,9 +161,16 @@
     /// Clients of as many mixers; the load goes on as long as the runtime does, or until its rate is 0.
     pub fn start(mixers: usize, load: Load, seed: u64) -> Arc<Self> {
         let doors = (0..mixers).map(|_| Arc::default()).collect();
-        let clients = Arc::new(Clients { doors, done: Mutex::default(), rate: Mutex::new(load.rate) });
+        let clients = Arc::new(Clients {
+            doors,
+            done: Mutex::default(),
+            rate: Mutex::new(load.rate),
+        });
         for mixer in 0..mixers {
-            let (this, rng) = (clients.clone(), ChaCha8Rng::seed_from_u64(seed ^ (mixer as u64 + 1) << 20));
+            let (this, rng) = (
+                clients.clone(),
+                ChaCha8Rng::seed_from_u64(seed ^ (mixer as u64 + 1) << 20),
+            );
             tokio::spawn(async move { this.keeps_asking(mixer, load, rng).await });
         }
         clients
@@ -178,11 +194,21 @@
             tokio::time::sleep_until(due.into()).await;
             number += 1;
             let first = rng.random_range(0..load.shards);
-            let shards = (0..load.width).map(|nth| (first + nth * 7) % load.shards).collect();
+            let shards = (0..load.width)
+                .map(|nth| (first + nth * 7) % load.shards)
+                .collect();
             let (once, manners) = (rng.random::<f64>() < load.once, rng.random::<f64>());
             let this = self.clone();
             tokio::spawn(async move {
-                this.asks(mixer, format!("m{mixer}n{number}"), shards, once, manners, load).await;
+                this.asks(
+                    mixer,
+                    format!("m{mixer}n{number}"),
+                    shards,
+                    once,
+                    manners,
+                    load,
+                )
+                .await;
             });
         }
     }
@@ -217,7 +243,15 @@
             };
             let came_back = matches!(end, End::PushedBack(_)) && manners < load.back + load.rude;
             let (shards, ended) = (shards.clone(), Instant::now());
-            self.done.lock().unwrap().push(Done { id, mixer, once, shards, asked, ended, end });
+            self.done.lock().unwrap().push(Done {
+                id,
+                mixer,
+                once,
+                shards,
+                asked,
+                ended,
+                end,
+            });
             if !came_back {
                 return;
             }
@@ -232,7 +266,10 @@
     let read: Value = serde_json::from_str(body).unwrap_or(Value::Null);
     let values = read["answers"].as_array().into_iter().flatten();
     let value = |hit: &Value| Some((hit["range"].as_u64()?, hit["blob"].as_str()?.to_owned()));
-    match (read["total"].as_bool(), values.map(value).collect::<Option<Vec<_>>>()) {
+    match (
+        read["total"].as_bool(),
+        values.map(value).collect::<Option<Vec<_>>>(),
+    ) {
         (Some(whole), Some(values)) => End::Answered(whole, values),
         _ => End::Failed(200),
     }
--- a/crates/lockusher-aggregator-testbed/src/mixers/ground.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/ground.rs
@@ -115,18 +115,37 @@
     /// All but the mixers, which `start` starts.
     pub fn new(plan: Plan) -> Result<Self> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
-        let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()?;
         let ground = NEXT.fetch_add(1, Ordering::Relaxed);
-        let listen: Vec<SocketAddrV4> = (0..plan.mixers).map(|mixer| listens_at(ground, mixer)).collect();
+        let listen: Vec<SocketAddrV4> = (0..plan.mixers)
+            .map(|mixer| listens_at(ground, mixer))
+            .collect();
         let cells = plan.cells;
-        let setup = Setup { mixers: plan.mixers, once: true, shards: SHARDS, cells, ..Setup::default() };
-        let load =
-            Load { rate: plan.rate, width: plan.width, shards: SHARDS, once: 0.1, back: 0.5, rude: 0.2 };
+        let setup = Setup {
+            mixers: plan.mixers,
+            once: true,
+            shards: SHARDS,
+            cells,
+            ..Setup::default()
+        };
+        let load = Load {
+            rate: plan.rate,
+            width: plan.width,
+            shards: SHARDS,
+            once: 0.1,
+            back: 0.5,
+            rude: 0.2,
+        };
         let (switch, shown, workers, clients, relays) = runtime.block_on(async {
             let (switch, shown) = Switch::start(listen.clone(), plan.seed).await?;
             let mut workers = Vec::new();
             for nth in 0..plan.searchers {
-                workers.push(Worker::start(&format!("s{nth}"), CORES, MEAN, plan.seed ^ nth as u64).await?);
+                workers.push(
+                    Worker::start(&format!("s{nth}"), CORES, MEAN, plan.seed ^ nth as u64).await?,
+                );
             }
             let mut relays = Vec::new();
             for mixer in 0..plan.mixers {
@@ -136,9 +155,19 @@
                 }
                 relays.push(own);
             }
-            anyhow::Ok((switch, shown, workers, Clients::start(plan.mixers, load, plan.seed), relays))
+            anyhow::Ok((
+                switch,
+                shown,
+                workers,
+                Clients::start(plan.mixers, load, plan.seed),
+                relays,
+            ))
         })?;
-        let seeds: String = shown.iter().take(plan.seeds).map(|at| format!("  seeds: \"{at}\"\n")).collect();
+        let seeds: String = shown
+            .iter()
+            .take(plan.seeds)
+            .map(|at| format!("  seeds: \"{at}\"\n"))
+            .collect();
         let mut slots = Vec::new();
         for (mixer, relays) in relays.into_iter().enumerate() {
             let text = format!(
@@ -150,7 +179,10 @@
                 mixer % plan.zones,
                 plan.shared,
             );
-            let file = format!("lockusher-ground-{}-{ground}-{mixer}.txtpb", std::process::id());
+            let file = format!(
+                "lockusher-ground-{}-{ground}-{mixer}.txtpb",
+                std::process::id()
+            );
             let settings = std::env::temp_dir().join(file);
             std::fs::write(&settings, text)?;
             let discovery = Discovery::start(lines(&workers, &relays, cells));
@@ -166,7 +198,17 @@
             });
         }
         let troubled = vec![Instant::now(); plan.mixers];
-        Ok(Ground { switch, workers, clients, slots, setup, index: 1, plan, troubled, runtime })
+        Ok(Ground {
+            switch,
+            workers,
+            clients,
+            slots,
+            setup,
+            index: 1,
+            plan,
+            troubled,
+            runtime,
+        })
     }
 
     pub fn mixers(&self) -> usize {
@@ -209,7 +251,10 @@
                     scope.spawn(move || (*mixer, Mixer::start(config, Some(file), quiet)))
                 })
                 .collect();
-            threads.into_iter().map(|thread| thread.join().expect("it starts")).collect()
+            threads
+                .into_iter()
+                .map(|thread| thread.join().expect("it starts"))
+                .collect()
         });
         for (mixer, started) in started {
             self.clients.doors[mixer].moves(Some(started.address));
@@ -267,35 +312,54 @@
     pub fn tell(&mut self) {
         self.index += 1;
         for slot in &self.slots {
-            slot.discovery.tell(self.index, true, lines(&self.workers, &slot.relays, self.setup.cells));
+            slot.discovery.tell(
+                self.index,
+                true,
+                lines(&self.workers, &slot.relays, self.setup.cells),
+            );
         }
     }
 
     /// All ways between a mixer and these searchers, from now on.
     pub fn path(&self, mixer: usize, searchers: impl IntoIterator<Item = usize>, way: Way) {
         for searcher in searchers {
-            self.switch.both_ways(End::Mixer(mixer), End::Searcher(searcher), way);
+            self.switch
+                .both_ways(End::Mixer(mixer), End::Searcher(searcher), way);
         }
     }
 
     pub fn up(&self) -> Vec<usize> {
         let runs = |slot: &Slot| slot.mixer.is_some() && !slot.stopped;
-        (0..self.slots.len()).filter(|mixer| runs(&self.slots[*mixer])).collect()
+        (0..self.slots.len())
+            .filter(|mixer| runs(&self.slots[*mixer]))
+            .collect()
     }
 
     /// All mixers' pages, asked at once; nothing of those that do not answer.
     pub fn views(&self) -> Vec<Option<View>> {
-        let asked = self.clients.doors.iter().enumerate().map(|(mixer, door)| async move {
-            let runs = self.slots[mixer].mixer.is_some() && !self.slots[mixer].stopped;
-            if runs { door.page("/fleet").await.as_ref().and_then(view) } else { None }
-        });
+        let asked = self
+            .clients
+            .doors
+            .iter()
+            .enumerate()
+            .map(|(mixer, door)| async move {
+                let runs = self.slots[mixer].mixer.is_some() && !self.slots[mixer].stopped;
+                if runs {
+                    door.page("/fleet").await.as_ref().and_then(view)
+                } else {
+                    None
+                }
+            });
         self.runtime.block_on(join_all(asked))
     }
 
     /// Whether all that run hold one view, of just those that run.
     pub fn agrees(&self, views: &[Option<View>]) -> bool {
         let up = self.up();
-        let first = up.first().and_then(|mixer| views[*mixer].as_ref()).map(|view| &view.digest);
+        let first = up
+            .first()
+            .and_then(|mixer| views[*mixer].as_ref())
+            .map(|view| &view.digest);
         up.iter().all(|mixer| {
             views[*mixer].as_ref().is_some_and(|view| {
                 view.standing == "member" && view.living == up.len() && Some(&view.digest) == first
@@ -329,7 +393,9 @@
     /// The processor time that each running mixer has had, in microseconds.
     pub fn cpu_us(&self) -> BTreeMap<usize, u64> {
         let running = self.slots.iter().enumerate();
-        running.filter_map(|(nth, slot)| Some((nth, slot.mixer.as_ref()?.cpu_us()))).collect()
+        running
+            .filter_map(|(nth, slot)| Some((nth, slot.mixer.as_ref()?.cpu_us())))
+            .collect()
     }
 
     /// Where a mixer listens for datagrams in truth, past the switch.
@@ -344,7 +410,9 @@
 
     /// What one says now.
     pub fn says(&self, mixer: usize) -> Result<View> {
-        self.views().swap_remove(mixer).with_context(|| format!("{} does not answer", name(mixer)))
+        self.views()
+            .swap_remove(mixer)
+            .with_context(|| format!("{} does not answer", name(mixer)))
     }
 }
 
@@ -362,7 +430,9 @@
     let line = |(nth, (worker, relay)): (usize, (&Arc<Worker>, &SocketAddr))| {
         let temper = worker.temper();
         let since = temper.cold_since.map_or(0, |since| {
-            let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+            let unix = std::time::SystemTime::now()
+                .duration_since(std::time::UNIX_EPOCH)
+                .unwrap_or_default();
             unix.saturating_sub(since.elapsed()).as_millis() as u64
         });
         let status = if temper.drains { "leaving" } else { "active" };
@@ -371,7 +441,12 @@
                 "status": status, "weight": 1.0, "since_ms": since })
         })
     };
-    workers.iter().zip(relays).enumerate().filter_map(line).collect()
+    workers
+        .iter()
+        .zip(relays)
+        .enumerate()
+        .filter_map(line)
+        .collect()
 }
 
 fn view(page: &Value) -> Option<View> {
--- a/crates/lockusher-aggregator-testbed/src/mixers/mod.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/mod.rs
@@ -19,7 +19,9 @@
     spans.sort();
     let at = |share: f64| {
         let nth = (spans.len() as f64 * share) as usize;
-        spans.get(nth.min(spans.len().saturating_sub(1))).map_or(0, |span| span.as_micros() / 1_000)
+        spans
+            .get(nth.min(spans.len().saturating_sub(1)))
+            .map_or(0, |span| span.as_micros() / 1_000)
     };
     [at(0.5), at(0.99), at(1.0)]
 }
--- a/crates/lockusher-aggregator-testbed/src/mixers/rules.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/rules.rs
@@ -27,7 +27,11 @@
 
     fn covers(&self, which: usize, from: Instant, to: Instant) -> bool {
         let spans = self.spans.get(&which);
-        spans.is_some_and(|spans| spans.iter().any(|(began, ended)| *began <= to && from <= *ended))
+        spans.is_some_and(|spans| {
+            spans
+                .iter()
+                .any(|(began, ended)| *began <= to && from <= *ended)
+        })
     }
 }
 
@@ -67,31 +71,56 @@
     let mut broken = Broken::default();
     let mut sends: BTreeMap<&str, Vec<(usize, &Came)>> = BTreeMap::new();
     for (searcher, came) in logs.came.iter().enumerate() {
-        came.iter().for_each(|came| sends.entry(&came.part).or_default().push((searcher, came)));
+        came.iter()
+            .for_each(|came| sends.entry(&came.part).or_default().push((searcher, came)));
     }
     for done in logs.done {
-        let excused = logs.mixers.covers(done.mixer, done.asked, done.ended.max(done.asked + PATIENCE));
+        let excused = logs.mixers.covers(
+            done.mixer,
+            done.asked,
+            done.ended.max(done.asked + PATIENCE),
+        );
         let lost = matches!(done.end, End::Nothing | End::Broken);
         if lost && !excused {
-            broken.note(1, || format!("{} has no final answer: {:?}", done.id, done.end));
+            broken.note(1, || {
+                format!("{} has no final answer: {:?}", done.id, done.end)
+            });
         }
-        let parts = done.shards.iter().map(|shard| format!("{}.{shard}", done.id));
-        let of: Vec<Vec<(usize, &Came)>> =
-            parts.map(|part| sends.get(part.as_str()).cloned().unwrap_or_default()).collect();
+        let parts = done
+            .shards
+            .iter()
+            .map(|shard| format!("{}.{shard}", done.id));
+        let of: Vec<Vec<(usize, &Came)>> = parts
+            .map(|part| sends.get(part.as_str()).cloned().unwrap_or_default())
+            .collect();
         for (searcher, came) in of.iter().flatten() {
             // A part that ran is noted when it had, so it came earlier than that.
             if !lost && !excused && came.at > done.ended + SLACK {
-                broken.note(1, || format!("{} came to s{searcher} after its final answer", came.part));
+                broken.note(1, || {
+                    format!("{} came to s{searcher} after its final answer", came.part)
+                });
             }
         }
         for (nth, sends) in of.iter().enumerate() {
-            let ran = sends.iter().filter(|(_, came)| came.did == Did::Ran).count();
+            let ran = sends
+                .iter()
+                .filter(|(_, came)| came.did == Did::Ran)
+                .count();
             let pushed_back = matches!(done.end, End::PushedBack(_));
             if done.once && (ran > 1 || (pushed_back && ran > 0)) {
-                broken.note(2, || format!("{}.{} ran {ran} times", done.id, done.shards[nth]));
+                broken.note(2, || {
+                    format!("{}.{} ran {ran} times", done.id, done.shards[nth])
+                });
             }
             if sends.len() > MOST_SENDS {
-                broken.note(6, || format!("{}.{} was sent {} times", done.id, done.shards[nth], sends.len()));
+                broken.note(6, || {
+                    format!(
+                        "{}.{} was sent {} times",
+                        done.id,
+                        done.shards[nth],
+                        sends.len()
+                    )
+                });
             }
         }
         if let End::Answered(whole, values) = &done.end {
@@ -103,7 +132,9 @@
             let late = came.at.checked_sub(GRACE + SLACK);
             let drains = |at: Instant| logs.drains.covers(searcher, at, at);
             if drains(came.at) && late.is_some_and(drains) {
-                broken.note(3, || format!("{} came to s{searcher} past the grace", came.part));
+                broken.note(3, || {
+                    format!("{} came to s{searcher} past the grace", came.part)
+                });
             }
         }
     }
@@ -124,17 +155,34 @@
     let asked: HashSet<u64> = done.shards.iter().map(|shard| *shard as u64).collect();
     let shards: HashSet<u64> = values.iter().map(|(shard, _)| *shard).collect();
     if shards.len() < values.len() || !shards.is_subset(&asked) {
-        broken.note(5, || format!("{}: a shard twice, or one that was not asked", done.id));
+        broken.note(5, || {
+            format!("{}: a shard twice, or one that was not asked", done.id)
+        });
     }
     if whole && shards.len() < asked.len() {
-        broken.note(5, || format!("{} is called whole with {} of {}", done.id, shards.len(), asked.len()));
+        broken.note(5, || {
+            format!(
+                "{} is called whole with {} of {}",
+                done.id,
+                shards.len(),
+                asked.len()
+            )
+        });
     }
     for (shard, value) in values {
         let place = done.shards.iter().position(|asked| *asked as u64 == *shard);
-        let given =
-            place.is_some_and(|place| of[place].iter().any(|(_, came)| came.value.as_ref() == Some(value)));
+        let given = place.is_some_and(|place| {
+            of[place]
+                .iter()
+                .any(|(_, came)| came.value.as_ref() == Some(value))
+        });
         if !given {
-            broken.note(5, || format!("{}.{shard} has a value that no searcher gave: {value}", done.id));
+            broken.note(5, || {
+                format!(
+                    "{}.{shard} has a value that no searcher gave: {value}",
+                    done.id
+                )
+            });
         }
     }
 }
@@ -146,16 +194,32 @@
 
     fn done(end: End, at: Instant) -> Done {
         let (asked, ended) = (at, at + Duration::from_millis(50));
-        Done { id: "q".into(), mixer: 0, once: true, shards: vec![3, 5], asked, ended, end }
+        Done {
+            id: "q".into(),
+            mixer: 0,
+            once: true,
+            shards: vec![3, 5],
+            asked,
+            ended,
+            end,
+        }
     }
 
     fn came(part: &str, at: Instant, did: Did) -> Came {
         let value = (did == Did::Ran).then(|| format!("v{part}"));
-        Came { part: part.into(), at, did, value, cold: false }
+        Came {
+            part: part.into(),
+            at,
+            did,
+            value,
+            cold: false,
+        }
     }
 
     fn values(of: &[(u64, &str)]) -> Vec<(u64, String)> {
-        of.iter().map(|(shard, value)| (*shard, value.to_string())).collect()
+        of.iter()
+            .map(|(shard, value)| (*shard, value.to_string()))
+            .collect()
     }
 
     /// Each rule broken once, by one alteration of a sound log.
@@ -178,7 +242,10 @@
             let turned_away = Came { did: Did::TurnedAway, value: None, ..came[1].clone() };
             came.extend(vec![turned_away; MOST_SENDS]);
         }, 6)]
-    fn each_rule_is_seen_to_be_broken(#[case] alter: fn(&mut Vec<Came>, &mut Done), #[case] rule: usize) {
+    fn each_rule_is_seen_to_be_broken(
+        #[case] alter: fn(&mut Vec<Came>, &mut Done),
+        #[case] rule: usize,
+    ) {
         let at = Instant::now();
         let mut log = vec![came("q.3", at, Did::Ran), came("q.5", at, Did::Ran)];
         let mut one = done(End::Answered(true, values(&[(3, "vq.3"), (5, "vq.5")])), at);
@@ -203,7 +270,10 @@
         let late = at + GRACE + SLACK * 2;
         let mut logs = Logs {
             done: &[],
-            came: vec![vec![came("q.3", at, Did::Ran), came("q.5", late, Did::TurnedAway)]],
+            came: vec![vec![
+                came("q.3", at, Did::Ran),
+                came("q.5", late, Did::TurnedAway),
+            ]],
             mixers: Excused::default(),
             drains: Excused::default(),
             fell: 1,
--- a/crates/lockusher-aggregator-testbed/src/mixers/run.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/run.rs
@@ -82,7 +82,9 @@
             let views = ground.views();
             let seen = Span::from_micros(at.elapsed().as_micros() as u64);
             waiting.retain(|by| {
-                let state = views[*by].as_ref().and_then(|view| view.members.get(&name(of)));
+                let state = views[*by]
+                    .as_ref()
+                    .and_then(|view| view.members.get(&name(of)));
                 let lives = state.is_none_or(|(state, ..)| state == "alive" || state == "suspect");
                 if !lives {
                     self.crashes.push(seen);
@@ -103,7 +105,9 @@
             println!("{what}: settled after {took:?}");
         }
         match took.filter(|took| *took <= SETTLES) {
-            Some(took) => self.settled.push(Span::from_micros(took.as_micros() as u64)),
+            Some(took) => self
+                .settled
+                .push(Span::from_micros(took.as_micros() as u64)),
             None => {
                 self.disagree += 1;
                 for (mixer, view) in ground.views().into_iter().enumerate().filter(|_| say) {
@@ -117,8 +121,16 @@
 
 /// Plays it; tells whether all promises were kept. The last line it prints has its figures.
 pub fn run(mixers: usize, seed: u64, span: Duration, rate: f64, say: bool) -> Result<bool> {
-    anyhow::ensure!((3..=60).contains(&mixers), "--mixers: {mixers} is not between 3 and 60");
-    let plan = Plan { mixers, seed, rate, ..Plan::default() };
+    anyhow::ensure!(
+        (3..=60).contains(&mixers),
+        "--mixers: {mixers} is not between 3 and 60"
+    );
+    let plan = Plan {
+        mixers,
+        seed,
+        rate,
+        ..Plan::default()
+    };
     let mut ground = Ground::new(plan)?;
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xfa17);
     let mut seen = Seen::default();
@@ -126,7 +138,8 @@
     let began = Instant::now();
     ground.start_all(&all);
     seen.settle(&ground, "all start at once", say);
-    all.iter().for_each(|mixer| seen.excused.excuse(*mixer, began, Instant::now()));
+    all.iter()
+        .for_each(|mixer| seen.excused.excuse(*mixer, began, Instant::now()));
     // What the view costs where nothing happens and nobody asks.
     ground.clients.rate(0.0);
     seen.watch(&ground, SOUND_AFTER, true);
@@ -135,8 +148,10 @@
     let cpu_after = ground.cpu_us();
     let each = mixers as f64 * at.elapsed().as_secs_f64();
     let bytes_s = (bytes_out(&ground) - sent) as f64 / each;
-    let used: u64 =
-        cpu_after.iter().map(|(mixer, us)| us - cpu.get(mixer).copied().unwrap_or_default()).sum();
+    let used: u64 = cpu_after
+        .iter()
+        .map(|(mixer, us)| us - cpu.get(mixer).copied().unwrap_or_default())
+        .sum();
     let cpu_share = used as f64 / 1e6 / each;
     ground.clients.rate(rate);
     let end = Instant::now() + span;
@@ -147,27 +162,45 @@
         ground.switch.everywhere(Way::default());
         seen.settle(&ground, &what, say);
         let excused_until = Instant::now() + Duration::from_millis(500);
-        touched.iter().for_each(|mixer| seen.excused.excuse(*mixer, began, excused_until));
+        touched
+            .iter()
+            .for_each(|mixer| seen.excused.excuse(*mixer, began, excused_until));
         seen.watch(&ground, Duration::from_millis(1_500), true);
     }
     ground.clients.rate(0.0);
     // All that was asked has its answer, or none comes.
-    seen.watch(&ground, super::clients::PATIENCE + super::clients::LOST_AFTER, true);
+    seen.watch(
+        &ground,
+        super::clients::PATIENCE + super::clients::LOST_AFTER,
+        true,
+    );
     let done = std::mem::take(&mut *ground.clients.done.lock().unwrap());
     let logs = Logs {
         done: &done,
         came: ground.workers.iter().map(|worker| worker.log()).collect(),
         mixers: std::mem::take(&mut seen.excused),
         drains: std::mem::take(&mut seen.drains),
-        fell: ground.workers.iter().map(|worker| *worker.fell.lock().unwrap()).sum(),
+        fell: ground
+            .workers
+            .iter()
+            .map(|worker| *worker.fell.lock().unwrap())
+            .sum(),
     };
     let broken = check(&logs);
     for what in broken.some.iter().filter(|_| say || broken.all() > 0) {
         println!("{what}");
     }
-    let served = done.iter().filter(|done| matches!(done.end, super::clients::End::Answered(..))).count();
-    let longest =
-        seen.open.values().map(Instant::elapsed).chain([seen.longest_false]).max().unwrap_or_default();
+    let served = done
+        .iter()
+        .filter(|done| matches!(done.end, super::clients::End::Answered(..)))
+        .count();
+    let longest = seen
+        .open
+        .values()
+        .map(Instant::elapsed)
+        .chain([seen.longest_false])
+        .max()
+        .unwrap_or_default();
     let [crash_p50, crash_p99, crash_worst] = percentiles(&mut seen.crashes);
     let [settle_p50, _, settle_worst] = percentiles(&mut seen.settled);
     let kept = seen.disagree == 0
@@ -194,42 +227,76 @@
 }
 
 fn bytes_out(ground: &Ground) -> u64 {
-    ground.views().iter().flatten().filter_map(|view| view.counts["bytes_out"].as_u64()).sum()
+    ground
+        .views()
+        .iter()
+        .flatten()
+        .filter_map(|view| view.counts["bytes_out"].as_u64())
+        .sum()
 }
 
 /// One fault, drawn by chance, from its beginning to its heal; what it was, and which mixers it touched so that what
 /// they owed then is not judged.
-fn fault(ground: &mut Ground, seen: &mut Seen, rng: &mut ChaCha8Rng, one: usize) -> (String, Vec<usize>) {
+fn fault(
+    ground: &mut Ground,
+    seen: &mut Seen,
+    rng: &mut ChaCha8Rng,
+    one: usize,
+) -> (String, Vec<usize>) {
     let mixers = ground.mixers();
     let all: Vec<usize> = (0..mixers).collect();
-    let span =
-        |rng: &mut ChaCha8Rng, least: u64, most: u64| Duration::from_millis(rng.random_range(least..most));
+    let span = |rng: &mut ChaCha8Rng, least: u64, most: u64| {
+        Duration::from_millis(rng.random_range(least..most))
+    };
     match rng.random_range(0..13) {
         0 | 1 => {
             ground.kill(one);
             seen.crash(ground, one, Instant::now());
             ground.start(one);
-            (format!("{} is killed, and started again", name(one)), vec![one])
+            (
+                format!("{} is killed, and started again", name(one)),
+                vec![one],
+            )
         }
         2 => {
-            let part: Vec<usize> = all.iter().copied().filter(|_| rng.random::<f64>() < 0.7).collect();
+            let part: Vec<usize> = all
+                .iter()
+                .copied()
+                .filter(|_| rng.random::<f64>() < 0.7)
+                .collect();
             part.iter().for_each(|mixer| ground.kill(*mixer));
             std::thread::sleep(span(rng, 100, 800));
             ground.start_all(&part);
-            (format!("{} are killed and started again within a second", part.len()), part)
+            (
+                format!(
+                    "{} are killed and started again within a second",
+                    part.len()
+                ),
+                part,
+            )
         }
         3 => {
             let still = span(rng, 500, 10_000);
             ground.halt(one);
             seen.watch(ground, still, true);
             ground.resume(one);
-            (format!("{} stands still for {still:?}", name(one)), vec![one])
+            (
+                format!("{} stands still for {still:?}", name(one)),
+                vec![one],
+            )
         }
         4 => {
-            let part: Vec<usize> = all.iter().copied().filter(|mixer| mixer % 10 == one % 10).collect();
+            let part: Vec<usize> = all
+                .iter()
+                .copied()
+                .filter(|mixer| mixer % 10 == one % 10)
+                .collect();
             ground.terminate(&part);
             ground.start_all(&part);
-            (format!("{} are told to stop, and started again", part.len()), part)
+            (
+                format!("{} are told to stop, and started again", part.len()),
+                part,
+            )
         }
         5 => {
             // Now and then longer than the dead are remembered.
@@ -237,19 +304,37 @@
             ground.trouble_all();
             for near in 0..cut {
                 for far in cut..mixers {
-                    let way = Way { cut: true, ..Way::default() };
-                    ground.switch.both_ways(End::Mixer(near), End::Mixer(far), way);
+                    let way = Way {
+                        cut: true,
+                        ..Way::default()
+                    };
+                    ground
+                        .switch
+                        .both_ways(End::Mixer(near), End::Mixer(far), way);
                 }
             }
             seen.watch(ground, cut_for, false);
             ground.trouble_all();
-            (format!("{cut} are cut off from {} for {cut_for:?}", mixers - cut), Vec::new())
+            (
+                format!("{cut} are cut off from {} for {cut_for:?}", mixers - cut),
+                Vec::new(),
+            )
         }
         6 => {
             let other = (one + 1) % mixers;
-            ground.switch.way(End::Mixer(one), End::Mixer(other), Way { cut: true, ..Way::default() });
+            ground.switch.way(
+                End::Mixer(one),
+                End::Mixer(other),
+                Way {
+                    cut: true,
+                    ..Way::default()
+                },
+            );
             seen.watch(ground, span(rng, 2_000, 6_000), true);
-            (format!("{} does not reach {}", name(one), name(other)), Vec::new())
+            (
+                format!("{} does not reach {}", name(one), name(other)),
+                Vec::new(),
+            )
         }
         7 => {
             let way = Way {
@@ -262,15 +347,25 @@
             };
             ground.switch.everywhere(way);
             seen.watch(ground, span(rng, 4_000, 10_000), true);
-            ("one datagram in ten is lost, others late, doubled or damaged".to_owned(), Vec::new())
+            (
+                "one datagram in ten is lost, others late, doubled or damaged".to_owned(),
+                Vec::new(),
+            )
         }
         8 => {
             ground.trouble_all();
             for from in 0..mixers {
-                for to in (0..mixers)
-                    .filter(|to| (to + mixers - from) % mixers > 1 && (from + mixers - to) % mixers > 1)
-                {
-                    ground.switch.way(End::Mixer(from), End::Mixer(to), Way { cut: true, ..Way::default() });
+                for to in (0..mixers).filter(|to| {
+                    (to + mixers - from) % mixers > 1 && (from + mixers - to) % mixers > 1
+                }) {
+                    ground.switch.way(
+                        End::Mixer(from),
+                        End::Mixer(to),
+                        Way {
+                            cut: true,
+                            ..Way::default()
+                        },
+                    );
                 }
             }
             seen.watch(ground, span(rng, 3_000, 8_000), false);
@@ -294,17 +389,32 @@
             ground.workers[searcher].set(|temper| answers(temper, [0.2, 0.05, 0.05]));
             seen.watch(ground, span(rng, 3_000, 8_000), true);
             ground.workers[searcher].set(|temper| answers(temper, [0.0; 3]));
-            (format!("some of s{searcher}'s answers are late, wrong or missing"), Vec::new())
+            (
+                format!("some of s{searcher}'s answers are late, wrong or missing"),
+                Vec::new(),
+            )
         }
         11 => {
             // Mixer's frames to one searcher wait as long as the way is cut, or each for a while.
-            let (searcher, whole) = (rng.random_range(0..ground.workers.len()), rng.random::<bool>());
+            let (searcher, whole) = (
+                rng.random_range(0..ground.workers.len()),
+                rng.random::<bool>(),
+            );
             let most = Duration::from_millis(if whole { 0 } else { 80 });
-            let way = Way { cut: whole, most, ..Way::default() };
-            ground.switch.both_ways(End::Mixer(one), End::Searcher(searcher), way);
+            let way = Way {
+                cut: whole,
+                most,
+                ..Way::default()
+            };
+            ground
+                .switch
+                .both_ways(End::Mixer(one), End::Searcher(searcher), way);
             seen.watch(ground, span(rng, 1_500, 6_000), true);
             let how = if whole { "is cut" } else { "is slow" };
-            (format!("the way from {} to s{searcher} {how}", name(one)), Vec::new())
+            (
+                format!("the way from {} to s{searcher} {how}", name(one)),
+                Vec::new(),
+            )
         }
         _ => {
             let searcher = rng.random_range(0..ground.workers.len());
--- a/crates/lockusher-aggregator-testbed/src/mixers/shared.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared.rs
@@ -61,14 +61,22 @@
 
 /// The share of multigets of a time that were answered within their latency budget, among those of some mixers.
 fn in_time(done: &[Done], from: Instant, to: Instant) -> f64 {
-    let of: Vec<&Done> = done.iter().filter(|done| done.asked >= from && done.asked < to).collect();
-    let good = |done: &&&Done| matches!(done.end, Ended::Answered(..)) && done.ended - done.asked <= IN_TIME;
+    let of: Vec<&Done> = done
+        .iter()
+        .filter(|done| done.asked >= from && done.asked < to)
+        .collect();
+    let good = |done: &&&Done| {
+        matches!(done.end, Ended::Answered(..)) && done.ended - done.asked <= IN_TIME
+    };
     of.iter().filter(good).count() as f64 / of.len().max(1) as f64
 }
 
 fn accused(view: &View) -> Vec<&str> {
     let judged = view.shared["judged"].as_array().into_iter().flatten();
-    judged.filter(|of| of["fault"] != "fine").filter_map(|of| of["searcher"].as_str()).collect()
+    judged
+        .filter(|of| of["fault"] != "fine")
+        .filter_map(|of| of["searcher"].as_str())
+        .collect()
 }
 
 /// Waits for what is under way, and checks the rules.
@@ -81,7 +89,11 @@
         came: ground.workers.iter().map(|worker| worker.log()).collect(),
         mixers: excused,
         drains: Excused::default(),
-        fell: ground.workers.iter().map(|worker| *worker.fell.lock().unwrap()).sum(),
+        fell: ground
+            .workers
+            .iter()
+            .map(|worker| *worker.fell.lock().unwrap())
+            .sum(),
     });
     (done, broken)
 }
@@ -106,12 +118,16 @@
     let began = Instant::now();
     ground.start_all(&all);
     anyhow::ensure!(ground.settles(LONG).is_some(), "the fleet does not settle");
-    all.iter().for_each(|mixer| excused.excuse(*mixer, began, Instant::now()));
+    all.iter()
+        .for_each(|mixer| excused.excuse(*mixer, began, Instant::now()));
     std::thread::sleep(AFTER);
     // An eighth of the searchers hang.
     let first = rng.random_range(0..SEARCHERS);
-    let dead: Vec<usize> = (0..SEARCHERS / 8).map(|nth| (first + nth * 8) % SEARCHERS).collect();
-    dead.iter().for_each(|searcher| ground.workers[*searcher].set(|temper| temper.hangs = true));
+    let dead: Vec<usize> = (0..SEARCHERS / 8)
+        .map(|nth| (first + nth * 8) % SEARCHERS)
+        .collect();
+    dead.iter()
+        .for_each(|searcher| ground.workers[*searcher].set(|temper| temper.hangs = true));
     let died = Instant::now();
     let mut wrong_since: Vec<Option<Instant>> = vec![None; SEARCHERS];
     let mut unknown: Vec<(usize, Cell<Option<Instant>>)> =
@@ -128,13 +144,22 @@
             }
             let all = known == mixers;
             if let Some(first) = first.get().filter(|_| all) {
-                earned.known.push(Span::from_micros(first.elapsed().as_micros() as u64));
+                earned
+                    .known
+                    .push(Span::from_micros(first.elapsed().as_micros() as u64));
             }
             !all
         });
-        for (searcher, since) in wrong_since.iter_mut().enumerate().filter(|(of, _)| !dead.contains(of)) {
+        for (searcher, since) in wrong_since
+            .iter_mut()
+            .enumerate()
+            .filter(|(of, _)| !dead.contains(of))
+        {
             let id = format!("s{searcher}");
-            let stands = views.iter().flatten().any(|view| accused(view).contains(&id.as_str()));
+            let stands = views
+                .iter()
+                .flatten()
+                .any(|view| accused(view).contains(&id.as_str()));
             match since {
                 Some(since) if stands && since.elapsed() > WRONG_AFTER => earned.wrong += 1,
                 Some(_) if stands => {}
@@ -152,15 +177,17 @@
         .collect();
     came.sort();
     if say {
-        let bins =
-            (0..10).map(|bin| came.iter().filter(|at| at.as_secs() == bin).count()).collect::<Vec<_>>();
+        let bins = (0..10)
+            .map(|bin| came.iter().filter(|at| at.as_secs() == bin).count())
+            .collect::<Vec<_>>();
         println!("sends into the dead by second: {bins:?}");
     }
     earned.into_dead = came.len() as f64 / mixers as f64;
     earned.until_ms = came
         .get((came.len() * 99 / 100).min(came.len().saturating_sub(1)))
         .map_or(0, |at| at.as_millis() as u64);
-    dead.iter().for_each(|searcher| ground.workers[*searcher].set(|temper| temper.hangs = false));
+    dead.iter()
+        .for_each(|searcher| ground.workers[*searcher].set(|temper| temper.hangs = false));
     std::thread::sleep(AFTER);
     // Seven in ten mixers are killed and started again, while one in eight searchers is too slow.
     let usual = ground.workers[0].temper().mean;
@@ -170,21 +197,30 @@
     };
     slow(&ground, IN_TIME);
     std::thread::sleep(AFTER / 2);
-    let part: Vec<usize> = all.iter().copied().filter(|_| rng.random::<f64>() < 0.7).collect();
+    let part: Vec<usize> = all
+        .iter()
+        .copied()
+        .filter(|_| rng.random::<f64>() < 0.7)
+        .collect();
     let killed = Instant::now();
     part.iter().for_each(|mixer| ground.kill(*mixer));
     ground.start_all(&part);
     let started = Instant::now();
-    part.iter().for_each(|mixer| excused.excuse(*mixer, killed, started + Duration::from_millis(500)));
+    part.iter()
+        .for_each(|mixer| excused.excuse(*mixer, killed, started + Duration::from_millis(500)));
     std::thread::sleep(AFTER);
     let restarted = Instant::now();
     slow(&ground, usual);
     // A third of the searchers goes down, is listed so, and comes back cold.
-    let zone: Vec<usize> = (0..SEARCHERS).filter(|searcher| searcher % 3 == first % 3).collect();
-    zone.iter().for_each(|searcher| ground.workers[*searcher].down());
+    let zone: Vec<usize> = (0..SEARCHERS)
+        .filter(|searcher| searcher % 3 == first % 3)
+        .collect();
+    zone.iter()
+        .for_each(|searcher| ground.workers[*searcher].down());
     ground.tell();
     std::thread::sleep(Duration::from_secs(3));
-    zone.iter().for_each(|searcher| ground.workers[*searcher].up());
+    zone.iter()
+        .for_each(|searcher| ground.workers[*searcher].up());
     ground.tell();
     let back = Instant::now();
     std::thread::sleep(AFTER);
@@ -195,7 +231,14 @@
     earned.after_cold = in_time(&done, back, ended);
     earned.broken = broken;
     if say {
-        println!("{}: {earned:#?}", if shared.is_empty() { "alone" } else { "together" });
+        println!(
+            "{}: {earned:#?}",
+            if shared.is_empty() {
+                "alone"
+            } else {
+                "together"
+            }
+        );
     }
     Ok(earned)
 }
@@ -209,8 +252,16 @@
     say: bool,
 ) -> Result<(Vec<Spent>, Broken, u64)> {
     let each = mixers as f64;
-    let budgets = [("further", each), ("cold", each), ("connections", 20.0 * each), ("probes", 0.5 * each)];
-    let lines: String = budgets.iter().map(|(what, rate)| format!("{what}_per_s: {rate} ")).collect();
+    let budgets = [
+        ("further", each),
+        ("cold", each),
+        ("connections", 20.0 * each),
+        ("probes", 0.5 * each),
+    ];
+    let lines: String = budgets
+        .iter()
+        .map(|(what, rate)| format!("{what}_per_s: {rate} "))
+        .collect();
     let plan = Plan {
         mixers,
         searchers: SEARCHERS,
@@ -226,10 +277,14 @@
     let mut excused = Excused::default();
     let all: Vec<usize> = (0..mixers).collect();
     let began = Instant::now();
-    ground.workers.iter().for_each(|worker| worker.set(|temper| temper.missing = 0.01));
+    ground
+        .workers
+        .iter()
+        .for_each(|worker| worker.set(|temper| temper.missing = 0.01));
     ground.start_all(&all);
     anyhow::ensure!(ground.settles(LONG).is_some(), "the fleet does not settle");
-    all.iter().for_each(|mixer| excused.excuse(*mixer, began, Instant::now()));
+    all.iter()
+        .for_each(|mixer| excused.excuse(*mixer, began, Instant::now()));
     let (mut faults, end) = (0, Instant::now() + span);
     while Instant::now() < end {
         faults += 1;
@@ -242,7 +297,9 @@
             println!("{what}: settled after {settled:?}");
         }
         let to = Instant::now() + Duration::from_millis(500);
-        touched.iter().for_each(|mixer| excused.excuse(*mixer, from, to));
+        touched
+            .iter()
+            .for_each(|mixer| excused.excuse(*mixer, from, to));
         // Connections break all the while, and now and then a searcher comes back cold.
         for _ in 0..4 {
             ground.workers[rng.random_range(0..SEARCHERS)].break_off();
@@ -257,7 +314,10 @@
     }
     let (done, broken) = ends(&ground, excused);
     if say {
-        let served = done.iter().filter(|done| matches!(done.end, Ended::Answered(..))).count();
+        let served = done
+            .iter()
+            .filter(|done| matches!(done.end, Ended::Answered(..)))
+            .count();
         println!("{served} of {} answered", done.len());
     }
     let logs: Vec<_> = ground.workers.iter().map(|worker| worker.log()).collect();
@@ -265,29 +325,54 @@
         at.sort();
         at
     };
-    let cold = logs.iter().flatten().filter(|came| came.cold).map(|came| came.at).collect();
+    let cold = logs
+        .iter()
+        .flatten()
+        .filter(|came| came.cold)
+        .map(|came| came.at)
+        .collect();
     let opened = ground.switch.opened.lock().unwrap().clone();
-    let probed = ground.workers.iter().flat_map(|worker| worker.probed()).collect();
-    let counted = [further_sends(&logs), sorted(cold), sorted(opened), sorted(probed)];
-    let spent = budgets.iter().zip(counted).map(|((what, budget), at)| Spent {
-        what,
-        budget: *budget,
-        most: budget + slack(*budget, mixers),
-        worst: worst_second(&at),
-        all: at.len(),
-    });
+    let probed = ground
+        .workers
+        .iter()
+        .flat_map(|worker| worker.probed())
+        .collect();
+    let counted = [
+        further_sends(&logs),
+        sorted(cold),
+        sorted(opened),
+        sorted(probed),
+    ];
+    let spent = budgets
+        .iter()
+        .zip(counted)
+        .map(|((what, budget), at)| Spent {
+            what,
+            budget: *budget,
+            most: budget + slack(*budget, mixers),
+            worst: worst_second(&at),
+            all: at.len(),
+        });
     Ok((spent.collect(), broken, faults))
 }
 
 /// One fault between mixers, or of some; what it was, and whom it touched.
 fn fault(ground: &mut Ground, rng: &mut ChaCha8Rng, one: usize) -> (String, Vec<usize>) {
     let mixers = ground.mixers();
-    let cut = Way { cut: true, ..Way::default() };
-    let span =
-        |rng: &mut ChaCha8Rng, least: u64, most: u64| Duration::from_millis(rng.random_range(least..most));
+    let cut = Way {
+        cut: true,
+        ..Way::default()
+    };
+    let span = |rng: &mut ChaCha8Rng, least: u64, most: u64| {
+        Duration::from_millis(rng.random_range(least..most))
+    };
     let parts = |ground: &Ground, near: usize, way: Way| {
         for from in 0..near {
-            (near..mixers).for_each(|to| ground.switch.both_ways(End::Mixer(from), End::Mixer(to), way));
+            (near..mixers).for_each(|to| {
+                ground
+                    .switch
+                    .both_ways(End::Mixer(from), End::Mixer(to), way);
+            });
         }
     };
     match rng.random_range(0..6) {
@@ -295,7 +380,10 @@
             let (near, cut_for) = (rng.random_range(1..mixers), span(rng, 4_000, 14_000));
             parts(ground, near, cut);
             std::thread::sleep(cut_for);
-            (format!("{near} are cut off from {} for {cut_for:?}", mixers - near), Vec::new())
+            (
+                format!("{near} are cut off from {} for {cut_for:?}", mixers - near),
+                Vec::new(),
+            )
         }
         1 => {
             let near = (mixers / 2).max(1);
@@ -319,7 +407,10 @@
             ground.halt(one);
             std::thread::sleep(still);
             ground.resume(one);
-            (format!("{} stands still for {still:?}", name(one)), vec![one])
+            (
+                format!("{} stands still for {still:?}", name(one)),
+                vec![one],
+            )
         }
         4 => {
             let part: Vec<usize> = (0..mixers).filter(|_| rng.random::<f64>() < 0.7).collect();
@@ -331,20 +422,29 @@
             ground.kill(one);
             std::thread::sleep(span(rng, 500, 5_000));
             ground.start(one);
-            (format!("{} is killed, and started again", name(one)), vec![one])
+            (
+                format!("{} is killed, and started again", name(one)),
+                vec![one],
+            )
         }
     }
 }
 
 /// Plays it; tells whether all promises were kept. The last line it prints has its figures.
 pub fn run(mixers: usize, seed: u64, span: Duration, rate: f64, say: bool) -> Result<bool> {
-    anyhow::ensure!((3..=60).contains(&mixers), "--mixers: {mixers} is not between 3 and 60");
+    anyhow::ensure!(
+        (3..=60).contains(&mixers),
+        "--mixers: {mixers} is not between 3 and 60"
+    );
     let alone = earns(mixers, seed, rate, "", say)?;
     let shared = "  shared { judgements: true warm_starts: true }\n";
     let mut together = earns(mixers, seed, rate, shared, say)?;
     let (spent, broken, faults) = spends(mixers, seed, span, rate, say)?;
     let rules = alone.broken.all() + together.broken.all() + broken.all();
-    for what in [&alone.broken, &together.broken, &broken].iter().flat_map(|broken| &broken.some) {
+    for what in [&alone.broken, &together.broken, &broken]
+        .iter()
+        .flat_map(|broken| &broken.some)
+    {
         println!("{what}");
     }
     let within = spent.iter().all(|spent| spent.worst as f64 <= spent.most);
--- a/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
@@ -58,7 +58,11 @@
     fn report(&mut self) {
         let up: Vec<usize> = self.world.up().collect();
         let now = self.world.now;
-        let every = if up.len() >= 4 * WITNESSES { WITNESSES } else { up.len().div_ceil(4) };
+        let every = if up.len() >= 4 * WITNESSES {
+            WITNESSES
+        } else {
+            up.len().div_ceil(4)
+        };
         for (nth, mixer) in up.into_iter().enumerate() {
             let seen = (0..SEARCHERS).filter_map(|searcher| match self.down {
                 Some((of, since)) if of == searcher => {
@@ -94,7 +98,10 @@
 
 /// Plays it; tells whether all promises were kept. The last line it prints has its figures.
 pub fn run(members: usize, seed: u64, span: Span) -> Result<bool> {
-    anyhow::ensure!((4..=10_000).contains(&members), "--members: {members} is not between 4 and 10,000");
+    anyhow::ensure!(
+        (4..=10_000).contains(&members),
+        "--members: {members} is not between 4 and 10,000"
+    );
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5a5a);
     let mut world = World::new(members, seed);
     let budget = EACH * members as f64;
@@ -114,7 +121,12 @@
     let want = |rng: &mut ChaCha8Rng| EACH * rng.random_range(0.0..1.0_f64).powi(4) * 10.0;
     let wants = (0..members).map(|_| want(&mut rng)).collect();
     let next = world.now;
-    let mut fleet = Fleet { world, down: None, next, wants };
+    let mut fleet = Fleet {
+        world,
+        down: None,
+        next,
+        wants,
+    };
     fleet.play(Span::from_millis(5_000));
     let calm = fleet.bytes_s(Span::from_millis(5_000));
     // A searcher dies; its witnesses go on seeing it.
@@ -125,15 +137,17 @@
     while !unknown.is_empty() && fleet.world.now.since(died) < SETTLES {
         fleet.play(STEP);
         let now = fleet.world.now;
-        let (learnt, still): (Vec<usize>, Vec<usize>) =
-            unknown.into_iter().partition(|mixer| fleet.knows(*mixer, 3));
+        let (learnt, still): (Vec<usize>, Vec<usize>) = unknown
+            .into_iter()
+            .partition(|mixer| fleet.knows(*mixer, 3));
         known.extend(learnt.iter().map(|_| now.since(died)));
         unknown = still;
     }
     let took = fleet.world.now.since(died);
     known.extend(unknown.iter().map(|_| SETTLES));
     let bad = fleet.bytes_s(Span::from_millis(5_000));
-    let spread = (fleet.world.counts().bytes_out - before) as f64 / members as f64 / (took.as_secs() + 5.0);
+    let spread =
+        (fleet.world.counts().bytes_out - before) as f64 / members as f64 / (took.as_secs() + 5.0);
     fleet.down = None;
     // What may be spent under cuts, kills and standstills, of which no view knows all.
     let (mut worst, mut least_lent, end) = (0.0_f64, f64::MAX, fleet.world.now + span);
@@ -142,16 +156,24 @@
         match rng.random_range(0..4) {
             0 => {
                 let share: f64 = rng.random_range(0.1..0.6);
-                fleet.world.net.group = (0..members).map(|_| u8::from(rng.random::<f64>() < share)).collect();
+                fleet.world.net.group = (0..members)
+                    .map(|_| u8::from(rng.random::<f64>() < share))
+                    .collect();
             }
             1 => {
-                let part: Vec<usize> = fleet.world.up().filter(|_| rng.random::<f64>() < 0.2).collect();
+                let part: Vec<usize> = fleet
+                    .world
+                    .up()
+                    .filter(|_| rng.random::<f64>() < 0.2)
+                    .collect();
                 part.iter().for_each(|member| fleet.world.kill(*member));
                 part.iter().for_each(|member| fleet.world.start(*member));
             }
             2 => {
                 let one = rng.random_range(0..members);
-                fleet.world.stop(one, Span::from_millis(rng.random_range(500..9_000)));
+                fleet
+                    .world
+                    .stop(one, Span::from_millis(rng.random_range(500..9_000)));
             }
             _ => fleet.world.net.group = vec![0; members],
         }
--- a/crates/lockusher-aggregator-testbed/src/mixers/simulate.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/simulate.rs
@@ -21,12 +21,17 @@
 fn most_memory() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-    line.and_then(|line| line.trim().trim_end_matches(" kB").parse::<u64>().ok()).unwrap_or_default() * 1_024
+    line.and_then(|line| line.trim().trim_end_matches(" kB").parse::<u64>().ok())
+        .unwrap_or_default()
+        * 1_024
 }
 
 /// Plays it; tells whether all promises were kept. The last line it prints has its figures.
 pub fn run(members: usize, seed: u64, span: Span, say: bool) -> Result<bool> {
-    anyhow::ensure!((2..=10_000).contains(&members), "--members: {members} is not between 2 and 10,000");
+    anyhow::ensure!(
+        (2..=10_000).contains(&members),
+        "--members: {members} is not between 2 and 10,000"
+    );
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xf1ee7);
     let mut world = World::new(members, seed);
     let (mut settled, mut unsettled, mut faults) = (Vec::new(), 0, 0);
@@ -34,7 +39,10 @@
         faults += 1;
         let took = world.settle(SETTLES);
         if say {
-            println!("{:.1} s: {what}: {took:?}", world.now.since(super::START).as_secs());
+            println!(
+                "{:.1} s: {what}: {took:?}",
+                world.now.since(super::START).as_secs()
+            );
         }
         match took {
             Some(took) => settled.push(took),
@@ -54,8 +62,10 @@
     world.play(Span::from_millis(10_000));
     let after = sum(&world);
     let each = |bytes: u64| bytes as f64 / members as f64 / world.now.since(began).as_secs();
-    let (bytes_s, datagrams_s) =
-        (each(after.bytes_out - before.bytes_out), each(after.datagrams_out - before.datagrams_out));
+    let (bytes_s, datagrams_s) = (
+        each(after.bytes_out - before.bytes_out),
+        each(after.datagrams_out - before.datagrams_out),
+    );
     let (mut seen, mut none_at_1) = (Vec::new(), 0);
     let end = world.now + span;
     let mut order: Vec<u8> = Vec::new();
@@ -98,7 +108,8 @@
             3 => {
                 // A tenth at a time, each told to stop.
                 for tenth in 0..10 {
-                    let part: Vec<usize> = (0..members).filter(|member| member % 10 == tenth).collect();
+                    let part: Vec<usize> =
+                        (0..members).filter(|member| member % 10 == tenth).collect();
                     part.iter().for_each(|member| world.leave(*member));
                     world.play(Span::from_millis(500));
                     part.iter().for_each(|member| world.start(*member));
@@ -109,7 +120,9 @@
             4 => {
                 world.judges = false;
                 let share: f64 = rng.random_range(0.1..0.5);
-                world.net.group = (0..members).map(|_| u8::from(rng.random::<f64>() < share)).collect();
+                world.net.group = (0..members)
+                    .map(|_| u8::from(rng.random::<f64>() < share))
+                    .collect();
                 world.play(Span::from_millis(8_000));
                 world.net.group = vec![0; members];
                 settle(&mut world, "cut in two, and healed");
@@ -121,7 +134,10 @@
                 part.iter().for_each(|member| world.kill(*member));
                 world.play(Span::from_millis(800));
                 part.iter().for_each(|member| world.start(*member));
-                settle(&mut world, "seven in ten killed and started again within a second");
+                settle(
+                    &mut world,
+                    "seven in ten killed and started again within a second",
+                );
                 world.crashes_seen();
             }
             _ => {
@@ -138,7 +154,11 @@
         world.play(Span::from_millis(1_500));
     }
     let now = world.now;
-    let longest = world.false_deaths.iter().map(|death| death.until.unwrap_or(now).since(death.since)).max();
+    let longest = world
+        .false_deaths
+        .iter()
+        .map(|death| death.until.unwrap_or(now).since(death.since))
+        .max();
     let longest = longest.unwrap_or_default();
     let [crash_p50, crash_p99, crash_worst] = percentiles(&mut seen);
     let [settle_p50, _, settle_worst] = percentiles(&mut settled);
--- a/crates/lockusher-aggregator-testbed/src/mixers/spent.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/spent.rs
@@ -51,7 +51,15 @@
     fn the_worst_second_is_found_wherever_it_lies() {
         let start = Instant::now();
         let at = |ms: &u64| start + Duration::from_millis(*ms);
-        assert_eq!(worst_second(&[0, 900, 1_500, 1_800, 1_899, 3_000].iter().map(at).collect::<Vec<_>>()), 4);
+        assert_eq!(
+            worst_second(
+                &[0, 900, 1_500, 1_800, 1_899, 3_000]
+                    .iter()
+                    .map(at)
+                    .collect::<Vec<_>>()
+            ),
+            4
+        );
         assert_eq!(worst_second(&[]), 0);
         let came = |part: &str, ms: u64| Came {
             part: part.into(),
@@ -60,7 +68,10 @@
             value: None,
             cold: false,
         };
-        let logs = [vec![came("a", 5), came("b", 9)], vec![came("a", 2), came("a", 7)]];
+        let logs = [
+            vec![came("a", 5), came("b", 9)],
+            vec![came("a", 2), came("a", 7)],
+        ];
         assert_eq!(further_sends(&logs), [at(&5), at(&7)]);
     }
 }
--- a/crates/lockusher-aggregator-testbed/src/mixers/switch.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/switch.rs
@@ -64,9 +64,19 @@
             sockets.push(Arc::new(socket));
         }
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let ways = Mutex::new(Ways { all: Way::default(), some: HashMap::new(), rng });
+        let ways = Mutex::new(Ways {
+            all: Way::default(),
+            some: HashMap::new(),
+            rng,
+        });
         let (passed, lost) = (AtomicU64::new(0), AtomicU64::new(0));
-        let switch = Arc::new(Switch { ways, real, passed, lost, opened: Mutex::default() });
+        let switch = Arc::new(Switch {
+            ways,
+            real,
+            passed,
+            lost,
+            opened: Mutex::default(),
+        });
         for to in 0..sockets.len() {
             let (this, sockets) = (switch.clone(), sockets.clone());
             tokio::spawn(async move { this.carry(to, &sockets).await });
@@ -107,10 +117,13 @@
     async fn carry(&self, to: usize, sockets: &[Arc<UdpSocket>]) {
         let mut buffer = [0; 2_048];
         loop {
-            let Ok((length, SocketAddr::V4(sender))) = sockets[to].recv_from(&mut buffer).await else {
+            let Ok((length, SocketAddr::V4(sender))) = sockets[to].recv_from(&mut buffer).await
+            else {
+                continue;
+            };
+            let Some(from) = self.real.iter().position(|at| *at == sender) else {
                 continue;
             };
-            let Some(from) = self.real.iter().position(|at| *at == sender) else { continue };
             let way = self.at(End::Mixer(from), End::Mixer(to));
             if way.cut || self.chance() < way.loss {
                 self.lost.fetch_add(1, Ordering::Relaxed);
@@ -156,7 +169,9 @@
                 tokio::spawn(async move {
                     this.passable(near, far).await;
                     // A searcher that is down closes what comes, as a refused connection would be.
-                    let Ok(far_stream) = TcpStream::connect(to).await else { return };
+                    let Ok(far_stream) = TcpStream::connect(to).await else {
+                        return;
+                    };
                     let _ = (near_stream.set_nodelay(true), far_stream.set_nodelay(true));
                     let (near_read, near_write) = near_stream.into_split();
                     let (far_read, far_write) = far_stream.into_split();
@@ -189,7 +204,11 @@
             && length > 0
         {
             let way = self.at(from, to);
-            let delay = if way.most.is_zero() { Duration::ZERO } else { self.delay(&way) };
+            let delay = if way.most.is_zero() {
+                Duration::ZERO
+            } else {
+                self.delay(&way)
+            };
             if !delay.is_zero() {
                 tokio::time::sleep(delay).await;
             }
--- a/crates/lockusher-aggregator-testbed/src/mixers/virtual_time.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/virtual_time.rs
@@ -51,7 +51,11 @@
 }
 
 enum Event {
-    Datagram { to: usize, from: SocketAddrV4, bytes: Vec<u8> },
+    Datagram {
+        to: usize,
+        from: SocketAddrV4,
+        bytes: Vec<u8>,
+    },
     Wake(usize),
     Resume(usize),
 }
@@ -135,8 +139,16 @@
         World {
             now: START,
             net,
-            by_address: nodes.iter().enumerate().map(|(nth, node)| (node.address, nth)).collect(),
-            by_name: nodes.iter().enumerate().map(|(nth, node)| (node.name.clone(), nth)).collect(),
+            by_address: nodes
+                .iter()
+                .enumerate()
+                .map(|(nth, node)| (node.address, nth))
+                .collect(),
+            by_name: nodes
+                .iter()
+                .enumerate()
+                .map(|(nth, node)| (node.name.clone(), nth))
+                .collect(),
             nodes,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
@@ -167,7 +179,11 @@
     }
 
     pub fn up(&self) -> impl Iterator<Item = usize> {
-        self.nodes.iter().enumerate().filter(|(_, node)| node.core.is_some()).map(|(nth, _)| nth)
+        self.nodes
+            .iter()
+            .enumerate()
+            .filter(|(_, node)| node.core.is_some())
+            .map(|(nth, _)| nth)
     }
 
     /// Another address for its next life.
@@ -190,12 +206,26 @@
     pub fn start(&mut self, mixer: usize) {
         // Unix time of this world began long before it.
         const EPOCH: u64 = 1_700_000_000_000_000;
-        let seeds = self.seeds.iter().map(|seed| self.nodes[*seed].address).collect();
+        let seeds = self
+            .seeds
+            .iter()
+            .map(|seed| self.nodes[*seed].address)
+            .collect();
         let (now, seed) = (self.now, self.rng.random());
         let zone = format!("z{}", mixer % self.zones).as_str().into();
         let node = &mut self.nodes[mixer];
-        let plan = Plan { name: node.name.clone(), address: node.address, seeds, zone, ..self.plan.clone() };
-        let born = EPOCH + now.since(Time::from_micros(0)).saturating_sub(node.clock_back).as_micros();
+        let plan = Plan {
+            name: node.name.clone(),
+            address: node.address,
+            seeds,
+            zone,
+            ..self.plan.clone()
+        };
+        let born = EPOCH
+            + now
+                .since(Time::from_micros(0))
+                .saturating_sub(node.clock_back)
+                .as_micros();
         node.core = Some(Core::new(now, born, plan, 1, seed));
         (node.sound_since, node.still) = (now, None);
         self.wake(mixer, now);
@@ -206,7 +236,8 @@
         let crash = self.crashes.len();
         self.crashes.push((mixer, self.now));
         let others: Vec<usize> = self.up().collect();
-        self.unseen.extend(others.into_iter().map(|other| (crash, other)));
+        self.unseen
+            .extend(others.into_iter().map(|other| (crash, other)));
     }
 
     pub fn leave(&mut self, mixer: usize) {
@@ -241,7 +272,9 @@
     /// Something was wrong with all until now.
     pub fn all_sound_from_now(&mut self) {
         let now = self.now;
-        self.nodes.iter_mut().for_each(|node| node.sound_since = now);
+        self.nodes
+            .iter_mut()
+            .for_each(|node| node.sound_since = now);
     }
 
     fn later(&mut self, at: Time, event: Event) {
@@ -270,20 +303,38 @@
     /// Carries off what a mixer wants sent, notes what it changed, and sees that it wakes.
     fn carry(&mut self, mixer: usize) {
         let (now, from) = (self.now, self.nodes[mixer].address);
-        let Some(core) = self.nodes[mixer].core.as_mut() else { return };
+        let Some(core) = self.nodes[mixer].core.as_mut() else {
+            return;
+        };
         let (out, changes, next) = (core.take_out(), core.take_changes(), core.next());
         for (at, bytes) in out {
             self.folded = self.folded.rotate_left(5)
-                ^ bytes.iter().fold(0, |sum: u32, byte| sum.wrapping_mul(31).wrapping_add(u32::from(*byte)));
-            let Some(to) = self.by_address.get(&at).copied() else { continue };
+                ^ bytes.iter().fold(0, |sum: u32, byte| {
+                    sum.wrapping_mul(31).wrapping_add(u32::from(*byte))
+                });
+            let Some(to) = self.by_address.get(&at).copied() else {
+                continue;
+            };
             if !self.passes(mixer, to) {
                 continue;
             }
-            let spread = self.net.most.saturating_sub(self.net.least).as_micros().max(1);
+            let spread = self
+                .net
+                .most
+                .saturating_sub(self.net.least)
+                .as_micros()
+                .max(1);
             let copies = 1 + usize::from(self.rng.random::<f64>() < self.net.doubled);
             for _ in 0..copies {
                 let delay = self.net.least + Span::from_micros(self.rng.random_range(0..spread));
-                self.later(now + delay, Event::Datagram { to, from, bytes: bytes.clone() });
+                self.later(
+                    now + delay,
+                    Event::Datagram {
+                        to,
+                        from,
+                        bytes: bytes.clone(),
+                    },
+                );
             }
         }
         for change in changes {
@@ -296,7 +347,9 @@
     }
 
     fn note(&mut self, by: usize, change: &Change) {
-        let Some(of) = self.by_name.get(&change.member.name).copied() else { return };
+        let Some(of) = self.by_name.get(&change.member.name).copied() else {
+            return;
+        };
         if change.member.state == State::Dead {
             for (crash, (mixer, at)) in self.crashes.iter().enumerate().rev().take(64) {
                 if *mixer == of && self.unseen.remove(&(crash, by)) {
@@ -306,18 +359,34 @@
             let sound = |node: &Node| node.core.is_some() && node.still.is_none();
             let (one, other) = (&self.nodes[by], &self.nodes[of]);
             let life = self.nodes[of].core.as_ref().and_then(|core| {
-                core.view().find(|held| held.record.name == change.member.name).map(|h| h.record.generation)
+                core.view()
+                    .find(|held| held.record.name == change.member.name)
+                    .map(|h| h.record.generation)
             });
             // What was set right before may still be believed of a former life.
-            let settled = one.sound_since.max(other.sound_since) + Span::from_millis(3_000) < self.now;
-            if self.judges && settled && sound(one) && sound(other) && life == Some(change.member.generation)
+            let settled =
+                one.sound_since.max(other.sound_since) + Span::from_millis(3_000) < self.now;
+            if self.judges
+                && settled
+                && sound(one)
+                && sound(other)
+                && life == Some(change.member.generation)
             {
-                self.false_deaths.push(FalseDeath { by, of, since: self.now, until: None });
+                self.false_deaths.push(FalseDeath {
+                    by,
+                    of,
+                    since: self.now,
+                    until: None,
+                });
             }
         } else if change.member.state == State::Alive {
-            let open = |death: &&mut FalseDeath| death.by == by && death.of == of && death.until.is_none();
+            let open =
+                |death: &&mut FalseDeath| death.by == by && death.of == of && death.until.is_none();
             let now = self.now;
-            self.false_deaths.iter_mut().filter(open).for_each(|death| death.until = Some(now));
+            self.false_deaths
+                .iter_mut()
+                .filter(open)
+                .for_each(|death| death.until = Some(now));
         }
     }
 
@@ -328,7 +397,9 @@
         {
             self.queue.pop();
             self.now = self.now.max(at);
-            let Some(event) = self.events.remove(&number) else { continue };
+            let Some(event) = self.events.remove(&number) else {
+                continue;
+            };
             self.happens(event);
         }
         self.now = until;
@@ -367,10 +438,14 @@
             }
             Event::Resume(mixer) => {
                 let node = &mut self.nodes[mixer];
-                let Some((_, waiting)) = node.still.take_if(|(until, _)| *until <= now) else { return };
+                let Some((_, waiting)) = node.still.take_if(|(until, _)| *until <= now) else {
+                    return;
+                };
                 node.sound_since = now;
                 if let Some(core) = node.core.as_mut() {
-                    waiting.iter().for_each(|(from, bytes)| core.hear(now, *from, bytes));
+                    waiting
+                        .iter()
+                        .for_each(|(from, bytes)| core.hear(now, *from, bytes));
                     core.due(now);
                     node.wake = now;
                     self.carry(mixer);
@@ -386,7 +461,8 @@
         let first = digests.next();
         digests.all(|digest| Some(digest) == first)
             && up.iter().all(|mixer| {
-                self.core(*mixer).living() == up.len() && self.core(*mixer).standing() == Standing::Member
+                self.core(*mixer).living() == up.len()
+                    && self.core(*mixer).standing() == Standing::Member
             })
     }
 
@@ -433,6 +509,9 @@
     /// The state in which one holds another.
     pub fn holds(&self, by: usize, of: usize) -> Option<State> {
         let name = &self.nodes[of].name;
-        self.core(by).view().find(|held| held.record.name == *name).map(|held| held.record.state)
+        self.core(by)
+            .view()
+            .find(|held| held.record.name == *name)
+            .map(|held| held.record.state)
     }
 }
--- a/crates/lockusher-aggregator-testbed/src/mixers/worker.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/worker.rs
@@ -39,7 +39,9 @@
 
 impl Temper {
     fn warmth(&self, now: Instant) -> f64 {
-        let since = self.cold_since.map(|since| now.saturating_duration_since(since));
+        let since = self
+            .cold_since
+            .map(|since| now.saturating_duration_since(since));
         let gone = since.map_or(1.0, |since| since.as_secs_f64() / RAMP.as_secs_f64());
         (COLD_FROM + (1.0 - COLD_FROM) * gone).min(1.0)
     }
@@ -79,7 +81,12 @@
 }
 
 impl Worker {
-    pub async fn start(name: &str, cores: usize, mean: Duration, seed: u64) -> std::io::Result<Arc<Self>> {
+    pub async fn start(
+        name: &str,
+        cores: usize,
+        mean: Duration,
+        seed: u64,
+    ) -> std::io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let temper = Temper {
             mean,
@@ -161,7 +168,13 @@
     fn note(&self, seen: &Seen, did: Did, value: Option<String>) {
         let (part, at) = (seen.id.clone(), seen.at);
         let cold = self.temper().warmth(at) < 1.0;
-        self.log.lock().unwrap().push(Came { part, at, did, value, cold });
+        self.log.lock().unwrap().push(Came {
+            part,
+            at,
+            did,
+            value,
+            cold,
+        });
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
@@ -178,7 +191,9 @@
         let heard = async {
             while let Some((letter, rest)) = next_frame(&mut read).await {
                 match letter {
-                    b'm' => parts(&rest).into_iter().for_each(|part| self.clone().takes(part, &out)),
+                    b'm' => parts(&rest)
+                        .into_iter()
+                        .for_each(|part| self.clone().takes(part, &out)),
                     b'o' if rest.is_empty() => {
                         self.probes.lock().unwrap().push(Instant::now());
                         if !self.temper().hangs {
@@ -248,7 +263,15 @@
 }
 
 fn answer(part: &Seen, end: &str, value: &str) -> Vec<u8> {
-    frame(b'q', format!("{} {end} {} -\n{value}", part.id, 1_000_i64 - part.shard as i64).as_bytes())
+    frame(
+        b'q',
+        format!(
+            "{} {end} {} -\n{value}",
+            part.id,
+            1_000_i64 - part.shard as i64
+        )
+        .as_bytes(),
+    )
 }
 
 async fn next_frame(read: &mut OwnedReadHalf) -> Option<(u8, Vec<u8>)> {
--- a/crates/lockusher-aggregator-testbed/src/registry/consul.rs
+++ b/crates/lockusher-aggregator-testbed/src/registry/consul.rs
@@ -89,14 +89,22 @@
 async fn answer(member: &Member, path: &str) -> (Vec<u8>, Option<u64>) {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     let value = |name: &str| {
-        query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=').map(str::to_owned))
+        query.split('&').find_map(|pair| {
+            pair.strip_prefix(name)?
+                .strip_prefix('=')
+                .map(str::to_owned)
+        })
+    };
+    let Some(prefix) = path.strip_prefix("/v1/kv/") else {
+        return plain(404, "no such path");
     };
-    let Some(prefix) = path.strip_prefix("/v1/kv/") else { return plain(404, "no such path") };
     if value("recurse").is_none() && !query.split('&').any(|key| key == "recurse") {
         return plain(400, "the stand-in knows recursive reads only");
     }
     let prefix = prefix.as_bytes();
-    let index = value("index").and_then(|index| index.parse::<u64>().ok()).unwrap_or(0);
+    let index = value("index")
+        .and_then(|index| index.parse::<u64>().ok())
+        .unwrap_or(0);
     let held = match value("wait") {
         Some(text) => match wait(&text) {
             Some(wait) => wait.min(LONGEST),
@@ -128,7 +136,9 @@
         (index, store.range(prefix, &etcd_range_end(prefix), 0, seen))
     };
     // A member that lags far enough has nothing to show once the store forgot it.
-    let Ok((keys, _)) = page else { return plain(500, "rpc error") };
+    let Ok((keys, _)) = page else {
+        return plain(500, "rpc error");
+    };
     let pair = |(key, kv): (Vec<u8>, super::store::Kv)| {
         json!({ "LockIndex": 0, "Key": String::from_utf8_lossy(&key), "Flags": 0,
             "Value": BASE64_STANDARD.encode(&kv.value), "CreateIndex": kv.created, "ModifyIndex": kv.modified })
@@ -138,7 +148,11 @@
         false => serde_json::Value::from_iter(keys.into_iter().map(pair)).to_string(),
     };
     let script = member.script();
-    let status = if body.is_empty() { "404 Not Found" } else { "200 OK" };
+    let status = if body.is_empty() {
+        "404 Not Found"
+    } else {
+        "200 OK"
+    };
     let text = format!(
         "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nX-Consul-Index: {index}\r\n\
          X-Consul-Knownleader: {}\r\nX-Consul-Lastcontact: {}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -150,6 +164,9 @@
 }
 
 fn plain(status: u16, words: &str) -> (Vec<u8>, Option<u64>) {
-    let text = format!("HTTP/1.1 {status} No\r\nContent-Length: {}\r\n\r\n{words}", words.len());
+    let text = format!(
+        "HTTP/1.1 {status} No\r\nContent-Length: {}\r\n\r\n{words}",
+        words.len()
+    );
     (text.into_bytes(), None)
 }
--- a/crates/lockusher-aggregator-testbed/src/registry/etcd.rs
+++ b/crates/lockusher-aggregator-testbed/src/registry/etcd.rs
@@ -45,13 +45,21 @@
 impl Serves {
     fn header(&self, revision: u64) -> Option<pb::ResponseHeader> {
         let (_, cluster_id) = self.0.sees();
-        Some(pb::ResponseHeader { cluster_id, member_id: 1, revision: revision as i64, raft_term: 2 })
+        Some(pb::ResponseHeader {
+            cluster_id,
+            member_id: 1,
+            revision: revision as i64,
+            raft_term: 2,
+        })
     }
 }
 
 #[tonic::async_trait]
 impl pb::kv_server::Kv for Serves {
-    async fn range(&self, request: Request<pb::RangeRequest>) -> Result<Response<pb::RangeResponse>, Status> {
+    async fn range(
+        &self,
+        request: Request<pb::RangeRequest>,
+    ) -> Result<Response<pb::RangeResponse>, Status> {
         let request = request.into_inner();
         self.0.asked();
         self.0.may_speak().await;
@@ -59,9 +67,17 @@
             self.0.compacts(|script| &mut script.compact_between_pages);
         }
         let (seen, _) = self.0.sees();
-        let at = if request.revision > 0 { request.revision as u64 } else { seen };
+        let at = if request.revision > 0 {
+            request.revision as u64
+        } else {
+            seen
+        };
         let limit = usize::try_from(request.limit).unwrap_or(0);
-        let page = self.0.registry.store().range(&request.key, &request.range_end, limit, at);
+        let page = self
+            .0
+            .registry
+            .store()
+            .range(&request.key, &request.range_end, limit, at);
         let (keys, more) = page.map_err(|refused| match refused {
             Refused::Compacted => Status::out_of_range(COMPACTED),
             Refused::Future => Status::out_of_range(FUTURE),
@@ -71,8 +87,16 @@
             self.0.compacts(|script| &mut script.compact_after_read);
         }
         let count = keys.len() as i64;
-        let kvs = keys.into_iter().map(|(key, kv)| key_value(key, kv)).collect();
-        Ok(Response::new(pb::RangeResponse { header: self.header(seen), kvs, more, count }))
+        let kvs = keys
+            .into_iter()
+            .map(|(key, kv)| key_value(key, kv))
+            .collect();
+        Ok(Response::new(pb::RangeResponse {
+            header: self.header(seen),
+            kvs,
+            more,
+            count,
+        }))
     }
 }
 
@@ -91,12 +115,18 @@
     let (r#type, kv) = match event.kv {
         Some(kv) => (pb::event::EventType::Put, key_value(event.key, kv)),
         None => {
-            let kv =
-                pb::KeyValue { key: event.key, mod_revision: event.revision as i64, ..Default::default() };
+            let kv = pb::KeyValue {
+                key: event.key,
+                mod_revision: event.revision as i64,
+                ..Default::default()
+            };
             (pb::event::EventType::Delete, kv)
         }
     };
-    pb::Event { r#type: r#type as i32, kv: Some(kv) }
+    pb::Event {
+        r#type: r#type as i32,
+        kv: Some(kv),
+    }
 }
 
 type Responses = Pin<Box<dyn Stream<Item = Result<pb::WatchResponse, Status>> + Send>>;
@@ -124,7 +154,10 @@
 impl<T, F: Future<Output = Option<T>>> Stream for Received<F> {
     type Item = T;
 
-    fn poll_next(mut self: Pin<&mut Self>, cx: &mut std::task::Context) -> std::task::Poll<Option<T>> {
+    fn poll_next(
+        mut self: Pin<&mut Self>,
+        cx: &mut std::task::Context,
+    ) -> std::task::Poll<Option<T>> {
         self.0.as_mut().poll(cx)
     }
 }
@@ -175,13 +208,19 @@
                 // What is asked of it meanwhile is never answered, as where a member hangs.
                 continue;
             }
-            let Some(watching) = &mut watching else { continue };
+            let Some(watching) = &mut watching else {
+                continue;
+            };
             if self.tell(watching, &out).await.is_none() {
                 return;
             }
             if progress {
                 let header = self.header(watching.next - 1);
-                let told = pb::WatchResponse { header, watch_id: NO_WATCH, ..Default::default() };
+                let told = pb::WatchResponse {
+                    header,
+                    watch_id: NO_WATCH,
+                    ..Default::default()
+                };
                 if out.send(Ok(told)).await.is_err() {
                     return;
                 }
@@ -194,7 +233,9 @@
         let (seen, _) = self.0.sees();
         let events = {
             let store = self.0.registry.store();
-            store.events(&watching.prefix, watching.next, seen).map_err(|_| store.compacted())
+            store
+                .events(&watching.prefix, watching.next, seen)
+                .map_err(|_| store.compacted())
         };
         let events = match events {
             Ok(events) => events,
@@ -215,7 +256,11 @@
             return Some(());
         }
         let split = self.0.script().split;
-        let most = if split > 0 && watching.fragment { split } else { events.len() };
+        let most = if split > 0 && watching.fragment {
+            split
+        } else {
+            events.len()
+        };
         let parts: Vec<&[Event]> = events.chunks(most).collect();
         for (i, part) in parts.iter().enumerate() {
             let response = pb::WatchResponse {
--- a/crates/lockusher-aggregator-testbed/src/registry/mod.rs
+++ b/crates/lockusher-aggregator-testbed/src/registry/mod.rs
@@ -15,7 +15,9 @@
 
 /// A lock whose holder never panics in between leaves nothing half done.
 pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    mutex
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// The store that all members serve.
@@ -27,7 +29,10 @@
 impl Registry {
     pub fn new(cluster: u64) -> Arc<Self> {
         let (changed, _) = watch::channel(0);
-        Arc::new(Registry { store: Mutex::new(Store::new(cluster)), changed })
+        Arc::new(Registry {
+            store: Mutex::new(Store::new(cluster)),
+            changed,
+        })
     }
 
     pub fn store(&self) -> MutexGuard<'_, Store> {
@@ -42,7 +47,11 @@
     }
 
     pub fn put(&self, key: &str, value: impl Into<Vec<u8>>) -> u64 {
-        self.write([Write::Put { key: key.into(), value: value.into(), lease: 0 }])
+        self.write([Write::Put {
+            key: key.into(),
+            value: value.into(),
+            lease: 0,
+        }])
     }
 
     pub fn delete(&self, key: &str) -> u64 {
@@ -136,7 +145,10 @@
     /// Notes that all up to a revision has been handed to its connection; what another cluster says tells nothing.
     fn tells(&self, revision: u64) {
         if self.script().cluster.is_none() {
-            locked(&self.told).push(Told { at: Instant::now(), revision });
+            locked(&self.told).push(Told {
+                at: Instant::now(),
+                revision,
+            });
         }
     }
 
--- a/crates/lockusher-aggregator-testbed/src/registry/relay.rs
+++ b/crates/lockusher-aggregator-testbed/src/registry/relay.rs
@@ -23,7 +23,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (cuts, _) = watch::channel(0);
         let (bytes, refuses) = (AtomicU64::new(0), AtomicBool::new(false));
-        let relay = Arc::new(Relay { address: listener.local_addr()?, bytes, refuses, cuts });
+        let relay = Arc::new(Relay {
+            address: listener.local_addr()?,
+            bytes,
+            refuses,
+            cuts,
+        });
         let this = relay.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
