--- a/crates/lockusher-aggregator-testbed/src/registry/store.rs
+++ b/crates/lockusher-aggregator-testbed/src/registry/store.rs
@@ -19,8 +19,14 @@
 
 #[derive(Clone, Debug)]
 pub enum Write {
-    Put { key: Key, value: Vec<u8>, lease: u64 },
-    Delete { key: Key },
+    Put {
+        key: Key,
+        value: Vec<u8>,
+        lease: u64,
+    },
+    Delete {
+        key: Key,
+    },
 }
 
 /// What happened to a key in a revision; without a value it was deleted.
@@ -52,7 +58,13 @@
 impl Store {
     pub fn new(cluster: u64) -> Self {
         let states = BTreeMap::from([(1, OrdMap::new())]);
-        Store { cluster, revision: 1, compacted: 0, states, events: BTreeMap::new() }
+        Store {
+            cluster,
+            revision: 1,
+            compacted: 0,
+            states,
+            events: BTreeMap::new(),
+        }
     }
 
     pub fn revision(&self) -> u64 {
@@ -74,14 +86,29 @@
             match write {
                 Write::Put { key, value, lease } => {
                     let old = state.get(&key);
-                    let (created, version) = old.map_or((next, 1), |old| (old.created, old.version + 1));
-                    let kv = Kv { created, modified: next, version, value, lease };
+                    let (created, version) =
+                        old.map_or((next, 1), |old| (old.created, old.version + 1));
+                    let kv = Kv {
+                        created,
+                        modified: next,
+                        version,
+                        value,
+                        lease,
+                    };
                     state.insert(key.clone(), kv.clone());
-                    events.push(Event { key, revision: next, kv: Some(kv) });
+                    events.push(Event {
+                        key,
+                        revision: next,
+                        kv: Some(kv),
+                    });
                 }
                 Write::Delete { key } => {
                     if state.remove(&key).is_some() {
-                        events.push(Event { key, revision: next, kv: None });
+                        events.push(Event {
+                            key,
+                            revision: next,
+                            kv: None,
+                        });
                     }
                 }
             }
@@ -96,8 +123,13 @@
 
     /// Ends leases: their keys go in one revision.
     pub fn expire(&mut self, leases: &[u64]) -> u64 {
-        let held = self.now().iter().filter(|(_, kv)| leases.contains(&kv.lease));
-        let writes: Vec<Write> = held.map(|(key, _)| Write::Delete { key: key.clone() }).collect();
+        let held = self
+            .now()
+            .iter()
+            .filter(|(_, kv)| leases.contains(&kv.lease));
+        let writes: Vec<Write> = held
+            .map(|(key, _)| Write::Delete { key: key.clone() })
+            .collect();
         self.apply(writes)
     }
 
@@ -124,9 +156,15 @@
         }
         let state = self.states.get(&at).ok_or(Refused::Compacted)?;
         let within = |name: &Key| end == [0] || name.as_slice() < end;
-        let mut keys = state.range(key.to_vec()..).take_while(|(name, _)| within(name));
+        let mut keys = state
+            .range(key.to_vec()..)
+            .take_while(|(name, _)| within(name));
         let most = if limit == 0 { usize::MAX } else { limit };
-        let page: Vec<(Key, Kv)> = keys.by_ref().take(most).map(|(k, kv)| (k.clone(), kv.clone())).collect();
+        let page: Vec<(Key, Kv)> = keys
+            .by_ref()
+            .take(most)
+            .map(|(k, kv)| (k.clone(), kv.clone()))
+            .collect();
         Ok((page, keys.next().is_some()))
     }
 
@@ -139,13 +177,17 @@
             return Ok(Vec::new());
         }
         let all = self.events.range(from..=to).flat_map(|(_, events)| events);
-        Ok(all.filter(|event| event.key.starts_with(prefix)).cloned().collect())
+        Ok(all
+            .filter(|event| event.key.starts_with(prefix))
+            .cloned()
+            .collect())
     }
 
     /// The last revision, up to one, that touched a prefix, as far back as is known.
     pub fn touched(&self, prefix: &[u8], to: u64) -> u64 {
         let mut back = self.events.range(..=to).rev();
-        let found = back.find(|(_, events)| events.iter().any(|event| event.key.starts_with(prefix)));
+        let found =
+            back.find(|(_, events)| events.iter().any(|event| event.key.starts_with(prefix)));
         found.map_or(self.compacted.max(1), |(revision, _)| *revision)
     }
 }
--- a/crates/lockusher-aggregator-testbed/src/soak.rs
+++ b/crates/lockusher-aggregator-testbed/src/soak.rs
@@ -58,7 +58,10 @@
 impl Timed {
     fn new(changes: &Changes) -> Result<Arc<Self>> {
         let histogram = Histogram::new_with_bounds(1, 600_000_000, 3)?;
-        Ok(Arc::new(Timed { told: Mutex::new((0, histogram)), changes: changes.clone() }))
+        Ok(Arc::new(Timed {
+            told: Mutex::new((0, histogram)),
+            changes: changes.clone(),
+        }))
     }
 
     /// All up to a revision is known here now.
@@ -68,9 +71,14 @@
             return;
         }
         let before = std::mem::replace(&mut told.0, revision);
-        for (at, hosts) in locked(&self.changes).range(before + 1..=revision).map(|(_, change)| *change) {
+        for (at, hosts) in locked(&self.changes)
+            .range(before + 1..=revision)
+            .map(|(_, change)| *change)
+        {
             let took = now.saturating_duration_since(at).as_micros() as u64;
-            told.1.record_n(took.max(1), hosts as u64).unwrap_or_default();
+            told.1
+                .record_n(took.max(1), hosts as u64)
+                .unwrap_or_default();
         }
     }
 
@@ -89,13 +97,20 @@
 /// The time that the calling thread has had a core, in microseconds.
 fn thread_cpu_us() -> u64 {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    stat.split_whitespace().next().and_then(|ns| ns.parse::<u64>().ok()).unwrap_or(0) / 1_000
+    stat.split_whitespace()
+        .next()
+        .and_then(|ns| ns.parse::<u64>().ok())
+        .unwrap_or(0)
+        / 1_000
 }
 
 fn plan(run: &Run, endpoints: &[Endpoint]) -> Plan {
     Plan {
         protocol: run.protocol,
-        endpoints: endpoints.iter().map(|e| e.relay.address.to_string()).collect(),
+        endpoints: endpoints
+            .iter()
+            .map(|e| e.relay.address.to_string())
+            .collect(),
         prefix: PREFIX.to_owned(),
         page: 7,
         silent_after: Span::from_millis(1_000),
@@ -106,10 +121,17 @@
 }
 
 /// A follower in a thread of its own, with one runtime of one thread; ends when the sender of its plan goes.
-fn follower(plan: Plan, seed: u64, timed: Arc<Timed>) -> (watch::Sender<Plan>, std::thread::JoinHandle<u64>) {
+fn follower(
+    plan: Plan,
+    seed: u64,
+    timed: Arc<Timed>,
+) -> (watch::Sender<Plan>, std::thread::JoinHandle<u64>) {
     let (plans, planned) = watch::channel(plan);
     let thread = std::thread::spawn(move || {
-        let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
+        let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+        else {
             return 0;
         };
         tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -136,14 +158,19 @@
 fn rereader(plan: Plan, timed: Arc<Timed>) -> (watch::Sender<bool>, std::thread::JoinHandle<u64>) {
     let (goes, stop) = watch::channel(true);
     let thread = std::thread::spawn(move || {
-        let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
+        let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+        else {
             return 0;
         };
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let mut every = tokio::time::interval(BASELINE_EVERY);
             while *stop.borrow() {
                 every.tick().await;
-                if let Some(Revision(revision)) = lockusher_registry_client::io::read_whole(&plan).await {
+                if let Some(Revision(revision)) =
+                    lockusher_registry_client::io::read_whole(&plan).await
+                {
                     timed.tells(revision);
                 }
             }
@@ -189,7 +216,11 @@
             let (key, group) = (fleet::key(&searcher.name).into_bytes(), host % 3);
             let put = |status| {
                 let value = fleet::entry(searcher.address, group, status).into_bytes();
-                Write::Put { key: key.clone(), value, lease: *host as u64 + 1 }
+                Write::Put {
+                    key: key.clone(),
+                    value,
+                    lease: *host as u64 + 1,
+                }
             };
             match state {
                 State::Up => put("active"),
@@ -205,28 +236,45 @@
         drop(changes);
         self.registry.touch();
         for host in hosts {
-            self.truth.note(revision, &self.searchers[*host].name, state);
+            self.truth
+                .note(revision, &self.searchers[*host].name, state);
         }
         self.counts.changes += hosts.len() as u64;
-        self.counts.drains += if state == State::Up { 0 } else { hosts.len() as u64 };
+        self.counts.drains += if state == State::Up {
+            0
+        } else {
+            hosts.len() as u64
+        };
     }
 
     /// A host or some change, so that each group keeps half of its own up.
     fn change(&mut self) {
         let count = self.searchers.len();
-        let up = |world: &World, host: usize| world.truth.now(&world.searchers[host].name) == State::Up;
+        let up =
+            |world: &World, host: usize| world.truth.now(&world.searchers[host].name) == State::Up;
         let first = self.rng.random_range(0..count);
         if !up(self, first) {
             // Drained ones go before they come back; some entries come back as they were.
             let drained = self.truth.now(&self.searchers[first].name) == State::Draining;
-            let state = if drained && self.rng.random_bool(0.5) { State::Absent } else { State::Up };
+            let state = if drained && self.rng.random_bool(0.5) {
+                State::Absent
+            } else {
+                State::Up
+            };
             return self.set(&[first], state);
         }
         let spare = |world: &World, group: usize| {
-            let up = (group..count).step_by(3).filter(|host| up(world, *host)).count();
+            let up = (group..count)
+                .step_by(3)
+                .filter(|host| up(world, *host))
+                .count();
             up.saturating_sub(count / 6)
         };
-        let state = if self.rng.random_bool(0.7) { State::Draining } else { State::Absent };
+        let state = if self.rng.random_bool(0.7) {
+            State::Draining
+        } else {
+            State::Absent
+        };
         let most = if self.rng.random_bool(0.2) { 3 } else { 1 };
         let hosts: Vec<usize> = (first..first + most)
             .map(|host| host % count)
@@ -238,7 +286,9 @@
     }
 
     fn members(&self, which: usize) -> impl Iterator<Item = &Endpoint> {
-        self.observed.iter().filter_map(move |members| members.get(which))
+        self.observed
+            .iter()
+            .filter_map(move |members| members.get(which))
     }
 
     /// What has been said arrives, then the connections end.
@@ -248,12 +298,15 @@
             None => self.observed.iter().flatten().collect(),
         };
         let silent: Vec<bool> = all.iter().map(|e| e.member.script().silent).collect();
-        all.iter().for_each(|e| e.member.does(|script| script.silent = true));
+        all.iter()
+            .for_each(|e| e.member.does(|script| script.silent = true));
         std::thread::sleep(Duration::from_millis(20));
         all.iter().for_each(|e| e.relay.cut());
         // Members hear of it before they speak again: what is said into a connection that has ended is not told.
         std::thread::sleep(Duration::from_millis(20));
-        all.iter().zip(silent).for_each(|(e, silent)| e.member.does(|script| script.silent = silent));
+        all.iter()
+            .zip(silent)
+            .for_each(|(e, silent)| e.member.does(|script| script.silent = silent));
         self.counts.disconnects += 1;
     }
 
@@ -261,9 +314,14 @@
         let which = self.rng.random_range(0..MEMBERS);
         let lasts = Duration::from_millis(self.rng.random_range(500..4_000));
         let of = |world: &World, which: Option<usize>| -> Vec<_> {
-            let all = world.observed.iter().flat_map(|members| members.iter().enumerate());
+            let all = world
+                .observed
+                .iter()
+                .flat_map(|members| members.iter().enumerate());
             let chosen = all.filter(|(i, _)| which.is_none_or(|which| which == *i));
-            chosen.map(|(_, e)| (e.member.clone(), e.relay.clone())).collect()
+            chosen
+                .map(|(_, e)| (e.member.clone(), e.relay.clone()))
+                .collect()
         };
         let heal: Box<dyn FnOnce()> = match self.rng.random_range(0..8) {
             0 => {
@@ -293,7 +351,9 @@
             4 => {
                 let one = of(self, Some(which));
                 one.iter().for_each(|(member, _)| {
-                    member.does(|script| (script.compact_between_pages, script.compact_after_read) = (1, 1));
+                    member.does(|script| {
+                        (script.compact_between_pages, script.compact_after_read) = (1, 1);
+                    });
                 });
                 self.cut(None);
                 self.counts.compactions += 1;
@@ -302,16 +362,24 @@
             5 => {
                 let one = self.rng.random_bool(0.7).then_some(which);
                 let some = of(self, one);
-                some.iter().for_each(|(member, _)| member.does(|script| script.silent = true));
+                some.iter()
+                    .for_each(|(member, _)| member.does(|script| script.silent = true));
                 self.counts.silences += 1;
-                Box::new(move || some.iter().for_each(|(m, _)| m.does(|script| script.silent = false)))
+                Box::new(move || {
+                    some.iter()
+                        .for_each(|(m, _)| m.does(|script| script.silent = false));
+                })
             }
             6 => {
                 let (one, now) = (of(self, Some(which)), self.registry.store().revision());
-                one.iter().for_each(|(member, _)| member.does(|script| script.lags_at = Some(now)));
+                one.iter()
+                    .for_each(|(member, _)| member.does(|script| script.lags_at = Some(now)));
                 self.cut(Some(which));
                 self.counts.lags += 1;
-                Box::new(move || one.iter().for_each(|(m, _)| m.does(|script| script.lags_at = None)))
+                Box::new(move || {
+                    one.iter()
+                        .for_each(|(m, _)| m.does(|script| script.lags_at = None));
+                })
             }
             _ => {
                 let all = of(self, None);
@@ -321,7 +389,10 @@
                 Box::new(move || all.iter().for_each(|(_, relay)| relay.refuse(false)))
             }
         };
-        Some(Trouble { ends: Instant::now() + lasts, heal })
+        Some(Trouble {
+            ends: Instant::now() + lasts,
+            heal,
+        })
     }
 
     /// Hosts whose status in the mixer's view is not the registry's.
@@ -336,13 +407,17 @@
                     State::Absent => None,
                 }
         };
-        self.searchers.iter().filter(wrong).count() + view.len().saturating_sub(self.searchers.len())
+        self.searchers.iter().filter(wrong).count()
+            + view.len().saturating_sub(self.searchers.len())
     }
 }
 
 /// Plays a run; tells whether all promises were kept. The last line it prints has its figures.
 pub fn run(run: &Run) -> Result<bool> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     let registry = Registry::new(run.seed | 1);
     let observers = if run.baseline { 3 } else { 2 };
     let mut observed = Vec::new();
@@ -368,7 +443,10 @@
     let began = Instant::now();
     let more = "  page: 7\n  silent_after_ms: 1000\n  wait_ms: 5000\n";
     let text = fleet::settings_text(run.protocol, &world.observed[0], more);
-    let setup = Setup { knows: false, ..Setup::default() };
+    let setup = Setup {
+        knows: false,
+        ..Setup::default()
+    };
     let mixer = Followed::start(&setup, &text, run.quiet)?;
     crate::stand_in::until(|| mixer.mixer.get("/up").status == 200);
     let timed = Timed::new(&changes)?;
@@ -376,17 +454,23 @@
     let baseline = match run.baseline {
         true => {
             let timed = Timed::new(&changes)?;
-            Some((rereader(plan(run, &world.observed[2]), timed.clone()), timed))
+            Some((
+                rereader(plan(run, &world.observed[2]), timed.clone()),
+                timed,
+            ))
         }
         false => None,
     };
     let load = Load::start(mixer.mixer.address, 4, Duration::from_millis(40), 24);
 
     let mut troubles: Vec<Trouble> = Vec::new();
-    let (mut next_change, mut next_trouble) = (Instant::now(), Instant::now() + Duration::from_millis(500));
+    let (mut next_change, mut next_trouble) =
+        (Instant::now(), Instant::now() + Duration::from_millis(500));
     while began.elapsed() < run.span {
         let now = Instant::now();
-        let (over, on): (Vec<_>, Vec<_>) = troubles.into_iter().partition(|trouble| trouble.ends <= now);
+        let (over, on): (Vec<_>, Vec<_>) = troubles
+            .into_iter()
+            .partition(|trouble| trouble.ends <= now);
         over.into_iter().for_each(|trouble| (trouble.heal)());
         troubles = on;
         if now >= next_change {
@@ -423,12 +507,17 @@
     drop(plans);
     let following = following.join().unwrap_or(0);
 
-    let since = |at: Instant| Span::from_micros(at.saturating_duration_since(began).as_micros() as u64);
+    let since =
+        |at: Instant| Span::from_micros(at.saturating_duration_since(began).as_micros() as u64);
     let told = world.observed[0].iter().flat_map(|e| e.member.told());
     let told: Vec<(Span, u64)> = told.map(|told| (since(told.at), told.revision)).collect();
     let of = |s: &Arc<Searcher>| {
         let name = s.name.clone();
-        s.log().parts.into_iter().map(move |part| (name.clone(), since(part.at))).collect::<Vec<_>>()
+        s.log()
+            .parts
+            .into_iter()
+            .map(move |part| (name.clone(), since(part.at)))
+            .collect::<Vec<_>>()
     };
     let sends: Vec<(String, Span)> = world.searchers.iter().flat_map(of).collect();
     let late = world.truth.late(&told, &sends, GRACE + ALLOWED);
@@ -436,12 +525,20 @@
         eprintln!("late: {late:?}");
     }
     // A drain that nobody told to the mixer by the end, though all has been quiet.
-    let newest = told.iter().map(|(_, revision)| *revision).max().unwrap_or(0);
+    let newest = told
+        .iter()
+        .map(|(_, revision)| *revision)
+        .max()
+        .unwrap_or(0);
     let missed = |host: &&str| {
         world.truth.now(host) != State::Up && world.truth.at(newest, host) != world.truth.now(host)
     };
-    let up = fleet::statuses(&view).into_iter().filter(|(_, status)| status == "active");
-    let kept = up.filter(|(host, _)| world.truth.now(host) != State::Up).count();
+    let up = fleet::statuses(&view)
+        .into_iter()
+        .filter(|(_, status)| status == "active");
+    let kept = up
+        .filter(|(host, _)| world.truth.now(host) != State::Up)
+        .count();
     let missed = world.truth.hosts().filter(missed).count() + kept;
     let ok = outcomes.iter().filter(|(status, _)| *status == 200).count();
     let counts = &world.counts;
@@ -450,7 +547,8 @@
     if let Some(((goes, reading), reread)) = baseline {
         goes.send_replace(false);
         let cpu = reading.join().unwrap_or(0);
-        let bytes = |members: &[Endpoint]| members.iter().map(|e| e.relay.bytes()).sum::<u64>() / 1_024;
+        let bytes =
+            |members: &[Endpoint]| members.iter().map(|e| e.relay.bytes()).sum::<u64>() / 1_024;
         println!(
             "baseline {} kb={} cpu_ms={}; watch {} kb={} cpu_ms={}",
             reread.figures("told"),
--- a/crates/lockusher-aggregator-testbed/src/stand_in/client.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/client.rs
@@ -20,7 +20,9 @@
         if reader.read_line(&mut line).ok()? == 0 {
             return None;
         }
-        let Some((name, value)) = line.trim_end().split_once(':') else { return Some((first, headers)) };
+        let Some((name, value)) = line.trim_end().split_once(':') else {
+            return Some((first, headers));
+        };
         headers.insert(name.to_lowercase(), value.trim().to_owned());
     }
 }
@@ -39,17 +41,26 @@
 impl Answer {
     /// The values by shard, if it was answered.
     pub fn values(&self) -> Vec<(u64, String)> {
-        let body: Value = serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("an answer: {self:?}"));
+        let body: Value =
+            serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("an answer: {self:?}"));
         let hits = body["answers"].as_array().expect("answers").iter();
-        hits.map(|h| (h["range"].as_u64().expect("a shard"), h["blob"].as_str().expect("text").into()))
-            .collect()
+        hits.map(|h| {
+            (
+                h["range"].as_u64().expect("a shard"),
+                h["blob"].as_str().expect("text").into(),
+            )
+        })
+        .collect()
     }
 }
 
 /// A body that asks for these shards in equal parts.
 pub fn body(shards: &[usize]) -> String {
     let portion = 1.0 / shards.len() as f64;
-    let ranges: Vec<Value> = shards.iter().map(|s| json!({ "range": s, "portion": portion })).collect();
+    let ranges: Vec<Value> = shards
+        .iter()
+        .map(|s| json!({ "range": s, "portion": portion }))
+        .collect();
     json!({ "ranges": ranges, "predicate": "c41e77d0" }).to_string()
 }
 
@@ -71,14 +82,21 @@
 }
 
 pub fn request(id: &str, body: &str) -> Vec<u8> {
-    format!("{}Content-Length: {}\r\n\r\n{body}", head(id, "4000m"), body.len()).into_bytes()
+    format!(
+        "{}Content-Length: {}\r\n\r\n{body}",
+        head(id, "4000m"),
+        body.len()
+    )
+    .into_bytes()
 }
 
 impl Client {
     pub fn to(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("a connection");
         stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        Client { stream: BufReader::new(stream) }
+        Client {
+            stream: BufReader::new(stream),
+        }
     }
 
     pub fn write(&mut self, bytes: &[u8]) {
@@ -94,17 +112,30 @@
     pub fn read(&mut self) -> Option<Answer> {
         let (line, headers) = read_head(&mut self.stream)?;
         let status = line.split(' ').nth(1)?.parse().ok()?;
-        let length = headers.get("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        let length = headers
+            .get("content-length")
+            .and_then(|l| l.parse().ok())
+            .unwrap_or(0);
         let mut body = vec![0; length];
         self.stream.read_exact(&mut body).ok()?;
-        Some(Answer { status, headers, body: String::from_utf8(body).ok()? })
+        Some(Answer {
+            status,
+            headers,
+            body: String::from_utf8(body).ok()?,
+        })
     }
 
     /// The next answer if it is whole within this; the connection is of no more use if not.
     pub fn read_within(&mut self, patience: std::time::Duration) -> Option<Answer> {
-        self.stream.get_ref().set_read_timeout(Some(patience)).expect("a time-out");
+        self.stream
+            .get_ref()
+            .set_read_timeout(Some(patience))
+            .expect("a time-out");
         let answer = self.read();
-        self.stream.get_ref().set_read_timeout(Some(LONG)).expect("a time-out");
+        self.stream
+            .get_ref()
+            .set_read_timeout(Some(LONG))
+            .expect("a time-out");
         answer
     }
 
--- a/crates/lockusher-aggregator-testbed/src/stand_in/discovery.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/discovery.rs
@@ -116,8 +116,10 @@
     /// Waits until all of these were said.
     pub fn said(&self) {
         let state = self.state.lock().unwrap();
-        let (_guard, out) =
-            self.changed.wait_timeout_while(state, LONG, |state| !state.next.is_empty()).unwrap();
+        let (_guard, out) = self
+            .changed
+            .wait_timeout_while(state, LONG, |state| !state.next.is_empty())
+            .unwrap();
         assert!(!out.timed_out(), "discovery was not called");
     }
 
@@ -163,8 +165,14 @@
     /// Waits until so many connections watch from this version: so many mixers have that list.
     pub fn told_all(&self, index: u64, mixers: usize) {
         let state = self.state.lock().unwrap();
-        let waits =
-            |state: &mut Told| state.watchers.values().filter(|from| **from == Some(index)).count() < mixers;
+        let waits = |state: &mut Told| {
+            state
+                .watchers
+                .values()
+                .filter(|from| **from == Some(index))
+                .count()
+                < mixers
+        };
         let (_guard, out) = self.changed.wait_timeout_while(state, LONG, waits).unwrap();
         assert!(!out.timed_out(), "discovery waited in vain");
     }
@@ -174,10 +182,17 @@
         let mut out = stream;
         let reset = |out: &TcpStream| drop(SockRef::from(out).set_linger(Some(Duration::ZERO)));
         loop {
-            let Some((line, ..)) = read_head(&mut reader) else { return };
-            let from =
-                line.split("from=").nth(1).and_then(|t| t.split(['&', ' ']).next()?.parse::<u64>().ok());
-            let hold = line.split("hold_ms=").nth(1).and_then(|t| t.split(['&', ' ']).next()?.parse().ok());
+            let Some((line, ..)) = read_head(&mut reader) else {
+                return;
+            };
+            let from = line
+                .split("from=")
+                .nth(1)
+                .and_then(|t| t.split(['&', ' ']).next()?.parse::<u64>().ok());
+            let hold = line
+                .split("hold_ms=")
+                .nth(1)
+                .and_then(|t| t.split(['&', ' ']).next()?.parse().ok());
             let until = Instant::now() + hold.map_or(LONG, Duration::from_millis);
             let mut state = self.state.lock().unwrap();
             state.watched = from;
@@ -188,7 +203,9 @@
             let waits = |state: &Told| match once.unwrap_or(state.says) {
                 _ if number <= state.reset => false,
                 _ if number <= state.silent => true,
-                Says::Lists => from.is_some_and(|from| from == state.index) && Instant::now() < until,
+                Says::Lists => {
+                    from.is_some_and(|from| from == state.index) && Instant::now() < until
+                }
                 says => says == Says::Nothing,
             };
             while waits(&state) {
@@ -198,7 +215,9 @@
                     let _ = reader.read_to_end(&mut Vec::new());
                     return;
                 }
-                let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+                let left = until
+                    .saturating_duration_since(Instant::now())
+                    .max(Duration::from_millis(1));
                 state = self.changed.wait_timeout(state, left).unwrap().0;
             }
             if number <= state.reset {
@@ -206,8 +225,13 @@
             }
             let nothing = from == Some(state.index);
             let whole = (state.whole || from.is_none()) && !nothing;
-            let endpoints = if nothing { &[] } else { state.endpoints.as_slice() };
-            let list = json!({"index": state.index, "snapshot": whole, "endpoints": endpoints}).to_string();
+            let endpoints = if nothing {
+                &[]
+            } else {
+                state.endpoints.as_slice()
+            };
+            let list = json!({"index": state.index, "snapshot": whole, "endpoints": endpoints})
+                .to_string();
             let says = once.unwrap_or(state.says);
             drop(state);
             let (status, body) = match says {
@@ -220,11 +244,17 @@
             }
             let (length, sent) = match says {
                 Says::Resets => return reset(&out),
-                Says::Half | Says::HalfReset => (format!("Content-Length: {}", body.len()), body.len() / 2),
+                Says::Half | Says::HalfReset => {
+                    (format!("Content-Length: {}", body.len()), body.len() / 2)
+                }
                 Says::HalfWithoutLength => ("Connection: close".to_owned(), body.len() / 2),
                 _ => (format!("Content-Length: {}", body.len()), body.len()),
             };
-            let _ = write!(out, "HTTP/1.1 {status}\r\n{length}\r\n\r\n{}", &body[..sent]);
+            let _ = write!(
+                out,
+                "HTTP/1.1 {status}\r\n{length}\r\n\r\n{}",
+                &body[..sent]
+            );
             if sent < body.len() {
                 if says != Says::Half {
                     reset(&out);
--- a/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
@@ -111,11 +111,21 @@
 }
 
 fn going(last: u32, code: u32) -> Vec<u8> {
-    frame(GOAWAY, 0, 0, &[last.to_be_bytes(), code.to_be_bytes()].concat())
+    frame(
+        GOAWAY,
+        0,
+        0,
+        &[last.to_be_bytes(), code.to_be_bytes()].concat(),
+    )
 }
 
 fn allowing(streams: u32) -> Vec<u8> {
-    frame(SETTINGS, 0, 0, &[&[0, 3][..], &streams.to_be_bytes()].concat())
+    frame(
+        SETTINGS,
+        0,
+        0,
+        &[&[0, 3][..], &streams.to_be_bytes()].concat(),
+    )
 }
 
 /// The head of an answer: 200 is in the static table, any other status is a literal of its name's entry.
@@ -297,7 +307,8 @@
                 },
             }
             // Gone for good once what it named has been answered.
-            if *locked(&line.last) != HIGHEST && locked(&line.open).is_empty() && settling.is_none() {
+            if *locked(&line.last) != HIGHEST && locked(&line.open).is_empty() && settling.is_none()
+            {
                 let _ = line.out.send(Vec::new());
                 drop(line);
                 let _ = writing.await;
@@ -378,25 +389,39 @@
 
     /// A call is whole.
     fn call(&mut self, stream: u32) {
-        let Some(body) = self.bodies.remove(&stream) else { return };
+        let Some(body) = self.bodies.remove(&stream) else {
+            return;
+        };
         let Ok(call) = pb::Call::decode_length_delimited(&body[..]) else {
-            let _ = self.out.send(frame(RST_STREAM, 0, stream, &1_u32.to_be_bytes()));
+            let _ = self
+                .out
+                .send(frame(RST_STREAM, 0, stream, &1_u32.to_be_bytes()));
             return;
         };
         let now = Instant::now();
-        locked(&self.host.log).came.extend(call.parts.iter().map(|part| (part.id.clone(), now)));
+        locked(&self.host.log)
+            .came
+            .extend(call.parts.iter().map(|part| (part.id.clone(), now)));
         if stream > *locked(&self.last) {
             return; // It said so; its client knows.
         }
         let script = locked(&self.host.script).clone();
         let does: Vec<Does> = call.parts.iter().map(|part| script(&part.id)).collect();
-        let ran = |part: &pb::Part| locked(&self.host.log).ran.push((part.id.clone(), Instant::now()));
+        let ran = |part: &pb::Part| {
+            locked(&self.host.log)
+                .ran
+                .push((part.id.clone(), Instant::now()));
+        };
         let closes = |bytes: Vec<u8>| {
             locked(&self.open).remove(&stream);
             let _ = self.out.send(bytes);
         };
-        let whole_stream =
-            does.iter().find(|d| matches!(d, Does::Reset(_) | Does::Half | Does::Noise | Does::Status(_)));
+        let whole_stream = does.iter().find(|d| {
+            matches!(
+                d,
+                Does::Reset(_) | Does::Half | Does::Noise | Does::Status(_)
+            )
+        });
         match whole_stream {
             Some(Does::Reset(code)) => {
                 if !matches!(*code, REFUSED_STREAM | ENHANCE_YOUR_CALM) {
@@ -408,7 +433,12 @@
                 if *status != 503 {
                     call.parts.iter().for_each(ran);
                 }
-                return closes(frame(HEADERS, END_HEADERS | END_STREAM, stream, &head(*status)));
+                return closes(frame(
+                    HEADERS,
+                    END_HEADERS | END_STREAM,
+                    stream,
+                    &head(*status),
+                ));
             }
             Some(half) => {
                 call.parts.iter().for_each(ran);
@@ -416,15 +446,27 @@
                     Does::Half => end_of(&call.parts[0], pb::part_end::End::Good, 0),
                     _ => vec![3, 0xa5, 0xa5, 0xa5, 0xa5],
                 };
-                let message = if *half == Does::Half { &message[..message.len() / 2] } else { &message };
-                let _ = self.out.send(frame(HEADERS, END_HEADERS, stream, &head(200)));
+                let message = if *half == Does::Half {
+                    &message[..message.len() / 2]
+                } else {
+                    &message
+                };
+                let _ = self
+                    .out
+                    .send(frame(HEADERS, END_HEADERS, stream, &head(200)));
                 return closes(frame(DATA, END_STREAM, stream, message));
             }
             None => {}
         }
-        let _ = self.out.send(frame(HEADERS, END_HEADERS, stream, &head(200)));
-        let (out, open, answered, host) =
-            (self.out.clone(), self.open.clone(), self.answered.clone(), self.host.clone());
+        let _ = self
+            .out
+            .send(frame(HEADERS, END_HEADERS, stream, &head(200)));
+        let (out, open, answered, host) = (
+            self.out.clone(),
+            self.open.clone(),
+            self.answered.clone(),
+            self.host.clone(),
+        );
         let last = self.last.clone();
         tokio::spawn(async move {
             let mut silent = false;
@@ -441,13 +483,19 @@
                     return; // It said meanwhile that it would not run this.
                 }
                 if does != Does::Later {
-                    locked(&host.log).ran.push((part.id.clone(), Instant::now()));
+                    locked(&host.log)
+                        .ran
+                        .push((part.id.clone(), Instant::now()));
                 }
                 if does == Does::Silent {
                     silent = true;
                     continue;
                 }
-                let large = if let Does::Large(bytes) = does { bytes } else { 0 };
+                let large = if let Does::Large(bytes) = does {
+                    bytes
+                } else {
+                    0
+                };
                 // No frame is larger than what every client takes.
                 for some in end_of(part, end, large).chunks(16_000) {
                     let _ = out.send(frame(DATA, 0, stream, some));
--- a/crates/lockusher-aggregator-testbed/src/stand_in/searcher.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/searcher.rs
@@ -95,7 +95,9 @@
 
 /// A listener whose connections take little that is not read.
 fn listener(backlog: u32) -> std::io::Result<TcpListener> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .build()?;
     let _entered = runtime.enter();
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_recv_buffer_size(64 * 1024)?;
@@ -175,10 +177,13 @@
     pub fn answers_probes(&self, connection: usize) -> bool {
         let mut owed = self.owed.lock().unwrap();
         let owed = owed.as_mut().expect("probes are held");
-        let (due, kept) = std::mem::take(owed).into_iter().partition(|(number, _)| *number == connection);
+        let (due, kept) = std::mem::take(owed)
+            .into_iter()
+            .partition(|(number, _)| *number == connection);
         *owed = kept;
         let due: Vec<(usize, TcpStream)> = due;
-        due.iter().for_each(|(_, stream)| drop((&mut &*stream).write_all(&frame(b'o', b"good"))));
+        due.iter()
+            .for_each(|(_, stream)| drop((&mut &*stream).write_all(&frame(b'o', b"good"))));
         !due.is_empty()
     }
 
@@ -204,7 +209,10 @@
     /// Waits until its log is as wanted.
     pub fn until(&self, wanted: impl Fn(&Log) -> bool) -> Log {
         let log = self.log.lock().unwrap();
-        let (log, out) = self.changed.wait_timeout_while(log, LONG, |log| !wanted(log)).unwrap();
+        let (log, out) = self
+            .changed
+            .wait_timeout_while(log, LONG, |log| !wanted(log))
+            .unwrap();
         assert!(!out.timed_out(), "{} waited in vain", self.name);
         log.clone()
     }
@@ -218,7 +226,9 @@
         loop {
             let stuck = self.stuck.lock().unwrap();
             drop(self.resumed.wait_while(stuck, |stuck| *stuck).unwrap());
-            let Some((letter, rest)) = read_frame(&mut stream) else { return };
+            let Some((letter, rest)) = read_frame(&mut stream) else {
+                return;
+            };
             match letter {
                 b'm' => {
                     for part in parts(&rest) {
@@ -246,17 +256,26 @@
                         }
                     }
                 }
-                b'n' => self.note(|log| log.given_up.push(String::from_utf8_lossy(&rest).into_owned())),
+                b'n' => self.note(|log| {
+                    log.given_up
+                        .push(String::from_utf8_lossy(&rest).into_owned());
+                }),
                 b'o' if rest.is_empty() => {
                     let mut owed = self.owed.lock().unwrap();
                     match (owed.as_mut(), mute) {
                         (_, true) => {}
-                        (Some(owed), _) => owed.extend(stream.try_clone().map(|stream| (number, stream))),
+                        (Some(owed), _) => {
+                            owed.extend(stream.try_clone().map(|stream| (number, stream)));
+                        }
                         (None, _) => drop(stream.write_all(&frame(b'o', b"good"))),
                     }
                 }
                 _ => self.note(|log| {
-                    log.probes.push(format!("{}{}", letter as char, String::from_utf8_lossy(&rest)));
+                    log.probes.push(format!(
+                        "{}{}",
+                        letter as char,
+                        String::from_utf8_lossy(&rest)
+                    ));
                 }),
             }
         }
@@ -265,7 +284,10 @@
     fn answer(&self, part: &Seen, act: Act) -> Vec<u8> {
         // The score falls with the shard, so that the second step's shards are known.
         let q = |end: &str, value: &str| {
-            frame(b'q', format!("{} {end} {} load=1\n{value}", part.id, 1_000 - part.shard).as_bytes())
+            frame(
+                b'q',
+                format!("{} {end} {} load=1\n{value}", part.id, 1_000 - part.shard).as_bytes(),
+            )
         };
         let value = format!("v{}", part.id);
         match act {
@@ -277,7 +299,12 @@
             Act::Swallowing => q("good", &format!("{value}\0\0\0\x20q")),
             Act::Noise => [q("good", &value), vec![0xa5; 40]].concat(),
             Act::OddReport => {
-                let line = [part.id.as_bytes(), b" good 7 load=\xff\xfe,,\n", value.as_bytes()].concat();
+                let line = [
+                    part.id.as_bytes(),
+                    b" good 7 load=\xff\xfe,,\n",
+                    value.as_bytes(),
+                ]
+                .concat();
                 frame(b'q', &line)
             }
             Act::Twice => [q("good", &value), q("good", "another")].concat(),
@@ -298,7 +325,9 @@
         let end = rest.iter().position(|&b| b == b'\n').expect("a line");
         let line = String::from_utf8(rest[..end].to_vec()).expect("text");
         let words: Vec<&str> = line.split(' ').collect();
-        let [id, shard, list, length] = words[..] else { panic!("not a part's line: {line}") };
+        let [id, shard, list, length] = words[..] else {
+            panic!("not a part's line: {line}")
+        };
         let length: usize = length.parse().expect("a length");
         let text = String::from_utf8(rest[end + 1..end + 1 + length].to_vec()).expect("text");
         rest = &rest[end + 1 + length..];
--- a/crates/lockusher-aggregator-testbed/src/stand_in/world.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/world.rs
@@ -86,7 +86,10 @@
             "worth": 1.0, "late_value": 1.0, "dedup_window_us": setup.window_ms * 1000 })
     };
     let once = setup.once.then(|| grade("once", "unsafe"));
-    let grades: Vec<Value> = [grade("look", setup.effect)].into_iter().chain(once).collect();
+    let grades: Vec<Value> = [grade("look", setup.effect)]
+        .into_iter()
+        .chain(once)
+        .collect();
     let kinds = grades.len();
     json!({
         "balancers": setup.mixers, "rank": setup.rank, "tick_us": 5000, "localities": ["here"], "locality": "here",
@@ -110,11 +113,17 @@
 /// The program that stories run: the mixer that cargo built beside a test, or the lab, which can be one.
 fn program() -> Command {
     let this = std::env::current_exe().expect("a path");
-    let is_lab = this.file_stem().is_some_and(|stem| stem == "lockusher-aggregator-testbed");
-    let of_lab =
-        std::env::var("CARGO_PKG_NAME").is_ok_and(|package| package == "lockusher-aggregator-testbed");
-    let beside =
-        |name| this.parent().and_then(Path::parent).expect("a test lies two folders deep").join(name);
+    let is_lab = this
+        .file_stem()
+        .is_some_and(|stem| stem == "lockusher-aggregator-testbed");
+    let of_lab = std::env::var("CARGO_PKG_NAME")
+        .is_ok_and(|package| package == "lockusher-aggregator-testbed");
+    let beside = |name| {
+        this.parent()
+            .and_then(Path::parent)
+            .expect("a test lies two folders deep")
+            .join(name)
+    };
     let mut command = match (is_lab, of_lab) {
         (true, _) => Command::new(&this),
         (false, true) => Command::new(beside("lockusher-aggregator-testbed")),
@@ -137,18 +146,27 @@
     pub fn start(config: &Value, settings: Option<&Path>, quiet: bool) -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let file = std::env::temp_dir().join(format!("lockusher-story-{}-{number}.json", std::process::id()));
+        let file = std::env::temp_dir().join(format!(
+            "lockusher-story-{}-{number}.json",
+            std::process::id()
+        ));
         std::fs::write(&file, config.to_string()).expect("a file");
         let mut command = program();
         if let Some(settings) = settings {
             command.arg("--settings").arg(settings);
         }
-        let child = command.env("LB_CONFIG", &file).stderr(Stdio::piped()).spawn();
+        let child = command
+            .env("LB_CONFIG", &file)
+            .stderr(Stdio::piped())
+            .spawn();
         let mut child = child.expect("the program starts");
         let mut said = BufReader::new(child.stderr.take().expect("a pipe"));
         let address = loop {
             let mut line = String::new();
-            assert!(said.read_line(&mut line).expect("a line") > 0, "it ended before it served");
+            assert!(
+                said.read_line(&mut line).expect("a line") > 0,
+                "it ended before it served"
+            );
             if let Some((_, at)) = line.split_once(" serves on ") {
                 break at.trim().parse().expect("an address");
             }
@@ -158,7 +176,11 @@
             true => std::io::copy(&mut said, &mut std::io::sink()),
             false => std::io::copy(&mut said, &mut std::io::stderr()),
         });
-        Mixer { address, child, file }
+        Mixer {
+            address,
+            child,
+            file,
+        }
     }
 
     pub fn client(&self) -> Client {
@@ -167,12 +189,16 @@
 
     pub fn get(&self, path: &str) -> Answer {
         let mut client = self.client();
-        client.write(format!("GET {path} HTTP/1.1\r\nHost: app\r\nConnection: close\r\n\r\n").as_bytes());
+        client.write(
+            format!("GET {path} HTTP/1.1\r\nHost: app\r\nConnection: close\r\n\r\n").as_bytes(),
+        );
         client.read().expect("an answer")
     }
 
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        let sent = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status();
         assert!(sent.expect("kill").success());
     }
 
@@ -198,14 +224,24 @@
     /// The most memory that it ever held, in KB.
     pub fn most_memory(&self) -> u64 {
         let status = self.proc("status");
-        let line = status.lines().find(|l| l.starts_with("VmHWM:")).expect("its peak");
-        line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("a number")
+        let line = status
+            .lines()
+            .find(|l| l.starts_with("VmHWM:"))
+            .expect("its peak");
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|kb| kb.parse().ok())
+            .expect("a number")
     }
 
     /// The time that its main thread has had a core, in microseconds.
     pub fn cpu_us(&self) -> u64 {
         let stat = self.proc("schedstat");
-        stat.split_whitespace().next().and_then(|ns| ns.parse::<u64>().ok()).expect("a number") / 1_000
+        stat.split_whitespace()
+            .next()
+            .and_then(|ns| ns.parse::<u64>().ok())
+            .expect("a number")
+            / 1_000
     }
 
     pub fn ended(&mut self) -> ExitStatus {
@@ -250,8 +286,14 @@
 
 impl World {
     pub fn start(setup: Setup) -> Self {
-        let searchers: Vec<_> = (0..setup.searchers).map(|i| Searcher::start(&format!("s{i}"))).collect();
-        let lines: Vec<Value> = searchers.iter().enumerate().map(|(i, s)| line(s, i, "active")).collect();
+        let searchers: Vec<_> = (0..setup.searchers)
+            .map(|i| Searcher::start(&format!("s{i}")))
+            .collect();
+        let lines: Vec<Value> = searchers
+            .iter()
+            .enumerate()
+            .map(|(i, s)| line(s, i, "active"))
+            .collect();
         let discovery = Discovery::start(lines.clone());
         let known = json!({ "index": 1, "snapshot": true, "endpoints": lines });
         let config = json!({
@@ -260,7 +302,13 @@
             "known": if setup.knows { known } else { Value::Null },
         });
         let mixer = Mixer::start(&config, None, false);
-        let world = World { searchers, discovery, address: mixer.address, mixer, config };
+        let world = World {
+            searchers,
+            discovery,
+            address: mixer.address,
+            mixer,
+            config,
+        };
         world.until(|| world.get("/up").status == 200);
         world
     }
@@ -281,7 +329,11 @@
     pub fn sends(&self, id: &str) -> Vec<(String, Seen)> {
         let of = |s: &Arc<Searcher>| {
             let name = s.name.clone();
-            s.log().parts.into_iter().filter(|p| p.id.starts_with(id)).map(move |p| (name.clone(), p))
+            s.log()
+                .parts
+                .into_iter()
+                .filter(|p| p.id.starts_with(id))
+                .map(move |p| (name.clone(), p))
         };
         self.searchers.iter().flat_map(of).collect()
     }
--- a/crates/lockusher-aggregator-testbed/src/standstill.rs
+++ b/crates/lockusher-aggregator-testbed/src/standstill.rs
@@ -24,14 +24,22 @@
     Closed(Instant),
 }
 
-fn client(mixer: std::net::SocketAddr, number: usize, seed: u64, stop: &AtomicBool) -> HashMap<String, Over> {
+fn client(
+    mixer: std::net::SocketAddr,
+    number: usize,
+    seed: u64,
+    stop: &AtomicBool,
+) -> HashMap<String, Over> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
     let (mut connection, mut over, mut asked) = (Client::to(mixer), HashMap::new(), 0);
     while !stop.load(Ordering::Relaxed) {
         let id = format!("c{number}n{asked}");
         asked += 1;
         let first = rng.random_range(0..24);
-        let wrote = connection.try_write(&request(&id, &body(&[first, (first + 7) % 24, (first + 13) % 24])));
+        let wrote = connection.try_write(&request(
+            &id,
+            &body(&[first, (first + 7) % 24, (first + 13) % 24]),
+        ));
         let patience = Duration::from_millis(rng.random_range(5..300));
         let end = match wrote.then(|| connection.read_within(patience)).flatten() {
             Some(_) => Over::Answered(Instant::now()),
@@ -53,10 +61,19 @@
     // Each searcher never answers one part in `silent_one_in`, others than its neighbours do not: copies are due while
     // clients lose patience, and are answered.
     for (number, searcher) in world.searchers.iter().enumerate() {
-        let salt = seed.wrapping_mul(31).wrapping_add(number as u64 * 0x9e37_79b9);
+        let salt = seed
+            .wrapping_mul(31)
+            .wrapping_add(number as u64 * 0x9e37_79b9);
         searcher.does(move |part| {
-            let odd = part.id.bytes().fold(salt, |sum, byte| sum.wrapping_mul(31) ^ u64::from(byte));
-            if (odd >> 7) % silent_one_in == 0 { Act::Silent } else { Act::Good }
+            let odd = part
+                .id
+                .bytes()
+                .fold(salt, |sum, byte| sum.wrapping_mul(31) ^ u64::from(byte));
+            if (odd >> 7) % silent_one_in == 0 {
+                Act::Silent
+            } else {
+                Act::Good
+            }
         });
     }
     let (stop, mixer) = (Arc::new(AtomicBool::new(false)), world.address);
@@ -74,8 +91,10 @@
         stops += 1;
     }
     stop.store(true, Ordering::Relaxed);
-    let over: HashMap<String, Over> =
-        clients.into_iter().flat_map(|client| client.join().unwrap_or_default()).collect();
+    let over: HashMap<String, Over> = clients
+        .into_iter()
+        .flat_map(|client| client.join().unwrap_or_default())
+        .collect();
     std::thread::sleep(Duration::from_millis(500));
 
     let (mut after_close, mut after_answer, mut worst, mut sends) = (0, 0, Duration::ZERO, 0);
@@ -94,9 +113,14 @@
             worst = worst.max(late);
         }
     }
-    let asked_there: std::collections::HashSet<&str> =
-        all.iter().filter_map(|(_, part)| part.id.split('.').next()).collect();
-    let closed = over.values().filter(|over| matches!(over, Over::Closed(_))).count();
+    let asked_there: std::collections::HashSet<&str> = all
+        .iter()
+        .filter_map(|(_, part)| part.id.split('.').next())
+        .collect();
+    let closed = over
+        .values()
+        .filter(|over| matches!(over, Over::Closed(_)))
+        .count();
     let kept = after_close == 0 && after_answer == 0;
     println!(
         "seed={seed} seconds={} stops={stops} multigets={} never_sent={} left_early={closed} sends={sends} \
--- a/crates/lockusher-aggregator-testbed/tests/fleet_processes.rs
+++ b/crates/lockusher-aggregator-testbed/tests/fleet_processes.rs
@@ -9,11 +9,25 @@
 use rstest::rstest;
 
 const LONG: Duration = Duration::from_secs(40);
-const CUT: Way =
-    Way { cut: true, loss: 0.0, doubled: 0.0, damaged: 0.0, least: Duration::ZERO, most: Duration::ZERO };
+const CUT: Way = Way {
+    cut: true,
+    loss: 0.0,
+    doubled: 0.0,
+    damaged: 0.0,
+    least: Duration::ZERO,
+    most: Duration::ZERO,
+};
 
 fn ground(mixers: usize, seeds: usize) -> Ground {
-    let plan = Plan { mixers, searchers: 1, seed: 7, seeds, remember_s: 5, quiet: false, ..Plan::default() };
+    let plan = Plan {
+        mixers,
+        searchers: 1,
+        seed: 7,
+        seeds,
+        remember_s: 5,
+        quiet: false,
+        ..Plan::default()
+    };
     Ground::new(plan).expect("a ground")
 }
 
@@ -26,19 +40,31 @@
 }
 
 fn settles(ground: &Ground) {
-    assert!(ground.settles(LONG).is_some(), "views differ: {:#?}", ground.views());
+    assert!(
+        ground.settles(LONG).is_some(),
+        "views differ: {:#?}",
+        ground.views()
+    );
 }
 
 fn until(ground: &Ground, what: &str, wanted: impl Fn(&[Option<View>]) -> bool) {
-    assert!(ground.until(LONG, |_, views| wanted(views)).is_some(), "{what}: {:#?}", ground.views());
+    assert!(
+        ground.until(LONG, |_, views| wanted(views)).is_some(),
+        "{what}: {:#?}",
+        ground.views()
+    );
 }
 
 fn state(view: &Option<View>, of: usize) -> &str {
-    view.as_ref().and_then(|view| view.members.get(&name(of))).map_or("unknown", |(state, ..)| state)
+    view.as_ref()
+        .and_then(|view| view.members.get(&name(of)))
+        .map_or("unknown", |(state, ..)| state)
 }
 
 fn count(view: &Option<View>, key: &str) -> u64 {
-    view.as_ref().and_then(|view| view.counts[key].as_u64()).unwrap_or_default()
+    view.as_ref()
+        .and_then(|view| view.counts[key].as_u64())
+        .unwrap_or_default()
 }
 
 /// Whether a member is believed dead for longer than it takes to refute that: one that hears too little may bury it
@@ -53,17 +79,25 @@
     let count = || ground.switch.lost.load(Ordering::Relaxed);
     let before = count();
     let seen = ground.until(LONG, |_, views| {
-        let alive = sound.iter().all(|by| sound.iter().all(|of| !buried(&views[*by], *of)));
+        let alive = sound
+            .iter()
+            .all(|by| sound.iter().all(|of| !buried(&views[*by], *of)));
         assert!(alive, "{views:#?}");
         count() - before > lost
     });
-    assert!(seen.is_some(), "the switch lost {} datagrams", count() - before);
+    assert!(
+        seen.is_some(),
+        "the switch lost {} datagrams",
+        count() - before
+    );
 }
 
 fn cut(ground: &Ground, near: &[usize], far: &[usize]) {
     for one in near {
         for other in far {
-            ground.switch.both_ways(End::Mixer(*one), End::Mixer(*other), CUT);
+            ground
+                .switch
+                .both_ways(End::Mixer(*one), End::Mixer(*other), CUT);
         }
     }
 }
@@ -73,7 +107,13 @@
     let mut ground = ground(5, 5);
     ground.start_all(&[0, 1, 2, 3, 4]);
     settles(&ground);
-    assert!(ground.views().iter().flatten().all(|view| view.counted == 5));
+    assert!(
+        ground
+            .views()
+            .iter()
+            .flatten()
+            .all(|view| view.counted == 5)
+    );
 }
 
 #[rstest]
@@ -82,8 +122,14 @@
     let life = |ground: &Ground| ground.says(0).expect("a view").members[&name(2)].2;
     let before = life(&ground);
     ground.kill(2);
-    until(&ground, "its death", |views| [0, 1, 3].iter().all(|by| state(&views[*by], 2) == "dead"));
-    assert_eq!(ground.says(0).expect("a view").counted, 4, "its share may be in use yet");
+    until(&ground, "its death", |views| {
+        [0, 1, 3].iter().all(|by| state(&views[*by], 2) == "dead")
+    });
+    assert_eq!(
+        ground.says(0).expect("a view").counted,
+        4,
+        "its share may be in use yet"
+    );
     ground.start(2);
     settles(&ground);
     assert!(life(&ground) > before);
@@ -93,8 +139,12 @@
 fn one_told_to_stop_has_left() {
     let mut ground = settled(3);
     ground.terminate(&[1]);
-    until(&ground, "its farewell", |views| [0, 2].iter().all(|by| state(&views[*by], 1) == "left"));
-    until(&ground, "its share is free", |views| views[0].as_ref().is_some_and(|view| view.counted == 2));
+    until(&ground, "its farewell", |views| {
+        [0, 2].iter().all(|by| state(&views[*by], 1) == "left")
+    });
+    until(&ground, "its share is free", |views| {
+        views[0].as_ref().is_some_and(|view| view.counted == 2)
+    });
 }
 
 #[rstest]
@@ -126,7 +176,13 @@
         })
     });
     // Neither may be sure that it is the larger part.
-    assert!(ground.views().iter().flatten().all(|view| view.counted == 4));
+    assert!(
+        ground
+            .views()
+            .iter()
+            .flatten()
+            .all(|view| view.counted == 4)
+    );
     ground.switch.everywhere(Way::default());
     settles(&ground);
 }
@@ -155,7 +211,9 @@
 fn a_ring_in_which_each_reaches_only_its_neighbours() {
     let ground = settled(5);
     for one in 0..5 {
-        ground.switch.both_ways(End::Mixer(one), End::Mixer((one + 2) % 5), CUT);
+        ground
+            .switch
+            .both_ways(End::Mixer(one), End::Mixer((one + 2) % 5), CUT);
     }
     // In a ring of five any two have a neighbour in common, who asks for them: nobody is believed dead.
     nobody_dies(&ground, &[0, 1, 2, 3, 4], 50);
@@ -166,10 +224,17 @@
 #[rstest]
 fn a_zone_that_loses_half_of_its_datagrams_among_three() {
     let ground = settled(6);
-    let way = Way { loss: 0.5, ..Way::default() };
+    let way = Way {
+        loss: 0.5,
+        ..Way::default()
+    };
     for other in 0..6 {
-        ground.switch.both_ways(End::Mixer(4), End::Mixer(other), way);
-        ground.switch.both_ways(End::Mixer(5), End::Mixer(other), way);
+        ground
+            .switch
+            .both_ways(End::Mixer(4), End::Mixer(other), way);
+        ground
+            .switch
+            .both_ways(End::Mixer(5), End::Mixer(other), way);
     }
     nobody_dies(&ground, &[0, 1, 2, 3], 200);
     ground.switch.everywhere(Way::default());
@@ -188,16 +253,23 @@
     let began = Instant::now();
     ground.halt(1);
     if ms > 2_000 {
-        until(&ground, "it is missed", |views| [0, 2, 3].iter().all(|by| state(&views[*by], 1) == "dead"));
+        until(&ground, "it is missed", |views| {
+            [0, 2, 3].iter().all(|by| state(&views[*by], 1) == "dead")
+        });
     }
     std::thread::sleep(Duration::from_millis(ms).saturating_sub(began.elapsed()));
     ground.resume(1);
     if ms > 1_000 {
         // Half a second less what was left to the next probe may be too little to notice, and needs no notice.
-        until(&ground, "it notices", |views| count(&views[1], "stood_still") > 0);
+        until(&ground, "it notices", |views| {
+            count(&views[1], "stood_still") > 0
+        });
     }
     settles(&ground);
-    assert_eq!((life(&ground), count(&ground.views()[1], "suspected")), (before, suspected));
+    assert_eq!(
+        (life(&ground), count(&ground.views()[1], "suspected")),
+        (before, suspected)
+    );
 }
 
 /// The later of two of one name stays outside and says so; when the first has gone, it comes in.
@@ -208,9 +280,16 @@
     settles(&ground);
     ground.rename(3, 2);
     ground.start(3);
-    until(&ground, "it stays out", |views| views[3].as_ref().is_some_and(|view| view.standing == "outside"));
+    until(&ground, "it stays out", |views| {
+        views[3]
+            .as_ref()
+            .is_some_and(|view| view.standing == "outside")
+    });
     let views = ground.views();
-    assert!((0..3).all(|by| views[by].as_ref().is_some_and(|view| view.living == 3)), "{views:#?}");
+    assert!(
+        (0..3).all(|by| views[by].as_ref().is_some_and(|view| view.living == 3)),
+        "{views:#?}"
+    );
     ground.kill(2);
     settles(&ground);
 }
@@ -218,11 +297,22 @@
 #[rstest]
 fn damaged_doubled_and_late_datagrams_are_counted_and_change_nothing() {
     let ground = settled(4);
-    let way = Way { damaged: 0.2, doubled: 0.2, most: Duration::from_millis(40), ..Way::default() };
+    let way = Way {
+        damaged: 0.2,
+        doubled: 0.2,
+        most: Duration::from_millis(40),
+        ..Way::default()
+    };
     ground.switch.everywhere(way);
     until(&ground, "each met some", |views| {
-        assert!(views.iter().all(|view| (0..4).all(|of| !buried(view, of))), "{views:#?}");
-        views.iter().flatten().all(|view| view.counts["dropped"]["damaged"].as_u64() > Some(10))
+        assert!(
+            views.iter().all(|view| (0..4).all(|of| !buried(view, of))),
+            "{views:#?}"
+        );
+        views
+            .iter()
+            .flatten()
+            .all(|view| view.counts["dropped"]["damaged"].as_u64() > Some(10))
     });
     ground.switch.everywhere(Way::default());
     settles(&ground);
@@ -250,7 +340,9 @@
             assert_eq!(answer.status, 200, "{answer:?}");
         }
         until(&ground, "it takes some of the flood in", |views| {
-            views[0].as_ref().is_some_and(|view| view.counts["dropped"]["damaged"].as_u64() > Some(2_000))
+            views[0]
+                .as_ref()
+                .is_some_and(|view| view.counts["dropped"]["damaged"].as_u64() > Some(2_000))
         });
         over.store(true, Ordering::Relaxed);
         assert!(flood.join().expect("it floods") > 2_000);
--- a/crates/lockusher-aggregator-testbed/tests/fleet_view.rs
+++ b/crates/lockusher-aggregator-testbed/tests/fleet_view.rs
@@ -14,7 +14,10 @@
 fn settled(mixers: usize, seed: u64) -> World {
     let mut world = World::new(mixers, seed);
     (0..mixers).for_each(|mixer| world.start(mixer));
-    assert!(world.settle(FIVE).is_some(), "all started at once find each other");
+    assert!(
+        world.settle(FIVE).is_some(),
+        "all started at once find each other"
+    );
     world.all_sound_from_now();
     world.play(SECOND);
     world
@@ -120,9 +123,18 @@
     world.net.one_way.insert((2, 7));
     world.net.one_way.insert((5, 1));
     world.play(Span::from_millis(20_000));
-    assert!(world.false_deaths.is_empty() && world.agrees(), "{:?}", world.false_deaths);
-    let suspected: Vec<u64> = (0..10).map(|mixer| world.core(mixer).counts().suspected).collect();
-    assert_eq!(suspected, [0; 10], "others reach it, so it is not even suspected");
+    assert!(
+        world.false_deaths.is_empty() && world.agrees(),
+        "{:?}",
+        world.false_deaths
+    );
+    let suspected: Vec<u64> = (0..10)
+        .map(|mixer| world.core(mixer).counts().suspected)
+        .collect();
+    assert_eq!(
+        suspected, [0; 10],
+        "others reach it, so it is not even suspected"
+    );
 }
 
 #[rstest]
@@ -156,7 +168,10 @@
 fn one_that_stood_still_blames_nobody_and_is_the_same_life(#[case] ms: u64) {
     let mut world = settled(16, 13);
     let life = |world: &World| {
-        let own = world.core(6).view().find(|held| held.record.name.as_str() == "mixer-6");
+        let own = world
+            .core(6)
+            .view()
+            .find(|held| held.record.name.as_str() == "mixer-6");
         own.map(|held| held.record.generation)
     };
     let before = life(&world);
@@ -165,7 +180,11 @@
     let suspected = world.core(6).counts().suspected;
     assert!(world.settle(FIVE).is_some());
     world.play(SECOND);
-    assert_eq!(world.core(6).counts().suspected, suspected, "it blames nobody");
+    assert_eq!(
+        world.core(6).counts().suspected,
+        suspected,
+        "it blames nobody"
+    );
     assert_eq!(life(&world), before);
     assert!(world.false_deaths.is_empty());
 }
@@ -207,7 +226,10 @@
     world.kill(3);
     world.set_back(3, Span::from_millis(3_600_000));
     world.start(3);
-    assert!(world.settle(FIVE).is_some(), "the new life comes after the old one though its clock is behind");
+    assert!(
+        world.settle(FIVE).is_some(),
+        "the new life comes after the old one though its clock is behind"
+    );
     world.play(SECOND);
     assert!(world.agrees());
 }
@@ -221,11 +243,18 @@
     world.rename(6, 4);
     world.start(6);
     world.play(Span::from_millis(10_000));
-    assert!(matches!(world.core(6).standing(), Standing::Outside(_)), "{:?}", world.core(6).standing());
+    assert!(
+        matches!(world.core(6).standing(), Standing::Outside(_)),
+        "{:?}",
+        world.core(6).standing()
+    );
     assert_eq!(world.core(4).standing(), Standing::Member);
     assert!((0..6).all(|mixer| world.core(mixer).living() == 6 && world.core(mixer).counts().refuted == 0));
     world.kill(4);
-    assert!(world.settle(Span::from_millis(8_000)).is_some(), "its turn has come");
+    assert!(
+        world.settle(Span::from_millis(8_000)).is_some(),
+        "its turn has come"
+    );
 }
 
 /// Two of one name that each joined its half: the one that was there first keeps it.
@@ -244,7 +273,10 @@
     world.net.group = vec![0; 9];
     world.play(Span::from_millis(6_000));
     assert!(matches!(world.core(8).standing(), Standing::Outside(_)));
-    assert_eq!((world.core(1).standing(), world.core(0).living()), (Standing::Member, 8));
+    assert_eq!(
+        (world.core(1).standing(), world.core(0).living()),
+        (Standing::Member, 8)
+    );
 }
 
 #[rstest]
@@ -253,10 +285,21 @@
     world.leave(1);
     world.kill(2);
     world.play(FIVE);
-    assert_eq!((world.holds(0, 1), world.holds(0, 2)), (Some(State::Left), Some(State::Dead)));
-    assert_eq!(world.core(0).counted(), 8, "one that left uses its share no longer, the dead one may");
+    assert_eq!(
+        (world.holds(0, 1), world.holds(0, 2)),
+        (Some(State::Left), Some(State::Dead))
+    );
+    assert_eq!(
+        world.core(0).counted(),
+        8,
+        "one that left uses its share no longer, the dead one may"
+    );
     world.play(Span::from_millis(61_000));
-    assert_eq!((world.holds(0, 1), world.holds(0, 2)), (None, None), "both are forgotten in time");
+    assert_eq!(
+        (world.holds(0, 1), world.holds(0, 2)),
+        (None, None),
+        "both are forgotten in time"
+    );
 }
 
 /// Guarded by the exchange of views: news alone leaves out those it missed.
@@ -273,7 +316,10 @@
 
 #[rstest]
 #[case::three_hundred(300, 0.3)]
-fn many_members_settle_though_three_in_ten_datagrams_are_lost(#[case] members: usize, #[case] loss: f64) {
+fn many_members_settle_though_three_in_ten_datagrams_are_lost(
+    #[case] members: usize,
+    #[case] loss: f64,
+) {
     let mut world = World::new(members, 21);
     world.net.loss = loss;
     (0..members).for_each(|mixer| world.start(mixer));
--- a/crates/lockusher-aggregator-testbed/tests/http2.rs
+++ b/crates/lockusher-aggregator-testbed/tests/http2.rs
@@ -45,7 +45,13 @@
     let (id, wait) = (PartId::new(id), Span::from_millis(4_000));
     Sent {
         nth: 0,
-        part: Part { id, shard: Shard(3), wait, first_step: None, text },
+        part: Part {
+            id,
+            shard: Shard(3),
+            wait,
+            first_step: None,
+            text,
+        },
         wanted: Rc::new(|| true),
     }
 }
@@ -60,7 +66,10 @@
     async fn ends(&mut self, count: usize) -> HashMap<String, Outcome> {
         let mut ends = HashMap::new();
         for _ in 0..count {
-            let came = tokio::time::timeout(LONG, self.came.recv()).await.expect("an end").expect("an end");
+            let came = tokio::time::timeout(LONG, self.came.recv())
+                .await
+                .expect("an end")
+                .expect("an end");
             let before = ends.insert(came.part.as_str().to_owned(), came.outcome);
             assert!(before.is_none(), "a part ends once");
         }
@@ -70,22 +79,35 @@
     async fn until(&self, holds: impl Fn(&Story) -> bool) {
         let began = Instant::now();
         while !holds(self) {
-            assert!(began.elapsed() < LONG, "waited in vain: {:?}", self.searcher.log());
+            assert!(
+                began.elapsed() < LONG,
+                "waited in vain: {:?}",
+                self.searcher.log()
+            );
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 
     async fn came(&self, count: usize) {
-        self.until(|story| story.searcher.log().came.len() >= count).await;
+        self.until(|story| story.searcher.log().came.len() >= count)
+            .await;
     }
 
     fn ran(&self, id: &str) -> usize {
-        self.searcher.log().ran.iter().filter(|(ran, _)| ran == id).count()
+        self.searcher
+            .log()
+            .ran
+            .iter()
+            .filter(|(ran, _)| ran == id)
+            .count()
     }
 }
 
 fn story(allows: Option<u32>, limits: Limits, story: impl AsyncFnOnce(&mut Story)) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let searcher = Http2Searcher::start("h", allows).await.expect("a port");
         let (queue, came) = mpsc::channel(64);
@@ -99,7 +121,12 @@
             started: Instant::now(),
         });
         let host = Host::start(shared, searcher.address);
-        story(&mut Story { searcher, host, came }).await;
+        story(&mut Story {
+            searcher,
+            host,
+            came,
+        })
+        .await;
     });
 }
 
@@ -111,13 +138,21 @@
 #[rstest]
 fn parts_come_as_they_are_ready() {
     story(Some(100), limits(), async |story| {
-        story
-            .searcher
-            .does(|id| if id == "a.2" { Does::Slow(Duration::from_millis(80)) } else { Does::Good });
+        story.searcher.does(|id| {
+            if id == "a.2" {
+                Does::Slow(Duration::from_millis(80))
+            } else {
+                Does::Good
+            }
+        });
         story.call(&["a.1", "a.2"]);
         story.call(&["b.1"]);
         let first = story.ends(2).await;
-        assert!(first.contains_key("a.1") && first.contains_key("b.1") && all(&first, Outcome::Returned));
+        assert!(
+            first.contains_key("a.1")
+                && first.contains_key("b.1")
+                && all(&first, Outcome::Returned)
+        );
         assert_eq!(story.ends(1).await["a.2"], Outcome::Returned);
         assert_eq!(story.searcher.log().opened, 1);
     });
@@ -128,7 +163,9 @@
 #[rstest]
 fn a_graceful_close_in_the_middle_of_a_burst() {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(|_| Does::Slow(Duration::from_millis(60)));
+        story
+            .searcher
+            .does(|_| Does::Slow(Duration::from_millis(60)));
         let ids: Vec<String> = (0..12).map(|i| format!("q{i}.3")).collect();
         ids.iter().for_each(|id| story.call(&[id]));
         story.came(4).await;
@@ -147,15 +184,23 @@
 #[case::internal_error(2)]
 fn streams_beyond_the_last_never_ran(#[case] code: u32) {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(|_| Does::Slow(Duration::from_millis(150)));
+        story
+            .searcher
+            .does(|_| Does::Slow(Duration::from_millis(150)));
         for id in ["a.1", "b.1", "c.1", "d.1"] {
             story.call(&[id]);
         }
         story.came(4).await;
         story.searcher.says(Says::Goes { less: 1, code });
-        assert_eq!(story.ends(1).await, HashMap::from([("d.1".to_owned(), Outcome::Full)]));
+        assert_eq!(
+            story.ends(1).await,
+            HashMap::from([("d.1".to_owned(), Outcome::Full)])
+        );
         story.searcher.says(Says::Goes { less: 2, code });
-        assert_eq!(story.ends(1).await, HashMap::from([("c.1".to_owned(), Outcome::Full)]));
+        assert_eq!(
+            story.ends(1).await,
+            HashMap::from([("c.1".to_owned(), Outcome::Full)])
+        );
         assert!(all(&story.ends(2).await, Outcome::Returned));
         assert_eq!((story.ran("c.1"), story.ran("d.1")), (0, 0));
         // What is sent again goes by another connection.
@@ -168,9 +213,13 @@
 #[rstest]
 fn a_notice_that_lies() {
     story(Some(100), limits(), async |story| {
-        story
-            .searcher
-            .does(|id| if id == "a.2" { Does::Slow(Duration::from_millis(300)) } else { Does::Good });
+        story.searcher.does(|id| {
+            if id == "a.2" {
+                Does::Slow(Duration::from_millis(300))
+            } else {
+                Does::Good
+            }
+        });
         story.call(&["a.1", "a.2"]);
         assert_eq!(story.ends(1).await["a.1"], Outcome::Returned);
         story.searcher.says(Says::Goes { less: 1, code: 0 });
@@ -205,7 +254,13 @@
 #[case::an_error(Does::Bad, Outcome::Error, 1)]
 fn how_a_stream_ends(#[case] does: Does, #[case] means: Outcome, #[case] ran: usize) {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(move |id| if id == "a.1" { does } else { Does::Slow(Duration::from_millis(40)) });
+        story.searcher.does(move |id| {
+            if id == "a.1" {
+                does
+            } else {
+                Does::Slow(Duration::from_millis(40))
+            }
+        });
         story.call(&["a.1"]);
         story.call(&["b.1"]);
         let ends = story.ends(2).await;
@@ -226,7 +281,11 @@
             sent += 1;
             story.ends(1).await;
         }
-        assert!(story.searcher.log().opened <= 5, "{}", story.searcher.log().opened);
+        assert!(
+            story.searcher.log().opened <= 5,
+            "{}",
+            story.searcher.log().opened
+        );
         story.searcher.does(|_| Does::Good);
         story.call(&["z.1"]);
         assert_eq!(story.ends(1).await["z.1"], Outcome::Returned);
@@ -236,31 +295,50 @@
 /// Hard case 4: a limit that is lowered to nothing and raised again; the initial one is waited for.
 #[rstest]
 fn a_limit_that_moves() {
-    story(Some(2), Limits { most_connections: 1, ..limits() }, async |story| {
-        story.searcher.does(|_| Does::Slow(Duration::from_millis(30)));
-        (0..6).for_each(|i| story.call(&[&format!("q{i}.1")]));
-        story.ends(6).await;
-        assert_eq!(story.searcher.log().most_streams, 2, "never more than it allows");
-        story.searcher.says(Says::Allows(0));
-        // It is heard once a frame that follows it is.
-        tokio::time::sleep(Duration::from_millis(30)).await;
-        story.call(&["w.1"]);
-        tokio::time::sleep(Duration::from_millis(60)).await;
-        assert_eq!(story.ran("w.1"), 0);
-        story.searcher.says(Says::Allows(50));
-        assert_eq!(story.ends(1).await["w.1"], Outcome::Returned);
-    });
+    story(
+        Some(2),
+        Limits {
+            most_connections: 1,
+            ..limits()
+        },
+        async |story| {
+            story
+                .searcher
+                .does(|_| Does::Slow(Duration::from_millis(30)));
+            (0..6).for_each(|i| story.call(&[&format!("q{i}.1")]));
+            story.ends(6).await;
+            assert_eq!(
+                story.searcher.log().most_streams,
+                2,
+                "never more than it allows"
+            );
+            story.searcher.says(Says::Allows(0));
+            // It is heard once a frame that follows it is.
+            tokio::time::sleep(Duration::from_millis(30)).await;
+            story.call(&["w.1"]);
+            tokio::time::sleep(Duration::from_millis(60)).await;
+            assert_eq!(story.ran("w.1"), 0);
+            story.searcher.says(Says::Allows(50));
+            assert_eq!(story.ends(1).await["w.1"], Outcome::Returned);
+        },
+    );
 }
 
 /// Hard case 5: forty calls that waited for a connection come four at first.
 #[rstest]
 fn a_connection_that_comes_up_is_not_burst_into() {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(|_| Does::Slow(Duration::from_millis(20)));
+        story
+            .searcher
+            .does(|_| Does::Slow(Duration::from_millis(20)));
         (0..40).for_each(|i| story.call(&[&format!("q{i}.1")]));
         story.came(4).await;
         tokio::time::sleep(Duration::from_millis(5)).await;
-        assert!(story.searcher.log().came.len() <= 8, "{}", story.searcher.log().came.len());
+        assert!(
+            story.searcher.log().came.len() <= 8,
+            "{}",
+            story.searcher.log().came.len()
+        );
         assert!(all(&story.ends(40).await, Outcome::Returned));
         assert_eq!(story.searcher.log().opened, 1);
     });
@@ -276,13 +354,28 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
         // More than all windows and socket buffers hold.
         for i in 0..4 {
-            assert!(story.host.send(vec![sent(&format!("l{i}.1"), 60_000)]).is_ok());
+            assert!(
+                story
+                    .host
+                    .send(vec![sent(&format!("l{i}.1"), 60_000)])
+                    .is_ok()
+            );
         }
         tokio::time::sleep(Duration::from_millis(30)).await;
-        assert!(story.host.recall(&PartId::new("l3.1"), 0), "it has not left whole");
+        assert!(
+            story.host.recall(&PartId::new("l3.1"), 0),
+            "it has not left whole"
+        );
         let ends = story.ends(3).await;
-        assert!(ends.values().all(|end| matches!(end, Outcome::Lost | Outcome::NoConnection)), "{ends:?}");
-        assert!(ends.values().any(|end| *end == Outcome::NoConnection), "{ends:?}");
+        assert!(
+            ends.values()
+                .all(|end| matches!(end, Outcome::Lost | Outcome::NoConnection)),
+            "{ends:?}"
+        );
+        assert!(
+            ends.values().any(|end| *end == Outcome::NoConnection),
+            "{ends:?}"
+        );
     });
 }
 
@@ -315,9 +408,19 @@
             }
             assert!(all(&story.ends(4).await, Outcome::Returned));
         }
-        story.searcher.does(|id| if id == "b.1" { Does::Large(200_000) } else { Does::Good });
+        story.searcher.does(|id| {
+            if id == "b.1" {
+                Does::Large(200_000)
+            } else {
+                Does::Good
+            }
+        });
         story.call(&["b.1"]);
-        assert_eq!(story.ends(1).await["b.1"], Outcome::Error, "more than any value may take");
+        assert_eq!(
+            story.ends(1).await["b.1"],
+            Outcome::Error,
+            "more than any value may take"
+        );
         story.call(&["c.1"]);
         assert_eq!(story.ends(1).await["c.1"], Outcome::Returned);
     });
@@ -331,12 +434,21 @@
     story(Some(100), limits(), async |story| {
         story.call(&["a.1"]);
         story.ends(1).await;
-        story.searcher.does(|id| if id == "b.1" { Does::Silent } else { Does::Good });
+        story.searcher.does(|id| {
+            if id == "b.1" {
+                Does::Silent
+            } else {
+                Does::Good
+            }
+        });
         story.call(&["b.1"]);
         story.came(2).await;
         story.searcher.says(says);
         let end = story.ends(1).await["b.1"];
-        assert!(matches!(end, Outcome::Broken | Outcome::Error | Outcome::Lost), "{end:?}");
+        assert!(
+            matches!(end, Outcome::Broken | Outcome::Error | Outcome::Lost),
+            "{end:?}"
+        );
         story.call(&["c.1"]);
         assert_eq!(story.ends(1).await["c.1"], Outcome::Returned);
     });
@@ -358,23 +470,42 @@
 /// Hard case 7: give-ups are resets, bounded in rate; the connection and what else is out there live on.
 #[rstest]
 fn many_give_ups() {
-    story(Some(1_000), Limits { silent_after: Span::from_millis(5_000), ..limits() }, async |story| {
-        // Wide first.
-        for round in 0..6 {
-            (0..64).for_each(|i| story.call(&[&format!("w{round}x{i}.1")]));
-            story.ends(64).await;
-        }
-        story.searcher.does(|id| if id.starts_with('s') { Does::Silent } else { Does::Good });
-        let ids: Vec<String> = (0..50).map(|i| format!("s{i}.1")).collect();
-        ids.iter().for_each(|id| story.call(&[id]));
-        story.came(6 * 64 + 50).await;
-        ids.iter().for_each(|id| story.host.give_up(&PartId::new(id), 0));
-        story.until(|story| story.searcher.log().resets >= 20).await;
-        story.call(&["z.1"]);
-        assert_eq!(story.ends(1).await["z.1"], Outcome::Returned);
-        let log = story.searcher.log();
-        assert!(log.resets <= 22 && log.opened == 1, "{} resets, {} connections", log.resets, log.opened);
-    });
+    story(
+        Some(1_000),
+        Limits {
+            silent_after: Span::from_millis(5_000),
+            ..limits()
+        },
+        async |story| {
+            // Wide first.
+            for round in 0..6 {
+                (0..64).for_each(|i| story.call(&[&format!("w{round}x{i}.1")]));
+                story.ends(64).await;
+            }
+            story.searcher.does(|id| {
+                if id.starts_with('s') {
+                    Does::Silent
+                } else {
+                    Does::Good
+                }
+            });
+            let ids: Vec<String> = (0..50).map(|i| format!("s{i}.1")).collect();
+            ids.iter().for_each(|id| story.call(&[id]));
+            story.came(6 * 64 + 50).await;
+            ids.iter()
+                .for_each(|id| story.host.give_up(&PartId::new(id), 0));
+            story.until(|story| story.searcher.log().resets >= 20).await;
+            story.call(&["z.1"]);
+            assert_eq!(story.ends(1).await["z.1"], Outcome::Returned);
+            let log = story.searcher.log();
+            assert!(
+                log.resets <= 22 && log.opened == 1,
+                "{} resets, {} connections",
+                log.resets,
+                log.opened
+            );
+        },
+    );
 }
 
 /// Hard case 8: a connection that fell silent with parts out is found by a ping, and they are lost with it.
@@ -398,7 +529,9 @@
 #[rstest]
 fn a_drain_while_calls_wait() {
     story(Some(2), limits(), async |story| {
-        story.searcher.does(|_| Does::Slow(Duration::from_millis(50)));
+        story
+            .searcher
+            .does(|_| Does::Slow(Duration::from_millis(50)));
         (0..9).for_each(|i| story.call(&[&format!("q{i}.1")]));
         story.came(2).await;
         let unsent = story.host.leave();
@@ -413,7 +546,10 @@
 #[rstest]
 fn a_searcher_that_is_not_there() {
     story(Some(1), limits(), async |story| {
-        let nobody = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("one");
+        let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+            .expect("a port")
+            .local_addr()
+            .expect("one");
         let (queue, came) = mpsc::channel(64);
         let shared = Rc::new(Shared {
             limits: limits(),
@@ -438,22 +574,41 @@
     hosts: &[(String, std::net::SocketAddr)],
     effect: &'static str,
 ) -> (tokio::runtime::Runtime, Followed) {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     let runtime = runtime.expect("a runtime");
     let registry = Registry::new(7);
-    let endpoints = runtime.block_on(fleet::endpoints(&registry, Protocol::Etcd, 1)).expect("a port");
+    let endpoints = runtime
+        .block_on(fleet::endpoints(&registry, Protocol::Etcd, 1))
+        .expect("a port");
     for (group, (name, address)) in hosts.iter().enumerate() {
-        registry.put(&fleet::key(name), fleet::entry(*address, group % 3, "active"));
+        registry.put(
+            &fleet::key(name),
+            fleet::entry(*address, group % 3, "active"),
+        );
     }
-    let text = format!("{}{HTTP2}", fleet::settings_text(Protocol::Etcd, &endpoints, ""));
-    let setup = Setup { knows: false, effect, ..Setup::default() };
+    let text = format!(
+        "{}{HTTP2}",
+        fleet::settings_text(Protocol::Etcd, &endpoints, "")
+    );
+    let setup = Setup {
+        knows: false,
+        effect,
+        ..Setup::default()
+    };
     let followed = Followed::start(&setup, &text, false).expect("it starts");
     until(|| followed.mixer.get("/up").status == 200);
     (runtime, followed)
 }
 
 fn http2_hosts(runtime: &tokio::runtime::Runtime, count: usize) -> Vec<Arc<Http2Searcher>> {
-    let start = |i| runtime.block_on(Http2Searcher::start(&format!("h{i}"), Some(100))).expect("a port");
+    let start = |i| {
+        runtime
+            .block_on(Http2Searcher::start(&format!("h{i}"), Some(100)))
+            .expect("a port")
+    };
     (0..count).map(start).collect()
 }
 
@@ -463,8 +618,11 @@
 #[case::named_as_never_run(Does::Reset(REFUSED_STREAM), 200)]
 #[case::may_have_run(Does::Reset(CANCEL), 500)]
 fn a_non_retriable_part_over_http2(#[case] first: Does, #[case] status: u16) {
-    let runtime =
-        tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().expect("one");
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(1)
+        .enable_all()
+        .build()
+        .expect("one");
     let hosts = http2_hosts(&runtime, 3);
     let named: Vec<_> = hosts.iter().map(|h| (h.name.clone(), h.address)).collect();
     let (_served, followed) = mixer(&named, "unsafe");
@@ -473,13 +631,18 @@
     let seen = Arc::new(std::sync::atomic::AtomicUsize::new(0));
     for host in &hosts {
         let seen = seen.clone();
-        host.does(move |_| match seen.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
-            0 => first,
-            _ => Does::Good,
-        });
+        host.does(
+            move |_| match seen.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
+                0 => first,
+                _ => Does::Good,
+            },
+        );
     }
     assert_eq!(client.ask("q", &[1]).status, status);
-    let ran: usize = hosts.iter().map(|h| h.log().ran.iter().filter(|(id, _)| id == "q.1").count()).sum();
+    let ran: usize = hosts
+        .iter()
+        .map(|h| h.log().ran.iter().filter(|(id, _)| id == "q.1").count())
+        .sum();
     assert_eq!(ran, 1, "it ran once, whatever came of it");
 }
 
@@ -501,21 +664,38 @@
 /// Which carrier a host gets is what its entry says; one that moves to the other keeps serving.
 #[rstest]
 fn carriers_by_entry() {
-    let runtime =
-        tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().expect("one");
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .expect("one");
     let registry = Registry::new(7);
-    let endpoints = runtime.block_on(fleet::endpoints(&registry, Protocol::Etcd, 1)).expect("a port");
+    let endpoints = runtime
+        .block_on(fleet::endpoints(&registry, Protocol::Etcd, 1))
+        .expect("a port");
     let wide = http2_hosts(&runtime, 1).remove(0);
     let frames = Searcher::start("f0");
     let put = |name: &str, address: std::net::SocketAddr, carrier: &str| {
-        let line = format!(r#"{{"address":"{address}","group":0,"status":"active","carrier":"{carrier}"}}"#);
+        let line = format!(
+            r#"{{"address":"{address}","group":0,"status":"active","carrier":"{carrier}"}}"#
+        );
         registry.put(&fleet::key(name), line)
     };
     put("h0", wide.address, "http2");
     put("f0", frames.address, "frames");
-    let text = format!("{}http2 {{ entries: true }}\n", fleet::settings_text(Protocol::Etcd, &endpoints, ""));
-    let followed =
-        Followed::start(&Setup { knows: false, ..Setup::default() }, &text, false).expect("it starts");
+    let text = format!(
+        "{}http2 {{ entries: true }}\n",
+        fleet::settings_text(Protocol::Etcd, &endpoints, "")
+    );
+    let followed = Followed::start(
+        &Setup {
+            knows: false,
+            ..Setup::default()
+        },
+        &text,
+        false,
+    )
+    .expect("it starts");
     until(|| followed.mixer.get("/up").status == 200);
     let (mut client, mut asked) = (followed.mixer.client(), 0);
     let mut ask = || {
--- a/crates/lockusher-aggregator-testbed/tests/model.rs
+++ b/crates/lockusher-aggregator-testbed/tests/model.rs
@@ -64,7 +64,11 @@
 }
 
 fn entry(key: Vec<u8>, kv: Kv) -> Entry {
-    Entry { name: name(&key), modified: Revision(kv.modified), value: kv.value }
+    Entry {
+        name: name(&key),
+        modified: Revision(kv.modified),
+        value: kv.value,
+    }
 }
 
 fn change(event: &Event) -> Change {
@@ -125,8 +129,13 @@
             match status {
                 Some(up) => {
                     let status = STATUSES[usize::from(!up)];
-                    let value = format!(r#"{{"address":"127.0.0.1:1","status":"{status}"}}"#).into_bytes();
-                    Write::Put { key, value, lease: 0 }
+                    let value =
+                        format!(r#"{{"address":"127.0.0.1:1","status":"{status}"}}"#).into_bytes();
+                    Write::Put {
+                        key,
+                        value,
+                        lease: 0,
+                    }
                 }
                 None => Write::Delete { key },
             }
@@ -136,20 +145,33 @@
             let leaving = String::from_utf8_lossy(&kv.value).contains(STATUSES[1]);
             STATUSES[usize::from(leaving)].to_owned()
         };
-        let hosts = self.store.now().iter().filter(|(key, _)| key.starts_with(PREFIX));
+        let hosts = self
+            .store
+            .now()
+            .iter()
+            .filter(|(key, _)| key.starts_with(PREFIX));
         let view = hosts.map(|(key, kv)| (name(key), status(kv))).collect();
         self.truth.insert(revision, view);
     }
 
     fn version(&self, seen: u64) -> Version {
-        Version { cluster: ClusterId(9), revision: Revision(seen) }
+        Version {
+            cluster: ClusterId(9),
+            revision: Revision(seen),
+        }
     }
 
     /// Answers what is asked, or tells the watch what came; `seen` is the newest revision that the member knows.
     fn serve(&mut self, seen: u64, split: usize) {
         let version = self.version(seen);
         match self.asked.take() {
-            Some(Act::Read { call, after, limit, at, .. }) => {
+            Some(Act::Read {
+                call,
+                after,
+                limit,
+                at,
+                ..
+            }) => {
                 let at = at.map_or(seen, |at| at.0);
                 let key = after.map_or_else(|| PREFIX.to_vec(), |last| [&last[..], &[0]].concat());
                 let heard = match self.store.range(&key, b"hosts0", limit as usize, at) {
@@ -159,7 +181,9 @@
                         entries: keys.into_iter().map(|(key, kv)| entry(key, kv)).collect(),
                     },
                     Err(Refused::Compacted) => Heard::Compacted,
-                    Err(Refused::Future) => Heard::Failed { why: "future".to_owned() },
+                    Err(Refused::Future) => Heard::Failed {
+                        why: "future".to_owned(),
+                    },
                 };
                 self.step(Some((call, heard)));
             }
@@ -178,7 +202,12 @@
             Some(Act::Poll { call, index, .. }) => {
                 let touched = self.store.touched(PREFIX, seen);
                 let Ok((keys, _)) = self.store.range(PREFIX, b"hosts0", 0, seen) else {
-                    return self.step(Some((call, Heard::Failed { why: "500".to_owned() })));
+                    return self.step(Some((
+                        call,
+                        Heard::Failed {
+                            why: "500".to_owned(),
+                        },
+                    )));
                 };
                 if touched <= index.0 && index.0 > 0 && split == 1 {
                     // It holds the read on.
@@ -193,7 +222,14 @@
                 }
                 let entries = keys.into_iter().map(|(key, kv)| entry(key, kv)).collect();
                 let (index, leader_heard) = (Revision(touched), Some(Span::ZERO));
-                self.step(Some((call, Heard::Whole { index, entries, leader_heard })));
+                self.step(Some((
+                    call,
+                    Heard::Whole {
+                        index,
+                        entries,
+                        leader_heard,
+                    },
+                )));
             }
             Some(Act::Close | Act::Say(_)) | None => {
                 self.tell(seen, split);
@@ -204,7 +240,9 @@
     /// Tells the watch the next that it is to hear; whether there was something.
     fn tell(&mut self, seen: u64, split: usize) -> bool {
         let version = self.version(seen);
-        let Some((call, next, rest)) = &mut self.watch else { return false };
+        let Some((call, next, rest)) = &mut self.watch else {
+            return false;
+        };
         let call = *call;
         if rest.is_empty() {
             let heard = match self.store.events(PREFIX, *next, seen) {
@@ -218,7 +256,11 @@
                     let count = parts.len();
                     let changes = parts.into_iter().enumerate();
                     changes
-                        .map(|(i, changes)| Heard::Changes { version, changes, more: i + 1 < count })
+                        .map(|(i, changes)| Heard::Changes {
+                            version,
+                            changes,
+                            more: i + 1 < count,
+                        })
                         .collect()
                 }
             };
@@ -234,22 +276,35 @@
 
     /// What is told is the state at the revision that it names.
     fn take_news(&mut self) {
-        let Some(list) = self.follower.news() else { return };
-        assert!(list.index >= self.told_as, "the view went back from {} to {}", self.told_as, list.index);
+        let Some(list) = self.follower.news() else {
+            return;
+        };
+        assert!(
+            list.index >= self.told_as,
+            "the view went back from {} to {}",
+            self.told_as,
+            list.index
+        );
         self.told_as = list.index;
         if list.complete {
             self.told.clear();
         }
         for (line, _) in &list.lines {
             match line.state {
-                SearcherState::Up => self.told.insert(line.id.as_str().to_owned(), STATUSES[0].to_owned()),
-                SearcherState::Draining => {
-                    self.told.insert(line.id.as_str().to_owned(), STATUSES[1].to_owned())
-                }
+                SearcherState::Up => self
+                    .told
+                    .insert(line.id.as_str().to_owned(), STATUSES[0].to_owned()),
+                SearcherState::Draining => self
+                    .told
+                    .insert(line.id.as_str().to_owned(), STATUSES[1].to_owned()),
                 SearcherState::Gone => self.told.remove(line.id.as_str()),
             };
         }
-        let (_, truth) = self.truth.range(..=list.index).next_back().expect("it began empty");
+        let (_, truth) = self
+            .truth
+            .range(..=list.index)
+            .next_back()
+            .expect("it began empty");
         assert_eq!(&self.told, truth, "told as revision {}", list.index);
     }
 
@@ -258,35 +313,66 @@
         match op {
             Op::Write(writes) => self.write(writes),
             Op::Noise => {
-                let noise = Write::Put { key: b"others".to_vec(), value: Vec::new(), lease: 0 };
+                let noise = Write::Put {
+                    key: b"others".to_vec(),
+                    value: Vec::new(),
+                    lease: 0,
+                };
                 let revision = self.store.apply([noise]);
-                let last = self.truth.values().next_back().cloned().expect("it began empty");
+                let last = self
+                    .truth
+                    .values()
+                    .next_back()
+                    .cloned()
+                    .expect("it began empty");
                 self.truth.insert(revision, last);
             }
             Op::Compact => self.store.compact(revision),
             Op::Serve(split) => self.serve(revision, split),
             Op::ServeLagging(by) => self.serve(revision.saturating_sub(by).max(1), 1),
             Op::Again(back) => {
-                let Some((call, next, rest)) = &self.watch else { return };
+                let Some((call, next, rest)) = &self.watch else {
+                    return;
+                };
                 let (call, version) = (*call, self.version(revision));
                 // Less the newest, so that taking it anew would show.
                 let (from, to) = (next.saturating_sub(back + 1), next.saturating_sub(2));
-                let again =
-                    if rest.is_empty() { self.store.events(PREFIX, from, to) } else { Ok(Vec::new()) };
+                let again = if rest.is_empty() {
+                    self.store.events(PREFIX, from, to)
+                } else {
+                    Ok(Vec::new())
+                };
                 let changes: Vec<Change> = again.unwrap_or_default().iter().map(change).collect();
                 if !changes.is_empty() {
-                    self.step(Some((call, Heard::Changes { version, changes, more: false })));
+                    self.step(Some((
+                        call,
+                        Heard::Changes {
+                            version,
+                            changes,
+                            more: false,
+                        },
+                    )));
                 }
             }
             Op::Break => {
                 let call = match (&self.asked, &self.watch) {
-                    (Some(Act::Read { call, .. } | Act::Poll { call, .. } | Act::Watch { call, .. }), _) => {
-                        *call
-                    }
+                    (
+                        Some(
+                            Act::Read { call, .. }
+                            | Act::Poll { call, .. }
+                            | Act::Watch { call, .. },
+                        ),
+                        _,
+                    ) => *call,
                     (_, Some((call, ..))) => *call,
                     _ => return,
                 };
-                self.step(Some((call, Heard::Failed { why: "cut".to_owned() })));
+                self.step(Some((
+                    call,
+                    Heard::Failed {
+                        why: "cut".to_owned(),
+                    },
+                )));
             }
             Op::Pass(ms) => {
                 let end = self.now + Span::from_millis(ms);
--- a/crates/lockusher-aggregator-testbed/tests/registry.rs
+++ b/crates/lockusher-aggregator-testbed/tests/registry.rs
@@ -25,34 +25,57 @@
 
 impl Story {
     fn start(protocol: Protocol, members: usize) -> Self {
-        let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build();
         let runtime = runtime.expect("a runtime");
         let registry = Registry::new(7);
-        let endpoints = runtime.block_on(fleet::endpoints(&registry, protocol, members)).expect("ports");
+        let endpoints = runtime
+            .block_on(fleet::endpoints(&registry, protocol, members))
+            .expect("ports");
         let searchers = fleet::searchers(3);
-        let writes = searchers.iter().enumerate().map(|(i, searcher)| Write::Put {
-            key: fleet::key(&searcher.name).into_bytes(),
-            value: fleet::entry(searcher.address, i, "active").into_bytes(),
-            lease: i as u64 + 1,
-        });
+        let writes = searchers
+            .iter()
+            .enumerate()
+            .map(|(i, searcher)| Write::Put {
+                key: fleet::key(&searcher.name).into_bytes(),
+                value: fleet::entry(searcher.address, i, "active").into_bytes(),
+                lease: i as u64 + 1,
+            });
         registry.write(writes);
         let text = fleet::settings_text(protocol, &endpoints, MORE);
-        let setup = Setup { knows: false, ..Setup::default() };
+        let setup = Setup {
+            knows: false,
+            ..Setup::default()
+        };
         let followed = Followed::start(&setup, &text, false).expect("it starts");
-        let story = Story { runtime, registry, protocol, endpoints, searchers, followed };
+        let story = Story {
+            runtime,
+            registry,
+            protocol,
+            endpoints,
+            searchers,
+            followed,
+        };
         until(|| story.followed.mixer.get("/up").status == 200);
         story
     }
 
     fn set(&self, host: usize, status: &str) -> u64 {
         let searcher = &self.searchers[host];
-        self.registry.put(&fleet::key(&searcher.name), fleet::entry(searcher.address, host, status))
+        self.registry.put(
+            &fleet::key(&searcher.name),
+            fleet::entry(searcher.address, host, status),
+        )
     }
 
     /// Until the mixer's view is so.
     fn holds(&self, wanted: &[(&str, &str)]) {
-        let wanted: Vec<(String, String)> =
-            wanted.iter().map(|(host, status)| (host.to_string(), status.to_string())).collect();
+        let wanted: Vec<(String, String)> = wanted
+            .iter()
+            .map(|(host, status)| (host.to_string(), status.to_string()))
+            .collect();
         until(|| fleet::statuses(&self.followed.view()) == wanted);
     }
 
@@ -64,7 +87,11 @@
             let answer = client.ask(&format!("{what}{i}"), &[i, i + 1, i + 2]);
             assert_eq!(answer.status, 200, "{answer:?}");
         }
-        self.searchers.iter().zip(before).map(|(s, before)| s.log().parts.len() - before).collect()
+        self.searchers
+            .iter()
+            .zip(before)
+            .map(|(s, before)| s.log().parts.len() - before)
+            .collect()
     }
 
     /// Waits until the router acts on what the follower told, then asks: what drained gets nothing.
@@ -78,7 +105,9 @@
     }
 
     fn count(&self, name: &str) -> u64 {
-        self.followed.registry()["counts"][name].as_u64().expect("a count")
+        self.followed.registry()["counts"][name]
+            .as_u64()
+            .expect("a count")
     }
 
     fn cut_off(&self, off: bool) {
@@ -94,7 +123,10 @@
 #[case::consul(Protocol::Consul)]
 fn a_drain_in_the_registry_reaches_the_router(#[case] protocol: Protocol) {
     let story = Story::start(protocol, 2);
-    assert!(story.asks("calm").iter().all(|parts| *parts > 0), "all serve");
+    assert!(
+        story.asks("calm").iter().all(|parts| *parts > 0),
+        "all serve"
+    );
     story.set(0, "leaving");
     story.holds(&[("h0", "leaving"), ("h1", "active"), ("h2", "active")]);
     story.gives_nothing_to(0);
@@ -115,10 +147,15 @@
     story.cut_off(true);
     story.set(0, "leaving");
     story.registry.delete(&fleet::key("h1"));
-    story.registry.put("lab/hosts/h9", fleet::entry(story.searchers[1].address, 1, "active"));
+    story.registry.put(
+        "lab/hosts/h9",
+        fleet::entry(story.searchers[1].address, 1, "active"),
+    );
     story.registry.compact();
     for endpoint in &story.endpoints {
-        endpoint.member.does(|script| (script.compact_between_pages, script.compact_after_read) = (1, 1));
+        endpoint
+            .member
+            .does(|script| (script.compact_between_pages, script.compact_after_read) = (1, 1));
     }
     assert_eq!(story.asks("away").len(), 3, "served from the last view");
     story.cut_off(false);
@@ -136,8 +173,12 @@
     let lags_at = story.registry.store().revision();
     story.set(0, "leaving");
     story.holds(&[("h0", "leaving"), ("h1", "active"), ("h2", "active")]);
-    story.endpoints[0].member.does(|script| script.cluster = Some(99));
-    story.endpoints[1].member.does(|script| script.lags_at = Some(lags_at));
+    story.endpoints[0]
+        .member
+        .does(|script| script.cluster = Some(99));
+    story.endpoints[1]
+        .member
+        .does(|script| script.lags_at = Some(lags_at));
     // Whichever it follows first, it ends at the one that is sound.
     let sound = story.endpoints[2].relay.address.to_string();
     for _ in 0..3 {
@@ -150,10 +191,10 @@
     story.holds(&[("h0", "leaving"), ("h1", "active"), ("h2", "active")]);
     assert_eq!(story.count("rebuilds"), 1, "only the one at the start");
     // The cluster is replaced by another, where h0 is up and h1 is not.
-    story
-        .endpoints
-        .iter()
-        .for_each(|e| e.member.does(|script| (script.cluster, script.lags_at) = (None, None)));
+    story.endpoints.iter().for_each(|e| {
+        e.member
+            .does(|script| (script.cluster, script.lags_at) = (None, None));
+    });
     story.registry.store().replace(8);
     story.set(0, "active");
     story.set(2, "active");
@@ -168,8 +209,15 @@
 fn a_member_that_hangs_is_left(#[case] protocol: Protocol) {
     let story = Story::start(protocol, 2);
     until(|| story.followed.registry()["stage"] == "following");
-    let asked = story.followed.registry()["endpoint"].as_str().expect("one").to_owned();
-    let hangs = story.endpoints.iter().find(|e| e.relay.address.to_string() == asked).expect("one of them");
+    let asked = story.followed.registry()["endpoint"]
+        .as_str()
+        .expect("one")
+        .to_owned();
+    let hangs = story
+        .endpoints
+        .iter()
+        .find(|e| e.relay.address.to_string() == asked)
+        .expect("one of them");
     hangs.member.does(|script| script.silent = true);
     story.set(0, "leaving");
     story.holds(&[("h0", "leaving"), ("h1", "active"), ("h2", "active")]);
@@ -186,19 +234,42 @@
     story.holds(&[]);
     let told = Instant::now();
     let mut client = story.followed.mixer.client();
-    until(|| client.ask(&format!("s{:?}", told.elapsed().as_micros()), &[1]).status != 200);
+    until(|| {
+        client
+            .ask(&format!("s{:?}", told.elapsed().as_micros()), &[1])
+            .status
+            != 200
+    });
     let before: usize = story.searchers.iter().map(|s| s.log().parts.len()).sum();
-    assert_eq!(client.ask("none", &[1]).status, 503, "pushed back at once: there is nobody to ask");
-    assert_eq!(story.searchers.iter().map(|s| s.log().parts.len()).sum::<usize>(), before);
+    assert_eq!(
+        client.ask("none", &[1]).status,
+        503,
+        "pushed back at once: there is nobody to ask"
+    );
+    assert_eq!(
+        story
+            .searchers
+            .iter()
+            .map(|s| s.log().parts.len())
+            .sum::<usize>(),
+        before
+    );
     story.set(1, "active");
-    until(|| client.ask(&format!("b{:?}", told.elapsed().as_micros()), &[1]).status == 200);
+    until(|| {
+        client
+            .ask(&format!("b{:?}", told.elapsed().as_micros()), &[1])
+            .status
+            == 200
+    });
 }
 
 /// Hard case 8: an entry that can't be read harms no other, and its host serves on.
 #[rstest]
 fn an_entry_that_cannot_be_read() {
     let story = Story::start(Protocol::Etcd, 1);
-    story.registry.put(&fleet::key("h0"), vec![0xff, 0x00, b'{']);
+    story
+        .registry
+        .put(&fleet::key("h0"), vec![0xff, 0x00, b'{']);
     story.set(1, "leaving");
     story.holds(&[("h0", "active"), ("h1", "leaving"), ("h2", "active")]);
     assert_eq!(story.followed.registry()["unreadable"], 1);
@@ -211,23 +282,41 @@
 fn settings_that_move_during_a_rebuild() {
     let mut story = Story::start(Protocol::Etcd, 2);
     let other = Registry::new(70);
-    let elsewhere = story.runtime.block_on(fleet::endpoints(&other, story.protocol, 1)).expect("a port");
-    other.put("lab/hosts/h2", fleet::entry(story.searchers[2].address, 2, "active"));
+    let elsewhere = story
+        .runtime
+        .block_on(fleet::endpoints(&other, story.protocol, 1))
+        .expect("a port");
+    other.put(
+        "lab/hosts/h2",
+        fleet::entry(story.searchers[2].address, 2, "active"),
+    );
     // A rebuild that does not end: what came was compacted away, and no member answers.
     story.cut_off(true);
     story.set(0, "leaving");
     story.registry.compact();
-    story.endpoints.iter().for_each(|e| e.member.does(|script| script.slow = Duration::from_secs(3_600)));
+    story.endpoints.iter().for_each(|e| {
+        e.member
+            .does(|script| script.slow = Duration::from_secs(3_600));
+    });
     story.cut_off(false);
     until(|| story.followed.registry()["stage"] != "following");
-    story.followed.set("registry { protocol: ETCD endpoints: \"nowhere\" prefix: \"x\" }").expect("a file");
-    assert_eq!(story.asks("faulty").len(), 3, "a faulty file changes nothing");
+    story
+        .followed
+        .set("registry { protocol: ETCD endpoints: \"nowhere\" prefix: \"x\" }")
+        .expect("a file");
+    assert_eq!(
+        story.asks("faulty").len(),
+        3,
+        "a faulty file changes nothing"
+    );
     let text = fleet::settings_text(story.protocol, &elsewhere, MORE);
     story.followed.set(&text).expect("a file");
     story.holds(&[("h2", "active")]);
     story.gives_nothing_to(0);
     // Away again, in the middle of a try: it stops in order.
-    elsewhere.iter().for_each(|e| e.member.does(|script| script.silent = true));
+    elsewhere
+        .iter()
+        .for_each(|e| e.member.does(|script| script.silent = true));
     elsewhere.iter().for_each(|e| e.relay.cut());
     until(|| story.followed.registry()["stage"] != "following");
     story.followed.mixer.signal("-TERM");
@@ -239,20 +328,39 @@
 fn the_command_line() {
     let story = Story::start(Protocol::Etcd, 1);
     let lab = || std::process::Command::new(env!("CARGO_BIN_EXE_lockusher-aggregator-testbed"));
-    let dump = lab().args(["mixer", "registry", "dump", "--settings"]).arg(&story.followed.settings).output();
+    let dump = lab()
+        .args(["mixer", "registry", "dump", "--settings"])
+        .arg(&story.followed.settings)
+        .output();
     let dump = dump.expect("it runs");
     let list: serde_json::Value = serde_json::from_slice(&dump.stdout).expect("a list");
-    assert_eq!((dump.status.code(), list["endpoints"].as_array().map(Vec::len)), (Some(0), Some(3)));
+    assert_eq!(
+        (
+            dump.status.code(),
+            list["endpoints"].as_array().map(Vec::len)
+        ),
+        (Some(0), Some(3))
+    );
     let file = std::env::temp_dir().join(format!("lockusher-faulty-{}.txtpb", std::process::id()));
-    std::fs::write(&file, "log { form: JSON }\nregistry {\n  protocol: ETCD\n  endpoints: \"here\"\n}\n")
-        .expect("a file");
-    let check =
-        lab().args(["mixer", "check"]).arg(&story.followed.settings).arg(&file).output().expect("it runs");
+    std::fs::write(
+        &file,
+        "log { form: JSON }\nregistry {\n  protocol: ETCD\n  endpoints: \"here\"\n}\n",
+    )
+    .expect("a file");
+    let check = lab()
+        .args(["mixer", "check"])
+        .arg(&story.followed.settings)
+        .arg(&file)
+        .output()
+        .expect("it runs");
     std::fs::remove_file(&file).expect("it is there");
     let said = String::from_utf8_lossy(&check.stderr).into_owned();
     assert_eq!(check.status.code(), Some(2));
     assert!(
-        said.contains(&format!("{}: line 4: registry.endpoints: \"here\" is not", file.display())),
+        said.contains(&format!(
+            "{}: line 4: registry.endpoints: \"here\" is not",
+            file.display()
+        )),
         "{said}"
     );
     assert!(String::from_utf8_lossy(&check.stdout).contains(": good"));
--- a/crates/lockusher-aggregator/src/clock.rs
+++ b/crates/lockusher-aggregator/src/clock.rs
@@ -13,8 +13,13 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix_us: unix.as_micros() as u64 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            unix_us: unix.as_micros() as u64,
+        }
     }
 
     pub fn now(&self) -> Time {
--- a/crates/lockusher-aggregator/src/config.rs
+++ b/crates/lockusher-aggregator/src/config.rs
@@ -28,14 +28,18 @@
 impl Config {
     /// Discovery's address, where nothing else lists the searchers.
     pub fn needs_discovery(&self) -> Result<SocketAddr> {
-        self.discovery.context("discovery: missing, and LB_DISCOVERY is not set")
+        self.discovery
+            .context("discovery: missing, and LB_DISCOVERY is not set")
     }
 
     /// The keys that differ in another and can't change in a running process.
     pub fn needs_restart(&self, other: &Config) -> Vec<&'static str> {
         // `known` is read at a start only: by now the process knows better.
         const FIXED: [&str; 5] = ["name", "listen", "seed", "limits", "settings"];
-        FIXED.into_iter().filter(|key| self.written.get(*key) != other.written.get(*key)).collect()
+        FIXED
+            .into_iter()
+            .filter(|key| self.written.get(*key) != other.written.get(*key))
+            .collect()
     }
 }
 
@@ -94,8 +98,10 @@
 /// Reads the file that `LB_CONFIG` names; `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` stand in for keys that
 /// it lacks. `variable` looks up a variable.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config> {
-    let path = variable("LB_CONFIG").context("LB_CONFIG is not set: it names the configuration file")?;
-    let text = std::fs::read_to_string(&path).with_context(|| format!("LB_CONFIG: cannot read {path}"))?;
+    let path =
+        variable("LB_CONFIG").context("LB_CONFIG is not set: it names the configuration file")?;
+    let text =
+        std::fs::read_to_string(&path).with_context(|| format!("LB_CONFIG: cannot read {path}"))?;
     parse(&text, variable).with_context(|| path.clone())
 }
 
@@ -103,13 +109,19 @@
     let reader = &mut serde_json::Deserializer::from_str(text);
     let read: Text = serde_path_to_error::deserialize(reader).map_err(|e| {
         let (path, inner) = (e.path().to_string(), e.into_inner());
-        anyhow::anyhow!("{}: {inner}", if path == "." { "configuration" } else { &path })
+        anyhow::anyhow!(
+            "{}: {inner}",
+            if path == "." { "configuration" } else { &path }
+        )
     })?;
     let given = |key: &str, value: Option<String>, name: &str| {
-        value.or_else(|| variable(name)).with_context(|| format!("{key}: missing, and {name} is not set"))
+        value
+            .or_else(|| variable(name))
+            .with_context(|| format!("{key}: missing, and {name} is not set"))
     };
     let address = |key: &str, text: String| {
-        text.parse::<SocketAddr>().with_context(|| format!("{key}: \"{text}\" is no address with a port"))
+        text.parse::<SocketAddr>()
+            .with_context(|| format!("{key}: \"{text}\" is no address with a port"))
     };
     let seed = read.seed.context("seed: missing")?;
     let seed = u64::from_str_radix(&seed, 16)
@@ -133,25 +145,41 @@
 
 fn sockets(settings: &Settings, limits: &LimitsText) -> Result<Sockets> {
     let descriptors = limits.sockets.unwrap_or(1_024);
-    ensure!(descriptors >= LEAST_SOCKETS, "limits.sockets: {descriptors} is less than {LEAST_SOCKETS}");
+    ensure!(
+        descriptors >= LEAST_SOCKETS,
+        "limits.sockets: {descriptors} is less than {LEAST_SOCKETS}"
+    );
     let memory = limits.memory_mb.unwrap_or(192);
-    ensure!(memory >= LEAST_MEMORY_MB, "limits.memory_mb: {memory} is less than {LEAST_MEMORY_MB}");
+    ensure!(
+        memory >= LEAST_MEMORY_MB,
+        "limits.memory_mb: {memory} is less than {LEAST_MEMORY_MB}"
+    );
     let (limits, extra) = (&settings.limits, &settings.extra);
-    ensure!(settings.layout().cells > 0, "settings.extra.cells: must not be 0");
+    ensure!(
+        settings.layout().cells > 0,
+        "settings.extra.cells: must not be 0"
+    );
     let given = |key: &str, value: Option<u64>| match value {
         None => bail!("settings.{key}: missing"),
         Some(0) => bail!("settings.{key}: must not be 0"),
         Some(value) => Ok(value),
     };
     let span = |key: &str, value: Option<u64>| given(key, value).map(Span::from_micros);
-    let count = |key: &str, value: Option<usize>| anyhow::Ok(given(key, value.map(|v| v as u64))? as usize);
+    let count =
+        |key: &str, value: Option<usize>| anyhow::Ok(given(key, value.map(|v| v as u64))? as usize);
     let connect_timeout = span("limits.connect_timeout_us", limits.connect_timeout_us)?;
     let idle = span("limits.conn_idle_us", limits.conn_idle_us)?;
     // What is sent as a searcher closes is lost: no connection is used when that close may be under way.
     let idle = idle.saturating_sub(connect_timeout).max(idle.times(0.5));
     let most_searchers = descriptors / 4;
-    let op_types = settings.op_types().map_err(|e| anyhow::anyhow!("settings: {e}"))?;
-    let longest = op_types.iter().map(|op| op.route_timeout).max().unwrap_or(Span::ZERO);
+    let op_types = settings
+        .op_types()
+        .map_err(|e| anyhow::anyhow!("settings: {e}"))?;
+    let longest = op_types
+        .iter()
+        .map(|op| op.route_timeout)
+        .max()
+        .unwrap_or(Span::ZERO);
     Ok(Sockets {
         most_clients: descriptors - OWN_DESCRIPTORS - most_searchers,
         // For requests, clients hold a third at most: some of these stay free for others.
--- a/crates/lockusher-aggregator/src/lib.rs
+++ b/crates/lockusher-aggregator/src/lib.rs
@@ -3,7 +3,12 @@
 //! [`operator`], [`clock`] and [`report`].
 
 // Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
-#![allow(missing_docs, clippy::missing_errors_doc, clippy::too_many_lines, clippy::wildcard_imports)]
+#![allow(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    clippy::wildcard_imports
+)]
 
 pub mod clock;
 pub mod config;
--- a/crates/lockusher-aggregator/src/operator.rs
+++ b/crates/lockusher-aggregator/src/operator.rs
@@ -90,8 +90,12 @@
 impl std::error::Error for Faulty {}
 
 static SETTINGS: LazyLock<MessageDescriptor> = LazyLock::new(|| {
-    let pool = DescriptorPool::decode(include_bytes!(concat!(env!("OUT_DIR"), "/settings.bin")).as_slice());
-    let settings = pool.ok().and_then(|pool| pool.get_message_by_name("lockusher.Settings"));
+    let pool = DescriptorPool::decode(
+        include_bytes!(concat!(env!("OUT_DIR"), "/settings.bin")).as_slice(),
+    );
+    let settings = pool
+        .ok()
+        .and_then(|pool| pool.get_message_by_name("lockusher.Settings"));
     settings.expect("the proto compiled in has them")
 });
 
@@ -105,7 +109,9 @@
 
 /// Reads a settings file; `None` names none, and all is off.
 pub fn load(path: Option<&Path>) -> anyhow::Result<Operator> {
-    let Some(path) = path else { return Ok(Operator::default()) };
+    let Some(path) = path else {
+        return Ok(Operator::default());
+    };
     let text = std::fs::read_to_string(path)
         .map_err(|e| anyhow::anyhow!("{}: cannot be read: {e}", path.display()))?;
     parse(&text).map_err(|faulty| anyhow::anyhow!("{}: {faulty}", path.display()))
@@ -116,10 +122,15 @@
         let label = error.labels().and_then(|mut labels| labels.next());
         // An end that comes too soon has no place of its own: it is the last line.
         let offset = label.map_or(text.len(), |label| label.offset());
-        Faulty { line: line_at(text, offset), why: error.to_string() }
+        Faulty {
+            line: line_at(text, offset),
+            why: error.to_string(),
+        }
+    })?;
+    let settings: text::Settings = message.transcode_to().map_err(|error| Faulty {
+        line: 0,
+        why: error.to_string(),
     })?;
-    let settings: text::Settings =
-        message.transcode_to().map_err(|error| Faulty { line: 0, why: error.to_string() })?;
     let log = settings.log.unwrap_or_default();
     let level = match log.level() {
         text::log::Level::Debug => Level::Debug,
@@ -127,16 +138,28 @@
         text::log::Level::Warn => Level::Warn,
         text::log::Level::Error => Level::Error,
     };
-    let registry = settings.registry.map(|registry| plan(text, registry)).transpose()?;
+    let registry = settings
+        .registry
+        .map(|registry| plan(text, registry))
+        .transpose()?;
     let http2 = settings.http2.map(|read| http2(text, read)).transpose()?;
     let fleet = settings.fleet.map(|read| fleet(text, read)).transpose()?;
-    Ok(Operator { registry, http2, fleet, json_logs: log.form() == text::log::Form::Json, level })
+    Ok(Operator {
+        registry,
+        http2,
+        fleet,
+        json_logs: log.form() == text::log::Form::Json,
+        level,
+    })
 }
 
 fn plan(text: &str, registry: text::Registry) -> Result<Plan, Faulty> {
     let faulty = |key: &str, nth: usize, why: String| {
         let line = place(text, &["registry", key], nth).or_else(|| place(text, &["registry"], 0));
-        Faulty { line: line.unwrap_or(0), why: format!("registry.{key}: {why}") }
+        Faulty {
+            line: line.unwrap_or(0),
+            why: format!("registry.{key}: {why}"),
+        }
     };
     let protocol = match registry.protocol() {
         text::registry::Protocol::Unset => {
@@ -146,32 +169,65 @@
         text::registry::Protocol::Consul => Protocol::Consul,
     };
     if registry.endpoints.is_empty() {
-        return Err(faulty("endpoints", 0, "missing: HOST:PORT of one member at least".to_owned()));
+        return Err(faulty(
+            "endpoints",
+            0,
+            "missing: HOST:PORT of one member at least".to_owned(),
+        ));
     }
     for (nth, endpoint) in registry.endpoints.iter().enumerate() {
-        let port = endpoint.rsplit_once(':').filter(|(host, _)| !host.is_empty() && !host.contains('/'));
-        if port.and_then(|(_, port)| port.parse::<u16>().ok()).is_none_or(|port| port == 0) {
-            return Err(faulty("endpoints", nth, format!("\"{endpoint}\" is not HOST:PORT")));
+        let port = endpoint
+            .rsplit_once(':')
+            .filter(|(host, _)| !host.is_empty() && !host.contains('/'));
+        if port
+            .and_then(|(_, port)| port.parse::<u16>().ok())
+            .is_none_or(|port| port == 0)
+        {
+            return Err(faulty(
+                "endpoints",
+                nth,
+                format!("\"{endpoint}\" is not HOST:PORT"),
+            ));
         }
         if registry.endpoints[..nth].contains(endpoint) {
-            return Err(faulty("endpoints", nth, format!("\"{endpoint}\" is named twice")));
+            return Err(faulty(
+                "endpoints",
+                nth,
+                format!("\"{endpoint}\" is named twice"),
+            ));
         }
     }
     if registry.prefix.is_empty() {
-        return Err(faulty("prefix", 0, "missing: all keys of the registry would be hosts".to_owned()));
+        return Err(faulty(
+            "prefix",
+            0,
+            "missing: all keys of the registry would be hosts".to_owned(),
+        ));
     }
     let millis = |key: &str, value: Option<u32>, default: u32, least: u32, most: u32| match value {
-        Some(value) if value < least || value > most => {
-            Err(faulty(key, 0, format!("{value} is not between {least} and {most}")))
-        }
+        Some(value) if value < least || value > most => Err(faulty(
+            key,
+            0,
+            format!("{value} is not between {least} and {most}"),
+        )),
         value => Ok(Span::from_millis(value.unwrap_or(default).into())),
     };
-    let silent_after = millis("silent_after_ms", registry.silent_after_ms, 3_000, LEAST_SILENCE, 60_000)?;
+    let silent_after = millis(
+        "silent_after_ms",
+        registry.silent_after_ms,
+        3_000,
+        LEAST_SILENCE,
+        60_000,
+    )?;
     let settle = millis("settle_ms", registry.settle_ms, 10_000, 0, 3_600_000)?;
     let wait = millis("wait_ms", registry.wait_ms, 10_000, 100, LONGEST_WAIT)?;
     let stale = match registry.stale_ms {
         Some(_) if protocol == Protocol::Etcd => {
-            return Err(faulty("stale_ms", 0, "only Consul has stale reads".to_owned()));
+            return Err(faulty(
+                "stale_ms",
+                0,
+                "only Consul has stale reads".to_owned(),
+            ));
         }
         Some(_) => Some(millis("stale_ms", registry.stale_ms, 0, 1, 3_600_000)?),
         None => None,
@@ -181,14 +237,26 @@
         return Err(faulty("page", 0, "must not be 0".to_owned()));
     }
     let (endpoints, prefix) = (registry.endpoints, registry.prefix);
-    Ok(Plan { protocol, endpoints, prefix, page, silent_after, settle, wait, stale })
+    Ok(Plan {
+        protocol,
+        endpoints,
+        prefix,
+        page,
+        silent_after,
+        settle,
+        wait,
+        stale,
+    })
 }
 
 fn http2(text: &str, read: text::Http2) -> Result<Http2, Faulty> {
     let within = |key: &str, value: Option<u32>, default: u32, least: u32, most: u32| match value {
         Some(value) if value < least || value > most => {
             let line = place(text, &["http2", key], 0).unwrap_or(0);
-            Err(Faulty { line, why: format!("http2.{key}: {value} is not between {least} and {most}") })
+            Err(Faulty {
+                line,
+                why: format!("http2.{key}: {value} is not between {least} and {most}"),
+            })
         }
         value => Ok(value.unwrap_or(default)),
     };
@@ -217,19 +285,28 @@
 fn fleet(text: &str, read: text::Fleet) -> Result<Fleet, Faulty> {
     let faulty = |key: &str, nth: usize, why: String| {
         let line = place(text, &["fleet", key], nth).or_else(|| place(text, &["fleet"], 0));
-        Faulty { line: line.unwrap_or(0), why: format!("fleet.{key}: {why}") }
+        Faulty {
+            line: line.unwrap_or(0),
+            why: format!("fleet.{key}: {why}"),
+        }
     };
     let within = |key: &str, value: Option<u32>, default: u32, least: u32, most: u32| match value {
-        Some(value) if value < least || value > most => {
-            Err(faulty(key, 0, format!("{value} is not between {least} and {most}")))
-        }
+        Some(value) if value < least || value > most => Err(faulty(
+            key,
+            0,
+            format!("{value} is not between {least} and {most}"),
+        )),
         value => Ok(u64::from(value.unwrap_or(default))),
     };
     let address = |key: &str, nth: usize, value: &str| {
         let address = value.parse().ok().filter(|at: &SocketAddrV4| at.port() > 0);
         let address = address.filter(|at| !at.ip().is_unspecified() && !at.ip().is_multicast());
         address.ok_or_else(|| {
-            faulty(key, nth, format!("\"{value}\" is not an IPv4 ADDRESS:PORT that can be reached"))
+            faulty(
+                key,
+                nth,
+                format!("\"{value}\" is not an IPv4 ADDRESS:PORT that can be reached"),
+            )
         })
     };
     for (key, word) in [("id", &read.id), ("zone", &read.zone)] {
@@ -238,10 +315,18 @@
         }
     }
     if read.id.is_empty() {
-        return Err(faulty("id", 0, "missing: two fleets would merge".to_owned()));
+        return Err(faulty(
+            "id",
+            0,
+            "missing: two fleets would merge".to_owned(),
+        ));
     }
     if read.address.is_empty() {
-        return Err(faulty("address", 0, "missing: ADDRESS:PORT to listen at".to_owned()));
+        return Err(faulty(
+            "address",
+            0,
+            "missing: ADDRESS:PORT to listen at".to_owned(),
+        ));
     }
     let own = address("address", 0, &read.address)?;
     let advertise = match read.advertise.as_str() {
@@ -259,8 +344,9 @@
     let probe_every = within("probe_every_ms", read.probe_every_ms, 200, 50, 10_000)?;
     let suspect_for = within("suspect_for_ms", read.suspect_for_ms, 800, 100, 60_000)?;
     if suspect_for < 2 * probe_every {
-        let why =
-            format!("{suspect_for} leaves no time to refute: at least twice probe_every_ms ({probe_every})");
+        let why = format!(
+            "{suspect_for} leaves no time to refute: at least twice probe_every_ms ({probe_every})"
+        );
         return Err(faulty("suspect_for_ms", 0, why));
     }
     let shares = read.shared.map(|shared| shares(text, shared)).transpose()?;
@@ -281,35 +367,57 @@
     let budgets = read.budgets.unwrap_or_default();
     let faulty = |key: &str, why: String| {
         let line = place(text, &["fleet", "shared", "budgets", key], 0);
-        Faulty { line: line.unwrap_or(0), why: format!("fleet.shared.budgets.{key}: {why}") }
+        Faulty {
+            line: line.unwrap_or(0),
+            why: format!("fleet.shared.budgets.{key}: {why}"),
+        }
     };
     let rates = [
         ("further_per_s", Budget::Further, budgets.further_per_s),
         ("cold_per_s", Budget::Cold, budgets.cold_per_s),
-        ("connections_per_s", Budget::Connections, budgets.connections_per_s),
+        (
+            "connections_per_s",
+            Budget::Connections,
+            budgets.connections_per_s,
+        ),
         ("probes_per_s", Budget::Probes, budgets.probes_per_s),
     ];
     let mut given = Vec::new();
     for (key, budget, rate) in rates {
         match rate {
             Some(rate) if !(rate > 0.0 && rate <= MOST_BUDGET) => {
-                return Err(faulty(key, format!("{rate} is not above 0 and up to {MOST_BUDGET}")));
+                return Err(faulty(
+                    key,
+                    format!("{rate} is not above 0 and up to {MOST_BUDGET}"),
+                ));
             }
             rate => given.extend(rate.map(|rate| (budget, rate))),
         }
     }
     let mixers = match budgets.mixers {
         Some(mixers) if !(1..=MOST_MIXERS).contains(&mixers) => {
-            return Err(faulty("mixers", format!("{mixers} is not between 1 and {MOST_MIXERS}")));
+            return Err(faulty(
+                "mixers",
+                format!("{mixers} is not between 1 and {MOST_MIXERS}"),
+            ));
         }
         mixers => mixers.unwrap_or(0) as usize,
     };
     let (judgements, warm_starts, tenants) = (read.judgements, read.warm_starts, budgets.tenants);
     if !judgements && !warm_starts && !tenants && given.is_empty() {
         let line = place(text, &["fleet", "shared"], 0).unwrap_or(0);
-        return Err(Faulty { line, why: "fleet.shared: names nothing that is to be shared".to_owned() });
+        return Err(Faulty {
+            line,
+            why: "fleet.shared: names nothing that is to be shared".to_owned(),
+        });
     }
-    Ok(Shares { judgements, warm_starts, budgets: given, mixers, tenants })
+    Ok(Shares {
+        judgements,
+        warm_starts,
+        budgets: given,
+        mixers,
+        tenants,
+    })
 }
 
 fn line_at(text: &str, offset: usize) -> usize {
--- a/crates/lockusher-aggregator/src/program/check.rs
+++ b/crates/lockusher-aggregator/src/program/check.rs
@@ -10,7 +10,9 @@
         let text = std::fs::read_to_string(file)
             .map_err(|e| anyhow::anyhow!("{}: cannot be read: {e}", file.display()))?;
         let read = config::parse(&text, |name| std::env::var(name).ok());
-        return read.map(drop).map_err(|e| anyhow::anyhow!("{}: {e:#}", file.display()));
+        return read
+            .map(drop)
+            .map_err(|e| anyhow::anyhow!("{}: {e:#}", file.display()));
     }
     operator::load(Some(file)).map(drop)
 }
@@ -26,5 +28,9 @@
             }
         }
     }
-    if faulty { ExitCode::from(2) } else { ExitCode::SUCCESS }
+    if faulty {
+        ExitCode::from(2)
+    } else {
+        ExitCode::SUCCESS
+    }
 }
--- a/crates/lockusher-aggregator/src/program/dump.rs
+++ b/crates/lockusher-aggregator/src/program/dump.rs
@@ -14,7 +14,9 @@
 
 /// Prints the first whole view. Zones are named as `LB_CONFIG` does, if it is set.
 pub async fn dump(operator: Operator, within: Duration) -> Result<()> {
-    let plan = operator.registry.context("registry: not set; --settings names the file that sets it")?;
+    let plan = operator
+        .registry
+        .context("registry: not set; --settings names the file that sets it")?;
     let names = match std::env::var_os("LB_CONFIG") {
         Some(_) => configuration()?.settings.names(),
         None => Names::default(),
@@ -23,7 +25,15 @@
     let (queue, mut lists) = mpsc::channel::<List>(1);
     let (_asks, asked) = mpsc::channel(1);
     let clock = Clock::start();
-    let following = follow(plans, names.clone(), 0, move || clock.now(), queue, |list| list, asked);
+    let following = follow(
+        plans,
+        names.clone(),
+        0,
+        move || clock.now(),
+        queue,
+        |list| list,
+        asked,
+    );
     tokio::select! {
         () = following => bail!("registry: no longer followed"),
         list = lists.recv() => {
--- a/crates/lockusher-aggregator/src/program/mod.rs
+++ b/crates/lockusher-aggregator/src/program/mod.rs
@@ -80,9 +80,9 @@
     report::start(&operator);
     let system = actix_rt::System::new();
     let done = match command {
-        Some(Command::Registry { what: Registry::Dump { within_ms } }) => {
-            system.block_on(dump::dump(operator, Duration::from_millis(within_ms)))
-        }
+        Some(Command::Registry {
+            what: Registry::Dump { within_ms },
+        }) => system.block_on(dump::dump(operator, Duration::from_millis(within_ms))),
         _ => system.block_on(serve::serve(settings, operator)),
     };
     match done {
--- a/crates/lockusher-aggregator/src/program/serve.rs
+++ b/crates/lockusher-aggregator/src/program/serve.rs
@@ -53,22 +53,36 @@
 
 /// What the platform's settings say of what is shared: how many mixers there are, and tenants' shares.
 fn with_platform(mut shares: Shares, settings: &Settings) -> Shares {
-    shares.mixers = if shares.mixers > 0 { shares.mixers } else { settings.balancers };
+    shares.mixers = if shares.mixers > 0 {
+        shares.mixers
+    } else {
+        settings.balancers
+    };
     if shares.tenants {
         let tenants = settings.tenants().into_iter().enumerate();
-        let budgets = tenants.map(|(nth, tenant)| (Budget::Tenant(TenantId(nth)), tenant.quota_per_s));
-        shares.budgets.extend(budgets.take(MOST_BUDGETS.saturating_sub(shares.budgets.len())));
+        let budgets =
+            tenants.map(|(nth, tenant)| (Budget::Tenant(TenantId(nth)), tenant.quota_per_s));
+        shares
+            .budgets
+            .extend(budgets.take(MOST_BUDGETS.saturating_sub(shares.budgets.len())));
     }
     shares
 }
 
 /// Keeps a view of the fleet from here on; what it counts, and what is shared on it, goes to the router.
-async fn fleet(set: &Fleet, config: &Config, clock: Clock, queue: mpsc::Sender<Arrival>) -> Result<Asks> {
+async fn fleet(
+    set: &Fleet,
+    config: &Config,
+    clock: Clock,
+    queue: mpsc::Sender<Arrival>,
+) -> Result<Asks> {
     anyhow::ensure!(
         config.name.len() <= MOST_NAME,
         "name: longer than {MOST_NAME} bytes, which a fleet can't tell"
     );
-    let socket = io::bind(set.address).await.with_context(|| format!("fleet.address: {}", set.address))?;
+    let socket = io::bind(set.address)
+        .await
+        .with_context(|| format!("fleet.address: {}", set.address))?;
     let plan = Plan {
         fleet: set.id.clone(),
         name: MixerName::new(&config.name),
@@ -78,10 +92,19 @@
         probe_every: set.probe_every,
         suspect_for: set.suspect_for,
         remember: set.remember,
-        shares: set.shares.clone().map(|shares| with_platform(shares, &config.settings)),
+        shares: set
+            .shares
+            .clone()
+            .map(|shares| with_platform(shares, &config.settings)),
     };
     let (now, mixers) = (clock.now(), config.settings.balancers);
-    let core = Core::new(now, now.since(Time::from_micros(0)).as_micros(), plan, mixers, config.seed);
+    let core = Core::new(
+        now,
+        now.since(Time::from_micros(0)).as_micros(),
+        plan,
+        mixers,
+        config.seed,
+    );
     // Few ask, and each is answered at once.
     let (ask, asked) = mpsc::channel(4);
     let told = queue.clone();
@@ -94,7 +117,9 @@
                 tokio::time::sleep(REPORT_EVERY).await;
                 let (reply, report) = oneshot::channel();
                 let asked = queue.send(Arrival::Report(reply)).await;
-                let (Ok(()), Ok(own)) = (asked, report.await) else { return };
+                let (Ok(()), Ok(own)) = (asked, report.await) else {
+                    return;
+                };
                 if ask.send(Ask::Tell(own)).await.is_err() {
                     return;
                 }
@@ -113,7 +138,11 @@
     let (queue, arrivals) = mpsc::channel(sockets.most_open);
     let (left, left_inlet) = mpsc::unbounded_channel();
     let (stop, stopping) = watch::channel(Stopping::No);
-    let (can_serve, open, asked) = (Rc::new(Cell::new(false)), Rc::new(Cell::new(0)), Rc::new(Notify::new()));
+    let (can_serve, open, asked) = (
+        Rc::new(Cell::new(false)),
+        Rc::new(Cell::new(0)),
+        Rc::new(Notify::new()),
+    );
     let open_sockets = Rc::default();
     let frames = Searchers::new(sockets, queue.clone(), Rc::clone(&open_sockets));
     let searchers: Box<dyn Carrier> = match operator.http2.clone() {
@@ -127,17 +156,31 @@
         )),
         None => Box::new(frames),
     };
-    let inlets = Inlets { arrivals, left: left_inlet };
-    let mut router =
-        Router::start(clock, &config, searchers, asked.clone(), inlets, can_serve.clone(), open.clone())
-            .context("settings")?;
-    let known = config.known.take().map(|known| known.read(&config.settings.names()));
+    let inlets = Inlets {
+        arrivals,
+        left: left_inlet,
+    };
+    let mut router = Router::start(
+        clock,
+        &config,
+        searchers,
+        asked.clone(),
+        inlets,
+        can_serve.clone(),
+        open.clone(),
+    )
+    .context("settings")?;
+    let known = config
+        .known
+        .take()
+        .map(|known| known.read(&config.settings.names()));
     let from = known.as_ref().map(|known| known.index);
     if let Some(known) = known {
         router.remember(known);
     }
-    let listener =
-        clients::listen(config.listen).await.with_context(|| format!("listen: {}", config.listen))?;
+    let listener = clients::listen(config.listen)
+        .await
+        .with_context(|| format!("listen: {}", config.listen))?;
     let at = listener.local_addr().context("listen")?;
     let names = config.settings.names();
     // One of the two lists the searchers, for as long as the process runs.
@@ -150,13 +193,27 @@
             (registry, asks) = (Some(plans), Some(ask));
             let (now, names) = (move || clock.now(), config.settings.names());
             let told = |list| Arrival::Told(Some(list));
-            actix_rt::spawn(follow(planned, names, config.seed, now, queue.clone(), told, asked));
+            actix_rt::spawn(follow(
+                planned,
+                names,
+                config.seed,
+                now,
+                queue.clone(),
+                told,
+                asked,
+            ));
         }
         None => {
             let (to, moved) = watch::channel(config.needs_discovery()?);
             moves = Some(to);
-            let watching =
-                discovery::watch(moved, sockets, config.settings.names(), from, asked, queue.clone());
+            let watching = discovery::watch(
+                moved,
+                sockets,
+                config.settings.names(),
+                from,
+                asked,
+                queue.clone(),
+            );
             actix_rt::spawn(watching);
         }
     }
@@ -249,7 +306,11 @@
     tracing::info!(
         "{} ends: {}",
         config.name,
-        if answered { "all was answered" } else { "connections left" }
+        if answered {
+            "all was answered"
+        } else {
+            "connections left"
+        }
     );
     Ok(())
 }
--- a/crates/lockusher-aggregator/src/program/signals.rs
+++ b/crates/lockusher-aggregator/src/program/signals.rs
@@ -44,14 +44,24 @@
         }
         // Open for as long as the process lives: a handler may write at any time.
         let fd = writer.into_raw_fd();
-        let (hung_up, stopped) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        for (signal, flag) in [(libc::SIGHUP, &hung_up), (libc::SIGTERM, &stopped), (libc::SIGINT, &stopped)]
-        {
+        let (hung_up, stopped) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicBool::new(false)),
+        );
+        for (signal, flag) in [
+            (libc::SIGHUP, &hung_up),
+            (libc::SIGTERM, &stopped),
+            (libc::SIGINT, &stopped),
+        ] {
             let flag = Arc::clone(flag);
             // SAFETY: the action stores to an atomic and calls write(2), both async-signal-safe, and keeps errno.
             unsafe { signal_hook_registry::register(signal, move || wake(&flag, fd)) }?;
         }
-        Ok(Signals { woken: pipe::Receiver::from_owned_fd(OwnedFd::from(reader))?, hung_up, stopped })
+        Ok(Signals {
+            woken: pipe::Receiver::from_owned_fd(OwnedFd::from(reader))?,
+            hung_up,
+            stopped,
+        })
     }
 
     /// Waits for the next signal; a stop goes before a hang-up that came with it. Safe to cancel: what came is held
--- a/crates/lockusher-aggregator/src/protocol/client.rs
+++ b/crates/lockusher-aggregator/src/protocol/client.rs
@@ -67,7 +67,10 @@
 
 impl Unusable {
     pub fn new(status: u16, why: impl Into<String>) -> Self {
-        Unusable { status, why: why.into() }
+        Unusable {
+            status,
+            why: why.into(),
+        }
     }
 }
 
@@ -107,7 +110,9 @@
     }
     let bad = |why: String| Unusable::new(400, why);
     match head.op_type {
-        Some(kind) if kind != path => return Err(bad(format!("{OP_TYPE} does not agree with the path"))),
+        Some(kind) if kind != path => {
+            return Err(bad(format!("{OP_TYPE} does not agree with the path")));
+        }
         Some(_) => {}
         None => return Err(bad(format!("{OP_TYPE} is missing"))),
     }
@@ -123,22 +128,36 @@
             known
         }
     };
-    let given = head.deadline.ok_or_else(|| bad(format!("{DEADLINE} is missing")))?;
+    let given = head
+        .deadline
+        .ok_or_else(|| bad(format!("{DEADLINE} is missing")))?;
     let given = span(given).ok_or_else(|| bad(format!("{DEADLINE} is no number with m or u")))?;
     if given == Span::ZERO || given > LONGEST {
         return Err(bad(format!("{DEADLINE} is zero or beyond a day")));
     }
     let id = head.id.ok_or_else(|| bad(format!("{ID} is missing")))?;
     // It goes into frames and part ids: nothing that ends a word there.
-    if id.is_empty() || id.len() > 128 || !id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b))
+    if id.is_empty()
+        || id.len() > 128
+        || !id
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b))
     {
         return Err(bad(format!("{ID} is not 1 to 128 letters, digits, - or _")));
     }
-    Ok(Line { op_type, tenant, given })
+    Ok(Line {
+        op_type,
+        tenant,
+        given,
+    })
 }
 
 pub fn decode(head: &Head, body: &[u8], names: &Names, shards: usize) -> Result<Request, Unusable> {
-    let Line { op_type, tenant, given } = line(head, names)?;
+    let Line {
+        op_type,
+        tenant,
+        given,
+    } = line(head, names)?;
     if body.len() > MOST_BODY {
         return Err(Unusable::new(413, "the body is too large"));
     }
@@ -151,7 +170,10 @@
     for part in &body.ranges {
         let shard = part.range;
         if shard >= shards {
-            return Err(bad(format!("range {shard} is beyond the last, {}", shards - 1)));
+            return Err(bad(format!(
+                "range {shard} is beyond the last, {}",
+                shards - 1
+            )));
         }
         if !seen.insert(shard) {
             return Err(bad(format!("range {shard} is named twice")));
@@ -189,7 +211,10 @@
     };
     let digits = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit());
     let number: u64 = digits.then(|| number.parse().ok())??;
-    number.checked_mul(scale).filter(|&us| us < u64::MAX / 4).map(Span::from_micros)
+    number
+        .checked_mul(scale)
+        .filter(|&us| us < u64::MAX / 4)
+        .map(Span::from_micros)
 }
 
 #[derive(Serialize)]
@@ -206,8 +231,16 @@
 
 /// The body of an answer.
 pub fn answer<'a>(whole: bool, values: impl Iterator<Item = (Shard, &'a str)>) -> Bytes {
-    let answers = values.map(|(shard, blob)| Hit { range: shard.0, blob }).collect();
-    let text = AnswerText { total: whole, answers };
+    let answers = values
+        .map(|(shard, blob)| Hit {
+            range: shard.0,
+            blob,
+        })
+        .collect();
+    let text = AnswerText {
+        total: whole,
+        answers,
+    };
     serde_json::to_vec(&text).unwrap_or_default().into()
 }
 
--- a/crates/lockusher-aggregator/src/protocol/discovery.rs
+++ b/crates/lockusher-aggregator/src/protocol/discovery.rs
@@ -12,6 +12,9 @@
 pub fn path(from: Option<u64>, hold: Span) -> String {
     match from {
         None => "/discovery/hosts".to_owned(),
-        Some(from) => format!("/discovery/hosts?from={from}&hold_ms={}", hold.as_micros() / 1_000),
+        Some(from) => format!(
+            "/discovery/hosts?from={from}&hold_ms={}",
+            hold.as_micros() / 1_000
+        ),
     }
 }
--- a/crates/lockusher-aggregator/src/protocol/fleet.rs
+++ b/crates/lockusher-aggregator/src/protocol/fleet.rs
@@ -58,7 +58,16 @@
 }
 
 pub fn encode(shown: &Shown) -> String {
-    let Shown { now, standing, members, living, counted, digest, counts, shared } = shown;
+    let Shown {
+        now,
+        standing,
+        members,
+        living,
+        counted,
+        digest,
+        counts,
+        shared,
+    } = shown;
     let (standing, taken_by) = match standing {
         Standing::Joining => ("joining", None),
         Standing::Member => ("member", None),
--- a/crates/lockusher-aggregator/src/protocol/frame.rs
+++ b/crates/lockusher-aggregator/src/protocol/frame.rs
@@ -16,13 +16,18 @@
 /// The length before each frame that is written: four bytes, most significant first. What the mixer writes is
 /// bounded by what it has in hand.
 pub fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().length_field_length(4).max_frame_length(u32::MAX as usize).new_codec()
+    LengthDelimitedCodec::builder()
+        .length_field_length(4)
+        .max_frame_length(u32::MAX as usize)
+        .new_codec()
 }
 
 /// Takes the next whole frame off, less its length; `None` if more of it must come. What can't become a frame is
 /// told as soon as that shows, so that nothing absurd is waited for or kept.
 pub fn next(buffer: &mut BytesMut) -> Result<Option<BytesMut>, &'static str> {
-    let Some((length, come)) = buffer.split_first_chunk::<4>() else { return Ok(None) };
+    let Some((length, come)) = buffer.split_first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*length) as usize;
     if length == 0 || length > MOST {
         return Err("a frame of absurd length");
@@ -57,7 +62,12 @@
 pub fn call<'a>(parts: impl Iterator<Item = &'a CallPart>) -> Bytes {
     let mut frame = BytesMut::from(&b"m"[..]);
     for part in parts {
-        let mut line = format!("{} {} d={}", part.id.as_str(), part.shard.0, part.wait.as_micros() / 1_000);
+        let mut line = format!(
+            "{} {} d={}",
+            part.id.as_str(),
+            part.shard.0,
+            part.wait.as_micros() / 1_000
+        );
         if let Some((shards, whole)) = &part.first_step {
             let names: Vec<String> = shards.iter().map(|s| s.0.to_string()).collect();
             let _ = write!(line, ",from={},whole={}", names.join("+"), u8::from(*whole));
@@ -141,7 +151,9 @@
     let score = if score == "-" { 0 } else { score.parse().ok()? };
     let value = std::str::from_utf8(&rest[end + 1..]).ok()?;
     // A value is text: with other control characters in it, it is some other frame's bytes.
-    let text = !value.chars().any(|c| c.is_control() && !"\n\r\t".contains(c));
+    let text = !value
+        .chars()
+        .any(|c| c.is_control() && !"\n\r\t".contains(c));
     (!id.is_empty() && text).then(|| PartEnded {
         id: PartId::new(id),
         outcome,
--- a/crates/lockusher-aggregator/src/protocol/registry.rs
+++ b/crates/lockusher-aggregator/src/protocol/registry.rs
@@ -6,7 +6,11 @@
 use serde_json::json;
 
 pub fn encode(shown: &Shown, names: &Names) -> String {
-    let Shown { status, endpoint, view } = shown;
+    let Shown {
+        status,
+        endpoint,
+        view,
+    } = shown;
     let counts = &status.counts;
     let revision = status.version.map(|version| version.revision.0);
     json!({
--- a/crates/lockusher-aggregator/src/report.rs
+++ b/crates/lockusher-aggregator/src/report.rs
@@ -24,12 +24,18 @@
     left_out: u64,
 }
 
-static WINDOW_NOW: Mutex<Window> = Mutex::new(Window { since: None, lines: 0, left_out: 0 });
+static WINDOW_NOW: Mutex<Window> = Mutex::new(Window {
+    since: None,
+    lines: 0,
+    left_out: 0,
+});
 static BROKEN: AtomicU64 = AtomicU64::new(0);
 
 /// Whether another line may be written.
 fn admit() -> bool {
-    let mut window = WINDOW_NOW.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let mut window = WINDOW_NOW
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     if window.since.is_none_or(|since| since.elapsed() >= WINDOW) {
         (window.since, window.lines) = (Some(Instant::now()), 0);
     }
@@ -44,7 +50,9 @@
 
 /// How many lines were left out before this one.
 fn left_out() -> u64 {
-    let mut window = WINDOW_NOW.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let mut window = WINDOW_NOW
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     std::mem::take(&mut window.left_out)
 }
 
@@ -67,7 +75,10 @@
         if count > 0 {
             // A log that can't be written is no reason to stop.
             let _ = match self.json {
-                true => writeln!(out, "{{\"level\":\"WARN\",\"fields\":{{\"left_out\":{count}}}}}"),
+                true => writeln!(
+                    out,
+                    "{{\"level\":\"WARN\",\"fields\":{{\"left_out\":{count}}}}}"
+                ),
                 false => writeln!(out, "lockusher: {count} lines left out"),
             };
         }
@@ -98,14 +109,19 @@
         Level::Warn => LevelFilter::WARN,
         Level::Error => LevelFilter::ERROR,
     };
-    let lines =
-        tracing_subscriber::fmt::layer().with_writer(Out { json: operator.json_logs }).with_ansi(false);
+    let lines = tracing_subscriber::fmt::layer()
+        .with_writer(Out {
+            json: operator.json_logs,
+        })
+        .with_ansi(false);
     let registry = tracing_subscriber::registry();
     let _ = match operator.json_logs {
-        true => tracing::subscriber::set_global_default(registry.with(limited(lines.json(), level))),
-        false => {
-            tracing::subscriber::set_global_default(registry.with(limited(lines.with_target(false), level)))
+        true => {
+            tracing::subscriber::set_global_default(registry.with(limited(lines.json(), level)))
         }
+        false => tracing::subscriber::set_global_default(
+            registry.with(limited(lines.with_target(false), level)),
+        ),
     };
 }
 
--- a/crates/lockusher-aggregator/src/routing/carrier.rs
+++ b/crates/lockusher-aggregator/src/routing/carrier.rs
@@ -34,7 +34,10 @@
 
 impl RepeatWindow {
     pub fn new(span: std::time::Duration) -> Self {
-        RepeatWindow { span, began: Cell::new(None) }
+        RepeatWindow {
+            span,
+            began: Cell::new(None),
+        }
     }
 
     /// Whether a send may leave now; the first that may begins the window.
--- a/crates/lockusher-aggregator/src/routing/desk.rs
+++ b/crates/lockusher-aggregator/src/routing/desk.rs
@@ -178,7 +178,9 @@
 
     /// An answer of a part; the first counts. Tells whether there was room for it.
     pub fn came_in(&mut self, part: &PartId, answer: (i64, String)) -> bool {
-        let Some(open) = self.owners.get(part).and_then(|id| self.open.get_mut(id)) else { return true };
+        let Some(open) = self.owners.get(part).and_then(|id| self.open.get_mut(id)) else {
+            return true;
+        };
         let bytes = answer.1.len();
         if self.values + bytes > self.most_values {
             return false;
@@ -206,7 +208,11 @@
 
     /// What never left says nothing of the searcher it was for.
     fn unsent(&mut self, unsent: Vec<Nth>) {
-        self.ended.extend(unsent.into_iter().map(|(part, nth)| (part, nth, Outcome::Moot)));
+        self.ended.extend(
+            unsent
+                .into_iter()
+                .map(|(part, nth)| (part, nth, Outcome::Moot)),
+        );
     }
 
     /// A complete list lacks these.
@@ -234,7 +240,8 @@
     }
 
     fn cease(&mut self, part: &PartId, nth: usize) {
-        self.departing.retain(|(_, (n, p, _))| p.id != *part || *n != nth);
+        self.departing
+            .retain(|(_, (n, p, _))| p.id != *part || *n != nth);
         if let Some((to, _)) = self.out.get(&(part.clone(), nth)) {
             self.searchers.give_up(to, part, nth);
         }
@@ -272,20 +279,28 @@
         let mut calls: Vec<(SearcherId, Vec<Sent>)> = Vec::new();
         let most = self.searchers.most_parts();
         for (to, sent) in std::mem::take(&mut self.departing) {
-            match calls.iter_mut().rev().find(|(at, call)| *at == to && call.len() < most) {
+            match calls
+                .iter_mut()
+                .rev()
+                .find(|(at, call)| *at == to && call.len() < most)
+            {
                 Some((_, call)) => call.push(sent),
                 None => calls.push((to, vec![sent])),
             }
         }
         for (to, call) in calls {
             let refused = self.searchers.send(&to, call).err().into_iter().flatten();
-            self.ended.extend(refused.map(|(nth, part, _)| (part.id, nth, Outcome::Moot)));
+            self.ended
+                .extend(refused.map(|(nth, part, _)| (part.id, nth, Outcome::Moot)));
         }
     }
 
     /// What came of the last settling: sends that ended here, and parts of second steps.
     pub fn made(&mut self) -> (Vec<EndedHere>, Vec<Begun>) {
-        (std::mem::take(&mut self.ended), std::mem::take(&mut self.begun))
+        (
+            std::mem::take(&mut self.ended),
+            std::mem::take(&mut self.begun),
+        )
     }
 
     /// A client went away; tells whether its multiget was open. One of the same id may be another's.
@@ -307,9 +322,16 @@
     /// leave after it. A copy may wait for its connection for long.
     pub fn recall<'a>(&mut self, parts: impl Iterator<Item = &'a Part>) {
         for part in parts {
-            for (nth, send) in part.sends.iter().enumerate().filter(|(_, s)| s.outcome.is_none()) {
-                let waiting =
-                    self.departing.extract_if(.., |(_, (n, p, _))| p.id == part.id && *n == nth).count();
+            for (nth, send) in part
+                .sends
+                .iter()
+                .enumerate()
+                .filter(|(_, s)| s.outcome.is_none())
+            {
+                let waiting = self
+                    .departing
+                    .extract_if(.., |(_, (n, p, _))| p.id == part.id && *n == nth)
+                    .count();
                 if waiting > 0 || self.searchers.recall(&send.to, &part.id, nth) {
                     self.ended.push((part.id.clone(), nth, Outcome::Moot));
                 }
@@ -319,7 +341,9 @@
 
     /// The second step goes to the highest scores among the shards that are in.
     fn second_step(&mut self, multiget: &Multiget, whole: bool, most: usize) {
-        let Some(open) = self.open.get_mut(&multiget.id) else { return };
+        let Some(open) = self.open.get_mut(&multiget.id) else {
+            return;
+        };
         let score = |part: &Part| open.values.get(&part.id).map_or(0, |(score, _)| *score);
         let mut best: Vec<&Part> = multiget.parts.iter().filter(|p| p.returned).collect();
         let shards: Rc<[Shard]> = best.iter().map(|p| p.shard).collect();
@@ -328,7 +352,12 @@
         let weight = 1.0 / best.len().max(1) as f64;
         for part in best {
             let id = PartId::new(&format!("{}.{}.r", multiget.id.as_str(), part.shard.0));
-            let part = NewPart { id, shard: part.shard, weight, hint: None };
+            let part = NewPart {
+                id,
+                shard: part.shard,
+                weight,
+                hint: None,
+            };
             self.begun.push((open.number, part));
         }
         open.first_step = Some((shards, whole));
@@ -338,32 +367,59 @@
 impl Wire for Desk {
     fn send(&mut self, multiget: &Multiget, order: &Order) {
         let part = &multiget.parts[order.part];
-        must_hold!(!multiget.ended, "nothing is sent for a multiget that has its final answer");
+        must_hold!(
+            !multiget.ended,
+            "nothing is sent for a multiget that has its final answer"
+        );
         must_hold!(!part.returned, "nothing is sent for a part that is in");
-        let Some(open) = self.open.get_mut(&multiget.id) else { return };
+        let Some(open) = self.open.get_mut(&multiget.id) else {
+            return;
+        };
         // A copy of what is late: is it the searcher, or the connection to it?
-        for (before, send) in part.sends.iter().enumerate().filter(|(_, send)| send.outcome.is_none()) {
+        for (before, send) in part
+            .sends
+            .iter()
+            .enumerate()
+            .filter(|(_, send)| send.outcome.is_none())
+        {
             self.searchers.doubt(&send.to, &part.id, before);
         }
         if order.anew {
             self.searchers.close_unused(&order.to);
         }
         let (nth, id) = (part.sends.len(), part.id.clone());
-        if self.owners.insert(id.clone(), multiget.id.clone()).is_none() {
+        if self
+            .owners
+            .insert(id.clone(), multiget.id.clone())
+            .is_none()
+        {
             open.parts.push(id.clone());
         }
-        self.out.insert((id.clone(), nth), (order.to.clone(), self.now));
-        self.time_outs.push(Reverse((self.now + order.timeout, id.clone(), nth)));
+        self.out
+            .insert((id.clone(), nth), (order.to.clone(), self.now));
+        self.time_outs
+            .push(Reverse((self.now + order.timeout, id.clone(), nth)));
         let first_step = open.first_step.clone().filter(|_| part.second_step);
         let (shard, wait, text) = (part.shard, order.timeout, open.text.clone());
-        let call = CallPart { id, shard, wait, first_step, text };
+        let call = CallPart {
+            id,
+            shard,
+            wait,
+            first_step,
+            text,
+        };
         self.tally.sent(nth);
         let wanted = open.wanted.clone();
         let window = self.windows[multiget.op_type.0].map(|span| {
             let window = open.windows.entry(part.id.clone());
-            window.or_insert_with(|| Rc::new(RepeatWindow::new(duration(span)))).clone()
+            window
+                .or_insert_with(|| Rc::new(RepeatWindow::new(duration(span))))
+                .clone()
         });
-        if let Some(window) = window.as_ref().filter(|_| part.first_that_may_have_run().is_none()) {
+        if let Some(window) = window
+            .as_ref()
+            .filter(|_| part.first_that_may_have_run().is_none())
+        {
             window.never_ran();
         }
         let may = move || match &window {
@@ -371,7 +427,8 @@
             Some(window) => window.may_leave(Instant::now()),
             None => May::Leave,
         };
-        self.departing.push((order.to.clone(), (nth, call, Rc::new(may))));
+        self.departing
+            .push((order.to.clone(), (nth, call, Rc::new(may))));
     }
 
     fn withdraw(&mut self, part: &PartId, nth: usize) {
@@ -390,7 +447,10 @@
         let open = self.close(&multiget.id);
         must_hold!(open.is_some(), "a multiget gets one final answer");
         let Some(open) = open else { return };
-        self.tally.replied(reply, multiget.parts.iter().any(|part| !part.sends.is_empty()));
+        self.tally.replied(
+            reply,
+            multiget.parts.iter().any(|part| !part.sends.is_empty()),
+        );
         let given = match reply {
             Reply::PushedBack { come_back_in } => Given::PushedBack(come_back_in),
             Reply::Failed => Given::Failed,
@@ -399,11 +459,17 @@
                 let counts = |p: &&Part| p.returned && p.second_step == second;
                 let value = |p: &Part| open.values.get(&p.id).map(|(_, value)| value.as_str());
                 let parts = multiget.parts.iter().filter(counts);
-                Given::Answer(client::answer(whole, parts.filter_map(|p| Some((p.shard, value(p)?)))))
+                Given::Answer(client::answer(
+                    whole,
+                    parts.filter_map(|p| Some((p.shard, value(p)?))),
+                ))
             }
         };
         // The answer must not overtake a copy that has just left: nothing is sent after it.
-        let out = |part: &Part, nth: usize| self.searchers.on_its_way(&part.sends[nth].to, &part.id, nth);
+        let out = |part: &Part, nth: usize| {
+            self.searchers
+                .on_its_way(&part.sends[nth].to, &part.id, nth)
+        };
         let all = multiget
             .parts
             .iter()
@@ -432,7 +498,12 @@
         let pick = |pick: &Option<Believed>| match pick {
             Some((id, expected, idle, heard, good)) => {
                 let idle = if *idle { " idle" } else { "" };
-                format!("{}:{}ms{idle} heard {}ms ago good {good:.2}", id.as_str(), ms(*expected), ms(*heard))
+                format!(
+                    "{}:{}ms{idle} heard {}ms ago good {good:.2}",
+                    id.as_str(),
+                    ms(*expected),
+                    ms(*heard)
+                )
             }
             None => "none".to_owned(),
         };
--- a/crates/lockusher-aggregator/src/routing/mod.rs
+++ b/crates/lockusher-aggregator/src/routing/mod.rs
@@ -99,7 +99,17 @@
         let op_types = config.settings.op_types().map_err(anyhow::Error::msg)?;
         let desk = Desk::new(searchers, &op_types, asked, config.sockets.most_bytes);
         let sockets = config.sockets;
-        Ok(Router { clock, host, desk, sockets, inlets, can_serve, next_number: 0, open, stopped: false })
+        Ok(Router {
+            clock,
+            host,
+            desk,
+            sockets,
+            inlets,
+            can_serve,
+            next_number: 0,
+            open,
+            stopped: false,
+        })
     }
 
     /// Tells the list that was held last.
@@ -133,7 +143,9 @@
             while let Some(got) = arrival {
                 self.arrived(now, got);
                 handled += 1;
-                arrival = (handled < MOST).then(|| self.inlets.arrivals.try_recv().ok()).flatten();
+                arrival = (handled < MOST)
+                    .then(|| self.inlets.arrivals.try_recv().ok())
+                    .flatten();
             }
             while let Some(id) = left {
                 self.client_left(&id);
@@ -149,14 +161,24 @@
     fn arrived(&mut self, now: Time, arrival: Arrival) {
         match arrival {
             Arrival::Asked(asked) => self.asked(now, *asked),
-            Arrival::Ended(SendEnded { part, nth, outcome, at, answer }) => {
+            Arrival::Ended(SendEnded {
+                part,
+                nth,
+                outcome,
+                at,
+                answer,
+            }) => {
                 // A value that there is no room for is no answer.
                 let kept = answer.is_none_or(|answer| self.desk.came_in(&part, answer));
                 let outcome = if kept { outcome } else { Outcome::Error };
                 self.ended(now, part, nth, outcome, Some(self.clock.at(at)));
             }
             Arrival::Told(Some(list)) => {
-                let kind = if list.complete { News::All } else { News::Changes };
+                let kind = if list.complete {
+                    News::All
+                } else {
+                    News::Changes
+                };
                 self.told(now, list, kind);
             }
             Arrival::Stop => {
@@ -172,14 +194,32 @@
             Arrival::Report(reply) => {
                 // Whoever asked may have gone.
                 let (seen, totals) = (self.host.seen(), self.desk.totals());
-                let wants = self.host.spends(now).into_iter().chain(self.desk.spends()).collect();
-                let _ = reply.send(Own { seen, totals, wants });
+                let wants = self
+                    .host
+                    .spends(now)
+                    .into_iter()
+                    .chain(self.desk.spends())
+                    .collect();
+                let _ = reply.send(Own {
+                    seen,
+                    totals,
+                    wants,
+                });
             }
             Arrival::Told(None) => self.host.news(now, News::Refused),
         }
     }
 
-    fn asked(&mut self, now: Time, Asked { request, at, reply, wanted }: Asked) {
+    fn asked(
+        &mut self,
+        now: Time,
+        Asked {
+            request,
+            at,
+            reply,
+            wanted,
+        }: Asked,
+    ) {
         if reply.is_closed() {
             return; // Its client went away while it waited here.
         }
@@ -194,7 +234,10 @@
         }
         self.next_number += 1;
         let number = self.next_number;
-        let hint = request.parts.iter().try_fold(Span::ZERO, |all, part| Some(all + part.hint?));
+        let hint = request
+            .parts
+            .iter()
+            .try_fold(Span::ZERO, |all, part| Some(all + part.hint?));
         let taken = Taken {
             id: request.id.clone(),
             number,
@@ -208,23 +251,44 @@
         for part in &request.parts {
             let id = PartId::new(&format!("{}.{}", request.id.as_str(), part.shard.0));
             let (shard, weight, hint) = (part.shard, part.weight, part.hint);
-            self.host.join(now, number, NewPart { id, shard, weight, hint });
+            self.host.join(
+                now,
+                number,
+                NewPart {
+                    id,
+                    shard,
+                    weight,
+                    hint,
+                },
+            );
         }
         self.desk.take(number, request, reply, wanted);
     }
 
     /// The end of a send, once; `at` is when it was heard of, if before now.
     fn ended(&mut self, now: Time, part: PartId, nth: usize, outcome: Outcome, at: Option<Time>) {
-        let Some(sent) = self.desk.closed(&part, nth) else { return };
+        let Some(sent) = self.desk.closed(&part, nth) else {
+            return;
+        };
         let elapsed = at.unwrap_or(now).since(sent);
         let closed = outcome == Outcome::Returned;
-        let ended = Ended { part, nth, outcome, elapsed, closed };
+        let ended = Ended {
+            part,
+            nth,
+            outcome,
+            elapsed,
+            closed,
+        };
         let noted = self.host.ended(now, &ended, &mut self.desk);
         must_hold!(noted.is_ok(), "an outcome finds its send");
         if closed
-            && let Some(multiget) = self.desk.owner(&ended.part).and_then(|id| self.host.in_hand().get(id))
+            && let Some(multiget) = self
+                .desk
+                .owner(&ended.part)
+                .and_then(|id| self.host.in_hand().get(id))
         {
-            self.desk.recall(multiget.parts.iter().filter(|part| part.id == ended.part));
+            self.desk
+                .recall(multiget.parts.iter().filter(|part| part.id == ended.part));
         }
     }
 
@@ -236,8 +300,12 @@
         for (line, place) in &list.lines {
             self.desk.listed(line, *place);
         }
-        self.host.news(now, kind(list.lines.into_iter().map(|(line, _)| line).collect()));
-        self.can_serve.set(self.can_serve.get() || self.desk.knows_any());
+        self.host.news(
+            now,
+            kind(list.lines.into_iter().map(|(line, _)| line).collect()),
+        );
+        self.can_serve
+            .set(self.can_serve.get() || self.desk.knows_any());
     }
 
     fn client_left(&mut self, id: &MultigetId) {
@@ -248,7 +316,12 @@
             && let Some(multiget) = self.host.in_hand().get(id)
         {
             for part in &multiget.parts {
-                for (nth, _) in part.sends.iter().enumerate().filter(|(_, s)| s.outcome.is_none()) {
+                for (nth, _) in part
+                    .sends
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, s)| s.outcome.is_none())
+                {
                     self.desk.give_up(&part.id, nth);
                 }
             }
--- a/crates/lockusher-aggregator/src/routing/tally.rs
+++ b/crates/lockusher-aggregator/src/routing/tally.rs
@@ -109,9 +109,20 @@
         tally.replied(BACK, true);
         assert_eq!(tally.over(at(1_500)), None, "not before the second is over");
         let (counts, span) = tally.over(at(2_100)).expect("told");
-        assert_eq!((counts.pushed_back_unsent, counts.pushed_back_sent, counts.sends), (40, 1, 0));
+        assert_eq!(
+            (
+                counts.pushed_back_unsent,
+                counts.pushed_back_sent,
+                counts.sends
+            ),
+            (40, 1, 0)
+        );
         assert_eq!(span, Span::from_millis(1_100));
-        assert_eq!(tally.over(at(3_200)), None, "what was told is not told again");
+        assert_eq!(
+            tally.over(at(3_200)),
+            None,
+            "what was told is not told again"
+        );
         assert!(tally.tell_belief());
         tally.belief_told();
         assert!(!tally.tell_belief(), "one belief a second");
--- a/crates/lockusher-aggregator/src/transport/carriers.rs
+++ b/crates/lockusher-aggregator/src/transport/carriers.rs
@@ -23,8 +23,12 @@
 
 /// Whether an id matches a pattern in which a star stands for any letters.
 pub fn matches(pattern: &str, id: &str) -> bool {
-    let Some((before, after)) = pattern.split_once('*') else { return pattern == id };
-    let Some(rest) = id.strip_prefix(before) else { return false };
+    let Some((before, after)) = pattern.split_once('*') else {
+        return pattern == id;
+    };
+    let Some(rest) = id.strip_prefix(before) else {
+        return false;
+    };
     (0..=rest.len()).any(|at| rest.is_char_boundary(at) && matches(after, &rest[at..]))
 }
 
@@ -44,22 +48,72 @@
 }
 
 fn arrival(came: Came) -> Arrival {
-    let Came { part, nth, outcome, at, answer } = came;
-    Arrival::Ended(SendEnded { part, nth, outcome, at, answer })
+    let Came {
+        part,
+        nth,
+        outcome,
+        at,
+        answer,
+    } = came;
+    Arrival::Ended(SendEnded {
+        part,
+        nth,
+        outcome,
+        at,
+        answer,
+    })
 }
 
 fn handed((nth, part, may): Sent) -> H2Sent {
     let wanted = Rc::new(move || matches!(may(), May::Leave | May::LeaveBy(_)));
-    let CallPart { id, shard, wait, first_step, text } = part;
+    let CallPart {
+        id,
+        shard,
+        wait,
+        first_step,
+        text,
+    } = part;
     let first_step = first_step.map(|(shards, whole)| (shards.to_vec(), whole));
-    H2Sent { nth, part: wire::Part { id, shard, wait, first_step, text }, wanted }
+    H2Sent {
+        nth,
+        part: wire::Part {
+            id,
+            shard,
+            wait,
+            first_step,
+            text,
+        },
+        wanted,
+    }
 }
 
 fn handed_back(sent: H2Sent) -> Sent {
-    let wire::Part { id, shard, wait, first_step, text } = sent.part;
+    let wire::Part {
+        id,
+        shard,
+        wait,
+        first_step,
+        text,
+    } = sent.part;
     let first_step = first_step.map(|(shards, whole)| (shards.into(), whole));
-    let may = move || if (sent.wanted)() { May::Leave } else { May::Unwanted };
-    (sent.nth, CallPart { id, shard, wait, first_step, text }, Rc::new(may))
+    let may = move || {
+        if (sent.wanted)() {
+            May::Leave
+        } else {
+            May::Unwanted
+        }
+    };
+    (
+        sent.nth,
+        CallPart {
+            id,
+            shard,
+            wait,
+            first_step,
+            text,
+        },
+        Rc::new(may),
+    )
 }
 
 impl Carriers {
@@ -91,21 +145,36 @@
             started: Instant::now(),
         });
         let connect_timeout = sockets.connect_timeout;
-        Carriers { frames, http2, names, connect_timeout, shared, hosts: HashMap::new() }
+        Carriers {
+            frames,
+            http2,
+            names,
+            connect_timeout,
+            shared,
+            hosts: HashMap::new(),
+        }
     }
 
     /// Whether a host is spoken to by HTTP/2.
     fn chosen(&self, line: &Listed, place: Place) -> bool {
-        let zone = |name: &String| line.zone.is_some() && self.names.zones.get(name).copied() == line.zone;
+        let zone =
+            |name: &String| line.zone.is_some() && self.names.zones.get(name).copied() == line.zone;
         self.http2.zones.iter().any(zone)
-            || self.http2.names.iter().any(|pattern| matches(pattern, line.id.as_str()))
+            || self
+                .http2
+                .names
+                .iter()
+                .any(|pattern| matches(pattern, line.id.as_str()))
             || (self.http2.entries && place.http2)
     }
 
     /// The host that holds a send by HTTP/2, if one does.
     fn holding(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<&Rc<Host<Arrival>>> {
         let by = self.hosts.get(to)?;
-        by.host.iter().chain(&by.before).find(|host| host.holds(part, nth))
+        by.host
+            .iter()
+            .chain(&by.before)
+            .find(|host| host.holds(part, nth))
     }
 
     /// The host, unless it turned out to speak no HTTP/2 and may be left to frames.
@@ -115,9 +184,13 @@
     }
 
     fn end(&mut self, id: &SearcherId) -> Vec<Unsent> {
-        let Some(by) = self.hosts.get_mut(id) else { return Vec::new() };
+        let Some(by) = self.hosts.get_mut(id) else {
+            return Vec::new();
+        };
         by.before.retain(|host| !host.is_over());
-        let Some(host) = by.host.take() else { return Vec::new() };
+        let Some(host) = by.host.take() else {
+            return Vec::new();
+        };
         let unsent = host.leave();
         by.before.push(host);
         unsent
@@ -128,14 +201,22 @@
     fn at(&mut self, line: &Listed, place: Place) -> Vec<Unsent> {
         // Frames know all, so that what is left to them has an address.
         let mut unsent = self.frames.at(line, place);
-        let here = self.hosts.get(&line.id).and_then(|by| by.host.as_ref()).map(|host| host.address());
+        let here = self
+            .hosts
+            .get(&line.id)
+            .and_then(|by| by.host.as_ref())
+            .map(|host| host.address());
         let wanted = self.chosen(line, place).then_some(place.address);
         if here != wanted {
             unsent.extend(self.end(&line.id));
             if let Some(address) = wanted {
                 let host = Host::start(self.shared.clone(), address);
                 let by = self.hosts.entry(line.id.clone());
-                by.or_insert_with(|| ByHttp2 { host: None, before: Vec::new() }).host = Some(host);
+                by.or_insert_with(|| ByHttp2 {
+                    host: None,
+                    before: Vec::new(),
+                })
+                .host = Some(host);
             }
         }
         unsent
@@ -218,7 +299,9 @@
     }
 
     fn on_its_way(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<Instant> {
-        let Some(host) = self.holding(to, part, nth) else { return self.frames.on_its_way(to, part, nth) };
+        let Some(host) = self.holding(to, part, nth) else {
+            return self.frames.on_its_way(to, part, nth);
+        };
         let until = host.left_at(part, nth)? + duration(self.connect_timeout) / 50;
         (until > Instant::now()).then_some(until)
     }
--- a/crates/lockusher-aggregator/src/transport/client_stream.rs
+++ b/crates/lockusher-aggregator/src/transport/client_stream.rs
@@ -127,7 +127,8 @@
         self.asked.set(false);
         self.whole.set(false);
         // What has come behind it begins another.
-        self.began.set((self.ahead.get() > 0).then(|| self.last_read.get()));
+        self.began
+            .set((self.ahead.get() > 0).then(|| self.last_read.get()));
         self.answered.set(true);
         self.served.set(self.served.get() || served);
         self.used.set(Instant::now());
@@ -145,7 +146,9 @@
 
     /// Whether its client is there: asks the system, as a mixer that had to stand still has not read it yet.
     pub fn present(&self) -> bool {
-        let Some(stream) = self.stream.upgrade().filter(|_| !self.gone.get()) else { return false };
+        let Some(stream) = self.stream.upgrade().filter(|_| !self.gone.get()) else {
+            return false;
+        };
         // Its end may lie behind bytes that are not read yet.
         !hung_up(&stream) && !matches!(unread(&stream), Unread::End)
     }
@@ -196,7 +199,11 @@
 
     /// Closes it whatever its client does, between two requests if that is where it is.
     fn end(&self) {
-        self.close(if self.unused() { Closing::WhenUnused } else { Closing::Now });
+        self.close(if self.unused() {
+            Closing::WhenUnused
+        } else {
+            Closing::Now
+        });
     }
 
     fn close(&self, how: Closing) {
@@ -207,7 +214,11 @@
 
 /// Whether the other side has closed, asked of the system: this shows though bytes before it are not read yet.
 fn hung_up(stream: &TcpStream) -> bool {
-    let mut asked = libc::pollfd { fd: stream.as_raw_fd(), events: libc::POLLRDHUP, revents: 0 };
+    let mut asked = libc::pollfd {
+        fd: stream.as_raw_fd(),
+        events: libc::POLLRDHUP,
+        revents: 0,
+    };
     // SAFETY: one entry, which outlives the call; with no time to wait it returns at once.
     let told = unsafe { libc::poll(&mut asked, 1, 0) };
     told > 0 && asked.revents & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
@@ -240,8 +251,16 @@
 impl ClientStream {
     pub fn new(stream: TcpStream) -> Self {
         let stream = Rc::new(stream);
-        let usage = Rc::new(Usage { stream: Rc::downgrade(&stream), ..Usage::default() });
-        ClientStream { stream, usage, rests: false, lingers: None }
+        let usage = Rc::new(Usage {
+            stream: Rc::downgrade(&stream),
+            ..Usage::default()
+        });
+        ClientStream {
+            stream,
+            usage,
+            rests: false,
+            lingers: None,
+        }
     }
 
     /// Reads what has come; tells how much, nothing at its end.
@@ -261,7 +280,11 @@
 }
 
 impl AsyncRead for ClientStream {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         if std::mem::take(&mut self.rests) {
             cx.waker().wake_by_ref();
             return Poll::Pending;
@@ -299,7 +322,9 @@
         // What has come is read even when closing: a request that was sent gets its answer. The system is asked, as
         // bytes may have come that nobody was told of yet.
         match usage.closing.get() {
-            Closing::WhenUnused if usage.unused() && !matches!(unread(&self.stream), Unread::Bytes) => {
+            Closing::WhenUnused
+                if usage.unused() && !matches!(unread(&self.stream), Unread::Bytes) =>
+            {
                 return Poll::Ready(Ok(()));
             }
             Closing::Now if !usage.whole.get() => return Poll::Ready(Ok(())),
@@ -311,7 +336,11 @@
 }
 
 impl AsyncWrite for ClientStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let written = loop {
             match self.stream.poll_write_ready(cx)? {
                 Poll::Pending => break Poll::Pending,
@@ -339,10 +368,17 @@
             return Poll::Ready(Ok(()));
         }
         if self.lingers.is_none() {
-            if SockRef::from(&*self.stream).shutdown(Shutdown::Write).is_err() {
+            if SockRef::from(&*self.stream)
+                .shutdown(Shutdown::Write)
+                .is_err()
+            {
                 return Poll::Ready(Ok(())); // Its client was quicker.
             }
-            let lately = self.usage.wrote.get().is_some_and(|at| at.elapsed() < WRITTEN_LATELY);
+            let lately = self
+                .usage
+                .wrote
+                .get()
+                .is_some_and(|at| at.elapsed() < WRITTEN_LATELY);
             let span = if lately { LINGER } else { CROSSING };
             self.lingers = Some(Box::pin(tokio::time::sleep(span)));
         }
@@ -385,21 +421,28 @@
 
     /// Closes each connection as soon as it is between two requests.
     pub fn close_unused(&self) {
-        self.open.borrow().values().for_each(|usage| usage.close(Closing::WhenUnused));
+        self.open
+            .borrow()
+            .values()
+            .for_each(|usage| usage.close(Closing::WhenUnused));
     }
 
     /// Closes those that have said nothing for too long, or take too long to say what they want.
     pub fn close_overdue(&self) {
         let open = self.open.borrow();
-        open.values().filter(|usage| usage.overdue()).for_each(|usage| usage.end());
+        open.values()
+            .filter(|usage| usage.overdue())
+            .for_each(|usage| usage.end());
     }
 
     /// Closes the connection unused for longest if more than `most` were asked multigets on: clients may hold only so
     /// many, and a crowd of them that ask once and stay would leave none for others.
     pub fn keep(&self, most: usize) {
         let open = self.open.borrow();
-        let asked =
-            || open.values().filter(|u| u.closing.get() == Closing::No && (u.served.get() || u.asked.get()));
+        let asked = || {
+            open.values()
+                .filter(|u| u.closing.get() == Closing::No && (u.served.get() || u.asked.get()))
+        };
         if asked().count() > most
             && let Some(usage) = asked().filter(|u| u.unused()).min_by_key(|u| u.used.get())
         {
@@ -426,6 +469,10 @@
 
     /// Those that are being closed, whose places are free soon.
     pub fn closing(&self) -> usize {
-        self.open.borrow().values().filter(|usage| usage.closes()).count()
+        self.open
+            .borrow()
+            .values()
+            .filter(|usage| usage.closes())
+            .count()
     }
 }
--- a/crates/lockusher-aggregator/src/transport/clients.rs
+++ b/crates/lockusher-aggregator/src/transport/clients.rs
@@ -77,7 +77,10 @@
 /// Serves connections until `closed`; ends when the last one that was accepted has ended.
 pub async fn serve(listener: TcpListener, desk: Rc<Desk>, closed: Rc<Notify>) {
     let most = desk.sockets.most_clients;
-    let (places, connections) = (Arc::new(Semaphore::new(most)), Rc::new(Connections::default()));
+    let (places, connections) = (
+        Arc::new(Semaphore::new(most)),
+        Rc::new(Connections::default()),
+    );
     let shared = desk.clone();
     let service = HttpService::build()
         .keep_alive(KeepAlive::Os)
@@ -163,7 +166,10 @@
 }
 
 async fn handle(mut request: Request, desk: &Desk) -> Response<BoxBody> {
-    let usage = request.conn_data::<Rc<Usage>>().cloned().unwrap_or_default();
+    let usage = request
+        .conn_data::<Rc<Usage>>()
+        .cloned()
+        .unwrap_or_default();
     usage.asked();
     let mut response = match request.path() {
         client::UP if desk.can_serve.get() && !desk.stops() => plain(200, "up"),
@@ -179,7 +185,9 @@
                 if !usage.is_whole() {
                     // Where it ends is not known: nothing that follows may be taken for a request.
                     usage.refuse();
-                    response.head_mut().set_connection_type(ConnectionType::Close);
+                    response
+                        .head_mut()
+                        .set_connection_type(ConnectionType::Close);
                 }
                 response
             }
@@ -187,7 +195,9 @@
     };
     usage.answered(request.path() != client::UP && !response.status().is_client_error());
     if desk.closes() || usage.closes() {
-        response.head_mut().set_connection_type(ConnectionType::Close);
+        response
+            .head_mut()
+            .set_connection_type(ConnectionType::Close);
     }
     response
 }
@@ -199,7 +209,10 @@
         Ok(shown) if asked.is_ok() => {
             let mut response = Response::build(StatusCode::OK);
             let body = crate::protocol::registry::encode(&shown, names);
-            response.insert_header((CONTENT_TYPE, "application/json")).body(body).map_into_boxed_body()
+            response
+                .insert_header((CONTENT_TYPE, "application/json"))
+                .body(body)
+                .map_into_boxed_body()
         }
         _ => plain(503, "the registry is not followed"),
     }
@@ -212,7 +225,10 @@
         Ok(shown) if asked.is_ok() => {
             let mut response = Response::build(StatusCode::OK);
             let body = crate::protocol::fleet::encode(&shown);
-            response.insert_header((CONTENT_TYPE, "application/json")).body(body).map_into_boxed_body()
+            response
+                .insert_header((CONTENT_TYPE, "application/json"))
+                .body(body)
+                .map_into_boxed_body()
         }
         _ => plain(503, "no view of the fleet is kept"),
     }
@@ -262,7 +278,10 @@
 ) -> Result<Response<BoxBody>, Unusable> {
     let mut payload = request.take_payload();
     let headers = request.headers();
-    if let Some(name) = client::ONCE.into_iter().find(|name| headers.get_all(*name).count() > 1) {
+    if let Some(name) = client::ONCE
+        .into_iter()
+        .find(|name| headers.get_all(*name).count() > 1)
+    {
         return Err(Unusable::new(400, format!("{name} is given twice")));
     }
     if headers.contains_key(UPGRADE) {
@@ -285,7 +304,10 @@
         return Err(too_large());
     }
     let mut body = BytesMut::new();
-    let mut kept = Kept { all: &desk.bodies, bytes: 0 };
+    let mut kept = Kept {
+        all: &desk.bodies,
+        bytes: 0,
+    };
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.map_err(|e| Unusable::new(400, format!("the body: {e}")))?;
         if body.len() + chunk.len() > MOST_BODY {
@@ -312,7 +334,16 @@
     let id = request.id.clone();
     let present = usage.clone();
     let wanted: Wanted = Rc::new(move || present.present());
-    if desk.queue.try_send(Arrival::Asked(Box::new(Asked { request, at, reply, wanted }))).is_err() {
+    if desk
+        .queue
+        .try_send(Arrival::Asked(Box::new(Asked {
+            request,
+            at,
+            reply,
+            wanted,
+        })))
+        .is_err()
+    {
         return Ok(plain(503, "too much is waiting"));
     }
     let mut waiting = Waiting { desk, id: Some(id) };
@@ -330,7 +361,10 @@
     Ok(match given.map(|(given, _)| given) {
         Ok(Given::Answer(body)) => {
             let mut response = Response::build(StatusCode::OK);
-            response.insert_header((CONTENT_TYPE, "application/json")).body(body).map_into_boxed_body()
+            response
+                .insert_header((CONTENT_TYPE, "application/json"))
+                .body(body)
+                .map_into_boxed_body()
         }
         Ok(Given::PushedBack(None)) => plain(503, "pushed back"),
         Ok(Given::PushedBack(Some(span))) => {
--- a/crates/lockusher-aggregator/src/transport/discovery.rs
+++ b/crates/lockusher-aggregator/src/transport/discovery.rs
@@ -65,9 +65,13 @@
 ) {
     // No time-out of the client's own may end a watch early.
     let longest = duration(HOLD) + LATEST;
-    let connector =
-        Connector::new().timeout(duration(sockets.connect_timeout)).conn_lifetime(longest * 1_000);
-    let client = Client::builder().connector(connector).timeout(longest).finish();
+    let connector = Connector::new()
+        .timeout(duration(sockets.connect_timeout))
+        .conn_lifetime(longest * 1_000);
+    let client = Client::builder()
+        .connector(connector)
+        .timeout(longest)
+        .finish();
     // How late an answer may be, and how late it may usually be, by how long the last first call took.
     let (mut hold, mut late, mut usual) = (AT_ONCE, LATE, LATE);
     loop {
@@ -90,7 +94,11 @@
                 }
                 Err(error) => {
                     tracing::warn!("discovery: {error}");
-                    late = if hold == AT_ONCE { (late * 2).min(LATEST) } else { LATE_AFTER_FAILURE };
+                    late = if hold == AT_ONCE {
+                        (late * 2).min(LATEST)
+                    } else {
+                        LATE_AFTER_FAILURE
+                    };
                     hold = AT_ONCE;
                     if sockets.on_request {
                         break;
@@ -99,10 +107,16 @@
                     continue;
                 }
             };
-            usual = if hold == AT_ONCE { (began.elapsed() * 2).clamp(LATE, LATEST) } else { usual };
+            usual = if hold == AT_ONCE {
+                (began.elapsed() * 2).clamp(LATE, LATEST)
+            } else {
+                usual
+            };
             (hold, late) = (sockets.hold.min(HOLD), usual);
             let (index, nothing) = (told.index, told.lines.is_empty());
-            let Ok(place) = queue.reserve().await else { return };
+            let Ok(place) = queue.reserve().await else {
+                return;
+            };
             place.send(Arrival::Told(Some(told)));
             *from = Some(index);
             if nothing && began.elapsed() < PACE {
@@ -129,10 +143,16 @@
         if !response.status().is_success() {
             return Err(format!("it answered {}", response.status()));
         }
-        let body = response.body().limit(MOST_LIST).await.map_err(|e| e.to_string())?;
+        let body = response
+            .body()
+            .limit(MOST_LIST)
+            .await
+            .map_err(|e| e.to_string())?;
         discovery::decode(&body, names).map_err(|e| format!("no list: {e}"))
     };
-    tokio::time::timeout(duration(hold) + late, whole).await.map_err(|_| "silent".to_owned())?
+    tokio::time::timeout(duration(hold) + late, whole)
+        .await
+        .map_err(|_| "silent".to_owned())?
 }
 
 /// A list of some thousand searchers.
