--- a/crates/lockusher-aggregator/src/transport/searchers.rs
+++ b/crates/lockusher-aggregator/src/transport/searchers.rs
@@ -60,8 +60,18 @@
     /// `open` counts the descriptors in use for searchers, which other carriers share.
     pub fn new(sockets: Sockets, queue: mpsc::Sender<Arrival>, open: Rc<Cell<usize>>) -> Self {
         let (addresses, connections) = (HashMap::new(), HashMap::new());
-        let meters = Meters { purses: Purses::default(), as_of: (Time::default(), Instant::now()) };
-        Searchers { sockets, addresses, connections, queue, open, meters }
+        let meters = Meters {
+            purses: Purses::default(),
+            as_of: (Time::default(), Instant::now()),
+        };
+        Searchers {
+            sockets,
+            addresses,
+            connections,
+            queue,
+            open,
+            meters,
+        }
     }
 
     /// Searchers come and go for good: nothing is kept of connections that have ended.
@@ -74,7 +84,12 @@
 
     fn retire(&mut self, id: &SearcherId) -> Vec<Unsent> {
         self.forget_over();
-        self.connections.get(id).into_iter().flatten().flat_map(|c| c.retire()).collect()
+        self.connections
+            .get(id)
+            .into_iter()
+            .flatten()
+            .flat_map(|c| c.retire())
+            .collect()
     }
 
     /// Whether one more connection may be opened; with too many, the one unused for longest is closed for it.
@@ -84,7 +99,9 @@
         }
         let all = self.connections.values().flatten();
         let unused = all.filter(|c| c.counted.get() && c.state.get() == State::Open && c.unused());
-        let Some(connection) = unused.min_by_key(|c| c.used.get()) else { return false };
+        let Some(connection) = unused.min_by_key(|c| c.used.get()) else {
+            return false;
+        };
         // Its descriptor is free before the new one's task begins.
         connection.uncount();
         connection.retire();
@@ -119,7 +136,13 @@
     }
 
     fn close_unused(&mut self, to: &SearcherId) {
-        for connection in self.connections.get(to).into_iter().flatten().filter(|c| c.unused()) {
+        for connection in self
+            .connections
+            .get(to)
+            .into_iter()
+            .flatten()
+            .filter(|c| c.unused())
+        {
             let unsent = connection.retire();
             must_hold!(unsent.is_empty(), "nothing waits on an unused connection");
         }
@@ -127,27 +150,44 @@
 
     /// Handed back where the searcher has no address, or no descriptor is left.
     fn send(&mut self, to: &SearcherId, call: Vec<Sent>) -> Result<(), Vec<Sent>> {
-        must_hold!(call.len() <= self.sockets.most_parts, "a call holds no more parts than it may");
+        must_hold!(
+            call.len() <= self.sockets.most_parts,
+            "a call holds no more parts than it may"
+        );
         let Some(address) = self.addresses.get(to).copied() else {
             return Err(call);
         };
         let roomy = |c: &&Rc<Connection>| {
             let takes = matches!(c.state.get(), State::Connecting | State::Open);
             // Answers come whole: with some of a frame, what follows it may be noise, or nothing.
-            takes && !c.partial.get() && !c.doubted.get() && c.calls.borrow().len() < self.sockets.most_calls
+            takes
+                && !c.partial.get()
+                && !c.doubted.get()
+                && c.calls.borrow().len() < self.sockets.most_calls
         };
-        let connection = self.connections.get(to).and_then(|of| of.iter().find(roomy)).cloned();
+        let connection = self
+            .connections
+            .get(to)
+            .and_then(|of| of.iter().find(roomy))
+            .cloned();
         let connection = match connection {
             Some(connection) => connection,
             None if !self.room() => {
-                tracing::warn!("no further connection to {}: {} are open", to.as_str(), self.open.get());
+                tracing::warn!(
+                    "no further connection to {}: {} are open",
+                    to.as_str(),
+                    self.open.get()
+                );
                 return Err(call);
             }
             None if !self.meters.take(&[Budget::Connections]) => return Err(call),
             None => {
                 self.forget_over();
                 let connection = Connection::open(address, self.sockets, &self.queue, &self.open);
-                self.connections.entry(to.clone()).or_default().push(connection.clone());
+                self.connections
+                    .entry(to.clone())
+                    .or_default()
+                    .push(connection.clone());
                 connection
             }
         };
@@ -158,8 +198,14 @@
     /// A send has waited in vain: if nothing at all has come on its connection since it left, nothing new goes
     /// there. Tells what had not left.
     fn in_vain(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> Vec<Unsent> {
-        let Some(connection) = self.carrier(to, part, nth) else { return Vec::new() };
-        if connection.silent_since(part) { connection.retire() } else { Vec::new() }
+        let Some(connection) = self.carrier(to, part, nth) else {
+            return Vec::new();
+        };
+        if connection.silent_since(part) {
+            connection.retire()
+        } else {
+            Vec::new()
+        }
     }
 
     /// A send is late enough for a copy. If nothing has come on its connection since it left, its searcher is asked
@@ -167,11 +213,20 @@
     /// Guards against boxes between and machines that forgot a connection; costs a handshake where a searcher
     /// stands still.
     fn doubt(&mut self, to: &SearcherId, part: &PartId, nth: usize) {
-        let Some(doubted) = self.carrier(to, part, nth).cloned() else { return };
-        let address = self.addresses.get(to).copied().filter(|_| self.sockets.may_probe);
-        let doubtful =
-            doubted.state.get() == State::Open && !doubted.doubted.get() && doubted.silent_since(part);
-        let Some(address) = address.filter(|_| doubtful && self.room()) else { return };
+        let Some(doubted) = self.carrier(to, part, nth).cloned() else {
+            return;
+        };
+        let address = self
+            .addresses
+            .get(to)
+            .copied()
+            .filter(|_| self.sockets.may_probe);
+        let doubtful = doubted.state.get() == State::Open
+            && !doubted.doubted.get()
+            && doubted.silent_since(part);
+        let Some(address) = address.filter(|_| doubtful && self.room()) else {
+            return;
+        };
         if !self.meters.take(&[Budget::Probes, Budget::Connections]) {
             return;
         }
@@ -190,8 +245,14 @@
     }
 
     fn recall(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> bool {
-        let Some(connection) = self.carrier(to, part, nth) else { return false };
-        let unsent = connection.out.borrow().get(part).is_some_and(|out| out.way != Way::Written);
+        let Some(connection) = self.carrier(to, part, nth) else {
+            return false;
+        };
+        let unsent = connection
+            .out
+            .borrow()
+            .get(part)
+            .is_some_and(|out| out.way != Way::Written);
         if unsent {
             connection.give_up(part);
         }
@@ -200,8 +261,12 @@
 
     fn portions(&mut self, now: Time, portions: &[(Budget, Portion)]) {
         self.meters.as_of = (now, Instant::now());
-        let own = portions.iter().filter(|(of, _)| matches!(of, Budget::Connections | Budget::Probes));
-        self.meters.purses.set(now, &own.copied().collect::<Vec<_>>());
+        let own = portions
+            .iter()
+            .filter(|(of, _)| matches!(of, Budget::Connections | Budget::Probes));
+        self.meters
+            .purses
+            .set(now, &own.copied().collect::<Vec<_>>());
     }
 
     fn spends(&self, now: Time) -> Vec<(Budget, f64)> {
@@ -212,7 +277,12 @@
     /// so. It takes longer on a connection on which nothing has come yet, as its first frame waits for a handshake.
     fn on_its_way(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<Instant> {
         let connection = self.carrier(to, part, nth)?;
-        let written = connection.out.borrow().get(part).filter(|out| out.way == Way::Written)?.at;
+        let written = connection
+            .out
+            .borrow()
+            .get(part)
+            .filter(|out| out.way == Way::Written)?
+            .at;
         let share = if connection.met.get() { 50 } else { 10 };
         let until = written + duration(self.sockets.connect_timeout) / share;
         (until > Instant::now()).then_some(until)
@@ -334,7 +404,9 @@
     }
 
     fn probe(&self) {
-        self.outbox.borrow_mut().push_back(Outgoing::Probe(frame::probe()));
+        self.outbox
+            .borrow_mut()
+            .push_back(Outgoing::Probe(frame::probe()));
         self.wake.notify_one();
     }
 
@@ -347,7 +419,11 @@
         if !answers {
             return;
         }
-        if let Some(silent) = self.instead_of.take().filter(|doubted| doubted.doubted.get()) {
+        if let Some(silent) = self
+            .instead_of
+            .take()
+            .filter(|doubted| doubted.doubted.get())
+        {
             silent.spoilt.set(Some(Outcome::Lost));
             silent.state.set(State::Retired);
             silent.broken_off.notify_one();
@@ -368,7 +444,9 @@
         self.state.set(State::Retired);
         let (mut unsent, mut outbox) = (Vec::new(), self.outbox.borrow_mut());
         outbox.retain(|outgoing| {
-            let Outgoing::Call(parts) = outgoing else { return true };
+            let Outgoing::Call(parts) = outgoing else {
+                return true;
+            };
             unsent.extend(parts.iter().map(|(nth, part, _)| (part.id.clone(), *nth)));
             false
         });
@@ -386,7 +464,12 @@
         for (nth, part, _) in &call {
             let before = self.out.borrow_mut().insert(
                 part.id.clone(),
-                Out { nth: *nth, call: number, way: Way::Waiting, at: Instant::now() },
+                Out {
+                    nth: *nth,
+                    call: number,
+                    way: Way::Waiting,
+                    at: Instant::now(),
+                },
             );
             must_hold!(before.is_none(), "a part is out once on a connection");
         }
@@ -424,7 +507,9 @@
         match self.end(part).map(|out| out.way) {
             Some(Way::Written) => {
                 remember(&self.given_up, part, 256);
-                self.outbox.borrow_mut().push_back(Outgoing::GivenUp(part.clone()));
+                self.outbox
+                    .borrow_mut()
+                    .push_back(Outgoing::GivenUp(part.clone()));
                 self.wake.notify_one();
             }
             // Its frame is stuck half written: it must not arrive after all, so the connection ends.
@@ -435,10 +520,14 @@
 
     async fn run(&self, sockets: Sockets, queue: &mpsc::Sender<Arrival>) {
         let connecting = TcpStream::connect(self.address);
-        let mut stream = match tokio::time::timeout(duration(sockets.connect_timeout), connecting).await {
+        let mut stream = match tokio::time::timeout(duration(sockets.connect_timeout), connecting)
+            .await
+        {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return tracing::info!("no connection to {}: {error}", self.address),
-            Err(_) => return tracing::info!("no connection to {}: none came up in time", self.address),
+            Err(_) => {
+                return tracing::info!("no connection to {}: none came up in time", self.address);
+            }
         };
         if let Err(error) = stream.set_nodelay(true) {
             return tracing::info!("connection to {}: {error}", self.address);
@@ -473,7 +562,11 @@
             if unused && (self.state.get() == State::Retired || self.used.get().elapsed() >= idle) {
                 return;
             }
-            let due = if unused { self.used.get() + idle } else { Instant::now() + idle };
+            let due = if unused {
+                self.used.get() + idle
+            } else {
+                Instant::now() + idle
+            };
             tokio::select! {
                 () = tokio::time::sleep_until(due.into()) => {}
                 () = self.retired.notified() => {}
@@ -527,9 +620,13 @@
                     match by {
                         None => written.await?,
                         // Half of it must not be followed by the rest once its window has passed.
-                        Some(by) => tokio::time::timeout_at(by.into(), written)
-                            .await
-                            .map_err(|_| std::io::Error::other("a repeat is stuck past its window"))??,
+                        Some(by) => {
+                            tokio::time::timeout_at(by.into(), written)
+                                .await
+                                .map_err(|_| {
+                                    std::io::Error::other("a repeat is stuck past its window")
+                                })??;
+                        }
                     }
                     now(Way::Written);
                 }
@@ -569,7 +666,9 @@
                     Some(FromSearcher::Nothing) => {}
                     Some(FromSearcher::Unusable(words)) => {
                         let words: String = words.chars().take(80).collect();
-                        return Err(self.spoil(&format!("the searcher could not use a frame: {words:?}")));
+                        return Err(
+                            self.spoil(&format!("the searcher could not use a frame: {words:?}"))
+                        );
                     }
                     None => {
                         let meant = frame::meant(&frame).and_then(|id| Some((self.end(&id)?, id)));
@@ -607,7 +706,11 @@
     }
 
     /// An answer; tells whether the queue goes on.
-    async fn ended(&self, ended: PartEnded, queue: &mpsc::Sender<Arrival>) -> std::io::Result<bool> {
+    async fn ended(
+        &self,
+        ended: PartEnded,
+        queue: &mpsc::Sender<Arrival>,
+    ) -> std::io::Result<bool> {
         let Some(out) = self.end(&ended.id) else {
             let mut given_up = self.given_up.borrow_mut();
             if let Some(place) = given_up.iter().position(|id| *id == ended.id) {
@@ -620,7 +723,13 @@
         remember(&self.answered, &ended.id, 32);
         let answer = (ended.outcome == Outcome::Returned).then_some((ended.score, ended.value));
         let (nth, outcome, at) = (out.nth, ended.outcome, Instant::now());
-        let arrival = Arrival::Ended(SendEnded { part: ended.id, nth, outcome, at, answer });
+        let arrival = Arrival::Ended(SendEnded {
+            part: ended.id,
+            nth,
+            outcome,
+            at,
+            answer,
+        });
         Ok(queue.send(arrival).await.is_ok())
     }
 
@@ -628,8 +737,12 @@
     /// itself, one answer was spoilt and the others are waited for no longer: neither is a sign of a dead process.
     async fn over(&self, queue: &mpsc::Sender<Arrival>) {
         self.state.set(State::Over);
-        let mut parts: Vec<(u64, PartId)> =
-            self.out.borrow().iter().map(|(part, out)| (out.call, part.clone())).collect();
+        let mut parts: Vec<(u64, PartId)> = self
+            .out
+            .borrow()
+            .iter()
+            .map(|(part, out)| (out.call, part.clone()))
+            .collect();
         parts.sort();
         for (_, part) in parts {
             let Some(out) = self.end(&part) else { continue };
@@ -651,7 +764,13 @@
 }
 
 fn came_to(part: PartId, nth: usize, outcome: Outcome) -> Arrival {
-    Arrival::Ended(SendEnded { part, nth, outcome, at: Instant::now(), answer: None })
+    Arrival::Ended(SendEnded {
+        part,
+        nth,
+        outcome,
+        at: Instant::now(),
+        answer: None,
+    })
 }
 
 /// Keeps the last few.
--- a/crates/lockusher-config/src/configuration_patch/item_list.rs
+++ b/crates/lockusher-config/src/configuration_patch/item_list.rs
@@ -37,7 +37,10 @@
 impl<T> PerList<T> {
     /// Makes the values in the order of [`ItemList::ALL`].
     pub fn from_fn(mut make: impl FnMut(ItemList) -> T) -> Self {
-        Self { routes: make(ItemList::Routes), services: make(ItemList::Services) }
+        Self {
+            routes: make(ItemList::Routes),
+            services: make(ItemList::Services),
+        }
     }
 
     /// The value of a list.
@@ -64,6 +67,9 @@
 impl<T> PerList<Option<T>> {
     /// The values, if there is one for each list.
     pub fn all_present(self) -> Option<PerList<T>> {
-        Some(PerList { routes: self.routes?, services: self.services? })
+        Some(PerList {
+            routes: self.routes?,
+            services: self.services?,
+        })
     }
 }
--- a/crates/lockusher-config/src/configuration_patch/list_changes.rs
+++ b/crates/lockusher-config/src/configuration_patch/list_changes.rs
@@ -49,12 +49,18 @@
         let mut is_placed = vec![false; self.upsert.len()];
         let mut changed = Vec::with_capacity(base.len() + self.upsert.len());
         for value in base {
-            let name = value.get("name").and_then(Value::as_str).unwrap_or_default();
+            let name = value
+                .get("name")
+                .and_then(Value::as_str)
+                .unwrap_or_default();
             if self.remove.contains(name) {
                 continue;
             }
             match upserted_indexes.get(name) {
-                None => changed.push(ChangedItem { value, origin: ItemOrigin::Base }),
+                None => changed.push(ChangedItem {
+                    value,
+                    origin: ItemOrigin::Base,
+                }),
                 Some(&index) if !is_placed[index] => {
                     is_placed[index] = true;
                     changed.push(self.upserted(index));
@@ -69,10 +75,17 @@
     }
 
     fn upserted_indexes(&self) -> HashMap<&str, usize> {
-        self.upsert.iter().enumerate().map(|(index, item)| (item.name.as_str(), index)).collect()
+        self.upsert
+            .iter()
+            .enumerate()
+            .map(|(index, item)| (item.name.as_str(), index))
+            .collect()
     }
 
     fn upserted(&self, index: usize) -> ChangedItem {
-        ChangedItem { value: self.upsert[index].value.clone(), origin: ItemOrigin::Upserted { index } }
+        ChangedItem {
+            value: self.upsert[index].value.clone(),
+            origin: ItemOrigin::Upserted { index },
+        }
     }
 }
--- a/crates/lockusher-config/src/configuration_patch/mod.rs
+++ b/crates/lockusher-config/src/configuration_patch/mod.rs
@@ -39,7 +39,10 @@
     /// All faults that show without the configuration that the patch changes.
     pub fn parse(body: &[u8]) -> Result<Self, Faults> {
         let document = read_document(body, patch_document)?;
-        Ok(Self { version: document.version, changes: document.changes })
+        Ok(Self {
+            version: document.version,
+            changes: document.changes,
+        })
     }
 
     /// The complete configuration that `base` becomes by this patch.
@@ -79,21 +82,30 @@
 fn base_fields(base: &[u8]) -> Result<Map<String, Value>, Faults> {
     match parse_unique(base) {
         Ok(Value::Object(fields)) => Ok(fields),
-        Ok(_) => Err(Faults::unreadable("the configuration in place isn't an object")),
-        Err(error) => Err(Faults::unreadable(format!("the configuration in place: {error}"))),
+        Ok(_) => Err(Faults::unreadable(
+            "the configuration in place isn't an object",
+        )),
+        Err(error) => Err(Faults::unreadable(format!(
+            "the configuration in place: {error}"
+        ))),
     }
 }
 
 /// A path in the changed configuration, such as `routes[7].kind`, as a path in the patch if the item was upserted.
 fn path_in_patch(path: &str, origins: &PerList<Vec<ItemOrigin>>) -> String {
-    let relocated = ItemList::ALL.into_iter().find_map(|list| upserted_path(path, list, origins.get(list)));
+    let relocated = ItemList::ALL
+        .into_iter()
+        .find_map(|list| upserted_path(path, list, origins.get(list)));
     relocated.unwrap_or_else(|| format!("{path} of the configuration in place, as changed"))
 }
 
 /// The path in the patch, if the path leads into an upserted item of this list.
 fn upserted_path(path: &str, list: ItemList, origins: &[ItemOrigin]) -> Option<String> {
     let field_name = list.field_name();
-    let (index, rest) = path.strip_prefix(field_name)?.strip_prefix('[')?.split_once(']')?;
+    let (index, rest) = path
+        .strip_prefix(field_name)?
+        .strip_prefix('[')?
+        .split_once(']')?;
     match origins.get(index.parse::<usize>().ok()?)? {
         ItemOrigin::Base => None,
         ItemOrigin::Upserted { index } => Some(format!("upsert.{field_name}[{index}]{rest}")),
--- a/crates/lockusher-config/src/configuration_patch/reader.rs
+++ b/crates/lockusher-config/src/configuration_patch/reader.rs
@@ -25,30 +25,52 @@
 /// Reads a patch and checks what shows without the configuration that it changes.
 pub fn patch_document(reader: &ObjectReader<'_>) -> Option<PatchDocument> {
     let version = reader.positive_integer("version");
-    for field in NOT_PATCHABLE.into_iter().filter(|field| reader.value(field).is_some()) {
+    for field in NOT_PATCHABLE
+        .into_iter()
+        .filter(|field| reader.value(field).is_some())
+    {
         reader.add_field_fault(field, Problem::NotInPatch);
     }
-    let upserts = reader.object_or("upsert", PerList::default(), |reader| lists(reader, upserted_item));
-    let removals = reader.object_or("remove", PerList::default(), |reader| lists(reader, removed_name));
+    let upserts = reader.object_or("upsert", PerList::default(), |reader| {
+        lists(reader, upserted_item)
+    });
+    let removals = reader.object_or("remove", PerList::default(), |reader| {
+        lists(reader, removed_name)
+    });
     let changes = upserts?.zip_with(removals?, |list, upsert, removed| {
         let remove: HashSet<String> = removed.into_iter().collect();
         check_names(reader, list, &upsert, &remove);
         ListChanges { upsert, remove }
     });
-    Some(PatchDocument { version: version?, changes })
+    Some(PatchDocument {
+        version: version?,
+        changes,
+    })
 }
 
 /// Adds a fault for each name that is upserted twice, or removed as well.
-fn check_names(reader: &ObjectReader<'_>, list: ItemList, upsert: &[NamedItem], remove: &HashSet<String>) {
+fn check_names(
+    reader: &ObjectReader<'_>,
+    list: ItemList,
+    upsert: &[NamedItem],
+    remove: &HashSet<String>,
+) {
     let path = |index: usize| format!("upsert.{}[{index}]", list.field_name());
     let mut first_index: HashMap<&str, usize> = HashMap::new();
     for (index, NamedItem { name, .. }) in upsert.iter().enumerate() {
         if let Some(other) = first_index.get(name.as_str()) {
-            reader.faults().add(path(index), Problem::DuplicateName { other: path(*other) });
+            reader.faults().add(
+                path(index),
+                Problem::DuplicateName {
+                    other: path(*other),
+                },
+            );
         }
         first_index.entry(name).or_insert(index);
         if remove.contains(name) {
-            reader.faults().add(path(index), Problem::UpsertedAndRemoved(name.clone()));
+            reader
+                .faults()
+                .add(path(index), Problem::UpsertedAndRemoved(name.clone()));
         }
     }
 }
@@ -58,24 +80,38 @@
     reader: &ObjectReader<'_>,
     read_item: impl Fn(&Value, FieldPath<'_>, &ObjectReader<'_>) -> Option<T>,
 ) -> Option<PerList<Vec<T>>> {
-    for name in reader.field_names().filter(|name| !ItemList::is_field_name(name)) {
+    for name in reader
+        .field_names()
+        .filter(|name| !ItemList::is_field_name(name))
+    {
         reader.add_field_fault(name, Problem::UnknownList);
     }
     let lists = PerList::from_fn(|list| {
-        reader.list_or_empty(list.field_name(), |value, path| read_item(value, path, reader))
+        reader.list_or_empty(list.field_name(), |value, path| {
+            read_item(value, path, reader)
+        })
     });
     lists.all_present()
 }
 
-fn upserted_item(value: &Value, path: FieldPath<'_>, reader: &ObjectReader<'_>) -> Option<NamedItem> {
+fn upserted_item(
+    value: &Value,
+    path: FieldPath<'_>,
+    reader: &ObjectReader<'_>,
+) -> Option<NamedItem> {
     let name = ObjectReader::of(value, path, reader.faults())?.text("name")?;
-    Some(NamedItem { name, value: value.clone() })
+    Some(NamedItem {
+        name,
+        value: value.clone(),
+    })
 }
 
 fn removed_name(value: &Value, path: FieldPath<'_>, reader: &ObjectReader<'_>) -> Option<String> {
     let name = value.as_str().filter(|name| !name.is_empty());
     if name.is_none() {
-        reader.faults().add(path, unexpected("a non-empty name", value));
+        reader
+            .faults()
+            .add(path, unexpected("a non-empty name", value));
     }
     name.map(str::to_owned)
 }
--- a/crates/lockusher-config/src/configuration_reader/limits.rs
+++ b/crates/lockusher-config/src/configuration_reader/limits.rs
@@ -4,8 +4,12 @@
 use crate::json::object_reader::ObjectReader;
 
 /// Limits of a configuration that names none.
-pub const DEFAULT_LIMITS: Limits =
-    Limits { header_bytes: 16 << 10, body_bytes: 4 << 20, header_timeout_ms: 3_000, idle_timeout_ms: 15_000 };
+pub const DEFAULT_LIMITS: Limits = Limits {
+    header_bytes: 16 << 10,
+    body_bytes: 4 << 20,
+    header_timeout_ms: 3_000,
+    idle_timeout_ms: 15_000,
+};
 
 /// Reads the limits.
 pub fn limits(reader: &ObjectReader<'_>) -> Option<Limits> {
--- a/crates/lockusher-config/src/configuration_reader/mod.rs
+++ b/crates/lockusher-config/src/configuration_reader/mod.rs
@@ -41,5 +41,10 @@
     let mut checks = RouteChecks::for_configuration(reader);
     let routes = reader.objects("routes", |reader| route(reader, &mut checks));
     let limits = reader.object_or("limits", DEFAULT_LIMITS, limits);
-    Some(Configuration { version: version?, routes: routes?, services: services?, limits: limits? })
+    Some(Configuration {
+        version: version?,
+        routes: routes?,
+        services: services?,
+        limits: limits?,
+    })
 }
--- a/crates/lockusher-config/src/configuration_reader/route.rs
+++ b/crates/lockusher-config/src/configuration_reader/route.rs
@@ -58,7 +58,10 @@
         return Some(prefix);
     }
     let found = Value::String(prefix);
-    reader.add_field_fault("pathPrefix", unexpected("a path that starts and ends with a slash", &found));
+    reader.add_field_fault(
+        "pathPrefix",
+        unexpected("a path that starts and ends with a slash", &found),
+    );
     None
 }
 
@@ -70,7 +73,10 @@
         "streaming" => Some(RouteKind::Streaming),
         _ => {
             let found = Value::String(kind);
-            reader.add_field_fault("kind", unexpected("idempotent, non_idempotent or streaming", &found));
+            reader.add_field_fault(
+                "kind",
+                unexpected("idempotent, non_idempotent or streaming", &found),
+            );
             None
         }
     }
@@ -79,7 +85,10 @@
 /// The services of a route: one under `service`, or several under `trafficSplit`.
 fn split(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<Vec<WeightedService>> {
     match (reader.value("service"), reader.value("trafficSplit")) {
-        (Some(_), None) => Some(vec![WeightedService { service: target(reader, checks)?, weight: 1 }]),
+        (Some(_), None) => Some(vec![WeightedService {
+            service: target(reader, checks)?,
+            weight: 1,
+        }]),
         (None, Some(_)) => weighted_services(reader, checks),
         (Some(_), Some(_)) | (None, None) => {
             reader.add_fault(Problem::ServiceOrSplit);
@@ -95,7 +104,10 @@
     Some(service)
 }
 
-fn weighted_services(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<Vec<WeightedService>> {
+fn weighted_services(
+    reader: &ObjectReader<'_>,
+    checks: &RouteChecks<'_>,
+) -> Option<Vec<WeightedService>> {
     let mut unreadable = false;
     let split = reader.objects("trafficSplit", |reader| {
         let weighted = weighted_service(reader, checks);
@@ -108,8 +120,14 @@
     Some(split)
 }
 
-fn weighted_service(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<WeightedService> {
+fn weighted_service(
+    reader: &ObjectReader<'_>,
+    checks: &RouteChecks<'_>,
+) -> Option<WeightedService> {
     let service = target(reader, checks);
     let weight = reader.integer_u32("weight");
-    Some(WeightedService { service: service?, weight: weight? })
+    Some(WeightedService {
+        service: service?,
+        weight: weight?,
+    })
 }
--- a/crates/lockusher-config/src/configuration_reader/route_checks.rs
+++ b/crates/lockusher-config/src/configuration_reader/route_checks.rs
@@ -17,23 +17,36 @@
 impl<'a> RouteChecks<'a> {
     /// The checks for the routes of a configuration, given as its document.
     pub fn for_configuration(document: &ObjectReader<'a>) -> Self {
-        Self { services: known_services(document), routes_by_host_and_prefix: HashMap::new() }
+        Self {
+            services: known_services(document),
+            routes_by_host_and_prefix: HashMap::new(),
+        }
     }
 
     /// Adds a fault if a route names a service that the configuration doesn't have.
     pub fn check_service(&self, name: &str, reader: &ObjectReader<'_>) {
-        let unknown = self.services.as_ref().is_some_and(|services| !services.contains(name));
+        let unknown = self
+            .services
+            .as_ref()
+            .is_some_and(|services| !services.contains(name));
         if unknown {
             reader.add_field_fault("service", Problem::UnknownService(name.to_owned()));
         }
     }
 
     /// Adds a fault if an earlier route has the same host and prefix.
-    pub fn check_host_and_prefix(&mut self, host: &str, path_prefix: &str, reader: &ObjectReader<'_>) {
+    pub fn check_host_and_prefix(
+        &mut self,
+        host: &str,
+        path_prefix: &str,
+        reader: &ObjectReader<'_>,
+    ) {
         let key = (normalized_host(host).into_owned(), path_prefix.to_owned());
         match self.routes_by_host_and_prefix.entry(key) {
             Entry::Occupied(other) => {
-                reader.add_fault(Problem::DuplicateHostAndPrefix { other: other.get().clone() });
+                reader.add_fault(Problem::DuplicateHostAndPrefix {
+                    other: other.get().clone(),
+                });
             }
             Entry::Vacant(vacant) => {
                 vacant.insert(reader.path().to_string());
@@ -46,5 +59,10 @@
 /// `None` if there is no list of services: that is one fault, not one for each route.
 fn known_services<'a>(reader: &ObjectReader<'a>) -> Option<HashSet<&'a str>> {
     let services = reader.value("services")?.as_array()?;
-    Some(services.iter().filter_map(|service| service.get("name")?.as_str()).collect())
+    Some(
+        services
+            .iter()
+            .filter_map(|service| service.get("name")?.as_str())
+            .collect(),
+    )
 }
--- a/crates/lockusher-config/src/configuration_reader/service.rs
+++ b/crates/lockusher-config/src/configuration_reader/service.rs
@@ -40,7 +40,9 @@
     /// Adds a fault if the name was seen before.
     fn check(&mut self, name: &str, reader: &ObjectReader<'_>) {
         match self.0.entry(name.to_owned()) {
-            Entry::Occupied(other) => reader.add_fault(Problem::DuplicateName { other: other.get().clone() }),
+            Entry::Occupied(other) => reader.add_fault(Problem::DuplicateName {
+                other: other.get().clone(),
+            }),
             Entry::Vacant(vacant) => {
                 vacant.insert(reader.path().to_string());
             }
--- a/crates/lockusher-config/src/fault.rs
+++ b/crates/lockusher-config/src/fault.rs
@@ -106,7 +106,10 @@
     /// Adds a fault; it is only counted once there are [`MAX_FAULTS`].
     pub fn add(&mut self, location: impl fmt::Display, problem: Problem) {
         if self.faults.len() < MAX_FAULTS {
-            self.faults.push(Fault { location: location.to_string(), problem });
+            self.faults.push(Fault {
+                location: location.to_string(),
+                problem,
+            });
         } else {
             self.omitted += 1;
         }
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -36,7 +36,8 @@
     pub fn parse(body: &[u8]) -> Result<Self, Faults> {
         let value = parse_unique(body).map_err(Faults::unreadable)?;
         let faults = FaultCollector::default();
-        let page = ObjectReader::of(&value, FieldPath::Root, &faults).and_then(|reader| page(&reader));
+        let page =
+            ObjectReader::of(&value, FieldPath::Root, &faults).and_then(|reader| page(&reader));
         page.ok_or_else(|| faults.into_faults())
     }
 }
@@ -48,8 +49,11 @@
         let instance = ObjectReader::of(value, path, &faults).and_then(|entry| instance(&entry));
         Some((instance, faults.into_faults()))
     })?;
-    let mut page =
-        InstancePage { instances: Vec::with_capacity(entries.len()), next_token: None, skipped: vec![] };
+    let mut page = InstancePage {
+        instances: Vec::with_capacity(entries.len()),
+        next_token: None,
+        skipped: vec![],
+    };
     for (instance, faults) in entries {
         match instance {
             Some(instance) if faults.is_empty() => page.instances.push(instance),
@@ -98,7 +102,11 @@
 /// costs some capacity, whereas sending to one that must not be sent to breaks a promise.
 fn state(reader: &ObjectReader<'_>) -> Option<InstanceState> {
     let state = reader.text("state")?;
-    Some(if state == "ready" { InstanceState::Ready } else { InstanceState::Draining })
+    Some(if state == "ready" {
+        InstanceState::Ready
+    } else {
+        InstanceState::Draining
+    })
 }
 
 /// Absent for plain services.
@@ -109,7 +117,10 @@
         "prefill" => Some(Some(Stage::Prefill)),
         "decode" => Some(Some(Stage::Decode)),
         _ => {
-            reader.add_field_fault("stage", unexpected("prefill or decode", &Value::String(stage)));
+            reader.add_field_fault(
+                "stage",
+                unexpected("prefill or decode", &Value::String(stage)),
+            );
             None
         }
     }
@@ -119,5 +130,8 @@
     let reader = ObjectReader::of(value, path, faults)?;
     let name = reader.text("name");
     let version = reader.integer_or("version", 0);
-    Some(ModelVersion { name: name?, version: version? })
+    Some(ModelVersion {
+        name: name?,
+        version: version?,
+    })
 }
--- a/crates/lockusher-config/src/internal_ports.rs
+++ b/crates/lockusher-config/src/internal_ports.rs
@@ -21,7 +21,10 @@
     ///
     /// If the range ends before the listener's position.
     pub fn port_of(self, listener: InternalListener) -> Result<u16, TooFewPorts> {
-        let port = self.first.checked_add(listener.position()).filter(|port| *port <= self.last);
+        let port = self
+            .first
+            .checked_add(listener.position())
+            .filter(|port| *port <= self.last);
         port.ok_or(TooFewPorts { listener })
     }
 }
--- a/crates/lockusher-config/src/json/conversion.rs
+++ b/crates/lockusher-config/src/json/conversion.rs
@@ -9,27 +9,42 @@
 
 /// The problem of a value that is not what was expected.
 pub fn unexpected(expected: &'static str, value: &Value) -> Problem {
-    Problem::Unexpected { expected, found: truncated_for_message(&value.to_string()) }
+    Problem::Unexpected {
+        expected,
+        found: truncated_for_message(&value.to_string()),
+    }
 }
 
 /// A string.
 pub fn text(value: &Value) -> Result<String, Problem> {
-    value.as_str().map(str::to_owned).ok_or_else(|| unexpected("a string", value))
+    value
+        .as_str()
+        .map(str::to_owned)
+        .ok_or_else(|| unexpected("a string", value))
 }
 
 /// A string that is not empty.
 pub fn non_empty_text(value: &Value) -> Result<String, Problem> {
-    text(value).ok().filter(|text| !text.is_empty()).ok_or_else(|| unexpected("a non-empty string", value))
+    text(value)
+        .ok()
+        .filter(|text| !text.is_empty())
+        .ok_or_else(|| unexpected("a non-empty string", value))
 }
 
 /// A number of at least 0; the operator may send any number as a float.
 pub fn number(value: &Value) -> Result<f64, Problem> {
-    value.as_f64().filter(|number| *number >= 0.0).ok_or_else(|| unexpected("a number of at least 0", value))
+    value
+        .as_f64()
+        .filter(|number| *number >= 0.0)
+        .ok_or_else(|| unexpected("a number of at least 0", value))
 }
 
 /// A number above 0.
 pub fn positive_number(value: &Value) -> Result<f64, Problem> {
-    number(value).ok().filter(|number| *number > 0.0).ok_or_else(|| unexpected("a positive number", value))
+    number(value)
+        .ok()
+        .filter(|number| *number > 0.0)
+        .ok_or_else(|| unexpected("a positive number", value))
 }
 
 /// The value as an integer of at least 0, also if it was sent as a float.
--- a/crates/lockusher-config/src/json/object_reader.rs
+++ b/crates/lockusher-config/src/json/object_reader.rs
@@ -8,8 +8,8 @@
 use crate::duration::{rounded_up_ms, seconds_to_ms};
 use crate::fault::Problem;
 use crate::json::conversion::{
-    integer, integer_u32, non_empty_text, number, positive_integer, positive_number, positive_u32, text,
-    unexpected,
+    integer, integer_u32, non_empty_text, number, positive_integer, positive_number, positive_u32,
+    text, unexpected,
 };
 use crate::json::fault_collector::FaultCollector;
 use crate::json::field_path::FieldPath;
@@ -29,7 +29,11 @@
             faults.add(path, unexpected("an object", value));
             return None;
         };
-        Some(Self { fields, path, faults })
+        Some(Self {
+            fields,
+            path,
+            faults,
+        })
     }
 
     /// Where faults of this document are collected.
@@ -88,7 +92,9 @@
         value: &Value,
         convert: impl Fn(&Value) -> Result<T, Problem>,
     ) -> Option<T> {
-        convert(value).map_err(|problem| self.add_field_fault(name, problem)).ok()
+        convert(value)
+            .map_err(|problem| self.add_field_fault(name, problem))
+            .ok()
     }
 
     /// A string that is not empty.
@@ -149,7 +155,9 @@
     /// `true` or `false`.
     pub fn flag_or(&self, name: &str, default: bool) -> Option<bool> {
         self.optional(name, default, |value| {
-            value.as_bool().ok_or_else(|| unexpected("true or false", value))
+            value
+                .as_bool()
+                .ok_or_else(|| unexpected("true or false", value))
         })
     }
 
@@ -162,7 +170,8 @@
     ) -> Option<T> {
         match self.value(name) {
             Some(value) => {
-                let reader = ObjectReader::of(value, FieldPath::Field(&self.path, name), self.faults)?;
+                let reader =
+                    ObjectReader::of(value, FieldPath::Field(&self.path, name), self.faults)?;
                 read(&reader)
             }
             None => Some(default),
@@ -200,7 +209,9 @@
         name: &str,
         mut read: impl FnMut(&ObjectReader<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
-        self.list(name, |value, path| read(&ObjectReader::of(value, path, self.faults)?))
+        self.list(name, |value, path| {
+            read(&ObjectReader::of(value, path, self.faults)?)
+        })
     }
 
     fn items<T>(
@@ -215,6 +226,10 @@
         };
         let path = FieldPath::Field(&self.path, name);
         let read_items = items.iter().enumerate();
-        Some(read_items.filter_map(|(index, item)| read(item, FieldPath::Item(&path, index))).collect())
+        Some(
+            read_items
+                .filter_map(|(index, item)| read(item, FieldPath::Item(&path, index)))
+                .collect(),
+        )
     }
 }
--- a/crates/lockusher-config/src/json/unique_keys.rs
+++ b/crates/lockusher-config/src/json/unique_keys.rs
@@ -16,7 +16,9 @@
 
 impl<'de> Deserialize<'de> for UniqueKeys {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        deserializer.deserialize_any(UniqueKeysVisitor).map(UniqueKeys)
+        deserializer
+            .deserialize_any(UniqueKeysVisitor)
+            .map(UniqueKeys)
     }
 }
 
@@ -69,7 +71,9 @@
         let mut fields = Map::new();
         while let Some(name) = access.next_key::<String>()? {
             if fields.contains_key(&name) {
-                return Err(A::Error::custom(format_args!("field {name:?} is given twice")));
+                return Err(A::Error::custom(format_args!(
+                    "field {name:?} is given twice"
+                )));
             }
             let UniqueKeys(value) = access.next_value()?;
             fields.insert(name, value);
--- a/crates/lockusher-config/src/route_table.rs
+++ b/crates/lockusher-config/src/route_table.rs
@@ -43,9 +43,15 @@
         let mut hosts: HashMap<String, HostTree> = HashMap::new();
         for (index, route) in configuration.routes.iter().enumerate() {
             let host = normalized_host(&route.host).into_owned();
-            hosts.entry(host).or_default().insert(&route.path_prefix, index);
+            hosts
+                .entry(host)
+                .or_default()
+                .insert(&route.path_prefix, index);
+        }
+        Self {
+            configuration,
+            hosts,
         }
-        Self { configuration, hosts }
     }
 
     /// The configuration whose routes these are.
@@ -56,7 +62,8 @@
     /// The route of that host whose prefix begins the path and is longest. `host` is as in the `Host` header:
     /// letter case and a port don't matter. A query behind the path is ignored.
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Route> {
-        self.lookup_index(host, path).map(|index| &self.configuration.routes[index])
+        self.lookup_index(host, path)
+            .map(|index| &self.configuration.routes[index])
     }
 
     /// As [`lookup`](Self::lookup), as an index into the configuration's routes.
@@ -68,7 +75,9 @@
 
 impl Default for HostTree {
     fn default() -> Self {
-        Self { nodes: vec![Node::default()] }
+        Self {
+            nodes: vec![Node::default()],
+        }
     }
 }
 
@@ -99,7 +108,9 @@
         let mut at = &self.nodes[ROOT];
         let mut found = at.route;
         for segment in ended_segments(path) {
-            let Some(child) = at.children.get(segment) else { break };
+            let Some(child) = at.children.get(segment) else {
+                break;
+            };
             at = &self.nodes[*child];
             found = at.route.or(found);
         }
@@ -110,7 +121,9 @@
 /// The segments of a path that a slash ends: of `/a/b/c` these are `a` and `b`.
 fn ended_segments(path: &str) -> impl Iterator<Item = &str> {
     let behind_first_slash = path.strip_prefix('/').unwrap_or(path);
-    behind_first_slash.split_inclusive('/').filter_map(|segment| segment.strip_suffix('/'))
+    behind_first_slash
+        .split_inclusive('/')
+        .filter_map(|segment| segment.strip_suffix('/'))
 }
 
 fn without_query(path: &str) -> &str {
--- a/crates/lockusher-config/src/settings_lines.rs
+++ b/crates/lockusher-config/src/settings_lines.rs
@@ -42,7 +42,10 @@
 impl<'a> SettingsLines<'a> {
     /// Splits the text into lines. Collects a fault for each line that is not of the form `key=value`.
     pub fn split(text: &'a str) -> Self {
-        let mut lines = Self { entries: BTreeMap::new(), faults: Faults::default() };
+        let mut lines = Self {
+            entries: BTreeMap::new(),
+            faults: Faults::default(),
+        };
         for (index, line) in text.lines().enumerate() {
             lines.add(index + 1, line.trim());
         }
@@ -54,11 +57,18 @@
             return;
         }
         let Some((key, value)) = line.split_once('=') else {
-            let problem = Problem::Unexpected { expected: "key=value", found: truncated_for_message(line) };
+            let problem = Problem::Unexpected {
+                expected: "key=value",
+                found: truncated_for_message(line),
+            };
             self.faults.add(format_args!("line {number}"), problem);
             return;
         };
-        let entry = Entry { value: value.trim(), line: number, repeated_on: None };
+        let entry = Entry {
+            value: value.trim(),
+            line: number,
+            repeated_on: None,
+        };
         self.entries
             .entry(key.trim())
             .and_modify(|first| first.repeated_on = first.repeated_on.or(Some(number)))
@@ -74,7 +84,12 @@
     fn entry(&mut self, key: &str) -> Option<Entry<'a>> {
         let entry = *self.entries.get(key)?;
         if let Some(line) = entry.repeated_on {
-            self.faults.add(LineAndKey { line, key }, Problem::DuplicateKey { first_line: entry.line });
+            self.faults.add(
+                LineAndKey { line, key },
+                Problem::DuplicateKey {
+                    first_line: entry.line,
+                },
+            );
         }
         (!entry.value.is_empty()).then_some(entry)
     }
@@ -82,7 +97,10 @@
     fn unexpected(&mut self, line: usize, key: &str, expected: &'static str, found: &str) {
         self.faults.add(
             LineAndKey { line, key },
-            Problem::Unexpected { expected, found: truncated_for_message(found) },
+            Problem::Unexpected {
+                expected,
+                found: truncated_for_message(found),
+            },
         );
     }
 
@@ -90,7 +108,12 @@
         self.faults.add(key, Problem::Missing);
     }
 
-    fn parsed<T: FromStr>(&mut self, key: &str, entry: Entry<'_>, expected: &'static str) -> Option<T> {
+    fn parsed<T: FromStr>(
+        &mut self,
+        key: &str,
+        entry: Entry<'_>,
+        expected: &'static str,
+    ) -> Option<T> {
         let parsed = entry.value.parse().ok();
         if parsed.is_none() {
             self.unexpected(entry.line, key, expected, entry.value);
@@ -116,13 +139,21 @@
     }
 
     /// The value of a key, or the default if it is absent.
-    pub fn value_or<T: FromStr>(&mut self, key: &str, expected: &'static str, default: T) -> Option<T> {
-        self.optional(key, expected).map(|value| value.unwrap_or(default))
+    pub fn value_or<T: FromStr>(
+        &mut self,
+        key: &str,
+        expected: &'static str,
+        default: T,
+    ) -> Option<T> {
+        self.optional(key, expected)
+            .map(|value| value.unwrap_or(default))
     }
 
     /// A number of at least 0.
     pub fn number(&mut self, key: &str, default: f64) -> Option<f64> {
-        self.number_where(key, "a number of at least 0", default, |number| number >= 0.0)
+        self.number_where(key, "a number of at least 0", default, |number| {
+            number >= 0.0
+        })
     }
 
     /// A number above 0.
@@ -137,7 +168,9 @@
         default: f64,
         accept: impl Fn(f64) -> bool,
     ) -> Option<f64> {
-        let Some(entry) = self.entry(key) else { return Some(default) };
+        let Some(entry) = self.entry(key) else {
+            return Some(default);
+        };
         let number: f64 = self.parsed(key, entry, expected)?;
         if number.is_finite() && accept(number) {
             return Some(number);
@@ -158,13 +191,20 @@
 
     /// A duration given in seconds, in milliseconds.
     pub fn seconds_as_ms(&mut self, key: &str, default_ms: u64) -> Option<u64> {
-        self.number(key, default_ms as f64 / 1_000.0).map(seconds_to_ms)
+        self.number(key, default_ms as f64 / 1_000.0)
+            .map(seconds_to_ms)
     }
 
     /// A list, separated by commas; empty if the key is absent. Each wrong item is a fault.
     pub fn list<T: FromStr>(&mut self, key: &str, expected: &'static str) -> Option<Vec<T>> {
-        let Some(entry) = self.entry(key) else { return Some(Vec::new()) };
-        let items = entry.value.split(',').map(str::trim).filter(|item| !item.is_empty());
+        let Some(entry) = self.entry(key) else {
+            return Some(Vec::new());
+        };
+        let items = entry
+            .value
+            .split(',')
+            .map(str::trim)
+            .filter(|item| !item.is_empty());
         let parsed: Vec<Option<T>> = items
             .map(|item| {
                 let parsed = item.parse().ok();
@@ -185,14 +225,23 @@
             return None;
         };
         let ports = entry.value.split_once(',').and_then(|(first, last)| {
-            Some((first.trim().parse::<u16>().ok()?, last.trim().parse::<u16>().ok()?))
+            Some((
+                first.trim().parse::<u16>().ok()?,
+                last.trim().parse::<u16>().ok()?,
+            ))
         });
         let Some((first, last)) = ports else {
             self.unexpected(entry.line, key, EXPECTED, entry.value);
             return None;
         };
         if first > last {
-            self.faults.add(LineAndKey { line: entry.line, key }, Problem::PortOrder { first, last });
+            self.faults.add(
+                LineAndKey {
+                    line: entry.line,
+                    key,
+                },
+                Problem::PortOrder { first, last },
+            );
             return None;
         }
         Some(PortRange { first, last })
@@ -200,7 +249,12 @@
 
     /// All keys that begin with `prefix` and have a value, without the prefix.
     pub fn with_prefix(&mut self, prefix: &str) -> BTreeMap<String, String> {
-        let keys: Vec<&str> = self.entries.keys().copied().filter(|key| key.starts_with(prefix)).collect();
+        let keys: Vec<&str> = self
+            .entries
+            .keys()
+            .copied()
+            .filter(|key| key.starts_with(prefix))
+            .collect();
         let mut values = BTreeMap::new();
         for key in keys {
             if let Some(entry) = self.entry(key) {
--- a/crates/lockusher-config/src/settings_reader/mod.rs
+++ b/crates/lockusher-config/src/settings_reader/mod.rs
@@ -57,8 +57,11 @@
     let counts_for_quorum = lines.value_or("countsForQuorum", "true or false", false);
     let data_directory = lines.optional("dataDirectory", "a path");
     let limits = node_limits(lines);
-    let fault_tolerance_machines =
-        lines.value_or("faultTolerance.machines", "a whole number", DEFAULT_FAULT_TOLERANCE_MACHINES);
+    let fault_tolerance_machines = lines.value_or(
+        "faultTolerance.machines",
+        "a whole number",
+        DEFAULT_FAULT_TOLERANCE_MACHINES,
+    );
     let heartbeat_ms = lines.positive_ms("heartbeatMs", DEFAULT_HEARTBEAT_MS);
     let bounds = bounds(lines);
     let platform = platform(lines);
@@ -99,9 +102,18 @@
     let node = lines.required("node", "a name");
     let zone: Option<String> = lines.required("zone", "a name");
     let zones = lines.with_prefix("zones.");
-    let region_of_zone = zone.as_ref().and_then(|zone| zones.get(zone)).cloned().unwrap_or_default();
+    let region_of_zone = zone
+        .as_ref()
+        .and_then(|zone| zones.get(zone))
+        .cloned()
+        .unwrap_or_default();
     let region = lines.value_or("region", "a name", region_of_zone);
-    Some(Location { node: node?, zone: zone?, region: region?, zones })
+    Some(Location {
+        node: node?,
+        zone: zone?,
+        region: region?,
+        zones,
+    })
 }
 
 /// The addresses of the node's machine.
@@ -117,7 +129,12 @@
     let front = lines.optional("listenAddresses.front", "IP:PORT");
     let readiness = lines.optional("listenAddresses.readiness", "IP:PORT");
     let control = lines.optional("listenAddresses.control", "IP:PORT");
-    Some(Addresses { ip_address: ip_address?, front: front?, readiness: readiness?, control: control? })
+    Some(Addresses {
+        ip_address: ip_address?,
+        front: front?,
+        readiness: readiness?,
+        control: control?,
+    })
 }
 
 /// The platform's instance list, as the settings describe it.
@@ -131,5 +148,9 @@
     let address = lines.required("cloud.address", "IP:PORT");
     let rate_per_s = lines.positive_number("cloud.ratePerS", DEFAULT_CLOUD_RATE_PER_S);
     let lag_ms = lines.ms("cloud.lagMs", DEFAULT_CLOUD_LAG_MS);
-    Some(Platform { address: address?, rate_per_s: rate_per_s?, lag_ms: lag_ms? })
+    Some(Platform {
+        address: address?,
+        rate_per_s: rate_per_s?,
+        lag_ms: lag_ms?,
+    })
 }
--- a/crates/lockusher-control-simulation/src/disk.rs
+++ b/crates/lockusher-control-simulation/src/disk.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::VecDeque, sync::Arc};
 
-use lockusher_control::{ConfigurationDocument, DurableRecord, Millis, PersistTicket, ReplicatedState};
+use lockusher_control::{
+    ConfigurationDocument, DurableRecord, Millis, PersistTicket, ReplicatedState,
+};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -59,7 +61,11 @@
 impl Disk {
     /// An empty disk whose syncs normally take up to this time.
     pub fn new(normal_max_sync: Millis) -> Self {
-        Self { normal_max_sync, max_sync: normal_max_sync, ..Self::default() }
+        Self {
+            normal_max_sync,
+            max_sync: normal_max_sync,
+            ..Self::default()
+        }
     }
 
     /// Ends slowness, stalls and the lack of space; writes in flight go on at the normal pace.
@@ -84,7 +90,11 @@
     ) {
         let after_last = self.writes.back().map_or(now, |write| write.due).max(now);
         let due = after_last + random.random_range(1..=self.max_sync.max(1));
-        self.writes.push_back(Write { ticket, records, due });
+        self.writes.push_back(Write {
+            ticket,
+            records,
+            due,
+        });
     }
 
     /// Whether it works as normal.
@@ -96,7 +106,9 @@
 
     /// When the next write ends.
     pub fn next_due(&self) -> Option<Millis> {
-        self.writes.front().map(|write| write.due.max(self.stalled_until))
+        self.writes
+            .front()
+            .map(|write| write.due.max(self.stalled_until))
     }
 
     /// Ends the next write if it is due.
@@ -109,7 +121,10 @@
         if !refused {
             self.append(&write.records);
         }
-        Some(Finished { ticket: write.ticket, durable: (!refused).then_some(write.records) })
+        Some(Finished {
+            ticket: write.ticket,
+            durable: (!refused).then_some(write.records),
+        })
     }
 
     fn append(&mut self, records: &[DurableRecord]) {
@@ -141,7 +156,9 @@
             match record {
                 DurableRecord::Entry { document, .. } => *document = corrupted_document(document),
                 DurableRecord::State { state, .. } => {
-                    let Some(document) = state.document() else { return false };
+                    let Some(document) = state.document() else {
+                        return false;
+                    };
                     *state = ReplicatedState::default().with(corrupted_document(document));
                 }
                 _ => continue,
@@ -184,5 +201,8 @@
 }
 
 fn is_large(record: &DurableRecord) -> bool {
-    matches!(record, DurableRecord::Entry { .. } | DurableRecord::State { .. })
+    matches!(
+        record,
+        DurableRecord::Entry { .. } | DurableRecord::State { .. }
+    )
 }
--- a/crates/lockusher-control-simulation/src/disk_contents.rs
+++ b/crates/lockusher-control-simulation/src/disk_contents.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use lockusher_control::{
-    Digest, DurableRecord, DurableState, Identity, View, acceptor::AcceptorState, message::ProposalNumber,
-    state::HistoryDigest,
+    Digest, DurableRecord, DurableState, Identity, View, acceptor::AcceptorState,
+    message::ProposalNumber, state::HistoryDigest,
 };
 
 use crate::violation::DurablePart;
@@ -37,7 +37,9 @@
             }
             DurableRecord::Promise { epoch, .. }
             | DurableRecord::Accept { epoch, .. }
-            | DurableRecord::Seal { epoch } => self.acceptor.entry(*epoch).or_default().recover(record),
+            | DurableRecord::Seal { epoch } => {
+                self.acceptor.entry(*epoch).or_default().recover(record);
+            }
             DurableRecord::Entry { .. }
             | DurableRecord::State { .. }
             | DurableRecord::PositionAdvanced { .. } => {
@@ -58,17 +60,25 @@
 
     /// The highest proposal number promised for the successor of an epoch.
     pub fn promised(&self, epoch: u64) -> ProposalNumber {
-        self.acceptor.get(&epoch).map_or_else(ProposalNumber::default, |acceptor| acceptor.promised)
+        self.acceptor
+            .get(&epoch)
+            .map_or_else(ProposalNumber::default, |acceptor| acceptor.promised)
     }
 
     /// The proposal number of the newest acceptance for the successor of an epoch.
     pub fn accepted(&self, epoch: u64) -> Option<ProposalNumber> {
-        self.acceptor.get(&epoch)?.accepted.as_ref().map(|accepted| accepted.proposal_number)
+        self.acceptor
+            .get(&epoch)?
+            .accepted
+            .as_ref()
+            .map(|accepted| accepted.proposal_number)
     }
 
     /// Whether no further entry of the epoch is taken.
     pub fn is_sealed(&self, epoch: u64) -> bool {
-        self.acceptor.get(&epoch).is_some_and(|acceptor| acceptor.sealed)
+        self.acceptor
+            .get(&epoch)
+            .is_some_and(|acceptor| acceptor.sealed)
     }
 
     /// Identifies the state.
--- a/crates/lockusher-control-simulation/src/invariant_checks.rs
+++ b/crates/lockusher-control-simulation/src/invariant_checks.rs
@@ -2,7 +2,9 @@
 
 use lockusher_control::{DurableRecord, Identity, Message, Replica};
 
-use crate::{cluster::Cluster, disk_contents::DiskContents, options::Checks, violation::InvariantViolation};
+use crate::{
+    cluster::Cluster, disk_contents::DiskContents, options::Checks, violation::InvariantViolation,
+};
 
 impl Cluster {
     fn checks_invariants(&self) -> bool {
@@ -20,7 +22,9 @@
         if !self.checks_invariants() {
             return;
         }
-        let Some(disk) = self.nodes[number].disk.contents() else { return };
+        let Some(disk) = self.nodes[number].disk.contents() else {
+            return;
+        };
         let checked = self.invariants.sent(message, disk);
         self.report(checked);
     }
@@ -30,8 +34,12 @@
         if !self.checks_invariants() {
             return;
         }
-        let Some(disk) = self.nodes[number].disk.contents() else { return };
-        let Some(identity) = disk.identity() else { return };
+        let Some(disk) = self.nodes[number].disk.contents() else {
+            return;
+        };
+        let Some(identity) = disk.identity() else {
+            return;
+        };
         let checked = self.invariants.written(identity, records, disk);
         self.report(checked);
     }
@@ -63,14 +71,27 @@
         if !self.checks_invariants() {
             return;
         }
-        let Some((version, digest)) = self.model.newest_committed() else { return };
-        let Some(view) = self.invariants.newest_view() else { return };
-        let lacks = |member: &Identity| self.disk_of(*member).is_some_and(|disk| !disk.has_taken(digest));
+        let Some((version, digest)) = self.model.newest_committed() else {
+            return;
+        };
+        let Some(view) = self.invariants.newest_view() else {
+            return;
+        };
+        let lacks = |member: &Identity| {
+            self.disk_of(*member)
+                .is_some_and(|disk| !disk.has_taken(digest))
+        };
         let lacking = view.chain.iter().copied().find(lacks);
         if let Some(member) = lacking {
             let epoch = view.epoch;
-            self.violations
-                .report(self.now, InvariantViolation::CommittedNotStored { member, epoch, version });
+            self.violations.report(
+                self.now,
+                InvariantViolation::CommittedNotStored {
+                    member,
+                    epoch,
+                    version,
+                },
+            );
         }
     }
 
@@ -84,14 +105,17 @@
     /// Checks that a process that has started recovered all that its disk holds.
     pub(crate) fn check_recovered(&mut self, number: usize) {
         let node = &self.nodes[number];
-        let (Some(replica), Some(disk)) = (&node.replica, node.disk.contents()) else { return };
+        let (Some(replica), Some(disk)) = (&node.replica, node.disk.contents()) else {
+            return;
+        };
         if !self.checks_invariants() || disk.identity().is_none() {
             return;
         }
         let missing = disk.first_missing_in(&DiskContents::of(&replica.snapshot()));
         let node = node.address;
         if let Some(missing) = missing {
-            self.violations.report(self.now, InvariantViolation::NotRecovered { node, missing });
+            self.violations
+                .report(self.now, InvariantViolation::NotRecovered { node, missing });
         }
     }
 
@@ -104,7 +128,10 @@
         let missing = disk.first_missing_in(&DiskContents::of(records));
         let node = node.address;
         if let Some(missing) = missing {
-            self.violations.report(self.now, InvariantViolation::MissingInSnapshot { node, missing });
+            self.violations.report(
+                self.now,
+                InvariantViolation::MissingInSnapshot { node, missing },
+            );
         }
     }
 }
--- a/crates/lockusher-control-simulation/src/recovery.rs
+++ b/crates/lockusher-control-simulation/src/recovery.rs
@@ -19,13 +19,15 @@
         self.end_faults();
         let faults_ended_at = self.now;
         let Some(version) = self.write_until_acknowledged(ACKNOWLEDGE_MS) else {
-            self.violations.report(self.now, RecoveryViolation::NoWriteAcknowledged);
+            self.violations
+                .report(self.now, RecoveryViolation::NoWriteAcknowledged);
             return;
         };
         self.outcome.recovery_ms = self.now - faults_ended_at;
         let rest = CATCH_UP_MS.saturating_sub(self.outcome.recovery_ms);
         if self.run_until_all_members(rest).is_none() {
-            self.violations.report(self.now, RecoveryViolation::NotAllMembers);
+            self.violations
+                .report(self.now, RecoveryViolation::NotAllMembers);
         }
         self.outcome.settle_ms = self.now - faults_ended_at;
         self.check_all_know(version);
@@ -59,9 +61,15 @@
     fn check_all_know(&mut self, version: u64) {
         self.advance(self.now + DISSEMINATION_MS);
         for node in self.nodes.iter().filter(|node| !node.removed) {
-            let known = node.replica.as_ref().and_then(|replica| replica.committed());
+            let known = node
+                .replica
+                .as_ref()
+                .and_then(|replica| replica.committed());
             if known.map_or(0, |document| document.version) < version {
-                let violation = RecoveryViolation::VersionNotLearned { node: node.address, version };
+                let violation = RecoveryViolation::VersionNotLearned {
+                    node: node.address,
+                    version,
+                };
                 self.violations.report(self.now, violation);
             }
         }
@@ -78,7 +86,8 @@
             self.expire_call(0);
         }
         if self.outcome.reads == reads {
-            self.violations.report(self.now, RecoveryViolation::NoReadAnswered);
+            self.violations
+                .report(self.now, RecoveryViolation::NoReadAnswered);
         }
     }
 }
--- a/crates/lockusher-control-simulation/src/shrink.rs
+++ b/crates/lockusher-control-simulation/src/shrink.rs
@@ -26,14 +26,29 @@
 
 /// Shrinks this run; `None` if it has no violation.
 pub fn shrink(options: SimulationOptions) -> Option<Shrunk> {
-    let mut search = Search { options, left_out: BTreeSet::new(), failing: Outcome::default(), runs: 0 };
+    let mut search = Search {
+        options,
+        left_out: BTreeSet::new(),
+        failing: Outcome::default(),
+        runs: 0,
+    };
     if !search.try_run(options.steps, BTreeSet::new()) {
         return None;
     }
     search.drop_last_steps();
     search.drop_faults();
-    let Search { options, failing, runs, .. } = search;
-    Some(Shrunk { steps: options.steps, faults: failing.faults, violations: failing.violations, runs })
+    let Search {
+        options,
+        failing,
+        runs,
+        ..
+    } = search;
+    Some(Shrunk {
+        steps: options.steps,
+        faults: failing.faults,
+        violations: failing.violations,
+        runs,
+    })
 }
 
 /// The shortest failing run found so far.
@@ -51,7 +66,10 @@
             return false;
         }
         self.runs += 1;
-        let options = SimulationOptions { steps, ..self.options };
+        let options = SimulationOptions {
+            steps,
+            ..self.options
+        };
         let outcome = simulate_without(options, &left_out);
         let fails = !outcome.violations.is_empty();
         if fails {
@@ -81,7 +99,11 @@
             if chunk_size == 1 && !dropped {
                 return;
             }
-            chunk_size = if dropped { chunk_size.min(self.failing.faults.len()) } else { chunk_size / 2 };
+            chunk_size = if dropped {
+                chunk_size.min(self.failing.faults.len())
+            } else {
+                chunk_size / 2
+            };
         }
     }
 
