--- a/crates/lockusher-control-simulation/tests/simulation.rs
+++ b/crates/lockusher-control-simulation/tests/simulation.rs
@@ -4,7 +4,8 @@
 
 use lockusher_control::InjectedBug;
 use lockusher_control_simulation::{
-    Cluster, Outcome, SimulationOptions, Violation, shrink, simulate, simulate_with, simulate_without,
+    Cluster, Outcome, SimulationOptions, Violation, shrink, simulate, simulate_with,
+    simulate_without,
 };
 use yare::parameterized;
 
@@ -35,12 +36,20 @@
     nine = { 9 },
 )]
 fn a_first_start_without_faults_serves(replicas: usize) {
-    let mut cluster = Cluster::new(SimulationOptions { replicas, seed: 1, ..SimulationOptions::default() });
+    let mut cluster = Cluster::new(SimulationOptions {
+        replicas,
+        seed: 1,
+        ..SimulationOptions::default()
+    });
     cluster.run_recovery();
     let state = cluster.describe();
     let outcome = cluster.into_outcome();
     assert_eq!(outcome.violations, Vec::<Violation>::new(), "{state}");
-    assert!(outcome.recovery_ms < 500, "the write took {} ms", outcome.recovery_ms);
+    assert!(
+        outcome.recovery_ms < 500,
+        "the write took {} ms",
+        outcome.recovery_ms
+    );
 }
 
 #[parameterized(
@@ -74,7 +83,8 @@
 #[test]
 fn a_failing_run_is_shrunk_to_faults_that_are_all_needed() {
     let injected_bug = Some(InjectedBug::VoteAfterWipe);
-    let (seed, full) = first_violation(3, injected_bug, 1000, 500).expect("the injected bug is found");
+    let (seed, full) =
+        first_violation(3, injected_bug, 1000, 500).expect("the injected bug is found");
     let shrunk = shrink(SimulationOptions {
         replicas: 3,
         seed,
@@ -84,7 +94,11 @@
     })
     .expect("it fails");
     assert!(!shrunk.violations.is_empty());
-    assert!(shrunk.faults.len() < full.faults.len(), "{shrunk:?} of {} faults", full.faults.len());
+    assert!(
+        shrunk.faults.len() < full.faults.len(),
+        "{shrunk:?} of {} faults",
+        full.faults.len()
+    );
     // Without any one of them the run has no violation.
     let options = SimulationOptions {
         replicas: 3,
@@ -94,18 +108,28 @@
         ..SimulationOptions::default()
     };
     let needed: BTreeSet<usize> = shrunk.faults.iter().map(|fault| fault.step).collect();
-    let others: BTreeSet<usize> = (0..shrunk.steps).filter(|step| !needed.contains(step)).collect();
+    let others: BTreeSet<usize> = (0..shrunk.steps)
+        .filter(|step| !needed.contains(step))
+        .collect();
     assert!(!simulate_without(options, &others).violations.is_empty());
     for step in needed {
         let left_out = others.iter().copied().chain([step]).collect();
-        assert!(simulate_without(options, &left_out).violations.is_empty(), "step {step} isn't needed");
+        assert!(
+            simulate_without(options, &left_out).violations.is_empty(),
+            "step {step} isn't needed"
+        );
     }
 }
 
 #[test]
 fn a_run_without_violations_is_not_shrunk() {
     assert!(
-        shrink(SimulationOptions { replicas: 3, seed: 1, steps: 50, ..SimulationOptions::default() })
-            .is_none()
+        shrink(SimulationOptions {
+            replicas: 3,
+            seed: 1,
+            steps: 50,
+            ..SimulationOptions::default()
+        })
+        .is_none()
     );
 }
--- a/crates/lockusher-control-simulation/tests/support/mod.rs
+++ b/crates/lockusher-control-simulation/tests/support/mod.rs
@@ -8,6 +8,10 @@
 /// A cluster after its first start: all nodes are members of the chain.
 pub fn started_cluster(options: SimulationOptions) -> Cluster {
     let mut cluster = Cluster::new(options);
-    assert!(cluster.run_until_all_members(CATCH_UP_MS).is_some(), "first start:\n{}", cluster.describe());
+    assert!(
+        cluster.run_until_all_members(CATCH_UP_MS).is_some(),
+        "first start:\n{}",
+        cluster.describe()
+    );
     cluster
 }
--- a/crates/lockusher-control/src/acceptor.rs
+++ b/crates/lockusher-control/src/acceptor.rs
@@ -39,19 +39,32 @@
     /// # Errors
     ///
     /// The higher number promised before.
-    pub fn accept(&mut self, proposal_number: ProposalNumber, view: View) -> Result<(), ProposalNumber> {
+    pub fn accept(
+        &mut self,
+        proposal_number: ProposalNumber,
+        view: View,
+    ) -> Result<(), ProposalNumber> {
         self.prepare(proposal_number)?;
-        self.accepted = Some(AcceptedView { proposal_number, view });
+        self.accepted = Some(AcceptedView {
+            proposal_number,
+            view,
+        });
         Ok(())
     }
 
     /// Merges a record of this epoch; the order of records doesn't matter.
     pub fn recover(&mut self, record: &DurableRecord) {
         match record {
-            DurableRecord::Promise { proposal_number, .. } => {
+            DurableRecord::Promise {
+                proposal_number, ..
+            } => {
                 self.promised = self.promised.max(*proposal_number);
             }
-            DurableRecord::Accept { proposal_number, view, .. } => {
+            DurableRecord::Accept {
+                proposal_number,
+                view,
+                ..
+            } => {
                 self.recover_accepted(*proposal_number, view);
             }
             DurableRecord::Seal { .. } => {
@@ -65,15 +78,29 @@
     /// Merges an acceptance; the highest number wins.
     fn recover_accepted(&mut self, proposal_number: ProposalNumber, view: &View) {
         self.promised = self.promised.max(proposal_number);
-        if self.accepted.as_ref().is_none_or(|accepted| accepted.proposal_number <= proposal_number) {
-            self.accepted = Some(AcceptedView { proposal_number, view: view.clone() });
+        if self
+            .accepted
+            .as_ref()
+            .is_none_or(|accepted| accepted.proposal_number <= proposal_number)
+        {
+            self.accepted = Some(AcceptedView {
+                proposal_number,
+                view: view.clone(),
+            });
         }
     }
 
     /// Records from which [`AcceptorState::recover`] restores this state.
     pub fn records(&self, epoch: u64) -> Vec<DurableRecord> {
-        let mut records = vec![DurableRecord::Promise { epoch, proposal_number: self.promised }];
-        if let Some(AcceptedView { proposal_number, view }) = &self.accepted {
+        let mut records = vec![DurableRecord::Promise {
+            epoch,
+            proposal_number: self.promised,
+        }];
+        if let Some(AcceptedView {
+            proposal_number,
+            view,
+        }) = &self.accepted
+        {
             records.push(DurableRecord::Accept {
                 epoch,
                 proposal_number: *proposal_number,
--- a/crates/lockusher-control/src/acceptor_log.rs
+++ b/crates/lockusher-control/src/acceptor_log.rs
@@ -76,7 +76,9 @@
 
     /// Defers this until all writes so far are durable; returns it if there is none.
     pub fn defer(&mut self, after_write: AfterAcceptorWrite) -> Option<AfterAcceptorWrite> {
-        let Some(last) = self.writes.back_mut() else { return Some(after_write) };
+        let Some(last) = self.writes.back_mut() else {
+            return Some(after_write);
+        };
         if !last.after_write.contains(&after_write) {
             last.after_write.push(after_write);
         }
@@ -85,20 +87,32 @@
 
     /// A write is durable: what may be done now, or `None` if the ticket isn't of this log.
     pub fn on_persisted(&mut self, ticket: PersistTicket) -> Option<Vec<AfterAcceptorWrite>> {
-        let is_it =
-            |write: &&mut AcceptorWrite| write.ticket == ticket && write.progress == Progress::Writing;
+        let is_it = |write: &&mut AcceptorWrite| {
+            write.ticket == ticket && write.progress == Progress::Writing
+        };
         let write = self.writes.iter_mut().find(is_it)?;
         write.progress = Progress::Durable;
         let mut released = Vec::new();
-        while self.writes.front().is_some_and(|write| write.progress == Progress::Durable) {
-            released.extend(self.writes.pop_front().into_iter().flat_map(|write| write.after_write));
+        while self
+            .writes
+            .front()
+            .is_some_and(|write| write.progress == Progress::Durable)
+        {
+            released.extend(
+                self.writes
+                    .pop_front()
+                    .into_iter()
+                    .flat_map(|write| write.after_write),
+            );
         }
         Some(released)
     }
 
     /// A write was refused. Returns whether the ticket is of this log.
     pub fn on_refused(&mut self, ticket: PersistTicket, now: Millis) -> bool {
-        let Some(write) = self.writes.iter_mut().find(|write| write.ticket == ticket) else { return false };
+        let Some(write) = self.writes.iter_mut().find(|write| write.ticket == ticket) else {
+            return false;
+        };
         write.progress = Progress::Refused { at: now };
         write.was_refused = true;
         true
--- a/crates/lockusher-control/src/chain_role.rs
+++ b/crates/lockusher-control/src/chain_role.rs
@@ -12,11 +12,17 @@
 impl ChainRole {
     /// The head in this epoch.
     pub fn head(epoch: u64) -> Self {
-        ChainRole { is_head: true, epoch }
+        ChainRole {
+            is_head: true,
+            epoch,
+        }
     }
 
     /// Any other node in this epoch.
     pub fn other(epoch: u64) -> Self {
-        ChainRole { is_head: false, epoch }
+        ChainRole {
+            is_head: false,
+            epoch,
+        }
     }
 }
--- a/crates/lockusher-control/src/document.rs
+++ b/crates/lockusher-control/src/document.rs
@@ -24,7 +24,9 @@
 
     /// Digest of the bytes digested so far followed by these.
     pub fn extended(self, bytes: &[u8]) -> Self {
-        let hash = bytes.iter().fold(self.0, |hash, byte| (hash ^ u128::from(*byte)).wrapping_mul(FNV_PRIME));
+        let hash = bytes.iter().fold(self.0, |hash, byte| {
+            (hash ^ u128::from(*byte)).wrapping_mul(FNV_PRIME)
+        });
         Self(hash)
     }
 }
@@ -47,12 +49,22 @@
     /// A document that the operator sent whole.
     pub fn new(version: u64, body: Arc<[u8]>) -> Self {
         let digest = Digest::of(&body);
-        Self { version, request: digest, digest, body }
+        Self {
+            version,
+            request: digest,
+            digest,
+            body,
+        }
     }
 
     /// A document that a patch made, which [`patch_identity`] identifies.
     pub fn patched(version: u64, request: Digest, body: Arc<[u8]>) -> Self {
-        Self { version, request, digest: Digest::of(&body), body }
+        Self {
+            version,
+            request,
+            digest: Digest::of(&body),
+            body,
+        }
     }
 }
 
@@ -62,5 +74,7 @@
 /// Identifies a patch: the version that it builds on and all of its bytes. Its own version alone doesn't, since two
 /// operators may give different changes the same number.
 pub fn patch_identity(if_match: u64, body: &[u8]) -> Digest {
-    Digest::of(PATCH_DOMAIN).extended(&if_match.to_le_bytes()).extended(body)
+    Digest::of(PATCH_DOMAIN)
+        .extended(&if_match.to_le_bytes())
+        .extended(body)
 }
--- a/crates/lockusher-control/src/driver/change_request.rs
+++ b/crates/lockusher-control/src/driver/change_request.rs
@@ -77,7 +77,13 @@
 /// [`ChangeRequestError`] if there is none.
 pub fn expected_version(header: Option<&HeaderValue>) -> Result<u64, ChangeRequestError> {
     let value = header.ok_or(ChangeRequestError::VersionMissing)?;
-    let text = value.to_str().map_err(|_| ChangeRequestError::VersionNotText)?;
+    let text = value
+        .to_str()
+        .map_err(|_| ChangeRequestError::VersionNotText)?;
     let digits = text.trim().trim_matches('"');
-    digits.parse().map_err(|_| ChangeRequestError::VersionNotNumber { found: text.to_owned() })
+    digits
+        .parse()
+        .map_err(|_| ChangeRequestError::VersionNotNumber {
+            found: text.to_owned(),
+        })
 }
--- a/crates/lockusher-control/src/driver/disk.rs
+++ b/crates/lockusher-control/src/driver/disk.rs
@@ -10,8 +10,8 @@
 
 use derive_more::{Display, Error, From};
 use lockusher_storage::{
-    Completion, Completions, DiskFileSystem, Job, Recovered, Store, StoreError, StoreOptions, StoreWriter,
-    SubmitError,
+    Completion, Completions, DiskFileSystem, Job, Recovered, Store, StoreError, StoreOptions,
+    StoreWriter, SubmitError,
 };
 
 use crate::durable_record::{DurableRecord, PersistTicket};
@@ -94,8 +94,16 @@
             records: decode(&opened.recovered)?,
         };
         let (writer, completions) = StoreWriter::spawn(opened.store)?;
-        let disk = Disk { writer, snapshot_due: Cell::new(false), scrubs: Cell::default() };
-        Ok(OpenedDisk { disk, completions, recovered })
+        let disk = Disk {
+            writer,
+            snapshot_due: Cell::new(false),
+            scrubs: Cell::default(),
+        };
+        Ok(OpenedDisk {
+            disk,
+            completions,
+            recovered,
+        })
     }
 
     /// Appends records; the ticket comes back as a completion.
@@ -103,9 +111,16 @@
     /// # Errors
     ///
     /// [`SubmitError::ThreadEnded`] if the storage thread is gone: nothing is written, now or later.
-    pub fn append(&self, ticket: PersistTicket, records: &[DurableRecord]) -> Result<(), SubmitError> {
+    pub fn append(
+        &self,
+        ticket: PersistTicket,
+        records: &[DurableRecord],
+    ) -> Result<(), SubmitError> {
         let records = records.iter().map(bitcode::encode).collect();
-        self.writer.submit(Job::Append { ticket: ticket.0, records })
+        self.writer.submit(Job::Append {
+            ticket: ticket.0,
+            records,
+        })
     }
 
     /// Takes a completion; the outcome of the append if it is one.
@@ -134,7 +149,10 @@
         }
         self.snapshot_due.set(false);
         let bytes = bitcode::encode(&records());
-        if let Err(error) = self.writer.submit(Job::Snapshot { ticket: SNAPSHOT_TICKET, bytes }) {
+        if let Err(error) = self.writer.submit(Job::Snapshot {
+            ticket: SNAPSHOT_TICKET,
+            bytes,
+        }) {
             log::warn!("snapshot: {error}");
         }
     }
@@ -142,7 +160,9 @@
     /// Has everything read back and compared, unless something is in flight.
     pub fn scrub_if_idle(&self) {
         if self.writer.is_idle()
-            && let Err(error) = self.writer.submit(Job::Scrub { ticket: SCRUB_TICKET })
+            && let Err(error) = self.writer.submit(Job::Scrub {
+                ticket: SCRUB_TICKET,
+            })
         {
             log::warn!("scrub: {error}");
         }
@@ -162,7 +182,9 @@
         if completion.ticket != SCRUB_TICKET {
             return;
         }
-        let Some(comparison) = scrub_result(completion, compare) else { return };
+        let Some(comparison) = scrub_result(completion, compare) else {
+            return;
+        };
         self.count_scrub(comparison);
         match comparison {
             DiskComparison::Same => {}
@@ -190,7 +212,9 @@
     compare: impl FnOnce(Vec<DurableRecord>) -> DiskComparison,
 ) -> Option<DiskComparison> {
     match (&completion.scrubbed, &completion.result) {
-        (Some(recovered), _) => Some(decode(recovered).map_or(DiskComparison::DiskDiffers, compare)),
+        (Some(recovered), _) => {
+            Some(decode(recovered).map_or(DiskComparison::DiskDiffers, compare))
+        }
         (None, Err(StoreError::Damaged { .. })) => Some(DiskComparison::DiskDiffers),
         (None, _) => None,
     }
@@ -209,9 +233,17 @@
     let mut cleared = false;
     loop {
         match Store::open(DiskFileSystem::new(folder.to_path_buf()), options) {
-            Ok((store, recovered)) => return OpenedStore { store, recovered, cleared },
+            Ok((store, recovered)) => {
+                return OpenedStore {
+                    store,
+                    recovered,
+                    cleared,
+                };
+            }
             Err(StoreError::Damaged { damage }) => {
-                log::error!("the disk is damaged ({damage}); it is cleared and rebuilt from other nodes");
+                log::error!(
+                    "the disk is damaged ({damage}); it is cleared and rebuilt from other nodes"
+                );
                 cleared = true;
                 clear(folder).await;
             }
--- a/crates/lockusher-control/src/driver/instance_list_polling.rs
+++ b/crates/lockusher-control/src/driver/instance_list_polling.rs
@@ -27,11 +27,20 @@
     settings: Rc<NodeSettings>,
     random_seed: u64,
 ) {
-    let source = InstanceListSource { driver, list_publisher, settings, random_seed };
+    let source = InstanceListSource {
+        driver,
+        list_publisher,
+        settings,
+        random_seed,
+    };
     loop {
         let seen_generation = source.driver.role_changed().generation();
         let role = source.driver.role();
-        let changed = source.driver.role_changed().changed_since(seen_generation).fuse();
+        let changed = source
+            .driver
+            .role_changed()
+            .changed_since(seen_generation)
+            .fuse();
         let work = source.run_in_role(role).fuse();
         pin_mut!(changed, work);
         select_biased! {
@@ -64,11 +73,13 @@
     async fn poll_platform(&self, epoch: u64) {
         let settings = &self.settings;
         let drain_ms = settings.bounds.drain_ms;
-        let mut poller = InstanceListPoller::sole(settings.cloud_rate_per_s, drain_ms, self.random_seed);
+        let mut poller =
+            InstanceListPoller::sole(settings.cloud_rate_per_s, drain_ms, self.random_seed);
         let clock = self.driver.clock;
         poller.start(clock.millis());
         loop {
-            let poll = instance_list_client::next_poll(&mut poller, settings.cloud_address, clock).await;
+            let poll =
+                instance_list_client::next_poll(&mut poller, settings.cloud_address, clock).await;
             self.list_publisher.publish_poll(epoch, &poll);
         }
     }
@@ -81,7 +92,8 @@
             agent_address: None,
         };
         let policy = FixedAddressPolicy::new(head, self.random_seed);
-        let subscriber = SharedSubscriber::new(Subscriber::new(identity), policy, self.driver.clock);
+        let subscriber =
+            SharedSubscriber::new(Subscriber::new(identity), policy, self.driver.clock);
         let _connection = compio::runtime::spawn(Rc::clone(&subscriber).run());
         loop {
             let seen_generation = subscriber.changed().generation();
@@ -90,7 +102,8 @@
             subscriber.update_quietly(|subscriber| subscriber.set_downstream(downstream));
             let relay = |subscriber: &Subscriber| {
                 let publisher = &self.driver.publisher;
-                publisher.update_quietly(|publisher| relay(subscriber, publisher, downstream_proxies))
+                publisher
+                    .update_quietly(|publisher| relay(subscriber, publisher, downstream_proxies))
             };
             if subscriber.read(relay) {
                 self.driver.publisher.update(|_| ());
@@ -114,7 +127,9 @@
 fn relay(subscriber: &Subscriber, publisher: &mut Publisher, downstream_proxies: u32) -> bool {
     let status = publisher.status();
     publisher.set_status(PublisherStatus {
-        list_confirmed_at_ms: subscriber.list_confirmed_at_ms().or(status.list_confirmed_at_ms),
+        list_confirmed_at_ms: subscriber
+            .list_confirmed_at_ms()
+            .or(status.list_confirmed_at_ms),
         calls_per_poll: subscriber.calls_per_poll(),
         proxies: subscriber.proxies().max(downstream_proxies),
         ..status
--- a/crates/lockusher-control/src/driver/instance_list_publisher.rs
+++ b/crates/lockusher-control/src/driver/instance_list_publisher.rs
@@ -36,7 +36,11 @@
 impl InstanceListPublisher {
     /// A publisher that has seen no poll yet.
     pub fn new(driver: Rc<ReplicaDriver>) -> Rc<Self> {
-        Rc::new(InstanceListPublisher { driver, overlay: RefCell::default(), last_poll: RefCell::default() })
+        Rc::new(InstanceListPublisher {
+            driver,
+            overlay: RefCell::default(),
+            last_poll: RefCell::default(),
+        })
     }
 
     /// Publishes a poll made as head in `epoch` if it differs from the newest list; in any case says how fresh the list
@@ -50,7 +54,10 @@
             };
             publisher.set_status(status);
         });
-        let polled = PolledList { epoch, instances: Rc::clone(&poll.instances) };
+        let polled = PolledList {
+            epoch,
+            instances: Rc::clone(&poll.instances),
+        };
         self.last_poll.replace(Some(polled.clone()));
         self.publish(&polled, poll.changed);
     }
@@ -69,7 +76,9 @@
     }
 
     fn republish(&self) {
-        let Some(polled) = self.last_poll.borrow().clone() else { return };
+        let Some(polled) = self.last_poll.borrow().clone() else {
+            return;
+        };
         if self.driver.role() == ChainRole::head(polled.epoch) {
             self.publish(&polled, true);
         }
@@ -95,5 +104,8 @@
 
 fn time_of_day_ms() -> u64 {
     // A clock before 1970 counts as 1970: revisions then count up by one.
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
--- a/crates/lockusher-control/src/driver/instance_list_revision.rs
+++ b/crates/lockusher-control/src/driver/instance_list_revision.rs
@@ -4,10 +4,21 @@
 
 /// A revision above `newest`, of a head in `epoch`. Its sequence is at least the time of day in milliseconds, so that a
 /// head that was restarted in the same view counts on from above what it published before.
-pub fn next_revision(epoch: u64, newest: InstanceListRevision, time_of_day_ms: u64) -> InstanceListRevision {
+pub fn next_revision(
+    epoch: u64,
+    newest: InstanceListRevision,
+    time_of_day_ms: u64,
+) -> InstanceListRevision {
     let epoch = epoch.max(newest.epoch);
-    let incremented = if newest.epoch == epoch { newest.sequence + 1 } else { 0 };
-    InstanceListRevision { epoch, sequence: incremented.max(time_of_day_ms) }
+    let incremented = if newest.epoch == epoch {
+        newest.sequence + 1
+    } else {
+        0
+    };
+    InstanceListRevision {
+        epoch,
+        sequence: incremented.max(time_of_day_ms),
+    }
 }
 
 /// Whether the list published is of this epoch and of no lower revision than a subscriber has applied: unless its
--- a/crates/lockusher-control/src/driver/operator_api.rs
+++ b/crates/lockusher-control/src/driver/operator_api.rs
@@ -23,9 +23,14 @@
 const TEXT: &str = "text/plain; charset=utf-8";
 
 /// Answers one call of the operator.
-pub async fn handle(driver: Rc<ReplicaDriver>, request: HttpRequest<Incoming>) -> Response<FullBody> {
+pub async fn handle(
+    driver: Rc<ReplicaDriver>,
+    request: HttpRequest<Incoming>,
+) -> Response<FullBody> {
     match (request.method(), request.uri().path()) {
-        (&Method::PUT, "/api/configuration") => change_response(put_configuration(&driver, request).await),
+        (&Method::PUT, "/api/configuration") => {
+            change_response(put_configuration(&driver, request).await)
+        }
         (&Method::PATCH, "/api/configuration") => {
             change_response(patch_configuration(&driver, request).await)
         }
@@ -81,7 +86,14 @@
     let patch = ConfigurationPatch::parse(&change.body)?;
     let (if_match, version) = (change.if_match, patch.version);
     let identity = patch_identity(if_match, &change.body);
-    let base = match driver.request(Request::Base { if_match, version, request: identity }).await {
+    let base = match driver
+        .request(Request::Base {
+            if_match,
+            version,
+            request: identity,
+        })
+        .await
+    {
         Reply::Document(Some(base)) => base,
         Reply::Document(None) => return Err(OperatorError::NothingToPatch),
         reply => return change_outcome(reply, if_match, version),
--- a/crates/lockusher-control/src/driver/operator_error.rs
+++ b/crates/lockusher-control/src/driver/operator_error.rs
@@ -69,7 +69,9 @@
     pub fn response(&self) -> Response<FullBody> {
         let mut response = answer(self.status(), TEXT, format!("{self}\n"));
         if matches!(self, OperatorError::Undecided) {
-            response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
+            response
+                .headers_mut()
+                .insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
         }
         response
     }
--- a/crates/lockusher-control/src/driver/peer_links.rs
+++ b/crates/lockusher-control/src/driver/peer_links.rs
@@ -78,14 +78,23 @@
 impl PeerLinks {
     /// Links of the node with this internal listener; none is open yet.
     pub fn new(own_address: SocketAddrV4, timing: LinkTiming) -> Self {
-        PeerLinks { own_address, timing, links: RefCell::default() }
+        PeerLinks {
+            own_address,
+            timing,
+            links: RefCell::default(),
+        }
     }
 
     /// Queues a message for a peer.
     pub fn send(&self, to: SocketAddrV4, envelope: &Envelope) {
-        let frame = frame::encode(&PeerFrame { from: self.own_address, envelope: envelope.encode() });
+        let frame = frame::encode(&PeerFrame {
+            from: self.own_address,
+            envelope: envelope.encode(),
+        });
         let mut links = self.links.borrow_mut();
-        let link = links.entry(to).or_insert_with(|| Link::open(to, self.timing, SendQueue::default()));
+        let link = links
+            .entry(to)
+            .or_insert_with(|| Link::open(to, self.timing, SendQueue::default()));
         link.queue.borrow_mut().push(frame);
         if !link.wake() {
             *link = Link::open(to, self.timing, link.queue.take());
@@ -98,7 +107,12 @@
     fn open(to: SocketAddrV4, timing: LinkTiming, queue: SendQueue) -> Link {
         let queue = Rc::new(RefCell::new(queue));
         let (wake, wake_ups) = mpsc::channel(1);
-        let task = LinkTask { to, timing, queue: Rc::clone(&queue), wake_ups };
+        let task = LinkTask {
+            to,
+            timing,
+            queue: Rc::clone(&queue),
+            wake_ups,
+        };
         compio::runtime::spawn(task.run()).detach();
         Link { queue, wake }
     }
@@ -106,7 +120,10 @@
     /// Wakes the task; false if it has ended.
     fn wake(&mut self) -> bool {
         // A full channel is a wake-up that the task hasn't seen yet.
-        !self.wake.try_send(()).is_err_and(|error| error.is_disconnected())
+        !self
+            .wake
+            .try_send(())
+            .is_err_and(|error| error.is_disconnected())
     }
 }
 
@@ -147,8 +164,10 @@
             let next = self.queue.borrow_mut().pop();
             if let Some(frame) = next {
                 let write = timeout(WRITE_TIMEOUT, writer.write_encoded(&frame)).await;
-                write
-                    .map_err(|_| TransportError::TimedOut { operation: Operation::Write, address: None })??;
+                write.map_err(|_| TransportError::TimedOut {
+                    operation: Operation::Write,
+                    address: None,
+                })??;
                 continue;
             }
             match timeout(IDLE_TIMEOUT, self.wake_ups.next()).await {
--- a/crates/lockusher-control/src/driver/peer_listener.rs
+++ b/crates/lockusher-control/src/driver/peer_listener.rs
@@ -49,7 +49,10 @@
 
 async fn serve_peer(driver: Rc<ReplicaDriver>, stream: TcpStream) {
     let deliver = |from, envelope: Envelope| {
-        driver.dispatch(Event::Message { from, message: envelope.message });
+        driver.dispatch(Event::Message {
+            from,
+            message: envelope.message,
+        });
     };
     if let Err(error) = receive(stream, deliver).await {
         log::debug!("peer: {error}");
@@ -57,7 +60,10 @@
 }
 
 /// Reads a peer's messages and hands each to `deliver`, until the connection ends.
-async fn receive(stream: TcpStream, deliver: impl Fn(SocketAddrV4, Envelope)) -> Result<(), ReceiveError> {
+async fn receive(
+    stream: TcpStream,
+    deliver: impl Fn(SocketAddrV4, Envelope),
+) -> Result<(), ReceiveError> {
     tcp::set_options(&stream)?;
     let (mut reader, _writer) = frame::split::<PeerFrame, ()>(stream)?;
     loop {
--- a/crates/lockusher-control/src/driver/replica_driver.rs
+++ b/crates/lockusher-control/src/driver/replica_driver.rs
@@ -130,7 +130,10 @@
             }
             Effect::Reply { ticket, reply } => self.reply(ticket, reply),
             Effect::Committed(document) => self.publish_configuration(&document),
-            Effect::RoleChanged { head, epoch } => self.change_role(ChainRole { is_head: head, epoch }),
+            Effect::RoleChanged { head, epoch } => self.change_role(ChainRole {
+                is_head: head,
+                epoch,
+            }),
             Effect::Members(members) => self.publish_members(&members),
         }
         None
@@ -147,7 +150,8 @@
         match Configuration::parse(&document.body) {
             Ok(configuration) => {
                 let configuration = Rc::new(configuration);
-                self.publisher.update(|publisher| publisher.publish_configuration(configuration));
+                self.publisher
+                    .update(|publisher| publisher.publish_configuration(configuration));
                 log::info!("configuration {} committed", document.version);
             }
             Err(faults) => log::error!("committed configuration {}: {faults}", document.version),
@@ -156,15 +160,23 @@
 
     fn change_role(&self, role: ChainRole) {
         if self.role.replace(role) != role {
-            log::info!("view {}: {}", role.epoch, if role.is_head { "head" } else { "not head" });
+            log::info!(
+                "view {}: {}",
+                role.epoch,
+                if role.is_head { "head" } else { "not head" }
+            );
             self.role_changed.notify();
         }
     }
 
     fn publish_members(&self, members: &[SocketAddrV4]) {
         let port = self.subscription_port;
-        let addresses = members.iter().map(|member| SocketAddrV4::new(*member.ip(), port)).collect();
-        self.publisher.update(|publisher| publisher.set_control_nodes(addresses));
+        let addresses = members
+            .iter()
+            .map(|member| SocketAddrV4::new(*member.ip(), port))
+            .collect();
+        self.publisher
+            .update(|publisher| publisher.set_control_nodes(addresses));
     }
 
     /// Puts a request to the replica and waits for its reply; [`Reply::Unavailable`] if none comes.
@@ -184,8 +196,16 @@
         let is_head = self.role().is_head;
         self.publisher.update_quietly(|publisher| {
             let downstream = publisher.downstream_proxies();
-            let proxies = if is_head { downstream } else { downstream.max(publisher.status().proxies) };
-            publisher.set_status(PublisherStatus { in_view, proxies, ..publisher.status() });
+            let proxies = if is_head {
+                downstream
+            } else {
+                downstream.max(publisher.status().proxies)
+            };
+            publisher.set_status(PublisherStatus {
+                in_view,
+                proxies,
+                ..publisher.status()
+            });
         });
     }
 
--- a/crates/lockusher-control/src/driver/stage_assignment.rs
+++ b/crates/lockusher-control/src/driver/stage_assignment.rs
@@ -94,7 +94,11 @@
         let Some(change) = change else { return };
         sleep(LIST_PROPAGATION_DELAY).await;
         let outcome = self.send_order(fencing_token, &change).await;
-        log::info!("order: {} becomes {:?}: {outcome:?}", change.identifier, change.to);
+        log::info!(
+            "order: {} becomes {:?}: {outcome:?}",
+            change.identifier,
+            change.to
+        );
         self.scheduler.order_completed(self.now(), &change, outcome);
         self.publish_switching();
     }
@@ -116,21 +120,31 @@
 
     /// Lets the published list show which searchers are changing.
     fn publish_switching(&self) {
-        self.list_publisher.set_switching(self.scheduler.changes_in_flight());
+        self.list_publisher
+            .set_switching(self.scheduler.changes_in_flight());
     }
 
     async fn send_order(&mut self, fencing_token: u64, change: &StageChange) -> OrderOutcome {
-        let Ok(address) = change.address.parse() else { return OrderOutcome::Rejected };
-        let Some(permit) = self.confirm(fencing_token).await else { return OrderOutcome::NotSent };
+        let Ok(address) = change.address.parse() else {
+            return OrderOutcome::Rejected;
+        };
+        let Some(permit) = self.confirm(fencing_token).await else {
+            return OrderOutcome::NotSent;
+        };
         let limit = Duration::from_millis(self.lease.attempt_limit());
         let attempt = self.attempt(address, permit, change, limit / CONNECT_LIMIT_DIVISOR);
         // What was given up may have been accepted.
-        timeout(limit, attempt).await.unwrap_or(OrderOutcome::Unknown)
+        timeout(limit, attempt)
+            .await
+            .unwrap_or(OrderOutcome::Unknown)
     }
 
     /// Has a majority of the voters confirm that this node's epoch is the newest: a read does.
     async fn confirm(&mut self, fencing_token: u64) -> Option<OrderPermit> {
-        let permit = OrderPermit { fencing_token, requested_at: self.now() };
+        let permit = OrderPermit {
+            fencing_token,
+            requested_at: self.now(),
+        };
         let is_confirmed = matches!(self.driver.request(Request::Read).await, Reply::Document(_));
         (is_confirmed && self.is_valid(permit)).then_some(permit)
     }
@@ -148,11 +162,16 @@
         change: &StageChange,
         connect_limit: Duration,
     ) -> OrderOutcome {
-        let Ok(stream) = tcp::connect(address, connect_limit).await else { return OrderOutcome::Rejected };
+        let Ok(stream) = tcp::connect(address, connect_limit).await else {
+            return OrderOutcome::Rejected;
+        };
         // What is given up must not be sent again by the kernel later.
         let discards_on_close = tcp::discard_on_close(&stream).is_ok();
-        let request = stage_change_request(address, change, &self.settings.node, permit.fencing_token);
-        let Ok(request) = request else { return OrderOutcome::NotSent };
+        let request =
+            stage_change_request(address, change, &self.settings.node, permit.fencing_token);
+        let Ok(request) = request else {
+            return OrderOutcome::NotSent;
+        };
         if !discards_on_close || !self.is_valid(permit) {
             return OrderOutcome::NotSent;
         }
--- a/crates/lockusher-control/src/driver/stage_change_order.rs
+++ b/crates/lockusher-control/src/driver/stage_change_order.rs
@@ -33,7 +33,8 @@
         Stage::Decode => "decode",
     };
     let body =
-        json!({"operation": "stage", "stage": stage, "holder": holder, "fence": fencing_token}).to_string();
+        json!({"operation": "stage", "stage": stage, "holder": holder, "fence": fencing_token})
+            .to_string();
     let request = Request::builder()
         .method(Method::POST)
         .uri(ORDER_PATH)
@@ -52,9 +53,9 @@
         StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND | StatusCode::METHOD_NOT_ALLOWED => {
             OrderOutcome::Unsupported
         }
-        StatusCode::CONFLICT | StatusCode::PRECONDITION_FAILED | StatusCode::MISDIRECTED_REQUEST => {
-            OrderOutcome::Rejected
-        }
+        StatusCode::CONFLICT
+        | StatusCode::PRECONDITION_FAILED
+        | StatusCode::MISDIRECTED_REQUEST => OrderOutcome::Rejected,
         _ => OrderOutcome::Unknown,
     }
 }
--- a/crates/lockusher-control/src/driver/stage_switch_overlay.rs
+++ b/crates/lockusher-control/src/driver/stage_switch_overlay.rs
@@ -19,8 +19,9 @@
 impl StageSwitchOverlay {
     /// Replaces the changes; true if they differ from those before.
     pub fn set<'a>(&mut self, changes: impl Iterator<Item = &'a StageChange>) -> bool {
-        let leaving: BTreeMap<String, Stage> =
-            changes.map(|change| (change.identifier.clone(), change.from)).collect();
+        let leaving: BTreeMap<String, Stage> = changes
+            .map(|change| (change.identifier.clone(), change.from))
+            .collect();
         let differs = self.leaving != leaving;
         self.leaving = leaving;
         differs
@@ -33,7 +34,10 @@
             return Rc::clone(instances);
         }
         let mut shown = instances.as_ref().clone();
-        for instance in shown.iter_mut().filter(|instance| self.is_switching(instance)) {
+        for instance in shown
+            .iter_mut()
+            .filter(|instance| self.is_switching(instance))
+        {
             instance.state = InstanceState::Changing;
         }
         Rc::new(shown)
--- a/crates/lockusher-control/src/driver/status.rs
+++ b/crates/lockusher-control/src/driver/status.rs
@@ -14,8 +14,9 @@
 
 /// The state of this control node as JSON.
 pub fn report(driver: &ReplicaDriver) -> String {
-    let subscribers: Vec<Value> =
-        driver.publisher.read(|publisher| publisher.subscribers().map(subscriber_report).collect());
+    let subscribers: Vec<Value> = driver
+        .publisher
+        .read(|publisher| publisher.subscribers().map(subscriber_report).collect());
     let is_head = driver.role().is_head;
     let report = driver.read(|replica| {
         json!({
@@ -32,7 +33,11 @@
 
 fn view_report(view: &View) -> Value {
     let voters: Vec<Value> = view.voters.iter().map(member_report).collect();
-    let chain: Vec<String> = view.chain.iter().map(|identity| identity.0.to_string()).collect();
+    let chain: Vec<String> = view
+        .chain
+        .iter()
+        .map(|identity| identity.0.to_string())
+        .collect();
     json!({"epoch": view.epoch, "voters": voters, "chain": chain})
 }
 
@@ -60,14 +65,20 @@
         ("control_views_adopted_total", counters.views_adopted),
         ("control_view_proposals_total", counters.proposals),
         ("control_commits_total", counters.commits),
-        ("control_full_snapshots_sent_total", counters.full_snapshots_sent),
+        (
+            "control_full_snapshots_sent_total",
+            counters.full_snapshots_sent,
+        ),
         ("control_repairs_total", counters.repairs),
         ("control_read_repairs_total", counters.read_repairs),
         ("control_digest_repairs_total", counters.digest_repairs),
         ("control_scrubs_total", scrubs.completed),
         ("control_scrub_damage_total", scrubs.damage_found),
         ("control_persist_failures_total", counters.persist_failures),
-        ("control_configuration_version", newest.configuration_version),
+        (
+            "control_configuration_version",
+            newest.configuration_version,
+        ),
         ("control_is_head", u64::from(driver.role().is_head)),
     ];
     let mut text = String::new();
--- a/crates/lockusher-control/src/durable_state.rs
+++ b/crates/lockusher-control/src/durable_state.rs
@@ -87,9 +87,11 @@
     pub fn recover(&mut self, record: DurableRecord) {
         match record {
             // Sealed states of several members of one epoch stand at the same position.
-            DurableRecord::Entry { position, previous, document }
-                if position >= self.position && previous == self.state.history_digest() =>
-            {
+            DurableRecord::Entry {
+                position,
+                previous,
+                document,
+            } if position >= self.position && previous == self.state.history_digest() => {
                 self.state = self.state.with(document);
                 self.position = position;
             }
@@ -97,7 +99,9 @@
                 self.state = state;
                 self.position = position;
             }
-            DurableRecord::PositionAdvanced { position } => self.position = self.position.max(position),
+            DurableRecord::PositionAdvanced { position } => {
+                self.position = self.position.max(position);
+            }
             _ => {}
         }
     }
@@ -105,10 +109,14 @@
     /// The record that restores the newest state, be it durable yet or not.
     pub fn record(&self) -> DurableRecord {
         match &self.pending {
-            Some(pending) => {
-                DurableRecord::State { position: pending.position, state: pending.state.clone() }
-            }
-            None => DurableRecord::State { position: self.position, state: self.state.clone() },
+            Some(pending) => DurableRecord::State {
+                position: pending.position,
+                state: pending.state.clone(),
+            },
+            None => DurableRecord::State {
+                position: self.position,
+                state: self.state.clone(),
+            },
         }
     }
 
@@ -120,14 +128,22 @@
         }
         match &transfer.payload {
             Payload::Empty => TransferOutcome::MissingBase,
-            Payload::LatestDocument { previous, document } if *previous == self.state.history_digest() => {
-                let record =
-                    DurableRecord::Entry { position, previous: *previous, document: document.clone() };
+            Payload::LatestDocument { previous, document }
+                if *previous == self.state.history_digest() =>
+            {
+                let record = DurableRecord::Entry {
+                    position,
+                    previous: *previous,
+                    document: document.clone(),
+                };
                 TransferOutcome::Write(Box::new(record), self.state.with(document.clone()))
             }
             Payload::LatestDocument { .. } => TransferOutcome::MissingBase,
             Payload::FullSnapshot(state) => {
-                let record = DurableRecord::State { position, state: state.clone() };
+                let record = DurableRecord::State {
+                    position,
+                    state: state.clone(),
+                };
                 TransferOutcome::Write(Box::new(record), state.clone())
             }
         }
@@ -138,7 +154,10 @@
 pub fn payload_for(state: &ReplicatedState, history_digest: Option<HistoryDigest>) -> Payload {
     let newest = || {
         let document = state.document()?.clone();
-        Some(Payload::LatestDocument { previous: state.previous_history_digest(), document })
+        Some(Payload::LatestDocument {
+            previous: state.previous_history_digest(),
+            document,
+        })
     };
     match history_digest {
         Some(history_digest) if history_digest == state.history_digest() => Payload::Empty,
--- a/crates/lockusher-control/src/envelope.rs
+++ b/crates/lockusher-control/src/envelope.rs
@@ -42,7 +42,10 @@
 impl Envelope {
     /// The message under the current protocol number.
     pub fn new(message: Message) -> Self {
-        Self { protocol: PROTOCOL, message }
+        Self {
+            protocol: PROTOCOL,
+            message,
+        }
     }
 
     /// Bytes for the wire: the protocol number (little endian), then the message.
@@ -59,12 +62,17 @@
     /// If the bytes are too few, of another protocol, or no message.
     pub fn decode(bytes: &[u8]) -> Result<Self, EnvelopeError> {
         let Some((number, rest)) = bytes.split_first_chunk::<2>() else {
-            return Err(EnvelopeError::Short { length: bytes.len() });
+            return Err(EnvelopeError::Short {
+                length: bytes.len(),
+            });
         };
         let protocol = u16::from_le_bytes(*number);
         if protocol != PROTOCOL {
             return Err(EnvelopeError::UnknownProtocol { protocol });
         }
-        Ok(Self { protocol, message: bitcode::decode(rest)? })
+        Ok(Self {
+            protocol,
+            message: bitcode::decode(rest)?,
+        })
     }
 }
--- a/crates/lockusher-control/src/failure_detector.rs
+++ b/crates/lockusher-control/src/failure_detector.rs
@@ -57,7 +57,11 @@
 impl Peers {
     /// No peers; all count as reachable for the grace.
     pub fn new(now: Millis, grace: Millis) -> Self {
-        Self { peers: BTreeMap::new(), grace_until: now + grace, observing_since: now }
+        Self {
+            peers: BTreeMap::new(),
+            grace_until: now + grace,
+            observing_since: now,
+        }
     }
 
     /// This node didn't run for a while: that messages are missing says nothing.
@@ -67,8 +71,17 @@
     }
 
     /// A message came.
-    pub fn on_message_received(&mut self, from: SocketAddrV4, identity: Identity, epoch: u64, now: Millis) {
-        let peer = self.peers.entry(from).or_insert_with(|| Peer::new(identity, now));
+    pub fn on_message_received(
+        &mut self,
+        from: SocketAddrV4,
+        identity: Identity,
+        epoch: u64,
+        now: Millis,
+    ) {
+        let peer = self
+            .peers
+            .entry(from)
+            .or_insert_with(|| Peer::new(identity, now));
         if peer.identity != identity {
             *peer = Peer::new(identity, now);
         }
@@ -78,8 +91,16 @@
     }
 
     /// A heartbeat came, after [`Peers::on_message_received`].
-    pub fn on_heartbeat(&mut self, from: SocketAddrV4, heartbeat: &Heartbeat, me: Identity, now: Millis) {
-        let Some(peer) = self.peers.get_mut(&from) else { return };
+    pub fn on_heartbeat(
+        &mut self,
+        from: SocketAddrV4,
+        heartbeat: &Heartbeat,
+        me: Identity,
+        now: Millis,
+    ) {
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return;
+        };
         peer.health = heartbeat.health;
         peer.position = heartbeat.position;
         peer.history_digest = Some(heartbeat.history_digest);
@@ -92,8 +113,11 @@
 
     fn evict_oldest(&mut self) {
         while self.peers.len() > MAX_PEERS {
-            let Some(oldest) =
-                self.peers.iter().min_by_key(|(_, peer)| peer.last_received_at).map(|(at, _)| *at)
+            let Some(oldest) = self
+                .peers
+                .iter()
+                .min_by_key(|(_, peer)| peer.last_received_at)
+                .map(|(at, _)| *at)
             else {
                 return;
             };
@@ -102,7 +126,12 @@
     }
 
     /// Ends the reachable time of those that fell silent, and evicts old ones unless `must_retain` says so.
-    pub fn expire(&mut self, timing: &Timing, now: Millis, must_retain: impl Fn(SocketAddrV4) -> bool) {
+    pub fn expire(
+        &mut self,
+        timing: &Timing,
+        now: Millis,
+        must_retain: impl Fn(SocketAddrV4) -> bool,
+    ) {
         self.peers.retain(|address, peer| {
             now - peer.last_received_at < timing.peer_expiry || must_retain(*address)
         });
@@ -151,7 +180,12 @@
     }
 
     /// For how long the node hasn't been reachable.
-    pub fn unreachable_for(&self, address: SocketAddrV4, identity: Identity, now: Millis) -> Millis {
+    pub fn unreachable_for(
+        &self,
+        address: SocketAddrV4,
+        identity: Identity,
+        now: Millis,
+    ) -> Millis {
         let observed = now - self.observing_since;
         match self.peers.get(&address) {
             Some(peer) if peer.identity == identity => {
@@ -163,15 +197,22 @@
 
     /// Identities from which messages came recently, for the heartbeat.
     pub fn recent_senders(&self, timing: &Timing, now: Millis) -> Vec<Identity> {
-        let is_recent =
-            |peer: &&Peer| now - peer.last_received_at < timing.suspicion_timeout - timing.heartbeat_interval;
-        self.peers.values().filter(is_recent).map(|peer| peer.identity).collect()
+        let is_recent = |peer: &&Peer| {
+            now - peer.last_received_at < timing.suspicion_timeout - timing.heartbeat_interval
+        };
+        self.peers
+            .values()
+            .filter(is_recent)
+            .map(|peer| peer.identity)
+            .collect()
     }
 
     /// Whether a view may be sent to this address now: at most one per interval, so that old messages that come
     /// in numbers don't cause as many answers.
     pub fn may_send_view(&mut self, address: SocketAddrV4, interval: Millis, now: Millis) -> bool {
-        let Some(peer) = self.peers.get_mut(&address) else { return true };
+        let Some(peer) = self.peers.get_mut(&address) else {
+            return true;
+        };
         if peer.view_sent_at.is_some_and(|at| now - at < interval) {
             return false;
         }
@@ -216,8 +257,15 @@
     /// Whether the node may be asked to join now: reachable for a while, in good health, and not just tried in
     /// vain.
     pub fn may_join(&self, timing: &Timing, now: Millis) -> bool {
-        let is_stable = self.reachable_since.is_some_and(|since| now - since >= timing.join_stability_period);
-        let recently_failed = self.join_failed_at.is_some_and(|at| now - at < timing.join_retry);
-        is_stable && !recently_failed && self.health == Health::Good && self.is_bidirectional(timing, now)
+        let is_stable = self
+            .reachable_since
+            .is_some_and(|since| now - since >= timing.join_stability_period);
+        let recently_failed = self
+            .join_failed_at
+            .is_some_and(|at| now - at < timing.join_retry);
+        is_stable
+            && !recently_failed
+            && self.health == Health::Good
+            && self.is_bidirectional(timing, now)
     }
 }
--- a/crates/lockusher-control/src/proposer.rs
+++ b/crates/lockusher-control/src/proposer.rs
@@ -72,16 +72,28 @@
         if self.prepare_responses.len() < self.majority {
             return false;
         }
-        let accepted =
-            self.prepare_responses.values().flatten().max_by_key(|accepted| accepted.proposal_number);
-        self.proposed =
-            Some(accepted.map_or_else(|| self.preferred_view.clone(), |accepted| accepted.view.clone()));
+        let accepted = self
+            .prepare_responses
+            .values()
+            .flatten()
+            .max_by_key(|accepted| accepted.proposal_number);
+        self.proposed = Some(accepted.map_or_else(
+            || self.preferred_view.clone(),
+            |accepted| accepted.view.clone(),
+        ));
         true
     }
 
     /// A voter accepts. The agreed view once a majority has accepted it.
-    pub fn on_accept_response(&mut self, voter: Identity, proposal_number: ProposalNumber) -> Option<&View> {
-        let proposed = self.proposed.as_ref().filter(|_| proposal_number == self.proposal_number)?;
+    pub fn on_accept_response(
+        &mut self,
+        voter: Identity,
+        proposal_number: ProposalNumber,
+    ) -> Option<&View> {
+        let proposed = self
+            .proposed
+            .as_ref()
+            .filter(|_| proposal_number == self.proposal_number)?;
         self.accept_responses.insert(voter);
         (self.accept_responses.len() >= self.majority).then_some(proposed)
     }
--- a/crates/lockusher-control/src/replica/appends.rs
+++ b/crates/lockusher-control/src/replica/appends.rs
@@ -22,7 +22,10 @@
 
     /// An entry came from the head or the predecessor: store it, or say that what precedes it is missing.
     pub(super) fn on_append(&mut self, from: SocketAddrV4, sender: Identity, entry: AppendedEntry) {
-        if !self.may_replicate() || self.durable_state.pending.is_some() || !self.is_upstream(sender) {
+        if !self.may_replicate()
+            || self.durable_state.pending.is_some()
+            || !self.is_upstream(sender)
+        {
             return;
         }
         let epoch = self.epoch();
@@ -40,11 +43,17 @@
             self.send_to_head(MessageBody::AppendRejected { index });
             return;
         }
-        self.durable_state.position = Position { epoch, index: index - 1 };
+        self.durable_state.position = Position {
+            epoch,
+            index: index - 1,
+        };
         self.mark_durable_state_committed();
         let position = Position { epoch, index };
-        let record =
-            DurableRecord::Entry { position, previous: entry.previous, document: entry.document.clone() };
+        let record = DurableRecord::Entry {
+            position,
+            previous: entry.previous,
+            document: entry.document.clone(),
+        };
         let state = self.durable_state.state.with(entry.document.clone());
         if bug_injected!(self.bug_injection, PassOnBeforeDurable) {
             self.forward_append(entry.clone());
@@ -54,7 +63,10 @@
 
     /// Whether entries may come from this node: the head or the predecessor.
     fn is_upstream(&self, sender: Identity) -> bool {
-        let predecessor = self.view.as_ref().and_then(|view| view.predecessor_of(self.identity));
+        let predecessor = self
+            .view
+            .as_ref()
+            .and_then(|view| view.predecessor_of(self.identity));
         sender != self.identity && (predecessor == Some(sender) || self.is_view_head(sender))
     }
 
@@ -64,11 +76,24 @@
         let Some(view) = &self.view else { return };
         let successor = view.successor_of(self.identity);
         let predecessor = view.predecessor_of(self.identity);
-        let AppendedEntry { index, previous, document, relay } = entry;
+        let AppendedEntry {
+            index,
+            previous,
+            document,
+            relay,
+        } = entry;
         match (relay, successor, predecessor) {
             (false, ..) => self.send_to_head(MessageBody::AppendStored { index }),
             (true, Some(successor), _) => {
-                self.send_to_voter(successor, MessageBody::Append { index, previous, document, relay });
+                self.send_to_voter(
+                    successor,
+                    MessageBody::Append {
+                        index,
+                        previous,
+                        document,
+                        relay,
+                    },
+                );
             }
             (true, None, Some(predecessor)) => {
                 self.send_to_voter(predecessor, MessageBody::AppendAcknowledged { index });
@@ -82,7 +107,9 @@
         match after_write {
             AfterWrite::SendToSuccessor => self.send_to_successor(),
             AfterWrite::ForwardAppend(entry) => self.forward_append(entry),
-            AfterWrite::RespondToTransfer { to, purpose } => self.respond_to_transfer(to, purpose, true),
+            AfterWrite::RespondToTransfer { to, purpose } => {
+                self.respond_to_transfer(to, purpose, true);
+            }
             AfterWrite::Nothing => {}
         }
     }
@@ -100,7 +127,9 @@
             self.mark_durable_state_committed();
         }
         match predecessor {
-            Some(predecessor) => self.send_to_voter(predecessor, MessageBody::AppendAcknowledged { index }),
+            Some(predecessor) => {
+                self.send_to_voter(predecessor, MessageBody::AppendAcknowledged { index });
+            }
             None => self.on_append_stored_by_chain(index),
         }
     }
--- a/crates/lockusher-control/src/replica/bug_alterations.rs
+++ b/crates/lockusher-control/src/replica/bug_alterations.rs
@@ -29,7 +29,9 @@
         let is_vote = |record: &DurableRecord| {
             matches!(
                 record,
-                DurableRecord::Promise { .. } | DurableRecord::Accept { .. } | DurableRecord::Seal { .. }
+                DurableRecord::Promise { .. }
+                    | DurableRecord::Accept { .. }
+                    | DurableRecord::Seal { .. }
             )
         };
         if bug_injected!(self, SnapshotWithoutState) {
@@ -66,8 +68,13 @@
             }
             (
                 Some(InjectedBug::AcceptedNotReported),
-                MessageBody::PrepareResponse { proposal_number, .. },
-            ) => MessageBody::PrepareResponse { proposal_number, accepted: None },
+                MessageBody::PrepareResponse {
+                    proposal_number, ..
+                },
+            ) => MessageBody::PrepareResponse {
+                proposal_number,
+                accepted: None,
+            },
             (_, body) => body,
         }
     }
@@ -84,14 +91,19 @@
     let chain: Vec<Identity> = view.chain.iter().copied().filter(is_healthy).collect();
     let is_short = !chain.is_empty() && chain.len() < view.majority();
     is_short.then(|| ViewChange {
-        view: View { epoch: view.epoch + 1, voters: view.voters.clone(), chain },
+        view: View {
+            epoch: view.epoch + 1,
+            voters: view.voters.clone(),
+            chain,
+        },
         joiners: Vec::new(),
     })
 }
 
 fn without_unreachable(mut change: ViewChange, context: &ViewChangeContext) -> ViewChange {
     let chain = change.view.chain.clone();
-    let is_gone = |identity: Identity| context.unreachable.contains(&identity) && !chain.contains(&identity);
+    let is_gone =
+        |identity: Identity| context.unreachable.contains(&identity) && !chain.contains(&identity);
     change.view.voters.retain(|voter| !is_gone(voter.identity));
     change
 }
--- a/crates/lockusher-control/src/replica/change_planning.rs
+++ b/crates/lockusher-control/src/replica/change_planning.rs
@@ -29,15 +29,22 @@
         let change = self.plan_view_change();
         let unfinished = self.acceptor.accepted.as_ref();
         if let Some(accepted) = unfinished {
-            let unchanged = ViewChange { view: accepted.view.clone(), joiners: Vec::new() };
+            let unchanged = ViewChange {
+                view: accepted.view.clone(),
+                joiners: Vec::new(),
+            };
             let delay = self.timing.takeover_stagger * (proposer_rank + 1);
-            return Some(DueViewChange { change: change.unwrap_or(unchanged), delay });
+            return Some(DueViewChange {
+                change: change.unwrap_or(unchanged),
+                delay,
+            });
         }
         match change {
             Some(change) if proposer_rank == 0 => Some(DueViewChange { change, delay: 0 }),
-            Some(change) if self.acceptor.sealed => {
-                Some(DueViewChange { change, delay: self.timing.takeover_stagger * proposer_rank })
-            }
+            Some(change) if self.acceptor.sealed => Some(DueViewChange {
+                change,
+                delay: self.timing.takeover_stagger * proposer_rank,
+            }),
             _ => None,
         }
     }
@@ -48,7 +55,11 @@
         if self.health() != Health::Good {
             return None;
         }
-        let others = view.voters.iter().map(|voter| voter.identity).filter(|voter| !view.in_chain(*voter));
+        let others = view
+            .voters
+            .iter()
+            .map(|voter| voter.identity)
+            .filter(|voter| !view.in_chain(*voter));
         let order = view.chain.iter().copied().chain(others);
         let before = order.take_while(|voter| *voter != self.identity);
         Some(before.filter(|voter| self.is_replicable(*voter)).count() as u64)
@@ -59,16 +70,29 @@
         if voter == self.identity {
             return self.health() == Health::Good;
         }
-        let Some(address) = self.view.as_ref().and_then(|view| view.address_of(voter)) else { return false };
-        let healthy = self.peers.at(address).is_none_or(|peer| peer.health == Health::Good);
-        healthy && self.peers.is_reachable(address, voter, &self.timing, self.now) && !self.is_lagging(voter)
+        let Some(address) = self.view.as_ref().and_then(|view| view.address_of(voter)) else {
+            return false;
+        };
+        let healthy = self
+            .peers
+            .at(address)
+            .is_none_or(|peer| peer.health == Health::Good);
+        healthy
+            && self
+                .peers
+                .is_reachable(address, voter, &self.timing, self.now)
+            && !self.is_lagging(voter)
     }
 
     /// The view that should follow by what this node observes.
     fn plan_view_change(&self) -> Option<ViewChange> {
         let view = self.view.as_ref()?;
-        let healthy_members: BTreeSet<Identity> =
-            view.chain.iter().copied().filter(|member| self.is_replicable(*member)).collect();
+        let healthy_members: BTreeSet<Identity> = view
+            .chain
+            .iter()
+            .copied()
+            .filter(|member| self.is_replicable(*member))
+            .collect();
         let unreachable = self.unreachable_voters(view);
         let removable = self.removable_voters(view, &unreachable);
         let minimum_voters = self.minimum_voters();
@@ -96,29 +120,48 @@
     /// that is only restarted is added again; one that is lost must not count when the next disk is lost.
     fn removable_voters(&self, view: &View, unreachable: &[Identity]) -> Vec<Identity> {
         let is_shutting_down = |voter: &&Member| {
-            let peer = self.peers.at(voter.address).filter(|peer| peer.identity == voter.identity);
+            let peer = self
+                .peers
+                .at(voter.address)
+                .filter(|peer| peer.identity == voter.identity);
             peer.is_some_and(|peer| peer.health == Health::ShuttingDown)
                 && !bug_injected!(self.bug_injection, DepartedVoterKept)
         };
-        let shutting_down = view.voters.iter().filter(is_shutting_down).map(|voter| voter.identity);
-        let long_unreachable =
-            |voter: &&Identity| self.unreachable_time_of(view, **voter) >= self.timing.voter_removal_timeout;
-        shutting_down.chain(unreachable.iter().filter(long_unreachable).copied()).collect()
+        let shutting_down = view
+            .voters
+            .iter()
+            .filter(is_shutting_down)
+            .map(|voter| voter.identity);
+        let long_unreachable = |voter: &&Identity| {
+            self.unreachable_time_of(view, **voter) >= self.timing.voter_removal_timeout
+        };
+        shutting_down
+            .chain(unreachable.iter().filter(long_unreachable).copied())
+            .collect()
     }
 
     /// For how long a voter hasn't been reachable, in milliseconds.
     fn unreachable_time_of(&self, view: &View, voter: Identity) -> Millis {
         let address = view.address_of(voter);
-        address.map_or(0, |address| self.peers.unreachable_for(address, voter, self.now))
+        address.map_or(0, |address| {
+            self.peers.unreachable_for(address, voter, self.now)
+        })
     }
 
     /// Voters that can't be reached now, the longest unreachable first.
     fn unreachable_voters(&self, view: &View) -> Vec<Identity> {
-        let is_reachable =
-            |voter: &&Member| self.peers.is_reachable(voter.address, voter.identity, &self.timing, self.now);
-        let others = view.voters.iter().filter(|voter| voter.identity != self.identity);
-        let mut unreachable: Vec<Identity> =
-            others.filter(|voter| !is_reachable(voter)).map(|voter| voter.identity).collect();
+        let is_reachable = |voter: &&Member| {
+            self.peers
+                .is_reachable(voter.address, voter.identity, &self.timing, self.now)
+        };
+        let others = view
+            .voters
+            .iter()
+            .filter(|voter| voter.identity != self.identity);
+        let mut unreachable: Vec<Identity> = others
+            .filter(|voter| !is_reachable(voter))
+            .map(|voter| voter.identity)
+            .collect();
         unreachable.sort_by_key(|voter| std::cmp::Reverse(self.unreachable_time_of(view, *voter)));
         unreachable
     }
@@ -126,12 +169,17 @@
     /// Reachable nodes in good health outside of the chain.
     fn join_candidates(&self, view: &View) -> Vec<JoinCandidate> {
         let candidates = self.peers.iter().filter(|(_, peer)| {
-            !view.in_chain(peer.identity) && peer.epoch == view.epoch && peer.may_join(&self.timing, self.now)
+            !view.in_chain(peer.identity)
+                && peer.epoch == view.epoch
+                && peer.may_join(&self.timing, self.now)
         });
         let committed = self.committed_history_digest();
         candidates
             .map(|(address, peer)| JoinCandidate {
-                member: Member { identity: peer.identity, address },
+                member: Member {
+                    identity: peer.identity,
+                    address,
+                },
                 caught_up: committed.is_some() && peer.history_digest == committed,
                 has_sealed_state: self.sealed_state_holders.contains(&peer.identity),
             })
--- a/crates/lockusher-control/src/replica/commit.rs
+++ b/crates/lockusher-control/src/replica/commit.rs
@@ -15,13 +15,19 @@
 impl Replica {
     /// History digest of the committed state, if this node is head and knows it.
     pub(super) fn committed_history_digest(&self) -> Option<HistoryDigest> {
-        self.head.as_ref().filter(|head| head.established).map(|head| head.base.history_digest())
+        self.head
+            .as_ref()
+            .filter(|head| head.established)
+            .map(|head| head.base.history_digest())
     }
 
     /// Position of the committed state, if this node is head and knows it.
     pub(super) fn committed_position(&self) -> Option<Position> {
         let head = self.head.as_ref().filter(|head| head.established)?;
-        Some(Position { epoch: self.epoch(), index: head.index })
+        Some(Position {
+            epoch: self.epoch(),
+            index: head.index,
+        })
     }
 
     /// The committed state, to decide requests by.
@@ -38,13 +44,23 @@
 
     /// The head announces what is committed. A member that was restarted may have that state, too, though its disk says
     /// only where it stood when the state was written.
-    pub(super) fn on_committed(&mut self, sender: Identity, index: u64, history_digest: HistoryDigest) {
+    pub(super) fn on_committed(
+        &mut self,
+        sender: Identity,
+        index: u64,
+        history_digest: HistoryDigest,
+    ) {
         let same = self.durable_state.pending.is_none()
             && self.durable_state.state.history_digest() == history_digest;
-        if !self.is_view_head(sender) || !(same || bug_injected!(self.bug_injection, CommittedUnchecked)) {
+        if !self.is_view_head(sender)
+            || !(same || bug_injected!(self.bug_injection, CommittedUnchecked))
+        {
             return;
         }
-        let committed = Position { epoch: self.epoch(), index };
+        let committed = Position {
+            epoch: self.epoch(),
+            index,
+        };
         if self.may_replicate() {
             self.durable_state.position = committed;
         }
@@ -75,7 +91,10 @@
 
     /// Reports a configuration to the driver, unless it or a newer one was reported.
     fn record_committed(&mut self, document: ConfigurationDocument) {
-        let known = self.committed_document.as_ref().map_or(0, |committed| committed.version);
+        let known = self
+            .committed_document
+            .as_ref()
+            .map_or(0, |committed| committed.version);
         if document.version > known {
             self.committed_document = Some(document.clone());
             self.effects.push(Effect::Committed(document));
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -14,7 +14,10 @@
 impl Replica {
     /// The sequence number of the confirmation that a request which comes now has to wait for.
     pub(super) fn next_confirmation(&self) -> u64 {
-        let last_started = self.head.as_ref().map_or(0, |head| head.confirmation.last_started());
+        let last_started = self
+            .head
+            .as_ref()
+            .map_or(0, |head| head.confirmation.last_started());
         if bug_injected!(self.bug_injection, EarlierRoundCounts) {
             last_started.max(1)
         } else {
@@ -24,7 +27,9 @@
 
     /// Whether a majority has answered this confirmation.
     pub(super) fn is_epoch_confirmed(&self, sequence: u64) -> bool {
-        self.head.as_ref().is_some_and(|head| head.confirmation.is_completed(sequence))
+        self.head
+            .as_ref()
+            .is_some_and(|head| head.confirmation.is_completed(sequence))
     }
 
     /// Starts the confirmation with this sequence number, unless an earlier one is in progress or it has been started.
@@ -47,12 +52,21 @@
     /// A voter that accepted a successor doesn't know any more that this epoch is the newest.
     pub(super) fn on_confirm_epoch(&mut self, from: SocketAddrV4, sender: Identity, sequence: u64) {
         let from_head = self.is_view_head(sender);
-        let newest =
-            self.acceptor.accepted.is_none() || bug_injected!(self.bug_injection, ConfirmAfterAccepting);
+        let newest = self.acceptor.accepted.is_none()
+            || bug_injected!(self.bug_injection, ConfirmAfterAccepting);
         if from_head && self.is_voter() && newest {
-            let (position, history_digest) =
-                (self.durable_state.position, self.durable_state.state.history_digest());
-            self.send(from, MessageBody::EpochConfirmed { sequence, position, history_digest });
+            let (position, history_digest) = (
+                self.durable_state.position,
+                self.durable_state.state.history_digest(),
+            );
+            self.send(
+                from,
+                MessageBody::EpochConfirmed {
+                    sequence,
+                    position,
+                    history_digest,
+                },
+            );
         }
     }
 
--- a/crates/lockusher-control/src/replica/forwarding.rs
+++ b/crates/lockusher-control/src/replica/forwarding.rs
@@ -10,23 +10,35 @@
     /// The driver hands over a request of the operator.
     pub(super) fn on_request(&mut self, ticket: RequestTicket, request: Request) {
         if self.requests.pending.len() >= MAX_REQUESTS {
-            self.effects.push(Effect::Reply { ticket, reply: Reply::Unavailable });
+            self.effects.push(Effect::Reply {
+                ticket,
+                reply: Reply::Unavailable,
+            });
             return;
         }
         let number = self.requests.next_number;
         self.requests.next_number += 1;
         let deadline = self.now + self.timing.request_timeout;
         let (received_at, forward_at) = (self.now, self.now);
-        self.requests
-            .pending
-            .insert(number, PendingRequest { ticket, request, deadline, forward_at, received_at });
+        self.requests.pending.insert(
+            number,
+            PendingRequest {
+                ticket,
+                request,
+                deadline,
+                forward_at,
+                received_at,
+            },
+        );
         self.forward_requests();
     }
 
     /// Sends the waiting requests to the head, each at intervals.
     pub(super) fn forward_requests(&mut self) {
         let Some(view) = &self.view else { return };
-        let Some(head) = view.head().and_then(|head| view.address_of(head)) else { return };
+        let Some(head) = view.head().and_then(|head| view.address_of(head)) else {
+            return;
+        };
         let interval = self.timing.retransmit_interval;
         let mut due = Vec::new();
         for (number, pending) in &mut self.requests.pending {
@@ -50,8 +62,10 @@
             pending.deadline <= now || (lacks_quorum && now - pending.received_at >= early)
         };
         let pending = self.requests.pending.iter();
-        let expired: Vec<u64> =
-            pending.filter(|(_, pending)| is_expired(pending)).map(|(number, _)| *number).collect();
+        let expired: Vec<u64> = pending
+            .filter(|(_, pending)| is_expired(pending))
+            .map(|(number, _)| *number)
+            .collect();
         for number in expired {
             self.on_forward_response(number, Reply::Unavailable);
         }
@@ -61,7 +75,10 @@
     /// The head, or this node in its place, replies to a pending request.
     pub(super) fn on_forward_response(&mut self, number: u64, reply: Reply) {
         if let Some(pending) = self.requests.pending.remove(&number) {
-            self.effects.push(Effect::Reply { ticket: pending.ticket, reply });
+            self.effects.push(Effect::Reply {
+                ticket: pending.ticket,
+                reply,
+            });
         }
     }
 }
--- a/crates/lockusher-control/src/replica/heartbeats.rs
+++ b/crates/lockusher-control/src/replica/heartbeats.rs
@@ -19,9 +19,13 @@
         if from == self.setup.address {
             return;
         }
-        let first_contact = self.peers.at(from).is_none_or(|peer| peer.last_bidirectional_at.is_none());
+        let first_contact = self
+            .peers
+            .at(from)
+            .is_none_or(|peer| peer.last_bidirectional_at.is_none());
         let health_before = self.peers.at(from).map(|peer| peer.health);
-        self.peers.on_heartbeat(from, &heartbeat, self.identity, self.now);
+        self.peers
+            .on_heartbeat(from, &heartbeat, self.identity, self.now);
         if first_contact && !heartbeat.recent_senders.contains(&self.identity) {
             self.respond_to_first_heartbeat(from);
         }
@@ -46,7 +50,10 @@
 
     /// Lets a new peer know at once that this node receives from it.
     fn respond_to_first_heartbeat(&mut self, from: SocketAddrV4) {
-        if self.peers.may_send_view(from, self.timing.heartbeat_interval / 4, self.now) {
+        if self
+            .peers
+            .may_send_view(from, self.timing.heartbeat_interval / 4, self.now)
+        {
             self.send_heartbeat(from);
         }
     }
@@ -66,7 +73,10 @@
             history_digest: self.durable_state.state.history_digest(),
             committed: self.known_committed,
             committed_history_digest: self.committed_history_digest(),
-            committed_version: self.committed_document.as_ref().map_or(0, |document| document.version),
+            committed_version: self
+                .committed_document
+                .as_ref()
+                .map_or(0, |document| document.version),
             recent_senders: self.peers.recent_senders(&self.timing, self.now),
         };
         self.send(to, MessageBody::Heartbeat(heartbeat));
@@ -74,7 +84,10 @@
 
     /// Voters and peers; also the seeds, while this node needs them to find the others.
     fn heartbeat_targets(&self) -> BTreeSet<SocketAddrV4> {
-        let voters = self.view.iter().flat_map(|view| view.voters.iter().map(|voter| voter.address));
+        let voters = self
+            .view
+            .iter()
+            .flat_map(|view| view.voters.iter().map(|voter| voter.address));
         let contacted = self.peers.iter().map(|(address, _)| address);
         let mut targets: BTreeSet<SocketAddrV4> = voters.chain(contacted).collect();
         if !self.is_voter() || !self.has_confirmed_quorum() {
@@ -87,7 +100,10 @@
     /// Lets the failure detector expire peers, voters excepted.
     pub(super) fn expire_peers(&mut self) {
         let view = &self.view;
-        let is_voter = |address| view.as_ref().is_some_and(|view| view.voter_at(address).is_some());
+        let is_voter = |address| {
+            view.as_ref()
+                .is_some_and(|view| view.voter_at(address).is_some())
+        };
         self.peers.expire(&self.timing, self.now, is_voter);
     }
 }
--- a/crates/lockusher-control/src/replica/injected_bug.rs
+++ b/crates/lockusher-control/src/replica/injected_bug.rs
@@ -143,6 +143,8 @@
 
     /// The bug with this name, as [`std::fmt::Debug`] writes it.
     pub fn named(name: &str) -> Option<InjectedBug> {
-        Self::ALL.into_iter().find(|injected_bug| format!("{injected_bug:?}") == name)
+        Self::ALL
+            .into_iter()
+            .find(|injected_bug| format!("{injected_bug:?}") == name)
     }
 }
--- a/crates/lockusher-control/src/replica/joining.rs
+++ b/crates/lockusher-control/src/replica/joining.rs
@@ -31,8 +31,12 @@
 
     /// Starts the transfer to the joiners once the sealed state can't change any more.
     pub(super) fn start_joining_once_sealed(&mut self) {
-        let sealing = self.proposal.as_ref().is_some_and(|proposal| proposal.phase == Phase::Sealing);
-        let sealed = self.acceptor.seal_durable || bug_injected!(self.bug_injection, SealNotAwaited);
+        let sealing = self
+            .proposal
+            .as_ref()
+            .is_some_and(|proposal| proposal.phase == Phase::Sealing);
+        let sealed =
+            self.acceptor.seal_durable || bug_injected!(self.bug_injection, SealNotAwaited);
         if sealing && sealed && self.durable_state.pending.is_none() {
             self.enter_phase(Phase::Joining);
         }
@@ -40,7 +44,9 @@
 
     /// Sends the sealed state to the joiners that haven't stored it.
     pub(super) fn send_join_transfers(&mut self) {
-        let Some(proposal) = &self.proposal else { return };
+        let Some(proposal) = &self.proposal else {
+            return;
+        };
         let missing = proposal
             .change
             .joiners
@@ -53,11 +59,18 @@
     }
 
     /// Sends what a joiner with this history digest lacks; `None` for a full snapshot.
-    fn send_join_transfer(&mut self, to: SocketAddrV4, history_digest: Option<crate::state::HistoryDigest>) {
+    fn send_join_transfer(
+        &mut self,
+        to: SocketAddrV4,
+        history_digest: Option<crate::state::HistoryDigest>,
+    ) {
         let state = &self.durable_state.state;
         let transfer = Transfer {
             purpose: TransferPurpose::Join,
-            position: Position { epoch: self.epoch(), index: Position::SEALED },
+            position: Position {
+                epoch: self.epoch(),
+                index: Position::SEALED,
+            },
             history_digest: state.history_digest(),
             payload: payload_for(state, history_digest),
         };
@@ -66,7 +79,8 @@
 
     /// A joiner has stored the sealed state, or needs a full snapshot.
     pub(super) fn on_join_response(&mut self, from: SocketAddrV4, joiner: Identity, stored: bool) {
-        let sealed = self.acceptor.seal_durable || bug_injected!(self.bug_injection, SealNotAwaited);
+        let sealed =
+            self.acceptor.seal_durable || bug_injected!(self.bug_injection, SealNotAwaited);
         if !sealed || self.durable_state.pending.is_some() {
             return;
         }
@@ -76,9 +90,14 @@
             return;
         }
         self.sealed_state_holders.insert(joiner);
-        let Some(proposal) = &self.proposal else { return };
-        let complete =
-            proposal.change.joiners.iter().all(|joiner| self.sealed_state_holders.contains(&joiner.identity));
+        let Some(proposal) = &self.proposal else {
+            return;
+        };
+        let complete = proposal
+            .change
+            .joiners
+            .iter()
+            .all(|joiner| self.sealed_state_holders.contains(&joiner.identity));
         if proposal.phase == Phase::Joining && complete {
             self.enter_phase(Phase::Preparing);
         }
--- a/crates/lockusher-control/src/replica/learners.rs
+++ b/crates/lockusher-control/src/replica/learners.rs
@@ -9,18 +9,30 @@
 impl Replica {
     /// Announces what is committed to the chain, and transfers it to the reachable nodes outside of it.
     pub(super) fn announce_committed(&mut self) {
-        let (Some(head), Some(view)) = (&self.head, &self.view) else { return };
+        let (Some(head), Some(view)) = (&self.head, &self.view) else {
+            return;
+        };
         let (index, history_digest) = (head.index, head.base.history_digest());
         let me = self.setup.address;
-        let members: Vec<SocketAddrV4> =
-            view.chain.iter().filter_map(|member| view.address_of(*member)).collect();
+        let members: Vec<SocketAddrV4> = view
+            .chain
+            .iter()
+            .filter_map(|member| view.address_of(*member))
+            .collect();
         let known = self.peers.iter().filter(|(address, peer)| {
             !members.contains(address) && peer.epoch == view.epoch && peer.reachable_since.is_some()
         });
-        let learners: Vec<(SocketAddrV4, Option<HistoryDigest>)> =
-            known.map(|(address, peer)| (address, peer.history_digest)).collect();
+        let learners: Vec<(SocketAddrV4, Option<HistoryDigest>)> = known
+            .map(|(address, peer)| (address, peer.history_digest))
+            .collect();
         for member in members.into_iter().filter(|member| *member != me) {
-            self.send(member, MessageBody::Committed { index, history_digest });
+            self.send(
+                member,
+                MessageBody::Committed {
+                    index,
+                    history_digest,
+                },
+            );
         }
         for (address, history_digest) in learners {
             self.send_base(address, TransferPurpose::Learn, history_digest);
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -14,24 +14,30 @@
 
     /// Whether the newest view is on disk, so that this node may act in it.
     pub(super) fn is_established_in_view(&self) -> bool {
-        let durable =
-            self.durable_epoch == self.epoch() || bug_injected!(self.bug_injection, ActBeforeViewDurable);
+        let durable = self.durable_epoch == self.epoch()
+            || bug_injected!(self.bug_injection, ActBeforeViewDurable);
         self.view.is_some() && durable
     }
 
     /// Whether this node votes on the successor of the newest view.
     pub(super) fn is_voter(&self) -> bool {
-        self.view.as_ref().is_some_and(|view| view.is_voter(self.identity))
+        self.view
+            .as_ref()
+            .is_some_and(|view| view.is_voter(self.identity))
     }
 
     /// Whether this replica is a member of the chain of the newest view.
     pub(super) fn is_in_chain(&self, identity: Identity) -> bool {
-        self.view.as_ref().is_some_and(|view| view.in_chain(identity))
+        self.view
+            .as_ref()
+            .is_some_and(|view| view.in_chain(identity))
     }
 
     /// Whether this replica is head of the newest view.
     pub(super) fn is_view_head(&self, identity: Identity) -> bool {
-        self.view.as_ref().is_some_and(|view| view.head() == Some(identity))
+        self.view
+            .as_ref()
+            .is_some_and(|view| view.head() == Some(identity))
     }
 
     /// Voters are removed only down to this number.
@@ -42,24 +48,25 @@
     /// Whether recent heartbeats show contact with a majority of the voters, in both directions.
     pub(super) fn has_confirmed_quorum(&self) -> bool {
         self.count_voters(|address, identity| {
-            self.peers.is_confirmed(address, identity, &self.timing, self.now)
+            self.peers
+                .is_confirmed(address, identity, &self.timing, self.now)
         })
     }
 
     /// The same, but everybody counts as reachable for a grace period after a start.
     pub(super) fn has_reachable_quorum(&self) -> bool {
         self.count_voters(|address, identity| {
-            self.peers.is_reachable(address, identity, &self.timing, self.now)
+            self.peers
+                .is_reachable(address, identity, &self.timing, self.now)
         })
     }
 
     /// Whether this node, if it votes, and the voters that `counts` admits are a majority.
     fn count_voters(&self, counts: impl Fn(SocketAddrV4, Identity) -> bool) -> bool {
         let Some(view) = &self.view else { return false };
-        let counted = view
-            .voters
-            .iter()
-            .filter(|voter| voter.identity == self.identity || counts(voter.address, voter.identity));
+        let counted = view.voters.iter().filter(|voter| {
+            voter.identity == self.identity || counts(voter.address, voter.identity)
+        });
         counted.count() >= view.majority()
     }
 }
--- a/crates/lockusher-control/src/replica/persistence.rs
+++ b/crates/lockusher-control/src/replica/persistence.rs
@@ -26,7 +26,8 @@
         after_write: Vec<AfterAcceptorWrite>,
     ) {
         let ticket = self.issue_ticket();
-        self.acceptor_log.push(ticket, records.clone(), after_write, self.now);
+        self.acceptor_log
+            .push(ticket, records.clone(), after_write, self.now);
         self.effects.push(Effect::Persist { ticket, records });
     }
 
@@ -40,18 +41,33 @@
     ) {
         let ticket = self.issue_ticket();
         let epoch = self.epoch();
-        self.durable_state.pending =
-            Some(PendingWrite { ticket, requested_at: self.now, epoch, position, state, after_write });
-        self.effects.push(Effect::Persist { ticket, records: vec![record] });
+        self.durable_state.pending = Some(PendingWrite {
+            ticket,
+            requested_at: self.now,
+            epoch,
+            position,
+            state,
+            after_write,
+        });
+        self.effects.push(Effect::Persist {
+            ticket,
+            records: vec![record],
+        });
     }
 
     /// A write is durable.
     pub(super) fn on_persisted(&mut self, ticket: PersistTicket) {
         if let Some(released) = self.acceptor_log.on_persisted(ticket) {
-            released.into_iter().for_each(|after| self.after_acceptor_write(after));
+            released
+                .into_iter()
+                .for_each(|after| self.after_acceptor_write(after));
             return;
         }
-        let Some(pending) = self.durable_state.pending.take_if(|pending| pending.ticket == ticket) else {
+        let Some(pending) = self
+            .durable_state
+            .pending
+            .take_if(|pending| pending.ticket == ticket)
+        else {
             return;
         };
         self.disk_failed_at = None;
@@ -70,7 +86,12 @@
             self.send_heartbeats();
             return;
         }
-        if self.durable_state.pending.take_if(|pending| pending.ticket == ticket).is_none() {
+        if self
+            .durable_state
+            .pending
+            .take_if(|pending| pending.ticket == ticket)
+            .is_none()
+        {
             return;
         }
         self.disk_failed_at = Some(self.now);
@@ -81,18 +102,24 @@
     /// Repeats writes that the disk refused.
     pub(super) fn retry_refused_writes(&mut self) {
         let next_ticket = &mut self.next_ticket;
-        let retries = self.acceptor_log.take_due_retries(self.timing.heartbeat_interval, self.now, || {
-            *next_ticket += 1;
-            PersistTicket(*next_ticket)
-        });
+        let retries =
+            self.acceptor_log
+                .take_due_retries(self.timing.heartbeat_interval, self.now, || {
+                    *next_ticket += 1;
+                    PersistTicket(*next_ticket)
+                });
         for (ticket, records) in retries {
             self.effects.push(Effect::Persist { ticket, records });
         }
-        let retry_due =
-            self.disk_failed_at.is_some_and(|at| self.now - at >= self.timing.disk_retry_interval);
+        let retry_due = self
+            .disk_failed_at
+            .is_some_and(|at| self.now - at >= self.timing.disk_retry_interval);
         if retry_due && self.durable_state.pending.is_none() {
             let record = self.durable_state.record();
-            let (position, state) = (self.durable_state.position, self.durable_state.state.clone());
+            let (position, state) = (
+                self.durable_state.position,
+                self.durable_state.state.clone(),
+            );
             self.persist_state(record, position, state, AfterWrite::Nothing);
         }
     }
@@ -118,8 +145,14 @@
     /// Whether this node can replicate.
     pub(super) fn health(&self) -> Health {
         let oldest = self.acceptor_log.oldest_requested_at().into_iter();
-        let oldest =
-            oldest.chain(self.durable_state.pending.as_ref().map(|pending| pending.requested_at)).min();
+        let oldest = oldest
+            .chain(
+                self.durable_state
+                    .pending
+                    .as_ref()
+                    .map(|pending| pending.requested_at),
+            )
+            .min();
         let stalled = oldest.is_some_and(|since| self.now - since >= self.timing.write_timeout);
         if self.shutting_down {
             Health::ShuttingDown
--- a/crates/lockusher-control/src/replica/progress.rs
+++ b/crates/lockusher-control/src/replica/progress.rs
@@ -16,8 +16,13 @@
         sender: Identity,
         heartbeat: &Heartbeat,
     ) {
-        let (Some(head), Some(view)) = (&self.head, &self.view) else { return };
-        let committed = Position { epoch: view.epoch, index: head.index };
+        let (Some(head), Some(view)) = (&self.head, &self.view) else {
+            return;
+        };
+        let committed = Position {
+            epoch: view.epoch,
+            index: head.index,
+        };
         let lags = heartbeat.committed != committed;
         if !view.in_chain(sender) {
             if head.established && !self.acceptor.sealed {
@@ -26,14 +31,29 @@
             return;
         }
         if !head.synchronised.contains(&sender) {
-            self.send_base(from, TransferPurpose::Synchronise, Some(heartbeat.history_digest));
+            self.send_base(
+                from,
+                TransferPurpose::Synchronise,
+                Some(heartbeat.history_digest),
+            );
             return;
         }
         let (index, history_digest) = (head.index, head.base.history_digest());
         if head.established && lags {
-            self.send(from, MessageBody::Committed { index, history_digest });
+            self.send(
+                from,
+                MessageBody::Committed {
+                    index,
+                    history_digest,
+                },
+            );
         }
-        self.repair_if_different(sender, heartbeat.position, heartbeat.history_digest, NoticedBy::Heartbeat);
+        self.repair_if_different(
+            sender,
+            heartbeat.position,
+            heartbeat.history_digest,
+            NoticedBy::Heartbeat,
+        );
         if heartbeat.position.epoch == committed.epoch {
             self.on_append_stored(sender, heartbeat.position.index);
         }
@@ -41,7 +61,9 @@
 
     /// Whether a member has delayed the chain for too long, so that it should be left out of the next view.
     pub(super) fn is_lagging(&self, member: Identity) -> bool {
-        let (Some(head), Some(view)) = (&self.head, &self.view) else { return false };
+        let (Some(head), Some(view)) = (&self.head, &self.view) else {
+            return false;
+        };
         // A sealed head sends nothing down, so that nobody lags by it.
         if self.acceptor.sealed
             || !view.in_chain(member)
--- a/crates/lockusher-control/src/replica/proposing.rs
+++ b/crates/lockusher-control/src/replica/proposing.rs
@@ -39,16 +39,30 @@
     fn start_proposal(&mut self, change: ViewChange) {
         self.counters.proposals += 1;
         self.proposal_attempts += 1;
-        self.highest_proposal_counter = self.highest_proposal_counter.max(self.acceptor.promised.counter) + 1;
-        let proposal_number =
-            ProposalNumber { counter: self.highest_proposal_counter, proposer: self.identity.0 };
+        self.highest_proposal_counter = self
+            .highest_proposal_counter
+            .max(self.acceptor.promised.counter)
+            + 1;
+        let proposal_number = ProposalNumber {
+            counter: self.highest_proposal_counter,
+            proposer: self.identity.0,
+        };
         let majority = self.view.as_ref().map_or(usize::MAX, View::majority);
-        let majority = if bug_injected!(self.bug_injection, AdoptAfterOneAcceptance) { 1 } else { majority };
+        let majority = if bug_injected!(self.bug_injection, AdoptAfterOneAcceptance) {
+            1
+        } else {
+            majority
+        };
         let proposer = Proposer::new(proposal_number, change.view.clone(), majority);
-        let needs_joining =
-            change.joiners.iter().any(|joiner| !self.sealed_state_holders.contains(&joiner.identity));
+        let needs_joining = change
+            .joiners
+            .iter()
+            .any(|joiner| !self.sealed_state_holders.contains(&joiner.identity));
         let (now, address) = (self.now, self.setup.address);
-        log::debug!("{now} {address}: proposes {change:?} under proposal number {}", proposal_number.counter);
+        log::debug!(
+            "{now} {address}: proposes {change:?} under proposal number {}",
+            proposal_number.counter
+        );
         self.proposal = Some(ViewProposal {
             proposer,
             change,
@@ -66,7 +80,9 @@
 
     /// Goes to a phase and sends its messages.
     pub(super) fn enter_phase(&mut self, phase: Phase) {
-        let Some(proposal) = &mut self.proposal else { return };
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
         proposal.phase = phase;
         proposal.phase_started_at = self.now;
         self.send_phase_messages();
@@ -74,10 +90,14 @@
 
     /// Sends the messages of the present stage to those that haven't responded.
     fn send_phase_messages(&mut self) {
-        let Some(proposal) = &mut self.proposal else { return };
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
         proposal.last_sent_at = self.now;
-        let (proposal_number, responders) =
-            (proposal.proposer.proposal_number(), proposal.proposer.responders());
+        let (proposal_number, responders) = (
+            proposal.proposer.proposal_number(),
+            proposal.proposer.responders(),
+        );
         match (proposal.phase, proposal.proposer.proposed().cloned()) {
             (Phase::Sealing, _) => {}
             (Phase::Joining, _) => self.send_join_transfers(),
@@ -85,7 +105,13 @@
                 self.send_to_voters_except(&responders, MessageBody::Prepare { proposal_number });
             }
             (Phase::Accepting, Some(view)) => {
-                self.send_to_voters_except(&responders, MessageBody::Accept { proposal_number, view });
+                self.send_to_voters_except(
+                    &responders,
+                    MessageBody::Accept {
+                        proposal_number,
+                        view,
+                    },
+                );
             }
             (Phase::Accepting, None) => {}
         }
@@ -102,9 +128,15 @@
             return;
         }
         let reported = altered_by_bug!(self.bug_injection, altered_report, accepted);
-        let Some(proposal) = &mut self.proposal else { return };
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
         let may_complete = proposal.phase == Phase::Preparing;
-        if may_complete && proposal.proposer.on_prepare_response(sender, proposal_number, reported) {
+        if may_complete
+            && proposal
+                .proposer
+                .on_prepare_response(sender, proposal_number, reported)
+        {
             self.enter_phase(Phase::Accepting);
         }
     }
@@ -114,8 +146,14 @@
         if !self.accepts_votes_from(sender) {
             return;
         }
-        let Some(proposal) = &mut self.proposal else { return };
-        if let Some(agreed) = proposal.proposer.on_accept_response(sender, proposal_number).cloned() {
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
+        if let Some(agreed) = proposal
+            .proposer
+            .on_accept_response(sender, proposal_number)
+            .cloned()
+        {
             self.install_and_announce(agreed);
         }
     }
@@ -129,16 +167,22 @@
     /// An acceptor has promised a higher number.
     pub(super) fn on_proposal_rejected(&mut self, promised: ProposalNumber) {
         self.highest_proposal_counter = self.highest_proposal_counter.max(promised.counter);
-        if self.proposal.as_ref().is_some_and(|proposal| proposal.proposer.proposal_number() < promised) {
+        if self
+            .proposal
+            .as_ref()
+            .is_some_and(|proposal| proposal.proposer.proposal_number() < promised)
+        {
             self.abandon_proposal();
         }
     }
 
     /// Repeats messages, and gives up an attempt that gets no further.
     fn drive_proposal(&mut self) {
-        let Some(proposal) = &self.proposal else { return };
-        let phase_timeout =
-            self.timing.agreement_phase_timeout * self.proposal_attempts.clamp(1, MAX_PHASE_TIMEOUT_FACTOR);
+        let Some(proposal) = &self.proposal else {
+            return;
+        };
+        let phase_timeout = self.timing.agreement_phase_timeout
+            * self.proposal_attempts.clamp(1, MAX_PHASE_TIMEOUT_FACTOR);
         if self.now - proposal.phase_started_at >= phase_timeout {
             self.record_failed_joins();
             self.abandon_proposal();
@@ -149,7 +193,9 @@
 
     /// Joiners that didn't answer aren't asked again for a while.
     fn record_failed_joins(&mut self) {
-        let Some(proposal) = &self.proposal else { return };
+        let Some(proposal) = &self.proposal else {
+            return;
+        };
         if proposal.phase != Phase::Joining {
             return;
         }
@@ -164,9 +210,9 @@
     fn abandon_proposal(&mut self) {
         log::debug!("{} {}: gives up a proposal", self.now, self.setup.address);
         self.proposal = None;
-        let back_off = self
-            .random
-            .random_range(self.timing.retransmit_interval / 4..=self.timing.retransmit_interval * 3 / 2);
+        let back_off = self.random.random_range(
+            self.timing.retransmit_interval / 4..=self.timing.retransmit_interval * 3 / 2,
+        );
         self.back_off_until = self.now + back_off;
     }
 }
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -45,10 +45,15 @@
 impl RecoveredDisk {
     fn replay(records: Vec<DurableRecord>) -> Self {
         let view = newest_view(&records);
-        let acceptor = view
-            .as_ref()
-            .map_or_else(AcceptorState::default, |view| recovered_acceptor(&records, view.epoch));
-        Self { owner: recovered_owner(&records), view, acceptor, durable_state: recovered_state(records) }
+        let acceptor = view.as_ref().map_or_else(AcceptorState::default, |view| {
+            recovered_acceptor(&records, view.epoch)
+        });
+        Self {
+            owner: recovered_owner(&records),
+            view,
+            acceptor,
+            durable_state: recovered_state(records),
+        }
     }
 }
 
@@ -62,7 +67,8 @@
     ) -> (Replica, Vec<Effect>) {
         let timing = Timing::new(setup.acknowledge_ms, setup.catch_up_ms);
         let mut random = ChaCha8Rng::seed_from_u64(setup.random_seed);
-        let recovered = RecoveredDisk::replay(altered_by_bug!(bug_injection, altered_recovery, records));
+        let recovered =
+            RecoveredDisk::replay(altered_by_bug!(bug_injection, altered_recovery, records));
         let drawn = Identity::of_joiner(random.random());
         let first_request = random.random::<u64>() >> 1;
         let numbers_restart = bug_injected!(bug_injection, RequestNumbersRestart);
@@ -115,9 +121,15 @@
     fn take_identity(&mut self, owner: Option<DiskOwner>) {
         let address = self.setup.address;
         match owner {
-            Some(DiskOwner { identity, address: former }) if former == address => {
+            Some(DiskOwner {
+                identity,
+                address: former,
+            }) if former == address => {
                 self.identity = identity;
-                let was_head = self.view.as_ref().is_some_and(|view| view.head() == Some(identity));
+                let was_head = self
+                    .view
+                    .as_ref()
+                    .is_some_and(|view| view.head() == Some(identity));
                 self.epoch_change_required =
                     was_head && !bug_injected!(self.bug_injection, RestartedHeadServes);
             }
@@ -136,7 +148,8 @@
         if bug_injected!(self.bug_injection, VoteAfterWipe) && is_seed {
             self.identity = Identity::of_first_start(address);
         }
-        let first_start = self.setup.first_start || bug_injected!(self.bug_injection, FirstStartAssumed);
+        let first_start =
+            self.setup.first_start || bug_injected!(self.bug_injection, FirstStartAssumed);
         if !(first_start && is_seed) {
             self.persist_acceptor_records(vec![self.identity_record()], Vec::new());
             return;
@@ -150,7 +163,10 @@
     }
 
     fn identity_record(&self) -> DurableRecord {
-        DurableRecord::Identity { identity: self.identity, address: self.setup.address }
+        DurableRecord::Identity {
+            identity: self.identity,
+            address: self.setup.address,
+        }
     }
 
     /// See [`Replica::snapshot`].
@@ -167,9 +183,10 @@
 
 fn recovered_owner(records: &[DurableRecord]) -> Option<DiskOwner> {
     records.iter().rev().find_map(|record| match record {
-        DurableRecord::Identity { identity, address } => {
-            Some(DiskOwner { identity: *identity, address: *address })
-        }
+        DurableRecord::Identity { identity, address } => Some(DiskOwner {
+            identity: *identity,
+            address: *address,
+        }),
         _ => None,
     })
 }
--- a/crates/lockusher-control/src/replica/repair.rs
+++ b/crates/lockusher-control/src/replica/repair.rs
@@ -40,13 +40,21 @@
         history_digest: HistoryDigest,
         noticed_by: NoticedBy,
     ) {
-        let Some(committed) = self.committed_position() else { return };
-        let Some(state) = self.serving_state().cloned() else { return };
-        let Some(address) = self.chain_address_of(member) else { return };
+        let Some(committed) = self.committed_position() else {
+            return;
+        };
+        let Some(state) = self.serving_state().cloned() else {
+            return;
+        };
+        let Some(address) = self.chain_address_of(member) else {
+            return;
+        };
         if position != committed || history_digest == state.history_digest() || !is_intact(&state) {
             return;
         }
-        log::warn!("{member} at {address} holds another state at {position:?}; it is sent the committed one");
+        log::warn!(
+            "{member} at {address} holds another state at {position:?}; it is sent the committed one"
+        );
         match noticed_by {
             NoticedBy::Read => self.counters.read_repairs += 1,
             NoticedBy::Heartbeat => self.counters.digest_repairs += 1,
@@ -73,7 +81,9 @@
             return DiskComparison::MemoryDamaged;
         }
         let mut on_disk = DurableState::default();
-        records.into_iter().for_each(|record| on_disk.recover(record));
+        records
+            .into_iter()
+            .for_each(|record| on_disk.recover(record));
         if on_disk.state == self.durable_state.state {
             DiskComparison::Same
         } else {
@@ -84,5 +94,7 @@
 
 /// Whether the newest configuration matches its digest.
 fn is_intact(state: &crate::state::ReplicatedState) -> bool {
-    state.document().is_none_or(|document| Digest::of(&document.body) == document.digest)
+    state
+        .document()
+        .is_none_or(|document| Digest::of(&document.body) == document.digest)
 }
--- a/crates/lockusher-control/src/replica/replication.rs
+++ b/crates/lockusher-control/src/replica/replication.rs
@@ -38,7 +38,11 @@
             stored_by: BTreeSet::new(),
         });
         let position = Position { epoch, index };
-        let record = DurableRecord::Entry { position, previous, document };
+        let record = DurableRecord::Entry {
+            position,
+            previous,
+            document,
+        };
         self.persist_state(record, position, state, AfterWrite::SendToSuccessor);
     }
 
@@ -51,10 +55,13 @@
     pub(super) fn send_to_successor(&mut self) {
         let me = self.identity;
         let successor = self.view.as_ref().and_then(|view| view.successor_of(me));
-        let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else { return };
+        let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else {
+            return;
+        };
         in_flight.stored_by.insert(me);
         in_flight.started_at = self.now;
-        in_flight.resend_at = self.now + self.timing.retransmit_interval + in_flight.size_allowance();
+        in_flight.resend_at =
+            self.now + self.timing.retransmit_interval + in_flight.size_allowance();
         let body = in_flight.append(true);
         let open = !self.acceptor.sealed || bug_injected!(self.bug_injection, ServeAfterSeal);
         if let (Some(successor), true) = (successor, open) {
@@ -65,7 +72,10 @@
 
     /// All members after the head have stored the entry.
     pub(super) fn on_append_stored_by_chain(&mut self, index: u64) {
-        let chain = self.view.iter().flat_map(|view| view.chain.iter().skip(1).copied());
+        let chain = self
+            .view
+            .iter()
+            .flat_map(|view| view.chain.iter().skip(1).copied());
         for member in chain.collect::<Vec<_>>() {
             self.on_append_stored(member, index);
         }
@@ -73,7 +83,9 @@
 
     /// A member of the chain has stored the entries up to this one.
     pub(super) fn on_append_stored(&mut self, sender: Identity, index: u64) {
-        let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else { return };
+        let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else {
+            return;
+        };
         if index >= in_flight.index && index != Position::SEALED {
             in_flight.stored_by.insert(sender);
             self.commit_if_stored_by_all();
@@ -91,8 +103,12 @@
 
     /// Sends the entry in flight directly to members that aren't known to have stored it.
     pub(super) fn send_missing_entries(&mut self) {
-        let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
-        let Some(in_flight) = &mut head.in_flight else { return };
+        let (Some(head), Some(view)) = (&mut self.head, &self.view) else {
+            return;
+        };
+        let Some(in_flight) = &mut head.in_flight else {
+            return;
+        };
         let due = self.now >= in_flight.resend_at;
         if !in_flight.stored_by.contains(&self.identity) || self.acceptor.sealed || !due {
             return;
@@ -101,7 +117,10 @@
         let resend_delay = waited.clamp(self.timing.retransmit_interval, self.timing.write_timeout);
         in_flight.resend_at = self.now + resend_delay;
         let body = in_flight.append(false);
-        let missing = view.chain.iter().filter(|member| !in_flight.stored_by.contains(member));
+        let missing = view
+            .chain
+            .iter()
+            .filter(|member| !in_flight.stored_by.contains(member));
         for member in missing.copied().collect::<Vec<_>>() {
             self.send_to_voter(member, body.clone());
         }
@@ -109,15 +128,24 @@
 
     /// Commits the entry in flight once every member of the chain has stored it.
     fn commit_if_stored_by_all(&mut self) {
-        let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
-        let Some(in_flight) = &head.in_flight else { return };
-        let all = view.chain.iter().all(|member| in_flight.stored_by.contains(member));
+        let (Some(head), Some(view)) = (&mut self.head, &self.view) else {
+            return;
+        };
+        let Some(in_flight) = &head.in_flight else {
+            return;
+        };
+        let all = view
+            .chain
+            .iter()
+            .all(|member| in_flight.stored_by.contains(member));
         let early = bug_injected!(self.bug_injection, AcknowledgeBeforeTail)
             && in_flight.stored_by.contains(&self.identity);
         if !all && !early {
             return;
         }
-        let Some(in_flight) = head.in_flight.take() else { return };
+        let Some(in_flight) = head.in_flight.take() else {
+            return;
+        };
         head.base = in_flight.state;
         head.index = in_flight.index;
         self.counters.commits += 1;
--- a/crates/lockusher-control/src/replica/request_queue.rs
+++ b/crates/lockusher-control/src/replica/request_queue.rs
@@ -19,12 +19,17 @@
 impl Requests {
     /// No requests; their numbers start here.
     pub(super) fn new(first: u64) -> Self {
-        Self { pending: BTreeMap::new(), next_number: first }
+        Self {
+            pending: BTreeMap::new(),
+            next_number: first,
+        }
     }
 
     /// All are to be forwarded at once, since the head may be another.
     pub(super) fn forward_all_now(&mut self) {
-        self.pending.values_mut().for_each(|pending| pending.forward_at = 0);
+        self.pending
+            .values_mut()
+            .for_each(|pending| pending.forward_at = 0);
     }
 }
 
--- a/crates/lockusher-control/src/replica/sending.rs
+++ b/crates/lockusher-control/src/replica/sending.rs
@@ -16,7 +16,11 @@
     /// A message of this node in its present epoch.
     fn message(&self, body: MessageBody) -> Message {
         let body_sent = altered_by_bug!(self.bug_injection, altered_body, body);
-        Message { sender: self.identity, epoch: self.epoch(), body: body_sent }
+        Message {
+            sender: self.identity,
+            epoch: self.epoch(),
+            body: body_sent,
+        }
     }
 
     /// Sends this to a node.
@@ -43,9 +47,20 @@
     }
 
     /// Sends this to all voters but those that have responded.
-    pub(super) fn send_to_voters_except(&mut self, responders: &BTreeSet<Identity>, body: MessageBody) {
-        let voters: Vec<Member> = self.view.iter().flat_map(|view| view.voters.iter().copied()).collect();
-        for voter in voters.into_iter().filter(|voter| !responders.contains(&voter.identity)) {
+    pub(super) fn send_to_voters_except(
+        &mut self,
+        responders: &BTreeSet<Identity>,
+        body: MessageBody,
+    ) {
+        let voters: Vec<Member> = self
+            .view
+            .iter()
+            .flat_map(|view| view.voters.iter().copied())
+            .collect();
+        for voter in voters
+            .into_iter()
+            .filter(|voter| !responders.contains(&voter.identity))
+        {
             self.send(voter.address, body.clone());
         }
     }
@@ -64,7 +79,10 @@
             self.send_message(to, message);
             return;
         }
-        if let Some(after) = self.acceptor_log.defer(AfterAcceptorWrite::Send { to, message }) {
+        if let Some(after) = self
+            .acceptor_log
+            .defer(AfterAcceptorWrite::Send { to, message })
+        {
             self.after_acceptor_write(after);
         }
     }
--- a/crates/lockusher-control/src/replica/service.rs
+++ b/crates/lockusher-control/src/replica/service.rs
@@ -36,11 +36,21 @@
         match request {
             Request::Put { if_match, document } => {
                 let (version, request) = (document.version, document.request);
-                Some(ConfigurationChange { if_match: *if_match, version, request })
-            }
-            Request::Base { if_match, version, request } => {
-                Some(ConfigurationChange { if_match: *if_match, version: *version, request: *request })
+                Some(ConfigurationChange {
+                    if_match: *if_match,
+                    version,
+                    request,
+                })
             }
+            Request::Base {
+                if_match,
+                version,
+                request,
+            } => Some(ConfigurationChange {
+                if_match: *if_match,
+                version: *version,
+                request: *request,
+            }),
             Request::Read => None,
         }
     }
@@ -49,7 +59,10 @@
 impl Replica {
     /// A node forwards a request. A retransmitted one is recognised by its origin.
     pub(super) fn on_forward(&mut self, from: SocketAddrV4, request: u64, body: Request) {
-        let origin = Origin { address: from, request };
+        let origin = Origin {
+            address: from,
+            request,
+        };
         let in_flight = self.write_in_flight() == Some(origin);
         let confirmation = self.next_confirmation();
         let deadline = self.now + self.timing.request_timeout;
@@ -58,12 +71,23 @@
         if known || head.queue.len() >= MAX_REQUESTS {
             return;
         }
-        head.queue.push_back(QueuedRequest { origin, request: body, deadline, confirmation });
+        head.queue.push_back(QueuedRequest {
+            origin,
+            request: body,
+            deadline,
+            confirmation,
+        });
     }
 
     /// Replies to the node that forwarded the request.
     pub(super) fn reply_to(&mut self, origin: Origin, reply: Reply) {
-        self.send(origin.address, MessageBody::ForwardResponse { request: origin.request, reply });
+        self.send(
+            origin.address,
+            MessageBody::ForwardResponse {
+                request: origin.request,
+                reply,
+            },
+        );
     }
 
     /// Decides the requests that can be decided now, in order.
@@ -104,10 +128,16 @@
 
     /// What is to be done with a request now.
     fn decide(&self, queued: &QueuedRequest) -> Decision {
-        let Some(state) = self.serving_state() else { return Decision::AwaitWrite };
+        let Some(state) = self.serving_state() else {
+            return Decision::AwaitWrite;
+        };
         let confirmed = self.is_epoch_confirmed(queued.confirmation);
         let if_confirmed = |reply, skips_confirmation: bool| {
-            if confirmed || skips_confirmation { Decision::Reply(reply) } else { Decision::AwaitConfirmation }
+            if confirmed || skips_confirmation {
+                Decision::Reply(reply)
+            } else {
+                Decision::AwaitConfirmation
+            }
         };
         let newest = || Reply::Document(state.document().cloned());
         let Some(change) = ConfigurationChange::of(&queued.request) else {
@@ -121,9 +151,15 @@
         }
         let current = state.version();
         if change.if_match != current && !bug_injected!(self.bug_injection, IfMatchIgnored) {
-            if_confirmed(Reply::Conflict { current }, bug_injected!(self.bug_injection, ConflictUnconfirmed))
+            if_confirmed(
+                Reply::Conflict { current },
+                bug_injected!(self.bug_injection, ConflictUnconfirmed),
+            )
         } else if change.version <= current {
-            if_confirmed(Reply::NotNewer { current }, bug_injected!(self.bug_injection, NotNewerUnconfirmed))
+            if_confirmed(
+                Reply::NotNewer { current },
+                bug_injected!(self.bug_injection, NotNewerUnconfirmed),
+            )
         } else if matches!(queued.request, Request::Base { .. }) {
             // It needs no confirmation: what was committed as this version is the only one, and the put that follows is
             // decided on its own.
@@ -135,7 +171,9 @@
 
     /// Whether the same change was applied before: a retry is acknowledged again.
     fn is_already_taken(&self, state: &ReplicatedState, change: &ConfigurationChange) -> bool {
-        if bug_injected!(self.bug_injection, VersionIdentifiesChange) && change.version == state.version() {
+        if bug_injected!(self.bug_injection, VersionIdentifiesChange)
+            && change.version == state.version()
+        {
             return true;
         }
         state.has_applied(change.request) && !bug_injected!(self.bug_injection, TakenNotRecognized)
--- a/crates/lockusher-control/src/replica/state_machine.rs
+++ b/crates/lockusher-control/src/replica/state_machine.rs
@@ -117,7 +117,11 @@
 
 impl Replica {
     /// A replica that starts now with the records of its disk: those of the snapshot, then those of the log, in order.
-    pub fn new(setup: ReplicaSetup, recovered: Vec<DurableRecord>, now: Millis) -> (Replica, Vec<Effect>) {
+    pub fn new(
+        setup: ReplicaSetup,
+        recovered: Vec<DurableRecord>,
+        now: Millis,
+    ) -> (Replica, Vec<Effect>) {
         Self::start(setup, recovered, now, BugInjection::default())
     }
 
@@ -157,7 +161,8 @@
         let elapsed = self.now - self.last_tick_at;
         self.last_tick_at = self.now;
         if elapsed > self.timing.suspicion_timeout / 2 {
-            self.peers.restart_observation(self.now, self.timing.suspicion_timeout);
+            self.peers
+                .restart_observation(self.now, self.timing.suspicion_timeout);
         }
         self.expire_peers();
         self.retry_refused_writes();
@@ -181,7 +186,9 @@
         loop {
             self.activate_head();
             self.serve_queue();
-            let Some(message) = self.loopback.pop_front() else { break };
+            let Some(message) = self.loopback.pop_front() else {
+                break;
+            };
             self.on_message(self.setup.address, message);
         }
         self.report_role();
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -44,7 +44,8 @@
     /// voters can be spared.
     pub fn has_handed_over(&self) -> bool {
         let Some(view) = &self.view else { return true };
-        let may_be_removed = !view.is_voter(self.identity) || view.voters.len() <= self.minimum_voters();
+        let may_be_removed =
+            !view.is_voter(self.identity) || view.voters.len() <= self.minimum_voters();
         may_be_removed && !view.in_chain(self.identity)
     }
 
@@ -89,9 +90,17 @@
 
     /// Voters, and other control nodes that are reachable, by address.
     fn known_members(&self) -> Vec<SocketAddrV4> {
-        let voters = self.view.iter().flat_map(|view| view.voters.iter().map(|voter| voter.address));
-        let contacted = self.peers.iter().filter(|(_, peer)| peer.reachable_since.is_some());
-        let mut members: Vec<SocketAddrV4> = voters.chain(contacted.map(|(address, _)| address)).collect();
+        let voters = self
+            .view
+            .iter()
+            .flat_map(|view| view.voters.iter().map(|voter| voter.address));
+        let contacted = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.reachable_since.is_some());
+        let mut members: Vec<SocketAddrV4> = voters
+            .chain(contacted.map(|(address, _)| address))
+            .collect();
         members.push(self.setup.address);
         members.sort();
         members.dedup();
--- a/crates/lockusher-control/src/replica/synchronisation.rs
+++ b/crates/lockusher-control/src/replica/synchronisation.rs
@@ -19,13 +19,17 @@
     /// Starts the service as head, if this node is head by the view and nothing prevents it.
     pub(super) fn activate_head(&mut self) {
         let Some(view) = &self.view else { return };
-        let may =
-            view.head() == Some(self.identity) && self.is_established_in_view() && !self.acceptor.sealed;
+        let may = view.head() == Some(self.identity)
+            && self.is_established_in_view()
+            && !self.acceptor.sealed;
         let able = self.durable_state.pending.is_none() && self.health() != Health::DiskFault;
         if self.head.is_some() || self.epoch_change_required || !may || !able {
             return;
         }
-        self.durable_state.position = Position { epoch: view.epoch, index: 0 };
+        self.durable_state.position = Position {
+            epoch: view.epoch,
+            index: 0,
+        };
         self.head = Some(Head {
             base: self.durable_state.state.clone(),
             index: 0,
@@ -45,9 +49,16 @@
 
     /// Sends the base to the members that haven't confirmed it.
     fn send_synchronise(&mut self) {
-        let (Some(head), Some(view)) = (&self.head, &self.view) else { return };
-        let missing = view.chain.iter().filter(|member| !head.synchronised.contains(member));
-        let missing: Vec<SocketAddrV4> = missing.filter_map(|member| view.address_of(*member)).collect();
+        let (Some(head), Some(view)) = (&self.head, &self.view) else {
+            return;
+        };
+        let missing = view
+            .chain
+            .iter()
+            .filter(|member| !head.synchronised.contains(member));
+        let missing: Vec<SocketAddrV4> = missing
+            .filter_map(|member| view.address_of(*member))
+            .collect();
         for address in missing {
             let history_digest = self.peers.at(address).and_then(|peer| peer.history_digest);
             // A member that was never heard is asked what it holds before the state is sent whole.
@@ -70,8 +81,16 @@
         let Some(head) = &self.head else { return };
         let payload = payload_for(&head.base, history_digest);
         self.counters.full_snapshots_sent += u64::from(matches!(payload, Payload::FullSnapshot(_)));
-        let position = Position { epoch: self.epoch(), index: head.index };
-        let transfer = Transfer { purpose, position, history_digest: head.base.history_digest(), payload };
+        let position = Position {
+            epoch: self.epoch(),
+            index: head.index,
+        };
+        let transfer = Transfer {
+            purpose,
+            position,
+            history_digest: head.base.history_digest(),
+            payload,
+        };
         self.send(to, MessageBody::Transfer(transfer));
     }
 
@@ -100,9 +119,14 @@
 
     /// Once all members have stored the base it is committed, and the head serves.
     fn establish_if_complete(&mut self) {
-        let (Some(head), Some(view)) = (&mut self.head, &self.view) else { return };
+        let (Some(head), Some(view)) = (&mut self.head, &self.view) else {
+            return;
+        };
         let early = bug_injected!(self.bug_injection, ServeBeforeSynchronised);
-        let complete = view.chain.iter().all(|member| head.synchronised.contains(member));
+        let complete = view
+            .chain
+            .iter()
+            .all(|member| head.synchronised.contains(member));
         if head.established || !(complete || early) {
             return;
         }
--- a/crates/lockusher-control/src/replica/transfers.rs
+++ b/crates/lockusher-control/src/replica/transfers.rs
@@ -47,7 +47,9 @@
     fn is_already_applied(&self, transfer: &Transfer) -> bool {
         let own = self.durable_state.position;
         match transfer.purpose {
-            TransferPurpose::Synchronise => own.epoch == transfer.position.epoch && own >= transfer.position,
+            TransferPurpose::Synchronise => {
+                own.epoch == transfer.position.epoch && own >= transfer.position
+            }
             TransferPurpose::Learn | TransferPurpose::Join | TransferPurpose::Repair => {
                 own == transfer.position
                     && self.durable_state.state.history_digest() == transfer.history_digest
@@ -76,12 +78,18 @@
             }
             TransferOutcome::Write(record, state) => {
                 let replaces = matches!(*record, DurableRecord::State { .. });
-                self.counters.repairs += u64::from(replaces && self.durable_state.state.document().is_some());
+                self.counters.repairs +=
+                    u64::from(replaces && self.durable_state.state.document().is_some());
                 if purpose == TransferPurpose::Join
                     && bug_injected!(self.bug_injection, JoinAnsweredBeforeDurable)
                 {
                     let history_digest = transfer.history_digest;
-                    let response = TransferResponse { purpose, position, history_digest, stored: true };
+                    let response = TransferResponse {
+                        purpose,
+                        position,
+                        history_digest,
+                        stored: true,
+                    };
                     self.send(from, MessageBody::TransferResponse(response));
                 }
                 self.persist_state(
@@ -95,7 +103,12 @@
     }
 
     /// Answers whether the state transferred is durable here.
-    pub(super) fn respond_to_transfer(&mut self, to: SocketAddrV4, purpose: TransferPurpose, stored: bool) {
+    pub(super) fn respond_to_transfer(
+        &mut self,
+        to: SocketAddrV4,
+        purpose: TransferPurpose,
+        stored: bool,
+    ) {
         if stored && purpose == TransferPurpose::Learn {
             self.mark_durable_state_committed();
         }
@@ -120,7 +133,10 @@
             TransferPurpose::Learn if !response.stored => self.send_full_snapshot_to_learner(from),
             TransferPurpose::Learn | TransferPurpose::Repair => {}
             TransferPurpose::Join => {
-                let sealed = Position { epoch: self.epoch(), index: Position::SEALED };
+                let sealed = Position {
+                    epoch: self.epoch(),
+                    index: Position::SEALED,
+                };
                 let same = response.history_digest == self.durable_state.state.history_digest()
                     && response.position == sealed;
                 if same || !response.stored {
--- a/crates/lockusher-control/src/replica/view_installation.rs
+++ b/crates/lockusher-control/src/replica/view_installation.rs
@@ -57,8 +57,11 @@
     pub(super) fn install_and_announce(&mut self, view: View) {
         let former = self.view.iter().flat_map(|view| view.voters.iter());
         let known = self.peers.iter().map(|(address, _)| address);
-        let mut targets: BTreeSet<SocketAddrV4> =
-            former.chain(&view.voters).map(|voter| voter.address).chain(known).collect();
+        let mut targets: BTreeSet<SocketAddrV4> = former
+            .chain(&view.voters)
+            .map(|voter| voter.address)
+            .chain(known)
+            .collect();
         targets.remove(&self.setup.address);
         self.install_view(view.clone());
         for address in targets {
--- a/crates/lockusher-control/src/replica/voting.rs
+++ b/crates/lockusher-control/src/replica/voting.rs
@@ -28,16 +28,30 @@
         if is_new {
             let epoch = self.epoch();
             self.persist_acceptor_records(
-                vec![DurableRecord::Promise { epoch, proposal_number }],
+                vec![DurableRecord::Promise {
+                    epoch,
+                    proposal_number,
+                }],
                 Vec::new(),
             );
         }
         let accepted = self.acceptor.accepted.clone();
-        self.send_after_acceptor_writes(from, MessageBody::PrepareResponse { proposal_number, accepted });
+        self.send_after_acceptor_writes(
+            from,
+            MessageBody::PrepareResponse {
+                proposal_number,
+                accepted,
+            },
+        );
     }
 
     /// Phase 2b: accept, unless a higher number was promised.
-    pub(super) fn on_accept(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber, view: View) {
+    pub(super) fn on_accept(
+        &mut self,
+        from: SocketAddrV4,
+        proposal_number: ProposalNumber,
+        view: View,
+    ) {
         let epoch = self.epoch();
         if !self.acts_as_acceptor() || view.epoch != epoch + 1 {
             return;
@@ -56,7 +70,11 @@
         }
         if is_new {
             self.persist_acceptor_records(
-                vec![DurableRecord::Accept { epoch, proposal_number, view }],
+                vec![DurableRecord::Accept {
+                    epoch,
+                    proposal_number,
+                    view,
+                }],
                 Vec::new(),
             );
         }
@@ -65,6 +83,7 @@
 
     /// Whether this node votes in the newest view.
     fn acts_as_acceptor(&self) -> bool {
-        self.is_voter() || (bug_injected!(self.bug_injection, StrangersCount) && self.view.is_some())
+        self.is_voter()
+            || (bug_injected!(self.bug_injection, StrangersCount) && self.view.is_some())
     }
 }
--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -68,7 +68,9 @@
 
 impl Default for ControlOptions {
     fn default() -> Self {
-        ControlOptions { stage_assignment: true }
+        ControlOptions {
+            stage_assignment: true,
+        }
     }
 }
 
@@ -86,8 +88,11 @@
     let resources = Resources::named_by(&settings)?;
     let listeners = Listeners::bind(&resources).await?;
     let disk_bytes = settings.limits.disk_mb * BYTES_PER_MB;
-    let OpenedDisk { disk, completions, recovered } =
-        Disk::open(&resources.data_directory, disk_bytes).await?;
+    let OpenedDisk {
+        disk,
+        completions,
+        recovered,
+    } = Disk::open(&resources.data_directory, disk_bytes).await?;
     let random_seed = RandomState::new().hash_one(resources.peer_address);
     let driver = start_driver(&settings, &resources, disk, recovered, random_seed);
 
@@ -95,10 +100,18 @@
     let settings = Rc::new(settings);
     let list_publisher = InstanceListPublisher::new(Rc::clone(&driver));
     let stage_assignment_task = options.stage_assignment.then(|| {
-        spawn(stage_assignment::run(Rc::clone(&driver), Rc::clone(&list_publisher), Rc::clone(&settings)))
+        spawn(stage_assignment::run(
+            Rc::clone(&driver),
+            Rc::clone(&list_publisher),
+            Rc::clone(&settings),
+        ))
     });
-    let list_polling = instance_list_polling::run(Rc::clone(&driver), list_publisher, settings, random_seed);
-    let _tasks = (spawn_tasks(&driver, completions, listeners), spawn(list_polling));
+    let list_polling =
+        instance_list_polling::run(Rc::clone(&driver), list_publisher, settings, random_seed);
+    let _tasks = (
+        spawn_tasks(&driver, completions, listeners),
+        spawn(list_polling),
+    );
     stop.await;
     log::info!("stopping");
     // Ends an order in flight, too: its connection is reset.
@@ -119,8 +132,13 @@
 
 impl Resources {
     fn named_by(settings: &NodeSettings) -> Result<Self, ControlError> {
-        let operator_address = settings.control.ok_or(ControlError::Missing("listenAddresses.control"))?;
-        let data_directory = settings.data_directory.clone().ok_or(ControlError::Missing("dataDirectory"))?;
+        let operator_address = settings
+            .control
+            .ok_or(ControlError::Missing("listenAddresses.control"))?;
+        let data_directory = settings
+            .data_directory
+            .clone()
+            .ok_or(ControlError::Missing("dataDirectory"))?;
         let peer_port = settings.internal_port(InternalListener::Replicas)?;
         let subscription_port = settings.internal_port(InternalListener::Subscriptions)?;
         Ok(Resources {
@@ -160,7 +178,10 @@
     let clock = Clock::start();
     let own_address = resources.peer_address;
     let setup = replica_setup(settings, own_address, &recovered, random_seed);
-    log::info!("control node at {own_address}, {} records on disk", recovered.records.len());
+    log::info!(
+        "control node at {own_address}, {} records on disk",
+        recovered.records.len()
+    );
     let (replica, effects) = Replica::new(setup, recovered.records, clock.millis());
     let publisher = SharedPublisher::new(Publisher::new(random_seed), clock);
     let acknowledge = Duration::from_millis(settings.bounds.acknowledge_ms);
@@ -180,7 +201,11 @@
     let peer_port = address.port();
     ReplicaSetup {
         address,
-        seeds: settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), peer_port)).collect(),
+        seeds: settings
+            .seeds
+            .iter()
+            .map(|seed| SocketAddrV4::new(*seed.ip(), peer_port))
+            .collect(),
         first_start: settings.first_start && !recovered.cleared,
         tolerated_losses: settings.fault_tolerance_machines,
         acknowledge_ms: settings.bounds.acknowledge_ms,
@@ -202,7 +227,10 @@
         spawn(tick_periodically(Rc::clone(driver))),
         spawn(scrub_periodically(Rc::clone(driver))),
         spawn(peer_listener::run(Rc::clone(driver), listeners.peers)),
-        spawn(accept(listeners.subscriptions, Rc::clone(&driver.publisher))),
+        spawn(accept(
+            listeners.subscriptions,
+            Rc::clone(&driver.publisher),
+        )),
         spawn(http::serve(listeners.operator, operator)),
     ]
 }
--- a/crates/lockusher-control/src/stage_assignment_lease.rs
+++ b/crates/lockusher-control/src/stage_assignment_lease.rs
@@ -51,7 +51,12 @@
 impl StageAssignmentLease {
     /// `duration` is the operator's bound, in milliseconds; `process_started_at` is a time of the steady clock.
     pub fn new(duration: Millis, process_started_at: Millis) -> Self {
-        StageAssignmentLease { duration, process_started_at, tenure: None, is_head: false }
+        StageAssignmentLease {
+            duration,
+            process_started_at,
+            tenure: None,
+            is_head: false,
+        }
     }
 
     /// Takes this node's role now. Between one epoch and the next no other node can have been head, so the wait goes
@@ -63,7 +68,10 @@
         }
         let continued = self.tenure.filter(|tenure| tenure.continues_in(role.epoch));
         let since = continued.map_or(now, |tenure| tenure.since);
-        self.tenure = Some(Tenure { epoch: role.epoch, since });
+        self.tenure = Some(Tenure {
+            epoch: role.epoch,
+            since,
+        });
     }
 
     /// The fencing token of this node's orders, once the holder before can't be sending any.
--- a/crates/lockusher-control/src/stage_scheduler.rs
+++ b/crates/lockusher-control/src/stage_scheduler.rs
@@ -49,7 +49,8 @@
 impl<'a> Observation<'a> {
     /// The searchers of a service that serve a stage or change it.
     fn staged_searchers(&self, service: &str) -> Vec<&'a Instance> {
-        let is_staged = |instance: &&Instance| instance.service == service && instance.stage.is_some();
+        let is_staged =
+            |instance: &&Instance| instance.service == service && instance.stage.is_some();
         self.instances.iter().filter(is_staged).collect()
     }
 
@@ -71,17 +72,25 @@
 impl StageScheduler {
     /// A scheduler without memory. `list_lag_ms` is how far the platform's list lags behind the searchers.
     pub fn new(list_lag_ms: Millis) -> Self {
-        StageScheduler { list_lag_ms, services: BTreeMap::new() }
+        StageScheduler {
+            list_lag_ms,
+            services: BTreeMap::new(),
+        }
     }
 
     /// The next change to order, if one is due; it counts as in flight from now on.
     pub fn next_change(&mut self, observation: &Observation) -> Option<StageChange> {
         let now = observation.now;
         for service in &observation.configuration.services {
-            let Some(engine) = &service.engine else { continue };
+            let Some(engine) = &service.engine else {
+                continue;
+            };
             let searchers = observation.staged_searchers(&service.name);
             let new_state = || ServiceState::new(now, searchers.len());
-            let state = self.services.entry(service.name.clone()).or_insert_with(new_state);
+            let state = self
+                .services
+                .entry(service.name.clone())
+                .or_insert_with(new_state);
             state.observe_instances(now, &searchers);
             let Some(load) = observation.representative_load(&service.name) else {
                 state.forget_load(now);
@@ -104,6 +113,8 @@
 
     /// The changes that were started and haven't ended.
     pub fn changes_in_flight(&self) -> impl Iterator<Item = &StageChange> {
-        self.services.values().flat_map(ServiceState::changes_in_flight)
+        self.services
+            .values()
+            .flat_map(ServiceState::changes_in_flight)
     }
 }
--- a/crates/lockusher-control/src/stage_scheduler/change_budget.rs
+++ b/crates/lockusher-control/src/stage_scheduler/change_budget.rs
@@ -22,7 +22,10 @@
 impl ChangeBudget {
     /// A full budget for a service with so many searchers.
     pub fn full(now: Millis, searchers: usize) -> Self {
-        ChangeBudget { tokens: capacity(searchers), refilled_at: now }
+        ChangeBudget {
+            tokens: capacity(searchers),
+            refilled_at: now,
+        }
     }
 
     /// Adds what was earned since the last refill.
--- a/crates/lockusher-control/src/stage_scheduler/demand.rs
+++ b/crates/lockusher-control/src/stage_scheduler/demand.rs
@@ -42,7 +42,10 @@
 impl StageCounts {
     /// Counts both stages with `count`.
     pub fn by_stage(count: impl Fn(Stage) -> usize) -> Self {
-        StageCounts { prefill: count(Stage::Prefill), decode: count(Stage::Decode) }
+        StageCounts {
+            prefill: count(Stage::Prefill),
+            decode: count(Stage::Decode),
+        }
     }
 
     /// Searchers of both stages.
@@ -67,27 +70,45 @@
         let queue = from_hundredths(load.prefill_in_flight) / prefill_searchers.max(1) as f64;
         let batch = from_hundredths(load.decode_in_flight) / f64::from(engine.slots.max(1));
         let memory = f64::from(load.decode_tokens) / engine.cache_tokens.max(1) as f64;
-        Demand { prefill: prefill_searchers as f64 * queue / (1.0 + queue), decode: batch.max(memory) }
+        Demand {
+            prefill: prefill_searchers as f64 * queue / (1.0 + queue),
+            decode: batch.max(memory),
+        }
     }
 
     /// The larger pressure of the two stages with so many searchers.
     pub fn pressure(&self, counts: StageCounts) -> f64 {
         let prefill = self.prefill / (counts.prefill as f64 * MAX_PREFILL_UTILIZATION);
         // The others must bear the loss of one.
-        let decode_capacity =
-            if counts.decode > 1 { (counts.decode - 1) as f64 } else { LONE_DECODE_CAPACITY };
+        let decode_capacity = if counts.decode > 1 {
+            (counts.decode - 1) as f64
+        } else {
+            LONE_DECODE_CAPACITY
+        };
         prefill.max(self.decode / (decode_capacity * MAX_DECODE_UTILIZATION))
     }
 
     /// The split of `total` searchers with the least pressure; of equal ones that with a number of prefill searchers
     /// nearest to `present_prefill`.
     pub fn best_split(&self, total: usize, present_prefill: usize) -> StageCounts {
-        let split = |prefill: usize| StageCounts { prefill, decode: total - prefill };
+        let split = |prefill: usize| StageCounts {
+            prefill,
+            decode: total - prefill,
+        };
         let by_pressure = |left: &usize, right: &usize| {
-            let pressures = self.pressure(split(*left)).total_cmp(&self.pressure(split(*right)));
-            pressures.then(left.abs_diff(present_prefill).cmp(&right.abs_diff(present_prefill)))
+            let pressures = self
+                .pressure(split(*left))
+                .total_cmp(&self.pressure(split(*right)));
+            pressures.then(
+                left.abs_diff(present_prefill)
+                    .cmp(&right.abs_diff(present_prefill)),
+            )
+        };
+        let least = if total >= MIN_SEARCHERS_FOR_REDUNDANCY {
+            REDUNDANT_SEARCHERS
+        } else {
+            1
         };
-        let least = if total >= MIN_SEARCHERS_FOR_REDUNDANCY { REDUNDANT_SEARCHERS } else { 1 };
         let candidates = least..=total.saturating_sub(least);
         split(candidates.min_by(by_pressure).unwrap_or(present_prefill))
     }
@@ -120,7 +141,8 @@
             Stage::Prefill => ready.prefill > 1,
             Stage::Decode => {
                 let remaining = ready.decode - 1;
-                remaining > 0 && self.decode <= remaining as f64 * MAX_DECODE_UTILIZATION_DURING_SWITCH
+                remaining > 0
+                    && self.decode <= remaining as f64 * MAX_DECODE_UTILIZATION_DURING_SWITCH
             }
         }
     }
--- a/crates/lockusher-control/src/stage_scheduler/hysteresis.rs
+++ b/crates/lockusher-control/src/stage_scheduler/hysteresis.rs
@@ -44,7 +44,9 @@
 impl Hysteresis {
     /// Records which stage should grow by the load seen now.
     pub fn observe(&mut self, now: Millis, stage_to_grow: Option<Stage>) {
-        let present = self.desired.filter(|desired| Some(desired.stage) == stage_to_grow);
+        let present = self
+            .desired
+            .filter(|desired| Some(desired.stage) == stage_to_grow);
         let since = present.map_or(now, |desired| desired.since);
         self.desired = stage_to_grow.map(|stage| DesiredGrowth { stage, since });
     }
@@ -54,13 +56,17 @@
     pub fn stage_due(&self, now: Millis, has_changes_in_flight: bool) -> Option<Stage> {
         let desired = self.desired?;
         let has_persisted = now >= desired.since + MIN_PERSISTENCE_MS || has_changes_in_flight;
-        let is_due = now >= self.resting_until && has_persisted && !self.is_early_reversal(now, desired);
+        let is_due =
+            now >= self.resting_until && has_persisted && !self.is_early_reversal(now, desired);
         is_due.then_some(desired.stage)
     }
 
     fn is_early_reversal(&self, now: Millis, desired: DesiredGrowth) -> bool {
-        let Some(last) = self.last_change.filter(|last| last.to != desired.stage) else { return false };
-        now < last.at + MIN_REVERSAL_INTERVAL_MS || now < desired.since + MIN_REVERSAL_PERSISTENCE_MS
+        let Some(last) = self.last_change.filter(|last| last.to != desired.stage) else {
+            return false;
+        };
+        now < last.at + MIN_REVERSAL_INTERVAL_MS
+            || now < desired.since + MIN_REVERSAL_PERSISTENCE_MS
     }
 
     /// A change was started: the desire for it is met.
--- a/crates/lockusher-control/src/stage_scheduler/searcher_selection.rs
+++ b/crates/lockusher-control/src/stage_scheduler/searcher_selection.rs
@@ -33,7 +33,10 @@
             && !is_last_serving_a_model(searcher, from, searchers)
     };
     let preference = |searcher: &&'a Instance| {
-        let zone = zones.get(searcher.zone.as_str()).copied().unwrap_or_default();
+        let zone = zones
+            .get(searcher.zone.as_str())
+            .copied()
+            .unwrap_or_default();
         (
             Reverse(zone.in_stage),
             zone.in_other_stage,
@@ -41,12 +44,19 @@
             searcher.identifier.as_str(),
         )
     };
-    searchers.iter().copied().filter(may_leave).min_by_key(preference)
+    searchers
+        .iter()
+        .copied()
+        .filter(may_leave)
+        .min_by_key(preference)
 }
 
 fn count_by_zone<'a>(searchers: &[&'a Instance], stage: Stage) -> BTreeMap<&'a str, ZoneCounts> {
     let mut zones: BTreeMap<&str, ZoneCounts> = BTreeMap::new();
-    for searcher in searchers.iter().filter(|searcher| searcher.state == InstanceState::Ready) {
+    for searcher in searchers
+        .iter()
+        .filter(|searcher| searcher.state == InstanceState::Ready)
+    {
         let counts = zones.entry(&searcher.zone).or_default();
         if searcher.stage == Some(stage) {
             counts.in_stage += 1;
@@ -59,9 +69,14 @@
 
 /// Whether a model would be left without a searcher of the stage.
 fn is_last_serving_a_model(searcher: &Instance, stage: Stage, searchers: &[&Instance]) -> bool {
-    let others =
-        searchers.iter().filter(|other| is_ready(other, stage) && other.identifier != searcher.identifier);
-    let served_by_others: BTreeSet<&str> =
-        others.flat_map(|other| other.models.iter().map(|model| model.name.as_str())).collect();
-    searcher.models.iter().any(|model| !served_by_others.contains(model.name.as_str()))
+    let others = searchers
+        .iter()
+        .filter(|other| is_ready(other, stage) && other.identifier != searcher.identifier);
+    let served_by_others: BTreeSet<&str> = others
+        .flat_map(|other| other.models.iter().map(|model| model.name.as_str()))
+        .collect();
+    searcher
+        .models
+        .iter()
+        .any(|model| !served_by_others.contains(model.name.as_str()))
 }
--- a/crates/lockusher-control/src/stage_scheduler/service_state.rs
+++ b/crates/lockusher-control/src/stage_scheduler/service_state.rs
@@ -85,8 +85,9 @@
         load: &ServiceLoad,
         searchers: &[&Instance],
     ) -> Option<StageChange> {
-        let ready =
-            StageCounts::by_stage(|stage| searchers.iter().filter(|one| is_ready(one, stage)).count());
+        let ready = StageCounts::by_stage(|stage| {
+            searchers.iter().filter(|one| is_ready(one, stage)).count()
+        });
         let demand = Demand::of(load, engine, ready.prefill);
         let stage_to_grow = demand.stage_to_grow(ready, self.with_changes_made(ready));
         self.hysteresis.observe(now, stage_to_grow);
@@ -95,7 +96,8 @@
             return None;
         }
         let from = opposite(to);
-        let is_excluded = |searcher: &Instance| self.excluded_until.contains_key(&searcher.identifier);
+        let is_excluded =
+            |searcher: &Instance| self.excluded_until.contains_key(&searcher.identifier);
         let searcher = select_searcher(searchers, from, is_excluded)?;
         Some(StageChange {
             service: searcher.service.clone(),
@@ -109,15 +111,30 @@
     /// The counts once the changes in flight are made. Searchers that are changing aren't ready.
     fn with_changes_made(&self, ready: StageCounts) -> StageCounts {
         let incoming = StageCounts::by_stage(|stage| {
-            self.in_flight.iter().filter(|in_flight| in_flight.change.to == stage).count()
+            self.in_flight
+                .iter()
+                .filter(|in_flight| in_flight.change.to == stage)
+                .count()
         });
-        StageCounts { prefill: ready.prefill + incoming.prefill, decode: ready.decode + incoming.decode }
+        StageCounts {
+            prefill: ready.prefill + incoming.prefill,
+            decode: ready.decode + incoming.decode,
+        }
     }
 
     /// Counts a change as in flight from now on.
-    pub fn start_change(&mut self, now: Millis, engine: &Engine, list_lag_ms: Millis, change: &StageChange) {
+    pub fn start_change(
+        &mut self,
+        now: Millis,
+        engine: &Engine,
+        list_lag_ms: Millis,
+        change: &StageChange,
+    ) {
         let deadline = now + engine.role_switch_ms + list_lag_ms + REQUEST_COMPLETION_ALLOWANCE_MS;
-        self.in_flight.push(ChangeInFlight { change: change.clone(), deadline });
+        self.in_flight.push(ChangeInFlight {
+            change: change.clone(),
+            deadline,
+        });
         self.hysteresis.on_change_started(now, change.to);
         self.budget.take();
     }
@@ -127,12 +144,14 @@
         match outcome {
             OrderOutcome::Accepted | OrderOutcome::Unknown => return,
             OrderOutcome::Rejected => {
-                self.excluded_until.insert(change.identifier.clone(), now + EXCLUSION_MS);
+                self.excluded_until
+                    .insert(change.identifier.clone(), now + EXCLUSION_MS);
             }
             OrderOutcome::Unsupported => self.hysteresis.on_order_unsupported(now),
             OrderOutcome::NotSent => {}
         }
-        self.in_flight.retain(|in_flight| in_flight.change.identifier != change.identifier);
+        self.in_flight
+            .retain(|in_flight| in_flight.change.identifier != change.identifier);
     }
 
     /// The changes that were started and haven't ended.
@@ -143,7 +162,9 @@
 
 /// Whether the list shows the searcher in the stage that it is to leave, so that the change may still be made.
 fn is_open(change: &StageChange, searchers: &[&Instance]) -> bool {
-    let listed = searchers.iter().find(|searcher| searcher.identifier == change.identifier);
+    let listed = searchers
+        .iter()
+        .find(|searcher| searcher.identifier == change.identifier);
     listed.is_some_and(|searcher| {
         searcher.stage == Some(change.from) && searcher.state != InstanceState::Draining
     })
--- a/crates/lockusher-control/src/state.rs
+++ b/crates/lockusher-control/src/state.rs
@@ -32,7 +32,12 @@
 impl Default for ReplicatedState {
     fn default() -> Self {
         let history_digest = HistoryDigest(Digest::of(&[]));
-        Self { document: None, history: Arc::default(), history_digest, previous: history_digest }
+        Self {
+            document: None,
+            history: Arc::default(),
+            history_digest,
+            previous: history_digest,
+        }
     }
 }
 
@@ -44,7 +49,9 @@
 
     /// Version of the newest configuration; 0 before the first.
     pub fn version(&self) -> u64 {
-        self.document.as_ref().map_or(0, |document| document.version)
+        self.document
+            .as_ref()
+            .map_or(0, |document| document.version)
     }
 
     /// Identifies the sequence of configurations applied.
@@ -65,7 +72,10 @@
     /// The same without the identities of applied requests, as an injected bug leaves it.
     #[cfg(feature = "injected-bugs")]
     pub(crate) fn without_history(&self) -> Self {
-        Self { history: Arc::default(), ..self.clone() }
+        Self {
+            history: Arc::default(),
+            ..self.clone()
+        }
     }
 
     /// The state after this configuration has been applied.
--- a/crates/lockusher-control/src/view.rs
+++ b/crates/lockusher-control/src/view.rs
@@ -42,10 +42,17 @@
         addresses.dedup();
         let voters: Vec<Member> = addresses
             .into_iter()
-            .map(|address| Member { identity: Identity::of_first_start(address), address })
+            .map(|address| Member {
+                identity: Identity::of_first_start(address),
+                address,
+            })
             .collect();
         let chain = voters.iter().map(|member| member.identity).collect();
-        Self { epoch: 1, voters, chain }
+        Self {
+            epoch: 1,
+            voters,
+            chain,
+        }
     }
 
     /// Smallest number of voters that is more than half of them.
@@ -70,12 +77,18 @@
 
     /// Where this voter listens.
     pub fn address_of(&self, identity: Identity) -> Option<SocketAddrV4> {
-        self.voters.iter().find(|member| member.identity == identity).map(|member| member.address)
+        self.voters
+            .iter()
+            .find(|member| member.identity == identity)
+            .map(|member| member.address)
     }
 
     /// The voter registered at this address.
     pub fn voter_at(&self, address: SocketAddrV4) -> Option<Identity> {
-        self.voters.iter().find(|member| member.address == address).map(|member| member.identity)
+        self.voters
+            .iter()
+            .find(|member| member.address == address)
+            .map(|member| member.identity)
     }
 
     /// The chain's member after this one.
--- a/crates/lockusher-control/src/view_change.rs
+++ b/crates/lockusher-control/src/view_change.rs
@@ -62,8 +62,9 @@
     if remaining.is_empty() {
         return None;
     }
-    let required =
-        context.epoch_change_required || context.sealed || remaining.len() < context.view.chain.len();
+    let required = context.epoch_change_required
+        || context.sealed
+        || remaining.len() < context.view.chain.len();
     if required {
         return plan_required_change(context, &remaining);
     }
@@ -73,16 +74,25 @@
 /// Healthy members of the present chain, in its order.
 fn remaining_chain(context: &ViewChangeContext) -> Vec<Identity> {
     let chain = context.view.chain.iter();
-    chain.copied().filter(|member| context.healthy_members.contains(member)).collect()
+    chain
+        .copied()
+        .filter(|member| context.healthy_members.contains(member))
+        .collect()
 }
 
 /// A view for an epoch that must end: with the joiners that have the sealed state, else the remaining chain, else as
 /// few joiners as it takes.
 fn plan_required_change(context: &ViewChangeContext, remaining: &[Identity]) -> Option<ViewChange> {
-    let candidates_with_sealed_state: Vec<JoinCandidate> =
-        context.join_candidates.iter().copied().filter(|joiner| joiner.has_sealed_state).collect();
-    let with_sealed_state =
-        context.sealed.then(|| compose_view(context, remaining, &candidates_with_sealed_state)).flatten();
+    let candidates_with_sealed_state: Vec<JoinCandidate> = context
+        .join_candidates
+        .iter()
+        .copied()
+        .filter(|joiner| joiner.has_sealed_state)
+        .collect();
+    let with_sealed_state = context
+        .sealed
+        .then(|| compose_view(context, remaining, &candidates_with_sealed_state))
+        .flatten();
     with_sealed_state
         .or_else(|| compose_view(context, remaining, &[]))
         .or_else(|| compose_shortest_view(context, remaining))
@@ -90,10 +100,17 @@
 }
 
 /// Adds as few joiners as make the chain long enough, voters first.
-fn compose_shortest_view(context: &ViewChangeContext, remaining: &[Identity]) -> Option<ViewChange> {
+fn compose_shortest_view(
+    context: &ViewChangeContext,
+    remaining: &[Identity],
+) -> Option<ViewChange> {
     let mut joiners = context.join_candidates.clone();
     joiners.sort_by_key(|joiner| {
-        (!joiner.has_sealed_state, !context.view.is_voter(joiner.member.identity), !joiner.caught_up)
+        (
+            !joiner.has_sealed_state,
+            !context.view.is_voter(joiner.member.identity),
+            !joiner.caught_up,
+        )
     });
     (1..=joiners.len()).find_map(|count| compose_view(context, remaining, &joiners[..count]))
 }
@@ -103,8 +120,12 @@
     if !context.may_add_members {
         return None;
     }
-    let ready: Vec<JoinCandidate> =
-        context.join_candidates.iter().copied().filter(|joiner| joiner.caught_up).collect();
+    let ready: Vec<JoinCandidate> = context
+        .join_candidates
+        .iter()
+        .copied()
+        .filter(|joiner| joiner.caught_up)
+        .collect();
     if ready.is_empty() {
         return None;
     }
@@ -161,11 +182,19 @@
     chain: &[Identity],
     member: Member,
 ) -> bool {
-    let same_address = voters.iter().position(|voter| voter.address == member.address);
+    let same_address = voters
+        .iter()
+        .position(|voter| voter.address == member.address);
     let replaceable = |identity: &Identity| !chain.contains(identity);
-    let unreachable = context.unreachable.iter().find(|identity| replaceable(identity));
-    let unreachable =
-        unreachable.and_then(|unreachable| voters.iter().position(|voter| voter.identity == *unreachable));
+    let unreachable = context
+        .unreachable
+        .iter()
+        .find(|identity| replaceable(identity));
+    let unreachable = unreachable.and_then(|unreachable| {
+        voters
+            .iter()
+            .position(|voter| voter.identity == *unreachable)
+    });
     match same_address.or(unreachable) {
         Some(position) if chain.contains(&voters[position].identity) => false,
         Some(position) => {
@@ -190,6 +219,10 @@
     if chain.len() < majority_of(voters.len()) {
         return None;
     }
-    let view = View { epoch: context.view.epoch + 1, voters, chain };
+    let view = View {
+        epoch: context.view.epoch + 1,
+        voters,
+        chain,
+    };
     Some(ViewChange { view, joiners })
 }
--- a/crates/lockusher-control/tests/disk.rs
+++ b/crates/lockusher-control/tests/disk.rs
@@ -24,7 +24,14 @@
 
 fn open_store(folder: &Path) -> Store<DiskFileSystem> {
     let files = DiskFileSystem::new(folder.to_path_buf());
-    Store::open(files, StoreOptions { disk_bytes: DISK_BYTES }).expect("opens").0
+    Store::open(
+        files,
+        StoreOptions {
+            disk_bytes: DISK_BYTES,
+        },
+    )
+    .expect("opens")
+    .0
 }
 
 /// A folder that holds these records, one append each.
@@ -38,7 +45,10 @@
 }
 
 async fn open(folder: &Path) -> RecoveredRecords {
-    Disk::open(folder, DISK_BYTES).await.expect("opens").recovered
+    Disk::open(folder, DISK_BYTES)
+        .await
+        .expect("opens")
+        .recovered
 }
 
 #[compio::test]
@@ -98,17 +108,42 @@
     let records = [record(1), record(2), record(3)];
     let folder = folder_with(&records);
     let opened = Disk::open(folder.path(), DISK_BYTES).await.expect("opens");
-    let OpenedDisk { disk, mut completions, .. } = opened;
+    let OpenedDisk {
+        disk,
+        mut completions,
+        ..
+    } = opened;
     scrub(&disk, &mut completions, &records).await;
-    assert_eq!(disk.scrub_counters(), ScrubCounters { completed: 1, damage_found: 0 });
+    assert_eq!(
+        disk.scrub_counters(),
+        ScrubCounters {
+            completed: 1,
+            damage_found: 0
+        }
+    );
     damage_first_append(folder.path());
     scrub(&disk, &mut completions, &records).await;
-    assert_eq!(disk.scrub_counters(), ScrubCounters { completed: 2, damage_found: 1 });
-    let snapshot = completions.next().await.expect("the outcome of the snapshot");
+    assert_eq!(
+        disk.scrub_counters(),
+        ScrubCounters {
+            completed: 2,
+            damage_found: 1
+        }
+    );
+    let snapshot = completions
+        .next()
+        .await
+        .expect("the outcome of the snapshot");
     assert_eq!(snapshot.result, Ok(()));
     assert_eq!(disk.on_completion(&snapshot), None);
     scrub(&disk, &mut completions, &records).await;
-    assert_eq!(disk.scrub_counters(), ScrubCounters { completed: 3, damage_found: 1 });
+    assert_eq!(
+        disk.scrub_counters(),
+        ScrubCounters {
+            completed: 3,
+            damage_found: 1
+        }
+    );
     drop(disk);
     let recovered = open(folder.path()).await;
     assert_eq!(recovered.records, records);
@@ -120,10 +155,17 @@
 async fn a_scrub_rewrites_a_disk_that_differs_from_memory() {
     let folder = folder_with(&[record(1)]);
     let opened = Disk::open(folder.path(), DISK_BYTES).await.expect("opens");
-    let OpenedDisk { disk, mut completions, .. } = opened;
+    let OpenedDisk {
+        disk,
+        mut completions,
+        ..
+    } = opened;
     scrub(&disk, &mut completions, &[record(2)]).await;
     assert_eq!(disk.scrub_counters().damage_found, 1);
-    assert_eq!(completions.next().await.expect("the snapshot").result, Ok(()));
+    assert_eq!(
+        completions.next().await.expect("the snapshot").result,
+        Ok(())
+    );
     drop(disk);
     assert_eq!(open(folder.path()).await.records, [record(2)]);
 }
--- a/crates/lockusher-control/tests/instance_list_revision.rs
+++ b/crates/lockusher-control/tests/instance_list_revision.rs
@@ -17,7 +17,10 @@
     clock_behind = { revision(4, TIME_OF_DAY_MS + 70), revision(4, TIME_OF_DAY_MS + 71) },
     later_head_was_seen = { revision(5, TIME_OF_DAY_MS + 70), revision(5, TIME_OF_DAY_MS + 71) },
 )]
-fn the_next_revision_is_above_the_newest(newest: InstanceListRevision, expected: InstanceListRevision) {
+fn the_next_revision_is_above_the_newest(
+    newest: InstanceListRevision,
+    expected: InstanceListRevision,
+) {
     let next = next_revision(4, newest, TIME_OF_DAY_MS);
     assert_eq!(next, expected);
     assert!(next > newest);
--- a/crates/lockusher-control/tests/joining.rs
+++ b/crates/lockusher-control/tests/joining.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddrV4;
 
 use lockusher_control::{
-    DurableRecord, Effect, Event, InjectedBug, Message, PersistTicket, Position, Replica, ReplicaSetup,
-    ReplicatedState,
+    DurableRecord, Effect, Event, InjectedBug, Message, PersistTicket, Position, Replica,
+    ReplicaSetup, ReplicatedState,
     message::{
-        AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer, TransferPurpose,
-        TransferResponse,
+        AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer,
+        TransferPurpose, TransferResponse,
     },
 };
 use support::{address, document, identity, setup, state, state_of, view};
@@ -47,9 +47,16 @@
     ) -> Node {
         let (replica, effects) = match injected_bug {
             None => Replica::new(setup, disk.clone(), now),
-            Some(injected_bug) => Replica::with_injected_bug(setup, disk.clone(), now, injected_bug),
+            Some(injected_bug) => {
+                Replica::with_injected_bug(setup, disk.clone(), now, injected_bug)
+            }
+        };
+        let mut node = Node {
+            replica,
+            now,
+            disk,
+            sent: Vec::new(),
         };
-        let mut node = Node { replica, now, disk, sent: Vec::new() };
         node.carry_out(effects);
         node
     }
@@ -63,7 +70,8 @@
         let mut tickets: Vec<PersistTicket> = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Send { message, .. } if matches!(message.body, MessageBody::Heartbeat(_)) => {}
+                Effect::Send { message, .. }
+                    if matches!(message.body, MessageBody::Heartbeat(_)) => {}
                 Effect::Send { to, message } => self.sent.push((to, message.body)),
                 Effect::Persist { ticket, records } => {
                     self.disk.extend(records);
@@ -83,8 +91,15 @@
     }
 
     fn receive(&mut self, host: u8, epoch: u64, body: MessageBody) {
-        let message = Message { sender: identity(host), epoch, body };
-        self.event(Event::Message { from: address(host), message });
+        let message = Message {
+            sender: identity(host),
+            epoch,
+            body,
+        };
+        self.event(Event::Message {
+            from: address(host),
+            message,
+        });
     }
 
     fn receive_heartbeat(&mut self, host: u8) {
@@ -140,7 +155,12 @@
 
 fn entry(version: u64) -> MessageBody {
     let previous = ReplicatedState::default().history_digest();
-    MessageBody::Append { index: 1, previous, document: document(version), relay: true }
+    MessageBody::Append {
+        index: 1,
+        previous,
+        document: document(version),
+        relay: true,
+    }
 }
 
 #[parameterized(
@@ -176,7 +196,10 @@
     let mut joiner = Node::in_view(3, injected_bug);
     let transfer = |purpose, index, versions: &[u64]| {
         let state = state(versions);
-        let position = Position { epoch: EPOCH, index };
+        let position = Position {
+            epoch: EPOCH,
+            index,
+        };
         let history_digest = state.history_digest();
         MessageBody::Transfer(Transfer {
             purpose,
@@ -185,7 +208,11 @@
             payload: Payload::FullSnapshot(state),
         })
     };
-    joiner.receive(2, EPOCH, transfer(TransferPurpose::Join, Position::SEALED, &[5, 6]));
+    joiner.receive(
+        2,
+        EPOCH,
+        transfer(TransferPurpose::Join, Position::SEALED, &[5, 6]),
+    );
     assert_eq!(joiner.version(), 6);
 
     joiner.receive(1, EPOCH, transfer(TransferPurpose::Learn, 1, &[5]));
@@ -198,24 +225,47 @@
     guarded = { None, true },
     left_out = { Some(InjectedBug::AcceptedPassedOver), false },
 )]
-fn a_view_accepted_under_a_lower_number_is_proposed(injected_bug: Option<InjectedBug>, taken_over: bool) {
+fn a_view_accepted_under_a_lower_number_is_proposed(
+    injected_bug: Option<InjectedBug>,
+    taken_over: bool,
+) {
     let mut member = sealed_member(injected_bug);
     let stored = TransferResponse {
         purpose: TransferPurpose::Join,
-        position: Position { epoch: EPOCH, index: Position::SEALED },
+        position: Position {
+            epoch: EPOCH,
+            index: Position::SEALED,
+        },
         history_digest: ReplicatedState::default().history_digest(),
         stored: true,
     };
     member.receive(3, EPOCH, MessageBody::TransferResponse(stored));
     let prepare = member.wait_for(|body| matches!(body, MessageBody::Prepare { .. }));
-    let MessageBody::Prepare { proposal_number } = prepare else { unreachable!("it was waited for") };
+    let MessageBody::Prepare { proposal_number } = prepare else {
+        unreachable!("it was waited for")
+    };
     let earlier = view(EPOCH + 1, &[1, 2, 3]);
-    let lower = ProposalNumber { counter: 0, proposer: identity(1).0 };
-    let accepted = Some(AcceptedView { proposal_number: lower, view: earlier.clone() });
-    member.receive(3, EPOCH, MessageBody::PrepareResponse { proposal_number, accepted });
+    let lower = ProposalNumber {
+        counter: 0,
+        proposer: identity(1).0,
+    };
+    let accepted = Some(AcceptedView {
+        proposal_number: lower,
+        view: earlier.clone(),
+    });
+    member.receive(
+        3,
+        EPOCH,
+        MessageBody::PrepareResponse {
+            proposal_number,
+            accepted,
+        },
+    );
 
     let accept = member.wait_for(|body| matches!(body, MessageBody::Accept { .. }));
-    let MessageBody::Accept { view: proposed, .. } = accept else { unreachable!("it was waited for") };
+    let MessageBody::Accept { view: proposed, .. } = accept else {
+        unreachable!("it was waited for")
+    };
 
     assert_eq!(proposed == earlier, taken_over);
 }
--- a/crates/lockusher-control/tests/membership_search.rs
+++ b/crates/lockusher-control/tests/membership_search.rs
@@ -75,20 +75,31 @@
     fn initial(machines: usize) -> State {
         let members: Vec<Member> = (0..machines).map(member).collect();
         let chain = members.iter().map(|member| member.identity).collect();
-        let running =
-            |member| Machine { member, presence: Presence::Running, catching_up: false, new_addition: false };
+        let running = |member| Machine {
+            member,
+            presence: Presence::Running,
+            catching_up: false,
+            new_addition: false,
+        };
         State {
-            view: View { epoch: 1, voters: members.clone(), chain },
+            view: View {
+                epoch: 1,
+                voters: members.clone(),
+                chain,
+            },
             machines: members.into_iter().map(running).collect(),
         }
     }
 
     fn machine(&self, identity: Identity) -> Option<&Machine> {
-        self.machines.iter().find(|machine| machine.member.identity == identity)
+        self.machines
+            .iter()
+            .find(|machine| machine.member.identity == identity)
     }
 
     fn has_disk(&self, identity: Identity) -> bool {
-        self.machine(identity).is_some_and(|machine| machine.presence != Presence::Removed)
+        self.machine(identity)
+            .is_some_and(|machine| machine.presence != Presence::Removed)
     }
 
     fn runs(&self, identity: Identity) -> bool {
@@ -97,12 +108,27 @@
     }
 
     fn can_agree(&self) -> bool {
-        self.view.voters.iter().filter(|voter| self.runs(voter.identity)).count() >= self.view.majority()
+        self.view
+            .voters
+            .iter()
+            .filter(|voter| self.runs(voter.identity))
+            .count()
+            >= self.view.majority()
     }
 
     fn is_recoverable(&self) -> bool {
-        let voters = self.view.voters.iter().filter(|voter| self.has_disk(voter.identity)).count();
-        let holders = self.view.chain.iter().filter(|member| self.has_disk(**member)).count();
+        let voters = self
+            .view
+            .voters
+            .iter()
+            .filter(|voter| self.has_disk(voter.identity))
+            .count();
+        let holders = self
+            .view
+            .chain
+            .iter()
+            .filter(|member| self.has_disk(**member))
+            .count();
         voters >= self.view.majority() && holders > 0
     }
 
@@ -120,33 +146,57 @@
             }
         };
         let chain = self.view.chain.iter().copied();
-        let me = chain.clone().find(|member| self.runs(*member) && seems_running(*member))?;
-        let unreachable: Vec<Identity> = self.view.voters.iter().map(|voter| voter.identity).collect();
+        let me = chain
+            .clone()
+            .find(|member| self.runs(*member) && seems_running(*member))?;
+        let unreachable: Vec<Identity> = self
+            .view
+            .voters
+            .iter()
+            .map(|voter| voter.identity)
+            .collect();
         let mut unreachable: Vec<Identity> = unreachable
             .into_iter()
-            .filter(|voter| match self.machine(*voter).map(|machine| machine.presence) {
-                Some(Presence::Running | Presence::ShuttingDown) => false,
-                Some(Presence::Unreachable | Presence::Removed) => detected != Detected::None,
-                None => true,
-            })
+            .filter(
+                |voter| match self.machine(*voter).map(|machine| machine.presence) {
+                    Some(Presence::Running | Presence::ShuttingDown) => false,
+                    Some(Presence::Unreachable | Presence::Removed) => detected != Detected::None,
+                    None => true,
+                },
+            )
             .collect();
         // A removed machine has been unreachable for longer than one that will return.
         let is_unreachable = |voter: &Identity| {
-            self.machine(*voter).is_some_and(|machine| machine.presence == Presence::Unreachable)
+            self.machine(*voter)
+                .is_some_and(|machine| machine.presence == Presence::Unreachable)
         };
         unreachable.sort_by_key(is_unreachable);
         let shuts_down = |machine: &&Machine| {
-            machine.presence == Presence::ShuttingDown && self.view.is_voter(machine.member.identity)
+            machine.presence == Presence::ShuttingDown
+                && self.view.is_voter(machine.member.identity)
         };
-        let shutting_down = self.machines.iter().filter(shuts_down).map(|machine| machine.member.identity);
-        let mut removable: Vec<Identity> = shutting_down.filter(|_| !rules.retains_departed_voters).collect();
+        let shutting_down = self
+            .machines
+            .iter()
+            .filter(shuts_down)
+            .map(|machine| machine.member.identity);
+        let mut removable: Vec<Identity> = shutting_down
+            .filter(|_| !rules.retains_departed_voters)
+            .collect();
         if detected == Detected::LongUnreachable {
             removable.extend(&unreachable);
         }
-        let running = self.machines.iter().filter(|machine| machine.presence == Presence::Running);
+        let running = self
+            .machines
+            .iter()
+            .filter(|machine| machine.presence == Presence::Running);
         let outside_chain = running.filter(|machine| !self.view.in_chain(machine.member.identity));
         let joiners = outside_chain
-            .map(|machine| JoinCandidate { member: machine.member, caught_up: true, has_sealed_state: false })
+            .map(|machine| JoinCandidate {
+                member: machine.member,
+                caught_up: true,
+                has_sealed_state: false,
+            })
             .collect();
         let planned = plan_view_change(&ViewChangeContext {
             view: &self.view,
@@ -161,7 +211,10 @@
             minimum_voters: 2 * rules.tolerated_losses + 1,
         })?;
         let mut next = self.clone();
-        next.view = View { epoch: 1, ..planned.view };
+        next.view = View {
+            epoch: 1,
+            ..planned.view
+        };
         Some(next)
     }
 
@@ -183,25 +236,45 @@
     }
 
     fn may_lose(&self, rules: Rules) -> bool {
-        self.machines.iter().filter(|machine| machine.catching_up).count() < rules.tolerated_losses
+        self.machines
+            .iter()
+            .filter(|machine| machine.catching_up)
+            .count()
+            < rules.tolerated_losses
     }
 
     /// Whether this machine may be removed for good: unreachable ones count as lost for that, since nobody can tell which of
     /// two unreachable voters will come back.
     fn may_be_removed(&self, index: usize, rules: Rules) -> bool {
-        let others = self.machines.iter().enumerate().filter(|(other, _)| *other != index);
-        let lost =
-            others.filter(|(_, machine)| machine.catching_up || machine.presence == Presence::Unreachable);
+        let others = self
+            .machines
+            .iter()
+            .enumerate()
+            .filter(|(other, _)| *other != index);
+        let lost = others.filter(|(_, machine)| {
+            machine.catching_up || machine.presence == Presence::Unreachable
+        });
         lost.count() < rules.tolerated_losses
     }
 
     fn unused_identity(&self) -> u64 {
-        let of_machines = self.machines.iter().map(|machine| machine.member.identity.0);
-        of_machines.chain(self.view.voters.iter().map(|voter| voter.identity.0)).max().unwrap_or(0) + 1
+        let of_machines = self
+            .machines
+            .iter()
+            .map(|machine| machine.member.identity.0);
+        of_machines
+            .chain(self.view.voters.iter().map(|voter| voter.identity.0))
+            .max()
+            .unwrap_or(0)
+            + 1
     }
 
     fn unused_address(&self) -> SocketAddrV4 {
-        let number = self.machines.iter().map(|machine| machine.member.address.ip().octets()[3]).max();
+        let number = self
+            .machines
+            .iter()
+            .map(|machine| machine.member.address.ip().octets()[3])
+            .max();
         member(usize::from(number.unwrap_or(0))).address
     }
 
@@ -212,9 +285,17 @@
     }
 
     fn with_new_machine(mut self, catching_up: bool) -> State {
-        let member = Member { identity: Identity(self.unused_identity()), address: self.unused_address() };
+        let member = Member {
+            identity: Identity(self.unused_identity()),
+            address: self.unused_address(),
+        };
         let new_addition = !catching_up;
-        self.machines.push(Machine { member, presence: Presence::Running, catching_up, new_addition });
+        self.machines.push(Machine {
+            member,
+            presence: Presence::Running,
+            catching_up,
+            new_addition,
+        });
         self
     }
 
@@ -223,11 +304,22 @@
         let mut next = vec![self.after_fault_free_time(rules)];
         next.extend(self.next_view(rules, Detected::None));
         next.extend(self.next_view(rules, Detected::Unreachable));
-        let present = self.machines.iter().filter(|machine| machine.presence != Presence::Removed).count();
-        let voters = self.view.voters.iter().filter(|voter| self.has_disk(voter.identity)).count();
+        let present = self
+            .machines
+            .iter()
+            .filter(|machine| machine.presence != Presence::Removed)
+            .count();
+        let voters = self
+            .view
+            .voters
+            .iter()
+            .filter(|voter| self.has_disk(voter.identity))
+            .count();
         let has_new_addition = self.machines.iter().any(|machine| machine.new_addition);
-        let is_any_shutting_down =
-            self.machines.iter().any(|machine| machine.presence == Presence::ShuttingDown);
+        let is_any_shutting_down = self
+            .machines
+            .iter()
+            .any(|machine| machine.presence == Presence::ShuttingDown);
         if present == machines && present < MAX_VOTERS {
             next.push(self.clone().with_new_machine(false));
         }
@@ -249,8 +341,10 @@
                 }
             }
             // Its successor is a voter by then.
-            let may_shut_down =
-                voters > machines && !has_new_addition && !is_any_shutting_down && !machine.catching_up;
+            let may_shut_down = voters > machines
+                && !has_new_addition
+                && !is_any_shutting_down
+                && !machine.catching_up;
             if may_shut_down && machine.presence == Presence::Running {
                 next.push(self.with(index, |machine| machine.presence = Presence::ShuttingDown));
             }
@@ -278,8 +372,16 @@
             machine.presence != Presence::Removed || self.view.is_voter(machine.member.identity)
         };
         let order = |identity: Identity| {
-            let in_chain = self.view.chain.iter().position(|member| *member == identity);
-            let voter = self.view.voters.iter().position(|voter| voter.identity == identity);
+            let in_chain = self
+                .view
+                .chain
+                .iter()
+                .position(|member| *member == identity);
+            let voter = self
+                .view
+                .voters
+                .iter()
+                .position(|voter| voter.identity == identity);
             (in_chain.unwrap_or(usize::MAX), voter.unwrap_or(usize::MAX))
         };
         let mut machines: Vec<Machine> = self.machines.iter().filter(is_needed).copied().collect();
@@ -288,7 +390,11 @@
         voters.sort_by_key(|voter| order(voter.identity));
         let mut identities: Vec<Identity> = Vec::new();
         let mut addresses: Vec<SocketAddrV4> = Vec::new();
-        for member in voters.iter().copied().chain(machines.iter().map(|machine| machine.member)) {
+        for member in voters
+            .iter()
+            .copied()
+            .chain(machines.iter().map(|machine| machine.member))
+        {
             if !identities.contains(&member.identity) {
                 identities.push(member.identity);
             }
@@ -296,17 +402,40 @@
                 addresses.push(member.address);
             }
         }
-        let index = |identity: Identity| identities.iter().position(|known| *known == identity).unwrap_or(0);
+        let index = |identity: Identity| {
+            identities
+                .iter()
+                .position(|known| *known == identity)
+                .unwrap_or(0)
+        };
         let renamed = |old: Member| {
-            let address = addresses.iter().position(|known| *known == old.address).unwrap_or(0);
-            Member { identity: Identity(index(old.identity) as u64), address: member(address).address }
+            let address = addresses
+                .iter()
+                .position(|known| *known == old.address)
+                .unwrap_or(0);
+            Member {
+                identity: Identity(index(old.identity) as u64),
+                address: member(address).address,
+            }
         };
-        let chain = self.view.chain.iter().map(|member| Identity(index(*member) as u64)).collect();
+        let chain = self
+            .view
+            .chain
+            .iter()
+            .map(|member| Identity(index(*member) as u64))
+            .collect();
         State {
-            view: View { epoch: 1, voters: voters.into_iter().map(renamed).collect(), chain },
+            view: View {
+                epoch: 1,
+                voters: voters.into_iter().map(renamed).collect(),
+                chain,
+            },
             machines: machines
                 .into_iter()
-                .map(|machine| Machine { member: renamed(machine.member), ..machine })
+                .map(|machine| Machine {
+                    member: renamed(machine.member),
+                    ..machine
+                })
                 .collect(),
         }
     }
@@ -336,7 +465,11 @@
     Ok(predecessors.len())
 }
 
-fn path_to(predecessors: &HashMap<State, Option<State>>, before: &State, last: State) -> Vec<State> {
+fn path_to(
+    predecessors: &HashMap<State, Option<State>>,
+    before: &State,
+    last: State,
+) -> Vec<State> {
     let mut path = vec![last];
     let mut at = Some(before.clone());
     while let Some(state) = at {
@@ -349,14 +482,32 @@
 
 /// One line for a state: voters, chain, and machines with what they lack.
 fn describe(state: &State) -> String {
-    let voters: Vec<u64> = state.view.voters.iter().map(|voter| voter.identity.0).collect();
+    let voters: Vec<u64> = state
+        .view
+        .voters
+        .iter()
+        .map(|voter| voter.identity.0)
+        .collect();
     let chain: Vec<u64> = state.view.chain.iter().map(|member| member.0).collect();
     let machines = state.machines.iter().map(|machine| {
-        let notes = [(machine.catching_up, " catching up"), (machine.new_addition, " new")];
-        let notes: String = notes.iter().filter(|(applies, _)| *applies).map(|(_, note)| *note).collect();
-        format!("{}:{:?}{notes}", machine.member.identity.0, machine.presence)
+        let notes = [
+            (machine.catching_up, " catching up"),
+            (machine.new_addition, " new"),
+        ];
+        let notes: String = notes
+            .iter()
+            .filter(|(applies, _)| *applies)
+            .map(|(_, note)| *note)
+            .collect();
+        format!(
+            "{}:{:?}{notes}",
+            machine.member.identity.0, machine.presence
+        )
     });
-    format!("voters {voters:?} chain {chain:?} machines {:?}", machines.collect::<Vec<_>>())
+    format!(
+        "voters {voters:?} chain {chain:?} machines {:?}",
+        machines.collect::<Vec<_>>()
+    )
 }
 
 #[parameterized(
@@ -371,17 +522,32 @@
     tolerated_losses: usize,
     depth: usize,
 ) {
-    let rules = Rules { tolerated_losses, retains_departed_voters: false };
+    let rules = Rules {
+        tolerated_losses,
+        retains_departed_voters: false,
+    };
     match search(machines, rules, depth) {
         Ok(states) => {
-            println!("{machines} machines, {tolerated_losses} tolerated, depth {depth}: {states} states");
+            println!(
+                "{machines} machines, {tolerated_losses} tolerated, depth {depth}: {states} states"
+            );
         }
-        Err(path) => panic!("can't recover:\n{}", path.iter().map(describe).collect::<Vec<_>>().join("\n")),
+        Err(path) => panic!(
+            "can't recover:\n{}",
+            path.iter().map(describe).collect::<Vec<_>>().join("\n")
+        ),
     }
 }
 
 #[parameterized(three_with_one_loss = { 3, 1, 6 }, five_with_two_losses = { 5, 2, 8 })]
-fn a_voter_retained_after_its_departure_is_found(machines: usize, tolerated_losses: usize, depth: usize) {
-    let rules = Rules { tolerated_losses, retains_departed_voters: true };
+fn a_voter_retained_after_its_departure_is_found(
+    machines: usize,
+    tolerated_losses: usize,
+    depth: usize,
+) {
+    let rules = Rules {
+        tolerated_losses,
+        retains_departed_voters: true,
+    };
     assert!(search(machines, rules, depth).is_err());
 }
--- a/crates/lockusher-control/tests/messages.rs
+++ b/crates/lockusher-control/tests/messages.rs
@@ -3,11 +3,11 @@
 use std::{net::SocketAddrV4, sync::Arc};
 
 use lockusher_control::{
-    ConfigurationDocument, Digest, Envelope, EnvelopeError, Identity, Member, Message, PROTOCOL, Position,
-    Reply, Request, View,
+    ConfigurationDocument, Digest, Envelope, EnvelopeError, Identity, Member, Message, PROTOCOL,
+    Position, Reply, Request, View,
     message::{
-        AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer, TransferPurpose,
-        TransferResponse,
+        AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer,
+        TransferPurpose, TransferResponse,
     },
     state::ReplicatedState,
 };
@@ -20,14 +20,27 @@
 
 fn view() -> View {
     let address: SocketAddrV4 = "10.1.0.14:7660".parse().expect("a valid address");
-    let voters = vec![Member { identity: Identity(5), address }];
-    View { epoch: 3, voters, chain: vec![Identity(5)] }
+    let voters = vec![Member {
+        identity: Identity(5),
+        address,
+    }];
+    View {
+        epoch: 3,
+        voters,
+        chain: vec![Identity(5)],
+    }
 }
 
 fn bodies() -> Vec<MessageBody> {
-    let proposal_number = ProposalNumber { counter: 4, proposer: 9 };
+    let proposal_number = ProposalNumber {
+        counter: 4,
+        proposer: 9,
+    };
     let state = ReplicatedState::default().with(document());
-    let position = Position { epoch: 3, index: Position::SEALED };
+    let position = Position {
+        epoch: 3,
+        index: Position::SEALED,
+    };
     let history_digest = state.history_digest();
     let heartbeat = Heartbeat {
         health: Health::DiskFault,
@@ -45,20 +58,51 @@
         MessageBody::NewView(view()),
         MessageBody::PrepareResponse {
             proposal_number,
-            accepted: Some(AcceptedView { proposal_number, view: view() }),
+            accepted: Some(AcceptedView {
+                proposal_number,
+                view: view(),
+            }),
+        },
+        MessageBody::Transfer(Transfer {
+            purpose,
+            position,
+            history_digest,
+            payload,
+        }),
+        MessageBody::TransferResponse(TransferResponse {
+            purpose,
+            position,
+            history_digest,
+            stored: true,
+        }),
+        MessageBody::Append {
+            index: 1,
+            previous: history_digest,
+            document: document(),
+            relay: true,
+        },
+        MessageBody::Forward {
+            request: 1,
+            body: Request::Put {
+                if_match: 5,
+                document: document(),
+            },
+        },
+        MessageBody::ForwardResponse {
+            request: 1,
+            reply: Reply::Document(Some(document())),
         },
-        MessageBody::Transfer(Transfer { purpose, position, history_digest, payload }),
-        MessageBody::TransferResponse(TransferResponse { purpose, position, history_digest, stored: true }),
-        MessageBody::Append { index: 1, previous: history_digest, document: document(), relay: true },
-        MessageBody::Forward { request: 1, body: Request::Put { if_match: 5, document: document() } },
-        MessageBody::ForwardResponse { request: 1, reply: Reply::Document(Some(document())) },
     ]
 }
 
 #[test]
 fn a_message_is_decoded_as_it_was_encoded() {
     for body in bodies() {
-        let envelope = Envelope::new(Message { sender: Identity(5), epoch: 3, body });
+        let envelope = Envelope::new(Message {
+            sender: Identity(5),
+            epoch: 3,
+            body,
+        });
         let decoded = Envelope::decode(&envelope.encode()).expect("a readable message");
         assert_eq!(decoded, envelope);
     }
@@ -70,10 +114,16 @@
     last = { u16::MAX },
 )]
 fn an_unknown_protocol_is_rejected(protocol: u16) {
-    let message = Message { sender: Identity(5), epoch: 3, body: MessageBody::NewView(view()) };
+    let message = Message {
+        sender: Identity(5),
+        epoch: 3,
+        body: MessageBody::NewView(view()),
+    };
     let bytes = Envelope { protocol, message }.encode();
     let error = Envelope::decode(&bytes).expect_err("an unknown protocol");
-    assert!(matches!(error, EnvelopeError::UnknownProtocol { protocol: found } if found == protocol));
+    assert!(
+        matches!(error, EnvelopeError::UnknownProtocol { protocol: found } if found == protocol)
+    );
 }
 
 #[parameterized(empty = { &[] }, one = { &[1] })]
@@ -85,9 +135,18 @@
 #[test]
 fn a_truncated_message_is_rejected() {
     for body in bodies() {
-        let bytes = Envelope::new(Message { sender: Identity(5), epoch: 3, body }).encode();
+        let bytes = Envelope::new(Message {
+            sender: Identity(5),
+            epoch: 3,
+            body,
+        })
+        .encode();
         for length in 0..bytes.len() {
-            assert!(Envelope::decode(&bytes[..length]).is_err(), "{length} of {} bytes", bytes.len());
+            assert!(
+                Envelope::decode(&bytes[..length]).is_err(),
+                "{length} of {} bytes",
+                bytes.len()
+            );
         }
     }
 }
--- a/crates/lockusher-control/tests/operator_errors.rs
+++ b/crates/lockusher-control/tests/operator_errors.rs
@@ -12,7 +12,10 @@
     weak = { "W/\"12\"", Err(ChangeRequestError::VersionNotNumber { found: "W/\"12\"".to_owned() }) },
     word = { "one", Err(ChangeRequestError::VersionNotNumber { found: "one".to_owned() }) },
 )]
-fn the_version_that_a_change_builds_on_is_read(header: &str, expected: Result<u64, ChangeRequestError>) {
+fn the_version_that_a_change_builds_on_is_read(
+    header: &str,
+    expected: Result<u64, ChangeRequestError>,
+) {
     let header = HeaderValue::from_str(header).expect("a header");
 
     assert_eq!(expected_version(Some(&header)), expected);
@@ -20,7 +23,10 @@
 
 #[test]
 fn a_change_without_a_version_is_unreadable() {
-    assert_eq!(expected_version(None), Err(ChangeRequestError::VersionMissing));
+    assert_eq!(
+        expected_version(None),
+        Err(ChangeRequestError::VersionMissing)
+    );
 }
 
 #[parameterized(
@@ -45,8 +51,15 @@
 fn only_an_undecided_request_is_to_be_sent_again() {
     let undecided = OperatorError::Undecided.response();
     assert_eq!(undecided.status(), StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(undecided.headers().get(RETRY_AFTER), Some(&HeaderValue::from_static("0.3")));
+    assert_eq!(
+        undecided.headers().get(RETRY_AFTER),
+        Some(&HeaderValue::from_static("0.3"))
+    );
 
-    let conflict = OperatorError::Conflict { if_match: 3, current: 5 }.response();
+    let conflict = OperatorError::Conflict {
+        if_match: 3,
+        current: 5,
+    }
+    .response();
     assert_eq!(conflict.headers().get(RETRY_AFTER), None);
 }
