--- a/crates/lockusher-control/tests/recorded_bytes.rs
+++ b/crates/lockusher-control/tests/recorded_bytes.rs
@@ -12,12 +12,12 @@
 use lockusher_control::driver::disk::{AppendOutcome, Disk, OpenedDisk};
 use lockusher_control::driver::peer_links::PeerFrame;
 use lockusher_control::message::{
-    AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer, TransferPurpose,
-    TransferResponse,
+    AcceptedView, Health, Heartbeat, MessageBody, Payload, ProposalNumber, Transfer,
+    TransferPurpose, TransferResponse,
 };
 use lockusher_control::{
-    ConfigurationDocument, DurableRecord, Envelope, Identity, Member, Message, PersistTicket, Position,
-    ReplicatedState, Reply, Request, View,
+    ConfigurationDocument, DurableRecord, Envelope, Identity, Member, Message, PersistTicket,
+    Position, ReplicatedState, Reply, Request, View,
 };
 use lockusher_storage::Completions;
 use lockusher_transport::frame;
@@ -40,7 +40,16 @@
     DurableRecord,
     RECORD_KINDS,
     record_kind,
-    [Identity, View, Promise, Accept, Seal, Entry, State, PositionAdvanced]
+    [
+        Identity,
+        View,
+        Promise,
+        Accept,
+        Seal,
+        Entry,
+        State,
+        PositionAdvanced
+    ]
 );
 kinds_of!(
     MessageBody,
@@ -67,47 +76,95 @@
         ForwardResponse,
     ]
 );
-kinds_of!(Health, HEALTH_KINDS, health_kind, [Good, DiskFault, ShuttingDown]);
-kinds_of!(TransferPurpose, PURPOSE_KINDS, purpose_kind, [Synchronise, Learn, Join, Repair]);
-kinds_of!(Payload, PAYLOAD_KINDS, payload_kind, [Empty, LatestDocument, FullSnapshot]);
+kinds_of!(
+    Health,
+    HEALTH_KINDS,
+    health_kind,
+    [Good, DiskFault, ShuttingDown]
+);
+kinds_of!(
+    TransferPurpose,
+    PURPOSE_KINDS,
+    purpose_kind,
+    [Synchronise, Learn, Join, Repair]
+);
+kinds_of!(
+    Payload,
+    PAYLOAD_KINDS,
+    payload_kind,
+    [Empty, LatestDocument, FullSnapshot]
+);
 kinds_of!(Request, REQUEST_KINDS, request_kind, [Put, Base, Read]);
-kinds_of!(Reply, REPLY_KINDS, reply_kind, [Accepted, Conflict, NotNewer, Document, Unavailable]);
+kinds_of!(
+    Reply,
+    REPLY_KINDS,
+    reply_kind,
+    [Accepted, Conflict, NotNewer, Document, Unavailable]
+);
 
 fn member(last_octet: u8, port: u16) -> Member {
-    let address = format!("10.1.0.{last_octet}:{port}").parse().expect("a valid address");
-    Member { identity: Identity::of_first_start(address), address }
+    let address = format!("10.1.0.{last_octet}:{port}")
+        .parse()
+        .expect("a valid address");
+    Member {
+        identity: Identity::of_first_start(address),
+        address,
+    }
 }
 
 fn joiner() -> Member {
     let address = "10.1.3.9:7663".parse().expect("a valid address");
-    Member { identity: Identity::of_joiner(0xfedc_ba98_7654_3210), address }
+    Member {
+        identity: Identity::of_joiner(0xfedc_ba98_7654_3210),
+        address,
+    }
 }
 
 /// Three voters, one of which joined later; two of them replicate.
 fn view() -> View {
     let voters = vec![member(14, 7660), member(15, 7661), joiner()];
     let chain = vec![joiner().identity, member(14, 7660).identity];
-    View { epoch: 3, voters, chain }
+    View {
+        epoch: 3,
+        voters,
+        chain,
+    }
 }
 
 fn first_view() -> View {
-    View::first(&[member(14, 7660).address, member(15, 7661).address, member(16, 7662).address])
+    View::first(&[
+        member(14, 7660).address,
+        member(15, 7661).address,
+        member(16, 7662).address,
+    ])
 }
 
 fn proposal_number() -> ProposalNumber {
-    ProposalNumber { counter: 0x0102_0304_0506_0708, proposer: joiner().identity.0 }
+    ProposalNumber {
+        counter: 0x0102_0304_0506_0708,
+        proposer: joiner().identity.0,
+    }
 }
 
 fn lower_ballot() -> ProposalNumber {
-    ProposalNumber { counter: 4, proposer: 9 }
+    ProposalNumber {
+        counter: 4,
+        proposer: 9,
+    }
 }
 
 fn position() -> Position {
-    Position { epoch: 3, index: 300 }
+    Position {
+        epoch: 3,
+        index: 300,
+    }
 }
 
 fn sealed_position() -> Position {
-    Position { epoch: 2, index: Position::SEALED }
+    Position {
+        epoch: 2,
+        index: Position::SEALED,
+    }
 }
 
 fn document(version: u64) -> ConfigurationDocument {
@@ -122,7 +179,10 @@
 
 /// After three configurations, the last of them made by a patch.
 fn state() -> ReplicatedState {
-    ReplicatedState::default().with(document(7)).with(document(19)).with(patched_document())
+    ReplicatedState::default()
+        .with(document(7))
+        .with(document(19))
+        .with(patched_document())
 }
 
 fn durable_records() -> Vec<(&'static str, DurableRecord)> {
@@ -130,15 +190,34 @@
     let joiner = joiner();
     let empty = ReplicatedState::default();
     vec![
-        ("identity-of-first-start", DurableRecord::Identity { identity, address }),
+        (
+            "identity-of-first-start",
+            DurableRecord::Identity { identity, address },
+        ),
         (
             "identity-of-joiner",
-            DurableRecord::Identity { identity: joiner.identity, address: joiner.address },
+            DurableRecord::Identity {
+                identity: joiner.identity,
+                address: joiner.address,
+            },
         ),
         ("first-view", DurableRecord::View(first_view())),
         ("later-view", DurableRecord::View(view())),
-        ("promise", DurableRecord::Promise { epoch: 3, proposal_number: proposal_number() }),
-        ("accept", DurableRecord::Accept { epoch: 2, proposal_number: lower_ballot(), view: view() }),
+        (
+            "promise",
+            DurableRecord::Promise {
+                epoch: 3,
+                proposal_number: proposal_number(),
+            },
+        ),
+        (
+            "accept",
+            DurableRecord::Accept {
+                epoch: 2,
+                proposal_number: lower_ballot(),
+                view: view(),
+            },
+        ),
         ("seal", DurableRecord::Seal { epoch: 2 }),
         (
             "entry-first",
@@ -156,9 +235,26 @@
                 document: patched_document(),
             },
         ),
-        ("state-empty", DurableRecord::State { position: Position::default(), state: empty }),
-        ("state-whole", DurableRecord::State { position: sealed_position(), state: state() }),
-        ("standing", DurableRecord::PositionAdvanced { position: sealed_position() }),
+        (
+            "state-empty",
+            DurableRecord::State {
+                position: Position::default(),
+                state: empty,
+            },
+        ),
+        (
+            "state-whole",
+            DurableRecord::State {
+                position: sealed_position(),
+                state: state(),
+            },
+        ),
+        (
+            "standing",
+            DurableRecord::PositionAdvanced {
+                position: sealed_position(),
+            },
+        ),
     ]
 }
 
@@ -181,8 +277,15 @@
         committed_version: 0,
         recent_senders: Vec::new(),
     };
-    let leaving = Heartbeat { health: Health::ShuttingDown, ..good.clone() };
-    vec![("heartbeat-good", good), ("heartbeat-disk-trouble", disk_trouble), ("heartbeat-leaving", leaving)]
+    let leaving = Heartbeat {
+        health: Health::ShuttingDown,
+        ..good.clone()
+    };
+    vec![
+        ("heartbeat-good", good),
+        ("heartbeat-disk-trouble", disk_trouble),
+        ("heartbeat-leaving", leaving),
+    ]
 }
 
 fn transfers() -> Vec<(&'static str, Transfer)> {
@@ -197,12 +300,24 @@
         document: patched_document(),
     };
     vec![
-        ("transfer-synchronise-nothing", transfer(TransferPurpose::Synchronise, Payload::Empty)),
-        ("transfer-learn-newest", transfer(TransferPurpose::Learn, newest())),
-        ("transfer-join-whole", transfer(TransferPurpose::Join, Payload::FullSnapshot(state()))),
+        (
+            "transfer-synchronise-nothing",
+            transfer(TransferPurpose::Synchronise, Payload::Empty),
+        ),
+        (
+            "transfer-learn-newest",
+            transfer(TransferPurpose::Learn, newest()),
+        ),
+        (
+            "transfer-join-whole",
+            transfer(TransferPurpose::Join, Payload::FullSnapshot(state())),
+        ),
         (
             "transfer-repair-whole-empty",
-            transfer(TransferPurpose::Repair, Payload::FullSnapshot(ReplicatedState::default())),
+            transfer(
+                TransferPurpose::Repair,
+                Payload::FullSnapshot(ReplicatedState::default()),
+            ),
         ),
     ]
 }
@@ -215,17 +330,39 @@
         stored,
     };
     vec![
-        ("transfer-answer-synchronise-held", answer(TransferPurpose::Synchronise, true)),
-        ("transfer-answer-learn-lacking", answer(TransferPurpose::Learn, false)),
-        ("transfer-answer-join-held", answer(TransferPurpose::Join, true)),
-        ("transfer-answer-repair-lacking", answer(TransferPurpose::Repair, false)),
+        (
+            "transfer-answer-synchronise-held",
+            answer(TransferPurpose::Synchronise, true),
+        ),
+        (
+            "transfer-answer-learn-lacking",
+            answer(TransferPurpose::Learn, false),
+        ),
+        (
+            "transfer-answer-join-held",
+            answer(TransferPurpose::Join, true),
+        ),
+        (
+            "transfer-answer-repair-lacking",
+            answer(TransferPurpose::Repair, false),
+        ),
     ]
 }
 
 fn requests() -> Vec<(&'static str, Request)> {
-    let base = Request::Base { if_match: 19, version: 70_000, request: patched_document().request };
+    let base = Request::Base {
+        if_match: 19,
+        version: 70_000,
+        request: patched_document().request,
+    };
     vec![
-        ("forward-put", Request::Put { if_match: 7, document: document(19) }),
+        (
+            "forward-put",
+            Request::Put {
+                if_match: 7,
+                document: document(19),
+            },
+        ),
         ("forward-base", base),
         ("forward-read", Request::Read),
     ]
@@ -237,64 +374,148 @@
         ("forwarded-conflict", Reply::Conflict { current: 19 }),
         ("forwarded-not-newer", Reply::NotNewer { current: 70_000 }),
         ("forwarded-no-document", Reply::Document(None)),
-        ("forwarded-document", Reply::Document(Some(patched_document()))),
+        (
+            "forwarded-document",
+            Reply::Document(Some(patched_document())),
+        ),
         ("forwarded-unavailable", Reply::Unavailable),
     ]
 }
 
 /// Bodies of agreement on views and of replication; the rest is made of the lists above.
 fn protocol_bodies() -> Vec<(&'static str, MessageBody)> {
-    let accepted = AcceptedView { proposal_number: lower_ballot(), view: view() };
+    let accepted = AcceptedView {
+        proposal_number: lower_ballot(),
+        view: view(),
+    };
     let (history_digest, previous) = (state().history_digest(), state().previous_history_digest());
-    let append = |relay| MessageBody::Append { index: 300, previous, document: patched_document(), relay };
+    let append = |relay| MessageBody::Append {
+        index: 300,
+        previous,
+        document: patched_document(),
+        relay,
+    };
     vec![
         ("new-view", MessageBody::NewView(view())),
-        ("prepare", MessageBody::Prepare { proposal_number: proposal_number() }),
+        (
+            "prepare",
+            MessageBody::Prepare {
+                proposal_number: proposal_number(),
+            },
+        ),
         (
             "promised-none-accepted",
-            MessageBody::PrepareResponse { proposal_number: proposal_number(), accepted: None },
+            MessageBody::PrepareResponse {
+                proposal_number: proposal_number(),
+                accepted: None,
+            },
         ),
         (
             "promised-one-accepted",
-            MessageBody::PrepareResponse { proposal_number: proposal_number(), accepted: Some(accepted) },
+            MessageBody::PrepareResponse {
+                proposal_number: proposal_number(),
+                accepted: Some(accepted),
+            },
+        ),
+        (
+            "accept",
+            MessageBody::Accept {
+                proposal_number: proposal_number(),
+                view: view(),
+            },
+        ),
+        (
+            "accepted",
+            MessageBody::AcceptResponse {
+                proposal_number: proposal_number(),
+            },
+        ),
+        (
+            "rejected",
+            MessageBody::ProposalRejected {
+                promised: proposal_number(),
+            },
         ),
-        ("accept", MessageBody::Accept { proposal_number: proposal_number(), view: view() }),
-        ("accepted", MessageBody::AcceptResponse { proposal_number: proposal_number() }),
-        ("rejected", MessageBody::ProposalRejected { promised: proposal_number() }),
         ("append-to-pass-on", append(true)),
         ("append-to-one", append(false)),
-        ("acknowledge", MessageBody::AppendAcknowledged { index: 300 }),
+        (
+            "acknowledge",
+            MessageBody::AppendAcknowledged { index: 300 },
+        ),
         ("holds", MessageBody::AppendStored { index: 301 }),
         ("lacks", MessageBody::AppendRejected { index: 302 }),
-        ("committed", MessageBody::Committed { index: 303, history_digest }),
+        (
+            "committed",
+            MessageBody::Committed {
+                index: 303,
+                history_digest,
+            },
+        ),
         ("confirm", MessageBody::ConfirmEpoch { sequence: 65_536 }),
-        ("confirmed", MessageBody::EpochConfirmed { sequence: 65_536, position: position(), history_digest }),
+        (
+            "confirmed",
+            MessageBody::EpochConfirmed {
+                sequence: 65_536,
+                position: position(),
+                history_digest,
+            },
+        ),
     ]
 }
 
 fn bodies() -> Vec<(&'static str, MessageBody)> {
-    let heartbeats =
-        heartbeats().into_iter().map(|(name, heartbeat)| (name, MessageBody::Heartbeat(heartbeat)));
-    let transfers = transfers().into_iter().map(|(name, transfer)| (name, MessageBody::Transfer(transfer)));
-    let answers =
-        transfer_answers().into_iter().map(|(name, answer)| (name, MessageBody::TransferResponse(answer)));
-    let requests =
-        requests().into_iter().map(|(name, body)| (name, MessageBody::Forward { request: 77_000, body }));
-    let replies = replies()
+    let heartbeats = heartbeats()
+        .into_iter()
+        .map(|(name, heartbeat)| (name, MessageBody::Heartbeat(heartbeat)));
+    let transfers = transfers()
+        .into_iter()
+        .map(|(name, transfer)| (name, MessageBody::Transfer(transfer)));
+    let answers = transfer_answers()
         .into_iter()
-        .map(|(name, reply)| (name, MessageBody::ForwardResponse { request: 77_000, reply }));
+        .map(|(name, answer)| (name, MessageBody::TransferResponse(answer)));
+    let requests = requests().into_iter().map(|(name, body)| {
+        (
+            name,
+            MessageBody::Forward {
+                request: 77_000,
+                body,
+            },
+        )
+    });
+    let replies = replies().into_iter().map(|(name, reply)| {
+        (
+            name,
+            MessageBody::ForwardResponse {
+                request: 77_000,
+                reply,
+            },
+        )
+    });
     let bodies = protocol_bodies().into_iter();
-    bodies.chain(heartbeats).chain(transfers).chain(answers).chain(requests).chain(replies).collect()
+    bodies
+        .chain(heartbeats)
+        .chain(transfers)
+        .chain(answers)
+        .chain(requests)
+        .chain(replies)
+        .collect()
 }
 
 fn message(body: MessageBody) -> Message {
-    Message { sender: joiner().identity, epoch: 3, body }
+    Message {
+        sender: joiner().identity,
+        epoch: 3,
+        body,
+    }
 }
 
 #[test]
 fn every_kind_of_stored_record_has_a_sample() {
     let records = durable_records();
-    assert_every_kind_is_sampled(RECORD_KINDS, records.iter().map(|(_, record)| record_kind(record)));
+    assert_every_kind_is_sampled(
+        RECORD_KINDS,
+        records.iter().map(|(_, record)| record_kind(record)),
+    );
 }
 
 #[test]
@@ -307,24 +528,38 @@
     let healths = heartbeats();
     assert_every_kind_is_sampled(
         HEALTH_KINDS,
-        healths.iter().map(|(_, heartbeat)| health_kind(&heartbeat.health)),
+        healths
+            .iter()
+            .map(|(_, heartbeat)| health_kind(&heartbeat.health)),
     );
     let transfers = transfers();
     assert_every_kind_is_sampled(
         PURPOSE_KINDS,
-        transfers.iter().map(|(_, transfer)| purpose_kind(&transfer.purpose)),
+        transfers
+            .iter()
+            .map(|(_, transfer)| purpose_kind(&transfer.purpose)),
     );
     assert_every_kind_is_sampled(
         PAYLOAD_KINDS,
-        transfers.iter().map(|(_, transfer)| payload_kind(&transfer.payload)),
+        transfers
+            .iter()
+            .map(|(_, transfer)| payload_kind(&transfer.payload)),
     );
     let answers = transfer_answers();
     assert_every_kind_is_sampled(
         PURPOSE_KINDS,
-        answers.iter().map(|(_, answer)| purpose_kind(&answer.purpose)),
+        answers
+            .iter()
+            .map(|(_, answer)| purpose_kind(&answer.purpose)),
+    );
+    assert_every_kind_is_sampled(
+        REQUEST_KINDS,
+        requests().iter().map(|(_, request)| request_kind(request)),
+    );
+    assert_every_kind_is_sampled(
+        REPLY_KINDS,
+        replies().iter().map(|(_, reply)| reply_kind(reply)),
     );
-    assert_every_kind_is_sampled(REQUEST_KINDS, requests().iter().map(|(_, request)| request_kind(request)));
-    assert_every_kind_is_sampled(REPLY_KINDS, replies().iter().map(|(_, reply)| reply_kind(reply)));
 }
 
 #[test]
@@ -344,23 +579,40 @@
 /// A message as it goes over a connection between two control nodes: length, sender's listener, envelope.
 #[test]
 fn frames_between_control_nodes_are_encoded_as_recorded() {
-    let envelope = Envelope::new(message(MessageBody::Prepare { proposal_number: proposal_number() }));
+    let envelope = Envelope::new(message(MessageBody::Prepare {
+        proposal_number: proposal_number(),
+    }));
     let from = member(15, 7661).address;
-    let encoded = frame::encode(&PeerFrame { from, envelope: envelope.encode() });
+    let encoded = frame::encode(&PeerFrame {
+        from,
+        envelope: envelope.encode(),
+    });
     assert_bytes_as_recorded(PEER_FRAMES, &[("prepare", encoded)]);
     let recorded = &read_fixture(PEER_FRAMES)["prepare"];
     let (length, body) = recorded.split_first_chunk::<4>().expect("a length");
     assert_eq!(u32::from_le_bytes(*length) as usize, body.len());
     let decoded: PeerFrame = bitcode::decode(body).expect("a readable frame");
     assert_eq!(decoded.from, from);
-    assert_eq!(Envelope::decode(&decoded.envelope).expect("a readable message"), envelope);
+    assert_eq!(
+        Envelope::decode(&decoded.envelope).expect("a readable message"),
+        envelope
+    );
     assert_eq!(&frame::encode(&decoded), recorded);
 }
 
-async fn append(disk: &Disk, completions: &mut Completions, ticket: u64, records: &[DurableRecord]) {
-    disk.append(PersistTicket(ticket), records).expect("the writer takes it");
+async fn append(
+    disk: &Disk,
+    completions: &mut Completions,
+    ticket: u64,
+    records: &[DurableRecord],
+) {
+    disk.append(PersistTicket(ticket), records)
+        .expect("the writer takes it");
     let completion = completions.next().await.expect("an outcome");
-    assert_eq!(disk.on_completion(&completion), Some(AppendOutcome::Durable(PersistTicket(ticket))));
+    assert_eq!(
+        disk.on_completion(&completion),
+        Some(AppendOutcome::Durable(PersistTicket(ticket)))
+    );
 }
 
 async fn snapshot(disk: &Disk, completions: &mut Completions, records: &[DurableRecord]) {
@@ -371,21 +623,40 @@
 }
 
 fn all_records() -> Vec<DurableRecord> {
-    durable_records().into_iter().map(|(_, record)| record).collect()
+    durable_records()
+        .into_iter()
+        .map(|(_, record)| record)
+        .collect()
 }
 
 /// Appends every record, replaces them by a snapshot of them, and appends them once more: each by itself, then two.
 async fn write_store(folder: &Path) {
     let records = all_records();
-    let OpenedDisk { disk, mut completions, .. } = Disk::open(folder, DISK_BYTES).await.expect("opens");
+    let OpenedDisk {
+        disk,
+        mut completions,
+        ..
+    } = Disk::open(folder, DISK_BYTES).await.expect("opens");
     let mut ticket = 0;
     for record in &records {
-        append(&disk, &mut completions, ticket, std::slice::from_ref(record)).await;
+        append(
+            &disk,
+            &mut completions,
+            ticket,
+            std::slice::from_ref(record),
+        )
+        .await;
         ticket += 1;
     }
     snapshot(&disk, &mut completions, &records).await;
     for record in &records {
-        append(&disk, &mut completions, ticket, std::slice::from_ref(record)).await;
+        append(
+            &disk,
+            &mut completions,
+            ticket,
+            std::slice::from_ref(record),
+        )
+        .await;
         ticket += 1;
     }
     append(&disk, &mut completions, ticket, &records[..2]).await;
@@ -416,8 +687,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     write_store(folder.path()).await;
     let files = files_in(folder.path());
-    let actual: Vec<(&str, Vec<u8>)> =
-        files.iter().map(|(name, bytes)| (name.as_str(), bytes.clone())).collect();
+    let actual: Vec<(&str, Vec<u8>)> = files
+        .iter()
+        .map(|(name, bytes)| (name.as_str(), bytes.clone()))
+        .collect();
     assert_bytes_as_recorded(STORE_FILES, &actual);
 }
 
@@ -428,8 +701,14 @@
     for (name, bytes) in &recorded {
         fs::write(folder.path().join(name), bytes).expect("writes");
     }
-    let recovered = Disk::open(folder.path(), DISK_BYTES).await.expect("opens").recovered;
+    let recovered = Disk::open(folder.path(), DISK_BYTES)
+        .await
+        .expect("opens")
+        .recovered;
     assert_eq!(recovered.records, stored_records());
     assert!(!recovered.cleared);
-    assert_eq!(files_in(folder.path()), recorded.into_iter().collect::<Vec<_>>());
+    assert_eq!(
+        files_in(folder.path()),
+        recorded.into_iter().collect::<Vec<_>>()
+    );
 }
--- a/crates/lockusher-control/tests/recovery.rs
+++ b/crates/lockusher-control/tests/recovery.rs
@@ -2,18 +2,29 @@
 
 mod support;
 
-use lockusher_control::{DurableRecord, Identity, Position, Replica, ReplicaSetup, ReplicatedState, View};
+use lockusher_control::{
+    DurableRecord, Identity, Position, Replica, ReplicaSetup, ReplicatedState, View,
+};
 use support::{address, document, first_view, persist, proposal_number, records, state_of};
 
 /// The seeds are named in another order than that of their addresses.
 fn setup(host: u8, first_start: bool) -> ReplicaSetup {
-    ReplicaSetup { seeds: vec![address(3), address(1), address(2)], ..support::setup(host, first_start) }
+    ReplicaSetup {
+        seeds: vec![address(3), address(1), address(2)],
+        ..support::setup(host, first_start)
+    }
 }
 
 #[test]
 fn seeds_agree_on_the_first_view_without_talk() {
-    let views: Vec<Option<View>> =
-        (1..=3).map(|host| Replica::new(setup(host, true), Vec::new(), 0).0.view().cloned()).collect();
+    let views: Vec<Option<View>> = (1..=3)
+        .map(|host| {
+            Replica::new(setup(host, true), Vec::new(), 0)
+                .0
+                .view()
+                .cloned()
+        })
+        .collect();
     assert!(views[0].is_some());
     assert_eq!(views[0], views[1]);
     assert_eq!(views[0], views[2]);
@@ -25,7 +36,11 @@
     let (wiped, _) = Replica::new(setup(1, false), Vec::new(), 0);
     assert_ne!(first.identity(), wiped.identity());
     assert_eq!(wiped.view(), None);
-    assert!(first.view().is_some_and(|view| !view.is_voter(wiped.identity())));
+    assert!(
+        first
+            .view()
+            .is_some_and(|view| !view.is_voter(wiped.identity()))
+    );
 }
 
 #[test]
@@ -51,13 +66,28 @@
 #[test]
 fn records_of_the_acceptor_count_in_their_epoch_only_and_in_any_order() {
     let view = first_view();
-    let next = View { epoch: 2, ..view.clone() };
-    let identity = DurableRecord::Identity { identity: Identity(5), address: address(1) };
+    let next = View {
+        epoch: 2,
+        ..view.clone()
+    };
+    let identity = DurableRecord::Identity {
+        identity: Identity(5),
+        address: address(1),
+    };
     let log = vec![
         identity,
-        DurableRecord::Promise { epoch: 1, proposal_number: proposal_number(9) },
-        DurableRecord::Promise { epoch: 2, proposal_number: proposal_number(4) },
-        DurableRecord::Promise { epoch: 2, proposal_number: proposal_number(3) },
+        DurableRecord::Promise {
+            epoch: 1,
+            proposal_number: proposal_number(9),
+        },
+        DurableRecord::Promise {
+            epoch: 2,
+            proposal_number: proposal_number(4),
+        },
+        DurableRecord::Promise {
+            epoch: 2,
+            proposal_number: proposal_number(3),
+        },
         DurableRecord::View(next.clone()),
         DurableRecord::View(view),
         DurableRecord::Seal { epoch: 1 },
@@ -67,20 +97,37 @@
 
     let snapshot = replica.snapshot();
     assert!(snapshot.contains(&DurableRecord::View(next)));
-    assert!(snapshot.contains(&DurableRecord::Promise { epoch: 2, proposal_number: proposal_number(4) }));
-    assert!(!snapshot.iter().any(|record| matches!(record, DurableRecord::Seal { .. })));
+    assert!(snapshot.contains(&DurableRecord::Promise {
+        epoch: 2,
+        proposal_number: proposal_number(4)
+    }));
+    assert!(
+        !snapshot
+            .iter()
+            .any(|record| matches!(record, DurableRecord::Seal { .. }))
+    );
 }
 
 /// The second sealed state may come as an entry on top of the first, at the same position.
 #[test]
 fn sealed_states_of_one_epoch_are_all_replayed() {
-    let sealed = Position { epoch: 3, index: Position::SEALED };
+    let sealed = Position {
+        epoch: 3,
+        index: Position::SEALED,
+    };
     let first = ReplicatedState::default().with(document(1));
     let second = first.with(document(2));
     let third = second.with(document(3));
     let log = vec![
-        DurableRecord::State { position: sealed, state: first.clone() },
-        DurableRecord::Entry { position: sealed, previous: first.history_digest(), document: document(2) },
+        DurableRecord::State {
+            position: sealed,
+            state: first.clone(),
+        },
+        DurableRecord::Entry {
+            position: sealed,
+            previous: first.history_digest(),
+            document: document(2),
+        },
         DurableRecord::Entry {
             position: Position { epoch: 4, index: 1 },
             previous: second.history_digest(),
--- a/crates/lockusher-control/tests/stage_assignment_lease.rs
+++ b/crates/lockusher-control/tests/stage_assignment_lease.rs
@@ -102,10 +102,15 @@
         let sent = requested_at + attempt.answered_after + attempt.stalled_for;
         let transit = attempt.transit.min(lease.attempt_limit());
         let fencing_token = lease.fencing_token(sent + skew);
-        if let (Some(fencing_token), true) =
-            (fencing_token, lease.is_confirmed(requested_at + skew, sent + skew))
-        {
-            arrivals.push(Arrival { at: sent + transit, fencing_token, holder });
+        if let (Some(fencing_token), true) = (
+            fencing_token,
+            lease.is_confirmed(requested_at + skew, sent + skew),
+        ) {
+            arrivals.push(Arrival {
+                at: sent + transit,
+                fencing_token,
+                holder,
+            });
         }
     }
     arrivals
--- a/crates/lockusher-control/tests/stage_change_order.rs
+++ b/crates/lockusher-control/tests/stage_change_order.rs
@@ -31,8 +31,13 @@
         let read = read.expect("a request");
         assert!(read > 0, "the request is whole: {text:?}");
         text.push_str(std::str::from_utf8(&buffer[..read]).expect("text"));
-        let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
-        let length = head.lines().find_map(|line| line.strip_prefix("content-length: ")).expect("a length");
+        let Some((head, body)) = text.split_once("\r\n\r\n") else {
+            continue;
+        };
+        let length = head
+            .lines()
+            .find_map(|line| line.strip_prefix("content-length: "))
+            .expect("a length");
         if body.len() == length.parse::<usize>().expect("a number") {
             return text;
         }
@@ -41,16 +46,26 @@
 
 #[compio::test]
 async fn an_order_names_searcher_stage_holder_and_fencing_token() {
-    let listener = TcpListener::bind(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).await.expect("a listener");
-    let SocketAddr::V4(address) = listener.local_addr().expect("an address") else { panic!("IPv4") };
+    let listener = TcpListener::bind(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))
+        .await
+        .expect("a listener");
+    let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
+        panic!("IPv4")
+    };
     let searcher = compio::runtime::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let request = read_request(&mut stream).await;
-        stream.write_all(ANSWER).await.0.expect("the answer is taken");
+        stream
+            .write_all(ANSWER)
+            .await
+            .0
+            .expect("the answer is taken");
         stream.flush().await.expect("the answer is sent");
         request
     });
-    let stream = tcp::connect(address, std::time::Duration::from_secs(5)).await.expect("a connection");
+    let stream = tcp::connect(address, std::time::Duration::from_secs(5))
+        .await
+        .expect("a connection");
     tcp::discard_on_close(&stream).expect("an option");
     let request = stage_change_request(address, &change(address), "node-7", 41).expect("a request");
     let answer = http::exchange(stream, request).await.expect("an answer");
@@ -61,8 +76,7 @@
     assert!(head.contains("content-type: application/json"), "{head}");
     assert!(head.contains("expected-instance: i-7f3a91c2"), "{head}");
     let body: serde_json::Value = serde_json::from_str(body).expect("JSON");
-    let expected =
-        serde_json::json!({"operation": "stage", "stage": "prefill", "holder": "node-7", "fence": 41});
+    let expected = serde_json::json!({"operation": "stage", "stage": "prefill", "holder": "node-7", "fence": 41});
     assert_eq!(body, expected);
 }
 
@@ -76,5 +90,8 @@
     fault = { 500, OrderOutcome::Unknown },
 )]
 fn the_status_of_an_answer_says_what_became_of_the_order(status: u16, outcome: OrderOutcome) {
-    assert_eq!(order_outcome(StatusCode::from_u16(status).expect("a status")), outcome);
+    assert_eq!(
+        order_outcome(StatusCode::from_u16(status).expect("a status")),
+        outcome
+    );
 }
--- a/crates/lockusher-control/tests/stage_scheduler.rs
+++ b/crates/lockusher-control/tests/stage_scheduler.rs
@@ -30,19 +30,33 @@
     fleet.run(120, demanded);
     let settled = fleet.orders.len();
     let counts = StageCounts::by_stage(|stage| fleet.count(stage));
-    let demand = Demand { prefill: prefill_work, decode: streams / f64::from(engine().slots) };
+    let demand = Demand {
+        prefill: prefill_work,
+        decode: streams / f64::from(engine().slots),
+    };
     let best = demand.best_split(prefill + decode, counts.prefill);
     let (reached, least) = (demand.pressure(counts), demand.pressure(best));
     assert!(settled > 0, "something was to be done");
-    assert!(reached <= least * 1.25, "{counts:?}: pressure {reached:.2} where {least:.2} can be had");
+    assert!(
+        reached <= least * 1.25,
+        "{counts:?}: pressure {reached:.2} where {least:.2} can be had"
+    );
     fleet.run(120, demanded);
-    assert_eq!(fleet.orders.len(), settled, "no order once it fits: {:?}", fleet.orders);
+    assert_eq!(
+        fleet.orders.len(),
+        settled,
+        "no order once it fits: {:?}",
+        fleet.orders
+    );
 }
 
 #[test]
 fn the_first_change_comes_within_a_second_of_the_load() {
     let mut fleet = Fleet::new(5, 7);
-    fleet.run(20, |_| ServiceLoad { requests_per_s: 0, ..load(0.0, 0.0) });
+    fleet.run(20, |_| ServiceLoad {
+        requests_per_s: 0,
+        ..load(0.0, 0.0)
+    });
     assert_eq!(fleet.orders, []);
     let seen_at = fleet.now;
     fleet.run(5, |_| load(40.0, 20.0));
@@ -62,17 +76,31 @@
 fn a_load_reported_by_too_few_proxies_is_not_used() {
     let mut fleet = Fleet::new(5, 7);
     for _ in 0..100 {
-        let few = ServiceLoad { proxies: 2, ..load(40.0, 20.0) };
+        let few = ServiceLoad {
+            proxies: 2,
+            ..load(40.0, 20.0)
+        };
         assert_eq!(fleet.observe(&few, PROXIES, OrderOutcome::Accepted), None);
-        assert_eq!(fleet.observe(&load(40.0, 20.0), 0, OrderOutcome::Accepted), None);
+        assert_eq!(
+            fleet.observe(&load(40.0, 20.0), 0, OrderOutcome::Accepted),
+            None
+        );
     }
 }
 
 #[test]
 fn a_full_kv_cache_makes_the_decode_stage_grow() {
     let mut fleet = Fleet::new(9, 3);
-    fleet.run(30, |_| ServiceLoad { decode_tokens: 2_400_000, ..load(2.0, 30.0) });
-    assert!(fleet.orders.iter().all(|(_, change)| change.to == Stage::Decode));
+    fleet.run(30, |_| ServiceLoad {
+        decode_tokens: 2_400_000,
+        ..load(2.0, 30.0)
+    });
+    assert!(
+        fleet
+            .orders
+            .iter()
+            .all(|(_, change)| change.to == Stage::Decode)
+    );
     assert!(fleet.count(Stage::Decode) > 3);
 }
 
@@ -86,42 +114,64 @@
 #[test]
 fn the_searcher_of_the_zone_with_the_most_of_a_stage_changes() {
     let mut fleet = Fleet::new(5, 7);
-    fleet.instances.iter_mut().skip(5).for_each(|one| one.zone = "north".to_owned());
+    fleet
+        .instances
+        .iter_mut()
+        .skip(5)
+        .for_each(|one| one.zone = "north".to_owned());
     fleet.instances[11].zone = "south".to_owned();
     fleet.run(3, |_| load(40.0, 20.0));
     let change = &fleet.orders[0].1;
-    let chosen =
-        fleet.instances.iter().find(|one| one.identifier == change.identifier).expect("it is listed");
+    let chosen = fleet
+        .instances
+        .iter()
+        .find(|one| one.identifier == change.identifier)
+        .expect("it is listed");
     assert_eq!(chosen.zone, "north");
 }
 
 #[test]
 fn the_last_searcher_of_a_model_stays() {
     let mut fleet = Fleet::new(2, 3);
-    let rare = ModelVersion { name: "rare".to_owned(), version: 1 };
+    let rare = ModelVersion {
+        name: "rare".to_owned(),
+        version: 1,
+    };
     fleet.instances[4].models.push(rare);
     fleet.run(60, |_| load(40.0, 5.0));
-    assert!(fleet.orders.iter().all(|(_, change)| change.identifier != "i-4"));
+    assert!(
+        fleet
+            .orders
+            .iter()
+            .all(|(_, change)| change.identifier != "i-4")
+    );
 }
 
 #[parameterized(
     rejected = { OrderOutcome::Rejected, false },
     not_sent = { OrderOutcome::NotSent, true },
 )]
-fn an_order_that_was_not_accepted_leaves_no_change_in_flight(outcome: OrderOutcome, same_again: bool) {
+fn an_order_that_was_not_accepted_leaves_no_change_in_flight(
+    outcome: OrderOutcome,
+    same_again: bool,
+) {
     let mut fleet = Fleet::new(5, 7);
     let heavy = load(40.0, 20.0);
-    let first = (0..8).find_map(|_| fleet.observe(&heavy, PROXIES, outcome)).expect("an order");
+    let first = (0..8)
+        .find_map(|_| fleet.observe(&heavy, PROXIES, outcome))
+        .expect("an order");
     assert_eq!(fleet.scheduler.changes_in_flight().count(), 0);
-    let second = (0..8).find_map(|_| fleet.observe(&heavy, PROXIES, outcome)).expect("another order");
+    let second = (0..8)
+        .find_map(|_| fleet.observe(&heavy, PROXIES, outcome))
+        .expect("another order");
     assert_eq!(first.identifier == second.identifier, same_again);
 }
 
 #[test]
 fn a_service_that_does_not_support_the_order_is_left_alone() {
     let mut fleet = Fleet::new(5, 7);
-    let orders =
-        (0..400).filter_map(|_| fleet.observe(&load(40.0, 20.0), PROXIES, OrderOutcome::Unsupported));
+    let orders = (0..400)
+        .filter_map(|_| fleet.observe(&load(40.0, 20.0), PROXIES, OrderOutcome::Unsupported));
     assert_eq!(orders.count(), 1);
 }
 
@@ -129,10 +179,22 @@
 fn an_order_without_an_answer_counts_as_in_flight() {
     let mut fleet = Fleet::new(5, 7);
     let heavy = load(40.0, 20.0);
-    let first = (0..8).find_map(|_| fleet.observe(&heavy, PROXIES, OrderOutcome::Unknown)).expect("an order");
-    assert!(fleet.scheduler.changes_in_flight().any(|change| *change == first), "it counts as in flight");
+    let first = (0..8)
+        .find_map(|_| fleet.observe(&heavy, PROXIES, OrderOutcome::Unknown))
+        .expect("an order");
+    assert!(
+        fleet
+            .scheduler
+            .changes_in_flight()
+            .any(|change| *change == first),
+        "it counts as in flight"
+    );
     fleet.run(60, |_| load(0.5, 1.0));
-    assert_eq!(fleet.scheduler.changes_in_flight().count(), 0, "the list never showed it");
+    assert_eq!(
+        fleet.scheduler.changes_in_flight().count(),
+        0,
+        "the list never showed it"
+    );
 }
 
 proptest! {
--- a/crates/lockusher-control/tests/state.rs
+++ b/crates/lockusher-control/tests/state.rs
@@ -29,8 +29,12 @@
     assert_eq!(two, start.with(document(1)).with(document(2)));
     assert_eq!(two.previous_history_digest(), one.history_digest());
     let other = start.with(document(2));
-    let history_digests =
-        [start.history_digest(), one.history_digest(), two.history_digest(), other.history_digest()];
+    let history_digests = [
+        start.history_digest(),
+        one.history_digest(),
+        two.history_digest(),
+        other.history_digest(),
+    ];
     for (index, history_digest) in history_digests.iter().enumerate() {
         assert!(!history_digests[..index].contains(history_digest));
     }
--- a/crates/lockusher-control/tests/support/machines.rs
+++ b/crates/lockusher-control/tests/support/machines.rs
@@ -38,8 +38,14 @@
             continue;
         }
         let is_free = |host: &Ipv4Addr, port: u16| TcpListener::bind((*host, port)).is_ok();
-        if hosts.iter().all(|host| (port..=port + 2).all(|port| is_free(host, port))) {
-            return Ports { internal: port, operator: port + 2 };
+        if hosts
+            .iter()
+            .all(|host| (port..=port + 2).all(|port| is_free(host, port)))
+        {
+            return Ports {
+                internal: port,
+                operator: port + 2,
+            };
         }
     }
     panic!("no three neighbouring ports are free");
@@ -99,15 +105,32 @@
 
     /// Puts a configuration, again while the answer is 503, as an operator does; the decision's status.
     pub async fn put(&self, if_match: &str, body: &str) -> StatusCode {
-        let put = async || call(self.operator, Method::PUT, "/api/configuration", Some(if_match), body).await;
+        let put = async || {
+            call(
+                self.operator,
+                Method::PUT,
+                "/api/configuration",
+                Some(if_match),
+                body,
+            )
+            .await
+        };
         decided(put).await.status
     }
 
     /// Sends a patch, again while the answer is 503, as an operator does.
     pub async fn patch(&self, if_match: &str, body: &Value) -> Answer {
         let body = body.to_string();
-        let patch =
-            async || call(self.operator, Method::PATCH, "/api/configuration", Some(if_match), &body).await;
+        let patch = async || {
+            call(
+                self.operator,
+                Method::PATCH,
+                "/api/configuration",
+                Some(if_match),
+                &body,
+            )
+            .await
+        };
         decided(patch).await
     }
 
@@ -119,7 +142,10 @@
             if reached(&status) {
                 return status;
             }
-            assert!(started.elapsed() < LIMIT, "{state} doesn't come about: {status}");
+            assert!(
+                started.elapsed() < LIMIT,
+                "{state} doesn't come about: {status}"
+            );
         }
     }
 }
@@ -139,7 +165,10 @@
     let hosts: Vec<Ipv4Addr> = hosts.iter().copied().map(Ipv4Addr::from).collect();
     let ports = free_ports(&hosts);
     let operator = |host: &Ipv4Addr| SocketAddrV4::new(*host, ports.operator);
-    let seeds: Vec<String> = hosts.iter().map(|host| operator(host).to_string()).collect();
+    let seeds: Vec<String> = hosts
+        .iter()
+        .map(|host| operator(host).to_string())
+        .collect();
     let machine = |host: &Ipv4Addr| {
         let folder = tempfile::tempdir().expect("a folder");
         let settings = format!(
@@ -151,7 +180,12 @@
             operator(host),
             folder.path().display(),
         );
-        Machine { operator: operator(host), settings, folder, running: None }
+        Machine {
+            operator: operator(host),
+            settings,
+            folder,
+            running: None,
+        }
     };
     hosts.iter().map(machine).collect()
 }
@@ -197,11 +231,16 @@
     let stream = HyperStream::new_plain(stream.into_poll_fd().ok()?);
     let (mut sender, connection) = hyper::client::conn::http1::handshake(stream).await.ok()?;
     let _driver = compio::runtime::spawn(connection);
-    let mut request = Request::builder().method(method).uri(path).header("host", address.to_string());
+    let mut request = Request::builder()
+        .method(method)
+        .uri(path)
+        .header("host", address.to_string());
     if let Some(version) = if_match {
         request = request.header("if-match", version);
     }
-    let request = request.body(FullBody::from(body.to_owned())).expect("a request");
+    let request = request
+        .body(FullBody::from(body.to_owned()))
+        .expect("a request");
     let response = sender.send_request(request).await.ok()?;
     let status = response.status();
     let body = response.into_body().collect().await.ok()?.to_bytes();
--- a/crates/lockusher-control/tests/support/mod.rs
+++ b/crates/lockusher-control/tests/support/mod.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use lockusher_control::{
-    ConfigurationDocument, DurableRecord, Effect, Event, Identity, PersistTicket, ProposalNumber, Replica,
-    ReplicaSetup, ReplicatedState, View,
+    ConfigurationDocument, DurableRecord, Effect, Event, Identity, PersistTicket, ProposalNumber,
+    Replica, ReplicaSetup, ReplicatedState, View,
 };
 
 /// Internal listener of a node.
@@ -40,11 +40,18 @@
 /// A view of the same voters with this chain.
 pub fn view(epoch: u64, chain: &[u8]) -> View {
     let chain = chain.iter().map(|host| identity(*host)).collect();
-    View { epoch, chain, ..first_view() }
+    View {
+        epoch,
+        chain,
+        ..first_view()
+    }
 }
 
 pub fn proposal_number(counter: u64) -> ProposalNumber {
-    ProposalNumber { counter, proposer: 1 }
+    ProposalNumber {
+        counter,
+        proposer: 1,
+    }
 }
 
 /// A configuration whose content is its version.
@@ -54,7 +61,11 @@
 
 /// The state after configurations of these versions.
 pub fn state(versions: &[u64]) -> ReplicatedState {
-    versions.iter().fold(ReplicatedState::default(), |state, version| state.with(document(*version)))
+    versions
+        .iter()
+        .fold(ReplicatedState::default(), |state, version| {
+            state.with(document(*version))
+        })
 }
 
 /// Tickets of the writes asked for, in order.
@@ -78,13 +89,19 @@
 /// All writes asked for become durable; returns what follows.
 pub fn persist(replica: &mut Replica, now: u64, effects: &[Effect]) -> Vec<Effect> {
     let tickets = tickets(effects);
-    tickets.into_iter().flat_map(|ticket| replica.handle(now, Event::Persisted { ticket })).collect()
+    tickets
+        .into_iter()
+        .flat_map(|ticket| replica.handle(now, Event::Persisted { ticket }))
+        .collect()
 }
 
 /// The replica's state, by the snapshot that it would write.
 pub fn state_of(replica: &Replica) -> Option<ReplicatedState> {
-    replica.snapshot().into_iter().find_map(|record| match record {
-        DurableRecord::State { state, .. } => Some(state),
-        _ => None,
-    })
+    replica
+        .snapshot()
+        .into_iter()
+        .find_map(|record| match record {
+            DurableRecord::State { state, .. } => Some(state),
+            _ => None,
+        })
 }
--- a/crates/lockusher-control/tests/support/staged_fleet.rs
+++ b/crates/lockusher-control/tests/support/staged_fleet.rs
@@ -38,7 +38,12 @@
         header_timeout_ms: 1_000,
         idle_timeout_ms: 1_000,
     };
-    Configuration { version: 1, routes: Vec::new(), services: vec![service], limits }
+    Configuration {
+        version: 1,
+        routes: Vec::new(),
+        services: vec![service],
+        limits,
+    }
 }
 
 pub fn searcher(number: usize, stage: Stage) -> Instance {
@@ -52,13 +57,24 @@
         state: InstanceState::Ready,
         cold_remaining_ms: 0,
         stage: Some(stage),
-        models: vec![ModelVersion { name: "m".to_owned(), version: 1 }],
+        models: vec![ModelVersion {
+            name: "m".to_owned(),
+            version: 1,
+        }],
     }
 }
 
 fn searchers(prefill: usize, decode: usize) -> Vec<Instance> {
-    let stage = |number| if number < prefill { Stage::Prefill } else { Stage::Decode };
-    (0..prefill + decode).map(|number| searcher(number, stage(number))).collect()
+    let stage = |number| {
+        if number < prefill {
+            Stage::Prefill
+        } else {
+            Stage::Decode
+        }
+    };
+    (0..prefill + decode)
+        .map(|number| searcher(number, stage(number)))
+        .collect()
 }
 
 pub fn load(prefill_in_flight: f64, decode_in_flight: f64) -> ServiceLoad {
@@ -100,8 +116,9 @@
     }
 
     pub fn count(&self, stage: Stage) -> usize {
-        let serves =
-            |instance: &&Instance| instance.stage == Some(stage) && instance.state == InstanceState::Ready;
+        let serves = |instance: &&Instance| {
+            instance.stage == Some(stage) && instance.state == InstanceState::Ready
+        };
         self.instances.iter().filter(serves).count()
     }
 
@@ -115,7 +132,10 @@
         self.now += OBSERVATION_INTERVAL_MS;
         let now = self.now;
         for (_, change) in self.in_flight.extract_if(.., |(done, _)| *done <= now) {
-            let instance = self.instances.iter_mut().find(|one| one.identifier == change.identifier);
+            let instance = self
+                .instances
+                .iter_mut()
+                .find(|one| one.identifier == change.identifier);
             let Some(instance) = instance else { continue };
             instance.stage = Some(change.to);
             instance.state = InstanceState::Ready;
@@ -132,9 +152,13 @@
         let change = self.scheduler.next_change(&seen)?;
         self.scheduler.order_completed(now, &change, outcome);
         if outcome == OrderOutcome::Accepted {
-            let instance = self.instances.iter_mut().find(|one| one.identifier == change.identifier);
+            let instance = self
+                .instances
+                .iter_mut()
+                .find(|one| one.identifier == change.identifier);
             instance.expect("a searcher that is listed").state = InstanceState::Changing;
-            self.in_flight.push((now + SWITCH_MS + LIST_LAG_MS + 1_000, change.clone()));
+            self.in_flight
+                .push((now + SWITCH_MS + LIST_LAG_MS + 1_000, change.clone()));
         }
         self.orders.push((now, change.clone()));
         Some(change)
--- a/crates/lockusher-control/tests/view_agreement.rs
+++ b/crates/lockusher-control/tests/view_agreement.rs
@@ -55,7 +55,10 @@
 
 fn proposal_number(attempt: usize) -> ProposalNumber {
     let (counter, proposer) = ATTEMPTS[attempt];
-    ProposalNumber { counter, proposer: proposer as u64 }
+    ProposalNumber {
+        counter,
+        proposer: proposer as u64,
+    }
 }
 
 fn identity(voter: usize) -> Identity {
@@ -64,7 +67,11 @@
 
 /// The view that a proposer wants; views are told apart by their chains.
 fn preferred_view(proposer: usize) -> View {
-    View { epoch: EPOCH + 1, voters: Vec::new(), chain: vec![identity(proposer)] }
+    View {
+        epoch: EPOCH + 1,
+        voters: Vec::new(),
+        chain: vec![identity(proposer)],
+    }
 }
 
 fn number_of(view: &View) -> usize {
@@ -78,13 +85,19 @@
         for attempt in 0..ATTEMPTS.len() {
             states.extend(self.start_attempt(attempt));
             for voter in 0..VOTERS {
-                states.extend(self.prepare(attempt, voter, after_disk_loss).into_iter().flatten());
+                states.extend(
+                    self.prepare(attempt, voter, after_disk_loss)
+                        .into_iter()
+                        .flatten(),
+                );
             }
         }
         for (proposal_number, view) in &self.proposed {
             for voter in 0..VOTERS {
                 states.extend(
-                    self.accept(*proposal_number, *view, voter, after_disk_loss).into_iter().flatten(),
+                    self.accept(*proposal_number, *view, voter, after_disk_loss)
+                        .into_iter()
+                        .flatten(),
                 );
             }
         }
@@ -96,14 +109,18 @@
 
     fn start_attempt(&self, attempt: usize) -> Option<State> {
         let (_, proposer) = ATTEMPTS[attempt];
-        let earlier = (0..attempt).all(|earlier| ATTEMPTS[earlier].1 != proposer || self.started[earlier]);
+        let earlier =
+            (0..attempt).all(|earlier| ATTEMPTS[earlier].1 != proposer || self.started[earlier]);
         if self.started[attempt] || !earlier {
             return None;
         }
         let mut next = self.clone();
         next.started[attempt] = true;
-        next.attempts[proposer] =
-            Some(Proposer::new(proposal_number(attempt), preferred_view(proposer), MAJORITY));
+        next.attempts[proposer] = Some(Proposer::new(
+            proposal_number(attempt),
+            preferred_view(proposer),
+            MAJORITY,
+        ));
         Some(next)
     }
 
@@ -114,25 +131,39 @@
     /// The voter's state comes back from its records, as after a restart.
     fn restart(&mut self, voter: usize) {
         let mut restored = AcceptorState::default();
-        self.voters[voter].acceptor.records(EPOCH).iter().for_each(|record| restored.recover(record));
+        self.voters[voter]
+            .acceptor
+            .records(EPOCH)
+            .iter()
+            .for_each(|record| restored.recover(record));
         assert_eq!(restored, self.voters[voter].acceptor);
         self.voters[voter].acceptor = restored;
     }
 
     /// A voter is sent a prepare: the states in which its answer is lost and in which it arrives.
-    fn prepare(&self, attempt: usize, voter: usize, after_disk_loss: AfterDiskLoss) -> Option<[State; 2]> {
+    fn prepare(
+        &self,
+        attempt: usize,
+        voter: usize,
+        after_disk_loss: AfterDiskLoss,
+    ) -> Option<[State; 2]> {
         if !self.started[attempt] || !self.may_vote(voter, after_disk_loss) {
             return None;
         }
         let (mut response_lost, proposal_number) = (self.clone(), proposal_number(attempt));
-        response_lost.voters[voter].acceptor.prepare(proposal_number).ok()?;
+        response_lost.voters[voter]
+            .acceptor
+            .prepare(proposal_number)
+            .ok()?;
         response_lost.restart(voter);
         let mut response_received = response_lost.clone();
         let accepted: Option<AcceptedView> = response_lost.voters[voter].acceptor.accepted.clone();
         if let Some(attempt) = response_received.attempt_of(proposal_number)
             && attempt.on_prepare_response(identity(voter), proposal_number, accepted)
         {
-            let view = attempt.proposed().map(|view| (proposal_number, number_of(view)));
+            let view = attempt
+                .proposed()
+                .map(|view| (proposal_number, number_of(view)));
             response_received.proposed.extend(view);
         }
         Some([response_lost, response_received])
@@ -150,12 +181,17 @@
             return None;
         }
         let mut response_lost = self.clone();
-        response_lost.voters[voter].acceptor.accept(proposal_number, preferred_view(view)).ok()?;
+        response_lost.voters[voter]
+            .acceptor
+            .accept(proposal_number, preferred_view(view))
+            .ok()?;
         response_lost.restart(voter);
         response_lost.acceptances.insert((proposal_number, voter));
         let mut response_received = response_lost.clone();
         if let Some(attempt) = response_received.attempt_of(proposal_number) {
-            let agreed = attempt.on_accept_response(identity(voter), proposal_number).map(number_of);
+            let agreed = attempt
+                .on_accept_response(identity(voter), proposal_number)
+                .map(number_of);
             response_received.agreed.extend(agreed);
         }
         Some([response_lost, response_received])
@@ -168,7 +204,10 @@
 
     fn lose_disk(&self, voter: usize) -> State {
         let mut next = self.clone();
-        next.voters[voter] = Voter { acceptor: AcceptorState::default(), lost_its_disk: true };
+        next.voters[voter] = Voter {
+            acceptor: AcceptorState::default(),
+            lost_its_disk: true,
+        };
         next
     }
 
@@ -182,7 +221,10 @@
     }
 
     fn acceptances(&self, searched: ProposalNumber) -> usize {
-        self.acceptances.iter().filter(|(proposal_number, _)| *proposal_number == searched).count()
+        self.acceptances
+            .iter()
+            .filter(|(proposal_number, _)| *proposal_number == searched)
+            .count()
     }
 
     /// Voters that would confirm to a head that its epoch is the newest they know.
--- a/crates/lockusher-control/tests/view_change.rs
+++ b/crates/lockusher-control/tests/view_change.rs
@@ -15,7 +15,10 @@
 /// Node `number` has this identity and the address with the same number.
 fn member(number: u64) -> Member {
     let host = u8::try_from(number % 200).expect("a small number");
-    Member { identity: Identity(number), address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, host), 7000) }
+    Member {
+        identity: Identity(number),
+        address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, host), 7000),
+    }
 }
 
 fn identities(numbers: &[u64]) -> Vec<Identity> {
@@ -24,11 +27,19 @@
 
 fn view(voters: &[u64], chain: &[u64]) -> View {
     let voters = voters.iter().map(|number| member(*number)).collect();
-    View { epoch: 4, voters, chain: identities(chain) }
+    View {
+        epoch: 4,
+        voters,
+        chain: identities(chain),
+    }
 }
 
 fn joiner(number: u64) -> JoinCandidate {
-    JoinCandidate { member: member(number), caught_up: true, has_sealed_state: false }
+    JoinCandidate {
+        member: member(number),
+        caught_up: true,
+        has_sealed_state: false,
+    }
 }
 
 /// Node 1 sees all that is in `healthy_members` as well, and nothing else.
@@ -60,7 +71,10 @@
 #[test]
 fn a_lost_member_is_left_out_in_order() {
     let view = view(&[1, 2, 3], &[3, 1, 2]);
-    assert_eq!(chain_of(plan_view_change(&context(&view, &[1, 2]))), Some(identities(&[1, 2])));
+    assert_eq!(
+        chain_of(plan_view_change(&context(&view, &[1, 2]))),
+        Some(identities(&[1, 2]))
+    );
 }
 
 #[test]
@@ -68,17 +82,29 @@
     let view = view(&[1, 2, 3], &[1, 2]);
     let mut context = context(&view, &[1]);
     assert_eq!(plan_view_change(&context), None);
-    context.join_candidates = vec![JoinCandidate { caught_up: false, ..joiner(3) }];
-    assert_eq!(chain_of(plan_view_change(&context)), Some(identities(&[1, 3])));
+    context.join_candidates = vec![JoinCandidate {
+        caught_up: false,
+        ..joiner(3)
+    }];
+    assert_eq!(
+        chain_of(plan_view_change(&context)),
+        Some(identities(&[1, 3]))
+    );
 }
 
 #[test]
 fn a_node_with_a_new_disk_replaces_its_former_identity() {
     let view = view(&[1, 2, 3], &[1, 2]);
     let mut context = context(&view, &[1, 2]);
-    let renewed = Member { identity: Identity(30), ..member(3) };
-    context.join_candidates =
-        vec![JoinCandidate { member: renewed, caught_up: true, has_sealed_state: false }];
+    let renewed = Member {
+        identity: Identity(30),
+        ..member(3)
+    };
+    context.join_candidates = vec![JoinCandidate {
+        member: renewed,
+        caught_up: true,
+        has_sealed_state: false,
+    }];
     let change = plan_view_change(&context).expect("a view with the new disk");
     assert_eq!(change.view.voters, vec![member(1), member(2), renewed]);
     assert_eq!(change.view.chain, identities(&[1, 2, 30]));
@@ -100,7 +126,10 @@
     let small = view(&[1, 2, 3], &[1, 2, 3]);
     let mut grows = context(&small, &[1, 2, 3]);
     grows.join_candidates = vec![joiner(4), joiner(5)];
-    assert_eq!(plan_view_change(&grows).map(|change| change.view.voters.len()), Some(4));
+    assert_eq!(
+        plan_view_change(&grows).map(|change| change.view.voters.len()),
+        Some(4)
+    );
     let large = view(&numbers, &numbers);
     let mut full = context(&large, &numbers);
     full.join_candidates = vec![joiner(20)];
@@ -112,7 +141,10 @@
     let large = view(&[1, 2, 3, 4], &[1, 2, 3]);
     let mut context = context(&large, &[1, 2, 3]);
     context.removable = identities(&[4]);
-    assert_eq!(plan_view_change(&context).map(|change| change.view.voters.len()), Some(3));
+    assert_eq!(
+        plan_view_change(&context).map(|change| change.view.voters.len()),
+        Some(3)
+    );
     context.minimum_voters = 4;
     assert_eq!(plan_view_change(&context), None);
 }
--- a/crates/lockusher-control/tests/voting.rs
+++ b/crates/lockusher-control/tests/voting.rs
@@ -22,31 +22,53 @@
         Effect::Send { to, message } if *to == address(1) => Some(message.body.clone()),
         _ => None,
     });
-    sent.filter(|body| !matches!(body, MessageBody::Heartbeat(_))).collect()
+    sent.filter(|body| !matches!(body, MessageBody::Heartbeat(_)))
+        .collect()
 }
 
 /// A message comes from the first seed, the head of the first view.
 fn receive_from_head(replica: &mut Replica, epoch: u64, body: MessageBody) -> Vec<Effect> {
-    let message = Message { sender: identity(1), epoch, body };
-    replica.handle(START, Event::Message { from: address(1), message })
+    let message = Message {
+        sender: identity(1),
+        epoch,
+        body,
+    };
+    replica.handle(
+        START,
+        Event::Message {
+            from: address(1),
+            message,
+        },
+    )
 }
 
 fn next_view() -> View {
-    View { epoch: 2, ..first_view() }
+    View {
+        epoch: 2,
+        ..first_view()
+    }
 }
 
 #[test]
 fn a_prepare_is_answered_once_its_promise_is_durable() {
     let mut voter = started_voter();
 
-    let effects =
-        receive_from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(3) });
+    let effects = receive_from_head(
+        &mut voter,
+        1,
+        MessageBody::Prepare {
+            proposal_number: proposal_number(3),
+        },
+    );
     assert_eq!(responses(&effects), Vec::new());
     let effects = persist(&mut voter, START, &effects);
 
     assert_eq!(
         responses(&effects),
-        vec![MessageBody::PrepareResponse { proposal_number: proposal_number(3), accepted: None }]
+        vec![MessageBody::PrepareResponse {
+            proposal_number: proposal_number(3),
+            accepted: None
+        }]
     );
 }
 
@@ -54,31 +76,58 @@
 fn a_prepare_is_not_answered_after_a_refused_write_until_a_retry_is_durable() {
     let mut voter = started_voter();
 
-    let effects =
-        receive_from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(3) });
+    let effects = receive_from_head(
+        &mut voter,
+        1,
+        MessageBody::Prepare {
+            proposal_number: proposal_number(3),
+        },
+    );
     let first = tickets(&effects)[0];
-    assert_eq!(responses(&voter.handle(START, Event::PersistFailed { ticket: first })), Vec::new());
-    assert_eq!(responses(&voter.handle(START, Event::Persisted { ticket: first })), Vec::new());
+    assert_eq!(
+        responses(&voter.handle(START, Event::PersistFailed { ticket: first })),
+        Vec::new()
+    );
+    assert_eq!(
+        responses(&voter.handle(START, Event::Persisted { ticket: first })),
+        Vec::new()
+    );
     let retry = voter.handle(START + 300, Event::Tick);
     let effects = persist(&mut voter, START, &retry);
 
     assert_eq!(
         responses(&effects),
-        vec![MessageBody::PrepareResponse { proposal_number: proposal_number(3), accepted: None }]
+        vec![MessageBody::PrepareResponse {
+            proposal_number: proposal_number(3),
+            accepted: None
+        }]
     );
 }
 
 #[test]
 fn an_accept_below_the_promised_proposal_number_is_rejected() {
     let mut voter = started_voter();
-    let effects =
-        receive_from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(3) });
+    let effects = receive_from_head(
+        &mut voter,
+        1,
+        MessageBody::Prepare {
+            proposal_number: proposal_number(3),
+        },
+    );
     persist(&mut voter, START, &effects);
 
-    let body = MessageBody::Accept { proposal_number: proposal_number(2), view: next_view() };
+    let body = MessageBody::Accept {
+        proposal_number: proposal_number(2),
+        view: next_view(),
+    };
     let effects = receive_from_head(&mut voter, 1, body);
 
-    assert_eq!(responses(&effects), vec![MessageBody::ProposalRejected { promised: proposal_number(3) }]);
+    assert_eq!(
+        responses(&effects),
+        vec![MessageBody::ProposalRejected {
+            promised: proposal_number(3)
+        }]
+    );
 }
 
 #[test]
@@ -87,17 +136,27 @@
     let effects = receive_from_head(
         &mut voter,
         1,
-        MessageBody::Accept { proposal_number: proposal_number(3), view: next_view() },
+        MessageBody::Accept {
+            proposal_number: proposal_number(3),
+            view: next_view(),
+        },
     );
     assert_eq!(responses(&effects), Vec::new());
     let effects = persist(&mut voter, START, &effects);
     assert_eq!(
         responses(&effects),
-        vec![MessageBody::AcceptResponse { proposal_number: proposal_number(3) }]
+        vec![MessageBody::AcceptResponse {
+            proposal_number: proposal_number(3)
+        }]
     );
 
-    let effects =
-        receive_from_head(&mut voter, 1, MessageBody::Prepare { proposal_number: proposal_number(4) });
+    let effects = receive_from_head(
+        &mut voter,
+        1,
+        MessageBody::Prepare {
+            proposal_number: proposal_number(4),
+        },
+    );
     let effects = persist(&mut voter, START, &effects);
 
     let responses = responses(&effects);
@@ -124,7 +183,10 @@
     receive_from_head(
         &mut voter,
         1,
-        MessageBody::Accept { proposal_number: proposal_number(3), view: next_view() },
+        MessageBody::Accept {
+            proposal_number: proposal_number(3),
+            view: next_view(),
+        },
     );
     let effects = receive_from_head(&mut voter, 1, MessageBody::ConfirmEpoch { sequence: 6 });
 
@@ -157,8 +219,13 @@
 
     // In succession, at the same replica: none may change what it answers to the next.
     for body in [
-        MessageBody::Prepare { proposal_number: proposal_number(9) },
-        MessageBody::Accept { proposal_number: proposal_number(9), view: next_view() },
+        MessageBody::Prepare {
+            proposal_number: proposal_number(9),
+        },
+        MessageBody::Accept {
+            proposal_number: proposal_number(9),
+            view: next_view(),
+        },
         MessageBody::ConfirmEpoch { sequence: 1 },
     ] {
         let effects = receive_from_head(&mut wiped, 1, body);
--- a/crates/lockusher-distribution/src/departures.rs
+++ b/crates/lockusher-distribution/src/departures.rs
@@ -66,7 +66,9 @@
 impl DepartedInstances {
     /// Records that a searcher has departed; true if that is new.
     pub fn record(&mut self, now_ms: u64, identifier: &str, departure: Departure) -> bool {
-        let is_new = self.departure_of(now_ms, identifier).is_none_or(|known| departure > known);
+        let is_new = self
+            .departure_of(now_ms, identifier)
+            .is_none_or(|known| departure > known);
         let times = self.instances.entry(identifier.to_owned()).or_default();
         match departure {
             Departure::Draining => times.draining_at_ms = Some(now_ms),
@@ -80,14 +82,29 @@
     /// Records all that the list `newer` shows as departed, `older` being the list in force before it. `newer` is as it
     /// was received, not as [`DepartedInstances::apply`] left it. Returns the searchers that are missing and weren't
     /// known to be gone.
-    pub fn record_list(&mut self, now_ms: u64, older: &[Instance], newer: &[Instance]) -> Vec<String> {
+    pub fn record_list(
+        &mut self,
+        now_ms: u64,
+        older: &[Instance],
+        newer: &[Instance],
+    ) -> Vec<String> {
         self.record_draining(now_ms, newer);
-        let listed: HashSet<&str> = newer.iter().map(|instance| instance.identifier.as_str()).collect();
-        let missing = older.iter().filter(|instance| !listed.contains(instance.identifier.as_str()));
+        let listed: HashSet<&str> = newer
+            .iter()
+            .map(|instance| instance.identifier.as_str())
+            .collect();
+        let missing = older
+            .iter()
+            .filter(|instance| !listed.contains(instance.identifier.as_str()));
         let missing = missing.map(|instance| instance.identifier.clone());
-        let newly_missing =
-            missing.filter(|identifier| self.record(now_ms, identifier, Departure::Gone)).collect();
-        for (_, times) in self.instances.iter_mut().filter(|(name, _)| !listed.contains(name.as_str())) {
+        let newly_missing = missing
+            .filter(|identifier| self.record(now_ms, identifier, Departure::Gone))
+            .collect();
+        for (_, times) in self
+            .instances
+            .iter_mut()
+            .filter(|(name, _)| !listed.contains(name.as_str()))
+        {
             times.gone_at_ms = Some(now_ms);
         }
         newly_missing
@@ -96,24 +113,30 @@
     /// Records the searchers that a list shows as draining; that is final, however old the list is. Returns those that
     /// weren't known to have departed.
     pub fn record_draining(&mut self, now_ms: u64, instances: &[Instance]) -> Vec<String> {
-        let draining = instances.iter().filter(|instance| instance.state == InstanceState::Draining);
+        let draining = instances
+            .iter()
+            .filter(|instance| instance.state == InstanceState::Draining);
         let draining = draining.map(|instance| instance.identifier.clone());
-        draining.filter(|identifier| self.record(now_ms, identifier, Departure::Draining)).collect()
+        draining
+            .filter(|identifier| self.record(now_ms, identifier, Departure::Draining))
+            .collect()
     }
 
     /// The list with the searchers that have departed shown as draining, or left out; the very same allocation if it
     /// shows them so already. `confirmed_at_ms` is when the list was last known to be what the platform shows.
     pub fn apply(&self, confirmed_at_ms: u64, instances: &Rc<Vec<Instance>>) -> Rc<Vec<Instance>> {
-        let differs = |instance: &Instance| match self.departure_of(confirmed_at_ms, &instance.identifier) {
-            Some(Departure::Gone) => true,
-            Some(Departure::Draining) => instance.state != InstanceState::Draining,
-            None => false,
-        };
+        let differs =
+            |instance: &Instance| match self.departure_of(confirmed_at_ms, &instance.identifier) {
+                Some(Departure::Gone) => true,
+                Some(Departure::Draining) => instance.state != InstanceState::Draining,
+                None => false,
+            };
         if self.instances.is_empty() || !instances.iter().any(differs) {
             return Rc::clone(instances);
         }
-        let applied =
-            instances.iter().filter_map(|instance| self.apply_to_instance(confirmed_at_ms, instance));
+        let applied = instances
+            .iter()
+            .filter_map(|instance| self.apply_to_instance(confirmed_at_ms, instance));
         Rc::new(applied.collect())
     }
 
@@ -125,9 +148,10 @@
     fn apply_to_instance(&self, confirmed_at_ms: u64, instance: &Instance) -> Option<Instance> {
         match self.departure_of(confirmed_at_ms, &instance.identifier) {
             Some(Departure::Gone) => None,
-            Some(Departure::Draining) => {
-                Some(Instance { state: InstanceState::Draining, ..instance.clone() })
-            }
+            Some(Departure::Draining) => Some(Instance {
+                state: InstanceState::Draining,
+                ..instance.clone()
+            }),
             None => Some(instance.clone()),
         }
     }
@@ -137,9 +161,14 @@
         if self.instances.len() <= MAX_RECORDED_INSTANCES {
             return;
         }
-        let mut seen_at_ms: Vec<u64> = self.instances.values().map(DepartureTimes::last_seen_at_ms).collect();
+        let mut seen_at_ms: Vec<u64> = self
+            .instances
+            .values()
+            .map(DepartureTimes::last_seen_at_ms)
+            .collect();
         let (_, forget_until_ms, _) = seen_at_ms.select_nth_unstable(MAX_RECORDED_INSTANCES / 4);
         let forget_until_ms = *forget_until_ms;
-        self.instances.retain(|_, times| times.last_seen_at_ms() > forget_until_ms);
+        self.instances
+            .retain(|_, times| times.last_seen_at_ms() > forget_until_ms);
     }
 }
--- a/crates/lockusher-distribution/src/difference.rs
+++ b/crates/lockusher-distribution/src/difference.rs
@@ -125,7 +125,11 @@
         revision: InstanceListRevision,
         instances: &[Instance],
     ) -> Self {
-        InstanceListDifference { base, revision, instances: segments(base_instances, instances) }
+        InstanceListDifference {
+            base,
+            revision,
+            instances: segments(base_instances, instances),
+        }
     }
 
     /// The newer list.
@@ -148,11 +152,17 @@
 
 /// Describes `target` by what it has in common with `base`.
 pub fn segments<T: Named + Clone + PartialEq>(base: &[T], target: &[T]) -> Vec<Segment<T>> {
-    let positions: HashMap<&str, usize> =
-        base.iter().enumerate().map(|(position, element)| (element.name(), position)).collect();
+    let positions: HashMap<&str, usize> = base
+        .iter()
+        .enumerate()
+        .map(|(position, element)| (element.name(), position))
+        .collect();
     let mut segments = Vec::new();
     for element in target {
-        let position = positions.get(element.name()).copied().filter(|&position| base[position] == *element);
+        let position = positions
+            .get(element.name())
+            .copied()
+            .filter(|&position| base[position] == *element);
         match position {
             Some(position) => copy_from_base(&mut segments, position as u32),
             None => insert(&mut segments, element.clone()),
@@ -168,7 +178,10 @@
         *count += 1;
         return;
     }
-    segments.push(Segment::CopyFromBase { from: position, count: 1 });
+    segments.push(Segment::CopyFromBase {
+        from: position,
+        count: 1,
+    });
 }
 
 fn insert<T>(segments: &mut Vec<Segment<T>>, element: T) {
@@ -188,9 +201,12 @@
     for segment in segments {
         match segment {
             Segment::CopyFromBase { from, count } => {
-                let end = from.checked_add(count).ok_or(DifferenceError::SegmentOutOfRange)?;
-                let copied =
-                    base.get(from as usize..end as usize).ok_or(DifferenceError::SegmentOutOfRange)?;
+                let end = from
+                    .checked_add(count)
+                    .ok_or(DifferenceError::SegmentOutOfRange)?;
+                let copied = base
+                    .get(from as usize..end as usize)
+                    .ok_or(DifferenceError::SegmentOutOfRange)?;
                 joined.extend_from_slice(copied);
             }
             Segment::Insert(elements) => joined.extend(elements),
--- a/crates/lockusher-distribution/src/instance_list_client.rs
+++ b/crates/lockusher-distribution/src/instance_list_client.rs
@@ -73,7 +73,11 @@
     }
 }
 
-fn receive_body(poller: &mut InstanceListPoller, now_ms: u64, body: &[u8]) -> Option<InstanceListPoll> {
+fn receive_body(
+    poller: &mut InstanceListPoller,
+    now_ms: u64,
+    body: &[u8],
+) -> Option<InstanceListPoll> {
     match InstancePage::parse(body) {
         Ok(page) => {
             for fault in &page.skipped {
--- a/crates/lockusher-distribution/src/instance_list_poller.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller.rs
@@ -133,13 +133,22 @@
 
     /// What to do now; waits for ever if the poller isn't started.
     pub fn next_step(&mut self, now_ms: u64) -> PollerStep {
-        let Some(start_ms) = self.next_poll_at_ms else { return PollerStep::Wait { until_ms: u64::MAX } };
-        let due_ms = self.assembly.as_ref().map_or(start_ms, |assembly| assembly.next_call_at_ms);
+        let Some(start_ms) = self.next_poll_at_ms else {
+            return PollerStep::Wait { until_ms: u64::MAX };
+        };
+        let due_ms = self
+            .assembly
+            .as_ref()
+            .map_or(start_ms, |assembly| assembly.next_call_at_ms);
         if now_ms < due_ms {
             return PollerStep::Wait { until_ms: due_ms };
         }
-        let assembly = self.assembly.get_or_insert_with(|| PageAssembly::start(now_ms));
-        PollerStep::Call { path: assembly.next_path() }
+        let assembly = self
+            .assembly
+            .get_or_insert_with(|| PageAssembly::start(now_ms));
+        PollerStep::Call {
+            path: assembly.next_path(),
+        }
     }
 
     /// Takes the page that was requested; returns the list if that was the last one.
@@ -159,7 +168,9 @@
     pub fn back_off(&mut self, now_ms: u64) {
         self.failures = self.failures.saturating_add(1);
         let resume_at_ms = now_ms + pacing::back_off_ms(self.failures, &mut self.random);
-        let Some(assembly) = self.assembly.as_mut() else { return };
+        let Some(assembly) = self.assembly.as_mut() else {
+            return;
+        };
         if resume_at_ms.saturating_sub(assembly.started_at_ms) > MAX_POLL_DURATION_MS {
             self.restart_at(resume_at_ms);
         } else {
@@ -170,7 +181,10 @@
     /// The platform doesn't know the page, or its answer can't be read: the poll begins anew after a back-off.
     pub fn restart(&mut self, now_ms: u64) {
         self.back_off(now_ms);
-        let resume_at_ms = self.assembly.as_ref().map(|assembly| assembly.next_call_at_ms);
+        let resume_at_ms = self
+            .assembly
+            .as_ref()
+            .map(|assembly| assembly.next_call_at_ms);
         if let Some(resume_at_ms) = resume_at_ms {
             self.restart_at(resume_at_ms);
         }
@@ -182,7 +196,12 @@
     }
 
     fn finish(&mut self, now_ms: u64, assembly: PageAssembly) -> InstanceListPoll {
-        let PageAssembly { started_at_ms, pages, instances: mut found, .. } = assembly;
+        let PageAssembly {
+            started_at_ms,
+            pages,
+            instances: mut found,
+            ..
+        } = assembly;
         self.pacing.set_calls_per_poll(pages);
         match &self.last {
             Some(last) if pages > 1 => self.removals.retain_unconfirmed(last, &mut found),
@@ -190,9 +209,17 @@
         }
         self.next_poll_at_ms = Some(self.next_start_ms(now_ms, started_at_ms));
         let instances = reuse_unchanged(self.last.as_ref(), found.into_values().collect());
-        let changed = !self.last.as_ref().is_some_and(|last| Rc::ptr_eq(last, &instances));
+        let changed = !self
+            .last
+            .as_ref()
+            .is_some_and(|last| Rc::ptr_eq(last, &instances));
         self.last = Some(Rc::clone(&instances));
-        InstanceListPoll { instances, changed, started_at_ms, calls: pages }
+        InstanceListPoll {
+            instances,
+            changed,
+            started_at_ms,
+            calls: pages,
+        }
     }
 
     fn next_start_ms(&mut self, now_ms: u64, started_at_ms: u64) -> u64 {
@@ -206,8 +233,13 @@
 
 /// The last list itself if the new one is the same; entries that differ by their countdown only are taken from the
 /// last.
-fn reuse_unchanged(last: Option<&Rc<Vec<Instance>>>, mut found: Vec<Instance>) -> Rc<Vec<Instance>> {
-    let Some(last) = last else { return Rc::new(found) };
+fn reuse_unchanged(
+    last: Option<&Rc<Vec<Instance>>>,
+    mut found: Vec<Instance>,
+) -> Rc<Vec<Instance>> {
+    let Some(last) = last else {
+        return Rc::new(found);
+    };
     for instance in &mut found {
         let known = last.binary_search_by(|known| known.identifier.cmp(&instance.identifier));
         if let Ok(position) = known
@@ -216,7 +248,11 @@
             instance.cold_remaining_ms = last[position].cold_remaining_ms;
         }
     }
-    if **last == found { Rc::clone(last) } else { Rc::new(found) }
+    if **last == found {
+        Rc::clone(last)
+    } else {
+        Rc::new(found)
+    }
 }
 
 /// Whether a searcher is warming up in both entries, with less time left in the newer.
--- a/crates/lockusher-distribution/src/instance_list_poller/pacing.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller/pacing.rs
@@ -46,19 +46,32 @@
     /// The pace of the only poller: `rate_per_s` calls are what the platform takes, and a draining searcher must be
     /// seen within `drain_ms`.
     pub fn sole(rate_per_s: f64, drain_ms: u64) -> Self {
-        let min_interval_ms = (drain_ms / POLLS_PER_DRAIN).clamp(MIN_POLL_INTERVAL_MS, MAX_POLL_INTERVAL_MS);
-        PollPacing { rate_per_s, min_interval_ms, concurrent_pollers: 1, calls_per_poll: 0 }
+        let min_interval_ms =
+            (drain_ms / POLLS_PER_DRAIN).clamp(MIN_POLL_INTERVAL_MS, MAX_POLL_INTERVAL_MS);
+        PollPacing {
+            rate_per_s,
+            min_interval_ms,
+            concurrent_pollers: 1,
+            calls_per_poll: 0,
+        }
     }
 
     /// The pace of one of several pollers, of unknown number at first.
     pub fn concurrent(rate_per_s: f64, drain_ms: u64) -> Self {
         let concurrent_pollers = ASSUMED_CONCURRENT_POLLERS;
-        PollPacing { concurrent_pollers, ..Self::sole(rate_per_s, drain_ms) }
+        PollPacing {
+            concurrent_pollers,
+            ..Self::sole(rate_per_s, drain_ms)
+        }
     }
 
     /// Sets how many pollers may be at work at once; 0 if unknown.
     pub fn set_concurrent_pollers(&mut self, pollers: u32) {
-        self.concurrent_pollers = if pollers == 0 { ASSUMED_CONCURRENT_POLLERS } else { pollers };
+        self.concurrent_pollers = if pollers == 0 {
+            ASSUMED_CONCURRENT_POLLERS
+        } else {
+            pollers
+        };
     }
 
     /// Sets how many calls a poll takes.
@@ -73,7 +86,11 @@
 
     /// Delay of the first poll: none if alone, else a random part of an interval.
     pub fn first_delay_ms(&self, random: &mut ChaCha8Rng) -> u64 {
-        let latest_ms = if self.is_sole() { 0 } else { self.interval_ms() };
+        let latest_ms = if self.is_sole() {
+            0
+        } else {
+            self.interval_ms()
+        };
         random.random_range(0..=latest_ms)
     }
 
@@ -98,9 +115,16 @@
 
     /// Mean time between the starts of two polls of this poller.
     fn interval_ms(&self) -> u64 {
-        let calls = if self.calls_per_poll == 0 { ASSUMED_CALLS_PER_POLL } else { self.calls_per_poll };
-        let fraction =
-            if self.is_sole() { SOLE_POLLER_RATE_FRACTION } else { CONCURRENT_POLLERS_RATE_FRACTION };
+        let calls = if self.calls_per_poll == 0 {
+            ASSUMED_CALLS_PER_POLL
+        } else {
+            self.calls_per_poll
+        };
+        let fraction = if self.is_sole() {
+            SOLE_POLLER_RATE_FRACTION
+        } else {
+            CONCURRENT_POLLERS_RATE_FRACTION
+        };
         let calls_of_all = f64::from(calls) * f64::from(self.concurrent_pollers);
         let paced_ms = calls_of_all * MS_PER_S / (self.rate_per_s * fraction);
         (paced_ms.ceil() as u64).max(self.min_interval_ms)
--- a/crates/lockusher-distribution/src/instance_list_poller/page_assembly.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller/page_assembly.rs
@@ -67,7 +67,9 @@
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
         match byte {
-            b'A'..=b'Z' | b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => encoded.push(byte.into()),
+            b'A'..=b'Z' | b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => {
+                encoded.push(byte.into());
+            }
             _ => encoded.push_str(&format!("%{byte:02X}")),
         }
     }
--- a/crates/lockusher-distribution/src/instance_list_poller/removal_confirmation.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller/removal_confirmation.rs
@@ -26,9 +26,16 @@
 
     /// Takes a poll of several pages, `last` being the list before it: adds to `found` what was ready and is missing for
     /// the first time.
-    pub fn retain_unconfirmed(&mut self, last: &[Instance], found: &mut BTreeMap<String, Instance>) {
+    pub fn retain_unconfirmed(
+        &mut self,
+        last: &[Instance],
+        found: &mut BTreeMap<String, Instance>,
+    ) {
         let missing_before = std::mem::take(&mut self.unconfirmed);
-        for instance in last.iter().filter(|instance| instance.state == InstanceState::Ready) {
+        for instance in last
+            .iter()
+            .filter(|instance| instance.state == InstanceState::Ready)
+        {
             let identifier = &instance.identifier;
             if !found.contains_key(identifier) && !missing_before.contains(identifier) {
                 self.unconfirmed.insert(identifier.clone());
--- a/crates/lockusher-distribution/src/load.rs
+++ b/crates/lockusher-distribution/src/load.rs
@@ -47,8 +47,12 @@
     pub fn add(&mut self, other: &ServiceLoad) {
         self.proxies = self.proxies.saturating_add(other.proxies);
         self.requests_per_s = self.requests_per_s.saturating_add(other.requests_per_s);
-        self.prefill_tokens_per_s = self.prefill_tokens_per_s.saturating_add(other.prefill_tokens_per_s);
-        self.prefill_in_flight = self.prefill_in_flight.saturating_add(other.prefill_in_flight);
+        self.prefill_tokens_per_s = self
+            .prefill_tokens_per_s
+            .saturating_add(other.prefill_tokens_per_s);
+        self.prefill_in_flight = self
+            .prefill_in_flight
+            .saturating_add(other.prefill_in_flight);
         self.decode_in_flight = self.decode_in_flight.saturating_add(other.decode_in_flight);
         self.decode_waiting = self.decode_waiting.saturating_add(other.decode_waiting);
         self.decode_tokens = self.decode_tokens.saturating_add(other.decode_tokens);
@@ -69,7 +73,10 @@
 pub fn sum<'a>(loads: impl IntoIterator<Item = &'a ServiceLoad>) -> Vec<ServiceLoad> {
     let mut sums: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
     for load in loads {
-        let empty = || ServiceLoad { service: load.service.clone(), ..ServiceLoad::default() };
+        let empty = || ServiceLoad {
+            service: load.service.clone(),
+            ..ServiceLoad::default()
+        };
         sums.entry(&load.service).or_insert_with(empty).add(load);
     }
     sums.into_values().collect()
@@ -78,7 +85,9 @@
 /// Whether `now` should be reported at once, `last_reported` being what was reported last.
 pub fn is_noticeable(now: &[ServiceLoad], last_reported: &[ServiceLoad]) -> bool {
     now.iter().any(|load| {
-        let before = last_reported.iter().find(|before| before.service == load.service);
+        let before = last_reported
+            .iter()
+            .find(|before| before.service == load.service);
         load.differs_from(before.unwrap_or(&ServiceLoad::default()))
     })
 }
--- a/crates/lockusher-distribution/src/message.rs
+++ b/crates/lockusher-distribution/src/message.rs
@@ -47,7 +47,10 @@
 impl Envelope {
     /// Encodes a message.
     pub fn encode<T: Encode>(message: &T) -> Self {
-        Envelope { protocol: PROTOCOL, body: bitcode::encode(message) }
+        Envelope {
+            protocol: PROTOCOL,
+            body: bitcode::encode(message),
+        }
     }
 
     /// Decodes the message.
@@ -97,7 +100,11 @@
 
 impl Downstream {
     /// A proxy that has nothing in force yet.
-    pub const PROXY: Downstream = Downstream { in_force_version: 0, proxies: 1, loads: Vec::new() };
+    pub const PROXY: Downstream = Downstream {
+        in_force_version: 0,
+        proxies: 1,
+        loads: Vec::new(),
+    };
 }
 
 /// From a subscriber to its publisher.
--- a/crates/lockusher-distribution/src/publisher.rs
+++ b/crates/lockusher-distribution/src/publisher.rs
@@ -81,8 +81,15 @@
     }
 
     /// Publishes a list; false, and without effect, if it isn't newer.
-    pub fn publish_list(&mut self, revision: InstanceListRevision, instances: Rc<Vec<Instance>>) -> bool {
-        self.lists.push(Rc::new(InstanceList { revision, instances }))
+    pub fn publish_list(
+        &mut self,
+        revision: InstanceListRevision,
+        instances: Rc<Vec<Instance>>,
+    ) -> bool {
+        self.lists.push(Rc::new(InstanceList {
+            revision,
+            instances,
+        }))
     }
 
     /// Replaces what the next heartbeats report.
@@ -100,9 +107,13 @@
         if control_nodes == self.control_nodes {
             return;
         }
-        self.control_nodes_frame = Some(encode_frame(&ToSubscriber::ControlNodes(control_nodes.clone())));
+        self.control_nodes_frame = Some(encode_frame(&ToSubscriber::ControlNodes(
+            control_nodes.clone(),
+        )));
         self.control_nodes = control_nodes;
-        self.subscriptions.iter_mut().for_each(Subscription::control_nodes_changed);
+        self.subscriptions
+            .iter_mut()
+            .for_each(Subscription::control_nodes_changed);
     }
 
     /// The newest configuration.
@@ -146,7 +157,11 @@
         subscription.identity()?;
         subscription
             .take_due_control_nodes(self.control_nodes_frame.as_ref())
-            .or_else(|| subscription.configuration.next_update(&mut self.configurations))
+            .or_else(|| {
+                subscription
+                    .configuration
+                    .next_update(&mut self.configurations)
+            })
             .or_else(|| subscription.list.next_update(&mut self.lists))
             .or_else(|| self.heartbeat_frame(id, now_ms))
             .or_else(|| self.peers_frame(id, now_ms))
@@ -155,13 +170,17 @@
     /// When [`Publisher::next_frame`] has a frame for this subscriber even if nothing changes; absent if its connection
     /// has ended.
     pub fn next_due_ms(&self, id: SubscriberId) -> Option<u64> {
-        self.subscriptions.get(id).map(Subscription::heartbeat_due_ms)
+        self.subscriptions
+            .get(id)
+            .map(Subscription::heartbeat_due_ms)
     }
 
     /// Whether a subscriber's connection is to be closed, for there was no message for
     /// [`SUBSCRIBER_INACTIVITY_TIMEOUT_MS`].
     pub fn is_inactive(&self, id: SubscriberId, now_ms: u64) -> bool {
-        self.subscriptions.get(id).is_none_or(|subscription| subscription.is_inactive(now_ms))
+        self.subscriptions
+            .get(id)
+            .is_none_or(|subscription| subscription.is_inactive(now_ms))
     }
 
     /// Connections that came up so far: many more than there are subscribers are a sign of a fault.
@@ -205,7 +224,10 @@
     }
 
     fn heartbeat(&self, now_ms: u64) -> Heartbeat {
-        let age = self.status.list_confirmed_at_ms.map(|confirmed| now_ms.saturating_sub(confirmed));
+        let age = self
+            .status
+            .list_confirmed_at_ms
+            .map(|confirmed| now_ms.saturating_sub(confirmed));
         Heartbeat {
             newest: self.newest(),
             list_age_ms: age.unwrap_or(NEVER_MS),
@@ -222,11 +244,16 @@
         if !subscription.take_due_peer_sample(now_ms) {
             return None;
         }
-        let others = self.subscriptions.agent_addresses().filter(|address| *address != own);
+        let others = self
+            .subscriptions
+            .agent_addresses()
+            .filter(|address| *address != own);
         let others: Vec<SocketAddrV4> = others.collect();
         if others.is_empty() {
             return None;
         }
-        Some(encode_frame(&ToSubscriber::Peers(self.peer_sampler.sample(&others))))
+        Some(encode_frame(&ToSubscriber::Peers(
+            self.peer_sampler.sample(&others),
+        )))
     }
 }
--- a/crates/lockusher-distribution/src/publisher/delivery_progress.rs
+++ b/crates/lockusher-distribution/src/publisher/delivery_progress.rs
@@ -30,7 +30,10 @@
 
     /// Starts over from this version; what is in flight won't be acknowledged.
     pub fn restart(&mut self, applied: V) {
-        *self = DeliveryProgress { applied, in_flight: None };
+        *self = DeliveryProgress {
+            applied,
+            in_flight: None,
+        };
     }
 
     /// The frame that brings the subscriber to the newest version; none if it has applied that, or if an update is in
--- a/crates/lockusher-distribution/src/publisher/peer_sampler.rs
+++ b/crates/lockusher-distribution/src/publisher/peer_sampler.rs
@@ -18,11 +18,16 @@
 impl PeerSampler {
     /// Draws by a random generator with this seed.
     pub fn new(seed: u64) -> Self {
-        PeerSampler { random: ChaCha8Rng::seed_from_u64(seed) }
+        PeerSampler {
+            random: ChaCha8Rng::seed_from_u64(seed),
+        }
     }
 
     /// Some of the candidates, none of them twice.
     pub fn sample(&mut self, candidates: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
-        candidates.sample(&mut self.random, PEER_SAMPLE_SIZE).copied().collect()
+        candidates
+            .sample(&mut self.random, PEER_SAMPLE_SIZE)
+            .copied()
+            .collect()
     }
 }
--- a/crates/lockusher-distribution/src/publisher/subscription.rs
+++ b/crates/lockusher-distribution/src/publisher/subscription.rs
@@ -74,12 +74,19 @@
                 self.configuration.restart(applied.configuration_version);
                 self.list.restart(applied.list_revision);
             }
-            FromSubscriber::Acknowledge { applied, downstream } => {
-                self.configuration.acknowledge(applied.configuration_version);
+            FromSubscriber::Acknowledge {
+                applied,
+                downstream,
+            } => {
+                self.configuration
+                    .acknowledge(applied.configuration_version);
                 self.list.acknowledge(applied.list_revision);
                 self.downstream = downstream;
             }
-            FromSubscriber::RequestFullSnapshot { configuration, list } => {
+            FromSubscriber::RequestFullSnapshot {
+                configuration,
+                list,
+            } => {
                 if configuration {
                     self.configuration.restart(0);
                 }
@@ -112,7 +119,11 @@
             list_revision: self.list.applied(),
         };
         let identity = self.identity.clone()?;
-        Some(SubscriberStatus { identity, acknowledged, downstream: self.downstream.clone() })
+        Some(SubscriberStatus {
+            identity,
+            acknowledged,
+            downstream: self.downstream.clone(),
+        })
     }
 
     /// Whether there was no message for [`SUBSCRIBER_INACTIVITY_TIMEOUT_MS`].
--- a/crates/lockusher-distribution/src/publisher/subscription_table.rs
+++ b/crates/lockusher-distribution/src/publisher/subscription_table.rs
@@ -62,12 +62,16 @@
 
     /// Where agents reach each other.
     pub fn agent_addresses(&self) -> impl Iterator<Item = SocketAddrV4> {
-        self.subscriptions.values().filter_map(Subscription::agent_address)
+        self.subscriptions
+            .values()
+            .filter_map(Subscription::agent_address)
     }
 
     /// Number of subscribed nodes.
     pub fn node_count(&self) -> usize {
-        let nodes = self.identified().map(|(identity, _)| identity.node.as_str());
+        let nodes = self
+            .identified()
+            .map(|(identity, _)| identity.node.as_str());
         nodes.collect::<BTreeSet<_>>().len()
     }
 
@@ -78,7 +82,9 @@
             let proxies = by_node.entry(&identity.node).or_default();
             *proxies = subscription.downstream().proxies.max(*proxies);
         }
-        by_node.values().fold(0, |sum, proxies| sum.saturating_add(*proxies))
+        by_node
+            .values()
+            .fold(0, |sum, proxies| sum.saturating_add(*proxies))
     }
 
     /// The loads downstream by service, by the newer connection of a node with two.
@@ -94,18 +100,25 @@
     pub fn acknowledged_versions(&self) -> BTreeMap<u64, usize> {
         let mut counts = BTreeMap::new();
         for (_, subscription) in self.identified() {
-            *counts.entry(subscription.configuration.applied()).or_default() += 1;
+            *counts
+                .entry(subscription.configuration.applied())
+                .or_default() += 1;
         }
         counts
     }
 
     /// The highest list revision that a subscriber has applied.
     pub fn highest_applied_revision(&self) -> InstanceListRevision {
-        let revisions = self.subscriptions.values().map(|subscription| subscription.list.applied());
+        let revisions = self
+            .subscriptions
+            .values()
+            .map(|subscription| subscription.list.applied());
         revisions.max().unwrap_or_default()
     }
 
     fn identified(&self) -> impl Iterator<Item = (&SubscriberIdentity, &Subscription)> {
-        self.subscriptions.values().filter_map(|subscription| Some((subscription.identity()?, subscription)))
+        self.subscriptions
+            .values()
+            .filter_map(|subscription| Some((subscription.identity()?, subscription)))
     }
 }
--- a/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
+++ b/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
@@ -79,7 +79,11 @@
 
     /// Fills in the candidates of the next pass, the first to try last.
     fn start_pass(&mut self) {
-        let mut candidates = if self.learned.is_empty() { self.seeds.clone() } else { self.learned.clone() };
+        let mut candidates = if self.learned.is_empty() {
+            self.seeds.clone()
+        } else {
+            self.learned.clone()
+        };
         if self.passes_started == 0 {
             candidates.sort_by_key(|address| self.rank(address));
         } else {
@@ -93,7 +97,11 @@
 
     /// Seeds that no control node sent are tried after the others.
     fn put_other_seeds_at_the_end(&self, candidates: &mut Vec<SocketAddrV4>) {
-        let others = self.seeds.iter().filter(|seed| !candidates.contains(seed)).copied();
+        let others = self
+            .seeds
+            .iter()
+            .filter(|seed| !candidates.contains(seed))
+            .copied();
         let others: Vec<SocketAddrV4> = others.collect();
         candidates.splice(0..0, others);
     }
@@ -141,8 +149,10 @@
     }
 
     fn lost(&mut self, now_ms: u64) {
-        let was_stable =
-            self.established_at_ms.take().is_some_and(|since| now_ms >= since + STABLE_CONNECTION_MS);
+        let was_stable = self
+            .established_at_ms
+            .take()
+            .is_some_and(|since| now_ms >= since + STABLE_CONNECTION_MS);
         if was_stable {
             self.failures = 0;
             self.candidates.clear();
--- a/crates/lockusher-distribution/src/reconnect/fixed_address_policy.rs
+++ b/crates/lockusher-distribution/src/reconnect/fixed_address_policy.rs
@@ -28,7 +28,11 @@
 
     /// `random_seed` differs between processes.
     pub fn new(address: SocketAddrV4, random_seed: u64) -> Self {
-        FixedAddressPolicy { address, failures: 0, random: ChaCha8Rng::seed_from_u64(random_seed) }
+        FixedAddressPolicy {
+            address,
+            failures: 0,
+            random: ChaCha8Rng::seed_from_u64(random_seed),
+        }
     }
 
     /// Random, between half of a limit and the limit.
@@ -45,7 +49,10 @@
 impl ConnectionPolicy for FixedAddressPolicy {
     fn next_attempt(&mut self, now_ms: u64) -> Option<Attempt> {
         let at_ms = now_ms + self.back_off_ms();
-        Some(Attempt { address: self.address, at_ms })
+        Some(Attempt {
+            address: self.address,
+            at_ms,
+        })
     }
 
     fn established(&mut self, _now_ms: u64) {
--- a/crates/lockusher-distribution/src/revision.rs
+++ b/crates/lockusher-distribution/src/revision.rs
@@ -11,7 +11,10 @@
 /// The poller's revision after `last`, `epoch` being that of the control view in which it was appointed.
 pub fn next_poller_revision(last: InstanceListRevision, epoch: u64) -> InstanceListRevision {
     if epoch != last.epoch {
-        return InstanceListRevision { epoch, sequence: POLLER_REVISION_STEP };
+        return InstanceListRevision {
+            epoch,
+            sequence: POLLER_REVISION_STEP,
+        };
     }
     InstanceListRevision {
         epoch,
@@ -21,7 +24,10 @@
 
 /// The revision just above `last`, for a list that an agent polled.
 pub fn next_agent_revision(last: InstanceListRevision) -> InstanceListRevision {
-    InstanceListRevision { epoch: last.epoch, sequence: last.sequence + 1 }
+    InstanceListRevision {
+        epoch: last.epoch,
+        sequence: last.sequence + 1,
+    }
 }
 
 /// Whether the control plane's poller made this revision.
--- a/crates/lockusher-distribution/src/serve.rs
+++ b/crates/lockusher-distribution/src/serve.rs
@@ -29,7 +29,9 @@
 pub async fn accept(listener: TcpListener, shared: Rc<SharedPublisher>) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => compio::runtime::spawn(serve_and_log(stream, Rc::clone(&shared))).detach(),
+            Ok((stream, _)) => {
+                compio::runtime::spawn(serve_and_log(stream, Rc::clone(&shared))).detach();
+            }
             Err(error) => {
                 log::warn!("accept: {error}");
                 compio::time::sleep(ACCEPT_RETRY_DELAY).await;
--- a/crates/lockusher-distribution/src/serve/connection.rs
+++ b/crates/lockusher-distribution/src/serve/connection.rs
@@ -58,13 +58,23 @@
     }
 
     fn check_open(&self) -> Result<(), ServeError> {
-        if self.shared.is_closed() { Err(ServeError::Closed) } else { Ok(()) }
+        if self.shared.is_closed() {
+            Err(ServeError::Closed)
+        } else {
+            Ok(())
+        }
     }
 
     fn check_activity(&self) -> Result<(), ServeError> {
         let now_ms = self.shared.now_ms();
-        let is_inactive = self.shared.read(|publisher| publisher.is_inactive(self.id, now_ms));
-        if is_inactive { Err(ServeError::InactivityTimeout) } else { Ok(()) }
+        let is_inactive = self
+            .shared
+            .read(|publisher| publisher.is_inactive(self.id, now_ms));
+        if is_inactive {
+            Err(ServeError::InactivityTimeout)
+        } else {
+            Ok(())
+        }
     }
 
     async fn send_due(&self, writer: &mut FrameWriter<Envelope>) -> Result<(), ServeError> {
@@ -76,7 +86,8 @@
 
     fn next_frame(&self) -> Option<Frame> {
         let now_ms = self.shared.now_ms();
-        self.shared.update_quietly(|publisher| publisher.next_frame(self.id, now_ms))
+        self.shared
+            .update_quietly(|publisher| publisher.next_frame(self.id, now_ms))
     }
 
     fn receive(&self, envelope: &Envelope) -> Result<(), ServeError> {
@@ -87,7 +98,10 @@
 
     fn time_until_due(&self) -> Duration {
         let now_ms = self.shared.now_ms();
-        let due_ms = self.shared.read(|publisher| publisher.next_due_ms(self.id)).unwrap_or(now_ms);
+        let due_ms = self
+            .shared
+            .read(|publisher| publisher.next_due_ms(self.id))
+            .unwrap_or(now_ms);
         Duration::from_millis(due_ms.saturating_sub(now_ms).max(1))
     }
 }
--- a/crates/lockusher-distribution/src/serve/shared_publisher.rs
+++ b/crates/lockusher-distribution/src/serve/shared_publisher.rs
@@ -90,7 +90,9 @@
 
     /// Takes a message of a subscriber.
     pub(super) fn receive(&self, id: SubscriberId, message: FromSubscriber) {
-        self.publisher.borrow_mut().receive(id, self.now_ms(), message);
+        self.publisher
+            .borrow_mut()
+            .receive(id, self.now_ms(), message);
         self.subscriber_activity.notify();
     }
 }
--- a/crates/lockusher-distribution/src/subscribe/feed.rs
+++ b/crates/lockusher-distribution/src/subscribe/feed.rs
@@ -49,7 +49,12 @@
 }
 
 /// Subscribes to the publisher at `agent`; the connection is made, and made again, in a task of its own.
-pub fn subscribe(agent: SocketAddrV4, identity: SubscriberIdentity, clock: Clock, random_seed: u64) -> Feed {
+pub fn subscribe(
+    agent: SocketAddrV4,
+    identity: SubscriberIdentity,
+    clock: Clock,
+    random_seed: u64,
+) -> Feed {
     let policy = FixedAddressPolicy::new(agent, random_seed);
     let shared = SharedSubscriber::new(Subscriber::new(identity), policy, clock);
     let connection = compio::runtime::spawn(Rc::clone(&shared).run());
@@ -73,14 +78,17 @@
 impl LoadReporter {
     /// The next acknowledgement carries these loads; it comes within about a second.
     pub fn report(&self, loads: Vec<ServiceLoad>) {
-        self.shared.update_quietly(|subscriber| subscriber.set_loads(loads));
+        self.shared
+            .update_quietly(|subscriber| subscriber.set_loads(loads));
     }
 }
 
 impl Feed {
     /// Reports to the publisher of this feed.
     pub fn load_reporter(&self) -> LoadReporter {
-        LoadReporter { shared: Rc::clone(&self.shared) }
+        LoadReporter {
+            shared: Rc::clone(&self.shared),
+        }
     }
 
     /// Waits for something newer than what was returned before. Dropping the future loses nothing.
@@ -103,11 +111,15 @@
     }
 
     fn take_update(&mut self) -> Option<FeedUpdate> {
-        self.take_configuration().or_else(|| self.take_instances()).or_else(|| self.take_fleet_size())
+        self.take_configuration()
+            .or_else(|| self.take_instances())
+            .or_else(|| self.take_fleet_size())
     }
 
     fn take_configuration(&mut self) -> Option<FeedUpdate> {
-        let configuration = self.shared.read(|subscriber| subscriber.configuration().cloned())?;
+        let configuration = self
+            .shared
+            .read(|subscriber| subscriber.configuration().cloned())?;
         if configuration.version <= self.delivered_configuration_version {
             return None;
         }
@@ -121,12 +133,19 @@
             return None;
         }
         self.delivered_list_revision = list.revision;
-        let confirmed_at_ms = self.shared.read(Subscriber::list_confirmed_at_ms).unwrap_or_default();
+        let confirmed_at_ms = self
+            .shared
+            .read(Subscriber::list_confirmed_at_ms)
+            .unwrap_or_default();
         let instances = self.departed.apply(confirmed_at_ms, &list.instances);
         let now_ms = self.shared.now_ms();
-        self.departed.record_list(now_ms, &self.delivered_instances, &list.instances);
+        self.departed
+            .record_list(now_ms, &self.delivered_instances, &list.instances);
         self.delivered_instances = Rc::clone(&instances);
-        Some(FeedUpdate::Instances { revision: list.revision, instances })
+        Some(FeedUpdate::Instances {
+            revision: list.revision,
+            instances,
+        })
     }
 
     fn take_fleet_size(&mut self) -> Option<FeedUpdate> {
--- a/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
+++ b/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
@@ -18,7 +18,8 @@
 use crate::change_notifier::ChangeNotifier;
 use crate::message::{Envelope, ToSubscriber};
 use crate::reconnect::{
-    Attempt, CONNECT_TIMEOUT_MS, ConnectionPolicy, OUT_OF_VIEW_TIMEOUT_MS, PUBLISHER_INACTIVITY_TIMEOUT_MS,
+    Attempt, CONNECT_TIMEOUT_MS, ConnectionPolicy, OUT_OF_VIEW_TIMEOUT_MS,
+    PUBLISHER_INACTIVITY_TIMEOUT_MS,
 };
 use crate::subscribe::error::SubscribeError;
 use crate::subscriber::Subscriber;
@@ -147,7 +148,10 @@
         if let ToSubscriber::ControlNodes(addresses) = &message {
             self.policy.borrow_mut().learn(addresses);
         }
-        let answer = self.subscriber.borrow_mut().receive(self.clock.millis(), message);
+        let answer = self
+            .subscriber
+            .borrow_mut()
+            .receive(self.clock.millis(), message);
         self.changed.notify();
         if let Some(answer) = answer {
             writer.write(&Envelope::encode(&answer)).await?;
--- a/crates/lockusher-distribution/src/subscriber.rs
+++ b/crates/lockusher-distribution/src/subscriber.rs
@@ -16,8 +16,8 @@
 use crate::instance_list::InstanceList;
 use crate::load::{self, ServiceLoad};
 use crate::message::{
-    AppliedVersions, ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat, InstanceListUpdate,
-    NEVER_MS, SubscriberIdentity, ToSubscriber,
+    AppliedVersions, ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat,
+    InstanceListUpdate, NEVER_MS, SubscriberIdentity, ToSubscriber,
 };
 
 /// Interval of the acknowledgements that answer no update, in milliseconds: keep-alives, which answer a heartbeat.
@@ -114,8 +114,15 @@
     /// The versions applied.
     pub fn applied(&self) -> AppliedVersions {
         AppliedVersions {
-            configuration_version: self.configuration.as_ref().map_or(0, |applied| applied.version),
-            list_revision: self.list.as_ref().map(|applied| applied.revision).unwrap_or_default(),
+            configuration_version: self
+                .configuration
+                .as_ref()
+                .map_or(0, |applied| applied.version),
+            list_revision: self
+                .list
+                .as_ref()
+                .map(|applied| applied.revision)
+                .unwrap_or_default(),
         }
     }
 
@@ -134,7 +141,10 @@
         self.acknowledged_at_ms = now_ms;
         self.publisher_in_view = true;
         self.publisher_list_age_ms = NEVER_MS;
-        FromSubscriber::Subscribe { identity: self.identity.clone(), applied: self.applied() }
+        FromSubscriber::Subscribe {
+            identity: self.identity.clone(),
+            applied: self.applied(),
+        }
     }
 
     /// Takes a message of the publisher; returns the answer that is due.
@@ -163,17 +173,27 @@
         true
     }
 
-    fn receive_configuration(&mut self, now_ms: u64, update: ConfigurationUpdate) -> FromSubscriber {
+    fn receive_configuration(
+        &mut self,
+        now_ms: u64,
+        update: ConfigurationUpdate,
+    ) -> FromSubscriber {
         match self.apply_configuration(update) {
             Ok(()) => self.acknowledge(now_ms),
-            Err(_) => FromSubscriber::RequestFullSnapshot { configuration: true, list: false },
+            Err(_) => FromSubscriber::RequestFullSnapshot {
+                configuration: true,
+                list: false,
+            },
         }
     }
 
     fn receive_list(&mut self, now_ms: u64, update: InstanceListUpdate) -> FromSubscriber {
         match self.apply_list(update) {
             Ok(()) => self.acknowledge(now_ms),
-            Err(_) => FromSubscriber::RequestFullSnapshot { configuration: false, list: true },
+            Err(_) => FromSubscriber::RequestFullSnapshot {
+                configuration: false,
+                list: true,
+            },
         }
     }
 
@@ -184,7 +204,10 @@
                 if difference.version <= self.applied().configuration_version {
                     return Ok(());
                 }
-                let base = self.configuration.as_ref().ok_or(DifferenceError::BaseMismatch)?;
+                let base = self
+                    .configuration
+                    .as_ref()
+                    .ok_or(DifferenceError::BaseMismatch)?;
                 difference.apply(base)?
             }
         };
@@ -194,7 +217,10 @@
 
     fn apply_list(&mut self, update: InstanceListUpdate) -> Result<(), DifferenceError> {
         let (revision, instances) = match update {
-            InstanceListUpdate::FullSnapshot { revision, instances } => (revision, instances),
+            InstanceListUpdate::FullSnapshot {
+                revision,
+                instances,
+            } => (revision, instances),
             InstanceListUpdate::Difference(difference) => {
                 let revision = difference.revision;
                 if revision <= self.applied().list_revision {
@@ -205,7 +231,10 @@
             }
         };
         if revision > self.applied().list_revision {
-            self.list = Some(InstanceList { revision, instances: Rc::new(instances) });
+            self.list = Some(InstanceList {
+                revision,
+                instances: Rc::new(instances),
+            });
         }
         Ok(())
     }
@@ -220,7 +249,8 @@
             self.calls_per_poll = heartbeat.calls_per_poll;
         }
         self.confirm_list(now_ms, &heartbeat);
-        self.is_acknowledgement_due(now_ms).then(|| self.acknowledge(now_ms))
+        self.is_acknowledgement_due(now_ms)
+            .then(|| self.acknowledge(now_ms))
     }
 
     /// The age of the publisher's list is that of the list applied if both are of the same revision.
@@ -241,6 +271,9 @@
     fn acknowledge(&mut self, now_ms: u64) -> FromSubscriber {
         self.acknowledged_at_ms = now_ms;
         self.reported_loads.clone_from(&self.downstream.loads);
-        FromSubscriber::Acknowledge { applied: self.applied(), downstream: self.downstream.clone() }
+        FromSubscriber::Acknowledge {
+            applied: self.applied(),
+            downstream: self.downstream.clone(),
+        }
     }
 }
--- a/crates/lockusher-distribution/src/version_history.rs
+++ b/crates/lockusher-distribution/src/version_history.rs
@@ -24,7 +24,10 @@
 
 impl<T: Versioned> Default for VersionHistory<T> {
     fn default() -> Self {
-        VersionHistory { versions: VecDeque::new(), frames: BTreeMap::new() }
+        VersionHistory {
+            versions: VecDeque::new(),
+            frames: BTreeMap::new(),
+        }
     }
 }
 
@@ -36,7 +39,9 @@
 
     /// The newest version; the default if there is none.
     pub fn newest_version(&self) -> T::Version {
-        self.newest().map(|newest| newest.version()).unwrap_or_default()
+        self.newest()
+            .map(|newest| newest.version())
+            .unwrap_or_default()
     }
 
     /// Adds a value; false, and without effect, if it isn't newer.
@@ -58,11 +63,17 @@
         if applied >= newest.version() {
             return None;
         }
-        let base = self.versions.iter().find(|version| version.version() == applied);
-        let frame = self.frames.entry(base.map(|_| applied)).or_insert_with(|| match base {
-            Some(base) => encode_frame(&newest.difference(base)),
-            None => encode_frame(&newest.full_snapshot()),
-        });
+        let base = self
+            .versions
+            .iter()
+            .find(|version| version.version() == applied);
+        let frame = self
+            .frames
+            .entry(base.map(|_| applied))
+            .or_insert_with(|| match base {
+                Some(base) => encode_frame(&newest.difference(base)),
+                None => encode_frame(&newest.full_snapshot()),
+            });
         Some(Rc::clone(frame))
     }
 }
--- a/crates/lockusher-distribution/src/versioned.rs
+++ b/crates/lockusher-distribution/src/versioned.rs
@@ -50,12 +50,19 @@
 
     fn full_snapshot(&self) -> ToSubscriber {
         let instances = self.instances.as_ref().clone();
-        ToSubscriber::Instances(InstanceListUpdate::FullSnapshot { revision: self.revision, instances })
+        ToSubscriber::Instances(InstanceListUpdate::FullSnapshot {
+            revision: self.revision,
+            instances,
+        })
     }
 
     fn difference(&self, base: &Self) -> ToSubscriber {
-        let difference =
-            InstanceListDifference::between(base.revision, &base.instances, self.revision, &self.instances);
+        let difference = InstanceListDifference::between(
+            base.revision,
+            &base.instances,
+            self.revision,
+            &self.instances,
+        );
         ToSubscriber::Instances(InstanceListUpdate::Difference(difference))
     }
 }
--- a/crates/lockusher-distribution/tests/capacity.rs
+++ b/crates/lockusher-distribution/tests/capacity.rs
@@ -32,7 +32,10 @@
 fn tenant_route(number: usize, timeout_ms: u64) -> Route {
     Route {
         host: format!("tenant{number:04}.example"),
-        split: vec![WeightedService { service: format!("model-{:02}", number % MODELS), weight: 1 }],
+        split: vec![WeightedService {
+            service: format!("model-{:02}", number % MODELS),
+            weight: 1,
+        }],
         ..route(&format!("tenant{number:04}-read"), timeout_ms)
     }
 }
@@ -49,14 +52,25 @@
         role_switch_ms: 1_000,
         models: vec![name.clone()],
     };
-    Service { engine: Some(engine), ..service(&name) }
+    Service {
+        engine: Some(engine),
+        ..service(&name)
+    }
 }
 
 /// The configuration of all tenants; each version changes one route.
 fn large_configuration(version: u64) -> Configuration {
-    let timeout = |number: usize| if number as u64 == version % TENANTS as u64 { 6_000 } else { 5_000 };
+    let timeout = |number: usize| {
+        if number as u64 == version % TENANTS as u64 {
+            6_000
+        } else {
+            5_000
+        }
+    };
     Configuration {
-        routes: (0..TENANTS).map(|number| tenant_route(number, timeout(number))).collect(),
+        routes: (0..TENANTS)
+            .map(|number| tenant_route(number, timeout(number)))
+            .collect(),
         services: (0..MODELS).map(model_service).collect(),
         ..configuration(version, &[])
     }
@@ -69,7 +83,11 @@
         address: format!("10.{}.{}.{}:8149", number % 4, number / 250, number % 250),
         zone: format!("zone-{}", number % 4),
         slots: 128,
-        stage: Some(if number.is_multiple_of(3) { Stage::Prefill } else { Stage::Decode }),
+        stage: Some(if number.is_multiple_of(3) {
+            Stage::Prefill
+        } else {
+            Stage::Decode
+        }),
         models: vec![ModelVersion { name, version: 1 }],
         ..instance(&format!("i-{number:010x}"))
     }
@@ -116,7 +134,12 @@
         let mut publisher = Publisher::new(1);
         publisher.publish_configuration(Rc::new(large_configuration(1)));
         publisher.publish_list(revision(1, 1), large_list(1));
-        let mut fleet = Fleet { publisher, agents: Vec::new(), messages: 0, bytes: 0 };
+        let mut fleet = Fleet {
+            publisher,
+            agents: Vec::new(),
+            messages: 0,
+            bytes: 0,
+        };
         for number in 0..agents {
             let id = fleet.publisher.connect(0);
             let mut agent = Subscriber::new(identity(&format!("edge-{number}")));
@@ -138,7 +161,10 @@
     }
 
     fn step(&mut self, now_ms: u64) {
-        let status = PublisherStatus { list_confirmed_at_ms: Some(now_ms), ..self.publisher.status() };
+        let status = PublisherStatus {
+            list_confirmed_at_ms: Some(now_ms),
+            ..self.publisher.status()
+        };
         self.publisher.set_status(status);
         let mut agents = std::mem::take(&mut self.agents);
         for (id, agent) in &mut agents {
@@ -158,7 +184,9 @@
     }
 
     fn all_have_applied_the_newest(&self) -> bool {
-        self.agents.iter().all(|(_, agent)| agent.applied() == self.publisher.newest())
+        self.agents
+            .iter()
+            .all(|(_, agent)| agent.applied() == self.publisher.newest())
     }
 }
 
@@ -171,10 +199,16 @@
     fleet.step(0);
     let (start_messages, start_bytes) = (fleet.messages, fleet.bytes);
     let agents = agents as f64;
-    println!("{agents} agents: first state of all, {:.0} bytes an agent", start_bytes as f64 / agents);
+    println!(
+        "{agents} agents: first state of all, {:.0} bytes an agent",
+        start_bytes as f64 / agents
+    );
     let started = Instant::now();
 
-    let mut changes = PlannedChanges { version: 1, sequence: 1 };
+    let mut changes = PlannedChanges {
+        version: 1,
+        sequence: 1,
+    };
     for now_ms in (STEP_MS..=PLAYED_MS).step_by(STEP_MS as usize) {
         changes.publish_due(&mut fleet.publisher, now_ms);
         fleet.step(now_ms);
@@ -188,7 +222,10 @@
         started.elapsed().as_secs_f64()
     );
     assert!(fleet.all_have_applied_the_newest());
-    assert!(bytes_per_s < MAX_BYTES_PER_S, "{bytes_per_s} bytes a second");
+    assert!(
+        bytes_per_s < MAX_BYTES_PER_S,
+        "{bytes_per_s} bytes a second"
+    );
 }
 
 #[test]
@@ -198,11 +235,16 @@
     let before = fleet.bytes;
 
     for version in 2..=51 {
-        fleet.publisher.publish_configuration(Rc::new(large_configuration(version)));
+        fleet
+            .publisher
+            .publish_configuration(Rc::new(large_configuration(version)));
     }
     fleet.step(STEP_MS);
 
-    println!("fifty changes at once to one agent: {} bytes", fleet.bytes - before);
+    println!(
+        "fifty changes at once to one agent: {} bytes",
+        fleet.bytes - before
+    );
     assert!(fleet.all_have_applied_the_newest());
 }
 
@@ -214,11 +256,14 @@
     let id = publisher.connect(0);
     publisher.receive(id, 0, Subscriber::new(identity("edge-1")).subscribe(0));
 
-    let frames: Vec<usize> =
-        std::iter::from_fn(|| publisher.next_frame(id, 0)).map(|frame| frame.len()).collect();
+    let frames: Vec<usize> = std::iter::from_fn(|| publisher.next_frame(id, 0))
+        .map(|frame| frame.len())
+        .collect();
 
     println!("configuration, list, heartbeat: {frames:?} bytes");
-    let [configuration, list, heartbeat] = frames[..] else { panic!("three frames are due: {frames:?}") };
+    let [configuration, list, heartbeat] = frames[..] else {
+        panic!("three frames are due: {frames:?}")
+    };
     assert!(configuration < 64 * TENANTS, "{configuration} bytes");
     assert!(list < 64 * SEARCHERS, "{list} bytes");
     assert!(heartbeat < 100, "{heartbeat} bytes");
--- a/crates/lockusher-distribution/tests/departures.rs
+++ b/crates/lockusher-distribution/tests/departures.rs
@@ -15,7 +15,10 @@
     departed.record_list(1_000, &older, &[draining("a"), instance("b")]);
 
     assert_eq!(*departed.apply(900, &older), [draining("a"), instance("b")]);
-    assert_eq!(*departed.apply(60_000, &older), [draining("a"), instance("b")]);
+    assert_eq!(
+        *departed.apply(60_000, &older),
+        [draining("a"), instance("b")]
+    );
 }
 
 #[test]
@@ -51,5 +54,8 @@
     }
 
     assert_eq!(departed.departure_of(10_000, "i0"), None);
-    assert_eq!(departed.departure_of(10_000, "i9999"), Some(Departure::Gone));
+    assert_eq!(
+        departed.departure_of(10_000, "i9999"),
+        Some(Departure::Gone)
+    );
 }
--- a/crates/lockusher-distribution/tests/difference.rs
+++ b/crates/lockusher-distribution/tests/difference.rs
@@ -13,19 +13,31 @@
 
 fn instances() -> impl Strategy<Value = Vec<Instance>> {
     let names: Vec<u32> = (0..12).collect();
-    (subsequence(names, 0..=12).prop_shuffle(), proptest::collection::vec(1u32..3, 12)).prop_map(
-        |(names, slots)| {
-            let entry =
-                |name: &u32| Instance { slots: slots[*name as usize], ..instance(&format!("i{name}")) };
-            names.iter().map(entry).collect()
-        },
+    (
+        subsequence(names, 0..=12).prop_shuffle(),
+        proptest::collection::vec(1u32..3, 12),
     )
+        .prop_map(|(names, slots)| {
+            let entry = |name: &u32| Instance {
+                slots: slots[*name as usize],
+                ..instance(&format!("i{name}"))
+            };
+            names.iter().map(entry).collect()
+        })
 }
 
 fn routes() -> impl Strategy<Value = Vec<(u8, u64)>> {
     let names: Vec<u8> = (0..8).collect();
-    (subsequence(names, 0..=8).prop_shuffle(), proptest::collection::vec(1u64..3, 8))
-        .prop_map(|(names, timeouts)| names.iter().map(|name| (*name, timeouts[*name as usize])).collect())
+    (
+        subsequence(names, 0..=8).prop_shuffle(),
+        proptest::collection::vec(1u64..3, 8),
+    )
+        .prop_map(|(names, timeouts)| {
+            names
+                .iter()
+                .map(|name| (*name, timeouts[*name as usize]))
+                .collect()
+        })
 }
 
 proptest! {
@@ -60,15 +72,20 @@
 
 #[test]
 fn a_list_difference_against_another_base_is_rejected() {
-    let difference = InstanceListDifference::between(revision(1, 1), &[], revision(1, 2), &[instance("a")]);
+    let difference =
+        InstanceListDifference::between(revision(1, 1), &[], revision(1, 2), &[instance("a")]);
 
-    assert_eq!(difference.apply(revision(1, 9), &[]), Err(DifferenceError::BaseMismatch));
+    assert_eq!(
+        difference.apply(revision(1, 9), &[]),
+        Err(DifferenceError::BaseMismatch)
+    );
 }
 
 #[test]
 fn a_configuration_difference_against_another_base_is_rejected() {
     let base = configuration(1, &[]);
-    let difference = ConfigurationDifference::between(&configuration(2, &[]), &configuration(3, &[]));
+    let difference =
+        ConfigurationDifference::between(&configuration(2, &[]), &configuration(3, &[]));
 
     assert_eq!(difference.apply(&base), Err(DifferenceError::BaseMismatch));
 }
--- a/crates/lockusher-distribution/tests/instance_list_poller.rs
+++ b/crates/lockusher-distribution/tests/instance_list_poller.rs
@@ -6,12 +6,18 @@
 
 use lockusher_config::instances::Instance;
 use lockusher_config::instances_reader::InstancePage;
-use lockusher_distribution::instance_list_poller::{InstanceListPoll, InstanceListPoller, PollerStep};
+use lockusher_distribution::instance_list_poller::{
+    InstanceListPoll, InstanceListPoller, PollerStep,
+};
 use support::{draining, instance, warming_up};
 use yare::parameterized;
 
 fn page(instances: &[Instance], next_token: Option<&str>) -> InstancePage {
-    InstancePage { instances: instances.to_vec(), next_token: next_token.map(str::to_owned), skipped: vec![] }
+    InstancePage {
+        instances: instances.to_vec(),
+        next_token: next_token.map(str::to_owned),
+        skipped: vec![],
+    }
 }
 
 /// Waits as the poller says and returns the time and path of its next call.
@@ -25,7 +31,11 @@
 }
 
 /// One poll that finds `pages`.
-fn poll(poller: &mut InstanceListPoller, now_ms: &mut u64, pages: &[&[Instance]]) -> InstanceListPoll {
+fn poll(
+    poller: &mut InstanceListPoller,
+    now_ms: &mut u64,
+    pages: &[&[Instance]],
+) -> InstanceListPoll {
     for (number, instances) in pages.iter().enumerate() {
         let (at_ms, _) = next_call(poller, *now_ms);
         *now_ms = at_ms;
@@ -46,7 +56,10 @@
 }
 
 fn identifiers(poll: &InstanceListPoll) -> Vec<&str> {
-    poll.instances.iter().map(|instance| instance.identifier.as_str()).collect()
+    poll.instances
+        .iter()
+        .map(|instance| instance.identifier.as_str())
+        .collect()
 }
 
 #[test]
@@ -54,7 +67,10 @@
     let mut poller = sole_poller();
 
     assert_eq!(next_call(&mut poller, 5), (5, "/instances".to_owned()));
-    assert_eq!(poller.receive_page(6, page(&[instance("c")], Some("p 1/2"))), None);
+    assert_eq!(
+        poller.receive_page(6, page(&[instance("c")], Some("p 1/2"))),
+        None
+    );
     let (at_ms, path) = next_call(&mut poller, 6);
     assert_eq!(path, "/instances?pageToken=p%201%2F2");
     let poll = poller.receive_page(at_ms, page(&[instance("a"), instance("b")], None));
@@ -83,8 +99,14 @@
     let mut poller = sole_poller();
     let mut now_ms = 0;
 
-    let changed = [5_000, 4_000, 900, 0, 0, 700]
-        .map(|remaining_ms| poll(&mut poller, &mut now_ms, &[&[warming_up("a", remaining_ms)]]).changed);
+    let changed = [5_000, 4_000, 900, 0, 0, 700].map(|remaining_ms| {
+        poll(
+            &mut poller,
+            &mut now_ms,
+            &[&[warming_up("a", remaining_ms)]],
+        )
+        .changed
+    });
 
     assert_eq!(changed, [true, false, false, true, false, true]);
 }
@@ -94,14 +116,22 @@
 fn a_searcher_missing_from_one_poll_of_several_pages_is_retained_until_the_next() {
     let mut poller = sole_poller();
     let mut now_ms = 0;
-    poll(&mut poller, &mut now_ms, &[&[instance("a"), instance("b")], &[instance("c")]]);
+    poll(
+        &mut poller,
+        &mut now_ms,
+        &[&[instance("a"), instance("b")], &[instance("c")]],
+    );
 
     let missing = poll(&mut poller, &mut now_ms, &[&[instance("b")], &[]]);
     assert_eq!(identifiers(&missing), ["a", "b", "c"]);
     let again_at_ms = next_call(&mut poller, now_ms).0;
     assert!(again_at_ms <= now_ms + 100, "confirmed soon");
 
-    let confirmed = poll(&mut poller, &mut now_ms, &[&[instance("a"), instance("b")], &[]]);
+    let confirmed = poll(
+        &mut poller,
+        &mut now_ms,
+        &[&[instance("a"), instance("b")], &[]],
+    );
     assert_eq!(identifiers(&confirmed), ["a", "b"]);
 }
 
@@ -109,9 +139,17 @@
 fn a_draining_searcher_that_vanishes_is_gone_at_once() {
     let mut poller = sole_poller();
     let mut now_ms = 0;
-    poll(&mut poller, &mut now_ms, &[&[draining("a"), instance("b")], &[instance("c")]]);
-
-    let poll = poll(&mut poller, &mut now_ms, &[&[instance("b")], &[instance("c")]]);
+    poll(
+        &mut poller,
+        &mut now_ms,
+        &[&[draining("a"), instance("b")], &[instance("c")]],
+    );
+
+    let poll = poll(
+        &mut poller,
+        &mut now_ms,
+        &[&[instance("b")], &[instance("c")]],
+    );
 
     assert_eq!(identifiers(&poll), ["b", "c"]);
 }
@@ -142,8 +180,15 @@
 
     assert!(back_offs_ms[0] <= 500, "{back_offs_ms:?}");
     assert!(back_offs_ms[7] >= 4_000, "{back_offs_ms:?}");
-    assert!(back_offs_ms.iter().all(|back_off_ms| *back_off_ms <= 8_000), "{back_offs_ms:?}");
-    assert_eq!(next_call(&mut poller, now_ms).1, "/instances", "a poll that takes long begins anew");
+    assert!(
+        back_offs_ms.iter().all(|back_off_ms| *back_off_ms <= 8_000),
+        "{back_offs_ms:?}"
+    );
+    assert_eq!(
+        next_call(&mut poller, now_ms).1,
+        "/instances",
+        "a poll that takes long begins anew"
+    );
 }
 
 #[test]
@@ -163,7 +208,10 @@
     let mut poller = sole_poller();
 
     poller.stop();
-    assert_eq!(poller.next_step(1_000_000), PollerStep::Wait { until_ms: u64::MAX });
+    assert_eq!(
+        poller.next_step(1_000_000),
+        PollerStep::Wait { until_ms: u64::MAX }
+    );
 
     poller.start(1_000_000);
     assert_eq!(next_call(&mut poller, 1_000_000).0, 1_000_000);
@@ -206,9 +254,18 @@
     let total: u32 = calls.values().sum();
     let mean = f64::from(total) / seconds as f64;
     assert!(mean <= 0.6 * rate_per_s, "{mean} calls a second on average");
-    let over = calls.values().filter(|count| f64::from(**count) > rate_per_s).count();
-    assert!(over as f64 <= 0.03 * seconds as f64, "{over} seconds over the rate");
-    assert!(mean >= 0.3 * rate_per_s || f64::from(pollers) * 0.9 <= mean, "{mean}: the rate lies idle");
+    let over = calls
+        .values()
+        .filter(|count| f64::from(**count) > rate_per_s)
+        .count();
+    assert!(
+        over as f64 <= 0.03 * seconds as f64,
+        "{over} seconds over the rate"
+    );
+    assert!(
+        mean >= 0.3 * rate_per_s || f64::from(pollers) * 0.9 <= mean,
+        "{mean}: the rate lies idle"
+    );
 }
 
 #[test]
@@ -220,8 +277,15 @@
     for call in 1..=3_000 {
         now_ms = next_call(&mut poller, now_ms).0;
         *calls.entry(now_ms / 1_000).or_default() += 1;
-        poller.receive_page(now_ms, page(&[instance("a")], (call % 60 != 0).then_some("p")));
+        poller.receive_page(
+            now_ms,
+            page(&[instance("a")], (call % 60 != 0).then_some("p")),
+        );
     }
 
-    assert!(calls.values().all(|count| *count <= 41), "{:?}", calls.values().max());
+    assert!(
+        calls.values().all(|count| *count <= 41),
+        "{:?}",
+        calls.values().max()
+    );
 }
--- a/crates/lockusher-distribution/tests/load.rs
+++ b/crates/lockusher-distribution/tests/load.rs
@@ -29,18 +29,31 @@
 }
 
 fn acknowledgement(loads: Vec<ServiceLoad>) -> FromSubscriber {
-    let downstream = Downstream { in_force_version: 0, proxies: 1, loads };
-    FromSubscriber::Acknowledge { applied: AppliedVersions::default(), downstream }
+    let downstream = Downstream {
+        in_force_version: 0,
+        proxies: 1,
+        loads,
+    };
+    FromSubscriber::Acknowledge {
+        applied: AppliedVersions::default(),
+        downstream,
+    }
 }
 
 fn agent(node: &str) -> SubscriberIdentity {
     let agent_address = Some(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1));
-    SubscriberIdentity { agent_address, ..identity(node) }
+    SubscriberIdentity {
+        agent_address,
+        ..identity(node)
+    }
 }
 
 fn subscribe(publisher: &mut Publisher, node: &str, loads: Vec<ServiceLoad>) {
     let id = publisher.connect(0);
-    let first = FromSubscriber::Subscribe { identity: agent(node), applied: AppliedVersions::default() };
+    let first = FromSubscriber::Subscribe {
+        identity: agent(node),
+        applied: AppliedVersions::default(),
+    };
     publisher.receive(id, 0, first);
     publisher.receive(id, 0, acknowledgement(loads));
 }
@@ -48,13 +61,19 @@
 #[test]
 fn a_publisher_sums_up_loads_by_service() {
     let mut publisher = Publisher::new(1);
-    subscribe(&mut publisher, "a", vec![service("x", 100), service("y", 10)]);
+    subscribe(
+        &mut publisher,
+        "a",
+        vec![service("x", 100), service("y", 10)],
+    );
     subscribe(&mut publisher, "b", vec![service("x", 300)]);
 
     let loads = publisher.downstream_loads();
 
-    let found: Vec<_> =
-        loads.iter().map(|load| (&*load.service, load.proxies, load.prefill_in_flight)).collect();
+    let found: Vec<_> = loads
+        .iter()
+        .map(|load| (&*load.service, load.proxies, load.prefill_in_flight))
+        .collect();
     assert_eq!(found, [("x", 2, 400), ("y", 1, 10)]);
 }
 
@@ -88,11 +107,20 @@
     assert!(subscriber.receive(300, heartbeat()).is_some(), "it is new");
 
     subscriber.set_loads(vec![service("x", 130)]);
-    assert!(subscriber.receive(600, heartbeat()).is_none(), "it is much the same");
-    assert!(subscriber.receive(1_300, heartbeat()).is_some(), "a second has passed");
+    assert!(
+        subscriber.receive(600, heartbeat()).is_none(),
+        "it is much the same"
+    );
+    assert!(
+        subscriber.receive(1_300, heartbeat()).is_some(),
+        "a second has passed"
+    );
 
     subscriber.set_loads(vec![service("x", 270)]);
-    assert!(subscriber.receive(1_600, heartbeat()).is_some(), "it has doubled");
+    assert!(
+        subscriber.receive(1_600, heartbeat()).is_some(),
+        "it has doubled"
+    );
 }
 
 #[test]
--- a/crates/lockusher-distribution/tests/loopback.rs
+++ b/crates/lockusher-distribution/tests/loopback.rs
@@ -34,10 +34,16 @@
 impl Server {
     async fn start(address: SocketAddrV4) -> Self {
         let listener = TcpListener::bind(address).await.expect("a listener");
-        let SocketAddr::V4(address) = listener.local_addr().expect("an address") else { panic!("IPv4") };
+        let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
+            panic!("IPv4")
+        };
         let shared = SharedPublisher::new(Publisher::new(1), Clock::start());
         let accepting = compio::runtime::spawn(serve::accept(listener, Rc::clone(&shared)));
-        Server { address, shared, accepting }
+        Server {
+            address,
+            shared,
+            accepting,
+        }
     }
 
     fn stop(self) {
@@ -47,11 +53,17 @@
 
     /// Waits until all `count` subscribers have acknowledged `version`.
     async fn wait_for_acknowledgements(&self, version: u64, count: usize) {
-        self.wait_until(|publisher| publisher.acknowledged_versions().get(&version) == Some(&count)).await;
+        self.wait_until(|publisher| {
+            publisher.acknowledged_versions().get(&version) == Some(&count)
+        })
+        .await;
     }
 
     async fn wait_until(&self, reached: impl Fn(&Publisher) -> bool) {
-        wait_for(self.shared.subscriber_activity(), || self.shared.read(&reached)).await;
+        wait_for(self.shared.subscriber_activity(), || {
+            self.shared.read(&reached)
+        })
+        .await;
     }
 }
 
@@ -66,7 +78,9 @@
             changes.changed_since(seen).await;
         }
     };
-    timeout(STATE_TIMEOUT, wait).await.expect("the state comes about");
+    timeout(STATE_TIMEOUT, wait)
+        .await
+        .expect("the state comes about");
 }
 
 fn any_loopback_port() -> SocketAddrV4 {
@@ -74,7 +88,9 @@
 }
 
 async fn next(feed: &mut subscribe::Feed) -> FeedUpdate {
-    timeout(STATE_TIMEOUT, feed.next()).await.expect("an update")
+    timeout(STATE_TIMEOUT, feed.next())
+        .await
+        .expect("an update")
 }
 
 #[compio::test]
@@ -82,24 +98,45 @@
     let server = Server::start(any_loopback_port()).await;
     let address = server.address;
     let mut feed = subscribe::subscribe(address, identity("proxy"), Clock::start(), 1);
-    server.shared.update(|publisher| publisher.publish_configuration(Rc::new(configuration(5, &[(1, 1)]))));
-    assert_eq!(next(&mut feed).await, FeedUpdate::Configuration(Rc::new(configuration(5, &[(1, 1)]))));
+    server
+        .shared
+        .update(|publisher| publisher.publish_configuration(Rc::new(configuration(5, &[(1, 1)]))));
+    assert_eq!(
+        next(&mut feed).await,
+        FeedUpdate::Configuration(Rc::new(configuration(5, &[(1, 1)])))
+    );
     let list = Rc::new(vec![instance("a"), instance("b")]);
-    server.shared.update(|publisher| publisher.publish_list(revision(1, 1), Rc::clone(&list)));
-    let update = FeedUpdate::Instances { revision: revision(1, 1), instances: list };
+    server
+        .shared
+        .update(|publisher| publisher.publish_list(revision(1, 1), Rc::clone(&list)));
+    let update = FeedUpdate::Instances {
+        revision: revision(1, 1),
+        instances: list,
+    };
     assert_eq!(next(&mut feed).await, update);
     server.shared.update(|publisher| {
-        publisher.set_status(PublisherStatus { proxies: 7, in_view: true, ..PublisherStatus::default() });
+        publisher.set_status(PublisherStatus {
+            proxies: 7,
+            in_view: true,
+            ..PublisherStatus::default()
+        });
     });
     assert_eq!(next(&mut feed).await, FeedUpdate::FleetSize(7));
     server.wait_for_acknowledgements(5, 1).await;
     server.stop();
 
     let server = Server::start(address).await;
-    server.shared.update(|publisher| publisher.publish_configuration(Rc::new(configuration(3, &[]))));
+    server
+        .shared
+        .update(|publisher| publisher.publish_configuration(Rc::new(configuration(3, &[]))));
     server.wait_for_acknowledgements(5, 1).await;
-    server.shared.update(|publisher| publisher.publish_configuration(Rc::new(configuration(9, &[(2, 2)]))));
-    assert_eq!(next(&mut feed).await, FeedUpdate::Configuration(Rc::new(configuration(9, &[(2, 2)]))));
+    server
+        .shared
+        .update(|publisher| publisher.publish_configuration(Rc::new(configuration(9, &[(2, 2)]))));
+    assert_eq!(
+        next(&mut feed).await,
+        FeedUpdate::Configuration(Rc::new(configuration(9, &[(2, 2)])))
+    );
 }
 
 /// A new agent that knows less brings a newer revision of an older list.
@@ -108,22 +145,41 @@
     let server = Server::start(any_loopback_port()).await;
     let address = server.address;
     let mut feed = subscribe::subscribe(address, identity("proxy"), Clock::start(), 1);
-    for (sequence, list) in
-        [(1, vec![instance("a"), instance("b"), instance("c")]), (2, vec![draining("a"), instance("c")])]
-    {
+    for (sequence, list) in [
+        (1, vec![instance("a"), instance("b"), instance("c")]),
+        (2, vec![draining("a"), instance("c")]),
+    ] {
         let list = Rc::new(list);
-        server.shared.update(|publisher| publisher.publish_list(revision(1, sequence), Rc::clone(&list)));
-        let update = FeedUpdate::Instances { revision: revision(1, sequence), instances: list };
+        server
+            .shared
+            .update(|publisher| publisher.publish_list(revision(1, sequence), Rc::clone(&list)));
+        let update = FeedUpdate::Instances {
+            revision: revision(1, sequence),
+            instances: list,
+        };
         assert_eq!(next(&mut feed).await, update);
     }
     server.stop();
 
     let server = Server::start(address).await;
-    let list = Rc::new(vec![instance("a"), instance("b"), instance("c"), instance("d")]);
-    server.shared.update(|publisher| publisher.publish_list(revision(2, 1), list));
+    let list = Rc::new(vec![
+        instance("a"),
+        instance("b"),
+        instance("c"),
+        instance("d"),
+    ]);
+    server
+        .shared
+        .update(|publisher| publisher.publish_list(revision(2, 1), list));
 
     let instances = Rc::new(vec![draining("a"), instance("c"), instance("d")]);
-    assert_eq!(next(&mut feed).await, FeedUpdate::Instances { revision: revision(2, 1), instances });
+    assert_eq!(
+        next(&mut feed).await,
+        FeedUpdate::Instances {
+            revision: revision(2, 1),
+            instances
+        }
+    );
 }
 
 #[compio::test]
@@ -137,15 +193,23 @@
         .collect();
     for version in 1..=10 {
         let newest = configuration(version, &[(1, version), (2, 1)]);
-        server.shared.update(|publisher| publisher.publish_configuration(Rc::new(newest)));
+        server
+            .shared
+            .update(|publisher| publisher.publish_configuration(Rc::new(newest)));
     }
 
     server.wait_for_acknowledgements(10, 40).await;
     assert_eq!(server.shared.read(Publisher::subscribed_nodes), 40);
-    assert_eq!(server.shared.read(Publisher::connections_made), 40, "no connection was made anew");
+    assert_eq!(
+        server.shared.read(Publisher::connections_made),
+        40,
+        "no connection was made anew"
+    );
 
     drop(feeds);
-    server.wait_until(|publisher| publisher.subscribed_nodes() == 0).await;
+    server
+        .wait_until(|publisher| publisher.subscribed_nodes() == 0)
+        .await;
 }
 
 /// Acknowledgements, updates and heartbeats cross each other; none of them may cost the connection.
@@ -167,9 +231,12 @@
     // Keep-alives come every second, in answer to heartbeats.
     for _ in 0..2 {
         let seen = server.shared.subscriber_activity().generation();
-        timeout(STATE_TIMEOUT, server.shared.subscriber_activity().changed_since(seen))
-            .await
-            .expect("a keep-alive");
+        timeout(
+            STATE_TIMEOUT,
+            server.shared.subscriber_activity().changed_since(seen),
+        )
+        .await
+        .expect("a keep-alive");
     }
     assert_eq!(server.shared.read(Publisher::connections_made), 1);
 }
@@ -178,7 +245,10 @@
 async fn an_agent_leaves_a_control_node_that_is_lost_or_outside_the_view() {
     let outside = Server::start(any_loopback_port()).await;
     let inside = Server::start(any_loopback_port()).await;
-    let in_view = PublisherStatus { in_view: true, ..PublisherStatus::default() };
+    let in_view = PublisherStatus {
+        in_view: true,
+        ..PublisherStatus::default()
+    };
     inside.shared.update(|publisher| {
         publisher.set_status(in_view);
         publisher.publish_configuration(Rc::new(configuration(4, &[])));
@@ -198,7 +268,9 @@
         publisher.publish_configuration(Rc::new(configuration(6, &[])));
     });
     let addresses = vec![successor.address];
-    inside.shared.update(|publisher| publisher.set_control_nodes(addresses));
+    inside
+        .shared
+        .update(|publisher| publisher.set_control_nodes(addresses));
     let has_received = || agent.read(|subscriber| !subscriber.control_nodes().is_empty());
     wait_for(agent.changed(), has_received).await;
     inside.stop();
@@ -207,13 +279,21 @@
 
 #[compio::test]
 async fn a_publisher_that_accepts_and_sends_nothing_is_left_after_a_timeout() {
-    let listener = TcpListener::bind(any_loopback_port()).await.expect("a listener");
-    let SocketAddr::V4(address) = listener.local_addr().expect("an address") else { panic!("IPv4") };
+    let listener = TcpListener::bind(any_loopback_port())
+        .await
+        .expect("a listener");
+    let SocketAddr::V4(address) = listener.local_addr().expect("an address") else {
+        panic!("IPv4")
+    };
     let policy = FixedAddressPolicy::new(address, 1);
     let proxy = SharedSubscriber::new(Subscriber::new(identity("proxy")), policy, Clock::start());
     let _running = compio::runtime::spawn(proxy.run());
-    let (_first, _) =
-        timeout(STATE_TIMEOUT, listener.accept()).await.expect("a connection").expect("accepted");
-    let (_second, _) =
-        timeout(STATE_TIMEOUT, listener.accept()).await.expect("another one").expect("accepted");
+    let (_first, _) = timeout(STATE_TIMEOUT, listener.accept())
+        .await
+        .expect("a connection")
+        .expect("accepted");
+    let (_second, _) = timeout(STATE_TIMEOUT, listener.accept())
+        .await
+        .expect("another one")
+        .expect("accepted");
 }
--- a/crates/lockusher-distribution/tests/publisher.rs
+++ b/crates/lockusher-distribution/tests/publisher.rs
@@ -9,11 +9,13 @@
 use lockusher_distribution::message::{
     AppliedVersions, Downstream, Envelope, FromSubscriber, Heartbeat, ToSubscriber,
 };
-use lockusher_distribution::publisher::{HEARTBEAT_INTERVAL_MS, Publisher, PublisherStatus, SubscriberId};
+use lockusher_distribution::publisher::{
+    HEARTBEAT_INTERVAL_MS, Publisher, PublisherStatus, SubscriberId,
+};
 use lockusher_distribution::subscriber::Subscriber;
 use support::{
-    acknowledgement, applied_configuration, configuration, deliver_due, identity, instance, messages,
-    revision, subscribed,
+    acknowledgement, applied_configuration, configuration, deliver_due, identity, instance,
+    messages, revision, subscribed,
 };
 
 #[test]
@@ -22,10 +24,18 @@
     publisher.publish_configuration(Rc::new(configuration(1, &[])));
     let id = subscribed(&mut publisher, "slow");
 
-    assert_eq!(messages(&mut publisher, id, 0).len(), 2, "the configuration and a heartbeat");
+    assert_eq!(
+        messages(&mut publisher, id, 0).len(),
+        2,
+        "the configuration and a heartbeat"
+    );
     for version in 2..100 {
         publisher.publish_configuration(Rc::new(configuration(version, &[])));
-        assert_eq!(messages(&mut publisher, id, 0), [], "the first isn't acknowledged yet");
+        assert_eq!(
+            messages(&mut publisher, id, 0),
+            [],
+            "the first isn't acknowledged yet"
+        );
     }
 
     publisher.receive(id, 0, acknowledgement(1));
@@ -39,7 +49,10 @@
 #[test]
 fn one_encoding_serves_all_subscribers_with_the_same_base() {
     let mut publisher = Publisher::new(1);
-    let ids = [subscribed(&mut publisher, "a"), subscribed(&mut publisher, "b")];
+    let ids = [
+        subscribed(&mut publisher, "a"),
+        subscribed(&mut publisher, "b"),
+    ];
     for id in ids {
         messages(&mut publisher, id, 0);
     }
@@ -54,8 +67,12 @@
 fn a_heartbeat_reports_the_newest_versions_and_the_age_of_the_list() {
     let mut publisher = Publisher::new(1);
     publisher.publish_list(revision(2, 5), Rc::new(vec![instance("a")]));
-    let status =
-        PublisherStatus { list_confirmed_at_ms: Some(1_000), calls_per_poll: 3, proxies: 40, in_view: true };
+    let status = PublisherStatus {
+        list_confirmed_at_ms: Some(1_000),
+        calls_per_poll: 3,
+        proxies: 40,
+        in_view: true,
+    };
     publisher.set_status(status);
     let id = subscribed(&mut publisher, "a");
     let mut subscriber = Subscriber::new(identity("a"));
@@ -67,7 +84,10 @@
     assert_eq!(subscriber.list_confirmed_at_ms(), Some(1_050));
     assert_eq!((subscriber.proxies(), subscriber.calls_per_poll()), (40, 3));
     assert!(subscriber.publisher_in_view());
-    assert_eq!(publisher.next_due_ms(id), Some(1_400 + HEARTBEAT_INTERVAL_MS));
+    assert_eq!(
+        publisher.next_due_ms(id),
+        Some(1_400 + HEARTBEAT_INTERVAL_MS)
+    );
 }
 
 #[test]
@@ -76,7 +96,10 @@
     ahead.publish_list(revision(2, 5), Rc::new(vec![]));
     let mut behind = Publisher::new(2);
     behind.publish_list(revision(1, 9), Rc::new(vec![]));
-    behind.set_status(PublisherStatus { list_confirmed_at_ms: Some(1_000), ..PublisherStatus::default() });
+    behind.set_status(PublisherStatus {
+        list_confirmed_at_ms: Some(1_000),
+        ..PublisherStatus::default()
+    });
     let mut subscriber = Subscriber::new(identity("a"));
 
     for publisher in [&mut ahead, &mut behind] {
@@ -95,17 +118,29 @@
     publisher.publish_configuration(Rc::new(configuration(1, &[(1, 1)])));
     publisher.publish_configuration(Rc::new(configuration(2, &[(1, 2)])));
     let id = publisher.connect(0);
-    let subscribe = FromSubscriber::Subscribe { identity: identity("a"), applied: applied_configuration(1) };
+    let subscribe = FromSubscriber::Subscribe {
+        identity: identity("a"),
+        applied: applied_configuration(1),
+    };
     publisher.receive(id, 0, subscribe);
     let mut subscriber = Subscriber::new(identity("a"));
 
     let update = messages(&mut publisher, id, 0).remove(0);
     let answer = subscriber.receive(0, update).expect("an answer");
-    assert_eq!(answer, FromSubscriber::RequestFullSnapshot { configuration: true, list: false });
+    assert_eq!(
+        answer,
+        FromSubscriber::RequestFullSnapshot {
+            configuration: true,
+            list: false
+        }
+    );
 
     publisher.receive(id, 0, answer);
     deliver_due(&mut publisher, id, &mut subscriber, 0);
-    assert_eq!(subscriber.configuration().map(Rc::as_ref), Some(&configuration(2, &[(1, 2)])));
+    assert_eq!(
+        subscriber.configuration().map(Rc::as_ref),
+        Some(&configuration(2, &[(1, 2)]))
+    );
 }
 
 #[test]
@@ -114,7 +149,10 @@
     assert!(envelope.decode::<ToSubscriber>().is_ok());
 
     envelope.protocol += 1;
-    let error = envelope.decode::<ToSubscriber>().expect_err("another protocol").to_string();
+    let error = envelope
+        .decode::<ToSubscriber>()
+        .expect_err("another protocol")
+        .to_string();
 
     assert_eq!(error, "the peer speaks protocol 3, this process 2");
 }
@@ -132,16 +170,20 @@
 }
 
 fn peers_due(publisher: &mut Publisher, id: SubscriberId) -> Option<Vec<SocketAddrV4>> {
-    messages(publisher, id, 0).into_iter().find_map(|message| match message {
-        ToSubscriber::Peers(peers) => Some(peers),
-        _ => None,
-    })
+    messages(publisher, id, 0)
+        .into_iter()
+        .find_map(|message| match message {
+            ToSubscriber::Peers(peers) => Some(peers),
+            _ => None,
+        })
 }
 
 #[test]
 fn an_agent_is_sent_a_sample_of_other_agents() {
     let mut publisher = Publisher::new(1);
-    let ids: Vec<SubscriberId> = (1..=20).map(|number| subscribed_agent(&mut publisher, number)).collect();
+    let ids: Vec<SubscriberId> = (1..=20)
+        .map(|number| subscribed_agent(&mut publisher, number))
+        .collect();
 
     for (number, id) in (1..=20).zip(ids) {
         let peers = peers_due(&mut publisher, id).expect("a sample");
@@ -170,15 +212,32 @@
     subscribed(&mut head, "agent-0");
     for (number, name) in ["follower-1", "follower-2"].into_iter().enumerate() {
         let follower = follower_with_agents(number, 3 + number);
-        let downstream =
-            Downstream { in_force_version: 0, proxies: follower.downstream_proxies(), loads: Vec::new() };
-        assert_eq!(downstream.proxies, 3 + number as u32, "a second connection of one agent doesn't count");
+        let downstream = Downstream {
+            in_force_version: 0,
+            proxies: follower.downstream_proxies(),
+            loads: Vec::new(),
+        };
+        assert_eq!(
+            downstream.proxies,
+            3 + number as u32,
+            "a second connection of one agent doesn't count"
+        );
         let id = subscribed(&mut head, name);
-        head.receive(id, 0, FromSubscriber::Acknowledge { applied: AppliedVersions::default(), downstream });
+        head.receive(
+            id,
+            0,
+            FromSubscriber::Acknowledge {
+                applied: AppliedVersions::default(),
+                downstream,
+            },
+        );
     }
     assert_eq!(head.downstream_proxies(), 8);
 
-    head.set_status(PublisherStatus { proxies: head.downstream_proxies(), ..head.status() });
+    head.set_status(PublisherStatus {
+        proxies: head.downstream_proxies(),
+        ..head.status()
+    });
     let id = subscribed(&mut head, "follower-3");
     let mut follower = Subscriber::new(identity("follower-3"));
     deliver_due(&mut head, id, &mut follower, 0);
@@ -206,6 +265,7 @@
 
     let heartbeat_bytes = frames.last().expect("a heartbeat").len();
     assert!(heartbeat_bytes <= 80, "{heartbeat_bytes} bytes");
-    let answer = lockusher_transport::frame::encode(&Envelope::encode(&answer.expect("a keep-alive")));
+    let answer =
+        lockusher_transport::frame::encode(&Envelope::encode(&answer.expect("a keep-alive")));
     assert!(answer.len() <= 60, "{} bytes", answer.len());
 }
--- a/crates/lockusher-distribution/tests/reconnect.rs
+++ b/crates/lockusher-distribution/tests/reconnect.rs
@@ -34,7 +34,10 @@
     }
 
     assert_eq!(counts.len(), 5);
-    assert!(counts.values().all(|count| (50..=115).contains(count)), "{counts:?}");
+    assert!(
+        counts.values().all(|count| (50..=115).contains(count)),
+        "{counts:?}"
+    );
 }
 
 /// Four hundred agents lose a control node at once, and none of the others takes connections for ten seconds: at no
@@ -50,7 +53,9 @@
         agent.lost(now_ms);
         while now_ms < 70_000 {
             let attempt = agent.next_attempt(now_ms).expect("an attempt");
-            *arrivals.entry((attempt.address, attempt.at_ms / 100)).or_default() += 1;
+            *arrivals
+                .entry((attempt.address, attempt.at_ms / 100))
+                .or_default() += 1;
             now_ms = attempt.at_ms.max(now_ms + 1);
             agent.lost(now_ms);
         }
@@ -58,10 +63,16 @@
 
     let most = arrivals.values().max().copied().unwrap_or_default();
     assert!(most <= 80, "{most} within 100 ms at one control node");
-    let late: Vec<usize> =
-        arrivals.iter().filter(|((_, tenth), _)| *tenth >= 650).map(|(_, count)| *count).collect();
+    let late: Vec<usize> = arrivals
+        .iter()
+        .filter(|((_, tenth), _)| *tenth >= 650)
+        .map(|(_, count)| *count)
+        .collect();
     let mean = late.iter().sum::<usize>() as f64 / late.len() as f64;
-    assert!(mean <= 8.0, "{mean} on average within 100 ms at one control node after five seconds");
+    assert!(
+        mean <= 8.0,
+        "{mean} on average within 100 ms at one control node after five seconds"
+    );
 }
 
 /// The addresses of so many attempts at the same time, which all fail.
@@ -97,12 +108,20 @@
 
     let tried = fail_attempts(&mut agent, 4);
 
-    assert_eq!(tried[..2].iter().collect::<HashSet<_>>(), HashSet::from([&address(8), &address(9)]));
-    assert_eq!(tried[2..].iter().collect::<HashSet<_>>(), HashSet::from([&address(1), &address(2)]));
+    assert_eq!(
+        tried[..2].iter().collect::<HashSet<_>>(),
+        HashSet::from([&address(8), &address(9)])
+    );
+    assert_eq!(
+        tried[2..].iter().collect::<HashSet<_>>(),
+        HashSet::from([&address(1), &address(2)])
+    );
     assert!(agent.is_out_of_addresses());
 
     agent.set_seeds(vec![address(77)]);
-    let next: HashSet<_> = (0..3).map(|_| agent.next_attempt(60_000).expect("an attempt").address).collect();
+    let next: HashSet<_> = (0..3)
+        .map(|_| agent.next_attempt(60_000).expect("an attempt").address)
+        .collect();
     assert!(next.contains(&address(77)));
 }
 
@@ -137,7 +156,10 @@
 
 #[test]
 fn without_addresses_there_is_no_attempt() {
-    assert_eq!(ControlNodePolicy::new("edge", vec![], 1).next_attempt(0), None);
+    assert_eq!(
+        ControlNodePolicy::new("edge", vec![], 1).next_attempt(0),
+        None
+    );
 }
 
 /// After a loss of power everywhere the first attempt of an agent may go to a machine that is still down, and hangs. The
--- a/crates/lockusher-distribution/tests/recorded_bytes.rs
+++ b/crates/lockusher-distribution/tests/recorded_bytes.rs
@@ -10,8 +10,12 @@
 use lockusher_config::configuration::{
     Configuration, Engine, Limits, Route, RouteKind, Service, WeightedService,
 };
-use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState, ModelVersion, Stage};
-use lockusher_distribution::difference::{ConfigurationDifference, InstanceListDifference, Segment};
+use lockusher_config::instances::{
+    Instance, InstanceListRevision, InstanceState, ModelVersion, Stage,
+};
+use lockusher_distribution::difference::{
+    ConfigurationDifference, InstanceListDifference, Segment,
+};
 use lockusher_distribution::frame::encode_frame;
 use lockusher_distribution::load::ServiceLoad;
 use lockusher_distribution::message::{
@@ -40,17 +44,55 @@
     to_subscriber_kind,
     [Configuration, Instances, Heartbeat, ControlNodes, Peers]
 );
-kinds_of!(ConfigurationUpdate, CONFIGURATION_KINDS, configuration_kind, [FullSnapshot, Difference]);
-kinds_of!(InstanceListUpdate, LIST_KINDS, list_kind, [FullSnapshot, Difference]);
-kinds_of!(RouteSegment, ROUTE_SEGMENT_KINDS, route_segment_kind, [CopyFromBase, Insert]);
-kinds_of!(ServiceSegment, SERVICE_SEGMENT_KINDS, service_segment_kind, [CopyFromBase, Insert]);
-kinds_of!(InstanceSegment, INSTANCE_SEGMENT_KINDS, instance_segment_kind, [CopyFromBase, Insert]);
-kinds_of!(RouteKind, ROUTE_KINDS, route_kind, [Idempotent, NonIdempotent, Streaming]);
-kinds_of!(InstanceState, STATE_KINDS, state_kind, [Ready, Changing, Draining]);
+kinds_of!(
+    ConfigurationUpdate,
+    CONFIGURATION_KINDS,
+    configuration_kind,
+    [FullSnapshot, Difference]
+);
+kinds_of!(
+    InstanceListUpdate,
+    LIST_KINDS,
+    list_kind,
+    [FullSnapshot, Difference]
+);
+kinds_of!(
+    RouteSegment,
+    ROUTE_SEGMENT_KINDS,
+    route_segment_kind,
+    [CopyFromBase, Insert]
+);
+kinds_of!(
+    ServiceSegment,
+    SERVICE_SEGMENT_KINDS,
+    service_segment_kind,
+    [CopyFromBase, Insert]
+);
+kinds_of!(
+    InstanceSegment,
+    INSTANCE_SEGMENT_KINDS,
+    instance_segment_kind,
+    [CopyFromBase, Insert]
+);
+kinds_of!(
+    RouteKind,
+    ROUTE_KINDS,
+    route_kind,
+    [Idempotent, NonIdempotent, Streaming]
+);
+kinds_of!(
+    InstanceState,
+    STATE_KINDS,
+    state_kind,
+    [Ready, Changing, Draining]
+);
 kinds_of!(Stage, STAGE_KINDS, stage_kind, [Prefill, Decode]);
 
 fn weighted(service: &str, weight: u32) -> WeightedService {
-    WeightedService { service: service.to_owned(), weight }
+    WeightedService {
+        service: service.to_owned(),
+        weight,
+    }
 }
 
 fn routes() -> Vec<Route> {
@@ -75,7 +117,11 @@
         kind: RouteKind::NonIdempotent,
         timeout_ms: 70_000,
         priority: 0,
-        split: vec![weighted("orders-a", 90), weighted("orders-b", 10), weighted("orders-c", 0)],
+        split: vec![
+            weighted("orders-a", 90),
+            weighted("orders-b", 10),
+            weighted("orders-c", 0),
+        ],
         attempts: 1,
         sticky: false,
         ..search.clone()
@@ -130,13 +176,28 @@
         header_timeout_ms: 5_000,
         idle_timeout_ms: 60_000,
     };
-    Configuration { version: 70_000, routes: routes(), services: services(), limits }
+    Configuration {
+        version: 70_000,
+        routes: routes(),
+        services: services(),
+        limits,
+    }
 }
 
 /// As a configuration is before the first route.
 fn empty_configuration() -> Configuration {
-    let limits = Limits { header_bytes: 1, body_bytes: 2, header_timeout_ms: 3, idle_timeout_ms: 4 };
-    Configuration { version: 1, routes: Vec::new(), services: Vec::new(), limits }
+    let limits = Limits {
+        header_bytes: 1,
+        body_bytes: 2,
+        header_timeout_ms: 3,
+        idle_timeout_ms: 4,
+    };
+    Configuration {
+        version: 1,
+        routes: Vec::new(),
+        services: Vec::new(),
+        limits,
+    }
 }
 
 fn configuration_difference() -> ConfigurationDifference {
@@ -146,11 +207,20 @@
         base_version: 70_000,
         version: 70_003,
         routes: vec![
-            Segment::CopyFromBase { from: 2, count: 300 },
+            Segment::CopyFromBase {
+                from: 2,
+                count: 300,
+            },
             Segment::Insert(vec![changed_route]),
-            Segment::CopyFromBase { from: 303, count: 1 },
+            Segment::CopyFromBase {
+                from: 303,
+                count: 1,
+            },
+        ],
+        services: vec![
+            Segment::Insert(vec![changed_service]),
+            Segment::CopyFromBase { from: 1, count: 4 },
         ],
-        services: vec![Segment::Insert(vec![changed_service]), Segment::CopyFromBase { from: 1, count: 4 }],
         limits: configuration().limits,
     }
 }
@@ -178,8 +248,14 @@
         cold_remaining_ms: 70_000,
         stage: Some(Stage::Prefill),
         models: vec![
-            ModelVersion { name: "large".to_owned(), version: 300 },
-            ModelVersion { name: "small".to_owned(), version: 2 },
+            ModelVersion {
+                name: "large".to_owned(),
+                version: 300,
+            },
+            ModelVersion {
+                name: "small".to_owned(),
+                version: 2,
+            },
         ],
         ..plain.clone()
     };
@@ -194,41 +270,84 @@
 }
 
 fn revision() -> InstanceListRevision {
-    InstanceListRevision { epoch: 3, sequence: 5 << 20 }
+    InstanceListRevision {
+        epoch: 3,
+        sequence: 5 << 20,
+    }
 }
 
 fn list_difference() -> InstanceListDifference {
-    let newer = InstanceListRevision { sequence: revision().sequence + 1, ..revision() };
+    let newer = InstanceListRevision {
+        sequence: revision().sequence + 1,
+        ..revision()
+    };
     let segments = vec![
         Segment::Insert(instances()),
-        Segment::CopyFromBase { from: 0, count: 70_000 },
+        Segment::CopyFromBase {
+            from: 0,
+            count: 70_000,
+        },
         Segment::Insert(instances().drain(..1).collect()),
     ];
-    InstanceListDifference { base: revision(), revision: newer, instances: segments }
+    InstanceListDifference {
+        base: revision(),
+        revision: newer,
+        instances: segments,
+    }
 }
 
 fn configuration_updates() -> Vec<(&'static str, ConfigurationUpdate)> {
     vec![
-        ("configuration-whole", ConfigurationUpdate::FullSnapshot(configuration())),
-        ("configuration-whole-empty", ConfigurationUpdate::FullSnapshot(empty_configuration())),
-        ("configuration-difference", ConfigurationUpdate::Difference(configuration_difference())),
+        (
+            "configuration-whole",
+            ConfigurationUpdate::FullSnapshot(configuration()),
+        ),
+        (
+            "configuration-whole-empty",
+            ConfigurationUpdate::FullSnapshot(empty_configuration()),
+        ),
+        (
+            "configuration-difference",
+            ConfigurationUpdate::Difference(configuration_difference()),
+        ),
     ]
 }
 
 fn list_updates() -> Vec<(&'static str, InstanceListUpdate)> {
     vec![
-        ("list-whole", InstanceListUpdate::FullSnapshot { revision: revision(), instances: instances() }),
+        (
+            "list-whole",
+            InstanceListUpdate::FullSnapshot {
+                revision: revision(),
+                instances: instances(),
+            },
+        ),
         (
             "list-whole-empty",
-            InstanceListUpdate::FullSnapshot { revision: revision(), instances: Vec::new() },
+            InstanceListUpdate::FullSnapshot {
+                revision: revision(),
+                instances: Vec::new(),
+            },
+        ),
+        (
+            "list-difference",
+            InstanceListUpdate::Difference(list_difference()),
         ),
-        ("list-difference", InstanceListUpdate::Difference(list_difference())),
     ]
 }
 
 fn heartbeats() -> Vec<(&'static str, Heartbeat)> {
-    let newest = AppliedVersions { configuration_version: 70_000, list_revision: revision() };
-    let in_view = Heartbeat { newest, list_age_ms: 1_300, calls_per_poll: 31, proxies: 1_200, in_view: true };
+    let newest = AppliedVersions {
+        configuration_version: 70_000,
+        list_revision: revision(),
+    };
+    let in_view = Heartbeat {
+        newest,
+        list_age_ms: 1_300,
+        calls_per_poll: 31,
+        proxies: 1_200,
+        in_view: true,
+    };
     let out_of_view = Heartbeat {
         newest: AppliedVersions::default(),
         list_age_ms: NEVER_MS,
@@ -236,23 +355,39 @@
         proxies: 0,
         in_view: false,
     };
-    vec![("heartbeat-in-view", in_view), ("heartbeat-out-of-view", out_of_view)]
+    vec![
+        ("heartbeat-in-view", in_view),
+        ("heartbeat-out-of-view", out_of_view),
+    ]
 }
 
 fn to_subscriber() -> Vec<(&'static str, ToSubscriber)> {
     let addresses = ["10.1.0.14:7660", "10.1.0.15:7661", "10.1.3.9:65535"];
-    let addresses = || addresses.iter().map(|address| address.parse().expect("a valid address")).collect();
+    let addresses = || {
+        addresses
+            .iter()
+            .map(|address| address.parse().expect("a valid address"))
+            .collect()
+    };
     let rest = [
         ("control-nodes", ToSubscriber::ControlNodes(addresses())),
         ("peers", ToSubscriber::Peers(addresses())),
         ("peers-none", ToSubscriber::Peers(Vec::new())),
     ];
     let configurations = configuration_updates().into_iter();
-    let configurations = configurations.map(|(name, update)| (name, ToSubscriber::Configuration(update)));
-    let lists = list_updates().into_iter().map(|(name, update)| (name, ToSubscriber::Instances(update)));
-    let heartbeats =
-        heartbeats().into_iter().map(|(name, heartbeat)| (name, ToSubscriber::Heartbeat(heartbeat)));
-    configurations.chain(lists).chain(heartbeats).chain(rest).collect()
+    let configurations =
+        configurations.map(|(name, update)| (name, ToSubscriber::Configuration(update)));
+    let lists = list_updates()
+        .into_iter()
+        .map(|(name, update)| (name, ToSubscriber::Instances(update)));
+    let heartbeats = heartbeats()
+        .into_iter()
+        .map(|(name, heartbeat)| (name, ToSubscriber::Heartbeat(heartbeat)));
+    configurations
+        .chain(lists)
+        .chain(heartbeats)
+        .chain(rest)
+        .collect()
 }
 
 fn loads() -> Vec<ServiceLoad> {
@@ -266,28 +401,79 @@
         decode_waiting: 75,
         decode_tokens: 9_000_000,
     };
-    vec![chat, ServiceLoad { service: "idle".to_owned(), proxies: 1, ..ServiceLoad::default() }]
+    vec![
+        chat,
+        ServiceLoad {
+            service: "idle".to_owned(),
+            proxies: 1,
+            ..ServiceLoad::default()
+        },
+    ]
 }
 
 fn from_subscriber() -> Vec<(&'static str, FromSubscriber)> {
-    let applied = AppliedVersions { configuration_version: 70_000, list_revision: revision() };
+    let applied = AppliedVersions {
+        configuration_version: 70_000,
+        list_revision: revision(),
+    };
     let agent = SubscriberIdentity {
         node: "edge-7".to_owned(),
         zone: "b".to_owned(),
         agent_address: Some("10.3.0.7:7670".parse().expect("a valid address")),
     };
-    let proxy = SubscriberIdentity { node: "edge-7".to_owned(), zone: "b".to_owned(), agent_address: None };
-    let downstream = Downstream { in_force_version: 69_997, proxies: 12, loads: loads() };
+    let proxy = SubscriberIdentity {
+        node: "edge-7".to_owned(),
+        zone: "b".to_owned(),
+        agent_address: None,
+    };
+    let downstream = Downstream {
+        in_force_version: 69_997,
+        proxies: 12,
+        loads: loads(),
+    };
     vec![
-        ("subscribe-agent", FromSubscriber::Subscribe { identity: agent, applied }),
+        (
+            "subscribe-agent",
+            FromSubscriber::Subscribe {
+                identity: agent,
+                applied,
+            },
+        ),
         (
             "subscribe-proxy",
-            FromSubscriber::Subscribe { identity: proxy, applied: AppliedVersions::default() },
+            FromSubscriber::Subscribe {
+                identity: proxy,
+                applied: AppliedVersions::default(),
+            },
+        ),
+        (
+            "acknowledge-agent",
+            FromSubscriber::Acknowledge {
+                applied,
+                downstream,
+            },
+        ),
+        (
+            "acknowledge-proxy",
+            FromSubscriber::Acknowledge {
+                applied,
+                downstream: Downstream::PROXY,
+            },
+        ),
+        (
+            "request-configuration",
+            FromSubscriber::RequestFullSnapshot {
+                configuration: true,
+                list: false,
+            },
+        ),
+        (
+            "request-list",
+            FromSubscriber::RequestFullSnapshot {
+                configuration: false,
+                list: true,
+            },
         ),
-        ("acknowledge-agent", FromSubscriber::Acknowledge { applied, downstream }),
-        ("acknowledge-proxy", FromSubscriber::Acknowledge { applied, downstream: Downstream::PROXY }),
-        ("request-configuration", FromSubscriber::RequestFullSnapshot { configuration: true, list: false }),
-        ("request-list", FromSubscriber::RequestFullSnapshot { configuration: false, list: true }),
     ]
 }
 
@@ -315,7 +501,8 @@
     let from = from_subscriber();
     assert_every_kind_is_sampled(
         FROM_SUBSCRIBER_KINDS,
-        from.iter().map(|(_, message)| from_subscriber_kind(message)),
+        from.iter()
+            .map(|(_, message)| from_subscriber_kind(message)),
     );
     let to = to_subscriber();
     assert_every_kind_is_sampled(
@@ -329,22 +516,44 @@
     let configurations = configuration_updates();
     assert_every_kind_is_sampled(
         CONFIGURATION_KINDS,
-        configurations.iter().map(|(_, update)| configuration_kind(update)),
+        configurations
+            .iter()
+            .map(|(_, update)| configuration_kind(update)),
+    );
+    assert_every_kind_is_sampled(
+        LIST_KINDS,
+        list_updates().iter().map(|(_, update)| list_kind(update)),
     );
-    assert_every_kind_is_sampled(LIST_KINDS, list_updates().iter().map(|(_, update)| list_kind(update)));
     let difference = configuration_difference();
-    assert_every_kind_is_sampled(ROUTE_SEGMENT_KINDS, difference.routes.iter().map(route_segment_kind));
-    assert_every_kind_is_sampled(SERVICE_SEGMENT_KINDS, difference.services.iter().map(service_segment_kind));
+    assert_every_kind_is_sampled(
+        ROUTE_SEGMENT_KINDS,
+        difference.routes.iter().map(route_segment_kind),
+    );
+    assert_every_kind_is_sampled(
+        SERVICE_SEGMENT_KINDS,
+        difference.services.iter().map(service_segment_kind),
+    );
     let segments = list_difference().instances;
-    assert_every_kind_is_sampled(INSTANCE_SEGMENT_KINDS, segments.iter().map(instance_segment_kind));
+    assert_every_kind_is_sampled(
+        INSTANCE_SEGMENT_KINDS,
+        segments.iter().map(instance_segment_kind),
+    );
 }
 
 #[test]
 fn every_kind_of_route_and_of_searcher_has_a_sample() {
-    assert_every_kind_is_sampled(ROUTE_KINDS, routes().iter().map(|route| route_kind(&route.kind)));
+    assert_every_kind_is_sampled(
+        ROUTE_KINDS,
+        routes().iter().map(|route| route_kind(&route.kind)),
+    );
     let instances = instances();
-    assert_every_kind_is_sampled(STATE_KINDS, instances.iter().map(|instance| state_kind(&instance.state)));
-    let stages = instances.iter().filter_map(|instance| instance.stage.as_ref());
+    assert_every_kind_is_sampled(
+        STATE_KINDS,
+        instances.iter().map(|instance| state_kind(&instance.state)),
+    );
+    let stages = instances
+        .iter()
+        .filter_map(|instance| instance.stage.as_ref());
     assert_every_kind_is_sampled(STAGE_KINDS, stages.map(stage_kind));
 }
 
--- a/crates/lockusher-distribution/tests/streams.rs
+++ b/crates/lockusher-distribution/tests/streams.rs
@@ -55,7 +55,9 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             now_ms: 0,
             published: Published::default(),
-            publishers: (0..PUBLISHERS).map(|number| Publisher::new(number as u64)).collect(),
+            publishers: (0..PUBLISHERS)
+                .map(|number| Publisher::new(number as u64))
+                .collect(),
             subscribers: (0..SUBSCRIBERS).map(subscriber).collect(),
             connections: Vec::new(),
             full_snapshots: 0,
@@ -77,7 +79,13 @@
     }
 
     fn change_configuration(&mut self) {
-        let last = self.published.configurations.keys().next_back().copied().unwrap_or_default();
+        let last = self
+            .published
+            .configurations
+            .keys()
+            .next_back()
+            .copied()
+            .unwrap_or_default();
         let version = last + self.random.random_range(1..4);
         let mut routes: Vec<(u8, u64)> = Vec::new();
         for number in 0..6 {
@@ -85,18 +93,36 @@
                 routes.push((number, self.random.random_range(1..3)));
             }
         }
-        self.published.configurations.insert(version, Rc::new(configuration(version, &routes)));
+        self.published
+            .configurations
+            .insert(version, Rc::new(configuration(version, &routes)));
     }
 
     fn change_list(&mut self) {
-        let last = self.published.lists.keys().next_back().copied().unwrap_or(revision(1, 0));
+        let last = self
+            .published
+            .lists
+            .keys()
+            .next_back()
+            .copied()
+            .unwrap_or(revision(1, 0));
         let epoch = last.epoch + u64::from(self.random.random_bool(0.1));
-        let next = revision(epoch, if epoch > last.epoch { 1 } else { last.sequence + 1 });
+        let next = revision(
+            epoch,
+            if epoch > last.epoch {
+                1
+            } else {
+                last.sequence + 1
+            },
+        );
         let mut instances = Vec::new();
         for number in 0..10 {
             if self.random.random_bool(0.8) {
                 let slots = self.random.random_range(1..3);
-                instances.push(Instance { slots, ..instance(&format!("i{number}")) });
+                instances.push(Instance {
+                    slots,
+                    ..instance(&format!("i{number}"))
+                });
             }
         }
         self.published.lists.insert(next, Rc::new(instances));
@@ -106,7 +132,13 @@
     fn catch_up_publisher(&mut self) {
         let number = self.random.random_range(0..PUBLISHERS);
         let skipped = self.random.random_range(0..3);
-        let configuration = self.published.configurations.values().rev().nth(skipped).cloned();
+        let configuration = self
+            .published
+            .configurations
+            .values()
+            .rev()
+            .nth(skipped)
+            .cloned();
         let list = self.published.lists.iter().rev().nth(skipped);
         let publisher = &mut self.publishers[number];
         if let Some(configuration) = configuration {
@@ -127,7 +159,13 @@
         let id = self.publishers[publisher].connect(self.now_ms);
         let first = self.subscribers[subscriber].subscribe(self.now_ms);
         let upward = VecDeque::from([first]);
-        self.connections.push(Connection { publisher, subscriber, id, upward, downward: VecDeque::new() });
+        self.connections.push(Connection {
+            publisher,
+            subscriber,
+            id,
+            upward,
+            downward: VecDeque::new(),
+        });
     }
 
     fn lose_connection(&mut self) {
@@ -142,7 +180,8 @@
     fn restart_publisher(&mut self) {
         let number = self.random.random_range(0..PUBLISHERS);
         self.publishers[number] = Publisher::new(self.now_ms);
-        self.connections.retain(|connection| connection.publisher != number);
+        self.connections
+            .retain(|connection| connection.publisher != number);
     }
 
     /// Moves one message of one connection.
@@ -161,19 +200,25 @@
     fn send_downward(&mut self, position: usize) {
         let connection = &mut self.connections[position];
         let publisher = &mut self.publishers[connection.publisher];
-        let Some(frame) = publisher.next_frame(connection.id, self.now_ms) else { return };
+        let Some(frame) = publisher.next_frame(connection.id, self.now_ms) else {
+            return;
+        };
         connection.downward.push_back(decode_frame(&frame));
     }
 
     fn deliver_upward(&mut self, position: usize) {
         let connection = &mut self.connections[position];
-        let Some(message) = connection.upward.pop_front() else { return };
+        let Some(message) = connection.upward.pop_front() else {
+            return;
+        };
         self.publishers[connection.publisher].receive(connection.id, self.now_ms, message);
     }
 
     fn deliver_downward(&mut self, position: usize) {
         let connection = &mut self.connections[position];
-        let Some(message) = connection.downward.pop_front() else { return };
+        let Some(message) = connection.downward.pop_front() else {
+            return;
+        };
         self.count_update(&message);
         let connection = &mut self.connections[position];
         let subscriber = &mut self.subscribers[connection.subscriber];
@@ -188,7 +233,9 @@
         use lockusher_distribution::message::{ConfigurationUpdate, InstanceListUpdate};
         match message {
             ToSubscriber::Configuration(ConfigurationUpdate::FullSnapshot(_))
-            | ToSubscriber::Instances(InstanceListUpdate::FullSnapshot { .. }) => self.full_snapshots += 1,
+            | ToSubscriber::Instances(InstanceListUpdate::FullSnapshot { .. }) => {
+                self.full_snapshots += 1;
+            }
             ToSubscriber::Configuration(_) | ToSubscriber::Instances(_) => self.differences += 1,
             _ => {}
         }
@@ -198,13 +245,25 @@
     fn check_applied(&self, subscriber: usize, before: AppliedVersions) {
         let subscriber = &self.subscribers[subscriber];
         let applied = subscriber.applied();
-        assert!(applied.configuration_version >= before.configuration_version, "configuration went back");
-        assert!(applied.list_revision >= before.list_revision, "list went back");
+        assert!(
+            applied.configuration_version >= before.configuration_version,
+            "configuration went back"
+        );
+        assert!(
+            applied.list_revision >= before.list_revision,
+            "list went back"
+        );
         if let Some(configuration) = subscriber.configuration() {
-            assert_eq!(configuration, &self.published.configurations[&applied.configuration_version]);
+            assert_eq!(
+                configuration,
+                &self.published.configurations[&applied.configuration_version]
+            );
         }
         if let Some(list) = subscriber.list() {
-            assert_eq!(&list.instances, &self.published.lists[&applied.list_revision]);
+            assert_eq!(
+                &list.instances,
+                &self.published.lists[&applied.list_revision]
+            );
         }
     }
 
@@ -246,7 +305,13 @@
                 .next_back()
                 .copied()
                 .unwrap_or_default(),
-            list_revision: self.published.lists.keys().next_back().copied().unwrap_or_default(),
+            list_revision: self
+                .published
+                .lists
+                .keys()
+                .next_back()
+                .copied()
+                .unwrap_or_default(),
         }
     }
 }
@@ -285,6 +350,14 @@
         simulation.step();
     }
 
-    assert!(simulation.full_snapshots > 50, "{} full snapshots", simulation.full_snapshots);
-    assert!(simulation.differences > 50, "{} differences", simulation.differences);
+    assert!(
+        simulation.full_snapshots > 50,
+        "{} full snapshots",
+        simulation.full_snapshots
+    );
+    assert!(
+        simulation.differences > 50,
+        "{} differences",
+        simulation.differences
+    );
 }
--- a/crates/lockusher-distribution/tests/support/mod.rs
+++ b/crates/lockusher-distribution/tests/support/mod.rs
@@ -1,7 +1,9 @@
 //! Values and steps that the tests of this package share.
 #![allow(dead_code)]
 
-use lockusher_config::configuration::{Configuration, Limits, Route, RouteKind, Service, WeightedService};
+use lockusher_config::configuration::{
+    Configuration, Limits, Route, RouteKind, Service, WeightedService,
+};
 use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState};
 use lockusher_distribution::message::{
     AppliedVersions, Downstream, Envelope, FromSubscriber, SubscriberIdentity, ToSubscriber,
@@ -18,7 +20,10 @@
         timeout_ms,
         target_latency_ms: 100,
         priority: 1,
-        split: vec![WeightedService { service: "service".to_owned(), weight: 1 }],
+        split: vec![WeightedService {
+            service: "service".to_owned(),
+            weight: 1,
+        }],
         attempts: 2,
         sticky: false,
         resumable: false,
@@ -27,14 +32,22 @@
 }
 
 pub fn service(name: &str) -> Service {
-    Service { name: name.to_owned(), health_check: "/health".to_owned(), connection_limit: 10, engine: None }
+    Service {
+        name: name.to_owned(),
+        health_check: "/health".to_owned(),
+        connection_limit: 10,
+        engine: None,
+    }
 }
 
 /// A configuration with a route for each `(number, timeout)`.
 pub fn configuration(version: u64, routes: &[(u8, u64)]) -> Configuration {
     Configuration {
         version,
-        routes: routes.iter().map(|(number, timeout)| route(&format!("r{number}"), *timeout)).collect(),
+        routes: routes
+            .iter()
+            .map(|(number, timeout)| route(&format!("r{number}"), *timeout))
+            .collect(),
         services: vec![service("service")],
         limits: Limits {
             header_bytes: 1_000 + version,
@@ -61,11 +74,17 @@
 }
 
 pub fn draining(identifier: &str) -> Instance {
-    Instance { state: InstanceState::Draining, ..instance(identifier) }
+    Instance {
+        state: InstanceState::Draining,
+        ..instance(identifier)
+    }
 }
 
 pub fn warming_up(identifier: &str, cold_remaining_ms: u64) -> Instance {
-    Instance { cold_remaining_ms, ..instance(identifier) }
+    Instance {
+        cold_remaining_ms,
+        ..instance(identifier)
+    }
 }
 
 pub fn revision(epoch: u64, sequence: u64) -> InstanceListRevision {
@@ -73,7 +92,11 @@
 }
 
 pub fn identity(node: &str) -> SubscriberIdentity {
-    SubscriberIdentity { node: node.to_owned(), zone: "zone".to_owned(), agent_address: None }
+    SubscriberIdentity {
+        node: node.to_owned(),
+        zone: "zone".to_owned(),
+        agent_address: None,
+    }
 }
 
 /// The message of a publisher's frame.
@@ -100,7 +123,12 @@
 }
 
 /// Passes on to a subscriber all messages that are due to it; its answers are dropped.
-pub fn deliver_due(publisher: &mut Publisher, id: SubscriberId, subscriber: &mut Subscriber, now_ms: u64) {
+pub fn deliver_due(
+    publisher: &mut Publisher,
+    id: SubscriberId,
+    subscriber: &mut Subscriber,
+    now_ms: u64,
+) {
     for message in messages(publisher, id, now_ms) {
         subscriber.receive(now_ms, message);
     }
@@ -108,11 +136,17 @@
 
 /// A subscriber that has applied this configuration and no list.
 pub fn applied_configuration(configuration_version: u64) -> AppliedVersions {
-    AppliedVersions { configuration_version, ..AppliedVersions::default() }
+    AppliedVersions {
+        configuration_version,
+        ..AppliedVersions::default()
+    }
 }
 
 /// The acknowledgement of a proxy that has applied this configuration.
 pub fn acknowledgement(configuration_version: u64) -> FromSubscriber {
     let applied = applied_configuration(configuration_version);
-    FromSubscriber::Acknowledge { applied, downstream: Downstream::PROXY }
+    FromSubscriber::Acknowledge {
+        applied,
+        downstream: Downstream::PROXY,
+    }
 }
--- a/crates/lockusher-http2/src/connection.rs
+++ b/crates/lockusher-http2/src/connection.rs
@@ -172,12 +172,22 @@
         if !self.pool.borrow_mut().call(id) {
             return Err(call);
         }
-        let parts = call.into_iter().map(|sent| Out { nth: sent.nth, part: sent.part, wanted: sent.wanted });
+        let parts = call.into_iter().map(|sent| Out {
+            nth: sent.nth,
+            part: sent.part,
+            wanted: sent.wanted,
+        });
         let parts: Vec<Out> = parts.collect();
         let mut sends = self.sends.borrow_mut();
         sends.extend(parts.iter().map(|out| ((out.part.id.clone(), out.nth), id)));
         drop(sends);
-        let call = Call { parts, on: None, stream: None, answered: false, writer: None };
+        let call = Call {
+            parts,
+            on: None,
+            stream: None,
+            answered: false,
+            writer: None,
+        };
         self.calls.borrow_mut().insert(id, call);
         self.kick();
         Ok(())
@@ -186,7 +196,10 @@
     /// Nothing new goes there: hands back what has not left, lets the rest end.
     pub fn leave(&self) -> Vec<(PartId, usize)> {
         let waiting = self.pool.borrow_mut().leave();
-        let parts = waiting.into_iter().filter_map(|id| self.take(id)).flat_map(|call| call.parts);
+        let parts = waiting
+            .into_iter()
+            .filter_map(|id| self.take(id))
+            .flat_map(|call| call.parts);
         let unsent = parts.map(|out| (out.part.id, out.nth)).collect();
         self.wake.notify_one();
         unsent
@@ -205,8 +218,11 @@
     fn drop_send(&self, id: CallId, part: &PartId, nth: usize) -> bool {
         self.sends.borrow_mut().remove(&(part.clone(), nth));
         let mut calls = self.calls.borrow_mut();
-        let Some(call) = calls.get_mut(&id) else { return false };
-        call.parts.retain(|out| out.part.id != *part || out.nth != nth);
+        let Some(call) = calls.get_mut(&id) else {
+            return false;
+        };
+        call.parts
+            .retain(|out| out.part.id != *part || out.nth != nth);
         !call.parts.is_empty()
     }
 
@@ -234,10 +250,16 @@
 
     /// Gives a send up. What has left may be reset; what has not must not leave after all.
     pub fn give_up(&self, part: &PartId, nth: usize) {
-        let Some(id) = self.find(part, nth) else { return };
+        let Some(id) = self.find(part, nth) else {
+            return;
+        };
         if !self.recall(part, nth) {
             let others = self.drop_send(id, part, nth);
-            let on = self.calls.borrow().get(&id).and_then(|call| Some(call.on.as_ref()?.0));
+            let on = self
+                .calls
+                .borrow()
+                .get(&id)
+                .and_then(|call| Some(call.on.as_ref()?.0));
             if let (false, Some(on)) = (others, on)
                 && self.pool.borrow_mut().may_reset(self.shared.now(), on)
             {
@@ -248,11 +270,17 @@
 
     /// Takes back a send that has not left whole; tells whether that was so.
     pub fn recall(&self, part: &PartId, nth: usize) -> bool {
-        let Some(id) = self.find(part, nth) else { return false };
+        let Some(id) = self.find(part, nth) else {
+            return false;
+        };
         if self.left(id).is_some() {
             return false;
         }
-        let begun = self.calls.borrow().get(&id).is_some_and(|call| call.on.is_some());
+        let begun = self
+            .calls
+            .borrow()
+            .get(&id)
+            .is_some_and(|call| call.on.is_some());
         let others = self.drop_send(id, part, nth);
         if begun {
             // Some of it may be on its way: without its end it never runs. Its neighbours are told that by the
@@ -276,8 +304,12 @@
     /// A send is late, or has waited in vain: if nothing has come on its connection since it left, that is asked
     /// there; with `retire` nothing new goes there either.
     pub fn doubt(&self, part: &PartId, nth: usize, retire: bool) {
-        let Some((seen, stream, on)) = self.find(part, nth).and_then(|id| self.seen(id)) else { return };
-        let silent = seen.left(stream).is_some_and(|left| seen.heard().is_none_or(|heard| heard < left));
+        let Some((seen, stream, on)) = self.find(part, nth).and_then(|id| self.seen(id)) else {
+            return;
+        };
+        let silent = seen
+            .left(stream)
+            .is_some_and(|left| seen.heard().is_none_or(|heard| heard < left));
         if !silent {
             return;
         }
@@ -365,7 +397,9 @@
         let seen = &link.seen;
         let most = Duration::from_micros(self.shared.connect_timeout.as_micros());
         let come_up = async {
-            let socket = TcpStream::connect(self.address).await.map_err(|e| e.to_string())?;
+            let socket = TcpStream::connect(self.address)
+                .await
+                .map_err(|e| e.to_string())?;
             socket.set_nodelay(true).map_err(|e| e.to_string())?;
             let built = h2::client::Builder::new()
                 .enable_push(false)
@@ -375,8 +409,9 @@
                 .handshake::<_, Bytes>(Tap::new(socket, seen.clone()));
             built.await.map_err(|e| e.to_string())
         };
-        let (requests, mut connection) =
-            tokio::time::timeout(most, come_up).await.map_err(|_| "none came up in time")??;
+        let (requests, mut connection) = tokio::time::timeout(most, come_up)
+            .await
+            .map_err(|_| "none came up in time")??;
         let pings = connection.ping_pong();
         let driven = connection;
         tokio::pin!(driven);
@@ -411,7 +446,9 @@
             }
         };
         let pinging = async {
-            let Some(mut pings) = pings else { return std::future::pending().await };
+            let Some(mut pings) = pings else {
+                return std::future::pending().await;
+            };
             loop {
                 link.ping.notified().await;
                 // That something came back is seen on the socket.
@@ -451,7 +488,9 @@
     }
 
     fn begin(self: &Rc<Self>, id: ConnectionId, call: CallId) {
-        let Some(link) = self.links.borrow().get(&id).cloned() else { return };
+        let Some(link) = self.links.borrow().get(&id).cloned() else {
+            return;
+        };
         let requests = link.requests.borrow().clone();
         if let Some(call) = self.calls.borrow_mut().get_mut(&call) {
             call.on = Some((id, link));
@@ -470,7 +509,11 @@
             if end == End::Reset(ENHANCE_YOUR_CALM) {
                 host.pool.borrow_mut().calm(host.shared.now(), id);
             }
-            let begun = host.calls.borrow().get(&call).is_some_and(|call| call.stream.is_some());
+            let begun = host
+                .calls
+                .borrow()
+                .get(&call)
+                .is_some_and(|call| call.stream.is_some());
             if end == End::ConnectionOver && !begun {
                 // Nothing of it has left: the connection takes nothing more, and it waits for another.
                 if host.pool.borrow_mut().again(id, call) {
@@ -481,7 +524,9 @@
                     host.end(call, end).await;
                 }
             } else {
-                host.pool.borrow_mut().ended(host.shared.now(), id, call, how);
+                host.pool
+                    .borrow_mut()
+                    .ended(host.shared.now(), id, call, how);
                 host.end(call, end).await;
             }
             host.kick();
@@ -490,19 +535,30 @@
 
     /// One call, to the end of its stream.
     async fn carry(&self, call: CallId, requests: SendRequest<Bytes>) -> End {
-        let Ok(mut requests) = requests.ready().await else { return self.ended_by(call, None) };
+        let Ok(mut requests) = requests.ready().await else {
+            return self.ended_by(call, None);
+        };
         let body = {
             let calls = self.calls.borrow();
-            let Some(call) = calls.get(&call) else { return End::GivenUp };
+            let Some(call) = calls.get(&call) else {
+                return End::GivenUp;
+            };
             // What nobody waits for any more does not leave; the router gives it up.
-            wire::encode(call.parts.iter().filter(|out| (out.wanted)()).map(|out| &out.part))
+            wire::encode(
+                call.parts
+                    .iter()
+                    .filter(|out| (out.wanted)())
+                    .map(|out| &out.part),
+            )
         };
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{}{}", self.address, wire::PATH))
             .header(http::header::CONTENT_TYPE, wire::CONTENT_TYPE)
             .body(());
-        let Ok(request) = request else { return End::GivenUp };
+        let Ok(request) = request else {
+            return End::GivenUp;
+        };
         let (response, mut writer) = match requests.send_request(request, false) {
             Ok(begun) => begun,
             Err(error) => return self.ended_by(call, Some(error)),
@@ -542,20 +598,32 @@
             }
             let _ = body.flow_control().release_capacity(some.len());
         }
-        if ends.partial() { End::Spoilt } else { End::Whole }
+        if ends.partial() {
+            End::Spoilt
+        } else {
+            End::Whole
+        }
     }
 
     /// What an error on a stream comes from: what was seen on the socket says it, not the library's words.
     fn ended_by(&self, call: CallId, error: Option<h2::Error>) -> End {
-        let Some((seen, stream, _)) = self.seen(call) else { return End::ConnectionOver };
+        let Some((seen, stream, _)) = self.seen(call) else {
+            return End::ConnectionOver;
+        };
         if let Some(code) = seen.reset(stream) {
             return End::Reset(code);
         }
-        let silent = self.calls.borrow().get(&call).and_then(|call| Some(call.on.as_ref()?.1.silent.get()));
+        let silent = self
+            .calls
+            .borrow()
+            .get(&call)
+            .and_then(|call| Some(call.on.as_ref()?.1.silent.get()));
         if silent == Some(true) {
             return End::Silent;
         }
-        let Some(error) = error else { return End::ConnectionOver };
+        let Some(error) = error else {
+            return End::ConnectionOver;
+        };
         if seen.last().is_some_and(|(last, _)| stream > last) {
             return End::BeyondLast;
         }
@@ -573,7 +641,9 @@
     async fn part(&self, id: CallId, end: PartEnd) {
         let out = {
             let mut calls = self.calls.borrow_mut();
-            let Some(call) = calls.get_mut(&id) else { return };
+            let Some(call) = calls.get_mut(&id) else {
+                return;
+            };
             call.answered = true;
             let place = call.parts.iter().position(|out| out.part.id == end.id);
             place.map(|place| call.parts.swap_remove(place))
@@ -581,7 +651,13 @@
         let Some(out) = out else { return };
         self.sends.borrow_mut().remove(&(end.id.clone(), out.nth));
         let answer = (end.outcome == Outcome::Returned).then_some((end.score, end.value));
-        let came = Came { part: end.id, nth: out.nth, outcome: end.outcome, at: Instant::now(), answer };
+        let came = Came {
+            part: end.id,
+            nth: out.nth,
+            outcome: end.outcome,
+            at: Instant::now(),
+            answer,
+        };
         self.shared.tell(came).await;
     }
 
@@ -589,17 +665,34 @@
     async fn end(&self, id: CallId, end: End) {
         let seen = self.seen(id);
         let Some(call) = self.take(id) else { return };
-        let left = seen.as_ref().is_some_and(|(seen, stream, _)| seen.left(*stream).is_some());
-        let last = seen.as_ref().and_then(|(seen, stream, _)| Some(seen.last()?.0 >= *stream));
+        let left = seen
+            .as_ref()
+            .is_some_and(|(seen, stream, _)| seen.left(*stream).is_some());
+        let last = seen
+            .as_ref()
+            .and_then(|(seen, stream, _)| Some(seen.last()?.0 >= *stream));
         if let Some((seen, stream, _)) = seen {
             seen.forget(stream);
         }
         // A stream that GOAWAY left out never ran, though its connection ended before that was told.
-        let end = if end == End::ConnectionOver && last == Some(false) { End::BeyondLast } else { end };
-        let known = Known { left, answered: call.answered };
+        let end = if end == End::ConnectionOver && last == Some(false) {
+            End::BeyondLast
+        } else {
+            end
+        };
+        let known = Known {
+            left,
+            answered: call.answered,
+        };
         for out in call.parts {
             let outcome = outcome(end, known);
-            let came = Came { part: out.part.id, nth: out.nth, outcome, at: Instant::now(), answer: None };
+            let came = Came {
+                part: out.part.id,
+                nth: out.nth,
+                outcome,
+                at: Instant::now(),
+                answer: None,
+            };
             self.shared.tell(came).await;
         }
     }
