--- a/crates/lockusher-http2/src/pool.rs
+++ b/crates/lockusher-http2/src/pool.rs
@@ -183,7 +183,10 @@
 
     /// Connections that nothing is out on take nothing more.
     pub fn retire_unused(&mut self) {
-        let unused = self.connections.values_mut().filter(|connection| connection.calls.is_empty());
+        let unused = self
+            .connections
+            .values_mut()
+            .filter(|connection| connection.calls.is_empty());
         unused.for_each(Connection::retire);
     }
 
@@ -199,14 +202,20 @@
 
     /// A connection is over, or never came up; tells the calls that were out, and those that waited for it alone.
     pub fn over(&mut self, now: Time, id: ConnectionId) -> (Vec<CallId>, Vec<CallId>) {
-        let Some(connection) = self.connections.remove(&id) else { return Default::default() };
+        let Some(connection) = self.connections.remove(&id) else {
+            return Default::default();
+        };
         // One that is told to close before it came up is no fault of the searcher's.
         if connection.state != State::Connecting {
             return (connection.calls, Vec::new());
         }
         self.rest(now);
         let others = self.connections.values().any(Connection::is_live);
-        let waited = if others { Vec::new() } else { self.waiting.drain(..).collect() };
+        let waited = if others {
+            Vec::new()
+        } else {
+            self.waiting.drain(..).collect()
+        };
         (connection.calls, waited)
     }
 
@@ -217,7 +226,9 @@
     }
 
     fn rest(&mut self, now: Time) {
-        let rest = FIRST_REST.times(2f64.powi(self.rests.min(16) as i32)).min(LONGEST_REST);
+        let rest = FIRST_REST
+            .times(2f64.powi(self.rests.min(16) as i32))
+            .min(LONGEST_REST);
         self.rests += 1;
         self.not_before = Some(now + rest);
     }
@@ -252,14 +263,19 @@
 
     /// Whether something waits that could begin now.
     pub fn has_room_for_waiting(&self) -> bool {
-        let room = |c: &Connection| c.state == State::Open && c.calls.len() < c.window.min(c.allowed);
+        let room =
+            |c: &Connection| c.state == State::Open && c.calls.len() < c.window.min(c.allowed);
         !self.waiting.is_empty() && self.connections.values().any(room)
     }
 
     /// A call that was out has ended.
     pub fn ended(&mut self, now: Time, id: ConnectionId, call: CallId, how: Ended) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
-        let Some(place) = connection.calls.iter().position(|out| *out == call) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let Some(place) = connection.calls.iter().position(|out| *out == call) else {
+            return;
+        };
         connection.calls.swap_remove(place);
         connection.used = now;
         match how {
@@ -285,7 +301,9 @@
     /// and all that is out there would be lost with it. Otherwise its answer is let come, and is not read.
     pub fn may_reset(&mut self, now: Time, id: ConnectionId) -> bool {
         let rate = self.limits.resets_per_s;
-        let Some(connection) = self.connections.get_mut(&id) else { return false };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return false;
+        };
         let since = now.since(connection.resets_at).as_secs();
         connection.resets = (connection.resets - since * rate).max(0.0);
         connection.resets_at = now;
@@ -299,7 +317,8 @@
         let mut acts = Vec::new();
         let limits = self.limits;
         for (id, connection) in &mut self.connections {
-            let old = now.since(connection.opened) >= limits.age || connection.begun >= limits.most_calls;
+            let old =
+                now.since(connection.opened) >= limits.age || connection.begun >= limits.most_calls;
             if connection.state == State::Open && old {
                 connection.state = State::Retired;
             }
@@ -311,7 +330,9 @@
                 connection.state = State::Closing;
                 acts.push(Act::Close(*id));
             }
-            if connection.calls.is_empty() || matches!(connection.state, State::Connecting | State::Closing) {
+            if connection.calls.is_empty()
+                || matches!(connection.state, State::Connecting | State::Closing)
+            {
                 continue;
             }
             match connection.pinged {
@@ -348,8 +369,9 @@
             }
             let mut live = self.connections.values().filter(|c| c.is_live());
             // One that grows still is room enough: what waits for it must not open another instead.
-            let grows = live
-                .any(|c| c.state == State::Connecting || c.window < c.allowed.min(self.limits.most_streams));
+            let grows = live.any(|c| {
+                c.state == State::Connecting || c.window < c.allowed.min(self.limits.most_streams)
+            });
             let count = self.connections.values().filter(|c| c.is_live()).count();
             let rests = self.not_before.is_some_and(|at| at > now);
             if grows || rests || self.left || count >= self.limits.most_connections {
@@ -386,7 +408,9 @@
                 return None; // Its time-out is the connection's own; one that is told to close needs no more.
             }
             if connection.calls.is_empty() {
-                return Some((connection.used + self.limits.idle).min(connection.opened + self.limits.age));
+                return Some(
+                    (connection.used + self.limits.idle).min(connection.opened + self.limits.age),
+                );
             }
             let silent = match connection.pinged {
                 Some(at) => at + self.limits.silent_after,
--- a/crates/lockusher-http2/src/tap.rs
+++ b/crates/lockusher-http2/src/tap.rs
@@ -146,14 +146,22 @@
                     return;
                 }
                 let head = &self.head;
-                self.rest = usize::from(head[0]) << 16 | usize::from(head[1]) << 8 | usize::from(head[2]);
+                self.rest =
+                    usize::from(head[0]) << 16 | usize::from(head[1]) << 8 | usize::from(head[2]);
                 let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]) & 0x7fff_ffff;
-                self.frame = Frame { kind: head[3], flags: head[4], stream, kept: Vec::new() };
+                self.frame = Frame {
+                    kind: head[3],
+                    flags: head[4],
+                    stream,
+                    kept: Vec::new(),
+                };
             }
             let taken = self.rest.min(bytes.len());
             let reads = matches!(self.frame.kind, RST_STREAM | SETTINGS | GOAWAY);
             if reads && self.frame.kept.len() < MOST_KEPT {
-                self.frame.kept.extend_from_slice(&bytes[..taken.min(MOST_KEPT)]);
+                self.frame
+                    .kept
+                    .extend_from_slice(&bytes[..taken.min(MOST_KEPT)]);
             }
             self.rest -= taken;
             bytes = &bytes[taken..];
@@ -175,12 +183,24 @@
 
 impl<S> Tap<S> {
     pub fn new(socket: S, seen: Rc<Seen>) -> Self {
-        Tap { socket, seen, out: Frames { skip: PREFACE, ..Frames::default() }, into: Frames::default() }
+        Tap {
+            socket,
+            seen,
+            out: Frames {
+                skip: PREFACE,
+                ..Frames::default()
+            },
+            into: Frames::default(),
+        }
     }
 }
 
 impl<S: AsyncRead + Unpin> AsyncRead for Tap<S> {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buffer: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buffer: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let before = buffer.filled().len();
         let polled = Pin::new(&mut this.socket).poll_read(cx, buffer);
@@ -199,7 +219,8 @@
         let this = self.get_mut();
         let polled = Pin::new(&mut this.socket).poll_write(cx, bytes);
         if let Poll::Ready(Ok(count)) = &polled {
-            this.out.pass(&bytes[..*count], |frame| this.seen.went(frame));
+            this.out
+                .pass(&bytes[..*count], |frame| this.seen.went(frame));
         }
         polled
     }
@@ -235,10 +256,20 @@
             frame(DATA, END_STREAM, 3, b""),
         ]
         .concat();
-        let (seen, mut frames) = (Seen::default(), Frames { skip: PREFACE, ..Frames::default() });
+        let (seen, mut frames) = (
+            Seen::default(),
+            Frames {
+                skip: PREFACE,
+                ..Frames::default()
+            },
+        );
         for (i, byte) in bytes.iter().enumerate() {
             frames.pass(&[*byte], |frame| seen.went(frame));
-            assert_eq!(seen.left(1).is_some(), i + 1 >= bytes.len() - 9, "at byte {i}");
+            assert_eq!(
+                seen.left(1).is_some(),
+                i + 1 >= bytes.len() - 9,
+                "at byte {i}"
+            );
         }
         assert!(seen.left(3).is_some());
         seen.forget(1);
@@ -251,8 +282,14 @@
     #[case::all(10_000)]
     fn what_a_searcher_says(#[case] at_once: usize) {
         let allows = |n: u8| frame(SETTINGS, 0, 0, &[0, 3, 0, 0, 0, n, 0, 4, 0, 0, 1, 0]);
-        let goes =
-            |last: u8, code: u8| frame(GOAWAY, 0, 0, &[0, 0, 0, last, 0, 0, 0, code, b'w', b'h', b'y']);
+        let goes = |last: u8, code: u8| {
+            frame(
+                GOAWAY,
+                0,
+                0,
+                &[0, 0, 0, last, 0, 0, 0, code, b'w', b'h', b'y'],
+            )
+        };
         let bytes = [
             allows(9),
             frame(SETTINGS, ACK, 0, &[]),
@@ -269,6 +306,9 @@
             frames.pass(some, |frame| seen.came(frame));
         }
         // A notice that raises the last stream again takes no promise back.
-        assert_eq!((seen.allows(), seen.reset(5), seen.last()), (Some(1), Some(8), Some((7, 2))));
+        assert_eq!(
+            (seen.allows(), seen.reset(5), seen.last()),
+            (Some(1), Some(8), Some((7, 2)))
+        );
     }
 }
--- a/crates/lockusher-http2/src/wire.rs
+++ b/crates/lockusher-http2/src/wire.rs
@@ -42,12 +42,19 @@
         shard: part.shard.0 as u32,
         wait_ms: u32::try_from(part.wait.as_micros() / 1_000).unwrap_or(u32::MAX),
         text: part.text.to_vec(),
-        first_step: part.first_step.as_ref().map(|(shards, whole)| pb::FirstStep {
-            shards: shards.iter().map(|shard| shard.0 as u32).collect(),
-            whole: *whole,
-        }),
+        first_step: part
+            .first_step
+            .as_ref()
+            .map(|(shards, whole)| pb::FirstStep {
+                shards: shards.iter().map(|shard| shard.0 as u32).collect(),
+                whole: *whole,
+            }),
     };
-    pb::Call { parts: parts.map(part).collect() }.encode_length_delimited_to_vec().into()
+    pb::Call {
+        parts: parts.map(part).collect(),
+    }
+    .encode_length_delimited_to_vec()
+    .into()
 }
 
 /// Takes messages off what comes.
@@ -91,7 +98,12 @@
             pb::part_end::End::Unset => return Err("an end that is none"),
         };
         let value = String::from_utf8(end.value).map_err(|_| "a value that is no text")?;
-        Ok(Some(PartEnd { id: PartId::new(&end.id), outcome, score: end.score, value }))
+        Ok(Some(PartEnd {
+            id: PartId::new(&end.id),
+            outcome,
+            score: end.score,
+            value,
+        }))
     }
 }
 
@@ -120,7 +132,10 @@
             got.extend(ends.take().expect("good"));
         }
         let values: Vec<usize> = got.iter().map(|end| end.value.len()).collect();
-        assert_eq!((values, got[0].score, ends.partial()), (vec![1, 5_000, 0], -7, false));
+        assert_eq!(
+            (values, got[0].score, ends.partial()),
+            (vec![1, 5_000, 0], -7, false)
+        );
     }
 
     #[rstest]
--- a/crates/lockusher-http2/tests/pool.rs
+++ b/crates/lockusher-http2/tests/pool.rs
@@ -34,7 +34,11 @@
 
 impl Story {
     fn new(limits: Limits) -> Self {
-        Story { pool: Pool::new(limits), next: 0, out: HashMap::new() }
+        Story {
+            pool: Pool::new(limits),
+            next: 0,
+            out: HashMap::new(),
+        }
     }
 
     fn calls(&mut self, count: usize) {
@@ -55,14 +59,22 @@
     }
 
     fn on(&self, id: u64) -> usize {
-        self.out.values().filter(|on| **on == ConnectionId(id)).count()
+        self.out
+            .values()
+            .filter(|on| **on == ConnectionId(id))
+            .count()
     }
 
     /// All calls on a connection end so.
     fn all_end(&mut self, ms: u64, id: u64, how: Ended) {
-        let ended: Vec<CallId> =
-            self.out.extract_if(|_, on| *on == ConnectionId(id)).map(|(call, _)| call).collect();
-        ended.into_iter().for_each(|call| self.pool.ended(at(ms), ConnectionId(id), call, how));
+        let ended: Vec<CallId> = self
+            .out
+            .extract_if(|_, on| *on == ConnectionId(id))
+            .map(|(call, _)| call)
+            .collect();
+        ended
+            .into_iter()
+            .for_each(|call| self.pool.ended(at(ms), ConnectionId(id), call, how));
     }
 }
 
@@ -82,19 +94,29 @@
         story.all_end(4, 0, Ended::Well);
         assert!(rounds.len() < 20, "{rounds:?}");
     }
-    assert_eq!(rounds, [4, 8, 16, 32, 64, 64], "and no second connection was opened for it");
+    assert_eq!(
+        rounds,
+        [4, 8, 16, 32, 64, 64],
+        "and no second connection was opened for it"
+    );
     story.calls(20);
     story.acts(5);
     story.all_end(6, 0, Ended::Refused);
     story.calls(200);
     story.acts(7);
-    assert!(story.on(0) <= 4, "a searcher that refuses has less room than was thought");
+    assert!(
+        story.on(0) <= 4,
+        "a searcher that refuses has less room than was thought"
+    );
 }
 
 /// Hard case 4: limits that are lowered hold for what is new; what is out may end.
 #[rstest]
 fn a_limit_that_moves() {
-    let mut story = Story::new(Limits { most_connections: 1, ..limits() });
+    let mut story = Story::new(Limits {
+        most_connections: 1,
+        ..limits()
+    });
     story.calls(10);
     story.acts(0);
     story.pool.opened(at(1), ConnectionId(0));
@@ -179,7 +201,10 @@
 /// Hard case 8: a connection whose stream ids come to their end is replaced by another before they do.
 #[rstest]
 fn stream_ids_that_are_used_up() {
-    let mut story = Story::new(Limits { most_calls: 6, ..limits() });
+    let mut story = Story::new(Limits {
+        most_calls: 6,
+        ..limits()
+    });
     let mut opened = Vec::new();
     for ms in 0..40 {
         story.calls(1);
@@ -251,11 +276,21 @@
 #[case::another_status(End::Status(500), true, false, Outcome::Error)]
 #[case::the_connection_broke(End::ConnectionOver, true, false, Outcome::Broken)]
 #[case::it_broke_before_all_had_left(End::ConnectionOver, false, false, Outcome::NoConnection)]
-#[case::refused_before_all_had_left(End::Reset(REFUSED_STREAM), false, false, Outcome::NoConnection)]
+#[case::refused_before_all_had_left(
+    End::Reset(REFUSED_STREAM),
+    false,
+    false,
+    Outcome::NoConnection
+)]
 #[case::it_fell_silent(End::Silent, true, false, Outcome::Lost)]
 #[case::ended_here(End::GivenUp, true, false, Outcome::Withdrawn)]
 #[case::ended_here_before_it_left(End::GivenUp, false, false, Outcome::Moot)]
-fn what_an_end_means(#[case] end: End, #[case] left: bool, #[case] answered: bool, #[case] means: Outcome) {
+fn what_an_end_means(
+    #[case] end: End,
+    #[case] left: bool,
+    #[case] answered: bool,
+    #[case] means: Outcome,
+) {
     assert_eq!(outcome(end, Known { left, answered }), means);
 }
 
--- a/crates/lockusher-membership/build.rs
+++ b/crates/lockusher-membership/build.rs
@@ -2,6 +2,9 @@
 
 fn main() {
     println!("cargo:rerun-if-changed=proto");
-    let set = protox::compile(["proto/fleet.proto"], ["proto"]).expect("proto/fleet.proto compiles");
-    prost_build::Config::new().compile_fds(set).expect("code is made of it");
+    let set =
+        protox::compile(["proto/fleet.proto"], ["proto"]).expect("proto/fleet.proto compiles");
+    prost_build::Config::new()
+        .compile_fds(set)
+        .expect("code is made of it");
 }
--- a/crates/lockusher-membership/src/core/datagrams.rs
+++ b/crates/lockusher-membership/src/core/datagrams.rs
@@ -12,12 +12,16 @@
 
 impl Core {
     pub(super) fn draft(&self, what: What) -> Draft {
-        let rates = self.sharing.as_ref().and_then(|sharing| sharing.own_rates).map(|rates| proto::Rates {
-            multigets: rates.multigets as f32,
-            parts: rates.parts as f32,
-            further: rates.further as f32,
-            pushed_back: rates.pushed_back as f32,
-        });
+        let rates = self
+            .sharing
+            .as_ref()
+            .and_then(|sharing| sharing.own_rates)
+            .map(|rates| proto::Rates {
+                multigets: rates.multigets as f32,
+                parts: rates.parts as f32,
+                further: rates.further as f32,
+                pushed_back: rates.pushed_back as f32,
+            });
         Draft::new(&self.plan.fleet, &self.me, self.table.digest(), what, rates)
     }
 
@@ -32,20 +36,23 @@
     ) {
         let mut draft = self.draft(what);
         // Whoever is held suspect, dead or elsewhere is told first, so that it can refute.
-        let held = to.and_then(|to| self.table.get(to)).filter(|held| match known {
-            Some(known) => known.state == State::Joining || held.record.key() > known.key(),
-            None => held.record.state != State::Alive,
-        });
+        let held = to
+            .and_then(|to| self.table.get(to))
+            .filter(|held| match known {
+                Some(known) => known.state == State::Joining || held.record.key() > known.key(),
+                None => held.record.state != State::Alive,
+            });
         if let Some(held) = held {
             draft.add(&held.told(now));
         }
         let (table, me) = (&self.table, &self.me.name);
-        self.news.tell(table.living(), |name| match table.get(name) {
-            // Every datagram says this already.
-            _ if name == me => true,
-            Some(held) => Some(name) == to || draft.add(&held.told(now)),
-            None => true,
-        });
+        self.news
+            .tell(table.living(), |name| match table.get(name) {
+                // Every datagram says this already.
+                _ if name == me => true,
+                Some(held) => Some(name) == to || draft.add(&held.told(now)),
+                None => true,
+            });
         self.dispatch(at, draft);
     }
 
@@ -59,7 +66,10 @@
     pub(super) fn ping(&mut self, now: Time, number: u32, target: &MixerName) {
         if let Some(held) = self.table.get(target) {
             let at = held.record.address;
-            let what = What::Ping(proto::Ping { number, to: target.as_str().to_owned() });
+            let what = What::Ping(proto::Ping {
+                number,
+                to: target.as_str().to_owned(),
+            });
             self.send(now, at, Some(target), None, what);
         }
     }
@@ -73,7 +83,10 @@
                 break;
             }
             let name = &self.round[self.rng.random_range(0..all)];
-            let lives = self.table.get(name).is_some_and(|held| held.record.state == State::Alive);
+            let lives = self
+                .table
+                .get(name)
+                .is_some_and(|held| held.record.state == State::Alive);
             if lives && Some(name) != but && !out.contains(name) {
                 out.push(name.clone());
             }
@@ -110,10 +123,16 @@
         if let Some(rates) = heard.rates {
             self.hear_rates(now, &speaker.name, rates);
         }
-        self.agreeing = if digest == self.table.digest() { self.agreeing + 1 } else { 0 };
+        self.agreeing = if digest == self.table.digest() {
+            self.agreeing + 1
+        } else {
+            0
+        };
         if self.agreeing >= AGREE {
             let suspect = |name: &MixerName| {
-                self.table.get(name).is_some_and(|held| held.record.state == State::Suspect)
+                self.table
+                    .get(name)
+                    .is_some_and(|held| held.record.state == State::Suspect)
             };
             // A suspicion is no difference of views, so their likeness says nothing of it.
             self.news.keep(suspect);
@@ -125,8 +144,17 @@
     fn answer(&mut self, now: Time, from: SocketAddrV4, speaker: &Record, digest: u64, what: What) {
         match what {
             What::Ping(ping) => {
-                let ack = proto::Ack { number: ping.number, of: self.me.name.as_str().to_owned() };
-                self.send(now, from, Some(&speaker.name), Some(speaker), What::Ack(ack));
+                let ack = proto::Ack {
+                    number: ping.number,
+                    of: self.me.name.as_str().to_owned(),
+                };
+                self.send(
+                    now,
+                    from,
+                    Some(&speaker.name),
+                    Some(speaker),
+                    What::Ack(ack),
+                );
             }
             What::Ack(ack) => {
                 let of = MixerName::new(&ack.of);
@@ -152,8 +180,14 @@
         let at = SocketAddrV4::new(ask.ip.into(), ask.port as u16);
         let to = MixerName::new(&ask.to);
         // Only for members, at the address that is known: nobody has this mixer write elsewhere.
-        let known = self.table.get(&to).is_some_and(|held| held.record.address == at);
-        let number = known.then(|| self.probes.errand(now, self.plan.probe_every, asker, ask.number));
+        let known = self
+            .table
+            .get(&to)
+            .is_some_and(|held| held.record.address == at);
+        let number = known.then(|| {
+            self.probes
+                .errand(now, self.plan.probe_every, asker, ask.number)
+        });
         match number.flatten() {
             Some(number) => {
                 let ping = What::Ping(proto::Ping { number, to: ask.to });
--- a/crates/lockusher-membership/src/core/join.rs
+++ b/crates/lockusher-membership/src/core/join.rs
@@ -28,7 +28,13 @@
 impl Joining {
     pub fn new(now: Time, every: Span, seeds: bool) -> Self {
         let alone_at = now + every.times(ALONE_AFTER);
-        Joining { heard: false, taken: None, alone_at, ask_at: now, seeds }
+        Joining {
+            heard: false,
+            taken: None,
+            alone_at,
+            ask_at: now,
+            seeds,
+        }
     }
 
     pub fn may_claim(&self) -> bool {
@@ -39,7 +45,8 @@
 impl Core {
     /// Asks a seed to be let in, until one answers or it is clear that nobody does.
     pub(super) fn join(&mut self, now: Time) {
-        let alone = self.standing.taken.is_none() && (!self.standing.seeds || now >= self.standing.alone_at);
+        let alone = self.standing.taken.is_none()
+            && (!self.standing.seeds || now >= self.standing.alone_at);
         if alone {
             return self.claim(now);
         }
@@ -50,11 +57,19 @@
             // What the next answer says of the name counts.
             self.standing.ask_at = now + self.plan.probe_every.times(ASK_AGAIN);
         }
-        let others: Vec<SocketAddrV4> =
-            self.plan.seeds.iter().filter(|at| **at != self.me.address).copied().collect();
+        let others: Vec<SocketAddrV4> = self
+            .plan
+            .seeds
+            .iter()
+            .filter(|at| **at != self.me.address)
+            .copied()
+            .collect();
         if !others.is_empty() {
             let at = others[self.rng.random_range(0..others.len())];
-            let ping = proto::Ping { number: self.probes.number(), to: String::new() };
+            let ping = proto::Ping {
+                number: self.probes.number(),
+                to: String::new(),
+            };
             self.send(now, at, None, None, What::Ping(ping));
         }
     }
@@ -62,7 +77,10 @@
     /// From here on it is a member.
     pub(super) fn claim(&mut self, now: Time) {
         if let Some(held) = self.table.get(&self.me.name) {
-            self.me.generation = self.me.generation.max(held.record.generation.saturating_add(1));
+            self.me.generation = self
+                .me
+                .generation
+                .max(held.record.generation.saturating_add(1));
         }
         self.me.state = State::Alive;
         self.say(now);
@@ -76,7 +94,9 @@
 
     /// What others say of this name.
     pub(super) fn of_myself(&mut self, now: Time, said: Record) {
-        if said.state == State::Joining || (self.me.state != State::Joining && said.key() <= self.me.key()) {
+        if said.state == State::Joining
+            || (self.me.state != State::Joining && said.key() <= self.me.key())
+        {
             return;
         }
         let elsewhere = said.address != self.me.address && said.state.lives();
--- a/crates/lockusher-membership/src/core/mod.rs
+++ b/crates/lockusher-membership/src/core/mod.rs
@@ -153,7 +153,11 @@
         };
         Core {
             me,
-            standing: Joining::new(now, plan.probe_every, !plan.seeds.iter().all(|at| *at == plan.address)),
+            standing: Joining::new(
+                now,
+                plan.probe_every,
+                !plan.seeds.iter().all(|at| *at == plan.address),
+            ),
             table: Table::new(),
             news: News::default(),
             probes: Probes::default(),
@@ -172,7 +176,10 @@
             counts: Counts::default(),
             last: now,
             agreeing: 0,
-            sharing: plan.shares.clone().map(|shares| Sharing::new(now, shares, born)),
+            sharing: plan
+                .shares
+                .clone()
+                .map(|shares| Sharing::new(now, shares, born)),
             plan,
         }
     }
@@ -222,7 +229,8 @@
     }
 
     fn recount(&mut self, now: Time) {
-        let in_use = |held: &&Held| held.record.state != State::Left || now.since(held.since) < SERVES_ON;
+        let in_use =
+            |held: &&Held| held.record.state != State::Left || now.since(held.since) < SERVES_ON;
         let may_be_in_use = self.table.iter().filter(in_use).count();
         let most_seen = self.table.living() * 2 > self.counted;
         if may_be_in_use > self.counted || (most_seen && self.me.state == State::Alive) {
@@ -234,8 +242,18 @@
     pub fn next(&self) -> Time {
         let alarm = self.alarms.peek().map(|Reverse((at, _))| *at);
         let share = self.sharing.as_ref().map(Sharing::next);
-        let times = [Some(self.next_probe), Some(self.next_call), alarm, self.probes.next(), share];
-        times.into_iter().flatten().min().expect("a probe is always due")
+        let times = [
+            Some(self.next_probe),
+            Some(self.next_call),
+            alarm,
+            self.probes.next(),
+            share,
+        ];
+        times
+            .into_iter()
+            .flatten()
+            .min()
+            .expect("a probe is always due")
     }
 
     /// After a standstill nothing that was waited for tells anything of others.
@@ -248,12 +266,19 @@
         self.counts.stood_still += 1;
         self.probes.stood_still();
         (self.next_probe, self.next_call) = (now, now);
-        let suspects: Vec<MixerName> =
-            self.table.iter().filter(|h| h.suspicion.is_some()).map(name_of).collect();
+        let suspects: Vec<MixerName> = self
+            .table
+            .iter()
+            .filter(|h| h.suspicion.is_some())
+            .map(name_of)
+            .collect();
         let until = now + self.suspicion_for(1);
         for name in suspects {
             self.table.mind(&name, |held| {
-                held.suspicion = held.suspicion.take().map(|suspicion| Suspicion { until, ..suspicion });
+                held.suspicion = held
+                    .suspicion
+                    .take()
+                    .map(|suspicion| Suspicion { until, ..suspicion });
             });
             self.alarms.push(Reverse((until, name)));
         }
@@ -272,7 +297,9 @@
         while let Some(Reverse((at, _))) = self.alarms.peek()
             && *at <= now
         {
-            let Some(Reverse((_, name))) = self.alarms.pop() else { break };
+            let Some(Reverse((_, name))) = self.alarms.pop() else {
+                break;
+            };
             self.alarm(now, &name);
         }
         if self.next_probe <= now {
@@ -291,7 +318,11 @@
             self.next_call = now + self.plan.probe_every.times(CALL_EVERY * chance);
             self.call(now);
         }
-        if self.sharing.as_ref().is_some_and(|sharing| sharing.next() <= now) {
+        if self
+            .sharing
+            .as_ref()
+            .is_some_and(|sharing| sharing.next() <= now)
+        {
             self.share(now);
         }
     }
--- a/crates/lockusher-membership/src/core/news.rs
+++ b/crates/lockusher-membership/src/core/news.rs
@@ -60,7 +60,9 @@
             told.push(*place);
         }
         for place in told {
-            let Some(name) = self.queue.remove(&place) else { continue };
+            let Some(name) = self.queue.remove(&place) else {
+                continue;
+            };
             match place.0 + 1 < enough {
                 true => self.place(name, place.0 + 1),
                 false => drop(self.places.remove(&name)),
--- a/crates/lockusher-membership/src/core/pages.rs
+++ b/crates/lockusher-membership/src/core/pages.rs
@@ -22,31 +22,42 @@
 impl Core {
     /// Another's digest: if it is unlike the own one, views are exchanged.
     pub(super) fn differs(&mut self, now: Time, at: SocketAddrV4, digest: u64) {
-        if digest == self.table.digest() || now < self.next_exchange || self.me.state == State::Left {
+        if digest == self.table.digest() || now < self.next_exchange || self.me.state == State::Left
+        {
             return;
         }
         self.next_exchange = now + EXCHANGE_EVERY.times(self.rng.random_range(0.8..1.2));
         self.counts.exchanges += 1;
-        let draft = self.draft(What::Sums(proto::Sums { sums: self.table.sums() }));
+        let draft = self.draft(What::Sums(proto::Sums {
+            sums: self.table.sums(),
+        }));
         self.dispatch(at, draft);
     }
 
     /// Gives the buckets whose sums differ, from a place by chance on: what there is no page for comes another time.
     pub(super) fn give_pages(&mut self, now: Time, at: SocketAddrV4, sums: &[u32]) {
-        self.pages_left = (self.pages_left + MOST_PAGES * now.since(self.pages_at).as_secs()).min(MOST_PAGES);
+        self.pages_left =
+            (self.pages_left + MOST_PAGES * now.since(self.pages_at).as_secs()).min(MOST_PAGES);
         self.pages_at = now;
         let own = self.table.sums();
         let first = self.rng.random_range(0..BUCKETS);
         let places = (0..BUCKETS).map(|nth| (first + nth) % BUCKETS);
         let unlike: Vec<usize> = places.filter(|place| own[*place] != sums[*place]).collect();
         let mut held = self.table.in_buckets(now, &unlike);
-        let buckets = unlike.iter().map(|place| (Some(*place), held.remove(place).unwrap_or_default()));
+        let buckets = unlike
+            .iter()
+            .map(|place| (Some(*place), held.remove(place).unwrap_or_default()));
         self.give(at, buckets.collect(), true);
     }
 
     /// Buckets in as few pages as they fit on; one that fits on none goes in pieces that count for no whole bucket.
     fn give(&mut self, at: SocketAddrV4, buckets: Vec<(Option<usize>, Vec<Record>)>, answer: bool) {
-        let empty = || What::Page(proto::Page { answer, ..proto::Page::default() });
+        let empty = || {
+            What::Page(proto::Page {
+                answer,
+                ..proto::Page::default()
+            })
+        };
         let (mut draft, mut filled, mut given) = (self.draft(empty()), false, 0);
         let mut queue: Vec<(Option<usize>, Vec<Record>)> = buckets;
         queue.reverse();
@@ -89,7 +100,11 @@
         if !page.answer {
             return;
         }
-        let places: Vec<usize> = page.buckets.iter().map(|place| *place as usize % BUCKETS).collect();
+        let places: Vec<usize> = page
+            .buckets
+            .iter()
+            .map(|place| *place as usize % BUCKETS)
+            .collect();
         let held = self.table.in_buckets(now, &places);
         let newer = |own: &Record| {
             let same = told.iter().find(|record| record.name == own.name);
--- a/crates/lockusher-membership/src/core/probes.rs
+++ b/crates/lockusher-membership/src/core/probes.rs
@@ -70,7 +70,15 @@
 
     pub fn begin(&mut self, now: Time, every: Span, target: MixerName, generation: u64) -> u32 {
         let (number, due) = (self.number(), now + self.patience(every));
-        self.out.insert(number, Probe { target, generation, tries: 1, due });
+        self.out.insert(
+            number,
+            Probe {
+                target,
+                generation,
+                tries: 1,
+                due,
+            },
+        );
         number
     }
 
@@ -80,22 +88,41 @@
 
     /// An answer came, to a probe or an errand.
     pub fn answered(&mut self, number: u32, of: &MixerName) -> Option<(SocketAddrV4, u32)> {
-        if self.out.get(&number).is_some_and(|probe| probe.target == *of) {
+        if self
+            .out
+            .get(&number)
+            .is_some_and(|probe| probe.target == *of)
+        {
             let probe = self.out.remove(&number);
             if probe.is_some_and(|probe| probe.tries == 1) {
                 self.health = self.health.saturating_sub(1);
             }
             return None;
         }
-        self.errands.remove(&number).map(|errand| (errand.asker, errand.number))
+        self.errands
+            .remove(&number)
+            .map(|errand| (errand.asker, errand.number))
     }
 
-    pub fn errand(&mut self, now: Time, every: Span, asker: SocketAddrV4, number: u32) -> Option<u32> {
+    pub fn errand(
+        &mut self,
+        now: Time,
+        every: Span,
+        asker: SocketAddrV4,
+        number: u32,
+    ) -> Option<u32> {
         if self.errands.len() >= MOST_ERRANDS {
             return None;
         }
         let own = self.number();
-        self.errands.insert(own, Errand { asker, number, until: now + every.times(2.0) });
+        self.errands.insert(
+            own,
+            Errand {
+                asker,
+                number,
+                until: now + every.times(2.0),
+            },
+        );
         Some(own)
     }
 
@@ -116,7 +143,9 @@
             probe.due = now + patience;
             due.push(Due::Again(*number, probe.target.clone()));
         }
-        let over = over.into_iter().filter_map(|number| self.out.remove(&number));
+        let over = over
+            .into_iter()
+            .filter_map(|number| self.out.remove(&number));
         due.extend(over.map(|probe| Due::Unreached(probe.target, probe.generation)));
         due
     }
--- a/crates/lockusher-membership/src/core/reports.rs
+++ b/crates/lockusher-membership/src/core/reports.rs
@@ -12,18 +12,33 @@
 
 impl Core {
     pub(super) fn alarm(&mut self, now: Time, name: &MixerName) {
-        let Some(held) = self.table.get(name) else { return };
+        let Some(held) = self.table.get(name) else {
+            return;
+        };
         let record = held.record.clone();
         match (record.state, &held.suspicion) {
             // One that is no member is told too little to believe a death.
-            (State::Suspect, Some(suspicion)) if suspicion.until <= now && self.me.state == State::Alive => {
+            (State::Suspect, Some(suspicion))
+                if suspicion.until <= now && self.me.state == State::Alive =>
+            {
                 let by = suspicion.witnesses.first().cloned();
-                self.take(now, Record { state: State::Dead, by, age: Span::ZERO, ..record });
+                self.take(
+                    now,
+                    Record {
+                        state: State::Dead,
+                        by,
+                        age: Span::ZERO,
+                        ..record
+                    },
+                );
             }
             (State::Dead | State::Left, _) if now.since(held.since) >= self.plan.remember => {
                 self.table.forget(name);
                 self.news.remove(name);
-                self.changes.push(Change { from: Some(record.state), member: record });
+                self.changes.push(Change {
+                    from: Some(record.state),
+                    member: record,
+                });
                 self.recount(now);
             }
             _ => {}
@@ -55,20 +70,25 @@
             _ => {}
         }
         let before = old.map(|old| old.record.state);
-        let refutes =
-            old.is_some_and(|old| record.state == State::Alive && record.generation == old.record.generation);
+        let refutes = old.is_some_and(|old| {
+            record.state == State::Alive && record.generation == old.record.generation
+        });
         let record = self.table.in_held_letters(record);
         let relayed = !refutes || self.relays(now, &record.name);
         let (name, state, by) = (record.name.clone(), record.state, record.by.clone());
         if before != Some(state) || !refutes {
-            self.changes.push(Change { member: record.clone(), from: before });
+            self.changes.push(Change {
+                member: record.clone(),
+                from: before,
+            });
         }
         self.table.put(now, record);
         match state {
             State::Suspect => self.suspect(now, &name, by),
             State::Dead | State::Left => {
                 let since = self.table.get(&name).map_or(now, |held| held.since);
-                self.alarms.push(Reverse((since + self.plan.remember, name.clone())));
+                self.alarms
+                    .push(Reverse((since + self.plan.remember, name.clone())));
             }
             // One that has just come is probed within the round that runs.
             _ if !before.is_some_and(State::lives) => {
@@ -103,18 +123,35 @@
         let until = now + self.suspicion_for(1);
         let own = by.as_ref() == Some(&self.me.name);
         let witnesses = by.into_iter().collect();
-        self.table.mind(name, |held| held.suspicion = Some(Suspicion { until, since: now, witnesses }));
+        self.table.mind(name, |held| {
+            held.suspicion = Some(Suspicion {
+                until,
+                since: now,
+                witnesses,
+            });
+        });
         self.alarms.push(Reverse((until, name.clone())));
         // It learns of it at once, and not by chance; from the first witness, not from all that hear of it.
         if own && let Some(at) = self.table.get(name).map(|held| held.record.address) {
-            let ping = proto::Ping { number: self.probes.number(), to: name.as_str().to_owned() };
+            let ping = proto::Ping {
+                number: self.probes.number(),
+                to: name.as_str().to_owned(),
+            };
             self.send(now, at, Some(name), None, What::Ping(ping));
         }
     }
 
     /// A second witness of a suspicion shortens it; it is told on once.
     pub(super) fn confirm(&mut self, now: Time, record: Record) -> bool {
-        let Record { name, state, by: Some(by), .. } = record else { return false };
+        let Record {
+            name,
+            state,
+            by: Some(by),
+            ..
+        } = record
+        else {
+            return false;
+        };
         let short = self.suspicion_for(2);
         let mut until = None;
         self.table.mind(&name, |held| {
--- a/crates/lockusher-membership/src/core/share.rs
+++ b/crates/lockusher-membership/src/core/share.rs
@@ -130,7 +130,8 @@
 impl Sharing {
     pub fn new(now: Time, plan: Shares, generation: u64) -> Self {
         let amounts: Vec<f64> = plan.budgets.iter().map(|(_, amount)| *amount).collect();
-        let lending = (!amounts.is_empty()).then(|| Lending::new(now, lend::Plan::new(amounts, plan.mixers)));
+        let lending =
+            (!amounts.is_empty()).then(|| Lending::new(now, lend::Plan::new(amounts, plan.mixers)));
         Sharing {
             lending,
             in_contact: false,
@@ -204,18 +205,33 @@
 impl Core {
     /// What this mixer saw and did, as it tells it now and then.
     pub fn tell(&mut self, now: Time, own: Own) {
-        let Some(mut sharing) = self.sharing.take() else { return };
+        let Some(mut sharing) = self.sharing.take() else {
+            return;
+        };
         sharing.count(now, own.totals);
         sharing.seen = own.seen;
         if let Some(lending) = &mut sharing.lending {
-            let want =
-                |budget: &Budget| own.wants.iter().find(|(of, _)| of == budget).map_or(0.0, |want| want.1);
-            lending.wants(sharing.plan.budgets.iter().map(|(budget, _)| want(budget)).collect());
+            let want = |budget: &Budget| {
+                own.wants
+                    .iter()
+                    .find(|(of, _)| of == budget)
+                    .map_or(0.0, |want| want.1)
+            };
+            lending.wants(
+                sharing
+                    .plan
+                    .budgets
+                    .iter()
+                    .map(|(budget, _)| want(budget))
+                    .collect(),
+            );
         }
         if sharing.plan.judgements && self.me.state == State::Alive {
             sharing.records.reborn(self.me.generation);
             let mut once = std::mem::take(&mut sharing.once);
-            let others = self.said(&sharing).filter(|(_, said)| *said.by != self.me.name);
+            let others = self
+                .said(&sharing)
+                .filter(|(_, said)| *said.by != self.me.name);
             let accused = judge::accused(now, &self.me.name, &self.me.zone, others, &mut once);
             sharing.once = once;
             let verdicts = judge::tells(now, &sharing.seen, &accused);
@@ -233,18 +249,28 @@
         sharing: &'a Sharing,
     ) -> impl Iterator<Item = (&'a lockusher_policy::interface::SearcherId, Said<'a>)> {
         let of = |by: &'a MixerName, zone: &'a str, record: &'a Record| {
-            let entries = record
-                .entries
-                .iter()
-                .filter(|(_, entry)| entry.verdict.fault != crate::shared::records::Fault::Withdrawn);
-            entries.map(move |(id, entry)| (id, Said { by, zone, verdict: &entry.verdict }))
+            let entries = record.entries.iter().filter(|(_, entry)| {
+                entry.verdict.fault != crate::shared::records::Fault::Withdrawn
+            });
+            entries.map(move |(id, entry)| {
+                (
+                    id,
+                    Said {
+                        by,
+                        zone,
+                        verdict: &entry.verdict,
+                    },
+                )
+            })
         };
         let others = sharing.records.others().filter_map(move |(name, record)| {
             let held = self.table.get(name)?;
             let lives = held.record.state.lives() && held.record.generation == record.generation;
             lives.then(|| of(name, &held.record.zone, record))
         });
-        others.flatten().chain(of(&self.me.name, &self.me.zone, sharing.records.own()))
+        others
+            .flatten()
+            .chain(of(&self.me.name, &self.me.zone, sharing.records.own()))
     }
 
     fn judge(&self, now: Time, sharing: &mut Sharing) {
@@ -253,7 +279,9 @@
 
     /// What stands of searchers now.
     pub fn standing_judgements(&self) -> &[Standing] {
-        self.sharing.as_ref().map_or(&[], |sharing| &sharing.standing)
+        self.sharing
+            .as_ref()
+            .map_or(&[], |sharing| &sharing.standing)
     }
 
     /// What others remembered of searchers, once, when this mixer started.
@@ -263,9 +291,16 @@
 
     pub fn shown(&self, now: Time) -> Option<Shown> {
         let sharing = self.sharing.as_ref()?;
-        let mut rates = FleetRates { living: self.living(), ..FleetRates::default() };
+        let mut rates = FleetRates {
+            living: self.living(),
+            ..FleetRates::default()
+        };
         let heard = sharing.rates.iter().filter(|(name, (_, at))| {
-            now.since(*at) < RATES_KEPT && self.table.get(name).is_some_and(|held| held.record.state.lives())
+            now.since(*at) < RATES_KEPT
+                && self
+                    .table
+                    .get(name)
+                    .is_some_and(|held| held.record.state.lives())
         });
         for own in heard.map(|(_, (rates, _))| *rates).chain(sharing.own_rates) {
             rates.heard += 1;
@@ -278,20 +313,31 @@
             standing: sharing.standing.clone(),
             rates,
             records: sharing.records.others().count(),
-            entries: sharing.records.others().map(|(_, record)| record.entries.len()).sum(),
+            entries: sharing
+                .records
+                .others()
+                .map(|(_, record)| record.entries.len())
+                .sum(),
             own: sharing.records.own().fresh(now).count(),
             crowded: sharing.records.crowded,
             remembered: sharing.known,
             portions: self.portions(now),
             in_contact: sharing.in_contact,
-            lends: sharing.lending.as_ref().and_then(|lending| lending.lends(now)),
+            lends: sharing
+                .lending
+                .as_ref()
+                .and_then(|lending| lending.lends(now)),
         })
     }
 
     /// What this mixer may spend of each budget, as of now.
     pub fn portions(&self, now: Time) -> Vec<(Budget, Portion)> {
-        let Some(sharing) = &self.sharing else { return Vec::new() };
-        let Some(lending) = &sharing.lending else { return Vec::new() };
+        let Some(sharing) = &self.sharing else {
+            return Vec::new();
+        };
+        let Some(lending) = &sharing.lending else {
+            return Vec::new();
+        };
         let budgets = sharing.plan.budgets.iter().map(|(budget, _)| *budget);
         budgets.zip(lending.portions(now)).collect()
     }
@@ -304,7 +350,12 @@
 
     /// The living, and the one of them that is to lend: the one that was started first, as it is the likeliest to stay.
     fn lenders(&self) -> (Vec<MixerName>, Option<MixerName>) {
-        let living = || self.table.iter().map(|held| &held.record).filter(|record| record.state.lives());
+        let living = || {
+            self.table
+                .iter()
+                .map(|held| &held.record)
+                .filter(|record| record.state.lives())
+        };
         let first = living().min_by_key(|record| (record.born, record.name.clone()));
         let first = first.map(|record| record.name.clone());
         let mut living: Vec<MixerName> = living().map(|record| record.name.clone()).collect();
@@ -313,10 +364,17 @@
     }
 
     fn lend(&mut self, now: Time, sharing: &mut Sharing) {
-        let Some(lending) = &mut sharing.lending else { return };
+        let Some(lending) = &mut sharing.lending else {
+            return;
+        };
         let (living, first) = self.lenders();
         let me = (self.me.name.clone(), self.me.generation);
-        let view = View { me: &me, first: first.as_ref(), living: &living, counted: self.counted };
+        let view = View {
+            me: &me,
+            first: first.as_ref(),
+            living: &living,
+            counted: self.counted,
+        };
         sharing.in_contact = view.most(lending.plan());
         for (to, word) in lending.due(now, &view) {
             if let Some(at) = self.table.get(&to).map(|held| held.record.address) {
@@ -327,18 +385,36 @@
 
     fn say_of_lending(&mut self, at: SocketAddrV4, word: Word) {
         use proto::lending::What as Said;
-        let of =
-            |number, what: Said| proto::Lending { number, what: what.into(), ..proto::Lending::default() };
+        let of = |number, what: Said| proto::Lending {
+            number,
+            what: what.into(),
+            ..proto::Lending::default()
+        };
         let ms = |span: Span| (span.as_micros() / 1_000) as u32;
         let what = match word {
-            Word::Promise { number, span } => {
-                proto::Lending { for_ms: ms(span), ..of(number, Said::Promise) }
-            }
-            Word::Promised { number, life } => proto::Lending { life, ..of(number, Said::Promised) },
-            Word::Wants { number, amounts } => proto::Lending { amounts, ..of(number, Said::Wants) },
-            Word::Lent { number, life, span, amounts } => {
-                proto::Lending { life, for_ms: ms(span), amounts, ..of(number, Said::Lent) }
-            }
+            Word::Promise { number, span } => proto::Lending {
+                for_ms: ms(span),
+                ..of(number, Said::Promise)
+            },
+            Word::Promised { number, life } => proto::Lending {
+                life,
+                ..of(number, Said::Promised)
+            },
+            Word::Wants { number, amounts } => proto::Lending {
+                amounts,
+                ..of(number, Said::Wants)
+            },
+            Word::Lent {
+                number,
+                life,
+                span,
+                amounts,
+            } => proto::Lending {
+                life,
+                for_ms: ms(span),
+                amounts,
+                ..of(number, Said::Lent)
+            },
         };
         let draft = self.draft(What::Lending(what));
         self.dispatch(at, draft);
@@ -353,24 +429,45 @@
         said: proto::Lending,
     ) {
         use proto::lending::What as Said;
-        let Some(lending) = &mut sharing.lending else { return };
+        let Some(lending) = &mut sharing.lending else {
+            return;
+        };
         // Of a member that lives, in the life that is known: a former one's words are void.
-        let known =
-            self.table.get(&speaker.name).map(|held| (held.record.generation, held.record.state.lives()));
+        let known = self
+            .table
+            .get(&speaker.name)
+            .map(|held| (held.record.generation, held.record.state.lives()));
         if known != Some((speaker.generation, true)) || self.me.state != State::Alive {
             return;
         }
-        let (number, life, span) = (said.number, said.life, Span::from_millis(said.for_ms.into()));
+        let (number, life, span) = (
+            said.number,
+            said.life,
+            Span::from_millis(said.for_ms.into()),
+        );
         let word = match Said::try_from(said.what) {
             Ok(Said::Promise) => Word::Promise { number, span },
             Ok(Said::Promised) => Word::Promised { number, life },
-            Ok(Said::Wants) => Word::Wants { number, amounts: said.amounts },
-            Ok(Said::Lent) => Word::Lent { number, life, span, amounts: said.amounts },
+            Ok(Said::Wants) => Word::Wants {
+                number,
+                amounts: said.amounts,
+            },
+            Ok(Said::Lent) => Word::Lent {
+                number,
+                life,
+                span,
+                amounts: said.amounts,
+            },
             Ok(Said::Nothing) | Err(_) => return self.counts.drops.absurd += 1,
         };
         let (living, first) = self.lenders();
         let me = (self.me.name.clone(), self.me.generation);
-        let view = View { me: &me, first: first.as_ref(), living: &living, counted: self.counted };
+        let view = View {
+            me: &me,
+            first: first.as_ref(),
+            living: &living,
+            counted: self.counted,
+        };
         let life = (speaker.name.clone(), speaker.generation);
         for (_, word) in lending.hear(now, &life, word, &view) {
             self.say_of_lending(from, word);
@@ -379,12 +476,18 @@
 
     /// Tells what is to be told, asks what is to be asked.
     pub(super) fn share(&mut self, now: Time) {
-        let Some(mut sharing) = self.sharing.take() else { return };
+        let Some(mut sharing) = self.sharing.take() else {
+            return;
+        };
         let chance = self.rng.random_range(0.8..1.2);
         sharing.next = now + TELL_EVERY.times(chance);
         if self.me.state == State::Alive {
             self.warm(now, &mut sharing);
-            let lives = |name: &MixerName| self.table.get(name).is_some_and(|held| held.record.state.lives());
+            let lives = |name: &MixerName| {
+                self.table
+                    .get(name)
+                    .is_some_and(|held| held.record.state.lives())
+            };
             sharing.records.keep(lives);
             sharing.rates.retain(|name, _| lives(name));
             sharing.bases.retain(|name, _| lives(name));
@@ -398,17 +501,32 @@
 
     /// One datagram of changes to one member, or to some if they are new, if there are any.
     fn rumour(&mut self, now: Time, sharing: &mut Sharing) {
-        let most = if std::mem::take(&mut sharing.soon) { TOLD_SOON } else { 1 };
+        let most = if std::mem::take(&mut sharing.soon) {
+            TOLD_SOON
+        } else {
+            1
+        };
         for to in self.some(most, None) {
             if sharing.bases.is_empty() {
                 return;
             }
-            let Some(at) = self.table.get(&to).map(|held| held.record.address) else { continue };
+            let Some(at) = self.table.get(&to).map(|held| held.record.address) else {
+                continue;
+            };
             let mut draft = self.draft(What::Told(proto::Told::default()));
-            let Sharing { records, rumours, bases, .. } = sharing;
+            let Sharing {
+                records,
+                rumours,
+                bases,
+                ..
+            } = sharing;
             let own = &self.me.name;
             rumours.tell(self.table.living(), |name| {
-                let record = if name == own { Some(records.own()) } else { records.get(name) };
+                let record = if name == own {
+                    Some(records.own())
+                } else {
+                    records.get(name)
+                };
                 let base = bases.get(name).copied();
                 // Nobody has to be told of its own record.
                 let told = record.zip(base).filter(|_| *name != to);
@@ -426,8 +544,10 @@
         }
         if sharing.warming.asks() {
             let asked = self.some(ASKED, None);
-            let questions: Vec<(u32, MixerName)> =
-                asked.into_iter().map(|name| (self.probes.number(), name)).collect();
+            let questions: Vec<(u32, MixerName)> = asked
+                .into_iter()
+                .map(|name| (self.probes.number(), name))
+                .collect();
             for (number, name) in &questions {
                 if let Some(at) = self.table.get(name).map(|held| held.record.address) {
                     let what = What::Recall(proto::Recall { number: *number });
@@ -451,7 +571,9 @@
         speaker: &super::table::Record,
         what: What,
     ) {
-        let Some(mut sharing) = self.sharing.take() else { return };
+        let Some(mut sharing) = self.sharing.take() else {
+            return;
+        };
         match what {
             What::Told(told) => self.told(now, &mut sharing, from, told),
             What::Want(want) => self.give_records(now, &mut sharing, from, &want),
@@ -468,21 +590,41 @@
 
     pub(super) fn hear_rates(&mut self, now: Time, of: &MixerName, told: proto::Rates) {
         let values = [told.multigets, told.parts, told.further, told.pushed_back];
-        let Some(sharing) = self.sharing.as_mut() else { return };
+        let Some(sharing) = self.sharing.as_mut() else {
+            return;
+        };
         if !values.iter().all(|value| (0.0..=MOST_RATE).contains(value)) {
             self.counts.drops.absurd += 1;
             return;
         }
         let [multigets, parts, further, pushed_back] = values.map(f64::from);
-        if self.table.get(of).is_some_and(|held| held.record.state.lives()) {
-            sharing.rates.insert(of.clone(), (Rates { multigets, parts, further, pushed_back }, now));
+        if self
+            .table
+            .get(of)
+            .is_some_and(|held| held.record.state.lives())
+        {
+            sharing.rates.insert(
+                of.clone(),
+                (
+                    Rates {
+                        multigets,
+                        parts,
+                        further,
+                        pushed_back,
+                    },
+                    now,
+                ),
+            );
         }
     }
 
     fn told(&mut self, now: Time, sharing: &mut Sharing, from: SocketAddrV4, told: proto::Told) {
         for delta in told.deltas {
             let name = MixerName::new(&delta.name);
-            let known = self.table.get(&name).map(|held| (held.record.generation, held.record.state));
+            let known = self
+                .table
+                .get(&name)
+                .map(|held| (held.record.generation, held.record.state));
             // Only of members that live, in the life that is known: nothing else counts, and room is bounded by them.
             if name == self.me.name
                 || known.is_none_or(|(life, state)| life != delta.generation || !state.lives())
@@ -495,7 +637,11 @@
                 Merged::Old => {}
                 Merged::Gap(have) => {
                     if sharing.may_ask(now) {
-                        let want = WantOf { name: name.as_str().to_owned(), generation, from: have };
+                        let want = WantOf {
+                            name: name.as_str().to_owned(),
+                            generation,
+                            from: have,
+                        };
                         let draft = self.draft(What::Want(want));
                         self.dispatch(from, draft);
                     }
@@ -513,8 +659,11 @@
             return;
         }
         let name = MixerName::new(&want.name);
-        let record =
-            if name == self.me.name { Some(sharing.records.own()) } else { sharing.records.get(&name) };
+        let record = if name == self.me.name {
+            Some(sharing.records.own())
+        } else {
+            sharing.records.get(&name)
+        };
         if let Some(record) = record.filter(|record| record.generation == want.generation) {
             let mut draft = self.draft(What::Told(proto::Told::default()));
             draft.add_delta(record.delta(&name, want.from, now));
@@ -528,7 +677,12 @@
             self.counts.drops.beyond_share += 1;
             return;
         }
-        let page = || What::Known(proto::Known { number, searchers: Vec::new() });
+        let page = || {
+            What::Known(proto::Known {
+                number,
+                searchers: Vec::new(),
+            })
+        };
         let mut draft = self.draft(page());
         for known in warm::known(now, &sharing.seen) {
             if !draft.add_known(&known) {
--- a/crates/lockusher-membership/src/core/table.rs
+++ b/crates/lockusher-membership/src/core/table.rs
@@ -109,7 +109,11 @@
 
     /// What an exchange makes alike: the newest refutation too, which ends a suspicion that news missed.
     fn sum(&self) -> u64 {
-        if self.state.lives() { mix(self.life(), u64::from(self.incarnation)) } else { 0 }
+        if self.state.lives() {
+            mix(self.life(), u64::from(self.incarnation))
+        } else {
+            0
+        }
     }
 }
 
@@ -167,7 +171,13 @@
 impl Table {
     pub fn new() -> Self {
         let (members, zones) = (ByName::default(), BTreeSet::new());
-        Table { members, sums: vec![0; BUCKETS], lives: 0, living: 0, zones }
+        Table {
+            members,
+            sums: vec![0; BUCKETS],
+            lives: 0,
+            living: 0,
+            zones,
+        }
     }
 
     pub fn get(&self, name: &MixerName) -> Option<&Held> {
@@ -194,7 +204,10 @@
     /// In how many zones the living are.
     pub fn living_zones(&self) -> usize {
         let living = self.iter().filter(|held| held.record.state.lives());
-        living.map(|held| &held.record.zone).collect::<BTreeSet<_>>().len()
+        living
+            .map(|held| &held.record.zone)
+            .collect::<BTreeSet<_>>()
+            .len()
     }
 
     pub fn len(&self) -> usize {
@@ -207,7 +220,11 @@
 
     /// The same report in the letters that are held already: each that is read from a datagram has its own.
     pub fn in_held_letters(&mut self, mut record: Record) -> Record {
-        let held = |name: &MixerName| self.members.get_key_value(name).map(|(held, _)| held.clone());
+        let held = |name: &MixerName| {
+            self.members
+                .get_key_value(name)
+                .map(|(held, _)| held.clone())
+        };
         record.name = held(&record.name).unwrap_or(record.name);
         record.by = record.by.map(|by| held(&by).unwrap_or(by));
         match self.zones.get(&record.zone) {
@@ -223,15 +240,25 @@
         let (place, sum, lives) = (bucket(&record.name), record.sum(), record.state.lives());
         let life = record.life();
         let old = self.members.get(&record.name);
-        let unlike =
-            |old: &Held| old.record.state != record.state || old.record.generation != record.generation;
+        let unlike = |old: &Held| {
+            old.record.state != record.state || old.record.generation != record.generation
+        };
         let since = match old {
             Some(old) if !unlike(old) => old.since,
             _ => now - record.age,
         };
         let refutes = old.map_or((now, 0), |old| old.refutes);
-        let held = Held { since, suspicion: None, refutes, place: place as u16, record };
-        let old = self.members.insert(held.record.name.clone(), Box::new(held)).map(|old| old.record);
+        let held = Held {
+            since,
+            suspicion: None,
+            refutes,
+            place: place as u16,
+            record,
+        };
+        let old = self
+            .members
+            .insert(held.record.name.clone(), Box::new(held))
+            .map(|old| old.record);
         // Sums are undone by the same operation that made them.
         self.sums[place] ^= sum ^ old.as_ref().map_or(0, Record::sum);
         self.lives ^= life ^ old.as_ref().map_or(0, Record::life);
@@ -260,12 +287,16 @@
 
     /// The sums by bucket, shortened.
     pub fn sums(&self) -> Vec<u32> {
-        self.sums.iter().map(|sum| (sum ^ (sum >> 32)) as u32).collect()
+        self.sums
+            .iter()
+            .map(|sum| (sum ^ (sum >> 32)) as u32)
+            .collect()
     }
 
     /// What is held in each bucket of a set, in the buckets' order, as told at `now`; one pass over all.
     pub fn in_buckets(&self, now: Time, wanted: &[usize]) -> BTreeMap<usize, Vec<Record>> {
-        let mut out: BTreeMap<usize, Vec<Record>> = wanted.iter().map(|place| (*place, Vec::new())).collect();
+        let mut out: BTreeMap<usize, Vec<Record>> =
+            wanted.iter().map(|place| (*place, Vec::new())).collect();
         for held in self.members.values() {
             if let Some(records) = out.get_mut(&usize::from(held.place)) {
                 records.push(held.told(now));
@@ -278,6 +309,9 @@
 impl Held {
     /// The report as it is told now.
     pub fn told(&self, now: Time) -> Record {
-        Record { age: now.since(self.since), ..self.record.clone() }
+        Record {
+            age: now.since(self.since),
+            ..self.record.clone()
+        }
     }
 }
--- a/crates/lockusher-membership/src/core/tests.rs
+++ b/crates/lockusher-membership/src/core/tests.rs
@@ -40,7 +40,9 @@
 }
 
 fn held(core: &Core) -> BTreeMap<MixerName, (u64, u32, State)> {
-    core.view().map(|held| (held.record.name.clone(), held.record.key())).collect()
+    core.view()
+        .map(|held| (held.record.name.clone(), held.record.key()))
+        .collect()
 }
 
 #[rstest]
@@ -68,7 +70,11 @@
         core.news.keep(|_| false);
         assert_eq!(held(&core)[&MixerName::new("m1")], (5, nth, State::Alive));
     }
-    assert_eq!(told, [1, 2, 3, 67, 68, 69], "three at once, and three when ten seconds have gone");
+    assert_eq!(
+        told,
+        [1, 2, 3, 67, 68, 69],
+        "three at once, and three when ten seconds have gone"
+    );
 }
 
 /// What would have refuted it may wait in the socket: a suspicion that ran out meanwhile is no death yet.
--- a/crates/lockusher-membership/src/core/wire.rs
+++ b/crates/lockusher-membership/src/core/wire.rs
@@ -80,7 +80,15 @@
     }
 
     pub fn all(&self) -> u64 {
-        let Drops { damaged, other_form, other_fleet, absurd, misdirected, far_off, beyond_share } = self;
+        let Drops {
+            damaged,
+            other_form,
+            other_fleet,
+            absurd,
+            misdirected,
+            far_off,
+            beyond_share,
+        } = self;
         damaged + other_form + other_fleet + absurd + misdirected + far_off + beyond_share
     }
 }
@@ -89,7 +97,8 @@
     if bytes.len() > MOST_BYTES {
         return Err(Cause::Absurd);
     }
-    let proto::Datagram { checksum, message } = proto::Datagram::decode(bytes).map_err(|_| Cause::Damaged)?;
+    let proto::Datagram { checksum, message } =
+        proto::Datagram::decode(bytes).map_err(|_| Cause::Damaged)?;
     if crc32fast::hash(&message) != checksum {
         return Err(Cause::Damaged);
     }
@@ -106,7 +115,9 @@
         What::Page(page) => page.members.len() <= MOST_MEMBERS && page.buckets.len() <= BUCKETS,
         What::Sums(sums) => sums.sums.len() == BUCKETS,
         What::Ping(ping) => ping.to.len() <= MOST_NAME,
-        What::Ask(ask) => !ask.to.is_empty() && ask.to.len() <= MOST_NAME && u16::try_from(ask.port).is_ok(),
+        What::Ask(ask) => {
+            !ask.to.is_empty() && ask.to.len() <= MOST_NAME && u16::try_from(ask.port).is_ok()
+        }
         What::Ack(ack) => !ack.of.is_empty() && ack.of.len() <= MOST_NAME,
         What::Told(told) => told.deltas.len() <= MOST_DELTAS,
         What::Want(want) => !want.name.is_empty() && want.name.len() <= MOST_NAME,
@@ -118,12 +129,22 @@
         return Err(Cause::Absurd);
     }
     let news = records(message.news)?;
-    Ok(Heard { me, digest: message.digest, what, news, rates: message.rates })
+    Ok(Heard {
+        me,
+        digest: message.digest,
+        what,
+        news,
+        rates: message.rates,
+    })
 }
 
 /// All of a list, or nothing: one faulty member makes the whole datagram doubtful.
 pub(crate) fn records(members: Vec<proto::Member>) -> Result<Vec<Record>, Cause> {
-    members.into_iter().map(record).collect::<Option<_>>().ok_or(Cause::Absurd)
+    members
+        .into_iter()
+        .map(record)
+        .collect::<Option<_>>()
+        .ok_or(Cause::Absurd)
 }
 
 fn record(member: proto::Member) -> Option<Record> {
@@ -136,7 +157,9 @@
     };
     let port = u16::try_from(member.port).ok().filter(|port| *port > 0)?;
     let sound = !member.name.is_empty()
-        && [&member.name, &member.zone, &member.by].into_iter().all(|word| word.len() <= MOST_NAME)
+        && [&member.name, &member.zone, &member.by]
+            .into_iter()
+            .all(|word| word.len() <= MOST_NAME)
         && member.incarnation <= MOST_INCARNATION
         && (1..=MOST_GENERATION).contains(&member.generation);
     sound.then(|| Record {
@@ -169,7 +192,11 @@
         born: record.born,
         incarnation: record.incarnation,
         state: state.into(),
-        by: record.by.as_ref().map(|by| by.as_str().to_owned()).unwrap_or_default(),
+        by: record
+            .by
+            .as_ref()
+            .map(|by| by.as_str().to_owned())
+            .unwrap_or_default(),
         age_ms: u32::try_from(record.age.as_micros() / 1_000).unwrap_or(u32::MAX),
     }
 }
@@ -181,7 +208,13 @@
 }
 
 impl Draft {
-    pub fn new(fleet: &str, me: &Record, digest: u64, what: What, rates: Option<proto::Rates>) -> Self {
+    pub fn new(
+        fleet: &str,
+        me: &Record,
+        digest: u64,
+        what: What,
+        rates: Option<proto::Rates>,
+    ) -> Self {
         let shared = matches!(
             what,
             What::Told(_) | What::Want(_) | What::Recall(_) | What::Known(_) | What::Lending(_)
@@ -214,7 +247,9 @@
         let members: Vec<proto::Member> = records.iter().map(member).collect();
         // Each has a tag and a length before it.
         let size = members.iter().map(|m| m.encoded_len() + 4).sum::<usize>() + 4;
-        let Some(What::Page(page)) = &mut self.message.what else { return false };
+        let Some(What::Page(page)) = &mut self.message.what else {
+            return false;
+        };
         if self.bytes + size > MOST_BYTES || page.members.len() + members.len() > MOST_MEMBERS {
             return false;
         }
@@ -233,7 +268,9 @@
         while !self.grow(delta.encoded_len(), held + MOST_MEMBERS - MOST_DELTAS) {
             // The rest is told another time: what is here is whole up to a lower version.
             delta.verdicts.pop();
-            let Some(last) = delta.verdicts.last() else { return false };
+            let Some(last) = delta.verdicts.last() else {
+                return false;
+            };
             delta.upto = last.version;
         }
         if let Some(What::Told(told)) = &mut self.message.what {
@@ -243,7 +280,9 @@
     }
 
     pub fn add_known(&mut self, searcher: &proto::KnownSearcher) -> bool {
-        let Some(What::Known(known)) = &self.message.what else { return false };
+        let Some(What::Known(known)) = &self.message.what else {
+            return false;
+        };
         let fits = self.grow(searcher.encoded_len(), known.searchers.len());
         if let Some(What::Known(known)) = &mut self.message.what
             && fits
@@ -261,9 +300,16 @@
 
     pub fn seal(self) -> Vec<u8> {
         let message = self.message.encode_to_vec();
-        let datagram = proto::Datagram { checksum: crc32fast::hash(&message), message };
+        let datagram = proto::Datagram {
+            checksum: crc32fast::hash(&message),
+            message,
+        };
         let bytes = datagram.encode_to_vec();
-        debug_assert!(bytes.len() <= MOST_BYTES, "a datagram of {} bytes", bytes.len());
+        debug_assert!(
+            bytes.len() <= MOST_BYTES,
+            "a datagram of {} bytes",
+            bytes.len()
+        );
         bytes
     }
 }
--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -71,7 +71,11 @@
         if counted != Some(core.counted()) && tell(News::Mixers(core.counted())) {
             counted = Some(core.counted());
         }
-        let stands: Vec<Judged> = core.standing_judgements().iter().map(|of| of.judged.clone()).collect();
+        let stands: Vec<Judged> = core
+            .standing_judgements()
+            .iter()
+            .map(|of| of.judged.clone())
+            .collect();
         if judged != stands && tell(News::Judged(stands.clone())) {
             log_judged(&judged, core.standing_judgements());
             judged = stands;
@@ -151,12 +155,23 @@
 
 /// A line for each searcher that is judged, and for each that no longer is.
 fn log_judged(before: &[Judged], now: &[Standing]) {
-    for of in now.iter().filter(|of| before.iter().all(|before| before.id != of.judged.id)) {
-        let by: Vec<&str> = of.witnesses.iter().map(super::core::table::MixerName::as_str).collect();
+    for of in now
+        .iter()
+        .filter(|of| before.iter().all(|before| before.id != of.judged.id))
+    {
+        let by: Vec<&str> = of
+            .witnesses
+            .iter()
+            .map(super::core::table::MixerName::as_str)
+            .collect();
         let (id, fault, by) = (of.judged.id.as_str(), of.fault.word(), by.join(", "));
         tracing::info!(target: "lockusher::fleet", "fleet: searcher {id} is {fault}, say {by}");
     }
-    for id in before.iter().map(|of| &of.id).filter(|id| now.iter().all(|of| of.judged.id != **id)) {
+    for id in before
+        .iter()
+        .map(|of| &of.id)
+        .filter(|id| now.iter().all(|of| of.judged.id != **id))
+    {
         tracing::info!(target: "lockusher::fleet", "fleet: nothing stands against searcher {} any more", id.as_str());
     }
 }
@@ -165,7 +180,11 @@
 fn log(change: &Change) {
     let Change { member, from } = change;
     let (name, at, state) = (member.name.as_str(), member.address, member.state.word());
-    let by = member.by.as_ref().map(|by| format!(", says {}", by.as_str())).unwrap_or_default();
+    let by = member
+        .by
+        .as_ref()
+        .map(|by| format!(", says {}", by.as_str()))
+        .unwrap_or_default();
     let was = from.map_or("unknown", State::word);
     match (member.state, from) {
         (State::Suspect, _) | (State::Alive, Some(State::Suspect)) => {
@@ -174,6 +193,8 @@
         (State::Dead, _) => {
             tracing::warn!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{by} (was {was})");
         }
-        _ => tracing::info!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{by} (was {was})"),
+        _ => {
+            tracing::info!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{by} (was {was})");
+        }
     }
 }
--- a/crates/lockusher-membership/src/shared/judge.rs
+++ b/crates/lockusher-membership/src/shared/judge.rs
@@ -43,9 +43,20 @@
 
 /// What this mixer saw of one searcher that is unlike its peers, if anything is.
 fn fault(now: Time, seen: &Glimpse, peers: f64) -> Option<Verdict> {
-    let verdict = |fault, weight, since, at| Some(Verdict { life: seen.life, fault, weight, since, at });
+    let verdict = |fault, weight, since, at| {
+        Some(Verdict {
+            life: seen.life,
+            fault,
+            weight,
+            since,
+            at,
+        })
+    };
     let patience = Span::from_secs(peers * SILENT).max(LEAST_SILENCE);
-    if let Some(since) = seen.silent_since.filter(|since| now.since(*since) > patience) {
+    if let Some(since) = seen
+        .silent_since
+        .filter(|since| now.since(*since) > patience)
+    {
         // It may have answered others for as long as it was waited for here.
         return verdict(Fault::Down, DOWN_GOOD, since + patience, now);
     }
@@ -58,11 +69,16 @@
     if seen.good < ERRS {
         return verdict(Fault::Errs, seen.good.max(0.0), seen.heard, seen.heard);
     }
-    if let Some(since) = seen.cold_since.filter(|since| seen.life.is_none_or(|life| *since > life)) {
+    if let Some(since) = seen
+        .cold_since
+        .filter(|since| seen.life.is_none_or(|life| *since > life))
+    {
         return verdict(Fault::Cold, 0.0, since, seen.heard);
     }
     let slower = seen.latency.unwrap_or(peers) / peers.max(1e-6);
-    (slower > SLOW).then(|| verdict(Fault::Slow, slower.min(1e3), seen.heard, seen.heard)).flatten()
+    (slower > SLOW)
+        .then(|| verdict(Fault::Slow, slower.min(1e3), seen.heard, seen.heard))
+        .flatten()
 }
 
 /// What this mixer tells of searchers, the worst first; `accused` is what others say.
@@ -81,7 +97,9 @@
     told.retain(|(id, _)| accused.get(id).is_none_or(|of| of.before < ENOUGH));
     // An outcome may be a send that was given up: then what is known of its latency is no better than it was.
     let quick = |s: &&Glimpse| s.latency.is_some_and(|latency| latency < peers * SLOW);
-    let fine = seen.iter().filter(|s| s.good > FINE && s.down_since.is_none() && s.silent_since.is_none());
+    let fine = seen
+        .iter()
+        .filter(|s| s.good > FINE && s.down_since.is_none() && s.silent_since.is_none());
     let fine = fine.filter(quick);
     for seen in fine.filter(|s| now.since(s.heard) <= LATELY) {
         let against = accused.get(&seen.id).filter(|of| of.for_it < ENOUGH);
@@ -89,7 +107,16 @@
             && told.iter().all(|(id, _)| *id != seen.id)
         {
             let (life, at) = (seen.life, seen.heard);
-            told.push((seen.id.clone(), Verdict { life, fault: Fault::Fine, weight: 1.0, since: at, at }));
+            told.push((
+                seen.id.clone(),
+                Verdict {
+                    life,
+                    fault: Fault::Fine,
+                    weight: 1.0,
+                    since: at,
+                    at,
+                },
+            ));
         }
     }
     // Down before slow, and what was seen last first.
@@ -171,19 +198,40 @@
     let mut accused: Accused = once
         .0
         .iter()
-        .map(|(id, until)| (id.clone(), Accusation { since: *until, before: 0, for_it: 0 }))
+        .map(|(id, until)| {
+            (
+                id.clone(),
+                Accusation {
+                    since: *until,
+                    before: 0,
+                    for_it: 0,
+                },
+            )
+        })
         .collect();
     let mut accusing = BTreeSet::new();
-    let said: Vec<(&SearcherId, Said)> =
-        said.filter(|(_, said)| now.since(said.verdict.at) < WITNESSES_FOR).collect();
+    let said: Vec<(&SearcherId, Said)> = said
+        .filter(|(_, said)| now.since(said.verdict.at) < WITNESSES_FOR)
+        .collect();
     for (id, said) in said.iter().filter(|(_, said)| said.verdict.fault.accuses()) {
         once.note(id, said.verdict.at);
-        let first = Accusation { since: said.verdict.since, before: 0, for_it: 0 };
+        let first = Accusation {
+            since: said.verdict.since,
+            before: 0,
+            for_it: 0,
+        };
         let of = accused.entry((*id).clone()).or_insert(first);
-        of.since = if accusing.insert(*id) { said.verdict.since } else { of.since.min(said.verdict.since) };
+        of.since = if accusing.insert(*id) {
+            said.verdict.since
+        } else {
+            of.since.min(said.verdict.since)
+        };
         of.before += usize::from(said.zone == zone && place(said.by, id) < place(me, id));
     }
-    for (id, said) in said.iter().filter(|(_, said)| said.verdict.fault == Fault::Fine) {
+    for (id, said) in said
+        .iter()
+        .filter(|(_, said)| said.verdict.fault == Fault::Fine)
+    {
         if let Some(of) = accused.get_mut(*id) {
             of.for_it += usize::from(said.zone == zone && place(said.by, id) < place(me, id));
         }
@@ -202,25 +250,49 @@
     // What is said of different lives is of different searchers; a lie about one says nothing of another.
     let mut of_life: BTreeMap<(&SearcherId, Option<Time>), Vec<Said>> = BTreeMap::new();
     for (id, said) in said.filter(|(_, said)| now.since(said.verdict.at) < WITNESSES_FOR) {
-        of_life.entry((id, said.verdict.life)).or_default().push(said);
+        of_life
+            .entry((id, said.verdict.life))
+            .or_default()
+            .push(said);
     }
     let judge = |((id, life), said): (&(&SearcherId, Option<Time>), &Vec<Said>)| {
         let (accusers, fine): (Vec<&Said>, Vec<&Said>) =
             said.iter().partition(|said| said.verdict.fault.accuses());
-        let witnesses = if accusers.is_empty() { &fine } else { &accusers };
+        let witnesses = if accusers.is_empty() {
+            &fine
+        } else {
+            &accusers
+        };
         let since = since(witnesses)?;
         let from: BTreeSet<&str> = witnesses.iter().map(|said| said.zone).collect();
-        let against =
-            fine.iter().filter(|said| !accusers.is_empty() && said.verdict.at > since + CROSSING).count();
+        let against = fine
+            .iter()
+            .filter(|said| !accusers.is_empty() && said.verdict.at > since + CROSSING)
+            .count();
         if witnesses.len() <= 2 * against || from.len() < zones.min(2) {
             return None;
         }
         // The fault that most see; of like ones the graver.
-        let count = |fault: Fault| witnesses.iter().filter(|said| said.verdict.fault == fault).count();
-        let faults = [Fault::Fine, Fault::Cold, Fault::Slow, Fault::Errs, Fault::Down];
+        let count = |fault: Fault| {
+            witnesses
+                .iter()
+                .filter(|said| said.verdict.fault == fault)
+                .count()
+        };
+        let faults = [
+            Fault::Fine,
+            Fault::Cold,
+            Fault::Slow,
+            Fault::Errs,
+            Fault::Down,
+        ];
         let fault = faults.into_iter().max_by_key(|fault| count(*fault))?;
-        let weights =
-            || witnesses.iter().filter(|said| said.verdict.fault == fault).map(|said| said.verdict.weight);
+        let weights = || {
+            witnesses
+                .iter()
+                .filter(|said| said.verdict.fault == fault)
+                .map(|said| said.verdict.weight)
+        };
         let judged = Judged {
             id: (*id).clone(),
             life: *life,
@@ -229,13 +301,21 @@
                 Fault::Errs => middle(weights()).clamp(DOWN_GOOD, 1.0),
                 _ => 1.0,
             },
-            slower: if fault == Fault::Slow { middle(weights()).max(1.0) } else { 1.0 },
+            slower: if fault == Fault::Slow {
+                middle(weights()).max(1.0)
+            } else {
+                1.0
+            },
             cold_since: (fault == Fault::Cold).then_some(since),
             at: witnesses.iter().map(|said| said.verdict.at).max()?.min(now),
         };
         let mut names: Vec<MixerName> = witnesses.iter().map(|said| said.by.clone()).collect();
         names.sort();
-        Some(Standing { judged, fault, witnesses: names })
+        Some(Standing {
+            judged,
+            fault,
+            witnesses: names,
+        })
     };
     of_life.iter().filter_map(judge).collect()
 }
--- a/crates/lockusher-membership/src/shared/lend.rs
+++ b/crates/lockusher-membership/src/shared/lend.rs
@@ -41,7 +41,11 @@
 
 impl Plan {
     pub fn new(budgets: Vec<f64>, mixers: usize) -> Self {
-        Plan { budgets, mixers: mixers.max(1), margin: MARGIN }
+        Plan {
+            budgets,
+            mixers: mixers.max(1),
+            margin: MARGIN,
+        }
     }
 
     pub fn loan(&self) -> Span {
@@ -176,7 +180,11 @@
 
     /// What this mixer would spend of each budget a second, if it could.
     pub fn wants(&mut self, wants: Vec<f64>) {
-        debug_assert_eq!(wants.len(), self.plan.budgets.len(), "one want of each budget");
+        debug_assert_eq!(
+            wants.len(),
+            self.plan.budgets.len(),
+            "one want of each budget"
+        );
         self.wants = wants;
     }
 
@@ -194,14 +202,22 @@
     /// Whether it lends now, and what of each budget is out.
     pub fn lends(&self, now: Time) -> Option<Vec<f64>> {
         self.lends_until.filter(|until| *until > now)?;
-        Some((0..self.plan.budgets.len()).map(|nth| self.out(now, nth, None)).collect())
+        Some(
+            (0..self.plan.budgets.len())
+                .map(|nth| self.out(now, nth, None))
+                .collect(),
+        )
     }
 
     /// What is out of one budget, but for one borrower. Of several loans to one, a later one may not have arrived: the
     /// greatest counts.
     fn out(&self, now: Time, nth: usize, but: Option<&Life>) -> f64 {
         let mut greatest: BTreeMap<&Life, f64> = BTreeMap::new();
-        for loan in self.loans.iter().filter(|loan| loan.until > now && Some(&loan.to) != but) {
+        for loan in self
+            .loans
+            .iter()
+            .filter(|loan| loan.until > now && Some(&loan.to) != but)
+        {
             let held = greatest.entry(&loan.to).or_default();
             *held = held.max(loan.amounts[nth]);
         }
@@ -234,14 +250,19 @@
             self.ask_at = now + loan.times(0.4);
             let number = self.number();
             self.asked.insert(number, (lender.clone(), now));
-            let word = Word::Wants { number, amounts: beyond };
+            let word = Word::Wants {
+                number,
+                amounts: beyond,
+            };
             match first {
                 true => out.extend(self.hear(now, view.me, word, view)),
                 false => out.push((lender.clone(), word)),
             }
             // What a lender says to itself needs no datagram.
-            let own: Vec<Word> =
-                out.extract_if(.., |(to, _)| *to == view.me.0).map(|(_, word)| word).collect();
+            let own: Vec<Word> = out
+                .extract_if(.., |(to, _)| *to == view.me.0)
+                .map(|(_, word)| word)
+                .collect();
             for word in own {
                 let _ = self.hear(now, view.me, word, view);
             }
@@ -255,19 +276,31 @@
     /// What it wants of each budget beyond its own part.
     fn beyond(&self) -> Vec<f64> {
         let beyond = |(want, budget): (&f64, &f64)| (want * HEADROOM - budget * self.own).max(0.0);
-        self.wants.iter().zip(&self.plan.budgets).map(beyond).collect()
+        self.wants
+            .iter()
+            .zip(&self.plan.budgets)
+            .map(beyond)
+            .collect()
     }
 
     fn ask_promises(&mut self, now: Time, view: &View, out: &mut Vec<(MixerName, Word)>) {
         let span = self.plan.promise();
-        let renew = self.round.as_ref().is_none_or(|round| now.since(round.began) >= span.times(0.5));
+        let renew = self
+            .round
+            .as_ref()
+            .is_none_or(|round| now.since(round.began) >= span.times(0.5));
         if renew {
             let number = self.number();
             let mut yes = BTreeSet::new();
             if self.promises(now, view.me, span) {
                 yes.insert(view.me.0.clone());
             }
-            self.round = Some(Round { number, began: now, yes, place: 0 });
+            self.round = Some(Round {
+                number,
+                began: now,
+                yes,
+                place: 0,
+            });
             self.count_promises(view);
         }
         let Some(round) = &mut self.round else { return };
@@ -276,7 +309,13 @@
             let name = &view.living[round.place % view.living.len()];
             round.place = round.place.wrapping_add(1);
             if *name != view.me.0 && !round.yes.contains(name) {
-                out.push((name.clone(), Word::Promise { number: round.number, span }));
+                out.push((
+                    name.clone(),
+                    Word::Promise {
+                        number: round.number,
+                        span,
+                    },
+                ));
                 asked += 1;
             }
             if asked == ASKED_A_TURN {
@@ -287,7 +326,10 @@
 
     /// Promises not to promise anybody else for so long, unless that is promised already.
     fn promises(&mut self, now: Time, to: &Life, span: Span) -> bool {
-        let free = self.promised.as_ref().is_none_or(|(holder, until)| holder == to || *until <= now);
+        let free = self
+            .promised
+            .as_ref()
+            .is_none_or(|(holder, until)| holder == to || *until <= now);
         let may = free && now >= self.quiet_until && span <= self.plan.promise();
         if may {
             self.promised = Some((to.clone(), now + self.plan.longer(span)));
@@ -305,16 +347,27 @@
     }
 
     /// Something was said by a member; what it is answered.
-    pub fn hear(&mut self, now: Time, from: &Life, word: Word, view: &View) -> Vec<(MixerName, Word)> {
+    pub fn hear(
+        &mut self,
+        now: Time,
+        from: &Life,
+        word: Word,
+        view: &View,
+    ) -> Vec<(MixerName, Word)> {
         let budgets = self.plan.budgets.len();
         let sound = |amounts: &[f64]| {
-            amounts.len() == budgets && amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0)
+            amounts.len() == budgets
+                && amounts
+                    .iter()
+                    .all(|amount| amount.is_finite() && *amount >= 0.0)
         };
         match word {
             Word::Promise { number, span } => {
                 let yes = self.promises(now, from, span);
                 let life = from.1;
-                yes.then(|| (from.0.clone(), Word::Promised { number, life })).into_iter().collect()
+                yes.then(|| (from.0.clone(), Word::Promised { number, life }))
+                    .into_iter()
+                    .collect()
             }
             Word::Promised { number, life } if life == view.me.1 => {
                 if let Some(round) = self.round.as_mut().filter(|round| round.number == number) {
@@ -327,14 +380,28 @@
                 self.wanted.insert(from.clone(), (amounts, now));
                 self.lend(now, from, number).into_iter().collect()
             }
-            Word::Lent { number, life, span, amounts } if life == view.me.1 && sound(&amounts) => {
-                let asked = self.asked.get(&number).filter(|(lender, _)| *lender == from.0);
-                let newer = self.held.as_ref().is_none_or(|(held, ..)| number.wrapping_sub(*held) < 1 << 31);
+            Word::Lent {
+                number,
+                life,
+                span,
+                amounts,
+            } if life == view.me.1 && sound(&amounts) => {
+                let asked = self
+                    .asked
+                    .get(&number)
+                    .filter(|(lender, _)| *lender == from.0);
+                let newer = self
+                    .held
+                    .as_ref()
+                    .is_none_or(|(held, ..)| number.wrapping_sub(*held) < 1 << 31);
                 if let Some((_, at)) = asked.filter(|_| newer && span <= self.plan.loan()) {
                     let until = *at + self.plan.shorter(span);
                     let most = self.plan.budgets.iter().map(|budget| budget * (1.0 - OWN));
-                    let amounts =
-                        amounts.into_iter().zip(most).map(|(amount, most)| amount.min(most)).collect();
+                    let amounts = amounts
+                        .into_iter()
+                        .zip(most)
+                        .map(|(amount, most)| amount.min(most))
+                        .collect();
                     self.held = Some((number, amounts, until));
                 }
                 Vec::new()
@@ -357,7 +424,19 @@
             fair.min(pool - self.out(now, nth, Some(to))).max(0.0)
         };
         let amounts: Vec<f64> = wants.iter().enumerate().map(lends).collect();
-        self.loans.push(Loan { to: to.clone(), amounts: amounts.clone(), until });
-        Some((to.0.clone(), Word::Lent { number, life: to.1, span, amounts }))
+        self.loans.push(Loan {
+            to: to.clone(),
+            amounts: amounts.clone(),
+            until,
+        });
+        Some((
+            to.0.clone(),
+            Word::Lent {
+                number,
+                life: to.1,
+                span,
+                amounts,
+            },
+        ))
     }
 }
--- a/crates/lockusher-membership/src/shared/records.rs
+++ b/crates/lockusher-membership/src/shared/records.rs
@@ -108,15 +108,21 @@
 impl Record {
     /// The changes after a version, in order; all of it from 0.
     pub fn delta(&self, name: &MixerName, from: u32, now: Time) -> proto::Delta {
-        let mut entries: Vec<(&SearcherId, &Entry)> =
-            self.entries.iter().filter(|(_, entry)| entry.version > from).collect();
+        let mut entries: Vec<(&SearcherId, &Entry)> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.version > from)
+            .collect();
         entries.sort_by_key(|(_, entry)| entry.version);
         proto::Delta {
             name: name.as_str().to_owned(),
             generation: self.generation,
             from,
             upto: self.upto,
-            verdicts: entries.into_iter().map(|(id, entry)| told(id, entry, now)).collect(),
+            verdicts: entries
+                .into_iter()
+                .map(|(id, entry)| told(id, entry, now))
+                .collect(),
         }
     }
 
@@ -128,17 +134,28 @@
 
     fn change(&mut self, id: &SearcherId, verdict: Verdict) {
         self.upto += 1;
-        self.entries.insert(id.clone(), Entry { version: self.upto, verdict });
+        self.entries.insert(
+            id.clone(),
+            Entry {
+                version: self.upto,
+                verdict,
+            },
+        );
     }
 
     /// Drops what is too old to count, and of what is beyond the bound the least of worth: what is withdrawn, then
     /// what was said longest ago.
     fn prune(&mut self, now: Time, most: usize) -> u64 {
-        self.entries.retain(|_, entry| now.since(entry.verdict.at) < KEPT);
+        self.entries
+            .retain(|_, entry| now.since(entry.verdict.at) < KEPT);
         let mut dropped = 0;
         while self.entries.len() > most {
             let worth = |entry: &Entry| (entry.verdict.fault != Fault::Withdrawn, entry.version);
-            let least = self.entries.iter().min_by_key(|(_, entry)| worth(entry)).map(|(id, _)| id.clone());
+            let least = self
+                .entries
+                .iter()
+                .min_by_key(|(_, entry)| worth(entry))
+                .map(|(id, _)| id.clone());
             dropped += u64::from(least.and_then(|id| self.entries.remove(&id)).is_some());
         }
         dropped
@@ -147,7 +164,13 @@
 
 impl Records {
     pub fn new(generation: u64) -> Self {
-        Records { own: Record { generation, ..Record::default() }, ..Records::default() }
+        Records {
+            own: Record {
+                generation,
+                ..Record::default()
+            },
+            ..Records::default()
+        }
     }
 
     /// This mixer's life has another number from now on: what it published before is another record.
@@ -172,14 +195,19 @@
     pub fn publish(&mut self, now: Time, verdicts: Vec<(SearcherId, Verdict)>) -> Option<u32> {
         let before = self.own.upto;
         self.crowded += verdicts.len().saturating_sub(MOST_NAMED) as u64;
-        let verdicts: BTreeMap<SearcherId, Verdict> = verdicts.into_iter().take(MOST_NAMED).collect();
+        let verdicts: BTreeMap<SearcherId, Verdict> =
+            verdicts.into_iter().take(MOST_NAMED).collect();
         let gone = |(id, entry): (&SearcherId, &Entry)| {
-            (entry.verdict.fault != Fault::Withdrawn && !verdicts.contains_key(id)).then(|| id.clone())
+            (entry.verdict.fault != Fault::Withdrawn && !verdicts.contains_key(id))
+                .then(|| id.clone())
         };
         let gone: Vec<SearcherId> = self.own.entries.iter().filter_map(gone).collect();
         for id in gone {
-            let verdict =
-                Verdict { fault: Fault::Withdrawn, at: now, ..self.own.entries[&id].verdict.clone() };
+            let verdict = Verdict {
+                fault: Fault::Withdrawn,
+                at: now,
+                ..self.own.entries[&id].verdict.clone()
+            };
             self.own.change(&id, verdict);
         }
         for (id, verdict) in verdicts {
@@ -199,16 +227,21 @@
     /// Takes what is told of another's record.
     pub fn merge(&mut self, now: Time, delta: proto::Delta) -> Merged {
         let name = MixerName::new(&delta.name);
-        let Some(verdicts) = read(now, &delta) else { return Merged::Absurd };
-        let record = self
-            .others
-            .entry(name)
-            .or_insert_with(|| Record { generation: delta.generation, ..Record::default() });
+        let Some(verdicts) = read(now, &delta) else {
+            return Merged::Absurd;
+        };
+        let record = self.others.entry(name).or_insert_with(|| Record {
+            generation: delta.generation,
+            ..Record::default()
+        });
         if delta.generation < record.generation {
             return Merged::Old; // Of a former life.
         }
         if delta.generation > record.generation {
-            *record = Record { generation: delta.generation, ..Record::default() };
+            *record = Record {
+                generation: delta.generation,
+                ..Record::default()
+            };
         }
         let before = record.upto;
         if record.upto > 0 && delta.upto.saturating_sub(before) > FAR_OFF {
@@ -228,7 +261,11 @@
             return Merged::Gap(before);
         }
         record.upto = before.max(delta.upto);
-        if news || record.upto > before { Merged::News(before) } else { Merged::Old }
+        if news || record.upto > before {
+            Merged::News(before)
+        } else {
+            Merged::Old
+        }
     }
 
     /// Holds records of these only.
@@ -251,7 +288,9 @@
     proto::Verdict {
         version: *version,
         searcher: id.as_str().to_owned(),
-        life: verdict.life.map_or(0, |life| life.since(Time::from_micros(0)).as_micros()),
+        life: verdict
+            .life
+            .map_or(0, |life| life.since(Time::from_micros(0)).as_micros()),
         fault: fault.into(),
         weight: verdict.weight as f32,
         since_ms: ms(verdict.since),
@@ -288,7 +327,17 @@
             since: ago(told.since_ms),
             at: ago(told.age_ms),
         };
-        sound.then(|| (SearcherId::new(&told.searcher), Entry { version: told.version, verdict }))
+        sound.then(|| {
+            (
+                SearcherId::new(&told.searcher),
+                Entry {
+                    version: told.version,
+                    verdict,
+                },
+            )
+        })
     };
-    sound.then(|| delta.verdicts.iter().map(read).collect()).flatten()
+    sound
+        .then(|| delta.verdicts.iter().map(read).collect())
+        .flatten()
 }
--- a/crates/lockusher-membership/src/shared/warm.rs
+++ b/crates/lockusher-membership/src/shared/warm.rs
@@ -63,14 +63,19 @@
         self.over = true;
         let mut said: BTreeMap<(SearcherId, Option<Time>), Vec<Known>> = BTreeMap::new();
         for known in std::mem::take(&mut self.heard).into_values().flatten() {
-            said.entry((known.id.clone(), known.life)).or_default().push(known);
+            said.entry((known.id.clone(), known.life))
+                .or_default()
+                .push(known);
         }
         let middle = |mut values: Vec<Known>| {
             values.sort_by(|a, b| a.latency.total_cmp(&b.latency));
             let mut goods: Vec<f64> = values.iter().map(|known| known.good).collect();
             goods.sort_by(f64::total_cmp);
             let known = values.swap_remove(values.len() / 2);
-            Known { good: goods[goods.len() / 2], ..known }
+            Known {
+                good: goods[goods.len() / 2],
+                ..known
+            }
         };
         Some(said.into_values().map(middle).collect())
     }
@@ -78,13 +83,16 @@
 
 /// What a mixer tells one that starts, of what it saw itself.
 pub fn known(now: Time, seen: &[Glimpse]) -> impl Iterator<Item = proto::KnownSearcher> {
-    let lately =
-        seen.iter().filter(move |seen| now.since(seen.heard) <= LATELY && seen.silent_since.is_none());
+    let lately = seen
+        .iter()
+        .filter(move |seen| now.since(seen.heard) <= LATELY && seen.silent_since.is_none());
     lately.filter_map(move |seen| {
         let latency_us = (seen.latency? * 1e6).round() as u32;
         Some(proto::KnownSearcher {
             searcher: seen.id.as_str().to_owned(),
-            life: seen.life.map_or(0, |life| life.since(Time::from_micros(0)).as_micros()),
+            life: seen
+                .life
+                .map_or(0, |life| life.since(Time::from_micros(0)).as_micros()),
             latency_us: latency_us.clamp(1, MOST_LATENCY_US),
             good: seen.good.clamp(0.0, 1.0) as f32,
             age_ms: (now.since(seen.heard).as_micros() / 1_000) as u32,
--- a/crates/lockusher-membership/tests/datagrams.rs
+++ b/crates/lockusher-membership/tests/datagrams.rs
@@ -29,7 +29,13 @@
         remember: Span::from_millis(60_000),
         shares: None,
     };
-    Core::new(BEGAN, BEGAN.since(Time::from_micros(0)).as_micros(), plan, 1, port.into())
+    Core::new(
+        BEGAN,
+        BEGAN.since(Time::from_micros(0)).as_micros(),
+        plan,
+        1,
+        port.into(),
+    )
 }
 
 /// Two members that know each other, and the datagrams that made them.
@@ -72,9 +78,14 @@
     stranger.due(BEGAN);
     let asked = stranger.take_out();
     assert!(!asked.is_empty());
-    asked.iter().for_each(|(_, bytes)| one.hear(BEGAN, at(3), bytes));
+    asked
+        .iter()
+        .for_each(|(_, bytes)| one.hear(BEGAN, at(3), bytes));
     assert_eq!((one.counts().drops.other_fleet, one.living()), (1, 2));
-    assert!(one.take_out().iter().all(|(to, _)| *to != at(3)), "it is not answered either");
+    assert!(
+        one.take_out().iter().all(|(to, _)| *to != at(3)),
+        "it is not answered either"
+    );
 }
 
 #[rstest]
@@ -84,9 +95,13 @@
     one.due(now + Span::from_millis(400));
     let pings = one.take_out();
     assert!(!pings.is_empty());
-    pings.iter().for_each(|(_, bytes)| newcomer.hear(now, at(1), bytes));
+    pings
+        .iter()
+        .for_each(|(_, bytes)| newcomer.hear(now, at(1), bytes));
     assert!(newcomer.counts().drops.misdirected > 0 && newcomer.take_out().is_empty());
-    pings.iter().for_each(|(_, bytes)| other.hear(now, at(1), bytes));
+    pings
+        .iter()
+        .for_each(|(_, bytes)| other.hear(now, at(1), bytes));
     assert_eq!(other.counts().drops.all(), 0);
 }
 
@@ -114,8 +129,15 @@
         one.hear(now, at(9), &bytes);
     }
     assert_eq!((one.living(), one.view().count()), (2, 2));
-    assert_eq!(one.counts().drops.damaged + one.counts().drops.misdirected, one.counts().drops.all());
-    assert!(one.counts().drops.damaged > 999_000, "{:?}", one.counts().drops);
+    assert_eq!(
+        one.counts().drops.damaged + one.counts().drops.misdirected,
+        one.counts().drops.all()
+    );
+    assert!(
+        one.counts().drops.damaged > 999_000,
+        "{:?}",
+        one.counts().drops
+    );
     one.take_out();
     for _ in 0..20_000 {
         let mut bytes = sound[rng.random_range(0..sound.len())].clone();
@@ -126,7 +148,11 @@
         bytes.truncate(rng.random_range(bytes.len() / 2..=bytes.len()));
         one.hear(now, at(9), &sealed(bytes));
         one.due(now);
-        assert!(one.take_out().iter().all(|(_, bytes)| bytes.len() <= MOST_BYTES));
+        assert!(
+            one.take_out()
+                .iter()
+                .all(|(_, bytes)| bytes.len() <= MOST_BYTES)
+        );
     }
     assert_eq!(one.standing(), Standing::Member);
 }
--- a/crates/lockusher-membership/tests/lending.rs
+++ b/crates/lockusher-membership/tests/lending.rs
@@ -51,10 +51,19 @@
 impl World {
     fn new(mixers: usize, seed: u64, mistake: Mistake) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World { nodes: Vec::new(), now: 0, flying: VecDeque::new(), rng, mistake, lent: 0.0 };
+        let mut world = World {
+            nodes: Vec::new(),
+            now: 0,
+            flying: VecDeque::new(),
+            rng,
+            mistake,
+            lent: 0.0,
+        };
         for number in 0..mixers {
-            let (rate, offset) =
-                (world.rng.random_range(0.99..1.01), world.rng.random_range(START..2 * START));
+            let (rate, offset) = (
+                world.rng.random_range(0.99..1.01),
+                world.rng.random_range(START..2 * START),
+            );
             let mut node = Node {
                 name: MixerName::new(&format!("m{number}")),
                 life: 1,
@@ -78,7 +87,11 @@
             Mistake::PromisesAtOnce => now - plan.promise().times(2.0),
             _ => now,
         };
-        let margin = if self.mistake == Mistake::TakenBackEarly { -0.2 } else { plan.margin };
+        let margin = if self.mistake == Mistake::TakenBackEarly {
+            -0.2
+        } else {
+            plan.margin
+        };
         Lending::new(since, Plan { margin, ..plan })
     }
 
@@ -89,22 +102,38 @@
 
     fn with_view<T>(&mut self, of: usize, what: impl FnOnce(&mut Lending, Time, &View) -> T) -> T {
         let now = self.clock(of);
-        let living: Vec<MixerName> =
-            self.nodes[of].living.iter().map(|nth| self.nodes[*nth].name.clone()).collect();
+        let living: Vec<MixerName> = self.nodes[of]
+            .living
+            .iter()
+            .map(|nth| self.nodes[*nth].name.clone())
+            .collect();
         let first = self.nodes[self.nodes[of].first].name.clone();
         let me = (self.nodes[of].name.clone(), self.nodes[of].life);
-        let view = View { me: &me, first: Some(&first), living: &living, counted: living.len() };
+        let view = View {
+            me: &me,
+            first: Some(&first),
+            living: &living,
+            counted: living.len(),
+        };
         what(&mut self.nodes[of].lending, now, &view)
     }
 
     fn send(&mut self, from: usize, words: Vec<(MixerName, Word)>) {
         let life = (self.nodes[from].name.clone(), self.nodes[from].life);
         for (to, word) in words {
-            let to = self.nodes.iter().position(|node| node.name == to).expect("a member");
+            let to = self
+                .nodes
+                .iter()
+                .position(|node| node.name == to)
+                .expect("a member");
             let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.rng.random_range(0..8)];
             for _ in 0..copies {
                 // Now and then one comes very late.
-                let most = if self.rng.random::<f64>() < 0.05 { 9_000_000 } else { 30_000 };
+                let most = if self.rng.random::<f64>() < 0.05 {
+                    9_000_000
+                } else {
+                    30_000
+                };
                 let at = self.now + self.rng.random_range(100..most);
                 self.flying.push_back((at, to, life.clone(), word.clone()));
             }
@@ -167,7 +196,9 @@
             2..=9 => self.nodes[of].stands_still = false,
             10..=13 => self.nodes[of].first = self.rng.random_range(0..all),
             14..=15 => {
-                let living = (0..all).filter(|other| *other == of || self.rng.random()).collect();
+                let living = (0..all)
+                    .filter(|other| *other == of || self.rng.random())
+                    .collect();
                 self.nodes[of].living = living;
             }
             16..=20 => self.nodes[of].living = (0..all).collect(),
@@ -181,7 +212,12 @@
 }
 
 /// Plays many seeds; tells how many of them spent too much, and whether anything was lent at all.
-fn play(mixers: usize, seeds: std::ops::Range<u64>, turns: usize, mistake: Mistake) -> (usize, bool) {
+fn play(
+    mixers: usize,
+    seeds: std::ops::Range<u64>,
+    turns: usize,
+    mistake: Mistake,
+) -> (usize, bool) {
     let (mut broken, mut lent) = (0, 0.0);
     for seed in seeds {
         let mut world = World::new(mixers, seed, mistake);
@@ -227,8 +263,17 @@
     (0..200).for_each(|_| calm(&mut world));
     let now = world.clock(2);
     let Portion { own, lent, .. } = world.nodes[2].lending.portions(now)[0];
-    assert_eq!((own, lent), (10.0, 30.0), "a third of one half, and all of the other");
-    assert!(world.nodes[0].lending.lends(world.clock(0)).is_some_and(|out| out == [30.0, 0.0]));
+    assert_eq!(
+        (own, lent),
+        (10.0, 30.0),
+        "a third of one half, and all of the other"
+    );
+    assert!(
+        world.nodes[0]
+            .lending
+            .lends(world.clock(0))
+            .is_some_and(|out| out == [30.0, 0.0])
+    );
     // Nobody hears it any more.
     (world.nodes[2].first, world.nodes[2].living) = (2, vec![2]);
     for _ in 0..200 {
--- a/crates/lockusher-membership/tests/recorded_bytes.rs
+++ b/crates/lockusher-membership/tests/recorded_bytes.rs
@@ -41,11 +41,28 @@
     What,
     WHAT_KINDS,
     what_kind,
-    [Ping, Ack, Ask, Sums, Page, Notice, Told, Want, Recall, Known, Lending]
+    [
+        Ping, Ack, Ask, Sums, Page, Notice, Told, Want, Recall, Known, Lending
+    ]
+);
+kinds_of!(
+    ProtoState,
+    STATE_KINDS,
+    state_kind,
+    [Joining, Alive, Suspect, Dead, Left]
+);
+kinds_of!(
+    ProtoFault,
+    FAULT_KINDS,
+    fault_kind,
+    [Withdrawn, Fine, Down, Errs, Slow, Cold]
+);
+kinds_of!(
+    LendingWhat,
+    LENDING_KINDS,
+    lending_kind,
+    [Nothing, Promise, Promised, Wants, Lent]
 );
-kinds_of!(ProtoState, STATE_KINDS, state_kind, [Joining, Alive, Suspect, Dead, Left]);
-kinds_of!(ProtoFault, FAULT_KINDS, fault_kind, [Withdrawn, Fine, Down, Errs, Slow, Cold]);
-kinds_of!(LendingWhat, LENDING_KINDS, lending_kind, [Nothing, Promise, Promised, Wants, Lent]);
 
 fn address(last_octet: u8) -> SocketAddrV4 {
     SocketAddrV4::new([10, 4, 0, last_octet].into(), 7_700 + u16::from(last_octet))
@@ -69,7 +86,11 @@
 }
 
 fn reported(number: u8, state: proto::State) -> proto::Member {
-    proto::Member { by: "aggregator-2".to_owned(), age_ms: 5_000, ..member(number, state) }
+    proto::Member {
+        by: "aggregator-2".to_owned(),
+        age_ms: 5_000,
+        ..member(number, state)
+    }
 }
 
 /// The one that sends the datagrams.
@@ -82,7 +103,10 @@
         member(3, proto::State::Alive),
         reported(4, proto::State::Suspect),
         reported(5, proto::State::Dead),
-        proto::Member { age_ms: 70, ..member(6, proto::State::Left) },
+        proto::Member {
+            age_ms: 70,
+            ..member(6, proto::State::Left)
+        },
         member(7, proto::State::Joining),
     ]
 }
@@ -125,7 +149,10 @@
         good: 0.75,
         age_ms: 1_500,
     };
-    proto::Known { number: 9, searchers: vec![searcher(1, LIFE_MICROS), searcher(2, 0)] }
+    proto::Known {
+        number: 9,
+        searchers: vec![searcher(1, LIFE_MICROS), searcher(2, 0)],
+    }
 }
 
 fn lendings() -> Vec<(&'static str, proto::Lending)> {
@@ -137,11 +164,31 @@
         life,
     };
     vec![
-        ("lending-nothing", lending(LendingWhat::Nothing, 0, Vec::new(), 0)),
-        ("lending-promise", lending(LendingWhat::Promise, 900, Vec::new(), 0)),
-        ("lending-promised", lending(LendingWhat::Promised, 0, Vec::new(), BEGAN_MICROS)),
-        ("lending-wants", lending(LendingWhat::Wants, 0, vec![12.5, 0.0], 0)),
-        ("lending-lent", lending(LendingWhat::Lent, 1_200, vec![6.25, 100_000.0], BEGAN_MICROS)),
+        (
+            "lending-nothing",
+            lending(LendingWhat::Nothing, 0, Vec::new(), 0),
+        ),
+        (
+            "lending-promise",
+            lending(LendingWhat::Promise, 900, Vec::new(), 0),
+        ),
+        (
+            "lending-promised",
+            lending(LendingWhat::Promised, 0, Vec::new(), BEGAN_MICROS),
+        ),
+        (
+            "lending-wants",
+            lending(LendingWhat::Wants, 0, vec![12.5, 0.0], 0),
+        ),
+        (
+            "lending-lent",
+            lending(
+                LendingWhat::Lent,
+                1_200,
+                vec![6.25, 100_000.0],
+                BEGAN_MICROS,
+            ),
+        ),
     ]
 }
 
@@ -154,29 +201,68 @@
         ip: u32::from(*third.ip()),
         port: third.port().into(),
     };
-    let page = proto::Page { buckets: vec![0, 7, 255], members: members(), answer: true };
-    let want = proto::Want { name: to.clone(), generation: BEGAN_MICROS, from: 0 };
+    let page = proto::Page {
+        buckets: vec![0, 7, 255],
+        members: members(),
+        answer: true,
+    };
+    let want = proto::Want {
+        name: to.clone(),
+        generation: BEGAN_MICROS,
+        from: 0,
+    };
     let mut whats = vec![
         ("notice", What::Notice(proto::Notice {})),
         ("ping", What::Ping(proto::Ping { number: 11, to })),
-        ("ping-to-a-seed", What::Ping(proto::Ping { number: 70_000, to: String::new() })),
-        ("ack", What::Ack(proto::Ack { number: 12, of: "aggregator-3".to_owned() })),
+        (
+            "ping-to-a-seed",
+            What::Ping(proto::Ping {
+                number: 70_000,
+                to: String::new(),
+            }),
+        ),
+        (
+            "ack",
+            What::Ack(proto::Ack {
+                number: 12,
+                of: "aggregator-3".to_owned(),
+            }),
+        ),
         ("ask", What::Ask(ask)),
-        ("sums", What::Sums(proto::Sums { sums: (0..BUCKETS as u32).map(|place| place * 0x0101).collect() })),
+        (
+            "sums",
+            What::Sums(proto::Sums {
+                sums: (0..BUCKETS as u32).map(|place| place * 0x0101).collect(),
+            }),
+        ),
         ("page", What::Page(page)),
-        ("told", What::Told(proto::Told { deltas: vec![delta()] })),
+        (
+            "told",
+            What::Told(proto::Told {
+                deltas: vec![delta()],
+            }),
+        ),
         ("want", What::Want(want)),
         ("recall", What::Recall(proto::Recall { number: 14 })),
         ("known", What::Known(known())),
     ];
-    whats.extend(lendings().into_iter().map(|(name, lending)| (name, What::Lending(lending))));
+    whats.extend(
+        lendings()
+            .into_iter()
+            .map(|(name, lending)| (name, What::Lending(lending))),
+    );
     whats
 }
 
 /// The oldest form that can read this.
 fn form(what: &What) -> u32 {
     match what {
-        What::Ping(_) | What::Ack(_) | What::Ask(_) | What::Sums(_) | What::Page(_) | What::Notice(_) => 1,
+        What::Ping(_)
+        | What::Ack(_)
+        | What::Ask(_)
+        | What::Sums(_)
+        | What::Page(_)
+        | What::Notice(_) => 1,
         What::Told(_) | What::Want(_) | What::Recall(_) | What::Known(_) | What::Lending(_) => 2,
     }
 }
@@ -194,16 +280,33 @@
 }
 
 fn messages() -> Vec<(&'static str, proto::Message)> {
-    let rates = proto::Rates { multigets: 125.5, parts: 1_000.25, further: 3.0, pushed_back: 0.5 };
+    let rates = proto::Rates {
+        multigets: 125.5,
+        parts: 1_000.25,
+        further: 3.0,
+        pushed_back: 0.5,
+    };
     let notice = message(What::Notice(proto::Notice {}));
-    let with_news = proto::Message { news: members(), rates: Some(rates), ..notice };
-    let messages = whats().into_iter().map(|(name, what)| (name, message(what)));
-    messages.chain([("notice-with-news-and-rates", with_news)]).collect()
+    let with_news = proto::Message {
+        news: members(),
+        rates: Some(rates),
+        ..notice
+    };
+    let messages = whats()
+        .into_iter()
+        .map(|(name, what)| (name, message(what)));
+    messages
+        .chain([("notice-with-news-and-rates", with_news)])
+        .collect()
 }
 
 fn encode(message: &proto::Message) -> Vec<u8> {
     let message = message.encode_to_vec();
-    proto::Datagram { checksum: crc32fast::hash(&message), message }.encode_to_vec()
+    proto::Datagram {
+        checksum: crc32fast::hash(&message),
+        message,
+    }
+    .encode_to_vec()
 }
 
 fn decode(datagram: &[u8]) -> proto::Message {
@@ -244,7 +347,11 @@
     for name in names {
         core.hear(NOW, address(2), &recorded[*name]);
     }
-    let sent = core.take_out().into_iter().map(|(_, datagram)| datagram).collect();
+    let sent = core
+        .take_out()
+        .into_iter()
+        .map(|(_, datagram)| datagram)
+        .collect();
     (core, sent)
 }
 
@@ -277,12 +384,20 @@
         core.hear(NOW, address(2), &datagram);
         let drops = core.counts().drops;
         assert_eq!(
-            (drops.damaged, drops.other_form, drops.other_fleet, drops.absurd),
+            (
+                drops.damaged,
+                drops.other_form,
+                drops.other_fleet,
+                drops.absurd
+            ),
             (0, 0, 0, 0),
             "{name}"
         );
         let speaker = MixerName::new("aggregator-2");
-        assert!(core.view().any(|held| held.record.name == speaker), "{name}");
+        assert!(
+            core.view().any(|held| held.record.name == speaker),
+            "{name}"
+        );
     }
 }
 
@@ -290,10 +405,17 @@
 fn a_core_sends_and_answers_as_recorded() {
     let mut joins = core();
     joins.due(BEGAN);
-    let asks_to_join: Vec<Vec<u8>> = joins.take_out().into_iter().map(|(_, datagram)| datagram).collect();
+    let asks_to_join: Vec<Vec<u8>> = joins
+        .take_out()
+        .into_iter()
+        .map(|(_, datagram)| datagram)
+        .collect();
     let mut sent = vec![("asks-to-join".to_owned(), asks_to_join)];
     for (name, _) in messages() {
-        sent.push((format!("answer-to-{name}"), heard(&["notice-with-news-and-rates", name]).1));
+        sent.push((
+            format!("answer-to-{name}"),
+            heard(&["notice-with-news-and-rates", name]).1,
+        ));
     }
     let sent: Vec<(String, Vec<u8>)> = sent
         .into_iter()
@@ -302,8 +424,10 @@
             numbered.map(move |(number, datagram)| (format!("{name}-{number}"), datagram))
         })
         .collect();
-    let sent: Vec<(&str, Vec<u8>)> =
-        sent.iter().map(|(name, datagram)| (name.as_str(), datagram.clone())).collect();
+    let sent: Vec<(&str, Vec<u8>)> = sent
+        .iter()
+        .map(|(name, datagram)| (name.as_str(), datagram.clone()))
+        .collect();
     for (name, datagram) in &sent {
         assert_eq!(&encode(&decode(datagram)), datagram, "{name}");
     }
@@ -315,7 +439,11 @@
     let (core, _) = heard(&["notice-with-news-and-rates"]);
     let held = |number: u8| -> Record {
         let name = MixerName::new(&format!("aggregator-{number}"));
-        core.view().find(|held| held.record.name == name).expect("it is held").record.clone()
+        core.view()
+            .find(|held| held.record.name == name)
+            .expect("it is held")
+            .record
+            .clone()
     };
     let by = Some(MixerName::new("aggregator-2"));
     let expected = |number: u8, state, by| Record {
@@ -340,17 +468,34 @@
 #[test]
 fn verdicts_are_read_as_they_were_meant_and_told_on_alike() {
     let recorded = read_fixture(DATAGRAMS);
-    let Some(What::Told(told)) = decode(&recorded["told"]).what else { panic!("changes of a record") };
-    let delta = told.deltas.into_iter().next().expect("one record's changes");
+    let Some(What::Told(told)) = decode(&recorded["told"]).what else {
+        panic!("changes of a record")
+    };
+    let delta = told
+        .deltas
+        .into_iter()
+        .next()
+        .expect("one record's changes");
     let mut records = Records::new(BEGAN_MICROS);
     assert_eq!(records.merge(NOW, delta.clone()), Merged::News(0));
     let name = MixerName::new("aggregator-2");
     let record = records.get(&name).expect("it is held");
     let entry = |version: u32, fault, weight| {
-        let life = version.is_multiple_of(2).then_some(Time::from_micros(LIFE_MICROS));
+        let life = version
+            .is_multiple_of(2)
+            .then_some(Time::from_micros(LIFE_MICROS));
         let ago = |ms: u32| NOW - Span::from_millis(ms.into());
-        let verdict = Verdict { life, fault, weight, since: ago(400 + version), at: ago(10 + version) };
-        (SearcherId::new(&format!("searcher-{version}")), Entry { version, verdict })
+        let verdict = Verdict {
+            life,
+            fault,
+            weight,
+            since: ago(400 + version),
+            at: ago(10 + version),
+        };
+        (
+            SearcherId::new(&format!("searcher-{version}")),
+            Entry { version, verdict },
+        )
     };
     let expected = [
         entry(1, Fault::Down, 0.0),
--- a/crates/lockusher-membership/tests/shared.rs
+++ b/crates/lockusher-membership/tests/shared.rs
@@ -23,7 +23,13 @@
 }
 
 fn verdict(fault: Fault, since: Time, at: Time) -> Verdict {
-    Verdict { life: LIFE, fault, weight: 0.1, since, at }
+    Verdict {
+        life: LIFE,
+        fault,
+        weight: 0.1,
+        since,
+        at,
+    }
 }
 
 fn sound(number: usize) -> Glimpse {
@@ -40,14 +46,22 @@
 }
 
 fn down(number: usize) -> Glimpse {
-    Glimpse { good: 0.1, down_since: Some(ago(300)), ..sound(number) }
+    Glimpse {
+        good: 0.1,
+        down_since: Some(ago(300)),
+        ..sound(number)
+    }
 }
 
 /// What each mixer says of searcher 0, each from its zone.
 fn judged(said: &[(&str, Fault, u64)], zones: usize) -> usize {
-    let names: Vec<MixerName> = (0..said.len()).map(|nth| MixerName::new(&format!("m{nth}"))).collect();
-    let verdicts: Vec<Verdict> =
-        said.iter().map(|(_, fault, ms)| verdict(*fault, ago(*ms), ago(*ms))).collect();
+    let names: Vec<MixerName> = (0..said.len())
+        .map(|nth| MixerName::new(&format!("m{nth}")))
+        .collect();
+    let verdicts: Vec<Verdict> = said
+        .iter()
+        .map(|(_, fault, ms)| verdict(*fault, ago(*ms), ago(*ms)))
+        .collect();
     let searcher = id(0);
     let all = said.iter().zip(&names).zip(&verdicts);
     let all = all.map(|(((zone, ..), by), verdict)| (&searcher, Said { by, zone, verdict }));
@@ -82,23 +96,42 @@
 #[case::three_of_eight(3, 3)]
 #[case::five_of_eight(5, 0)]
 fn who_finds_most_bad_judges_itself(#[case] bad: usize, #[case] told: usize) {
-    let seen: Vec<Glimpse> = (0..8).map(|nth| if nth < bad { down(nth) } else { sound(nth) }).collect();
+    let seen: Vec<Glimpse> = (0..8)
+        .map(|nth| if nth < bad { down(nth) } else { sound(nth) })
+        .collect();
     assert_eq!(tells(NOW, &seen, &BTreeMap::new()).len(), told);
 }
 
 /// Those who hear enough witnesses of their zone fall silent, and not all at once: the first few of each zone go on.
 #[rstest]
 fn enough_witnesses_of_each_zone_go_on() {
-    let names: Vec<MixerName> = (0..30).map(|nth| MixerName::new(&format!("m{nth}"))).collect();
+    let names: Vec<MixerName> = (0..30)
+        .map(|nth| MixerName::new(&format!("m{nth}")))
+        .collect();
     let said = verdict(Fault::Down, ago(300), ago(100));
-    let seen: Vec<Glimpse> = (0..8).map(|nth| if nth == 0 { down(nth) } else { sound(nth) }).collect();
+    let seen: Vec<Glimpse> = (0..8)
+        .map(|nth| if nth == 0 { down(nth) } else { sound(nth) })
+        .collect();
     let searcher = id(0);
     let mut go_on = BTreeMap::new();
     for (nth, me) in names.iter().enumerate() {
         let zone = |nth: usize| if nth.is_multiple_of(2) { "a" } else { "b" };
         let others = names.iter().enumerate().filter(|(other, _)| *other != nth);
-        let others = others.map(|(other, by)| (&searcher, Said { by, zone: zone(other), verdict: &said }));
-        let told = tells(NOW, &seen, &accused(NOW, me, zone(nth), others, &mut OnceAccused::default()));
+        let others = others.map(|(other, by)| {
+            (
+                &searcher,
+                Said {
+                    by,
+                    zone: zone(other),
+                    verdict: &said,
+                },
+            )
+        });
+        let told = tells(
+            NOW,
+            &seen,
+            &accused(NOW, me, zone(nth), others, &mut OnceAccused::default()),
+        );
         *go_on.entry(zone(nth)).or_insert(0) += told.len();
     }
     assert_eq!(go_on, BTreeMap::from([("a", 3), ("b", 3)]));
@@ -111,10 +144,30 @@
 fn who_is_answered_speaks_for_the_accused(#[case] heard_ms: u64, #[case] speaks: bool) {
     let (by, me) = (MixerName::new("a"), MixerName::new("b"));
     let (said, searcher) = (verdict(Fault::Down, ago(500), ago(50)), id(0));
-    let said = [(&searcher, Said { by: &by, zone: "z", verdict: &said })];
+    let said = [(
+        &searcher,
+        Said {
+            by: &by,
+            zone: "z",
+            verdict: &said,
+        },
+    )];
     let accused = accused(NOW, &me, "z", said.into_iter(), &mut OnceAccused::default());
-    let told = tells(NOW, &[Glimpse { heard: ago(heard_ms), ..sound(0) }, sound(1)], &accused);
-    assert_eq!(told.iter().any(|(_, verdict)| verdict.fault == Fault::Fine), speaks);
+    let told = tells(
+        NOW,
+        &[
+            Glimpse {
+                heard: ago(heard_ms),
+                ..sound(0)
+            },
+            sound(1),
+        ],
+        &accused,
+    );
+    assert_eq!(
+        told.iter().any(|(_, verdict)| verdict.fault == Fault::Fine),
+        speaks
+    );
 }
 
 /// Who finds one answering that was accused a while ago says so, when nobody accuses it any more.
@@ -122,16 +175,34 @@
 #[case::heard_since(20_000, 1)]
 #[case::long_forgotten(70_000, 0)]
 fn one_that_is_found_again_is_told_of(#[case] after_ms: u64, #[case] told: usize) {
-    let (by, me, mut once) = (MixerName::new("a"), MixerName::new("b"), OnceAccused::default());
+    let (by, me, mut once) = (
+        MixerName::new("a"),
+        MixerName::new("b"),
+        OnceAccused::default(),
+    );
     let (said, searcher) = (verdict(Fault::Down, ago(500), ago(50)), id(0));
-    let said = [(&searcher, Said { by: &by, zone: "z", verdict: &said })];
+    let said = [(
+        &searcher,
+        Said {
+            by: &by,
+            zone: "z",
+            verdict: &said,
+        },
+    )];
     accused(NOW, &me, "z", said.into_iter(), &mut once);
     let now = NOW + Span::from_millis(after_ms);
     let accused = accused(now, &me, "z", std::iter::empty(), &mut once);
-    let seen: Vec<Glimpse> = (0..2).map(|nth| Glimpse { heard: now, ..sound(nth) }).collect();
+    let seen: Vec<Glimpse> = (0..2)
+        .map(|nth| Glimpse {
+            heard: now,
+            ..sound(nth)
+        })
+        .collect();
     let says = tells(now, &seen, &accused);
     assert_eq!(
-        says.iter().filter(|(id, verdict)| *id == searcher && verdict.fault == Fault::Fine).count(),
+        says.iter()
+            .filter(|(id, verdict)| *id == searcher && verdict.fault == Fault::Fine)
+            .count(),
         told
     );
 }
@@ -141,11 +212,25 @@
 fn judgements_are_of_one_life() {
     let names = [MixerName::new("a"), MixerName::new("b")];
     let old = verdict(Fault::Down, ago(300), ago(100));
-    let new = Verdict { life: Some(ago(50)), ..old.clone() };
+    let new = Verdict {
+        life: Some(ago(50)),
+        ..old.clone()
+    };
     let searcher = id(0);
     let said = |verdicts: [&Verdict; 2]| {
         let all = names.iter().zip(verdicts);
-        let all: Vec<_> = all.map(|(by, verdict)| (&searcher, Said { by, zone: "z", verdict })).collect();
+        let all: Vec<_> = all
+            .map(|(by, verdict)| {
+                (
+                    &searcher,
+                    Said {
+                        by,
+                        zone: "z",
+                        verdict,
+                    },
+                )
+            })
+            .collect();
         stands(NOW, all.into_iter(), 1)
     };
     assert_eq!(said([&old, &new]).len(), 0, "one witness of each");
@@ -153,7 +238,13 @@
 }
 
 fn delta(from: u32, upto: u32, verdicts: Vec<proto::Verdict>) -> proto::Delta {
-    proto::Delta { name: "m".into(), generation: 1, from, upto, verdicts }
+    proto::Delta {
+        name: "m".into(),
+        generation: 1,
+        from,
+        upto,
+        verdicts,
+    }
 }
 
 fn told(version: u32, searcher: &str) -> proto::Verdict {
@@ -180,8 +271,15 @@
 #[case::of_another_version(told(9, "s"))]
 fn nonsense_is_not_held(#[case] verdict: proto::Verdict) {
     let mut records = Records::new(1);
-    assert_eq!(records.merge(NOW, delta(0, 2, vec![told(2, "t"), verdict])), Merged::Absurd);
-    assert!(records.others().all(|(_, record)| record.entries.is_empty()));
+    assert_eq!(
+        records.merge(NOW, delta(0, 2, vec![told(2, "t"), verdict])),
+        Merged::Absurd
+    );
+    assert!(
+        records
+            .others()
+            .all(|(_, record)| record.entries.is_empty())
+    );
 }
 
 /// A thousand searchers named by one mixer: as many are held as a sound one may name, the others counted.
@@ -189,13 +287,17 @@
 fn a_record_is_bounded() {
     let mut records = Records::new(1);
     for page in 0..40_u32 {
-        let verdicts = (1..=25).map(|nth| told(page * 25 + nth, &format!("s{page}-{nth}"))).collect();
+        let verdicts = (1..=25)
+            .map(|nth| told(page * 25 + nth, &format!("s{page}-{nth}")))
+            .collect();
         records.merge(NOW, delta(page * 25, page * 25 + 25, verdicts));
     }
     let (_, record) = records.others().next().expect("held");
     assert!(record.entries.len() <= 2 * MOST_NAMED);
     assert!(records.crowded > 900);
-    let many = (0..1_000).map(|nth| (id(nth), verdict(Fault::Down, ago(10), NOW))).collect();
+    let many = (0..1_000)
+        .map(|nth| (id(nth), verdict(Fault::Down, ago(10), NOW)))
+        .collect();
     records.publish(NOW, many);
     assert_eq!(records.own().fresh(NOW).count(), MOST_NAMED);
 }
@@ -211,20 +313,38 @@
     owner.publish(later, Vec::new());
     other.merge(later, owner.own().delta(&name, 1, later));
     let much_later = NOW + Span::from_millis(20_000);
-    owner.publish(much_later, vec![(id(1), verdict(Fault::Down, much_later, much_later))]);
+    owner.publish(
+        much_later,
+        vec![(id(1), verdict(Fault::Down, much_later, much_later))],
+    );
     other.merge(much_later, owner.own().delta(&name, 2, much_later));
     assert_eq!(other.merge(much_later, old.clone()), Merged::Old);
     assert_eq!(other.get(&name).expect("held").fresh(much_later).count(), 1);
-    let reborn = proto::Delta { generation: 2, ..delta(0, 0, Vec::new()) };
+    let reborn = proto::Delta {
+        generation: 2,
+        ..delta(0, 0, Vec::new())
+    };
     other.merge(much_later, reborn);
     other.merge(much_later, old);
-    assert_eq!(other.get(&name).expect("held").entries.len(), 0, "a new life wipes what the old one said");
+    assert_eq!(
+        other.get(&name).expect("held").entries.len(),
+        0,
+        "a new life wipes what the old one said"
+    );
 }
 
 /// One that lies about what it knew is outvoted by two others.
 #[rstest]
 fn a_warm_start_takes_the_middle() {
-    let known = |latency| vec![Known { id: id(0), life: LIFE, latency, good: 1.0, at: ago(100) }];
+    let known = |latency| {
+        vec![Known {
+            id: id(0),
+            life: LIFE,
+            latency,
+            good: 1.0,
+            at: ago(100),
+        }]
+    };
     let names = [1, 2, 3].map(|number| (number, MixerName::new(&format!("m{number}"))));
     let mut warming = Warming::default();
     assert!(warming.asks());
@@ -234,14 +354,21 @@
     warming.hears(3, known(0.012));
     warming.hears(9, known(0.001));
     assert_eq!(warming.gives(NOW), None, "answers may still come");
-    let given = warming.gives(NOW + Span::from_millis(300)).expect("given once");
+    let given = warming
+        .gives(NOW + Span::from_millis(300))
+        .expect("given once");
     assert_eq!(given[0].latency, 0.012);
     assert_eq!(warming.gives(NOW + Span::from_millis(400)), None);
 }
 
 fn live(record: &Record) -> BTreeMap<SearcherId, (u32, Fault)> {
-    let entries = record.entries.iter().filter(|(_, entry)| entry.verdict.fault != Fault::Withdrawn);
-    entries.map(|(id, entry)| (id.clone(), (entry.version, entry.verdict.fault))).collect()
+    let entries = record
+        .entries
+        .iter()
+        .filter(|(_, entry)| entry.verdict.fault != Fault::Withdrawn);
+    entries
+        .map(|(id, entry)| (id.clone(), (entry.version, entry.verdict.fault)))
+        .collect()
 }
 
 proptest! {
--- a/crates/lockusher-multiget/src/host.rs
+++ b/crates/lockusher-multiget/src/host.rs
@@ -75,8 +75,13 @@
         let tick = Span::from_micros(settings.tick_us);
         let second_steps = op_types.iter().map(|op| op.second_step).collect();
         let site = (settings.home(), settings.cross_zone_price());
-        let sender =
-            Sender::new(now, layout, settings.cold_rule(), site, (settings.rank, settings.balancers));
+        let sender = Sender::new(
+            now,
+            layout,
+            settings.cold_rule(),
+            site,
+            (settings.rank, settings.balancers),
+        );
         let further = Further::new(settings.part_limits(), settings.send_budget());
         let gate = Gate::new(
             now,
@@ -88,7 +93,13 @@
         let asking = Asking::new(now, settings.ask_every());
         let policy = Policy::new(seed, tick, op_types, (sender, further, gate, asking));
         let (in_hand, numbers, parts) = (InHand::new(), HashMap::new(), HashMap::new());
-        Ok(Host { policy, second_steps, in_hand, numbers, parts })
+        Ok(Host {
+            policy,
+            second_steps,
+            in_hand,
+            numbers,
+            parts,
+        })
     }
 
     pub fn in_hand(&self) -> &InHand {
@@ -138,7 +149,8 @@
             return;
         };
         multiget.due = now;
-        self.parts.insert(part.id.clone(), (id.clone(), multiget.parts.len()));
+        self.parts
+            .insert(part.id.clone(), (id.clone(), multiget.parts.len()));
         multiget.parts.push(Part {
             id: part.id,
             shard: part.shard,
@@ -160,8 +172,13 @@
             return Ok(false);
         };
         let part = &mut multiget.parts[place];
-        let send = (part.sends.get_mut(ended.nth))
-            .with_context(|| format!("{}: attempt {} was never sent", ended.part.as_str(), ended.nth))?;
+        let send = (part.sends.get_mut(ended.nth)).with_context(|| {
+            format!(
+                "{}: attempt {} was never sent",
+                ended.part.as_str(),
+                ended.nth
+            )
+        })?;
         if send.outcome.is_some() {
             return Ok(false);
         }
@@ -170,7 +187,9 @@
         let counts = ended.outcome == Outcome::Returned && !late;
         part.returned |= counts;
         part.closed |= ended.closed;
-        let advice = self.policy.outcome(now, multiget, place, ended.nth, ended.elapsed);
+        let advice = self
+            .policy
+            .outcome(now, multiget, place, ended.nth, ended.elapsed);
         self.follow(now, &id, advice, wire);
         self.forget_if_over(&id);
         Ok(counts)
@@ -218,7 +237,11 @@
         }
         for order in advice.orders {
             wire.send(multiget, &order);
-            multiget.parts[order.part].sends.push(Send { to: order.to, at: now, outcome: None });
+            multiget.parts[order.part].sends.push(Send {
+                to: order.to,
+                at: now,
+                outcome: None,
+            });
         }
         let Some(reply) = advice.reply else { return };
         if let Reply::Answered { whole } = reply {
--- a/crates/lockusher-multiget/src/list.rs
+++ b/crates/lockusher-multiget/src/list.rs
@@ -81,17 +81,28 @@
                 Status::Leaving => SearcherState::Draining,
                 Status::Left => SearcherState::Gone,
             },
-            up_since: (self.since_ms > 0).then(|| Time::from_micros(self.since_ms.saturating_mul(1_000))),
+            up_since: (self.since_ms > 0)
+                .then(|| Time::from_micros(self.since_ms.saturating_mul(1_000))),
             rating: self.weight.unwrap_or(1.0),
         };
-        (listed, Place { address: self.address, http2: self.carrier == Offers::Http2 })
+        (
+            listed,
+            Place {
+                address: self.address,
+                http2: self.carrier == Offers::Http2,
+            },
+        )
     }
 }
 
 impl ListText {
     pub fn read(self, names: &Names) -> List {
         let lines = self.endpoints.iter().map(|text| text.read(names)).collect();
-        List { index: self.index, complete: self.snapshot, lines }
+        List {
+            index: self.index,
+            complete: self.snapshot,
+            lines,
+        }
     }
 }
 
@@ -123,7 +134,13 @@
 impl<'a> ListOut<'a> {
     /// A zone that the settings don't name is left empty.
     pub fn new(index: u64, lines: impl IntoIterator<Item = &'a Line>, names: &'a Names) -> Self {
-        let named = |zone: Zone| names.zones.iter().find(|(_, z)| **z == zone).map(|(name, _)| name.as_str());
+        let named = |zone: Zone| {
+            names
+                .zones
+                .iter()
+                .find(|(_, z)| **z == zone)
+                .map(|(name, _)| name.as_str())
+        };
         let line = |(listed, place): &'a Line| LineOut {
             name: listed.id.as_str(),
             address: place.address,
@@ -135,9 +152,19 @@
                 SearcherState::Gone => Status::Left,
             },
             weight: listed.rating,
-            since_ms: listed.up_since.map_or(0, |at| at.since(Time::from_micros(0)).as_micros() / 1_000),
-            carrier: if place.http2 { Offers::Http2 } else { Offers::Frames },
+            since_ms: listed
+                .up_since
+                .map_or(0, |at| at.since(Time::from_micros(0)).as_micros() / 1_000),
+            carrier: if place.http2 {
+                Offers::Http2
+            } else {
+                Offers::Frames
+            },
         };
-        ListOut { index, snapshot: true, endpoints: lines.into_iter().map(line).collect() }
+        ListOut {
+            index,
+            snapshot: true,
+            endpoints: lines.into_iter().map(line).collect(),
+        }
     }
 }
--- a/crates/lockusher-multiget/src/settings.rs
+++ b/crates/lockusher-multiget/src/settings.rs
@@ -131,7 +131,9 @@
 impl Settings {
     pub fn op_types(&self) -> Result<Vec<OpType>, String> {
         let of = |list: &[f64], i: usize, what: &str| {
-            list.get(i).copied().ok_or_else(|| format!("facts.extra.{what} has no entry for class {i}"))
+            list.get(i)
+                .copied()
+                .ok_or_else(|| format!("facts.extra.{what} has no entry for class {i}"))
         };
         self.grades
             .iter()
@@ -142,7 +144,10 @@
                     (Effect::Unsafe, _) => Repeat::NonRetriable,
                     (Effect::Keyed, Some(us)) => Repeat::Deduped(Span::from_micros(us)),
                     (Effect::Keyed, None) => {
-                        return Err(format!("class {} is keyed but has no dedup_window_us", g.name));
+                        return Err(format!(
+                            "class {} is keyed but has no dedup_window_us",
+                            g.name
+                        ));
                     }
                 };
                 Ok(OpType {
@@ -162,12 +167,17 @@
     }
 
     pub fn tenants(&self) -> Vec<Tenant> {
-        let tenant = |p: &Party| Tenant { quota_per_s: p.quota_per_s };
+        let tenant = |p: &Party| Tenant {
+            quota_per_s: p.quota_per_s,
+        };
         self.parties.iter().map(tenant).collect()
     }
 
     pub fn layout(&self) -> Layout {
-        Layout { cells: self.extra.cells, in_a_row: self.extra.in_a_row }
+        Layout {
+            cells: self.extra.cells,
+            in_a_row: self.extra.in_a_row,
+        }
     }
 
     pub fn cold_rule(&self) -> ColdRule {
--- a/crates/lockusher-node/src/check.rs
+++ b/crates/lockusher-node/src/check.rs
@@ -28,7 +28,10 @@
 /// # Errors
 ///
 /// If the report can't be written. A file that can't be read is a fault of the file.
-pub fn check<G: Write, F: Write>(files: &FilesToCheck, report: &mut Report<G, F>) -> io::Result<bool> {
+pub fn check<G: Write, F: Write>(
+    files: &FilesToCheck,
+    report: &mut Report<G, F>,
+) -> io::Result<bool> {
     let mut all_good = true;
     for file in &files.settings {
         all_good &= report.write_finding(file, check_settings(file))?;
@@ -67,7 +70,11 @@
         EdgeControl::None => "",
     };
     let unused_disk = settings.counts_for_quorum && settings.data_directory.is_none();
-    let warning = if unused_disk { ", counts for the quorum but has no dataDirectory" } else { "" };
+    let warning = if unused_disk {
+        ", counts for the quorum but has no dataDirectory"
+    } else {
+        ""
+    };
     format!("settings of node {node}{with_agent}{warning}")
 }
 
@@ -95,7 +102,9 @@
                 writeln!(self.good, "{}: good: {description}", file.display())?;
                 return Ok(true);
             }
-            Finding::Unreadable(error) => self.fault(file, format_args!("cannot be read: {error}"))?,
+            Finding::Unreadable(error) => {
+                self.fault(file, format_args!("cannot be read: {error}"))?;
+            }
             Finding::Faulty(faults) => self.faults(file, &faults)?,
         }
         Ok(false)
--- a/crates/lockusher-node/src/command_line.rs
+++ b/crates/lockusher-node/src/command_line.rs
@@ -89,7 +89,9 @@
 ///
 /// [`CommandLineError`] with the first fault.
 pub fn parse(roles: &[Role], arguments: &[String]) -> Result<Command, CommandLineError> {
-    let Some((first, rest)) = arguments.split_first() else { return Err(CommandLineError::NoCommand) };
+    let Some((first, rest)) = arguments.split_first() else {
+        return Err(CommandLineError::NoCommand);
+    };
     if first.starts_with('-') {
         return parse_program(roles, arguments);
     }
@@ -110,7 +112,10 @@
         return Ok(Command::Print(program_help(roles, &options)));
     }
     if matches.opt_present("version") {
-        return Ok(Command::Print(format!("{PROGRAM} {}\n", env!("CARGO_PKG_VERSION"))));
+        return Ok(Command::Print(format!(
+            "{PROGRAM} {}\n",
+            env!("CARGO_PKG_VERSION")
+        )));
     }
     Err(CommandLineError::NoCommand)
 }
@@ -148,7 +153,11 @@
     if has_stage_orders {
         role_options.stage_orders = stage_orders(&matches)?;
     }
-    Ok(Command::Run { role, level: level(&matches)?, options: role_options })
+    Ok(Command::Run {
+        role,
+        level: level(&matches)?,
+        options: role_options,
+    })
 }
 
 fn stage_orders(matches: &Matches) -> Result<bool, CommandLineError> {
@@ -161,15 +170,27 @@
 
 fn level(matches: &Matches) -> Result<LevelFilter, CommandLineError> {
     match matches.opt_str("log") {
-        Some(name) => name.parse().map_err(|_| CommandLineError::UnknownLevel(name)),
+        Some(name) => name
+            .parse()
+            .map_err(|_| CommandLineError::UnknownLevel(name)),
         None => Ok(DEFAULT_LEVEL),
     }
 }
 
 fn parse_check(arguments: &[String]) -> Result<Command, CommandLineError> {
     let mut options = with_help();
-    options.optmulti("", "settings", "a node's settings file; may be repeated", "FILE");
-    options.optmulti("", "configuration", "a routing configuration, JSON; may be repeated", "FILE");
+    options.optmulti(
+        "",
+        "settings",
+        "a node's settings file; may be repeated",
+        "FILE",
+    );
+    options.optmulti(
+        "",
+        "configuration",
+        "a routing configuration, JSON; may be repeated",
+        "FILE",
+    );
     let matches = options.parse(arguments)?;
     if matches.opt_present("help") {
         let brief = format!(
@@ -188,7 +209,11 @@
 }
 
 fn paths(matches: &Matches, option: &str) -> Vec<PathBuf> {
-    matches.opt_strs(option).into_iter().map(PathBuf::from).collect()
+    matches
+        .opt_strs(option)
+        .into_iter()
+        .map(PathBuf::from)
+        .collect()
 }
 
 fn refuse_arguments(matches: &Matches) -> Result<(), CommandLineError> {
@@ -205,8 +230,9 @@
 }
 
 fn program_help(roles: &[Role], options: &Options) -> String {
-    let mut brief =
-        format!("A node of the lockusher fleet.\n\nUsage: {PROGRAM} COMMAND [OPTION]...\n\nCommands:\n");
+    let mut brief = format!(
+        "A node of the lockusher fleet.\n\nUsage: {PROGRAM} COMMAND [OPTION]...\n\nCommands:\n"
+    );
     for role in roles {
         brief += &format!("    {:<10}{}\n", role.name, role.summary);
     }
--- a/crates/lockusher-node/src/composition.rs
+++ b/crates/lockusher-node/src/composition.rs
@@ -45,7 +45,10 @@
 /// # Errors
 ///
 /// [`CompositionError`] with the error of the role that failed first, or if the accompanying one ended first.
-pub async fn run_accompanied<L, A, S, E, F>(leading: L, accompany: A) -> Result<(), CompositionError<E, F>>
+pub async fn run_accompanied<L, A, S, E, F>(
+    leading: L,
+    accompany: A,
+) -> Result<(), CompositionError<E, F>>
 where
     L: Future<Output = Result<(), E>>,
     A: FnOnce(StopSignal) -> S,
--- a/crates/lockusher-node/src/logging.rs
+++ b/crates/lockusher-node/src/logging.rs
@@ -25,7 +25,10 @@
         .filter(is_logged)
         .format(move |out, message, record| {
             let seconds = start.elapsed().as_secs_f64();
-            out.finish(format_args!("{seconds:.3} {} {origin} {message}", record.level()));
+            out.finish(format_args!(
+                "{seconds:.3} {} {origin} {message}",
+                record.level()
+            ));
         })
         .chain(std::io::stderr())
         .apply()
--- a/crates/lockusher-node/src/program.rs
+++ b/crates/lockusher-node/src/program.rs
@@ -40,7 +40,11 @@
     match command_line::parse(roles, &arguments) {
         Ok(Command::Print(text)) => print(&text),
         Ok(Command::Check(files)) => check_files(files),
-        Ok(Command::Run { role, level, options }) => run_role(role, level, options),
+        Ok(Command::Run {
+            role,
+            level,
+            options,
+        }) => run_role(role, level, options),
         Err(error) => {
             eprintln!("{PROGRAM}: {error}\nTry '{PROGRAM} --help'.");
             ExitCode::from(FAULTY)
@@ -64,7 +68,10 @@
             }
         }
     }
-    let mut report = Report { good: io::stdout(), faults: io::stderr() };
+    let mut report = Report {
+        good: io::stdout(),
+        faults: io::stderr(),
+    };
     match check(&files, &mut report) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(FAULTY),
@@ -81,7 +88,11 @@
         Err(error) => {
             report_error(role, &error);
             let faulty = matches!(error, StartError::Settings(SettingsError::Faulty { .. }));
-            if faulty { ExitCode::from(FAULTY) } else { ExitCode::FAILURE }
+            if faulty {
+                ExitCode::from(FAULTY)
+            } else {
+                ExitCode::FAILURE
+            }
         }
     }
 }
@@ -102,7 +113,12 @@
     let settings = settings_file::load(&settings_file)?;
     logging::start(level, role.name, &settings.node)?;
     let runtime = compio::runtime::Runtime::new()?;
-    let context = RoleContext { settings, settings_file, signals, options };
+    let context = RoleContext {
+        settings,
+        settings_file,
+        signals,
+        options,
+    };
     runtime.block_on(async move { (role.run)(context).await })?;
     log::info!("stopped");
     Ok(())
--- a/crates/lockusher-node/src/roles.rs
+++ b/crates/lockusher-node/src/roles.rs
@@ -16,18 +16,28 @@
 
 /// The roles, by their commands.
 pub const ROLES: &[Role] = &[
-    Role { name: "control", summary: "Keep the control state; take the operator's calls", run: control },
+    Role {
+        name: "control",
+        summary: "Keep the control state; take the operator's calls",
+        run: control,
+    },
     Role {
         name: "agent",
         summary: "Feed this machine's proxy from the control nodes; run one, where the settings say so",
         run: agent,
     },
-    Role { name: "proxy", summary: "Forward clients' requests to searchers", run: proxy },
+    Role {
+        name: "proxy",
+        summary: "Forward clients' requests to searchers",
+        run: proxy,
+    },
 ];
 
 fn control(context: RoleContext) -> RunningRole {
     Box::pin(async move {
-        let options = ControlOptions { stage_assignment: context.options.stage_orders };
+        let options = ControlOptions {
+            stage_assignment: context.options.stage_orders,
+        };
         let (settings, stop) = context.start(|_| ())?;
         Ok(lockusher_control::serve::run(settings, options, stop).await?)
     })
@@ -35,7 +45,9 @@
 
 fn agent(context: RoleContext) -> RunningRole {
     Box::pin(async move {
-        let options = ControlOptions { stage_assignment: context.options.stage_orders };
+        let options = ControlOptions {
+            stage_assignment: context.options.stage_orders,
+        };
         let (settings, stop) = context.start(|_| ())?;
         if settings.edge_control() != EdgeControl::ControlNode {
             return Ok(lockusher_agent::serve::run(settings, stop).await?);
--- a/crates/lockusher-node/src/settings_file.rs
+++ b/crates/lockusher-node/src/settings_file.rs
@@ -42,7 +42,9 @@
 ///
 /// [`SettingsError::NoFile`].
 pub fn settings_file() -> Result<PathBuf, SettingsError> {
-    std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from).ok_or(SettingsError::NoFile)
+    std::env::var_os(SETTINGS_VARIABLE)
+        .map(PathBuf::from)
+        .ok_or(SettingsError::NoFile)
 }
 
 /// Reads and checks a settings file.
@@ -51,7 +53,12 @@
 ///
 /// [`SettingsError`] if the file can't be read or has faults; all of them are named.
 pub fn load(file: &Path) -> Result<NodeSettings, SettingsError> {
-    let text = std::fs::read_to_string(file)
-        .map_err(|source| SettingsError::Unreadable { file: file.to_owned(), source })?;
-    NodeSettings::parse(&text).map_err(|source| SettingsError::Faulty { file: file.to_owned(), source })
+    let text = std::fs::read_to_string(file).map_err(|source| SettingsError::Unreadable {
+        file: file.to_owned(),
+        source,
+    })?;
+    NodeSettings::parse(&text).map_err(|source| SettingsError::Faulty {
+        file: file.to_owned(),
+        source,
+    })
 }
--- a/crates/lockusher-node/src/signals.rs
+++ b/crates/lockusher-node/src/signals.rs
@@ -57,7 +57,10 @@
     /// [`ErrorKind::AlreadyExists`] on another call; or if the system refuses the pipe or a handler.
     pub fn install() -> io::Result<Self> {
         if INSTALLED.swap(true, Ordering::SeqCst) {
-            return Err(io::Error::new(ErrorKind::AlreadyExists, "signals are handled already"));
+            return Err(io::Error::new(
+                ErrorKind::AlreadyExists,
+                "signals are handled already",
+            ));
         }
         let (read_end, write_end) = non_blocking_pipe()?;
         WRITE_END.store(write_end.into_raw_fd(), Ordering::SeqCst);
@@ -65,7 +68,9 @@
             set_handler(signal, handle as *const () as libc::sighandler_t)?;
         }
         set_handler(libc::SIGPIPE, libc::SIG_IGN)?;
-        Ok(Self { read_end: File::from(read_end) })
+        Ok(Self {
+            read_end: File::from(read_end),
+        })
     }
 
     /// Has the runtime poll for signals.
@@ -74,7 +79,9 @@
     ///
     /// If the runtime can't watch the pipe.
     pub fn polled(self) -> io::Result<PolledSignals> {
-        Ok(PolledSignals { read_end: PollFd::new(self.read_end)? })
+        Ok(PolledSignals {
+            read_end: PollFd::new(self.read_end)?,
+        })
     }
 }
 
@@ -116,7 +123,11 @@
 
 /// The signal handler. It may run between any two instructions: it calls nothing but `write`, and keeps `errno`.
 extern "C" fn handle(signal: c_int) {
-    let byte = if signal == libc::SIGHUP { SETTINGS_CHANGED_BYTE } else { STOP_BYTE };
+    let byte = if signal == libc::SIGHUP {
+        SETTINGS_CHANGED_BYTE
+    } else {
+        STOP_BYTE
+    };
     let write_end = WRITE_END.load(Ordering::SeqCst);
     // SAFETY: `write` may be called in a handler, and the byte outlives the call; the pipe is never closed.
     unsafe {
@@ -134,7 +145,11 @@
     action.sa_flags = libc::SA_RESTART;
     // SAFETY: the action is initialized, and its handler does only what handlers may.
     let result = unsafe { libc::sigaction(signal, &raw const action, std::ptr::null_mut()) };
-    if result == 0 { Ok(()) } else { Err(io::Error::last_os_error()) }
+    if result == 0 {
+        Ok(())
+    } else {
+        Err(io::Error::last_os_error())
+    }
 }
 
 /// The read and the write end of a new pipe.
--- a/crates/lockusher-node/tests/check.rs
+++ b/crates/lockusher-node/tests/check.rs
@@ -9,8 +9,7 @@
 
 use support::{program, program_with_settings, text, write_file};
 
-const GOOD_SETTINGS: &str =
-    "node=n-4\nzone=z\nipAddress=172.20.1.2\ninternalPorts=4400,4410\ncloud.address=172.20.9.9:81\n";
+const GOOD_SETTINGS: &str = "node=n-4\nzone=z\nipAddress=172.20.1.2\ninternalPorts=4400,4410\ncloud.address=172.20.9.9:81\n";
 
 const FAULTY_SETTINGS: &str =
     "node=n-5\nzone=z\nipAddress=172.20.1\ncloud.address=172.20.9.9:81\nbounds.graceS=x\n";
@@ -72,7 +71,10 @@
     let absent = Path::new("does/not/exist.json");
     let output = check(&[&settings, &good], &[absent, &configuration]);
     assert_eq!(output.status.code(), Some(2));
-    assert_eq!(text(&output.stdout), format!("{}: good: settings of node n-4\n", good.display()));
+    assert_eq!(
+        text(&output.stdout),
+        format!("{}: good: settings of node n-4\n", good.display())
+    );
     let (settings, configuration) = (settings.display(), configuration.display());
     let expected = [
         format!("{settings}: line 3, ipAddress: expected an IPv4 address, found 172.20.1"),
@@ -89,9 +91,15 @@
 #[test]
 fn without_files_the_nodes_own_settings_are_checked() {
     let settings = write_file("own.conf", GOOD_SETTINGS);
-    let output = program_with_settings(&settings).arg("check").output().expect("the program runs");
+    let output = program_with_settings(&settings)
+        .arg("check")
+        .output()
+        .expect("the program runs");
     assert_eq!(output.status.code(), Some(0));
-    assert_eq!(text(&output.stdout), format!("{}: good: settings of node n-4\n", settings.display()));
+    assert_eq!(
+        text(&output.stdout),
+        format!("{}: good: settings of node n-4\n", settings.display())
+    );
 }
 
 #[parameterized(
@@ -113,10 +121,16 @@
     no_operator_address = { "no-operator-address", &[COUNTS_FOR_QUORUM, DATA_DIRECTORY], "" },
 )]
 fn settings_say_what_they_make_of_a_machine(name: &str, lines: &[&str], expected: &str) {
-    let settings = write_file(&format!("machine-{name}.conf"), &format!("{GOOD_SETTINGS}{}", lines.concat()));
+    let settings = write_file(
+        &format!("machine-{name}.conf"),
+        &format!("{GOOD_SETTINGS}{}", lines.concat()),
+    );
 
     let output = check(&[&settings], &[]);
 
-    let expected = format!("{}: good: settings of node n-4{expected}\n", settings.display());
+    let expected = format!(
+        "{}: good: settings of node n-4{expected}\n",
+        settings.display()
+    );
     assert_eq!(text(&output.stdout), expected);
 }
--- a/crates/lockusher-node/tests/command_line.rs
+++ b/crates/lockusher-node/tests/command_line.rs
@@ -9,7 +9,10 @@
 use support::{program, program_with_settings, text, write_file};
 
 fn node(arguments: &[&str]) -> Output {
-    program().args(arguments).output().expect("the program runs")
+    program()
+        .args(arguments)
+        .output()
+        .expect("the program runs")
 }
 
 #[test]
@@ -17,9 +20,15 @@
     let output = node(&["--help"]);
     assert!(output.status.success() && output.stderr.is_empty());
     let help = text(&output.stdout);
-    for expected in
-        ["Usage: lockusher-node COMMAND", "control", "agent", "proxy", "check", "--help", "--version"]
-    {
+    for expected in [
+        "Usage: lockusher-node COMMAND",
+        "control",
+        "agent",
+        "proxy",
+        "check",
+        "--help",
+        "--version",
+    ] {
         assert!(help.contains(expected), "{expected} in:\n{help}");
     }
 }
@@ -45,7 +54,10 @@
 fn the_version_is_printed() {
     let output = node(&["--version"]);
     assert!(output.status.success());
-    assert_eq!(text(&output.stdout), format!("lockusher-node {}\n", env!("CARGO_PKG_VERSION")));
+    assert_eq!(
+        text(&output.stdout),
+        format!("lockusher-node {}\n", env!("CARGO_PKG_VERSION"))
+    );
 }
 
 #[parameterized(
@@ -64,27 +76,38 @@
     assert_eq!(output.status.code(), Some(2));
     assert!(output.stdout.is_empty());
     let error = text(&output.stderr);
-    assert!(error.starts_with("lockusher-node: ") && error.contains(message), "{error}");
+    assert!(
+        error.starts_with("lockusher-node: ") && error.contains(message),
+        "{error}"
+    );
 }
 
 #[parameterized(control = { "control" }, agent = { "agent" }, proxy = { "proxy" })]
 fn a_role_needs_settings(role: &str) {
     let output = node(&[role]);
     assert_eq!(output.status.code(), Some(1));
-    let expected = format!("lockusher-node {role}: LOCKUSHER_NODE_FILE does not name the settings file\n");
+    let expected =
+        format!("lockusher-node {role}: LOCKUSHER_NODE_FILE does not name the settings file\n");
     assert_eq!(text(&output.stderr), expected);
 }
 
 #[test]
 fn a_role_names_the_faults_of_its_settings() {
-    let text_of_settings = "node=x\nzone=y\nipAddress=1.2.3\ninternalPorts=1,2\ncloud.address=1.2.3.4:5\n";
+    let text_of_settings =
+        "node=x\nzone=y\nipAddress=1.2.3\ninternalPorts=1,2\ncloud.address=1.2.3.4:5\n";
     let settings = write_file("faulty-role.conf", text_of_settings);
 
-    let output = program_with_settings(&settings).arg("proxy").output().expect("the program runs");
+    let output = program_with_settings(&settings)
+        .arg("proxy")
+        .output()
+        .expect("the program runs");
 
     assert_eq!(output.status.code(), Some(2));
     let error = text(&output.stderr);
-    assert!(error.contains("line 3, ipAddress: expected an IPv4 address, found 1.2.3"), "{error}");
+    assert!(
+        error.contains("line 3, ipAddress: expected an IPv4 address, found 1.2.3"),
+        "{error}"
+    );
 }
 
 #[test]
@@ -93,12 +116,18 @@
         "node=n-6\nzone=y\nipAddress=1.2.3.9\ninternalPorts=1,2\ncloud.address=1.2.3.4:5\n";
     let settings = write_file("no-listener.conf", text_of_settings);
 
-    let output = program_with_settings(&settings).arg("control").output().expect("the program runs");
+    let output = program_with_settings(&settings)
+        .arg("control")
+        .output()
+        .expect("the program runs");
 
     assert_eq!(output.status.code(), Some(1));
     let error = text(&output.stderr);
     let (seconds, line) = error.split_once(' ').expect("a time");
     assert!(seconds.parse::<f64>().is_ok(), "{error}");
-    assert!(line.starts_with("ERROR control n-6 ") && line.contains("listenAddresses.control"), "{error}");
+    assert!(
+        line.starts_with("ERROR control n-6 ") && line.contains("listenAddresses.control"),
+        "{error}"
+    );
     assert_eq!(line.lines().count(), 1, "{error}");
 }
--- a/crates/lockusher-node/tests/role.rs
+++ b/crates/lockusher-node/tests/role.rs
@@ -58,8 +58,15 @@
     write_settings(&file, "first");
     // SAFETY: this file has one test, and no other thread reads the environment.
     unsafe { std::env::set_var(SETTINGS_VARIABLE, &file) };
-    let roles = [Role { name: "watch", summary: "Watch the settings", run: watch }];
+    let roles = [Role {
+        name: "watch",
+        summary: "Watch the settings",
+        run: watch,
+    }];
     let exit = program::run(&roles, vec!["watch".to_owned()]);
     assert_eq!(format!("{exit:?}"), format!("{:?}", ExitCode::SUCCESS));
-    assert_eq!(*SEEN.lock().unwrap(), ["started: first", "changed: second", "stopped"]);
+    assert_eq!(
+        *SEEN.lock().unwrap(),
+        ["started: first", "changed: second", "stopped"]
+    );
 }
--- a/crates/lockusher-proxy/src/answer.rs
+++ b/crates/lockusher-proxy/src/answer.rs
@@ -33,7 +33,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match self.get_mut() {
             AnswerBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
-            AnswerBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            AnswerBody::Buffered(bytes) => {
+                Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes)))))
+            }
             AnswerBody::Relay(relay) => relay.poll_frame(cx),
         }
     }
@@ -92,6 +94,8 @@
 
 /// The same answer, after which the client's connection is closed.
 pub(crate) fn closing(mut answer: Answer) -> Answer {
-    answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    answer
+        .headers_mut()
+        .insert(header::CONNECTION, HeaderValue::from_static("close"));
     answer
 }
--- a/crates/lockusher-proxy/src/answer_check.rs
+++ b/crates/lockusher-proxy/src/answer_check.rs
@@ -17,7 +17,9 @@
     // These promise that the request has not run, which only `Not-Executed` proves.
     let promises_not_run = matches!(
         status,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT
+        StatusCode::SERVICE_UNAVAILABLE
+            | StatusCode::TOO_MANY_REQUESTS
+            | StatusCode::REQUEST_TIMEOUT
     );
     !promises_not_run && has_visible_end(response)
 }
--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -137,12 +137,21 @@
             if self.may_have_run && !self.policy.is_idempotent {
                 return Err(NoAnswer::Failed);
             }
-            if self.handle.is_none() && self.prefill_calls > 0 && self.prefill_time() < MIN_ATTEMPT_TIME {
+            if self.handle.is_none()
+                && self.prefill_calls > 0
+                && self.prefill_time() < MIN_ATTEMPT_TIME
+            {
                 // Its time went by in a prefill queue, and the client is about to leave.
                 return Err(self.deadline_exceeded());
             }
-            let purpose = if self.handle.is_some() { Purpose::Decode } else { Purpose::Whole };
-            let Some((destination, send)) = self.choose(purpose) else { return Err(self.no_searcher()) };
+            let purpose = if self.handle.is_some() {
+                Purpose::Decode
+            } else {
+                Purpose::Whole
+            };
+            let Some((destination, send)) = self.choose(purpose) else {
+                return Err(self.no_searcher());
+            };
             match self.attempt(destination, send).await {
                 Ok(accepted) => return Ok(accepted),
                 Err(AttemptFailure::Send(failure)) => self.record_failure(&failure)?,
@@ -172,15 +181,25 @@
     }
 
     fn remaining(&self) -> Duration {
-        self.deadlines.answer.saturating_duration_since(Instant::now())
+        self.deadlines
+            .answer
+            .saturating_duration_since(Instant::now())
     }
 
     fn deadline_exceeded(&self) -> NoAnswer {
-        if self.may_have_run { NoAnswer::TimedOut } else { self.not_run() }
+        if self.may_have_run {
+            NoAnswer::TimedOut
+        } else {
+            self.not_run()
+        }
     }
 
     fn no_searcher(&self) -> NoAnswer {
-        if self.may_have_run { NoAnswer::Failed } else { self.not_run() }
+        if self.may_have_run {
+            NoAnswer::Failed
+        } else {
+            self.not_run()
+        }
     }
 
     fn not_run(&self) -> NoAnswer {
@@ -192,11 +211,27 @@
     /// Has the router choose a searcher.
     fn choose(&mut self, purpose: Purpose) -> Option<(Destination, SendGuard)> {
         let now = self.shared.clock.micros();
-        let choice = self.shared.router.borrow_mut().choose(now, &mut self.plan, purpose);
+        let choice = self
+            .shared
+            .router
+            .borrow_mut()
+            .choose(now, &mut self.plan, purpose);
         match choice {
-            Choice::Send { identifier, address, ticket, priority, .. } => {
+            Choice::Send {
+                identifier,
+                address,
+                ticket,
+                priority,
+                ..
+            } => {
                 self.priority = priority;
-                Some((Destination { identifier, address }, self.shared.guard_send(ticket)))
+                Some((
+                    Destination {
+                        identifier,
+                        address,
+                    },
+                    self.shared.guard_send(ticket),
+                ))
             }
             Choice::Refuse { .. } | Choice::Exhausted => None,
         }
@@ -208,7 +243,10 @@
         let fields = request.headers_mut();
         let left = time.saturating_sub(TRANSIT_RESERVE).as_millis().max(1) as u64;
         fields.insert(headers::DEADLINE_REMAINING, HeaderValue::from(left));
-        fields.insert(headers::PRIORITY, HeaderValue::from(u16::from(self.priority)));
+        fields.insert(
+            headers::PRIORITY,
+            HeaderValue::from(u16::from(self.priority)),
+        );
         if let Ok(instance) = HeaderValue::try_from(&destination.identifier) {
             fields.insert(headers::EXPECTED_INSTANCE, instance);
         }
@@ -241,13 +279,20 @@
         let exchange = exchanged.inspect_err(|failure| send.finish(failure.outcome()))?;
         let status = exchange.response.status();
         if !may_be_forwarded(&exchange.response) {
-            log::debug!("{}: answer {status} can't be passed on", destination.address);
+            log::debug!(
+                "{}: answer {status} can't be passed on",
+                destination.address
+            );
             send.finish(SendOutcome::Failed);
             return Err(SendFailure::Broken.into());
         }
         if status.is_success() {
             self.mark_handle_transferred();
         }
-        Ok(AcceptedAnswer { destination, send, exchange })
+        Ok(AcceptedAnswer {
+            destination,
+            send,
+            exchange,
+        })
     }
 }
--- a/crates/lockusher-proxy/src/client/connection.rs
+++ b/crates/lockusher-proxy/src/client/connection.rs
@@ -26,7 +26,9 @@
 
 /// Serves a client until it leaves, is asked to close, or breaks the protocol.
 pub(crate) async fn serve(shared: Rc<ProxyState>, socket: PollFd<Socket>, state: Rc<ClientState>) {
-    let header_bytes = shared.routes().map(|routes| routes.configuration().limits.header_bytes as usize);
+    let header_bytes = shared
+        .routes()
+        .map(|routes| routes.configuration().limits.header_bytes as usize);
     let stream = ClientStream::new(socket, state.clone());
     let service = service_fn(|request| answer(shared.clone(), state.clone(), request));
     let mut builder = Builder::new();
@@ -54,12 +56,18 @@
     request: Request<Incoming>,
 ) -> Result<Response<ClientBody>, Infallible> {
     state.begin_request();
-    let in_flight = ExchangeInFlight { state, _count: shared.start_request() };
+    let in_flight = ExchangeInFlight {
+        state,
+        _count: shared.start_request(),
+    };
     let mut answer = forward(&shared, request).await;
     if shared.is_draining() {
         answer = closing(answer);
     }
-    Ok(answer.map(|body| ClientBody { body, _in_flight: in_flight }))
+    Ok(answer.map(|body| ClientBody {
+        body,
+        _in_flight: in_flight,
+    }))
 }
 
 /// A request from its head to the end of its answer.
--- a/crates/lockusher-proxy/src/client/registry.rs
+++ b/crates/lockusher-proxy/src/client/registry.rs
@@ -33,7 +33,9 @@
     /// Records that bytes arrived; outside a request they begin a head.
     pub(super) fn record_read(&self) {
         if let Activity::Idle { .. } = self.activity.get() {
-            self.activity.set(Activity::ReadingHead { since: self.sweeps.get() });
+            self.activity.set(Activity::ReadingHead {
+                since: self.sweeps.get(),
+            });
         }
     }
 
@@ -44,7 +46,9 @@
 
     /// The answer is complete.
     pub(super) fn end_request(&self) {
-        self.activity.set(Activity::Idle { since: self.sweeps.get() });
+        self.activity.set(Activity::Idle {
+            since: self.sweeps.get(),
+        });
     }
 
     /// Whether the connection was asked to close; else wakes its task when it is.
@@ -53,7 +57,10 @@
             return true;
         }
         let mut stored = self.waker.borrow_mut();
-        if !stored.as_ref().is_some_and(|stored| stored.will_wake(waker)) {
+        if !stored
+            .as_ref()
+            .is_some_and(|stored| stored.will_wake(waker))
+        {
             *stored = Some(waker.clone());
         }
         false
@@ -82,7 +89,9 @@
         self.next.set(key + 1);
         let state = Rc::new(ClientState {
             sweeps: self.sweeps.clone(),
-            activity: Cell::new(Activity::Idle { since: self.sweeps.get() }),
+            activity: Cell::new(Activity::Idle {
+                since: self.sweeps.get(),
+            }),
             close: Cell::new(false),
             waker: RefCell::new(None),
         });
@@ -128,7 +137,9 @@
             Activity::Idle { since } => Some((since, state)),
             _ => None,
         });
-        let Some((_, state)) = idle.min_by_key(|(since, _)| *since) else { return false };
+        let Some((_, state)) = idle.min_by_key(|(since, _)| *since) else {
+            return false;
+        };
         state.request_close();
         true
     }
--- a/crates/lockusher-proxy/src/client/stream.rs
+++ b/crates/lockusher-proxy/src/client/stream.rs
@@ -20,7 +20,10 @@
 
 impl ClientStream {
     pub(super) fn new(socket: PollFd<Socket>, state: Rc<ClientState>) -> Self {
-        ClientStream { inner: HyperStream::new_plain(socket), state }
+        ClientStream {
+            inner: HyperStream::new_plain(socket),
+            state,
+        }
     }
 }
 
@@ -38,7 +41,11 @@
 }
 
 impl Write for ClientStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.inner).poll_write(cx, bytes)
     }
 
--- a/crates/lockusher-proxy/src/deadline.rs
+++ b/crates/lockusher-proxy/src/deadline.rs
@@ -21,11 +21,18 @@
 impl Deadlines {
     /// The limits of a request that arrived at a time, for which its client waits for `deadline_remaining` (if it says so) and
     /// its route allows `timeout`.
-    pub(crate) fn new(arrived: Instant, deadline_remaining: Option<Duration>, timeout: Duration) -> Self {
+    pub(crate) fn new(
+        arrived: Instant,
+        deadline_remaining: Option<Duration>,
+        timeout: Duration,
+    ) -> Self {
         let to_answer =
             deadline_remaining.map_or(timeout, |remaining| timeout.min(time_to_answer(remaining)));
         let in_all = deadline_remaining.map_or(timeout, |remaining| timeout.min(remaining));
-        Deadlines { answer: arrived + to_answer, end: arrived + in_all }
+        Deadlines {
+            answer: arrived + to_answer,
+            end: arrived + in_all,
+        }
     }
 }
 
--- a/crates/lockusher-proxy/src/decision/admission_control.rs
+++ b/crates/lockusher-proxy/src/decision/admission_control.rs
@@ -89,7 +89,10 @@
         }
         let count = &self.waiting.0[rank];
         count.set(count.get() + 1);
-        Some(WaitingPermit { waiting: Rc::clone(&self.waiting), rank })
+        Some(WaitingPermit {
+            waiting: Rc::clone(&self.waiting),
+            rank,
+        })
     }
 
     fn has_capacity(&self, now: Micros, rank: usize) -> bool {
@@ -125,7 +128,8 @@
 
     fn record_time(&mut self, elapsed: Micros, patience: Micros) {
         let patience = patience.max(1) as f64;
-        self.lateness += ((elapsed as f64 / patience).min(MAX_LATENESS) - self.lateness) * NEWEST_WEIGHT;
+        self.lateness +=
+            ((elapsed as f64 / patience).min(MAX_LATENESS) - self.lateness) * NEWEST_WEIGHT;
         let patience = patience / 1e6;
         self.mean_patience_s = if self.mean_patience_s > 0.0 {
             self.mean_patience_s + (patience - self.mean_patience_s) * NEWEST_WEIGHT
--- a/crates/lockusher-proxy/src/decision/budget.rs
+++ b/crates/lockusher-proxy/src/decision/budget.rs
@@ -90,7 +90,9 @@
         let share = self.slack_share(newest, fleet);
         let mut retries = 1;
         // Requests in the full slots of the window before one that begins in slot `begin`.
-        let mut before: u32 = (1..=FULL_SLOTS).map(|back| self.at(&self.requests, newest, back)).sum();
+        let mut before: u32 = (1..=FULL_SLOTS)
+            .map(|back| self.at(&self.requests, newest, back))
+            .sum();
         for begin in 0..=SLOTS {
             retries += self.at(&self.retries, newest, begin);
             if f64::from(retries) > self.ratio * f64::from(before) + share {
@@ -104,12 +106,18 @@
 
     fn slack_share(&self, newest: u64, fleet: u32) -> f64 {
         let is_starting = newest <= self.started / self.slot + SLOTS + 1;
-        let part = if is_starting { STARTING_SLACK_SHARE } else { STEADY_SLACK_SHARE };
+        let part = if is_starting {
+            STARTING_SLACK_SHARE
+        } else {
+            STEADY_SLACK_SHARE
+        };
         part * self.slack / f64::from(fleet.max(1))
     }
 
     fn at(&self, ring_of: &[u32; RETAINED_SLOTS], newest: u64, back: u64) -> u32 {
-        newest.checked_sub(back).map_or(0, |slot| ring_of[ring(slot)])
+        newest
+            .checked_sub(back)
+            .map_or(0, |slot| ring_of[ring(slot)])
     }
 
     /// Empties the slots that time has passed over; a clock that stands still or steps back changes nothing.
--- a/crates/lockusher-proxy/src/decision/kv_transfer.rs
+++ b/crates/lockusher-proxy/src/decision/kv_transfer.rs
@@ -49,14 +49,18 @@
 
 impl Default for KvTransfers {
     fn default() -> Self {
-        KvTransfers { success_rate: 1.0, suspension: None }
+        KvTransfers {
+            success_rate: 1.0,
+            suspension: None,
+        }
     }
 }
 
 impl KvTransfers {
     /// Whether a prompt may be prefilled for a transfer now.
     pub fn are_allowed(&self, now: Micros) -> bool {
-        self.suspension.is_none_or(|suspension| now >= suspension.last_probe + suspension.back_off)
+        self.suspension
+            .is_none_or(|suspension| now >= suspension.last_probe + suspension.back_off)
     }
 
     /// Records that a prompt is prefilled for a transfer.
@@ -85,8 +89,11 @@
             }
             Some(_) => {}
             None if self.success_rate < MIN_SUCCESS_RATE => {
-                self.suspension =
-                    Some(Suspension { since: now, last_probe: now, back_off: INITIAL_BACK_OFF });
+                self.suspension = Some(Suspension {
+                    since: now,
+                    last_probe: now,
+                    back_off: INITIAL_BACK_OFF,
+                });
             }
             None => {}
         }
--- a/crates/lockusher-proxy/src/decision/load.rs
+++ b/crates/lockusher-proxy/src/decision/load.rs
@@ -123,7 +123,10 @@
         for (service, meter) in &mut self.meters {
             let load = meter.take(now, window);
             if let Some(name) = name(*service) {
-                loads.push(ServiceLoad { service: name.to_owned(), ..load });
+                loads.push(ServiceLoad {
+                    service: name.to_owned(),
+                    ..load
+                });
             }
         }
         Some(loads)
--- a/crates/lockusher-proxy/src/decision/locality.rs
+++ b/crates/lockusher-proxy/src/decision/locality.rs
@@ -44,7 +44,11 @@
 impl LocalityRegistry {
     /// `regions`: the region of each zone; a zone that isn't listed is a region of its own.
     pub fn new(regions: BTreeMap<String, String>) -> Self {
-        LocalityRegistry { regions, zone_numbers: HashMap::new(), region_numbers: HashMap::new() }
+        LocalityRegistry {
+            regions,
+            zone_numbers: HashMap::new(),
+            region_numbers: HashMap::new(),
+        }
     }
 
     /// The locality of a zone.
--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -164,7 +164,9 @@
 
     /// Whether a send for a purpose would be the first prefill call that is taken up.
     pub(super) fn is_first_prefill(&self, purpose: Purpose) -> bool {
-        purpose == Purpose::Prefill && !self.progress.prefilled.get() && !self.progress.prefilling.get()
+        purpose == Purpose::Prefill
+            && !self.progress.prefilled.get()
+            && !self.progress.prefilling.get()
     }
 
     /// Whether a send now would be an arrival beyond the first.
@@ -216,7 +218,8 @@
         let proven_not_run = matches!(outcome, Rejected | Misdirected | Unreachable);
         if record.purpose != Purpose::Prefill {
             self.running.set(self.running.get().saturating_sub(1));
-            self.may_have_run.set(self.may_have_run.get() || !proven_not_run);
+            self.may_have_run
+                .set(self.may_have_run.get() || !proven_not_run);
         }
         if !matches!(outcome, Answered | Cancelled) {
             self.tried.borrow_mut().push(record.searcher);
@@ -235,7 +238,10 @@
     }
 
     fn record_transfer(&self, record: &SendRecord, outcome: SendOutcome) {
-        let ended = Incarnation { searcher: record.searcher, hash: record.hash };
+        let ended = Incarnation {
+            searcher: record.searcher,
+            hash: record.hash,
+        };
         match (record.purpose, outcome) {
             (Purpose::Prefill, SendOutcome::Answered) => self.holder.set(Some(ended)),
             (Purpose::Decode, SendOutcome::Rejected) => self.rejected_transfer.set(Some(ended)),
--- a/crates/lockusher-proxy/src/decision/prefix_cache.rs
+++ b/crates/lockusher-proxy/src/decision/prefix_cache.rs
@@ -70,7 +70,9 @@
 
 impl Hasher for IdentityHasher {
     fn write(&mut self, bytes: &[u8]) {
-        self.0 = bytes.iter().fold(self.0, |hash, byte| mix(hash ^ u64::from(*byte)));
+        self.0 = bytes
+            .iter()
+            .fold(self.0, |hash, byte| mix(hash ^ u64::from(*byte)));
     }
 
     fn write_u64(&mut self, key: u64) {
@@ -110,13 +112,20 @@
         if holders.len() == MAX_HOLDERS_PER_PREFIX {
             holders.remove(0);
         }
-        holders.push(Holder { searcher, sent: now });
+        holders.push(Holder {
+            searcher,
+            sent: now,
+        });
     }
 
     /// Evicts the prefix put in first, unless it was used since: then it goes to the end of the queue.
     fn forget_oldest(&mut self) {
         while let Some((key, since)) = self.order.pop_front() {
-            let newest = self.holders.get(&key).and_then(|of| of.last()).map_or(0, |holder| holder.sent);
+            let newest = self
+                .holders
+                .get(&key)
+                .and_then(|of| of.last())
+                .map_or(0, |holder| holder.sent);
             if newest <= since {
                 self.holders.remove(&key);
                 return;
@@ -141,6 +150,10 @@
             let mut holders = self.holders.get(&prefix.key).into_iter().flatten();
             holders.any(|holder| holder.searcher == searcher && holder.sent >= since)
         };
-        prefixes.iter().rev().find(was_sent).map_or(0, |prefix| prefix.tokens)
+        prefixes
+            .iter()
+            .rev()
+            .find(was_sent)
+            .map_or(0, |prefix| prefix.tokens)
     }
 }
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -96,13 +96,18 @@
     pub fn apply_instances(&mut self, now: Micros, instances: &[Instance]) {
         let mut by_service: HashMap<&str, Vec<&Instance>> = HashMap::new();
         for instance in instances {
-            by_service.entry(&instance.service).or_default().push(instance);
+            by_service
+                .entry(&instance.service)
+                .or_default()
+                .push(instance);
         }
         for name in by_service.keys() {
             self.service_index(now, name);
         }
         for service in &mut self.services {
-            let listed = by_service.get(service.name.as_str()).map_or(&[][..], Vec::as_slice);
+            let listed = by_service
+                .get(service.name.as_str())
+                .map_or(&[][..], Vec::as_slice);
             service.apply(now, listed, &mut self.localities, self.own_locality);
         }
     }
@@ -118,11 +123,16 @@
         self.services[service].budget.record_request(now);
         self.loads.request(service);
         if request.remaining_ms == 0 {
-            return Admission::Refuse { retry_after_ms: MIN_RETRY_AFTER_MS };
+            return Admission::Refuse {
+                retry_after_ms: MIN_RETRY_AFTER_MS,
+            };
         }
         let admission = &mut self.services[service].admission;
         let Some(waiting) = admission.try_admit(now, request.priority) else {
-            let retry_after_ms = admission.wait_ms(now).min(request.remaining_ms / 3).max(MIN_RETRY_AFTER_MS);
+            let retry_after_ms = admission
+                .wait_ms(now)
+                .min(request.remaining_ms / 3)
+                .max(MIN_RETRY_AFTER_MS);
             return Admission::Refuse { retry_after_ms };
         };
         let prefixes = prefixes(&request.prompt);
@@ -137,7 +147,11 @@
             target: request.target_latency_ms * MICROS_PER_MS,
             deadline: now + request.remaining_ms * MICROS_PER_MS,
             source: None,
-            progress: Rc::new(Progress::new(now, client_patience_ms(request) * MICROS_PER_MS, waiting)),
+            progress: Rc::new(Progress::new(
+                now,
+                client_patience_ms(request) * MICROS_PER_MS,
+                waiting,
+            )),
         })
     }
 
@@ -156,7 +170,12 @@
         match (prefill, whole) {
             (Some(prefill), Some(whole)) => {
                 let (tokens, target) = (plan.tokens, plan.target);
-                let choice = SplitCandidates { tokens, target, prefill: &prefill, whole: &whole };
+                let choice = SplitCandidates {
+                    tokens,
+                    target,
+                    prefill: &prefill,
+                    whole: &whole,
+                };
                 is_split_cheaper(service, &choice)
             }
             (prefill, _) => prefill.is_some(),
@@ -178,7 +197,9 @@
         self.services[plan.service].refresh_peers(now, kind);
         let tie_breaker = self.random.random();
         let Some(selected) = self.select_searcher(now, plan, purpose, tie_breaker) else {
-            return Choice::Refuse { retry_after_ms: self.retry_after_ms(now, plan) };
+            return Choice::Refuse {
+                retry_after_ms: self.retry_after_ms(now, plan),
+            };
         };
         let fleet = self.fleet.unwrap_or(ASSUMED_PROXIES);
         let mut charge = None;
@@ -194,7 +215,9 @@
         plan.progress.sent(purpose, counting);
         let service = &mut self.services[plan.service];
         service.searcher_mut(selected.searcher).sent(now, ticket);
-        service.prefix_cache.record(now, selected.searcher, &plan.prefixes);
+        service
+            .prefix_cache
+            .record(now, selected.searcher, &plan.prefixes);
         if purpose == Purpose::Prefill {
             service.kv_transfers.started(now);
         }
@@ -214,7 +237,11 @@
             target: plan.target,
             tokens_upper_bound: selected.tokens_upper_bound,
             counting,
-            holder: plan.progress.holder.get().filter(|_| purpose == Purpose::Decode),
+            holder: plan
+                .progress
+                .holder
+                .get()
+                .filter(|_| purpose == Purpose::Decode),
             has_response: false,
             charge,
             progress: Rc::clone(&plan.progress),
@@ -234,7 +261,9 @@
     fn priority(&self, plan: &RequestPlan, purpose: Purpose, tokens: u32) -> u8 {
         match purpose {
             Purpose::Prefill => {
-                let usual = self.services[plan.service].service_time(purpose).mean_tokens();
+                let usual = self.services[plan.service]
+                    .service_time(purpose)
+                    .mean_tokens();
                 prefill_priority(f64::from(tokens), usual)
             }
             Purpose::Whole | Purpose::Decode => plan.priority.min(LOWEST_PRIORITY),
@@ -247,7 +276,9 @@
             self.first_event(now, ticket);
             return;
         }
-        let Some(record) = self.sends.remove(&ticket.0) else { return };
+        let Some(record) = self.sends.remove(&ticket.0) else {
+            return;
+        };
         self.loads.ended(now, &record);
         trace::log_end(now, &record, outcome);
         let charge_outcome = record.progress.ended(&record, outcome);
@@ -261,7 +292,9 @@
         service.searcher_mut(record.searcher).ended(ticket.0);
         // After a first event the time says nothing new, but a failure counts as such.
         let elapsed = (!record.has_response).then(|| now.saturating_sub(record.sent));
-        if !record.has_response || !matches!(outcome, SendOutcome::Answered | SendOutcome::Cancelled) {
+        if !record.has_response
+            || !matches!(outcome, SendOutcome::Answered | SendOutcome::Cancelled)
+        {
             service.learn(now, &record, outcome, elapsed);
         }
         if !service.is_handle_likely_gone(now, &record) {
@@ -275,8 +308,11 @@
         let service = &self.services[plan.service];
         let left = plan.deadline.saturating_sub(now) / MICROS_PER_MS;
         let service_time = service.service_time(Purpose::Whole);
-        let usual =
-            if service_time.is_known() { service_time.usual(f64::from(plan.tokens)) / 1e3 } else { 0.0 };
+        let usual = if service_time.is_known() {
+            service_time.usual(f64::from(plan.tokens)) / 1e3
+        } else {
+            0.0
+        };
         (usual as u64).min(left / 3).max(MIN_RETRY_AFTER_MS)
     }
 
@@ -284,11 +320,18 @@
     /// was just before.
     pub fn take_loads(&mut self, now: Micros) -> Option<Vec<ServiceLoad>> {
         let services = &self.services;
-        self.loads.take(now, |index| services[index].engine.as_ref().map(|_| services[index].name.as_str()))
+        self.loads.take(now, |index| {
+            services[index]
+                .engine
+                .as_ref()
+                .map(|_| services[index].name.as_str())
+        })
     }
 
     fn first_event(&mut self, now: Micros, ticket: SendTicket) {
-        let Some(record) = self.sends.get_mut(&ticket.0) else { return };
+        let Some(record) = self.sends.get_mut(&ticket.0) else {
+            return;
+        };
         if std::mem::replace(&mut record.has_response, true) {
             return;
         }
@@ -319,7 +362,11 @@
             prefixes: &plan.prefixes,
             tokens: plan.tokens,
             tried: &tried,
-            source: if purpose == Purpose::Decode { plan.source } else { None },
+            source: if purpose == Purpose::Decode {
+                plan.source
+            } else {
+                None
+            },
             is_retryable: plan.is_idempotent && plan.attempts > plan.progress.counted.get() + 1,
             cached_since: now.saturating_sub(cache_retention),
             tie_breaker,
@@ -338,9 +385,16 @@
         }
         let started = *self.started.get_or_insert(now);
         let window = self.settings.budget_window_ms * MICROS_PER_MS;
-        let (ratio, slack) = (self.settings.retry_budget_ratio, self.settings.retry_budget_slack);
-        self.services.push(Service::new(name, RetryBudget::new(started, window, ratio, slack)));
-        self.by_name.insert(name.to_owned(), self.services.len() - 1);
+        let (ratio, slack) = (
+            self.settings.retry_budget_ratio,
+            self.settings.retry_budget_slack,
+        );
+        self.services.push(Service::new(
+            name,
+            RetryBudget::new(started, window, ratio, slack),
+        ));
+        self.by_name
+            .insert(name.to_owned(), self.services.len() - 1);
         self.services.len() - 1
     }
 }
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -112,7 +112,12 @@
 impl Default for PeerStatistics {
     fn default() -> Self {
         // While no peer has responded, a searcher takes what is usual.
-        PeerStatistics { latency: 1.0, in_flight: 0.0, queue: 0.0, success_rate: 1.0 }
+        PeerStatistics {
+            latency: 1.0,
+            in_flight: 0.0,
+            queue: 0.0,
+            success_rate: 1.0,
+        }
     }
 }
 
@@ -135,8 +140,15 @@
         distance: Distance,
         starts_slowly: bool,
     ) -> Self {
-        let hash = instance.identifier.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
-        let slow_start = if starts_slowly { SLOW_START.max(instance.cold_remaining_ms * 1_000) } else { 0 };
+        let hash = instance
+            .identifier
+            .bytes()
+            .fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
+        let slow_start = if starts_slowly {
+            SLOW_START.max(instance.cold_remaining_ms * 1_000)
+        } else {
+            0
+        };
         let ready = instance.state == lockusher_config::instances::InstanceState::Ready;
         Searcher {
             instance: Box::new(instance),
@@ -175,7 +187,10 @@
     /// Records the response to a send.
     pub fn responded(&mut self, ticket: u64) {
         self.unanswered.retain(|(of, _)| *of != ticket);
-        self.unanswered_since = self.unanswered.first().map_or(Micros::MAX, |(_, sent)| *sent);
+        self.unanswered_since = self
+            .unanswered
+            .first()
+            .map_or(Micros::MAX, |(_, sent)| *sent);
     }
 
     /// Records the end of a send: it no longer counts as in flight.
@@ -187,7 +202,13 @@
 
     /// Feeds an outcome with its elapsed time in multiples of the usual. Only good answers can lower the
     /// average: a failure that comes quickly says nothing of speed.
-    pub fn learn(&mut self, now: Micros, outcome: SendOutcome, elapsed: f64, peers: &PeerStatistics) {
+    pub fn learn(
+        &mut self,
+        now: Micros,
+        outcome: SendOutcome,
+        elapsed: f64,
+        peers: &PeerStatistics,
+    ) {
         let effective = self.effective_statistics(now, peers);
         let elapsed = elapsed.min(MAX_MULTIPLE_OF_USUAL);
         let floor = effective.latency.max(peers.latency);
@@ -220,12 +241,22 @@
     pub fn learn_acceptance(&mut self, now: Micros, taken: bool, weight: f64) {
         self.accepts = self.acceptance(now);
         self.accepts_at = now;
-        let (sample, weight) = if taken { (1.0, NEWEST) } else { (0.0, NEWEST * weight) };
+        let (sample, weight) = if taken {
+            (1.0, NEWEST)
+        } else {
+            (0.0, NEWEST * weight)
+        };
         blend(&mut self.accepts, sample, weight);
     }
 
     /// Records whether its handle was taken: only then has it done what it is for.
-    pub fn learn_transfer(&mut self, now: Micros, taken: bool, weight: f64, peers: &PeerStatistics) {
+    pub fn learn_transfer(
+        &mut self,
+        now: Micros,
+        taken: bool,
+        weight: f64,
+        peers: &PeerStatistics,
+    ) {
         self.learn_acceptance(now, taken, weight);
         let effective = self.effective_statistics(now, peers);
         if !self.latency.is_nan() {
@@ -267,7 +298,11 @@
     /// Its figures as far as they still count: those of an idle searcher drift to its peers'. A new one counts
     /// as busy as its peers.
     pub fn effective_statistics(&self, now: Micros, peers: &PeerStatistics) -> EffectiveStatistics {
-        let own = if self.latency.is_nan() { peers.latency } else { self.latency };
+        let own = if self.latency.is_nan() {
+            peers.latency
+        } else {
+            self.latency
+        };
         let mut effective = EffectiveStatistics {
             in_flight: f64::from(self.in_flight),
             queue: self.queue,
@@ -314,8 +349,11 @@
 
     /// Whether an outlier may be probed: nothing is in flight there, and its ejection is over.
     pub fn is_probe_due(&self, now: Micros) -> bool {
-        let ejection =
-            INITIAL_EJECTION << self.consecutive_failures.saturating_sub(1).min(MAX_EJECTION_DOUBLINGS);
+        let ejection = INITIAL_EJECTION
+            << self
+                .consecutive_failures
+                .saturating_sub(1)
+                .min(MAX_EJECTION_DOUBLINGS);
         self.in_flight == 0 && now >= self.last_response.max(self.sent) + ejection
     }
 
