--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -113,14 +113,31 @@
         Some(only) => evaluator.evaluate_only(only)?,
         None => evaluator.scan(true).or_else(|| evaluator.scan(false))?,
     };
-    let (searcher, tokens, tokens_upper_bound) = (selected.id, selected.tokens, selected.tokens_upper_bound);
-    Some(SelectedSearcher { searcher, tokens, tokens_upper_bound, expected: selected.expected })
+    let (searcher, tokens, tokens_upper_bound) =
+        (selected.id, selected.tokens, selected.tokens_upper_bound);
+    Some(SelectedSearcher {
+        searcher,
+        tokens,
+        tokens_upper_bound,
+        expected: selected.expected,
+    })
 }
 
 impl<'a> CandidateEvaluator<'a> {
-    fn new(service: &'a Service, kind: GroupKind, now: Micros, criteria: &'a SelectionCriteria<'a>) -> Self {
-        let usual_of_all = service.service_time(criteria.purpose).usual(f64::from(criteria.tokens));
-        let fetched = if criteria.purpose == Purpose::Decode { criteria.tokens } else { 0 };
+    fn new(
+        service: &'a Service,
+        kind: GroupKind,
+        now: Micros,
+        criteria: &'a SelectionCriteria<'a>,
+    ) -> Self {
+        let usual_of_all = service
+            .service_time(criteria.purpose)
+            .usual(f64::from(criteria.tokens));
+        let fetched = if criteria.purpose == Purpose::Decode {
+            criteria.tokens
+        } else {
+            0
+        };
         let transfer_time = service.engine.as_ref().map_or(0.0, |engine| {
             f64::from(fetched) * engine.cache_token_bytes as f64 * 8.0 / engine.link_mbps.max(1.0)
         });
@@ -144,7 +161,9 @@
             Found::Lowest(id) => id?,
         };
         let best = self.evaluate(best, 0);
-        let Some(shared) = shared(self.criteria.prefixes) else { return Some(best) };
+        let Some(shared) = shared(self.criteria.prefixes) else {
+            return Some(best);
+        };
         Some(self.prefer_affinity_target(best, shared, exclude_outliers))
     }
 
@@ -184,7 +203,10 @@
 
     /// Whether a searcher takes part in this choice.
     fn is_eligible(&self, id: SearcherId, exclude_outliers: bool) -> bool {
-        let effective = self.service.searcher(id).effective_statistics(self.now, &self.peers);
+        let effective = self
+            .service
+            .searcher(id)
+            .effective_statistics(self.now, &self.peers);
         let is_out = exclude_outliers && effective.is_outlier(&self.peers);
         !is_out && !self.criteria.tried.contains(&id)
     }
@@ -197,7 +219,12 @@
         exclude_outliers: bool,
     ) -> EvaluatedCandidate {
         let mut likely = true;
-        for id in self.group.affinity_targets(shared.key, self.near(shared)).into_iter().flatten() {
+        for id in self
+            .group
+            .affinity_targets(shared.key, self.near(shared))
+            .into_iter()
+            .flatten()
+        {
             if !self.is_eligible(id, exclude_outliers) {
                 continue;
             }
@@ -209,14 +236,25 @@
             // Other proxies send it there too, so the first target after its slow start has cached the shared parts. A prompt of one part
             // may be a session's, of which another proxy sent the turns before.
             let is_in_slow_start = self.service.searcher(id).is_in_slow_start(self.now);
-            let may_have_cached = if likely && !is_in_slow_start { shared.tokens } else { 0 };
-            let assumed = if self.criteria.prefixes.len() > 1 { may_have_cached } else { 0 };
+            let may_have_cached = if likely && !is_in_slow_start {
+                shared.tokens
+            } else {
+                0
+            };
+            let assumed = if self.criteria.prefixes.len() > 1 {
+                may_have_cached
+            } else {
+                0
+            };
             likely &= is_in_slow_start;
             let mut candidate = self.evaluate(id, known.max(assumed));
             if self.reads() {
                 candidate.tokens_upper_bound = self.criteria.tokens.saturating_sub(known);
             }
-            let left = self.criteria.tokens.saturating_sub(known.max(may_have_cached));
+            let left = self
+                .criteria
+                .tokens
+                .saturating_sub(known.max(may_have_cached));
             if candidate.wait <= self.affinity_patience(left) * best.wait {
                 return candidate;
             }
@@ -229,7 +267,10 @@
         if self.kind == GroupKind::Decode {
             return DECODE_AFFINITY_PATIENCE;
         }
-        let saved = self.service.service_time(self.criteria.purpose).saved_share(self.criteria.tokens, left);
+        let saved = self
+            .service
+            .service_time(self.criteria.purpose)
+            .saved_share(self.criteria.tokens, left);
         1.0 + PREFILL_AFFINITY_PATIENCE * saved
     }
 
@@ -237,13 +278,19 @@
     /// transfers stay within a zone.
     fn near(&self, shared: Prefix) -> Option<Locality> {
         match self.kind {
-            GroupKind::Decode => self.criteria.source.or_else(|| self.locality_of_prefill_target(shared)),
+            GroupKind::Decode => self
+                .criteria
+                .source
+                .or_else(|| self.locality_of_prefill_target(shared)),
             GroupKind::Prefill | GroupKind::Plain => None,
         }
     }
 
     fn locality_of_prefill_target(&self, shared: Prefix) -> Option<Locality> {
-        let [first, _] = self.service.group(GroupKind::Prefill).affinity_targets(shared.key, None);
+        let [first, _] = self
+            .service
+            .group(GroupKind::Prefill)
+            .affinity_targets(shared.key, None);
         first.map(|id| self.service.searcher(id).locality)
     }
 
@@ -256,7 +303,10 @@
     fn evaluate(&self, id: SearcherId, cached: u32) -> EvaluatedCandidate {
         let cached = if self.reads() { cached } else { 0 };
         let tokens = self.criteria.tokens.saturating_sub(cached);
-        let usual = self.service.service_time(self.criteria.purpose).usual(f64::from(tokens));
+        let usual = self
+            .service
+            .service_time(self.criteria.purpose)
+            .usual(f64::from(tokens));
         let searcher = self.service.searcher(id);
         let effective = searcher.effective_statistics(self.now, &self.peers);
         let latency = self.latency(searcher, &effective, usual);
@@ -288,8 +338,12 @@
         };
         match distance {
             Distance::SameZone => 0.0,
-            Distance::SameRegion => ZONE_CROSSING_COST * usual + (ZONE_TRANSFER_FACTOR - 1.0) * moves,
-            Distance::OtherRegion => REGION_CROSSING_COST * usual + (REGION_TRANSFER_FACTOR - 1.0) * moves,
+            Distance::SameRegion => {
+                ZONE_CROSSING_COST * usual + (ZONE_TRANSFER_FACTOR - 1.0) * moves
+            }
+            Distance::OtherRegion => {
+                REGION_CROSSING_COST * usual + (REGION_TRANSFER_FACTOR - 1.0) * moves
+            }
         }
     }
 }
@@ -304,15 +358,24 @@
 
 impl Default for Best {
     fn default() -> Self {
-        Best { score: f64::INFINITY, tie_breaker: 0, id: None }
+        Best {
+            score: f64::INFINITY,
+            tie_breaker: 0,
+            id: None,
+        }
     }
 }
 
 impl Best {
     fn offer(&mut self, score: f64, tie_breaker: u64, id: SearcherId) {
-        if score > self.score || (score == self.score && mix(tie_breaker) >= mix(self.tie_breaker)) {
+        if score > self.score || (score == self.score && mix(tie_breaker) >= mix(self.tie_breaker))
+        {
             return;
         }
-        *self = Best { score, tie_breaker, id: Some(id) };
+        *self = Best {
+            score,
+            tie_breaker,
+            id: Some(id),
+        };
     }
 }
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -42,7 +42,11 @@
     /// The affinity targets of a prompt by its shared parts, first and second: the highest by rendezvous hashing, those of
     /// the zone `near` before all others. All proxies that know the same candidates find the same ones, and one
     /// that leaves moves only its own.
-    pub fn affinity_targets(&self, prefix: PrefixHash, near: Option<Locality>) -> [Option<SearcherId>; 2] {
+    pub fn affinity_targets(
+        &self,
+        prefix: PrefixHash,
+        near: Option<Locality>,
+    ) -> [Option<SearcherId>; 2] {
         // Weights and numbers from 1; weight 0 is that of no candidate.
         let (mut first, mut second) = ((0, 0), (0, 0));
         for (number, (hash, locality)) in self.hashes.iter().zip(&self.localities).enumerate() {
@@ -56,7 +60,8 @@
                 std::mem::swap(&mut first, &mut second);
             }
         }
-        [first, second].map(|(_, number)| number.checked_sub(1).map(|number| self.candidates[number]))
+        [first, second]
+            .map(|(_, number)| number.checked_sub(1).map(|number| self.candidates[number]))
     }
 }
 
@@ -137,7 +142,13 @@
     ) {
         let Some(&id) = self.by_identifier.get(&instance.identifier) else {
             let starts_slowly = running && self.has_peers(instance.stage);
-            let id = self.insert(Searcher::new(now, instance.clone(), locality, distance, starts_slowly));
+            let id = self.insert(Searcher::new(
+                now,
+                instance.clone(),
+                locality,
+                distance,
+                starts_slowly,
+            ));
             self.by_identifier.insert(instance.identifier.clone(), id);
             return;
         };
@@ -174,9 +185,16 @@
 
     fn drop_missing(&mut self, listed: &HashSet<&str>) {
         let gone = |identifier: &String| !listed.contains(identifier.as_str());
-        let missing: Vec<String> = self.by_identifier.keys().filter(|id| gone(id)).cloned().collect();
+        let missing: Vec<String> = self
+            .by_identifier
+            .keys()
+            .filter(|id| gone(id))
+            .cloned()
+            .collect();
         for identifier in missing {
-            let Some(id) = self.by_identifier.remove(&identifier) else { continue };
+            let Some(id) = self.by_identifier.remove(&identifier) else {
+                continue;
+            };
             self.searchers[id as usize].ready = false;
             self.prefix_cache.forget_searcher(id);
             self.reuse(id);
@@ -216,7 +234,9 @@
         match purpose {
             Purpose::Prefill => GroupKind::Prefill,
             Purpose::Decode => GroupKind::Decode,
-            Purpose::Whole if !self.group(GroupKind::Decode).candidates.is_empty() => GroupKind::Decode,
+            Purpose::Whole if !self.group(GroupKind::Decode).candidates.is_empty() => {
+                GroupKind::Decode
+            }
             Purpose::Whole => GroupKind::Plain,
         }
     }
@@ -246,7 +266,13 @@
 
     /// Feeds an outcome to the averages of its searcher, and a good one to what is usual. `elapsed` is absent
     /// where the time was fed before.
-    pub fn learn(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome, elapsed: Option<Micros>) {
+    pub fn learn(
+        &mut self,
+        now: Micros,
+        record: &SendRecord,
+        outcome: SendOutcome,
+        elapsed: Option<Micros>,
+    ) {
         let kind = self.kind(record.purpose);
         if kind_of(self.searchers[record.searcher as usize].instance.stage) != kind {
             // It has changed its stage since.
@@ -269,12 +295,15 @@
             (false, _) => 1.0,
             (true, true) => multiple(record.tokens_upper_bound),
             (true, false) => nearer_to(
-                self.searchers[record.searcher as usize].latency().unwrap_or(peers.latency),
+                self.searchers[record.searcher as usize]
+                    .latency()
+                    .unwrap_or(peers.latency),
                 multiple(record.tokens),
                 multiple(record.tokens_upper_bound),
             ),
         };
-        self.searcher_mut(record.searcher).learn(now, outcome, multiple, &peers);
+        self.searcher_mut(record.searcher)
+            .learn(now, outcome, multiple, &peers);
         if is_first && kind == GroupKind::Decode {
             self.learn_acceptance(now, record, outcome);
         }
@@ -290,8 +319,9 @@
         let acceptance = self.searchers[record.searcher as usize].acceptance(now);
         let is_transfer = record.purpose == Purpose::Decode;
         let holder = record.holder.filter(|holder| self.is_listed(*holder));
-        let holder_acceptance =
-            holder.map_or(1.0, |holder| self.searchers[holder.searcher as usize].acceptance(now));
+        let holder_acceptance = holder.map_or(1.0, |holder| {
+            self.searchers[holder.searcher as usize].acceptance(now)
+        });
         self.searcher_mut(record.searcher).learn_acceptance(
             now,
             taken,
@@ -306,15 +336,19 @@
         }
         if let Some(holder) = holder {
             let peers = self.refresh_peers(now, GroupKind::Prefill);
-            self.searcher_mut(holder.searcher).learn_transfer(now, taken, acceptance, &peers);
+            self.searcher_mut(holder.searcher)
+                .learn_transfer(now, taken, acceptance, &peers);
         }
     }
 
     /// Whether a rejected transfer failed rather for its handle than for a full decode searcher: the handles of its
     /// holder were taken no more often lately than the sends to that searcher.
     pub fn is_handle_likely_gone(&self, now: Micros, record: &SendRecord) -> bool {
-        let Some(holder) = record.holder.filter(|holder| self.is_listed(*holder)) else { return true };
-        self.searcher(holder.searcher).acceptance(now) <= self.searcher(record.searcher).acceptance(now)
+        let Some(holder) = record.holder.filter(|holder| self.is_listed(*holder)) else {
+            return true;
+        };
+        self.searcher(holder.searcher).acceptance(now)
+            <= self.searcher(record.searcher).acceptance(now)
     }
 
     /// Whether that incarnation of a searcher still prefills for others.
@@ -328,8 +362,11 @@
         let progress = &record.progress;
         let elapsed = now.saturating_sub(progress.admitted);
         match outcome {
-            SendOutcome::FirstEvent | SendOutcome::Answered if record.purpose != Purpose::Prefill => {
-                self.admission.answered(now, elapsed, progress.client_patience);
+            SendOutcome::FirstEvent | SendOutcome::Answered
+                if record.purpose != Purpose::Prefill =>
+            {
+                self.admission
+                    .answered(now, elapsed, progress.client_patience);
             }
             SendOutcome::TimedOut | SendOutcome::Cancelled => {
                 self.admission.abandoned(elapsed, progress.client_patience);
@@ -374,7 +411,11 @@
 /// held a prompt's shared parts shows in its time.
 fn nearer_to(average: f64, one: f64, other: f64) -> f64 {
     let distance = |multiple: f64| (multiple.max(1e-9) / average.max(1e-9)).ln().abs();
-    if distance(one) <= distance(other) { one } else { other }
+    if distance(one) <= distance(other) {
+        one
+    } else {
+        other
+    }
 }
 
 fn peer_statistics(
@@ -402,7 +443,11 @@
     let (_, success_rate, _) = success_rates.select_nth_unstable_by(middle, f64::total_cmp);
     let count = candidates.len() as f64;
     PeerStatistics {
-        latency: if measured > 0.0 { latency / measured } else { PeerStatistics::default().latency },
+        latency: if measured > 0.0 {
+            latency / measured
+        } else {
+            PeerStatistics::default().latency
+        },
         in_flight: in_flight / count,
         queue: queue / count,
         success_rate: *success_rate,
--- a/crates/lockusher-proxy/src/decision/service_time.rs
+++ b/crates/lockusher-proxy/src/decision/service_time.rs
@@ -45,11 +45,14 @@
         };
         if tokens >= 1.0 {
             let each = elapsed / tokens;
-            self.min_per_token =
-                Some(self.min_per_token.map_or(each, |minimum| each.min(minimum * MINIMUM_RISE_PER_SAMPLE)));
+            self.min_per_token = Some(
+                self.min_per_token
+                    .map_or(each, |minimum| each.min(minimum * MINIMUM_RISE_PER_SAMPLE)),
+            );
         }
-        self.minimum =
-            Some(self.minimum.map_or(elapsed, |minimum| elapsed.min(minimum * MINIMUM_RISE_PER_SAMPLE)));
+        self.minimum = Some(self.minimum.map_or(elapsed, |minimum| {
+            elapsed.min(minimum * MINIMUM_RISE_PER_SAMPLE)
+        }));
         let keep = 1.0 - 1.0 / SAMPLE_MEMORY;
         self.weight = self.weight * keep + 1.0;
         self.tokens = self.tokens * keep + tokens;
@@ -66,14 +69,26 @@
         let covariance = self.tokens_elapsed / self.weight - mean_tokens * mean_elapsed;
         let assumed = RIDGE_WEIGHT * mean_tokens * mean_elapsed / 2.0;
         let spread = variance + RIDGE_WEIGHT * mean_tokens * mean_tokens;
-        let steepest = if mean_tokens > 0.0 { mean_elapsed / mean_tokens } else { 0.0 };
-        self.slope = if spread > 0.0 { ((covariance + assumed) / spread).clamp(0.0, steepest) } else { 0.0 };
+        let steepest = if mean_tokens > 0.0 {
+            mean_elapsed / mean_tokens
+        } else {
+            0.0
+        };
+        self.slope = if spread > 0.0 {
+            ((covariance + assumed) / spread).clamp(0.0, steepest)
+        } else {
+            0.0
+        };
         self.base = mean_elapsed - self.slope * mean_tokens;
     }
 
     /// The mean number of tokens lately; 0 before the first sample.
     pub fn mean_tokens(&self) -> f64 {
-        if self.is_measured() { self.tokens / self.weight } else { 0.0 }
+        if self.is_measured() {
+            self.tokens / self.weight
+        } else {
+            0.0
+        }
     }
 
     /// Whether anything was measured.
--- a/crates/lockusher-proxy/src/decision/split.rs
+++ b/crates/lockusher-proxy/src/decision/split.rs
@@ -43,14 +43,17 @@
 /// what isn't cached there takes less than one more call and transferring all of the prompt. Before both were measured
 /// they are chosen, as nothing is known against them.
 pub fn is_split_cheaper(service: &Service, choice: &SplitCandidates) -> bool {
-    let (prefills, transfers) =
-        (service.service_time(Purpose::Prefill), service.service_time(Purpose::Decode));
+    let (prefills, transfers) = (
+        service.service_time(Purpose::Prefill),
+        service.service_time(Purpose::Decode),
+    );
     if !prefills.is_known() || !transfers.is_known() {
         return true;
     }
     let transfer_time = prefills.minimum() + transfers.slope() * f64::from(choice.tokens);
-    let prefill_in_place =
-        DECODE_PREFILL_SLOWDOWN * prefills.min_per_token() * f64::from(choice.whole.tokens_upper_bound);
+    let prefill_in_place = DECODE_PREFILL_SLOWDOWN
+        * prefills.min_per_token()
+        * f64::from(choice.whole.tokens_upper_bound);
     INTERFERENCE * prefill_in_place >= transfer_time && !evades_wait(choice, prefill_in_place)
 }
 
--- a/crates/lockusher-proxy/src/descriptors.rs
+++ b/crates/lockusher-proxy/src/descriptors.rs
@@ -18,7 +18,11 @@
 
 impl Descriptors {
     pub(crate) fn new(limit: u64) -> Rc<Self> {
-        Rc::new(Descriptors { limit, open: Cell::new(0), waiting: RefCell::new(None) })
+        Rc::new(Descriptors {
+            limit,
+            open: Cell::new(0),
+            waiting: RefCell::new(None),
+        })
     }
 
     /// Whether another socket may be opened.
@@ -29,7 +33,9 @@
     /// Counts a socket; it may exceed the limit by what was accepted already.
     pub(crate) fn acquire(self: &Rc<Self>) -> DescriptorPermit {
         self.open.set(self.open.get() + 1);
-        DescriptorPermit { descriptors: self.clone() }
+        DescriptorPermit {
+            descriptors: self.clone(),
+        }
     }
 
     /// Waits until another socket may be opened. One waiter at a time.
--- a/crates/lockusher-proxy/src/events.rs
+++ b/crates/lockusher-proxy/src/events.rs
@@ -77,8 +77,14 @@
 
 /// Where the last complete event ends: behind its empty line.
 fn end_of_events(bytes: &[u8]) -> usize {
-    let line_feeds = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|position| position + 2);
-    let returns = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|position| position + 4);
+    let line_feeds = bytes
+        .windows(2)
+        .rposition(|pair| pair == b"\n\n")
+        .map(|position| position + 2);
+    let returns = bytes
+        .windows(4)
+        .rposition(|four| four == b"\r\n\r\n")
+        .map(|position| position + 4);
     line_feeds.max(returns).unwrap_or(0)
 }
 
@@ -90,5 +96,7 @@
 /// The values of the `id` fields.
 fn ids(events: &[u8]) -> impl DoubleEndedIterator<Item = &[u8]> {
     let lines = events.split(|byte| *byte == b'\n');
-    lines.filter_map(|line| line.strip_prefix(b"id:")).map(<[u8]>::trim_ascii)
+    lines
+        .filter_map(|line| line.strip_prefix(b"id:"))
+        .map(<[u8]>::trim_ascii)
 }
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -29,14 +29,18 @@
 
 /// Forwards a client's request and answers it.
 pub(crate) async fn forward(shared: &Rc<ProxyState>, request: Request<Incoming>) -> Answer {
-    let Some(routes) = shared.routes() else { return answer::closing(answer::refusal_without_estimate()) };
+    let Some(routes) = shared.routes() else {
+        return answer::closing(answer::refusal_without_estimate());
+    };
     let limit = routes.configuration().limits.body_bytes;
     let request = match ClientRequest::read(request, limit, &shared.body_memory).await {
         Ok(request) => request,
         Err(error) => return reject(error),
     };
     // The configuration may have changed while the body came.
-    let Some(routes) = shared.routes() else { return answer::refusal_without_estimate() };
+    let Some(routes) = shared.routes() else {
+        return answer::refusal_without_estimate();
+    };
     let Some(route) = routes.lookup(&request.host, request.path()) else {
         return answer::local(StatusCode::NOT_FOUND);
     };
@@ -44,12 +48,22 @@
     let deadlines = Deadlines::new(request.arrived, request.deadline_remaining, timeout);
     let service = shared.choose_service(route);
     let facts = facts(&request, route, service, deadlines.answer);
-    let admission = shared.router.borrow_mut().admit(shared.clock.micros(), &facts);
+    let admission = shared
+        .router
+        .borrow_mut()
+        .admit(shared.clock.micros(), &facts);
     match admission {
         Admission::Refuse { retry_after_ms } => answer::refusal(retry_after_ms),
         Admission::Go(plan) => {
             let policy = AttemptPolicy::new(route, handle_hold_ms(routes.configuration(), service));
-            answer_by_attempts(RequestAttempts::new(shared.clone(), request, policy, deadlines, plan)).await
+            answer_by_attempts(RequestAttempts::new(
+                shared.clone(),
+                request,
+                policy,
+                deadlines,
+                plan,
+            ))
+            .await
         }
     }
 }
@@ -60,8 +74,13 @@
 }
 
 fn handle_hold_ms(configuration: &Configuration, service: &str) -> u64 {
-    let service = configuration.services.iter().find(|listed| listed.name == service);
-    service.and_then(|service| service.engine.as_ref()).map_or(0, |engine| engine.handle_hold_ms)
+    let service = configuration
+        .services
+        .iter()
+        .find(|listed| listed.name == service);
+    service
+        .and_then(|service| service.engine.as_ref())
+        .map_or(0, |engine| engine.handle_hold_ms)
 }
 
 fn facts(request: &ClientRequest, route: &Route, service: &str, deadline: Instant) -> RequestFacts {
@@ -73,7 +92,9 @@
         priority: route.priority,
         attempts: route.attempts,
         target_latency_ms: route.target_latency_ms,
-        remaining_ms: deadline.saturating_duration_since(Instant::now()).as_millis() as u64,
+        remaining_ms: deadline
+            .saturating_duration_since(Instant::now())
+            .as_millis() as u64,
         prompt: request.prompt(),
         tokens_in: token_counts.prompt,
         tokens_out: token_counts.max_answer,
@@ -95,7 +116,9 @@
         match buffer_answer(&mut attempts, accepted).await {
             Err(no_answer) => return failure.unwrap_or_else(|| answer_to_failure(no_answer)),
             Ok(None) => {}
-            Ok(Some(answer)) if answer.status().is_server_error() && attempts.policy.is_idempotent => {
+            Ok(Some(answer))
+                if answer.status().is_server_error() && attempts.policy.is_idempotent =>
+            {
                 failure = Some(answer);
                 // The route allows repeats, so this cannot forbid one.
                 let _ = attempts.record_failure(&SendFailure::Broken);
@@ -123,7 +146,14 @@
     attempts: &mut RequestAttempts,
     accepted: AcceptedAnswer,
 ) -> Result<Option<Answer>, NoAnswer> {
-    let AcceptedAnswer { destination, mut send, exchange: Exchange { response, connection } } = accepted;
+    let AcceptedAnswer {
+        destination,
+        mut send,
+        exchange: Exchange {
+            response,
+            connection,
+        },
+    } = accepted;
     let shared = attempts.shared().clone();
     let (parts, body) = response.into_parts();
     let read = read_small_answer(&shared, &destination, body, connection);
@@ -140,7 +170,10 @@
         Ok(Ok(bytes)) => {
             send.finish(outcome_of(parts.status));
             let is_head = attempts.request().is_head();
-            Ok(Some(stripped(Response::from_parts(parts, AnswerBody::Buffered(bytes)), is_head)))
+            Ok(Some(stripped(
+                Response::from_parts(parts, AnswerBody::Buffered(bytes)),
+                is_head,
+            )))
         }
     }
 }
--- a/crates/lockusher-proxy/src/headers.rs
+++ b/crates/lockusher-proxy/src/headers.rs
@@ -32,8 +32,14 @@
 ];
 
 /// Fields that only the fleet may set.
-const FLEET_ONLY: [HeaderName; 6] =
-    [EXPECTED_INSTANCE, EXPECT_VERSION, PRIORITY, STAGE, KV_FROM, DEADLINE_REMAINING];
+const FLEET_ONLY: [HeaderName; 6] = [
+    EXPECTED_INSTANCE,
+    EXPECT_VERSION,
+    PRIORITY,
+    STAGE,
+    KV_FROM,
+    DEADLINE_REMAINING,
+];
 
 /// Removes from a client's request what must not reach a searcher.
 pub(crate) fn strip_request(headers: &mut HeaderMap) {
@@ -66,7 +72,9 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse::<HeaderName>().ok())
-        .filter(|name| *name != REQUEST_IDENTIFIER && *name != SERVER_SIGNATURE && *name != header::HOST)
+        .filter(|name| {
+            *name != REQUEST_IDENTIFIER && *name != SERVER_SIGNATURE && *name != header::HOST
+        })
         .collect()
 }
 
--- a/crates/lockusher-proxy/src/memory.rs
+++ b/crates/lockusher-proxy/src/memory.rs
@@ -14,12 +14,18 @@
 
 impl BodyMemory {
     pub(crate) fn new(limit: u64) -> Rc<Self> {
-        Rc::new(BodyMemory { limit, reserved: Cell::new(0) })
+        Rc::new(BodyMemory {
+            limit,
+            reserved: Cell::new(0),
+        })
     }
 
     /// A reservation of nothing, to grow as a body arrives.
     pub(crate) fn reserve(self: &Rc<Self>) -> Reservation {
-        Reservation { memory: self.clone(), bytes: 0 }
+        Reservation {
+            memory: self.clone(),
+            bytes: 0,
+        }
     }
 }
 
@@ -45,6 +51,8 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.memory.reserved.set(self.memory.reserved.get() - self.bytes);
+        self.memory
+            .reserved
+            .set(self.memory.reserved.get() - self.bytes);
     }
 }
--- a/crates/lockusher-proxy/src/prefill.rs
+++ b/crates/lockusher-proxy/src/prefill.rs
@@ -54,8 +54,11 @@
         if self.transferred {
             return;
         }
-        let release =
-            release(self.shared.clone(), self.prefill_searcher.clone(), std::mem::take(&mut self.handle));
+        let release = release(
+            self.shared.clone(),
+            self.prefill_searcher.clone(),
+            std::mem::take(&mut self.handle),
+        );
         compio::runtime::spawn(release).detach();
     }
 }
@@ -81,13 +84,19 @@
     prefill_searcher: &Destination,
     request: Request<Full<Bytes>>,
 ) -> Result<KvHandle, PrefillFailure> {
-    let Exchange { response, connection } = exchange(shared, prefill_searcher, request).await?;
+    let Exchange {
+        response,
+        connection,
+    } = exchange(shared, prefill_searcher, request).await?;
     let status = response.status();
     if response.headers().contains_key(headers::SERVER_SIGNATURE) {
         return Err(PrefillFailure::Ran);
     }
-    let body = read_small_answer(shared, prefill_searcher, response.into_body(), connection).await?;
-    let handle = (status == StatusCode::OK).then(|| handle_in(&body)).flatten();
+    let body =
+        read_small_answer(shared, prefill_searcher, response.into_body(), connection).await?;
+    let handle = (status == StatusCode::OK)
+        .then(|| handle_in(&body))
+        .flatten();
     let handle = handle.ok_or(SendFailure::Broken)?;
     Ok(KvHandle {
         shared: shared.clone(),
@@ -111,7 +120,9 @@
     body: hyper::body::Incoming,
     mut connection: UpstreamConnection,
 ) -> Result<Bytes, SendFailure> {
-    let complete = connection.drive_while(Limited::new(body, MAX_ANSWER_BYTES).collect()).await;
+    let complete = connection
+        .drive_while(Limited::new(body, MAX_ANSWER_BYTES).collect())
+        .await;
     let complete = complete.map_err(|_| SendFailure::Broken)?.to_bytes();
     if connection.is_reusable().await {
         shared.pool.checkin(&destination.identifier, connection);
@@ -123,19 +134,31 @@
 async fn release(shared: Rc<ProxyState>, prefill_searcher: Destination, handle: String) {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::DELETE;
-    let Ok(target) = format!("/api/kv-handle/{handle}").parse() else { return };
+    let Ok(target) = format!("/api/kv-handle/{handle}").parse() else {
+        return;
+    };
     *request.uri_mut() = target;
     let fields = request.headers_mut();
-    let Ok(host) = HeaderValue::try_from(&prefill_searcher.address) else { return };
-    let Ok(instance) = HeaderValue::try_from(&prefill_searcher.identifier) else { return };
+    let Ok(host) = HeaderValue::try_from(&prefill_searcher.address) else {
+        return;
+    };
+    let Ok(instance) = HeaderValue::try_from(&prefill_searcher.identifier) else {
+        return;
+    };
     fields.insert(HOST, host);
     fields.insert(headers::EXPECTED_INSTANCE, instance);
     let sent = exchange(&shared, &prefill_searcher, request);
     let answer = compio::time::timeout(RELEASE_TIMEOUT, async {
-        let Exchange { response, connection } = sent.await?;
+        let Exchange {
+            response,
+            connection,
+        } = sent.await?;
         read_small_answer(&shared, &prefill_searcher, response.into_body(), connection).await
     });
     if let Ok(Err(error)) = answer.await {
-        log::debug!("{}: a handle was not freed: {error}", prefill_searcher.address);
+        log::debug!(
+            "{}: a handle was not freed: {error}",
+            prefill_searcher.address
+        );
     }
 }
--- a/crates/lockusher-proxy/src/proxy_state.rs
+++ b/crates/lockusher-proxy/src/proxy_state.rs
@@ -45,18 +45,27 @@
 
 impl ProxyState {
     pub(crate) fn new(settings: &NodeSettings, seed: u64) -> Rc<Self> {
-        let limit = settings.limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(8);
+        let limit = settings
+            .limits
+            .file_descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(8);
         let descriptors = Descriptors::new(limit);
         let body_bytes = settings.limits.memory_mb * BYTES_PER_MB / BODY_MEMORY_DIVISOR;
         Rc::new(ProxyState {
             clock: Clock::start(),
-            router: RefCell::new(RequestRouter::new(RequestRouterSettings::from(settings), seed)),
+            router: RefCell::new(RequestRouter::new(
+                RequestRouterSettings::from(settings),
+                seed,
+            )),
             pool: Pool::new(descriptors.clone()),
             descriptors,
             body_memory: BodyMemory::new(body_bytes),
             handle_reuse: HandleReuse::default(),
             routes: RefCell::new(None),
-            traffic_splits: RefCell::new(TrafficSplits::new(ChaCha8Rng::seed_from_u64(seed).random())),
+            traffic_splits: RefCell::new(TrafficSplits::new(
+                ChaCha8Rng::seed_from_u64(seed).random(),
+            )),
             has_instances: Cell::new(false),
             draining: Cell::new(false),
             requests_in_flight: Cell::new(0),
@@ -72,7 +81,9 @@
             FeedUpdate::Configuration(configuration) => {
                 router.apply_configuration(now, configuration.clone());
                 self.pool.apply_configuration(&configuration);
-                self.traffic_splits.borrow_mut().keep_only(&configuration.routes);
+                self.traffic_splits
+                    .borrow_mut()
+                    .keep_only(&configuration.routes);
                 *self.routes.borrow_mut() = Some(Rc::new(RouteTable::new(configuration)));
             }
             FeedUpdate::Instances { instances, .. } => {
@@ -112,9 +123,12 @@
 
     /// Counts a request until the guard is dropped, after the last byte of its answer.
     pub(crate) fn start_request(self: &Rc<Self>) -> RequestInFlight {
-        self.requests_in_flight.set(self.requests_in_flight.get() + 1);
+        self.requests_in_flight
+            .set(self.requests_in_flight.get() + 1);
         self.requests_accepted.set(self.requests_accepted.get() + 1);
-        RequestInFlight { shared: self.clone() }
+        RequestInFlight {
+            shared: self.clone(),
+        }
     }
 
     /// Requests whose answers are not complete yet.
@@ -129,7 +143,10 @@
 
     /// A guard that reports what became of a send exactly once.
     pub(crate) fn guard_send(self: &Rc<Self>, ticket: SendTicket) -> SendGuard {
-        SendGuard { shared: self.clone(), ticket: Some(ticket) }
+        SendGuard {
+            shared: self.clone(),
+            ticket: Some(ticket),
+        }
     }
 }
 
@@ -170,7 +187,10 @@
 
     fn report(&self, ticket: SendTicket, outcome: SendOutcome) {
         let now = self.shared.clock.micros();
-        self.shared.router.borrow_mut().outcome(now, ticket, outcome);
+        self.shared
+            .router
+            .borrow_mut()
+            .outcome(now, ticket, outcome);
     }
 }
 
--- a/crates/lockusher-proxy/src/readiness.rs
+++ b/crates/lockusher-proxy/src/readiness.rs
@@ -37,13 +37,16 @@
 
 /// Answers the probes that come over one connection.
 async fn answer_probes(shared: Rc<ProxyState>, stream: TcpStream) {
-    let Ok(stream) = stream.into_poll_fd() else { return };
+    let Ok(stream) = stream.into_poll_fd() else {
+        return;
+    };
     let service = service_fn(|request| {
         let answer = probe_answer(&shared, &request);
         async move { Ok::<_, Infallible>(answer) }
     });
-    let connection =
-        Builder::new().auto_date_header(false).serve_connection(HyperStream::new_plain(stream), service);
+    let connection = Builder::new()
+        .auto_date_header(false)
+        .serve_connection(HyperStream::new_plain(stream), service);
     if let Err(error) = connection.await {
         log::debug!("readiness connection ended: {error}");
     }
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -75,18 +75,31 @@
 type PolledFrame = Poll<Option<Result<Frame<Bytes>, AnswerAborted>>>;
 
 impl Relay {
-    pub(crate) fn new(mut attempts: RequestAttempts, accepted: AcceptedAnswer) -> (Response<()>, Self) {
+    pub(crate) fn new(
+        mut attempts: RequestAttempts,
+        accepted: AcceptedAnswer,
+    ) -> (Response<()>, Self) {
         attempts.extend_to_client_deadline();
         let resumable = attempts.policy.resumable && is_event_stream(&accepted.exchange.response);
         let (head, relayed) = RelayedAnswer::new(attempts, accepted);
         let splitter = resumable.then(EventSplitter::default);
-        (head, Relay { state: State::Relaying(Box::new(relayed)), splitter, resumed_after: None })
+        (
+            head,
+            Relay {
+                state: State::Relaying(Box::new(relayed)),
+                splitter,
+                resumed_after: None,
+            },
+        )
     }
 
     /// The length that the searcher announced, if it did.
     pub(crate) fn size_hint(&self) -> SizeHint {
         match &self.state {
-            State::Relaying(relayed) => relayed.remaining_bytes.map(SizeHint::with_exact).unwrap_or_default(),
+            State::Relaying(relayed) => relayed
+                .remaining_bytes
+                .map(SizeHint::with_exact)
+                .unwrap_or_default(),
             _ => SizeHint::default(),
         }
     }
@@ -123,14 +136,20 @@
     }
 
     /// What of a chunk is forwarded now: all of it, or its complete events where the stream may be resumed.
-    fn complete_events(&mut self, chunk: Bytes, cx: &mut Context<'_>) -> Result<Bytes, AnswerAborted> {
+    fn complete_events(
+        &mut self,
+        chunk: Bytes,
+        cx: &mut Context<'_>,
+    ) -> Result<Bytes, AnswerAborted> {
         if let State::Relaying(relayed) = &mut self.state
             && relayed.remaining_bytes == Some(0)
         {
             // Whoever writes a body of known length does not ask for more.
             self.finish(cx);
         }
-        let Some(splitter) = &mut self.splitter else { return Ok(chunk) };
+        let Some(splitter) = &mut self.splitter else {
+            return Ok(chunk);
+        };
         let complete = splitter.push(chunk);
         if complete.is_empty() {
             return Ok(complete);
@@ -155,17 +174,31 @@
 
     /// The stream broke: looks for a searcher that resumes it, if it may be resumed.
     fn resume(&mut self, outcome: SendOutcome) -> bool {
-        let State::Relaying(relayed) = std::mem::replace(&mut self.state, State::Ended) else { return false };
-        let RelayedAnswer { mut attempts, destination, connection, mut send, .. } = *relayed;
+        let State::Relaying(relayed) = std::mem::replace(&mut self.state, State::Ended) else {
+            return false;
+        };
+        let RelayedAnswer {
+            mut attempts,
+            destination,
+            connection,
+            mut send,
+            ..
+        } = *relayed;
         log::debug!("{}: answer broken off, {outcome:?}", destination.address);
         drop(connection);
         send.finish(outcome);
-        let Some(splitter) = self.splitter.as_mut().filter(|_| outcome == SendOutcome::Failed) else {
+        let Some(splitter) = self
+            .splitter
+            .as_mut()
+            .filter(|_| outcome == SendOutcome::Failed)
+        else {
             return false;
         };
         splitter.take_incomplete();
         let event = splitter.last_id().map(|id| HeaderValue::from_bytes(id));
-        let Ok(event) = event.transpose() else { return false };
+        let Ok(event) = event.transpose() else {
+            return false;
+        };
         if !splitter.can_resume() || attempts.record_failure(&SendFailure::Broken).is_err() {
             return false;
         }
@@ -180,7 +213,13 @@
 
     /// Continues with the answer that resumes the stream; false if there is none.
     fn continue_with(&mut self, resumed: ResumeResult) -> bool {
-        let ResumeResult { attempts, answer: Ok(accepted) } = resumed else { return false };
+        let ResumeResult {
+            attempts,
+            answer: Ok(accepted),
+        } = resumed
+        else {
+            return false;
+        };
         if !is_event_stream(&accepted.exchange.response) {
             return false;
         }
@@ -197,7 +236,14 @@
 
 impl RelayedAnswer {
     fn new(attempts: RequestAttempts, accepted: AcceptedAnswer) -> (Response<()>, Self) {
-        let AcceptedAnswer { destination, send, exchange: Exchange { response, connection } } = accepted;
+        let AcceptedAnswer {
+            destination,
+            send,
+            exchange: Exchange {
+                response,
+                connection,
+            },
+        } = accepted;
         let (parts, body) = response.into_parts();
         let remaining_bytes = body.size_hint().exact();
         let status = parts.status;
@@ -225,7 +271,10 @@
                 None => return Poll::Ready(Ok(None)),
                 Some(Err(error)) => {
                     if is_acknowledgement_timeout(&error) {
-                        self.attempts.shared().pool.close_idle_to(&self.destination.identifier);
+                        self.attempts
+                            .shared()
+                            .pool
+                            .close_idle_to(&self.destination.identifier);
                     }
                     return Poll::Ready(Err(SendOutcome::Failed));
                 }
@@ -240,7 +289,10 @@
     }
 
     /// Polls the body, and drives its connection where it has nothing.
-    fn poll_body(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
+    fn poll_body(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         if let Poll::Ready(item) = Pin::new(&mut self.body).poll_frame(cx) {
             return Poll::Ready(item);
         }
@@ -262,14 +314,21 @@
     fn finish(mut self, cx: &mut Context<'_>) {
         self.send.finish(outcome_of(self.status));
         if self.connection.poll_reusable(cx) {
-            self.attempts.shared().pool.checkin(&self.destination.identifier, self.connection);
+            self.attempts
+                .shared()
+                .pool
+                .checkin(&self.destination.identifier, self.connection);
         }
     }
 }
 
 /// A searcher's own failure counts against it, also where its answer is forwarded.
 pub(crate) fn outcome_of(status: StatusCode) -> SendOutcome {
-    if status.is_server_error() { SendOutcome::Failed } else { SendOutcome::Answered }
+    if status.is_server_error() {
+        SendOutcome::Failed
+    } else {
+        SendOutcome::Answered
+    }
 }
 
 /// Whether an answer is a stream of server-sent events.
--- a/crates/lockusher-proxy/src/request.rs
+++ b/crates/lockusher-proxy/src/request.rs
@@ -87,7 +87,9 @@
         } else {
             let collected = collect(body, body_limit, &mut reservation);
             let limit = arrived + deadline_remaining.unwrap_or(BODY_TIMEOUT);
-            compio::time::timeout_at(limit, collected).await.map_err(|_| RequestError::BodyTooSlow)??
+            compio::time::timeout_at(limit, collected)
+                .await
+                .map_err(|_| RequestError::BodyTooSlow)??
         };
         let (host, target) = check_head(&parts)?;
         let mut headers = parts.headers;
@@ -125,7 +127,9 @@
     /// The parts of the prompt, as `Prompt-Prefix` names them; what cannot be read ends the list.
     pub(crate) fn prompt(&self) -> Vec<PromptPart> {
         let value = headers::single(&self.headers, &headers::PROMPT_PREFIX);
-        let Some(text) = value.and_then(|value| value.to_str().ok()) else { return Vec::new() };
+        let Some(text) = value.and_then(|value| value.to_str().ok()) else {
+            return Vec::new();
+        };
         text.split(',').map_while(prompt_part).collect()
     }
 
@@ -137,21 +141,31 @@
     /// The value of `Token-Counts`.
     pub(crate) fn token_counts(&self) -> TokenCounts {
         let value = headers::single(&self.headers, &headers::TOKEN_COUNTS);
-        let text = value.and_then(|value| value.to_str().ok()).unwrap_or_default();
+        let text = value
+            .and_then(|value| value.to_str().ok())
+            .unwrap_or_default();
         let (prompt, max_answer) = text.split_once(',').unwrap_or((text, ""));
         let number = |text: &str| text.trim().parse().unwrap_or(0);
-        TokenCounts { prompt: number(prompt), max_answer: number(max_answer) }
+        TokenCounts {
+            prompt: number(prompt),
+            max_answer: number(max_answer),
+        }
     }
 }
 
 fn prompt_part(text: &str) -> Option<PromptPart> {
     let (id, tokens) = text.trim().split_once(':')?;
-    Some(PromptPart { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.parse().ok()? })
+    Some(PromptPart {
+        id: u64::from_str_radix(id, 16).ok()?,
+        tokens: tokens.parse().ok()?,
+    })
 }
 
 fn check_head(parts: &Parts) -> Result<(String, Uri), RequestError> {
     let host = headers::single(&parts.headers, &HOST).and_then(|host| host.to_str().ok());
-    let host = host.filter(|host| !host.is_empty()).ok_or(RequestError::BadHost)?;
+    let host = host
+        .filter(|host| !host.is_empty())
+        .ok_or(RequestError::BadHost)?;
     let identifier = headers::single(&parts.headers, &headers::REQUEST_IDENTIFIER);
     if identifier.is_none_or(HeaderValue::is_empty) {
         return Err(RequestError::MissingIdentifier);
@@ -174,7 +188,9 @@
     let mut length = 0;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| RequestError::BodyBroken)?;
-        let Ok(data) = frame.into_data() else { continue };
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
         length += data.len() as u64;
         if length > limit {
             return Err(RequestError::BodyTooLarge);
@@ -190,5 +206,9 @@
         first = Bytes::new();
         joined.extend_from_slice(&data);
     }
-    Ok(if joined.is_empty() { first } else { joined.freeze() })
+    Ok(if joined.is_empty() {
+        first
+    } else {
+        joined.freeze()
+    })
 }
--- a/crates/lockusher-proxy/src/serve.rs
+++ b/crates/lockusher-proxy/src/serve.rs
@@ -57,8 +57,12 @@
     report: impl Fn(Vec<ServiceLoad>) + 'static,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ProxyError> {
-    let front = settings.front.ok_or(ProxyError::MissingAddress { name: "front" })?;
-    let readiness = settings.readiness.ok_or(ProxyError::MissingAddress { name: "readiness" })?;
+    let front = settings
+        .front
+        .ok_or(ProxyError::MissingAddress { name: "front" })?;
+    let readiness = settings
+        .readiness
+        .ok_or(ProxyError::MissingAddress { name: "readiness" })?;
     let front = listen(front)?;
     let readiness = listen(readiness)?;
     let shared = ProxyState::new(&settings, rand::random());
@@ -79,7 +83,11 @@
     compio::time::sleep(detection).await;
     drop(accepting);
     clients.close_idle();
-    drain_requests(&shared, start + grace.saturating_sub(SHUTDOWN_RESERVE).max(detection)).await;
+    drain_requests(
+        &shared,
+        start + grace.saturating_sub(SHUTDOWN_RESERVE).max(detection),
+    )
+    .await;
     Ok(())
 }
 
@@ -112,5 +120,8 @@
         }
         accepted = shared.requests_accepted();
     }
-    log::warn!("ended with {} requests in flight", shared.requests_in_flight());
+    log::warn!(
+        "ended with {} requests in flight",
+        shared.requests_in_flight()
+    );
 }
--- a/crates/lockusher-proxy/src/timer.rs
+++ b/crates/lockusher-proxy/src/timer.rs
@@ -15,13 +15,18 @@
 /// # Errors
 ///
 /// [`DeadlineExceeded`] if the timer ended first.
-pub(crate) async fn until<F: Future>(timer: &mut Sleep, awaited: F) -> Result<F::Output, DeadlineExceeded> {
+pub(crate) async fn until<F: Future>(
+    timer: &mut Sleep,
+    awaited: F,
+) -> Result<F::Output, DeadlineExceeded> {
     let mut awaited = pin!(awaited);
     poll_fn(|cx| {
         if let Poll::Ready(output) = awaited.as_mut().poll(cx) {
             return Poll::Ready(Ok(output));
         }
-        Pin::new(&mut *timer).poll(cx).map(|()| Err(DeadlineExceeded))
+        Pin::new(&mut *timer)
+            .poll(cx)
+            .map(|()| Err(DeadlineExceeded))
     })
     .await
 }
--- a/crates/lockusher-proxy/src/traffic_split.rs
+++ b/crates/lockusher-proxy/src/traffic_split.rs
@@ -23,7 +23,10 @@
 impl TrafficSplits {
     /// Sequences that start at this position in 0..1.
     pub fn new(start: f64) -> Self {
-        Self { start, request_counts: HashMap::new() }
+        Self {
+            start,
+            request_counts: HashMap::new(),
+        }
     }
 
     /// The service that takes the next request of the route.
@@ -48,13 +51,18 @@
     /// Forgets routes that aren't among these.
     pub fn keep_only(&mut self, routes: &[Route]) {
         let names: BTreeSet<&str> = routes.iter().map(|route| route.name.as_str()).collect();
-        self.request_counts.retain(|name, _| names.contains(name.as_str()));
+        self.request_counts
+            .retain(|name, _| names.contains(name.as_str()));
     }
 }
 
 /// The service whose part of the weights covers this position in 0..1.
 fn service_at(route: &Route, position: f64) -> &str {
-    let total: u64 = route.split.iter().map(|weighted| u64::from(weighted.weight)).sum();
+    let total: u64 = route
+        .split
+        .iter()
+        .map(|weighted| u64::from(weighted.weight))
+        .sum();
     let mut left = (position * total as f64) as u64;
     for weighted in &route.split {
         let weight = u64::from(weighted.weight);
@@ -63,5 +71,9 @@
         }
         left -= weight;
     }
-    &route.split.last().expect("a checked route has a service").service
+    &route
+        .split
+        .last()
+        .expect("a checked route has a service")
+        .service
 }
--- a/crates/lockusher-proxy/src/upstream/connection.rs
+++ b/crates/lockusher-proxy/src/upstream/connection.rs
@@ -63,7 +63,9 @@
 
 impl std::fmt::Debug for UpstreamConnection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("UpstreamConnection").field("ended", &self.ended).finish_non_exhaustive()
+        f.debug_struct("UpstreamConnection")
+            .field("ended", &self.ended)
+            .finish_non_exhaustive()
     }
 }
 
@@ -71,7 +73,9 @@
     /// Dials a searcher. An error proves that nothing was sent.
     pub(crate) async fn open(address: SocketAddrV4, permit: ConnectionPermit) -> io::Result<Self> {
         let dial = compio::time::timeout(CONNECT_TIMEOUT, dial(address));
-        let stream = dial.await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
+        let stream = dial
+            .await
+            .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         let handshake = Builder::new().handshake(HyperStream::new_plain(stream));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         Ok(UpstreamConnection {
@@ -179,10 +183,16 @@
 }
 
 async fn dial(address: SocketAddrV4) -> io::Result<PollFd<Socket>> {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM.nonblocking(), Some(Protocol::TCP))?;
+    let socket = Socket::new(
+        Domain::IPV4,
+        Type::STREAM.nonblocking(),
+        Some(Protocol::TCP),
+    )?;
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
-    let probes = TcpKeepalive::new().with_time(KEEP_ALIVE_PERIOD).with_interval(KEEP_ALIVE_PERIOD);
+    let probes = TcpKeepalive::new()
+        .with_time(KEEP_ALIVE_PERIOD)
+        .with_interval(KEEP_ALIVE_PERIOD);
     socket.set_tcp_keepalive(&probes.with_retries(1))?;
     let stream = PollFd::new(socket)?;
     stream.connect(&SockAddr::from(address)).await?;
@@ -199,7 +209,10 @@
 impl ConnectionPermit {
     pub(crate) fn new(open: Rc<Cell<u32>>, descriptor: DescriptorPermit) -> Self {
         open.set(open.get() + 1);
-        ConnectionPermit { open, _descriptor: descriptor }
+        ConnectionPermit {
+            open,
+            _descriptor: descriptor,
+        }
     }
 }
 
--- a/crates/lockusher-proxy/src/upstream/exchange.rs
+++ b/crates/lockusher-proxy/src/upstream/exchange.rs
@@ -89,20 +89,36 @@
     request: Request<Full<Bytes>>,
 ) -> Result<Exchange, SendFailure> {
     let identifier = request.headers().get(headers::REQUEST_IDENTIFIER).cloned();
-    let checkout = shared.pool.checkout(&destination.identifier, &destination.address).await;
+    let checkout = shared
+        .pool
+        .checkout(&destination.identifier, &destination.address)
+        .await;
     let mut connection = checkout.map_err(|error| failed_checkout(shared, destination, &error))?;
     let sent = connection.send(request).await;
     let response = sent.map_err(|error| failed_exchange(shared, destination, &error))?;
-    let checked = check_answer_head(destination, response.headers(), response.status(), identifier.as_ref());
+    let checked = check_answer_head(
+        destination,
+        response.headers(),
+        response.status(),
+        identifier.as_ref(),
+    );
     if let Err(failure) = checked {
         if matches!(failure, SendFailure::Rejected { .. }) {
             let body = response.into_body();
-            compio::runtime::spawn(drain_rejection(shared.clone(), destination.clone(), body, connection))
-                .detach();
+            compio::runtime::spawn(drain_rejection(
+                shared.clone(),
+                destination.clone(),
+                body,
+                connection,
+            ))
+            .detach();
         }
         return Err(failure);
     }
-    Ok(Exchange { response, connection })
+    Ok(Exchange {
+        response,
+        connection,
+    })
 }
 
 /// Reads the rest of a rejection in a task of its own, so that its connection can serve another request.
@@ -119,7 +135,11 @@
     }
 }
 
-fn failed_checkout(shared: &ProxyState, destination: &Destination, error: &CheckoutError) -> SendFailure {
+fn failed_checkout(
+    shared: &ProxyState,
+    destination: &Destination,
+    error: &CheckoutError,
+) -> SendFailure {
     log::debug!("{}: {error}", destination.address);
     match error {
         CheckoutError::AtLimit => SendFailure::AtLimit,
@@ -131,7 +151,11 @@
     }
 }
 
-fn failed_exchange(shared: &ProxyState, destination: &Destination, error: &ExchangeError) -> SendFailure {
+fn failed_exchange(
+    shared: &ProxyState,
+    destination: &Destination,
+    error: &ExchangeError,
+) -> SendFailure {
     log::debug!("{}: {error}", destination.address);
     match error {
         ExchangeError::NotWritten => SendFailure::Unreachable,
@@ -146,7 +170,9 @@
 
 /// Whether the kernel gave the connection up because nothing was acknowledged: the machine may be dead.
 pub(crate) fn is_acknowledgement_timeout(error: &hyper::Error) -> bool {
-    let cause = error.source().and_then(|cause| cause.downcast_ref::<io::Error>());
+    let cause = error
+        .source()
+        .and_then(|cause| cause.downcast_ref::<io::Error>());
     cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut)
 }
 
--- a/crates/lockusher-proxy/src/upstream/pool.rs
+++ b/crates/lockusher-proxy/src/upstream/pool.rs
@@ -77,12 +77,14 @@
     pub(crate) fn apply_instances(&self, instances: &[Instance]) {
         let mut old = self.searchers.take();
         let listed = instances.iter().map(|instance| {
-            let mut connections = old.remove(&instance.identifier).unwrap_or_else(|| SearcherConnections {
-                service: instance.service.clone(),
-                pools_idle: true,
-                idle: Vec::new(),
-                open: Rc::default(),
-            });
+            let mut connections =
+                old.remove(&instance.identifier)
+                    .unwrap_or_else(|| SearcherConnections {
+                        service: instance.service.clone(),
+                        pools_idle: true,
+                        idle: Vec::new(),
+                        open: Rc::default(),
+                    });
             connections.pools_idle = instance.state != InstanceState::Draining;
             if !connections.pools_idle {
                 connections.idle.clear();
@@ -107,10 +109,15 @@
                 return Ok(connection);
             }
         }
-        let permit = self.acquire_permit(identifier).ok_or(CheckoutError::AtLimit)?;
-        let address: SocketAddrV4 =
-            address.parse().map_err(|_| CheckoutError::BadAddress { address: address.to_owned() })?;
-        UpstreamConnection::open(address, permit).await.map_err(CheckoutError::Unreachable)
+        let permit = self
+            .acquire_permit(identifier)
+            .ok_or(CheckoutError::AtLimit)?;
+        let address: SocketAddrV4 = address.parse().map_err(|_| CheckoutError::BadAddress {
+            address: address.to_owned(),
+        })?;
+        UpstreamConnection::open(address, permit)
+            .await
+            .map_err(CheckoutError::Unreachable)
     }
 
     fn take_idle(&self, identifier: &str) -> Option<UpstreamConnection> {
@@ -128,7 +135,9 @@
     fn acquire_permit(&self, identifier: &str) -> Option<ConnectionPermit> {
         let searchers = self.searchers.borrow();
         let open = match searchers.get(identifier) {
-            Some(connections) if connections.open.get() >= self.connection_quota(&connections.service) => {
+            Some(connections)
+                if connections.open.get() >= self.connection_quota(&connections.service) =>
+            {
                 return None;
             }
             Some(connections) => connections.open.clone(),
@@ -151,7 +160,9 @@
     /// Takes a connection back after a complete answer, if it can serve another request.
     pub(crate) fn checkin(&self, identifier: &str, mut connection: UpstreamConnection) {
         let mut searchers = self.searchers.borrow_mut();
-        let Some(connections) = searchers.get_mut(identifier) else { return };
+        let Some(connections) = searchers.get_mut(identifier) else {
+            return;
+        };
         if connections.pools_idle {
             connection.mark_idle(Instant::now());
             connections.idle.push(connection);
@@ -170,7 +181,9 @@
     pub(crate) fn sweep(&self) {
         let now = Instant::now();
         for connections in self.searchers.borrow_mut().values_mut() {
-            connections.idle.retain(|connection| !connection.is_idle_for_too_long(now));
+            connections
+                .idle
+                .retain(|connection| !connection.is_idle_for_too_long(now));
         }
     }
 
--- a/crates/lockusher-proxy/tests/clients.rs
+++ b/crates/lockusher-proxy/tests/clients.rs
@@ -19,7 +19,11 @@
     two_identifiers = { ONCE, "Request-Identifier: a\r\nRequest-Identifier: b\r\nContent-Length: 0\r\n", 400 },
     large_body = { ONCE, "Request-Identifier: id-1\r\nContent-Length: 65537\r\n", 413 },
 )]
-fn a_request_that_cannot_be_forwarded_has_an_answer_of_its_own(path: &str, fields: &str, status: u16) {
+fn a_request_that_cannot_be_forwarded_has_an_answer_of_its_own(
+    path: &str,
+    fields: &str,
+    status: u16,
+) {
     run(async {
         let proxy = Proxy::serving(&[]).await;
         let mut client = proxy.client().await;
@@ -35,7 +39,12 @@
     run(async {
         let proxy = Proxy::serving(&[]).await;
         let mut client = proxy.client().await;
-        client.write(&head(ONCE, "Request-Identifier: id-1\r\nTransfer-Encoding: chunked\r\n")).await;
+        client
+            .write(&head(
+                ONCE,
+                "Request-Identifier: id-1\r\nTransfer-Encoding: chunked\r\n",
+            ))
+            .await;
         client.chunk(&"x".repeat(40_000)).await;
         client.chunk(&"x".repeat(40_000)).await;
         assert_eq!(client.message().await.0.status(), 413);
@@ -68,7 +77,8 @@
     run(async {
         let proxy = Proxy::serving(&[]).await;
         let mut client = proxy.client().await;
-        let fields = "Request-Identifier: id-1\r\nDeadline-Remaining: 100\r\nContent-Length: 10\r\n";
+        let fields =
+            "Request-Identifier: id-1\r\nDeadline-Remaining: 100\r\nContent-Length: 10\r\n";
         client.write(&head(ONCE, fields)).await;
         client.write("half").await;
         assert_eq!(client.message().await.0.status(), 408);
@@ -81,7 +91,12 @@
         let searcher = Searcher::plain("i-1").await;
         let proxy = Proxy::serving(&[&searcher]).await;
         let mut client = proxy.client().await;
-        client.write(&head(ONCE, "Request-Identifier: id-1\r\nTransfer-Encoding: chunked\r\n")).await;
+        client
+            .write(&head(
+                ONCE,
+                "Request-Identifier: id-1\r\nTransfer-Encoding: chunked\r\n",
+            ))
+            .await;
         for part in ["first ", "second ", "third"] {
             client.chunk(part).await;
         }
--- a/crates/lockusher-proxy/tests/crossings.rs
+++ b/crates/lockusher-proxy/tests/crossings.rs
@@ -37,7 +37,8 @@
             SearcherFault::Close => {}
             SearcherFault::WrongIdentifier => wire.succeed("id-of-another", "roster").await,
             SearcherFault::NoIdentifier => {
-                wire.write("HTTP/1.1 200 OK\r\nServer-Signature: s\r\nContent-Length: 0\r\n\r\n").await;
+                wire.write("HTTP/1.1 200 OK\r\nServer-Signature: s\r\nContent-Length: 0\r\n\r\n")
+                    .await;
             }
             SearcherFault::NoSignature => wire.answer("200 OK", identifier, "", "roster").await,
             SearcherFault::ShortAnswer => {
@@ -56,10 +57,12 @@
             }
             SearcherFault::NoHttp => wire.write("\x01\x02 what is this\r\n\r\n").await,
             SearcherFault::UnavailableWithoutNotExecuted => {
-                wire.answer("503 Service Unavailable", identifier, "", "").await;
+                wire.answer("503 Service Unavailable", identifier, "", "")
+                    .await;
             }
             SearcherFault::NotExecutedOfAnother => {
-                wire.reject("503 Service Unavailable", "id-of-another").await;
+                wire.reject("503 Service Unavailable", "id-of-another")
+                    .await;
             }
         }
     }
@@ -90,7 +93,10 @@
         // The next connection that anyone sees carries the next request, not this one again.
         client.ask(ONCE, "id-2", "", "").await;
         let (mut wire, _) = accept_either(&one, other).await;
-        assert_eq!(wire.message().await.0.field("request-identifier"), Some("id-2"));
+        assert_eq!(
+            wire.message().await.0.field("request-identifier"),
+            Some("id-2")
+        );
     });
 }
 
@@ -129,7 +135,10 @@
         wire.message().await;
         wire.answer(status, "id-1", fields, "").await;
         let mut wire = other.accept().await;
-        assert_eq!(wire.message().await.0.field("request-identifier"), Some("id-1"));
+        assert_eq!(
+            wire.message().await.0.field("request-identifier"),
+            Some("id-1")
+        );
         wire.succeed("id-1", "roster").await;
         assert_eq!(client.message().await.1, "roster");
     });
@@ -148,7 +157,10 @@
         }
         let mut wire = there.accept().await;
         for identifier in ["id-1", "id-2"] {
-            assert_eq!(wire.message().await.0.field("request-identifier"), Some(identifier));
+            assert_eq!(
+                wire.message().await.0.field("request-identifier"),
+                Some(identifier)
+            );
             wire.succeed(identifier, "roster").await;
             assert_eq!(client.message().await.1, "roster");
         }
@@ -166,10 +178,15 @@
         let mut wire = there.accept().await;
         for number in 1..4 {
             let identifier = format!("id-{number}");
-            assert_eq!(wire.message().await.0.field("request-identifier"), Some(&*identifier));
+            assert_eq!(
+                wire.message().await.0.field("request-identifier"),
+                Some(&*identifier)
+            );
             wire.succeed(&identifier, "roster").await;
             assert_eq!(client.message().await.1, "roster");
-            client.ask(ONCE, &format!("id-{}", number + 1), "", "").await;
+            client
+                .ask(ONCE, &format!("id-{}", number + 1), "", "")
+                .await;
         }
     });
 }
@@ -187,7 +204,11 @@
         wire.reject("503 Service Unavailable", "id-1").await;
         let (answer, _) = client.message().await;
         assert_eq!(answer.status(), 503);
-        let seconds: f64 = answer.field("retry-after").expect("a time").parse().expect("a number");
+        let seconds: f64 = answer
+            .field("retry-after")
+            .expect("a time")
+            .parse()
+            .expect("a number");
         assert!(seconds > 0.0, "{seconds}");
     });
 }
@@ -199,7 +220,13 @@
         client.ask(ONCE, "id-1", "", "").await;
         let (mut wire, _) = accept_either(&one, &two).await;
         wire.message().await;
-        wire.answer("500 Internal Server Error", "id-1", "Server-Signature: sig\r\n", "sorry").await;
+        wire.answer(
+            "500 Internal Server Error",
+            "id-1",
+            "Server-Signature: sig\r\n",
+            "sorry",
+        )
+        .await;
         let (answer, body) = client.message().await;
         assert_eq!((answer.status(), &*body), (500, "sorry"));
         assert_eq!(answer.field("server-signature"), Some("sig"));
@@ -244,7 +271,10 @@
         wire.succeed("id-1", "roster").await;
         client.ask(ONCE, "id-2", "", "").await;
         let mut second = searcher.accept().await;
-        assert_eq!(second.message().await.0.field("request-identifier"), Some("id-2"));
+        assert_eq!(
+            second.message().await.0.field("request-identifier"),
+            Some("id-2")
+        );
         second.succeed("id-2", "fresh").await;
         assert_eq!(client.message().await.1, "fresh");
     });
@@ -282,7 +312,13 @@
         client.ask(ONCE, "id-1", "", "").await;
         let mut wire = searcher.accept().await;
         wire.message().await;
-        wire.answer("200 OK", "id-1", &format!("Server-Signature: s\r\n{fields}"), "roster").await;
+        wire.answer(
+            "200 OK",
+            "id-1",
+            &format!("Server-Signature: s\r\n{fields}"),
+            "roster",
+        )
+        .await;
         assert_eq!(client.message().await.1, "roster");
         assert_eq!(wire.rest().await, (String::new(), Ending::Closed));
     });
@@ -308,7 +344,10 @@
         }
         let mut wire = new.accept().await;
         for identifier in ["id-2", "id-3"] {
-            assert_eq!(wire.message().await.0.field("request-identifier"), Some(identifier));
+            assert_eq!(
+                wire.message().await.0.field("request-identifier"),
+                Some(identifier)
+            );
             wire.succeed(identifier, "roster").await;
         }
     });
@@ -359,8 +398,16 @@
                  Deadline-Remaining: {client_ms}\r\n\r\n"
             ))
             .await;
-        let handed_on = searcher.accept().await.head().await.field("deadline-remaining").map(str::to_owned);
-        let handed_on: u64 = handed_on.and_then(|field| field.parse().ok()).expect("a number");
+        let handed_on = searcher
+            .accept()
+            .await
+            .head()
+            .await
+            .field("deadline-remaining")
+            .map(str::to_owned);
+        let handed_on: u64 = handed_on
+            .and_then(|field| field.parse().ok())
+            .expect("a number");
         assert!(handed_on <= most_ms, "{handed_on} of {client_ms}");
     });
 }
--- a/crates/lockusher-proxy/tests/decision_budget.rs
+++ b/crates/lockusher-proxy/tests/decision_budget.rs
@@ -28,7 +28,10 @@
     /// The greatest excess over the rule in any window, by looking at each window that ends with a repeat or
     /// begins with one, and a few besides.
     fn excess(&self, window: Micros, ratio: f64, slack: f64) -> f64 {
-        let starts = self.repeats.iter().flat_map(|at| [*at, at.saturating_sub(window)]);
+        let starts = self
+            .repeats
+            .iter()
+            .flat_map(|at| [*at, at.saturating_sub(window)]);
         let excess = starts.map(|start| {
             let repeats = count(&self.repeats, start, start + window);
             let before = start.saturating_sub(window);
@@ -67,7 +70,10 @@
             routers[event.proxy].apply_instances(event.at, &plain(40));
         }
         let router = &mut routers[event.proxy];
-        let facts = RequestFacts { attempts: event.attempts, ..request() };
+        let facts = RequestFacts {
+            attempts: event.attempts,
+            ..request()
+        };
         seen.requests.push(event.at);
         let mut plan = admit(router, event.at, &facts);
         let mut sends = 0;
@@ -85,12 +91,22 @@
 fn events(restarts: f64) -> impl Strategy<Value = Vec<Event>> {
     // Gaps between nothing and seconds, so that there are floods and lulls.
     let gap = prop_oneof![6 => 0..5 * MS, 3 => 0..200 * MS, 1 => 0..6 * SECOND];
-    let event = (gap, 0..PROXIES, 1u32..6, proptest::bool::weighted(restarts.max(1e-9)));
+    let event = (
+        gap,
+        0..PROXIES,
+        1u32..6,
+        proptest::bool::weighted(restarts.max(1e-9)),
+    );
     proptest::collection::vec(event, 1..600).prop_map(|drawn| {
         let mut at = 0;
         let place = |(gap, proxy, attempts, restarts)| {
             at += gap;
-            Event { at, proxy, attempts, restarts }
+            Event {
+                at,
+                proxy,
+                attempts,
+                restarts,
+            }
         };
         drawn.into_iter().map(place).collect()
     })
@@ -115,13 +131,24 @@
     for step in 0..40 * 60 {
         for proxy in 0..PROXIES {
             let at = step * SECOND / 40;
-            events.push(Event { at, proxy, attempts: 4, restarts: step == 40 * 35 });
+            events.push(Event {
+                at,
+                proxy,
+                attempts: 4,
+                restarts: step == 40 * 35,
+            });
         }
     }
     let seen = play(&events, true);
     let settings = settings();
     let window = settings.budget_window_ms * MS;
-    assert!(seen.excess(window, settings.retry_budget_ratio, settings.retry_budget_slack) <= 0.0);
+    assert!(
+        seen.excess(
+            window,
+            settings.retry_budget_ratio,
+            settings.retry_budget_slack
+        ) <= 0.0
+    );
     let share = seen.repeats.len() as f64 / seen.requests.len() as f64;
     assert!(share > 0.05, "the budget is of use: {share}");
 }
@@ -131,7 +158,10 @@
     let mut router = router(&plain(40), 1);
     router.set_fleet_size(60);
     router.set_fleet_size(1);
-    let facts = RequestFacts { attempts: 9, ..request() };
+    let facts = RequestFacts {
+        attempts: 9,
+        ..request()
+    };
     let now = 25 * SECOND;
     let mut plan = admit(&mut router, now, &facts);
     let mut sends = 0;
--- a/crates/lockusher-proxy/tests/decision_cost.rs
+++ b/crates/lockusher-proxy/tests/decision_cost.rs
@@ -21,12 +21,25 @@
 
 /// Microseconds of one choice at so many candidates, all of them heard from.
 fn cost(candidates: usize, prompts: bool) -> f64 {
-    let list: Vec<_> =
-        (0..candidates).map(|number| searcher(&format!("d{number}"), "a", Some(Stage::Decode))).collect();
+    let list: Vec<_> = (0..candidates)
+        .map(|number| searcher(&format!("d{number}"), "a", Some(Stage::Decode)))
+        .collect();
     let mut router = router(&list, 1);
-    let facts = |step: u64| if prompts { prompt(step % 500, step) } else { request() };
+    let facts = |step: u64| {
+        if prompts {
+            prompt(step % 500, step)
+        } else {
+            request()
+        }
+    };
     for step in 0..20 * candidates as u64 {
-        serve(&mut router, step * 100, &facts(step), Purpose::Whole, 50 * MS + step % 7 * MS);
+        serve(
+            &mut router,
+            step * 100,
+            &facts(step),
+            Purpose::Whole,
+            50 * MS + step % 7 * MS,
+        );
     }
     let mut now = 10 * SECOND;
     let mut quickest = f64::MAX;
@@ -41,7 +54,9 @@
             let begin = Instant::now();
             let choice = router.choose(now, &mut plan, Purpose::Whole);
             spent += begin.elapsed().as_secs_f64() * 1e6;
-            let Choice::Send { ticket, .. } = choice else { panic!("no send") };
+            let Choice::Send { ticket, .. } = choice else {
+                panic!("no send")
+            };
             router.outcome(now + 50 * MS, ticket, SendOutcome::Answered);
         }
         quickest = quickest.min(spent / BATCH as f64);
@@ -56,7 +71,11 @@
             let cost = cost(candidates, prompts);
             println!("{candidates} candidates, prompts {prompts}: {cost:.2} us a choice");
             // Builds for debugging are some forty times as slow.
-            let bound = if cfg!(debug_assertions) { 100.0 * BOUND } else { BOUND };
+            let bound = if cfg!(debug_assertions) {
+                100.0 * BOUND
+            } else {
+                BOUND
+            };
             assert!(cost < bound, "{cost} us at {candidates} candidates");
         }
     }
--- a/crates/lockusher-proxy/tests/decision_load.rs
+++ b/crates/lockusher-proxy/tests/decision_load.rs
@@ -19,21 +19,37 @@
     let loads = router.take_loads(2 * SECOND).expect("a second later");
     assert_eq!(loads.len(), 1);
     let load = &loads[0];
-    assert_eq!((load.service.as_str(), load.proxies, load.requests_per_s), (SERVICE, 1, 1));
+    assert_eq!(
+        (load.service.as_str(), load.proxies, load.requests_per_s),
+        (SERVICE, 1, 1)
+    );
     // The prompt's home is taken to hold the shared part.
     assert_eq!(load.prefill_tokens_per_s, 3_000);
-    assert_eq!((load.prefill_in_flight, load.decode_in_flight, load.decode_waiting), (50, 40, 10));
+    assert_eq!(
+        (
+            load.prefill_in_flight,
+            load.decode_in_flight,
+            load.decode_waiting
+        ),
+        (50, 40, 10)
+    );
     assert_eq!(load.decode_tokens, 6_000);
     assert_eq!(router.take_loads(2 * SECOND + MS), None, "it was just told");
     let later = router.take_loads(3 * SECOND).expect("a second later");
-    assert_eq!((later[0].prefill_in_flight, later[0].decode_in_flight), (0, 0));
+    assert_eq!(
+        (later[0].prefill_in_flight, later[0].decode_in_flight),
+        (0, 0)
+    );
 }
 
 #[test]
 fn a_searcher_that_changes_its_stage_gets_nothing_until_it_is_back_in_the_other() {
     let mut list = split_fleet(2, 2);
     let mut router = router(&list, 1);
-    let changing = list.iter_mut().find(|one| one.identifier == "d0").expect("it is listed");
+    let changing = list
+        .iter_mut()
+        .find(|one| one.identifier == "d0")
+        .expect("it is listed");
     changing.state = InstanceState::Changing;
     router.apply_instances(SECOND, &list);
     for number in 0..20 {
@@ -44,7 +60,10 @@
         assert_ne!(reader, "d0");
         assert_eq!(maker, "d1");
     }
-    let back = list.iter_mut().find(|one| one.identifier == "d0").expect("it is listed");
+    let back = list
+        .iter_mut()
+        .find(|one| one.identifier == "d0")
+        .expect("it is listed");
     (back.state, back.stage) = (InstanceState::Ready, Some(Stage::Prefill));
     router.apply_instances(4 * SECOND, &list);
     let mut readers = Vec::new();
--- a/crates/lockusher-proxy/tests/decision_locality.rs
+++ b/crates/lockusher-proxy/tests/decision_locality.rs
@@ -19,13 +19,20 @@
 }
 
 /// The same with hand-overs that take longer for longer prompts.
-fn learn_moves(router: &mut RequestRouter, start: Micros, handover: impl Fn(u32) -> Micros) -> Micros {
+fn learn_moves(
+    router: &mut RequestRouter,
+    start: Micros,
+    handover: impl Fn(u32) -> Micros,
+) -> Micros {
     let mut now = start;
     for step in 0..200u64 {
         now += 200 * MS;
         let tokens = 200 + (step % 40) as u32 * 400;
         let facts = RequestFacts {
-            prompt: vec![PromptPart { id: 1_000 + step, tokens }],
+            prompt: vec![PromptPart {
+                id: 1_000 + step,
+                tokens,
+            }],
             tokens_in: tokens,
             ..prompt(1, 1)
         };
@@ -42,8 +49,11 @@
 }
 
 fn splits(router: &mut RequestRouter, now: Micros, tokens: u32) -> bool {
-    let facts =
-        RequestFacts { prompt: vec![PromptPart { id: 9, tokens }], tokens_in: tokens, ..prompt(1, 1) };
+    let facts = RequestFacts {
+        prompt: vec![PromptPart { id: 9, tokens }],
+        tokens_in: tokens,
+        ..prompt(1, 1)
+    };
     let plan = admit(router, now, &facts);
     router.split(now, &plan)
 }
@@ -51,7 +61,10 @@
 #[test]
 fn long_prompts_are_handed_over_and_short_ones_are_not() {
     let mut router = router(&split_fleet(3, 3), 1);
-    assert!(splits(&mut router, 0, 16_000), "nothing is known against it");
+    assert!(
+        splits(&mut router, 0, 16_000),
+        "nothing is known against it"
+    );
     let now = learn(&mut router, 0, 20 * MS);
     assert!(splits(&mut router, now, 16_000));
     assert!(!splits(&mut router, now, 50));
@@ -64,7 +77,10 @@
         let move_time = |tokens: u32| 5 * MS + u64::from(tokens) * micros_per_token;
         let now = learn_moves(&mut router, 0, move_time);
         let sizes = (1..80).map(|step| step * 200);
-        sizes.into_iter().find(|tokens| splits(&mut router, now, *tokens)).unwrap_or(u32::MAX)
+        sizes
+            .into_iter()
+            .find(|tokens| splits(&mut router, now, *tokens))
+            .unwrap_or(u32::MAX)
     };
     let (quick, slow) = (least(1), least(100));
     assert!(quick < slow, "{quick} and {slow}");
@@ -79,18 +95,32 @@
     router.apply_instances(SECOND, &makers);
     assert!(!splits(&mut router, SECOND, 16_000));
     let mut plan = admit(&mut router, SECOND, &prompt(1, 2));
-    assert_eq!(send(&mut router, SECOND, &mut plan, Purpose::Whole).0.as_bytes()[0], b'd');
+    assert_eq!(
+        send(&mut router, SECOND, &mut plan, Purpose::Whole)
+            .0
+            .as_bytes()[0],
+        b'd'
+    );
 }
 
 #[test]
 fn the_own_zone_is_preferred_but_not_at_any_price() {
-    let mut list =
-        vec![searcher("near", "a", None), searcher("far", "b", None), searcher("abroad", "c", None)];
+    let mut list = vec![
+        searcher("near", "a", None),
+        searcher("far", "b", None),
+        searcher("abroad", "c", None),
+    ];
     list.push(searcher("near2", "a", None));
     let mut router = router(&list, 1);
     let mut near = 0;
     for step in 0..200 {
-        let identifier = serve(&mut router, step * 100 * MS, &request(), Purpose::Whole, 20 * MS);
+        let identifier = serve(
+            &mut router,
+            step * 100 * MS,
+            &request(),
+            Purpose::Whole,
+            20 * MS,
+        );
         near += u32::from(identifier.starts_with("near"));
         assert_ne!(identifier, "abroad");
     }
@@ -125,7 +155,10 @@
     let mut together = 0;
     for step in 0..50 {
         let now = now + step * 500 * MS;
-        let facts = RequestFacts { prompt: Vec::new(), ..prompt(1, 1) };
+        let facts = RequestFacts {
+            prompt: Vec::new(),
+            ..prompt(1, 1)
+        };
         let mut plan = admit(&mut router, now, &facts);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
         router.outcome(now + 100 * MS, ticket, SendOutcome::Answered);
@@ -145,7 +178,10 @@
     let mut now = learn(&mut router, 0, 20 * MS);
     for step in 0..200u64 {
         now += 20 * MS;
-        let facts = RequestFacts { target_latency_ms: 3_600_000, ..prompt(1, 5_000 + step) };
+        let facts = RequestFacts {
+            target_latency_ms: 3_600_000,
+            ..prompt(1, 5_000 + step)
+        };
         let mut plan = admit(&mut router, now, &facts);
         assert!(router.split(now, &plan), "after {step} late answers");
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
@@ -162,7 +198,10 @@
     let mut now = learn(&mut router, 0, 20 * MS);
     for step in 0..60u64 {
         now += 20 * MS;
-        let facts = RequestFacts { target_latency_ms: 3_600_000, ..prompt(1, 5_000 + step) };
+        let facts = RequestFacts {
+            target_latency_ms: 3_600_000,
+            ..prompt(1, 5_000 + step)
+        };
         let mut plan = admit(&mut router, now, &facts);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
         router.outcome(now + 3 * SECOND, ticket, SendOutcome::Answered);
@@ -176,7 +215,10 @@
 #[test]
 fn short_prompts_evade_long_waits_to_idle_decode_searchers() {
     let (mut router, now) = after_slow_reading(20 * MS);
-    assert!(!splits(&mut router, now, 500), "short, and decode searchers are idle");
+    assert!(
+        !splits(&mut router, now, 500),
+        "short, and decode searchers are idle"
+    );
     assert!(splits(&mut router, now, 16_000), "long");
 }
 
--- a/crates/lockusher-proxy/tests/decision_outliers.rs
+++ b/crates/lockusher-proxy/tests/decision_outliers.rs
@@ -37,7 +37,10 @@
         }
         let mut plan = admit(router, now, &request());
         let (identifier, ticket) = send(router, now, &mut plan, Purpose::Whole);
-        let good = Fault { outcome: SendOutcome::Answered, takes: 30 * MS + step % 5 * MS };
+        let good = Fault {
+            outcome: SendOutcome::Answered,
+            takes: 30 * MS + step % 5 * MS,
+        };
         let fault = fault.filter(|_| identifier == "p0").unwrap_or(good);
         out.push((now + fault.takes, ticket, fault.outcome));
         *sends.entry(identifier).or_default() += 1;
@@ -58,9 +61,15 @@
 fn one_that_fails_loses_its_traffic_but_is_tried_again(outcome: SendOutcome, takes_ms: u64) {
     let mut router = router(&plain(5), 3);
     flow(&mut router, 0, 200, None);
-    let fault = Fault { outcome, takes: takes_ms * MS };
+    let fault = Fault {
+        outcome,
+        takes: takes_ms * MS,
+    };
     let at_first = flow(&mut router, 3 * SECOND, 100, Some(fault));
-    assert!(at_first.get("p0").is_none_or(|sends| *sends <= 20), "{at_first:?}");
+    assert!(
+        at_first.get("p0").is_none_or(|sends| *sends <= 20),
+        "{at_first:?}"
+    );
     // Sixty seconds of it.
     let later = flow(&mut router, 15 * SECOND, 6_000, Some(fault));
     let tried = later.get("p0").copied().unwrap_or(0);
@@ -75,7 +84,10 @@
 fn one_that_was_slow_once_recovers() {
     let mut router = router(&plain(5), 3);
     flow(&mut router, 0, 200, None);
-    let slow = Fault { outcome: SendOutcome::Answered, takes: 600 * MS };
+    let slow = Fault {
+        outcome: SendOutcome::Answered,
+        takes: 600 * MS,
+    };
     let while_slow = flow(&mut router, 3 * SECOND, 500, Some(slow));
     assert!(while_slow["p0"] < 40, "{while_slow:?}");
     flow(&mut router, 10 * SECOND, 4_000, None);
@@ -94,13 +106,19 @@
         router.outcome(now + MS, ticket, SendOutcome::Failed);
         *met.entry(identifier).or_default() += 1;
     }
-    assert!(met.len() == 5 && met.values().all(|sends| *sends > 40), "{met:?}");
+    assert!(
+        met.len() == 5 && met.values().all(|sends| *sends > 40),
+        "{met:?}"
+    );
 }
 
 #[test]
 fn the_last_one_is_not_ruled_out() {
     let mut router = router(&plain(1), 3);
-    let fault = Fault { outcome: SendOutcome::Failed, takes: MS };
+    let fault = Fault {
+        outcome: SendOutcome::Failed,
+        takes: MS,
+    };
     assert_eq!(flow(&mut router, 0, 100, Some(fault))["p0"], 100);
 }
 
--- a/crates/lockusher-proxy/tests/decision_scoring.rs
+++ b/crates/lockusher-proxy/tests/decision_scoring.rs
@@ -31,17 +31,33 @@
 
 impl Model {
     fn usual(&self) -> f64 {
-        if self.work.0 == 0.0 { 1_000.0 } else { self.work.1 / self.work.0 }
+        if self.work.0 == 0.0 {
+            1_000.0
+        } else {
+            self.work.1 / self.work.0
+        }
     }
 
     fn peers(&self) -> f64 {
-        let heard: Vec<f64> = self.searchers.values().filter_map(|searcher| searcher.latency).collect();
-        if heard.is_empty() { 1.0 } else { heard.iter().sum::<f64>() / heard.len() as f64 }
+        let heard: Vec<f64> = self
+            .searchers
+            .values()
+            .filter_map(|searcher| searcher.latency)
+            .collect();
+        if heard.is_empty() {
+            1.0
+        } else {
+            heard.iter().sum::<f64>() / heard.len() as f64
+        }
     }
 
     /// Quarters of a second, about, that it was idle.
     fn idle(searcher: &Plain, now: Micros) -> f64 {
-        if searcher.in_flight > 0.0 { 0.0 } else { ((now - searcher.heard) / (1 << 18)) as f64 }
+        if searcher.in_flight > 0.0 {
+            0.0
+        } else {
+            ((now - searcher.heard) / (1 << 18)) as f64
+        }
     }
 
     fn latency(&self, searcher: &Plain, now: Micros) -> f64 {
@@ -56,7 +72,12 @@
 
     fn score(&self, identifier: &str, now: Micros) -> f64 {
         let searcher = &self.searchers[identifier];
-        let silence = searcher.out.iter().map(|sent| now - sent).max().unwrap_or(0) as f64;
+        let silence = searcher
+            .out
+            .iter()
+            .map(|sent| now - sent)
+            .max()
+            .unwrap_or(0) as f64;
         let latency = (self.latency(searcher, now) * self.usual()).max(silence);
         (searcher.in_flight + Model::queue(searcher, now) + 1.0).powi(3) * latency
     }
@@ -72,11 +93,22 @@
     fn answered(&mut self, identifier: &str, sent: Micros, now: Micros) {
         let peers = self.peers();
         let elapsed = (now - sent) as f64;
-        let fed = if self.work.0 >= 16.0 { elapsed.min(8.0 * self.usual()) } else { elapsed };
-        self.work = (self.work.0 * 255.0 / 256.0 + 1.0, self.work.1 * 255.0 / 256.0 + fed);
+        let fed = if self.work.0 >= 16.0 {
+            elapsed.min(8.0 * self.usual())
+        } else {
+            elapsed
+        };
+        self.work = (
+            self.work.0 * 255.0 / 256.0 + 1.0,
+            self.work.1 * 255.0 / 256.0 + fed,
+        );
         let sample = (elapsed / self.usual()).min(8.0);
         let searcher = self.searchers.get_mut(identifier).expect("listed");
-        let place = searcher.out.iter().position(|at| *at == sent).expect("was sent");
+        let place = searcher
+            .out
+            .iter()
+            .position(|at| *at == sent)
+            .expect("was sent");
         searcher.out.remove(place);
         searcher.in_flight -= 1.0;
         searcher.queue += (searcher.in_flight - searcher.queue) / 3.0;
@@ -84,7 +116,9 @@
         let weight = 1.0 - (2.0f64 / 3.0).powf(1.0 + (now - searcher.heard) as f64 / 1e6);
         let idle = Model::idle(&before, now);
         before.queue *= 0.977_54f64.powf(8.0 * idle);
-        let own = before.latency.map(|own| peers + (own - peers) * 0.977_54f64.powf(idle));
+        let own = before
+            .latency
+            .map(|own| peers + (own - peers) * 0.977_54f64.powf(idle));
         searcher.queue = before.queue;
         searcher.latency = Some(own.map_or(sample, |own| own + (sample - own) * weight));
         searcher.heard = now;
--- a/crates/lockusher-proxy/tests/decision_support/choosers.rs
+++ b/crates/lockusher-proxy/tests/decision_support/choosers.rs
@@ -20,19 +20,35 @@
 impl Directed {
     /// A proxy's router; `always_split` leaves no choice where prompts are read.
     pub fn new(router: RequestRouter, always_split: bool) -> Self {
-        Directed { router, plans: HashMap::new(), tickets: HashMap::new(), always_split, no_gate: false }
+        Directed {
+            router,
+            plans: HashMap::new(),
+            tickets: HashMap::new(),
+            always_split,
+            no_gate: false,
+        }
     }
 
     /// The same without a gate at admission.
     pub fn without_gate(router: RequestRouter) -> Self {
-        Directed { no_gate: true, ..Directed::new(router, false) }
+        Directed {
+            no_gate: true,
+            ..Directed::new(router, false)
+        }
     }
 }
 
 impl Chooser for Directed {
     fn admit(&mut self, now: Micros, request: usize, facts: &RequestFacts) -> Result<(), u64> {
-        let patient = RequestFacts { kind: RouteKind::Idempotent, remaining_ms: 3_600_000, ..facts.clone() };
-        match self.router.admit(now, if self.no_gate { &patient } else { facts }) {
+        let patient = RequestFacts {
+            kind: RouteKind::Idempotent,
+            remaining_ms: 3_600_000,
+            ..facts.clone()
+        };
+        match self
+            .router
+            .admit(now, if self.no_gate { &patient } else { facts })
+        {
             Admission::Go(plan) => {
                 self.plans.insert(request, plan);
                 Ok(())
@@ -53,7 +69,10 @@
         purpose: Purpose,
     ) -> Option<usize> {
         let plan = self.plans.get_mut(&request)?;
-        let Choice::Send { identifier, ticket, .. } = self.router.choose(now, plan, purpose) else {
+        let Choice::Send {
+            identifier, ticket, ..
+        } = self.router.choose(now, plan, purpose)
+        else {
             return None;
         };
         self.tickets.insert((request, purpose), ticket);
@@ -96,7 +115,11 @@
 impl PlainChooser {
     /// A proxy that begins its turns at a number of its own.
     pub fn new(way: Plain, prefill: usize, decode: usize, proxy: usize) -> Self {
-        PlainChooser { way, turn: [proxy, proxy], out: [vec![0; prefill], vec![0; decode]] }
+        PlainChooser {
+            way,
+            turn: [proxy, proxy],
+            out: [vec![0; prefill], vec![0; decode]],
+        }
     }
 }
 
@@ -120,14 +143,16 @@
         let count = self.out[side].len();
         self.turn[side] += 1;
         let turn = self.turn[side] % count;
-        let least = (0..count).map(|step| (turn + step) % count).min_by_key(|number| self.out[side][*number]);
+        let least = (0..count)
+            .map(|step| (turn + step) % count)
+            .min_by_key(|number| self.out[side][*number]);
         let chosen = match (self.way, purpose) {
             (Plain::RoundRobin, _) => turn,
             (Plain::PrefixHash, Purpose::Prefill) => {
                 let shared = &facts.prompt[..facts.prompt.len() - 1];
-                let hash = shared
-                    .iter()
-                    .fold(7u64, |hash, part| (hash ^ part.id).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+                let hash = shared.iter().fold(7u64, |hash, part| {
+                    (hash ^ part.id).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+                });
                 (hash >> 32) as usize % count
             }
             _ => least?,
--- a/crates/lockusher-proxy/tests/decision_support/engine.rs
+++ b/crates/lockusher-proxy/tests/decision_support/engine.rs
@@ -51,25 +51,42 @@
 impl Done {
     /// The deadline passed in the queue: nothing was read.
     fn too_late(deadline: Micros) -> Done {
-        Done { at: deadline as f64, end: deadline as f64, read: 0 }
+        Done {
+            at: deadline as f64,
+            end: deadline as f64,
+            read: 0,
+        }
     }
 }
 
 impl Engine {
     /// A searcher with nothing in its cache.
     pub fn new() -> Self {
-        Engine { slowness: 1.0, ..Engine::default() }
+        Engine {
+            slowness: 1.0,
+            ..Engine::default()
+        }
     }
 
     /// Reads a prompt for another searcher, unless its deadline passes first.
-    pub fn prefill(&mut self, now: Micros, prompt: &[PromptPart], speeds: &Speeds, deadline: Micros) -> Done {
+    pub fn prefill(
+        &mut self,
+        now: Micros,
+        prompt: &[PromptPart],
+        speeds: &Speeds,
+        deadline: Micros,
+    ) -> Done {
         if self.reads_until >= deadline as f64 {
             return Done::too_late(deadline);
         }
         let read = self.cache.read(prompt, speeds.cache_tokens);
         let takes = (speeds.setup_ms + read as f64 / speeds.tokens_per_ms) * 1e3 * self.slowness;
         self.reads_until = self.reads_until.max(now as f64) + takes;
-        Done { at: self.reads_until, end: self.reads_until, read }
+        Done {
+            at: self.reads_until,
+            end: self.reads_until,
+            read,
+        }
     }
 
     /// Fetches a prompt that was read elsewhere, twice as slowly from another zone, and streams.
@@ -112,8 +129,10 @@
         let running = self.running(from);
         // A step is stretched while prompts are read between the tokens.
         let busy = if self.reads_until > from { 2.0 } else { 1.0 };
-        let step =
-            (speeds.step_ms + running as f64 * speeds.step_ms_per_request) * 1e3 * self.slowness * busy;
+        let step = (speeds.step_ms + running as f64 * speeds.step_ms_per_request)
+            * 1e3
+            * self.slowness
+            * busy;
         let at = from + step * speeds.stride;
         let end = at + step * f64::from(out);
         self.streams.push(end);
--- a/crates/lockusher-proxy/tests/decision_support/fleet.rs
+++ b/crates/lockusher-proxy/tests/decision_support/fleet.rs
@@ -128,7 +128,10 @@
             self.in_place,
             self.moved.map(|tokens| tokens as f64 / 1e6),
             self.refused,
-            self.kinds.iter().map(|(all, served)| *served as f64 / *all as f64).collect::<Vec<_>>(),
+            self.kinds
+                .iter()
+                .map(|(all, served)| *served as f64 / *all as f64)
+                .collect::<Vec<_>>(),
             self.largest.1 as f64 / self.largest.0 as f64,
         )
     }
@@ -169,6 +172,7 @@
 }
 
 /// Plays a day with a chooser for each proxy.
+#[expect(clippy::too_many_lines, reason = "one simulated day, event by event")]
 pub fn play(day: &Day, mut choosers: Vec<Box<dyn Chooser>>) -> Figures {
     let mut requests = draw(day);
     let mut readers = vec![Engine::new(); day.prefill];
@@ -182,7 +186,12 @@
     let kinds = vec![(0, 0); day.kinds.len()];
     let refused_kinds = vec![0; day.kinds.len()];
     let prefills = vec![0; day.prefill];
-    let mut figures = Figures { prefills, kinds, refused_kinds, ..Figures::default() };
+    let mut figures = Figures {
+        prefills,
+        kinds,
+        refused_kinds,
+        ..Figures::default()
+    };
     let mut last_use: HashMap<Vec<u64>, Micros> = HashMap::new();
     let mut events: BinaryHeap<Reverse<(Micros, Event)>> = BinaryHeap::new();
     for (number, request) in requests.iter().enumerate() {
@@ -203,7 +212,8 @@
                         figures.earned -= 0.3 * day.kinds[request.kind].worth;
                     } else {
                         figures.refused_kinds[request.kind] += 1;
-                        let again = now + (retry_after_ms * MS).min((request.deadline(day) - now) / 3);
+                        let again =
+                            now + (retry_after_ms * MS).min((request.deadline(day) - now) / 3);
                         come_back(&mut requests[number], again, day);
                         events.push(Reverse((again, Event::Arrives(number))));
                     }
@@ -219,11 +229,19 @@
                     let done = readers[reader].prefill(now, &facts.prompt, &day.speeds, deadline);
                     figures.prefills[reader] += 1;
                     figures.note_read(now, facts, &done, day.again, &mut last_use);
-                    events.push(Reverse((done.at as Micros, Event::PromptRead(number, reader))));
+                    events.push(Reverse((
+                        done.at as Micros,
+                        Event::PromptRead(number, reader),
+                    )));
                 } else if let Some(maker) = chooser.choose(now, number, facts, Purpose::Whole) {
                     figures.in_place += 1;
-                    let done =
-                        makers[maker].whole(now, &facts.prompt, facts.tokens_out, &day.speeds, deadline);
+                    let done = makers[maker].whole(
+                        now,
+                        &facts.prompt,
+                        facts.tokens_out,
+                        &day.speeds,
+                        deadline,
+                    );
                     figures.note_read(now, facts, &done, day.again, &mut last_use);
                     push_stream(&mut events, number, maker, &done, true);
                 }
@@ -232,7 +250,11 @@
                 let request = &requests[number];
                 let (facts, chooser) = (&request.facts, &mut choosers[request.proxy]);
                 let late = now >= request.deadline(day);
-                let outcome = if late { SendOutcome::TimedOut } else { SendOutcome::Answered };
+                let outcome = if late {
+                    SendOutcome::TimedOut
+                } else {
+                    SendOutcome::Answered
+                };
                 chooser.outcome(now, number, Purpose::Prefill, reader, outcome);
                 if late {
                     continue;
@@ -240,13 +262,25 @@
                 if let Some(maker) = chooser.choose(now, number, facts, Purpose::Decode) {
                     let far = reader % day.zones != maker % day.zones;
                     figures.moved[usize::from(far)] += u64::from(facts.tokens_in);
-                    let done = makers[maker].decode(now, &facts.prompt, facts.tokens_out, &day.speeds, far);
+                    let done = makers[maker].decode(
+                        now,
+                        &facts.prompt,
+                        facts.tokens_out,
+                        &day.speeds,
+                        far,
+                    );
                     push_stream(&mut events, number, maker, &done, false);
                 }
             }
             Event::Begins(number, maker, whole) => {
                 let request = &requests[number];
-                choosers[request.proxy].outcome(now, number, purpose(whole), maker, SendOutcome::FirstEvent);
+                choosers[request.proxy].outcome(
+                    now,
+                    number,
+                    purpose(whole),
+                    maker,
+                    SendOutcome::FirstEvent,
+                );
                 figures.note_first_event(now, day, request);
             }
             Event::Ends(number, maker, whole) => {
@@ -264,7 +298,11 @@
 }
 
 fn purpose(whole: bool) -> Purpose {
-    if whole { Purpose::Whole } else { Purpose::Decode }
+    if whole {
+        Purpose::Whole
+    } else {
+        Purpose::Decode
+    }
 }
 
 fn push_stream(
@@ -274,8 +312,14 @@
     done: &Done,
     whole: bool,
 ) {
-    events.push(Reverse((done.at as Micros, Event::Begins(number, maker, whole))));
-    events.push(Reverse((done.end as Micros + 1, Event::Ends(number, maker, whole))));
+    events.push(Reverse((
+        done.at as Micros,
+        Event::Begins(number, maker, whole),
+    )));
+    events.push(Reverse((
+        done.end as Micros + 1,
+        Event::Ends(number, maker, whole),
+    )));
 }
 
 /// A client that was told to come back asks again.
@@ -368,11 +412,17 @@
         // Somewhat uneven: the lower numbers are asked for more.
         let thing = (*things as f64 * luck.random::<f64>().powf(1.3)) as u64;
         chain = chain * 1_000 + thing + 1;
-        prompt.push(PromptPart { id: chain, tokens: *tokens });
+        prompt.push(PromptPart {
+            id: chain,
+            tokens: *tokens,
+        });
     }
     // Sizes spread by chance, with a long tail.
     let own = f64::from(kind.own_tokens) * (-(1.0 - luck.random::<f64>()).ln()).clamp(0.05, 6.0);
-    prompt.push(PromptPart { id: luck.random(), tokens: own as u32 });
+    prompt.push(PromptPart {
+        id: luck.random(),
+        tokens: own as u32,
+    });
     let tokens_in = prompt.iter().map(|part| part.tokens).sum();
     let out = f64::from(kind.out_tokens) * (-(1.0 - luck.random::<f64>()).ln()).clamp(0.1, 4.0);
     RequestFacts {
--- a/crates/lockusher-proxy/tests/decision_support/mod.rs
+++ b/crates/lockusher-proxy/tests/decision_support/mod.rs
@@ -65,7 +65,12 @@
         header_timeout_ms: 3_000,
         idle_timeout_ms: 15_000,
     };
-    Rc::new(Configuration { version: 1, routes: Vec::new(), services: vec![service], limits })
+    Rc::new(Configuration {
+        version: 1,
+        routes: Vec::new(),
+        services: vec![service],
+        limits,
+    })
 }
 
 /// A ready searcher of the service.
@@ -80,13 +85,18 @@
         state: InstanceState::Ready,
         cold_remaining_ms: 0,
         stage,
-        models: vec![ModelVersion { name: "m".into(), version: 1 }],
+        models: vec![ModelVersion {
+            name: "m".into(),
+            version: 1,
+        }],
     }
 }
 
 /// So many plain searchers in zone `a`, named `p0`, `p1` and so on.
 pub fn plain(count: usize) -> Vec<Instance> {
-    (0..count).map(|number| searcher(&format!("p{number}"), "a", None)).collect()
+    (0..count)
+        .map(|number| searcher(&format!("p{number}"), "a", None))
+        .collect()
 }
 
 /// So many prefill searchers `r0`.. and decode searchers `d0`.. in zone `a`.
@@ -102,7 +112,11 @@
 /// The same spread over zones in turn.
 pub fn spread_fleet(prefill: usize, decode: usize, zones: usize) -> Vec<Instance> {
     let one = |name: &str, number: usize, stage| {
-        searcher(&format!("{name}{number}"), zone(number % zones), Some(stage))
+        searcher(
+            &format!("{name}{number}"),
+            zone(number % zones),
+            Some(stage),
+        )
     };
     let readers = (0..prefill).map(|number| one("r", number, Stage::Prefill));
     let makers = (0..decode).map(|number| one("d", number, Stage::Decode));
@@ -116,7 +130,13 @@
 
 /// The same in another zone.
 pub fn router_in(zone: &str, instances: &[Instance], seed: u64) -> RequestRouter {
-    let mut router = RequestRouter::new(RequestRouterSettings { zone: zone.into(), ..settings() }, seed);
+    let mut router = RequestRouter::new(
+        RequestRouterSettings {
+            zone: zone.into(),
+            ..settings()
+        },
+        seed,
+    );
     router.apply_configuration(0, configuration());
     router.apply_instances(0, instances);
     router
@@ -140,8 +160,23 @@
 
 /// A stream with an opening that others share and a part of its own.
 pub fn prompt(shared: u64, own: u64) -> RequestFacts {
-    let prompt = vec![PromptPart { id: shared, tokens: 12_000 }, PromptPart { id: own, tokens: 3_000 }];
-    RequestFacts { kind: RouteKind::Streaming, prompt, tokens_in: 15_000, tokens_out: 100, ..request() }
+    let prompt = vec![
+        PromptPart {
+            id: shared,
+            tokens: 12_000,
+        },
+        PromptPart {
+            id: own,
+            tokens: 3_000,
+        },
+    ];
+    RequestFacts {
+        kind: RouteKind::Streaming,
+        prompt,
+        tokens_in: 15_000,
+        tokens_out: 100,
+        ..request()
+    }
 }
 
 /// Admits a request that must be taken.
@@ -160,7 +195,9 @@
     purpose: Purpose,
 ) -> (String, SendTicket) {
     match router.choose(now, plan, purpose) {
-        Choice::Send { identifier, ticket, .. } => (identifier, ticket),
+        Choice::Send {
+            identifier, ticket, ..
+        } => (identifier, ticket),
         other => panic!("no send: {other:?}"),
     }
 }
--- a/crates/lockusher-proxy/tests/handles.rs
+++ b/crates/lockusher-proxy/tests/handles.rs
@@ -34,8 +34,13 @@
     let granted = Rc::new(Cell::new(0));
     loop {
         let wire = searcher.accept().await;
-        compio::runtime::spawn(serve_prefill_connection(wire, name, granted.clone(), requests.clone()))
-            .detach();
+        compio::runtime::spawn(serve_prefill_connection(
+            wire,
+            name,
+            granted.clone(),
+            requests.clone(),
+        ))
+        .detach();
     }
 }
 
@@ -47,15 +52,22 @@
 ) {
     while let Some((request, _)) = wire.next_message().await {
         if let Some(handle) = request.line().strip_prefix("DELETE /api/kv-handle/") {
-            let handle = handle.strip_suffix(" HTTP/1.1").expect("a version").to_owned();
+            let handle = handle
+                .strip_suffix(" HTTP/1.1")
+                .expect("a version")
+                .to_owned();
             let _ = requests.unbounded_send(PrefillRequest::Release(handle));
-            wire.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+            wire.write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                .await;
             continue;
         }
         granted.set(granted.get() + 1);
         let handle = format!("{name}-{}", granted.get());
         let body = format!(r#"{{"promptHandle":"{handle}","tokens":9,"version":1}}"#);
-        let identifier = request.field("request-identifier").expect("an id").to_owned();
+        let identifier = request
+            .field("request-identifier")
+            .expect("an id")
+            .to_owned();
         let _ = requests.unbounded_send(PrefillRequest::Prefill(handle));
         wire.answer("200 OK", &identifier, "", &body).await;
     }
@@ -73,7 +85,10 @@
 impl Fleet {
     async fn start() -> Self {
         let (requests, received) = mpsc::unbounded();
-        let prefills = [Searcher::prefill("p-1").await, Searcher::prefill("p-2").await];
+        let prefills = [
+            Searcher::prefill("p-1").await,
+            Searcher::prefill("p-2").await,
+        ];
         let mut decodes = Vec::new();
         for identifier in ["d-1", "d-2", "d-3"] {
             decodes.push(Searcher::decode(identifier).await);
@@ -82,9 +97,16 @@
         let proxy = Proxy::serving(&all).await;
         let client = proxy.client().await;
         let serving = prefills.into_iter().zip(["one", "two"]);
-        let serving = serving.map(|(searcher, name)| serve_prefill(searcher, name, requests.clone()));
+        let serving =
+            serving.map(|(searcher, name)| serve_prefill(searcher, name, requests.clone()));
         let prefills = serving.map(compio::runtime::spawn).collect();
-        Fleet { decodes, received, _proxy: proxy, client, _prefills: prefills }
+        Fleet {
+            decodes,
+            received,
+            _proxy: proxy,
+            client,
+            _prefills: prefills,
+        }
     }
 
     /// The handle that was granted next.
@@ -107,8 +129,13 @@
     /// Rejects the next decode send; the handle that it brought.
     async fn reject_decode(&mut self, identifier: &str) -> String {
         let (mut wire, handle) = self.decode().await;
-        wire.answer("503 Service Unavailable", identifier, "Not-Executed: 1\r\nConnection: close\r\n", "")
-            .await;
+        wire.answer(
+            "503 Service Unavailable",
+            identifier,
+            "Not-Executed: 1\r\nConnection: close\r\n",
+            "",
+        )
+        .await;
         handle
     }
 
@@ -147,7 +174,10 @@
         received.sort_by_key(|request| matches!(request, Some(PrefillRequest::Release(_))));
         assert_eq!(
             received,
-            [Some(PrefillRequest::Prefill(anew.clone())), Some(PrefillRequest::Release(gone.clone()))]
+            [
+                Some(PrefillRequest::Prefill(anew.clone())),
+                Some(PrefillRequest::Release(gone.clone()))
+            ]
         );
         assert_ne!(anew, gone);
     });
@@ -235,8 +265,11 @@
         client.ask(STREAM, "id-1", LONG, "prompt").await;
         let mut reader = prefill.accept().await;
         let (call, _) = reader.message().await;
-        let remaining_ms: u64 =
-            call.field("deadline-remaining").expect("a deadline").parse().expect("a number");
+        let remaining_ms: u64 = call
+            .field("deadline-remaining")
+            .expect("a deadline")
+            .parse()
+            .expect("a number");
         // Eight times the longest pause in time, 250 ms, is as long as the least silence that clients bear.
         assert!(remaining_ms < 2_000, "{remaining_ms}");
         // The searcher holds the call until it is given up.
--- a/crates/lockusher-proxy/tests/modules.rs
+++ b/crates/lockusher-proxy/tests/modules.rs
@@ -10,7 +10,10 @@
 
 fn proxy_cycles() -> Vec<BTreeSet<ModuleName>> {
     let modules = ModuleGraph::of_package(env!("CARGO_MANIFEST_DIR"));
-    assert!(modules.module_count() > 40, "the sources were found: {modules:?}");
+    assert!(
+        modules.module_count() > 40,
+        "the sources were found: {modules:?}"
+    );
     modules.cycles()
 }
 
@@ -27,14 +30,20 @@
 fn the_decisions_lie_in_layers() {
     let modules = modules_of_cycles();
 
-    assert!(!modules.iter().any(|module| module.starts_with("decision")), "{modules:?}");
+    assert!(
+        !modules.iter().any(|module| module.starts_with("decision")),
+        "{modules:?}"
+    );
 }
 
 #[test]
 fn an_answer_needs_its_relay_and_not_the_other_way_round() {
     let modules = modules_of_cycles();
 
-    assert!(!modules.contains("answer") && !modules.contains("relay"), "{modules:?}");
+    assert!(
+        !modules.contains("answer") && !modules.contains("relay"),
+        "{modules:?}"
+    );
 }
 
 #[parameterized(
@@ -42,7 +51,8 @@
     of_two = { &[("a", "b"), ("b", "a"), ("c", "d")], 2 },
 )]
 fn a_circle_is_found(needs: &[(&str, &str)], modules: usize) {
-    let source = |(from, to): &(&str, &str)| (format!("{from}.rs"), format!("use crate::{to}::Item;"));
+    let source =
+        |(from, to): &(&str, &str)| (format!("{from}.rs"), format!("use crate::{to}::Item;"));
 
     let cycles = ModuleGraph::of_sources(needs.iter().map(source)).cycles();
 
--- a/crates/lockusher-proxy/tests/resumption.rs
+++ b/crates/lockusher-proxy/tests/resumption.rs
@@ -18,19 +18,29 @@
         let two = Searcher::decode("d-2").await;
         let proxy = Proxy::serving(&[&one, &two]).await;
         let client = proxy.client().await;
-        Pair { one, two, _proxy: proxy, client }
+        Pair {
+            one,
+            two,
+            _proxy: proxy,
+            client,
+        }
     }
 
     /// Streams one event and a part of the next, then breaks off; the other searcher's connection.
     async fn break_within_an_event(&mut self) -> Wire {
-        self.client.ask(RESUME, "id-1", "Last-Event-Id: 4\r\n", "prompt").await;
+        self.client
+            .ask(RESUME, "id-1", "Last-Event-Id: 4\r\n", "prompt")
+            .await;
         let (mut wire, other) = accept_either(&self.one, &self.two).await;
         let (request, _) = wire.message().await;
         assert_eq!(request.field("last-event-id"), Some("4"));
         wire.begin_stream("id-1").await;
         wire.chunk("id: 5\ndata: a\n\n").await;
         wire.chunk("id: 6\nda").await;
-        assert_eq!(self.client.head().await.field("server-signature"), Some("sig"));
+        assert_eq!(
+            self.client.head().await.field("server-signature"),
+            Some("sig")
+        );
         assert_eq!(self.client.read_chunk().await, "id: 5\ndata: a\n\n");
         wire.reset();
         let mut second = other.accept().await;
@@ -89,7 +99,14 @@
             }
             InvalidResumption::IsNoStream => second.succeed("id-1", "text").await,
             InvalidResumption::FailsItself => {
-                second.answer("500 Internal Server Error", "id-1", "Server-Signature: s\r\n", "").await;
+                second
+                    .answer(
+                        "500 Internal Server Error",
+                        "id-1",
+                        "Server-Signature: s\r\n",
+                        "",
+                    )
+                    .await;
             }
             InvalidResumption::NamesAnother => {
                 second.begin_stream("id-2").await;
@@ -142,7 +159,9 @@
 #[test]
 fn wherever_a_stream_breaks_each_event_arrives_once() {
     run(async {
-        let events: Vec<String> = (1..=4).map(|id| format!("id: {id}\ndata: {id}\n\n")).collect();
+        let events: Vec<String> = (1..=4)
+            .map(|id| format!("id: {id}\ndata: {id}\n\n"))
+            .collect();
         let whole = events.concat();
         for cut in 0..whole.len() {
             let one = Searcher::decode("d-1").await;
@@ -161,7 +180,9 @@
             let mut second = other.accept().await;
             let (request, _) = second.message().await;
             let given = whole[..cut].matches("\n\n").count();
-            let last = request.field("last-event-id").map_or(0, |id| id.parse().expect("a number"));
+            let last = request
+                .field("last-event-id")
+                .map_or(0, |id| id.parse().expect("a number"));
             assert_eq!(last, given, "cut at {cut}");
             second.begin_stream("id-1").await;
             second.chunk(&events[given..].concat()).await;
--- a/crates/lockusher-proxy/tests/support/deployment.rs
+++ b/crates/lockusher-proxy/tests/support/deployment.rs
@@ -40,7 +40,10 @@
         timeout_ms: 8_000,
         target_latency_ms: 400,
         priority: 3,
-        split: vec![WeightedService { service: service.to_owned(), weight: 100 }],
+        split: vec![WeightedService {
+            service: service.to_owned(),
+            weight: 100,
+        }],
         attempts,
         sticky: false,
         resumable,
@@ -49,7 +52,12 @@
 }
 
 fn service(name: &str, engine: Option<Engine>) -> Service {
-    Service { name: name.to_owned(), health_check: "/health".to_owned(), connection_limit: 96, engine }
+    Service {
+        name: name.to_owned(),
+        health_check: "/health".to_owned(),
+        connection_limit: 96,
+        engine,
+    }
 }
 
 fn engine() -> Engine {
@@ -75,7 +83,10 @@
         front: Some(SocketAddrV4::new(address, 8_144)),
         readiness: Some(SocketAddrV4::new(address, 8_140)),
         control: None,
-        internal_ports: PortRange { first: 7_660, last: 7_675 },
+        internal_ports: PortRange {
+            first: 7_660,
+            last: 7_675,
+        },
         seeds: Vec::new(),
         first_start: true,
         counts_for_quorum: false,
--- a/crates/lockusher-proxy/tests/support/mod.rs
+++ b/crates/lockusher-proxy/tests/support/mod.rs
@@ -44,7 +44,11 @@
 /// Runs a test on a runtime of its own.
 pub fn run<F: Future>(test: F) -> F::Output {
     let runtime = compio::runtime::Runtime::new().expect("a runtime starts");
-    runtime.block_on(async { compio::time::timeout(STEP_LIMIT * 2, test).await.expect("the test hangs") })
+    runtime.block_on(async {
+        compio::time::timeout(STEP_LIMIT * 2, test)
+            .await
+            .expect("the test hangs")
+    })
 }
 
 /// A loopback address that no other test uses.
@@ -80,7 +84,12 @@
             let _ = stopped.await;
         };
         let running = compio::runtime::spawn(serve::run(settings, updates, stopped));
-        Proxy { address, feed, stop: Some(stop), running }
+        Proxy {
+            address,
+            feed,
+            stop: Some(stop),
+            running,
+        }
     }
 
     /// Starts a proxy that serves these searchers.
@@ -99,14 +108,22 @@
     }
 
     pub fn send(&self, update: FeedUpdate) {
-        self.feed.unbounded_send(update).expect("the proxy takes updates");
+        self.feed
+            .unbounded_send(update)
+            .expect("the proxy takes updates");
     }
 
     /// Replaces the list of searchers.
     pub fn list(&self, searchers: &[&Searcher]) {
-        let list = searchers.iter().map(|searcher| searcher.instance.clone()).collect();
+        let list = searchers
+            .iter()
+            .map(|searcher| searcher.instance.clone())
+            .collect();
         let revision = InstanceListRevision::default();
-        self.send(FeedUpdate::Instances { revision, instances: Rc::new(list) });
+        self.send(FeedUpdate::Instances {
+            revision,
+            instances: Rc::new(list),
+        });
     }
 
     /// Asks for readiness until the answer is 200.
@@ -117,7 +134,11 @@
     /// The status that readiness is answered with now.
     pub async fn readiness(&self) -> u16 {
         let mut probe = Wire::connect(SocketAddrV4::new(self.address, 8_140)).await;
-        probe.write(&format!("GET /api/readiness HTTP/1.1\r\nHost: {HOST}\r\n\r\n")).await;
+        probe
+            .write(&format!(
+                "GET /api/readiness HTTP/1.1\r\nHost: {HOST}\r\n\r\n"
+            ))
+            .await;
         probe.head().await.status()
     }
 
@@ -128,7 +149,11 @@
 
     /// Asks the proxy to stop.
     pub fn stop(&mut self) {
-        self.stop.take().expect("stopped once").send(()).expect("the proxy runs");
+        self.stop
+            .take()
+            .expect("stopped once")
+            .send(())
+            .expect("the proxy runs");
     }
 
     /// Waits until the proxy has ended.
@@ -165,18 +190,29 @@
         socket.listen(0).expect("it listens");
         let listener = TcpListener::from_std(socket.into()).expect("a listener");
         let address = listener.local_addr().expect("it has an address");
-        let connect = || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
+        let connect =
+            || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
         let filling = std::iter::from_fn(connect).collect();
         (Self::listening(identifier, PLAIN, None, listener), filling)
     }
 
     async fn new(identifier: &str, service: &str, stage: Option<Stage>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a searcher listens");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a searcher listens");
         Self::listening(identifier, service, stage, listener)
     }
 
-    fn listening(identifier: &str, service: &str, stage: Option<Stage>, listener: TcpListener) -> Self {
-        let address = listener.local_addr().expect("it has an address").to_string();
+    fn listening(
+        identifier: &str,
+        service: &str,
+        stage: Option<Stage>,
+        listener: TcpListener,
+    ) -> Self {
+        let address = listener
+            .local_addr()
+            .expect("it has an address")
+            .to_string();
         let instance = Instance {
             identifier: identifier.to_owned(),
             service: service.to_owned(),
@@ -204,7 +240,9 @@
 
     /// The next connection of the proxy.
     pub async fn accept(&self) -> Wire {
-        let (stream, _) = step(self.listener.accept()).await.expect("the proxy connects");
+        let (stream, _) = step(self.listener.accept())
+            .await
+            .expect("the proxy connects");
         Wire::new(stream)
     }
 }
@@ -225,5 +263,7 @@
 }
 
 async fn step<F: Future>(step: F) -> F::Output {
-    compio::time::timeout(STEP_LIMIT, step).await.expect("a step takes too long")
+    compio::time::timeout(STEP_LIMIT, step)
+        .await
+        .expect("a step takes too long")
 }
--- a/crates/lockusher-proxy/tests/support/wire.rs
+++ b/crates/lockusher-proxy/tests/support/wire.rs
@@ -24,7 +24,10 @@
 
 impl Wire {
     pub(super) fn new(stream: TcpStream) -> Self {
-        Wire { stream, unread: Vec::new() }
+        Wire {
+            stream,
+            unread: Vec::new(),
+        }
     }
 
     pub(super) async fn connect(address: SocketAddrV4) -> Self {
@@ -67,7 +70,8 @@
 
     /// A searcher's successful answer.
     pub async fn succeed(&mut self, identifier: &str, body: &str) {
-        self.answer("200 OK", identifier, "Server-Signature: sig\r\n", body).await;
+        self.answer("200 OK", identifier, "Server-Signature: sig\r\n", body)
+            .await;
     }
 
     /// The head of a searcher's stream.
@@ -91,7 +95,8 @@
 
     /// A searcher's rejection of a request that it did not run.
     pub async fn reject(&mut self, status: &str, identifier: &str) {
-        self.answer(status, identifier, "Not-Executed: 1\r\n", "").await;
+        self.answer(status, identifier, "Not-Executed: 1\r\n", "")
+            .await;
     }
 
     /// Reads up to the end of a head.
@@ -103,7 +108,10 @@
     /// Reads a number of bytes.
     pub async fn body(&mut self, length: usize) -> String {
         while self.unread.len() < length {
-            assert!(self.read_more().await.expect("no reset"), "closed within a body");
+            assert!(
+                self.read_more().await.expect("no reset"),
+                "closed within a body"
+            );
         }
         let rest = self.unread.split_off(length);
         String::from_utf8(std::mem::replace(&mut self.unread, rest)).expect("bodies are text here")
@@ -112,7 +120,9 @@
     /// Reads a head and the body whose length it tells.
     pub async fn message(&mut self) -> (Head, String) {
         let head = self.head().await;
-        let length = head.field("content-length").map_or(0, |length| length.parse().expect("a number"));
+        let length = head
+            .field("content-length")
+            .map_or(0, |length| length.parse().expect("a number"));
         let body = self.body(length).await;
         (head, body)
     }
@@ -146,7 +156,10 @@
                 Err(_) => break Ending::Reset,
             }
         };
-        (String::from_utf8_lossy(&std::mem::take(&mut self.unread)).into_owned(), ending)
+        (
+            String::from_utf8_lossy(&std::mem::take(&mut self.unread)).into_owned(),
+            ending,
+        )
     }
 
     /// Closes the connection.
@@ -161,14 +174,20 @@
 
     async fn read_past(&mut self, mark: &str) -> Vec<u8> {
         loop {
-            let found = self.unread.windows(mark.len()).position(|window| window == mark.as_bytes());
+            let found = self
+                .unread
+                .windows(mark.len())
+                .position(|window| window == mark.as_bytes());
             if let Some(position) = found {
                 let rest = self.unread.split_off(position + mark.len());
                 return std::mem::replace(&mut self.unread, rest);
             }
             let more = self.read_more().await;
             let seen = String::from_utf8_lossy(&self.unread).into_owned();
-            assert!(matches!(more, Ok(true)), "ended ({more:?}) before {mark:?}: {seen}");
+            assert!(
+                matches!(more, Ok(true)),
+                "ended ({more:?}) before {mark:?}: {seen}"
+            );
         }
     }
 
@@ -191,7 +210,12 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.line().split(' ').nth(1).expect("a status").parse().expect("a number")
+        self.line()
+            .split(' ')
+            .nth(1)
+            .expect("a status")
+            .parse()
+            .expect("a number")
     }
 
     pub fn field(&self, name: &str) -> Option<&str> {
--- a/crates/lockusher-proxy/tests/traffic_split.rs
+++ b/crates/lockusher-proxy/tests/traffic_split.rs
@@ -26,13 +26,16 @@
         "services": services,
         "limits": {"headerBytes": 16384, "bodyBytes": 4194304, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000}
     });
-    let configuration = Configuration::parse(text.to_string().as_bytes()).expect("a valid configuration");
+    let configuration =
+        Configuration::parse(text.to_string().as_bytes()).expect("a valid configuration");
     configuration.routes[0].clone()
 }
 
 /// The numbers of the services that took the requests, in order.
 fn chosen(splits: &mut TrafficSplits, route: &Route, requests: usize) -> Vec<usize> {
-    (0..requests).map(|_| splits.choose(route)[1..].parse().expect("a number")).collect()
+    (0..requests)
+        .map(|_| splits.choose(route)[1..].parse().expect("a number"))
+        .collect()
 }
 
 /// How many of the first requests went to the service, for every number of them.
@@ -92,5 +95,8 @@
     splits.keep_only(std::slice::from_ref(&stays));
     parts.extend(chosen(&mut splits, &stays, 10));
     assert_eq!(whole, parts);
-    assert_eq!(chosen(&mut splits, &goes, 5), chosen(&mut TrafficSplits::new(0.7), &goes, 5));
+    assert_eq!(
+        chosen(&mut splits, &goes, 5),
+        chosen(&mut TrafficSplits::new(0.7), &goes, 5)
+    );
 }
--- a/crates/lockusher-registry-client/src/core/doubt.rs
+++ b/crates/lockusher-registry-client/src/core/doubt.rs
@@ -23,10 +23,21 @@
 
     /// Notes a contradiction. It is believed once more than half of `endpoints` name that same cluster, none that
     /// agreed was met meanwhile, and that for `settle` at least.
-    pub fn note(&mut self, now: Time, by: EndpointId, said: Version, endpoints: usize, settle: Span) -> bool {
+    pub fn note(
+        &mut self,
+        now: Time,
+        by: EndpointId,
+        said: Version,
+        endpoints: usize,
+        settle: Span,
+    ) -> bool {
         self.says.insert(by, said);
         let since = *self.since.get_or_insert(now);
-        let alike = self.says.values().filter(|other| other.cluster == said.cluster).count();
+        let alike = self
+            .says
+            .values()
+            .filter(|other| other.cluster == said.cluster)
+            .count();
         alike * 2 > endpoints && now.since(since) >= settle
     }
 
--- a/crates/lockusher-registry-client/src/core/endpoints.rs
+++ b/crates/lockusher-registry-client/src/core/endpoints.rs
@@ -32,8 +32,17 @@
 
 impl Endpoints {
     pub fn new(now: Time, count: usize, rng: &mut ChaCha8Rng) -> Self {
-        let all = (0..count).map(|_| Endpoint { failures: 0, not_before: now }).collect();
-        Endpoints { all, at: rng.random_range(0..count.max(1)), next_try: now }
+        let all = (0..count)
+            .map(|_| Endpoint {
+                failures: 0,
+                not_before: now,
+            })
+            .collect();
+        Endpoints {
+            all,
+            at: rng.random_range(0..count.max(1)),
+            next_try: now,
+        }
     }
 
     pub fn count(&self) -> usize {
@@ -50,11 +59,15 @@
         let count = self.all.len();
         let endpoint = &mut self.all[self.at];
         endpoint.failures += 1;
-        let rest = FIRST_REST.times(2f64.powi(endpoint.failures.min(16) as i32 - 1)).min(LONGEST_REST);
+        let rest = FIRST_REST
+            .times(2f64.powi(endpoint.failures.min(16) as i32 - 1))
+            .min(LONGEST_REST);
         // Mixers that lost the same registry at the same instant must not come back as one.
         endpoint.not_before = now + rest.times(rng.random_range(0.5..1.5));
         let ring = (1..=count).map(|step| (self.at + step) % count);
-        let next = ring.min_by_key(|i| self.all[*i].not_before.max(now)).unwrap_or(self.at);
+        let next = ring
+            .min_by_key(|i| self.all[*i].not_before.max(now))
+            .unwrap_or(self.at);
         self.at = next;
         self.after(now, rng).max(self.all[next].not_before)
     }
@@ -68,6 +81,9 @@
 
     /// The endpoint at hand does its work.
     pub fn good(&mut self, now: Time) {
-        self.all[self.at] = Endpoint { failures: 0, not_before: now };
+        self.all[self.at] = Endpoint {
+            failures: 0,
+            not_before: now,
+        };
     }
 }
--- a/crates/lockusher-registry-client/src/core/follow/answers.rs
+++ b/crates/lockusher-registry-client/src/core/follow/answers.rs
@@ -24,19 +24,32 @@
 
     /// Whether what the endpoint says can't follow on what is held; it is left then, or believed for good.
     fn contradicted(&mut self, now: Time, said: Version, acts: &mut Vec<Act>) -> bool {
-        let Some(held) = self.held().filter(|held| !self.accept && Doubt::contradicts(*held, said)) else {
+        let Some(held) = self
+            .held()
+            .filter(|held| !self.accept && Doubt::contradicts(*held, said))
+        else {
             self.doubt.clear();
             return false;
         };
         let from = self.endpoints.at();
         self.counts.contradictions += 1;
-        if !self.doubt.note(now, from, said, self.endpoints.count(), self.plan.settle) {
+        if !self
+            .doubt
+            .note(now, from, said, self.endpoints.count(), self.plan.settle)
+        {
             acts.push(Act::Say(Notice::Contradicts { from, held, said }));
             self.leave(now, acts);
             return true;
         }
         let other = said.cluster != held.cluster;
-        (self.rebuild, self.accept) = (Some(if other { Why::OtherCluster } else { Why::WentBack }), true);
+        (self.rebuild, self.accept) = (
+            Some(if other {
+                Why::OtherCluster
+            } else {
+                Why::WentBack
+            }),
+            true,
+        );
         self.doubt.clear();
         acts.push(Act::Close);
         self.begin(now, acts);
@@ -47,13 +60,25 @@
         match heard {
             Heard::Failed { why } => self.failed(now, why, acts),
             Heard::Compacted => self.compacted(now, acts),
-            Heard::Page { version, entries, more_after } => {
+            Heard::Page {
+                version,
+                entries,
+                more_after,
+            } => {
                 self.page(now, version, entries, more_after, acts);
             }
             Heard::Opened { version } => self.opened(now, version, acts),
-            Heard::Changes { version, changes, more } => self.changes(now, version, changes, more, acts),
+            Heard::Changes {
+                version,
+                changes,
+                more,
+            } => self.changes(now, version, changes, more, acts),
             Heard::Progress { version } => self.progress(now, version, acts),
-            Heard::Whole { index, entries, leader_heard } => {
+            Heard::Whole {
+                index,
+                entries,
+                leader_heard,
+            } => {
                 self.whole(now, index, entries, leader_heard, acts);
             }
         }
@@ -66,10 +91,14 @@
         acts.push(Act::Close);
         self.call.0 += 1;
         self.rebuild = Some(Why::Compacted);
-        let rest = Span::from_millis(50).times(2f64.powi(self.spoilt.min(10) as i32)).min(LONGEST_REST);
+        let rest = Span::from_millis(50)
+            .times(2f64.powi(self.spoilt.min(10) as i32))
+            .min(LONGEST_REST);
         self.spoilt += 1;
         let until = self.endpoints.after(now, &mut self.rng);
-        self.stage = Stage::Resting { until: until + rest.times(self.rng.random_range(0.0..1.0)) };
+        self.stage = Stage::Resting {
+            until: until + rest.times(self.rng.random_range(0.0..1.0)),
+        };
     }
 
     fn page(
@@ -80,17 +109,27 @@
         more_after: Option<Vec<u8>>,
         acts: &mut Vec<Act>,
     ) {
-        let Stage::Reading { draft, .. } = &mut self.stage else { return };
+        let Stage::Reading { draft, .. } = &mut self.stage else {
+            return;
+        };
         if !draft.begun {
             (draft.version, draft.begun) = (version, true);
             if self.contradicted(now, version, acts) {
                 return;
             }
         } else if draft.version.cluster != version.cluster {
-            return self.failed(now, "another cluster answers in the middle of a read".to_owned(), acts);
+            return self.failed(
+                now,
+                "another cluster answers in the middle of a read".to_owned(),
+                acts,
+            );
         }
-        let Stage::Reading { draft, asked } = &mut self.stage else { return };
-        draft.entries.extend(entries.into_iter().map(|entry| (entry.name.clone(), entry)));
+        let Stage::Reading { draft, asked } = &mut self.stage else {
+            return;
+        };
+        draft
+            .entries
+            .extend(entries.into_iter().map(|entry| (entry.name.clone(), entry)));
         if draft.entries.len() > MOST_ENTRIES {
             return self.failed(now, format!("more than {MOST_ENTRIES} entries"), acts);
         }
@@ -100,10 +139,18 @@
             let grown = PAGES_GROW.checked_pow(self.spoilt).unwrap_or(u32::MAX);
             let limit = self.plan.page.saturating_mul(grown);
             let call = self.next_call();
-            acts.push(Act::Read { call, from: self.endpoints.at(), after: Some(last), limit, at });
+            acts.push(Act::Read {
+                call,
+                from: self.endpoints.at(),
+                after: Some(last),
+                limit,
+                at,
+            });
             return;
         }
-        let Draft { version, entries, .. } = std::mem::take(draft);
+        let Draft {
+            version, entries, ..
+        } = std::mem::take(draft);
         self.rebuilt(version, entries.into_values().collect(), acts);
         self.vouch(now, acts);
         self.open(now, acts);
@@ -119,14 +166,24 @@
         if why.is_some() {
             self.counts.rebuilds += 1;
             let (written, vanished) = (altered.written, altered.vanished);
-            acts.push(Act::Say(Notice::Rebuilt { version, entries, written, vanished }));
+            acts.push(Act::Say(Notice::Rebuilt {
+                version,
+                entries,
+                written,
+                vanished,
+            }));
         }
         self.altered(altered, acts);
     }
 
     /// What staff should know of a change.
     fn altered(&mut self, altered: Altered, acts: &mut Vec<Act>) {
-        let Altered { up_before, up, unreadable, .. } = altered;
+        let Altered {
+            up_before,
+            up,
+            unreadable,
+            ..
+        } = altered;
         if (up as f64) < up_before as f64 * FEW_LEFT {
             acts.push(Act::Say(Notice::MostVanished { up_before, up }));
         }
@@ -141,9 +198,16 @@
             return;
         }
         let revision = self.held().unwrap_or_default().revision;
-        acts.push(Act::Say(Notice::Following { from: self.endpoints.at(), revision }));
+        acts.push(Act::Say(Notice::Following {
+            from: self.endpoints.at(),
+            revision,
+        }));
         self.endpoints.good(now);
-        self.stage = Stage::Following { heard: now, probed: false, pending: Vec::new() };
+        self.stage = Stage::Following {
+            heard: now,
+            probed: false,
+            pending: Vec::new(),
+        };
     }
 
     fn changes(
@@ -157,7 +221,14 @@
         if self.other_cluster(now, version, acts) {
             return;
         }
-        let Stage::Following { heard, probed, pending } = &mut self.stage else { return };
+        let Stage::Following {
+            heard,
+            probed,
+            pending,
+        } = &mut self.stage
+        else {
+            return;
+        };
         (*heard, *probed) = (now, false);
         pending.extend(changes);
         if more {
@@ -183,7 +254,14 @@
         if self.other_cluster(now, version, acts) {
             return;
         }
-        let Stage::Following { heard, probed, pending } = &mut self.stage else { return };
+        let Stage::Following {
+            heard,
+            probed,
+            pending,
+        } = &mut self.stage
+        else {
+            return;
+        };
         (*heard, *probed) = (now, false);
         if pending.is_empty()
             && let Some(view) = &mut self.view
@@ -196,9 +274,15 @@
     }
 
     fn other_cluster(&mut self, now: Time, version: Version, acts: &mut Vec<Act>) -> bool {
-        let other = self.held().is_some_and(|held| held.cluster != version.cluster);
+        let other = self
+            .held()
+            .is_some_and(|held| held.cluster != version.cluster);
         if other {
-            self.failed(now, "another cluster answers on an open watch".to_owned(), acts);
+            self.failed(
+                now,
+                "another cluster answers on an open watch".to_owned(),
+                acts,
+            );
         }
         other
     }
@@ -216,20 +300,29 @@
         }
         let longest = self.plan.stale.unwrap_or(Span::MAX);
         if leader_heard.is_none_or(|ago| ago > longest) {
-            return self.failed(now, "it has not heard of its leader for too long".to_owned(), acts);
+            return self.failed(
+                now,
+                "it has not heard of its leader for too long".to_owned(),
+                acts,
+            );
         }
         if entries.len() > MOST_ENTRIES {
             return self.failed(now, format!("more than {MOST_ENTRIES} entries"), acts);
         }
         // An index of 0 would be answered at once, over and over.
         let index = index.max(Revision(1));
-        let version = Version { revision: index, ..Version::default() };
+        let version = Version {
+            revision: index,
+            ..Version::default()
+        };
         if self.contradicted(now, version, acts) {
             return;
         }
         self.rebuilt(version, entries, acts);
         self.endpoints.good(now);
         self.vouch(now, acts);
-        self.stage = Stage::Resting { until: now + POLL_APART.times(self.rng.random_range(0.5..1.0)) };
+        self.stage = Stage::Resting {
+            until: now + POLL_APART.times(self.rng.random_range(0.5..1.0)),
+        };
     }
 }
--- a/crates/lockusher-registry-client/src/core/follow/exchange.rs
+++ b/crates/lockusher-registry-client/src/core/follow/exchange.rs
@@ -42,13 +42,29 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
     /// Reads a page of the prefix: after a key, at a revision if one is named.
-    Read { call: Call, from: EndpointId, after: Option<Vec<u8>>, limit: u32, at: Option<Revision> },
+    Read {
+        call: Call,
+        from: EndpointId,
+        after: Option<Vec<u8>>,
+        limit: u32,
+        at: Option<Revision>,
+    },
     /// Watches the prefix from a revision on.
-    Watch { call: Call, from: EndpointId, start: Revision },
+    Watch {
+        call: Call,
+        from: EndpointId,
+        start: Revision,
+    },
     /// Asks the watch that is open how far it has come.
     AskProgress { call: Call },
     /// Reads the whole prefix once its index has passed one.
-    Poll { call: Call, from: EndpointId, index: Revision, wait: Span, stale: bool },
+    Poll {
+        call: Call,
+        from: EndpointId,
+        index: Revision,
+        wait: Span,
+        stale: bool,
+    },
     /// Closes what is open; nothing more of it counts.
     Close,
     /// For the log.
@@ -59,17 +75,29 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Heard {
     /// A page, and its last key if more follow.
-    Page { version: Version, entries: Vec<Entry>, more_after: Option<Vec<u8>> },
+    Page {
+        version: Version,
+        entries: Vec<Entry>,
+        more_after: Option<Vec<u8>>,
+    },
     /// The revision asked for is no longer there.
     Compacted,
     /// The watch stands.
     Opened { version: Version },
     /// Changes; `more` belong to the same revisions and follow.
-    Changes { version: Version, changes: Vec<Change>, more: bool },
+    Changes {
+        version: Version,
+        changes: Vec<Change>,
+        more: bool,
+    },
     /// All changes up to here have come.
     Progress { version: Version },
     /// The whole prefix; how long ago its server heard of the leader, if it knows one.
-    Whole { index: Revision, entries: Vec<Entry>, leader_heard: Option<Span> },
+    Whole {
+        index: Revision,
+        entries: Vec<Entry>,
+        leader_heard: Option<Span>,
+    },
     /// The call ended otherwise.
     Failed { why: String },
 }
--- a/crates/lockusher-registry-client/src/core/follow/mod.rs
+++ b/crates/lockusher-registry-client/src/core/follow/mod.rs
@@ -38,11 +38,24 @@
 }
 
 enum Stage {
-    Resting { until: Time },
-    Reading { asked: Time, draft: Draft },
-    Opening { asked: Time },
-    Following { heard: Time, probed: bool, pending: Vec<Change> },
-    Polling { until: Time },
+    Resting {
+        until: Time,
+    },
+    Reading {
+        asked: Time,
+        draft: Draft,
+    },
+    Opening {
+        asked: Time,
+    },
+    Following {
+        heard: Time,
+        probed: bool,
+        pending: Vec<Change>,
+    },
+    Polling {
+        until: Time,
+    },
 }
 
 /// Entries that one view may hold: some hundred MB would be a mistake in the prefix, not a fleet.
@@ -136,11 +149,22 @@
     pub fn due(&self) -> Time {
         let stage = match &self.stage {
             Stage::Resting { until } | Stage::Polling { until } => *until,
-            Stage::Reading { asked, .. } | Stage::Opening { asked } => *asked + self.plan.silent_after,
-            Stage::Following { heard, probed: true, .. } => *heard + self.plan.silent_after,
-            Stage::Following { heard, probed: false, .. } => *heard + self.plan.silent_after.times(0.5),
+            Stage::Reading { asked, .. } | Stage::Opening { asked } => {
+                *asked + self.plan.silent_after
+            }
+            Stage::Following {
+                heard,
+                probed: true,
+                ..
+            } => *heard + self.plan.silent_after,
+            Stage::Following {
+                heard,
+                probed: false,
+                ..
+            } => *heard + self.plan.silent_after.times(0.5),
         };
-        self.vouched.map_or(stage, |at| stage.min(at + self.away_next))
+        self.vouched
+            .map_or(stage, |at| stage.min(at + self.away_next))
     }
 
     /// Whether there is something to tell.
@@ -163,8 +187,16 @@
         let view = self.view.as_ref().filter(|_| self.has_news())?;
         let complete = !std::mem::replace(&mut self.told_whole, true);
         let changes = self.untold.take();
-        let lines = if complete { view.lines().cloned().collect() } else { changes };
-        Some(List { index: view.version.revision.0, complete, lines })
+        let lines = if complete {
+            view.lines().cloned().collect()
+        } else {
+            changes
+        };
+        Some(List {
+            index: view.version.revision.0,
+            complete,
+            lines,
+        })
     }
 
     /// Other settings are in force from here on. What is held stays until what stands there has been read.
@@ -173,7 +205,10 @@
             return Vec::new();
         }
         let other_place = plan.prefix != self.plan.prefix || plan.protocol != self.plan.protocol;
-        let other_endpoints = !plan.endpoints.iter().any(|endpoint| self.plan.endpoints.contains(endpoint));
+        let other_endpoints = !plan
+            .endpoints
+            .iter()
+            .any(|endpoint| self.plan.endpoints.contains(endpoint));
         if self.view.is_some() && (other_place || other_endpoints) {
             // Revisions of another place say nothing of those held, and the operator means to go there.
             (self.rebuild, self.accept) = (Some(Why::Moved), true);
@@ -220,7 +255,10 @@
             && now.since(at) >= self.away_next
         {
             let hosts = self.view.as_ref().map_or(0, |view| view.lines().count());
-            acts.push(Act::Say(Notice::Away { age: now.since(at), hosts }));
+            acts.push(Act::Say(Notice::Away {
+                age: now.since(at),
+                hosts,
+            }));
             self.away_next = self.away_next.times(2.0);
         }
         if now < self.due() {
--- a/crates/lockusher-registry-client/src/core/follow/notice.rs
+++ b/crates/lockusher-registry-client/src/core/follow/notice.rs
@@ -22,16 +22,46 @@
 /// What staff should know.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    Following { from: EndpointId, revision: Revision },
-    Rebuilding { why: Why },
-    Rebuilt { version: Version, entries: usize, written: usize, vanished: usize },
-    Failed { from: EndpointId, why: String },
-    Silent { from: EndpointId },
-    Contradicts { from: EndpointId, held: Version, said: Version },
-    Unreadable { name: String, why: String },
-    MostVanished { up_before: usize, up: usize },
-    Away { age: Span, hosts: usize },
-    Back { age: Span },
+    Following {
+        from: EndpointId,
+        revision: Revision,
+    },
+    Rebuilding {
+        why: Why,
+    },
+    Rebuilt {
+        version: Version,
+        entries: usize,
+        written: usize,
+        vanished: usize,
+    },
+    Failed {
+        from: EndpointId,
+        why: String,
+    },
+    Silent {
+        from: EndpointId,
+    },
+    Contradicts {
+        from: EndpointId,
+        held: Version,
+        said: Version,
+    },
+    Unreadable {
+        name: String,
+        why: String,
+    },
+    MostVanished {
+        up_before: usize,
+        up: usize,
+    },
+    Away {
+        age: Span,
+        hosts: usize,
+    },
+    Back {
+        age: Span,
+    },
 }
 
 impl Notice {
@@ -53,7 +83,10 @@
 
     pub fn is_trouble(&self) -> bool {
         use Notice::{Back, Following, Rebuilding, Rebuilt};
-        !matches!(self, Following { .. } | Rebuilding { .. } | Rebuilt { .. } | Back { .. })
+        !matches!(
+            self,
+            Following { .. } | Rebuilding { .. } | Rebuilt { .. } | Back { .. }
+        )
     }
 }
 
@@ -61,7 +94,11 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Notice::Following { from, revision } => {
-                write!(f, "registry: endpoint {} is followed from revision {}", from.0, revision.0)
+                write!(
+                    f,
+                    "registry: endpoint {} is followed from revision {}",
+                    from.0, revision.0
+                )
             }
             Notice::Rebuilding { why } => {
                 let why = match why {
@@ -74,7 +111,12 @@
                 };
                 write!(f, "registry: all is read: {why}")
             }
-            Notice::Rebuilt { version, entries, written, vanished } => write!(
+            Notice::Rebuilt {
+                version,
+                entries,
+                written,
+                vanished,
+            } => write!(
                 f,
                 "registry: cluster {:x} read at revision {}: {entries} entries, {written} written and {vanished} \
                  vanished since",
@@ -87,9 +129,14 @@
                 "registry: endpoint {} is passed over: it is at revision {} of cluster {:x}, held is {} of {:x}",
                 from.0, said.revision.0, said.cluster.0, held.revision.0, held.cluster.0
             ),
-            Notice::Unreadable { name, why } => write!(f, "registry: entry {name:?} can't be read: {why}"),
+            Notice::Unreadable { name, why } => {
+                write!(f, "registry: entry {name:?} can't be read: {why}")
+            }
             Notice::MostVanished { up_before, up } => {
-                write!(f, "registry: of {up_before} searchers that were up, {up} are left after one change")
+                write!(
+                    f,
+                    "registry: of {up_before} searchers that were up, {up} are left after one change"
+                )
             }
             Notice::Away { age, hosts } => write!(
                 f,
--- a/crates/lockusher-registry-client/src/core/view.rs
+++ b/crates/lockusher-registry-client/src/core/view.rs
@@ -92,15 +92,33 @@
         names: &Names,
         untold: &mut Untold,
     ) -> Altered {
-        let mut altered = Altered { up_before: self.up, ..Altered::default() };
+        let mut altered = Altered {
+            up_before: self.up,
+            ..Altered::default()
+        };
         let anew = anew || version.cluster != self.version.cluster;
         let named: BTreeSet<String> = entries.iter().map(|entry| entry.name.clone()).collect();
-        let vanished: Vec<String> = self.rows.keys().filter(|name| !named.contains(*name)).cloned().collect();
+        let vanished: Vec<String> = self
+            .rows
+            .keys()
+            .filter(|name| !named.contains(*name))
+            .cloned()
+            .collect();
         for name in vanished {
             self.remove(&name, untold, &mut altered);
         }
-        for Entry { name, modified, value } in entries {
-            if anew || self.rows.get(&name).is_none_or(|row| row.modified != modified) {
+        for Entry {
+            name,
+            modified,
+            value,
+        } in entries
+        {
+            if anew
+                || self
+                    .rows
+                    .get(&name)
+                    .is_none_or(|row| row.modified != modified)
+            {
                 self.write(name, modified, &value, names, untold, &mut altered);
             }
         }
@@ -111,9 +129,17 @@
 
     /// Takes the changes of whole revisions, oldest first. What is not newer than the view came before and counts once.
     pub fn apply(&mut self, changes: Vec<Change>, names: &Names, untold: &mut Untold) -> Altered {
-        let mut altered = Altered { up_before: self.up, ..Altered::default() };
+        let mut altered = Altered {
+            up_before: self.up,
+            ..Altered::default()
+        };
         let held = self.version.revision;
-        for Change { name, modified, value } in changes {
+        for Change {
+            name,
+            modified,
+            value,
+        } in changes
+        {
             if modified <= held {
                 continue;
             }
@@ -142,7 +168,11 @@
             return; // The prefix itself, a folder's key.
         }
         altered.written += 1;
-        let row = self.rows.entry(name.clone()).or_insert(Row { modified, line: None, readable: true });
+        let row = self.rows.entry(name.clone()).or_insert(Row {
+            modified,
+            line: None,
+            readable: true,
+        });
         row.modified = modified;
         match entry::read(&name, value, names) {
             Ok(line) => {
@@ -162,7 +192,9 @@
     }
 
     fn remove(&mut self, name: &str, untold: &mut Untold, altered: &mut Altered) {
-        let Some(row) = self.rows.remove(name) else { return };
+        let Some(row) = self.rows.remove(name) else {
+            return;
+        };
         altered.vanished += 1;
         if let Some((mut listed, place)) = row.line {
             self.up -= usize::from(listed.state == SearcherState::Up);
--- a/crates/lockusher-registry-client/src/io/consul.rs
+++ b/crates/lockusher-registry-client/src/io/consul.rs
@@ -31,16 +31,32 @@
 /// A path's text: all but what a path may hold as it is, in percent form.
 fn escaped(path: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~/".contains(&byte);
-    path.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
+    path.bytes()
+        .map(|b| {
+            if plain(b) {
+                char::from(b).to_string()
+            } else {
+                format!("%{b:02X}")
+            }
+        })
+        .collect()
 }
 
 impl Session {
     pub fn new(endpoint: &str, prefix: &str) -> Self {
         // The follower ends a call that takes too long; no time-out of the client's own may do it before.
-        let connector =
-            Connector::new().timeout(Duration::from_secs(3)).conn_lifetime(Duration::from_secs(3_600));
-        let client = Client::builder().connector(connector).disable_timeout().finish();
-        Session { client, endpoint: endpoint.to_owned(), prefix: prefix.to_owned() }
+        let connector = Connector::new()
+            .timeout(Duration::from_secs(3))
+            .conn_lifetime(Duration::from_secs(3_600));
+        let client = Client::builder()
+            .connector(connector)
+            .disable_timeout()
+            .finish();
+        Session {
+            client,
+            endpoint: endpoint.to_owned(),
+            prefix: prefix.to_owned(),
+        }
     }
 
     /// One read; `most` ends it at the latest.
@@ -53,7 +69,11 @@
         most: Span,
     ) -> impl Future<Output = ()> + use<> {
         let (client, prefix) = (self.client.clone(), self.prefix.clone());
-        let mut url = format!("http://{}/v1/kv/{}?recurse=true", self.endpoint, escaped(&prefix));
+        let mut url = format!(
+            "http://{}/v1/kv/{}?recurse=true",
+            self.endpoint,
+            escaped(&prefix)
+        );
         if index > Revision(0) {
             url += &format!("&index={}&wait={}ms", index.0, wait.as_micros() / 1_000);
         }
@@ -61,8 +81,10 @@
             url += "&stale";
         }
         async move {
-            let answer =
-                tokio::time::timeout(Duration::from_micros(most.as_micros()), get(&client, &url, &prefix));
+            let answer = tokio::time::timeout(
+                Duration::from_micros(most.as_micros()),
+                get(&client, &url, &prefix),
+            );
             let heard = match answer.await {
                 Ok(Ok(heard)) => heard,
                 Ok(Err(why)) => Heard::Failed { why },
@@ -89,16 +111,39 @@
     let index = Revision(index.ok_or("an answer without an index")?);
     let leader_heard = leader.then_some(ago);
     if status.as_u16() == 404 {
-        return Ok(Heard::Whole { index, entries: Vec::new(), leader_heard });
+        return Ok(Heard::Whole {
+            index,
+            entries: Vec::new(),
+            leader_heard,
+        });
     }
-    let body = response.body().limit(MOST_ANSWER).await.map_err(|e| e.to_string())?;
-    let pairs: Vec<Pair> = serde_json::from_slice(&body).map_err(|e| format!("no list of keys: {e}"))?;
+    let body = response
+        .body()
+        .limit(MOST_ANSWER)
+        .await
+        .map_err(|e| e.to_string())?;
+    let pairs: Vec<Pair> =
+        serde_json::from_slice(&body).map_err(|e| format!("no list of keys: {e}"))?;
     let entry = |pair: Pair| {
-        let name = pair.key.strip_prefix(prefix).unwrap_or(&pair.key).to_owned();
-        let value = pair.value.map_or(Ok(Vec::new()), |text| BASE64_STANDARD.decode(text));
+        let name = pair
+            .key
+            .strip_prefix(prefix)
+            .unwrap_or(&pair.key)
+            .to_owned();
+        let value = pair
+            .value
+            .map_or(Ok(Vec::new()), |text| BASE64_STANDARD.decode(text));
         // A value that is not base64 is an entry that can't be read, not an answer that can't.
-        Entry { name, modified: Revision(pair.modify_index), value: value.unwrap_or_default() }
+        Entry {
+            name,
+            modified: Revision(pair.modify_index),
+            value: value.unwrap_or_default(),
+        }
     };
     let entries = pairs.into_iter().map(entry).collect();
-    Ok(Heard::Whole { index, entries, leader_heard })
+    Ok(Heard::Whole {
+        index,
+        entries,
+        leader_heard,
+    })
 }
--- a/crates/lockusher-registry-client/src/io/etcd.rs
+++ b/crates/lockusher-registry-client/src/io/etcd.rs
@@ -37,7 +37,10 @@
 
 fn version(header: Option<pb::ResponseHeader>) -> Version {
     let header = header.unwrap_or_default();
-    Version { cluster: ClusterId(header.cluster_id), revision: Revision(header.revision.max(0) as u64) }
+    Version {
+        cluster: ClusterId(header.cluster_id),
+        revision: Revision(header.revision.max(0) as u64),
+    }
 }
 
 fn name_of(key: &[u8], prefix: &[u8]) -> String {
@@ -49,24 +52,38 @@
     if status.code() == Code::OutOfRange && status.message().contains("compacted") {
         return Heard::Compacted;
     }
-    Heard::Failed { why: format!("{}: {}", status.code(), status.message()) }
+    Heard::Failed {
+        why: format!("{}: {}", status.code(), status.message()),
+    }
 }
 
 impl Session {
     pub fn new(endpoint: &str, prefix: &str, patience: Span) -> Self {
         let patience = Duration::from_micros(patience.as_micros());
         let channel = Endpoint::from_shared(format!("http://{endpoint}"))
-            .map(|endpoint| endpoint.connect_timeout(patience).tcp_nodelay(true).connect_lazy())
+            .map(|endpoint| {
+                endpoint
+                    .connect_timeout(patience)
+                    .tcp_nodelay(true)
+                    .connect_lazy()
+            })
             .map_err(|e| e.to_string());
         // Places for a watch's beginning and for what asks how far it has come.
         let (requests, outgoing) = mpsc::channel(4);
-        Session { channel, prefix: prefix.as_bytes().to_vec(), requests, outgoing: Some(outgoing) }
+        Session {
+            channel,
+            prefix: prefix.as_bytes().to_vec(),
+            requests,
+            outgoing: Some(outgoing),
+        }
     }
 
     pub fn ask_progress(&self) {
         let request = pb::watch_request::RequestUnion::ProgressRequest(pb::WatchProgressRequest {});
         // A full queue means that the endpoint takes nothing; the follower notices its silence.
-        let _ = self.requests.try_send(pb::WatchRequest { request_union: Some(request) });
+        let _ = self.requests.try_send(pb::WatchRequest {
+            request_union: Some(request),
+        });
     }
 
     pub fn read(
@@ -94,7 +111,8 @@
                 revision: at.map_or(0, |at| at.0 as i64),
                 serializable: false,
             };
-            let mut client = pb::kv_client::KvClient::new(channel).max_decoding_message_size(MOST_ANSWER);
+            let mut client =
+                pb::kv_client::KvClient::new(channel).max_decoding_message_size(MOST_ANSWER);
             let heard = match client.range(request).await {
                 Ok(response) => {
                     let response = response.into_inner();
@@ -127,14 +145,18 @@
             fragment: true,
         };
         let request = pb::watch_request::RequestUnion::CreateRequest(create);
-        let _ = self.requests.try_send(pb::WatchRequest { request_union: Some(request) });
+        let _ = self.requests.try_send(pb::WatchRequest {
+            request_union: Some(request),
+        });
         let outgoing = self.outgoing.take();
         async move {
             let why = match (channel, outgoing) {
-                (Ok(channel), Some(outgoing)) => match watched(channel, outgoing, &prefix, &ear).await {
-                    Ok(()) => return,
-                    Err(why) => why,
-                },
+                (Ok(channel), Some(outgoing)) => {
+                    match watched(channel, outgoing, &prefix, &ear).await {
+                        Ok(()) => return,
+                        Err(why) => why,
+                    }
+                }
                 (Err(why), _) => why,
                 (_, None) => "a second watch on one connection".to_owned(),
             };
@@ -154,7 +176,8 @@
         let request = outgoing.recv().await?;
         Some((request, outgoing))
     });
-    let mut client = pb::watch_client::WatchClient::new(channel).max_decoding_message_size(MOST_ANSWER);
+    let mut client =
+        pb::watch_client::WatchClient::new(channel).max_decoding_message_size(MOST_ANSWER);
     let said = |status: Status| format!("{}: {}", status.code(), status.message());
     let mut responses = client.watch(requests).await.map_err(said)?.into_inner();
     while let Some(response) = responses.message().await.map_err(said)? {
@@ -172,7 +195,9 @@
     if response.canceled {
         // A start that was compacted away is named; every other end has a reason only.
         return match response.compact_revision {
-            0 => Heard::Failed { why: format!("the watch was cancelled: {}", response.cancel_reason) },
+            0 => Heard::Failed {
+                why: format!("the watch was cancelled: {}", response.cancel_reason),
+            },
             _ => Heard::Compacted,
         };
     }
@@ -183,8 +208,10 @@
         return Heard::Progress { version };
     }
     let change = |event: pb::Event| {
-        let (deleted, kv) =
-            (event.r#type == pb::event::EventType::Delete as i32, event.kv.unwrap_or_default());
+        let (deleted, kv) = (
+            event.r#type == pb::event::EventType::Delete as i32,
+            event.kv.unwrap_or_default(),
+        );
         Change {
             name: name_of(&kv.key, prefix),
             modified: Revision(kv.mod_revision.max(0) as u64),
@@ -192,7 +219,11 @@
         }
     };
     let changes = response.events.into_iter().map(change).collect();
-    Heard::Changes { version, changes, more: response.fragment }
+    Heard::Changes {
+        version,
+        changes,
+        more: response.fragment,
+    }
 }
 
 #[cfg(test)]
--- a/crates/lockusher-registry-client/src/io/mod.rs
+++ b/crates/lockusher-registry-client/src/io/mod.rs
@@ -71,15 +71,27 @@
 ) {
     let (hears, mut heard) = mpsc::channel(MOST_WAITING);
     let mut follower = Follower::new(clock(), plans.borrow_and_update().clone(), names, seed);
-    let mut carrier = Carrier { hears, open: None, calls: Vec::new() };
+    let mut carrier = Carrier {
+        hears,
+        open: None,
+        calls: Vec::new(),
+    };
     let mut next_told = clock();
     let acts = follower.step(clock(), None);
     carrier.carry_out(&follower, acts);
     loop {
         let now = clock();
         let may_tell = follower.has_news() && now >= next_told;
-        let wake = if follower.has_news() { follower.due().min(next_told.max(now)) } else { follower.due() };
-        let wait = if may_tell { follower.due().since(now) } else { wake.since(now) };
+        let wake = if follower.has_news() {
+            follower.due().min(next_told.max(now))
+        } else {
+            follower.due()
+        };
+        let wait = if may_tell {
+            follower.due().since(now)
+        } else {
+            wake.since(now)
+        };
         let acts = tokio::select! {
             Some(ask) = asks.recv() => {
                 let status = follower.status(now);
@@ -133,7 +145,9 @@
                 Act::Say(notice) if notice.is_trouble() => {
                     tracing::warn!(target: "registry", kind = notice.kind(), "{notice}");
                 }
-                Act::Say(notice) => tracing::info!(target: "registry", kind = notice.kind(), "{notice}"),
+                Act::Say(notice) => {
+                    tracing::info!(target: "registry", kind = notice.kind(), "{notice}");
+                }
                 Act::Close => {
                     self.calls.clear();
                     self.open = None;
@@ -159,15 +173,34 @@
             Protocol::Etcd => Open::Etcd(etcd::Session::new(endpoint, prefix, plan.silent_after)),
             Protocol::Consul => Open::Consul(consul::Session::new(endpoint, prefix)),
         });
-        let ear = |call| Ear { call, heard: self.hears.clone() };
+        let ear = |call| Ear {
+            call,
+            heard: self.hears.clone(),
+        };
         let running = match (open, act) {
-            (Open::Etcd(session), Act::Read { call, after, limit, at, .. }) => {
-                tokio::task::spawn_local(session.read(ear(call), after, limit, at))
-            }
+            (
+                Open::Etcd(session),
+                Act::Read {
+                    call,
+                    after,
+                    limit,
+                    at,
+                    ..
+                },
+            ) => tokio::task::spawn_local(session.read(ear(call), after, limit, at)),
             (Open::Etcd(session), Act::Watch { call, start, .. }) => {
                 tokio::task::spawn_local(session.watch(ear(call), start))
             }
-            (Open::Consul(session), Act::Poll { call, index, wait, stale, .. }) => {
+            (
+                Open::Consul(session),
+                Act::Poll {
+                    call,
+                    index,
+                    wait,
+                    stale,
+                    ..
+                },
+            ) => {
                 let most = wait.times(17.0 / 16.0) + plan.silent_after;
                 tokio::task::spawn_local(session.poll(ear(call), index, wait, stale, most))
             }
@@ -182,7 +215,10 @@
 /// revision that it shows, if it was read. For comparison only.
 pub async fn read_whole(plan: &Plan) -> Option<Revision> {
     let (hears, mut heard) = mpsc::channel(1);
-    let ear = Ear { call: Call(0), heard: hears };
+    let ear = Ear {
+        call: Call(0),
+        heard: hears,
+    };
     let endpoint = plan.endpoints.first()?;
     let read = async {
         match plan.protocol {
@@ -192,11 +228,15 @@
             }
             Protocol::Consul => {
                 let session = consul::Session::new(endpoint, &plan.prefix);
-                session.poll(ear, Revision(0), Span::ZERO, false, plan.silent_after).await;
+                session
+                    .poll(ear, Revision(0), Span::ZERO, false, plan.silent_after)
+                    .await;
             }
         }
     };
-    tokio::time::timeout(Duration::from_micros(plan.silent_after.as_micros()), read).await.ok()?;
+    tokio::time::timeout(Duration::from_micros(plan.silent_after.as_micros()), read)
+        .await
+        .ok()?;
     match heard.recv().await?.1 {
         Heard::Page { version, .. } => Some(version.revision),
         Heard::Whole { index, .. } => Some(index),
--- a/crates/lockusher-router-testbed/src/checker/changes.rs
+++ b/crates/lockusher-router-testbed/src/checker/changes.rs
@@ -24,16 +24,32 @@
 }
 
 /// The services that a configuration allows for a host and path; none where it has no route.
-pub(super) fn services_for(configuration: &Configuration, host: &str, target: &str) -> BTreeSet<String> {
+pub(super) fn services_for(
+    configuration: &Configuration,
+    host: &str,
+    target: &str,
+) -> BTreeSet<String> {
     let path = target.split('?').next().unwrap_or_default();
     let fits = |route: &&Route| route.host == host && path.starts_with(&route.path_prefix);
-    let route = configuration.routes.iter().filter(fits).max_by_key(|route| route.path_prefix.len());
-    let split = route.map(|route| route.split.as_slice()).unwrap_or_default();
-    split.iter().filter(|share| share.weight > 0).map(|share| share.service.clone()).collect()
+    let route = configuration
+        .routes
+        .iter()
+        .filter(fits)
+        .max_by_key(|route| route.path_prefix.len());
+    let split = route
+        .map(|route| route.split.as_slice())
+        .unwrap_or_default();
+    split
+        .iter()
+        .filter(|share| share.weight > 0)
+        .map(|share| share.service.clone())
+        .collect()
 }
 
 fn check_drain(evidence: &Evidence, arrival: &Arrival, verdict: &mut Verdict) {
-    let Some(shown) = evidence.drained.get(&arrival.instance) else { return };
+    let Some(shown) = evidence.drained.get(&arrival.instance) else {
+        return;
+    };
     let late = arrival.at.saturating_sub(shown + evidence.bounds.drain);
     if late > 0 && arrival.outcome != (ArrivalOutcome::Rejected { status: 421 }) {
         verdict.add(
@@ -45,11 +61,15 @@
 }
 
 fn check_route(evidence: &Evidence, arrival: &Arrival, one: &TryRecord, verdict: &mut Verdict) {
-    if matches!(arrival.outcome, ArrivalOutcome::Rejected { .. } | ArrivalOutcome::Broken) {
+    if matches!(
+        arrival.outcome,
+        ArrivalOutcome::Rejected { .. } | ArrivalOutcome::Broken
+    ) {
         return;
     }
     let allows = |change: &&Change| {
-        services_for(&change.configuration, &one.spec.host, &one.spec.target).contains(&arrival.service)
+        services_for(&change.configuration, &one.spec.host, &one.spec.target)
+            .contains(&arrival.service)
     };
     if !evidence.changes.iter().any(|change| allows(&change)) {
         verdict.add(
@@ -72,10 +92,15 @@
         return;
     }
     let versions = in_force(evidence, one);
-    let is_routed =
-        |change: &&Change| !services_for(&change.configuration, &one.spec.host, &one.spec.target).is_empty();
+    let is_routed = |change: &&Change| {
+        !services_for(&change.configuration, &one.spec.host, &one.spec.target).is_empty()
+    };
     if versions.iter().all(is_routed) {
-        verdict.add(Rule::Config, &one.request_id, format!("404 at {} though the route is there", one.front));
+        verdict.add(
+            Rule::Config,
+            &one.request_id,
+            format!("404 at {} though the route is there", one.front),
+        );
     }
 }
 
@@ -94,7 +119,10 @@
 /// The newest version whose time to spread is over; none while a machine may still have no configuration.
 fn oldest_in_force(evidence: &Evidence, one: &TryRecord) -> Option<u64> {
     let spread = evidence.bounds.configuration;
-    let changes = evidence.changes.iter().filter(|change| is_spread(change, one.sent, spread));
+    let changes = evidence
+        .changes
+        .iter()
+        .filter(|change| is_spread(change, one.sent, spread));
     changes.map(|change| change.configuration.version).max()
 }
 
@@ -104,18 +132,24 @@
 
 /// Two changes on top of the same version must not both be acknowledged.
 fn check_writes(evidence: &Evidence, verdict: &mut Verdict) {
-    let acknowledged: Vec<&Change> =
-        evidence.changes.iter().filter(|change| change.outcome == ChangeOutcome::Acknowledged).collect();
+    let acknowledged: Vec<&Change> = evidence
+        .changes
+        .iter()
+        .filter(|change| change.outcome == ChangeOutcome::Acknowledged)
+        .collect();
     for (position, change) in acknowledged.iter().enumerate() {
-        let rival = acknowledged[..position]
-            .iter()
-            .find(|earlier| earlier.base == change.base && earlier.configuration != change.configuration);
+        let rival = acknowledged[..position].iter().find(|earlier| {
+            earlier.base == change.base && earlier.configuration != change.configuration
+        });
         if let Some(rival) = rival {
             let (one, other) = (rival.configuration.version, change.configuration.version);
             verdict.add(
                 Rule::Config,
                 "",
-                format!("versions {one} and {other} both acknowledged on {}", change.base),
+                format!(
+                    "versions {one} and {other} both acknowledged on {}",
+                    change.base
+                ),
             );
         }
     }
--- a/crates/lockusher-router-testbed/src/checker/mod.rs
+++ b/crates/lockusher-router-testbed/src/checker/mod.rs
@@ -93,7 +93,10 @@
 
     /// The violations but for those of one rule.
     pub fn without(&self, rule: Rule) -> Vec<&Violation> {
-        self.violations.iter().filter(|violation| violation.rule != rule).collect()
+        self.violations
+            .iter()
+            .filter(|violation| violation.rule != rule)
+            .collect()
     }
 }
 
@@ -110,7 +113,11 @@
 
 impl Verdict {
     fn add(&mut self, rule: Rule, request_id: &str, detail: impl Into<String>) {
-        self.violations.push(Violation { rule, request_id: request_id.to_owned(), detail: detail.into() });
+        self.violations.push(Violation {
+            rule,
+            request_id: request_id.to_owned(),
+            detail: detail.into(),
+        });
     }
 }
 
@@ -123,23 +130,39 @@
 
 impl<'a> Index<'a> {
     fn new(evidence: &'a Evidence) -> Index<'a> {
-        let tries = evidence.tries.iter().map(|one| (one.request_id.as_str(), one)).collect();
+        let tries = evidence
+            .tries
+            .iter()
+            .map(|one| (one.request_id.as_str(), one))
+            .collect();
         let mut arrivals: HashMap<&str, Vec<&Arrival>> = HashMap::new();
         let mut runs_by_signature = HashMap::new();
         for arrival in &evidence.arrivals {
-            arrivals.entry(&arrival.request_id).or_default().push(arrival);
+            arrivals
+                .entry(&arrival.request_id)
+                .or_default()
+                .push(arrival);
             if let Some(run) = arrival.run() {
                 runs_by_signature.insert(run.signature.as_str(), (arrival, run));
             }
         }
-        Index { tries, arrivals, runs_by_signature }
+        Index {
+            tries,
+            arrivals,
+            runs_by_signature,
+        }
     }
 
     fn arrivals_of(&self, request_id: &str) -> &[&'a Arrival] {
-        self.arrivals.get(request_id).map(Vec::as_slice).unwrap_or_default()
+        self.arrivals
+            .get(request_id)
+            .map(Vec::as_slice)
+            .unwrap_or_default()
     }
 
     fn runs_of(&self, request_id: &str) -> impl Iterator<Item = (&'a Arrival, &'a Run)> {
-        self.arrivals_of(request_id).iter().filter_map(|arrival| arrival.run().map(|run| (*arrival, run)))
+        self.arrivals_of(request_id)
+            .iter()
+            .filter_map(|arrival| arrival.run().map(|run| (*arrival, run)))
     }
 }
--- a/crates/lockusher-router-testbed/src/checker/runs.rs
+++ b/crates/lockusher-router-testbed/src/checker/runs.rs
@@ -10,7 +10,10 @@
 pub(super) fn check(evidence: &Evidence, index: &Index<'_>, verdict: &mut Verdict) {
     for arrival in &evidence.arrivals {
         check_asked(arrival, index, verdict);
-        let continues_another = arrival.continues.as_ref().is_some_and(|owner| *owner != arrival.request_id);
+        let continues_another = arrival
+            .continues
+            .as_ref()
+            .is_some_and(|owner| *owner != arrival.request_id);
         if continues_another {
             verdict.add(
                 Rule::Mixed,
@@ -28,14 +31,22 @@
 fn check_asked(arrival: &Arrival, index: &Index<'_>, verdict: &mut Verdict) {
     let id = arrival.request_id.as_str();
     let Some(one) = index.tries.get(id) else {
-        verdict.add(Rule::Unasked, id, format!("{} got a request that no client sent", arrival.instance));
+        verdict.add(
+            Rule::Unasked,
+            id,
+            format!("{} got a request that no client sent", arrival.instance),
+        );
         return;
     };
     let unchanged = one.spec.method == arrival.method
         && one.spec.target == arrival.target
         && one.body_digest == arrival.body_digest;
     if !unchanged {
-        verdict.add(Rule::Unasked, id, format!("changed on its way to {}", arrival.instance));
+        verdict.add(
+            Rule::Unasked,
+            id,
+            format!("changed on its way to {}", arrival.instance),
+        );
     }
 }
 
@@ -44,10 +55,16 @@
     if runs > 1 && !one.spec.is_idempotent {
         verdict.add(Rule::Twice, &one.request_id, format!("ran {runs} times"));
     }
-    let searchers: BTreeSet<&str> =
-        index.runs_of(&one.request_id).map(|(arrival, _)| arrival.instance.as_str()).collect();
+    let searchers: BTreeSet<&str> = index
+        .runs_of(&one.request_id)
+        .map(|(arrival, _)| arrival.instance.as_str())
+        .collect();
     if searchers.len() > one.spec.attempts as usize {
-        let detail = format!("ran on {} searchers, {} allowed", searchers.len(), one.spec.attempts);
+        let detail = format!(
+            "ran on {} searchers, {} allowed",
+            searchers.len(),
+            one.spec.attempts
+        );
         verdict.add(Rule::Budget, &one.request_id, detail);
     }
 }
@@ -88,9 +105,14 @@
     arrivals.sort_by_key(|arrival| arrival.at);
     for arrival in arrivals {
         let key = (arrival.service.as_str(), arrival.request_id.as_str());
-        let is_first_prefill = arrival.prefill_only && is_taken_up(arrival) && prefilled.insert(key);
+        let is_first_prefill =
+            arrival.prefill_only && is_taken_up(arrival) && prefilled.insert(key);
         if !is_first_prefill && !seen.insert(key) {
-            loads.entry(arrival.service.clone()).or_default().extra.push(arrival.at);
+            loads
+                .entry(arrival.service.clone())
+                .or_default()
+                .extra
+                .push(arrival.at);
         }
     }
     for one in &evidence.tries {
@@ -111,13 +133,21 @@
 /// Every service that some configuration allows for a host and path.
 fn services_of(evidence: &Evidence, host: &str, target: &str) -> BTreeSet<String> {
     let sent = evidence.changes.iter().map(|change| &change.configuration);
-    sent.flat_map(|configuration| super::changes::services_for(configuration, host, target)).collect()
+    sent.flat_map(|configuration| super::changes::services_for(configuration, host, target))
+        .collect()
 }
 
 /// Requests in the window that ends at `end`, in the one before it or the one half a window before it.
 fn most_requests(requests: &[Micros], end: Micros, window: Micros) -> usize {
-    let ends = [end, end.saturating_sub(window), end.saturating_sub(window / 2)];
-    ends.iter().map(|end| count_within(requests, end.saturating_sub(window), *end)).max().unwrap_or(0)
+    let ends = [
+        end,
+        end.saturating_sub(window),
+        end.saturating_sub(window / 2),
+    ];
+    ends.iter()
+        .map(|end| count_within(requests, end.saturating_sub(window), *end))
+        .max()
+        .unwrap_or(0)
 }
 
 /// How many of the sorted times lie within a span, its ends included.
--- a/crates/lockusher-router-testbed/src/client.rs
+++ b/crates/lockusher-router-testbed/src/client.rs
@@ -9,7 +9,9 @@
 use crate::engine::Micros;
 use crate::http::{AnswerHead, Connection, HttpError, Request};
 use crate::record::{EventRecord, LabClock, digest};
-use crate::request::{AnswerSeen, BodySeen, Break, RequestRecord, RequestSpec, TryOutcome, TryRecord};
+use crate::request::{
+    AnswerSeen, BodySeen, Break, RequestRecord, RequestSpec, TryOutcome, TryRecord,
+};
 
 /// How long a new connection is given to come up.
 const CONNECT_WAIT: Duration = Duration::from_secs(1);
@@ -36,17 +38,28 @@
 impl Client {
     /// A client that opens a connection for each try.
     pub fn new(clock: LabClock) -> Client {
-        Client { clock, reuse_within: None, hasty: false, resting: HashMap::new() }
+        Client {
+            clock,
+            reuse_within: None,
+            hasty: false,
+            resting: HashMap::new(),
+        }
     }
 
     /// A client that uses connections again that have rested for no longer than `reuse_within`.
     pub fn keeping_connections(clock: LabClock, reuse_within: Duration) -> Client {
-        Client { reuse_within: Some(reuse_within), ..Client::new(clock) }
+        Client {
+            reuse_within: Some(reuse_within),
+            ..Client::new(clock)
+        }
     }
 
     /// A client that doesn't wait as told, and retries at once and more often.
     pub fn hasty(clock: LabClock) -> Client {
-        Client { hasty: true, ..Client::new(clock) }
+        Client {
+            hasty: true,
+            ..Client::new(clock)
+        }
     }
 
     /// Sends a request, due at `due`, with its retries. `front_of` gives the address for the try of a number.
@@ -58,7 +71,11 @@
     ) -> RequestRecord {
         let begun = Instant::now();
         let mut tries: Vec<TryRecord> = Vec::new();
-        let retries = if self.hasty { spec.retries + HASTY_RETRIES } else { spec.retries };
+        let retries = if self.hasty {
+            spec.retries + HASTY_RETRIES
+        } else {
+            spec.retries
+        };
         for number in 0..=retries {
             let last_event_id = resume_after(spec, &tries);
             let one = self.try_once(spec, front_of(number), begun, last_event_id);
@@ -69,7 +86,12 @@
                 std::thread::park_timeout(pause);
             }
         }
-        RequestRecord { spec: Arc::clone(spec), due, ended: self.clock.now(), tries }
+        RequestRecord {
+            spec: Arc::clone(spec),
+            due,
+            ended: self.clock.now(),
+            tries,
+        }
     }
 
     /// One try at one mixer, of a request that began at `begun`.
@@ -117,7 +139,9 @@
     ) -> Result<Connection, HttpError> {
         if let Some((mut resting, since)) = self.resting.remove(&front) {
             *surplus = resting.has_surplus();
-            let is_young = self.reuse_within.is_some_and(|most| since.elapsed() <= most);
+            let is_young = self
+                .reuse_within
+                .is_some_and(|most| since.elapsed() <= most);
             if is_young && !*surplus && !resting.peer_has_closed() {
                 return Ok(resting);
             }
@@ -136,15 +160,26 @@
     ) -> TryOutcome {
         connection.set_give_up(Some(give_up));
         if let Err(error) = connection.write(&request.to_bytes()) {
-            return TryOutcome::Broken { seen: None, why: break_of(error) };
+            return TryOutcome::Broken {
+                seen: None,
+                why: break_of(error),
+            };
         }
         let head = match self.read_head(&mut connection, spec, give_up) {
             Ok(head) => head,
-            Err(error) => return TryOutcome::Broken { seen: None, why: break_of(error) },
+            Err(error) => {
+                return TryOutcome::Broken {
+                    seen: None,
+                    why: break_of(error),
+                };
+            }
         };
         let mut seen = seen_of(&head);
         match self.read_body(&mut connection, spec, give_up, &mut seen) {
-            Err(error) => TryOutcome::Broken { seen: Some(seen), why: break_of(error) },
+            Err(error) => TryOutcome::Broken {
+                seen: Some(seen),
+                why: break_of(error),
+            },
             Ok(()) => {
                 if self.reuse_within.is_some() && connection.may_be_reused(&head.headers) {
                     self.resting.insert(front, (connection, Instant::now()));
@@ -179,30 +214,47 @@
                 Some(piece) => unread.extend_from_slice(&piece),
                 None => break,
             }
-            if let BodySeen::Stream { events, loose_bytes } = &mut seen.body {
+            if let BodySeen::Stream {
+                events,
+                loose_bytes,
+            } = &mut seen.body
+            {
                 self.take_events(&mut unread, events);
                 *loose_bytes = !unread.is_empty();
             }
         }
         if !is_stream {
-            seen.body = BodySeen::Plain { digest: digest(&unread) };
+            seen.body = BodySeen::Plain {
+                digest: digest(&unread),
+            };
         }
         Ok(())
     }
 
     /// Moves whole events from the bytes to the record.
     fn take_events(&self, unread: &mut Vec<u8>, events: &mut Vec<EventRecord>) {
-        while let Some(at) = unread.windows(EVENT_END.len()).position(|window| window == EVENT_END) {
+        while let Some(at) = unread
+            .windows(EVENT_END.len())
+            .position(|window| window == EVENT_END)
+        {
             let rest = unread.split_off(at + EVENT_END.len());
             let text = std::mem::replace(unread, rest);
-            events.push(EventRecord { id: event_id(&text), digest: digest(&text), at: self.clock.now() });
+            events.push(EventRecord {
+                id: event_id(&text),
+                digest: digest(&text),
+                at: self.clock.now(),
+            });
         }
     }
 }
 
 /// When a read gives up: at the deadline, or for streams after the longest silence.
 fn patience(spec: &RequestSpec, give_up: Instant) -> Instant {
-    if spec.streaming { give_up.min(Instant::now() + spec.longest_silence()) } else { give_up }
+    if spec.streaming {
+        give_up.min(Instant::now() + spec.longest_silence())
+    } else {
+        give_up
+    }
 }
 
 fn event_id(text: &[u8]) -> u64 {
@@ -213,8 +265,12 @@
 
 fn seen_of(head: &AnswerHead) -> AnswerSeen {
     let headers = &head.headers;
-    let is_stream = headers.get("Content-Type").is_some_and(|kind| kind.starts_with("text/event-stream"));
-    let retry_after = headers.get("Retry-After").and_then(|value| value.trim().parse::<f64>().ok());
+    let is_stream = headers
+        .get("Content-Type")
+        .is_some_and(|kind| kind.starts_with("text/event-stream"));
+    let retry_after = headers
+        .get("Retry-After")
+        .and_then(|value| value.trim().parse::<f64>().ok());
     AnswerSeen {
         status: head.status,
         request_id: headers.get("Request-Identifier").map(str::to_owned),
@@ -222,8 +278,13 @@
         retry_after: retry_after.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()),
         encoded: headers.get("Content-Encoding").is_some(),
         body: match is_stream {
-            true => BodySeen::Stream { events: Vec::new(), loose_bytes: false },
-            false => BodySeen::Plain { digest: digest(b"") },
+            true => BodySeen::Stream {
+                events: Vec::new(),
+                loose_bytes: false,
+            },
+            false => BodySeen::Plain {
+                digest: digest(b""),
+            },
         },
     }
 }
@@ -250,7 +311,10 @@
         return None;
     }
     let left = give_up.saturating_duration_since(Instant::now());
-    let told = last.seen().and_then(|seen| seen.retry_after).map(|told| told.min(left / 3));
+    let told = last
+        .seen()
+        .and_then(|seen| seen.retry_after)
+        .map(|told| told.min(left / 3));
     let pause = told.unwrap_or(RETRY_PAUSE);
     (pause < left).then_some(pause)
 }
@@ -260,7 +324,9 @@
         TryOutcome::NoConnection => true,
         TryOutcome::Whole(seen) if matches!(seen.status, 400 | 401 | 404 | 413 | 431) => false,
         _ if last.is_promise() => true,
-        TryOutcome::Broken { why: Break::GaveUp, .. } => spec.is_idempotent && spec.resumable,
+        TryOutcome::Broken {
+            why: Break::GaveUp, ..
+        } => spec.is_idempotent && spec.resumable,
         _ => spec.is_idempotent,
     }
 }
--- a/crates/lockusher-router-testbed/src/configuration.rs
+++ b/crates/lockusher-router-testbed/src/configuration.rs
@@ -31,8 +31,10 @@
     match route.split.as_slice() {
         [only] => json["service"] = json!(only.service),
         several => {
-            json["trafficSplit"] =
-                several.iter().map(|one| json!({"service": one.service, "weight": one.weight})).collect();
+            json["trafficSplit"] = several
+                .iter()
+                .map(|one| json!({"service": one.service, "weight": one.weight}))
+                .collect();
         }
     }
     if let Some(gap) = route.gap_aim_ms {
--- a/crates/lockusher-router-testbed/src/decisions.rs
+++ b/crates/lockusher-router-testbed/src/decisions.rs
@@ -39,7 +39,10 @@
     /// Reads one line; nothing if it isn't of the trace.
     pub fn parse(line: &str, number: usize) -> Option<Result<Self, TraceError>> {
         let (_, fields) = line.split_once(MARK)?;
-        Some(parse_fields(fields).map_err(|field| TraceError { line: number, field }))
+        Some(parse_fields(fields).map_err(|field| TraceError {
+            line: number,
+            field,
+        }))
     }
 
     fn is_good(&self) -> bool {
@@ -66,7 +69,10 @@
     let outcome = words.next().ok_or("outcome")?.to_owned();
     let values: BTreeMap<&str, &str> = words.filter_map(|word| word.split_once('=')).collect();
     let number = |name: &'static str| -> Result<u64, &'static str> {
-        values.get(name).and_then(|text| text.parse().ok()).ok_or(name)
+        values
+            .get(name)
+            .and_then(|text| text.parse().ok())
+            .ok_or(name)
     };
     Ok(TracedSend {
         purpose,
@@ -82,14 +88,18 @@
 /// All sends of a log, in its order.
 pub fn read_trace(log: &str) -> Result<Vec<TracedSend>, TraceError> {
     let lines = log.lines().enumerate();
-    lines.filter_map(|(index, line)| TracedSend::parse(line, index + 1)).collect()
+    lines
+        .filter_map(|(index, line)| TracedSend::parse(line, index + 1))
+        .collect()
 }
 
 /// The table: a row for each target latency, purpose and size class.
 pub fn table(sends: &[TracedSend]) -> String {
     let mut rows: BTreeMap<(u64, &str, u64), Vec<&TracedSend>> = BTreeMap::new();
     for send in sends {
-        rows.entry((send.target_ms, &send.purpose, send.size_class())).or_default().push(send);
+        rows.entry((send.target_ms, &send.purpose, send.size_class()))
+            .or_default()
+            .push(send);
     }
     let mut text = format!(
         "{:>9} {:8} {:>9} {:>7} {:>6} {:>6} {:>7} {:>7} {:>7} {:>9}\n",
@@ -129,5 +139,8 @@
 fn quantile(mut values: Vec<u64>, part: f64) -> u64 {
     values.sort_unstable();
     let rank = (values.len() as f64 * part).ceil() as usize;
-    values.get(rank.saturating_sub(1)).copied().unwrap_or_default()
+    values
+        .get(rank.saturating_sub(1))
+        .copied()
+        .unwrap_or_default()
 }
--- a/crates/lockusher-router-testbed/src/demo.rs
+++ b/crates/lockusher-router-testbed/src/demo.rs
@@ -82,9 +82,15 @@
 
 /// Plays the demo and prints it line by line.
 pub fn play(plan: &DemoPlan) -> Result<Outcome, DemoError> {
-    println!("starting {} edge and {} core machines", plan.world.edges, plan.world.cores);
+    println!(
+        "starting {} edge and {} core machines",
+        plan.world.edges, plan.world.cores
+    );
     let mut world = World::start(&plan.world)?;
-    println!("all proxies are ready, configuration {} is in force", world.configuration.version);
+    println!(
+        "all proxies are ready, configuration {} is in force",
+        world.configuration.version
+    );
     println!("{}", View::TITLE);
     let load = world.load(&load_plan(plan, &world));
     let mut view = View::default();
@@ -117,7 +123,10 @@
 
 fn steps_at(plan: &DemoPlan, second: u64) -> impl Iterator<Item = Step> {
     let troubles = plan.troubles;
-    STEPS.into_iter().filter(move |(at, _)| troubles && *at == second).map(|(_, step)| step)
+    STEPS
+        .into_iter()
+        .filter(move |(at, _)| troubles && *at == second)
+        .map(|(_, step)| step)
 }
 
 fn take_step(world: &mut World, step: Step) -> Result<(), DemoError> {
@@ -126,14 +135,18 @@
     match step {
         Step::ChangeConfiguration => change_configuration(world),
         Step::DrainSearcher => {
-            let Some(leaving) = world.models.last() else { return Ok(()) };
+            let Some(leaving) = world.models.last() else {
+                return Ok(());
+            };
             let instance = leaving.identity().instance.clone();
             leaving.drain();
             world.platform.drain(&instance);
             println!("-- searcher {instance} is draining");
         }
         Step::LoseSearcher => {
-            let Some(mut leaving) = world.models.pop() else { return Ok(()) };
+            let Some(mut leaving) = world.models.pop() else {
+                return Ok(());
+            };
             leaving.stop();
             world.platform.remove(&leaving.identity().instance);
             println!("-- searcher {} has ended", leaving.identity().instance);
@@ -147,7 +160,9 @@
             println!("-- control node {last_core} starts again");
         }
         Step::TerminateProxy => {
-            world.fleet.signal(Role::Proxy, last_edge, Signal::Terminate);
+            world
+                .fleet
+                .signal(Role::Proxy, last_edge, Signal::Terminate);
             println!("-- proxy {last_edge} was sent SIGTERM");
         }
         Step::RestartProxy => {
@@ -168,7 +183,10 @@
         },
         CHANGE_PATIENCE,
     );
-    println!("-- configuration {}: {outcome:?}", world.configuration.version);
+    println!(
+        "-- configuration {}: {outcome:?}",
+        world.configuration.version
+    );
 }
 
 fn outcome(world: &mut World, records: Vec<RequestRecord>) -> Outcome {
@@ -194,9 +212,15 @@
     fn show(&mut self, second: u64, world: &World, load: &Load) {
         let total = load.look(|records| Figures::of(&records[self.shown..]).total());
         self.shown += total.requests as usize;
-        let (median, tail) = (total.latencies.quantile_ms(0.5), total.latencies.quantile_ms(0.99));
-        let searchers: Vec<String> =
-            world.models.iter().map(|model| searcher_state(&model.report())).collect();
+        let (median, tail) = (
+            total.latencies.quantile_ms(0.5),
+            total.latencies.quantile_ms(0.99),
+        );
+        let searchers: Vec<String> = world
+            .models
+            .iter()
+            .map(|model| searcher_state(&model.report()))
+            .collect();
         println!(
             "{second:>4}{:>7}{:>8}{:>8}{:>8}  {median:>10.0} /{tail:>6.0}         {}",
             total.requests,
--- a/crates/lockusher-router-testbed/src/deployment.rs
+++ b/crates/lockusher-router-testbed/src/deployment.rs
@@ -67,7 +67,10 @@
         timeout_ms: 5_000,
         target_latency_ms: 500,
         priority: 1,
-        split: vec![WeightedService { service: service.to_owned(), weight: 1 }],
+        split: vec![WeightedService {
+            service: service.to_owned(),
+            weight: 1,
+        }],
         attempts: 2,
         sticky: kind == RouteKind::Streaming,
         resumable: false,
@@ -77,7 +80,10 @@
 
 /// Two kinds of streams and a plain request that may run once only.
 pub fn first_configuration() -> Configuration {
-    let resumable = Route { resumable: true, ..route("summary", MODEL_SERVICE, RouteKind::Streaming) };
+    let resumable = Route {
+        resumable: true,
+        ..route("summary", MODEL_SERVICE, RouteKind::Streaming)
+    };
     Configuration {
         version: 1,
         routes: vec![
@@ -164,7 +170,19 @@
     const SHARED_TOKENS: u64 = 3_000;
     const OWN_TOKENS: u64 = 900;
     let spec = spec_for(route);
-    let shared = |part| Part { id: (number + 1) * 1_000 + part, tokens: SHARED_TOKENS };
-    let shared_parts = if spec.streaming { (0..SHARED_PARTS).map(shared).collect() } else { Vec::new() };
-    KindOfRequest { spec, rate_per_second, shared_parts, own_tokens: OWN_TOKENS }
+    let shared = |part| Part {
+        id: (number + 1) * 1_000 + part,
+        tokens: SHARED_TOKENS,
+    };
+    let shared_parts = if spec.streaming {
+        (0..SHARED_PARTS).map(shared).collect()
+    } else {
+        Vec::new()
+    };
+    KindOfRequest {
+        spec,
+        rate_per_second,
+        shared_parts,
+        own_tokens: OWN_TOKENS,
+    }
 }
--- a/crates/lockusher-router-testbed/src/engine/admission.rs
+++ b/crates/lockusher-router-testbed/src/engine/admission.rs
@@ -8,7 +8,11 @@
 const BITS_PER_BYTE: u64 = 8;
 
 impl Engine {
-    pub(crate) fn check_admissible(&self, now: Micros, submission: &Submission) -> Result<(), Rejection> {
+    pub(crate) fn check_admissible(
+        &self,
+        now: Micros,
+        submission: &Submission,
+    ) -> Result<(), Rejection> {
         if self.switch.is_some() {
             return Err(Rejection::Busy);
         }
@@ -19,7 +23,11 @@
             return Err(Rejection::DeadlineInQueue);
         }
         let places = self.parameters.slots + self.parameters.queue_limit;
-        let private = if submission.prefill_only { 0 } else { submission.tokens_out };
+        let private = if submission.prefill_only {
+            0
+        } else {
+            submission.tokens_out
+        };
         if self.jobs.len() >= places || !self.memory.could_hold(&submission.prompt, private) {
             return Err(Rejection::Full);
         }
@@ -27,7 +35,11 @@
     }
 
     /// Puts a fetch behind those before it on the link and returns when it ends.
-    pub(super) fn reserve_link(&mut self, now: Micros, transfer: &KvTransfer) -> Result<Micros, Rejection> {
+    pub(super) fn reserve_link(
+        &mut self,
+        now: Micros,
+        transfer: &KvTransfer,
+    ) -> Result<Micros, Rejection> {
         let begins = self.link_free.max(now);
         if begins - now > self.parameters.longest_link_wait {
             return Err(Rejection::LinkBusy);
@@ -43,9 +55,13 @@
     pub(super) fn admit(&mut self, now: Micros) {
         loop {
             let waiting = self.jobs.values().filter(|job| job.phase == Phase::Waiting);
-            let Some(next) = waiting.min_by_key(|job| job.rank()).map(|job| job.key) else { return };
+            let Some(next) = waiting.min_by_key(|job| job.rank()).map(|job| job.key) else {
+                return;
+            };
             while !self.try_admit(next) {
-                let Some(victim) = self.victim_for(next) else { return };
+                let Some(victim) = self.victim_for(next) else {
+                    return;
+                };
                 self.preempt(victim, now);
             }
         }
@@ -60,7 +76,9 @@
 
     pub(super) fn try_admit(&mut self, key: JobKey) -> bool {
         let running = self.jobs.values().filter(|job| job.is_running()).count();
-        let Some(job) = self.jobs.get_mut(&key) else { return false };
+        let Some(job) = self.jobs.get_mut(&key) else {
+            return false;
+        };
         if running >= self.parameters.slots {
             return false;
         }
@@ -77,7 +95,11 @@
         job.private_blocks = private_blocks;
         job.admitted = self.next_admission;
         self.next_admission += 1;
-        let left = if job.fetched { job.made } else { job.prompt_tokens() - kept + job.made };
+        let left = if job.fetched {
+            job.made
+        } else {
+            job.prompt_tokens() - kept + job.made
+        };
         job.phase = Phase::Reading { left };
         if job.fetched && left == 0 {
             self.memory.mark_read(&prompt);
@@ -89,12 +111,16 @@
     /// The running request that gives way when memory runs out.
     pub(super) fn newest_of_least_urgent(&self) -> Option<JobKey> {
         let running = self.jobs.values().filter(|job| job.is_running());
-        running.max_by_key(|job| (job.submission.priority, job.admitted)).map(|job| job.key)
+        running
+            .max_by_key(|job| (job.submission.priority, job.admitted))
+            .map(|job| job.key)
     }
 
     /// Takes slot and memory from a running request; it waits again and is read anew.
     pub(super) fn preempt(&mut self, key: JobKey, at: Micros) {
-        let Some(job) = self.jobs.get(&key).cloned() else { return };
+        let Some(job) = self.jobs.get(&key).cloned() else {
+            return;
+        };
         self.release_memory(&job);
         if let Some(job) = self.jobs.get_mut(&key) {
             job.phase = Phase::Waiting;
