--- a/crates/lockusher-router-testbed/src/engine/batch.rs
+++ b/crates/lockusher-router-testbed/src/engine/batch.rs
@@ -6,8 +6,8 @@
 use super::job::{Job, Phase};
 use super::memory::KvMemory;
 use super::types::{
-    EngineParameters, HandleId, JobKey, MICROS_PER_MS, Micros, Output, Part, Rejection, Report, Stage,
-    Submission,
+    EngineParameters, HandleId, JobKey, MICROS_PER_MS, Micros, Output, Part, Rejection, Report,
+    Stage, Submission,
 };
 
 /// How many times slower, and in how many times smaller pieces, a decode searcher reads prompts.
@@ -90,7 +90,9 @@
         self.play_until(now);
         self.check_admissible(now, &submission)?;
         let phase = match &submission.transfer {
-            Some(transfer) => Phase::Fetching { until: self.reserve_link(now, transfer)? },
+            Some(transfer) => Phase::Fetching {
+                until: self.reserve_link(now, transfer)?,
+            },
             None => Phase::Waiting,
         };
         let key = JobKey(self.next_key);
@@ -142,7 +144,10 @@
             _ => None,
         });
         let deadline = self.jobs.values().map(|job| job.submission.deadline).min();
-        [step, switch, lapse, fetch.min(), deadline].into_iter().flatten().min()
+        [step, switch, lapse, fetch.min(), deadline]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Plays everything up to `now` and returns what happened, in order.
@@ -197,8 +202,12 @@
     }
 
     fn lapse_handles(&mut self, at: Micros) {
-        let lapsed: Vec<HandleId> =
-            self.handles.iter().filter(|(_, held)| held.lapses <= at).map(|(handle, _)| *handle).collect();
+        let lapsed: Vec<HandleId> = self
+            .handles
+            .iter()
+            .filter(|(_, held)| held.lapses <= at)
+            .map(|(handle, _)| *handle)
+            .collect();
         for handle in lapsed {
             if let Some(held) = self.handles.remove(&handle) {
                 self.memory.release(&held.parts);
@@ -207,14 +216,24 @@
     }
 
     fn cease_at_deadline(&mut self, at: Micros) {
-        let due: Vec<JobKey> =
-            self.jobs.values().filter(|job| job.submission.deadline <= at).map(|job| job.key).collect();
+        let due: Vec<JobKey> = self
+            .jobs
+            .values()
+            .filter(|job| job.submission.deadline <= at)
+            .map(|job| job.key)
+            .collect();
         for key in due {
-            let Some(job) = self.jobs.remove(&key) else { continue };
+            let Some(job) = self.jobs.remove(&key) else {
+                continue;
+            };
             self.release_memory(&job);
             self.outputs.push_back(match job.begun {
                 true => Output::Abandoned { job: key, at },
-                false => Output::Rejected { job: key, why: Rejection::DeadlineInQueue, at },
+                false => Output::Rejected {
+                    job: key,
+                    why: Rejection::DeadlineInQueue,
+                    at,
+                },
             });
         }
     }
@@ -226,16 +245,25 @@
         }
         self.admit(now);
         let reading = self.plan_reading();
-        let decoding: Vec<JobKey> =
-            self.jobs.values().filter(|job| job.phase == Phase::Decoding).map(|job| job.key).collect();
+        let decoding: Vec<JobKey> = self
+            .jobs
+            .values()
+            .filter(|job| job.phase == Phase::Decoding)
+            .map(|job| job.key)
+            .collect();
         if reading.is_empty() && decoding.is_empty() {
             return;
         }
         let read_tokens: u64 = reading.iter().map(|(_, tokens)| tokens).sum();
-        let read = read_tokens * MICROS_PER_MS * self.reads_slower() / self.parameters.prefill_tokens_per_ms;
+        let read = read_tokens * MICROS_PER_MS * self.reads_slower()
+            / self.parameters.prefill_tokens_per_ms;
         let decode = self.parameters.step_per_request * decoding.len() as u64;
         let length = (self.parameters.step + read + decode) * self.slow_down;
-        self.step = Some(Step { ends: now + length, reading, decoding });
+        self.step = Some(Step {
+            ends: now + length,
+            reading,
+            decoding,
+        });
     }
 
     fn reads_slower(&self) -> u64 {
@@ -254,13 +282,18 @@
 
     /// Shares one piece among the requests whose prompts are being read, the most urgent first.
     fn plan_reading(&self) -> Vec<(JobKey, u64)> {
-        let mut readers: Vec<&Job> =
-            self.jobs.values().filter(|job| matches!(job.phase, Phase::Reading { .. })).collect();
+        let mut readers: Vec<&Job> = self
+            .jobs
+            .values()
+            .filter(|job| matches!(job.phase, Phase::Reading { .. }))
+            .collect();
         readers.sort_by_key(|job| job.rank());
         let mut budget = self.piece_tokens();
         let mut reading = Vec::new();
         for job in readers {
-            let Phase::Reading { left } = job.phase else { continue };
+            let Phase::Reading { left } = job.phase else {
+                continue;
+            };
             let tokens = left.min(budget);
             if tokens > 0 || left == 0 {
                 reading.push((job.key, tokens));
@@ -281,9 +314,15 @@
     }
 
     fn read_tokens(&mut self, key: JobKey, tokens: u64, at: Micros) {
-        let Some(job) = self.jobs.get_mut(&key) else { return };
-        let Phase::Reading { left } = job.phase else { return };
-        job.phase = Phase::Reading { left: left - tokens };
+        let Some(job) = self.jobs.get_mut(&key) else {
+            return;
+        };
+        let Phase::Reading { left } = job.phase else {
+            return;
+        };
+        job.phase = Phase::Reading {
+            left: left - tokens,
+        };
         if left > tokens {
             return;
         }
@@ -299,19 +338,34 @@
 
     /// The prompt was read: its parts go from the request to a handle.
     fn hold_prompt(&mut self, key: JobKey, parts: Vec<Part>, at: Micros) {
-        let Some(job) = self.jobs.remove(&key) else { return };
+        let Some(job) = self.jobs.remove(&key) else {
+            return;
+        };
         let handle = HandleId(self.next_handle);
         self.next_handle += 1;
         self.memory.release_private(job.private_blocks);
-        self.handles.insert(handle, Handle { parts, lapses: at + self.parameters.handle_hold });
-        self.outputs.push_back(Output::Prefilled { job: key, handle, tokens: job.prompt_tokens(), at });
+        self.handles.insert(
+            handle,
+            Handle {
+                parts,
+                lapses: at + self.parameters.handle_hold,
+            },
+        );
+        self.outputs.push_back(Output::Prefilled {
+            job: key,
+            handle,
+            tokens: job.prompt_tokens(),
+            at,
+        });
     }
 
     fn make_token(&mut self, key: JobKey, at: Micros) {
         if !self.make_room_for_token(key, at) {
             return;
         }
-        let Some(job) = self.jobs.get_mut(&key) else { return };
+        let Some(job) = self.jobs.get_mut(&key) else {
+            return;
+        };
         job.begun = true;
         job.made += 1;
         let made = job.made;
@@ -322,7 +376,9 @@
     }
 
     fn finish(&mut self, key: JobKey, at: Micros) {
-        let Some(job) = self.jobs.remove(&key) else { return };
+        let Some(job) = self.jobs.remove(&key) else {
+            return;
+        };
         self.release_memory(&job);
         self.outputs.push_back(Output::Finished { job: key, at });
     }
@@ -330,16 +386,23 @@
     /// Gets the block that one more token needs; others are preempted for it, or the request itself is.
     fn make_room_for_token(&mut self, key: JobKey, at: Micros) -> bool {
         loop {
-            let Some(job) = self.jobs.get_mut(&key) else { return false };
+            let Some(job) = self.jobs.get_mut(&key) else {
+                return false;
+            };
             if job.phase != Phase::Decoding {
                 return false;
             }
-            let wanted = self.memory.blocks_of(job.made + 1).saturating_sub(job.private_blocks);
+            let wanted = self
+                .memory
+                .blocks_of(job.made + 1)
+                .saturating_sub(job.private_blocks);
             if self.memory.take_private(wanted).is_ok() {
                 job.private_blocks += wanted;
                 return true;
             }
-            let Some(victim) = self.newest_of_least_urgent() else { return false };
+            let Some(victim) = self.newest_of_least_urgent() else {
+                return false;
+            };
             self.preempt(victim, at);
         }
     }
--- a/crates/lockusher-router-testbed/src/engine/job.rs
+++ b/crates/lockusher-router-testbed/src/engine/job.rs
@@ -37,7 +37,16 @@
     pub fn new(key: JobKey, submission: Submission, phase: Phase) -> Job {
         let fetched = submission.transfer.is_some();
         let made = submission.tokens_already_made;
-        Job { key, submission, phase, made, private_blocks: 0, begun: false, fetched, admitted: 0 }
+        Job {
+            key,
+            submission,
+            phase,
+            made,
+            private_blocks: 0,
+            begun: false,
+            fetched,
+            admitted: 0,
+        }
     }
 
     /// Whether it holds a slot.
--- a/crates/lockusher-router-testbed/src/engine/memory.rs
+++ b/crates/lockusher-router-testbed/src/engine/memory.rs
@@ -57,7 +57,9 @@
 
     /// Tokens of the prompt that needn't be read: those of the leading parts that were read and kept.
     pub fn kept_tokens(&self, prompt: &[Part]) -> u64 {
-        let kept = prompt.iter().take_while(|part| self.parts.get(&part.id).is_some_and(|kept| kept.read));
+        let kept = prompt
+            .iter()
+            .take_while(|part| self.parts.get(&part.id).is_some_and(|kept| kept.read));
         kept.map(|part| part.tokens).sum()
     }
 
@@ -75,7 +77,9 @@
     /// Ends one use of each part. A part that was never read is dropped with its last user.
     pub fn release(&mut self, prompt: &[Part]) {
         for part in prompt {
-            let Some(kept) = self.parts.get_mut(&part.id) else { continue };
+            let Some(kept) = self.parts.get_mut(&part.id) else {
+                continue;
+            };
             kept.users = kept.users.saturating_sub(1);
             if kept.users == 0 && !kept.read {
                 self.parts.remove(&part.id);
@@ -106,7 +110,12 @@
 
     /// Tokens of memory that cannot give way.
     pub fn used_tokens(&self) -> u64 {
-        let in_use: u64 = self.parts.values().filter(|kept| kept.users > 0).map(|kept| kept.blocks).sum();
+        let in_use: u64 = self
+            .parts
+            .values()
+            .filter(|kept| kept.users > 0)
+            .map(|kept| kept.blocks)
+            .sum();
         (in_use + self.private_blocks) * self.block_tokens
     }
 
@@ -129,7 +138,15 @@
         }
         let blocks = self.blocks_of(part.tokens);
         self.make_room(blocks)?;
-        self.parts.insert(part.id, KeptPart { blocks, users: 1, read: false, last_use: self.uses });
+        self.parts.insert(
+            part.id,
+            KeptPart {
+                blocks,
+                users: 1,
+                read: false,
+                last_use: self.uses,
+            },
+        );
         Ok(())
     }
 
@@ -140,14 +157,20 @@
 
     /// Lets the least recently used parts give way until `blocks` are free.
     fn make_room(&mut self, blocks: u64) -> Result<(), OutOfMemory> {
-        let may_give_way: u64 =
-            self.parts.values().filter(|kept| kept.users == 0).map(|kept| kept.blocks).sum();
+        let may_give_way: u64 = self
+            .parts
+            .values()
+            .filter(|kept| kept.users == 0)
+            .map(|kept| kept.blocks)
+            .sum();
         if self.free_blocks() + may_give_way < blocks {
             return Err(OutOfMemory);
         }
         while self.free_blocks() < blocks {
             let unused = self.parts.iter().filter(|(_, kept)| kept.users == 0);
-            let oldest = unused.min_by_key(|(_, kept)| kept.last_use).map(|(id, _)| *id);
+            let oldest = unused
+                .min_by_key(|(_, kept)| kept.last_use)
+                .map(|(id, _)| *id);
             self.parts.remove(&oldest.ok_or(OutOfMemory)?);
         }
         Ok(())
--- a/crates/lockusher-router-testbed/src/engine/stages.rs
+++ b/crates/lockusher-router-testbed/src/engine/stages.rs
@@ -11,7 +11,11 @@
             return OrderAnswer::Conflict;
         }
         if let Some(switch) = self.switch {
-            return if switch.to == to { OrderAnswer::AlreadyHolds } else { OrderAnswer::Conflict };
+            return if switch.to == to {
+                OrderAnswer::AlreadyHolds
+            } else {
+                OrderAnswer::Conflict
+            };
         }
         if self.stage == to {
             return OrderAnswer::AlreadyHolds;
@@ -24,11 +28,20 @@
     }
 
     fn reject_not_begun(&mut self, at: Micros) {
-        let rejected: Vec<JobKey> = self.jobs.values().filter(|job| !job.begun).map(|job| job.key).collect();
+        let rejected: Vec<JobKey> = self
+            .jobs
+            .values()
+            .filter(|job| !job.begun)
+            .map(|job| job.key)
+            .collect();
         for key in rejected {
             if let Some(job) = self.jobs.remove(&key) {
                 self.release_memory(&job);
-                self.outputs.push_back(Output::Rejected { job: key, why: Rejection::Busy, at });
+                self.outputs.push_back(Output::Rejected {
+                    job: key,
+                    why: Rejection::Busy,
+                    at,
+                });
             }
         }
     }
--- a/crates/lockusher-router-testbed/src/engine/types.rs
+++ b/crates/lockusher-router-testbed/src/engine/types.rs
@@ -142,11 +142,20 @@
     /// All tokens were made.
     Finished { job: JobKey, at: Micros },
     /// The prompt was read and is held.
-    Prefilled { job: JobKey, handle: HandleId, tokens: u64, at: Micros },
+    Prefilled {
+        job: JobKey,
+        handle: HandleId,
+        tokens: u64,
+        at: Micros,
+    },
     /// It gave way to a more urgent request and will be read anew.
     Preempted { job: JobKey, at: Micros },
     /// It did not run and never will.
-    Rejected { job: JobKey, why: Rejection, at: Micros },
+    Rejected {
+        job: JobKey,
+        why: Rejection,
+        at: Micros,
+    },
     /// The deadline passed after it had begun; work ceased.
     Abandoned { job: JobKey, at: Micros },
 }
--- a/crates/lockusher-router-testbed/src/entry.rs
+++ b/crates/lockusher-router-testbed/src/entry.rs
@@ -44,7 +44,13 @@
 impl Entry {
     /// All mixers count as out until they have answered.
     pub fn start(mixers: Vec<MixerAddress>) -> Entry {
-        let health = vec![Health { misses: MOST_MISSES, not_ready: 0 }; mixers.len()];
+        let health = vec![
+            Health {
+                misses: MOST_MISSES,
+                not_ready: 0
+            };
+            mixers.len()
+        ];
         let shared = Arc::new(Shared {
             mixers,
             health: Mutex::new(health),
@@ -53,7 +59,10 @@
         });
         let for_watcher = Arc::clone(&shared);
         let watcher = std::thread::spawn(move || for_watcher.watch());
-        Entry { shared, watcher: Some(watcher) }
+        Entry {
+            shared,
+            watcher: Some(watcher),
+        }
     }
 
     /// The front that takes a client's connection, by a hash of the client.
@@ -70,7 +79,10 @@
 
     /// Periods in which each mixer was not ready.
     pub fn not_ready(&self) -> Vec<u32> {
-        lock(&self.shared.health).iter().map(|health| health.not_ready).collect()
+        lock(&self.shared.health)
+            .iter()
+            .map(|health| health.not_ready)
+            .collect()
     }
 }
 
@@ -95,7 +107,11 @@
                 health.not_ready += u32::from(!ready);
             }
             let health = lock(&self.health);
-            drop(self.wake.wait_timeout(health, PERIOD).unwrap_or_else(PoisonError::into_inner));
+            drop(
+                self.wake
+                    .wait_timeout(health, PERIOD)
+                    .unwrap_or_else(PoisonError::into_inner),
+            );
         }
     }
 }
--- a/crates/lockusher-router-testbed/src/fleet/mod.rs
+++ b/crates/lockusher-router-testbed/src/fleet/mod.rs
@@ -58,8 +58,14 @@
         let program = program()?;
         let layout = Layout::new(plan)?;
         let folder = plan::new_folder()?;
-        let mut fleet =
-            Fleet { layout, folder, keep_folder: false, program, processes: Vec::new(), links: Vec::new() };
+        let mut fleet = Fleet {
+            layout,
+            folder,
+            keep_folder: false,
+            program,
+            processes: Vec::new(),
+            links: Vec::new(),
+        };
         fleet.lay_links()?;
         Ok(fleet)
     }
@@ -83,7 +89,11 @@
 
     /// Where the operator comes in, by core machine.
     pub fn control(&self) -> Vec<SocketAddr> {
-        self.layout.cores.iter().map(|core| SocketAddr::V4(core.control)).collect()
+        self.layout
+            .cores
+            .iter()
+            .map(|core| SocketAddr::V4(core.control))
+            .collect()
     }
 
     /// The zones of the edge machines.
@@ -99,7 +109,9 @@
     /// Waits until the proxy of an edge machine calls itself ready.
     pub fn wait_ready(&self, edge: usize) -> Result<(), NeverCame> {
         let readiness = self.layout.edges[edge].mixer().readiness;
-        wait_until(&format!("readiness of edge {edge}"), READY_TRIES, || is_ready(readiness, READY_WAIT))
+        wait_until(&format!("readiness of edge {edge}"), READY_TRIES, || {
+            is_ready(readiness, READY_WAIT)
+        })
     }
 
     /// Waits until all proxies call themselves ready.
@@ -194,15 +206,25 @@
 
     /// The log of a process so far, or why it can't be read.
     pub fn log(&self, role: Role, machine: usize) -> String {
-        let path = self.folder.join(format!("{}.log", process::name(role, machine)));
-        std::fs::read_to_string(&path).unwrap_or_else(|error| format!("{}: {error}", path.display()))
+        let path = self
+            .folder
+            .join(format!("{}.log", process::name(role, machine)));
+        std::fs::read_to_string(&path)
+            .unwrap_or_else(|error| format!("{}: {error}", path.display()))
     }
 
     fn process(&mut self, role: Role, machine: usize) -> Option<&mut NodeProcess> {
-        self.processes.iter_mut().find(|process| process.is(role, machine))
+        self.processes
+            .iter_mut()
+            .find(|process| process.is(role, machine))
     }
 
-    fn start_process(&mut self, role: Role, machine: usize, settings: &str) -> Result<(), FleetError> {
+    fn start_process(
+        &mut self,
+        role: Role,
+        machine: usize,
+        settings: &str,
+    ) -> Result<(), FleetError> {
         self.processes.retain(|process| !process.is(role, machine));
         let process = NodeProcess::start(&self.program, &self.folder, role, machine, settings)?;
         self.processes.push(process);
@@ -223,7 +245,10 @@
 /// From where the edge machine looks for the core machine's subscription listener to where that is.
 fn link_between(edge: &EdgeMachine, core: &CoreMachine, layout: &Layout) -> std::io::Result<Link> {
     let address = |ip: Ipv4Addr, port| SocketAddr::V4(SocketAddrV4::new(ip, port));
-    Link::start(address(core.ip, edge.internal_ports.0), address(core.ip, layout.core_ports.0))
+    Link::start(
+        address(core.ip, edge.internal_ports.0),
+        address(core.ip, layout.core_ports.0),
+    )
 }
 
 impl Drop for Fleet {
--- a/crates/lockusher-router-testbed/src/fleet/plan.rs
+++ b/crates/lockusher-router-testbed/src/fleet/plan.rs
@@ -91,7 +91,10 @@
 impl EdgeMachine {
     pub fn mixer(&self) -> MixerAddress {
         let address = |port| SocketAddr::V4(SocketAddrV4::new(self.ip, port));
-        MixerAddress { front: address(FRONT_PORT), readiness: address(READINESS_PORT) }
+        MixerAddress {
+            front: address(FRONT_PORT),
+            readiness: address(READINESS_PORT),
+        }
     }
 }
 
@@ -122,11 +125,19 @@
         let mut edges = Vec::new();
         for number in 0..plan.edges {
             let internal_ports = free_port_range()?;
-            edges.push(EdgeMachine { ip: ip(FIRST_EDGE + number as u8), zone: zone(number), internal_ports });
+            edges.push(EdgeMachine {
+                ip: ip(FIRST_EDGE + number as u8),
+                zone: zone(number),
+                internal_ports,
+            });
         }
         let core = |number: usize| {
             let ip = ip(FIRST_CORE + number as u8);
-            CoreMachine { ip, zone: zone(number), control: SocketAddrV4::new(ip, CONTROL_PORT) }
+            CoreMachine {
+                ip,
+                zone: zone(number),
+                control: SocketAddrV4::new(ip, CONTROL_PORT),
+            }
         };
         let cores = (0..plan.cores).map(core).collect();
         Ok(Layout {
@@ -171,11 +182,16 @@
     /// The settings file of a core machine's process.
     pub fn core_settings(&self, core: usize, folder: &Path, first_start: bool) -> String {
         let machine = &self.cores[core];
-        let mut text = format!("node=core-{core}\nrole=control\nmachineClass=core\nserves=control_plane\n");
+        let mut text =
+            format!("node=core-{core}\nrole=control\nmachineClass=core\nserves=control_plane\n");
         push(&mut text, "listenAddresses.control", machine.control);
         push(&mut text, "countsForQuorum", true);
         push(&mut text, "limits.diskMb", 128);
-        push(&mut text, "dataDirectory", self.disk(core, folder).display());
+        push(
+            &mut text,
+            "dataDirectory",
+            self.disk(core, folder).display(),
+        );
         self.push_machine(&mut text, machine.ip, &machine.zone, self.core_ports);
         self.push_common(&mut text, first_start);
         text
@@ -193,8 +209,12 @@
         for zone in &plan.zones {
             push(text, &format!("zones.{zone}"), &plan.region);
         }
-        let seeds: Vec<String> =
-            self.cores.iter().take(MOST_SEEDS).map(|core| core.control.to_string()).collect();
+        let seeds: Vec<String> = self
+            .cores
+            .iter()
+            .take(MOST_SEEDS)
+            .map(|core| core.control.to_string())
+            .collect();
         push(text, "seeds", seeds.join(","));
         push(text, "firstStart", first_start);
         push(text, "limits.cpuShare", 0.25);
@@ -205,11 +225,23 @@
         push(text, "discovery", "cloud");
         push(text, "entry", "virtual_ip");
         push(text, "heartbeatMs", 1200);
-        push(text, "contracts", "base,drain,config,cost,retry,recover,split,stream,engine");
-        push(text, "faultTolerance.machines", plan.cores.saturating_sub(1) / 2);
+        push(
+            text,
+            "contracts",
+            "base,drain,config,cost,retry,recover,split,stream,engine",
+        );
+        push(
+            text,
+            "faultTolerance.machines",
+            plan.cores.saturating_sub(1) / 2,
+        );
         push(text, "faultTolerance.zones", 0);
         push(text, "faultTolerance.regions", 0);
-        push(text, "cloud.address", SocketAddrV4::new(self.outside(0), plan.cloud_port));
+        push(
+            text,
+            "cloud.address",
+            SocketAddrV4::new(self.outside(0), plan.cloud_port),
+        );
         push(text, "cloud.ratePerS", plan.cloud_rate_per_s);
         push(text, "cloud.duties", "");
         push(text, "cloud.lagMs", plan.cloud_lag_ms);
@@ -272,7 +304,11 @@
 /// An empty folder for settings, logs and disks.
 pub(super) fn new_folder() -> std::io::Result<PathBuf> {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
-    let name = format!("lockusher-fleet-{}-{}", std::process::id(), NUMBER.fetch_add(1, Ordering::SeqCst));
+    let name = format!(
+        "lockusher-fleet-{}-{}",
+        std::process::id(),
+        NUMBER.fetch_add(1, Ordering::SeqCst)
+    );
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder)?;
     Ok(folder)
--- a/crates/lockusher-router-testbed/src/fleet/process.rs
+++ b/crates/lockusher-router-testbed/src/fleet/process.rs
@@ -70,10 +70,16 @@
         let name = name(role, machine);
         let settings_path = folder.join(format!("{name}.conf"));
         std::fs::write(&settings_path, settings)?;
-        if let Some(disk) = settings.lines().find_map(|line| line.strip_prefix("dataDirectory=")) {
+        if let Some(disk) = settings
+            .lines()
+            .find_map(|line| line.strip_prefix("dataDirectory="))
+        {
             std::fs::create_dir_all(disk)?;
         }
-        let log = OpenOptions::new().create(true).append(true).open(folder.join(format!("{name}.log")))?;
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(folder.join(format!("{name}.log")))?;
         let child = Command::new(program)
             .arg(role.to_string())
             .env_clear()
@@ -83,7 +89,11 @@
             .stdout(log.try_clone()?)
             .stderr(log)
             .spawn()?;
-        Ok(NodeProcess { role, machine, child })
+        Ok(NodeProcess {
+            role,
+            machine,
+            child,
+        })
     }
 
     /// Its role and machine in one word.
--- a/crates/lockusher-router-testbed/src/fleet/program.rs
+++ b/crates/lockusher-router-testbed/src/fleet/program.rs
@@ -31,16 +31,27 @@
 fn build_and_find() -> Result<PathBuf, ProgramError> {
     let folder = profile_folder()?;
     if let Some(cargo) = std::env::var_os("CARGO") {
-        build(&cargo, folder.file_name().is_some_and(|name| name == "release"))?;
+        build(
+            &cargo,
+            folder.file_name().is_some_and(|name| name == "release"),
+        )?;
     }
     let path = folder.join(PROGRAM);
-    if path.is_file() { Ok(path) } else { Err(ProgramError::Missing { path }) }
+    if path.is_file() {
+        Ok(path)
+    } else {
+        Err(ProgramError::Missing { path })
+    }
 }
 
 /// The folder of the profile: of this program, or above `deps` for tests.
 fn profile_folder() -> Result<PathBuf, ProgramError> {
-    let own = std::env::current_exe().map_err(|error| ProgramError::OwnPath { reason: error.to_string() })?;
-    let no_parent = || ProgramError::OwnPath { reason: own.display().to_string() };
+    let own = std::env::current_exe().map_err(|error| ProgramError::OwnPath {
+        reason: error.to_string(),
+    })?;
+    let no_parent = || ProgramError::OwnPath {
+        reason: own.display().to_string(),
+    };
     let folder = own.parent().ok_or_else(no_parent)?;
     match folder.file_name() {
         Some(name) if name == "deps" => Ok(folder.parent().ok_or_else(no_parent)?.to_owned()),
@@ -51,11 +62,15 @@
 fn build(cargo: &std::ffi::OsStr, release: bool) -> Result<(), ProgramError> {
     let failed = |output: String| ProgramError::Build { output };
     let mut command = Command::new(cargo);
-    command.args(["build", "--quiet", "-p", PROGRAM]).current_dir(env!("CARGO_MANIFEST_DIR"));
+    command
+        .args(["build", "--quiet", "-p", PROGRAM])
+        .current_dir(env!("CARGO_MANIFEST_DIR"));
     if release {
         command.arg("--release");
     }
-    let built = command.output().map_err(|error| failed(error.to_string()))?;
+    let built = command
+        .output()
+        .map_err(|error| failed(error.to_string()))?;
     match built.status.success() {
         true => Ok(()),
         false => Err(failed(String::from_utf8_lossy(&built.stderr).into_owned())),
--- a/crates/lockusher-router-testbed/src/http/connection.rs
+++ b/crates/lockusher-router-testbed/src/http/connection.rs
@@ -43,7 +43,12 @@
     pub fn new(stream: TcpStream) -> Connection {
         // Without it small events would wait for acknowledgements; a failure only makes them late.
         let _ = stream.set_nodelay(true);
-        Connection { stream, unread: Vec::new(), framing: Framing::Ended, give_up: None }
+        Connection {
+            stream,
+            unread: Vec::new(),
+            framing: Framing::Ended,
+            give_up: None,
+        }
     }
 
     /// Connects, giving up after `wait`.
@@ -105,7 +110,9 @@
 
     /// Reads a whole request; `None` when the peer closed before its first byte.
     pub fn read_request(&mut self) -> Result<Option<Request>, HttpError> {
-        let Some(head) = self.read_head()? else { return Ok(None) };
+        let Some(head) = self.read_head()? else {
+            return Ok(None);
+        };
         let (start, headers) = parse_head(&head)?;
         let mut words = start.split(' ');
         let (Some(method), Some(target), Some("HTTP/1.1"), None) =
@@ -115,16 +122,25 @@
         };
         self.framing = framing_of(&headers, Framing::Ended)?;
         let body = self.read_body()?;
-        Ok(Some(Request { method: method.to_owned(), target: target.to_owned(), headers, body }))
+        Ok(Some(Request {
+            method: method.to_owned(),
+            target: target.to_owned(),
+            headers,
+            body,
+        }))
     }
 
     /// Reads the head of an answer; its body follows by [`Connection::read_piece`].
     pub fn read_answer_head(&mut self) -> Result<AnswerHead, HttpError> {
         let head = self.read_head()?.ok_or(HttpError::ClosedEarly)?;
         let (start, headers) = parse_head(&head)?;
-        let status =
-            start.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3)).and_then(|code| code.parse().ok());
-        let Some(status) = status else { return Err(malformed(format!("status line {start:?}"))) };
+        let status = start
+            .strip_prefix("HTTP/1.1 ")
+            .and_then(|rest| rest.get(..3))
+            .and_then(|code| code.parse().ok());
+        let Some(status) = status else {
+            return Err(malformed(format!("status line {start:?}")));
+        };
         self.framing = framing_of(&headers, Framing::UntilClose)?;
         Ok(AnswerHead { status, headers })
     }
@@ -133,7 +149,11 @@
     pub fn read_answer(&mut self) -> Result<Answer, HttpError> {
         let head = self.read_answer_head()?;
         let body = self.read_body()?;
-        Ok(Answer { status: head.status, headers: head.headers, body })
+        Ok(Answer {
+            status: head.status,
+            headers: head.headers,
+            body,
+        })
     }
 
     /// Whether the connection may carry another message after this one.
@@ -186,7 +206,8 @@
     fn read_chunk_line(&mut self) -> Result<Option<Vec<u8>>, HttpError> {
         let line = self.read_line()?;
         let digits = line.split(';').next().unwrap_or_default().trim();
-        let size = u64::from_str_radix(digits, 16).map_err(|_| malformed(format!("chunk size {line:?}")))?;
+        let size = u64::from_str_radix(digits, 16)
+            .map_err(|_| malformed(format!("chunk size {line:?}")))?;
         if size > 0 {
             self.framing = Framing::Chunked(size);
             return self.read_piece();
@@ -209,14 +230,22 @@
     }
 
     fn read_head(&mut self) -> Result<Option<String>, HttpError> {
-        let Some(head) = self.read_until(b"\r\n\r\n")? else { return Ok(None) };
-        String::from_utf8(head).map(Some).map_err(|_| malformed("a head that is no text"))
+        let Some(head) = self.read_until(b"\r\n\r\n")? else {
+            return Ok(None);
+        };
+        String::from_utf8(head)
+            .map(Some)
+            .map_err(|_| malformed("a head that is no text"))
     }
 
     /// Bytes up to an end mark, which is dropped; `None` when the peer closed before any byte.
     fn read_until(&mut self, mark: &[u8]) -> Result<Option<Vec<u8>>, HttpError> {
         loop {
-            if let Some(at) = self.unread.windows(mark.len()).position(|window| window == mark) {
+            if let Some(at) = self
+                .unread
+                .windows(mark.len())
+                .position(|window| window == mark)
+            {
                 let rest = self.unread.split_off(at + mark.len());
                 let mut found = std::mem::replace(&mut self.unread, rest);
                 found.truncate(at);
@@ -226,7 +255,11 @@
                 return Err(malformed("a head without end"));
             }
             if self.fill()? == 0 {
-                return if self.unread.is_empty() { Ok(None) } else { Err(HttpError::ClosedEarly) };
+                return if self.unread.is_empty() {
+                    Ok(None)
+                } else {
+                    Err(HttpError::ClosedEarly)
+                };
             }
         }
     }
@@ -235,7 +268,10 @@
         if self.unread.is_empty() && self.fill()? == 0 {
             return Err(HttpError::ClosedEarly);
         }
-        let size = self.unread.len().min(usize::try_from(most).unwrap_or(usize::MAX));
+        let size = self
+            .unread
+            .len()
+            .min(usize::try_from(most).unwrap_or(usize::MAX));
         let rest = self.unread.split_off(size);
         Ok(std::mem::replace(&mut self.unread, rest))
     }
@@ -254,7 +290,9 @@
     }
 
     fn time_left(&self) -> Result<Option<Duration>, HttpError> {
-        let Some(moment) = self.give_up else { return Ok(None) };
+        let Some(moment) = self.give_up else {
+            return Ok(None);
+        };
         match moment.checked_duration_since(Instant::now()) {
             Some(left) if left >= SHORTEST_WAIT => Ok(Some(left)),
             _ => Err(HttpError::TimedOut),
@@ -263,7 +301,10 @@
 }
 
 fn is_timeout(error: &std::io::Error) -> bool {
-    matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut)
+    matches!(
+        error.kind(),
+        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+    )
 }
 
 fn parse_head(head: &str) -> Result<(String, Headers), HttpError> {
@@ -285,6 +326,9 @@
     }
     match headers.get("Content-Length") {
         None => Ok(otherwise),
-        Some(value) => value.parse().map(Framing::Length).map_err(|_| malformed(format!("length {value:?}"))),
+        Some(value) => value
+            .parse()
+            .map(Framing::Length)
+            .map_err(|_| malformed(format!("length {value:?}"))),
     }
 }
--- a/crates/lockusher-router-testbed/src/http/mod.rs
+++ b/crates/lockusher-router-testbed/src/http/mod.rs
@@ -29,7 +29,9 @@
 }
 
 fn malformed(reason: impl Into<String>) -> HttpError {
-    HttpError::Malformed { reason: reason.into() }
+    HttpError::Malformed {
+        reason: reason.into(),
+    }
 }
 
 /// Header lines in their order.
@@ -46,7 +48,10 @@
 
     /// The first value of a header.
     pub fn get(&self, name: &str) -> Option<&str> {
-        let mut found = self.lines.iter().filter(|(known, _)| known.eq_ignore_ascii_case(name));
+        let mut found = self
+            .lines
+            .iter()
+            .filter(|(known, _)| known.eq_ignore_ascii_case(name));
         found.next().map(|(_, value)| value.as_str())
     }
 
@@ -57,8 +62,15 @@
 
     /// Whether a header names `word` among its comma-separated values.
     pub fn has_word(&self, name: &str, word: &str) -> bool {
-        let mut values = self.lines.iter().filter(|(known, _)| known.eq_ignore_ascii_case(name));
-        values.any(|(_, value)| value.split(',').any(|one| one.trim().eq_ignore_ascii_case(word)))
+        let mut values = self
+            .lines
+            .iter()
+            .filter(|(known, _)| known.eq_ignore_ascii_case(name));
+        values.any(|(_, value)| {
+            value
+                .split(',')
+                .any(|one| one.trim().eq_ignore_ascii_case(word))
+        })
     }
 
     /// All lines, in order.
@@ -125,7 +137,11 @@
 impl Answer {
     /// An answer without headers and body.
     pub fn new(status: u16) -> Answer {
-        Answer { status, headers: Headers::default(), body: Vec::new() }
+        Answer {
+            status,
+            headers: Headers::default(),
+            body: Vec::new(),
+        }
     }
 
     /// Adds a header.
@@ -142,7 +158,8 @@
 
     /// Sets a JSON body.
     pub fn json(self, value: &serde_json::Value) -> Answer {
-        self.header("Content-Type", "application/json").body(value.to_string())
+        self.header("Content-Type", "application/json")
+            .body(value.to_string())
     }
 
     /// The bytes on the wire, with the body's length.
@@ -158,7 +175,11 @@
     }
 
     fn head_bytes(&self, framing: &str) -> Vec<u8> {
-        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
+        let mut head = format!(
+            "HTTP/1.1 {} {}\r\n",
+            self.status,
+            reason_phrase(self.status)
+        );
         push_lines(&mut head, &self.headers);
         head.push_str(framing);
         head.push_str("\r\n");
--- a/crates/lockusher-router-testbed/src/hunt/mod.rs
+++ b/crates/lockusher-router-testbed/src/hunt/mod.rs
@@ -92,7 +92,13 @@
     let violations = violations(&world, day, &records);
     let is_good = faults.is_empty() && violations.is_empty();
     let logs = (!is_good).then(|| world.fleet.keep_folder());
-    Ok(DayResult { day: day.clone(), figures: Figures::of(&records), violations, faults, logs })
+    Ok(DayResult {
+        day: day.clone(),
+        figures: Figures::of(&records),
+        violations,
+        faults,
+        logs,
+    })
 }
 
 fn load_plan(plan: &HuntPlan, world: &World, seed: u64) -> LoadPlan {
@@ -108,7 +114,10 @@
 /// The rules that bind only machines in touch don't count on days that trouble the fleet's own machines.
 fn violations(world: &World, day: &Day, records: &[RequestRecord]) -> Vec<Violation> {
     let only_in_touch = [Rule::Drain, Rule::Config, Rule::Lost];
-    let disturbed = day.steps.iter().any(|step| step.trouble.disturbs_machines());
+    let disturbed = day
+        .steps
+        .iter()
+        .any(|step| step.trouble.disturbs_machines());
     let mut found = world.check(records).violations;
     found.retain(|violation| !(disturbed && only_in_touch.contains(&violation.rule)));
     found
@@ -119,7 +128,9 @@
     let from = last.saturating_sub(RECOVERY_WINDOW.as_micros() as u64);
     let total = Figures::of(records.iter().filter(|record| record.due >= from)).total();
     let share = total.served as f64 / total.requests.max(1) as f64;
-    let unserved = records.iter().filter(|record| record.due >= from && !record.is_served());
+    let unserved = records
+        .iter()
+        .filter(|record| record.due >= from && !record.is_served());
     (share < RECOVERED_SHARE).then(|| {
         let (ends, rejected) = (ends_of(unserved), rejections_since(world, from));
         format!(
@@ -131,26 +142,49 @@
 /// How many requests searchers rejected from a time on, by searcher and status.
 fn rejections_since(world: &World, from: Micros) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    for arrival in world.ledger().snapshot().iter().filter(|arrival| arrival.at >= from) {
+    for arrival in world
+        .ledger()
+        .snapshot()
+        .iter()
+        .filter(|arrival| arrival.at >= from)
+    {
         if let ArrivalOutcome::Rejected { status } = arrival.outcome {
-            let what = if arrival.prefill_only { "prefill" } else { "run" };
-            *counts.entry(format!("{what} {status} at {}", arrival.instance)).or_default() += 1;
+            let what = if arrival.prefill_only {
+                "prefill"
+            } else {
+                "run"
+            };
+            *counts
+                .entry(format!("{what} {status} at {}", arrival.instance))
+                .or_default() += 1;
         }
     }
-    counts.iter().map(|(end, count)| format!("{count} x {end}")).collect::<Vec<String>>().join(", ")
+    counts
+        .iter()
+        .map(|(end, count)| format!("{count} x {end}"))
+        .collect::<Vec<String>>()
+        .join(", ")
 }
 
 /// How many requests ended how, by kind and mixer.
 fn ends_of<'a>(unserved: impl Iterator<Item = &'a RequestRecord>) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for record in unserved {
-        let Some(last) = record.tries.last() else { continue };
+        let Some(last) = record.tries.last() else {
+            continue;
+        };
         let end = match &last.outcome {
             TryOutcome::Whole(seen) => seen.status.to_string(),
             TryOutcome::NoConnection => "no connection".to_owned(),
             TryOutcome::Broken { why, .. } => format!("{why:?}"),
         };
-        *counts.entry(format!("{} {end} at {}", record.spec.kind, last.front.ip())).or_default() += 1;
+        *counts
+            .entry(format!("{} {end} at {}", record.spec.kind, last.front.ip()))
+            .or_default() += 1;
     }
-    counts.iter().map(|(end, count)| format!("{count} x {end}")).collect::<Vec<String>>().join(", ")
+    counts
+        .iter()
+        .map(|(end, count)| format!("{count} x {end}"))
+        .collect::<Vec<String>>()
+        .join(", ")
 }
--- a/crates/lockusher-router-testbed/src/hunt/player.rs
+++ b/crates/lockusher-router-testbed/src/hunt/player.rs
@@ -68,7 +68,10 @@
 
 impl<'a> Player<'a> {
     pub fn new(world: &'a mut World, rate_per_second: f64) -> Player<'a> {
-        let writer = Writer::start(std::sync::Arc::clone(&world.operator), world.configuration.clone());
+        let writer = Writer::start(
+            std::sync::Arc::clone(&world.operator),
+            world.configuration.clone(),
+        );
         Player {
             world,
             writer,
@@ -111,7 +114,10 @@
     }
 
     fn wait_until(&self, at: Duration) {
-        while let Some(left) = at.checked_sub(self.begun.elapsed()).filter(|left| !left.is_zero()) {
+        while let Some(left) = at
+            .checked_sub(self.begun.elapsed())
+            .filter(|left| !left.is_zero())
+        {
             std::thread::park_timeout(left);
         }
     }
@@ -123,7 +129,11 @@
             Action::Wake(role, machine) => self.world.fleet.signal(role, machine, Signal::Continue),
             Action::AwaitProxy(edge) => self.follow_roll(edge)?,
             Action::RestoreSpeed(searcher) => self.set_speed(searcher, 1),
-            Action::RestoreLinks => self.world.models.iter().for_each(|model| model.set_link_slow_down(1)),
+            Action::RestoreLinks => self
+                .world
+                .models
+                .iter()
+                .for_each(|model| model.set_link_slow_down(1)),
             Action::Lapse { until } => self.lapse(until),
             Action::ReplaceModel(position) => self.world.restart_model(position)?,
             Action::PlatformUp => self.world.platform.set_down(false),
@@ -165,7 +175,9 @@
             Trouble::KillProxy(number) => self.kill(Role::Proxy, self.edge(number)),
             Trouble::KillAgent(number) => self.kill(Role::Agent, self.edge(number)),
             Trouble::KillControl(number) => self.kill(Role::Control, self.core(number)),
-            Trouble::KillAllControl => (0..self.cores()).for_each(|core| self.kill(Role::Control, core)),
+            Trouble::KillAllControl => {
+                (0..self.cores()).for_each(|core| self.kill(Role::Control, core));
+            }
             Trouble::FreezeProxy(number) => self.freeze(Role::Proxy, self.edge(number)),
             Trouble::FreezeAgent(number) => self.freeze(Role::Agent, self.edge(number)),
             Trouble::FreezeControl(number) => self.freeze(Role::Control, self.core(number)),
@@ -188,15 +200,22 @@
                 self.plan_in(SLOW, Action::RestoreSpeed(searcher));
             }
             Trouble::SlowLinks => {
-                self.world.models.iter().for_each(|model| model.set_link_slow_down(SLOW_LINK_FACTOR));
+                self.world
+                    .models
+                    .iter()
+                    .for_each(|model| model.set_link_slow_down(SLOW_LINK_FACTOR));
                 self.plan_in(SLOW, Action::RestoreLinks);
             }
             Trouble::LapsingHandles => self.lapse(self.begun.elapsed() + LAPSING),
             Trouble::FaultyRuns(fault) => {
-                self.world.faults().for_each(|faults| faults.on_runs(fault, FAULTY_REQUESTS));
+                self.world
+                    .faults()
+                    .for_each(|faults| faults.on_runs(fault, FAULTY_REQUESTS));
             }
             Trouble::FaultyPrefills(fault) => {
-                self.world.faults().for_each(|faults| faults.on_prefills(fault, FAULTY_REQUESTS));
+                self.world
+                    .faults()
+                    .for_each(|faults| faults.on_prefills(fault, FAULTY_REQUESTS));
             }
             Trouble::PlatformDown => {
                 self.world.platform.set_down(true);
@@ -228,7 +247,9 @@
 
     /// Tells a proxy to end; those after it follow in turn.
     fn roll(&mut self, edge: usize) {
-        self.world.fleet.signal(Role::Proxy, edge, Signal::Terminate);
+        self.world
+            .fleet
+            .signal(Role::Proxy, edge, Signal::Terminate);
         self.plan_in(AWAY, Action::AwaitProxy(edge));
     }
 
@@ -256,7 +277,10 @@
     }
 
     fn lapse(&mut self, until: Duration) {
-        self.world.models.iter().for_each(super::super::model_searcher::ModelSearcher::lapse_all_handles);
+        self.world
+            .models
+            .iter()
+            .for_each(super::super::model_searcher::ModelSearcher::lapse_all_handles);
         if self.begun.elapsed() < until {
             self.plan_in(LAPSE_PERIOD, Action::Lapse { until });
         }
@@ -297,10 +321,16 @@
 
 fn troubles_core(trouble: Trouble) -> bool {
     use Trouble::*;
-    matches!(trouble, KillControl(_) | KillAllControl | FreezeControl(_) | LoseDisk(_))
+    matches!(
+        trouble,
+        KillControl(_) | KillAllControl | FreezeControl(_) | LoseDisk(_)
+    )
 }
 
 fn troubles_edge(trouble: Trouble) -> bool {
     use Trouble::*;
-    matches!(trouble, KillProxy(_) | KillAgent(_) | FreezeProxy(_) | FreezeAgent(_) | RollProxies)
+    matches!(
+        trouble,
+        KillProxy(_) | KillAgent(_) | FreezeProxy(_) | FreezeAgent(_) | RollProxies
+    )
 }
--- a/crates/lockusher-router-testbed/src/hunt/trouble.rs
+++ b/crates/lockusher-router-testbed/src/hunt/trouble.rs
@@ -88,7 +88,9 @@
     let last = plan.length.saturating_sub(CALM_END).max(FIRST_TROUBLE * 2);
     let mut steps: Vec<Step> = (0..plan.troubles)
         .map(|_| Step {
-            at: Duration::from_secs_f64(chance.random_range(FIRST_TROUBLE.as_secs_f64()..last.as_secs_f64())),
+            at: Duration::from_secs_f64(
+                chance.random_range(FIRST_TROUBLE.as_secs_f64()..last.as_secs_f64()),
+            ),
             trouble: draw_allowed(plan, &mut chance),
         })
         .collect();
@@ -139,7 +141,9 @@
     let faults = [
         Fault::ResetAfterRequest,
         Fault::ResetBeforeFirstEvent,
-        Fault::ResetMidEvent { whole_events: chance.random_range(0..3) },
+        Fault::ResetMidEvent {
+            whole_events: chance.random_range(0..3),
+        },
         Fault::WrongIdentifier,
         Fault::ExtraBytes,
         Fault::Silence,
--- a/crates/lockusher-router-testbed/src/hunt/writer.rs
+++ b/crates/lockusher-router-testbed/src/hunt/writer.rs
@@ -56,11 +56,19 @@
 impl Writer {
     pub fn start(operator: Arc<Operator>, present: Configuration) -> Writer {
         let (orders, receiver) = channel();
-        let state = State { sent: vec![present.clone()], newest: present, faults: Vec::new() };
+        let state = State {
+            sent: vec![present.clone()],
+            newest: present,
+            faults: Vec::new(),
+        };
         let state = Arc::new(Mutex::new(state));
         let for_worker = Arc::clone(&state);
         let worker = std::thread::spawn(move || work(&operator, &receiver, &for_worker));
-        Writer { orders, worker, state }
+        Writer {
+            orders,
+            worker,
+            state,
+        }
     }
 
     pub fn order(&self, order: Order) {
@@ -74,7 +82,11 @@
         // A worker that has panicked shows in the output.
         let _ = self.worker.join();
         let state = lock(&self.state);
-        Written { newest: state.newest.clone(), sent: state.sent.clone(), faults: state.faults.clone() }
+        Written {
+            newest: state.newest.clone(),
+            sent: state.sent.clone(),
+            faults: state.faults.clone(),
+        }
     }
 }
 
@@ -92,7 +104,10 @@
     fn check(&self, read: &Value) -> Option<String> {
         let version = read["version"].as_u64().unwrap_or(0);
         if version < self.newest.version {
-            return Some(format!("version {version} is read back, {} was acknowledged", self.newest.version));
+            return Some(format!(
+                "version {version} is read back, {} was acknowledged",
+                self.newest.version
+            ));
         }
         let known = self.sent.iter().any(|sent| to_json(sent) == *read);
         (!known).then(|| format!("version {version} is read back other than it was sent"))
@@ -125,7 +140,8 @@
     if next.routes.iter().any(|route| route.name == ADDED) {
         next.routes.retain(|route| route.name != ADDED);
     } else {
-        next.routes.push(route(ADDED, PLAIN_SERVICE, RouteKind::Idempotent));
+        next.routes
+            .push(route(ADDED, PLAIN_SERVICE, RouteKind::Idempotent));
     }
     next
 }
@@ -137,7 +153,10 @@
     match outcome {
         ChangeOutcome::Acknowledged => lock(state).newest = next,
         ChangeOutcome::Refused { status } => {
-            lock(state).faults.push(format!("version {} was refused with {status}", next.version));
+            lock(state).faults.push(format!(
+                "version {} was refused with {status}",
+                next.version
+            ));
             learn_newest(operator, state);
         }
         ChangeOutcome::Unclear => learn_newest(operator, state),
@@ -157,9 +176,15 @@
 
 /// After an unclear answer: what is read back is the present one, if it is one that was sent.
 fn learn_newest(operator: &Operator, state: &Mutex<State>) {
-    let Some(read) = operator.get(PATIENCE) else { return };
+    let Some(read) = operator.get(PATIENCE) else {
+        return;
+    };
     let mut state = lock(state);
-    let found = state.sent.iter().find(|sent| to_json(sent) == read).cloned();
+    let found = state
+        .sent
+        .iter()
+        .find(|sent| to_json(sent) == read)
+        .cloned();
     if let Some(found) = found.filter(|found| found.version > state.newest.version) {
         state.newest = found;
     }
@@ -172,7 +197,10 @@
     // It is not among those that may be read back.
     let outcome = operator.put(&invalid, present.version, 0, PATIENCE);
     if outcome == ChangeOutcome::Acknowledged {
-        lock(state).faults.push(format!("the invalid version {} was acknowledged", invalid.version));
+        lock(state).faults.push(format!(
+            "the invalid version {} was acknowledged",
+            invalid.version
+        ));
     }
 }
 
--- a/crates/lockusher-router-testbed/src/kv_network.rs
+++ b/crates/lockusher-router-testbed/src/kv_network.rs
@@ -40,7 +40,9 @@
             return None;
         }
         let (address, handle) = kv_from.split_once('/')?;
-        let source = lock(&self.searchers).get(&address.parse().ok()?)?.upgrade()?;
+        let source = lock(&self.searchers)
+            .get(&address.parse().ok()?)?
+            .upgrade()?;
         let (parts, request_id) = source.take_held(handle)?;
         let distance = distance(&source.identity, taker);
         Some((KvTransfer { parts, distance }, request_id))
--- a/crates/lockusher-router-testbed/src/link.rs
+++ b/crates/lockusher-router-testbed/src/link.rs
@@ -36,7 +36,11 @@
         let switches = Arc::new(Switches::default());
         let for_acceptor = Arc::clone(&switches);
         let acceptor = std::thread::spawn(move || accept_all(&listener, to, &for_acceptor));
-        Ok(Link { from, switches, acceptor: Some(acceptor) })
+        Ok(Link {
+            from,
+            switches,
+            acceptor: Some(acceptor),
+        })
     }
 
     /// Where it listens.
@@ -117,5 +121,8 @@
 }
 
 fn is_timeout(error: &std::io::Error) -> bool {
-    matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut)
+    matches!(
+        error.kind(),
+        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+    )
 }
--- a/crates/lockusher-router-testbed/src/load.rs
+++ b/crates/lockusher-router-testbed/src/load.rs
@@ -146,7 +146,8 @@
 
     /// Retries reach other mixers.
     fn front(&self, client_hash: u64, number: u32) -> SocketAddr {
-        self.entry.choose(client_hash.wrapping_add(u64::from(number)))
+        self.entry
+            .choose(client_hash.wrapping_add(u64::from(number)))
     }
 
     fn wait_until(&self, at: Micros) {
@@ -188,7 +189,11 @@
             return;
         }
         let at = begin + (seconds * 1e6) as Micros;
-        due.push(Due { at, spec: Arc::new(draw_spec(kind, chance)), client_hash: chance.random() });
+        due.push(Due {
+            at,
+            spec: Arc::new(draw_spec(kind, chance)),
+            client_hash: chance.random(),
+        });
     }
 }
 
@@ -196,7 +201,13 @@
     let mut spec = kind.spec.clone();
     if !kind.shared_parts.is_empty() {
         let shared = kind.shared_parts[chance.random_range(0..kind.shared_parts.len())];
-        spec.prompt = vec![shared, Part { id: chance.random(), tokens: kind.own_tokens }];
+        spec.prompt = vec![
+            shared,
+            Part {
+                id: chance.random(),
+                tokens: kind.own_tokens,
+            },
+        ];
     }
     spec
 }
--- a/crates/lockusher-router-testbed/src/main.rs
+++ b/crates/lockusher-router-testbed/src/main.rs
@@ -27,7 +27,11 @@
     Options(getopts::Fail),
     #[display("--{option}: {value:?} is not {expected}")]
     #[from(ignore)]
-    Value { option: &'static str, value: String, expected: &'static str },
+    Value {
+        option: &'static str,
+        value: String,
+        expected: &'static str,
+    },
     #[display("unknown command {_0:?}: expected demo, load, hunt, report or decisions")]
     #[from(ignore)]
     UnknownCommand(#[error(not(source))] String),
@@ -39,7 +43,10 @@
     Plot(PlotError),
     #[display("{path}: {source}")]
     #[from(ignore)]
-    Log { path: String, source: std::io::Error },
+    Log {
+        path: String,
+        source: std::io::Error,
+    },
     #[display("{path}: {source}")]
     #[from(ignore)]
     Trace { path: String, source: TraceError },
@@ -49,7 +56,10 @@
     NoRuns,
     #[display("{path}: {source}")]
     #[from(ignore)]
-    Page { path: String, source: std::io::Error },
+    Page {
+        path: String,
+        source: std::io::Error,
+    },
 }
 
 fn main() -> ExitCode {
@@ -76,7 +86,11 @@
         Some("hunt") => return hunt(&matches),
         Some("report") => return report(&matches),
         Some("decisions") => return decisions(&matches),
-        other => return Err(CommandError::UnknownCommand(other.unwrap_or_default().to_owned())),
+        other => {
+            return Err(CommandError::UnknownCommand(
+                other.unwrap_or_default().to_owned(),
+            ));
+        }
     };
     if let Some(path) = matches.opt_str("save") {
         let title = matches.opt_str("title").unwrap_or_else(|| "run".to_owned());
@@ -99,21 +113,60 @@
 fn options() -> Options {
     let mut options = Options::new();
     options.optflag("h", "help", "show this help");
-    options.optopt("", "edges", "edge machines, each with a proxy and an agent (2)", "N");
-    options.optopt("", "cores", "core machines, each with a control node (3)", "N");
+    options.optopt(
+        "",
+        "edges",
+        "edge machines, each with a proxy and an agent (2)",
+        "N",
+    );
+    options.optopt(
+        "",
+        "cores",
+        "core machines, each with a control node (3)",
+        "N",
+    );
     options.optopt("", "prefill", "searchers that read prompts (2)", "N");
     options.optopt("", "decode", "searchers that make tokens (3)", "N");
     options.optopt("", "plain", "searchers of the plain service (2)", "N");
-    options.optopt("", "rate", "requests a second, all kinds together (30)", "R");
-    options.optopt("", "seconds", "length of the load (30 for demo, 20 for load and hunt)", "S");
+    options.optopt(
+        "",
+        "rate",
+        "requests a second, all kinds together (30)",
+        "R",
+    );
+    options.optopt(
+        "",
+        "seconds",
+        "length of the load (30 for demo, 20 for load and hunt)",
+        "S",
+    );
     options.optopt("", "seed", "seed of the load, or of the first day (1)", "N");
-    options.optopt("", "save", "write the run of a demo or load to a file", "FILE");
+    options.optopt(
+        "",
+        "save",
+        "write the run of a demo or load to a file",
+        "FILE",
+    );
     options.optopt("", "title", "title of the saved run (run)", "TEXT");
-    options.optopt("", "page", "where report writes its page (report.html)", "FILE");
+    options.optopt(
+        "",
+        "page",
+        "where report writes its page (report.html)",
+        "FILE",
+    );
     options.optopt("", "days", "days of a hunt (10)", "N");
     options.optopt("", "troubles", "troubles in a day of a hunt (4)", "N");
-    options.optflag("", "calm-machines", "in a hunt, kill and freeze no machines: more rules bind then");
-    options.optopt("", "jobs", "days of a hunt that are played at once (2)", "N");
+    options.optflag(
+        "",
+        "calm-machines",
+        "in a hunt, kill and freeze no machines: more rules bind then",
+    );
+    options.optopt(
+        "",
+        "jobs",
+        "days of a hunt that are played at once (2)",
+        "N",
+    );
     options
 }
 
@@ -125,9 +178,15 @@
         return Err(CommandError::NoLogs);
     }
     for path in paths {
-        let log = std::fs::read(path).map_err(|source| CommandError::Log { path: path.clone(), source })?;
-        let of_log = read_trace(&String::from_utf8_lossy(&log))
-            .map_err(|source| CommandError::Trace { path: path.clone(), source })?;
+        let log = std::fs::read(path).map_err(|source| CommandError::Log {
+            path: path.clone(),
+            source,
+        })?;
+        let of_log =
+            read_trace(&String::from_utf8_lossy(&log)).map_err(|source| CommandError::Trace {
+                path: path.clone(),
+                source,
+            })?;
         sends.extend(of_log);
     }
     print!("{}", table(&sends));
@@ -158,11 +217,17 @@
     if files.is_empty() {
         return Err(CommandError::NoRuns);
     }
-    let runs =
-        files.iter().map(|file| Run::read(Path::new(file))).collect::<Result<Vec<Run>, RunFileError>>()?;
-    let path = matches.opt_str("page").unwrap_or_else(|| "report.html".to_owned());
-    std::fs::write(&path, page(&runs)?)
-        .map_err(|source| CommandError::Page { path: path.clone(), source })?;
+    let runs = files
+        .iter()
+        .map(|file| Run::read(Path::new(file)))
+        .collect::<Result<Vec<Run>, RunFileError>>()?;
+    let path = matches
+        .opt_str("page")
+        .unwrap_or_else(|| "report.html".to_owned());
+    std::fs::write(&path, page(&runs)?).map_err(|source| CommandError::Page {
+        path: path.clone(),
+        source,
+    })?;
     println!("{path}: {} runs", runs.len());
     Ok(ExitCode::SUCCESS)
 }
@@ -195,7 +260,11 @@
     });
     let bad = bad.load(Ordering::SeqCst);
     println!("days={days} bad={bad}");
-    Ok(if bad == 0 { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+    Ok(if bad == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(BROKEN)
+    })
 }
 
 /// Plays one day and tells of it in one go, since several are played at once.
@@ -209,9 +278,18 @@
         }
     };
     let total = result.figures.total();
-    let mut text = format!("{day}\n  requests={} served={}", total.requests, total.served);
-    let violations = result.violations.iter().map(|violation| format!("\n  broken: {violation}"));
-    let faults = result.faults.iter().map(|fault| format!("\n  fault: {fault}"));
+    let mut text = format!(
+        "{day}\n  requests={} served={}",
+        total.requests, total.served
+    );
+    let violations = result
+        .violations
+        .iter()
+        .map(|violation| format!("\n  broken: {violation}"));
+    let faults = result
+        .faults
+        .iter()
+        .map(|fault| format!("\n  fault: {fault}"));
     text.extend(violations.chain(faults));
     if let Some(logs) = &result.logs {
         text.push_str(&format!("\n  logs: {}", logs.display()));
@@ -228,7 +306,11 @@
 ) -> Result<T, CommandError> {
     match matches.opt_str(option) {
         None => Ok(default),
-        Some(value) => value.parse().map_err(|_| CommandError::Value { option, value, expected }),
+        Some(value) => value.parse().map_err(|_| CommandError::Value {
+            option,
+            value,
+            expected,
+        }),
     }
 }
 
@@ -250,5 +332,9 @@
         outcome.verdict.violations.len(),
         outcome.ended_by_themselves.len()
     );
-    if outcome.is_good() { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) }
+    if outcome.is_good() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(BROKEN)
+    }
 }
--- a/crates/lockusher-router-testbed/src/operator.rs
+++ b/crates/lockusher-router-testbed/src/operator.rs
@@ -164,9 +164,13 @@
                 return self.lose_or_keep(answer);
             }
             let location = answer.headers.get("Location").and_then(address_of);
-            address = location.ok_or(HttpError::Malformed { reason: "307 without a place".to_owned() })?;
+            address = location.ok_or(HttpError::Malformed {
+                reason: "307 without a place".to_owned(),
+            })?;
         }
-        Err(HttpError::Malformed { reason: "redirected too often".to_owned() })
+        Err(HttpError::Malformed {
+            reason: "redirected too often".to_owned(),
+        })
     }
 
     fn lose_or_keep(&self, answer: Answer) -> Result<Answer, HttpError> {
--- a/crates/lockusher-router-testbed/src/plain_searcher.rs
+++ b/crates/lockusher-router-testbed/src/plain_searcher.rs
@@ -10,8 +10,8 @@
 use crate::http::{Answer, Connection, Request};
 use crate::record::{ArrivalKey, ArrivalOutcome, LabClock, Ledger, Run, RunBody, digest};
 use crate::searcher::{
-    CALLER_POLL, Fault, FaultPlan, Identity, arrival_of, health, keep_silent, list_entry, not_executed,
-    screen,
+    CALLER_POLL, Fault, FaultPlan, Identity, arrival_of, health, keep_silent, list_entry,
+    not_executed, screen,
 };
 use crate::server::{Handler, Next, Server, lock};
 
@@ -124,13 +124,21 @@
 impl Handler for Shared {
     fn handle(&self, request: Request, connection: &mut Connection) -> Next {
         if request.method == "GET" && request.target == self.parameters.health_path {
-            return self.answer(connection, health(&self.identity, !self.draining.load(Ordering::SeqCst)));
+            return self.answer(
+                connection,
+                health(&self.identity, !self.draining.load(Ordering::SeqCst)),
+            );
         }
-        let arrival = self.ledger.arrive(arrival_of(&request, &self.identity, self.clock.now()));
+        let arrival = self
+            .ledger
+            .arrive(arrival_of(&request, &self.identity, self.clock.now()));
         if let Some(answer) = screen(&request, &self.identity) {
             return self.reject(connection, arrival, answer);
         }
-        let request_id = request.headers.get("Request-Identifier").unwrap_or_default();
+        let request_id = request
+            .headers
+            .get("Request-Identifier")
+            .unwrap_or_default();
         let fault = self.faults.next(false);
         match fault {
             Some(Fault::ResetAfterRequest) => {
@@ -167,7 +175,9 @@
         }
         load.waiting += 1;
         while load.running >= self.parameters.slots {
-            let left = deadline.map_or(CALLER_POLL, |at| at.saturating_duration_since(Instant::now()));
+            let left = deadline.map_or(CALLER_POLL, |at| {
+                at.saturating_duration_since(Instant::now())
+            });
             if left.is_zero() {
                 load.waiting -= 1;
                 return false;
@@ -204,13 +214,18 @@
             let late = Answer::new(504).header("Request-Identifier", request_id);
             return self.answer(connection, late.header("Server-Signature", signature));
         }
-        let named = if fault == Some(Fault::WrongIdentifier) { "another" } else { request_id };
+        let named = if fault == Some(Fault::WrongIdentifier) {
+            "another"
+        } else {
+            request_id
+        };
         let answer = Answer::new(200)
             .header("Request-Identifier", named)
             .header("Server-Signature", signature)
             .body(body);
         let next = self.answer_with(connection, answer, fault);
-        self.ledger.update(arrival, |arrival| mark_whole(&mut arrival.outcome, next));
+        self.ledger
+            .update(arrival, |arrival| mark_whole(&mut arrival.outcome, next));
         next
     }
 
@@ -220,7 +235,9 @@
             began: self.clock.now(),
             signature: format!("{}.{number:x}", self.identity.instance),
             status: 200,
-            body: RunBody::Plain { digest: digest(body) },
+            body: RunBody::Plain {
+                digest: digest(body),
+            },
             whole: false,
             faulty,
         }
@@ -230,7 +247,9 @@
         self.ledger.update(arrival, |arrival| {
             if let ArrivalOutcome::Ran(run) = &mut arrival.outcome {
                 run.status = 504;
-                run.body = RunBody::Plain { digest: digest(b"") };
+                run.body = RunBody::Plain {
+                    digest: digest(b""),
+                };
             }
         });
     }
@@ -252,7 +271,12 @@
     }
 
     fn reject(&self, connection: &mut Connection, arrival: ArrivalKey, answer: Answer) -> Next {
-        self.ledger.settle(arrival, ArrivalOutcome::Rejected { status: answer.status });
+        self.ledger.settle(
+            arrival,
+            ArrivalOutcome::Rejected {
+                status: answer.status,
+            },
+        );
         self.answer(connection, answer)
     }
 
@@ -260,9 +284,18 @@
         self.answer_with(connection, answer, None)
     }
 
-    fn answer_with(&self, connection: &mut Connection, answer: Answer, fault: Option<Fault>) -> Next {
+    fn answer_with(
+        &self,
+        connection: &mut Connection,
+        answer: Answer,
+        fault: Option<Fault>,
+    ) -> Next {
         let leaving = self.draining.load(Ordering::SeqCst);
-        let answer = if leaving { answer.header("Connection", "close") } else { answer };
+        let answer = if leaving {
+            answer.header("Connection", "close")
+        } else {
+            answer
+        };
         let mut bytes = answer.to_bytes();
         if let Some(Fault::ResetMidEvent { .. }) = fault {
             bytes.truncate(bytes.len() - answer.body.len() / 2 - 1);
--- a/crates/lockusher-router-testbed/src/platform.rs
+++ b/crates/lockusher-router-testbed/src/platform.rs
@@ -81,7 +81,11 @@
             refilled: clock.now(),
             down: false,
         };
-        let shared = Arc::new(Shared { parameters, clock, state: Mutex::new(state) });
+        let shared = Arc::new(Shared {
+            parameters,
+            clock,
+            state: Mutex::new(state),
+        });
         let server = Server::start(
             TcpListener::bind(address)?,
             CONNECTION_LIMIT,
@@ -147,27 +151,44 @@
 
     fn change(&self, act: impl FnOnce(&mut BTreeMap<String, Value>)) {
         let mut state = lock(&self.shared.state);
-        let mut entries = state.listings.last().map(|listing| listing.entries.clone()).unwrap_or_default();
+        let mut entries = state
+            .listings
+            .last()
+            .map(|listing| listing.entries.clone())
+            .unwrap_or_default();
         act(&mut entries);
-        state.listings.push(Listing { since: self.shared.clock.now(), entries });
+        state.listings.push(Listing {
+            since: self.shared.clock.now(),
+            entries,
+        });
     }
 
     fn note_drained(&self, identifier: &str) {
         let shown = self.shared.clock.now() + self.shared.parameters.lag;
-        lock(&self.shared.state).drained.entry(identifier.to_owned()).or_insert(shown);
+        lock(&self.shared.state)
+            .drained
+            .entry(identifier.to_owned())
+            .or_insert(shown);
     }
 }
 
 impl Handler for Shared {
     fn handle(&self, request: Request, connection: &mut Connection) -> Next {
         let answer = self.answer(&request);
-        if connection.write(&answer.to_bytes()).is_err() { Next::Close } else { Next::Keep }
+        if connection.write(&answer.to_bytes()).is_err() {
+            Next::Close
+        } else {
+            Next::Keep
+        }
     }
 }
 
 impl Shared {
     fn answer(&self, request: &Request) -> Answer {
-        let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
+        let (path, query) = request
+            .target
+            .split_once('?')
+            .unwrap_or((&request.target, ""));
         if request.method != "GET" || path != "/instances" {
             return Answer::new(404);
         }
@@ -197,7 +218,9 @@
             .filter(|entry| zone.is_none_or(|zone| entry["zone"] == zone))
             .skip(offset);
         let page: Vec<&Value> = wanted.by_ref().take(self.parameters.page_size).collect();
-        let next = wanted.next().map(|_| format!("{PAGE_TOKEN_PREFIX}{}", offset + page.len()));
+        let next = wanted
+            .next()
+            .map(|_| format!("{PAGE_TOKEN_PREFIX}{}", offset + page.len()));
         Answer::new(200).json(&json!({"instances": page, "nextToken": next}))
     }
 }
@@ -205,7 +228,11 @@
 impl State {
     /// The list as it stood at a time.
     fn shown(&self, at: Micros) -> &Listing {
-        let known = self.listings.iter().rev().find(|listing| listing.since <= at);
+        let known = self
+            .listings
+            .iter()
+            .rev()
+            .find(|listing| listing.since <= at);
         known.unwrap_or(&self.listings[0])
     }
 
@@ -231,5 +258,7 @@
 
 fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    pairs.find(|(known, _)| *known == name).map(|(_, value)| value)
+    pairs
+        .find(|(known, _)| *known == name)
+        .map(|(_, value)| value)
 }
--- a/crates/lockusher-router-testbed/src/record.rs
+++ b/crates/lockusher-router-testbed/src/record.rs
@@ -18,7 +18,9 @@
 impl LabClock {
     /// Starts at zero.
     pub fn start() -> LabClock {
-        LabClock { started: Instant::now() }
+        LabClock {
+            started: Instant::now(),
+        }
     }
 
     /// The present time.
@@ -146,7 +148,10 @@
 
     /// A searcher crashes: what it had not answered in full is broken off.
     pub fn break_off(&self, instance: &str) {
-        for arrival in lock(&self.arrivals).iter_mut().filter(|arrival| arrival.instance == instance) {
+        for arrival in lock(&self.arrivals)
+            .iter_mut()
+            .filter(|arrival| arrival.instance == instance)
+        {
             match &mut arrival.outcome {
                 ArrivalOutcome::Waiting => arrival.outcome = ArrivalOutcome::Broken,
                 ArrivalOutcome::Ran(run) if !run.whole => run.faulty = true,
@@ -162,7 +167,10 @@
 
     /// How many arrivals satisfy a condition.
     pub fn count(&self, condition: impl Fn(&Arrival) -> bool) -> usize {
-        lock(&self.arrivals).iter().filter(|arrival| condition(arrival)).count()
+        lock(&self.arrivals)
+            .iter()
+            .filter(|arrival| condition(arrival))
+            .count()
     }
 }
 
--- a/crates/lockusher-router-testbed/src/report.rs
+++ b/crates/lockusher-router-testbed/src/report.rs
@@ -31,7 +31,11 @@
 
 /// The page of some runs, one column each.
 pub fn page(runs: &[Run]) -> Result<String, PlotError> {
-    let highest = runs.iter().flat_map(|run| &run.samples).filter_map(|sample| sample.latency).max();
+    let highest = runs
+        .iter()
+        .flat_map(|run| &run.samples)
+        .filter_map(|sample| sample.latency)
+        .max();
     let highest_ms = (highest.unwrap_or(0) as f64 / MICROS_PER_MS).max(1.0) * HEADROOM;
     let mut columns = String::new();
     for run in runs {
@@ -50,14 +54,25 @@
 fn column(run: &Run, highest_ms: f64) -> Result<String, PlotError> {
     let shares = share_plot(run, highest_ms)?;
     let seconds = second_plot(run, highest_ms)?;
-    Ok(format!("<section><h2>{}</h2>\n{}{shares}\n{seconds}</section>\n", escaped(&run.title), table(run)))
+    Ok(format!(
+        "<section><h2>{}</h2>\n{}{shares}\n{seconds}</section>\n",
+        escaped(&run.title),
+        table(run)
+    ))
 }
 
 fn table(run: &Run) -> String {
-    let heads: String = TOLD_SHARES.iter().map(|share| format!("<th>p{}, ms</th>", share * 100.0)).collect();
-    let mut table = format!("<table><tr><th>kind</th><th>requests</th><th>served</th>{heads}</tr>\n");
+    let heads: String = TOLD_SHARES
+        .iter()
+        .map(|share| format!("<th>p{}, ms</th>", share * 100.0))
+        .collect();
+    let mut table =
+        format!("<table><tr><th>kind</th><th>requests</th><th>served</th>{heads}</tr>\n");
     for (kind, samples) in by_kind(&run.samples) {
-        let served = samples.iter().filter(|sample| sample.latency.is_some()).count();
+        let served = samples
+            .iter()
+            .filter(|sample| sample.latency.is_some())
+            .count();
         let latencies = latencies_of(samples.iter().copied());
         let cells: String = TOLD_SHARES
             .iter()
@@ -83,31 +98,55 @@
             let share = 1.0 - 0.5_f64.powi(halvings);
             (f64::from(halvings), latencies.quantile_ms(share))
         };
-        Line { name: kind.to_owned(), points: (0..=HALVINGS).map(point).collect() }
+        Line {
+            name: kind.to_owned(),
+            points: (0..=HALVINGS).map(point).collect(),
+        }
     });
-    let axes =
-        Axes { title: "latency, ms, by share served", x: 0.0..f64::from(HALVINGS), y: 0.0..highest_ms };
-    plot(&axes, "1 - 1/2^x of the requests", &lines.collect::<Vec<Line>>())
+    let axes = Axes {
+        title: "latency, ms, by share served",
+        x: 0.0..f64::from(HALVINGS),
+        y: 0.0..highest_ms,
+    };
+    plot(
+        &axes,
+        "1 - 1/2^x of the requests",
+        &lines.collect::<Vec<Line>>(),
+    )
 }
 
 /// Median and tail by the second in which requests were due.
 fn second_plot(run: &Run, highest_ms: f64) -> Result<String, PlotError> {
     let mut seconds: BTreeMap<Micros, Vec<&Sample>> = BTreeMap::new();
     for sample in &run.samples {
-        seconds.entry(sample.due / MICROS_PER_SECOND).or_default().push(sample);
+        seconds
+            .entry(sample.due / MICROS_PER_SECOND)
+            .or_default()
+            .push(sample);
     }
     let line = |name: &str, share: f64| Line {
         name: name.to_owned(),
         points: seconds
             .iter()
             .map(|(second, samples)| {
-                (*second as f64, latencies_of(samples.iter().copied()).quantile_ms(share))
+                (
+                    *second as f64,
+                    latencies_of(samples.iter().copied()).quantile_ms(share),
+                )
             })
             .collect(),
     };
     let last = seconds.keys().last().copied().unwrap_or(0).max(1) as f64;
-    let axes = Axes { title: "latency, ms, by second", x: 0.0..last, y: 0.0..highest_ms };
-    plot(&axes, "second in which requests were due", &[line("median", 0.5), line("99 in 100", 0.99)])
+    let axes = Axes {
+        title: "latency, ms, by second",
+        x: 0.0..last,
+        y: 0.0..highest_ms,
+    };
+    plot(
+        &axes,
+        "second in which requests were due",
+        &[line("median", 0.5), line("99 in 100", 0.99)],
+    )
 }
 
 struct Axes {
@@ -123,7 +162,9 @@
 
 fn plot(axes: &Axes, x_name: &str, lines: &[Line]) -> Result<String, PlotError> {
     let mut svg = String::new();
-    draw(&mut svg, axes, x_name, lines).map_err(|error| PlotError { reason: error.to_string() })?;
+    draw(&mut svg, axes, x_name, lines).map_err(|error| PlotError {
+        reason: error.to_string(),
+    })?;
     Ok(svg)
 }
 
@@ -149,7 +190,11 @@
             .label(&line.name)
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], colour));
     }
-    chart.configure_series_labels().border_style(BLACK).background_style(WHITE).draw()?;
+    chart
+        .configure_series_labels()
+        .border_style(BLACK)
+        .background_style(WHITE)
+        .draw()?;
     root.present()?;
     Ok(())
 }
@@ -164,10 +209,14 @@
 
 fn latencies_of<'a>(samples: impl Iterator<Item = &'a Sample>) -> Latencies {
     let mut latencies = Latencies::default();
-    samples.filter_map(|sample| sample.latency).for_each(|latency| latencies.add(latency));
+    samples
+        .filter_map(|sample| sample.latency)
+        .for_each(|latency| latencies.add(latency));
     latencies
 }
 
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
--- a/crates/lockusher-router-testbed/src/request.rs
+++ b/crates/lockusher-router-testbed/src/request.rs
@@ -42,7 +42,12 @@
 
 impl RequestSpec {
     /// The request of one try.
-    pub fn to_request(&self, request_id: &str, remaining: Duration, last_event_id: Option<u64>) -> Request {
+    pub fn to_request(
+        &self,
+        request_id: &str,
+        remaining: Duration,
+        last_event_id: Option<u64>,
+    ) -> Request {
         let mut request = Request::new(&self.method, &self.target)
             .header("Host", self.host.as_str())
             .header("Request-Identifier", request_id)
@@ -53,8 +58,11 @@
         }
         if self.streaming {
             let tokens_in: u64 = self.prompt.iter().map(|part| part.tokens).sum();
-            let parts: Vec<String> =
-                self.prompt.iter().map(|part| format!("{:x}:{}", part.id, part.tokens)).collect();
+            let parts: Vec<String> = self
+                .prompt
+                .iter()
+                .map(|part| format!("{:x}:{}", part.id, part.tokens))
+                .collect();
             request = request
                 .header("Model", "m")
                 .header("Token-Counts", format!("{tokens_in},{}", self.tokens_out))
@@ -197,7 +205,11 @@
     pub fn latency(&self) -> Option<Micros> {
         let served = self.tries.last().filter(|last| last.is_success())?;
         let first_event = self.tries.iter().find_map(TryRecord::first_event_at);
-        let at = if self.spec.streaming { first_event? } else { served.ended };
+        let at = if self.spec.streaming {
+            first_event?
+        } else {
+            served.ended
+        };
         Some(at.saturating_sub(self.due))
     }
 }
--- a/crates/lockusher-router-testbed/src/run_file.rs
+++ b/crates/lockusher-router-testbed/src/run_file.rs
@@ -12,7 +12,10 @@
 #[derive(Debug, Display, Error)]
 pub enum RunFileError {
     #[display("{}: {source}", path.display())]
-    Io { path: PathBuf, source: std::io::Error },
+    Io {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[display("{}: {reason}", path.display())]
     Content { path: PathBuf, reason: String },
 }
@@ -43,7 +46,10 @@
             due: record.due - begun,
             latency: record.latency(),
         };
-        Run { title: title.to_owned(), samples: records.iter().map(sample).collect() }
+        Run {
+            title: title.to_owned(),
+            samples: records.iter().map(sample).collect(),
+        }
     }
 
     /// Writes the run as JSON.
@@ -51,28 +57,53 @@
         let sample = |sample: &Sample| json!([sample.kind, sample.due, sample.latency]);
         let samples: Vec<Value> = self.samples.iter().map(sample).collect();
         let text = json!({"title": self.title, "samples": samples}).to_string();
-        std::fs::write(path, text).map_err(|source| RunFileError::Io { path: path.to_owned(), source })
+        std::fs::write(path, text).map_err(|source| RunFileError::Io {
+            path: path.to_owned(),
+            source,
+        })
     }
 
     /// Reads what [`Run::write`] wrote.
     pub fn read(path: &Path) -> Result<Run, RunFileError> {
-        let text =
-            std::fs::read(path).map_err(|source| RunFileError::Io { path: path.to_owned(), source })?;
-        let content = |reason: String| RunFileError::Content { path: path.to_owned(), reason };
-        let json: Value = serde_json::from_slice(&text).map_err(|error| content(error.to_string()))?;
-        let title = json["title"].as_str().ok_or_else(|| content("title: expected a text".to_owned()))?;
-        let list =
-            json["samples"].as_array().ok_or_else(|| content("samples: expected a list".to_owned()))?;
+        let text = std::fs::read(path).map_err(|source| RunFileError::Io {
+            path: path.to_owned(),
+            source,
+        })?;
+        let content = |reason: String| RunFileError::Content {
+            path: path.to_owned(),
+            reason,
+        };
+        let json: Value =
+            serde_json::from_slice(&text).map_err(|error| content(error.to_string()))?;
+        let title = json["title"]
+            .as_str()
+            .ok_or_else(|| content("title: expected a text".to_owned()))?;
+        let list = json["samples"]
+            .as_array()
+            .ok_or_else(|| content("samples: expected a list".to_owned()))?;
         let samples = list.iter().enumerate().map(|(number, value)| {
             sample_of(value)
                 .ok_or_else(|| content(format!("samples[{number}]: expected [kind, due, latency]")))
         });
-        Ok(Run { title: title.to_owned(), samples: samples.collect::<Result<Vec<Sample>, RunFileError>>()? })
+        Ok(Run {
+            title: title.to_owned(),
+            samples: samples.collect::<Result<Vec<Sample>, RunFileError>>()?,
+        })
     }
 }
 
 fn sample_of(value: &Value) -> Option<Sample> {
-    let [kind, due, latency] = value.as_array()?.as_slice() else { return None };
-    let latency = if latency.is_null() { None } else { Some(latency.as_u64()?) };
-    Some(Sample { kind: kind.as_str()?.to_owned(), due: due.as_u64()?, latency })
+    let [kind, due, latency] = value.as_array()?.as_slice() else {
+        return None;
+    };
+    let latency = if latency.is_null() {
+        None
+    } else {
+        Some(latency.as_u64()?)
+    };
+    Some(Sample {
+        kind: kind.as_str()?.to_owned(),
+        due: due.as_u64()?,
+        latency,
+    })
 }
--- a/crates/lockusher-router-testbed/src/searcher.rs
+++ b/crates/lockusher-router-testbed/src/searcher.rs
@@ -77,16 +77,23 @@
     }
 
     pub(crate) fn next(&self, prefill_only: bool) -> Option<Fault> {
-        let plan = if prefill_only { &self.prefills } else { &self.runs };
+        let plan = if prefill_only {
+            &self.prefills
+        } else {
+            &self.runs
+        };
         let fault = lock(plan).pop_front();
-        self.met.fetch_add(usize::from(fault.is_some()), Ordering::SeqCst);
+        self.met
+            .fetch_add(usize::from(fault.is_some()), Ordering::SeqCst);
         fault
     }
 }
 
 /// A request that did not run and never will.
 pub(crate) fn not_executed(status: u16, request_id: &str) -> Answer {
-    Answer::new(status).header("Request-Identifier", request_id).header("Not-Executed", "1")
+    Answer::new(status)
+        .header("Request-Identifier", request_id)
+        .header("Not-Executed", "1")
 }
 
 /// The answer of a searcher to a request that it must not run, if so.
@@ -95,9 +102,9 @@
         return Some(not_executed(400, ""));
     };
     match request.headers.get("Expected-Instance") {
-        Some(expected) if expected != identity.instance => {
-            Some(not_executed(421, request_id).header("Instance-Identifier", identity.instance.as_str()))
-        }
+        Some(expected) if expected != identity.instance => Some(
+            not_executed(421, request_id).header("Instance-Identifier", identity.instance.as_str()),
+        ),
         _ => None,
     }
 }
@@ -108,7 +115,11 @@
         at,
         instance: identity.instance.clone(),
         service: identity.service.clone(),
-        request_id: request.headers.get("Request-Identifier").unwrap_or_default().to_owned(),
+        request_id: request
+            .headers
+            .get("Request-Identifier")
+            .unwrap_or_default()
+            .to_owned(),
         method: request.method.clone(),
         target: request.target.clone(),
         body_digest: digest(&request.body),
@@ -136,7 +147,11 @@
 }
 
 /// A searcher's entry on the platform's list, without its state.
-pub(crate) fn list_entry(identity: &Identity, slots: usize, stage: Option<&str>) -> serde_json::Value {
+pub(crate) fn list_entry(
+    identity: &Identity,
+    slots: usize,
+    stage: Option<&str>,
+) -> serde_json::Value {
     let mut entry = json!({
         "identifier": identity.instance,
         "service": identity.service,
--- a/crates/lockusher-router-testbed/src/server.rs
+++ b/crates/lockusher-router-testbed/src/server.rs
@@ -62,7 +62,11 @@
         });
         let for_acceptor = Arc::clone(&shared);
         let acceptor = std::thread::spawn(move || accept_all(&listener, &for_acceptor));
-        Ok(Server { address, shared, acceptor: Some(acceptor) })
+        Ok(Server {
+            address,
+            shared,
+            acceptor: Some(acceptor),
+        })
     }
 
     /// Where it listens.
@@ -109,7 +113,9 @@
             Connection::new(stream).reset();
             continue;
         }
-        let Ok(for_stop) = stream.try_clone() else { continue };
+        let Ok(for_stop) = stream.try_clone() else {
+            continue;
+        };
         let id = shared.next_id.fetch_add(1, Ordering::SeqCst);
         lock(&shared.open).insert(id, for_stop);
         let shared = Arc::clone(shared);
@@ -122,7 +128,9 @@
 fn serve(mut connection: Connection, shared: &Shared, id: u64) {
     let mut next = Next::Keep;
     while next == Next::Keep && !shared.stopped.load(Ordering::SeqCst) {
-        let Ok(Some(request)) = connection.read_request() else { break };
+        let Ok(Some(request)) = connection.read_request() else {
+            break;
+        };
         next = shared.handler.handle(request, &mut connection);
     }
     lock(&shared.open).remove(&id);
--- a/crates/lockusher-router-testbed/src/wait.rs
+++ b/crates/lockusher-router-testbed/src/wait.rs
@@ -16,17 +16,28 @@
 }
 
 /// Looks up to `tries` times, with short pauses between, until `look` finds something.
-pub fn wait_for<T>(state: &str, tries: u32, mut look: impl FnMut() -> Option<T>) -> Result<T, NeverCame> {
+pub fn wait_for<T>(
+    state: &str,
+    tries: u32,
+    mut look: impl FnMut() -> Option<T>,
+) -> Result<T, NeverCame> {
     for _ in 0..tries {
         if let Some(found) = look() {
             return Ok(found);
         }
         std::thread::park_timeout(PAUSE);
     }
-    Err(NeverCame { state: state.to_owned(), tries })
+    Err(NeverCame {
+        state: state.to_owned(),
+        tries,
+    })
 }
 
 /// Like [`wait_for`], for a condition.
-pub fn wait_until(state: &str, tries: u32, mut holds: impl FnMut() -> bool) -> Result<(), NeverCame> {
+pub fn wait_until(
+    state: &str,
+    tries: u32,
+    mut holds: impl FnMut() -> bool,
+) -> Result<(), NeverCame> {
     wait_for(state, tries, || holds().then_some(()))
 }
--- a/crates/lockusher-router-testbed/src/world.rs
+++ b/crates/lockusher-router-testbed/src/world.rs
@@ -103,9 +103,16 @@
             rate_per_second: fleet_plan.cloud_rate_per_s,
             page_size: PAGE_SIZE,
         };
-        let entries = models.iter().map(ModelSearcher::entry).chain(plains.iter().map(PlainSearcher::entry));
-        let platform =
-            Platform::start(fleet.outside_address(0, CLOUD_PORT), parameters, entries.collect(), clock)?;
+        let entries = models
+            .iter()
+            .map(ModelSearcher::entry)
+            .chain(plains.iter().map(PlainSearcher::entry));
+        let platform = Platform::start(
+            fleet.outside_address(0, CLOUD_PORT),
+            parameters,
+            entries.collect(),
+            clock,
+        )?;
         let mut world = World {
             clock,
             platform,
@@ -141,7 +148,11 @@
     }
 
     /// Sends a change of the present configuration on top of it; on success it is the present one.
-    pub fn change(&mut self, alter: impl FnOnce(&mut Configuration), patience: Duration) -> ChangeOutcome {
+    pub fn change(
+        &mut self,
+        alter: impl FnOnce(&mut Configuration),
+        patience: Duration,
+    ) -> ChangeOutcome {
         let base = self.configuration.version;
         let mut next = self.configuration.clone();
         next.version += 2;
@@ -166,7 +177,10 @@
     /// Everything that was seen, with the tries of some requests.
     pub fn evidence(&self, records: &[RequestRecord]) -> Evidence {
         Evidence {
-            tries: records.iter().flat_map(|record| record.tries.clone()).collect(),
+            tries: records
+                .iter()
+                .flat_map(|record| record.tries.clone())
+                .collect(),
             arrivals: self.ledger().snapshot(),
             changes: self.operator.changes(),
             drained: self.platform.drain_times(),
@@ -179,7 +193,9 @@
         let mut old = self.models.remove(position);
         let stage = old.report().stage;
         old.stop();
-        let new = self.searchers.start_model(old.address(), &old.identity().zone, stage)?;
+        let new = self
+            .searchers
+            .start_model(old.address(), &old.identity().zone, stage)?;
         self.platform.remove(&old.identity().instance);
         self.platform.add(new.entry());
         self.models.insert(position, new);
@@ -187,7 +203,10 @@
     }
 
     fn place_first_configuration(&self) -> Result<(), WorldError> {
-        match self.operator.put(&self.configuration, 0, 0, FIRST_CONFIGURATION_WAIT) {
+        match self
+            .operator
+            .put(&self.configuration, 0, 0, FIRST_CONFIGURATION_WAIT)
+        {
             ChangeOutcome::Acknowledged => Ok(()),
             other => Err(WorldError::FirstConfiguration(other)),
         }
@@ -205,7 +224,12 @@
 
 impl Searchers {
     fn new(clock: LabClock, ledger: Ledger, network: KvNetwork) -> Searchers {
-        Searchers { clock, ledger, network, incarnations: 0 }
+        Searchers {
+            clock,
+            ledger,
+            network,
+            incarnations: 0,
+        }
     }
 
     fn start_all(
@@ -238,12 +262,24 @@
     ) -> std::io::Result<ModelSearcher> {
         let identity = self.new_identity(MODEL_SERVICE, address, zone);
         let (ledger, network) = (self.ledger.clone(), self.network.clone());
-        ModelSearcher::start(identity, stage, model_parameters(), self.clock, ledger, network)
+        ModelSearcher::start(
+            identity,
+            stage,
+            model_parameters(),
+            self.clock,
+            ledger,
+            network,
+        )
     }
 
     fn start_plain(&mut self, address: SocketAddr, zone: &str) -> std::io::Result<PlainSearcher> {
         let identity = self.new_identity(PLAIN_SERVICE, address, zone);
-        PlainSearcher::start(identity, plain_parameters(), self.clock, self.ledger.clone())
+        PlainSearcher::start(
+            identity,
+            plain_parameters(),
+            self.clock,
+            self.ledger.clone(),
+        )
     }
 
     fn new_identity(&mut self, service: &str, address: SocketAddr, zone: &str) -> Identity {
--- a/crates/lockusher-simulator-adapter/src/main.rs
+++ b/crates/lockusher-simulator-adapter/src/main.rs
@@ -25,23 +25,36 @@
 
 impl Drill {
     fn mixer(&mut self, name: &str) -> Result<&mut Mixer> {
-        self.mixers.get_mut(name).ok_or_else(|| anyhow!("{name} has not been started"))
+        self.mixers
+            .get_mut(name)
+            .ok_or_else(|| anyhow!("{name} has not been started"))
     }
 
     fn event(&mut self, now: Time, event: Event) -> Result<()> {
         match event {
-            Event::Spawn { mixer, random_seed, facts } => {
-                let started =
-                    Mixer::start(now, random_seed, &facts).with_context(|| format!("settings of {mixer}"))?;
+            Event::Spawn {
+                mixer,
+                random_seed,
+                facts,
+            } => {
+                let started = Mixer::start(now, random_seed, &facts)
+                    .with_context(|| format!("settings of {mixer}"))?;
                 self.mixers.insert(mixer, started);
             }
             Event::Exit { mixer } => {
                 self.mixers.remove(&mixer);
             }
-            Event::Catalog { set_id, members_list } => {
+            Event::Catalog {
+                set_id,
+                members_list,
+            } => {
                 self.catalogs.insert(set_id, members_list);
             }
-            Event::Update { mixer, mode, set_id } => {
+            Event::Update {
+                mixer,
+                mode,
+                set_id,
+            } => {
                 let entries = match (&mode, set_id) {
                     (Mode::Refused, _) => &[],
                     (_, None) => return Err(anyhow!("UPDATE for {mixer} names no set_id")),
@@ -51,8 +64,10 @@
                         .with_context(|| format!("UPDATE names list {number}, never given"))?
                         .as_slice(),
                 };
-                let hand =
-                    self.mixers.get_mut(&mixer).ok_or_else(|| anyhow!("{mixer} has not been started"))?;
+                let hand = self
+                    .mixers
+                    .get_mut(&mixer)
+                    .ok_or_else(|| anyhow!("{mixer} has not been started"))?;
                 hand.listed(now, &mode, entries);
             }
             Event::Knock(knock) => self.mixer(&knock.mixer)?.knock(now, &knock)?,
@@ -74,7 +89,10 @@
         let mut cmds = Vec::new();
         for (name, mixer) in &mut self.mixers {
             let actions = mixer.settle(now);
-            cmds.extend(actions.into_iter().map(|action| Tagged { mixer: name.as_str(), action }));
+            cmds.extend(actions.into_iter().map(|action| Tagged {
+                mixer: name.as_str(),
+                action,
+            }));
         }
         Ok(serde_json::to_string(&Reply { cmds })?)
     }
@@ -85,7 +103,9 @@
     let mut out = BufWriter::new(io::stdout().lock());
     for (number, line) in io::stdin().lock().lines().enumerate() {
         let line = line.context("standard input")?;
-        let reply = drill.batch(&line).with_context(|| format!("line {}", number + 1))?;
+        let reply = drill
+            .batch(&line)
+            .with_context(|| format!("line {}", number + 1))?;
         writeln!(out, "{reply}")?;
         out.flush()?;
     }
--- a/crates/lockusher-simulator-adapter/src/mixer.rs
+++ b/crates/lockusher-simulator-adapter/src/mixer.rs
@@ -25,23 +25,38 @@
     fn send(&mut self, multiget: &Multiget, order: &Order) {
         let searcher = order.to.as_str().to_owned();
         if order.anew {
-            self.0.push(Action::Close { searcher: searcher.clone() });
+            self.0.push(Action::Close {
+                searcher: searcher.clone(),
+            });
         }
         let corr = multiget.parts[order.part].id.as_str().to_owned();
-        self.0.push(Action::Relay { corr, searcher, limit_us: order.timeout.as_micros() });
+        self.0.push(Action::Relay {
+            corr,
+            searcher,
+            limit_us: order.timeout.as_micros(),
+        });
     }
 
     fn withdraw(&mut self, part: &PartId, nth: usize) {
-        self.0.push(Action::Withdraw { corr: part.as_str().to_owned(), round_no: nth });
+        self.0.push(Action::Withdraw {
+            corr: part.as_str().to_owned(),
+            round_no: nth,
+        });
     }
 
     fn reply(&mut self, multiget: &Multiget, reply: Reply) {
         let corr = multiget.id.as_str().to_owned();
         self.0.push(match reply {
-            Reply::Answered { whole } => Action::WrapUp { corr, entire: whole },
+            Reply::Answered { whole } => Action::WrapUp {
+                corr,
+                entire: whole,
+            },
             Reply::PushedBack { come_back_in } => {
                 let not_before_for_us = come_back_in.map(Span::as_micros);
-                Action::Reject { corr, not_before_for_us }
+                Action::Reject {
+                    corr,
+                    not_before_for_us,
+                }
             }
             Reply::Failed => Action::Surrender { corr },
         });
@@ -162,6 +177,9 @@
         }
         self.next_token += 1;
         self.armed = Some((due, self.next_token));
-        self.actions.0.push(Action::After { offset_us: span.as_micros(), token: self.next_token });
+        self.actions.0.push(Action::After {
+            offset_us: span.as_micros(),
+            token: self.next_token,
+        });
     }
 }
--- a/crates/lockusher-simulator-adapter/src/wire.rs
+++ b/crates/lockusher-simulator-adapter/src/wire.rs
@@ -14,13 +14,24 @@
 #[serde(tag = "event_type")]
 pub enum Event {
     #[serde(rename = "SPAWN")]
-    Spawn { mixer: String, random_seed: u64, facts: Box<Settings> },
+    Spawn {
+        mixer: String,
+        random_seed: u64,
+        facts: Box<Settings>,
+    },
     #[serde(rename = "EXIT")]
     Exit { mixer: String },
     #[serde(rename = "CATALOG")]
-    Catalog { set_id: u64, members_list: Vec<Entry> },
+    Catalog {
+        set_id: u64,
+        members_list: Vec<Entry>,
+    },
     #[serde(rename = "UPDATE")]
-    Update { mixer: String, mode: Mode, set_id: Option<u64> },
+    Update {
+        mixer: String,
+        mode: Mode,
+        set_id: Option<u64>,
+    },
     #[serde(rename = "KNOCK")]
     Knock(Box<Knock>),
     #[serde(rename = "BEGUN")]
@@ -160,7 +171,11 @@
 #[serde(tag = "event_type")]
 pub enum Action {
     #[serde(rename = "RELAY")]
-    Relay { corr: String, searcher: String, limit_us: u64 },
+    Relay {
+        corr: String,
+        searcher: String,
+        limit_us: u64,
+    },
     #[serde(rename = "CLOSE")]
     Close { searcher: String },
     #[serde(rename = "WITHDRAW")]
--- a/crates/lockusher-storage/src/disk.rs
+++ b/crates/lockusher-storage/src/disk.rs
@@ -22,7 +22,10 @@
 impl DiskFileSystem {
     /// Uses this directory; it is created with the first file if it doesn't exist.
     pub fn new(directory: PathBuf) -> DiskFileSystem {
-        DiskFileSystem { directory, cached: None }
+        DiskFileSystem {
+            directory,
+            cached: None,
+        }
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -30,7 +33,10 @@
     }
 
     fn open_for_writing(&mut self, name: &str) -> io::Result<&mut File> {
-        let is_cached = self.cached.as_ref().is_some_and(|cached| cached.name == name);
+        let is_cached = self
+            .cached
+            .as_ref()
+            .is_some_and(|cached| cached.name == name);
         if !is_cached {
             let file = OpenOptions::new().write(true).open(self.path(name))?;
             return Ok(self.cache_handle(name, file));
@@ -39,12 +45,19 @@
     }
 
     fn cache_handle(&mut self, name: &str, file: File) -> &mut File {
-        let handle = CachedHandle { name: name.to_owned(), file };
+        let handle = CachedHandle {
+            name: name.to_owned(),
+            file,
+        };
         &mut self.cached.insert(handle).file
     }
 
     fn drop_handle(&mut self, name: &str) {
-        if self.cached.as_ref().is_some_and(|cached| cached.name == name) {
+        if self
+            .cached
+            .as_ref()
+            .is_some_and(|cached| cached.name == name)
+        {
             self.cached = None;
         }
     }
@@ -63,7 +76,11 @@
         if !self.directory.exists() {
             fs::create_dir_all(&self.directory)?;
         }
-        let file = OpenOptions::new().write(true).create(true).truncate(true).open(self.path(name))?;
+        let file = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(self.path(name))?;
         self.cache_handle(name, file);
         Ok(())
     }
@@ -77,7 +94,8 @@
 
 impl FileSystem for DiskFileSystem {
     fn list(&mut self) -> Result<Vec<String>, FileError> {
-        list_names(&self.directory).map_err(|error| file_error(FileOperation::List, &self.directory, error))
+        list_names(&self.directory)
+            .map_err(|error| file_error(FileOperation::List, &self.directory, error))
     }
 
     fn length(&mut self, name: &str) -> Result<u64, FileError> {
@@ -100,7 +118,9 @@
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> Result<(), FileError> {
-        let truncated = self.open_for_writing(name).and_then(|file| file.set_len(length));
+        let truncated = self
+            .open_for_writing(name)
+            .and_then(|file| file.set_len(length));
         self.on_file(FileOperation::Truncate, name, truncated)
     }
 
@@ -113,7 +133,9 @@
     }
 
     fn sync_file(&mut self, name: &str) -> Result<(), FileError> {
-        let synced = self.open_for_writing(name).and_then(|file| file.sync_data());
+        let synced = self
+            .open_for_writing(name)
+            .and_then(|file| file.sync_data());
         self.on_file(FileOperation::SyncFile, name, synced)
     }
 
@@ -142,5 +164,9 @@
 }
 
 fn file_error(operation: FileOperation, path: &Path, error: io::Error) -> FileError {
-    FileError { operation, path: path.to_owned(), cause: error.into() }
+    FileError {
+        operation,
+        path: path.to_owned(),
+        cause: error.into(),
+    }
 }
--- a/crates/lockusher-storage/src/error.rs
+++ b/crates/lockusher-storage/src/error.rs
@@ -77,7 +77,10 @@
         match error.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => FileErrorCause::NoSpace,
             io::ErrorKind::NotFound => FileErrorCause::NotFound,
-            kind => FileErrorCause::Io { kind, message: error.to_string() },
+            kind => FileErrorCause::Io {
+                kind,
+                message: error.to_string(),
+            },
         }
     }
 }
--- a/crates/lockusher-storage/src/job.rs
+++ b/crates/lockusher-storage/src/job.rs
@@ -59,7 +59,9 @@
     /// The submitter's identification of the job.
     pub(crate) fn ticket(&self) -> u64 {
         match self {
-            Job::Append { ticket, .. } | Job::Snapshot { ticket, .. } | Job::Scrub { ticket } => *ticket,
+            Job::Append { ticket, .. } | Job::Snapshot { ticket, .. } | Job::Scrub { ticket } => {
+                *ticket
+            }
         }
     }
 }
--- a/crates/lockusher-storage/src/options.rs
+++ b/crates/lockusher-storage/src/options.rs
@@ -42,8 +42,8 @@
 
     /// Length of the log at which a snapshot is due, beside a newest snapshot of this size.
     pub(crate) fn snapshot_due_bytes(self, snapshot_bytes: u64) -> u64 {
-        let efficient_bytes =
-            (self.assumed_disk_bytes() / LOG_DISK_DIVISOR).max(LOG_BYTES_PER_SNAPSHOT_BYTE * snapshot_bytes);
+        let efficient_bytes = (self.assumed_disk_bytes() / LOG_DISK_DIVISOR)
+            .max(LOG_BYTES_PER_SNAPSHOT_BYTE * snapshot_bytes);
         // However large the snapshot is, the log must not grow until appends are refused.
         efficient_bytes.min(self.append_limit_bytes() / 2)
     }
@@ -51,7 +51,9 @@
     /// Size of the reserve file beside a newest snapshot of this size.
     pub(crate) fn reserve_bytes(self, snapshot_bytes: u64) -> u64 {
         let max_bytes = self.assumed_disk_bytes() / RESERVE_DISK_DIVISOR;
-        (RESERVE_BYTES_PER_SNAPSHOT_BYTE * snapshot_bytes).max(MIN_RESERVE_BYTES).min(max_bytes)
+        (RESERVE_BYTES_PER_SNAPSHOT_BYTE * snapshot_bytes)
+            .max(MIN_RESERVE_BYTES)
+            .min(max_bytes)
     }
 
     fn assumed_disk_bytes(self) -> u64 {
--- a/crates/lockusher-storage/src/recovery.rs
+++ b/crates/lockusher-storage/src/recovery.rs
@@ -47,12 +47,20 @@
 /// [`StoreError::Damaged`] if something acknowledged is unreadable or missing, and the errors of the file system.
 pub(crate) fn read<F: FileSystem>(files: &mut F) -> Result<(Layout, Recovered), StoreError> {
     let reset_completed = complete_reset(files)?;
-    let mut recovery = Recovery { files, layout: Layout::default(), recovered: Recovered::default() };
+    let mut recovery = Recovery {
+        files,
+        layout: Layout::default(),
+        recovered: Recovered::default(),
+    };
     recovery.recovered.report.reset_completed = reset_completed;
     let found = recovery.list_files()?;
     recovery.read_snapshots(&found.snapshots)?;
     recovery.read_segments(&found)?;
-    let Recovery { layout, mut recovered, .. } = recovery;
+    let Recovery {
+        layout,
+        mut recovered,
+        ..
+    } = recovery;
     recovered.report.obsolete_files = layout.obsolete.len();
     Ok((layout, recovered))
 }
@@ -111,7 +119,9 @@
     fn read_segments(&mut self, found: &FoundFiles) -> Result<(), StoreError> {
         let snapshot_end = self.layout.snapshot.map(|snapshot| snapshot.first_frame);
         let mut sequence = SegmentSequence::new(snapshot_end);
-        let needed_from = found.segments.partition_point(|&first_frame| first_frame < sequence.start());
+        let needed_from = found
+            .segments
+            .partition_point(|&first_frame| first_frame < sequence.start());
         let (obsolete, needed) = found.segments.split_at(needed_from);
         for &first_frame in obsolete {
             let name = FileKind::Segment(first_frame).name();
@@ -146,7 +156,10 @@
         let previous_is_sealed = sequence.ends_with_seal();
         sequence.push(first_frame, &segment, is_last)?;
         if let Some(previous) = self.layout.tail.take() {
-            self.layout.closed_segments.push(StoredFile { name: previous.name(), bytes: previous.length });
+            self.layout.closed_segments.push(StoredFile {
+                name: previous.name(),
+                bytes: previous.length,
+            });
             self.layout.unsealed = (!previous_is_sealed).then_some(previous);
         }
         self.layout.tail = Some(OpenSegment::from_decoded(first_frame, &segment));
--- a/crates/lockusher-storage/src/reserve.rs
+++ b/crates/lockusher-storage/src/reserve.rs
@@ -26,7 +26,12 @@
 
     /// Writes the reserve with `target_bytes`, unless it has as many, or more than `sufficient_bytes`. A disk without
     /// space for it is no error: the store works without a reserve.
-    pub(crate) fn ensure<F: FileSystem>(&mut self, files: &mut F, sufficient_bytes: u64, target_bytes: u64) {
+    pub(crate) fn ensure<F: FileSystem>(
+        &mut self,
+        files: &mut F,
+        sufficient_bytes: u64,
+        target_bytes: u64,
+    ) {
         if self.bytes > sufficient_bytes || self.bytes >= target_bytes {
             return;
         }
--- a/crates/lockusher-storage/src/segment.rs
+++ b/crates/lockusher-storage/src/segment.rs
@@ -26,8 +26,12 @@
         first_frame: FrameNumber,
     ) -> Result<OpenSegment, FileError> {
         let header = format::encode_segment_header(first_frame);
-        let segment =
-            OpenSegment { first_frame, next_frame: first_frame, length: header.len() as u64, torn: false };
+        let segment = OpenSegment {
+            first_frame,
+            next_frame: first_frame,
+            length: header.len() as u64,
+            torn: false,
+        };
         write_new_file(files, &segment.name(), &header)?;
         Ok(segment)
     }
@@ -57,18 +61,30 @@
     /// # Errors
     ///
     /// After [`StoreError::Uncertain`] the frame may be found after a restart, after any other error not.
-    pub(crate) fn append<F: FileSystem>(&mut self, files: &mut F, frame: &[u8]) -> Result<(), StoreError> {
+    pub(crate) fn append<F: FileSystem>(
+        &mut self,
+        files: &mut F,
+        frame: &[u8],
+    ) -> Result<(), StoreError> {
         let name = self.name();
         self.torn = true;
         if let Err(error) = files.write(&name, self.length, frame) {
             let repaired = self.repair(files).is_ok();
             // Without space for all bytes the frame is incomplete: it isn't found even if its bytes stay for now.
             let absent = repaired || error.cause == FileErrorCause::NoSpace;
-            return Err(if absent { error.into() } else { StoreError::Uncertain { error } });
+            return Err(if absent {
+                error.into()
+            } else {
+                StoreError::Uncertain { error }
+            });
         }
         if let Err(error) = files.sync_file(&name) {
             let repaired = self.repair(files).is_ok();
-            return Err(if repaired { error.into() } else { StoreError::Uncertain { error } });
+            return Err(if repaired {
+                error.into()
+            } else {
+                StoreError::Uncertain { error }
+            });
         }
         self.torn = false;
         self.next_frame = self.next_frame.next();
--- a/crates/lockusher-storage/src/segment_sequence.rs
+++ b/crates/lockusher-storage/src/segment_sequence.rs
@@ -43,7 +43,9 @@
 
     /// Whether the last segment that was checked is followed by a seal.
     pub(crate) fn ends_with_seal(&self) -> bool {
-        self.previous.as_ref().is_some_and(|previous| previous.sealed)
+        self.previous
+            .as_ref()
+            .is_some_and(|previous| previous.sealed)
     }
 
     /// Checks where the oldest segment begins; `None` if there is no segment.
@@ -54,9 +56,13 @@
     pub(crate) fn check_first(&self, first: Option<FrameNumber>) -> Result<(), Damage> {
         match first {
             Some(first) if first == self.start => Ok(()),
-            _ if self.has_snapshot => Err(Damage::MissingSegment { first_frame: self.start }),
+            _ if self.has_snapshot => Err(Damage::MissingSegment {
+                first_frame: self.start,
+            }),
             Some(first_frame) => Err(Damage::MissingSnapshot { first_frame }),
-            None => Err(Damage::MissingSnapshot { first_frame: self.start }),
+            None => Err(Damage::MissingSnapshot {
+                first_frame: self.start,
+            }),
         }
     }
 
@@ -65,14 +71,20 @@
     /// # Errors
     ///
     /// [`Damage::SegmentHeader`] if something relies on it.
-    pub(crate) fn check_unused(&self, first_frame: FrameNumber, is_last: bool) -> Result<(), Damage> {
+    pub(crate) fn check_unused(
+        &self,
+        first_frame: FrameNumber,
+        is_last: bool,
+    ) -> Result<(), Damage> {
         let may_be_unused = match &self.previous {
             Some(previous) => !previous.sealed,
             None => first_frame == FrameNumber::FIRST && !self.has_snapshot,
         };
         match is_last && may_be_unused {
             true => Ok(()),
-            false => Err(Damage::SegmentHeader { file: FileKind::Segment(first_frame).name() }),
+            false => Err(Damage::SegmentHeader {
+                file: FileKind::Segment(first_frame).name(),
+            }),
         }
     }
 
@@ -90,8 +102,11 @@
         if let Some(previous) = &self.previous {
             previous.check_successor(first_frame, segment, is_last)?;
         }
-        self.previous =
-            Some(CheckedSegment { first_frame, next_frame: segment.next_frame, sealed: segment.sealed });
+        self.previous = Some(CheckedSegment {
+            first_frame,
+            next_frame: segment.next_frame,
+            sealed: segment.sealed,
+        });
         Ok(())
     }
 
@@ -102,7 +117,9 @@
     /// [`Damage::MissingSegment`] if the last segment has a seal, which promises another.
     pub(crate) fn finish(&self) -> Result<(), Damage> {
         match &self.previous {
-            Some(last) if last.sealed => Err(Damage::MissingSegment { first_frame: last.next_frame }),
+            Some(last) if last.sealed => Err(Damage::MissingSegment {
+                first_frame: last.next_frame,
+            }),
             _ => Ok(()),
         }
     }
@@ -118,7 +135,9 @@
         if self.sealed {
             return match self.next_frame == first_frame {
                 true => Ok(()),
-                false => Err(Damage::MissingSegment { first_frame: self.next_frame }),
+                false => Err(Damage::MissingSegment {
+                    first_frame: self.next_frame,
+                }),
             };
         }
         // Power was lost between the creation of the new segment and the seal, which takes a number, too.
--- a/crates/lockusher-storage/src/store.rs
+++ b/crates/lockusher-storage/src/store.rs
@@ -110,7 +110,9 @@
         self.repair()?;
         let (layout, recovered) = recovery::read(&mut self.files)?;
         if layout.snapshot != self.snapshot {
-            let first_frame = self.snapshot.map_or(FrameNumber::FIRST, |snapshot| snapshot.first_frame);
+            let first_frame = self
+                .snapshot
+                .map_or(FrameNumber::FIRST, |snapshot| snapshot.first_frame);
             return Err(Damage::MissingSnapshot { first_frame }.into());
         }
         let tail_matches = layout.tail.is_some_and(|found| {
@@ -118,7 +120,11 @@
         });
         if !tail_matches {
             let next_frame = self.tail.next_frame;
-            return Err(Damage::SegmentEndsEarly { file: self.tail.name(), next_frame }.into());
+            return Err(Damage::SegmentEndsEarly {
+                file: self.tail.name(),
+                next_frame,
+            }
+            .into());
         }
         Ok(recovered)
     }
@@ -176,7 +182,10 @@
             }
         };
         let closed = std::mem::replace(&mut self.tail, next);
-        self.closed_segments.push(StoredFile { name: closed.name(), bytes: closed.length });
+        self.closed_segments.push(StoredFile {
+            name: closed.name(),
+            bytes: closed.length,
+        });
         self.unsealed = Some(closed);
         Ok(self.repair()?)
     }
--- a/crates/lockusher-storage/src/store/repair.rs
+++ b/crates/lockusher-storage/src/store/repair.rs
@@ -22,7 +22,8 @@
         self.remove_obsolete();
         let snapshot_bytes = self.snapshot_bytes();
         let target_bytes = self.options.reserve_bytes(snapshot_bytes);
-        self.reserve.ensure(&mut self.files, snapshot_bytes, target_bytes);
+        self.reserve
+            .ensure(&mut self.files, snapshot_bytes, target_bytes);
     }
 
     /// Notes that the creation of a segment failed, and tries to remove what there is of it.
