--- a/crates/lockusher-storage/src/store/snapshots.rs
+++ b/crates/lockusher-storage/src/store/snapshots.rs
@@ -46,7 +46,9 @@
     fn write_snapshot(&mut self, snapshot: &[u8]) -> Result<(), StoreError> {
         self.repair()?;
         let tail_start = self.tail.first_frame;
-        let name_is_taken = self.snapshot.is_some_and(|snapshot| snapshot.first_frame == tail_start);
+        let name_is_taken = self
+            .snapshot
+            .is_some_and(|snapshot| snapshot.first_frame == tail_start);
         if name_is_taken || self.tail.has_frames() {
             self.roll()?;
         }
@@ -64,9 +66,15 @@
 
     /// Notes that the snapshot before the tail, of this size, is the newest; what it replaces is obsolete.
     fn supersede(&mut self, bytes: u64) {
-        let newest = SnapshotFile { first_frame: self.tail.first_frame, bytes };
+        let newest = SnapshotFile {
+            first_frame: self.tail.first_frame,
+            bytes,
+        };
         if let Some(older) = self.snapshot.replace(newest) {
-            self.obsolete.push(StoredFile { name: older.name(), bytes: older.bytes });
+            self.obsolete.push(StoredFile {
+                name: older.name(),
+                bytes: older.bytes,
+            });
         }
         self.obsolete.append(&mut self.closed_segments);
         self.append_out_of_space = false;
@@ -78,7 +86,8 @@
             return;
         }
         let files = &mut self.files;
-        self.obsolete.retain(|file| files.remove(&file.name).is_err());
+        self.obsolete
+            .retain(|file| files.remove(&file.name).is_err());
         if let Err(error) = self.files.sync_directory() {
             log::warn!("obsolete files of the log may reappear after a power loss: {error}");
         }
--- a/crates/lockusher-storage/src/worker.rs
+++ b/crates/lockusher-storage/src/worker.rs
@@ -64,7 +64,12 @@
         submissions: Receiver<Submission>,
         outcomes: UnboundedSender<Outcome>,
     ) -> Worker<F> {
-        Worker { store, submissions, outcomes, failures: 0 }
+        Worker {
+            store,
+            submissions,
+            outcomes,
+            failures: 0,
+        }
     }
 
     /// Does jobs until the submitter is gone and all are done.
@@ -105,7 +110,10 @@
         for ticket in group.tickets {
             self.failures += u64::from(result.is_err());
             let completion = self.completion(ticket, result.clone());
-            self.send_outcome(Outcome { completion, append_failed: result.is_err() });
+            self.send_outcome(Outcome {
+                completion,
+                append_failed: result.is_err(),
+            });
         }
         next
     }
@@ -114,7 +122,10 @@
     fn fill(&mut self, group: &mut Group) -> Option<Submission> {
         while group.bytes < MAX_GROUP_BYTES {
             match self.submissions.try_recv().ok()? {
-                Submission { job: Job::Append { ticket, records }, .. } => group.add(ticket, records),
+                Submission {
+                    job: Job::Append { ticket, records },
+                    ..
+                } => group.add(ticket, records),
                 other => return Some(other),
             }
         }
@@ -123,7 +134,10 @@
 
     fn scrub(&mut self, ticket: u64) {
         let completion = match self.store.scrub() {
-            Ok(recovered) => Completion { scrubbed: Some(recovered), ..self.completion(ticket, Ok(())) },
+            Ok(recovered) => Completion {
+                scrubbed: Some(recovered),
+                ..self.completion(ticket, Ok(()))
+            },
             Err(error) => self.completion(ticket, Err(error)),
         };
         self.send(completion);
@@ -141,7 +155,10 @@
 
     /// Sends the completion of anything but a failed append.
     fn send(&self, completion: Completion) {
-        self.send_outcome(Outcome { completion, append_failed: false });
+        self.send_outcome(Outcome {
+            completion,
+            append_failed: false,
+        });
     }
 
     fn send_outcome(&self, outcome: Outcome) {
--- a/crates/lockusher-storage/src/writer.rs
+++ b/crates/lockusher-storage/src/writer.rs
@@ -53,8 +53,14 @@
         let (sender, receiver) = unbounded();
         let progress = Arc::new(Progress::default());
         let worker = Worker::new(store, submissions, sender);
-        let thread = thread::Builder::new().name("storage".to_owned()).spawn(move || worker.run())?;
-        let writer = StoreWriter { jobs: Some(jobs), progress: progress.clone(), thread: Some(thread) };
+        let thread = thread::Builder::new()
+            .name("storage".to_owned())
+            .spawn(move || worker.run())?;
+        let writer = StoreWriter {
+            jobs: Some(jobs),
+            progress: progress.clone(),
+            thread: Some(thread),
+        };
         Ok((writer, Completions { receiver, progress }))
     }
 
@@ -74,7 +80,11 @@
         let observed_failures = self.progress.observed_failures.load(Ordering::Acquire);
         let jobs = self.jobs.as_ref().ok_or(SubmitError::ThreadEnded)?;
         self.progress.in_flight.fetch_add(1, Ordering::AcqRel);
-        jobs.send(Submission { job, observed_failures }).map_err(|_| {
+        jobs.send(Submission {
+            job,
+            observed_failures,
+        })
+        .map_err(|_| {
             self.progress.in_flight.fetch_sub(1, Ordering::AcqRel);
             SubmitError::ThreadEnded
         })
@@ -99,9 +109,14 @@
 impl Completions {
     /// The next outcome, or `None` once the writer is gone and all were taken. Dropping the future loses nothing.
     pub async fn next(&mut self) -> Option<Completion> {
-        let Outcome { completion, append_failed } = self.receiver.next().await?;
+        let Outcome {
+            completion,
+            append_failed,
+        } = self.receiver.next().await?;
         if append_failed {
-            self.progress.observed_failures.fetch_add(1, Ordering::AcqRel);
+            self.progress
+                .observed_failures
+                .fetch_add(1, Ordering::AcqRel);
         }
         self.progress.in_flight.fetch_sub(1, Ordering::AcqRel);
         Some(completion)
--- a/crates/lockusher-transport/src/clock.rs
+++ b/crates/lockusher-transport/src/clock.rs
@@ -14,7 +14,9 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
-        Clock { started: Instant::now() }
+        Clock {
+            started: Instant::now(),
+        }
     }
 
     /// Milliseconds since the start.
--- a/crates/lockusher-transport/src/error.rs
+++ b/crates/lockusher-transport/src/error.rs
@@ -87,7 +87,11 @@
 impl TransportError {
     /// Makes an error of `operation` on a connection whose peer only the caller knows.
     pub(crate) fn io(operation: Operation) -> impl FnOnce(io::Error) -> TransportError {
-        move |source| TransportError::Io { operation, address: None, source }
+        move |source| TransportError::Io {
+            operation,
+            address: None,
+            source,
+        }
     }
 
     /// Makes an error of `operation` on `address`.
@@ -95,7 +99,11 @@
         operation: Operation,
         address: SocketAddrV4,
     ) -> impl FnOnce(io::Error) -> TransportError {
-        move |source| TransportError::Io { operation, address: Some(address), source }
+        move |source| TransportError::Io {
+            operation,
+            address: Some(address),
+            source,
+        }
     }
 }
 
--- a/crates/lockusher-transport/src/frame.rs
+++ b/crates/lockusher-transport/src/frame.rs
@@ -40,10 +40,23 @@
 /// # Errors
 ///
 /// [`TransportError::Io`] if the socket can't be registered with the runtime.
-pub fn split<In, Out>(stream: TcpStream) -> Result<(FrameReader<In>, FrameWriter<Out>), TransportError> {
-    let socket = || stream.to_poll_fd().map_err(TransportError::io(Operation::SetUp));
-    let reader = FrameReader { socket: socket()?, buffer: Vec::new(), message: PhantomData };
-    let writer = FrameWriter { socket: socket()?, message: PhantomData };
+pub fn split<In, Out>(
+    stream: TcpStream,
+) -> Result<(FrameReader<In>, FrameWriter<Out>), TransportError> {
+    let socket = || {
+        stream
+            .to_poll_fd()
+            .map_err(TransportError::io(Operation::SetUp))
+    };
+    let reader = FrameReader {
+        socket: socket()?,
+        buffer: Vec::new(),
+        message: PhantomData,
+    };
+    let writer = FrameWriter {
+        socket: socket()?,
+        message: PhantomData,
+    };
     Ok((reader, writer))
 }
 
@@ -75,10 +88,15 @@
 
     /// Decodes the next message if the buffer holds it completely.
     fn take_message(&mut self) -> Result<Option<T>, TransportError> {
-        let Some(prefix) = self.buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
+        let Some(prefix) = self.buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes(*prefix) as usize;
         if length > MAX_FRAME_BYTES {
-            return Err(TransportError::FrameTooLong { bytes: length, max_bytes: MAX_FRAME_BYTES });
+            return Err(TransportError::FrameTooLong {
+                bytes: length,
+                max_bytes: MAX_FRAME_BYTES,
+            });
         }
         let end = LENGTH_PREFIX_BYTES + length;
         if self.buffer.len() < end {
--- a/crates/lockusher-transport/src/http.rs
+++ b/crates/lockusher-transport/src/http.rs
@@ -46,7 +46,11 @@
 ///
 /// [`TransportError::TimedOut`]; [`TransportError::Request`] if `path` isn't one; and those of [`tcp::connect`] and
 /// [`exchange`].
-pub async fn get(address: SocketAddrV4, path: &str, time_limit: Duration) -> Result<Answer, TransportError> {
+pub async fn get(
+    address: SocketAddrV4,
+    path: &str,
+    time_limit: Duration,
+) -> Result<Answer, TransportError> {
     let request = Request::builder()
         .method(Method::GET)
         .uri(path)
@@ -56,7 +60,10 @@
     let response = async { exchange(tcp::connect(address, time_limit).await?, request).await };
     timeout(time_limit, response)
         .await
-        .map_err(|_| TransportError::TimedOut { operation: Operation::HttpRequest, address: Some(address) })?
+        .map_err(|_| TransportError::TimedOut {
+            operation: Operation::HttpRequest,
+            address: Some(address),
+        })?
 }
 
 /// Sends one request on an open connection and receives the response. The connection is closed after it, or when the
@@ -66,15 +73,26 @@
 ///
 /// [`TransportError::Http`] if the connection fails, [`TransportError::BodyTooLong`] if the response is too long or ends
 /// early, and [`TransportError::Io`] if the socket can't be registered with the runtime.
-pub async fn exchange(stream: TcpStream, request: Request<FullBody>) -> Result<Answer, TransportError> {
-    let socket = stream.into_poll_fd().map_err(TransportError::io(Operation::SetUp))?;
+pub async fn exchange(
+    stream: TcpStream,
+    request: Request<FullBody>,
+) -> Result<Answer, TransportError> {
+    let socket = stream
+        .into_poll_fd()
+        .map_err(TransportError::io(Operation::SetUp))?;
     let stream = HyperStream::new_plain(socket);
     let (mut sender, connection) = hyper::client::conn::http1::handshake(stream).await?;
     let driver = compio::runtime::spawn(connection);
     let response = sender.send_request(request).await?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
-    let body = body.map_err(|_| TransportError::BodyTooLong { max_bytes: MAX_RESPONSE_BYTES })?.to_bytes();
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
+        .collect()
+        .await;
+    let body = body
+        .map_err(|_| TransportError::BodyTooLong {
+            max_bytes: MAX_RESPONSE_BYTES,
+        })?
+        .to_bytes();
     drop(driver);
     Ok(Answer { status, body })
 }
@@ -106,7 +124,9 @@
     if tcp::set_options(&stream).is_err() {
         return;
     }
-    let Ok(stream) = stream.into_poll_fd() else { return };
+    let Ok(stream) = stream.into_poll_fd() else {
+        return;
+    };
     let service = service_fn(move |request| {
         let response = handler(request);
         async move { Ok::<_, Infallible>(response.await) }
@@ -128,14 +148,22 @@
 /// [`TransportError::BodyTooLong`] if it is longer, or if the connection fails before its end.
 pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, TransportError> {
     let read = Limited::new(body, max_bytes).collect().await;
-    Ok(read.map_err(|_| TransportError::BodyTooLong { max_bytes })?.to_bytes())
+    Ok(read
+        .map_err(|_| TransportError::BodyTooLong { max_bytes })?
+        .to_bytes())
 }
 
 /// A response with this status, content type and body.
-pub fn answer(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Response<FullBody> {
+pub fn answer(
+    status: StatusCode,
+    content_type: &'static str,
+    body: impl Into<Bytes>,
+) -> Response<FullBody> {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     let value = hyper::header::HeaderValue::from_static(content_type);
-    response.headers_mut().insert(hyper::header::CONTENT_TYPE, value);
+    response
+        .headers_mut()
+        .insert(hyper::header::CONTENT_TYPE, value);
     response
 }
--- a/crates/lockusher-transport/src/tcp.rs
+++ b/crates/lockusher-transport/src/tcp.rs
@@ -19,11 +19,17 @@
 /// # Errors
 ///
 /// [`TransportError::TimedOut`], or [`TransportError::Io`] if the connection is refused or can't be set up.
-pub async fn connect(address: SocketAddrV4, time_limit: Duration) -> Result<TcpStream, TransportError> {
+pub async fn connect(
+    address: SocketAddrV4,
+    time_limit: Duration,
+) -> Result<TcpStream, TransportError> {
     let operation = Operation::Connect;
     let stream = timeout(time_limit, TcpStream::connect(address))
         .await
-        .map_err(|_| TransportError::TimedOut { operation, address: Some(address) })?
+        .map_err(|_| TransportError::TimedOut {
+            operation,
+            address: Some(address),
+        })?
         .map_err(TransportError::io_on(operation, address))?;
     try_set_options(&stream).map_err(TransportError::io_on(Operation::SetUp, address))?;
     Ok(stream)
@@ -35,7 +41,9 @@
 ///
 /// [`TransportError::Io`] if the address is in use or isn't the machine's.
 pub async fn listen(address: SocketAddrV4) -> Result<TcpListener, TransportError> {
-    TcpListener::bind(address).await.map_err(TransportError::io_on(Operation::Listen, address))
+    TcpListener::bind(address)
+        .await
+        .map_err(TransportError::io_on(Operation::Listen, address))
 }
 
 /// Lets the connection be reset when it is closed: bytes that haven't reached the peer by then never do.
@@ -44,7 +52,9 @@
 ///
 /// [`TransportError::Io`] if the operating system refuses the option.
 pub fn discard_on_close(stream: &TcpStream) -> Result<(), TransportError> {
-    SockRef::from(stream).set_linger(Some(Duration::ZERO)).map_err(TransportError::io(Operation::SetUp))
+    SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .map_err(TransportError::io(Operation::SetUp))
 }
 
 /// Sets the options of a connection, made or accepted: no delay, and a bound on unacknowledged bytes.
