--- a/crates/lockusher-aggregator-testbed/src/main.rs
+++ b/crates/lockusher-aggregator-testbed/src/main.rs
@@ -1,6 +1,9 @@
 //! `lockusher-aggregator-testbed`: measurements that are too long for the tests, each with one last line of figures and an exit that
 //! is not zero if a promise was broken; and a demonstration.
 
+// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+#![allow(clippy::too_many_lines)]
+
 use std::process::ExitCode;
 use std::time::Duration;
 
