--- a/crates/lockusher-storage/src/disk.rs
+++ b/crates/lockusher-storage/src/disk.rs
@@ -4,7 +4,8 @@
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use crate::{FileError, FileOperation, FileSystem};
+use crate::error::{FileError, FileOperation};
+use crate::file_system::FileSystem;
 
 /// Files of one directory on the disk. Keeps at most one of them open, the one that was written last.
 #[derive(Debug)]
--- a/crates/lockusher-storage/src/error.rs
+++ b/crates/lockusher-storage/src/error.rs
@@ -6,7 +6,7 @@
 
 use derive_more::{Display, Error};
 
-use crate::FrameNumber;
+use crate::frame_number::FrameNumber;
 
 /// An operation of a [`FileSystem`](crate::FileSystem).
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
--- a/crates/lockusher-storage/src/file_names.rs
+++ b/crates/lockusher-storage/src/file_names.rs
@@ -3,7 +3,7 @@
 //! A segment is named after its first frame and a snapshot after the first frame that it doesn't cover, in 20 decimal
 //! digits, so that the names sort as the numbers do. No file is ever renamed.
 
-use crate::FrameNumber;
+use crate::frame_number::FrameNumber;
 
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
--- a/crates/lockusher-storage/src/file_system.rs
+++ b/crates/lockusher-storage/src/file_system.rs
@@ -1,6 +1,6 @@
 //! The few operations on files that the store needs.
 
-use crate::FileError;
+use crate::error::FileError;
 
 /// One directory of files. There is no rename: the store never needs one (`docs/design/storage.md`).
 ///
--- a/crates/lockusher-storage/src/format.rs
+++ b/crates/lockusher-storage/src/format.rs
@@ -43,8 +43,9 @@
 //! A frame is written only after the one before it was synced, so a power loss can tear only the last frame of a file.
 //! An unreadable frame with a readable one of a higher number behind it is therefore [`Damage`].
 
+use crate::error::Damage;
 use crate::file_names::FileKind;
-use crate::{Damage, FrameNumber};
+use crate::frame_number::FrameNumber;
 
 /// Bytes of a segment's header: magic, version, first frame, checksum.
 pub(crate) const SEGMENT_HEADER_BYTES: usize = 4 + 4 + 8 + 4;
--- a/crates/lockusher-storage/src/job.rs
+++ b/crates/lockusher-storage/src/job.rs
@@ -2,7 +2,8 @@
 
 use derive_more::{Display, Error};
 
-use crate::{Recovered, StoreError};
+use crate::error::StoreError;
+use crate::recovery::Recovered;
 
 /// Work for the storage thread. Jobs are done in the order of their submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/lockusher-storage/src/layout.rs
+++ b/crates/lockusher-storage/src/layout.rs
@@ -1,8 +1,10 @@
 //! Which files a store relies on, and which it no longer needs.
 
+use crate::error::FileError;
 use crate::file_names::FileKind;
+use crate::file_system::FileSystem;
+use crate::frame_number::FrameNumber;
 use crate::segment::OpenSegment;
-use crate::{FileError, FileSystem, FrameNumber};
 
 /// A file and its size.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/lockusher-storage/src/recovery.rs
+++ b/crates/lockusher-storage/src/recovery.rs
@@ -6,13 +6,15 @@
 //!
 //! [`segment_sequence`]: crate::segment_sequence
 
+use crate::error::{FileError, StoreError};
 use crate::file_names::{FileKind, RESERVE_FILE};
+use crate::file_system::FileSystem;
 use crate::format::{self, DecodedSegment};
+use crate::frame_number::FrameNumber;
 use crate::layout::{Layout, SnapshotFile, StoredFile};
 use crate::reset::complete_reset;
 use crate::segment::OpenSegment;
 use crate::segment_sequence::SegmentSequence;
-use crate::{FileError, FileSystem, FrameNumber, StoreError};
 
 /// What a store held when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/lockusher-storage/src/reserve.rs
+++ b/crates/lockusher-storage/src/reserve.rs
@@ -3,9 +3,10 @@
 //! Appends leave a part of the disk free by themselves ([`StoreOptions`](crate::StoreOptions)); the reserve file helps
 //! where something else fills the disk. It is removed when a snapshot finds no space, and written again after one.
 
+use crate::error::FileError;
 use crate::file_names::RESERVE_FILE;
+use crate::file_system::FileSystem;
 use crate::segment::write_new_file;
-use crate::{FileError, FileSystem};
 
 /// The reserve file.
 #[derive(Debug)]
--- a/crates/lockusher-storage/src/reset.rs
+++ b/crates/lockusher-storage/src/reset.rs
@@ -4,8 +4,9 @@
 //! that: it is durable before the first file is removed, and removed only once all removals are durable. A directory
 //! with a marker is emptied when it is opened.
 
+use crate::error::StoreError;
 use crate::file_names::{FileKind, RESERVE_FILE, RESET_MARKER_FILE};
-use crate::{FileSystem, StoreError};
+use crate::file_system::FileSystem;
 
 /// Removes all files of the store. A power loss on the way leaves a directory that is unchanged or emptied at opening.
 pub(crate) fn reset<F: FileSystem>(files: &mut F) -> Result<(), StoreError> {
--- a/crates/lockusher-storage/src/segment.rs
+++ b/crates/lockusher-storage/src/segment.rs
@@ -3,9 +3,11 @@
 //! An [`OpenSegment`] knows how many bytes of its file are acknowledged. The file may hold more after a failed write
 //! ([`torn`](OpenSegment::torn)); nothing is appended before these bytes are cut off.
 
+use crate::error::{FileError, FileErrorCause, StoreError};
 use crate::file_names::FileKind;
+use crate::file_system::FileSystem;
 use crate::format::{self, DecodedSegment};
-use crate::{FileError, FileErrorCause, FileSystem, FrameNumber, StoreError};
+use crate::frame_number::FrameNumber;
 
 /// A segment that can be written to.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/lockusher-storage/src/segment_sequence.rs
+++ b/crates/lockusher-storage/src/segment_sequence.rs
@@ -5,9 +5,10 @@
 //! accepted: a last segment without a durable header, and an empty last segment behind one that isn't sealed yet.
 //! Everything else is [`Damage`]. Nothing here does I/O.
 
+use crate::error::Damage;
 use crate::file_names::FileKind;
 use crate::format::DecodedSegment;
-use crate::{Damage, FrameNumber};
+use crate::frame_number::FrameNumber;
 
 /// The segments as far as they were checked.
 #[derive(Debug)]
--- a/crates/lockusher-storage/src/store.rs
+++ b/crates/lockusher-storage/src/store.rs
@@ -13,13 +13,17 @@
 mod repair;
 mod snapshots;
 
+use crate::error::{Damage, StoreError};
+use crate::file_system::FileSystem;
 use crate::format;
+use crate::frame_number::FrameNumber;
 use crate::layout::{SnapshotFile, StoredFile};
+use crate::options::StoreOptions;
 use crate::recovery;
+use crate::recovery::Recovered;
 use crate::reserve::Reserve;
 use crate::reset;
 use crate::segment::OpenSegment;
-use crate::{Damage, FileSystem, FrameNumber, Recovered, StoreError, StoreOptions};
 
 /// A log with snapshots in one directory. Only one store may use a directory at a time.
 #[derive(Debug)]
--- a/crates/lockusher-storage/src/store/repair.rs
+++ b/crates/lockusher-storage/src/store/repair.rs
@@ -3,8 +3,11 @@
 //! Each operation starts with [`Store::repair`], so that a store works again once its disk does, without being opened
 //! again. Every repair can be repeated.
 
+use crate::error::FileError;
 use crate::file_names::FileKind;
-use crate::{FileError, FileSystem, FrameNumber, Store};
+use crate::file_system::FileSystem;
+use crate::frame_number::FrameNumber;
+use crate::store::Store;
 
 impl<F: FileSystem> Store<F> {
     /// Repairs what is due: an abandoned segment must be gone, and a missing seal written, before the tail grows.
--- a/crates/lockusher-storage/src/store/snapshots.rs
+++ b/crates/lockusher-storage/src/store/snapshots.rs
@@ -4,11 +4,13 @@
 //! and only then the removal of what is older. A power loss at any point leaves either the old log or the new snapshot,
 //! and perhaps files that are no longer needed.
 
+use crate::error::StoreError;
 use crate::file_names::FileKind;
+use crate::file_system::FileSystem;
 use crate::format;
 use crate::layout::{SnapshotFile, StoredFile};
 use crate::segment::write_new_file;
-use crate::{FileSystem, Store, StoreError};
+use crate::store::Store;
 
 impl<F: FileSystem> Store<F> {
     /// Replaces everything appended so far by a snapshot of it; it is durable when this returns. Then the older
--- a/crates/lockusher-storage/src/worker.rs
+++ b/crates/lockusher-storage/src/worker.rs
@@ -10,8 +10,10 @@
 
 use futures_channel::mpsc::UnboundedSender;
 
+use crate::error::StoreError;
+use crate::file_system::FileSystem;
 use crate::job::{Completion, Job};
-use crate::{FileSystem, Store, StoreError};
+use crate::store::Store;
 
 /// Appends that wait are put into one write until it holds this many bytes of records.
 const MAX_GROUP_BYTES: usize = 4 * 1024 * 1024;
--- a/crates/lockusher-storage/src/writer.rs
+++ b/crates/lockusher-storage/src/writer.rs
@@ -12,9 +12,10 @@
 use futures_channel::mpsc::{UnboundedReceiver, unbounded};
 use futures_util::StreamExt;
 
+use crate::file_system::FileSystem;
 use crate::job::{Completion, Job, SubmitError};
+use crate::store::Store;
 use crate::worker::{Outcome, Submission, Worker};
-use crate::{FileSystem, Store};
 
 /// Counters that the submitter and the taker of completions share.
 #[derive(Debug, Default)]
