--- a/crates/lockusher-control-simulation/src/lib.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -8,7 +8,7 @@
 //! Two things are checked: what operators and agents observe is compared with a reference model of the configuration, and
 //! what each node sends and stores with the invariants of the protocol. See [`ViolationKind`].
 //!
-//! The same [`SimulationOptions`] play the same run, event by event. [`shrink`] reduces a run with a violation to few steps
+//! The same [`SimulationOptions`] play the same run, event by event. [`shrink()`] reduces a run with a violation to few steps
 //! and few faults. [`Cluster`] is for scenarios that name their faults.
 //!
 //! Called by this package's tests and by `lockusher-aggregator-testbed chain` and `chain-injected-bugs`; never part of the
--- a/crates/lockusher-control/src/replica/bug_injection.rs
+++ b/crates/lockusher-control/src/replica/bug_injection.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Whether the named [`InjectedBug`](super::InjectedBug) is injected.
+/// Whether the named `InjectedBug` is injected.
 #[cfg(feature = "injected-bugs")]
 macro_rules! bug_injected {
     ($injection:expr, $bug:ident) => {
