--- a/crates/lockusher-proxy/src/decision/interface.rs
+++ b/crates/lockusher-proxy/src/decision/interface.rs
@@ -1,7 +1,6 @@
-//! The values that go in and out of a `RequestRouter`.
+//! Input and output types of a `RequestRouter`.
 //!
-//! The proxy's side of the decisions: the router's settings, the facts of a request, whether it is admitted, and where its
-//! next send goes.
+//! The router's settings, the facts of a request, the admission result, and the choice for the next send.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +10,22 @@
 use super::plan::RequestPlan;
 use super::types::PromptPart;
 
-/// What a router has to know of its node and of the service level objectives.
+/// Settings that the router takes from the node and from the service level objectives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestRouterSettings {
     /// The zone of this proxy.
     pub zone: String,
     /// The region of each zone; may be empty.
     pub zones: BTreeMap<String, String>,
-    /// Sends beyond the first of each request, as a share of the requests.
+    /// Retries allowed as a fraction of the requests.
     pub retry_budget_ratio: f64,
-    /// Sends beyond that share, in one window, over all proxies.
+    /// Retries allowed in addition to that fraction, per window, over all proxies.
     pub retry_budget_slack: f64,
     /// Length of the retry budget's sliding window.
     pub budget_window_ms: u64,
-    /// Reading a part of a prompt again within this time is priced.
-    pub again_ms: u64,
-    /// How long a draining searcher takes requests still.
+    /// Prefilling part of a prompt again within this time incurs a cost.
+    pub repeated_prefill_window_ms: u64,
+    /// How long a draining searcher still accepts requests.
     pub drain_ms: u64,
 }
 
@@ -38,57 +37,57 @@
             retry_budget_ratio: node.bounds.retry_budget_ratio,
             retry_budget_slack: node.bounds.retry_budget_slack,
             budget_window_ms: node.bounds.budget_window_ms,
-            again_ms: node.bounds.again_ms,
+            repeated_prefill_window_ms: node.bounds.again_ms,
             drain_ms: node.bounds.drain_ms,
         }
     }
 }
 
-/// What a request says of itself, and its route of it.
+/// The properties of a request and of its route that the decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestFacts {
-    /// The service that the route's traffic split gave it.
+    /// The service that the route's traffic split assigned to the request.
     pub service: String,
-    /// Whether the answer is streamed, and whether the request may run more than once.
+    /// Whether the response is streamed, and whether the request is idempotent.
     pub kind: RouteKind,
     /// Whether the request may run more than once (`Route::is_idempotent`).
     pub is_idempotent: bool,
-    /// Rank of the route; 0 is the highest.
+    /// Priority of the route; 0 is the highest.
     pub priority: u8,
-    /// The maximum number of searchers that it may be sent to.
+    /// The maximum number of searchers that the request may be sent to.
     pub attempts: u32,
-    /// The time within which an answer earns its full worth.
+    /// The time within which a response has its full value.
     pub target_latency_ms: u64,
-    /// The time left to the client or to the route's time-out, whichever ends first.
+    /// The time until the client's deadline or the route's timeout, whichever is earlier.
     pub remaining_ms: u64,
-    /// The parts of the prompt in order; empty where it names none.
+    /// The parts of the prompt in order; empty if the request names none.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the prompt; 0 if unknown.
+    /// Number of prompt tokens; 0 if unknown.
     pub tokens_in: u32,
-    /// The most tokens of the answer; 0 if unknown.
+    /// Maximum number of output tokens; 0 if unknown.
     pub tokens_out: u32,
 }
 
-/// Whether a request is admitted.
+/// The result of admission control for one request.
 #[derive(Debug)]
 pub enum Admission {
-    /// To be sent.
+    /// The request is admitted.
     Go(RequestPlan),
-    /// To be refused at once: 503 with `Retry-After`.
+    /// The request is refused at once: 503 with `Retry-After`.
     Refuse {
-        /// When the client should send it again.
+        /// When the client should retry.
         retry_after_ms: u64,
     },
 }
 
-/// Names one send between its choice and its final outcome.
+/// Identifies one send from its choice to its final outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SendTicket(pub(super) u64);
 
-/// Where to send.
+/// The choice for the next send of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// Send there and report every outcome with the ticket.
+    /// Send to this searcher and report every outcome with the ticket.
     Send {
         /// The searcher's identifier on the platform.
         identifier: String,
@@ -96,16 +95,16 @@
         address: String,
         /// Its zone.
         zone: String,
-        /// Names the send in the reports of its outcomes.
+        /// Identifies the send when its outcomes are reported.
         ticket: SendTicket,
-        /// The value of `Priority`, 0 first.
+        /// The value of the `Priority` header; 0 is the highest.
         priority: u8,
     },
-    /// No searcher can take it now; the request hasn't run at a searcher that was asked for this purpose.
+    /// No searcher is available; no searcher that the request was sent to for this purpose has run it.
     Refuse {
-        /// When the client should send it again.
+        /// When the client should retry.
         retry_after_ms: u64,
     },
-    /// No further send is allowed: attempts or the retry budget are used up, or no time is left.
+    /// No further send is allowed: the attempts or the retry budget are used up, or the deadline has passed.
     Exhausted,
 }
--- a/crates/lockusher-proxy/src/decision/locality.rs
+++ b/crates/lockusher-proxy/src/decision/locality.rs
@@ -1,18 +1,18 @@
-//! Locality: the zone and region of proxies and searchers, and the distance between two of them.
+//! Locality: the zone and region of proxies and searchers, and the distance between two localities.
 //!
-//! Names of zones become numbers, so that a choice among many searchers compares integers. The registry is owned by
-//! `RequestRouter`.
+//! Zone names are interned as integers, so that a choice among many searchers compares integers. The registry is owned
+//! by `RequestRouter`.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// A zone and its region, by number.
+/// A zone and its region, as interned numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Locality {
     zone: u16,
     region: u16,
 }
 
-/// How far two localities are from each other.
+/// The distance between two localities.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
     SameZone,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Numbers for the names of zones.
+/// Interns the names of zones and regions.
 #[derive(Debug)]
 pub struct LocalityRegistry {
     regions: BTreeMap<String, String>,
@@ -42,7 +42,7 @@
 }
 
 impl LocalityRegistry {
-    /// `regions`: the region of each zone; a zone that isn't listed is a region of its own.
+    /// `regions` maps each zone to its region; a zone that isn't listed is a region of its own.
     pub fn new(regions: BTreeMap<String, String>) -> Self {
         LocalityRegistry {
             regions,
@@ -55,17 +55,17 @@
     pub fn locality(&mut self, zone: &str) -> Locality {
         let region = self.regions.get(zone).map_or(zone, String::as_str);
         Locality {
-            zone: number(&mut self.zone_numbers, zone),
-            region: number(&mut self.region_numbers, region),
+            zone: intern(&mut self.zone_numbers, zone),
+            region: intern(&mut self.region_numbers, region),
         }
     }
 }
 
-fn number(numbers: &mut HashMap<String, u16>, name: &str) -> u16 {
-    if let Some(known) = numbers.get(name) {
+fn intern(interned: &mut HashMap<String, u16>, name: &str) -> u16 {
+    if let Some(known) = interned.get(name) {
         return *known;
     }
-    let next = numbers.len() as u16;
-    numbers.insert(name.to_owned(), next);
-    next
+    let next_number = interned.len() as u16;
+    interned.insert(name.to_owned(), next_number);
+    next_number
 }
--- a/crates/lockusher-proxy/src/decision/mod.rs
+++ b/crates/lockusher-proxy/src/decision/mod.rs
@@ -1,7 +1,8 @@
-//! All decisions of one proxy: load balancing, admission control, retries, prefix-cache affinity and KV transfers.
+//! All routing decisions of one proxy: load balancing, admission control, retries, prefix-cache affinity and KV cache
+//! transfers.
 //!
-//! [`RequestRouter`] is the entry. No I/O and no clock: the time is passed in, and random numbers come from a seed, so that
-//! the same seed and calls give the same choices.
+//! [`RequestRouter`] is the entry point. No I/O and no clock: the time is passed in, and random numbers come from a
+//! seed, so that the same seed and calls give the same choices.
 //!
 //! | concept | module |
 //! | --- | --- |
@@ -10,56 +11,57 @@
 //! | retry budget, attempts | `budget`, `plan` |
 //! | slow start, outlier detection | `searcher` |
 //! | prefix-cache affinity | `prefix_cache`, `service` (`Group::affinity_targets`), `selection` |
-//! | KV transfer, split of prefill and decode | `kv_transfer`, `split` |
+//! | KV cache transfers, split of prefill and decode | `kv_transfer`, `split` |
 //! | locality | `locality` |
 //! | service times, load report | `service_time`, `load` |
 //!
-//! # The ordinary path
+//! # Load balancing
 //!
-//! Per searcher the proxy keeps its own in-flight count Q, an EWMA of Q and an EWMA of latency, fed by its own
-//! sends and outcomes alone. Q rises before a send and falls with every final outcome; every outcome, a time-out
-//! included, feeds elapsed time. The lowest `(Q + Q EWMA + 1)^3 x latency` among the ready searchers of the
-//! service that serve the stage wins. The newest sample weighs a third. One that hasn't responded takes its peers'
-//! mean; while no peer has responded either, all take what is usual, so that own sends alone decide. Equal
-//! scores are decided at random.
+//! For each searcher the proxy tracks its own in-flight count Q, an EWMA of Q and an EWMA of latency, all from its own
+//! sends and their outcomes. Q is incremented before a send and decremented by every final outcome; every outcome,
+//! including a timeout, contributes its elapsed time to the latency. Among the ready searchers of the service that
+//! serve the stage, the lowest `(Q + Q EWMA + 1)^3 x latency` wins. The newest sample has a weight of one third. A
+//! searcher that hasn't responded yet is given the mean of its peers; if no peer has responded either, all have the
+//! same latency, so that only in-flight counts decide. Ties are broken at random.
 //!
-//! # Admission
+//! # Admission control
 //!
-//! While answers take more than three tenths of the time that clients give, no more requests may wait for their
-//! first event than are answered within four tenths of it at the present pace (`admission_control`). Clients of streams give
-//! the longer of two seconds and four target latencies, others the time that is left. A late answer still earns
-//! something: an answer that is merely past its target is no reason to refuse. The more urgent ranks may fill more
-//! of this limit than the less urgent; each has half of its share reserved. What is refused is told when those that
-//! wait now will have been answered. Engine memory isn't counted: full engines reject, and what waits for them
-//! is late, so admission control sees both.
+//! While response times exceed three tenths of the client timeouts on average, at most as many requests may wait for
+//! their first event as are answered within four tenths of the timeout at the current response rate
+//! (`admission_control`). The client timeout of a stream is the longer of two seconds and four target latencies, that
+//! of other requests is the remaining time. A late response still has some value, so exceeding the target latency alone
+//! is no reason to refuse. Higher priorities may fill more of the limit than lower ones; each priority has half of its
+//! share reserved. A refusal carries the time until the requests that wait now will have been answered. Engine memory
+//! isn't counted: full engines reject requests, and requests that wait for them are late, so admission control observes
+//! both.
 //!
 //! # Retries
 //!
-//! A request is sent to at most `attempts` searchers, the first prefill call that is taken up apart, and what
-//! may run once only is sent again only after proof that it hasn't run (`plan`). The retry budget of a service
-//! holds over all proxies without communication: each keeps `retries <= ratio x own requests in the window before + own
-//! share of the slack` for every window; the shares leave a quarter for starts (`budget`).
+//! A request is sent to at most `attempts` searchers, not counting the first accepted prefill call, and a request that
+//! isn't idempotent is sent again only if it provably hasn't run (`plan`). The retry budget of a service holds over all
+//! proxies without communication: each proxy enforces `retries <= ratio x own requests in the preceding window + own
+//! share of the slack` for every window; after a start it uses only a quarter of its share of the slack (`budget`).
 //!
-//! # What departs from the talk
+//! # Extensions to the basic algorithm
 //!
-//! | departure | why | acts when |
+//! | extension | reason | applies |
 //! | --- | --- | --- |
-//! | Elapsed time counts in multiples of what a request of its size usually takes: a line through the measured times over the tokens to read or move (`service_time`) | latency should tell of speed, not of prompts | always; for plain requests the line is flat |
-//! | A streamed answer's elapsed time ends at its first event, a prefill call's at its answer | the rest of a stream depends on its length | streams |
-//! | Only good answers lower an average; a failure feeds at least the peers' mean, a rejection twice that; eight times the usual at most | fast errors look like speed | after a send that didn't end well |
-//! | Outlier detection: the score is divided by the square of the success rate; one below half of the median is ejected and probed after a time that doubles from 2 to 32 s, by requests that may be repeated | an erring searcher looks empty | after failures; never the last ones, never if most fail |
-//! | The age of the oldest send without a response is a lower bound of the latency | one that swallows requests ends none | while a send is out longer than expected |
-//! | Averages of an idle searcher drift to its peers' (half in 8 s; its queue's in 1 s), and the newest sample weighs `1 - (2/3)^(1 + seconds)` | one slowed once gets too few requests to correct itself | with nothing out there |
-//! | Slow start: a searcher new in its stage counts as busy as its peers, fading over 2 s or its cold time | its empty count draws a rush from all proxies | when others of its stage were known before |
-//! | Affinity: a prompt's target by rendezvous hashing of its shared parts is taken while the wait there, `(Q + Q EWMA + 1) x latency`, is at most `1 + 30 x` the share of the reading that it spares, or may spare a session, times that at the best (four times for decode), else the second target by the same test. A decode searcher's target lies in the zone of the prompt's prefill target | a second reading of shared parts makes all others wait; KV transfers within a zone are quicker and cost less | prompts with named parts |
-//! | What is left to prefill at a target is worked out by what this proxy sent there within twice `again_ms`; a first target is taken to have cached the shared parts | other proxies send them there too | prompts with named parts |
-//! | Whether the target had cached them is told from the time it took; such a sample doesn't feed the usual times | else a first reading looks like a slow searcher | first reading of a chain by this proxy |
-//! | A crossing between zones adds as much as the usual latency, between regions ten times that; for a KV transfer the time that it takes longer besides | crossings are priced, and KV transfers between zones take twice as long, between regions ten times | searchers elsewhere |
-//! | A searcher that reads for others is good once its handles are taken: a rejected KV transfer counts against it by as much as the decode searcher has taken lately (`kv_transfer`) | a handle that lapses shows only at the decode searcher, whose answer is the same when it is full | after rejected KV transfers |
-//! | No prompt is read for others while less than four tenths of the KV transfers succeed, except for a probe after 1 s, then 2, 4 and 8 | what can't be transferred is read for nothing and costs a repeat | most KV transfers fail |
-//! | If a rejected handle seems to be gone, the last send that the attempts allow goes whole to a decode searcher; the one that rejected a KV transfer may be asked once more for the whole | a handle that is gone may not cost the request | after rejected KV transfers |
-//! | `Priority` of a prefill call follows the tokens to read, a step for each doubling of the mean; all other sends carry their route's rank (`request_router`) | a prompt of 70,000 tokens is read for over a second in front of short ones, whose clients leave meanwhile; no proxy sees a searcher's queue, the searcher does | always; it chooses no searcher |
-//! | The prompt is read in place if reading there what isn't held, counted ten times at half the pace, takes less than a prefill call's least time and moving the whole prompt, or if it is short, prefill searchers would take half of the target and a decode searcher answers within a quarter of it (`split`) | a KV transfer of a long prompt of which little is to be read costs more than it saves; evading waits to decode searchers keeps them from making tokens | both stages were measured |
+//! | Latency is the ratio of the elapsed time to the expected service time of a request of the same size: a linear fit of measured times over the tokens to prefill or transfer (`service_time`) | latency should reflect a searcher's speed and not the length of prompts | always; for requests without tokens the fit is constant |
+//! | The elapsed time of a streamed response ends at its first event, that of a prefill call at its response | the remaining duration of a stream depends on its length | to streams |
+//! | Only successful responses lower a latency average. A failure counts as at least the peers' mean, a rejection as at least twice that, and any sample as at most eight times the expected service time | fast errors look like speed | after a send that failed or was rejected |
+//! | Outlier detection: the score is divided by the square of the success rate. A searcher below half of the median success rate is ejected, and probed by requests that may be retried, after a time that doubles from 2 to 32 s | a failing searcher looks idle | after failures; never to the last searchers, and never if most fail |
+//! | The age of the oldest send without a response is a lower bound of the latency | a searcher that doesn't respond at all produces no outcomes | while a send takes longer than expected |
+//! | Averages of an idle searcher decay towards those of its peers (half-life 8 s; 1 s for the in-flight average), and the newest sample has the weight `1 - (2/3)^(1 + seconds)` | a searcher that was slow once gets too few requests to correct its average | to searchers with nothing in flight |
+//! | Slow start: a searcher that is new in its stage counts as busy as its peers, with a weight that decreases to 0 over 2 s, or over the remaining cold time if that is longer | its low in-flight count would attract requests of all proxies at once | if other searchers of its stage were known before |
+//! | Affinity: the target of a prompt by rendezvous hashing of its shared parts is selected while the wait there, `(Q + Q EWMA + 1) x latency`, is at most `1 + 30 x saved share` times the wait at the best searcher, where the saved share is the fraction of the prefill that a cached prefix saves, or may save for a session. For decode searchers the factor is four. Otherwise the second target is tested in the same way. Decode targets are preferred in the zone of the prompt's prefill target | a repeated prefill of shared parts delays all other requests; KV cache transfers within a zone are faster and cheaper | to prompts with named parts |
+//! | The tokens left to prefill at a target follow from what this proxy sent there within twice `repeated_prefill_window_ms`; the first target is assumed to have cached the shared parts | other proxies send them there too | to prompts with named parts |
+//! | Whether the target had cached the shared parts is inferred from the elapsed time; such a sample doesn't update the service times | otherwise a first prefill would look like a slow searcher | to the first prefill of a prefix by this proxy |
+//! | A crossing between zones adds the expected service time once, a crossing between regions ten times. A KV cache transfer also adds the extra transfer time | crossings have a cost, and KV cache transfers take twice as long between zones and ten times as long between regions | to searchers in other zones |
+//! | A prefill succeeds only once its handle is accepted. A rejected KV cache transfer counts against the prefill searcher with the recent acceptance rate of the decode searcher as its weight (`kv_transfer`) | an expired handle shows only at the decode searcher, whose response is the same when it is full | after rejected KV cache transfers |
+//! | Prompts aren't prefilled for transfers while less than four tenths of the KV cache transfers succeed, except for probes after 1 s, then 2, 4 and 8 s | a prefill that can't be transferred is wasted and costs a retry | while most KV cache transfers fail |
+//! | If a rejected handle is likely gone, the last attempt sends the complete request to a decode searcher; the searcher that rejected the transfer may get the complete request once more | a lost handle should not fail the request | after rejected KV cache transfers |
+//! | `Priority` of a prefill call follows the tokens to prefill, one step per doubling of the mean; all other sends carry their route's priority (`request_router`) | a prompt of 70,000 tokens occupies a searcher for over a second, during which clients of short prompts behind it leave; no proxy sees a searcher's queue, but the searcher does | always; it doesn't affect the choice of a searcher |
+//! | The prompt is prefilled in place if the prefill of its uncached tokens there, at half the speed and weighted ten times, takes less than the shortest prefill call plus the transfer of the complete prompt. A short prompt is also prefilled in place if prefill searchers would take half of its target latency and a decode searcher responds within a quarter of it (`split`) | the KV cache transfer of a long prompt with few uncached tokens costs more than it saves; but prefills that move to decode searchers to avoid a wait keep these from decoding | once both stages have been measured |
 
 mod admission_control;
 mod budget;
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -1,8 +1,8 @@
-//! The request router: the entry points of all decisions.
+//! The request router: the entry points of all routing decisions.
 //!
-//! Owned by the proxy's shared state, one for each process; called for each request (`admit`, `split`, `choose`), for each
-//! outcome, and for each new configuration, instance list and fleet size. It joins the modules beside it and draws the
-//! random numbers, one for each choice. Invariant: the same seed and calls give the same choices.
+//! Owned by the proxy's shared state, one per process. Called for each request (`admit`, `split`, `choose`), for each
+//! outcome, and for each new configuration, instance list and fleet size. It combines the other modules of `decision`
+//! and draws the random numbers, one for each choice. Invariant: the same seed and calls give the same choices.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::budget::{ASSUMED_PROXIES, RetryBudget};
+use super::budget::{ASSUMED_FLEET_SIZE, RetryBudget};
 use super::interface::{Admission, Choice, RequestFacts, RequestRouterSettings, SendTicket};
-use super::load::Loads;
+use super::load::LoadMeters;
 use super::locality::{Locality, LocalityRegistry};
 use super::plan::{ChargeOutcome, Progress, RequestPlan, SendRecord};
 use super::prefix_cache::prefixes;
@@ -27,65 +27,66 @@
 use super::types::{MICROS_PER_MS, Micros, Purpose, SendOutcome};
 use crate::unserved::SearcherCounts;
 
-/// What a searcher was sent is taken to be there still for so many times the span in which a second reading is
-/// priced.
-const CACHE_RETENTION_SPANS: u64 = 2;
+/// A prefix that was sent to a searcher is assumed to stay cached for this multiple of the time within which a repeated
+/// prefill incurs a cost.
+const CACHE_RETENTION_FACTOR: u64 = 2;
 
 /// The shortest `Retry-After`, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 50;
 
-/// Clients give a silent stream up after so many target latencies, but not before this time.
-const STREAM_PATIENCE_TARGETS: u64 = 4;
-const MIN_STREAM_PATIENCE_MS: u64 = 2_000;
+/// Clients abandon a stream without events after this multiple of the target latency, but not before the minimum.
+const STREAM_TIMEOUT_TARGETS: u64 = 4;
+const MIN_STREAM_TIMEOUT_MS: u64 = 2_000;
 
-/// The lowest rank that `Priority` can name, and that of a request without it.
+/// The lowest value of the `Priority` header, and the value that a request without the header has.
 const LOWEST_PRIORITY: u8 = 9;
-const MIDDLE_PRIORITY: u8 = 5;
+const DEFAULT_PRIORITY: u8 = 5;
 
-/// All decisions of one proxy.
+/// The routing decisions of one proxy.
 #[derive(Debug)]
 pub struct RequestRouter {
     settings: RequestRouterSettings,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     localities: LocalityRegistry,
     own_locality: Locality,
-    /// The time of the first call: the start of this process.
-    started: Option<Micros>,
-    /// The largest number of proxies received by this process. A partition makes the others seem gone: it never shrinks.
-    fleet: Option<u32>,
+    /// The time of the first call, taken as the start of this process.
+    started_at: Option<Micros>,
+    /// The largest fleet size received by this process. It never decreases: a network partition makes other proxies
+    /// appear to be gone.
+    fleet_size: Option<u32>,
     services: Vec<Service>,
-    by_name: HashMap<String, usize>,
-    sends: HashMap<u64, SendRecord>,
-    next_ticket: u64,
-    loads: Loads,
+    service_indices: HashMap<String, usize>,
+    sends_in_flight: HashMap<u64, SendRecord>,
+    last_send_id: u64,
+    load_meters: LoadMeters,
 }
 
 impl RequestRouter {
-    /// A router that knows no searcher and no configuration yet. The same seed and calls give the same choices.
+    /// Creates a router without searchers and configuration. The same seed and calls give the same choices.
     pub fn new(settings: RequestRouterSettings, seed: u64) -> Self {
         let mut localities = LocalityRegistry::new(settings.zones.clone());
         let own_locality = localities.locality(&settings.zone);
         RequestRouter {
             settings,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             localities,
             own_locality,
-            started: None,
-            fleet: None,
+            started_at: None,
+            fleet_size: None,
             services: Vec::new(),
-            by_name: HashMap::new(),
-            sends: HashMap::new(),
-            next_ticket: 0,
-            loads: Loads::default(),
+            service_indices: HashMap::new(),
+            sends_in_flight: HashMap::new(),
+            last_send_id: 0,
+            load_meters: LoadMeters::default(),
         }
     }
 
-    /// Bytes that the record of one searcher takes, besides the texts of its entry in the list.
+    /// Size of the record of one searcher in bytes, excluding the strings of its instance.
     pub const fn searcher_bytes() -> usize {
         size_of::<Searcher>()
     }
 
-    /// Takes a new configuration.
+    /// Applies a new configuration.
     pub fn apply_configuration(&mut self, now: Micros, configuration: Rc<Configuration>) {
         for service in &configuration.services {
             let index = self.service_index(now, &service.name);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Takes the complete list of searchers.
+    /// Applies the complete list of searchers.
     pub fn apply_instances(&mut self, now: Micros, instances: &[Instance]) {
         let mut by_service: HashMap<&str, Vec<&Instance>> = HashMap::new();
         for instance in instances {
@@ -109,146 +110,148 @@
             let listed = by_service
                 .get(service.name.as_str())
                 .map_or(&[][..], Vec::as_slice);
-            service.apply(now, listed, &mut self.localities, self.own_locality);
+            service.apply_instances(now, listed, &mut self.localities, self.own_locality);
         }
     }
 
-    /// Takes the number of proxies that share the fleet's budgets.
+    /// Sets the number of proxies that share the fleet's budgets.
     pub fn set_fleet_size(&mut self, proxies: u32) {
-        self.fleet = Some(self.fleet.unwrap_or(1).max(proxies));
+        self.fleet_size = Some(self.fleet_size.unwrap_or(1).max(proxies));
     }
 
-    /// Whether to take a request at all. Counts it for the retry budget.
+    /// Admits or refuses a request, and counts it for the retry budget.
     pub fn admit(&mut self, now: Micros, request: &RequestFacts) -> Admission {
         let service = self.service_index(now, &request.service);
         self.services[service].budget.record_request(now);
-        self.loads.request(service);
+        self.load_meters.record_request(service);
         if request.remaining_ms == 0 {
             return Admission::Refuse {
                 retry_after_ms: MIN_RETRY_AFTER_MS,
             };
         }
         let admission = &mut self.services[service].admission;
-        let Some(waiting) = admission.try_admit(now, request.priority) else {
+        let Some(waiting_permit) = admission.try_admit(now, request.priority) else {
             let retry_after_ms = admission
-                .wait_ms(now)
+                .estimated_wait_ms(now)
                 .min(request.remaining_ms / 3)
                 .max(MIN_RETRY_AFTER_MS);
             return Admission::Refuse { retry_after_ms };
         };
         let prefixes = prefixes(&request.prompt);
-        let named = prefixes.last().map_or(0, |prefix| prefix.tokens);
+        let named_tokens = prefixes.last().map_or(0, |prefix| prefix.tokens);
         Admission::Go(RequestPlan {
             service,
             prefixes,
-            tokens: named.max(request.tokens_in),
+            prompt_tokens: named_tokens.max(request.tokens_in),
             is_idempotent: request.is_idempotent,
             priority: request.priority,
             attempts: request.attempts.max(1),
-            target: request.target_latency_ms * MICROS_PER_MS,
+            target_latency: request.target_latency_ms * MICROS_PER_MS,
             deadline: now + request.remaining_ms * MICROS_PER_MS,
-            source: None,
+            prefill_locality: None,
             progress: Rc::new(Progress::new(
                 now,
-                client_patience_ms(request) * MICROS_PER_MS,
-                waiting,
+                client_timeout_ms(request) * MICROS_PER_MS,
+                waiting_permit,
             )),
         })
     }
 
-    /// Whether a prefill searcher reads the prompt first; else `choose` for `Purpose::Whole`.
+    /// Whether to prefill the prompt at a prefill searcher first; otherwise `choose` is called with `Purpose::Whole`.
     pub fn split(&self, now: Micros, plan: &RequestPlan) -> bool {
         let service = &self.services[plan.service];
-        if !plan.has_attempt(Purpose::Prefill) || !service.kv_transfers.are_allowed(now) {
+        if !plan.has_attempt_left(Purpose::Prefill) || !service.kv_transfers.are_allowed(now) {
             return false;
         }
-        let has = |kind: GroupKind| !service.group(kind).candidates.is_empty();
-        if !has(GroupKind::Prefill) || !has(GroupKind::Decode) {
+        let has_searchers = |kind: GroupKind| !service.group(kind).candidates.is_empty();
+        if !has_searchers(GroupKind::Prefill) || !has_searchers(GroupKind::Decode) {
             return false;
         }
         let prefill = self.select_searcher(now, plan, Purpose::Prefill, 0);
-        let whole = self.select_searcher(now, plan, Purpose::Whole, 0);
-        match (prefill, whole) {
-            (Some(prefill), Some(whole)) => {
-                let (tokens, target) = (plan.tokens, plan.target);
-                let choice = SplitCandidates {
-                    tokens,
-                    target,
+        let in_place = self.select_searcher(now, plan, Purpose::Whole, 0);
+        match (prefill, in_place) {
+            (Some(prefill), Some(in_place)) => {
+                let (prompt_tokens, target_latency) = (plan.prompt_tokens, plan.target_latency);
+                let candidates = SplitCandidates {
+                    prompt_tokens,
+                    target_latency,
                     prefill: &prefill,
-                    whole: &whole,
+                    in_place: &in_place,
                 };
-                is_split_cheaper(service, &choice)
+                is_split_cheaper(service, &candidates)
             }
             (prefill, _) => prefill.is_some(),
         }
     }
 
-    /// Whether KV cache that one decode searcher rejected may be offered to another; else the whole request goes
-    /// to a decode searcher.
+    /// Whether a handle that a decode searcher rejected may be sent to another one; otherwise the complete request is
+    /// sent to a decode searcher.
     pub fn may_transfer_again(&self, now: Micros, plan: &RequestPlan) -> bool {
         plan.may_transfer_again() && self.services[plan.service].kv_transfers.are_allowed(now)
     }
 
-    /// The searcher for the next send of a request.
+    /// Chooses the searcher for the next send of a request.
     pub fn choose(&mut self, now: Micros, plan: &mut RequestPlan, purpose: Purpose) -> Choice {
         if plan.forbids(now, purpose) {
             return Choice::Exhausted;
         }
         let kind = self.services[plan.service].kind(purpose);
         self.services[plan.service].refresh_peers(now, kind);
-        let tie_breaker = self.random.random();
+        let tie_breaker = self.rng.random();
         let Some(selected) = self.select_searcher(now, plan, purpose, tie_breaker) else {
             return Choice::Refuse {
                 retry_after_ms: self.retry_after_ms(now, plan),
             };
         };
-        let fleet = self.fleet.unwrap_or(ASSUMED_PROXIES);
+        let fleet_size = self.fleet_size.unwrap_or(ASSUMED_FLEET_SIZE);
         let mut charge = None;
         if plan.is_retry() {
-            charge = self.services[plan.service].budget.charge(now, fleet);
+            charge = self.services[plan.service].budget.charge(now, fleet_size);
             if charge.is_none() {
                 return Choice::Exhausted;
             }
         }
-        let priority = self.priority(plan, purpose, selected.tokens);
-        let ticket = self.take_ticket();
-        let counting = plan.counting(purpose);
-        plan.progress.sent(purpose, counting);
+        let priority = self.priority(plan, purpose, selected.expected_tokens);
+        let ticket = self.allocate_send_id();
+        let attempt_kind = plan.attempt_kind(purpose);
+        plan.progress.record_send(purpose, attempt_kind);
         let service = &mut self.services[plan.service];
-        service.searcher_mut(selected.searcher).sent(now, ticket);
+        service
+            .searcher_mut(selected.searcher)
+            .record_send(now, ticket);
         service
             .prefix_cache
             .record(now, selected.searcher, &plan.prefixes);
         if purpose == Purpose::Prefill {
-            service.kv_transfers.started(now);
+            service.kv_transfers.record_prefill(now);
         }
         let searcher = service.searcher(selected.searcher);
         if purpose == Purpose::Prefill {
-            plan.source = Some(searcher.locality);
+            plan.prefill_locality = Some(searcher.locality);
         }
         let record = SendRecord {
             service: plan.service,
             searcher: selected.searcher,
             hash: searcher.hash,
             purpose,
-            sent: now,
-            tokens: selected.tokens,
-            expected: selected.expected,
-            waited: now.saturating_sub(plan.progress.admitted),
-            target: plan.target,
+            sent_at: now,
+            expected_tokens: selected.expected_tokens,
+            expected_micros: selected.expected_micros,
+            delay_before_send: now.saturating_sub(plan.progress.admitted_at),
+            target_latency: plan.target_latency,
             tokens_upper_bound: selected.tokens_upper_bound,
-            counting,
-            holder: plan
+            attempt_kind,
+            cache_holder: plan
                 .progress
-                .holder
+                .cache_holder
                 .get()
                 .filter(|_| purpose == Purpose::Decode),
             has_response: false,
             charge,
             progress: Rc::clone(&plan.progress),
         };
-        self.loads.sent(now, &record);
-        self.sends.insert(ticket, record);
+        self.load_meters.record_send(now, &record);
+        self.sends_in_flight.insert(ticket, record);
         Choice::Send {
             identifier: searcher.instance.identifier.clone(),
             address: searcher.instance.address.clone(),
@@ -258,31 +261,31 @@
         }
     }
 
-    /// The value of `Priority`: short readings go before long ones, all else by the route's rank.
+    /// The value of `Priority`: shorter prefills before longer ones, all other sends by the route's priority.
     fn priority(&self, plan: &RequestPlan, purpose: Purpose, tokens: u32) -> u8 {
         match purpose {
             Purpose::Prefill => {
-                let usual = self.services[plan.service]
+                let mean_tokens = self.services[plan.service]
                     .service_time(purpose)
                     .mean_tokens();
-                prefill_priority(f64::from(tokens), usual)
+                prefill_priority(f64::from(tokens), mean_tokens)
             }
             Purpose::Whole | Purpose::Decode => plan.priority.min(LOWEST_PRIORITY),
         }
     }
 
-    /// Takes what became of a send. A second final outcome of a send is ignored.
+    /// Records an outcome of a send. A second final outcome of the same send is ignored.
     pub fn outcome(&mut self, now: Micros, ticket: SendTicket, outcome: SendOutcome) {
         if outcome == SendOutcome::FirstEvent {
-            self.first_event(now, ticket);
+            self.record_first_event(now, ticket);
             return;
         }
-        let Some(record) = self.sends.remove(&ticket.0) else {
+        let Some(record) = self.sends_in_flight.remove(&ticket.0) else {
             return;
         };
-        self.loads.ended(now, &record);
-        trace::log_end(now, &record, outcome);
-        let charge_outcome = record.progress.ended(&record, outcome);
+        self.load_meters.record_end(now, &record);
+        trace::log_outcome(now, &record, outcome);
+        let charge_outcome = record.progress.record_end(&record, outcome);
         let service = &mut self.services[record.service];
         if let (ChargeOutcome::Refunded, Some(charge)) = (charge_outcome, record.charge) {
             service.budget.refund(charge);
@@ -290,44 +293,46 @@
         if service.searcher(record.searcher).hash != record.hash {
             return;
         }
-        service.searcher_mut(record.searcher).ended(ticket.0);
-        // After a first event the time says nothing new, but a failure counts as such.
-        let elapsed = (!record.has_response).then(|| now.saturating_sub(record.sent));
+        service.searcher_mut(record.searcher).record_end(ticket.0);
+        // After the first event the elapsed time carries no new information, but a failure is still recorded.
+        let elapsed = (!record.has_response).then(|| now.saturating_sub(record.sent_at));
         if !record.has_response
             || !matches!(outcome, SendOutcome::Answered | SendOutcome::Cancelled)
         {
-            service.learn(now, &record, outcome, elapsed);
+            service.record_outcome(now, &record, outcome, elapsed);
         }
         if !service.is_handle_likely_gone(now, &record) {
             record.progress.rejected_transfer.set(None);
         }
-        service.reuse(record.searcher);
+        service.release_slot(record.searcher);
     }
 
-    /// When a client should come back whose request isn't taken now, in milliseconds.
+    /// The value of `Retry-After` in milliseconds for a request that isn't accepted now.
     pub fn retry_after_ms(&self, now: Micros, plan: &RequestPlan) -> u64 {
         let service = &self.services[plan.service];
-        let left = plan.deadline.saturating_sub(now) / MICROS_PER_MS;
+        let remaining_ms = plan.deadline.saturating_sub(now) / MICROS_PER_MS;
         let service_time = service.service_time(Purpose::Whole);
-        let usual = if service_time.is_known() {
-            service_time.usual(f64::from(plan.tokens)) / 1e3
+        let expected_ms = if service_time.is_reliable() {
+            service_time.predict(f64::from(plan.prompt_tokens)) / 1e3
         } else {
             0.0
         };
-        (usual as u64).min(left / 3).max(MIN_RETRY_AFTER_MS)
+        (expected_ms as u64)
+            .min(remaining_ms / 3)
+            .max(MIN_RETRY_AFTER_MS)
     }
 
-    /// The searchers of a service, for the log; none if the service isn't known.
+    /// The searcher counts of a service, for the log; `None` if the service is unknown.
     pub fn searcher_counts(&self, now: Micros, service: &str) -> Option<SearcherCounts> {
-        let index = self.by_name.get(service)?;
+        let index = self.service_indices.get(service)?;
         Some(self.services[*index].searcher_counts(now))
     }
 
-    /// The load that this proxy has put on each service with an inference engine since the last call; nothing if that
-    /// was just before.
+    /// The load that this proxy has put on each service with an inference engine since the last call; `None` if the
+    /// last call was too recent.
     pub fn take_loads(&mut self, now: Micros) -> Option<Vec<ServiceLoad>> {
         let services = &self.services;
-        self.loads.take(now, |index| {
+        self.load_meters.take(now, |index| {
             services[index]
                 .engine
                 .as_ref()
@@ -335,22 +340,24 @@
         })
     }
 
-    fn first_event(&mut self, now: Micros, ticket: SendTicket) {
-        let Some(record) = self.sends.get_mut(&ticket.0) else {
+    fn record_first_event(&mut self, now: Micros, ticket: SendTicket) {
+        let Some(record) = self.sends_in_flight.get_mut(&ticket.0) else {
             return;
         };
         if std::mem::replace(&mut record.has_response, true) {
             return;
         }
-        self.loads.first_event(now, record);
-        trace::log_end(now, record, SendOutcome::FirstEvent);
+        self.load_meters.record_first_event(now, record);
+        trace::log_outcome(now, record, SendOutcome::FirstEvent);
         let service = &mut self.services[record.service];
         if service.searcher(record.searcher).hash != record.hash {
             return;
         }
-        service.searcher_mut(record.searcher).responded(ticket.0);
-        let elapsed = Some(now.saturating_sub(record.sent));
-        service.learn(now, record, SendOutcome::FirstEvent, elapsed);
+        service
+            .searcher_mut(record.searcher)
+            .record_response(ticket.0);
+        let elapsed = Some(now.saturating_sub(record.sent_at));
+        service.record_outcome(now, record, SendOutcome::FirstEvent, elapsed);
     }
 
     fn select_searcher(
@@ -361,36 +368,38 @@
         tie_breaker: u64,
     ) -> Option<SelectedSearcher> {
         let service = &self.services[plan.service];
-        let cache_retention = CACHE_RETENTION_SPANS * self.settings.again_ms * MICROS_PER_MS;
+        let cache_retention =
+            CACHE_RETENTION_FACTOR * self.settings.repeated_prefill_window_ms * MICROS_PER_MS;
         let tried = plan.progress.tried.borrow();
         let criteria = SelectionCriteria {
             purpose,
-            only: plan.same_searcher(purpose),
+            required: plan.same_searcher(purpose),
             prefixes: &plan.prefixes,
-            tokens: plan.tokens,
+            prompt_tokens: plan.prompt_tokens,
             tried: &tried,
-            source: if purpose == Purpose::Decode {
-                plan.source
+            transfer_source: if purpose == Purpose::Decode {
+                plan.prefill_locality
             } else {
                 None
             },
-            is_retryable: plan.is_idempotent && plan.attempts > plan.progress.counted.get() + 1,
+            is_retryable: plan.is_idempotent
+                && plan.attempts > plan.progress.attempts_used.get() + 1,
             cached_since: now.saturating_sub(cache_retention),
             tie_breaker,
         };
         select(service, service.kind(purpose), now, &criteria)
     }
 
-    fn take_ticket(&mut self) -> u64 {
-        self.next_ticket += 1;
-        self.next_ticket
+    fn allocate_send_id(&mut self) -> u64 {
+        self.last_send_id += 1;
+        self.last_send_id
     }
 
     fn service_index(&mut self, now: Micros, name: &str) -> usize {
-        if let Some(index) = self.by_name.get(name) {
+        if let Some(index) = self.service_indices.get(name) {
             return *index;
         }
-        let started = *self.started.get_or_insert(now);
+        let started_at = *self.started_at.get_or_insert(now);
         let window = self.settings.budget_window_ms * MICROS_PER_MS;
         let (ratio, slack) = (
             self.settings.retry_budget_ratio,
@@ -398,30 +407,30 @@
         );
         self.services.push(Service::new(
             name,
-            RetryBudget::new(started, window, ratio, slack),
+            RetryBudget::new(started_at, window, ratio, slack),
         ));
-        self.by_name
+        self.service_indices
             .insert(name.to_owned(), self.services.len() - 1);
         self.services.len() - 1
     }
 }
 
-/// `Priority` of a prompt with so many tokens to read where a mean of `usual` is read: the middle for one like that, and
-/// a step for each doubling.
-fn prefill_priority(tokens: f64, usual: f64) -> u8 {
-    if usual <= 0.0 {
-        return MIDDLE_PRIORITY;
+/// The `Priority` of a prefill of `tokens` tokens: the default at the mean number of tokens, and one step more or less
+/// for each doubling or halving.
+fn prefill_priority(tokens: f64, mean_tokens: f64) -> u8 {
+    if mean_tokens <= 0.0 {
+        return DEFAULT_PRIORITY;
     }
-    let steps = (tokens.max(1.0) / usual).log2().round();
-    (f64::from(MIDDLE_PRIORITY) + steps).clamp(0.0, f64::from(LOWEST_PRIORITY)) as u8
+    let steps = (tokens.max(1.0) / mean_tokens).log2().round();
+    (f64::from(DEFAULT_PRIORITY) + steps).clamp(0.0, f64::from(LOWEST_PRIORITY)) as u8
 }
 
-/// The time in milliseconds after which a client gives a request up that it has heard nothing of. Clients of
-/// streams don't wait for their deadline.
-fn client_patience_ms(request: &RequestFacts) -> u64 {
-    let patience = MIN_STREAM_PATIENCE_MS.max(STREAM_PATIENCE_TARGETS * request.target_latency_ms);
+/// The time in milliseconds after which a client abandons a request without any response. Clients of streams don't wait
+/// for their deadline.
+fn client_timeout_ms(request: &RequestFacts) -> u64 {
+    let timeout = MIN_STREAM_TIMEOUT_MS.max(STREAM_TIMEOUT_TARGETS * request.target_latency_ms);
     match request.kind {
-        RouteKind::Streaming => request.remaining_ms.min(patience),
+        RouteKind::Streaming => request.remaining_ms.min(timeout),
         RouteKind::Idempotent | RouteKind::NonIdempotent => request.remaining_ms,
     }
 }
--- a/crates/lockusher-proxy/src/decision/scoring.rs
+++ b/crates/lockusher-proxy/src/decision/scoring.rs
@@ -1,3 +1,3 @@
-//! The score of the load balancing, shared with the aggregator.
+//! The load balancing score, shared with the aggregator.
 
 pub use lockusher_policy::scoring::{NEWEST, blend, score};
--- a/crates/lockusher-proxy/src/decision/service.rs
+++ b/crates/lockusher-proxy/src/decision/service.rs
@@ -1,8 +1,9 @@
-//! What this proxy knows of one service: its searchers by stage, and what its requests usually take.
+//! The state of one service: its searchers by stage, and the service times of its requests.
 //!
-//! Owned by `RequestRouter`. Holds the state of the service's other decisions (prefix cache index,
-//! retry budget, admission control, KV transfers) and feeds them with outcomes. Invariants: a group has the ready searchers
-//! of its stage and no other; the slot of a searcher is reused only once it is neither listed nor has a send in flight.
+//! Owned by `RequestRouter`. Holds the state of the service's other decisions (prefix cache index, retry budget,
+//! admission control, KV transfers) and updates it with outcomes. Invariants: a group contains exactly the ready
+//! searchers of its stage; the slot of a searcher is reused only once the searcher is no longer listed and has no send
+//! in flight.
 
 use std::collections::{HashMap, HashSet};
 
@@ -20,59 +21,60 @@
 use super::types::{Micros, Purpose, SearcherId, SendOutcome};
 use crate::unserved::SearcherCounts;
 
-/// The means of a stage's searchers are worked out anew after this time at the latest, if anything has changed.
+/// Peer statistics that are stale are recomputed after this time at the latest.
 const MAX_PEER_STATISTICS_AGE: Micros = 20_000;
 
-/// Groups of up to so many searchers always use fresh means.
+/// Groups up to this size always use fresh peer statistics.
 const MAX_ALWAYS_FRESH_GROUP: usize = 64;
 
-/// The searchers of one stage that take requests.
+/// The ready searchers of one stage.
 #[derive(Debug, Default)]
 pub struct Group {
     pub candidates: Vec<SearcherId>,
-    /// Hashes of their identifiers.
+    /// Hashes of the candidates' identifiers.
     hashes: Vec<u64>,
     localities: Vec<Locality>,
     peers: PeerStatistics,
-    peers_at: Micros,
-    stale: bool,
+    peers_updated_at: Micros,
+    peers_stale: bool,
     scratch: Vec<f64>,
 }
 
 impl Group {
-    /// The affinity targets of a prompt by its shared parts, first and second: the highest by rendezvous hashing, those of
-    /// the zone `near` before all others. All proxies that know the same candidates find the same ones, and one
-    /// that leaves moves only its own.
+    /// The first and second affinity target of a prompt by its shared prefix: the candidates with the highest
+    /// rendezvous weights, those in the zone of `preferred` before all others. All proxies that know the same
+    /// candidates find the same targets, and removing a candidate moves only its own prompts.
     pub fn affinity_targets(
         &self,
         prefix: PrefixHash,
-        near: Option<Locality>,
+        preferred: Option<Locality>,
     ) -> [Option<SearcherId>; 2] {
-        // Weights and numbers from 1; weight 0 is that of no candidate.
+        // Pairs of weight and index, counted from 1; weight 0 stands for no candidate.
         let (mut first, mut second) = ((0, 0), (0, 0));
-        for (number, (hash, locality)) in self.hashes.iter().zip(&self.localities).enumerate() {
-            let is_near = near.is_some_and(|near| near.distance(*locality) == Distance::SameZone);
-            let weight = rendezvous(prefix, *hash) >> 1 | u64::from(is_near) << 63;
+        for (index, (hash, locality)) in self.hashes.iter().zip(&self.localities).enumerate() {
+            let is_preferred = preferred
+                .is_some_and(|preferred| preferred.distance(*locality) == Distance::SameZone);
+            let weight = rendezvous(prefix, *hash) >> 1 | u64::from(is_preferred) << 63;
             if weight <= second.0 {
                 continue;
             }
-            second = (weight, number + 1);
+            second = (weight, index + 1);
             if weight > first.0 {
                 std::mem::swap(&mut first, &mut second);
             }
         }
-        [first, second]
-            .map(|(_, number)| number.checked_sub(1).map(|number| self.candidates[number]))
+        [first, second].map(|(_, index)| index.checked_sub(1).map(|index| self.candidates[index]))
     }
 }
 
-/// The weight of a searcher as an affinity target (rendezvous hashing, Thaler and Ravishankar, 1998). Both values are hashes, so that little mixing will do.
+/// The rendezvous hashing weight of a searcher (Thaler and Ravishankar, 1998). Both arguments are hashes, so that
+/// little mixing is needed.
 fn rendezvous(prefix: PrefixHash, searcher: u64) -> u64 {
-    let both = prefix ^ searcher;
-    (both ^ (both >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93)
+    let mixed = prefix ^ searcher;
+    (mixed ^ (mixed >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93)
 }
 
-/// Which group a purpose is served by.
+/// The group of searchers that serves a purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupKind {
     Plain,
@@ -80,7 +82,7 @@
     Decode,
 }
 
-/// One service.
+/// The state of one service.
 #[derive(Debug)]
 pub struct Service {
     pub name: String,
@@ -90,14 +92,14 @@
     pub admission: AdmissionControl,
     pub kv_transfers: KvTransfers,
     searchers: Vec<Searcher>,
-    unused: Vec<SearcherId>,
+    free_slots: Vec<SearcherId>,
     by_identifier: HashMap<String, SearcherId>,
     groups: [Group; 3],
     service_times: [ServiceTimeModel; 3],
 }
 
 impl Service {
-    /// A service without searchers.
+    /// Creates a service without searchers.
     pub fn new(name: &str, budget: RetryBudget) -> Self {
         Service {
             name: name.to_owned(),
@@ -107,43 +109,49 @@
             admission: AdmissionControl::default(),
             kv_transfers: KvTransfers::default(),
             searchers: Vec::new(),
-            unused: Vec::new(),
+            free_slots: Vec::new(),
             by_identifier: HashMap::new(),
             groups: Default::default(),
             service_times: Default::default(),
         }
     }
 
-    /// Takes the service's part of the list.
-    pub fn apply(
+    /// Applies this service's entries of the instance list.
+    pub fn apply_instances(
         &mut self,
         now: Micros,
         instances: &[&Instance],
         localities: &mut LocalityRegistry,
-        own: Locality,
+        own_locality: Locality,
     ) {
         let mut listed = HashSet::new();
-        let running = !self.by_identifier.is_empty();
+        let has_searchers = !self.by_identifier.is_empty();
         for instance in instances {
             listed.insert(instance.identifier.as_str());
             let locality = localities.locality(&instance.zone);
-            self.apply_one(now, instance, locality, locality.distance(own), running);
+            self.apply_instance(
+                now,
+                instance,
+                locality,
+                locality.distance(own_locality),
+                has_searchers,
+            );
         }
-        self.drop_missing(&listed);
+        self.remove_missing(&listed);
         self.rebuild_groups();
     }
 
-    fn apply_one(
+    fn apply_instance(
         &mut self,
         now: Micros,
         instance: &Instance,
         locality: Locality,
         distance: Distance,
-        running: bool,
+        has_searchers: bool,
     ) {
         let Some(&id) = self.by_identifier.get(&instance.identifier) else {
-            let starts_slowly = running && self.has_peers(instance.stage);
-            let id = self.insert(Searcher::new(
+            let starts_slowly = has_searchers && self.has_peers(instance.stage);
+            let id = self.insert_searcher(Searcher::new(
                 now,
                 instance.clone(),
                 locality,
@@ -155,7 +163,7 @@
         };
         if self.searchers[id as usize].instance.stage != instance.stage {
             let starts_slowly = self.has_peers(instance.stage);
-            self.prefix_cache.forget_searcher(id);
+            self.prefix_cache.remove_searcher(id);
             let searcher = &mut self.searchers[id as usize];
             let in_flight = searcher.in_flight;
             *searcher = Searcher::new(now, instance.clone(), locality, distance, starts_slowly);
@@ -175,8 +183,8 @@
         !self.groups[kind_of(stage) as usize].candidates.is_empty()
     }
 
-    fn insert(&mut self, searcher: Searcher) -> SearcherId {
-        if let Some(id) = self.unused.pop() {
+    fn insert_searcher(&mut self, searcher: Searcher) -> SearcherId {
+        if let Some(id) = self.free_slots.pop() {
             self.searchers[id as usize] = searcher;
             return id;
         }
@@ -184,12 +192,12 @@
         (self.searchers.len() - 1) as SearcherId
     }
 
-    fn drop_missing(&mut self, listed: &HashSet<&str>) {
-        let gone = |identifier: &String| !listed.contains(identifier.as_str());
+    fn remove_missing(&mut self, listed: &HashSet<&str>) {
+        let is_missing = |identifier: &String| !listed.contains(identifier.as_str());
         let missing: Vec<String> = self
             .by_identifier
             .keys()
-            .filter(|id| gone(id))
+            .filter(|id| is_missing(id))
             .cloned()
             .collect();
         for identifier in missing {
@@ -197,17 +205,17 @@
                 continue;
             };
             self.searchers[id as usize].ready = false;
-            self.prefix_cache.forget_searcher(id);
-            self.reuse(id);
+            self.prefix_cache.remove_searcher(id);
+            self.release_slot(id);
         }
     }
 
-    /// Lets a searcher's slot be used again once it is neither listed nor owes an outcome.
-    pub fn reuse(&mut self, id: SearcherId) {
+    /// Frees a searcher's slot once the searcher is no longer listed and has no send in flight.
+    pub fn release_slot(&mut self, id: SearcherId) {
         let searcher = &self.searchers[id as usize];
         let listed = self.by_identifier.get(&searcher.instance.identifier) == Some(&id);
-        if !listed && searcher.in_flight == 0 && !self.unused.contains(&id) {
-            self.unused.push(id);
+        if !listed && searcher.in_flight == 0 && !self.free_slots.contains(&id) {
+            self.free_slots.push(id);
         }
     }
 
@@ -216,7 +224,7 @@
             group.candidates.clear();
             group.hashes.clear();
             group.localities.clear();
-            group.stale = true;
+            group.peers_stale = true;
         }
         let mut ready: Vec<SearcherId> = self.by_identifier.values().copied().collect();
         ready.retain(|id| self.searchers[*id as usize].ready);
@@ -230,7 +238,7 @@
         }
     }
 
-    /// Counts the searchers by what they can be used for.
+    /// Counts the searchers by stage and condition.
     pub fn searcher_counts(&self, now: Micros) -> SearcherCounts {
         let ready = || {
             let groups = self.groups.iter();
@@ -263,13 +271,13 @@
         }
     }
 
-    /// The group that a searcher is in, if it takes requests.
+    /// The group that a searcher is in; `None` if it isn't ready.
     pub fn group_of(&self, id: SearcherId) -> Option<GroupKind> {
         let searcher = &self.searchers[id as usize];
         searcher.ready.then(|| kind_of(searcher.instance.stage))
     }
 
-    /// The searchers of a kind that take requests.
+    /// The ready searchers of a kind.
     pub fn group(&self, kind: GroupKind) -> &Group {
         &self.groups[kind as usize]
     }
@@ -279,16 +287,16 @@
         &self.searchers[id as usize]
     }
 
-    /// One searcher, to be changed: the means of its stage are out of date then.
+    /// One searcher for modification; marks the peer statistics of its stage as stale.
     pub fn searcher_mut(&mut self, id: SearcherId) -> &mut Searcher {
         let searcher = &mut self.searchers[id as usize];
-        self.groups[kind_of(searcher.instance.stage) as usize].stale = true;
+        self.groups[kind_of(searcher.instance.stage) as usize].peers_stale = true;
         searcher
     }
 
-    /// Feeds an outcome to the averages of its searcher, and a good one to what is usual. `elapsed` is absent
-    /// where the time was fed before.
-    pub fn learn(
+    /// Records an outcome in the averages of its searcher, and a successful one in the service time model. `elapsed` is
+    /// `None` if the elapsed time was recorded before.
+    pub fn record_outcome(
         &mut self,
         now: Micros,
         record: &SendRecord,
@@ -297,125 +305,137 @@
     ) {
         let kind = self.kind(record.purpose);
         if kind_of(self.searchers[record.searcher as usize].instance.stage) != kind {
-            // It has changed its stage since.
+            // The searcher has changed its stage since the send.
             return;
         }
         let peers = self.refresh_peers(now, kind);
         if elapsed.is_some() {
-            self.feed_admission_control(now, record, outcome);
+            self.update_admission_control(now, record, outcome);
         }
-        let is_first = elapsed.is_some();
+        let is_first_response = elapsed.is_some();
         let service_time = &mut self.service_times[record.purpose as usize];
         let elapsed = elapsed.unwrap_or(0) as f64;
-        let good = matches!(outcome, SendOutcome::FirstEvent | SendOutcome::Answered);
-        let sure = record.tokens == record.tokens_upper_bound || !service_time.is_known();
-        if good && sure {
-            service_time.feed(f64::from(record.tokens_upper_bound), elapsed);
+        let is_success = matches!(outcome, SendOutcome::FirstEvent | SendOutcome::Answered);
+        let is_cache_known =
+            record.expected_tokens == record.tokens_upper_bound || !service_time.is_reliable();
+        if is_success && is_cache_known {
+            service_time.record(f64::from(record.tokens_upper_bound), elapsed);
         }
-        let multiple = |tokens: u32| elapsed / service_time.usual(f64::from(tokens));
-        let multiple = match (service_time.is_measured(), sure) {
+        let latency_ratio = |tokens: u32| elapsed / service_time.predict(f64::from(tokens));
+        let latency_ratio = match (service_time.has_samples(), is_cache_known) {
             (false, _) => 1.0,
-            (true, true) => multiple(record.tokens_upper_bound),
-            (true, false) => nearer_to(
+            (true, true) => latency_ratio(record.tokens_upper_bound),
+            (true, false) => closer_ratio(
                 self.searchers[record.searcher as usize]
-                    .latency()
-                    .unwrap_or(peers.latency),
-                multiple(record.tokens),
-                multiple(record.tokens_upper_bound),
+                    .latency_ratio()
+                    .unwrap_or(peers.latency_ratio),
+                latency_ratio(record.expected_tokens),
+                latency_ratio(record.tokens_upper_bound),
             ),
         };
         self.searcher_mut(record.searcher)
-            .learn(now, outcome, multiple, &peers);
-        if is_first && kind == GroupKind::Decode {
-            self.learn_acceptance(now, record, outcome);
+            .record_outcome(now, outcome, latency_ratio, &peers);
+        if is_first_response && kind == GroupKind::Decode {
+            self.record_acceptance(now, record, outcome);
         }
     }
 
-    /// Records whether a decode searcher took a request, and with it a handle: see [`super::kv_transfer`].
-    fn learn_acceptance(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome) {
-        let taken = match outcome {
+    /// Records whether a decode searcher accepted a request, and with it a handle: see [`super::kv_transfer`].
+    fn record_acceptance(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome) {
+        let accepted = match outcome {
             SendOutcome::FirstEvent | SendOutcome::Answered => true,
             SendOutcome::Rejected => false,
             _ => return,
         };
-        let acceptance = self.searchers[record.searcher as usize].acceptance(now);
+        let acceptance_rate = self.searchers[record.searcher as usize].acceptance_rate(now);
         let is_transfer = record.purpose == Purpose::Decode;
-        let holder = record.holder.filter(|holder| self.is_listed(*holder));
-        let holder_acceptance = holder.map_or(1.0, |holder| {
-            self.searchers[holder.searcher as usize].acceptance(now)
+        let holder = record.cache_holder.filter(|holder| self.is_listed(*holder));
+        let holder_acceptance_rate = holder.map_or(1.0, |holder| {
+            self.searchers[holder.searcher as usize].acceptance_rate(now)
         });
-        self.searcher_mut(record.searcher).learn_acceptance(
+        self.searcher_mut(record.searcher).record_acceptance(
             now,
-            taken,
-            if is_transfer { holder_acceptance } else { 1.0 },
+            accepted,
+            if is_transfer {
+                holder_acceptance_rate
+            } else {
+                1.0
+            },
         );
         if !is_transfer {
             return;
         }
-        match taken {
-            true => self.kv_transfers.succeeded(),
-            false => self.kv_transfers.failed(now, record.sent, acceptance),
+        match accepted {
+            true => self.kv_transfers.record_success(),
+            false => self
+                .kv_transfers
+                .record_rejection(now, record.sent_at, acceptance_rate),
         }
         if let Some(holder) = holder {
             let peers = self.refresh_peers(now, GroupKind::Prefill);
-            self.searcher_mut(holder.searcher)
-                .learn_transfer(now, taken, acceptance, &peers);
+            self.searcher_mut(holder.searcher).record_transfer(
+                now,
+                accepted,
+                acceptance_rate,
+                &peers,
+            );
         }
     }
 
-    /// Whether a rejected transfer failed rather for its handle than for a full decode searcher: the handles of its
-    /// holder were taken no more often lately than the sends to that searcher.
+    /// Whether a rejected transfer more likely failed because of its handle than because of a full decode searcher: the
+    /// acceptance rate of the holder's handles is at most that of the sends to the decode searcher.
     pub fn is_handle_likely_gone(&self, now: Micros, record: &SendRecord) -> bool {
-        let Some(holder) = record.holder.filter(|holder| self.is_listed(*holder)) else {
+        let Some(holder) = record.cache_holder.filter(|holder| self.is_listed(*holder)) else {
             return true;
         };
-        self.searcher(holder.searcher).acceptance(now)
-            <= self.searcher(record.searcher).acceptance(now)
+        self.searcher(holder.searcher).acceptance_rate(now)
+            <= self.searcher(record.searcher).acceptance_rate(now)
     }
 
-    /// Whether that incarnation of a searcher still prefills for others.
+    /// Whether this incarnation of a searcher is still a ready prefill searcher.
     fn is_listed(&self, holder: Incarnation) -> bool {
-        let is_there = self.searcher(holder.searcher).hash == holder.hash;
-        is_there && self.group_of(holder.searcher) == Some(GroupKind::Prefill)
+        let is_same_incarnation = self.searcher(holder.searcher).hash == holder.hash;
+        is_same_incarnation && self.group_of(holder.searcher) == Some(GroupKind::Prefill)
     }
 
-    /// Feeds an answer, or that a request was abandoned without a response.
-    fn feed_admission_control(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome) {
+    /// Records a response, or a request that was abandoned without one, for admission control.
+    fn update_admission_control(&mut self, now: Micros, record: &SendRecord, outcome: SendOutcome) {
         let progress = &record.progress;
-        let elapsed = now.saturating_sub(progress.admitted);
+        let elapsed = now.saturating_sub(progress.admitted_at);
         match outcome {
             SendOutcome::FirstEvent | SendOutcome::Answered
                 if record.purpose != Purpose::Prefill =>
             {
                 self.admission
-                    .answered(now, elapsed, progress.client_patience);
+                    .record_response(now, elapsed, progress.client_timeout);
             }
             SendOutcome::TimedOut | SendOutcome::Cancelled => {
-                self.admission.abandoned(elapsed, progress.client_patience);
+                self.admission
+                    .record_abandoned(elapsed, progress.client_timeout);
             }
             _ => return,
         }
-        progress.waiting.take();
+        progress.waiting_permit.take();
     }
 
-    /// What requests of a purpose usually take.
+    /// The service time model of a purpose.
     pub fn service_time(&self, purpose: Purpose) -> &ServiceTimeModel {
         &self.service_times[purpose as usize]
     }
 
-    /// What the searchers of a kind have in common; worked out if it is out of date.
+    /// The peer statistics of a kind; recomputed if they are stale.
     pub fn refresh_peers(&mut self, now: Micros, kind: GroupKind) -> PeerStatistics {
         let group = &mut self.groups[kind as usize];
         let small = group.candidates.len() <= MAX_ALWAYS_FRESH_GROUP;
-        if group.stale && (small || now >= group.peers_at + MAX_PEER_STATISTICS_AGE) {
+        if group.peers_stale && (small || now >= group.peers_updated_at + MAX_PEER_STATISTICS_AGE) {
             group.peers = peer_statistics(&self.searchers, &group.candidates, &mut group.scratch);
-            group.peers_at = now;
-            group.stale = false;
+            group.peers_updated_at = now;
+            group.peers_stale = false;
         }
         group.peers
     }
 
-    /// What the searchers of a kind had in common when it was last worked out.
+    /// The peer statistics of a kind as last computed.
     pub fn peers(&self, kind: GroupKind) -> &PeerStatistics {
         &self.groups[kind as usize].peers
     }
@@ -429,10 +449,10 @@
     }
 }
 
-/// Of two multiples of the usual time the one that differs less from what the searcher took so far: whether it
-/// held a prompt's shared parts shows in its time.
-fn nearer_to(average: f64, one: f64, other: f64) -> f64 {
-    let distance = |multiple: f64| (multiple.max(1e-9) / average.max(1e-9)).ln().abs();
+/// Of two latency ratios the one that is closer to the searcher's average: whether the searcher had cached a prompt's
+/// shared parts shows in the elapsed time.
+fn closer_ratio(average: f64, one: f64, other: f64) -> f64 {
+    let distance = |latency_ratio: f64| (latency_ratio.max(1e-9) / average.max(1e-9)).ln().abs();
     if distance(one) <= distance(other) {
         one
     } else {
@@ -449,29 +469,30 @@
         return PeerStatistics::default();
     }
     success_rates.clear();
-    let (mut latency, mut measured, mut in_flight, mut queue) = (0.0, 0.0, 0.0, 0.0);
+    let (mut latency_ratio, mut responded, mut in_flight, mut in_flight_average) =
+        (0.0, 0.0, 0.0, 0.0);
     for id in candidates {
         let searcher = &searchers[*id as usize];
-        let (queue_average, success_rate) = searcher.averages();
-        if let Some(average) = searcher.latency() {
-            latency += average;
-            measured += 1.0;
+        let (searcher_in_flight_average, success_rate) = searcher.averages();
+        if let Some(average) = searcher.latency_ratio() {
+            latency_ratio += average;
+            responded += 1.0;
         }
         in_flight += f64::from(searcher.in_flight);
-        queue += queue_average;
+        in_flight_average += searcher_in_flight_average;
         success_rates.push(success_rate);
     }
     let middle = success_rates.len() / 2;
     let (_, success_rate, _) = success_rates.select_nth_unstable_by(middle, f64::total_cmp);
     let count = candidates.len() as f64;
     PeerStatistics {
-        latency: if measured > 0.0 {
-            latency / measured
+        latency_ratio: if responded > 0.0 {
+            latency_ratio / responded
         } else {
-            PeerStatistics::default().latency
+            PeerStatistics::default().latency_ratio
         },
         in_flight: in_flight / count,
-        queue: queue / count,
+        in_flight_average: in_flight_average / count,
         success_rate: *success_rate,
     }
 }
--- a/crates/lockusher-proxy/src/decision/types.rs
+++ b/crates/lockusher-proxy/src/decision/types.rs
@@ -1,51 +1,51 @@
-//! The values that all modules of the decisions share: time, identities, purposes and outcomes of sends.
+//! Types that all modules of the decisions share: time, identifiers, purposes and outcomes of sends.
 
-/// A moment on a steady clock, in microseconds since any fixed start.
+/// A time on a monotonic clock, in microseconds since an arbitrary start.
 pub type Micros = u64;
 
 /// Microseconds in a millisecond.
 pub const MICROS_PER_MS: u64 = 1_000;
 
-/// Names a searcher within its service.
+/// Identifies a searcher within its service.
 pub type SearcherId = u32;
 
-/// One part of a prompt, as named in `Prompt-Prefix`.
+/// One part of a prompt, as listed in the `Prompt-Prefix` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PromptPart {
-    /// Identity of its text: the same part has the same id in all prompts.
+    /// Identifier of its text: the same part has the same id in all prompts.
     pub id: u64,
     /// Tokens of the part.
     pub tokens: u32,
 }
 
-/// What a send is for.
+/// What a searcher is to do with a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Purpose {
-    /// The whole request at one searcher. At a service with stages its decode searcher reads the prompt itself.
+    /// Prefill and decode at one searcher. In a service with stages, a decode searcher prefills the prompt in place.
     Whole,
-    /// Only the prompt is read; the searcher holds the KV cache for a decode searcher.
+    /// Prefill only; the searcher holds the KV cache for a decode searcher.
     Prefill,
-    /// A decode searcher fetches the KV cache that a prefill searcher holds, then streams.
+    /// Decode only: the searcher fetches the KV cache from a prefill searcher, then streams.
     Decode,
 }
 
-/// What became of a send. Each send ends with exactly one outcome other than `FirstEvent`.
+/// The outcome of a send. Each send ends with exactly one outcome other than `FirstEvent`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SendOutcome {
-    /// The first event of a stream came (interim).
+    /// The first event of a stream was received; the send continues.
     FirstEvent,
-    /// The whole answer came.
+    /// The complete response was received.
     Answered,
-    /// The searcher said that it hasn't run the request (`Not-Executed` with 429 or 503).
+    /// The searcher reported that it hasn't run the request (`Not-Executed` with 429 or 503).
     Rejected,
-    /// The address belongs to another searcher or stage (421); nothing ran.
+    /// The address belongs to another searcher or stage (421); nothing was run.
     Misdirected,
-    /// No connection came up; nothing was sent.
+    /// The connection failed; nothing was sent.
     Unreachable,
-    /// An error of its own, a reset, a broken or odd answer: it may have run.
+    /// A server error, a reset, or an incomplete or invalid response; the request may have run.
     Failed,
-    /// Silent until the request's time was up.
+    /// No response until the request's deadline.
     TimedOut,
-    /// Given up on this side for reasons that say nothing of the searcher (the client left).
+    /// Cancelled by this proxy for reasons unrelated to the searcher, such as a client disconnect.
     Cancelled,
 }
--- a/crates/lockusher-proxy/tests/decision_support/mod.rs
+++ b/crates/lockusher-proxy/tests/decision_support/mod.rs
@@ -36,7 +36,7 @@
         retry_budget_ratio: 0.2,
         retry_budget_slack: 60.0,
         budget_window_ms: 10_000,
-        again_ms: 7_500,
+        repeated_prefill_window_ms: 7_500,
         drain_ms: 3_000,
     }
 }
