--- a/crates/lockusher-proxy/tests/decision_affinity.rs
+++ b/crates/lockusher-proxy/tests/decision_affinity.rs
@@ -1,4 +1,4 @@
-//! Shared parts of prompts: all proxies compute the same affinity targets.
+//! Prefix-cache affinity: all proxies compute the same affinity targets for shared parts of prompts.
 
 mod decision_support;
 
@@ -7,26 +7,26 @@
 use decision_support::*;
 use lockusher_proxy::decision::*;
 
-/// Where each of so many openings goes, one request of each long after the other.
+/// The searcher for each of several shared prefixes, one request at a time with nothing else in flight.
 fn affinity_targets(
     router: &mut RequestRouter,
     start: Micros,
-    openings: u64,
+    prefixes: u64,
 ) -> HashMap<u64, String> {
-    let home = |opening| {
-        let now = start + opening * 200 * MS;
+    let target_of = |prefix| {
+        let now = start + prefix * 200 * MS;
         (
-            opening,
+            prefix,
             serve(
                 router,
                 now,
-                &prompt(opening, 1_000_000 + now),
+                &streaming_request(prefix, 1_000_000 + now),
                 Purpose::Prefill,
                 60 * MS,
             ),
         )
     };
-    (0..openings).map(home).collect()
+    (0..prefixes).map(target_of).collect()
 }
 
 #[test]
@@ -40,23 +40,24 @@
         serve(
             &mut other,
             step * 10 * MS,
-            &prompt(step % 37, step),
+            &streaming_request(step % 37, step),
             Purpose::Prefill,
             30 * MS + (step % 7) * MS,
         );
     }
-    let (mine, theirs) = (
+    let (targets, other_targets) = (
         affinity_targets(&mut fresh, 0, 200),
         affinity_targets(&mut other, 60 * SECOND, 200),
     );
-    let agreed = mine
+    let agreed = targets
         .iter()
-        .filter(|(opening, home)| theirs[opening] == **home)
+        .filter(|(prefix, target)| other_targets[prefix] == **target)
         .count();
-    assert!(agreed >= 195, "{agreed} of 200");
+    assert!(agreed >= 195, "{agreed} of 200 targets agree");
     let mut spread: HashMap<&String, usize> = HashMap::new();
-    mine.values()
-        .for_each(|home| *spread.entry(home).or_default() += 1);
+    targets
+        .values()
+        .for_each(|target| *spread.entry(target).or_default() += 1);
     assert!(
         spread.len() == 8 && spread.values().all(|count| *count < 60),
         "{spread:?}"
@@ -64,26 +65,26 @@
 }
 
 #[test]
-fn one_that_leaves_moves_only_its_own() {
+fn a_removed_searcher_moves_only_its_own_prefixes() {
     let list = split_fleet(8, 8);
     let mut router = router(&list, 1);
     let before = affinity_targets(&mut router, 0, 200);
-    let fewer: Vec<_> = list
+    let remaining_list: Vec<_> = list
         .into_iter()
         .filter(|instance| instance.identifier != "r3")
         .collect();
-    router.apply_instances(100 * SECOND, &fewer);
+    router.apply_instances(100 * SECOND, &remaining_list);
     let after = affinity_targets(&mut router, 200 * SECOND, 200);
     let moved = before
         .iter()
-        .filter(|(opening, home)| *home != "r3" && after[opening] != **home)
+        .filter(|(prefix, target)| *target != "r3" && after[prefix] != **target)
         .count();
-    assert!(moved <= 4, "{moved} moved without need");
-    assert!(after.values().all(|home| home != "r3"));
+    assert!(moved <= 4, "{moved} prefixes of other searchers moved");
+    assert!(after.values().all(|target| target != "r3"));
 }
 
 #[test]
-fn a_session_comes_back_to_what_it_was_sent_to() {
+fn a_session_returns_to_the_same_searcher() {
     let mut router = router(&split_fleet(8, 8), 1);
     let session = RequestFacts {
         prompt: vec![PromptPart {
@@ -91,11 +92,11 @@
             tokens: 4_000,
         }],
         tokens_in: 4_000,
-        ..prompt(1, 1)
+        ..streaming_request(1, 1)
     };
     let first = serve(&mut router, 0, &session, Purpose::Prefill, 60 * MS);
     for turn in 1..10 {
-        // What is kept needs no reading.
+        // A cached prompt needs no prefill.
         assert_eq!(
             serve(
                 &mut router,
@@ -109,7 +110,7 @@
     }
 }
 
-/// A session's turns may come to any proxy: all choose the same searcher, though it is in another zone for some.
+/// Any proxy may receive the turns of a session: all choose the same searcher, even from other zones.
 #[test]
 fn proxies_in_other_zones_agree_on_a_sessions_searcher() {
     let list = spread_fleet(6, 6, 3);
@@ -118,7 +119,7 @@
         let session = RequestFacts {
             prompt: parts,
             tokens_in: 3_000,
-            ..prompt(1, 1)
+            ..streaming_request(1, 1)
         };
         let first_turn = |number: usize| {
             let mut router = router_in(zone(number), &list, number as u64);
@@ -130,35 +131,35 @@
 }
 
 #[test]
-fn an_affinity_target_that_is_busy_is_left() {
+fn a_busy_affinity_target_is_bypassed() {
     let mut router = router(&split_fleet(4, 4), 1);
     for step in 0..50 {
         serve(
             &mut router,
             step * 100 * MS,
-            &prompt(step, step),
+            &streaming_request(step, step),
             Purpose::Prefill,
             60 * MS,
         );
     }
     let now = 10 * SECOND;
-    let mut met = HashMap::new();
+    let mut sends = HashMap::new();
     for step in 0..60 {
-        let mut plan = admit(&mut router, now, &prompt(5, 1_000 + step));
+        let mut plan = admit(&mut router, now, &streaming_request(5, 1_000 + step));
         let (identifier, _) = send(&mut router, now, &mut plan, Purpose::Prefill);
-        *met.entry(identifier).or_insert(0) += 1;
+        *sends.entry(identifier).or_insert(0) += 1;
     }
-    assert_eq!(met.len(), 4, "{met:?}");
-    assert!(met.values().all(|count| *count <= 40), "{met:?}");
+    assert_eq!(sends.len(), 4, "{sends:?}");
+    assert!(sends.values().all(|count| *count <= 40), "{sends:?}");
 }
 
-/// How many of sixty prompts that nobody has answered yet went to the searcher that got most.
+/// Of sixty prompts without a response yet, the number sent to the most used searcher.
 fn most_at_one(shared: u32, own: u32) -> u32 {
     let mut router = router(&split_fleet(4, 4), 1);
-    let facts = |opening: u64, step: u64| RequestFacts {
+    let facts = |prefix: u64, step: u64| RequestFacts {
         prompt: vec![
             PromptPart {
-                id: opening,
+                id: prefix,
                 tokens: shared,
             },
             PromptPart {
@@ -167,7 +168,7 @@
             },
         ],
         tokens_in: shared + own,
-        ..prompt(1, 1)
+        ..streaming_request(1, 1)
     };
     for step in 0..50 {
         let tokens = 1_000 + 200 * (step as u32 % 20);
@@ -177,7 +178,7 @@
                 tokens,
             }],
             tokens_in: tokens,
-            ..prompt(1, 1)
+            ..streaming_request(1, 1)
         };
         serve(
             &mut router,
@@ -187,25 +188,28 @@
             Micros::from(tokens) * 20,
         );
     }
-    let mut met = HashMap::new();
+    let mut sends = HashMap::new();
     for step in 0..60 {
         let mut plan = admit(&mut router, 10 * SECOND, &facts(5, step));
         let (identifier, _) = send(&mut router, 10 * SECOND, &mut plan, Purpose::Prefill);
-        *met.entry(identifier).or_insert(0) += 1;
+        *sends.entry(identifier).or_insert(0) += 1;
     }
-    met.into_values().max().expect("some were sent")
+    sends
+        .into_values()
+        .max()
+        .expect("at least one prompt was sent")
 }
 
 #[test]
-fn an_affinity_target_that_saves_little_prefill_is_left_early() {
-    let spares_most = most_at_one(3_800, 200);
-    let spares_little = most_at_one(200, 3_800);
+fn an_affinity_target_that_saves_little_prefill_is_bypassed_early() {
+    let saves_most = most_at_one(3_800, 200);
+    let saves_little = most_at_one(200, 3_800);
     assert!(
-        spares_most >= 40,
-        "{spares_most} of 60 wait for what is held"
+        saves_most >= 40,
+        "{saves_most} of 60 wait for the cached prefix"
     );
     assert!(
-        spares_little <= 26,
-        "{spares_little} of 60 wait for a twentieth of their reading"
+        saves_little <= 26,
+        "{saves_little} of 60 wait for a twentieth of their prefill"
     );
 }
--- a/crates/lockusher-proxy/tests/decision_attempts.rs
+++ b/crates/lockusher-proxy/tests/decision_attempts.rs
@@ -1,4 +1,4 @@
-//! How often one request may be sent, and that it never runs twice.
+//! The number of sends of one request, and that it never runs twice.
 
 mod decision_support;
 
@@ -7,8 +7,8 @@
 use yare::parameterized;
 
 #[test]
-fn attempts_bound_the_searchers_that_a_request_is_sent_to() {
-    let mut router = router(&plain(5), 1);
+fn attempts_limit_the_searchers_that_a_request_is_sent_to() {
+    let mut router = router(&plain_searchers(5), 1);
     for _ in 0..100 {
         admit(&mut router, 0, &request());
     }
@@ -21,19 +21,23 @@
         ..request()
     };
     let mut plan = admit(&mut router, now, &facts);
-    let mut met = Vec::new();
+    let mut identifiers = Vec::new();
     for _ in 0..3 {
         let (identifier, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
         router.outcome(now, ticket, SendOutcome::Failed);
-        met.push(identifier);
+        identifiers.push(identifier);
     }
     assert_eq!(
         router.choose(now, &mut plan, Purpose::Whole),
         Choice::Exhausted
     );
-    met.sort();
-    met.dedup();
-    assert_eq!(met.len(), 3, "each try goes to another searcher");
+    identifiers.sort();
+    identifiers.dedup();
+    assert_eq!(
+        identifiers.len(),
+        3,
+        "each attempt goes to another searcher"
+    );
 }
 
 #[parameterized(
@@ -45,12 +49,12 @@
     cancelled = { SendOutcome::Cancelled, false },
     answered = { SendOutcome::Answered, false },
 )]
-fn a_request_that_runs_once_is_sent_again_only_if_it_has_not_run(
+fn a_non_idempotent_request_is_resent_only_if_it_has_not_run(
     outcome: SendOutcome,
-    again: bool,
+    is_resent: bool,
 ) {
-    let mut router = router(&plain(3), 1);
-    let now = warmed_up(&mut router);
+    let mut router = router(&plain_searchers(3), 1);
+    let now = run_until_budget_is_available(&mut router);
     let facts = RequestFacts {
         is_idempotent: false,
         ..request()
@@ -60,25 +64,25 @@
     assert_eq!(
         router.choose(now, &mut plan, Purpose::Whole),
         Choice::Exhausted,
-        "one is out"
+        "one send is in flight"
     );
     router.outcome(now, ticket, outcome);
-    assert_eq!(plan.has_not_run(), again);
+    assert_eq!(plan.has_not_run(), is_resent);
     assert_eq!(
         matches!(
             router.choose(now, &mut plan, Purpose::Whole),
             Choice::Send { .. }
         ),
-        again
+        is_resent
     );
 }
 
 #[test]
-fn the_prefill_that_is_taken_up_is_free() {
+fn the_first_accepted_prefill_is_not_an_attempt() {
     let mut router = router(&split_fleet(3, 3), 1);
     let facts = RequestFacts {
         attempts: 1,
-        ..prompt(1, 2)
+        ..streaming_request(1, 2)
     };
     let mut plan = admit(&mut router, 0, &facts);
     let (_, ticket) = send(&mut router, 0, &mut plan, Purpose::Prefill);
@@ -86,7 +90,7 @@
     assert_eq!(
         router.choose(0, &mut plan, Purpose::Prefill),
         Choice::Exhausted,
-        "a second reading isn't"
+        "a second prefill is an attempt"
     );
     send(&mut router, 0, &mut plan, Purpose::Decode);
     assert_eq!(
@@ -96,12 +100,12 @@
 }
 
 #[test]
-fn a_rejected_prefill_counts() {
+fn a_rejected_prefill_counts_as_an_attempt() {
     let mut router = router(&split_fleet(3, 3), 1);
-    let now = warmed_up(&mut router);
+    let now = run_until_budget_is_available(&mut router);
     let facts = RequestFacts {
         attempts: 1,
-        ..prompt(1, 2)
+        ..streaming_request(1, 2)
     };
     let mut plan = admit(&mut router, now, &facts);
     let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
@@ -125,8 +129,8 @@
 }
 
 #[test]
-fn nothing_is_sent_when_time_is_up() {
-    let mut router = router(&plain(3), 1);
+fn nothing_is_sent_after_the_deadline() {
+    let mut router = router(&plain_searchers(3), 1);
     let mut plan = admit(&mut router, 0, &request());
     assert_eq!(
         router.choose(5 * SECOND, &mut plan, Purpose::Whole),
@@ -135,7 +139,7 @@
 }
 
 #[test]
-fn a_request_for_a_service_without_searchers_is_refused_with_a_time() {
+fn a_request_for_a_service_without_searchers_gets_a_retry_after() {
     let mut router = router(&[], 1);
     let mut plan = admit(&mut router, 0, &request());
     let choice = router.choose(0, &mut plan, Purpose::Whole);
@@ -146,9 +150,9 @@
 }
 
 #[test]
-fn a_draining_searcher_gets_nothing() {
+fn a_draining_searcher_is_not_selected() {
     use lockusher_config::instances::InstanceState;
-    let mut list = plain(2);
+    let mut list = plain_searchers(2);
     let mut router = router(&list, 1);
     list[0].state = InstanceState::Draining;
     router.apply_instances(SECOND, &list);
@@ -160,8 +164,8 @@
     }
 }
 
-/// Lets the router run until its part of the retry budget is whole; the time then.
-fn warmed_up(router: &mut RequestRouter) -> Micros {
+/// Runs the router until its share of the retry budget is fully available; returns the time.
+fn run_until_budget_is_available(router: &mut RequestRouter) -> Micros {
     router.set_fleet_size(1);
     for step in 0..2_000 {
         let plan = admit(router, step * 20 * MS, &request());
@@ -176,13 +180,16 @@
     unreachable = { SendOutcome::Unreachable, false },
     answered = { SendOutcome::Answered, false },
 )]
-fn what_follows_a_prefill_that_gave_no_handle_is_paid_for(outcome: SendOutcome, paid: bool) {
+fn a_send_after_a_prefill_without_a_handle_is_charged_to_the_retry_budget(
+    outcome: SendOutcome,
+    is_charged: bool,
+) {
     let mut router = router(&split_fleet(4, 4), 1);
-    // Without requests and with a share of nothing, the budget has no room for a repeat.
+    // Without requests and with a negligible share of the slack, the budget has no capacity for a retry.
     router.set_fleet_size(u32::MAX);
     let facts = RequestFacts {
         attempts: 2,
-        ..prompt(1, 2)
+        ..streaming_request(1, 2)
     };
     let mut plan = admit(&mut router, 0, &facts);
     let (_, ticket) = send(&mut router, 0, &mut plan, Purpose::Prefill);
@@ -193,5 +200,5 @@
         Purpose::Whole
     };
     let exhausted = router.choose(0, &mut plan, purpose) == Choice::Exhausted;
-    assert_eq!(exhausted, paid);
+    assert_eq!(exhausted, is_charged);
 }
--- a/crates/lockusher-proxy/tests/decision_budget.rs
+++ b/crates/lockusher-proxy/tests/decision_budget.rs
@@ -6,90 +6,91 @@
 use lockusher_proxy::decision::*;
 use proptest::prelude::*;
 
-/// What happens at one proxy.
+/// A request at one proxy.
 #[derive(Clone, Copy, Debug)]
 struct Event {
     at: Micros,
     proxy: usize,
-    /// A request's sends that all fail; it is sent as often as allowed.
+    /// The attempts of the request; all its sends fail, and it is sent as often as allowed.
     attempts: u32,
-    /// The proxy loses its memory before.
+    /// Whether the proxy restarts before the request and loses its state.
     restarts: bool,
 }
 
-/// What the judge sees.
+/// The requests and retries of all proxies.
 #[derive(Default)]
-struct Seen {
+struct ObservedTraffic {
     requests: Vec<Micros>,
-    repeats: Vec<Micros>,
+    retries: Vec<Micros>,
 }
 
-impl Seen {
-    /// The greatest excess over the rule in any window, by looking at each window that ends with a repeat or
-    /// begins with one, and a few besides.
+impl ObservedTraffic {
+    /// The largest excess over the rule, over all windows that end or begin with a retry, compared with the requests of
+    /// the window itself, the preceding one, and one half a window earlier.
     fn excess(&self, window: Micros, ratio: f64, slack: f64) -> f64 {
         let starts = self
-            .repeats
+            .retries
             .iter()
             .flat_map(|at| [*at, at.saturating_sub(window)]);
         let excess = starts.map(|start| {
-            let repeats = count(&self.repeats, start, start + window);
-            let before = start.saturating_sub(window);
-            let half = start.saturating_sub(window / 2);
-            let here = count(&self.requests, start, start + window);
-            let requests = here.max(count(&self.requests, before, start)).max(count(
-                &self.requests,
-                half,
-                half + window,
-            ));
-            repeats as f64 - ratio * requests as f64 - slack
+            let retries = count(&self.retries, start, start + window);
+            let preceding_start = start.saturating_sub(window);
+            let half_earlier = start.saturating_sub(window / 2);
+            let in_window = count(&self.requests, start, start + window);
+            let requests = in_window
+                .max(count(&self.requests, preceding_start, start))
+                .max(count(&self.requests, half_earlier, half_earlier + window));
+            retries as f64 - ratio * requests as f64 - slack
         });
         excess.fold(f64::MIN, f64::max)
     }
 }
 
-fn count(of: &[Micros], from: Micros, to: Micros) -> usize {
-    of.iter().filter(|at| (from..=to).contains(*at)).count()
+fn count(times: &[Micros], start: Micros, end: Micros) -> usize {
+    times
+        .iter()
+        .filter(|at| (start..=end).contains(*at))
+        .count()
 }
 
 const PROXIES: usize = 6;
 
-fn play(events: &[Event], told: bool) -> Seen {
-    let fresh = |seed| {
-        let mut router = router(&plain(40), seed);
-        if told {
+fn run_events(events: &[Event], is_fleet_size_known: bool) -> ObservedTraffic {
+    let new_router = |seed| {
+        let mut router = router(&plain_searchers(40), seed);
+        if is_fleet_size_known {
             router.set_fleet_size(PROXIES as u32);
         }
         router
     };
-    let mut routers: Vec<RequestRouter> = (0..PROXIES as u64).map(fresh).collect();
-    let mut seen = Seen::default();
+    let mut routers: Vec<RequestRouter> = (0..PROXIES as u64).map(new_router).collect();
+    let mut observed = ObservedTraffic::default();
     for event in events {
         if event.restarts {
-            routers[event.proxy] = fresh(event.at);
-            routers[event.proxy].apply_instances(event.at, &plain(40));
+            routers[event.proxy] = new_router(event.at);
+            routers[event.proxy].apply_instances(event.at, &plain_searchers(40));
         }
         let router = &mut routers[event.proxy];
         let facts = RequestFacts {
             attempts: event.attempts,
             ..request()
         };
-        seen.requests.push(event.at);
+        observed.requests.push(event.at);
         let mut plan = admit(router, event.at, &facts);
         let mut sends = 0;
         while let Choice::Send { ticket, .. } = router.choose(event.at, &mut plan, Purpose::Whole) {
             router.outcome(event.at, ticket, SendOutcome::Failed);
             sends += 1;
             if sends > 1 {
-                seen.repeats.push(event.at);
+                observed.retries.push(event.at);
             }
         }
     }
-    seen
+    observed
 }
 
 fn events(restarts: f64) -> impl Strategy<Value = Vec<Event>> {
-    // Gaps between nothing and seconds, so that there are floods and lulls.
+    // Gaps from zero to seconds, for bursts and idle periods.
     let gap = prop_oneof![6 => 0..5 * MS, 3 => 0..200 * MS, 1 => 0..6 * SECOND];
     let event = (
         gap,
@@ -97,9 +98,9 @@
         1u32..6,
         proptest::bool::weighted(restarts.max(1e-9)),
     );
-    proptest::collection::vec(event, 1..600).prop_map(|drawn| {
+    proptest::collection::vec(event, 1..600).prop_map(|generated| {
         let mut at = 0;
-        let place = |(gap, proxy, attempts, restarts)| {
+        let to_event = |(gap, proxy, attempts, restarts)| {
             at += gap;
             Event {
                 at,
@@ -108,7 +109,7 @@
                 restarts,
             }
         };
-        drawn.into_iter().map(place).collect()
+        generated.into_iter().map(to_event).collect()
     })
 }
 
@@ -116,17 +117,17 @@
     #![proptest_config(ProptestConfig::with_cases(48))]
 
     #[test]
-    fn all_proxies_together_keep_the_budget_in_every_window(events in events(0.0), told: bool) {
+    fn the_fleet_stays_within_the_budget_in_every_window(events in events(0.0), is_fleet_size_known: bool) {
         let settings = settings();
-        let seen = play(&events, told);
+        let observed = run_events(&events, is_fleet_size_known);
         let window = settings.budget_window_ms * MS;
-        prop_assert!(seen.excess(window, settings.retry_budget_ratio, settings.retry_budget_slack) <= 1e-9);
+        prop_assert!(observed.excess(window, settings.retry_budget_ratio, settings.retry_budget_slack) <= 1e-9);
     }
 }
 
 #[test]
-fn restarts_of_all_proxies_at_once_keep_the_budget() {
-    // All fail always, at 40 requests a second and proxy, and all restart once in the middle.
+fn simultaneous_restarts_of_all_proxies_stay_within_the_budget() {
+    // All sends fail, at 40 requests per second and proxy, and all proxies restart once in the middle.
     let mut events = Vec::new();
     for step in 0..40 * 60 {
         for proxy in 0..PROXIES {
@@ -139,23 +140,23 @@
             });
         }
     }
-    let seen = play(&events, true);
+    let observed = run_events(&events, true);
     let settings = settings();
     let window = settings.budget_window_ms * MS;
     assert!(
-        seen.excess(
+        observed.excess(
             window,
             settings.retry_budget_ratio,
             settings.retry_budget_slack
         ) <= 0.0
     );
-    let share = seen.repeats.len() as f64 / seen.requests.len() as f64;
-    assert!(share > 0.05, "the budget is of use: {share}");
+    let share = observed.retries.len() as f64 / observed.requests.len() as f64;
+    assert!(share > 0.05, "the budget allows retries: {share}");
 }
 
 #[test]
-fn a_smaller_fleet_told_later_does_not_raise_the_share() {
-    let mut router = router(&plain(40), 1);
+fn a_smaller_fleet_size_received_later_does_not_raise_the_share() {
+    let mut router = router(&plain_searchers(40), 1);
     router.set_fleet_size(60);
     router.set_fleet_size(1);
     let facts = RequestFacts {
--- a/crates/lockusher-proxy/tests/decision_cost.rs
+++ b/crates/lockusher-proxy/tests/decision_cost.rs
@@ -1,4 +1,4 @@
-//! What a choice costs at 10, 100 and 840 candidates. The bound holds for optimised builds; run it by
+//! The cost of a choice at 10, 100 and 840 candidates. The bound holds for optimised builds; run them with
 //! `cargo test --release -p lockusher-proxy --test decision_cost -- --nocapture`.
 
 mod decision_support;
@@ -9,25 +9,25 @@
 use lockusher_config::instances::Stage;
 use lockusher_proxy::decision::*;
 
-/// Choices in one batch; the quickest batch counts, as others share the machine.
-const BATCH: u64 = 40;
+/// Choices per batch. The fastest batch counts, because other processes share the machine.
+const CHOICES_PER_BATCH: u64 = 40;
 
-/// Batches: at least so many, and more until one is within the bound.
-const BATCHES: u64 = 50;
-const MOST_BATCHES: u64 = 5_000;
+/// Minimum number of batches, and the maximum if none is within the bound.
+const MIN_BATCHES: u64 = 50;
+const MAX_BATCHES: u64 = 5_000;
 
 /// The bound in microseconds for one choice.
-const BOUND: f64 = 10.0;
+const MAX_CHOICE_MICROS: f64 = 10.0;
 
-/// Microseconds of one choice at so many candidates, all of them heard from.
-fn cost(candidates: usize, prompts: bool) -> f64 {
+/// Microseconds per choice among candidates that have all responded before.
+fn choice_micros(candidates: usize, with_prompts: bool) -> f64 {
     let list: Vec<_> = (0..candidates)
         .map(|number| searcher(&format!("d{number}"), "a", Some(Stage::Decode)))
         .collect();
     let mut router = router(&list, 1);
     let facts = |step: u64| {
-        if prompts {
-            prompt(step % 500, step)
+        if with_prompts {
+            streaming_request(step % 500, step)
         } else {
             request()
         }
@@ -42,48 +42,53 @@
         );
     }
     let mut now = 10 * SECOND;
-    let mut quickest = f64::MAX;
-    for batch in 0..MOST_BATCHES {
-        if batch >= BATCHES && (quickest < BOUND || cfg!(debug_assertions)) {
+    let mut fastest = f64::MAX;
+    for batch in 0..MAX_BATCHES {
+        if batch >= MIN_BATCHES && (fastest < MAX_CHOICE_MICROS || cfg!(debug_assertions)) {
             break;
         }
-        let mut spent = 0.0;
-        for step in 0..BATCH {
+        let mut total_micros = 0.0;
+        for step in 0..CHOICES_PER_BATCH {
             now += 200;
-            let mut plan = admit(&mut router, now, &facts(batch * BATCH + step));
+            let mut plan = admit(&mut router, now, &facts(batch * CHOICES_PER_BATCH + step));
             let begin = Instant::now();
             let choice = router.choose(now, &mut plan, Purpose::Whole);
-            spent += begin.elapsed().as_secs_f64() * 1e6;
+            total_micros += begin.elapsed().as_secs_f64() * 1e6;
             let Choice::Send { ticket, .. } = choice else {
-                panic!("no send")
+                panic!("expected a send")
             };
             router.outcome(now + 50 * MS, ticket, SendOutcome::Answered);
         }
-        quickest = quickest.min(spent / BATCH as f64);
+        fastest = fastest.min(total_micros / CHOICES_PER_BATCH as f64);
     }
-    quickest
+    fastest
 }
 
 #[test]
 fn a_choice_among_840_takes_under_ten_microseconds() {
     for candidates in [10, 100, 840] {
-        for prompts in [false, true] {
-            let cost = cost(candidates, prompts);
-            println!("{candidates} candidates, prompts {prompts}: {cost:.2} us a choice");
-            // Builds for debugging are some forty times as slow.
-            let bound = if cfg!(debug_assertions) {
-                100.0 * BOUND
+        for with_prompts in [false, true] {
+            let choice_micros = choice_micros(candidates, with_prompts);
+            println!(
+                "{candidates} candidates, prompts {with_prompts}: {choice_micros:.2} us per choice"
+            );
+            // Debug builds are about forty times slower.
+            let max_micros = if cfg!(debug_assertions) {
+                100.0 * MAX_CHOICE_MICROS
             } else {
-                BOUND
+                MAX_CHOICE_MICROS
             };
-            assert!(cost < bound, "{cost} us at {candidates} candidates");
+            assert!(
+                choice_micros < max_micros,
+                "{choice_micros} us per choice at {candidates} candidates"
+            );
         }
     }
 }
 
 #[test]
-fn the_memory_of_a_searcher_is_bounded() {
+fn the_size_of_a_searcher_record_is_bounded() {
     let bytes = RequestRouter::searcher_bytes();
-    println!("{bytes} bytes a searcher, besides its entry of the list");
+    println!("{bytes} bytes per searcher, excluding the strings of its instance");
     assert!(bytes <= 512);
 }
--- a/crates/lockusher-proxy/tests/decision_locality.rs
+++ b/crates/lockusher-proxy/tests/decision_locality.rs
@@ -8,21 +8,21 @@
 use lockusher_config::instances::Stage;
 use lockusher_proxy::decision::*;
 
-/// How long a prefill of so many tokens takes here.
-fn reading(tokens: u32) -> Micros {
+/// Duration of a prefill of this many tokens.
+fn prefill_time(tokens: u32) -> Micros {
     30 * MS + u64::from(tokens) * 10
 }
 
-/// Requests of all sizes, read by a prefill searcher and handed over in a time.
-fn learn(router: &mut RequestRouter, start: Micros, handover: Micros) -> Micros {
-    learn_moves(router, start, |_| handover)
+/// Sends requests of all sizes with split prefill and decode, whose transfers take `transfer_time`.
+fn train(router: &mut RequestRouter, start: Micros, transfer_time: Micros) -> Micros {
+    train_with_transfer_times(router, start, |_| transfer_time)
 }
 
-/// The same with hand-overs that take longer for longer prompts.
-fn learn_moves(
+/// The same with transfers whose duration depends on the tokens.
+fn train_with_transfer_times(
     router: &mut RequestRouter,
     start: Micros,
-    handover: impl Fn(u32) -> Micros,
+    transfer_time: impl Fn(u32) -> Micros,
 ) -> Micros {
     let mut now = start;
     for step in 0..200u64 {
@@ -34,16 +34,16 @@
                 tokens,
             }],
             tokens_in: tokens,
-            ..prompt(1, 1)
+            ..streaming_request(1, 1)
         };
         let mut plan = admit(router, now, &facts);
         let (_, ticket) = send(router, now, &mut plan, Purpose::Prefill);
-        let read = now + reading(tokens);
-        router.outcome(read, ticket, SendOutcome::Answered);
-        let (_, ticket) = send(router, read, &mut plan, Purpose::Decode);
-        let moved = read + handover(tokens);
-        router.outcome(moved, ticket, SendOutcome::FirstEvent);
-        router.outcome(moved + 20 * MS, ticket, SendOutcome::Answered);
+        let prefilled_at = now + prefill_time(tokens);
+        router.outcome(prefilled_at, ticket, SendOutcome::Answered);
+        let (_, ticket) = send(router, prefilled_at, &mut plan, Purpose::Decode);
+        let first_event_at = prefilled_at + transfer_time(tokens);
+        router.outcome(first_event_at, ticket, SendOutcome::FirstEvent);
+        router.outcome(first_event_at + 20 * MS, ticket, SendOutcome::Answered);
     }
     now + SECOND
 }
@@ -52,49 +52,49 @@
     let facts = RequestFacts {
         prompt: vec![PromptPart { id: 9, tokens }],
         tokens_in: tokens,
-        ..prompt(1, 1)
+        ..streaming_request(1, 1)
     };
     let plan = admit(router, now, &facts);
     router.split(now, &plan)
 }
 
 #[test]
-fn long_prompts_are_handed_over_and_short_ones_are_not() {
+fn long_prompts_are_split_and_short_ones_are_not() {
     let mut router = router(&split_fleet(3, 3), 1);
     assert!(
         splits(&mut router, 0, 16_000),
-        "nothing is known against it"
+        "split until both stages are measured"
     );
-    let now = learn(&mut router, 0, 20 * MS);
+    let now = train(&mut router, 0, 20 * MS);
     assert!(splits(&mut router, now, 16_000));
     assert!(!splits(&mut router, now, 50));
 }
 
 #[test]
-fn slow_links_move_the_break_even() {
-    let least = |micros_per_token: Micros| {
+fn slow_links_raise_the_break_even_prompt_length() {
+    let break_even = |micros_per_token: Micros| {
         let mut router = router(&split_fleet(3, 3), 1);
-        let move_time = |tokens: u32| 5 * MS + u64::from(tokens) * micros_per_token;
-        let now = learn_moves(&mut router, 0, move_time);
+        let transfer_time = |tokens: u32| 5 * MS + u64::from(tokens) * micros_per_token;
+        let now = train_with_transfer_times(&mut router, 0, transfer_time);
         let sizes = (1..80).map(|step| step * 200);
         sizes
             .into_iter()
             .find(|tokens| splits(&mut router, now, *tokens))
             .unwrap_or(u32::MAX)
     };
-    let (quick, slow) = (least(1), least(100));
-    assert!(quick < slow, "{quick} and {slow}");
+    let (fast, slow) = (break_even(1), break_even(100));
+    assert!(fast < slow, "{fast} and {slow}");
 }
 
 #[test]
-fn without_a_stage_nothing_is_split() {
-    let readers: Vec<_> = split_fleet(3, 0);
-    let mut router = router(&readers, 1);
+fn nothing_is_split_if_a_stage_has_no_searchers() {
+    let prefill_searchers: Vec<_> = split_fleet(3, 0);
+    let mut router = router(&prefill_searchers, 1);
     assert!(!splits(&mut router, 0, 16_000));
-    let makers: Vec<_> = split_fleet(0, 3);
-    router.apply_instances(SECOND, &makers);
+    let decode_searchers: Vec<_> = split_fleet(0, 3);
+    router.apply_instances(SECOND, &decode_searchers);
     assert!(!splits(&mut router, SECOND, 16_000));
-    let mut plan = admit(&mut router, SECOND, &prompt(1, 2));
+    let mut plan = admit(&mut router, SECOND, &streaming_request(1, 2));
     assert_eq!(
         send(&mut router, SECOND, &mut plan, Purpose::Whole)
             .0
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn the_own_zone_is_preferred_but_not_at_any_price() {
+fn the_local_zone_is_preferred_until_it_is_busy() {
     let mut list = vec![
         searcher("near", "a", None),
         searcher("far", "b", None),
@@ -112,7 +112,7 @@
     ];
     list.push(searcher("near2", "a", None));
     let mut router = router(&list, 1);
-    let mut near = 0;
+    let mut local = 0;
     for step in 0..200 {
         let identifier = serve(
             &mut router,
@@ -121,24 +121,27 @@
             Purpose::Whole,
             20 * MS,
         );
-        near += u32::from(identifier.starts_with("near"));
+        local += u32::from(identifier.starts_with("near"));
         assert_ne!(identifier, "abroad");
     }
-    assert!(near >= 150, "{near} of 200");
-    // Both near ones are busy: the other zone takes over.
+    assert!(local >= 150, "{local} of 200");
+    // Both searchers in the local zone are busy: the other zone takes over.
     let now = 60 * SECOND;
-    let met: Vec<String> = (0..6)
+    let identifiers: Vec<String> = (0..6)
         .map(|_| {
             let mut plan = admit(&mut router, now, &request());
             send(&mut router, now, &mut plan, Purpose::Whole).0
         })
         .collect();
-    assert!(met.iter().any(|identifier| identifier == "far"), "{met:?}");
+    assert!(
+        identifiers.iter().any(|identifier| identifier == "far"),
+        "{identifiers:?}"
+    );
 }
 
 #[test]
-fn the_pair_is_preferably_in_one_zone() {
-    // The hand-over is a large part of the time here.
+fn decode_is_preferred_in_the_zone_of_the_prefill() {
+    // Makes the KV transfer a large part of the total time.
     let mut configuration = configuration().as_ref().clone();
     if let Some(engine) = &mut configuration.services[0].engine {
         engine.link_mbps = 20_000.0;
@@ -151,13 +154,13 @@
     ];
     let mut router = router(&list, 1);
     router.apply_configuration(0, Rc::new(configuration));
-    let now = learn(&mut router, 0, 60 * MS);
-    let mut together = 0;
+    let now = train(&mut router, 0, 60 * MS);
+    let mut same_zone = 0;
     for step in 0..50 {
         let now = now + step * 500 * MS;
         let facts = RequestFacts {
             prompt: Vec::new(),
-            ..prompt(1, 1)
+            ..streaming_request(1, 1)
         };
         let mut plan = admit(&mut router, now, &facts);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
@@ -165,72 +168,72 @@
         let (identifier, ticket) = send(&mut router, now + 100 * MS, &mut plan, Purpose::Decode);
         router.outcome(now + 160 * MS, ticket, SendOutcome::FirstEvent);
         router.outcome(now + 200 * MS, ticket, SendOutcome::Answered);
-        together += u32::from(identifier == "d1");
+        same_zone += u32::from(identifier == "d1");
     }
-    assert!(together >= 40, "{together} of 50");
+    assert!(same_zone >= 40, "{same_zone} of 50");
 }
 
-/// Where all prefill searchers are late, their number is to grow: prompts that evade them keep decode searchers from
-/// making tokens, and who evades for good never learns that the wait is over.
+/// If all prefill searchers are late, their number should grow. Prompts moved to decode searchers would keep these from
+/// decoding, and a proxy that no longer sends prefills would not observe the end of the wait.
 #[test]
-fn waits_at_prefill_searchers_send_no_prompt_to_decode_searchers() {
+fn long_prefill_waits_do_not_move_long_prompts_to_decode_searchers() {
     let mut router = router(&split_fleet(3, 3), 1);
-    let mut now = learn(&mut router, 0, 20 * MS);
+    let mut now = train(&mut router, 0, 20 * MS);
     for step in 0..200u64 {
         now += 20 * MS;
         let facts = RequestFacts {
             target_latency_ms: 3_600_000,
-            ..prompt(1, 5_000 + step)
+            ..streaming_request(1, 5_000 + step)
         };
         let mut plan = admit(&mut router, now, &facts);
-        assert!(router.split(now, &plan), "after {step} late answers");
+        assert!(router.split(now, &plan), "after {step} late prefills");
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
         router.outcome(now + 3 * SECOND, ticket, SendOutcome::Answered);
     }
-    let plan = admit(&mut router, now, &prompt(1, 9_999));
+    let plan = admit(&mut router, now, &streaming_request(1, 9_999));
     assert!(router.split(now, &plan));
     assert!(router.split(now + 30 * SECOND, &plan));
 }
 
-/// Prefill searchers take three seconds for everything for a while; decode searchers take this long to begin.
-fn after_slow_reading(decode: Micros) -> (RequestRouter, Micros) {
+/// Prefill searchers take three seconds for every prompt for a while; decode searchers respond after `decode`.
+fn after_slow_prefills(decode_time: Micros) -> (RequestRouter, Micros) {
     let mut router = router(&split_fleet(3, 3), 1);
-    let mut now = learn(&mut router, 0, 20 * MS);
+    let mut now = train(&mut router, 0, 20 * MS);
     for step in 0..60u64 {
         now += 20 * MS;
         let facts = RequestFacts {
             target_latency_ms: 3_600_000,
-            ..prompt(1, 5_000 + step)
+            ..streaming_request(1, 5_000 + step)
         };
         let mut plan = admit(&mut router, now, &facts);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
         router.outcome(now + 3 * SECOND, ticket, SendOutcome::Answered);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
-        router.outcome(now + decode, ticket, SendOutcome::FirstEvent);
-        router.outcome(now + decode + 20 * MS, ticket, SendOutcome::Answered);
+        router.outcome(now + decode_time, ticket, SendOutcome::FirstEvent);
+        router.outcome(now + decode_time + 20 * MS, ticket, SendOutcome::Answered);
     }
     (router, now)
 }
 
 #[test]
-fn short_prompts_evade_long_waits_to_idle_decode_searchers() {
-    let (mut router, now) = after_slow_reading(20 * MS);
+fn short_prompts_move_to_idle_decode_searchers_during_long_prefill_waits() {
+    let (mut router, now) = after_slow_prefills(20 * MS);
     assert!(
         !splits(&mut router, now, 500),
-        "short, and decode searchers are idle"
+        "a short prompt, and decode searchers are idle"
     );
-    assert!(splits(&mut router, now, 16_000), "long");
+    assert!(splits(&mut router, now, 16_000), "a long prompt");
 }
 
 #[test]
-fn short_prompts_do_not_clog_busy_decode_searchers() {
-    let (mut router, now) = after_slow_reading(2 * SECOND);
+fn short_prompts_do_not_move_to_busy_decode_searchers() {
+    let (mut router, now) = after_slow_prefills(2 * SECOND);
     assert!(splits(&mut router, now, 500));
 }
 
 #[test]
-fn short_prompts_are_handed_over_while_prefill_searchers_are_quick() {
+fn short_prompts_are_split_while_prefill_searchers_are_fast() {
     let mut router = router(&split_fleet(3, 3), 1);
-    let now = learn(&mut router, 0, 20 * MS);
+    let now = train(&mut router, 0, 20 * MS);
     assert!(splits(&mut router, now, 500));
 }
--- a/crates/lockusher-proxy/tests/decision_outliers.rs
+++ b/crates/lockusher-proxy/tests/decision_outliers.rs
@@ -1,4 +1,4 @@
-//! Searchers that err, hang, were slow once, or have just come: how much traffic they get.
+//! The traffic of searchers that fail, hang, were slow once, or are new.
 
 mod decision_support;
 
@@ -8,18 +8,18 @@
 use lockusher_proxy::decision::*;
 use yare::parameterized;
 
-/// Requests of a test, ten milliseconds apart.
+/// Time between two requests: ten milliseconds.
 const GAP: Micros = 10 * MS;
 
-/// One searcher's way to end its sends.
+/// How a faulty searcher ends its sends.
 #[derive(Clone, Copy, Debug)]
 struct Fault {
     outcome: SendOutcome,
-    takes: Micros,
+    duration: Micros,
 }
 
-/// Sends so many requests one after the other; `p0` ends them by its fault, the others answer in 30 ms. The
-/// number of sends to each.
+/// Sends requests one after the other. `p0` ends them with its fault, the others respond in 30 ms. Returns the number
+/// of sends by searcher.
 fn flow(
     router: &mut RequestRouter,
     start: Micros,
@@ -27,66 +27,71 @@
     fault: Option<Fault>,
 ) -> HashMap<String, u64> {
     let mut sends: HashMap<String, u64> = HashMap::new();
-    let mut out: Vec<(Micros, SendTicket, SendOutcome)> = Vec::new();
+    let mut in_flight: Vec<(Micros, SendTicket, SendOutcome)> = Vec::new();
     for step in 0..requests {
         let now = start + step * GAP;
-        out.sort_by_key(|(at, ..)| *at);
-        while let Some((at, ticket, outcome)) = out.first().copied().filter(|(at, ..)| *at <= now) {
+        in_flight.sort_by_key(|(at, ..)| *at);
+        while let Some((at, ticket, outcome)) =
+            in_flight.first().copied().filter(|(at, ..)| *at <= now)
+        {
             router.outcome(at, ticket, outcome);
-            out.remove(0);
+            in_flight.remove(0);
         }
         let mut plan = admit(router, now, &request());
         let (identifier, ticket) = send(router, now, &mut plan, Purpose::Whole);
-        let good = Fault {
+        let healthy = Fault {
             outcome: SendOutcome::Answered,
-            takes: 30 * MS + step % 5 * MS,
+            duration: 30 * MS + step % 5 * MS,
         };
-        let fault = fault.filter(|_| identifier == "p0").unwrap_or(good);
-        out.push((now + fault.takes, ticket, fault.outcome));
+        let fault = fault.filter(|_| identifier == "p0").unwrap_or(healthy);
+        in_flight.push((now + fault.duration, ticket, fault.outcome));
         *sends.entry(identifier).or_default() += 1;
     }
-    for (at, ticket, outcome) in out {
+    for (at, ticket, outcome) in in_flight {
         router.outcome(at, ticket, outcome);
     }
     sends
 }
 
 #[parameterized(
-    errs_fast = { SendOutcome::Failed, 1 },
+    fails_fast = { SendOutcome::Failed, 1 },
     refuses_connections = { SendOutcome::Unreachable, 1 },
-    belongs_to_others = { SendOutcome::Misdirected, 1 },
-    errs_slowly = { SendOutcome::Failed, 300 },
-    is_silent = { SendOutcome::TimedOut, 5_000 },
+    is_misdirected = { SendOutcome::Misdirected, 1 },
+    fails_slowly = { SendOutcome::Failed, 300 },
+    times_out = { SendOutcome::TimedOut, 5_000 },
 )]
-fn one_that_fails_loses_its_traffic_but_is_tried_again(outcome: SendOutcome, takes_ms: u64) {
-    let mut router = router(&plain(5), 3);
+fn a_failing_searcher_loses_its_traffic_but_is_probed(outcome: SendOutcome, duration_ms: u64) {
+    let mut router = router(&plain_searchers(5), 3);
     flow(&mut router, 0, 200, None);
     let fault = Fault {
         outcome,
-        takes: takes_ms * MS,
+        duration: duration_ms * MS,
     };
     let at_first = flow(&mut router, 3 * SECOND, 100, Some(fault));
     assert!(
         at_first.get("p0").is_none_or(|sends| *sends <= 20),
         "{at_first:?}"
     );
-    // Sixty seconds of it.
+    // Sixty seconds of the fault.
     let later = flow(&mut router, 15 * SECOND, 6_000, Some(fault));
-    let tried = later.get("p0").copied().unwrap_or(0);
-    assert!((1..=40).contains(&tried), "{later:?}");
-    // Once it is well again it gets its share back in a while.
+    let probes = later.get("p0").copied().unwrap_or(0);
+    assert!((1..=40).contains(&probes), "{later:?}");
+    // After its recovery it regains its share of the requests within a while.
     flow(&mut router, 90 * SECOND, 6_000, None);
-    let well = flow(&mut router, 160 * SECOND, 1_000, None);
-    assert!(well.get("p0").is_some_and(|sends| *sends > 80), "{well:?}");
+    let recovered = flow(&mut router, 160 * SECOND, 1_000, None);
+    assert!(
+        recovered.get("p0").is_some_and(|sends| *sends > 80),
+        "{recovered:?}"
+    );
 }
 
 #[test]
-fn one_that_was_slow_once_recovers() {
-    let mut router = router(&plain(5), 3);
+fn a_searcher_that_was_slow_once_recovers() {
+    let mut router = router(&plain_searchers(5), 3);
     flow(&mut router, 0, 200, None);
     let slow = Fault {
         outcome: SendOutcome::Answered,
-        takes: 600 * MS,
+        duration: 600 * MS,
     };
     let while_slow = flow(&mut router, 3 * SECOND, 500, Some(slow));
     assert!(while_slow["p0"] < 40, "{while_slow:?}");
@@ -96,47 +101,47 @@
 }
 
 #[test]
-fn where_all_look_bad_none_is_ruled_out() {
-    let mut router = router(&plain(5), 3);
-    let mut met: HashMap<String, u64> = HashMap::new();
+fn no_searcher_is_ejected_if_all_fail() {
+    let mut router = router(&plain_searchers(5), 3);
+    let mut sends: HashMap<String, u64> = HashMap::new();
     for step in 0..500 {
         let now = step * GAP;
         let mut plan = admit(&mut router, now, &request());
         let (identifier, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
         router.outcome(now + MS, ticket, SendOutcome::Failed);
-        *met.entry(identifier).or_default() += 1;
+        *sends.entry(identifier).or_default() += 1;
     }
     assert!(
-        met.len() == 5 && met.values().all(|sends| *sends > 40),
-        "{met:?}"
+        sends.len() == 5 && sends.values().all(|count| *count > 40),
+        "{sends:?}"
     );
 }
 
 #[test]
-fn the_last_one_is_not_ruled_out() {
-    let mut router = router(&plain(1), 3);
+fn the_last_searcher_is_not_ejected() {
+    let mut router = router(&plain_searchers(1), 3);
     let fault = Fault {
         outcome: SendOutcome::Failed,
-        takes: MS,
+        duration: MS,
     };
     assert_eq!(flow(&mut router, 0, 100, Some(fault))["p0"], 100);
 }
 
 #[test]
-fn one_that_has_just_come_draws_no_rush() {
-    // Sixty proxies with a few requests out at each of ten searchers; one more comes.
-    let mut list = plain(10);
+fn a_new_searcher_is_not_flooded() {
+    // Sixty proxies with a few requests in flight at each of ten searchers; one searcher is added.
+    let mut list = plain_searchers(10);
     let mut routers: Vec<RequestRouter> = (0..60).map(|seed| router(&list, seed)).collect();
     let mut now = 0;
-    let mut out: Vec<(usize, SendTicket)> = Vec::new();
+    let mut in_flight: Vec<(usize, SendTicket)> = Vec::new();
     for _ in 0..40 {
         now += GAP;
         for (number, router) in routers.iter_mut().enumerate() {
             let mut plan = admit(router, now, &request());
-            out.push((number, send(router, now, &mut plan, Purpose::Whole).1));
+            in_flight.push((number, send(router, now, &mut plan, Purpose::Whole).1));
         }
-        while out.len() > 60 * 20 {
-            let (number, ticket) = out.remove(0);
+        while in_flight.len() > 60 * 20 {
+            let (number, ticket) = in_flight.remove(0);
             routers[number].outcome(now, ticket, SendOutcome::Answered);
         }
     }
@@ -145,7 +150,7 @@
     for router in &mut routers {
         router.apply_instances(now, &list);
     }
-    // In the first tenth of a second after it came: its share of 600 sends would be 55.
+    // In the first tenth of a second after it was added, its equal share of 600 sends would be 55.
     for _ in 0..10 {
         now += GAP;
         for router in &mut routers {
--- a/crates/lockusher-proxy/tests/decision_priority.rs
+++ b/crates/lockusher-proxy/tests/decision_priority.rs
@@ -1,17 +1,17 @@
-//! The urgency of sends: prefill calls by what is to be read, all else by the route's rank.
+//! The priority of sends: prefill calls by the tokens to prefill, all others by the route's priority.
 
 mod decision_support;
 
 use decision_support::*;
 use lockusher_proxy::decision::*;
 
-/// A stream of one part, with a rank of its route.
+/// A streaming request with a prompt of one part and the priority of its route.
 fn one_part(id: u64, tokens: u32, priority: u8) -> RequestFacts {
     RequestFacts {
         prompt: vec![PromptPart { id, tokens }],
         tokens_in: tokens,
         priority,
-        ..prompt(1, 1)
+        ..streaming_request(1, 1)
     }
 }
 
@@ -19,12 +19,12 @@
     let mut plan = admit(router, now, facts);
     match router.choose(now, &mut plan, purpose) {
         Choice::Send { priority, .. } => priority,
-        other => panic!("no send: {other:?}"),
+        choice => panic!("expected a send, got {choice:?}"),
     }
 }
 
-/// Prompts of 1,000 to 7,000 tokens were read: 4,000 is the mean.
-fn after_readings() -> (RequestRouter, Micros) {
+/// A router after prefills of 1,000 to 7,000 tokens, with a mean of 4,000.
+fn after_prefills() -> (RequestRouter, Micros) {
     let mut router = router(&split_fleet(3, 3), 1);
     let mut now = 0;
     for step in 0..350u64 {
@@ -36,24 +36,24 @@
 }
 
 #[test]
-fn a_prefill_call_is_the_more_urgent_the_less_it_reads_whatever_its_routes_rank() {
-    let (mut router, now) = after_readings();
+fn shorter_prefills_have_higher_priority_whatever_their_route() {
+    let (mut router, now) = after_prefills();
     let sizes = [
         10, 125, 500, 1_000, 2_000, 4_000, 8_000, 16_000, 64_000, 2_000_000,
     ];
-    let mut found = Vec::new();
+    let mut priorities = Vec::new();
     for (number, tokens) in sizes.into_iter().enumerate() {
-        // The longest are of the most urgent route.
+        // The longest prompts belong to the route with the highest priority.
         let facts = one_part(9_000 + number as u64, tokens, 9 - number as u8);
-        found.push(priority(&mut router, now, &facts, Purpose::Prefill));
+        priorities.push(priority(&mut router, now, &facts, Purpose::Prefill));
     }
-    assert_eq!(found, [0, 0, 2, 3, 4, 5, 6, 7, 9, 9]);
+    assert_eq!(priorities, [0, 0, 2, 3, 4, 5, 6, 7, 9, 9]);
 }
 
 #[test]
-fn what_a_searcher_holds_already_makes_a_prefill_call_more_urgent() {
-    let (mut router, now) = after_readings();
-    let shares = RequestFacts {
+fn cached_tokens_raise_the_priority_of_a_prefill() {
+    let (mut router, now) = after_prefills();
+    let shared = RequestFacts {
         prompt: vec![
             PromptPart {
                 id: 70,
@@ -65,10 +65,10 @@
             },
         ],
         tokens_in: 16_000,
-        ..prompt(1, 1)
+        ..streaming_request(1, 1)
     };
-    // The home of shared parts is taken to hold them.
-    assert_eq!(priority(&mut router, now, &shares, Purpose::Prefill), 4);
+    // The affinity target is assumed to have cached the shared parts.
+    assert_eq!(priority(&mut router, now, &shared, Purpose::Prefill), 4);
     assert_eq!(
         priority(&mut router, now, &one_part(72, 16_000, 0), Purpose::Prefill),
         7
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn before_anything_was_read_a_prefill_call_has_the_urgency_of_a_request_without_one() {
+fn the_first_prefills_have_the_default_priority() {
     let mut router = router(&split_fleet(3, 3), 1);
     assert_eq!(
         priority(&mut router, 0, &one_part(1, 100, 0), Purpose::Prefill),
@@ -89,12 +89,17 @@
 }
 
 #[test]
-fn sends_that_run_a_request_have_the_rank_of_its_route() {
-    let (mut router, now) = after_readings();
-    for (rank, expected) in [(0, 0), (3, 3), (9, 9), (200, 9)] {
+fn sends_that_run_a_request_have_the_priority_of_its_route() {
+    let (mut router, now) = after_prefills();
+    for (route_priority, expected) in [(0, 0), (3, 3), (9, 9), (200, 9)] {
         for purpose in [Purpose::Whole, Purpose::Decode] {
             assert_eq!(
-                priority(&mut router, now, &one_part(50, 100, rank), purpose),
+                priority(
+                    &mut router,
+                    now,
+                    &one_part(50, 100, route_priority),
+                    purpose
+                ),
                 expected
             );
         }
--- a/crates/lockusher-proxy/tests/decision_support/choosers.rs
+++ b/crates/lockusher-proxy/tests/decision_support/choosers.rs
@@ -1,4 +1,4 @@
-//! The router and the plain ways to choose that it is compared with.
+//! The router and the baseline policies that it is compared with.
 
 use std::collections::HashMap;
 
@@ -7,48 +7,52 @@
 
 use super::fleet::Chooser;
 
-/// The proxy's own decisions.
-pub struct Directed {
+/// A proxy that uses the request router.
+pub struct RouterChooser {
     router: RequestRouter,
     plans: HashMap<usize, RequestPlan>,
     tickets: HashMap<(usize, Purpose), SendTicket>,
     always_split: bool,
-    /// Whether requests are admitted as though clients gave them all the time in the world.
-    no_gate: bool,
+    /// Whether requests are admitted with a client timeout too long for admission control to act.
+    without_admission_control: bool,
 }
 
-impl Directed {
-    /// A proxy's router; `always_split` leaves no choice where prompts are read.
+impl RouterChooser {
+    /// Creates a proxy; `always_split` overrides the router's decision whether to split.
     pub fn new(router: RequestRouter, always_split: bool) -> Self {
-        Directed {
+        RouterChooser {
             router,
             plans: HashMap::new(),
             tickets: HashMap::new(),
             always_split,
-            no_gate: false,
+            without_admission_control: false,
         }
     }
 
-    /// The same without a gate at admission.
-    pub fn without_gate(router: RequestRouter) -> Self {
-        Directed {
-            no_gate: true,
-            ..Directed::new(router, false)
+    /// Creates a proxy without admission control.
+    pub fn without_admission_control(router: RequestRouter) -> Self {
+        RouterChooser {
+            without_admission_control: true,
+            ..RouterChooser::new(router, false)
         }
     }
 }
 
-impl Chooser for Directed {
+impl Chooser for RouterChooser {
     fn admit(&mut self, now: Micros, request: usize, facts: &RequestFacts) -> Result<(), u64> {
-        let patient = RequestFacts {
+        let unlimited = RequestFacts {
             kind: RouteKind::Idempotent,
             remaining_ms: 3_600_000,
             ..facts.clone()
         };
-        match self
-            .router
-            .admit(now, if self.no_gate { &patient } else { facts })
-        {
+        match self.router.admit(
+            now,
+            if self.without_admission_control {
+                &unlimited
+            } else {
+                facts
+            },
+        ) {
             Admission::Go(plan) => {
                 self.plans.insert(request, plan);
                 Ok(())
@@ -57,7 +61,7 @@
         }
     }
 
-    fn split(&mut self, now: Micros, request: usize, _facts: &RequestFacts) -> bool {
+    fn should_split(&mut self, now: Micros, request: usize, _facts: &RequestFacts) -> bool {
         self.always_split || self.router.split(now, &self.plans[&request])
     }
 
@@ -95,40 +99,40 @@
     }
 }
 
-/// Plain ways to choose.
+/// Baseline policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plain {
+pub enum Baseline {
     RoundRobin,
-    /// The fewest own requests out.
+    /// The fewest own requests in flight.
     LeastLoaded,
-    /// The prefill searcher by a hash of the shared parts, whatever its load; decode by least load.
+    /// Prefill by a hash of the shared parts, regardless of load; decode by least load.
     PrefixHash,
 }
 
-/// A proxy that chooses in a plain way and always splits.
-pub struct PlainChooser {
-    way: Plain,
-    turn: [usize; 2],
-    out: [Vec<usize>; 2],
+/// A proxy that uses a baseline policy and always splits.
+pub struct BaselineChooser {
+    baseline: Baseline,
+    next: [usize; 2],
+    in_flight: [Vec<usize>; 2],
 }
 
-impl PlainChooser {
-    /// A proxy that begins its turns at a number of its own.
-    pub fn new(way: Plain, prefill: usize, decode: usize, proxy: usize) -> Self {
-        PlainChooser {
-            way,
-            turn: [proxy, proxy],
-            out: [vec![0; prefill], vec![0; decode]],
+impl BaselineChooser {
+    /// Creates a proxy that starts its round robin at its own number.
+    pub fn new(baseline: Baseline, prefill: usize, decode: usize, proxy: usize) -> Self {
+        BaselineChooser {
+            baseline,
+            next: [proxy, proxy],
+            in_flight: [vec![0; prefill], vec![0; decode]],
         }
     }
 }
 
-fn side(purpose: Purpose) -> usize {
+fn stage_index(purpose: Purpose) -> usize {
     usize::from(purpose != Purpose::Prefill)
 }
 
-impl Chooser for PlainChooser {
-    fn split(&mut self, _now: Micros, _request: usize, _facts: &RequestFacts) -> bool {
+impl Chooser for BaselineChooser {
+    fn should_split(&mut self, _now: Micros, _request: usize, _facts: &RequestFacts) -> bool {
         true
     }
 
@@ -139,25 +143,25 @@
         facts: &RequestFacts,
         purpose: Purpose,
     ) -> Option<usize> {
-        let side = side(purpose);
-        let count = self.out[side].len();
-        self.turn[side] += 1;
-        let turn = self.turn[side] % count;
-        let least = (0..count)
-            .map(|step| (turn + step) % count)
-            .min_by_key(|number| self.out[side][*number]);
-        let chosen = match (self.way, purpose) {
-            (Plain::RoundRobin, _) => turn,
-            (Plain::PrefixHash, Purpose::Prefill) => {
+        let stage_index = stage_index(purpose);
+        let count = self.in_flight[stage_index].len();
+        self.next[stage_index] += 1;
+        let next_number = self.next[stage_index] % count;
+        let least_loaded = (0..count)
+            .map(|offset| (next_number + offset) % count)
+            .min_by_key(|number| self.in_flight[stage_index][*number]);
+        let chosen = match (self.baseline, purpose) {
+            (Baseline::RoundRobin, _) => next_number,
+            (Baseline::PrefixHash, Purpose::Prefill) => {
                 let shared = &facts.prompt[..facts.prompt.len() - 1];
                 let hash = shared.iter().fold(7u64, |hash, part| {
                     (hash ^ part.id).wrapping_mul(0x9e37_79b9_7f4a_7c15)
                 });
                 (hash >> 32) as usize % count
             }
-            _ => least?,
+            _ => least_loaded?,
         };
-        self.out[side][chosen] += 1;
+        self.in_flight[stage_index][chosen] += 1;
         Some(chosen)
     }
 
@@ -170,7 +174,7 @@
         outcome: SendOutcome,
     ) {
         if outcome != SendOutcome::FirstEvent {
-            self.out[side(purpose)][searcher] -= 1;
+            self.in_flight[stage_index(purpose)][searcher] -= 1;
         }
     }
 }
--- a/crates/lockusher-proxy/tests/decision_support/fleet.rs
+++ b/crates/lockusher-proxy/tests/decision_support/fleet.rs
@@ -1,4 +1,4 @@
-//! Proxies before the model's searchers, in virtual time.
+//! A discrete-event simulation of proxies and the modelled searchers, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -7,13 +7,13 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::engine::{Done, Engine, Speeds};
+use super::engine::{CallResult, Engine, Speeds};
 use super::{MS, SECOND};
 
-/// How a proxy chooses.
+/// How a proxy chooses searchers.
 pub trait Chooser {
-    /// The searcher for a send, by number among those of its stage; nothing if the request is to be read in
-    /// place (asked for prefill only) or not at all.
+    /// The searcher for a send, by its number in its stage; `None` to prefill in place (for prefill only) or not to
+    /// send at all.
     fn choose(
         &mut self,
         now: Micros,
@@ -21,13 +21,13 @@
         facts: &RequestFacts,
         purpose: Purpose,
     ) -> Option<usize>;
-    /// Takes a request or says when to come back, in milliseconds.
+    /// Admits a request or returns the retry delay in milliseconds.
     fn admit(&mut self, _now: Micros, _request: usize, _facts: &RequestFacts) -> Result<(), u64> {
         Ok(())
     }
-    /// Whether a prefill searcher reads this request's prompt.
-    fn split(&mut self, now: Micros, request: usize, facts: &RequestFacts) -> bool;
-    /// What became of a send.
+    /// Whether a prefill searcher prefills this request's prompt.
+    fn should_split(&mut self, now: Micros, request: usize, facts: &RequestFacts) -> bool;
+    /// Records the outcome of a send.
     fn outcome(
         &mut self,
         now: Micros,
@@ -38,97 +38,97 @@
     );
 }
 
-/// A kind of request.
+/// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Kind {
-    pub per_second: f64,
-    /// For each shared part: how many different ones there are, and the tokens of each.
+pub struct RequestClass {
+    pub requests_per_s: f64,
+    /// For each shared part: the number of variants, and the tokens of each.
     pub shared: Vec<(u64, u32)>,
     pub own_tokens: u32,
-    pub out_tokens: u32,
+    pub output_tokens: u32,
     pub target_ms: u64,
     pub deadline_ms: u64,
     pub priority: u8,
-    /// What an answer in time earns, and a late one.
-    pub worth: f64,
-    pub late_worth: f64,
+    /// The value of a response in time, and of a late one.
+    pub value: f64,
+    pub late_value: f64,
 }
 
-/// A day of the model.
+/// One simulated scenario.
 #[derive(Clone, Debug)]
-pub struct Day {
-    pub kinds: Vec<Kind>,
+pub struct Scenario {
+    pub classes: Vec<RequestClass>,
     pub proxies: usize,
     pub prefill: usize,
     pub decode: usize,
-    /// Zones over which searchers and proxies are spread in turn.
+    /// Number of zones over which searchers and proxies are distributed in turn.
     pub zones: usize,
     pub seconds: u64,
     pub speeds: Speeds,
-    pub again: Micros,
+    pub repeated_prefill_window: Micros,
     pub seed: u64,
-    /// Slowness of single prefill searchers.
+    /// Slowness factors of individual prefill searchers.
     pub slow_prefill: Vec<(usize, f64)>,
-    /// Slowness of single decode searchers.
+    /// Slowness factors of individual decode searchers.
     pub slow_decode: Vec<(usize, f64)>,
 }
 
-/// What a day came to.
+/// The results of a scenario.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct Results {
     pub requests: usize,
-    /// First event in time.
+    /// Requests whose first event arrived within the target latency.
     pub in_time: usize,
-    pub first_ms: Vec<f64>,
-    /// Tokens read.
-    pub read: u64,
-    /// Tokens of shared parts read though some searcher of the day had them in use less than `again` before.
-    pub read_again: u64,
+    pub first_event_ms: Vec<f64>,
+    /// Tokens prefilled.
+    pub prefilled: u64,
+    /// Tokens of shared parts prefilled though some searcher had used them less than `repeated_prefill_window` before.
+    pub prefilled_again: u64,
     pub in_place: usize,
-    /// Tokens that were handed over within a zone, and between zones.
-    pub moved: [u64; 2],
-    /// Refusals, of first tries and of second ones.
+    /// Tokens transferred within a zone, and between zones.
+    pub transferred: [u64; 2],
+    /// Refusals of first requests and of retries.
     pub refused: [usize; 2],
-    pub earned: f64,
-    pub owed: f64,
-    /// By kind: requests, and those whose first event came before the deadline.
-    pub kinds: Vec<(usize, usize)>,
-    /// By kind: first tries that were refused.
-    pub refused_kinds: Vec<usize>,
-    /// The same for the largest tenth of all prompts, by their own parts.
+    pub value_earned: f64,
+    pub value_offered: f64,
+    /// By class: requests, and those whose first event arrived before the deadline.
+    pub classes: Vec<(usize, usize)>,
+    /// By class: refused first requests.
+    pub refused_by_class: Vec<usize>,
+    /// The same as `classes` for the largest tenth of all prompts, by their own parts.
     pub largest: (usize, usize),
     /// Prefill sends by searcher.
     pub prefills: Vec<usize>,
 }
 
-impl Figures {
-    /// The time to the first event that a share of the requests keeps, in milliseconds.
+impl Results {
+    /// A quantile of the time to the first event, in milliseconds.
     pub fn first_event(&self, share: f64) -> f64 {
-        let mut sorted = self.first_ms.clone();
+        let mut sorted = self.first_event_ms.clone();
         sorted.sort_by(f64::total_cmp);
         sorted[((sorted.len() - 1) as f64 * share) as usize]
     }
 
     /// The mean time to the first event in milliseconds.
     pub fn mean(&self) -> f64 {
-        self.first_ms.iter().sum::<f64>() / self.first_ms.len() as f64
+        self.first_event_ms.iter().sum::<f64>() / self.first_event_ms.len() as f64
     }
 
-    /// One line of figures.
-    pub fn line(&self) -> String {
+    /// The results on one line.
+    pub fn summary(&self) -> String {
         format!(
-            "worth {:.3}, in time {:.3}, first event mean {:.0} ms, 95% {:.0} ms, 99% {:.0} ms, read {:.2} M, again {:.2} M, in place {}, moved {:.1?} M, refused {:?}, served {:.2?}, largest {:.2}",
-            self.earned / self.owed,
+            "value {:.3}, in time {:.3}, first event mean {:.0} ms, 95% {:.0} ms, 99% {:.0} ms, prefilled {:.2} M, repeated {:.2} M, in place {}, transferred {:.1?} M, refused {:?}, served {:.2?}, largest {:.2}",
+            self.value_earned / self.value_offered,
             self.in_time as f64 / self.requests as f64,
             self.mean(),
             self.first_event(0.95),
             self.first_event(0.99),
-            self.read as f64 / 1e6,
-            self.read_again as f64 / 1e6,
+            self.prefilled as f64 / 1e6,
+            self.prefilled_again as f64 / 1e6,
             self.in_place,
-            self.moved.map(|tokens| tokens as f64 / 1e6),
+            self.transferred.map(|tokens| tokens as f64 / 1e6),
             self.refused,
-            self.kinds
+            self.classes
                 .iter()
                 .map(|(all, served)| *served as f64 / *all as f64)
                 .collect::<Vec<_>>(),
@@ -137,168 +137,191 @@
     }
 }
 
-/// What happens at a moment.
+/// A simulated event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(usize),
-    PromptRead(usize, usize),
-    Begins(usize, usize, bool),
-    Ends(usize, usize, bool),
+    Arrival(usize),
+    PrefillDone(usize, usize),
+    FirstEvent(usize, usize, bool),
+    StreamEnd(usize, usize, bool),
 }
 
 struct Request {
-    kind: usize,
-    /// When its client asked first, and when this try came.
-    at: Micros,
-    tried_at: Micros,
-    second_try: bool,
+    class: usize,
+    /// When the client first sent it, and when it sent this try.
+    first_sent_at: Micros,
+    sent_at: Micros,
+    is_retry: bool,
     proxy: usize,
     facts: RequestFacts,
 }
 
 impl Request {
-    /// When its client gives up: at its deadline, and sooner if it has heard nothing of this try for long.
-    fn deadline(&self, day: &Day) -> Micros {
-        let kind = &day.kinds[self.kind];
-        let patience = (4 * kind.target_ms).max(2_000);
-        (self.at + kind.deadline_ms * MS).min(self.tried_at + patience * MS)
+    /// When its client abandons it: at its deadline, and earlier if this try has had no response for long.
+    fn deadline(&self, scenario: &Scenario) -> Micros {
+        let class = &scenario.classes[self.class];
+        let client_timeout = (4 * class.target_ms).max(2_000);
+        (self.first_sent_at + class.deadline_ms * MS).min(self.sent_at + client_timeout * MS)
     }
 
-    fn is_large(&self, day: &Day) -> bool {
-        let own = self.facts.prompt.last().map_or(0, |part| part.tokens);
-        // The tenth of an exponential spread.
-        f64::from(own) > 2.3 * f64::from(day.kinds[self.kind].own_tokens)
+    fn is_large(&self, scenario: &Scenario) -> bool {
+        let own_tokens = self.facts.prompt.last().map_or(0, |part| part.tokens);
+        // The upper tenth of an exponential distribution.
+        f64::from(own_tokens) > 2.3 * f64::from(scenario.classes[self.class].own_tokens)
     }
 }
 
-/// Plays a day with a chooser for each proxy.
-#[expect(clippy::too_many_lines, reason = "one simulated day, event by event")]
-pub fn play(day: &Day, mut choosers: Vec<Box<dyn Chooser>>) -> Figures {
-    let mut requests = draw(day);
-    let mut readers = vec![Engine::new(); day.prefill];
-    let mut makers = vec![Engine::new(); day.decode];
-    for (number, slowness) in &day.slow_prefill {
-        readers[*number].slowness = *slowness;
+/// Simulates a scenario with one chooser per proxy.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one simulated scenario, event by event"
+)]
+pub fn simulate(scenario: &Scenario, mut choosers: Vec<Box<dyn Chooser>>) -> Results {
+    let mut requests = generate_requests(scenario);
+    let mut prefill_engines = vec![Engine::new(); scenario.prefill];
+    let mut decode_engines = vec![Engine::new(); scenario.decode];
+    for (number, slowness) in &scenario.slow_prefill {
+        prefill_engines[*number].slowness = *slowness;
     }
-    for (number, slowness) in &day.slow_decode {
-        makers[*number].slowness = *slowness;
+    for (number, slowness) in &scenario.slow_decode {
+        decode_engines[*number].slowness = *slowness;
     }
-    let kinds = vec![(0, 0); day.kinds.len()];
-    let refused_kinds = vec![0; day.kinds.len()];
-    let prefills = vec![0; day.prefill];
-    let mut figures = Figures {
+    let classes = vec![(0, 0); scenario.classes.len()];
+    let refused_by_class = vec![0; scenario.classes.len()];
+    let prefills = vec![0; scenario.prefill];
+    let mut results = Results {
         prefills,
-        kinds,
-        refused_kinds,
-        ..Figures::default()
+        classes,
+        refused_by_class,
+        ..Results::default()
     };
     let mut last_use: HashMap<Vec<u64>, Micros> = HashMap::new();
     let mut events: BinaryHeap<Reverse<(Micros, Event)>> = BinaryHeap::new();
     for (number, request) in requests.iter().enumerate() {
-        events.push(Reverse((request.at, Event::Arrives(number))));
+        events.push(Reverse((request.first_sent_at, Event::Arrival(number))));
     }
     while let Some(Reverse((now, event))) = events.pop() {
         match event {
-            Event::Arrives(number) => {
+            Event::Arrival(number) => {
                 let request = &requests[number];
                 let (facts, chooser) = (&request.facts, &mut choosers[request.proxy]);
-                if !request.second_try {
-                    figures.note_request(day, request);
+                if !request.is_retry {
+                    results.record_request(scenario, request);
                 }
                 if let Err(retry_after_ms) = chooser.admit(now, number, facts) {
-                    figures.refused[usize::from(request.second_try)] += 1;
-                    if request.second_try {
-                        // Coming back in vain is priced.
-                        figures.earned -= 0.3 * day.kinds[request.kind].worth;
+                    results.refused[usize::from(request.is_retry)] += 1;
+                    if request.is_retry {
+                        // A refused retry has a cost.
+                        results.value_earned -= 0.3 * scenario.classes[request.class].value;
                     } else {
-                        figures.refused_kinds[request.kind] += 1;
-                        let again =
-                            now + (retry_after_ms * MS).min((request.deadline(day) - now) / 3);
-                        come_back(&mut requests[number], again, day);
-                        events.push(Reverse((again, Event::Arrives(number))));
+                        results.refused_by_class[request.class] += 1;
+                        let retry_at =
+                            now + (retry_after_ms * MS).min((request.deadline(scenario) - now) / 3);
+                        schedule_retry(&mut requests[number], retry_at, scenario);
+                        events.push(Reverse((retry_at, Event::Arrival(number))));
                     }
                     continue;
                 }
-                let reader = if chooser.split(now, number, facts) {
+                let prefill_index = if chooser.should_split(now, number, facts) {
                     chooser.choose(now, number, facts, Purpose::Prefill)
                 } else {
                     None
                 };
-                let deadline = request.deadline(day);
-                if let Some(reader) = reader {
-                    let done = readers[reader].prefill(now, &facts.prompt, &day.speeds, deadline);
-                    figures.prefills[reader] += 1;
-                    figures.note_read(now, facts, &done, day.again, &mut last_use);
+                let deadline = request.deadline(scenario);
+                if let Some(prefill_index) = prefill_index {
+                    let call = prefill_engines[prefill_index].prefill(
+                        now,
+                        &facts.prompt,
+                        &scenario.speeds,
+                        deadline,
+                    );
+                    results.prefills[prefill_index] += 1;
+                    results.record_prefill(
+                        now,
+                        facts,
+                        &call,
+                        scenario.repeated_prefill_window,
+                        &mut last_use,
+                    );
                     events.push(Reverse((
-                        done.at as Micros,
-                        Event::PromptRead(number, reader),
+                        call.at as Micros,
+                        Event::PrefillDone(number, prefill_index),
                     )));
-                } else if let Some(maker) = chooser.choose(now, number, facts, Purpose::Whole) {
-                    figures.in_place += 1;
-                    let done = makers[maker].whole(
+                } else if let Some(decode_index) =
+                    chooser.choose(now, number, facts, Purpose::Whole)
+                {
+                    results.in_place += 1;
+                    let call = decode_engines[decode_index].prefill_in_place(
                         now,
                         &facts.prompt,
                         facts.tokens_out,
-                        &day.speeds,
+                        &scenario.speeds,
                         deadline,
                     );
-                    figures.note_read(now, facts, &done, day.again, &mut last_use);
-                    push_stream(&mut events, number, maker, &done, true);
+                    results.record_prefill(
+                        now,
+                        facts,
+                        &call,
+                        scenario.repeated_prefill_window,
+                        &mut last_use,
+                    );
+                    push_stream(&mut events, number, decode_index, &call, true);
                 }
             }
-            Event::PromptRead(number, reader) => {
+            Event::PrefillDone(number, prefill_index) => {
                 let request = &requests[number];
                 let (facts, chooser) = (&request.facts, &mut choosers[request.proxy]);
-                let late = now >= request.deadline(day);
-                let outcome = if late {
+                let is_late = now >= request.deadline(scenario);
+                let outcome = if is_late {
                     SendOutcome::TimedOut
                 } else {
                     SendOutcome::Answered
                 };
-                chooser.outcome(now, number, Purpose::Prefill, reader, outcome);
-                if late {
+                chooser.outcome(now, number, Purpose::Prefill, prefill_index, outcome);
+                if is_late {
                     continue;
                 }
-                if let Some(maker) = chooser.choose(now, number, facts, Purpose::Decode) {
-                    let far = reader % day.zones != maker % day.zones;
-                    figures.moved[usize::from(far)] += u64::from(facts.tokens_in);
-                    let done = makers[maker].decode(
+                if let Some(decode_index) = chooser.choose(now, number, facts, Purpose::Decode) {
+                    let is_other_zone =
+                        prefill_index % scenario.zones != decode_index % scenario.zones;
+                    results.transferred[usize::from(is_other_zone)] += u64::from(facts.tokens_in);
+                    let call = decode_engines[decode_index].decode(
                         now,
                         &facts.prompt,
                         facts.tokens_out,
-                        &day.speeds,
-                        far,
+                        &scenario.speeds,
+                        is_other_zone,
                     );
-                    push_stream(&mut events, number, maker, &done, false);
+                    push_stream(&mut events, number, decode_index, &call, false);
                 }
             }
-            Event::Begins(number, maker, whole) => {
+            Event::FirstEvent(number, decode_index, is_in_place) => {
                 let request = &requests[number];
                 choosers[request.proxy].outcome(
                     now,
                     number,
-                    purpose(whole),
-                    maker,
+                    purpose(is_in_place),
+                    decode_index,
                     SendOutcome::FirstEvent,
                 );
-                figures.note_first_event(now, day, request);
+                results.record_first_event(now, scenario, request);
             }
-            Event::Ends(number, maker, whole) => {
+            Event::StreamEnd(number, decode_index, is_in_place) => {
                 choosers[requests[number].proxy].outcome(
                     now,
                     number,
-                    purpose(whole),
-                    maker,
+                    purpose(is_in_place),
+                    decode_index,
                     SendOutcome::Answered,
                 );
             }
         }
     }
-    figures
+    results
 }
 
-fn purpose(whole: bool) -> Purpose {
-    if whole {
+fn purpose(is_in_place: bool) -> Purpose {
+    if is_in_place {
         Purpose::Whole
     } else {
         Purpose::Decode
@@ -308,130 +331,136 @@
 fn push_stream(
     events: &mut BinaryHeap<Reverse<(Micros, Event)>>,
     number: usize,
-    maker: usize,
-    done: &Done,
-    whole: bool,
+    decode_index: usize,
+    call: &CallResult,
+    is_in_place: bool,
 ) {
     events.push(Reverse((
-        done.at as Micros,
-        Event::Begins(number, maker, whole),
+        call.at as Micros,
+        Event::FirstEvent(number, decode_index, is_in_place),
     )));
     events.push(Reverse((
-        done.end as Micros + 1,
-        Event::Ends(number, maker, whole),
+        call.end as Micros + 1,
+        Event::StreamEnd(number, decode_index, is_in_place),
     )));
 }
 
-/// A client that was told to come back asks again.
-fn come_back(request: &mut Request, at: Micros, day: &Day) {
-    request.tried_at = at;
-    request.second_try = true;
-    request.facts.remaining_ms = (request.at + day.kinds[request.kind].deadline_ms * MS - at) / MS;
+/// Schedules the retry of a refused request.
+fn schedule_retry(request: &mut Request, at: Micros, scenario: &Scenario) {
+    request.sent_at = at;
+    request.is_retry = true;
+    request.facts.remaining_ms =
+        (request.first_sent_at + scenario.classes[request.class].deadline_ms * MS - at) / MS;
 }
 
-impl Figures {
-    fn note_request(&mut self, day: &Day, request: &Request) {
+impl Results {
+    fn record_request(&mut self, scenario: &Scenario, request: &Request) {
         self.requests += 1;
-        self.owed += day.kinds[request.kind].worth;
-        self.kinds[request.kind].0 += 1;
-        self.largest.0 += usize::from(request.is_large(day));
+        self.value_offered += scenario.classes[request.class].value;
+        self.classes[request.class].0 += 1;
+        self.largest.0 += usize::from(request.is_large(scenario));
     }
 
-    fn note_first_event(&mut self, now: Micros, day: &Day, request: &Request) {
-        if now >= request.deadline(day) {
+    fn record_first_event(&mut self, now: Micros, scenario: &Scenario, request: &Request) {
+        if now >= request.deadline(scenario) {
             return;
         }
-        let kind = &day.kinds[request.kind];
-        let in_time = now <= request.tried_at + kind.target_ms * MS;
-        self.first_ms.push((now - request.at) as f64 / MS as f64);
-        self.in_time += usize::from(in_time && !request.second_try);
-        self.kinds[request.kind].1 += 1;
-        self.largest.1 += usize::from(request.is_large(day));
-        self.earned += match (in_time, request.second_try) {
-            (true, false) => kind.worth,
-            // Refused early and then served in time.
-            (true, true) => (kind.worth + kind.late_worth) / 2.0,
-            (false, _) => kind.late_worth,
+        let class = &scenario.classes[request.class];
+        let in_time = now <= request.sent_at + class.target_ms * MS;
+        self.first_event_ms
+            .push((now - request.first_sent_at) as f64 / MS as f64);
+        self.in_time += usize::from(in_time && !request.is_retry);
+        self.classes[request.class].1 += 1;
+        self.largest.1 += usize::from(request.is_large(scenario));
+        self.value_earned += match (in_time, request.is_retry) {
+            (true, false) => class.value,
+            // Refused at first, then served in time.
+            (true, true) => (class.value + class.late_value) / 2.0,
+            (false, _) => class.late_value,
         };
     }
 
-    /// Counts what was read, and which of it some searcher had used a short time before.
-    fn note_read(
+    /// Counts the prefilled tokens, and those of them that a searcher had used shortly before.
+    fn record_prefill(
         &mut self,
         now: Micros,
         facts: &RequestFacts,
-        done: &Done,
-        again: Micros,
+        call: &CallResult,
+        repeated_prefill_window: Micros,
         last_use: &mut HashMap<Vec<u64>, Micros>,
     ) {
-        self.read += done.read;
-        let whole: u64 = facts.prompt.iter().map(|part| u64::from(part.tokens)).sum();
-        let kept = whole - done.read;
-        let mut before = 0;
+        self.prefilled += call.prefilled_tokens;
+        let prompt_tokens: u64 = facts.prompt.iter().map(|part| u64::from(part.tokens)).sum();
+        let cached = prompt_tokens - call.prefilled_tokens;
+        let mut preceding_tokens = 0;
         for length in 1..facts.prompt.len() {
-            let chain: Vec<u64> = facts.prompt[..length].iter().map(|part| part.id).collect();
+            let prefix: Vec<u64> = facts.prompt[..length].iter().map(|part| part.id).collect();
             let tokens = u64::from(facts.prompt[length - 1].tokens);
-            let used = last_use.insert(chain, now);
-            if before >= kept && used.is_some_and(|used| now - used <= again) {
-                self.read_again += tokens;
+            let last_used = last_use.insert(prefix, now);
+            if preceding_tokens >= cached
+                && last_used.is_some_and(|last_used| now - last_used <= repeated_prefill_window)
+            {
+                self.prefilled_again += tokens;
             }
-            before += tokens;
+            preceding_tokens += tokens;
         }
     }
 }
 
-/// Draws the day's requests; uneven shares of the proxies, arrivals by chance.
-fn draw(day: &Day) -> Vec<Request> {
-    let mut luck = ChaCha8Rng::seed_from_u64(day.seed);
+/// Generates the requests of a scenario with random arrivals and randomly chosen proxies.
+fn generate_requests(scenario: &Scenario) -> Vec<Request> {
+    let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
     let mut requests = Vec::new();
-    for (number, kind) in day.kinds.iter().enumerate() {
+    for (number, class) in scenario.classes.iter().enumerate() {
         let mut at = 0.0;
         loop {
-            at += -(1.0 - luck.random::<f64>()).ln() / kind.per_second * SECOND as f64;
-            if at > (day.seconds * SECOND) as f64 {
+            at += -(1.0 - rng.random::<f64>()).ln() / class.requests_per_s * SECOND as f64;
+            if at > (scenario.seconds * SECOND) as f64 {
                 break;
             }
             requests.push(Request {
-                kind: number,
-                at: at as Micros,
-                tried_at: at as Micros,
-                second_try: false,
-                proxy: luck.random_range(0..day.proxies),
-                facts: facts(kind, number as u64, &mut luck),
+                class: number,
+                first_sent_at: at as Micros,
+                sent_at: at as Micros,
+                is_retry: false,
+                proxy: rng.random_range(0..scenario.proxies),
+                facts: facts(class, number as u64, &mut rng),
             });
         }
     }
-    requests.sort_by_key(|request| request.at);
+    requests.sort_by_key(|request| request.first_sent_at);
     requests
 }
 
-fn facts(kind: &Kind, number: u64, luck: &mut impl Rng) -> RequestFacts {
+fn facts(class: &RequestClass, number: u64, rng: &mut impl Rng) -> RequestFacts {
     let mut prompt = Vec::new();
-    let mut chain = number;
-    for (things, tokens) in &kind.shared {
-        // Somewhat uneven: the lower numbers are asked for more.
-        let thing = (*things as f64 * luck.random::<f64>().powf(1.3)) as u64;
-        chain = chain * 1_000 + thing + 1;
+    let mut prefix_id = number;
+    for (variants, tokens) in &class.shared {
+        // Skewed: lower numbers are more frequent.
+        let variant = (*variants as f64 * rng.random::<f64>().powf(1.3)) as u64;
+        prefix_id = prefix_id * 1_000 + variant + 1;
         prompt.push(PromptPart {
-            id: chain,
+            id: prefix_id,
             tokens: *tokens,
         });
     }
-    // Sizes spread by chance, with a long tail.
-    let own = f64::from(kind.own_tokens) * (-(1.0 - luck.random::<f64>()).ln()).clamp(0.05, 6.0);
+    // Sizes are distributed exponentially, with a long tail.
+    let own_tokens =
+        f64::from(class.own_tokens) * (-(1.0 - rng.random::<f64>()).ln()).clamp(0.05, 6.0);
     prompt.push(PromptPart {
-        id: luck.random(),
-        tokens: own as u32,
+        id: rng.random(),
+        tokens: own_tokens as u32,
     });
     let tokens_in = prompt.iter().map(|part| part.tokens).sum();
-    let out = f64::from(kind.out_tokens) * (-(1.0 - luck.random::<f64>()).ln()).clamp(0.1, 4.0);
+    let output_tokens =
+        f64::from(class.output_tokens) * (-(1.0 - rng.random::<f64>()).ln()).clamp(0.1, 4.0);
     RequestFacts {
-        target_latency_ms: kind.target_ms,
-        remaining_ms: kind.deadline_ms,
-        priority: kind.priority,
+        target_latency_ms: class.target_ms,
+        remaining_ms: class.deadline_ms,
+        priority: class.priority,
         prompt,
         tokens_in,
-        tokens_out: out as u32 + 1,
-        ..super::prompt(0, 0)
+        tokens_out: output_tokens as u32 + 1,
+        ..super::streaming_request(0, 0)
     }
 }
--- a/crates/lockusher-proxy/tests/decision_support/mod.rs
+++ b/crates/lockusher-proxy/tests/decision_support/mod.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of decisions share.
+//! Helpers shared by the tests of the decisions.
 
 #![allow(dead_code)]
 
@@ -92,14 +92,14 @@
     }
 }
 
-/// So many plain searchers in zone `a`, named `p0`, `p1` and so on.
-pub fn plain(count: usize) -> Vec<Instance> {
+/// `count` searchers without a stage in zone `a`, named `p0`, `p1` and so on.
+pub fn plain_searchers(count: usize) -> Vec<Instance> {
     (0..count)
         .map(|number| searcher(&format!("p{number}"), "a", None))
         .collect()
 }
 
-/// So many prefill searchers `r0`.. and decode searchers `d0`.. in zone `a`.
+/// Prefill searchers `r0`.. and decode searchers `d0`.. in zone `a`.
 pub fn split_fleet(prefill: usize, decode: usize) -> Vec<Instance> {
     spread_fleet(prefill, decode, 1)
 }
@@ -109,26 +109,26 @@
     ["a", "b", "d", "e"][number]
 }
 
-/// The same spread over zones in turn.
+/// The same, distributed over zones in turn.
 pub fn spread_fleet(prefill: usize, decode: usize, zones: usize) -> Vec<Instance> {
-    let one = |name: &str, number: usize, stage| {
+    let instance = |name: &str, number: usize, stage| {
         searcher(
             &format!("{name}{number}"),
             zone(number % zones),
             Some(stage),
         )
     };
-    let readers = (0..prefill).map(|number| one("r", number, Stage::Prefill));
-    let makers = (0..decode).map(|number| one("d", number, Stage::Decode));
-    readers.chain(makers).collect()
+    let prefill_searchers = (0..prefill).map(|number| instance("r", number, Stage::Prefill));
+    let decode_searchers = (0..decode).map(|number| instance("d", number, Stage::Decode));
+    prefill_searchers.chain(decode_searchers).collect()
 }
 
-/// A router of this list and configuration.
+/// A router in zone `a` with this instance list.
 pub fn router(instances: &[Instance], seed: u64) -> RequestRouter {
     router_in("a", instances, seed)
 }
 
-/// The same in another zone.
+/// A router in another zone.
 pub fn router_in(zone: &str, instances: &[Instance], seed: u64) -> RequestRouter {
     let mut router = RequestRouter::new(
         RequestRouterSettings {
@@ -142,7 +142,7 @@
     router
 }
 
-/// A plain request with two attempts that may be repeated.
+/// An idempotent request without a prompt, with two attempts.
 pub fn request() -> RequestFacts {
     RequestFacts {
         service: SERVICE.into(),
@@ -158,8 +158,8 @@
     }
 }
 
-/// A stream with an opening that others share and a part of its own.
-pub fn prompt(shared: u64, own: u64) -> RequestFacts {
+/// A streaming request with a shared first prompt part and a part of its own.
+pub fn streaming_request(shared: u64, own: u64) -> RequestFacts {
     let prompt = vec![
         PromptPart {
             id: shared,
@@ -179,15 +179,15 @@
     }
 }
 
-/// Admits a request that must be taken.
+/// Admits a request; panics if it is refused.
 pub fn admit(router: &mut RequestRouter, now: Micros, facts: &RequestFacts) -> RequestPlan {
     match router.admit(now, facts) {
         Admission::Go(plan) => plan,
-        Admission::Refuse { .. } => panic!("refused"),
+        Admission::Refuse { .. } => panic!("the request was refused"),
     }
 }
 
-/// Chooses where a send must be possible: the searcher's identifier and the ticket.
+/// Chooses a searcher; panics if there is none. Returns the searcher's identifier and the ticket.
 pub fn send(
     router: &mut RequestRouter,
     now: Micros,
@@ -198,20 +198,20 @@
         Choice::Send {
             identifier, ticket, ..
         } => (identifier, ticket),
-        other => panic!("no send: {other:?}"),
+        choice => panic!("expected a send, got {choice:?}"),
     }
 }
 
-/// One whole request that is answered after a time: the searcher that had it.
+/// Sends one request that is answered after `takes`; returns the identifier of its searcher.
 pub fn serve(
     router: &mut RequestRouter,
     now: Micros,
     facts: &RequestFacts,
     purpose: Purpose,
-    takes: Micros,
+    duration: Micros,
 ) -> String {
     let mut plan = admit(router, now, facts);
     let (identifier, ticket) = send(router, now, &mut plan, purpose);
-    router.outcome(now + takes, ticket, SendOutcome::Answered);
+    router.outcome(now + duration, ticket, SendOutcome::Answered);
     identifier
 }
