--- a/crates/lockusher-proxy/src/decision/interface.rs
+++ b/crates/lockusher-proxy/src/decision/interface.rs
@@ -1,6 +1,6 @@
 //! Input and output types of a `RequestRouter`.
 //!
-//! The router's settings, the facts of a request, the admission result, and the choice for the next send.
+//! The router's settings, the attributes of a request, the admission result, and the choice for the next send.
 
 use std::collections::BTreeMap;
 
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -57,7 +57,7 @@
     services: Vec<Service>,
     service_indices: HashMap<String, usize>,
     sends_in_flight: HashMap<u64, SendRecord>,
-    last_send_id: u64,
+    last_ticket: u64,
     load_meters: LoadMeters,
 }
 
@@ -76,7 +76,7 @@
             services: Vec::new(),
             service_indices: HashMap::new(),
             sends_in_flight: HashMap::new(),
-            last_send_id: 0,
+            last_ticket: 0,
             load_meters: LoadMeters::default(),
         }
     }
@@ -212,7 +212,7 @@
             }
         }
         let priority = self.priority(plan, purpose, selected.expected_tokens);
-        let ticket = self.allocate_send_id();
+        let ticket = self.allocate_ticket();
         let attempt_kind = plan.attempt_kind(purpose);
         plan.progress.record_send(purpose, attempt_kind);
         let service = &mut self.services[plan.service];
@@ -390,9 +390,9 @@
         select(service, service.kind(purpose), now, &criteria)
     }
 
-    fn allocate_send_id(&mut self) -> u64 {
-        self.last_send_id += 1;
-        self.last_send_id
+    fn allocate_ticket(&mut self) -> u64 {
+        self.last_ticket += 1;
+        self.last_ticket
     }
 
     fn service_index(&mut self, now: Micros, name: &str) -> usize {
--- a/crates/lockusher-proxy/tests/decision_affinity.rs
+++ b/crates/lockusher-proxy/tests/decision_affinity.rs
@@ -156,7 +156,7 @@
 /// Of sixty prompts without a response yet, the number sent to the most used searcher.
 fn most_at_one(shared: u32, own: u32) -> u32 {
     let mut router = router(&split_fleet(4, 4), 1);
-    let facts = |prefix: u64, step: u64| RequestFacts {
+    let attributes = |prefix: u64, step: u64| RequestFacts {
         prompt: vec![
             PromptPart {
                 id: prefix,
@@ -190,7 +190,7 @@
     }
     let mut sends = HashMap::new();
     for step in 0..60 {
-        let mut plan = admit(&mut router, 10 * SECOND, &facts(5, step));
+        let mut plan = admit(&mut router, 10 * SECOND, &attributes(5, step));
         let (identifier, _) = send(&mut router, 10 * SECOND, &mut plan, Purpose::Prefill);
         *sends.entry(identifier).or_insert(0) += 1;
     }
--- a/crates/lockusher-proxy/tests/decision_attempts.rs
+++ b/crates/lockusher-proxy/tests/decision_attempts.rs
@@ -16,11 +16,11 @@
     for step in 0..1_000 {
         admit(&mut router, 10 * SECOND + step * 20 * MS, &request());
     }
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         attempts: 3,
         ..request()
     };
-    let mut plan = admit(&mut router, now, &facts);
+    let mut plan = admit(&mut router, now, &attributes);
     let mut identifiers = Vec::new();
     for _ in 0..3 {
         let (identifier, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
@@ -55,11 +55,11 @@
 ) {
     let mut router = router(&plain_searchers(3), 1);
     let now = run_until_budget_is_available(&mut router);
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         is_idempotent: false,
         ..request()
     };
-    let mut plan = admit(&mut router, now, &facts);
+    let mut plan = admit(&mut router, now, &attributes);
     let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
     assert_eq!(
         router.choose(now, &mut plan, Purpose::Whole),
@@ -80,11 +80,11 @@
 #[test]
 fn the_first_accepted_prefill_is_not_an_attempt() {
     let mut router = router(&split_fleet(3, 3), 1);
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         attempts: 1,
         ..streaming_request(1, 2)
     };
-    let mut plan = admit(&mut router, 0, &facts);
+    let mut plan = admit(&mut router, 0, &attributes);
     let (_, ticket) = send(&mut router, 0, &mut plan, Purpose::Prefill);
     router.outcome(0, ticket, SendOutcome::Answered);
     assert_eq!(
@@ -103,11 +103,11 @@
 fn a_rejected_prefill_counts_as_an_attempt() {
     let mut router = router(&split_fleet(3, 3), 1);
     let now = run_until_budget_is_available(&mut router);
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         attempts: 1,
         ..streaming_request(1, 2)
     };
-    let mut plan = admit(&mut router, now, &facts);
+    let mut plan = admit(&mut router, now, &attributes);
     let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
     router.outcome(now, ticket, SendOutcome::Rejected);
     assert_eq!(
@@ -115,11 +115,11 @@
         Choice::Exhausted
     );
 
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         attempts: 2,
-        ..facts
+        ..attributes
     };
-    let mut plan = admit(&mut router, now, &facts);
+    let mut plan = admit(&mut router, now, &attributes);
     let (first, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
     router.outcome(now, ticket, SendOutcome::Rejected);
     let (second, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
@@ -187,11 +187,11 @@
     let mut router = router(&split_fleet(4, 4), 1);
     // Without requests and with a negligible share of the slack, the budget has no capacity for a retry.
     router.set_fleet_size(u32::MAX);
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         attempts: 2,
         ..streaming_request(1, 2)
     };
-    let mut plan = admit(&mut router, 0, &facts);
+    let mut plan = admit(&mut router, 0, &attributes);
     let (_, ticket) = send(&mut router, 0, &mut plan, Purpose::Prefill);
     router.outcome(0, ticket, outcome);
     let purpose = if outcome == SendOutcome::Answered {
--- a/crates/lockusher-proxy/tests/decision_budget.rs
+++ b/crates/lockusher-proxy/tests/decision_budget.rs
@@ -71,12 +71,12 @@
             routers[event.proxy].apply_instances(event.at, &plain_searchers(40));
         }
         let router = &mut routers[event.proxy];
-        let facts = RequestFacts {
+        let attributes = RequestFacts {
             attempts: event.attempts,
             ..request()
         };
         observed.requests.push(event.at);
-        let mut plan = admit(router, event.at, &facts);
+        let mut plan = admit(router, event.at, &attributes);
         let mut sends = 0;
         while let Choice::Send { ticket, .. } = router.choose(event.at, &mut plan, Purpose::Whole) {
             router.outcome(event.at, ticket, SendOutcome::Failed);
@@ -159,12 +159,12 @@
     let mut router = router(&plain_searchers(40), 1);
     router.set_fleet_size(60);
     router.set_fleet_size(1);
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         attempts: 9,
         ..request()
     };
     let now = 25 * SECOND;
-    let mut plan = admit(&mut router, now, &facts);
+    let mut plan = admit(&mut router, now, &attributes);
     let mut sends = 0;
     while let Choice::Send { ticket, .. } = router.choose(now, &mut plan, Purpose::Whole) {
         router.outcome(now, ticket, SendOutcome::Failed);
--- a/crates/lockusher-proxy/tests/decision_cost.rs
+++ b/crates/lockusher-proxy/tests/decision_cost.rs
@@ -25,7 +25,7 @@
         .map(|number| searcher(&format!("d{number}"), "a", Some(Stage::Decode)))
         .collect();
     let mut router = router(&list, 1);
-    let facts = |step: u64| {
+    let attributes = |step: u64| {
         if with_prompts {
             streaming_request(step % 500, step)
         } else {
@@ -36,7 +36,7 @@
         serve(
             &mut router,
             step * 100,
-            &facts(step),
+            &attributes(step),
             Purpose::Whole,
             50 * MS + step % 7 * MS,
         );
@@ -50,7 +50,11 @@
         let mut total_micros = 0.0;
         for step in 0..CHOICES_PER_BATCH {
             now += 200;
-            let mut plan = admit(&mut router, now, &facts(batch * CHOICES_PER_BATCH + step));
+            let mut plan = admit(
+                &mut router,
+                now,
+                &attributes(batch * CHOICES_PER_BATCH + step),
+            );
             let begin = Instant::now();
             let choice = router.choose(now, &mut plan, Purpose::Whole);
             total_micros += begin.elapsed().as_secs_f64() * 1e6;
--- a/crates/lockusher-proxy/tests/decision_kv_transfer.rs
+++ b/crates/lockusher-proxy/tests/decision_kv_transfer.rs
@@ -46,7 +46,7 @@
     router: &mut RequestRouter,
     start: Micros,
     requests: u64,
-    facts: &RequestFacts,
+    attributes: &RequestFacts,
     fault: Fault,
 ) -> Results {
     let mut results = Results::default();
@@ -57,7 +57,7 @@
             start + step * GAP,
             &RequestFacts {
                 prompt,
-                ..facts.clone()
+                ..attributes.clone()
             },
             fault,
             &mut results,
@@ -70,11 +70,11 @@
 fn send_until_accepted(
     router: &mut RequestRouter,
     now: Micros,
-    facts: &RequestFacts,
+    attributes: &RequestFacts,
     fault: Fault,
     results: &mut Results,
 ) {
-    let mut plan = admit(router, now, facts);
+    let mut plan = admit(router, now, attributes);
     let mut holder = None;
     loop {
         if holder.is_none() && router.split(now, &plan) {
@@ -151,12 +151,12 @@
     now: Micros,
     attempts: u32,
 ) -> (RequestPlan, String) {
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         attempts,
         is_idempotent: false,
         ..streaming_request(1, 2)
     };
-    let mut plan = admit(router, now, &facts);
+    let mut plan = admit(router, now, &attributes);
     let (_, ticket) = send(router, now, &mut plan, Purpose::Prefill);
     router.outcome(now, ticket, SendOutcome::Answered);
     let (identifier, ticket) = send(router, now, &mut plan, Purpose::Decode);
@@ -273,12 +273,12 @@
 #[test]
 fn requests_with_one_attempt_are_served_while_every_handle_is_rejected() {
     let (mut router, now) = run_without_faults(4, 4);
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         attempts: 1,
         is_idempotent: false,
         ..streaming_request(0, 0)
     };
-    let failing = flow(&mut router, now, 500, &facts, Fault::AllHandles);
+    let failing = flow(&mut router, now, 500, &attributes, Fault::AllHandles);
     assert!(failing.served >= 490, "{failing:?}");
 }
 
@@ -331,11 +331,17 @@
 #[test]
 fn kv_transfers_continue_while_most_decode_searchers_are_full() {
     let (mut router, now) = run_without_faults(4, 4);
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         attempts: 4,
         ..streaming_request(0, 0)
     };
-    let full = flow(&mut router, now, 500, &facts, Fault::AllFullExcept("d0"));
+    let full = flow(
+        &mut router,
+        now,
+        500,
+        &attributes,
+        Fault::AllFullExcept("d0"),
+    );
     assert!(full.prefills.values().sum::<usize>() > 450, "{full:?}");
 }
 
--- a/crates/lockusher-proxy/tests/decision_locality.rs
+++ b/crates/lockusher-proxy/tests/decision_locality.rs
@@ -28,7 +28,7 @@
     for step in 0..200u64 {
         now += 200 * MS;
         let tokens = 200 + (step % 40) as u32 * 400;
-        let facts = RequestFacts {
+        let attributes = RequestFacts {
             prompt: vec![PromptPart {
                 id: 1_000 + step,
                 tokens,
@@ -36,7 +36,7 @@
             tokens_in: tokens,
             ..streaming_request(1, 1)
         };
-        let mut plan = admit(router, now, &facts);
+        let mut plan = admit(router, now, &attributes);
         let (_, ticket) = send(router, now, &mut plan, Purpose::Prefill);
         let prefilled_at = now + prefill_time(tokens);
         router.outcome(prefilled_at, ticket, SendOutcome::Answered);
@@ -49,12 +49,12 @@
 }
 
 fn splits(router: &mut RequestRouter, now: Micros, tokens: u32) -> bool {
-    let facts = RequestFacts {
+    let attributes = RequestFacts {
         prompt: vec![PromptPart { id: 9, tokens }],
         tokens_in: tokens,
         ..streaming_request(1, 1)
     };
-    let plan = admit(router, now, &facts);
+    let plan = admit(router, now, &attributes);
     router.split(now, &plan)
 }
 
@@ -158,11 +158,11 @@
     let mut same_zone = 0;
     for step in 0..50 {
         let now = now + step * 500 * MS;
-        let facts = RequestFacts {
+        let attributes = RequestFacts {
             prompt: Vec::new(),
             ..streaming_request(1, 1)
         };
-        let mut plan = admit(&mut router, now, &facts);
+        let mut plan = admit(&mut router, now, &attributes);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
         router.outcome(now + 100 * MS, ticket, SendOutcome::Answered);
         let (identifier, ticket) = send(&mut router, now + 100 * MS, &mut plan, Purpose::Decode);
@@ -181,11 +181,11 @@
     let mut now = train(&mut router, 0, 20 * MS);
     for step in 0..200u64 {
         now += 20 * MS;
-        let facts = RequestFacts {
+        let attributes = RequestFacts {
             target_latency_ms: 3_600_000,
             ..streaming_request(1, 5_000 + step)
         };
-        let mut plan = admit(&mut router, now, &facts);
+        let mut plan = admit(&mut router, now, &attributes);
         assert!(router.split(now, &plan), "after {step} late prefills");
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
         router.outcome(now + 3 * SECOND, ticket, SendOutcome::Answered);
@@ -201,11 +201,11 @@
     let mut now = train(&mut router, 0, 20 * MS);
     for step in 0..60u64 {
         now += 20 * MS;
-        let facts = RequestFacts {
+        let attributes = RequestFacts {
             target_latency_ms: 3_600_000,
             ..streaming_request(1, 5_000 + step)
         };
-        let mut plan = admit(&mut router, now, &facts);
+        let mut plan = admit(&mut router, now, &attributes);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
         router.outcome(now + 3 * SECOND, ticket, SendOutcome::Answered);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
--- a/crates/lockusher-proxy/tests/decision_priority.rs
+++ b/crates/lockusher-proxy/tests/decision_priority.rs
@@ -15,8 +15,13 @@
     }
 }
 
-fn priority(router: &mut RequestRouter, now: Micros, facts: &RequestFacts, purpose: Purpose) -> u8 {
-    let mut plan = admit(router, now, facts);
+fn priority(
+    router: &mut RequestRouter,
+    now: Micros,
+    attributes: &RequestFacts,
+    purpose: Purpose,
+) -> u8 {
+    let mut plan = admit(router, now, attributes);
     match router.choose(now, &mut plan, purpose) {
         Choice::Send { priority, .. } => priority,
         choice => panic!("expected a send, got {choice:?}"),
@@ -29,8 +34,8 @@
     let mut now = 0;
     for step in 0..350u64 {
         now += 20 * MS;
-        let facts = one_part(1_000 + step, 1_000 * (1 + (step % 7) as u32), 2);
-        serve(&mut router, now, &facts, Purpose::Prefill, 15 * MS);
+        let attributes = one_part(1_000 + step, 1_000 * (1 + (step % 7) as u32), 2);
+        serve(&mut router, now, &attributes, Purpose::Prefill, 15 * MS);
     }
     (router, now + SECOND)
 }
@@ -44,8 +49,8 @@
     let mut priorities = Vec::new();
     for (number, tokens) in sizes.into_iter().enumerate() {
         // The longest prompts belong to the route with the highest priority.
-        let facts = one_part(9_000 + number as u64, tokens, 9 - number as u8);
-        priorities.push(priority(&mut router, now, &facts, Purpose::Prefill));
+        let attributes = one_part(9_000 + number as u64, tokens, 9 - number as u8);
+        priorities.push(priority(&mut router, now, &attributes, Purpose::Prefill));
     }
     assert_eq!(priorities, [0, 0, 2, 3, 4, 5, 6, 7, 9, 9]);
 }
--- a/crates/lockusher-proxy/tests/decision_scoring.rs
+++ b/crates/lockusher-proxy/tests/decision_scoring.rs
@@ -145,7 +145,7 @@
             model.searchers.insert(instance.identifier.clone(), ModelSearcher::default());
         }
         // Responses may take long here: a long target latency keeps admission control from refusing requests.
-        let facts = RequestFacts { target_latency_ms: 3_600_000, ..request() };
+        let attributes = RequestFacts { target_latency_ms: 3_600_000, ..request() };
         let mut in_flight: Vec<(Micros, Micros, String, SendTicket)> = Vec::new();
         let mut now = 0;
         for (gap, duration) in requests {
@@ -156,7 +156,7 @@
                 router.outcome(at, ticket, SendOutcome::Answered);
                 model.answered(&identifier, sent, at);
             }
-            let mut plan = admit(&mut router, now, &facts);
+            let mut plan = admit(&mut router, now, &attributes);
             let (identifier, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
             let lowest = model.searchers.keys().map(|identifier| model.score(identifier, now)).fold(f64::MAX, f64::min);
             let chosen = model.score(&identifier, now);
--- a/crates/lockusher-proxy/tests/decision_support/choosers.rs
+++ b/crates/lockusher-proxy/tests/decision_support/choosers.rs
@@ -39,18 +39,18 @@
 }
 
 impl Chooser for RouterChooser {
-    fn admit(&mut self, now: Micros, request: usize, facts: &RequestFacts) -> Result<(), u64> {
+    fn admit(&mut self, now: Micros, request: usize, attributes: &RequestFacts) -> Result<(), u64> {
         let unlimited = RequestFacts {
             kind: RouteKind::Idempotent,
             remaining_ms: 3_600_000,
-            ..facts.clone()
+            ..attributes.clone()
         };
         match self.router.admit(
             now,
             if self.without_admission_control {
                 &unlimited
             } else {
-                facts
+                attributes
             },
         ) {
             Admission::Go(plan) => {
@@ -140,7 +140,7 @@
         &mut self,
         _now: Micros,
         _request: usize,
-        facts: &RequestFacts,
+        attributes: &RequestFacts,
         purpose: Purpose,
     ) -> Option<usize> {
         let stage_index = stage_index(purpose);
@@ -153,7 +153,7 @@
         let chosen = match (self.baseline, purpose) {
             (Baseline::RoundRobin, _) => next_number,
             (Baseline::PrefixHash, Purpose::Prefill) => {
-                let shared = &facts.prompt[..facts.prompt.len() - 1];
+                let shared = &attributes.prompt[..attributes.prompt.len() - 1];
                 let hash = shared.iter().fold(7u64, |hash, part| {
                     (hash ^ part.id).wrapping_mul(0x9e37_79b9_7f4a_7c15)
                 });
--- a/crates/lockusher-proxy/tests/decision_support/fleet.rs
+++ b/crates/lockusher-proxy/tests/decision_support/fleet.rs
@@ -18,7 +18,7 @@
         &mut self,
         now: Micros,
         request: usize,
-        facts: &RequestFacts,
+        attributes: &RequestFacts,
         purpose: Purpose,
     ) -> Option<usize>;
     /// Admits a request or returns the retry delay in milliseconds.
@@ -26,7 +26,7 @@
         Ok(())
     }
     /// Whether a prefill searcher prefills this request's prompt.
-    fn should_split(&mut self, now: Micros, request: usize, facts: &RequestFacts) -> bool;
+    fn should_split(&mut self, now: Micros, request: usize, attributes: &RequestFacts) -> bool;
     /// Records the outcome of a send.
     fn outcome(
         &mut self,
@@ -153,7 +153,7 @@
     sent_at: Micros,
     is_retry: bool,
     proxy: usize,
-    facts: RequestFacts,
+    attributes: RequestFacts,
 }
 
 impl Request {
@@ -165,7 +165,7 @@
     }
 
     fn is_large(&self, scenario: &Scenario) -> bool {
-        let own_tokens = self.facts.prompt.last().map_or(0, |part| part.tokens);
+        let own_tokens = self.attributes.prompt.last().map_or(0, |part| part.tokens);
         // The upper tenth of an exponential distribution.
         f64::from(own_tokens) > 2.3 * f64::from(scenario.classes[self.class].own_tokens)
     }
@@ -204,11 +204,11 @@
         match event {
             Event::Arrival(number) => {
                 let request = &requests[number];
-                let (facts, chooser) = (&request.facts, &mut choosers[request.proxy]);
+                let (attributes, chooser) = (&request.attributes, &mut choosers[request.proxy]);
                 if !request.is_retry {
                     results.record_request(scenario, request);
                 }
-                if let Err(retry_after_ms) = chooser.admit(now, number, facts) {
+                if let Err(retry_after_ms) = chooser.admit(now, number, attributes) {
                     results.refused[usize::from(request.is_retry)] += 1;
                     if request.is_retry {
                         // A refused retry has a cost.
@@ -222,8 +222,8 @@
                     }
                     continue;
                 }
-                let prefill_index = if chooser.should_split(now, number, facts) {
-                    chooser.choose(now, number, facts, Purpose::Prefill)
+                let prefill_index = if chooser.should_split(now, number, attributes) {
+                    chooser.choose(now, number, attributes, Purpose::Prefill)
                 } else {
                     None
                 };
@@ -231,14 +231,14 @@
                 if let Some(prefill_index) = prefill_index {
                     let call = prefill_engines[prefill_index].prefill(
                         now,
-                        &facts.prompt,
+                        &attributes.prompt,
                         &scenario.speeds,
                         deadline,
                     );
                     results.prefills[prefill_index] += 1;
                     results.record_prefill(
                         now,
-                        facts,
+                        attributes,
                         &call,
                         scenario.repeated_prefill_window,
                         &mut last_use,
@@ -248,19 +248,19 @@
                         Event::PrefillDone(number, prefill_index),
                     )));
                 } else if let Some(decode_index) =
-                    chooser.choose(now, number, facts, Purpose::Whole)
+                    chooser.choose(now, number, attributes, Purpose::Whole)
                 {
                     results.in_place += 1;
                     let call = decode_engines[decode_index].prefill_in_place(
                         now,
-                        &facts.prompt,
-                        facts.tokens_out,
+                        &attributes.prompt,
+                        attributes.tokens_out,
                         &scenario.speeds,
                         deadline,
                     );
                     results.record_prefill(
                         now,
-                        facts,
+                        attributes,
                         &call,
                         scenario.repeated_prefill_window,
                         &mut last_use,
@@ -270,7 +270,7 @@
             }
             Event::PrefillDone(number, prefill_index) => {
                 let request = &requests[number];
-                let (facts, chooser) = (&request.facts, &mut choosers[request.proxy]);
+                let (attributes, chooser) = (&request.attributes, &mut choosers[request.proxy]);
                 let is_late = now >= request.deadline(scenario);
                 let outcome = if is_late {
                     SendOutcome::TimedOut
@@ -281,14 +281,16 @@
                 if is_late {
                     continue;
                 }
-                if let Some(decode_index) = chooser.choose(now, number, facts, Purpose::Decode) {
+                if let Some(decode_index) = chooser.choose(now, number, attributes, Purpose::Decode)
+                {
                     let is_other_zone =
                         prefill_index % scenario.zones != decode_index % scenario.zones;
-                    results.transferred[usize::from(is_other_zone)] += u64::from(facts.tokens_in);
+                    results.transferred[usize::from(is_other_zone)] +=
+                        u64::from(attributes.tokens_in);
                     let call = decode_engines[decode_index].decode(
                         now,
-                        &facts.prompt,
-                        facts.tokens_out,
+                        &attributes.prompt,
+                        attributes.tokens_out,
                         &scenario.speeds,
                         is_other_zone,
                     );
@@ -349,7 +351,7 @@
 fn schedule_retry(request: &mut Request, at: Micros, scenario: &Scenario) {
     request.sent_at = at;
     request.is_retry = true;
-    request.facts.remaining_ms =
+    request.attributes.remaining_ms =
         (request.first_sent_at + scenario.classes[request.class].deadline_ms * MS - at) / MS;
 }
 
@@ -384,18 +386,25 @@
     fn record_prefill(
         &mut self,
         now: Micros,
-        facts: &RequestFacts,
+        attributes: &RequestFacts,
         call: &CallResult,
         repeated_prefill_window: Micros,
         last_use: &mut HashMap<Vec<u64>, Micros>,
     ) {
         self.prefilled += call.prefilled_tokens;
-        let prompt_tokens: u64 = facts.prompt.iter().map(|part| u64::from(part.tokens)).sum();
+        let prompt_tokens: u64 = attributes
+            .prompt
+            .iter()
+            .map(|part| u64::from(part.tokens))
+            .sum();
         let cached = prompt_tokens - call.prefilled_tokens;
         let mut preceding_tokens = 0;
-        for length in 1..facts.prompt.len() {
-            let prefix: Vec<u64> = facts.prompt[..length].iter().map(|part| part.id).collect();
-            let tokens = u64::from(facts.prompt[length - 1].tokens);
+        for length in 1..attributes.prompt.len() {
+            let prefix: Vec<u64> = attributes.prompt[..length]
+                .iter()
+                .map(|part| part.id)
+                .collect();
+            let tokens = u64::from(attributes.prompt[length - 1].tokens);
             let last_used = last_use.insert(prefix, now);
             if preceding_tokens >= cached
                 && last_used.is_some_and(|last_used| now - last_used <= repeated_prefill_window)
@@ -424,7 +433,7 @@
                 sent_at: at as Micros,
                 is_retry: false,
                 proxy: rng.random_range(0..scenario.proxies),
-                facts: facts(class, number as u64, &mut rng),
+                attributes: attributes(class, number as u64, &mut rng),
             });
         }
     }
@@ -432,7 +441,7 @@
     requests
 }
 
-fn facts(class: &RequestClass, number: u64, rng: &mut impl Rng) -> RequestFacts {
+fn attributes(class: &RequestClass, number: u64, rng: &mut impl Rng) -> RequestFacts {
     let mut prompt = Vec::new();
     let mut prefix_id = number;
     for (variants, tokens) in &class.shared {
--- a/crates/lockusher-proxy/tests/decision_support/mod.rs
+++ b/crates/lockusher-proxy/tests/decision_support/mod.rs
@@ -180,8 +180,8 @@
 }
 
 /// Admits a request; panics if it is refused.
-pub fn admit(router: &mut RequestRouter, now: Micros, facts: &RequestFacts) -> RequestPlan {
-    match router.admit(now, facts) {
+pub fn admit(router: &mut RequestRouter, now: Micros, attributes: &RequestFacts) -> RequestPlan {
+    match router.admit(now, attributes) {
         Admission::Go(plan) => plan,
         Admission::Refuse { .. } => panic!("the request was refused"),
     }
@@ -206,11 +206,11 @@
 pub fn serve(
     router: &mut RequestRouter,
     now: Micros,
-    facts: &RequestFacts,
+    attributes: &RequestFacts,
     purpose: Purpose,
     duration: Micros,
 ) -> String {
-    let mut plan = admit(router, now, facts);
+    let mut plan = admit(router, now, attributes);
     let (identifier, ticket) = send(router, now, &mut plan, purpose);
     router.outcome(now + duration, ticket, SendOutcome::Answered);
     identifier
