--- a/crates/lockusher-proxy/src/decision/plan.rs
+++ b/crates/lockusher-proxy/src/decision/plan.rs
@@ -42,7 +42,7 @@
     pub client_timeout: Micros,
     /// The request's permit to wait for a first event.
     pub waiting_permit: RefCell<Option<WaitingPermit>>,
-    /// Attempts used so far: all sends but the first prefill call that a searcher accepts.
+    /// Attempts used so far: sends that reached a searcher, except for the first prefill call that one accepts.
     pub attempts_used: Cell<u32>,
     /// Whether a searcher has accepted a prefill call, or may have.
     pub prefill_accepted: Cell<bool>,
@@ -132,7 +132,7 @@
         self.progress.attempts_used.get() + needed <= self.attempts
     }
 
-    /// The searcher that may still get the complete request though no attempt is left. The attempts limit the number of
+    /// The searcher that may still get the complete request when no attempt is left. The attempts limit the number of
     /// searchers; this one already received the request and didn't run it.
     pub(super) fn same_searcher(&self, purpose: Purpose) -> Option<Incarnation> {
         let is_last = purpose == Purpose::Whole && !self.has_attempt_left(purpose);
@@ -175,7 +175,7 @@
         self.progress.attempts_used.get() > 0 || self.progress.prefill_failed.get()
     }
 
-    /// Whether the request provably hasn't run, neither completely nor in part.
+    /// Whether the request provably hasn't run, not even in part.
     pub fn has_not_run(&self) -> bool {
         self.progress.runs_in_flight.get() == 0 && !self.progress.may_have_run.get()
     }
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -1,8 +1,9 @@
 //! The request router: the entry points of all routing decisions.
 //!
-//! Owned by the proxy's shared state, one per process. Called for each request (`admit`, `split`, `choose`), for each
-//! outcome, and for each new configuration, instance list and fleet size. It combines the other modules of `decision`
-//! and draws the random numbers, one for each choice. Invariant: the same seed and calls give the same choices.
+//! Owned by the proxy's shared state, one per process. Called for each request (`admit`, `split`, `choose`), for
+//! each outcome, and for each new configuration, instance list and fleet size. It combines the other modules of
+//! `decision` and draws the random numbers, one for each choice. Invariant: the same seed and calls give the same
+//! choices.
 
 use std::collections::HashMap;
 use std::rc::Rc;
