--- a/crates/lockusher-proxy/src/decision/split.rs
+++ b/crates/lockusher-proxy/src/decision/split.rs
@@ -2,9 +2,9 @@
 //! prompt at the decode searcher.
 //!
 //! Called by `RequestRouter::split`; stateless. Waits matter for short prompts only, and only while decode
-//! searchers are idle. Where waits at prefill searchers are long, the control plane reassigns searchers between the stages. A
-//! long prompt that is prefilled at a decode searcher to avoid the wait takes several times as much of its capacity and
-//! keeps it from decoding. `tests/decision_locality.rs` has a test for each case.
+//! searchers are idle. Where waits at prefill searchers are long, the control plane reassigns searchers between the
+//! stages. A long prompt that is prefilled at a decode searcher to avoid the wait takes several times as much of its
+//! capacity and keeps it from decoding. `tests/decision_locality.rs` has a test for each case.
 
 use super::selection::SelectedSearcher;
 use super::service::Service;
--- a/crates/lockusher-proxy/tests/decision_support/choosers.rs
+++ b/crates/lockusher-proxy/tests/decision_support/choosers.rs
@@ -83,7 +83,7 @@
         identifier[1..].parse().ok()
     }
 
-    fn outcome(
+    fn record_outcome(
         &mut self,
         now: Micros,
         request: usize,
@@ -165,7 +165,7 @@
         Some(chosen)
     }
 
-    fn outcome(
+    fn record_outcome(
         &mut self,
         _now: Micros,
         _request: usize,
--- a/crates/lockusher-proxy/tests/decision_support/fleet.rs
+++ b/crates/lockusher-proxy/tests/decision_support/fleet.rs
@@ -28,7 +28,7 @@
     /// Whether a prefill searcher prefills this request's prompt.
     fn should_split(&mut self, now: Micros, request: usize, attributes: &RequestFacts) -> bool;
     /// Records the outcome of a send.
-    fn outcome(
+    fn record_outcome(
         &mut self,
         now: Micros,
         request: usize,
@@ -142,7 +142,7 @@
 enum Event {
     Arrival(usize),
     PrefillDone(usize, usize),
-    FirstEvent(usize, usize, bool),
+    StreamStart(usize, usize, bool),
     StreamEnd(usize, usize, bool),
 }
 
@@ -277,7 +277,7 @@
                 } else {
                     SendOutcome::Answered
                 };
-                chooser.outcome(now, number, Purpose::Prefill, prefill_index, outcome);
+                chooser.record_outcome(now, number, Purpose::Prefill, prefill_index, outcome);
                 if is_late {
                     continue;
                 }
@@ -297,9 +297,9 @@
                     push_stream(&mut events, number, decode_index, &call, false);
                 }
             }
-            Event::FirstEvent(number, decode_index, is_in_place) => {
+            Event::StreamStart(number, decode_index, is_in_place) => {
                 let request = &requests[number];
-                choosers[request.proxy].outcome(
+                choosers[request.proxy].record_outcome(
                     now,
                     number,
                     purpose(is_in_place),
@@ -309,7 +309,7 @@
                 results.record_first_event(now, scenario, request);
             }
             Event::StreamEnd(number, decode_index, is_in_place) => {
-                choosers[requests[number].proxy].outcome(
+                choosers[requests[number].proxy].record_outcome(
                     now,
                     number,
                     purpose(is_in_place),
@@ -339,7 +339,7 @@
 ) {
     events.push(Reverse((
         call.at as Micros,
-        Event::FirstEvent(number, decode_index, is_in_place),
+        Event::StreamStart(number, decode_index, is_in_place),
     )));
     events.push(Reverse((
         call.end as Micros + 1,
