--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -243,7 +243,7 @@
                     self.shared.guard_send(ticket),
                 ))
             }
-            Choice::Refuse { .. } | Choice::Exhausted => None,
+            Choice::Unavailable { .. } | Choice::Exhausted => None,
         }
     }
 
--- a/crates/lockusher-proxy/src/attempts/handover.rs
+++ b/crates/lockusher-proxy/src/attempts/handover.rs
@@ -69,7 +69,7 @@
                 .shared
                 .router
                 .borrow()
-                .split(self.shared.clock.micros(), &self.plan)
+                .should_split(self.shared.clock.micros(), &self.plan)
     }
 
     /// Whether a handle that was rejected may be sent to another decode searcher.
--- a/crates/lockusher-proxy/src/decision/interface.rs
+++ b/crates/lockusher-proxy/src/decision/interface.rs
@@ -45,7 +45,7 @@
 
 /// The properties of a request and of its route that the decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestAttributes {
     /// The service that the route's traffic split assigned to the request.
     pub service: String,
     /// Whether the response is streamed, and whether the request is idempotent.
@@ -63,18 +63,18 @@
     /// The parts of the prompt in order; empty if the request names none.
     pub prompt: Vec<PromptPart>,
     /// Number of prompt tokens; 0 if unknown.
-    pub tokens_in: u32,
+    pub prompt_tokens: u32,
     /// Maximum number of output tokens; 0 if unknown.
-    pub tokens_out: u32,
+    pub max_output_tokens: u32,
 }
 
 /// The result of admission control for one request.
 #[derive(Debug)]
 pub enum Admission {
     /// The request is admitted.
-    Go(RequestPlan),
+    Admitted(RequestPlan),
     /// The request is refused at once: 503 with `Retry-After`.
-    Refuse {
+    Refused {
         /// When the client should retry.
         retry_after_ms: u64,
     },
@@ -101,7 +101,7 @@
         priority: u8,
     },
     /// No searcher is available; no searcher that the request was sent to for this purpose has run it.
-    Refuse {
+    Unavailable {
         /// When the client should retry.
         retry_after_ms: u64,
     },
--- a/crates/lockusher-proxy/src/decision/mod.rs
+++ b/crates/lockusher-proxy/src/decision/mod.rs
@@ -81,7 +81,7 @@
 mod trace;
 mod types;
 
-pub use interface::{Admission, Choice, RequestFacts, RequestRouterSettings, SendTicket};
+pub use interface::{Admission, Choice, RequestAttributes, RequestRouterSettings, SendTicket};
 pub use plan::RequestPlan;
 pub use request_router::RequestRouter;
 pub use types::{MICROS_PER_MS, Micros, PromptPart, Purpose, SendOutcome};
--- a/crates/lockusher-proxy/src/decision/request_router.rs
+++ b/crates/lockusher-proxy/src/decision/request_router.rs
@@ -1,6 +1,6 @@
 //! The request router: the entry points of all routing decisions.
 //!
-//! Owned by the proxy's shared state, one per process. Called for each request (`admit`, `split`, `choose`), for
+//! Owned by the proxy's shared state, one per process. Called for each request (`admit`, `should_split`, `choose`), for
 //! each outcome, and for each new configuration, instance list and fleet size. It combines the other modules of
 //! `decision` and draws the random numbers, one for each choice. Invariant: the same seed and calls give the same
 //! choices.
@@ -15,7 +15,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::budget::{ASSUMED_FLEET_SIZE, RetryBudget};
-use super::interface::{Admission, Choice, RequestFacts, RequestRouterSettings, SendTicket};
+use super::interface::{Admission, Choice, RequestAttributes, RequestRouterSettings, SendTicket};
 use super::load::LoadMeters;
 use super::locality::{Locality, LocalityRegistry};
 use super::plan::{ChargeOutcome, Progress, RequestPlan, SendRecord};
@@ -121,12 +121,12 @@
     }
 
     /// Admits or refuses a request, and counts it for the retry budget.
-    pub fn admit(&mut self, now: Micros, request: &RequestFacts) -> Admission {
+    pub fn admit(&mut self, now: Micros, request: &RequestAttributes) -> Admission {
         let service = self.service_index(now, &request.service);
         self.services[service].budget.record_request(now);
         self.load_meters.record_request(service);
         if request.remaining_ms == 0 {
-            return Admission::Refuse {
+            return Admission::Refused {
                 retry_after_ms: MIN_RETRY_AFTER_MS,
             };
         }
@@ -136,14 +136,14 @@
                 .estimated_wait_ms(now)
                 .min(request.remaining_ms / 3)
                 .max(MIN_RETRY_AFTER_MS);
-            return Admission::Refuse { retry_after_ms };
+            return Admission::Refused { retry_after_ms };
         };
         let prefixes = prefixes(&request.prompt);
         let named_tokens = prefixes.last().map_or(0, |prefix| prefix.tokens);
-        Admission::Go(RequestPlan {
+        Admission::Admitted(RequestPlan {
             service,
             prefixes,
-            prompt_tokens: named_tokens.max(request.tokens_in),
+            prompt_tokens: named_tokens.max(request.prompt_tokens),
             is_idempotent: request.is_idempotent,
             priority: request.priority,
             attempts: request.attempts.max(1),
@@ -159,7 +159,7 @@
     }
 
     /// Whether to prefill the prompt at a prefill searcher first; otherwise `choose` is called with `Purpose::Whole`.
-    pub fn split(&self, now: Micros, plan: &RequestPlan) -> bool {
+    pub fn should_split(&self, now: Micros, plan: &RequestPlan) -> bool {
         let service = &self.services[plan.service];
         if !plan.has_attempt_left(Purpose::Prefill) || !service.kv_transfers.are_allowed(now) {
             return false;
@@ -200,7 +200,7 @@
         self.services[plan.service].refresh_peers(now, kind);
         let tie_breaker = self.rng.random();
         let Some(selected) = self.select_searcher(now, plan, purpose, tie_breaker) else {
-            return Choice::Refuse {
+            return Choice::Unavailable {
                 retry_after_ms: self.retry_after_ms(now, plan),
             };
         };
@@ -276,7 +276,7 @@
     }
 
     /// Records an outcome of a send. A second final outcome of the same send is ignored.
-    pub fn outcome(&mut self, now: Micros, ticket: SendTicket, outcome: SendOutcome) {
+    pub fn record_outcome(&mut self, now: Micros, ticket: SendTicket, outcome: SendOutcome) {
         if outcome == SendOutcome::FirstEvent {
             self.record_first_event(now, ticket);
             return;
@@ -428,7 +428,7 @@
 
 /// The time in milliseconds after which a client abandons a request without any response. Clients of streams don't wait
 /// for their deadline.
-fn client_timeout_ms(request: &RequestFacts) -> u64 {
+fn client_timeout_ms(request: &RequestAttributes) -> u64 {
     let timeout = MIN_STREAM_TIMEOUT_MS.max(STREAM_TIMEOUT_TARGETS * request.target_latency_ms);
     match request.kind {
         RouteKind::Streaming => request.remaining_ms.min(timeout),
--- a/crates/lockusher-proxy/src/decision/split.rs
+++ b/crates/lockusher-proxy/src/decision/split.rs
@@ -1,7 +1,7 @@
 //! Decides whether to split prefill and decode: whether transferring a prompt's KV cache is cheaper than prefilling the
 //! prompt at the decode searcher.
 //!
-//! Called by `RequestRouter::split`; stateless. Waits matter for short prompts only, and only while decode
+//! Called by `RequestRouter::should_split`; stateless. Waits matter for short prompts only, and only while decode
 //! searchers are idle. Where waits at prefill searchers are long, the control plane reassigns searchers between the
 //! stages. A long prompt that is prefilled at a decode searcher to avoid the wait takes several times as much of its
 //! capacity and keeps it from decoding. `tests/decision_locality.rs` has a test for each case.
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -15,7 +15,7 @@
 use crate::attempt_policy::AttemptPolicy;
 use crate::attempts::{AcceptedAnswer, NoAnswer, RequestAttempts};
 use crate::deadline::Deadlines;
-use crate::decision::{Admission, RequestFacts, SendOutcome};
+use crate::decision::{Admission, RequestAttributes, SendOutcome};
 use crate::headers;
 use crate::prefill::read_small_answer;
 use crate::proxy_state::ProxyState;
@@ -56,11 +56,11 @@
         .borrow_mut()
         .admit(shared.clock.micros(), &facts);
     match admission {
-        Admission::Refuse { retry_after_ms } => {
+        Admission::Refused { retry_after_ms } => {
             shared.record_unserved(service, UnservedReason::NotAdmitted);
             answer::refusal(retry_after_ms)
         }
-        Admission::Go(plan) => {
+        Admission::Admitted(plan) => {
             let policy = AttemptPolicy::new(route, handle_hold_ms(routes.configuration(), service));
             let attempts = RequestAttempts::new(shared.clone(), request, policy, deadlines, plan);
             answer_by_attempts(service, attempts).await
@@ -83,9 +83,14 @@
         .map_or(0, |engine| engine.handle_hold_ms)
 }
 
-fn facts(request: &ClientRequest, route: &Route, service: &str, deadline: Instant) -> RequestFacts {
+fn facts(
+    request: &ClientRequest,
+    route: &Route,
+    service: &str,
+    deadline: Instant,
+) -> RequestAttributes {
     let token_counts = request.token_counts();
-    RequestFacts {
+    RequestAttributes {
         service: service.to_owned(),
         kind: route.kind,
         is_idempotent: route.is_idempotent(),
@@ -96,8 +101,8 @@
             .saturating_duration_since(Instant::now())
             .as_millis() as u64,
         prompt: request.prompt(),
-        tokens_in: token_counts.prompt,
-        tokens_out: token_counts.max_answer,
+        prompt_tokens: token_counts.prompt,
+        max_output_tokens: token_counts.max_answer,
     }
 }
 
--- a/crates/lockusher-proxy/src/proxy_state.rs
+++ b/crates/lockusher-proxy/src/proxy_state.rs
@@ -223,7 +223,7 @@
         self.shared
             .router
             .borrow_mut()
-            .outcome(now, ticket, outcome);
+            .record_outcome(now, ticket, outcome);
     }
 }
 
--- a/crates/lockusher-proxy/tests/decision_affinity.rs
+++ b/crates/lockusher-proxy/tests/decision_affinity.rs
@@ -86,12 +86,12 @@
 #[test]
 fn a_session_returns_to_the_same_searcher() {
     let mut router = router(&split_fleet(8, 8), 1);
-    let session = RequestFacts {
+    let session = RequestAttributes {
         prompt: vec![PromptPart {
             id: 77,
             tokens: 4_000,
         }],
-        tokens_in: 4_000,
+        prompt_tokens: 4_000,
         ..streaming_request(1, 1)
     };
     let first = serve(&mut router, 0, &session, Purpose::Prefill, 60 * MS);
@@ -116,9 +116,9 @@
     let list = spread_fleet(6, 6, 3);
     for id in 0..20 {
         let parts = vec![PromptPart { id, tokens: 3_000 }];
-        let session = RequestFacts {
+        let session = RequestAttributes {
             prompt: parts,
-            tokens_in: 3_000,
+            prompt_tokens: 3_000,
             ..streaming_request(1, 1)
         };
         let first_turn = |number: usize| {
@@ -156,7 +156,7 @@
 /// Of sixty prompts without a response yet, the number sent to the most used searcher.
 fn most_at_one(shared: u32, own: u32) -> u32 {
     let mut router = router(&split_fleet(4, 4), 1);
-    let attributes = |prefix: u64, step: u64| RequestFacts {
+    let attributes = |prefix: u64, step: u64| RequestAttributes {
         prompt: vec![
             PromptPart {
                 id: prefix,
@@ -167,17 +167,17 @@
                 tokens: own,
             },
         ],
-        tokens_in: shared + own,
+        prompt_tokens: shared + own,
         ..streaming_request(1, 1)
     };
     for step in 0..50 {
         let tokens = 1_000 + 200 * (step as u32 % 20);
-        let varied = RequestFacts {
+        let varied = RequestAttributes {
             prompt: vec![PromptPart {
                 id: 2_000_000 + step,
                 tokens,
             }],
-            tokens_in: tokens,
+            prompt_tokens: tokens,
             ..streaming_request(1, 1)
         };
         serve(
--- a/crates/lockusher-proxy/tests/decision_attempts.rs
+++ b/crates/lockusher-proxy/tests/decision_attempts.rs
@@ -16,7 +16,7 @@
     for step in 0..1_000 {
         admit(&mut router, 10 * SECOND + step * 20 * MS, &request());
     }
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         attempts: 3,
         ..request()
     };
@@ -24,7 +24,7 @@
     let mut identifiers = Vec::new();
     for _ in 0..3 {
         let (identifier, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
-        router.outcome(now, ticket, SendOutcome::Failed);
+        router.record_outcome(now, ticket, SendOutcome::Failed);
         identifiers.push(identifier);
     }
     assert_eq!(
@@ -55,7 +55,7 @@
 ) {
     let mut router = router(&plain_searchers(3), 1);
     let now = run_until_budget_is_available(&mut router);
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         is_idempotent: false,
         ..request()
     };
@@ -66,7 +66,7 @@
         Choice::Exhausted,
         "one send is in flight"
     );
-    router.outcome(now, ticket, outcome);
+    router.record_outcome(now, ticket, outcome);
     assert_eq!(plan.has_not_run(), is_resent);
     assert_eq!(
         matches!(
@@ -80,13 +80,13 @@
 #[test]
 fn the_first_accepted_prefill_is_not_an_attempt() {
     let mut router = router(&split_fleet(3, 3), 1);
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         attempts: 1,
         ..streaming_request(1, 2)
     };
     let mut plan = admit(&mut router, 0, &attributes);
     let (_, ticket) = send(&mut router, 0, &mut plan, Purpose::Prefill);
-    router.outcome(0, ticket, SendOutcome::Answered);
+    router.record_outcome(0, ticket, SendOutcome::Answered);
     assert_eq!(
         router.choose(0, &mut plan, Purpose::Prefill),
         Choice::Exhausted,
@@ -103,28 +103,28 @@
 fn a_rejected_prefill_counts_as_an_attempt() {
     let mut router = router(&split_fleet(3, 3), 1);
     let now = run_until_budget_is_available(&mut router);
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         attempts: 1,
         ..streaming_request(1, 2)
     };
     let mut plan = admit(&mut router, now, &attributes);
     let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
-    router.outcome(now, ticket, SendOutcome::Rejected);
+    router.record_outcome(now, ticket, SendOutcome::Rejected);
     assert_eq!(
         router.choose(now, &mut plan, Purpose::Prefill),
         Choice::Exhausted
     );
 
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         attempts: 2,
         ..attributes
     };
     let mut plan = admit(&mut router, now, &attributes);
     let (first, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
-    router.outcome(now, ticket, SendOutcome::Rejected);
+    router.record_outcome(now, ticket, SendOutcome::Rejected);
     let (second, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
     assert_ne!(first, second);
-    router.outcome(now, ticket, SendOutcome::Answered);
+    router.record_outcome(now, ticket, SendOutcome::Answered);
     send(&mut router, now, &mut plan, Purpose::Decode);
 }
 
@@ -144,7 +144,7 @@
     let mut plan = admit(&mut router, 0, &request());
     let choice = router.choose(0, &mut plan, Purpose::Whole);
     assert!(
-        matches!(choice, Choice::Refuse { retry_after_ms } if (1..=5_000).contains(&retry_after_ms)),
+        matches!(choice, Choice::Unavailable { retry_after_ms } if (1..=5_000).contains(&retry_after_ms)),
         "{choice:?}"
     );
 }
@@ -187,13 +187,13 @@
     let mut router = router(&split_fleet(4, 4), 1);
     // Without requests and with a negligible share of the slack, the budget has no capacity for a retry.
     router.set_fleet_size(u32::MAX);
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         attempts: 2,
         ..streaming_request(1, 2)
     };
     let mut plan = admit(&mut router, 0, &attributes);
     let (_, ticket) = send(&mut router, 0, &mut plan, Purpose::Prefill);
-    router.outcome(0, ticket, outcome);
+    router.record_outcome(0, ticket, outcome);
     let purpose = if outcome == SendOutcome::Answered {
         Purpose::Decode
     } else {
--- a/crates/lockusher-proxy/tests/decision_budget.rs
+++ b/crates/lockusher-proxy/tests/decision_budget.rs
@@ -71,7 +71,7 @@
             routers[event.proxy].apply_instances(event.at, &plain_searchers(40));
         }
         let router = &mut routers[event.proxy];
-        let attributes = RequestFacts {
+        let attributes = RequestAttributes {
             attempts: event.attempts,
             ..request()
         };
@@ -79,7 +79,7 @@
         let mut plan = admit(router, event.at, &attributes);
         let mut sends = 0;
         while let Choice::Send { ticket, .. } = router.choose(event.at, &mut plan, Purpose::Whole) {
-            router.outcome(event.at, ticket, SendOutcome::Failed);
+            router.record_outcome(event.at, ticket, SendOutcome::Failed);
             sends += 1;
             if sends > 1 {
                 observed.retries.push(event.at);
@@ -159,7 +159,7 @@
     let mut router = router(&plain_searchers(40), 1);
     router.set_fleet_size(60);
     router.set_fleet_size(1);
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         attempts: 9,
         ..request()
     };
@@ -167,7 +167,7 @@
     let mut plan = admit(&mut router, now, &attributes);
     let mut sends = 0;
     while let Choice::Send { ticket, .. } = router.choose(now, &mut plan, Purpose::Whole) {
-        router.outcome(now, ticket, SendOutcome::Failed);
+        router.record_outcome(now, ticket, SendOutcome::Failed);
         sends += 1;
     }
     assert_eq!(sends, 1);
--- a/crates/lockusher-proxy/tests/decision_cost.rs
+++ b/crates/lockusher-proxy/tests/decision_cost.rs
@@ -61,7 +61,7 @@
             let Choice::Send { ticket, .. } = choice else {
                 panic!("expected a send")
             };
-            router.outcome(now + 50 * MS, ticket, SendOutcome::Answered);
+            router.record_outcome(now + 50 * MS, ticket, SendOutcome::Answered);
         }
         fastest = fastest.min(total_micros / CHOICES_PER_BATCH as f64);
     }
--- a/crates/lockusher-proxy/tests/decision_kv_transfer.rs
+++ b/crates/lockusher-proxy/tests/decision_kv_transfer.rs
@@ -46,7 +46,7 @@
     router: &mut RequestRouter,
     start: Micros,
     requests: u64,
-    attributes: &RequestFacts,
+    attributes: &RequestAttributes,
     fault: Fault,
 ) -> Results {
     let mut results = Results::default();
@@ -55,7 +55,7 @@
         send_until_accepted(
             router,
             start + step * GAP,
-            &RequestFacts {
+            &RequestAttributes {
                 prompt,
                 ..attributes.clone()
             },
@@ -70,21 +70,21 @@
 fn send_until_accepted(
     router: &mut RequestRouter,
     now: Micros,
-    attributes: &RequestFacts,
+    attributes: &RequestAttributes,
     fault: Fault,
     results: &mut Results,
 ) {
     let mut plan = admit(router, now, attributes);
     let mut holder = None;
     loop {
-        if holder.is_none() && router.split(now, &plan) {
+        if holder.is_none() && router.should_split(now, &plan) {
             let Choice::Send {
                 identifier, ticket, ..
             } = router.choose(now, &mut plan, Purpose::Prefill)
             else {
                 return;
             };
-            router.outcome(now + 5 * MS, ticket, SendOutcome::Answered);
+            router.record_outcome(now + 5 * MS, ticket, SendOutcome::Answered);
             *results.prefills.entry(identifier.clone()).or_default() += 1;
             holder = Some(identifier);
         }
@@ -117,7 +117,7 @@
             _ => false,
         };
         if is_handle_gone || is_full {
-            router.outcome(now + 6 * MS, ticket, SendOutcome::Rejected);
+            router.record_outcome(now + 6 * MS, ticket, SendOutcome::Rejected);
             results.rejected += 1;
             let may_resend = holder.is_some() && router.may_transfer_again(now, &plan);
             results.resendable += usize::from(may_resend);
@@ -126,12 +126,12 @@
         }
         let is_slow =
             holder.is_some() && matches!(fault, Fault::SlowTransfers(slow) if slow == identifier);
-        router.outcome(
+        router.record_outcome(
             now + if is_slow { 80 * MS } else { 10 * MS },
             ticket,
             SendOutcome::FirstEvent,
         );
-        router.outcome(now + 90 * MS, ticket, SendOutcome::Answered);
+        router.record_outcome(now + 90 * MS, ticket, SendOutcome::Answered);
         results.served += 1;
         return;
     }
@@ -151,16 +151,16 @@
     now: Micros,
     attempts: u32,
 ) -> (RequestPlan, String) {
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         attempts,
         is_idempotent: false,
         ..streaming_request(1, 2)
     };
     let mut plan = admit(router, now, &attributes);
     let (_, ticket) = send(router, now, &mut plan, Purpose::Prefill);
-    router.outcome(now, ticket, SendOutcome::Answered);
+    router.record_outcome(now, ticket, SendOutcome::Answered);
     let (identifier, ticket) = send(router, now, &mut plan, Purpose::Decode);
-    router.outcome(now, ticket, SendOutcome::Rejected);
+    router.record_outcome(now, ticket, SendOutcome::Rejected);
     (plan, identifier)
 }
 
@@ -169,10 +169,10 @@
     let (mut router, now) = run_without_faults(4, 4);
     let (mut plan, first) = reject_first_transfer(&mut router, now, 2);
     assert!(!router.may_transfer_again(now, &plan));
-    assert!(!router.split(now, &plan));
+    assert!(!router.should_split(now, &plan));
     let (second, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
     assert_ne!(first, second);
-    router.outcome(now, ticket, SendOutcome::Rejected);
+    router.record_outcome(now, ticket, SendOutcome::Rejected);
     assert_eq!(
         router.choose(now, &mut plan, Purpose::Whole),
         Choice::Exhausted
@@ -190,7 +190,7 @@
 fn without_attempts_left_the_rejecting_searcher_gets_the_complete_request_once() {
     let (mut router, now) = run_without_faults(4, 4);
     let (mut plan, first) = reject_first_transfer(&mut router, now, 1);
-    assert!(!router.split(now, &plan));
+    assert!(!router.should_split(now, &plan));
     assert_eq!(
         router.choose(now, &mut plan, Purpose::Decode),
         Choice::Exhausted
@@ -202,7 +202,7 @@
         Choice::Exhausted,
         "one send is in flight"
     );
-    router.outcome(now, ticket, SendOutcome::Rejected);
+    router.record_outcome(now, ticket, SendOutcome::Rejected);
     assert_eq!(
         router.choose(now, &mut plan, Purpose::Whole),
         Choice::Exhausted
@@ -273,7 +273,7 @@
 #[test]
 fn requests_with_one_attempt_are_served_while_every_handle_is_rejected() {
     let (mut router, now) = run_without_faults(4, 4);
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         attempts: 1,
         is_idempotent: false,
         ..streaming_request(0, 0)
@@ -331,7 +331,7 @@
 #[test]
 fn kv_transfers_continue_while_most_decode_searchers_are_full() {
     let (mut router, now) = run_without_faults(4, 4);
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         attempts: 4,
         ..streaming_request(0, 0)
     };
--- a/crates/lockusher-proxy/tests/decision_load.rs
+++ b/crates/lockusher-proxy/tests/decision_load.rs
@@ -12,10 +12,10 @@
     router.take_loads(SECOND).expect("the first report");
     let mut plan = admit(&mut router, SECOND, &streaming_request(1, 2));
     let (_, prefill) = send(&mut router, SECOND, &mut plan, Purpose::Prefill);
-    router.outcome(SECOND + 500 * MS, prefill, SendOutcome::Answered);
+    router.record_outcome(SECOND + 500 * MS, prefill, SendOutcome::Answered);
     let (_, decode) = send(&mut router, SECOND + 500 * MS, &mut plan, Purpose::Decode);
-    router.outcome(SECOND + 600 * MS, decode, SendOutcome::FirstEvent);
-    router.outcome(SECOND + 900 * MS, decode, SendOutcome::Answered);
+    router.record_outcome(SECOND + 600 * MS, decode, SendOutcome::FirstEvent);
+    router.record_outcome(SECOND + 900 * MS, decode, SendOutcome::Answered);
     let loads = router.take_loads(2 * SECOND).expect("a second later");
     assert_eq!(loads.len(), 1);
     let load = &loads[0];
--- a/crates/lockusher-proxy/tests/decision_locality.rs
+++ b/crates/lockusher-proxy/tests/decision_locality.rs
@@ -28,34 +28,34 @@
     for step in 0..200u64 {
         now += 200 * MS;
         let tokens = 200 + (step % 40) as u32 * 400;
-        let attributes = RequestFacts {
+        let attributes = RequestAttributes {
             prompt: vec![PromptPart {
                 id: 1_000 + step,
                 tokens,
             }],
-            tokens_in: tokens,
+            prompt_tokens: tokens,
             ..streaming_request(1, 1)
         };
         let mut plan = admit(router, now, &attributes);
         let (_, ticket) = send(router, now, &mut plan, Purpose::Prefill);
         let prefilled_at = now + prefill_time(tokens);
-        router.outcome(prefilled_at, ticket, SendOutcome::Answered);
+        router.record_outcome(prefilled_at, ticket, SendOutcome::Answered);
         let (_, ticket) = send(router, prefilled_at, &mut plan, Purpose::Decode);
         let first_event_at = prefilled_at + transfer_time(tokens);
-        router.outcome(first_event_at, ticket, SendOutcome::FirstEvent);
-        router.outcome(first_event_at + 20 * MS, ticket, SendOutcome::Answered);
+        router.record_outcome(first_event_at, ticket, SendOutcome::FirstEvent);
+        router.record_outcome(first_event_at + 20 * MS, ticket, SendOutcome::Answered);
     }
     now + SECOND
 }
 
 fn splits(router: &mut RequestRouter, now: Micros, tokens: u32) -> bool {
-    let attributes = RequestFacts {
+    let attributes = RequestAttributes {
         prompt: vec![PromptPart { id: 9, tokens }],
-        tokens_in: tokens,
+        prompt_tokens: tokens,
         ..streaming_request(1, 1)
     };
     let plan = admit(router, now, &attributes);
-    router.split(now, &plan)
+    router.should_split(now, &plan)
 }
 
 #[test]
@@ -158,16 +158,16 @@
     let mut same_zone = 0;
     for step in 0..50 {
         let now = now + step * 500 * MS;
-        let attributes = RequestFacts {
+        let attributes = RequestAttributes {
             prompt: Vec::new(),
             ..streaming_request(1, 1)
         };
         let mut plan = admit(&mut router, now, &attributes);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
-        router.outcome(now + 100 * MS, ticket, SendOutcome::Answered);
+        router.record_outcome(now + 100 * MS, ticket, SendOutcome::Answered);
         let (identifier, ticket) = send(&mut router, now + 100 * MS, &mut plan, Purpose::Decode);
-        router.outcome(now + 160 * MS, ticket, SendOutcome::FirstEvent);
-        router.outcome(now + 200 * MS, ticket, SendOutcome::Answered);
+        router.record_outcome(now + 160 * MS, ticket, SendOutcome::FirstEvent);
+        router.record_outcome(now + 200 * MS, ticket, SendOutcome::Answered);
         same_zone += u32::from(identifier == "d1");
     }
     assert!(same_zone >= 40, "{same_zone} of 50");
@@ -181,18 +181,21 @@
     let mut now = train(&mut router, 0, 20 * MS);
     for step in 0..200u64 {
         now += 20 * MS;
-        let attributes = RequestFacts {
+        let attributes = RequestAttributes {
             target_latency_ms: 3_600_000,
             ..streaming_request(1, 5_000 + step)
         };
         let mut plan = admit(&mut router, now, &attributes);
-        assert!(router.split(now, &plan), "after {step} late prefills");
+        assert!(
+            router.should_split(now, &plan),
+            "after {step} late prefills"
+        );
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
-        router.outcome(now + 3 * SECOND, ticket, SendOutcome::Answered);
+        router.record_outcome(now + 3 * SECOND, ticket, SendOutcome::Answered);
     }
     let plan = admit(&mut router, now, &streaming_request(1, 9_999));
-    assert!(router.split(now, &plan));
-    assert!(router.split(now + 30 * SECOND, &plan));
+    assert!(router.should_split(now, &plan));
+    assert!(router.should_split(now + 30 * SECOND, &plan));
 }
 
 /// Prefill searchers take three seconds for every prompt for a while; decode searchers respond after `decode`.
@@ -201,16 +204,16 @@
     let mut now = train(&mut router, 0, 20 * MS);
     for step in 0..60u64 {
         now += 20 * MS;
-        let attributes = RequestFacts {
+        let attributes = RequestAttributes {
             target_latency_ms: 3_600_000,
             ..streaming_request(1, 5_000 + step)
         };
         let mut plan = admit(&mut router, now, &attributes);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Prefill);
-        router.outcome(now + 3 * SECOND, ticket, SendOutcome::Answered);
+        router.record_outcome(now + 3 * SECOND, ticket, SendOutcome::Answered);
         let (_, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
-        router.outcome(now + decode_time, ticket, SendOutcome::FirstEvent);
-        router.outcome(now + decode_time + 20 * MS, ticket, SendOutcome::Answered);
+        router.record_outcome(now + decode_time, ticket, SendOutcome::FirstEvent);
+        router.record_outcome(now + decode_time + 20 * MS, ticket, SendOutcome::Answered);
     }
     (router, now)
 }
--- a/crates/lockusher-proxy/tests/decision_outliers.rs
+++ b/crates/lockusher-proxy/tests/decision_outliers.rs
@@ -34,7 +34,7 @@
         while let Some((at, ticket, outcome)) =
             in_flight.first().copied().filter(|(at, ..)| *at <= now)
         {
-            router.outcome(at, ticket, outcome);
+            router.record_outcome(at, ticket, outcome);
             in_flight.remove(0);
         }
         let mut plan = admit(router, now, &request());
@@ -48,7 +48,7 @@
         *sends.entry(identifier).or_default() += 1;
     }
     for (at, ticket, outcome) in in_flight {
-        router.outcome(at, ticket, outcome);
+        router.record_outcome(at, ticket, outcome);
     }
     sends
 }
@@ -108,7 +108,7 @@
         let now = step * GAP;
         let mut plan = admit(&mut router, now, &request());
         let (identifier, ticket) = send(&mut router, now, &mut plan, Purpose::Whole);
-        router.outcome(now + MS, ticket, SendOutcome::Failed);
+        router.record_outcome(now + MS, ticket, SendOutcome::Failed);
         *sends.entry(identifier).or_default() += 1;
     }
     assert!(
@@ -142,7 +142,7 @@
         }
         while in_flight.len() > 60 * 20 {
             let (number, ticket) = in_flight.remove(0);
-            routers[number].outcome(now, ticket, SendOutcome::Answered);
+            routers[number].record_outcome(now, ticket, SendOutcome::Answered);
         }
     }
     list.push(searcher("new", "a", None));
--- a/crates/lockusher-proxy/tests/decision_priority.rs
+++ b/crates/lockusher-proxy/tests/decision_priority.rs
@@ -6,10 +6,10 @@
 use lockusher_proxy::decision::*;
 
 /// A streaming request with a prompt of one part and the priority of its route.
-fn one_part(id: u64, tokens: u32, priority: u8) -> RequestFacts {
-    RequestFacts {
+fn one_part(id: u64, tokens: u32, priority: u8) -> RequestAttributes {
+    RequestAttributes {
         prompt: vec![PromptPart { id, tokens }],
-        tokens_in: tokens,
+        prompt_tokens: tokens,
         priority,
         ..streaming_request(1, 1)
     }
@@ -18,7 +18,7 @@
 fn priority(
     router: &mut RequestRouter,
     now: Micros,
-    attributes: &RequestFacts,
+    attributes: &RequestAttributes,
     purpose: Purpose,
 ) -> u8 {
     let mut plan = admit(router, now, attributes);
@@ -58,7 +58,7 @@
 #[test]
 fn cached_tokens_raise_the_priority_of_a_prefill() {
     let (mut router, now) = after_prefills();
-    let shared = RequestFacts {
+    let shared = RequestAttributes {
         prompt: vec![
             PromptPart {
                 id: 70,
@@ -69,7 +69,7 @@
                 tokens: 2_000,
             },
         ],
-        tokens_in: 16_000,
+        prompt_tokens: 16_000,
         ..streaming_request(1, 1)
     };
     // The affinity target is assumed to have cached the shared parts.
--- a/crates/lockusher-proxy/tests/decision_scoring.rs
+++ b/crates/lockusher-proxy/tests/decision_scoring.rs
@@ -145,7 +145,7 @@
             model.searchers.insert(instance.identifier.clone(), ModelSearcher::default());
         }
         // Responses may take long here: a long target latency keeps admission control from refusing requests.
-        let attributes = RequestFacts { target_latency_ms: 3_600_000, ..request() };
+        let attributes = RequestAttributes { target_latency_ms: 3_600_000, ..request() };
         let mut in_flight: Vec<(Micros, Micros, String, SendTicket)> = Vec::new();
         let mut now = 0;
         for (gap, duration) in requests {
@@ -153,7 +153,7 @@
             in_flight.sort();
             while in_flight.first().is_some_and(|(at, ..)| *at <= now) {
                 let (at, sent, identifier, ticket) = in_flight.remove(0);
-                router.outcome(at, ticket, SendOutcome::Answered);
+                router.record_outcome(at, ticket, SendOutcome::Answered);
                 model.answered(&identifier, sent, at);
             }
             let mut plan = admit(&mut router, now, &attributes);
--- a/crates/lockusher-proxy/tests/decision_support/choosers.rs
+++ b/crates/lockusher-proxy/tests/decision_support/choosers.rs
@@ -39,8 +39,13 @@
 }
 
 impl Chooser for RouterChooser {
-    fn admit(&mut self, now: Micros, request: usize, attributes: &RequestFacts) -> Result<(), u64> {
-        let unlimited = RequestFacts {
+    fn admit(
+        &mut self,
+        now: Micros,
+        request: usize,
+        attributes: &RequestAttributes,
+    ) -> Result<(), u64> {
+        let unlimited = RequestAttributes {
             kind: RouteKind::Idempotent,
             remaining_ms: 3_600_000,
             ..attributes.clone()
@@ -53,23 +58,23 @@
                 attributes
             },
         ) {
-            Admission::Go(plan) => {
+            Admission::Admitted(plan) => {
                 self.plans.insert(request, plan);
                 Ok(())
             }
-            Admission::Refuse { retry_after_ms } => Err(retry_after_ms),
+            Admission::Refused { retry_after_ms } => Err(retry_after_ms),
         }
     }
 
-    fn should_split(&mut self, now: Micros, request: usize, _facts: &RequestFacts) -> bool {
-        self.always_split || self.router.split(now, &self.plans[&request])
+    fn should_split(&mut self, now: Micros, request: usize, _facts: &RequestAttributes) -> bool {
+        self.always_split || self.router.should_split(now, &self.plans[&request])
     }
 
     fn choose(
         &mut self,
         now: Micros,
         request: usize,
-        _facts: &RequestFacts,
+        _facts: &RequestAttributes,
         purpose: Purpose,
     ) -> Option<usize> {
         let plan = self.plans.get_mut(&request)?;
@@ -92,7 +97,7 @@
         outcome: SendOutcome,
     ) {
         let ticket = self.tickets[&(request, purpose)];
-        self.router.outcome(now, ticket, outcome);
+        self.router.record_outcome(now, ticket, outcome);
         if outcome != SendOutcome::FirstEvent && purpose != Purpose::Prefill {
             self.plans.remove(&request);
         }
@@ -132,7 +137,7 @@
 }
 
 impl Chooser for BaselineChooser {
-    fn should_split(&mut self, _now: Micros, _request: usize, _facts: &RequestFacts) -> bool {
+    fn should_split(&mut self, _now: Micros, _request: usize, _facts: &RequestAttributes) -> bool {
         true
     }
 
@@ -140,7 +145,7 @@
         &mut self,
         _now: Micros,
         _request: usize,
-        attributes: &RequestFacts,
+        attributes: &RequestAttributes,
         purpose: Purpose,
     ) -> Option<usize> {
         let stage_index = stage_index(purpose);
--- a/crates/lockusher-proxy/tests/decision_support/fleet.rs
+++ b/crates/lockusher-proxy/tests/decision_support/fleet.rs
@@ -18,15 +18,21 @@
         &mut self,
         now: Micros,
         request: usize,
-        attributes: &RequestFacts,
+        attributes: &RequestAttributes,
         purpose: Purpose,
     ) -> Option<usize>;
     /// Admits a request or returns the retry delay in milliseconds.
-    fn admit(&mut self, _now: Micros, _request: usize, _facts: &RequestFacts) -> Result<(), u64> {
+    fn admit(
+        &mut self,
+        _now: Micros,
+        _request: usize,
+        _facts: &RequestAttributes,
+    ) -> Result<(), u64> {
         Ok(())
     }
     /// Whether a prefill searcher prefills this request's prompt.
-    fn should_split(&mut self, now: Micros, request: usize, attributes: &RequestFacts) -> bool;
+    fn should_split(&mut self, now: Micros, request: usize, attributes: &RequestAttributes)
+    -> bool;
     /// Records the outcome of a send.
     fn record_outcome(
         &mut self,
@@ -153,7 +159,7 @@
     sent_at: Micros,
     is_retry: bool,
     proxy: usize,
-    attributes: RequestFacts,
+    attributes: RequestAttributes,
 }
 
 impl Request {
@@ -254,7 +260,7 @@
                     let call = decode_engines[decode_index].prefill_in_place(
                         now,
                         &attributes.prompt,
-                        attributes.tokens_out,
+                        attributes.max_output_tokens,
                         &scenario.speeds,
                         deadline,
                     );
@@ -286,11 +292,11 @@
                     let is_other_zone =
                         prefill_index % scenario.zones != decode_index % scenario.zones;
                     results.transferred[usize::from(is_other_zone)] +=
-                        u64::from(attributes.tokens_in);
+                        u64::from(attributes.prompt_tokens);
                     let call = decode_engines[decode_index].decode(
                         now,
                         &attributes.prompt,
-                        attributes.tokens_out,
+                        attributes.max_output_tokens,
                         &scenario.speeds,
                         is_other_zone,
                     );
@@ -386,7 +392,7 @@
     fn record_prefill(
         &mut self,
         now: Micros,
-        attributes: &RequestFacts,
+        attributes: &RequestAttributes,
         call: &CallResult,
         repeated_prefill_window: Micros,
         last_use: &mut HashMap<Vec<u64>, Micros>,
@@ -441,7 +447,7 @@
     requests
 }
 
-fn attributes(class: &RequestClass, number: u64, rng: &mut impl Rng) -> RequestFacts {
+fn attributes(class: &RequestClass, number: u64, rng: &mut impl Rng) -> RequestAttributes {
     let mut prompt = Vec::new();
     let mut prefix_id = number;
     for (variants, tokens) in &class.shared {
@@ -460,16 +466,16 @@
         id: rng.random(),
         tokens: own_tokens as u32,
     });
-    let tokens_in = prompt.iter().map(|part| part.tokens).sum();
+    let prompt_tokens = prompt.iter().map(|part| part.tokens).sum();
     let output_tokens =
         f64::from(class.output_tokens) * (-(1.0 - rng.random::<f64>()).ln()).clamp(0.1, 4.0);
-    RequestFacts {
+    RequestAttributes {
         target_latency_ms: class.target_ms,
         remaining_ms: class.deadline_ms,
         priority: class.priority,
         prompt,
-        tokens_in,
-        tokens_out: output_tokens as u32 + 1,
+        prompt_tokens,
+        max_output_tokens: output_tokens as u32 + 1,
         ..super::streaming_request(0, 0)
     }
 }
--- a/crates/lockusher-proxy/tests/decision_support/mod.rs
+++ b/crates/lockusher-proxy/tests/decision_support/mod.rs
@@ -143,8 +143,8 @@
 }
 
 /// An idempotent request without a prompt, with two attempts.
-pub fn request() -> RequestFacts {
-    RequestFacts {
+pub fn request() -> RequestAttributes {
+    RequestAttributes {
         service: SERVICE.into(),
         kind: RouteKind::Idempotent,
         is_idempotent: true,
@@ -153,13 +153,13 @@
         target_latency_ms: 500,
         remaining_ms: 5_000,
         prompt: Vec::new(),
-        tokens_in: 0,
-        tokens_out: 0,
+        prompt_tokens: 0,
+        max_output_tokens: 0,
     }
 }
 
 /// A streaming request with a shared first prompt part and a part of its own.
-pub fn streaming_request(shared: u64, own: u64) -> RequestFacts {
+pub fn streaming_request(shared: u64, own: u64) -> RequestAttributes {
     let prompt = vec![
         PromptPart {
             id: shared,
@@ -170,20 +170,24 @@
             tokens: 3_000,
         },
     ];
-    RequestFacts {
+    RequestAttributes {
         kind: RouteKind::Streaming,
         prompt,
-        tokens_in: 15_000,
-        tokens_out: 100,
+        prompt_tokens: 15_000,
+        max_output_tokens: 100,
         ..request()
     }
 }
 
 /// Admits a request; panics if it is refused.
-pub fn admit(router: &mut RequestRouter, now: Micros, attributes: &RequestFacts) -> RequestPlan {
+pub fn admit(
+    router: &mut RequestRouter,
+    now: Micros,
+    attributes: &RequestAttributes,
+) -> RequestPlan {
     match router.admit(now, attributes) {
-        Admission::Go(plan) => plan,
-        Admission::Refuse { .. } => panic!("the request was refused"),
+        Admission::Admitted(plan) => plan,
+        Admission::Refused { .. } => panic!("the request was refused"),
     }
 }
 
@@ -206,12 +210,12 @@
 pub fn serve(
     router: &mut RequestRouter,
     now: Micros,
-    attributes: &RequestFacts,
+    attributes: &RequestAttributes,
     purpose: Purpose,
     duration: Micros,
 ) -> String {
     let mut plan = admit(router, now, attributes);
     let (identifier, ticket) = send(router, now, &mut plan, purpose);
-    router.outcome(now + duration, ticket, SendOutcome::Answered);
+    router.record_outcome(now + duration, ticket, SendOutcome::Answered);
     identifier
 }
