--- a/crates/lockusher-control/src/acceptor.rs
+++ b/crates/lockusher-control/src/acceptor.rs
@@ -7,16 +7,16 @@
 use crate::proposal::{AcceptedView, ProposalNumber};
 use crate::view::View;
 
-/// What this voter has promised and accepted in its present epoch, and whether it has sealed it.
+/// The promise and acceptance of a voter in its current epoch, and whether it has sealed the epoch.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct AcceptorState {
     /// No proposal number below this one is accepted.
     pub promised: ProposalNumber,
-    /// Accepted under the highest proposal number so far.
+    /// The view accepted under the highest proposal number so far.
     pub accepted: Option<AcceptedView>,
-    /// No further entry of the epoch is taken.
+    /// Whether the epoch is sealed: no further entry of it is accepted.
     pub sealed: bool,
-    /// The seal is on disk.
+    /// Whether the seal is durable.
     pub seal_durable: bool,
 }
 
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     ///
-    /// The higher number promised before.
+    /// The promised number, if it is higher.
     pub fn prepare(&mut self, proposal_number: ProposalNumber) -> Result<(), ProposalNumber> {
         if proposal_number < self.promised {
             return Err(self.promised);
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// The higher number promised before.
+    /// The promised number, if it is higher.
     pub fn accept(
         &mut self,
         proposal_number: ProposalNumber,
--- a/crates/lockusher-control/src/chain_role.rs
+++ b/crates/lockusher-control/src/chain_role.rs
@@ -1,11 +1,11 @@
 //! The role of a control node in the chain, as its replica reports it.
 
-/// Whether a node is head of the chain, and by which view.
+/// Whether a node is head of the chain, and in which epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChainRole {
-    /// Head of the newest view known, and in touch with a majority of its voters.
+    /// Whether it is head of the newest view known, and in contact with a majority of its voters.
     pub is_head: bool,
-    /// Epoch of the view by which this was found.
+    /// Epoch of that view.
     pub epoch: u64,
 }
 
--- a/crates/lockusher-control/src/document.rs
+++ b/crates/lockusher-control/src/document.rs
@@ -7,8 +7,8 @@
 use bitcode::{Decode, Encode};
 use derive_more::Display;
 
-/// 128-bit FNV-1a digest of a document's body. It identifies a configuration that is sent again; it isn't meant
-/// to withstand forgery.
+/// 128-bit FNV-1a digest of a document's body. It identifies a configuration that is sent again; it isn't
+/// cryptographic.
 #[derive(Clone, Copy, Debug, Decode, Display, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{_0:032x}")]
 pub struct Digest(pub u128);
@@ -34,19 +34,19 @@
 /// A validated configuration with its version.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct ConfigurationDocument {
-    /// Version that the operator gave it; versions rise.
+    /// Version assigned by the operator; versions increase.
     pub version: u64,
-    /// Identifies the operator's request that made it, so that the same request is known when it is sent again: the
-    /// digest of the whole configuration sent, or of a patch with the version that it builds on.
+    /// Identity of the operator's request that produced it, so that a retry is recognised: the digest of the full
+    /// configuration sent, or of a patch with the version that it builds on.
     pub request: Digest,
     /// Digest of `body`.
     pub digest: Digest,
-    /// The bytes exactly as the operator sent them, or what a patch made of the configuration before.
+    /// The bytes exactly as the operator sent them, or the result of a patch of the previous configuration.
     pub body: Arc<[u8]>,
 }
 
 impl ConfigurationDocument {
-    /// A document that the operator sent whole.
+    /// A document that the operator sent in full.
     pub fn new(version: u64, body: Arc<[u8]>) -> Self {
         let digest = Digest::of(&body);
         Self {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A document that a patch made, which [`patch_identity`] identifies.
+    /// A document produced by a patch, whose [`patch_identity`] is `request`.
     pub fn patched(version: u64, request: Digest, body: Arc<[u8]>) -> Self {
         Self {
             version,
@@ -68,11 +68,11 @@
     }
 }
 
-/// Sets the identities of patches apart from digests of whole configurations.
+/// Prefix that distinguishes the identities of patches from digests of full configurations.
 const PATCH_DOMAIN: &[u8] = b"PATCH\n";
 
-/// Identifies a patch: the version that it builds on and all of its bytes. Its own version alone doesn't, since two
-/// operators may give different changes the same number.
+/// Identity of a patch: digest of the version that it builds on and of all its bytes. Its own version alone doesn't
+/// identify it, since two operators may assign the same version to different changes.
 pub fn patch_identity(if_match: u64, body: &[u8]) -> Digest {
     Digest::of(PATCH_DOMAIN)
         .extended(&if_match.to_le_bytes())
--- a/crates/lockusher-control/src/durable_record.rs
+++ b/crates/lockusher-control/src/durable_record.rs
@@ -1,7 +1,8 @@
 //! Records that a replica makes durable before it acts on them.
 //!
-//! The driver appends them to the storage's log as [`Effect::Persist`](crate::Effect::Persist) asks, and hands all of
-//! them, in order, to the replica's next start. The encoding is the stored form: fields and variants are never reordered.
+//! The driver appends them to the storage's log on [`Effect::Persist`](crate::Effect::Persist), and passes all of them,
+//! in order, to the replica at its next start. The encoding is the storage format: fields and variants are never
+//! reordered.
 
 use std::net::SocketAddrV4;
 
@@ -13,26 +14,26 @@
 use crate::state::{HistoryDigest, ReplicatedState};
 use crate::view::{Identity, View};
 
-/// Names a write that a replica asked for until its outcome is known.
+/// Identifies a write requested by a replica until its outcome is known.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PersistTicket(pub u64);
 
 /// One durable record.
 ///
-/// Records of the agreement are merged by their order (epoch, proposal number), so that it is harmless if they come
-/// twice or late; `Entry` and `State` are applied in the order of the log.
+/// Records of view agreement are merged by epoch and proposal number, so that duplicate and late records are harmless;
+/// `Entry` and `State` are applied in the order of the log.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum DurableRecord {
-    /// Whose disk this is.
+    /// Identity and address of the disk's node.
     Identity {
         /// Identity of the disk.
         identity: Identity,
-        /// Address that it was used at.
+        /// Address at which the disk was used.
         address: SocketAddrV4,
     },
     /// An agreed view.
     View(View),
-    /// The acceptor's answer to a prepare: it accepts no proposal with a lower number.
+    /// The acceptor's promise to accept no proposal with a lower number.
     Promise {
         /// Epoch whose successor is agreed on.
         epoch: u64,
@@ -48,12 +49,12 @@
         /// The accepted view.
         view: View,
     },
-    /// No further entry of the epoch is taken.
+    /// The epoch is sealed: no further entry of it is accepted.
     Seal {
         /// The sealed epoch.
         epoch: u64,
     },
-    /// One configuration on top of a state.
+    /// One configuration, applied to the preceding state.
     Entry {
         /// Position of the state that contains the entry.
         position: Position,
@@ -62,14 +63,14 @@
         /// The configuration.
         document: ConfigurationDocument,
     },
-    /// The whole state, in place of what was stored before.
+    /// The whole state, which replaces the one stored before.
     State {
         /// Position of the state.
         position: Position,
         /// The state.
         state: ReplicatedState,
     },
-    /// The stored state stands at a later position, without a change.
+    /// The stored state, unchanged, has a later position.
     PositionAdvanced {
         /// The later position.
         position: Position,
--- a/crates/lockusher-control/src/durable_state.rs
+++ b/crates/lockusher-control/src/durable_state.rs
@@ -1,7 +1,7 @@
 //! This node's durable copy of the replicated state, and the one write of it that may be in flight.
 //!
 //! Owned by the replica. Invariant: `state` at `position` is on disk; a pending write counts only once the driver has
-//! reported it durable, and a refused one is dropped.
+//! reported it durable, and a failed one is dropped.
 
 use std::net::SocketAddrV4;
 
@@ -15,7 +15,7 @@
 /// The durable state. At most one write is in flight; it counts once it is durable.
 #[derive(Clone, Debug, Default)]
 pub struct DurableState {
-    /// Where the durable state stands.
+    /// Position of the durable state.
     pub position: Position,
     /// The durable state.
     pub state: ReplicatedState,
@@ -26,35 +26,35 @@
 /// A write of the state that isn't durable yet.
 #[derive(Clone, Debug)]
 pub struct PendingWrite {
-    /// Ticket that its outcome will name.
+    /// Ticket with which its outcome is reported.
     pub ticket: PersistTicket,
-    /// When the driver was asked for it.
+    /// When it was requested from the driver.
     pub requested_at: Millis,
-    /// Epoch in which it was asked for; what follows is done in this one only.
+    /// Epoch in which it was requested; `after_write` runs only in this epoch.
     pub epoch: u64,
     /// Position of the state once it is durable.
     pub position: Position,
     /// The state once it is durable.
     pub state: ReplicatedState,
-    /// What is done then.
+    /// Action to run once it is durable.
     pub after_write: AfterWrite,
 }
 
-/// What is done once the state is durable.
+/// An action to run once the state is durable.
 #[derive(Clone, Debug)]
 pub enum AfterWrite {
     /// As head: send the entry to the successor.
     SendToSuccessor,
-    /// As a member of the chain: forward the append, or answer it.
+    /// As a member of the chain: forward the entry, or acknowledge it.
     ForwardAppend(AppendedEntry),
-    /// Answer a transfer.
+    /// Respond to a transfer.
     RespondToTransfer {
-        /// Where the transfer came from.
+        /// Sender of the transfer.
         to: SocketAddrV4,
         /// Purpose of the transfer.
         purpose: TransferPurpose,
     },
-    /// Nothing: the write showed only that the disk works.
+    /// Nothing: the write only tests whether the disk works.
     Nothing,
 }
 
@@ -67,18 +67,18 @@
     pub previous: HistoryDigest,
     /// The entry's configuration.
     pub document: ConfigurationDocument,
-    /// Whether it goes on to the successor; else the head is answered directly.
+    /// Whether it is forwarded to the successor; else it is acknowledged to the head directly.
     pub relay: bool,
 }
 
 /// How a transfer relates to the durable state.
 #[derive(Clone, Debug)]
 pub enum TransferOutcome {
-    /// The receiver lacks what the transfer builds on.
+    /// The receiver lacks the state that the transfer builds on.
     MissingBase,
     /// The same state is stored already.
     AlreadyStored,
-    /// To be written: the record, and the state after it.
+    /// The transfer has to be written: the record, and the state after it.
     Write(Box<DurableRecord>, ReplicatedState),
 }
 
@@ -86,7 +86,8 @@
     /// Replays one record.
     pub fn recover(&mut self, record: DurableRecord) {
         match record {
-            // Sealed states of several members of one epoch stand at the same position.
+            // Sealed states of several members of one epoch have the same position, so equal positions are applied,
+            // too.
             DurableRecord::Entry {
                 position,
                 previous,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The record that restores the newest state, be it durable yet or not.
+    /// The record that restores the newest state, durable or pending.
     pub fn record(&self) -> DurableRecord {
         match &self.pending {
             Some(pending) => DurableRecord::State {
@@ -150,7 +151,7 @@
     }
 }
 
-/// The smallest payload that brings a node with this history digest to the state.
+/// The smallest payload that updates a node with this history digest to the state.
 pub fn payload_for(state: &ReplicatedState, history_digest: Option<HistoryDigest>) -> Payload {
     let newest = || {
         let document = state.document()?.clone();
--- a/crates/lockusher-control/src/envelope.rs
+++ b/crates/lockusher-control/src/envelope.rs
@@ -1,25 +1,25 @@
-//! The form of messages between control nodes on the wire: a protocol number, then the encoded [`Message`].
+//! Wire format of messages between control nodes: a protocol number, then the encoded [`Message`].
 //!
-//! The driver's peer links frame and send it; a node refuses what another protocol number precedes, so that releases
+//! The driver's peer links frame and send it; a node rejects messages with another protocol number, so that releases
 //! with different encodings can't misread one another.
 
 use derive_more::{Display, Error, From};
 
 use crate::message::Message;
 
-/// Number of the protocol that this release speaks.
+/// Protocol number of this release.
 pub const PROTOCOL: u16 = 2;
 
-/// A message as it goes on the wire.
+/// A message with its protocol number, as sent on the wire.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
-    /// Number of the protocol that the message is encoded by.
+    /// Number of the protocol in which the message is encoded.
     pub protocol: u16,
     /// The message.
     pub message: Message,
 }
 
-/// Why received bytes aren't a message.
+/// Reason why received bytes can't be decoded.
 #[derive(Debug, Display, Error, From)]
 pub enum EnvelopeError {
     /// There are too few bytes for a protocol number.
@@ -28,7 +28,7 @@
         /// Bytes received.
         length: usize,
     },
-    /// The sender speaks another protocol.
+    /// The sender uses another protocol.
     #[display("unknown protocol number {protocol}")]
     UnknownProtocol {
         /// The number received.
@@ -48,18 +48,18 @@
         }
     }
 
-    /// Bytes for the wire: the protocol number (little endian), then the message.
+    /// Encodes the protocol number (little endian) and the message.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.protocol.to_le_bytes().to_vec();
         bytes.extend_from_slice(&bitcode::encode(&self.message));
         bytes
     }
 
-    /// Reads what [`Envelope::encode`] wrote. The protocol number is checked before anything else is read.
+    /// Decodes what [`Envelope::encode`] returned. The protocol number is checked before anything else is read.
     ///
     /// # Errors
     ///
-    /// If the bytes are too few, of another protocol, or no message.
+    /// If there are too few bytes, the protocol number is another one, or the rest isn't an encoded message.
     pub fn decode(bytes: &[u8]) -> Result<Self, EnvelopeError> {
         let Some((number, rest)) = bytes.split_first_chunk::<2>() else {
             return Err(EnvelopeError::Short {
--- a/crates/lockusher-control/src/lib.rs
+++ b/crates/lockusher-control/src/lib.rs
@@ -1,8 +1,9 @@
-//! Replicated control state: agreed view, chain replication, storage, leases.
+//! Replicated control state: agreement on views, chain replication, storage, leases.
 //!
-//! [`Replica`] is the pure state machine of one control node. It has no I/O, no clock and no threads: a driver feeds
-//! it [`Event`]s together with the steady time, and carries out the [`Effect`]s it returns. The protocol is
-//! described in `docs/system.md`, section "Control state".
+//! [`Replica`] is the pure state machine of one control node. It has no I/O, no clock and no threads: a driver feeds it
+//! [`Event`]s together with the monotonic time, and carries out the [`Effect`]s it returns. The voters of each epoch
+//! agree on its successor's [`View`] by single-decree Paxos; the members of a view replicate the configuration along
+//! their chain.
 
 pub mod acceptor;
 mod acceptor_log;
--- a/crates/lockusher-control/src/locality.rs
+++ b/crates/lockusher-control/src/locality.rs
@@ -1,7 +1,7 @@
-//! Where a control node's machine stands, and which failure domains may be lost at once.
+//! Failure domains of control nodes, and how many of them may be lost at the same time.
 //!
-//! Made of the settings (`zone`, `region`, `faultTolerance.zones`, `faultTolerance.regions`); sent by each node to the
-//! others, so that [`voter_spread`](crate::voter_spread) knows them.
+//! Derived from the settings (`zone`, `region`, `faultTolerance.zones`, `faultTolerance.regions`). Each node sends its
+//! locality to the others, for [`voter_spread`](crate::voter_spread).
 
 use bitcode::{Decode, Encode};
 use derive_more::Display;
@@ -12,26 +12,26 @@
 pub struct Locality {
     /// Its zone.
     pub zone: String,
-    /// The region of that zone; empty if there is one only.
+    /// The region of the zone; empty if there is only one.
     pub region: String,
 }
 
-/// How many failure domains may be lost at once, with all machines in them, in place of single machines.
+/// How many failure domains may be lost at the same time with all machines in them, instead of single machines.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub struct ToleratedDomains {
-    /// Zones; 0 if no zone may be lost as a whole.
+    /// Number of zones; 0 if the loss of a whole zone isn't tolerated.
     pub zones: usize,
-    /// Regions, likewise.
+    /// Number of regions; 0 if the loss of a whole region isn't tolerated.
     pub regions: usize,
 }
 
 impl ToleratedDomains {
-    /// Whether any domain may be lost as a whole.
+    /// Whether the loss of a whole domain is tolerated.
     pub fn any(self) -> bool {
         self.zones > 0 || self.regions > 0
     }
 
-    /// Fewest voters with which a majority can be left after the loss of these domains.
+    /// Minimum number of voters of which a majority can be left after the loss of these domains.
     pub fn minimum_voters(self) -> usize {
         2 * self.zones.max(self.regions) + 1
     }
--- a/crates/lockusher-control/src/message.rs
+++ b/crates/lockusher-control/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between control nodes.
 //!
-//! A [`Replica`](crate::Replica) sends and receives them; they may be lost, doubled, delayed and reordered, and every
-//! receiver copes with that. Their encoding is part of the protocol (see [`envelope`](crate::envelope)): fields and
+//! A [`Replica`](crate::Replica) sends and receives them. They may be lost, duplicated, delayed and reordered, which
+//! every receiver tolerates. Their encoding is part of the protocol (see [`envelope`](crate::envelope)): fields and
 //! variants are never reordered.
 
 use bitcode::{Decode, Encode};
@@ -14,19 +14,19 @@
 use crate::state::{HistoryDigest, ReplicatedState};
 use crate::view::{Identity, View};
 
-/// A message of one control node to another.
+/// A message from one control node to another.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Message {
     /// Identity of the sender's disk.
     pub sender: Identity,
     /// Epoch of the newest view that the sender knows; 0 if it knows none.
     pub epoch: u64,
-    /// What the message says.
+    /// Content of the message.
     pub body: MessageBody,
 }
 
-/// What a message says. All but `Heartbeat`, `NewView`, `Forward`, `ForwardResponse` and `Locality` are valid
-/// in the sender's epoch only.
+/// Content of a message. All but `Heartbeat`, `NewView`, `Forward`, `ForwardResponse` and `Locality` are valid only in
+/// the sender's epoch.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum MessageBody {
     /// Liveness and progress of the sender.
@@ -42,7 +42,7 @@
     PrepareResponse {
         /// Number of the proposal answered.
         proposal_number: ProposalNumber,
-        /// What the sender has accepted under the highest number so far.
+        /// The view that the sender has accepted under the highest number so far.
         accepted: Option<AcceptedView>,
     },
     /// Phase 2a of the agreement.
@@ -57,9 +57,9 @@
         /// Number of the accepted proposal.
         proposal_number: ProposalNumber,
     },
-    /// The proposal number is below one that the sender has answered a prepare of.
+    /// The proposal number is below the one that the sender has promised.
     ProposalRejected {
-        /// That higher number.
+        /// The promised number.
         promised: ProposalNumber,
     },
     /// State for another replica.
@@ -74,7 +74,7 @@
         previous: HistoryDigest,
         /// The configuration.
         document: ConfigurationDocument,
-        /// Whether it goes on to the successor; else the head is answered directly.
+        /// Whether it is forwarded to the successor; else it is acknowledged to the head directly.
         relay: bool,
     },
     /// Every replica from the sender to the tail has stored the entry.
@@ -87,7 +87,7 @@
         /// Index of the entry.
         index: u64,
     },
-    /// The sender can't store the entry: it lacks what precedes it.
+    /// The sender can't store the entry: it lacks the preceding one.
     AppendRejected {
         /// Index of the entry.
         index: u64,
@@ -99,12 +99,13 @@
         /// History digest of the committed state.
         history_digest: HistoryDigest,
     },
-    /// The head asks whether its epoch is the newest that the receiver knows.
+    /// Asks the receiver to confirm that the head's epoch is the newest that it knows.
     ConfirmEpoch {
         /// Number of the confirmation within the head's epoch.
         sequence: u64,
     },
-    /// The epoch is the newest that the sender knows; with it what it has stored, to be compared with the head's state.
+    /// Confirms that the epoch is the newest that the sender knows. Contains the position and digest of its state, for
+    /// comparison with the head's.
     EpochConfirmed {
         /// Number of the confirmation answered.
         sequence: u64,
@@ -127,11 +128,11 @@
         /// The reply.
         reply: Reply,
     },
-    /// Where the sender's machine stands. Sent only where zones or regions may be lost as a whole.
+    /// Zone and region of the sender's machine. Sent only if the loss of whole zones or regions is tolerated.
     Locality(Locality),
 }
 
-/// What a node tells the others about itself at each heartbeat interval.
+/// Status of a node, sent to the others at each heartbeat interval.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Heartbeat {
     /// Whether the sender can replicate.
@@ -140,35 +141,36 @@
     pub position: Position,
     /// History digest of that state.
     pub history_digest: HistoryDigest,
-    /// Newest position that the sender knows committed.
+    /// Newest position that the sender knows to be committed.
     pub committed: Position,
     /// History digest of the committed state, if the sender is head and knows it.
     pub committed_history_digest: Option<HistoryDigest>,
-    /// Version of the newest configuration that the sender knows committed.
+    /// Version of the newest configuration that the sender knows to be committed.
     pub committed_version: u64,
-    /// Nodes from which the sender has recently received: a node that isn't named can't reach the sender.
+    /// Nodes from which the sender has recently received messages: messages of a node that isn't listed don't reach the
+    /// sender.
     pub recent_senders: Vec<Identity>,
 }
 
 /// Whether a node can replicate.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Health {
-    /// It can.
+    /// It can replicate.
     Good,
-    /// A write to its disk failed or takes too long.
+    /// A write to its disk has failed or takes too long.
     DiskFault,
-    /// Its process is about to end.
+    /// Its process is shutting down.
     ShuttingDown,
 }
 
-/// Why a state is sent.
+/// Purpose of a transfer.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum TransferPurpose {
-    /// The new head brings a member of its chain to its state.
+    /// The new head synchronises a member of its chain to its state.
     Synchronise,
-    /// The head feeds its committed state to a node outside of the chain.
+    /// The head sends its committed state to a node outside of the chain.
     Learn,
-    /// A sealed member hands over what a node needs that joins the next chain.
+    /// A sealed member sends its state to a node that joins the next chain.
     Join,
     /// The head replaces a member's state that differs from its own at the same position.
     Repair,
@@ -177,22 +179,22 @@
 /// State for another replica.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct Transfer {
-    /// Why it is sent.
+    /// Purpose of the transfer.
     pub purpose: TransferPurpose,
     /// Position of the state transferred.
     pub position: Position,
     /// History digest of the state transferred.
     pub history_digest: HistoryDigest,
-    /// What of the state the receiver is believed to lack.
+    /// The part of the state that the receiver is assumed to lack.
     pub payload: Payload,
 }
 
 /// How much of the state a transfer carries.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Payload {
-    /// Nothing: the receiver is believed to have the state.
+    /// Nothing: the receiver is assumed to have the state.
     Empty,
-    /// The newest configuration; the receiver is believed to have what precedes it.
+    /// The newest configuration; the receiver is assumed to have the state before it.
     LatestDocument {
         /// History digest of the state before it.
         previous: HistoryDigest,
@@ -212,6 +214,6 @@
     pub position: Position,
     /// History digest of that state.
     pub history_digest: HistoryDigest,
-    /// Whether the state transferred is durable now; if not, a full snapshot is needed.
+    /// Whether the transferred state is durable now; if not, a full snapshot is needed.
     pub stored: bool,
 }
--- a/crates/lockusher-control/src/position.rs
+++ b/crates/lockusher-control/src/position.rs
@@ -1,4 +1,4 @@
-//! Where a replicated state stands in the sequence of epochs and of entries within them.
+//! Position of a replicated state in the sequence of epochs and of entries within them.
 
 use bitcode::{Decode, Encode};
 
@@ -10,11 +10,12 @@
 pub struct Position {
     /// Epoch of the view in which the state was written; 0 before the first.
     pub epoch: u64,
-    /// Entries of this epoch contained. [`Position::SEALED`] marks a state handed over at the end of the epoch.
+    /// Number of entries of this epoch that the state contains. [`Position::SEALED`] marks a state transferred at the
+    /// end of the epoch.
     pub index: u64,
 }
 
 impl Position {
-    /// Index of a state handed over by a sealed replica: nothing of its epoch comes after it.
+    /// Index of a state transferred by a sealed replica: no entry of its epoch follows.
     pub const SEALED: u64 = u64::MAX;
 }
--- a/crates/lockusher-control/src/proposal.rs
+++ b/crates/lockusher-control/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals of views: their numbers, and what an acceptor has accepted under one.
+//! Proposals of views: their numbers, and the views accepted under them.
 //!
 //! One instance of single-decree Paxos (Lamport, "Paxos Made Simple") decides the successor of each view. Proposer and
 //! acceptors are voters of that view; messages and records carry the types of this module.
@@ -7,10 +7,11 @@
 
 use crate::view::View;
 
-/// Number of a proposal within the instance of one epoch. Unique, since it names its proposer; ordered by the counter.
+/// Number of a proposal within the instance of one epoch. Unique, since it includes the proposer; ordered by the
+/// counter first.
 #[derive(Clone, Copy, Debug, Decode, Default, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ProposalNumber {
-    /// Above every counter that the proposer has seen.
+    /// Higher than every counter that the proposer has seen.
     pub counter: u64,
     /// [`Identity`](crate::view::Identity) of the proposer.
     pub proposer: u64,
--- a/crates/lockusher-control/src/proposer.rs
+++ b/crates/lockusher-control/src/proposer.rs
@@ -9,16 +9,16 @@
 use crate::proposal::{AcceptedView, ProposalNumber};
 use crate::view::{Identity, View};
 
-/// One attempt. Messages of other proposal numbers are ignored; answers may come twice and in any order.
+/// One attempt. Messages of other proposal numbers are ignored; responses may be duplicated and reordered.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Proposer {
-    /// Number of all messages of this attempt.
+    /// Proposal number of all messages of this attempt.
     proposal_number: ProposalNumber,
     /// View that is proposed unless a voter has accepted another one.
     preferred_view: View,
     /// Number of voters whose responses make a majority.
     majority: usize,
-    /// Responses to the prepare, by voter, each with the view accepted before.
+    /// Responses to the prepare, by voter, each with the accepted view that it reports.
     prepare_responses: BTreeMap<Identity, Option<AcceptedView>>,
     /// View that the voters are asked to accept, once a majority has promised.
     proposed: Option<View>,
@@ -27,7 +27,7 @@
 }
 
 impl Proposer {
-    /// An attempt that waits for the responses of this many voters.
+    /// An attempt that needs the responses of `majority` voters.
     pub fn new(proposal_number: ProposalNumber, preferred_view: View, majority: usize) -> Self {
         Self {
             proposal_number,
@@ -49,7 +49,7 @@
         self.proposed.as_ref()
     }
 
-    /// Voters that have responded in the present phase.
+    /// Voters that have responded in the current phase.
     pub fn responders(&self) -> BTreeSet<Identity> {
         match self.proposed {
             None => self.prepare_responses.keys().copied().collect(),
@@ -57,8 +57,8 @@
         }
     }
 
-    /// A voter responds to a prepare. `true` when this completes a majority, so that [`Proposer::proposed`] is to be sent: the view
-    /// accepted under the highest proposal number among the responses, else the preferred one.
+    /// Handles a prepare response. Returns `true` if it completes a majority, so that [`Proposer::proposed`] is to be
+    /// sent: the view accepted under the highest proposal number among the responses, else the preferred one.
     pub fn on_prepare_response(
         &mut self,
         voter: Identity,
@@ -84,7 +84,7 @@
         true
     }
 
-    /// A voter accepts. The agreed view once a majority has accepted it.
+    /// Handles an accept response. Returns the agreed view once a majority has accepted it.
     pub fn on_accept_response(
         &mut self,
         voter: Identity,
--- a/crates/lockusher-control/src/request.rs
+++ b/crates/lockusher-control/src/request.rs
@@ -1,33 +1,34 @@
 //! Requests of the operator and the replies to them.
 //!
-//! The driver hands them to the [`Replica`](crate::Replica) of the node that was asked; it forwards them to the head,
-//! where they are decided. Both travel between nodes, so that their encoding is part of the protocol.
+//! The driver passes requests to the [`Replica`](crate::Replica) of the node that received them, which forwards them to
+//! the head for a decision. Both requests and replies are sent between nodes, so their encoding is part of the
+//! protocol.
 
 use bitcode::{Decode, Encode};
 
 use crate::document::{ConfigurationDocument, Digest};
 
-/// Names a request of the driver until it is answered.
+/// Identifies a request of the driver until it is answered.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RequestTicket(pub u64);
 
-/// What the operator asks for.
+/// A request of the operator.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub enum Request {
-    /// Takes a configuration that the driver has found valid.
+    /// Commits a configuration that the driver has validated.
     Put {
         /// Version that it builds on; 0 for the first.
         if_match: u64,
         /// The new configuration.
         document: ConfigurationDocument,
     },
-    /// Asks for the configuration that a patch builds on, unless the patch was taken or can't be.
+    /// Reads the configuration that a patch builds on, unless the patch was applied already or can't be applied.
     Base {
         /// Version that the patch builds on.
         if_match: u64,
-        /// Version that the patch makes.
+        /// Version that the patch produces.
         version: u64,
-        /// [`patch_identity`](crate::document::patch_identity).
+        /// Identity of the patch: [`patch_identity`](crate::document::patch_identity).
         request: Digest,
     },
     /// Reads the newest configuration.
@@ -39,7 +40,7 @@
 pub enum Reply {
     /// The configuration is committed.
     Accepted,
-    /// Another version than the one built on is current.
+    /// The current version isn't the one that the request builds on.
     Conflict {
         /// The current version.
         current: u64,
--- a/crates/lockusher-control/src/state.rs
+++ b/crates/lockusher-control/src/state.rs
@@ -9,14 +9,14 @@
 
 use crate::document::{ConfigurationDocument, Digest};
 
-/// How many identities of applied requests are retained, so that a retry is acknowledged again.
+/// Number of identities of applied requests that are retained, so that a retry is recognised and acknowledged again.
 pub const MAX_HISTORY: usize = 4096;
 
 /// Digest over the whole sequence of configurations applied: equal digests mean equal states.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct HistoryDigest(pub Digest);
 
-/// The state that each replica of the chain has a copy of.
+/// The state of which each replica of the chain has a copy.
 #[derive(Clone, Debug, Decode, Encode, Eq, PartialEq)]
 pub struct ReplicatedState {
     /// The newest configuration.
@@ -25,7 +25,7 @@
     history: Arc<Vec<Digest>>,
     /// Digest over all configurations applied.
     history_digest: HistoryDigest,
-    /// The same before the newest configuration.
+    /// Digest over all configurations applied before the newest one.
     previous: HistoryDigest,
 }
 
@@ -69,7 +69,7 @@
         self.history.contains(&request)
     }
 
-    /// The same without the identities of applied requests, as an injected bug leaves it.
+    /// The same state without the identities of applied requests, for an injected bug.
     #[cfg(feature = "injected-bugs")]
     pub(crate) fn without_history(&self) -> Self {
         Self {
--- a/crates/lockusher-control/src/time.rs
+++ b/crates/lockusher-control/src/time.rs
@@ -1,7 +1,7 @@
 //! The unit of time of the state machine.
 //!
-//! Decisions read no clock: the driver passes the time with each event, and everything that is compared or added is in
+//! The state machine reads no clock: the driver passes the time with each event, and all times and durations are in
 //! this unit.
 
-/// Milliseconds of the host's steady clock, since an arbitrary start.
+/// Milliseconds of the host's monotonic clock, since an arbitrary start.
 pub type Millis = u64;
--- a/crates/lockusher-control/src/view.rs
+++ b/crates/lockusher-control/src/view.rs
@@ -1,33 +1,35 @@
-//! Views: the membership of each epoch, that is who votes and who replicates in which order.
+//! Views: the membership of each epoch, that is its voters and the order of its chain of replicas.
 //!
-//! As in Vertical Paxos (Lamport, Malkhi, Zhou; PODC 2009), the membership is replaced as a whole and its members transfer
-//! the state; unlike there, the view's own voters agree on its successor, no separate master. The chain is that of chain replication (van Renesse and Schneider, OSDI 2004).
+//! As in Vertical Paxos (Lamport, Malkhi, Zhou; PODC 2009), the membership is replaced as a whole and its members
+//! transfer the state; unlike there, a view's own voters agree on its successor, without a separate master. The chain
+//! is that of chain replication (van Renesse and Schneider, OSDI 2004).
 
 use std::net::SocketAddrV4;
 
 use bitcode::{Decode, Encode};
 use derive_more::Display;
 
-/// Identity of one disk of a control node. A node that lost its disk comes back with another one.
+/// Identity of a control node's disk. A node that lost its disk restarts with another one.
 #[derive(Clone, Copy, Debug, Decode, Display, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{_0:016x}")]
 pub struct Identity(pub u64);
 
-/// A voter and where it listens.
+/// A voter and its address.
 #[derive(Clone, Copy, Debug, Decode, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Member {
     /// Identity of the voter's disk.
     pub identity: Identity,
-    /// Its internal listener.
+    /// Address of its internal listener.
     pub address: SocketAddrV4,
 }
 
 /// One epoch's membership. Its successor is agreed on by its voters, so each epoch has one view only.
 #[derive(Clone, Debug, Decode, Encode, Eq, Hash, PartialEq)]
 pub struct View {
-    /// Rises by one with each view; the first is 1.
+    /// Number of the epoch. Increases by one with each view; the first is 1.
     pub epoch: u64,
-    /// Decide on the next view by majority. Those outside of the chain come last, in the order in which they left it.
+    /// Nodes that decide on the next view by majority. Those outside of the chain come last, in the order in which they
+    /// left it.
     pub voters: Vec<Member>,
     /// Replicas in order: writes enter at the first (head), the last is the tail. All are voters.
     pub chain: Vec<Identity>,
@@ -35,7 +37,7 @@
 
 impl View {
     /// The view of a first start: the seeds vote and form the chain, in the order of their addresses. Every seed
-    /// computes the same one without talk.
+    /// computes the same view without communication.
     pub fn first(seeds: &[SocketAddrV4]) -> Self {
         let mut addresses = seeds.to_vec();
         addresses.sort();
@@ -60,7 +62,7 @@
         majority_of(self.voters.len())
     }
 
-    /// The replica that takes writes.
+    /// The replica that accepts writes.
     pub fn head(&self) -> Option<Identity> {
         self.chain.first().copied()
     }
@@ -70,12 +72,12 @@
         self.voters.iter().any(|member| member.identity == identity)
     }
 
-    /// Whether this identity replicates in this epoch.
+    /// Whether this identity is in the chain of this epoch.
     pub fn in_chain(&self, identity: Identity) -> bool {
         self.chain.contains(&identity)
     }
 
-    /// Where this voter listens.
+    /// Address of this voter.
     pub fn address_of(&self, identity: Identity) -> Option<SocketAddrV4> {
         self.voters
             .iter()
@@ -83,7 +85,7 @@
             .map(|member| member.address)
     }
 
-    /// The voter registered at this address.
+    /// The voter at this address.
     pub fn voter_at(&self, address: SocketAddrV4) -> Option<Identity> {
         self.voters
             .iter()
@@ -119,7 +121,7 @@
         Self(FIRST_START_BIT | host << 16 | u64::from(address.port()))
     }
 
-    /// An identity drawn for a node that joins; it can't equal one of a first start.
+    /// A random identity for a node that joins; it can't equal one of a first start.
     pub fn of_joiner(random: u64) -> Self {
         Self(random & !FIRST_START_BIT)
     }
--- a/crates/lockusher-control/src/voter_spread.rs
+++ b/crates/lockusher-control/src/voter_spread.rs
@@ -1,51 +1,51 @@
-//! How voters are spread over failure domains, so that the loss of a zone or region leaves a majority of them.
+//! Spread of the voters over failure domains, so that the loss of a zone or region leaves a majority of them.
 //!
-//! Pure; used by [`view_change`](crate::view_change). A chain is a majority of the voters. So if the voters outside of the
-//! lost domains are a majority too, one of them is in the chain and has stored all that was acknowledged: it is enough to
-//! spread the voters.
+//! Used by [`view_change`](crate::view_change). It suffices to spread the voters: a chain is a majority of them, so if
+//! the voters outside of the lost domains are a majority too, at least one of these is in the chain and has stored all
+//! acknowledged entries.
 
 use std::collections::BTreeMap;
 
 use crate::locality::{Locality, ToleratedDomains};
 use crate::view::{Identity, Member};
 
-/// What is known of the voters' and candidates' failure domains.
+/// The known failure domains of voters and candidates.
 #[derive(Clone, Debug, Default)]
 pub struct VoterSpread {
-    /// Domains that may be lost at once.
+    /// Domains that may be lost at the same time.
     pub tolerated: ToleratedDomains,
-    /// Where nodes stand, as far as they have said so.
+    /// Localities of the nodes that have reported them.
     pub localities: BTreeMap<Identity, Locality>,
 }
 
-/// How unevenly voters are spread; less is better. Always the default where no domain may be lost as a whole.
+/// How unevenly voters are spread; lower is better. Always the default if the loss of a whole domain isn't tolerated.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Imbalance {
-    /// How many votes are missing to a majority after the worst loss of domains that is tolerated; 0 if none is.
+    /// Number of votes that a majority would lack after the worst tolerated loss of domains; 0 if it would lack none.
     pub shortfall: usize,
-    /// Voters that are lost by it. With the same shortfall, fewer are nearer to none.
+    /// Number of voters lost in that case. With equal shortfalls, a smaller loss is closer to a shortfall of 0.
     pub largest_loss: usize,
 }
 
 impl VoterSpread {
-    /// How unevenly these voters are spread. A voter whose domain isn't known counts as alone in its own.
+    /// The imbalance of these voters. A voter whose domain isn't known counts as the only one of its domain.
     pub fn imbalance(&self, voters: &[Member]) -> Imbalance {
-        let zones = self.largest(voters, self.tolerated.zones, |locality| {
+        let zones = self.voters_in_largest_domains(voters, self.tolerated.zones, |locality| {
             locality.zone.as_str()
         });
-        let regions = self.largest(voters, self.tolerated.regions, |locality| {
+        let regions = self.voters_in_largest_domains(voters, self.tolerated.regions, |locality| {
             locality.region.as_str()
         });
-        let bearable = voters.len().saturating_sub(1) / 2;
+        let tolerable_loss = voters.len().saturating_sub(1) / 2;
         let largest_loss = zones.max(regions);
         Imbalance {
-            shortfall: largest_loss.saturating_sub(bearable),
+            shortfall: largest_loss.saturating_sub(tolerable_loss),
             largest_loss,
         }
     }
 
-    /// Voters in the `count` domains that have the most of them.
-    fn largest<'a>(
+    /// Number of voters in the `count` domains that have the most voters.
+    fn voters_in_largest_domains<'a>(
         &'a self,
         voters: &[Member],
         count: usize,
