--- a/crates/lockusher-control/src/acceptor_log.rs
+++ b/crates/lockusher-control/src/acceptor_log.rs
@@ -1,7 +1,7 @@
-//! Writes of the acceptor's records and of views that aren't durable yet, and what waits for them.
+//! Writes of acceptor and view records that aren't durable yet, and the actions deferred until they are.
 //!
-//! Owned by the replica. Invariant: what waits is released in the order of the writes, and only once that write and all
-//! before it are durable; a refused write is repeated until the disk takes it.
+//! Owned by the replica. Invariant: deferred actions are released in the order of the writes, and only once their write
+//! and all earlier ones are durable; a failed write is retried until it succeeds.
 
 use std::{collections::VecDeque, net::SocketAddrV4};
 
@@ -9,7 +9,7 @@
 use crate::message::Message;
 use crate::time::Millis;
 
-/// What is done once a write, and all before it, are durable.
+/// An action deferred until a write and all earlier ones are durable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AfterAcceptorWrite {
     /// Send a message that reports what the write stored.
@@ -19,44 +19,46 @@
         /// The message.
         message: Message,
     },
-    /// Act in a view.
+    /// Start to act in a view.
     ViewDurable {
         /// Epoch of the view.
         epoch: u64,
     },
-    /// Hand over the sealed state.
+    /// Start to transfer the sealed state.
     SealDurable {
         /// The sealed epoch.
         epoch: u64,
     },
 }
 
-/// The writes that aren't durable yet, and those that wait for an earlier one, in their order.
+/// The writes that aren't durable yet, and the durable ones that wait for an earlier one, in order.
 #[derive(Debug, Default)]
 pub struct AcceptorLog {
     writes: VecDeque<AcceptorWrite>,
 }
 
+/// A write of the log.
 #[derive(Debug)]
 struct AcceptorWrite {
     ticket: PersistTicket,
     records: Vec<DurableRecord>,
     progress: Progress,
     requested_at: Millis,
-    /// Whether the disk refused it at least once.
-    was_refused: bool,
+    /// Whether it has failed at least once.
+    has_failed: bool,
     after_write: Vec<AfterAcceptorWrite>,
 }
 
+/// State of a write.
 #[derive(Debug, Eq, PartialEq)]
 enum Progress {
     Writing,
-    Refused { at: Millis },
+    Failed { at: Millis },
     Durable,
 }
 
 impl AcceptorLog {
-    /// Adds a write that the driver was asked for.
+    /// Adds a write that was requested from the driver.
     pub fn push(
         &mut self,
         ticket: PersistTicket,
@@ -69,12 +71,12 @@
             records,
             progress: Progress::Writing,
             requested_at: now,
-            was_refused: false,
+            has_failed: false,
             after_write,
         });
     }
 
-    /// Defers this until all writes so far are durable; returns it if there is none.
+    /// Defers the action until all pending writes are durable; returns it if there are none.
     pub fn defer(&mut self, after_write: AfterAcceptorWrite) -> Option<AfterAcceptorWrite> {
         let Some(last) = self.writes.back_mut() else {
             return Some(after_write);
@@ -85,12 +87,12 @@
         None
     }
 
-    /// A write is durable: what may be done now, or `None` if the ticket isn't of this log.
+    /// Handles a write that is durable. Returns the released actions, or `None` if the ticket isn't of this log.
     pub fn on_persisted(&mut self, ticket: PersistTicket) -> Option<Vec<AfterAcceptorWrite>> {
-        let is_it = |write: &&mut AcceptorWrite| {
+        let matches_ticket = |write: &&mut AcceptorWrite| {
             write.ticket == ticket && write.progress == Progress::Writing
         };
-        let write = self.writes.iter_mut().find(is_it)?;
+        let write = self.writes.iter_mut().find(matches_ticket)?;
         write.progress = Progress::Durable;
         let mut released = Vec::new();
         while self
@@ -108,17 +110,17 @@
         Some(released)
     }
 
-    /// A write was refused. Returns whether the ticket is of this log.
-    pub fn on_refused(&mut self, ticket: PersistTicket, now: Millis) -> bool {
+    /// Handles a failed write. Returns whether the ticket is of this log.
+    pub fn on_failed(&mut self, ticket: PersistTicket, now: Millis) -> bool {
         let Some(write) = self.writes.iter_mut().find(|write| write.ticket == ticket) else {
             return false;
         };
-        write.progress = Progress::Refused { at: now };
-        write.was_refused = true;
+        write.progress = Progress::Failed { at: now };
+        write.has_failed = true;
         true
     }
 
-    /// Writes refused at least `interval` ago, to be written again under the tickets that `issue` gives.
+    /// Takes the writes that failed at least `interval` ago, to be retried with the tickets that `issue` returns.
     pub fn take_due_retries(
         &mut self,
         interval: Millis,
@@ -127,7 +129,7 @@
     ) -> Vec<(PersistTicket, Vec<DurableRecord>)> {
         let mut retries = Vec::new();
         for write in &mut self.writes {
-            if matches!(write.progress, Progress::Refused { at } if now - at >= interval) {
+            if matches!(write.progress, Progress::Failed { at } if now - at >= interval) {
                 write.ticket = issue();
                 write.progress = Progress::Writing;
                 retries.push((write.ticket, write.records.clone()));
@@ -136,12 +138,12 @@
         retries
     }
 
-    /// Whether a write was refused and isn't durable yet.
-    pub fn has_refused(&self) -> bool {
-        self.writes.iter().any(|write| write.was_refused)
+    /// Whether a pending write has failed at least once.
+    pub fn has_failed(&self) -> bool {
+        self.writes.iter().any(|write| write.has_failed)
     }
 
-    /// Since when the oldest write has waited.
+    /// When the oldest pending write was requested.
     pub fn oldest_requested_at(&self) -> Option<Millis> {
         self.writes.front().map(|write| write.requested_at)
     }
--- a/crates/lockusher-control/src/failure_detector.rs
+++ b/crates/lockusher-control/src/failure_detector.rs
@@ -1,9 +1,9 @@
-//! Failure detection by heartbeats: what this node has received from the others, and whom it can reach.
+//! Failure detection by heartbeats: the newest reports of the other nodes, and which of them are reachable.
 //!
 //! Owned by the replica, which reports every message and each tick. A peer counts as reachable while heartbeats show
-//! contact in both directions within the suspicion timeout; after a start or a halt of this node's own process everybody
-//! counts as reachable for a grace period, since a missing message says nothing then. The detector only decides when a
-//! view change is attempted: safety doesn't rest on it.
+//! contact in both directions within the suspicion timeout; after a start or a pause of this node's own process, all
+//! nodes count as reachable for a grace period, since missing messages don't indicate a failure then. The detector only
+//! decides when a view change is attempted: safety doesn't depend on it.
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
@@ -15,50 +15,52 @@
 use crate::timing::Timing;
 use crate::view::Identity;
 
-/// Most peers remembered; the one that was silent for longest is evicted first.
+/// Maximum number of peers tracked; the one inactive for longest is evicted first.
 const MAX_PEERS: usize = 32;
 
-/// What is known about one address.
+/// The node at one address, as observed by messages from it.
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// Identity of the newest sender at this address.
     pub identity: Identity,
-    /// When a message last came from it.
+    /// When a message was last received from it.
     pub last_received_at: Millis,
     /// When a heartbeat last showed that the peer receives from this node.
     pub last_bidirectional_at: Option<Millis>,
-    /// Start of the present time in which the peer was reachable without a break.
+    /// Since when the peer has been reachable without interruption.
     pub reachable_since: Option<Millis>,
     /// Epoch of the newest view that the peer knows.
     pub epoch: u64,
-    /// Health by its newest heartbeat.
+    /// Health reported by its newest heartbeat.
     pub health: Health,
-    /// Position of its durable state by its newest heartbeat.
+    /// Position of its durable state, reported by its newest heartbeat.
     pub position: Position,
     /// History digest of that state; `None` before the first heartbeat.
     pub history_digest: Option<HistoryDigest>,
-    /// Version that the peer knows committed.
+    /// Version of the newest configuration that the peer knows to be committed.
     pub committed_version: u64,
-    /// Where its machine stands, if it has said so. Holds for the address, also after the loss of its disk.
+    /// Zone and region of its machine, if reported. Kept for the address when a node with another identity appears
+    /// there, as after the loss of its disk.
     pub locality: Option<Locality>,
     /// When a view was last sent to it.
     view_sent_at: Option<Millis>,
-    /// When it last failed to answer as a joiner.
+    /// When it last failed to respond as a joiner.
     join_failed_at: Option<Millis>,
 }
 
-/// All nodes from which messages came, by address.
+/// All nodes from which messages were received, by address.
 #[derive(Debug, Default)]
 pub struct Peers {
     peers: BTreeMap<SocketAddrV4, Peer>,
-    /// Until then every node that isn't known to be somebody else counts as reachable.
+    /// End of the grace period: until then every node counts as reachable, unless another identity was seen at its
+    /// address.
     grace_until: Millis,
-    /// Start of the observation: inactivity is counted from there at the earliest.
+    /// Start of the observation; earlier time doesn't count as inactivity.
     observing_since: Millis,
 }
 
 impl Peers {
-    /// No peers; all count as reachable for the grace.
+    /// No peers; all nodes count as reachable for the grace period.
     pub fn new(now: Millis, grace: Millis) -> Self {
         Self {
             peers: BTreeMap::new(),
@@ -67,13 +69,14 @@
         }
     }
 
-    /// This node didn't run for a while: that messages are missing says nothing.
+    /// Restarts the observation after a pause of this node's process, since missing messages don't indicate a failure
+    /// then.
     pub fn restart_observation(&mut self, now: Millis, grace: Millis) {
         self.grace_until = self.grace_until.max(now + grace);
         self.observing_since = now;
     }
 
-    /// A message came.
+    /// Records that a message was received.
     pub fn on_message_received(
         &mut self,
         from: SocketAddrV4,
@@ -97,12 +100,12 @@
         self.evict_oldest();
     }
 
-    /// A heartbeat came, after [`Peers::on_message_received`].
+    /// Records a heartbeat, after [`Peers::on_message_received`].
     pub fn on_heartbeat(
         &mut self,
         from: SocketAddrV4,
         heartbeat: &Heartbeat,
-        me: Identity,
+        own_identity: Identity,
         now: Millis,
     ) {
         let Some(peer) = self.peers.get_mut(&from) else {
@@ -112,19 +115,20 @@
         peer.position = heartbeat.position;
         peer.history_digest = Some(heartbeat.history_digest);
         peer.committed_version = heartbeat.committed_version;
-        if heartbeat.recent_senders.contains(&me) {
+        if heartbeat.recent_senders.contains(&own_identity) {
             peer.last_bidirectional_at = Some(now);
             peer.reachable_since.get_or_insert(now);
         }
     }
 
-    /// A peer said where its machine stands, after [`Peers::on_message_received`].
+    /// Records the locality reported by a peer, after [`Peers::on_message_received`].
     pub fn on_locality(&mut self, from: SocketAddrV4, locality: Locality) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.locality = Some(locality);
         }
     }
 
+    /// Evicts the peers inactive for longest while there are more than [`MAX_PEERS`].
     fn evict_oldest(&mut self) {
         while self.peers.len() > MAX_PEERS {
             let Some(oldest) = self
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Ends the reachable time of those that fell silent, and evicts old ones unless `must_retain` says so.
+    /// Marks inactive peers as unreachable, and removes expired ones unless `must_retain` selects them.
     pub fn expire(
         &mut self,
         timing: &Timing,
@@ -156,7 +160,7 @@
         }
     }
 
-    /// What is known about an address.
+    /// The peer at this address.
     pub fn at(&self, address: SocketAddrV4) -> Option<&Peer> {
         self.peers.get(&address)
     }
@@ -166,7 +170,7 @@
         self.peers.iter().map(|(address, peer)| (*address, peer))
     }
 
-    /// Whether the node is there and can be talked to both ways, as far as was seen.
+    /// Whether the node counts as reachable: by bidirectional contact, or for the grace period.
     pub fn is_reachable(
         &self,
         address: SocketAddrV4,
@@ -181,7 +185,7 @@
         }
     }
 
-    /// Whether fresh heartbeats both ways show that the node is there; no grace.
+    /// Whether recent heartbeats confirm bidirectional contact with the node, without a grace period.
     pub fn is_confirmed(
         &self,
         address: SocketAddrV4,
@@ -193,7 +197,7 @@
         peer.is_some_and(|peer| peer.identity == identity && peer.is_bidirectional(timing, now))
     }
 
-    /// For how long the node hasn't been reachable.
+    /// How long the node has been unreachable.
     pub fn unreachable_for(
         &self,
         address: SocketAddrV4,
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Identities from which messages came recently, for the heartbeat.
+    /// Identities from which messages were received recently, for the heartbeat.
     pub fn recent_senders(&self, timing: &Timing, now: Millis) -> Vec<Identity> {
         let is_recent = |peer: &&Peer| {
             now - peer.last_received_at < timing.suspicion_timeout - timing.heartbeat_interval
@@ -221,8 +225,8 @@
             .collect()
     }
 
-    /// Whether a view may be sent to this address now: at most one per interval, so that old messages that come
-    /// in numbers don't cause as many answers.
+    /// Whether a view may be sent to this address now: at most one per interval, so that a burst of old messages
+    /// doesn't cause as many responses.
     pub fn may_send_view(&mut self, address: SocketAddrV4, interval: Millis, now: Millis) -> bool {
         let Some(peer) = self.peers.get_mut(&address) else {
             return true;
@@ -234,7 +238,7 @@
         true
     }
 
-    /// A node didn't answer as a joiner in time.
+    /// Records that a node didn't respond as a joiner in time.
     pub fn on_join_failed(&mut self, address: SocketAddrV4, now: Millis) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.join_failed_at = Some(now);
@@ -260,7 +264,7 @@
         }
     }
 
-    /// Whether recent messages show contact in both directions.
+    /// Whether recent messages show bidirectional contact.
     fn is_bidirectional(&self, timing: &Timing, now: Millis) -> bool {
         let fresh = now - self.last_received_at < timing.suspicion_timeout;
         let bidirectional = self
@@ -269,15 +273,15 @@
         fresh && bidirectional
     }
 
-    /// Whether the node may be asked to join now: reachable for a while, in good health, and not just tried in
-    /// vain.
+    /// Whether the node may be asked to join now: reachable for the stability period, healthy, and without a join that
+    /// failed recently.
     pub fn may_join(&self, timing: &Timing, now: Millis) -> bool {
         let is_stable = self
             .reachable_since
             .is_some_and(|since| now - since >= timing.join_stability_period);
         let recently_failed = self
             .join_failed_at
-            .is_some_and(|at| now - at < timing.join_retry);
+            .is_some_and(|at| now - at < timing.join_retry_delay);
         is_stable
             && !recently_failed
             && self.health == Health::Good
--- a/crates/lockusher-control/src/replica/appends.rs
+++ b/crates/lockusher-control/src/replica/appends.rs
@@ -1,6 +1,7 @@
-//! Entries received as a member of the chain, and acknowledgements on their way back to the head.
+//! Handling of appended entries at a chain member, and of the acknowledgements that travel back to the head.
 //!
-//! Invariant: an entry is stored only on top of the state that it follows, and forwarded or answered only once it is durable.
+//! Invariant: an entry is applied only to the state that it follows, and forwarded or acknowledged only once it is
+//! durable.
 
 use std::net::SocketAddrV4;
 
@@ -13,14 +14,17 @@
 use crate::view::Identity;
 
 impl Replica {
-    /// Whether this node may take part in the chain of the newest view.
+    /// Whether this node may replicate: it is in the chain of the newest view, that view is durable, and the epoch
+    /// isn't sealed.
     pub(super) fn may_replicate(&self) -> bool {
         let in_chain = self.is_in_chain(self.identity);
-        let open = !self.acceptor.sealed || bug_injected!(self.bug_injection, EntryAfterSeal);
-        in_chain && self.is_established_in_view() && open
+        let is_unsealed =
+            !self.acceptor.sealed || bug_injected!(self.bug_injection, EntryAfterSeal);
+        in_chain && self.is_established_in_view() && is_unsealed
     }
 
-    /// An entry came from the head or the predecessor: store it, or say that what precedes it is missing.
+    /// Handles an `Append` from the head or the predecessor: stores the entry, or rejects it if the preceding one is
+    /// missing.
     pub(super) fn on_append(&mut self, from: SocketAddrV4, sender: Identity, entry: AppendedEntry) {
         if !self.may_replicate()
             || self.durable_state.pending.is_some()
@@ -29,17 +33,18 @@
             return;
         }
         let epoch = self.epoch();
-        let own = self.durable_state.position;
-        let synchronised = own.epoch == epoch;
-        if synchronised && entry.index <= own.index {
+        let own_position = self.durable_state.position;
+        let synchronised = own_position.epoch == epoch;
+        if synchronised && entry.index <= own_position.index {
             self.forward_append(entry);
             return;
         }
-        let follows = !synchronised || entry.index == own.index + 1;
-        let complete = follows && entry.previous == self.durable_state.state.history_digest();
+        let is_next = !synchronised || entry.index == own_position.index + 1;
+        let has_predecessor =
+            is_next && entry.previous == self.durable_state.state.history_digest();
         let index = entry.index;
-        if !complete && !bug_injected!(self.bug_injection, EntryWithoutPredecessor) {
-            log::debug!("lacks what precedes entry {index}, sent by {from}");
+        if !has_predecessor && !bug_injected!(self.bug_injection, EntryWithoutPredecessor) {
+            log::debug!("rejects entry {index} from {from}: the preceding entry is missing");
             self.send_to_head(MessageBody::AppendRejected { index });
             return;
         }
@@ -61,7 +66,7 @@
         self.persist_state(record, position, state, AfterWrite::ForwardAppend(entry));
     }
 
-    /// Whether entries may come from this node: the head or the predecessor.
+    /// Whether the sender may append entries here: it is the head or the predecessor.
     fn is_upstream(&self, sender: Identity) -> bool {
         let predecessor = self
             .view
@@ -70,8 +75,8 @@
         sender != self.identity && (predecessor == Some(sender) || self.is_view_head(sender))
     }
 
-    /// Forwards an entry that is durable here to the successor; the tail and a member that was sent the entry directly
-    /// answer it.
+    /// Forwards a durable entry to the successor. The tail, or a member that was sent the entry directly, acknowledges
+    /// it instead.
     fn forward_append(&mut self, entry: AppendedEntry) {
         let Some(view) = &self.view else { return };
         let successor = view.successor_of(self.identity);
@@ -102,7 +107,7 @@
         }
     }
 
-    /// Does what waited for a write of the state. Called in the epoch of the write only.
+    /// Runs the action deferred until a state write was durable. Called only in the epoch of the write.
     pub(super) fn after_write(&mut self, after_write: AfterWrite) {
         match after_write {
             AfterWrite::SendToSuccessor => self.send_to_successor(),
@@ -114,16 +119,16 @@
         }
     }
 
-    /// Every member from the successor to the tail has stored the entry.
+    /// Handles an `AppendAcknowledged`: every member from the successor to the tail has stored the entry.
     pub(super) fn on_append_acknowledged(&mut self, sender: Identity, index: u64) {
         let Some(view) = &self.view else { return };
-        let own = self.durable_state.position;
+        let own_position = self.durable_state.position;
         let from_successor = view.successor_of(self.identity) == Some(sender);
-        if !from_successor || own.epoch != view.epoch || own.index < index {
+        if !from_successor || own_position.epoch != view.epoch || own_position.index < index {
             return;
         }
         let predecessor = view.predecessor_of(self.identity);
-        if own.index == index && self.head.is_none() {
+        if own_position.index == index && self.head.is_none() {
             self.mark_durable_state_committed();
         }
         match predecessor {
--- a/crates/lockusher-control/src/replica/bug_alterations.rs
+++ b/crates/lockusher-control/src/replica/bug_alterations.rs
@@ -1,4 +1,4 @@
-//! What injected bugs make of plans, messages and records: the hooks that `altered_by_bug!` calls.
+//! Alterations of planned view changes, messages and records by injected bugs: the hooks that `altered_by_bug!` calls.
 
 use super::bug_injection::{BugInjection, bug_injected};
 use crate::durable_record::DurableRecord;
@@ -23,9 +23,9 @@
         }
     }
 
-    /// What of the votes and the state a snapshot holds, after a mistake.
+    /// The records of a snapshot, altered by the injected bug.
     pub(super) fn altered_snapshot(self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
-        let is_vote = |record: &DurableRecord| {
+        let is_acceptor_record = |record: &DurableRecord| {
             matches!(
                 record,
                 DurableRecord::Promise { .. }
@@ -37,12 +37,12 @@
             records.retain(|record| !matches!(record, DurableRecord::State { .. }));
         }
         if bug_injected!(self, SnapshotWithoutVotes) {
-            records.retain(|record| !is_vote(record));
+            records.retain(|record| !is_acceptor_record(record));
         }
         records
     }
 
-    /// What a start finds on its disk, after a mistake.
+    /// The records recovered from the disk, altered by the injected bug.
     pub(super) fn altered_recovery(self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
         records.retain(|record| match record {
             DurableRecord::Promise { .. } => !bug_injected!(self, PromiseForgotten),
@@ -53,7 +53,7 @@
         records
     }
 
-    /// A message on its way out, changed by a mistake.
+    /// The body of an outgoing message, altered by the injected bug.
     pub(super) fn altered_body(self, body: MessageBody) -> MessageBody {
         match body {
             MessageBody::Transfer(transfer) if bug_injected!(self, HistoryForgotten) => {
@@ -69,12 +69,16 @@
         }
     }
 
-    /// What a proposer hears of views accepted before, after a mistake.
-    pub(super) fn altered_report(self, accepted: Option<AcceptedView>) -> Option<AcceptedView> {
+    /// The accepted view that a prepare response reports, altered by the injected bug.
+    pub(super) fn altered_accepted_view(
+        self,
+        accepted: Option<AcceptedView>,
+    ) -> Option<AcceptedView> {
         accepted.filter(|_| !bug_injected!(self, AcceptedPassedOver))
     }
 }
 
+/// A view change whose chain is shorter than a majority of the voters, if the healthy members are that few.
 fn short_chain(context: &ViewChangeContext) -> Option<ViewChange> {
     let view = context.view;
     let is_healthy = |member: &Identity| context.healthy_members.contains(member);
@@ -90,14 +94,19 @@
     })
 }
 
+/// The view change, with all unreachable voters outside of the chain removed at once.
 fn without_unreachable(mut change: ViewChange, context: &ViewChangeContext) -> ViewChange {
     let chain = change.view.chain.clone();
-    let is_gone =
-        |identity: Identity| context.unreachable.contains(&identity) && !chain.contains(&identity);
-    change.view.voters.retain(|voter| !is_gone(voter.identity));
+    let is_removed =
+        |identity: Identity| context.replaceable.contains(&identity) && !chain.contains(&identity);
+    change
+        .view
+        .voters
+        .retain(|voter| !is_removed(voter.identity));
     change
 }
 
+/// The transfer, with the identities of applied requests omitted from a full snapshot.
 fn without_history(mut transfer: Transfer) -> Transfer {
     if let Payload::FullSnapshot(state) = &mut transfer.payload {
         *state = state.without_history();
--- a/crates/lockusher-control/src/replica/bug_injection.rs
+++ b/crates/lockusher-control/src/replica/bug_injection.rs
@@ -1,23 +1,23 @@
-//! Points at which tests can inject a bug into a replica, in the manner of a fail-point library.
+//! Injection points at which tests can introduce a bug into a replica, similar to a failpoint library.
 //!
-//! The replica's code marks each guard of the protocol that a test can leave out by [`bug_injected`], and each value that a
-//! test can alter by [`altered_by_bug`]. Without the feature `injected-bugs`, as the product is built, the first expands to
-//! `false` and the second to the unaltered value: neither the bugs nor their hooks are compiled.
+//! [`bug_injected`] marks each guard of the protocol that a test can disable, and [`altered_by_bug`] each value that a
+//! test can alter. Without the feature `injected-bugs`, as in production builds, the first expands to `false` and the
+//! second to the unaltered value: neither the bugs nor their hooks are compiled.
 
 #[cfg(feature = "injected-bugs")]
 use super::injected_bug::InjectedBug;
 
-/// The bugs that are injected into a replica, if any. Has no size without the feature `injected-bugs`.
+/// The bugs injected into a replica, if any. Zero-sized without the feature `injected-bugs`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BugInjection {
-    /// Two at most: a guard, and the one that covers it.
+    /// At most two: a disabled guard, and the guard that covers for it.
     #[cfg(feature = "injected-bugs")]
     bugs: [Option<InjectedBug>; 2],
 }
 
 #[cfg(feature = "injected-bugs")]
 impl BugInjection {
-    /// Injects these bugs.
+    /// An injection of these bugs.
     pub fn of(bugs: [Option<InjectedBug>; 2]) -> Self {
         Self { bugs }
     }
@@ -45,7 +45,7 @@
     }};
 }
 
-/// The value as this hook of [`BugInjection`] alters it.
+/// The value as altered by this hook of [`BugInjection`].
 #[cfg(feature = "injected-bugs")]
 macro_rules! altered_by_bug {
     ($injection:expr, $hook:ident, $value:expr $(, $context:expr)*) => {
@@ -53,7 +53,7 @@
     };
 }
 
-/// The value as it is, as the feature `injected-bugs` is off.
+/// The unaltered value, as the feature `injected-bugs` is off.
 #[cfg(not(feature = "injected-bugs"))]
 macro_rules! altered_by_bug {
     ($injection:expr, $hook:ident, $value:expr $(, $context:expr)*) => {
--- a/crates/lockusher-control/src/replica/change_planning.rs
+++ b/crates/lockusher-control/src/replica/change_planning.rs
@@ -1,7 +1,7 @@
-//! Which view change is due, from what this node observes of the others, and whose turn it is to propose it.
+//! Decides which view change is due by this node's observations, and how long this node waits for other proposers.
 //!
-//! Collects the context for `view_change::plan_view_change`. Ranks among the healthy voters, which all of them compute
-//! alike, make it unlikely that two propose at once.
+//! Collects the context for `view_change::plan_view_change`. A proposal is delayed by the voter's rank among the
+//! healthy voters. All of them compute the same ranks, so concurrent proposals are unlikely.
 
 use std::collections::BTreeSet;
 
@@ -17,18 +17,19 @@
 pub(super) struct DueViewChange {
     /// What to propose.
     pub(super) change: ViewChange,
-    /// How long it is left to voters of a lower rank first.
+    /// How long to wait for voters of a lower rank to propose first.
     pub(super) delay: Millis,
 }
 
 impl Replica {
-    /// What to propose, and how long to leave it to others first. An agreement that may have been left unfinished
-    /// is completed by anybody in time; else the first voter in good health decides.
+    /// The view change to propose, and the delay before this node proposes it. Any healthy voter completes an agreement
+    /// that may be unfinished, after a delay by rank. Otherwise the healthy voter of rank 0 proposes at once, and a
+    /// sealed voter after a delay by rank.
     pub(super) fn due_view_change(&self) -> Option<DueViewChange> {
         let proposer_rank = self.proposer_rank()?;
         let change = self.plan_view_change();
-        let unfinished = self.acceptor.accepted.as_ref();
-        if let Some(accepted) = unfinished {
+        let accepted_view = self.acceptor.accepted.as_ref();
+        if let Some(accepted) = accepted_view {
             let unchanged = ViewChange {
                 view: accepted.view.clone(),
                 joiners: Vec::new(),
@@ -49,7 +50,8 @@
         }
     }
 
-    /// How many voters in good health come before this one, in the order of the chain.
+    /// This node's rank: the number of healthy voters before it, chain members first, in the order of the chain. `None`
+    /// if this node isn't healthy.
     fn proposer_rank(&self) -> Option<u64> {
         let view = self.view.as_ref()?;
         if self.health() != Health::Good {
@@ -62,11 +64,11 @@
             .filter(|voter| !view.in_chain(*voter));
         let order = view.chain.iter().copied().chain(others);
         let before = order.take_while(|voter| *voter != self.identity);
-        Some(before.filter(|voter| self.is_replicable(*voter)).count() as u64)
+        Some(before.filter(|voter| self.can_replicate(*voter)).count() as u64)
     }
 
-    /// Whether a voter can replicate, as seen from here.
-    fn is_replicable(&self, voter: Identity) -> bool {
+    /// Whether this node considers a voter able to replicate: healthy, reachable and not lagging.
+    fn can_replicate(&self, voter: Identity) -> bool {
         if voter == self.identity {
             return self.health() == Health::Good;
         }
@@ -84,26 +86,26 @@
             && !self.is_lagging(voter)
     }
 
-    /// The view that should follow by what this node observes.
+    /// Plans the next view from this node's observations.
     fn plan_view_change(&self) -> Option<ViewChange> {
         let view = self.view.as_ref()?;
         let healthy_members: BTreeSet<Identity> = view
             .chain
             .iter()
             .copied()
-            .filter(|member| self.is_replicable(*member))
+            .filter(|member| self.can_replicate(*member))
             .collect();
         let unreachable = self.unreachable_voters(view);
         let shutting_down = self.shutting_down_voters(view);
         let removable = self.removable_voters(view, &shutting_down, &unreachable);
-        let replaceable = self.replaceable_voters(shutting_down, unreachable);
+        let replaceable_voters = self.replaceable_voters(shutting_down, unreachable);
         let minimum_voters = self.minimum_voters();
         let context = ViewChangeContext {
             view,
             own_identity: self.identity,
             healthy_members,
             join_candidates: self.join_candidates(view),
-            unreachable: replaceable,
+            replaceable: replaceable_voters,
             removable,
             epoch_change_required: self.epoch_change_required,
             sealed: self.acceptor.sealed,
@@ -119,8 +121,9 @@
         altered_by_bug!(self.bug_injection, altered_view_change, change, &context)
     }
 
-    /// Voters that announced their shutdown, before they would count as unreachable, and those unreachable for long. One
-    /// that is only restarted is added again; one that is lost must not count when the next disk is lost.
+    /// Voters that may be removed: those that announced their shutdown, without waiting until they are unreachable, and
+    /// those unreachable for the removal timeout. A voter that was only restarted is added again later; a lost one must
+    /// no longer count towards the quorum when the next disk is lost.
     fn removable_voters(
         &self,
         view: &View,
@@ -134,8 +137,8 @@
         shutting_down.iter().chain(unreachable).copied().collect()
     }
 
-    /// Voters whose place a new node may take. Where voters are spread over failure domains, a successor often can't be
-    /// added before the one that leaves; so it takes the place of that one.
+    /// Voters that a new node may replace. Where voters are spread over failure domains, a successor often can't be
+    /// added while the voter that shuts down is still one, so it may replace that voter directly.
     fn replaceable_voters(
         &self,
         shutting_down: Vec<Identity>,
@@ -161,7 +164,7 @@
         shutting_down.map(|voter| voter.identity).collect()
     }
 
-    /// Whether a node outside of the voters could take the place of one that leaves, where voters are spread over failure
+    /// Whether a node that isn't a voter could replace one that shuts down, where voters are spread over failure
     /// domains.
     pub(super) fn has_spare_node(&self, view: &View) -> bool {
         let candidates = self.join_candidates(view);
@@ -171,7 +174,7 @@
                 .any(|candidate| !view.is_voter(candidate.member.identity))
     }
 
-    /// For how long a voter hasn't been reachable, in milliseconds.
+    /// How long a voter has been unreachable, in milliseconds.
     fn unreachable_time_of(&self, view: &View, voter: Identity) -> Millis {
         let address = view.address_of(voter);
         address.map_or(0, |address| {
@@ -179,11 +182,11 @@
         })
     }
 
-    /// Voters that can't be reached now, in the order in which a new node takes the place of one: first those outside of
-    /// the chain, in the order in which they left it, then members of the chain, the longest unreachable first.
+    /// Unreachable voters, in the order in which new nodes replace them: first those outside of the chain, in the order
+    /// in which they left it, then members of the chain, the longest unreachable first.
     ///
-    /// The order of departure is part of the view. How long a voter has been unreachable is forgotten by a restart, after
-    /// which a removed machine and one that will return look alike.
+    /// The order of departure is stored in the view. The time that a voter has been unreachable is lost on a restart,
+    /// after which a removed machine can't be told from one that will return.
     fn unreachable_voters(&self, view: &View) -> Vec<Identity> {
         let is_reachable = |voter: &&Member| {
             self.peers
@@ -206,7 +209,7 @@
         unreachable
     }
 
-    /// Reachable nodes in good health outside of the chain.
+    /// Nodes outside of the chain that may join it: reachable for the stability period, healthy and in the same epoch.
     fn join_candidates(&self, view: &View) -> Vec<JoinCandidate> {
         let candidates = self.peers.iter().filter(|(_, peer)| {
             !view.in_chain(peer.identity)
--- a/crates/lockusher-control/src/replica/commit.rs
+++ b/crates/lockusher-control/src/replica/commit.rs
@@ -1,7 +1,7 @@
-//! What is known to be committed, at the head and at the other nodes.
+//! Tracking of the committed state, at the head and at the other nodes.
 //!
-//! Invariant: a state is taken for committed only if every member of the chain has stored it; the versions reported to the
-//! driver only rise.
+//! Invariant: a state is considered committed only if every member of the chain has stored it; the versions reported to
+//! the driver only increase.
 
 use super::bug_injection::bug_injected;
 use super::effect::Effect;
@@ -13,7 +13,7 @@
 use crate::view::Identity;
 
 impl Replica {
-    /// History digest of the committed state, if this node is head and knows it.
+    /// History digest of the committed state, if this node is an established head.
     pub(super) fn committed_history_digest(&self) -> Option<HistoryDigest> {
         self.head
             .as_ref()
@@ -21,7 +21,7 @@
             .map(|head| head.base.history_digest())
     }
 
-    /// Position of the committed state, if this node is head and knows it.
+    /// Position of the committed state, if this node is an established head.
     pub(super) fn committed_position(&self) -> Option<Position> {
         let head = self.head.as_ref().filter(|head| head.established)?;
         Some(Position {
@@ -30,30 +30,31 @@
         })
     }
 
-    /// The committed state, to decide requests by.
+    /// The committed state by which requests are decided; `None` unless this node serves as head.
     pub(super) fn serving_state(&self) -> Option<&ReplicatedState> {
         let head = self.head.as_ref().filter(|head| head.established)?;
-        let open = !self.acceptor.sealed || bug_injected!(self.bug_injection, ServeAfterSeal);
-        open.then_some(&head.base)
+        let is_unsealed =
+            !self.acceptor.sealed || bug_injected!(self.bug_injection, ServeAfterSeal);
+        is_unsealed.then_some(&head.base)
     }
 
-    /// Whether the epoch may be ended in order to add members.
+    /// Whether this node may end the epoch to add members: it is an established head and isn't shutting down.
     pub(super) fn may_add_members(&self) -> bool {
         self.head.as_ref().is_some_and(|head| head.established) && !self.shutting_down
     }
 
-    /// The head announces what is committed. A member that was restarted may have that state, too, though its disk says
-    /// only where it stood when the state was written.
+    /// Handles the head's announcement of the committed position. The states are compared by digest, since a restarted
+    /// member may have the committed state although its disk records only the position at which it was written.
     pub(super) fn on_committed(
         &mut self,
         sender: Identity,
         index: u64,
         history_digest: HistoryDigest,
     ) {
-        let same = self.durable_state.pending.is_none()
+        let same_state = self.durable_state.pending.is_none()
             && self.durable_state.state.history_digest() == history_digest;
         if !self.is_view_head(sender)
-            || !(same || bug_injected!(self.bug_injection, CommittedUnchecked))
+            || !(same_state || bug_injected!(self.bug_injection, CommittedUnchecked))
         {
             return;
         }
@@ -69,7 +70,7 @@
         }
     }
 
-    /// What the head transfers to learners is committed, whether it can be written here or not.
+    /// Records a configuration that the head transfers to a learner as committed, even if it can't be written here.
     pub(super) fn record_learned_commit(&mut self, transfer: &Transfer) {
         let document = match &transfer.payload {
             Payload::Empty => None,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The whole durable state of this node is known to be committed.
+    /// Marks the whole durable state of this node as committed.
     pub(super) fn mark_durable_state_committed(&mut self) {
         self.known_committed = self.durable_state.position;
         if let Some(document) = self.durable_state.state.document().cloned() {
@@ -89,13 +90,13 @@
         }
     }
 
-    /// Reports a configuration to the driver, unless it or a newer one was reported.
+    /// Reports a committed configuration to the driver, unless the same or a newer one was reported before.
     fn record_committed(&mut self, document: ConfigurationDocument) {
-        let known = self
+        let known_version = self
             .committed_document
             .as_ref()
             .map_or(0, |committed| committed.version);
-        if document.version > known {
+        if document.version > known_version {
             self.committed_document = Some(document.clone());
             self.effects.push(Effect::Committed(document));
         }
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -1,8 +1,9 @@
-//! Confirmation that the head's epoch is the newest: refusals and reads wait for it.
+//! Confirmation by a majority that the head's epoch is the newest. Reads and refusals wait for it.
 //!
-//! The idea is that of Raft's read index (Ongaro, dissertation, section 6.4): a majority that confirms the epoch after a
-//! request came shows that no newer head had committed anything by then. A request waits for a confirmation that starts after
-//! its arrival. Invariant: a voter that has accepted a successor view confirms no more.
+//! Works like Raft's ReadIndex (Ongaro, dissertation, section 6.4): if a majority confirms the epoch after a request
+//! has arrived, no newer head had committed anything before the request arrived. A request therefore waits for a
+//! confirmation that starts after its arrival. Invariant: a voter that has accepted a successor view no longer confirms
+//! the epoch.
 
 use std::net::SocketAddrV4;
 
@@ -12,7 +13,7 @@
 use crate::view::Identity;
 
 impl Replica {
-    /// The sequence number of the confirmation that a request which comes now has to wait for.
+    /// Sequence number of the confirmation that a request arriving now has to wait for.
     pub(super) fn next_confirmation(&self) -> u64 {
         let last_started = self
             .head
@@ -25,14 +26,14 @@
         }
     }
 
-    /// Whether a majority has answered this confirmation.
+    /// Whether a majority has answered this confirmation or a later one.
     pub(super) fn is_epoch_confirmed(&self, sequence: u64) -> bool {
         self.head
             .as_ref()
             .is_some_and(|head| head.confirmation.is_completed(sequence))
     }
 
-    /// Starts the confirmation with this sequence number, unless an earlier one is in progress or it has been started.
+    /// Starts the confirmation with this sequence number, unless it has been started or an earlier one is in progress.
     pub(super) fn request_confirmation(&mut self, sequence: u64) {
         let Some(head) = &mut self.head else { return };
         if head.confirmation.start(sequence) {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Asks the voters that haven't answered the confirmation in progress.
+    /// Sends `ConfirmEpoch` to the voters that haven't answered the confirmation in progress.
     pub(super) fn send_confirm_epoch(&mut self) {
         let Some(head) = &self.head else { return };
         if let Some(sequence) = head.confirmation.in_progress() {
@@ -49,12 +50,13 @@
         }
     }
 
-    /// A voter that accepted a successor doesn't know any more that this epoch is the newest.
+    /// Answers the head's `ConfirmEpoch`. A voter that has accepted a successor view can't confirm that the epoch is
+    /// the newest.
     pub(super) fn on_confirm_epoch(&mut self, from: SocketAddrV4, sender: Identity, sequence: u64) {
         let from_head = self.is_view_head(sender);
-        let newest = self.acceptor.accepted.is_none()
+        let no_successor_accepted = self.acceptor.accepted.is_none()
             || bug_injected!(self.bug_injection, ConfirmAfterAccepting);
-        if from_head && self.is_voter() && newest {
+        if from_head && self.is_voter() && no_successor_accepted {
             let (position, history_digest) = (
                 self.durable_state.position,
                 self.durable_state.state.history_digest(),
@@ -70,7 +72,7 @@
         }
     }
 
-    /// A voter answers the confirmation.
+    /// Records a voter's answer to the confirmation.
     pub(super) fn on_epoch_confirmed(&mut self, sender: Identity, sequence: u64) {
         let Some(view) = &self.view else { return };
         let (is_voter, majority) = (view.is_voter(sender), view.majority());
--- a/crates/lockusher-control/src/replica/dispatch.rs
+++ b/crates/lockusher-control/src/replica/dispatch.rs
@@ -1,19 +1,19 @@
 //! Dispatch of received messages by epoch and kind.
 //!
-//! Invariant: messages of the agreement and of replication have an effect in their own epoch only. A sender of an older
+//! Invariant: messages of view agreement and of replication take effect only in their own epoch. A sender in an older
 //! epoch is sent the newest view.
 
 use std::net::SocketAddrV4;
 
 use super::bug_injection::bug_injected;
-use super::repair::NoticedBy;
+use super::repair::DetectedBy;
 use super::state_machine::Replica;
 use crate::durable_state::AppendedEntry;
 use crate::message::{Message, MessageBody};
 use crate::view::Identity;
 
 impl Replica {
-    /// A message came; the sender may be this node itself.
+    /// Handles a received message; the sender may be this node itself.
     pub(super) fn on_message(&mut self, from: SocketAddrV4, message: Message) {
         let Message {
             sender,
@@ -25,9 +25,9 @@
                 .on_message_received(from, sender, epoch, self.now);
             self.exchange_views(from, epoch, &body);
         }
-        let counts = epoch == self.epoch()
+        let epoch_counts = epoch == self.epoch()
             || (bug_injected!(self.bug_injection, OlderEpochsCount) && epoch < self.epoch());
-        let same_epoch = counts && epoch > 0;
+        let same_epoch = epoch_counts && epoch > 0;
         match body {
             MessageBody::Heartbeat(heartbeat) => self.on_heartbeat(from, sender, epoch, heartbeat),
             MessageBody::NewView(view) => self.install_view(view),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A message that is valid in its epoch only, which is this node's.
+    /// Handles a message that is valid only in its own epoch, which is this node's.
     fn on_epoch_message(&mut self, from: SocketAddrV4, sender: Identity, body: MessageBody) {
         match body {
             MessageBody::Prepare { proposal_number } => self.on_prepare(from, proposal_number),
@@ -93,7 +93,7 @@
                 history_digest,
             } => {
                 self.on_epoch_confirmed(sender, sequence);
-                self.repair_if_different(sender, position, history_digest, NoticedBy::Read);
+                self.repair_if_different(sender, position, history_digest, DetectedBy::Read);
             }
             MessageBody::Heartbeat(_)
             | MessageBody::NewView(_)
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Sends the newest view to a sender of an older epoch, and a heartbeat to one of a newer epoch, which answers with its
-    /// view.
+    /// Sends the newest view to a sender in an older epoch, and a heartbeat to one in a newer epoch, which answers with
+    /// its view.
     fn exchange_views(&mut self, from: SocketAddrV4, epoch: u64, body: &MessageBody) {
         if epoch == self.epoch() || matches!(body, MessageBody::NewView(_)) {
             return;
--- a/crates/lockusher-control/src/replica/effect.rs
+++ b/crates/lockusher-control/src/replica/effect.rs
@@ -1,4 +1,4 @@
-//! What a replica asks its driver to do.
+//! Effects: actions that a replica requests from its driver.
 
 use std::net::SocketAddrV4;
 
@@ -7,39 +7,41 @@
 use crate::message::Message;
 use crate::request::{Reply, RequestTicket};
 
-/// What a replica asks its driver to do, in order.
+/// An action for the driver, which carries out effects in order.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send this; it may be lost.
+    /// Sends a message, which may be lost.
     Send {
-        /// The receiver's internal listener.
+        /// Address of the receiver's internal listener.
         to: SocketAddrV4,
         /// The message.
         message: Message,
     },
-    /// Append these and sync, in the order of the effects, and report the outcome under the ticket.
+    /// Appends the records to the log and syncs it, in the order of the effects. The driver reports the outcome with
+    /// the ticket.
     Persist {
-        /// Names the write.
+        /// Identifies the write.
         ticket: PersistTicket,
-        /// What is to be durable.
+        /// Records to make durable.
         records: Vec<DurableRecord>,
     },
-    /// Answer the operator.
+    /// Replies to the operator.
     Reply {
-        /// Names the request answered.
+        /// Identifies the request.
         ticket: RequestTicket,
         /// The reply.
         reply: Reply,
     },
     /// A newer configuration is known to be committed.
     Committed(ConfigurationDocument),
-    /// This node became, or is no longer, head of the newest view it knows and in contact with a majority.
+    /// This node became or ceased to be head of the newest view it knows and in contact with a majority, or is head in
+    /// a new epoch.
     RoleChanged {
-        /// Whether it is now.
+        /// Whether this node is head now.
         head: bool,
-        /// Epoch of that view.
+        /// Epoch of the newest view.
         epoch: u64,
     },
-    /// The control nodes known, for agents.
+    /// The known control nodes, to be announced to agents.
     Members(Vec<SocketAddrV4>),
 }
--- a/crates/lockusher-control/src/replica/epoch_confirmation.rs
+++ b/crates/lockusher-control/src/replica/epoch_confirmation.rs
@@ -1,10 +1,11 @@
-//! State of the confirmations, by a majority of the voters, that the head's epoch is the newest.
+//! State of the head's confirmations, by a majority of the voters, that its epoch is the newest.
 
 use std::collections::BTreeSet;
 
 use crate::view::Identity;
 
-/// Confirmations are numbered from 1; only the newest can be in progress, while `last_started` is above `last_completed`.
+/// Confirmations are numbered from 1. Only the newest can be in progress: it is while `last_started` is above
+/// `last_completed`.
 #[derive(Debug, Default)]
 pub(super) struct EpochConfirmation {
     /// Number of the newest confirmation started.
@@ -26,7 +27,8 @@
         self.last_completed >= sequence
     }
 
-    /// Starts the next confirmation, unless one is in progress or the given one has been started. Returns whether it did.
+    /// Starts the next confirmation, unless one is in progress or the given one has been started. Returns whether one
+    /// was started.
     pub(super) fn start(&mut self, sequence: u64) -> bool {
         if self.last_started >= sequence || self.in_progress().is_some() {
             return false;
@@ -46,7 +48,7 @@
         &self.confirmed_by
     }
 
-    /// A voter confirms; with a majority of the voters the confirmation is completed.
+    /// Records a voter's answer; a majority of the voters completes the confirmation.
     pub(super) fn on_confirmed(&mut self, voter: Identity, sequence: u64, majority: usize) {
         if self.in_progress() != Some(sequence) {
             return;
--- a/crates/lockusher-control/src/replica/event.rs
+++ b/crates/lockusher-control/src/replica/event.rs
@@ -1,4 +1,4 @@
-//! What a replica is told by its driver.
+//! Events: inputs that the driver passes to a replica.
 
 use std::net::SocketAddrV4;
 
@@ -6,12 +6,12 @@
 use crate::message::Message;
 use crate::request::{Request, RequestTicket};
 
-/// What happens to a replica. [`Replica::handle`](super::Replica::handle) takes it with the time.
+/// An input to a replica, which [`Replica::handle`](super::Replica::handle) takes together with the current time.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A message came.
+    /// A message was received.
     Message {
-        /// The sender's internal listener.
+        /// Address of the sender's internal listener.
         from: SocketAddrV4,
         /// The message.
         message: Message,
@@ -21,25 +21,26 @@
         /// Ticket of the [`Effect::Persist`](super::Effect::Persist).
         ticket: PersistTicket,
     },
-    /// The records of this ticket were refused by the disk; none of them counts.
+    /// The write with this ticket failed; none of its records counts as durable.
     PersistFailed {
         /// Ticket of the [`Effect::Persist`](super::Effect::Persist).
         ticket: PersistTicket,
     },
-    /// The operator asks for something.
+    /// The operator sent a request.
     Request {
-        /// Names the request until it is answered.
+        /// Identifies the request until it is answered.
         ticket: RequestTicket,
         /// The request.
         request: Request,
     },
-    /// Other control nodes were named by an agent that knows them; they are contacted while this node needs others.
+    /// An agent reported other control nodes. They are contacted while this node isn't a voter in contact with a
+    /// majority.
     Introduced {
-        /// Their internal listeners.
+        /// Addresses of their internal listeners.
         addresses: Vec<SocketAddrV4>,
     },
-    /// Comes about every 50 ms.
+    /// Triggers time-driven work; sent about every 50 ms.
     Tick,
-    /// The process will end soon: hand over.
+    /// The process is shutting down: the others are informed, so that they replace this node.
     Stop,
 }
--- a/crates/lockusher-control/src/replica/forwarding.rs
+++ b/crates/lockusher-control/src/replica/forwarding.rs
@@ -1,4 +1,5 @@
-//! Requests at the node that was asked: forwarded to the head, and retransmitted, until it replies or the deadline passes.
+//! Requests at the node that received them: forwarded to the head, and retransmitted, until it replies or the deadline
+//! passes.
 
 use super::effect::Effect;
 use super::request_queue::{MAX_REQUESTS, PendingRequest};
@@ -8,7 +9,7 @@
 use crate::time::Millis;
 
 impl Replica {
-    /// The driver hands over a request of the operator.
+    /// Takes an operator's request from the driver, or replies `Unavailable` if too many are pending.
     pub(super) fn on_request(&mut self, ticket: RequestTicket, request: Request) {
         if self.requests.pending.len() >= MAX_REQUESTS {
             self.effects.push(Effect::Reply {
@@ -36,19 +37,19 @@
         self.forward_requests();
     }
 
-    /// Time beyond the usual until a request can be decided, in milliseconds: its configuration goes to the head and down the
-    /// chain.
+    /// Additional time allowed for a request that carries a configuration, in milliseconds: the document is sent to the
+    /// head and down the chain.
     pub(super) fn request_allowance(&self, request: &Request) -> Millis {
         match request {
             Request::Put { document, .. } => {
-                let links = self.view.as_ref().map_or(1, |view| view.chain.len() + 1);
-                self.size_allowance(document.body.len()) * links as Millis
+                let hops = self.view.as_ref().map_or(1, |view| view.chain.len() + 1);
+                self.size_allowance(document.body.len()) * hops as Millis
             }
             Request::Base { .. } | Request::Read => 0,
         }
     }
 
-    /// Sends the waiting requests to the head, each at intervals.
+    /// Forwards the pending requests that are due to the head, each with exponential backoff.
     pub(super) fn forward_requests(&mut self) {
         let Some(view) = &self.view else { return };
         let Some(head) = view.head().and_then(|head| view.address_of(head)) else {
@@ -58,8 +59,8 @@
         let mut due = Vec::new();
         for (number, pending) in &mut self.requests.pending {
             if self.now >= pending.forward_at {
-                let backed_off = interval.max(self.now - pending.received_at);
-                pending.forward_at = self.now + backed_off + pending.resend_allowance;
+                let backoff = interval.max(self.now - pending.received_at);
+                pending.forward_at = self.now + backoff + pending.resend_allowance;
                 due.push((*number, pending.request.clone()));
             }
         }
@@ -68,14 +69,14 @@
         }
     }
 
-    /// Gives up requests that have waited for too long. A node that is out of touch with the majority does so
-    /// early, since the operator may find another one that isn't.
+    /// Expires requests past their deadline. A node that can't reach a majority expires them earlier, since the
+    /// operator may reach another node that can.
     pub(super) fn on_requests_tick(&mut self) {
         let now = self.now;
         let lacks_quorum = !self.has_reachable_quorum();
-        let early = self.timing.minority_request_timeout;
+        let early_timeout = self.timing.minority_request_timeout;
         let is_expired = |pending: &PendingRequest| {
-            pending.deadline <= now || (lacks_quorum && now - pending.received_at >= early)
+            pending.deadline <= now || (lacks_quorum && now - pending.received_at >= early_timeout)
         };
         let pending = self.requests.pending.iter();
         let expired: Vec<u64> = pending
@@ -88,7 +89,8 @@
         self.forward_requests();
     }
 
-    /// The head, or this node in its place, replies to a pending request.
+    /// Passes the reply to a pending request on to the operator: the head's reply, or this node's own when the request
+    /// expires.
     pub(super) fn on_forward_response(&mut self, number: u64, reply: Reply) {
         if let Some(pending) = self.requests.pending.remove(&number) {
             self.effects.push(Effect::Reply {
--- a/crates/lockusher-control/src/replica/head.rs
+++ b/crates/lockusher-control/src/replica/head.rs
@@ -1,4 +1,4 @@
-//! The state of a node that serves as head of the chain, from the start of its service until the epoch ends.
+//! State of a node that serves as head of the chain, from its activation until the epoch ends.
 //!
 //! Invariant: at most one entry is in flight; `base` is committed once `established`.
 
@@ -12,22 +12,22 @@
 use crate::time::Millis;
 use crate::view::Identity;
 
-/// What a head tracks beside its durable state.
+/// State of a head in addition to its durable state.
 #[derive(Debug)]
 pub(super) struct Head {
-    /// Its state without the entry in flight.
+    /// The head's state without the entry in flight.
     pub(super) base: ReplicatedState,
-    /// Entries of this epoch in `base`.
+    /// Number of entries of this epoch in `base`.
     pub(super) index: u64,
-    /// Members that have been brought to `base` in this epoch.
+    /// Members known to have stored `base` in this epoch.
     pub(super) synchronised: BTreeSet<Identity>,
-    /// All members of the chain are synchronised: `base` is committed.
+    /// Whether all members of the chain are synchronised, so that `base` is committed.
     pub(super) established: bool,
-    /// Start of the service.
+    /// When this node was activated as head.
     pub(super) activated_at: Millis,
     /// The entry that isn't committed yet.
     pub(super) in_flight: Option<InFlight>,
-    /// Requests that aren't decided, in the order of their arrival.
+    /// Undecided requests, in order of arrival.
     pub(super) queue: VecDeque<QueuedRequest>,
     /// Confirmations of the epoch, for reads and refusals.
     pub(super) confirmation: EpochConfirmation,
@@ -38,21 +38,21 @@
 /// An entry that isn't known to be stored by the whole chain.
 #[derive(Debug)]
 pub(super) struct InFlight {
-    /// Its index in the epoch.
+    /// Index of the entry in the epoch.
     pub(super) index: u64,
     /// History digest of the state that it follows.
     pub(super) previous: HistoryDigest,
-    /// Its configuration.
+    /// The configuration.
     pub(super) document: ConfigurationDocument,
-    /// The state that contains it.
+    /// The state after the entry.
     pub(super) state: ReplicatedState,
-    /// Who is answered once it is committed.
+    /// Where the reply is sent once the entry is committed.
     pub(super) origin: Origin,
-    /// When it was appended here, then when it was sent to the successor.
+    /// When the entry was appended at the head; once it is durable there, when it was sent to the successor.
     pub(super) started_at: Millis,
-    /// When it is sent directly to those that haven't stored it; the delays grow.
+    /// When the entry is next sent directly to members that haven't stored it; the delay grows with the time in flight.
     pub(super) resend_at: Millis,
-    /// Members of the chain that have stored it.
+    /// Members of the chain that have stored the entry.
     pub(super) stored_by: BTreeSet<Identity>,
 }
 
--- a/crates/lockusher-control/src/replica/heartbeats.rs
+++ b/crates/lockusher-control/src/replica/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: sent to all known nodes at intervals, and what received ones report.
+//! Heartbeats: sent to all known nodes at intervals, and evaluated when received.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -8,7 +8,7 @@
 use crate::view::Identity;
 
 impl Replica {
-    /// A heartbeat came.
+    /// Handles a heartbeat.
     pub(super) fn on_heartbeat(
         &mut self,
         from: SocketAddrV4,
@@ -37,7 +37,8 @@
         }
     }
 
-    /// The head's heartbeat says what is committed; a head looks at how far the others are.
+    /// Evaluates the progress that a heartbeat reports: as head, that of the sender; otherwise, the head's committed
+    /// position.
     fn on_progress(&mut self, from: SocketAddrV4, sender: Identity, heartbeat: &Heartbeat) {
         if self.head.is_some() {
             self.on_replica_heartbeat(from, sender, heartbeat);
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Lets a new peer know at once that this node receives from it.
+    /// Answers the first heartbeat of a peer at once, so that the peer learns that its messages arrive here.
     fn respond_to_first_heartbeat(&mut self, from: SocketAddrV4) {
         if self
             .peers
@@ -66,6 +67,7 @@
         }
     }
 
+    /// Sends a heartbeat to one node, and this node's locality if the loss of failure domains is tolerated.
     pub(super) fn send_heartbeat(&mut self, to: SocketAddrV4) {
         let heartbeat = Heartbeat {
             health: self.health(),
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Voters and peers; also the seeds and those that were introduced, while this node needs them to find the others.
+    /// Voters and peers; also the seeds and the nodes that an agent reported, while this node isn't a voter in contact
+    /// with a majority.
     fn heartbeat_targets(&self) -> BTreeSet<SocketAddrV4> {
         let voters = self
             .view
@@ -101,7 +104,7 @@
         targets
     }
 
-    /// Lets the failure detector expire peers, voters excepted.
+    /// Expires inactive peers in the failure detector, except voters.
     pub(super) fn expire_peers(&mut self) {
         let view = &self.view;
         let is_voter = |address| {
--- a/crates/lockusher-control/src/replica/injected_bug.rs
+++ b/crates/lockusher-control/src/replica/injected_bug.rs
@@ -1,9 +1,10 @@
-//! Bugs that tests inject, to show that the simulation and its checks find them.
+//! Bugs that tests inject to verify that the simulation and its checks detect them.
 //!
-//! Each one leaves out one guard of the protocol. The simulation's test `injected_bugs` says for each how it is found, or
-//! which other guard covers it. This module is compiled with the feature `injected-bugs` only; the product is built without.
+//! Each one disables one guard of the protocol. The simulation's test `injected_bugs` states for each within how many
+//! runs it is detected, or which other guard covers for it. This module is compiled only with the feature
+//! `injected-bugs`, which production builds don't enable.
 
-/// A guard of the protocol that is left out.
+/// A disabled guard of the protocol.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum InjectedBug {
     // Reads and refusals
@@ -13,79 +14,79 @@
     ConflictUnconfirmed,
     /// The refusal of a version that isn't newer is answered without a confirmation of the epoch by a majority.
     NotNewerUnconfirmed,
-    /// A confirmation that began before the request came counts for it.
+    /// A confirmation that started before a request arrived counts for that request.
     EarlierRoundCounts,
-    /// A voter confirms an epoch although it has accepted a successor.
+    /// A voter confirms an epoch although it has accepted a successor view.
     ConfirmAfterAccepting,
-    /// The version that a change builds on isn't compared.
+    /// The version that a change builds on isn't compared with the current one.
     IfMatchIgnored,
-    /// A change that was taken before isn't recognized.
+    /// A change that was applied before isn't recognised.
     TakenNotRecognized,
-    /// A change counts as taken if its version is in place.
+    /// A change counts as applied if its version is the current one.
     VersionIdentifiesChange,
-    /// The numbers of forwarded requests begin at 0 at each start.
+    /// The numbers of forwarded requests restart at 0 at each start.
     RequestNumbersRestart,
     // Chain
-    /// The head acknowledges what it alone has stored.
+    /// The head acknowledges an entry that only it has stored.
     AcknowledgeBeforeTail,
     /// A member sends an entry to its successor before it is durable.
     PassOnBeforeDurable,
-    /// A member appends an entry without its predecessor.
+    /// A member appends an entry without the preceding one.
     EntryWithoutPredecessor,
     /// The head serves before all members have stored its state.
     ServeBeforeSynchronised,
-    /// A head that was restarted serves on in its epoch.
+    /// A restarted head continues to serve in its epoch.
     RestartedHeadServes,
-    /// A member takes for committed what differs from the committed state.
+    /// A member marks its state as committed although it differs from the committed one.
     CommittedUnchecked,
     // Joining
-    /// A sealed member goes on appending entries.
+    /// A sealed member continues to append entries.
     EntryAfterSeal,
-    /// A sealed head goes on serving.
+    /// A sealed head continues to serve.
     ServeAfterSeal,
     /// The sealed state is transferred before the seal is durable.
     SealNotAwaited,
     /// Joiners are never sent the sealed state.
     JoinersUnfed,
-    /// A joiner answers that it has stored the sealed state before it is durable.
+    /// A joiner responds that it has stored the sealed state before it is durable.
     JoinAnsweredBeforeDurable,
-    /// A transferred state is stored although it is older.
+    /// A transferred state is stored although it is older than the stored one.
     OlderTransferTaken,
-    /// A transfer leaves out the history of committed changes.
+    /// A full snapshot is transferred without the identities of applied requests.
     HistoryForgotten,
     // Agreement
-    /// A chain below the majority is proposed.
+    /// A chain shorter than a majority of the voters is proposed.
     ShortChain,
     /// Several voters are changed in one view.
     SeveralVotersChanged,
     /// Voters are removed below twice the tolerated losses plus one.
     VotersBelowMinimum,
-    /// A voter that shut down stays a voter until it has been unreachable for long.
+    /// A voter that shut down stays a voter until the removal timeout.
     DepartedVoterKept,
-    /// A new node takes the place of the unreachable voter that left the chain last.
+    /// A new node replaces the unreachable voter that left the chain last, instead of the first.
     LatestDepartureReplaced,
-    /// Voters are chosen without regard to the zones and regions that may be lost as a whole.
+    /// Voters are chosen without regard to the zones and regions whose loss is tolerated.
     DomainsIgnored,
     /// A lower proposal number than the promised one is accepted.
     LowerBallotAccepted,
-    /// A prepare response doesn't report the view accepted before.
+    /// A prepare response doesn't report the accepted view.
     AcceptedNotReported,
-    /// A proposer ignores a view accepted before.
+    /// A proposer ignores the accepted views that prepare responses report.
     AcceptedPassedOver,
     /// Promises and acceptances are answered before they are durable.
     VoteAnsweredBeforeDurable,
-    /// A view is adopted after one acceptance.
+    /// A view is installed after one acceptance.
     AdoptAfterOneAcceptance,
     /// Responses of nodes that aren't voters count.
     StrangersCount,
-    /// A node acts in a view that isn't on its disk.
+    /// A node acts in a view whose record isn't durable.
     ActBeforeViewDurable,
     /// Messages of older epochs count.
     OlderEpochsCount,
     // Disk
-    /// A seed that lost its disk uses its former identity again.
+    /// A seed that lost its disk reuses its former identity.
     VoteAfterWipe,
-    /// A seed with an empty disk assumes the first start.
+    /// A seed with an empty disk assumes that the deployment starts for the first time.
     FirstStartAssumed,
     /// A promise isn't recovered after a restart.
     PromiseForgotten,
@@ -93,9 +94,9 @@
     AcceptanceForgotten,
     /// A seal isn't recovered after a restart.
     SealForgotten,
-    /// A snapshot leaves out the state.
+    /// A snapshot omits the replicated state.
     SnapshotWithoutState,
-    /// A snapshot leaves out the acceptor's state.
+    /// A snapshot omits the acceptor's state.
     SnapshotWithoutVotes,
 }
 
--- a/crates/lockusher-control/src/replica/joining.rs
+++ b/crates/lockusher-control/src/replica/joining.rs
@@ -1,6 +1,6 @@
 //! Sealing of the epoch, and the transfer of the sealed state to nodes that join the next chain.
 //!
-//! Invariant: a joiner is given a member's state only after that member has durably sealed the epoch and has no write in
+//! Invariant: a joiner is sent a member's state only after that member has durably sealed the epoch and has no write in
 //! flight, so that no entry can be committed that the joiner lacks.
 
 use std::net::SocketAddrV4;
@@ -16,7 +16,7 @@
 use crate::view::Identity;
 
 impl Replica {
-    /// Takes no further entry in this epoch, durably.
+    /// Seals the epoch durably: this node accepts no further entries in it.
     pub(super) fn seal_epoch(&mut self) {
         if self.acceptor.sealed {
             return;
@@ -29,7 +29,7 @@
         );
     }
 
-    /// Starts the transfer to the joiners once the sealed state can't change any more.
+    /// Starts the transfer to the joiners once the seal is durable and no write of the state is in flight.
     pub(super) fn start_joining_once_sealed(&mut self) {
         let sealing = self
             .proposal
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Sends what a joiner with this history digest lacks; `None` for a full snapshot.
+    /// Sends the part of the sealed state that a joiner with this history digest lacks; `None` for a full snapshot.
     fn send_join_transfer(
         &mut self,
         to: SocketAddrV4,
@@ -77,7 +77,7 @@
         self.send(to, MessageBody::Transfer(transfer));
     }
 
-    /// A joiner has stored the sealed state, or needs a full snapshot.
+    /// Handles a joiner's response: it has stored the sealed state, or needs a full snapshot.
     pub(super) fn on_join_response(&mut self, from: SocketAddrV4, joiner: Identity, stored: bool) {
         let sealed =
             self.acceptor.seal_durable || bug_injected!(self.bug_injection, SealNotAwaited);
@@ -93,12 +93,12 @@
         let Some(proposal) = &self.proposal else {
             return;
         };
-        let complete = proposal
+        let stored_by_all = proposal
             .change
             .joiners
             .iter()
             .all(|joiner| self.sealed_state_holders.contains(&joiner.identity));
-        if proposal.phase == Phase::Joining && complete {
+        if proposal.phase == Phase::Joining && stored_by_all {
             self.enter_phase(Phase::Preparing);
         }
     }
--- a/crates/lockusher-control/src/replica/learners.rs
+++ b/crates/lockusher-control/src/replica/learners.rs
@@ -1,4 +1,4 @@
-//! Distribution of the committed state: announced to the chain, transferred to nodes outside of it (learners).
+//! Distribution of the committed state: announced to the chain, and transferred to nodes outside of it (learners).
 
 use std::net::SocketAddrV4;
 
@@ -7,13 +7,13 @@
 use crate::state::HistoryDigest;
 
 impl Replica {
-    /// Announces what is committed to the chain, and transfers it to the reachable nodes outside of it.
+    /// Announces the committed position to the chain, and transfers the committed state to reachable learners.
     pub(super) fn announce_committed(&mut self) {
         let (Some(head), Some(view)) = (&self.head, &self.view) else {
             return;
         };
         let (index, history_digest) = (head.index, head.base.history_digest());
-        let me = self.setup.address;
+        let own_address = self.setup.address;
         let members: Vec<SocketAddrV4> = view
             .chain
             .iter()
@@ -25,7 +25,7 @@
         let learners: Vec<(SocketAddrV4, Option<HistoryDigest>)> = known
             .map(|(address, peer)| (address, peer.history_digest))
             .collect();
-        for member in members.into_iter().filter(|member| *member != me) {
+        for member in members.into_iter().filter(|member| *member != own_address) {
             self.send(
                 member,
                 MessageBody::Committed {
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Brings a node outside of the chain up to date. One with a faulty disk is sent each configuration once only, so that
-    /// it can distribute it to its agents.
+    /// Brings a learner up to date. One with a disk fault can't store the state; it is sent each configuration only
+    /// once, to distribute it to its agents.
     pub(super) fn update_learner(&mut self, to: SocketAddrV4, heartbeat: &Heartbeat, lags: bool) {
         let Some(head) = &self.head else { return };
         if heartbeat.health != Health::DiskFault {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A learner lacks what a smaller transfer builds on.
+    /// Sends a full snapshot to a learner that lacks the base of a smaller transfer.
     pub(super) fn send_full_snapshot_to_learner(&mut self, to: SocketAddrV4) {
         if self.may_add_members() {
             self.send_base(to, TransferPurpose::Learn, None);
--- a/crates/lockusher-control/src/replica/membership.rs
+++ b/crates/lockusher-control/src/replica/membership.rs
@@ -1,4 +1,4 @@
-//! This node's place in the newest view, and its contact with the voters of it.
+//! This node's role in the newest view, and its contact with the voters of that view.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -15,7 +15,7 @@
         self.view.as_ref().map_or(0, |view| view.epoch)
     }
 
-    /// Whether the newest view is on disk, so that this node may act in it.
+    /// Whether the newest view is durable, so that this node may act in it.
     pub(super) fn is_established_in_view(&self) -> bool {
         let durable = self.durable_epoch == self.epoch()
             || bug_injected!(self.bug_injection, ActBeforeViewDurable);
@@ -43,13 +43,13 @@
             .is_some_and(|view| view.head() == Some(identity))
     }
 
-    /// Voters are removed only down to this number.
+    /// Minimum number of voters, below which none is removed.
     pub(super) fn minimum_voters(&self) -> usize {
         let for_machines = 2 * self.setup.tolerated_losses as usize + 1;
         for_machines.max(self.setup.tolerated_domains.minimum_voters())
     }
 
-    /// What is known of the failure domains of this node and its peers.
+    /// The known failure domains of this node and its peers.
     pub(super) fn voter_spread(&self) -> VoterSpread {
         let tolerated = self.setup.tolerated_domains;
         if !tolerated.any() || bug_injected!(self.bug_injection, DomainsIgnored) {
@@ -67,27 +67,27 @@
         }
     }
 
-    /// Whether recent heartbeats show contact with a majority of the voters, in both directions.
+    /// Whether recent heartbeats confirm bidirectional contact with a majority of the voters.
     pub(super) fn has_confirmed_quorum(&self) -> bool {
-        self.count_voters(|address, identity| {
+        self.is_quorum(|address, identity| {
             self.peers
                 .is_confirmed(address, identity, &self.timing, self.now)
         })
     }
 
-    /// The same, but everybody counts as reachable for a grace period after a start.
+    /// Like [`Self::has_confirmed_quorum`], but all voters count as reachable for a grace period after a start.
     pub(super) fn has_reachable_quorum(&self) -> bool {
-        self.count_voters(|address, identity| {
+        self.is_quorum(|address, identity| {
             self.peers
                 .is_reachable(address, identity, &self.timing, self.now)
         })
     }
 
-    /// Whether this node, if it votes, and the voters that `counts` admits are a majority.
-    fn count_voters(&self, counts: impl Fn(SocketAddrV4, Identity) -> bool) -> bool {
+    /// Whether the voters that are `in_contact`, with this node if it votes, are a majority.
+    fn is_quorum(&self, in_contact: impl Fn(SocketAddrV4, Identity) -> bool) -> bool {
         let Some(view) = &self.view else { return false };
         let counted = view.voters.iter().filter(|voter| {
-            voter.identity == self.identity || counts(voter.address, voter.identity)
+            voter.identity == self.identity || in_contact(voter.address, voter.identity)
         });
         counted.count() >= view.majority()
     }
--- a/crates/lockusher-control/src/replica/mod.rs
+++ b/crates/lockusher-control/src/replica/mod.rs
@@ -1,17 +1,19 @@
-//! One control node as a state machine: the events it takes and the effects it asks for.
+//! State machine of one control node: it handles events and returns effects.
 //!
-//! The state and the dispatch of events are in `state_machine`; every other module adds the methods of one concern:
+//! The state and the dispatch of events are in `state_machine`. Each of the other modules adds the methods of one
+//! concern:
 //!
 //! - messages: `dispatch` (received), `sending` (sent), `heartbeats`;
-//! - views: `membership` (this node's place in the newest one), `change_planning` and `proposing` (as proposer, with the
+//! - views: `membership` (this node's role in the newest one), `change_planning` and `proposing` (as proposer, with the
 //!   state in `view_proposal`), `voting` (as acceptor), `joining` (transfer to new members), `view_installation`;
-//! - replication: `appends` and `transfers` (as a member of the chain), `synchronisation`, `replication`, `progress` and
-//!   `learners` (as its head, with the state in `head`), `commit` (what is known to be committed), `repair`;
-//! - requests: `forwarding` (at the node asked), `service` (at the head), with the state in `request_queue`;
+//! - replication: `appends` and `transfers` (as a member of the chain), `synchronisation`, `replication`, `progress`
+//!   and `learners` (as its head, with the state in `head`), `commit` (tracking of the committed state), `repair`;
+//! - requests: `forwarding` (at the receiving node), `service` (at the head), with the state in `request_queue`;
 //!   `confirmation` of the head's epoch, with the state in `epoch_confirmation`;
 //! - the disk: `persistence` (writes), `recovery` (start);
 //! - `status`: what the node reports about itself;
-//! - `bug_injection`, with `injected_bug` and `bug_alterations`: hooks for tests, never part of the product.
+//! - `bug_injection`, with `injected_bug` and `bug_alterations`: hooks for tests, never compiled into production
+//!   builds.
 
 mod appends;
 #[cfg(feature = "injected-bugs")]
--- a/crates/lockusher-control/src/replica/persistence.rs
+++ b/crates/lockusher-control/src/replica/persistence.rs
@@ -1,7 +1,7 @@
-//! Writes to the disk: what is asked for, and what follows when they are durable or refused.
+//! Disk writes: requests to the driver, and handling of their outcome (durable or failed).
 //!
-//! Records of the agreement go through `acceptor_log` and are retried until they are durable; of the replicated state one
-//! write at a time is in flight, and a refused one ends the node's service as head.
+//! Acceptor and view records go through `acceptor_log` and are retried until they are durable. At most one write of the
+//! replicated state is in flight; if it fails, this node stops serving as head.
 
 use super::effect::Effect;
 use super::state_machine::Replica;
@@ -13,13 +13,13 @@
 use crate::state::ReplicatedState;
 
 impl Replica {
-    /// A ticket that no other write of this process has.
+    /// Issues a ticket that is unique within this process.
     fn issue_ticket(&mut self) -> PersistTicket {
         self.next_ticket += 1;
         PersistTicket(self.next_ticket)
     }
 
-    /// Writes records of the agreement, and does this once they are durable.
+    /// Persists acceptor, view or identity records, and runs `after_write` once they are durable.
     pub(super) fn persist_acceptor_records(
         &mut self,
         records: Vec<DurableRecord>,
@@ -31,7 +31,7 @@
         self.effects.push(Effect::Persist { ticket, records });
     }
 
-    /// Writes the replicated state. The caller has checked that no such write is in flight.
+    /// Persists the replicated state. The caller ensures that no such write is in flight.
     pub(super) fn persist_state(
         &mut self,
         record: DurableRecord,
@@ -55,7 +55,7 @@
         });
     }
 
-    /// A write is durable.
+    /// Handles a write that is durable.
     pub(super) fn on_persisted(&mut self, ticket: PersistTicket) {
         if let Some(released) = self.acceptor_log.on_persisted(ticket) {
             released
@@ -79,10 +79,10 @@
         self.start_joining_once_sealed();
     }
 
-    /// A write was refused. The node's service as head ends if it was one of the state.
+    /// Handles a failed write. If it was a write of the replicated state, this node stops serving as head.
     pub(super) fn on_persist_failed(&mut self, ticket: PersistTicket) {
         self.counters.persist_failures += 1;
-        if self.acceptor_log.on_refused(ticket, self.now) {
+        if self.acceptor_log.on_failed(ticket, self.now) {
             self.send_heartbeats();
             return;
         }
@@ -99,8 +99,8 @@
         self.send_heartbeats();
     }
 
-    /// Repeats writes that the disk refused.
-    pub(super) fn retry_refused_writes(&mut self) {
+    /// Retries failed writes that are due.
+    pub(super) fn retry_failed_writes(&mut self) {
         let next_ticket = &mut self.next_ticket;
         let retries =
             self.acceptor_log
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Does what waited for records of the agreement.
+    /// Runs an action deferred until acceptor or view records were durable.
     pub(super) fn after_acceptor_write(&mut self, after: AfterAcceptorWrite) {
         match after {
             AfterAcceptorWrite::Send { to, message } => {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Whether this node can replicate.
+    /// This node's health: whether it can replicate.
     pub(super) fn health(&self) -> Health {
         let oldest = self.acceptor_log.oldest_requested_at().into_iter();
         let oldest = oldest
@@ -156,7 +156,7 @@
         let stalled = oldest.is_some_and(|since| self.now - since >= self.timing.write_timeout);
         if self.shutting_down {
             Health::ShuttingDown
-        } else if stalled || self.acceptor_log.has_refused() || self.disk_failed_at.is_some() {
+        } else if stalled || self.acceptor_log.has_failed() || self.disk_failed_at.is_some() {
             Health::DiskFault
         } else {
             Health::Good
--- a/crates/lockusher-control/src/replica/progress.rs
+++ b/crates/lockusher-control/src/replica/progress.rs
@@ -1,15 +1,15 @@
-//! Progress of the other nodes, as the head observes it by their heartbeats, and members that lag.
+//! Progress of the other nodes, which the head observes by their heartbeats, and detection of lagging members.
 
 use std::net::SocketAddrV4;
 
-use super::repair::NoticedBy;
+use super::repair::DetectedBy;
 use super::state_machine::Replica;
 use crate::message::{Heartbeat, MessageBody, TransferPurpose};
 use crate::position::Position;
 use crate::view::Identity;
 
 impl Replica {
-    /// As head: a node's heartbeat shows how far it is; send it what it lacks.
+    /// As head, evaluates a node's progress by its heartbeat and sends it what it lacks.
     pub(super) fn on_replica_heartbeat(
         &mut self,
         from: SocketAddrV4,
@@ -52,19 +52,19 @@
             sender,
             heartbeat.position,
             heartbeat.history_digest,
-            NoticedBy::Heartbeat,
+            DetectedBy::Heartbeat,
         );
         if heartbeat.position.epoch == committed.epoch {
             self.on_append_stored(sender, heartbeat.position.index);
         }
     }
 
-    /// Whether a member has delayed the chain for too long, so that it should be left out of the next view.
+    /// Whether a member has delayed the chain for too long, so that the next view should exclude it.
     pub(super) fn is_lagging(&self, member: Identity) -> bool {
         let (Some(head), Some(view)) = (&self.head, &self.view) else {
             return false;
         };
-        // A sealed head sends nothing down, so that nobody lags by it.
+        // A sealed head sends no entries, so members can't be lagging.
         if self.acceptor.sealed
             || !view.in_chain(member)
             || self.now < self.started_at + self.timing.startup_grace
@@ -76,8 +76,8 @@
         if unsynchronised && self.now - head.activated_at >= synchronise_limit {
             return true;
         }
-        let links = view.chain.iter().position(|other| *other == member);
-        let allowance = self.entry_allowance(links.unwrap_or(0));
+        let hops = view.chain.iter().position(|other| *other == member);
+        let allowance = self.entry_allowance(hops.unwrap_or(0));
         head.in_flight.as_ref().is_some_and(|in_flight| {
             let limit = self.timing.write_timeout + allowance;
             !in_flight.stored_by.contains(&member) && self.now - in_flight.started_at >= limit
--- a/crates/lockusher-control/src/replica/proposing.rs
+++ b/crates/lockusher-control/src/replica/proposing.rs
@@ -1,7 +1,7 @@
-//! This node as the proposer of the next view: when it starts a proposal, its phases, retransmission and back-off.
+//! This node as the proposer of the next view: start of a proposal, its phases, retransmission and backoff.
 //!
-//! The phases are sealing, joining (see `joining`), prepare and accept. A proposal that makes no progress within the timeout
-//! of a phase is abandoned and started anew after a random back-off, so that competing proposers don't block one another.
+//! The phases are sealing, joining (see `joining`), prepare and accept. A proposal that exceeds the timeout of a phase
+//! is abandoned and retried after a random backoff, so that competing proposers don't block one another.
 
 use rand::RngExt;
 
@@ -15,27 +15,28 @@
 use crate::view_change::ViewChange;
 
 impl Replica {
-    /// Proposes a view if one is due and it falls to this node.
+    /// Drives the proposal in progress, or starts one if a view change is due and this node's delay has passed.
     pub(super) fn consider_view_change(&mut self) {
         if self.proposal.is_some() {
             self.drive_proposal();
             return;
         }
-        let able = self.is_established_in_view() && self.is_voter() && self.has_reachable_quorum();
-        if !able || self.now < self.back_off_until {
+        let can_propose =
+            self.is_established_in_view() && self.is_voter() && self.has_reachable_quorum();
+        if !can_propose || self.now < self.backoff_until {
             return;
         }
         let Some(due) = self.due_view_change() else {
             self.change_due_since = None;
             return;
         };
-        let since = *self.change_due_since.get_or_insert(self.now);
-        if self.now - since >= due.delay {
+        let due_since = *self.change_due_since.get_or_insert(self.now);
+        if self.now - due_since >= due.delay {
             self.start_proposal(due.change);
         }
     }
 
-    /// Starts a proposal under a number above all that were seen.
+    /// Starts a proposal with a number above all seen so far.
     fn start_proposal(&mut self, change: ViewChange) {
         self.counters.proposals += 1;
         self.proposal_attempts += 1;
@@ -60,7 +61,7 @@
             .any(|joiner| !self.sealed_state_holders.contains(&joiner.identity));
         let (now, address) = (self.now, self.setup.address);
         log::debug!(
-            "{now} {address}: proposes {change:?} under proposal number {}",
+            "{now} {address}: proposes {change:?} with proposal number {}",
             proposal_number.counter
         );
         self.proposal = Some(ViewProposal {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Goes to a phase and sends its messages.
+    /// Enters a phase and sends its messages.
     pub(super) fn enter_phase(&mut self, phase: Phase) {
         let Some(proposal) = &mut self.proposal else {
             return;
@@ -88,7 +89,7 @@
         self.send_phase_messages();
     }
 
-    /// Sends the messages of the present stage to those that haven't responded.
+    /// Sends the messages of the current phase to the nodes that haven't responded.
     fn send_phase_messages(&mut self) {
         let Some(proposal) = &mut self.proposal else {
             return;
@@ -117,7 +118,7 @@
         }
     }
 
-    /// An acceptor answers the prepare.
+    /// Handles a prepare response; with a majority the accept phase starts.
     pub(super) fn on_prepare_response(
         &mut self,
         sender: Identity,
@@ -127,12 +128,12 @@
         if !self.accepts_votes_from(sender) {
             return;
         }
-        let reported = altered_by_bug!(self.bug_injection, altered_report, accepted);
+        let reported = altered_by_bug!(self.bug_injection, altered_accepted_view, accepted);
         let Some(proposal) = &mut self.proposal else {
             return;
         };
-        let may_complete = proposal.phase == Phase::Preparing;
-        if may_complete
+        let is_preparing = proposal.phase == Phase::Preparing;
+        if is_preparing
             && proposal
                 .proposer
                 .on_prepare_response(sender, proposal_number, reported)
@@ -141,7 +142,7 @@
         }
     }
 
-    /// An acceptor has accepted the proposal; with a majority the view is agreed on.
+    /// Handles an accept response; with a majority the view is agreed on.
     pub(super) fn on_accept_response(&mut self, sender: Identity, proposal_number: ProposalNumber) {
         if !self.accepts_votes_from(sender) {
             return;
@@ -158,13 +159,13 @@
         }
     }
 
-    /// Whether this sender's responses count: it votes in the newest view.
+    /// Whether the sender's responses count: it is a voter of the newest view.
     fn accepts_votes_from(&self, sender: Identity) -> bool {
         let is_voter = self.view.as_ref().is_some_and(|view| view.is_voter(sender));
         is_voter || bug_injected!(self.bug_injection, StrangersCount)
     }
 
-    /// An acceptor has promised a higher number.
+    /// Handles a rejection by an acceptor that has promised a higher number.
     pub(super) fn on_proposal_rejected(&mut self, promised: ProposalNumber) {
         self.highest_proposal_counter = self.highest_proposal_counter.max(promised.counter);
         if self
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Repeats messages, and gives up an attempt that gets no further.
+    /// Retransmits the messages of the current phase, and abandons the proposal at the phase timeout.
     fn drive_proposal(&mut self) {
         let Some(proposal) = &self.proposal else {
             return;
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Joiners that didn't answer aren't asked again for a while.
+    /// Records the joiners that didn't respond, so that they aren't asked again before the retry delay has passed.
     fn record_failed_joins(&mut self) {
         let Some(proposal) = &self.proposal else {
             return;
@@ -211,13 +212,13 @@
         }
     }
 
-    /// Ends the attempt; the next one waits for a random back-off.
+    /// Abandons the proposal; the next one starts after a random backoff.
     fn abandon_proposal(&mut self) {
-        log::debug!("{} {}: gives up a proposal", self.now, self.setup.address);
+        log::debug!("{} {}: abandons its proposal", self.now, self.setup.address);
         self.proposal = None;
-        let back_off = self.random.random_range(
+        let backoff = self.random.random_range(
             self.timing.retransmit_interval / 4..=self.timing.retransmit_interval * 3 / 2,
         );
-        self.back_off_until = self.now + back_off;
+        self.backoff_until = self.now + backoff;
     }
 }
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -1,7 +1,7 @@
 //! Start of a replica from the records on its disk.
 //!
-//! Invariant: an identity is used with the records of its own disk and at its own address only; whoever lost the disk comes
-//! back under another identity and isn't a voter, so that nobody votes who may have forgotten an earlier vote.
+//! Invariant: an identity is used only with the records of its own disk and at its own address. A node that lost its
+//! disk restarts with a new identity and isn't a voter, so that no voter can have lost its earlier votes.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -25,14 +25,14 @@
 use crate::timing::Timing;
 use crate::view::{Identity, View};
 
-/// Whose disk it is.
+/// The identity and address recorded on a disk.
 struct DiskOwner {
     identity: Identity,
-    /// Address that the disk was used at.
+    /// Address at which the disk was used.
     address: SocketAddrV4,
 }
 
-/// What the records of a disk restore.
+/// State restored from the records of a disk.
 struct RecoveredDisk {
     owner: Option<DiskOwner>,
     /// The newest view.
@@ -69,7 +69,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(setup.random_seed);
         let recovered =
             RecoveredDisk::replay(altered_by_bug!(bug_injection, altered_recovery, records));
-        let drawn = Identity::of_joiner(random.random());
+        let new_identity = Identity::of_joiner(random.random());
         let first_request = random.random::<u64>() >> 1;
         let numbers_restart = bug_injected!(bug_injection, RequestNumbersRestart);
         let first_request = if numbers_restart { 0 } else { first_request };
@@ -79,7 +79,7 @@
             random,
             now,
             started_at: now,
-            identity: drawn,
+            identity: new_identity,
             durable_epoch: recovered.view.as_ref().map_or(0, |view| view.epoch),
             view: recovered.view,
             acceptor: recovered.acceptor,
@@ -93,7 +93,7 @@
             sealed_state_holders: BTreeSet::new(),
             highest_proposal_counter: 0,
             proposal_attempts: 0,
-            back_off_until: now,
+            backoff_until: now,
             change_due_since: None,
             peers: Peers::new(now, timing.startup_grace),
             introduced: Vec::new(),
@@ -110,7 +110,7 @@
             counters: Counters::default(),
             setup,
         };
-        replica.take_identity(recovered.owner);
+        replica.restore_identity(recovered.owner);
         replica.send_heartbeats();
         replica.advance();
         replica.report_members();
@@ -118,14 +118,14 @@
         (replica, effects)
     }
 
-    /// Goes on under the identity of the disk if it was used at this address, else under a new one.
-    fn take_identity(&mut self, owner: Option<DiskOwner>) {
+    /// Keeps the identity of the disk if it was used at this address; otherwise uses a new one.
+    fn restore_identity(&mut self, owner: Option<DiskOwner>) {
         let address = self.setup.address;
         match owner {
             Some(DiskOwner {
                 identity,
-                address: former,
-            }) if former == address => {
+                address: disk_address,
+            }) if disk_address == address => {
                 self.identity = identity;
                 let was_head = self
                     .view
@@ -142,7 +142,8 @@
         }
     }
 
-    /// A seed at the first start installs the first view; everybody else takes a new identity and waits to join.
+    /// Starts without records: a seed at the first start installs the first view; any other node uses a new identity
+    /// and waits to join.
     fn start_on_empty_disk(&mut self) {
         let address = self.setup.address;
         let is_seed = self.setup.seeds.contains(&address);
@@ -200,15 +201,15 @@
     views.max_by_key(|view| view.epoch).cloned()
 }
 
-/// The acceptor's state in this epoch; records of other epochs don't count.
-fn recovered_acceptor(records: &[DurableRecord], current: u64) -> AcceptorState {
+/// The acceptor's state in this epoch; records of other epochs are ignored.
+fn recovered_acceptor(records: &[DurableRecord], current_epoch: u64) -> AcceptorState {
     let mut acceptor = AcceptorState::default();
     for record in records {
         match record {
             DurableRecord::Promise { epoch, .. }
             | DurableRecord::Accept { epoch, .. }
             | DurableRecord::Seal { epoch }
-                if *epoch == current =>
+                if *epoch == current_epoch =>
             {
                 acceptor.recover(record);
             }
--- a/crates/lockusher-control/src/replica/repair.rs
+++ b/crates/lockusher-control/src/replica/repair.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: repair of members whose state differs from the head's at the same position, and of a disk that differs from
-//! memory.
+//! Anti-entropy: repair of members whose state differs from the head's at the same position, and of a disk that differs
+//! from memory.
 
 use super::state_machine::Replica;
 use crate::document::Digest;
@@ -12,33 +12,33 @@
 
 /// How a difference was detected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum NoticedBy {
-    /// A member confirmed the epoch for a request that waits.
+pub(super) enum DetectedBy {
+    /// By a member's epoch confirmation, for a waiting request.
     Read,
-    /// A member's heartbeat, as the background comparison.
+    /// By a member's heartbeat, in the background.
     Heartbeat,
 }
 
-/// How what lies on disk compares with the state in memory.
+/// Result of a comparison of the disk with the state in memory.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DiskComparison {
     /// They are equal.
     Same,
-    /// The disk differs: a snapshot of the state in memory repairs it.
+    /// The disk differs; a snapshot of the state in memory repairs it.
     DiskDiffers,
-    /// The state in memory doesn't match its own digest: it repairs nothing.
+    /// The state in memory doesn't match its own digest, so it can't be used to repair the disk.
     MemoryDamaged,
 }
 
 impl Replica {
-    /// Sends the committed state to a member of the chain that has another one at the same position. Entries are
-    /// identified by position, so that this shows a damaged disk or a fault of the program, never a mere delay.
+    /// Sends the committed state to a member of the chain whose state differs at the same position. A position
+    /// identifies a state, so a difference indicates a damaged disk or a software bug, never a mere delay.
     pub(super) fn repair_if_different(
         &mut self,
         member: Identity,
         position: Position,
         history_digest: HistoryDigest,
-        noticed_by: NoticedBy,
+        detected_by: DetectedBy,
     ) {
         let Some(committed) = self.committed_position() else {
             return;
@@ -53,11 +53,11 @@
             return;
         }
         log::warn!(
-            "{member} at {address} holds another state at {position:?}; it is sent the committed one"
+            "{member} at {address} has a state that differs from the committed one at {position:?}; sending the committed one"
         );
-        match noticed_by {
-            NoticedBy::Read => self.counters.read_repairs += 1,
-            NoticedBy::Heartbeat => self.counters.digest_repairs += 1,
+        match detected_by {
+            DetectedBy::Read => self.counters.read_repairs += 1,
+            DetectedBy::Heartbeat => self.counters.digest_repairs += 1,
         }
         let transfer = Transfer {
             purpose: TransferPurpose::Repair,
@@ -68,14 +68,14 @@
         self.send(address, MessageBody::Transfer(transfer));
     }
 
-    /// Where this member of the chain listens.
+    /// Address of this member of the chain.
     fn chain_address_of(&self, member: Identity) -> Option<std::net::SocketAddrV4> {
         let view = self.view.as_ref().filter(|view| view.in_chain(member))?;
         view.address_of(member)
     }
 
-    /// Compares what a scrub read back with the durable state in memory. No write may have been under way when the
-    /// disk was read, and none may have become durable since.
+    /// Compares the records that a scrub read with the durable state in memory. No write may have been in flight when
+    /// the disk was read, and none may have become durable since.
     pub fn compare_disk(&self, records: Vec<DurableRecord>) -> DiskComparison {
         if !is_intact(&self.durable_state.state) {
             return DiskComparison::MemoryDamaged;
--- a/crates/lockusher-control/src/replica/replication.rs
+++ b/crates/lockusher-control/src/replica/replication.rs
@@ -1,9 +1,9 @@
-//! Replication of an entry from the head down the chain, after van Renesse and Schneider, "Chain Replication for Supporting
-//! High Throughput and Availability" (OSDI 2004).
+//! Replication of an entry from the head down the chain, after van Renesse and Schneider, "Chain Replication for
+//! Supporting High Throughput and Availability" (OSDI 2004).
 //!
 //! The head persists the entry and sends it to its successor; acknowledgements travel back from the tail. A member that
-//! hasn't answered is sent the entry directly. Invariant: an entry is committed, and its request acknowledged, only once every
-//! member of the chain has stored it.
+//! hasn't acknowledged the entry in time is sent it directly. Invariant: an entry is committed, and its request
+//! acknowledged, only once every member of the chain has stored it.
 
 use std::collections::BTreeSet;
 
@@ -21,7 +21,7 @@
 use crate::view::Identity;
 
 impl Replica {
-    /// Appends a configuration as the next entry. The caller has checked that none is in flight.
+    /// Appends a configuration as the next entry. The caller ensures that none is in flight.
     pub(super) fn append(&mut self, document: ConfigurationDocument, origin: Origin) {
         let epoch = self.epoch();
         let Some(head) = &mut self.head else { return };
@@ -48,24 +48,24 @@
     }
 
     /// The origin of the entry in flight.
-    pub(super) fn write_in_flight(&self) -> Option<Origin> {
+    pub(super) fn in_flight_origin(&self) -> Option<Origin> {
         Some(self.head.as_ref()?.in_flight.as_ref()?.origin)
     }
 
-    /// Time beyond the usual that the entry in flight may take over so many links of the chain, in milliseconds.
-    pub(super) fn entry_allowance(&self, links: usize) -> Millis {
+    /// Additional time allowed for the entry in flight to pass this many hops of the chain, in milliseconds.
+    pub(super) fn entry_allowance(&self, hops: usize) -> Millis {
         let in_flight = self.head.as_ref().and_then(|head| head.in_flight.as_ref());
         let bytes = in_flight.map_or(0, |in_flight| in_flight.document.body.len());
-        self.size_allowance(bytes) * links as Millis
+        self.size_allowance(bytes) * hops as Millis
     }
 
-    /// Time beyond the usual that this node's state may take to another node, in milliseconds.
+    /// Additional time allowed for a transfer of this node's state to another node, in milliseconds.
     pub(super) fn state_allowance(&self) -> Millis {
         let document = self.durable_state.state.document();
         self.size_allowance(document.map_or(0, |document| document.body.len()))
     }
 
-    /// Time that so many bytes take over one link, in milliseconds.
+    /// Time to transfer this many bytes over one hop, in milliseconds.
     pub(super) fn size_allowance(&self, bytes: usize) -> Millis {
         bytes as Millis / self.setup.bytes_per_ms.max(1)
     }
@@ -74,26 +74,30 @@
         self.view.as_ref().map_or(0, |view| view.chain.len())
     }
 
-    /// The head's own disk has stored the entry: it goes down the chain.
+    /// Sends the entry in flight down the chain, now that it is durable at the head.
     pub(super) fn send_to_successor(&mut self) {
-        let me = self.identity;
-        let successor = self.view.as_ref().and_then(|view| view.successor_of(me));
+        let own_identity = self.identity;
+        let successor = self
+            .view
+            .as_ref()
+            .and_then(|view| view.successor_of(own_identity));
         let allowance = self.entry_allowance(self.chain_length());
         let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else {
             return;
         };
-        in_flight.stored_by.insert(me);
+        in_flight.stored_by.insert(own_identity);
         in_flight.started_at = self.now;
         in_flight.resend_at = self.now + self.timing.retransmit_interval + allowance;
         let body = in_flight.append(true);
-        let open = !self.acceptor.sealed || bug_injected!(self.bug_injection, ServeAfterSeal);
-        if let (Some(successor), true) = (successor, open) {
+        let is_unsealed =
+            !self.acceptor.sealed || bug_injected!(self.bug_injection, ServeAfterSeal);
+        if let (Some(successor), true) = (successor, is_unsealed) {
             self.send_to_voter(successor, body);
         }
         self.commit_if_stored_by_all();
     }
 
-    /// All members after the head have stored the entry.
+    /// Records that all members after the head have stored the entry.
     pub(super) fn on_append_stored_by_chain(&mut self, index: u64) {
         let chain = self
             .view
@@ -104,7 +108,7 @@
         }
     }
 
-    /// A member of the chain has stored the entries up to this one.
+    /// Records that a member of the chain has stored the entries up to this one.
     pub(super) fn on_append_stored(&mut self, sender: Identity, index: u64) {
         let Some(in_flight) = self.head.as_mut().and_then(|head| head.in_flight.as_mut()) else {
             return;
@@ -115,7 +119,7 @@
         }
     }
 
-    /// A member lacks what precedes an entry: it is sent a full snapshot.
+    /// Sends a full snapshot to a member that rejected an entry because the preceding one is missing.
     pub(super) fn on_append_rejected(&mut self, sender: Identity, _index: u64) {
         let in_chain = self.is_in_chain(sender);
         let address = self.view.as_ref().and_then(|view| view.address_of(sender));
@@ -137,8 +141,9 @@
         if !in_flight.stored_by.contains(&self.identity) || self.acceptor.sealed || !due {
             return;
         }
-        let waited = self.now - in_flight.started_at;
-        let resend_delay = waited.clamp(self.timing.retransmit_interval, self.timing.write_timeout);
+        let elapsed = self.now - in_flight.started_at;
+        let resend_delay =
+            elapsed.clamp(self.timing.retransmit_interval, self.timing.write_timeout);
         in_flight.resend_at = self.now + resend_delay + allowance;
         let body = in_flight.append(false);
         let missing = view
--- a/crates/lockusher-control/src/replica/request_queue.rs
+++ b/crates/lockusher-control/src/replica/request_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait: at the node that was asked for the head's reply, and at the head for a decision.
+//! Queues of requests: at the node that received them until the head replies, and at the head until they are decided.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -6,10 +6,10 @@
 use crate::request::{Request, RequestTicket};
 use crate::time::Millis;
 
-/// Most requests that wait at one node, and most in the queue of the head.
+/// Maximum number of requests pending at one node, and of those queued at the head.
 pub(super) const MAX_REQUESTS: usize = 64;
 
-/// Requests of this node's driver that aren't answered.
+/// Unanswered requests of this node's driver, by number.
 #[derive(Debug)]
 pub(super) struct Requests {
     pub(super) pending: BTreeMap<u64, PendingRequest>,
@@ -17,7 +17,7 @@
 }
 
 impl Requests {
-    /// No requests; their numbers start here.
+    /// No requests; numbers start at `first`.
     pub(super) fn new(first: u64) -> Self {
         Self {
             pending: BTreeMap::new(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// All are to be forwarded at once, since the head may be another.
+    /// Makes all requests due for forwarding, since the head may have changed.
     pub(super) fn forward_all_now(&mut self) {
         self.pending
             .values_mut()
@@ -33,31 +33,32 @@
     }
 }
 
+/// A request that waits for the head's reply.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub(super) ticket: RequestTicket,
     pub(super) request: Request,
     pub(super) deadline: Millis,
-    /// When it is forwarded to the head again; the delays double.
+    /// When it is next forwarded to the head; the delay doubles with each attempt.
     pub(super) forward_at: Millis,
     pub(super) received_at: Millis,
-    /// Time that a copy of it may take beyond the usual, before another is sent.
+    /// Additional delay between retransmissions, for the transfer time of a large request.
     pub(super) resend_allowance: Millis,
 }
 
-/// Who asked: the node that a request came to, and its number there.
+/// Origin of a request: the node that received it, and its number there.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Origin {
     pub address: SocketAddrV4,
     pub request: u64,
 }
 
-/// A request at the head.
+/// A request queued at the head.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedRequest {
     pub(super) origin: Origin,
     pub(super) request: Request,
     pub(super) deadline: Millis,
-    /// Refusals and reads wait for the epoch confirmation with this sequence number.
+    /// Sequence number of the epoch confirmation that a read or a refusal waits for.
     pub(super) confirmation: u64,
 }
--- a/crates/lockusher-control/src/replica/sending.rs
+++ b/crates/lockusher-control/src/replica/sending.rs
@@ -1,4 +1,4 @@
-//! Sending of messages: to other nodes by an effect, to this node itself by the loopback queue.
+//! Sending of messages: to other nodes by effects, to this node itself by the loopback queue.
 //!
 //! Invariant: a message that reports a change of the acceptor is sent only after the change is durable.
 
@@ -13,7 +13,7 @@
 use crate::view::{Identity, Member, View};
 
 impl Replica {
-    /// A message of this node in its present epoch.
+    /// A message from this node in its current epoch.
     fn message(&self, body: MessageBody) -> Message {
         let body_sent = altered_by_bug!(self.bug_injection, altered_body, body);
         Message {
@@ -23,13 +23,13 @@
         }
     }
 
-    /// Sends this to a node.
+    /// Sends a message body to a node.
     pub(super) fn send(&mut self, to: SocketAddrV4, body: MessageBody) {
         let message = self.message(body);
         self.send_message(to, message);
     }
 
-    /// Sends this to a node; to itself by the loopback queue.
+    /// Sends a message to a node; one to this node itself is added to the loopback queue.
     pub(super) fn send_message(&mut self, to: SocketAddrV4, message: Message) {
         if to == self.setup.address {
             self.loopback.push_back(message);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sends this to a voter of the newest view; nothing if it is none.
+    /// Sends a message body to a voter of the newest view; does nothing if the node isn't one.
     pub(super) fn send_to_voter(&mut self, voter: Identity, body: MessageBody) {
         let address = self.view.as_ref().and_then(|view| view.address_of(voter));
         if let Some(address) = address {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends this to all voters but those that have responded.
+    /// Sends a message body to all voters except `responders`.
     pub(super) fn send_to_voters_except(
         &mut self,
         responders: &BTreeSet<Identity>,
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Sends this to the head of the newest view.
+    /// Sends a message body to the head of the newest view.
     pub(super) fn send_to_head(&mut self, body: MessageBody) {
         if let Some(head) = self.view.as_ref().and_then(View::head) {
             self.send_to_voter(head, body);
         }
     }
 
-    /// Sends this once all votes cast so far are durable.
+    /// Sends a message body once all acceptor and view records written so far are durable.
     pub(super) fn send_after_acceptor_writes(&mut self, to: SocketAddrV4, body: MessageBody) {
         let message = self.message(body);
         if bug_injected!(self.bug_injection, VoteAnsweredBeforeDurable) {
--- a/crates/lockusher-control/src/replica/service.rs
+++ b/crates/lockusher-control/src/replica/service.rs
@@ -1,7 +1,7 @@
 //! Requests at the head: decided in order against the committed state.
 //!
-//! Invariant: a change is acknowledged only once it is committed, and a refusal or a read is answered only after the epoch
-//! was confirmed to be the newest.
+//! Invariant: a change is acknowledged only once it is committed, and a read or a refusal is answered only after the
+//! epoch was confirmed to be the newest.
 
 use std::net::SocketAddrV4;
 
@@ -13,7 +13,7 @@
 use crate::request::{Reply, Request};
 use crate::state::ReplicatedState;
 
-/// What is to be done with a request at the head.
+/// The head's decision on a request.
 enum Decision {
     Reply(Reply),
     /// Waits for the write in flight.
@@ -23,7 +23,7 @@
     Append,
 }
 
-/// What a request to change the configuration is decided by.
+/// The fields of a change request by which it is decided.
 struct ConfigurationChange {
     if_match: u64,
     version: u64,
@@ -31,7 +31,7 @@
 }
 
 impl ConfigurationChange {
-    /// Nothing for a read.
+    /// `None` for a read.
     fn of(request: &Request) -> Option<Self> {
         match request {
             Request::Put { if_match, document } => {
@@ -57,18 +57,19 @@
 }
 
 impl Replica {
-    /// A node forwards a request. A retransmitted one is recognised by its origin.
+    /// Queues a forwarded request, unless the queue is full or it is a retransmission, which is recognised by its
+    /// origin.
     pub(super) fn on_forward(&mut self, from: SocketAddrV4, request: u64, body: Request) {
         let origin = Origin {
             address: from,
             request,
         };
-        let in_flight = self.write_in_flight() == Some(origin);
+        let in_flight = self.in_flight_origin() == Some(origin);
         let confirmation = self.next_confirmation();
         let deadline = self.now + self.timing.request_timeout + self.request_allowance(&body);
         let Some(head) = &mut self.head else { return };
-        let known = in_flight || head.queue.iter().any(|queued| queued.origin == origin);
-        if known || head.queue.len() >= MAX_REQUESTS {
+        let is_duplicate = in_flight || head.queue.iter().any(|queued| queued.origin == origin);
+        if is_duplicate || head.queue.len() >= MAX_REQUESTS {
             return;
         }
         head.queue.push_back(QueuedRequest {
@@ -107,12 +108,12 @@
                     self.request_confirmation(queued.confirmation);
                     self.requeue(queued);
                 }
-                Decision::Append => self.write(queued),
+                Decision::Append => self.append_put(queued),
             }
         }
     }
 
-    /// Leaves a request undecided.
+    /// Returns an undecided request to the queue.
     fn requeue(&mut self, queued: QueuedRequest) {
         if let Some(head) = &mut self.head {
             head.queue.push_back(queued);
@@ -120,13 +121,13 @@
     }
 
     /// Appends the configuration of a put.
-    fn write(&mut self, queued: QueuedRequest) {
+    fn append_put(&mut self, queued: QueuedRequest) {
         if let Request::Put { document, .. } = queued.request {
             self.append(document, queued.origin);
         }
     }
 
-    /// What is to be done with a request now.
+    /// Decides a request by the current state.
     fn decide(&self, queued: &QueuedRequest) -> Decision {
         let Some(state) = self.serving_state() else {
             return Decision::AwaitWrite;
@@ -143,10 +144,10 @@
         let Some(change) = ConfigurationChange::of(&queued.request) else {
             return if_confirmed(newest(), bug_injected!(self.bug_injection, ReadUnconfirmed));
         };
-        if self.is_already_taken(state, &change) {
+        if self.is_change_applied(state, &change) {
             return Decision::Reply(Reply::Accepted);
         }
-        if self.durable_state.pending.is_some() || self.write_in_flight().is_some() {
+        if self.durable_state.pending.is_some() || self.in_flight_origin().is_some() {
             return Decision::AwaitWrite;
         }
         let current = state.version();
@@ -161,16 +162,16 @@
                 bug_injected!(self.bug_injection, NotNewerUnconfirmed),
             )
         } else if matches!(queued.request, Request::Base { .. }) {
-            // It needs no confirmation: what was committed as this version is the only one, and the put that follows is
-            // decided on its own.
+            // No confirmation is needed: only one configuration was ever committed with this version, and the put that
+            // follows is decided on its own.
             Decision::Reply(newest())
         } else {
             Decision::Append
         }
     }
 
-    /// Whether the same change was applied before: a retry is acknowledged again.
-    fn is_already_taken(&self, state: &ReplicatedState, change: &ConfigurationChange) -> bool {
+    /// Whether the same change was applied before, so that a retry is acknowledged again.
+    fn is_change_applied(&self, state: &ReplicatedState, change: &ConfigurationChange) -> bool {
         if bug_injected!(self.bug_injection, VersionIdentifiesChange)
             && change.version == state.version()
         {
--- a/crates/lockusher-control/src/replica/setup.rs
+++ b/crates/lockusher-control/src/replica/setup.rs
@@ -1,30 +1,31 @@
-//! What a replica is told at its start. The driver makes it of the settings.
+//! Parameters with which a replica starts. The driver derives them from the settings.
 
 use std::net::SocketAddrV4;
 
 use crate::locality::{Locality, ToleratedDomains};
 
-/// What a replica is told at its start.
+/// Parameters with which a replica starts.
 #[derive(Clone, Debug)]
 pub struct ReplicaSetup {
-    /// Its own internal listener.
+    /// Address of this node's internal listener.
     pub address: SocketAddrV4,
-    /// Internal listeners of the seeds.
+    /// Addresses of the seeds' internal listeners.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole deployment starts for the first time.
     pub first_start: bool,
-    /// How many voters may be lost at once.
+    /// Number of voters that may be lost at the same time.
     pub tolerated_losses: u32,
-    /// Where this node's machine stands.
+    /// Zone and region of this node's machine.
     pub locality: Locality,
-    /// Zones and regions that may be lost at once, in place of single voters.
+    /// Zones and regions that may be lost at the same time, instead of single voters.
     pub tolerated_domains: ToleratedDomains,
-    /// How long the operator waits for an acknowledgement, in milliseconds; the intervals of the protocol follow from it.
+    /// How long the operator waits for an acknowledgement, in milliseconds. The protocol's intervals are derived from
+    /// it.
     pub acknowledge_ms: u64,
-    /// Within how long a new node must be a full member, in milliseconds.
+    /// Time within which a new node must become a full member, in milliseconds.
     pub catch_up_ms: u64,
-    /// Throughput to another node that is counted on, in bytes per millisecond: longer messages are given more time.
+    /// Assumed throughput to another node, in bytes per millisecond, by which timeouts are extended for large messages.
     pub bytes_per_ms: u64,
-    /// Seed of the identity (on an empty disk), of the request numbers and of the back-off.
+    /// Random seed of the identity (on an empty disk), of the request numbers and of the backoff.
     pub random_seed: u64,
 }
--- a/crates/lockusher-control/src/replica/state_machine.rs
+++ b/crates/lockusher-control/src/replica/state_machine.rs
@@ -1,8 +1,8 @@
 //! The state of one control node, and the events that advance it.
 //!
-//! Owned by the driver, which calls [`Replica::handle`] with one event at a time and carries out the effects in order. The
-//! modules beside this one add the methods of each concern. No I/O, clock or thread: the same events at the same times,
-//! with the same seed, give the same effects.
+//! Owned by the driver, which calls [`Replica::handle`] with one event at a time and carries out the effects in order.
+//! The sibling modules add the methods of each concern. The replica has no I/O, clock or threads: the same events at
+//! the same times, with the same seed, give the same effects.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -31,10 +31,10 @@
 use crate::timing::Timing;
 use crate::view::{Identity, View};
 
-/// Whether this node is head, and in which epoch, as its driver was last told.
+/// The role last reported to the driver.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportedRole {
-    /// Whether it is head.
+    /// Whether this node was head.
     pub(super) head: bool,
     /// Epoch of the newest view at that time.
     pub(super) epoch: u64,
@@ -43,11 +43,11 @@
 /// The state machine of one control node.
 #[derive(Debug)]
 pub struct Replica {
-    /// Address, seeds and the operator's bounds; never changed.
+    /// Address, seeds and the operator's bounds; never changes.
     pub(super) setup: ReplicaSetup,
-    /// Intervals that follow from `setup`.
+    /// Intervals and timeouts derived from `setup`.
     pub(super) timing: Timing,
-    /// The guard of the protocol that a test has left out, if any.
+    /// Bugs injected by a test, if any.
     pub(super) bug_injection: BugInjection,
     /// Source of all random numbers; each draw is part of the reproducible behaviour.
     pub(super) random: ChaCha8Rng,
@@ -74,51 +74,51 @@
     pub(super) known_committed: Position,
     /// Present while this node is head of `view`, from the start of its service on.
     pub(super) head: Option<Head>,
-    /// This node is head by the view but can't serve in its epoch: it was restarted, or its disk failed. Only a further
-    /// view ends this.
+    /// Whether this node, as head of `view`, can't serve in its epoch because it was restarted or its disk failed.
+    /// Reset by the next view.
     pub(super) epoch_change_required: bool,
-    /// The attempt of this node to have a view agreed on, while one is in progress.
+    /// This node's proposal of the next view, while one is in progress.
     pub(super) proposal: Option<ViewProposal>,
-    /// Nodes that have stored this node's sealed state of the present epoch.
+    /// Nodes that have stored this node's sealed state of the current epoch.
     pub(super) sealed_state_holders: BTreeSet<Identity>,
-    /// Highest counter of a proposal number seen: the next proposal's is above it.
+    /// Highest counter of a proposal number seen; the next proposal uses a higher one.
     pub(super) highest_proposal_counter: u64,
-    /// Attempts of this node to have a view agreed on in this epoch.
+    /// Number of proposals that this node has started in the current epoch.
     pub(super) proposal_attempts: u64,
     /// No proposal is started before this time.
-    pub(super) back_off_until: Millis,
-    /// Since when a change of the view has been due.
+    pub(super) backoff_until: Millis,
+    /// Since when a view change has been due.
     pub(super) change_due_since: Option<Millis>,
-    /// What the other nodes have reported, and whom this node can reach.
+    /// Failure detector: the other nodes' reports, and whether they are reachable.
     pub(super) peers: Peers,
-    /// Control nodes that an agent named, for when the seeds lead to none.
+    /// Control nodes reported by an agent, contacted in addition to the seeds.
     pub(super) introduced: Vec<SocketAddrV4>,
-    /// Requests of this node's driver that aren't answered.
+    /// Unanswered requests of this node's driver.
     pub(super) requests: Requests,
     /// Number of the newest [`PersistTicket`](crate::durable_record::PersistTicket).
     pub(super) next_ticket: u64,
-    /// Effects of the present event, in order. Empty between events.
+    /// Effects of the current event, in order. Empty between events.
     pub(super) effects: Vec<Effect>,
-    /// Messages to this node itself, delivered before the present event ends. Empty between events.
+    /// Messages to this node itself, delivered before the current event ends. Empty between events.
     pub(super) loopback: VecDeque<Message>,
-    /// [`Event::Stop`] has come.
+    /// Whether [`Event::Stop`] was received.
     pub(super) shutting_down: bool,
-    /// When the disk refused a write of the replicated state; `None` once it has taken a later one.
+    /// When a write of the replicated state last failed; `None` once a later one has succeeded.
     pub(super) disk_failed_at: Option<Millis>,
     /// Time of the newest tick.
     pub(super) last_tick_at: Millis,
-    /// When heartbeats were last sent to everybody.
+    /// When heartbeats were last sent to all known nodes.
     pub(super) last_heartbeat_at: Millis,
-    /// What the newest [`Effect::RoleChanged`] said.
+    /// The role reported by the newest [`Effect::RoleChanged`].
     pub(super) reported_role: ReportedRole,
-    /// Nodes named by the newest [`Effect::Members`].
+    /// The nodes reported by the newest [`Effect::Members`].
     pub(super) reported_members: Vec<SocketAddrV4>,
     /// Counts since the start.
     pub(super) counters: Counters,
 }
 
 impl Replica {
-    /// A replica that starts now with the records of its disk: those of the snapshot, then those of the log, in order.
+    /// Starts a replica with the records of its disk: those of the snapshot, then those of the log, in order.
     pub fn new(
         setup: ReplicaSetup,
         recovered: Vec<DurableRecord>,
@@ -127,7 +127,7 @@
         Self::start(setup, recovered, now, BugInjection::default())
     }
 
-    /// A replica with an injected bug, for tests.
+    /// Starts a replica with an injected bug, for tests.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected_bug(
         setup: ReplicaSetup,
@@ -138,7 +138,7 @@
         Self::with_injected_bugs(setup, recovered, now, [Some(injected_bug), None])
     }
 
-    /// A replica with two injected bugs at most, for tests of a guard together with the one that covers it.
+    /// Starts a replica with up to two injected bugs, to test a guard together with the one that covers for it.
     #[cfg(feature = "injected-bugs")]
     pub fn with_injected_bugs(
         setup: ReplicaSetup,
@@ -149,7 +149,7 @@
         Self::start(setup, recovered, now, BugInjection::of(injected_bugs))
     }
 
-    /// Takes an event and returns what is to be done, in order.
+    /// Handles an event and returns the effects to carry out, in order.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Effect> {
         self.now = self.now.max(now);
         match event {
@@ -165,12 +165,12 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// All that must be durable, compact: storage may replace its log by it.
+    /// The whole durable state as records, by which storage may replace its log.
     pub fn snapshot(&self) -> Vec<DurableRecord> {
         self.durable_records()
     }
 
-    /// Whatever depends on time alone.
+    /// Runs time-driven work: failure detection, heartbeats, retries, timeouts and view changes.
     fn on_tick(&mut self) {
         let elapsed = self.now - self.last_tick_at;
         self.last_tick_at = self.now;
@@ -179,7 +179,7 @@
                 .restart_observation(self.now, self.timing.suspicion_timeout);
         }
         self.expire_peers();
-        self.retry_refused_writes();
+        self.retry_failed_writes();
         if self.now - self.last_heartbeat_at >= self.timing.heartbeat_interval {
             self.send_heartbeats();
         }
@@ -195,7 +195,8 @@
         self.send_heartbeats();
     }
 
-    /// Does what has become possible by an event.
+    /// Makes the progress that an event enables: activates the head, serves queued requests and delivers loopback
+    /// messages.
     pub(super) fn advance(&mut self) {
         loop {
             self.activate_head();
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! What the replica reports about itself: to the driver on request, and by effects when its role or the known nodes change.
+//! Status of the replica: reported to the driver on request, and by effects when its role or the known nodes change.
 
 use std::net::SocketAddrV4;
 
@@ -10,18 +10,18 @@
 use crate::state::HistoryDigest;
 use crate::view::{Identity, View};
 
-/// Which voters of the newest view a node is in contact with.
+/// A node's contact with the voters of the newest view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoterContact {
     /// Epoch of the view; 0 if none is known.
     pub epoch: u64,
-    /// Voters of the view.
+    /// Number of voters of the view.
     pub voters: usize,
-    /// Voters without which nothing is decided.
+    /// Number of voters needed for a decision.
     pub majority: usize,
-    /// Voters that aren't heard from in both directions, this node excepted.
+    /// Voters without confirmed bidirectional contact, except this node.
     pub missing: Vec<SocketAddrV4>,
-    /// Whether this node votes.
+    /// Whether this node is a voter.
     pub is_voter: bool,
 }
 
@@ -41,7 +41,7 @@
         self.head.is_some() && self.has_confirmed_quorum()
     }
 
-    /// Whether this node is in the chain and knows its whole state to be committed.
+    /// Whether this node is in the chain and knows that its whole state is committed.
     pub fn is_clean(&self) -> bool {
         let in_chain = self.is_in_chain(self.identity);
         in_chain
@@ -55,7 +55,7 @@
         self.is_voter() && self.has_confirmed_quorum()
     }
 
-    /// Which voters this node is in contact with.
+    /// This node's contact with the voters.
     pub fn voter_contact(&self) -> VoterContact {
         let voters = self.view.iter().flat_map(|view| &view.voters);
         let is_missing = |address, identity| {
@@ -76,16 +76,17 @@
         }
     }
 
-    /// Whether a node that was told to stop may end without harm: it isn't in the chain, and it votes only where no more
-    /// voters can be spared and no other node can take its place.
+    /// Whether a node that is shutting down may exit safely: it isn't in the chain, and is a voter only if no further
+    /// voter may be removed and no other node can replace it.
     pub fn has_handed_over(&self) -> bool {
         let Some(view) = &self.view else { return true };
         let is_needed = view.voters.len() <= self.minimum_voters() && !self.has_spare_node(view);
-        let may_end = !view.is_voter(self.identity) || is_needed;
-        may_end && !view.in_chain(self.identity)
+        let may_exit = !view.is_voter(self.identity) || is_needed;
+        may_exit && !view.in_chain(self.identity)
     }
 
-    /// How many votes are missing to a majority after the worst loss of zones or regions that is tolerated; 0 if none is.
+    /// Number of votes that a majority would lack after the worst tolerated loss of zones or regions; 0 if it would
+    /// lack none.
     pub fn domain_shortfall(&self) -> usize {
         let spread = self.voter_spread();
         self.view
@@ -103,7 +104,7 @@
         self.durable_state.state.history_digest()
     }
 
-    /// Where the durable state stands.
+    /// Position of the durable state.
     pub fn position(&self) -> Position {
         self.durable_state.position
     }
--- a/crates/lockusher-control/src/replica/synchronisation.rs
+++ b/crates/lockusher-control/src/replica/synchronisation.rs
@@ -1,6 +1,6 @@
-//! Start of the service as head: every member of the chain is brought to the head's state.
+//! Activation of the head: every member of the chain is synchronised to the head's state.
 //!
-//! Invariant: the head decides no request before all members have confirmed its state, which is committed by that.
+//! Invariant: the head decides no request before all members have stored its state, which is then committed.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -16,14 +16,14 @@
 use crate::view::Identity;
 
 impl Replica {
-    /// Starts the service as head, if this node is head by the view and nothing prevents it.
+    /// Activates this node as head, if it is head of the newest view and able to serve.
     pub(super) fn activate_head(&mut self) {
         let Some(view) = &self.view else { return };
-        let may = view.head() == Some(self.identity)
+        let may_serve = view.head() == Some(self.identity)
             && self.is_established_in_view()
             && !self.acceptor.sealed;
-        let able = self.durable_state.pending.is_none() && self.health() != Health::DiskFault;
-        if self.head.is_some() || self.epoch_change_required || !may || !able {
+        let can_write = self.durable_state.pending.is_none() && self.health() != Health::DiskFault;
+        if self.head.is_some() || self.epoch_change_required || !may_serve || !can_write {
             return;
         }
         self.durable_state.position = Position {
@@ -47,7 +47,7 @@
         self.forward_requests();
     }
 
-    /// Sends the base to the members that haven't confirmed it.
+    /// Sends the base to the members that aren't known to have stored it.
     fn send_synchronise(&mut self) {
         let (Some(head), Some(view)) = (&self.head, &self.view) else {
             return;
@@ -61,7 +61,8 @@
             .collect();
         for address in missing {
             let history_digest = self.peers.at(address).and_then(|peer| peer.history_digest);
-            // A member that was never heard is asked what it holds before the state is sent whole.
+            // A member without a heartbeat so far is sent an empty transfer first: its response shows whether it needs
+            // a full snapshot.
             let history_digest = history_digest.or_else(|| self.base_history_digest());
             self.send_base(address, TransferPurpose::Synchronise, history_digest);
         }
@@ -94,7 +95,7 @@
         self.send(to, MessageBody::Transfer(transfer));
     }
 
-    /// A member of the chain answers the transfer of the base.
+    /// Handles a chain member's response to the transfer of the base.
     pub(super) fn on_synchronised(
         &mut self,
         from: SocketAddrV4,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A member has stored the base.
+    /// Records that a member has stored the base.
     fn mark_synchronised(&mut self, member: Identity) {
         let in_chain = self.is_in_chain(member);
         let Some(head) = &mut self.head else { return };
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Once all members have stored the base it is committed, and the head serves.
+    /// Once all members have stored the base, marks it as committed and starts to serve requests.
     fn establish_if_complete(&mut self) {
         let (Some(head), Some(view)) = (&mut self.head, &self.view) else {
             return;
@@ -135,7 +136,7 @@
         self.announce_committed();
     }
 
-    /// Retransmits, as head, what isn't answered.
+    /// As head, retransmits unanswered messages.
     pub(super) fn on_head_tick(&mut self) {
         let allowance = self.state_allowance();
         let Some(head) = &mut self.head else { return };
--- a/crates/lockusher-control/src/replica/transfers.rs
+++ b/crates/lockusher-control/src/replica/transfers.rs
@@ -1,7 +1,7 @@
-//! State received from another replica, in whole or in part, and the answers to it.
+//! Handling of transfers: state received from another replica, in whole or in part, and the responses to it.
 //!
-//! Invariant: a transfer is applied only in its own epoch, from a node that may send it, and never in place of a state at a
-//! later position; it is answered as stored only once it is durable.
+//! Invariant: a transfer is applied only in its own epoch, from a node that may send it, and never replaces a state at
+//! a later position; it is reported as stored only once it is durable.
 
 use std::net::SocketAddrV4;
 
@@ -14,7 +14,7 @@
 use crate::view::Identity;
 
 impl Replica {
-    /// A transfer came: apply it if its sender may send it and it isn't older.
+    /// Handles a transfer: applies it if its sender may send it and it isn't older than the durable state.
     pub(super) fn on_transfer(&mut self, from: SocketAddrV4, sender: Identity, transfer: Transfer) {
         if transfer.purpose == TransferPurpose::Learn && self.is_view_head(sender) {
             self.record_learned_commit(&transfer);
@@ -43,21 +43,21 @@
         }
     }
 
-    /// Whether nothing is to be written, because this state or, from the same head, a later one is stored.
+    /// Whether nothing has to be written, because this state, or a later one of the same head, is stored.
     fn is_already_applied(&self, transfer: &Transfer) -> bool {
-        let own = self.durable_state.position;
+        let own_position = self.durable_state.position;
         match transfer.purpose {
             TransferPurpose::Synchronise => {
-                own.epoch == transfer.position.epoch && own >= transfer.position
+                own_position.epoch == transfer.position.epoch && own_position >= transfer.position
             }
             TransferPurpose::Learn | TransferPurpose::Join | TransferPurpose::Repair => {
-                own == transfer.position
+                own_position == transfer.position
                     && self.durable_state.state.history_digest() == transfer.history_digest
             }
         }
     }
 
-    /// Writes what the transfer adds, and answers once that is durable.
+    /// Writes the transferred state, and responds once it is durable.
     fn apply_transfer(&mut self, from: SocketAddrV4, transfer: Transfer) {
         let (purpose, position) = (transfer.purpose, transfer.position);
         match self.durable_state.classify_transfer(&transfer) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Answers whether the state transferred is durable here.
+    /// Responds with whether the transferred state is durable here.
     pub(super) fn respond_to_transfer(
         &mut self,
         to: SocketAddrV4,
@@ -121,7 +121,7 @@
         self.send(to, MessageBody::TransferResponse(response));
     }
 
-    /// A node answers a transfer of this node.
+    /// Handles the response to a transfer that this node sent.
     pub(super) fn on_transfer_response(
         &mut self,
         from: SocketAddrV4,
@@ -137,9 +137,10 @@
                     epoch: self.epoch(),
                     index: Position::SEALED,
                 };
-                let same = response.history_digest == self.durable_state.state.history_digest()
+                let same_state = response.history_digest
+                    == self.durable_state.state.history_digest()
                     && response.position == sealed;
-                if same || !response.stored {
+                if same_state || !response.stored {
                     self.on_join_response(from, sender, response.stored);
                 }
             }
--- a/crates/lockusher-control/src/replica/view_installation.rs
+++ b/crates/lockusher-control/src/replica/view_installation.rs
@@ -1,7 +1,7 @@
 //! Installation of agreed views.
 //!
-//! Invariant: epochs of installed views only rise, everything that was valid in the former epoch is reset, and the node acts
-//! in the new view only once its record is durable.
+//! Invariant: epochs of installed views only increase, all state of the previous epoch is reset, and the node acts in
+//! the new view only once its record is durable.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -14,14 +14,14 @@
 use crate::view::View;
 
 impl Replica {
-    /// Installs a view that was agreed on, unless it is old.
+    /// Installs an agreed view, unless its epoch isn't above the current one.
     pub(super) fn install_view(&mut self, view: View) {
         if view.epoch <= self.epoch() {
             return;
         }
         let (epoch, voters) = (view.epoch, view.voters.len());
         log::info!(
-            "{} {}: view {epoch}, {voters} voters, chain {:?}",
+            "{} {}: installs view {epoch}: {voters} voters, chain {:?}",
             self.now,
             self.setup.address,
             view.chain
@@ -36,14 +36,14 @@
         self.proposal_attempts = 0;
         self.sealed_state_holders.clear();
         self.change_due_since = None;
-        self.back_off_until = self.now;
+        self.backoff_until = self.now;
         self.persist_acceptor_records(
             vec![DurableRecord::View(view)],
             vec![AfterAcceptorWrite::ViewDurable { epoch }],
         );
     }
 
-    /// A view is on disk: this node may act in it if it is the newest.
+    /// Handles a view that became durable: this node may act in it if it is the newest.
     pub(super) fn on_view_durable(&mut self, epoch: u64) {
         self.durable_epoch = self.durable_epoch.max(epoch);
         if epoch == self.epoch() {
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Installs a view that was just agreed on and announces it to all known nodes.
+    /// Installs a newly agreed view and announces it to all known nodes.
     pub(super) fn install_and_announce(&mut self, view: View) {
-        let former = self.view.iter().flat_map(|view| view.voters.iter());
+        let previous_voters = self.view.iter().flat_map(|view| view.voters.iter());
         let known = self.peers.iter().map(|(address, _)| address);
-        let mut targets: BTreeSet<SocketAddrV4> = former
+        let mut targets: BTreeSet<SocketAddrV4> = previous_voters
             .chain(&view.voters)
             .map(|voter| voter.address)
             .chain(known)
--- a/crates/lockusher-control/src/replica/view_proposal.rs
+++ b/crates/lockusher-control/src/replica/view_proposal.rs
@@ -4,10 +4,10 @@
 use crate::time::Millis;
 use crate::view_change::ViewChange;
 
-/// The timeout of a phase grows with the attempts up to this factor, since disks may be slow.
+/// Maximum factor by which the timeout of a phase grows with the number of attempts, since disks may be slow.
 pub(super) const MAX_PHASE_TIMEOUT_FACTOR: u64 = 3;
 
-/// An attempt of this node to have a view agreed on.
+/// A proposal of the next view by this node.
 #[derive(Debug)]
 pub(super) struct ViewProposal {
     pub(super) proposer: Proposer,
@@ -17,14 +17,15 @@
     pub(super) last_sent_at: Millis,
 }
 
+/// Phase of a view proposal.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
     /// The seal, or a write of the state begun before it, isn't durable yet.
     Sealing,
-    /// Joiners are given the sealed state.
+    /// The sealed state is sent to the joiners.
     Joining,
-    /// The voters are asked for promises.
+    /// Prepare requests are sent to the voters.
     Preparing,
-    /// The voters are asked to accept a view.
+    /// Accept requests are sent to the voters.
     Accepting,
 }
--- a/crates/lockusher-control/src/replica/voting.rs
+++ b/crates/lockusher-control/src/replica/voting.rs
@@ -1,6 +1,6 @@
-//! This node as an acceptor of the agreement on the next view: it answers prepares and accepts.
+//! This node as an acceptor in the agreement on the next view: it answers prepare and accept requests.
 //!
-//! Invariant: a node that isn't a voter of the newest view under its present identity answers none.
+//! Invariant: a node that isn't a voter of the newest view under its current identity answers neither.
 
 use std::net::SocketAddrV4;
 
@@ -12,7 +12,7 @@
 use crate::view::View;
 
 impl Replica {
-    /// Phase 1b: promise, and report what was accepted before.
+    /// Phase 1b: promises to accept no lower number, and reports the accepted view.
     pub(super) fn on_prepare(&mut self, from: SocketAddrV4, proposal_number: ProposalNumber) {
         if !self.acts_as_acceptor() {
             return;
@@ -45,7 +45,7 @@
         );
     }
 
-    /// Phase 2b: accept, unless a higher number was promised.
+    /// Phase 2b: accepts the view, unless a higher number was promised.
     pub(super) fn on_accept(
         &mut self,
         from: SocketAddrV4,
--- a/crates/lockusher-control/src/timing.rs
+++ b/crates/lockusher-control/src/timing.rs
@@ -1,26 +1,27 @@
 //! Intervals and timeouts of the protocol, derived from the operator's bounds.
 //!
-//! Owned by the replica. Safety rests on none of them.
+//! Owned by the replica. Safety doesn't depend on any of them.
 
 use crate::time::Millis;
 
-/// All in milliseconds. The fractions leave time for a lost node to be suspected, a view to be agreed on and the write
-/// to be retried before the operator's timeout.
+/// Intervals and timeouts in milliseconds. As fractions of the operator's timeout, they leave time to suspect a lost
+/// node, agree on a view and retry the write before that timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Between two heartbeats.
+    /// Time between two heartbeats.
     pub heartbeat_interval: Millis,
     /// Inactivity after which a node is suspected.
     pub suspicion_timeout: Millis,
-    /// Time that a member has for one write before it counts as lagging, and its disk as faulty.
+    /// Time within which a member must complete one write; after it, the member counts as lagging, and its disk as
+    /// faulty.
     pub write_timeout: Millis,
     /// Time after which an unanswered message is retransmitted.
     pub retransmit_interval: Millis,
     /// Time for one phase of a proposal; it grows with the attempts.
     pub agreement_phase_timeout: Millis,
-    /// Delay, by rank among the healthy voters, before one takes over a proposal that another left.
+    /// Delay per rank among the healthy voters, before a voter takes over an unfinished proposal.
     pub takeover_stagger: Millis,
-    /// How long a request waits before it is answered as unavailable.
+    /// How long a request waits before it is answered with [`Unavailable`](crate::request::Reply::Unavailable).
     pub request_timeout: Millis,
     /// The same at a node that can't reach a majority.
     pub minority_request_timeout: Millis,
@@ -30,16 +31,16 @@
     pub voter_removal_timeout: Millis,
     /// How long all nodes count as reachable after the start.
     pub startup_grace: Millis,
-    /// Between two attempts to write the state to a disk that refused it.
+    /// Time between two attempts to write the state to a disk on which a write failed.
     pub disk_retry_interval: Millis,
-    /// How long a node that didn't answer as a joiner isn't asked again.
-    pub join_retry: Millis,
-    /// Inactivity after which a node that is no voter is forgotten.
+    /// Delay before a node that didn't respond as a joiner is asked again.
+    pub join_retry_delay: Millis,
+    /// Inactivity after which a node that isn't a voter is no longer tracked.
     pub peer_expiry: Millis,
 }
 
 impl Timing {
-    /// Intervals for an operator who waits `acknowledge_ms` and nodes that must be full members within
+    /// Intervals for an operator's timeout of `acknowledge_ms`, and for nodes that must be full members within
     /// `catch_up_ms` of their start.
     pub fn new(acknowledge_ms: u64, catch_up_ms: u64) -> Self {
         let fortieth = (acknowledge_ms / 40).max(1);
@@ -56,7 +57,7 @@
             voter_removal_timeout: catch_up_ms / 2,
             startup_grace: fortieth * 12,
             disk_retry_interval: fortieth * 10,
-            join_retry: fortieth * 15,
+            join_retry_delay: fortieth * 15,
             peer_expiry: fortieth * 100,
         }
     }
--- a/crates/lockusher-control/src/view_change.rs
+++ b/crates/lockusher-control/src/view_change.rs
@@ -1,30 +1,31 @@
-//! Decides which view should follow, from what one voter observes.
+//! Plans the next view from the observations of one voter.
 //!
-//! A pure function called by the replica when it considers a proposal. Invariants of every view it plans, which safety
-//! rests on: a member of the present chain stays, the remaining ones keep their order and joiners come last; the chain is a
-//! majority of the new voters; at most one voter is added and one removed. Voters outside of the chain come last, in the
-//! order in which they left it, so that the order in which they became unreachable is durable and the same for all.
+//! [`plan_view_change`] is a pure function, which the replica calls when it considers a proposal. Safety depends on
+//! these invariants of every planned view: at least one member of the current chain remains, remaining members keep
+//! their order, and joiners come last; the chain is a majority of the new voters; at most one voter is added and one
+//! removed. Voters outside of the chain come last, in the order in which they left it, so that the order in which they
+//! became unreachable is durable and the same at all nodes.
 
 use std::collections::BTreeSet;
 
 use crate::view::{Identity, Member, View, majority_of};
 use crate::voter_spread::{Imbalance, VoterSpread};
 
-/// Most voters of a view.
+/// Maximum number of voters of a view.
 pub const MAX_VOTERS: usize = 9;
 
-/// A reachable node in good health outside of the chain, which may join it.
+/// A reachable, healthy node outside of the chain, which may join it.
 #[derive(Clone, Copy, Debug)]
 pub struct JoinCandidate {
-    /// Who it is and where it listens.
+    /// Identity and address of the node.
     pub member: Member,
-    /// Its durable state equals the committed one.
+    /// Whether its durable state equals the committed one.
     pub caught_up: bool,
-    /// It has stored this node's sealed state.
+    /// Whether it has stored this node's sealed state.
     pub has_sealed_state: bool,
 }
 
-/// What a voter observes.
+/// The observations of a voter, from which it plans the next view.
 #[derive(Debug)]
 pub struct ViewChangeContext<'a> {
     /// The newest view.
@@ -35,19 +36,19 @@
     pub healthy_members: BTreeSet<Identity>,
     /// Nodes that may join the chain.
     pub join_candidates: Vec<JoinCandidate>,
-    /// Voters that can't be reached now, or may end soon, in the order in which a new node takes the place of one.
-    pub unreachable: Vec<Identity>,
+    /// Voters that a new node may replace, since they are unreachable or shutting down, in the order of replacement.
+    pub replaceable: Vec<Identity>,
     /// Voters that announced their shutdown or have been unreachable long enough to be removed, in the order of removal.
     pub removable: Vec<Identity>,
-    /// The epoch must end although its chain is healthy.
+    /// Whether the epoch must end although its chain is healthy.
     pub epoch_change_required: bool,
-    /// This node takes nothing more in this epoch.
+    /// Whether this node has sealed the epoch.
     pub sealed: bool,
-    /// This node may end the epoch in order to take in others.
+    /// Whether this node may end the epoch to add members.
     pub may_add_members: bool,
-    /// Voters are removed only down to this number.
+    /// Minimum number of voters, below which none is removed.
     pub minimum_voters: usize,
-    /// Failure domains of voters and candidates, and which of them may be lost as a whole.
+    /// Failure domains of voters and candidates, and how many of them may be lost.
     pub spread: VoterSpread,
 }
 
@@ -60,7 +61,7 @@
     pub joiners: Vec<Member>,
 }
 
-/// The view that should follow, if any should.
+/// Plans the next view; `None` if no change is due.
 pub fn plan_view_change(context: &ViewChangeContext) -> Option<ViewChange> {
     let remaining = remaining_chain(context);
     if remaining.is_empty() {
@@ -77,7 +78,7 @@
         .or_else(|| plan_better_spread(context, &remaining))
 }
 
-/// Healthy members of the present chain, in its order.
+/// Healthy members of the current chain, in its order.
 fn remaining_chain(context: &ViewChangeContext) -> Vec<Identity> {
     let chain = context.view.chain.iter();
     chain
@@ -86,8 +87,8 @@
         .collect()
 }
 
-/// A view for an epoch that must end: with the joiners that have the sealed state, else the remaining chain, else as
-/// few joiners as it takes.
+/// Plans a view for an epoch that must end: with the joiners that have the sealed state, else with the remaining chain
+/// alone, else with the fewest joiners that suffice, else with a voter removed.
 fn plan_required_change(context: &ViewChangeContext, remaining: &[Identity]) -> Option<ViewChange> {
     let candidates_with_sealed_state: Vec<JoinCandidate> = context
         .join_candidates
@@ -106,7 +107,8 @@
         .or_else(|| plan_shortest_removal(context, remaining))
 }
 
-/// Candidates in the order in which they are taken if as few as possible shall join: voters first.
+/// Candidates in order of preference where as few as possible should join: those with the sealed state, then voters,
+/// then those that have caught up.
 fn candidates_by_effort(context: &ViewChangeContext) -> Vec<JoinCandidate> {
     let mut joiners = context.join_candidates.clone();
     joiners.sort_by_key(|joiner| {
@@ -119,7 +121,7 @@
     joiners
 }
 
-/// Adds as few joiners as make the chain long enough.
+/// Adds the fewest joiners that make the chain a majority.
 fn compose_shortest_view(
     context: &ViewChangeContext,
     remaining: &[Identity],
@@ -128,7 +130,7 @@
     (1..=joiners.len()).find_map(|count| compose_view(context, remaining, &joiners[..count]))
 }
 
-/// Removes a voter and adds as few voters to the chain as make it long enough for those that are left.
+/// Removes a voter and adds the fewest voters to the chain that make it a majority of those that are left.
 fn plan_shortest_removal(
     context: &ViewChangeContext,
     remaining: &[Identity],
@@ -141,7 +143,7 @@
     (1..=joiners.len()).find_map(|count| plan_removal(context, remaining, &joiners[..count]))
 }
 
-/// A view with further members, for an epoch that could go on.
+/// Plans a view with additional members, for an epoch that needn't end.
 fn plan_addition(context: &ViewChangeContext, remaining: &[Identity]) -> Option<ViewChange> {
     if !context.may_add_members {
         return None;
@@ -159,8 +161,8 @@
     compose_view(context, remaining, &ready).filter(|change| !change.joiners.is_empty())
 }
 
-/// Removes a voter that doesn't remain in the chain, which these voters join. The chain may be long enough for the voters that
-/// are left only.
+/// Removes a voter outside of the remaining chain, which `joiners` (all of them voters) join. The chain must be a
+/// majority only of the voters that are left.
 fn plan_removal(
     context: &ViewChangeContext,
     remaining: &[Identity],
@@ -183,8 +185,8 @@
     finish_view(context, voters, chain, joiners)
 }
 
-/// Removes a voter by whose removal the others are spread better over failure domains, the last in the chain first. The
-/// node stays outside of the view, and learns what is committed.
+/// Removes a voter if this improves the spread of the others over failure domains: voters outside of the chain first,
+/// then those of the chain from its tail. The removed node remains a learner.
 fn plan_better_spread(context: &ViewChangeContext, remaining: &[Identity]) -> Option<ViewChange> {
     let view = context.view;
     let imbalance = context.spread.imbalance(&view.voters);
@@ -194,7 +196,7 @@
     {
         return None;
     }
-    if !context.unreachable.is_empty() {
+    if !context.replaceable.is_empty() {
         return None;
     }
     let without = |identity: Identity| -> Option<ViewChange> {
@@ -214,7 +216,7 @@
         .find_map(without)
 }
 
-/// The imbalance of the voters if this node becomes one of them; the present one if it is one already.
+/// The imbalance of the voters with `member` as one of them.
 fn imbalance_with(context: &ViewChangeContext, member: Member) -> Imbalance {
     let mut voters = context.view.voters.clone();
     if !context.view.is_voter(member.identity) {
@@ -223,7 +225,7 @@
     context.spread.imbalance(&voters)
 }
 
-/// The view with this chain and these joiners, of whom one at most is no voter yet.
+/// Composes the view of the remaining chain and these joiners, of which at most one becomes a new voter.
 fn compose_view(
     context: &ViewChangeContext,
     remaining: &[Identity],
@@ -253,7 +255,8 @@
     finish_view(context, voters, chain, joining)
 }
 
-/// Makes the member a voter: in place of the former disk at its address, else of an unreachable voter, else added.
+/// Makes the member a voter: it replaces the voter at its address, which had another disk, else a replaceable voter;
+/// else it is added. Returns whether it became a voter.
 fn add_voter(
     context: &ViewChangeContext,
     voters: &mut Vec<Member>,
@@ -278,8 +281,8 @@
     }
 }
 
-/// Position of the unreachable voter whose place the member takes: of those that leave the best spread over failure domains,
-/// the first in the order of [`ViewChangeContext::unreachable`].
+/// Index of the voter that the member replaces: of those that result in the best spread over failure domains, the first
+/// in the order of [`ViewChangeContext::replaceable`].
 fn replaceable_voter(
     context: &ViewChangeContext,
     voters: &[Member],
@@ -288,13 +291,13 @@
 ) -> Option<usize> {
     let is_replaceable = |identity: &&Identity| !chain.contains(identity);
     let positions = context
-        .unreachable
+        .replaceable
         .iter()
         .filter(is_replaceable)
-        .filter_map(|unreachable| {
+        .filter_map(|replaceable| {
             voters
                 .iter()
-                .position(|voter| voter.identity == *unreachable)
+                .position(|voter| voter.identity == *replaceable)
         });
     positions.min_by_key(|position| {
         let mut replaced = voters.to_vec();
@@ -303,7 +306,7 @@
     })
 }
 
-/// Whether a further voter does no harm: there are too few, or the voters are spread no worse with it.
+/// Whether the member may be added as a voter: there are fewer than the minimum, or it doesn't worsen the spread.
 fn may_be_added(context: &ViewChangeContext, voters: &[Member], member: Member) -> bool {
     if voters.len() >= MAX_VOTERS {
         return false;
@@ -315,23 +318,23 @@
         || spread.imbalance(&with_member) <= spread.imbalance(voters)
 }
 
-/// When a voter left the chain, as two consecutive views show it.
+/// When a voter left the chain, by comparison of two consecutive views.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Departure {
     /// It is in the new chain.
     InChain,
-    /// It was outside of the former chain already.
+    /// It was already outside of the previous chain.
     Earlier,
-    /// It leaves the chain by the new view.
+    /// It leaves the chain with the new view.
     Now,
 }
 
-/// Sorts voters as [`View::voters`] are: those outside of the chain last, in the order in which they left it.
-fn sort_by_departure(voters: &mut [Member], former: &View, chain: &[Identity]) {
+/// Sorts voters in the order of [`View::voters`]: those outside of the chain last, in the order in which they left it.
+fn sort_by_departure(voters: &mut [Member], previous_view: &View, chain: &[Identity]) {
     voters.sort_by_key(|voter| {
         if chain.contains(&voter.identity) {
             Departure::InChain
-        } else if former.in_chain(voter.identity) {
+        } else if previous_view.in_chain(voter.identity) {
             Departure::Now
         } else {
             Departure::Earlier
@@ -339,7 +342,7 @@
     });
 }
 
-/// The view, if its chain is a majority of its voters.
+/// Completes the view, if its chain is a majority of its voters.
 fn finish_view(
     context: &ViewChangeContext,
     mut voters: Vec<Member>,
--- a/crates/lockusher-control/tests/membership_search.rs
+++ b/crates/lockusher-control/tests/membership_search.rs
@@ -194,7 +194,7 @@
         let me = chain
             .clone()
             .find(|member| self.runs(*member) && seems_running(*member))?;
-        let unreachable = self.unreachable_voters(rules, detected);
+        let replaceable = self.unreachable_voters(rules, detected);
         let shuts_down = |machine: &&Machine| {
             machine.presence == Presence::ShuttingDown
                 && self.view.is_voter(machine.member.identity)
@@ -208,7 +208,7 @@
             .filter(|_| !rules.retains_departed_voters)
             .collect();
         if detected == Detected::LongUnreachable {
-            removable.extend(&unreachable);
+            removable.extend(&replaceable);
         }
         let running = self
             .machines
@@ -227,7 +227,7 @@
             own_identity: me,
             healthy_members: chain.filter(|member| seems_running(*member)).collect(),
             join_candidates: joiners,
-            unreachable,
+            replaceable,
             removable,
             epoch_change_required: false,
             sealed: false,
--- a/crates/lockusher-control/tests/view_change.rs
+++ b/crates/lockusher-control/tests/view_change.rs
@@ -51,7 +51,7 @@
         own_identity: Identity(1),
         healthy_members: identities(healthy_members).into_iter().collect(),
         join_candidates: Vec::new(),
-        unreachable: Vec::new(),
+        replaceable: Vec::new(),
         removable: Vec::new(),
         epoch_change_required: false,
         sealed: false,
@@ -117,7 +117,7 @@
 fn a_new_node_replaces_an_unreachable_voter() {
     let view = view(&[1, 2, 3], &[1, 2]);
     let mut context = context(&view, &[1, 2]);
-    context.unreachable = identities(&[3]);
+    context.replaceable = identities(&[3]);
     context.join_candidates = vec![joiner(4)];
     let change = plan_view_change(&context).expect("a view with the replacement");
     assert_eq!(change.view.voters, vec![member(1), member(2), member(4)]);
@@ -171,8 +171,8 @@
         let healthy_members: Vec<u64> = selected(fit_mask).collect();
         let mut context = context(&view, &healthy_members);
         context.own_identity = Identity(me.min(voters));
-        context.unreachable = identities(&selected(unreachable_mask).collect::<Vec<_>>());
-        context.removable = context.unreachable.clone();
+        context.replaceable = identities(&selected(unreachable_mask).collect::<Vec<_>>());
+        context.removable = context.replaceable.clone();
         [context.epoch_change_required, context.sealed, context.may_add_members] = flags;
         let mut seen = BTreeSet::new();
         for (number, caught_up, has_sealed_state) in joining {
@@ -210,7 +210,7 @@
 fn a_leaver_is_removed_by_the_view_that_shortens_the_chain_if_only_so_it_is_long_enough() {
     let view = view(&[1, 2, 3, 4], &[1, 2, 3, 4]);
     let mut context = context(&view, &[1, 2]);
-    context.unreachable = identities(&[4]);
+    context.replaceable = identities(&[4]);
     assert_eq!(plan_view_change(&context), None);
     context.removable = identities(&[3]);
     let change = plan_view_change(&context).expect("a view without the leaver");
@@ -312,7 +312,7 @@
     let view = view(&[1, 2, 3, 4, 5], &[1, 2, 3]);
     let mut context = context(&view, &[1, 2, 3]);
     context.spread = spread_over(&[&[1, 4, 6], &[2, 5], &[3]]);
-    context.unreachable = identities(&[5, 4]);
+    context.replaceable = identities(&[5, 4]);
     context.join_candidates = vec![joiner(6)];
     let change = plan_view_change(&context).expect("a view with node 6");
     assert!(!change.view.is_voter(Identity(4)));
@@ -330,7 +330,7 @@
     let view = view(&[1, 2, 3, 4], &[1, 2, 3, 4]);
     let mut context = context(&view, &[1, 2, 3, 4]);
     context.spread = spread_over(&[&[1, 2], &[3], &[4]]);
-    context.unreachable = identities(unreachable);
+    context.replaceable = identities(unreachable);
     let change = plan_view_change(&context);
     let voters = change.map(|change| change.view.voters);
     assert_eq!(voters, is_removed.then(|| [1, 3, 4].map(member).to_vec()));
