--- a/crates/lockusher-control/tests/joining.rs
+++ b/crates/lockusher-control/tests/joining.rs
@@ -1,4 +1,5 @@
-//! Steps by which a node joins the chain, message by message; each guard is also left out to show that its test notices.
+//! Tests of the steps by which a node joins the chain, message by message. Each test also runs with its guard disabled,
+//! to verify that it detects the bug.
 
 mod support;
 
@@ -17,17 +18,17 @@
 
 /// Epoch of the view in which the first two of three voters are the chain.
 const EPOCH: u64 = 2;
-const TICK: u64 = 50;
-/// Within this time a member notices that the other one is gone, and seals itself.
-const LIMIT: u64 = 5000;
+const TICK_MS: u64 = 50;
+/// Time within which a member detects that the other one is unreachable, and seals the epoch.
+const TIMEOUT_MS: u64 = 5000;
 
-/// A replica whose writes become durable at once, and what it did.
+/// A replica whose writes become durable at once, with its disk and the messages that it sent.
 struct Node {
     replica: Replica,
     now: u64,
-    /// All that is on its disk.
+    /// All records on its disk.
     disk: Vec<DurableRecord>,
-    /// Messages sent, heartbeats aside.
+    /// Messages sent, except heartbeats.
     sent: Vec<(SocketAddrV4, MessageBody)>,
 }
 
@@ -61,7 +62,7 @@
         node
     }
 
-    /// The process is killed and starts again from its disk.
+    /// Restarts the replica from its disk, as after a kill of its process.
     fn restart(self, host: u8, injected_bug: Option<InjectedBug>) -> Node {
         Node::start(setup(host, false), self.disk, self.now, injected_bug)
     }
@@ -115,18 +116,22 @@
         self.receive(host, EPOCH, MessageBody::Heartbeat(heartbeat));
     }
 
-    /// Time passes, in which heartbeats come from the third node only, until a message of this kind is sent; the message.
-    fn wait_for(&mut self, is_it: impl Fn(&MessageBody) -> bool) -> MessageBody {
-        let deadline = self.now + LIMIT;
+    /// Advances the time, with heartbeats from the third node only, until a message for which `matches_body` holds is
+    /// sent; returns it.
+    fn wait_for(&mut self, matches_body: impl Fn(&MessageBody) -> bool) -> MessageBody {
+        let deadline = self.now + TIMEOUT_MS;
         while self.now < deadline {
-            if let Some((_, body)) = self.sent.iter().find(|(_, body)| is_it(body)) {
+            if let Some((_, body)) = self.sent.iter().find(|(_, body)| matches_body(body)) {
                 return body.clone();
             }
-            self.now += TICK;
+            self.now += TICK_MS;
             self.receive_heartbeat(3);
             self.event(Event::Tick);
         }
-        panic!("not sent within {LIMIT} ms: {:?}", self.sent);
+        panic!(
+            "no matching message sent within {TIMEOUT_MS} ms: {:?}",
+            self.sent
+        );
     }
 
     fn has_stored(&self, version: u64) -> bool {
@@ -146,7 +151,8 @@
     matches!(body, MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Join)
 }
 
-/// The second member of the chain, which has sealed itself and handed over its state, as nothing comes from the head.
+/// The second member of the chain, which has sealed the epoch and transferred its state, since it receives nothing from
+/// the head.
 fn sealed_member(injected_bug: Option<InjectedBug>) -> Node {
     let mut member = Node::in_view(2, injected_bug);
     member.wait_for(is_join_transfer);
@@ -165,32 +171,32 @@
 
 #[parameterized(
     guarded = { None, false },
-    left_out = { Some(InjectedBug::EntryAfterSeal), true },
+    guard_disabled = { Some(InjectedBug::EntryAfterSeal), true },
 )]
-fn a_sealed_member_stores_no_entries(injected_bug: Option<InjectedBug>, taken: bool) {
+fn a_sealed_member_stores_no_entries(injected_bug: Option<InjectedBug>, is_stored: bool) {
     let mut member = sealed_member(injected_bug);
 
     member.receive(1, EPOCH, entry(7));
 
-    assert_eq!(member.has_stored(7), taken);
+    assert_eq!(member.has_stored(7), is_stored);
 }
 
 #[parameterized(
     guarded = { None, false },
-    left_out = { Some(InjectedBug::SealForgotten), true },
+    guard_disabled = { Some(InjectedBug::SealForgotten), true },
 )]
-fn a_seal_is_in_force_after_a_restart(injected_bug: Option<InjectedBug>, taken: bool) {
+fn a_seal_is_in_force_after_a_restart(injected_bug: Option<InjectedBug>, is_stored: bool) {
     let mut member = sealed_member(injected_bug).restart(2, injected_bug);
 
     member.receive(1, EPOCH, entry(7));
 
-    assert_eq!(member.has_stored(7), taken);
+    assert_eq!(member.has_stored(7), is_stored);
 }
 
-/// A delayed transfer from the head reaches a node that has stored the sealed state, which contains more.
+/// A delayed transfer from the head reaches a node that has stored the sealed state, which is newer.
 #[parameterized(
     guarded = { None, 6 },
-    left_out = { Some(InjectedBug::OlderTransferTaken), 5 },
+    guard_disabled = { Some(InjectedBug::OlderTransferTaken), 5 },
 )]
 fn a_transfer_of_an_older_state_is_not_applied(injected_bug: Option<InjectedBug>, version: u64) {
     let mut joiner = Node::in_view(3, injected_bug);
@@ -220,14 +226,14 @@
     assert_eq!(joiner.version(), version);
 }
 
-/// A voter reports a view that it accepted under a lower proposal number: that one is proposed.
+/// A voter reports a view that it accepted under a lower proposal number: the proposer must propose that view.
 #[parameterized(
     guarded = { None, true },
-    left_out = { Some(InjectedBug::AcceptedPassedOver), false },
+    guard_disabled = { Some(InjectedBug::AcceptedPassedOver), false },
 )]
 fn a_view_accepted_under_a_lower_number_is_proposed(
     injected_bug: Option<InjectedBug>,
-    taken_over: bool,
+    is_proposed: bool,
 ) {
     let mut member = sealed_member(injected_bug);
     let stored = TransferResponse {
@@ -242,7 +248,7 @@
     member.receive(3, EPOCH, MessageBody::TransferResponse(stored));
     let prepare = member.wait_for(|body| matches!(body, MessageBody::Prepare { .. }));
     let MessageBody::Prepare { proposal_number } = prepare else {
-        unreachable!("it was waited for")
+        unreachable!("wait_for returned another message than a prepare")
     };
     let earlier = view(EPOCH + 1, &[1, 2, 3]);
     let lower = ProposalNumber {
@@ -264,22 +270,22 @@
 
     let accept = member.wait_for(|body| matches!(body, MessageBody::Accept { .. }));
     let MessageBody::Accept { view: proposed, .. } = accept else {
-        unreachable!("it was waited for")
+        unreachable!("wait_for returned another message than an accept")
     };
 
-    assert_eq!(proposed == earlier, taken_over);
+    assert_eq!(proposed == earlier, is_proposed);
 }
 
-/// The head of an epoch that has ended, which doesn't know that yet, sends an entry down the chain.
+/// The head of an ended epoch, which doesn't know the next view yet, sends an entry down the chain.
 #[parameterized(
     guarded = { None, false },
-    left_out = { Some(InjectedBug::OlderEpochsCount), true },
+    guard_disabled = { Some(InjectedBug::OlderEpochsCount), true },
 )]
-fn an_entry_of_an_older_epoch_is_not_stored(injected_bug: Option<InjectedBug>, taken: bool) {
+fn an_entry_of_an_older_epoch_is_not_stored(injected_bug: Option<InjectedBug>, is_stored: bool) {
     let mut member = Node::in_view(2, injected_bug);
     member.receive(3, EPOCH, MessageBody::NewView(view(EPOCH + 1, &[1, 2, 3])));
 
     member.receive(1, EPOCH, entry(7));
 
-    assert_eq!(member.has_stored(7), taken);
+    assert_eq!(member.has_stored(7), is_stored);
 }
--- a/crates/lockusher-control/tests/membership_search.rs
+++ b/crates/lockusher-control/tests/membership_search.rs
@@ -1,13 +1,14 @@
-//! Exhaustive search over membership: every sequence of losses, replacements, planned departures, absences and view changes up
-//! to a depth. After each, the deployment can recover: a majority of the present voters still have their disks, and so
-//! has a member of the chain, which holds all that was acknowledged.
+//! Exhaustive search over membership: every sequence of disk losses, replacements, planned shutdowns, outages and view
+//! changes up to a depth. After each, the deployment must be recoverable: a majority of the current voters still have
+//! their disks, and so has a member of the chain, which has stored all acknowledged entries.
 //!
-//! Which view follows is decided by the code that the replicas use ([`plan`]). An agreed change counts as one step, and a loss
-//! may come before and after each; what happens within one is searched by the simulation. Disks are lost only as the
-//! deployment allows: a lost disk, also that of a removed machine, counts until its successor is in the chain and has had its
-//! time. Absences (down, partitioned, frozen) are not limited; but one that nodes can't tell from a removal counts where the
-//! vote of the removed machine is left in its place (see `displaced_votes` in `lockusher-control-simulation`, with the proof that
-//! no rule prevents that). Nodes know nothing of the past but the view: all may have been restarted.
+//! The next view is planned by the replicas' own code ([`plan_view_change`]). An agreed view change is one step, and a
+//! disk may be lost before and after it; faults within a view change are covered by the simulation. Disks are lost only
+//! within the deployment's tolerance: a lost disk, including that of a removed machine, counts until its successor is
+//! in the chain and has had time to catch up. Outages (down, partitioned, frozen) are not limited. But one that nodes
+//! can't distinguish from a removal counts, since the successor may have replaced the unreachable machine as a voter
+//! while the removed machine still is one (see `displaced_votes` in `lockusher-control-simulation`, with the proof that
+//! no rule prevents that). Nodes know only the view and nothing earlier: all may have been restarted.
 
 use std::{
     collections::HashMap,
@@ -24,9 +25,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Presence {
     Running,
-    /// Its process or its links are down; it has its disk.
+    /// Its process or its links are down; its disk is intact.
     Unreachable,
-    /// Its end is announced; it still runs.
+    /// Its shutdown is announced; it still runs.
     ShuttingDown,
     Removed,
 }
@@ -35,16 +36,16 @@
 struct Machine {
     member: Member,
     presence: Presence,
-    /// It stands for a lost disk and hasn't caught up yet.
+    /// It replaces a lost disk and hasn't caught up yet.
     catching_up: bool,
-    /// It was added beside the others and hasn't had its time to catch up.
+    /// It was added as a further machine and hasn't had time to catch up.
     new_addition: bool,
-    /// It was added for a machine that was removed.
+    /// It was added to replace a removed machine.
     is_successor: bool,
-    /// It was in a chain that all removed machines had left.
+    /// It was in a chain that all removed machines had left, so that nodes can distinguish it from them.
     left_later: bool,
-    /// Nodes couldn't tell it from a removed machine, and it isn't back.
-    mistakable: bool,
+    /// Nodes couldn't distinguish its outage from a removal, and it hasn't returned.
+    looks_removed: bool,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -53,7 +54,7 @@
     machines: Vec<Machine>,
 }
 
-/// What nodes have detected of machines that are removed or unreachable.
+/// What nodes have detected about removed and unreachable machines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Detected {
     /// Nothing yet.
@@ -64,13 +65,13 @@
     LongUnreachable,
 }
 
-/// What differs between deployments, and an injected bug to be found.
+/// Parameters of a deployment, and an injected bug to be detected.
 #[derive(Clone, Copy, Debug)]
 struct Rules {
     tolerated_losses: usize,
-    /// Voters that shut down stay voters until they have been unreachable for long.
+    /// Injected bug: voters that shut down stay voters until they have been unreachable for long.
     retains_departed_voters: bool,
-    /// A successor takes the place of the voter that left the chain last.
+    /// Injected bug: a successor replaces the voter that left the chain last.
     replaces_latest_departure: bool,
 }
 
@@ -103,7 +104,7 @@
             new_addition: false,
             is_successor: false,
             left_later: false,
-            mistakable: false,
+            looks_removed: false,
         };
         State {
             view: View {
@@ -156,8 +157,8 @@
         voters >= self.view.majority() && holders > 0
     }
 
-    /// Voters that were detected as unreachable, in the order of the replica: those outside of the chain as the view has
-    /// them, then members. The order of members is unknown after a restart; the removed machines last is the worst.
+    /// Voters detected as unreachable, in the order of the replica: those outside of the chain in the order of the
+    /// view, then members. The order of members is unknown after a restart; removed machines last is the worst case.
     fn unreachable_voters(&self, rules: Rules, detected: Detected) -> Vec<Identity> {
         let presence = |voter: &Identity| self.machine(*voter).map(|machine| machine.presence);
         let is_unreachable = |voter: &Identity| match presence(voter) {
@@ -191,7 +192,7 @@
             }
         };
         let chain = self.view.chain.iter().copied();
-        let me = chain
+        let observer = chain
             .clone()
             .find(|member| self.runs(*member) && seems_running(*member))?;
         let replaceable = self.unreachable_voters(rules, detected);
@@ -224,7 +225,7 @@
             .collect();
         let planned = plan_view_change(&ViewChangeContext {
             view: &self.view,
-            own_identity: me,
+            own_identity: observer,
             healthy_members: chain.filter(|member| seems_running(*member)).collect(),
             join_candidates: joiners,
             replaceable,
@@ -243,7 +244,8 @@
         Some(next)
     }
 
-    /// Time passes without faults: all that can be changed is changed, and who is in the chain has caught up.
+    /// The state after a time without faults: all due view changes are made, and the machines in the chain have caught
+    /// up.
     fn after_fault_free_time(&self, rules: Rules) -> State {
         let mut state = self.clone();
         while let Some(next) = state.next_view(rules, Detected::LongUnreachable) {
@@ -264,25 +266,25 @@
         self.machines.iter().filter(counts).count()
     }
 
-    /// Successors of removed machines that haven't caught up.
+    /// Number of successors of removed machines that haven't caught up.
     fn pending_successors(&self) -> usize {
         self.count(|machine| machine.is_successor && machine.catching_up)
     }
 
-    /// Whether a further disk may be lost, by the count of the simulation.
+    /// Whether a further disk may be lost, counted as in the simulation.
     fn may_lose(&self, rules: Rules, machines: usize) -> bool {
         let removed = self.count(|machine| machine.presence == Presence::Removed);
         let pending = self.pending_successors();
-        let mistakable = self.count(|machine| machine.mistakable);
-        let displaced_votes = mistakable.min(removed.saturating_sub(pending));
-        let bearable = ((machines - 1) / 2)
+        let looks_removed = self.count(|machine| machine.looks_removed);
+        let displaced_votes = looks_removed.min(removed.saturating_sub(pending));
+        let tolerable_losses = ((machines - 1) / 2)
             .saturating_sub(displaced_votes)
             .min(rules.tolerated_losses);
-        self.count(|machine| machine.catching_up) < bearable
+        self.count(|machine| machine.catching_up) < tolerable_losses
     }
 
-    /// Which machines can't be told from removed ones that still vote, as in the simulation.
-    fn update_mistakable(&mut self) {
+    /// Updates which machines can't be distinguished from removed ones that are still voters, as in the simulation.
+    fn update_looks_removed(&mut self) {
         let view = self.view.clone();
         let is_removed = |machine: &Machine| {
             machine.presence == Presence::Removed && view.is_voter(machine.member.identity)
@@ -299,13 +301,13 @@
             let is_unreachable = machine.presence == Presence::Unreachable;
             let is_distinguished = all_have_left && in_chain(machine);
             machine.left_later = any_removed && (machine.left_later || is_distinguished);
-            machine.mistakable |= any_removed && is_unreachable && !machine.left_later;
-            machine.mistakable &= !is_distinguished || is_unreachable || !all_pending;
-            machine.mistakable &= any_removed;
+            machine.looks_removed |= any_removed && is_unreachable && !machine.left_later;
+            machine.looks_removed &= !is_distinguished || is_unreachable || !all_pending;
+            machine.looks_removed &= any_removed;
         }
     }
 
-    /// A machine is removed for good; its successor comes at once.
+    /// The state after the permanent removal of a machine, whose successor is added at once.
     fn with_removal(&self, index: usize) -> State {
         let mut next = self.with(index, |machine| machine.presence = Presence::Removed);
         for machine in &mut next.machines {
@@ -354,12 +356,12 @@
             new_addition,
             is_successor: catching_up,
             left_later: false,
-            mistakable: false,
+            looks_removed: false,
         });
         self
     }
 
-    /// All states that one event leads to.
+    /// All states reachable by one event.
     fn successors(&self, rules: Rules, machines: usize) -> Vec<State> {
         let mut next = vec![self.after_fault_free_time(rules)];
         next.extend(self.next_view(rules, Detected::None));
@@ -393,14 +395,14 @@
                     next.push(self.with(index, |machine| machine.presence = Presence::Running));
                 }
                 Presence::ShuttingDown => {
-                    // It goes once it has handed over; without a majority it waits.
+                    // It exits once it has handed over; without a majority it waits.
                     if self.can_agree() && self.next_view(rules, Detected::Unreachable).is_none() {
                         next.push(self.with(index, |machine| machine.presence = Presence::Removed));
                     }
                     continue;
                 }
             }
-            // Its successor is a voter by then.
+            // A shutdown is planned only once the successor is a voter.
             let may_shut_down = voters > machines
                 && !has_new_addition
                 && !is_any_shutting_down
@@ -420,7 +422,7 @@
             }));
             next.push(self.with_removal(index));
         }
-        next.iter_mut().for_each(State::update_mistakable);
+        next.iter_mut().for_each(State::update_looks_removed);
         next
     }
 
@@ -499,7 +501,8 @@
     }
 }
 
-/// Visits every state that so many events lead to: their number, or the path to one that can't recover.
+/// Visits every state reachable by up to `depth` events. Returns their number, or the path to a state that can't
+/// recover.
 fn search(machines: usize, rules: Rules, depth: usize) -> Result<usize, Vec<State>> {
     let start = State::initial(machines).canonical();
     let mut predecessors: HashMap<State, Option<State>> = HashMap::from([(start.clone(), None)]);
@@ -538,7 +541,7 @@
     path
 }
 
-/// One line for a state: voters, chain, and machines with what they lack.
+/// Describes a state in one line: voters, chain, and machines with their flags.
 fn describe(state: &State) -> String {
     let voters: Vec<u64> = state
         .view
@@ -551,7 +554,7 @@
         let notes = [
             (machine.catching_up, " catching up"),
             (machine.new_addition, " new"),
-            (machine.mistakable, " mistakable"),
+            (machine.looks_removed, " looks removed"),
         ];
         let notes: String = notes
             .iter()
@@ -576,7 +579,7 @@
     five_with_two_losses = { 5, 2, 8 },
     nine_with_two_losses = { 9, 2, 5 },
 )]
-fn every_sequence_leaves_a_majority_and_a_holder_of_the_state(
+fn every_sequence_of_events_leaves_a_majority_and_a_chain_member_with_their_disks(
     machines: usize,
     tolerated_losses: usize,
     depth: usize,
@@ -595,7 +598,7 @@
 }
 
 #[parameterized(three_with_one_loss = { 3, 1, 6 }, five_with_two_losses = { 5, 2, 8 })]
-fn a_voter_retained_after_its_departure_is_found(
+fn retaining_a_voter_that_shut_down_is_detected(
     machines: usize,
     tolerated_losses: usize,
     depth: usize,
@@ -607,9 +610,10 @@
     assert!(search(machines, rules, depth).is_err());
 }
 
-/// A machine is removed, its departure from the chain is agreed on, and another one becomes unreachable.
+/// The bug shows when a machine is removed, its departure from the chain is agreed on, and another one becomes
+/// unreachable.
 #[parameterized(five_with_two_losses = { 5, 2, 7 })]
-fn a_successor_in_the_place_of_the_latest_departure_is_found(
+fn replacing_the_voter_that_left_last_is_detected(
     machines: usize,
     tolerated_losses: usize,
     depth: usize,
--- a/crates/lockusher-control/tests/messages.rs
+++ b/crates/lockusher-control/tests/messages.rs
@@ -1,4 +1,4 @@
-//! The form of messages on the wire.
+//! Tests of the wire format of messages.
 
 use std::{net::SocketAddrV4, sync::Arc};
 
@@ -153,7 +153,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_decoded_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let mut message = PROTOCOL.to_le_bytes().to_vec();
         message.extend(bytes);
         let _ = Envelope::decode(&message);
--- a/crates/lockusher-control/tests/recorded_bytes.rs
+++ b/crates/lockusher-control/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! What control nodes store and send is encoded as the recorded bytes of an earlier release: its disks can be taken
-//! over, and its nodes replaced one at a time.
+//! Stored records and messages must be encoded as the recorded bytes of an earlier release, so that its disks can be
+//! read and its nodes replaced one at a time.
 
 #[path = "../../../tests/support/recorded_bytes.rs"]
 mod recorded_bytes;
@@ -31,9 +31,9 @@
 const PEER_FRAMES: &str = include_str!("recorded_bytes/peer_frames.hex");
 const STORE_FILES: &str = include_str!("recorded_bytes/store_files.hex");
 
-/// Of a disk so small that a few records end a segment, and some more call for a snapshot.
+/// Size of the disk, so small that a few records fill a segment, and some more trigger a snapshot.
 const DISK_BYTES: u64 = 16 * 1024;
-/// File of zeros that the storage keeps beside the log.
+/// File of zeros that the storage keeps in the directory of the log.
 const RESERVE: &str = "reserve";
 
 kinds_of!(
@@ -147,7 +147,7 @@
     }
 }
 
-fn lower_ballot() -> ProposalNumber {
+fn lower_proposal_number() -> ProposalNumber {
     ProposalNumber {
         counter: 4,
         proposer: 9,
@@ -215,7 +215,7 @@
             "accept",
             DurableRecord::Accept {
                 epoch: 2,
-                proposal_number: lower_ballot(),
+                proposal_number: lower_proposal_number(),
                 view: view(),
             },
         ),
@@ -269,7 +269,7 @@
         committed_version: 70_000,
         recent_senders: vec![member(14, 7660).identity, joiner().identity],
     };
-    let disk_trouble = Heartbeat {
+    let disk_fault = Heartbeat {
         health: Health::DiskFault,
         position: Position::default(),
         history_digest: ReplicatedState::default().history_digest(),
@@ -278,14 +278,14 @@
         committed_version: 0,
         recent_senders: Vec::new(),
     };
-    let leaving = Heartbeat {
+    let shutting_down = Heartbeat {
         health: Health::ShuttingDown,
         ..good.clone()
     };
     vec![
         ("heartbeat-good", good),
-        ("heartbeat-disk-trouble", disk_trouble),
-        ("heartbeat-leaving", leaving),
+        ("heartbeat-disk-trouble", disk_fault),
+        ("heartbeat-leaving", shutting_down),
     ]
 }
 
@@ -323,8 +323,8 @@
     ]
 }
 
-fn transfer_answers() -> Vec<(&'static str, TransferResponse)> {
-    let answer = |purpose, stored| TransferResponse {
+fn transfer_responses() -> Vec<(&'static str, TransferResponse)> {
+    let response = |purpose, stored| TransferResponse {
         purpose,
         position: sealed_position(),
         history_digest: state().history_digest(),
@@ -333,19 +333,19 @@
     vec![
         (
             "transfer-answer-synchronise-held",
-            answer(TransferPurpose::Synchronise, true),
+            response(TransferPurpose::Synchronise, true),
         ),
         (
             "transfer-answer-learn-lacking",
-            answer(TransferPurpose::Learn, false),
+            response(TransferPurpose::Learn, false),
         ),
         (
             "transfer-answer-join-held",
-            answer(TransferPurpose::Join, true),
+            response(TransferPurpose::Join, true),
         ),
         (
             "transfer-answer-repair-lacking",
-            answer(TransferPurpose::Repair, false),
+            response(TransferPurpose::Repair, false),
         ),
     ]
 }
@@ -383,10 +383,10 @@
     ]
 }
 
-/// Bodies of agreement on views and of replication; the rest is made of the lists above.
+/// Message bodies of view agreement and of replication; the others are built from the lists above.
 fn protocol_bodies() -> Vec<(&'static str, MessageBody)> {
     let accepted = AcceptedView {
-        proposal_number: lower_ballot(),
+        proposal_number: lower_proposal_number(),
         view: view(),
     };
     let (history_digest, previous) = (state().history_digest(), state().previous_history_digest());
@@ -478,9 +478,9 @@
     let transfers = transfers()
         .into_iter()
         .map(|(name, transfer)| (name, MessageBody::Transfer(transfer)));
-    let answers = transfer_answers()
+    let responses = transfer_responses()
         .into_iter()
-        .map(|(name, answer)| (name, MessageBody::TransferResponse(answer)));
+        .map(|(name, response)| (name, MessageBody::TransferResponse(response)));
     let requests = requests().into_iter().map(|(name, body)| {
         (
             name,
@@ -503,7 +503,7 @@
     bodies
         .chain(heartbeats)
         .chain(transfers)
-        .chain(answers)
+        .chain(responses)
         .chain(requests)
         .chain(replies)
         .chain([("locality", MessageBody::Locality(locality()))])
@@ -533,7 +533,7 @@
 }
 
 #[test]
-fn every_kind_of_a_message_s_parts_has_a_sample() {
+fn every_kind_of_message_part_has_a_sample() {
     let healths = heartbeats();
     assert_every_kind_is_sampled(
         HEALTH_KINDS,
@@ -554,12 +554,12 @@
             .iter()
             .map(|(_, transfer)| payload_kind(&transfer.payload)),
     );
-    let answers = transfer_answers();
+    let responses = transfer_responses();
     assert_every_kind_is_sampled(
         PURPOSE_KINDS,
-        answers
+        responses
             .iter()
-            .map(|(_, answer)| purpose_kind(&answer.purpose)),
+            .map(|(_, response)| purpose_kind(&response.purpose)),
     );
     assert_every_kind_is_sampled(
         REQUEST_KINDS,
@@ -585,7 +585,7 @@
     assert_encoded_as_recorded(MESSAGES, &samples, Envelope::encode, decode);
 }
 
-/// A message as it goes over a connection between two control nodes: length, sender's listener, envelope.
+/// The frame of a message between two control nodes: length, sender's listener, envelope.
 #[test]
 fn frames_between_control_nodes_are_encoded_as_recorded() {
     let envelope = Envelope::new(message(MessageBody::Prepare {
@@ -616,7 +616,7 @@
     records: &[DurableRecord],
 ) {
     disk.append(PersistTicket(ticket), records)
-        .expect("the writer takes it");
+        .expect("the writer accepts the append");
     let completion = completions.next().await.expect("an outcome");
     assert_eq!(
         disk.on_completion(&completion),
@@ -638,14 +638,14 @@
         .collect()
 }
 
-/// Appends every record, replaces them by a snapshot of them, and appends them once more: each by itself, then two.
-async fn write_store(folder: &Path) {
+/// Appends every record by itself, replaces them by a snapshot, appends every record again, then two in one append.
+async fn write_store(directory: &Path) {
     let records = all_records();
     let OpenedDisk {
         disk,
         mut completions,
         ..
-    } = Disk::open(folder, DISK_BYTES).await.expect("opens");
+    } = Disk::open(directory, DISK_BYTES).await.expect("opens");
     let mut ticket = 0;
     for record in &records {
         append(
@@ -671,18 +671,18 @@
     append(&disk, &mut completions, ticket, &records[..2]).await;
 }
 
-/// What [`write_store`] makes durable, in the order in which it is recovered.
+/// The records that [`write_store`] makes durable, in the order of recovery.
 fn stored_records() -> Vec<DurableRecord> {
     let records = all_records();
     [&records[..], &records[..], &records[..2]].concat()
 }
 
 /// Names and contents of the log's files.
-fn files_in(folder: &Path) -> Vec<(String, Vec<u8>)> {
+fn files_in(directory: &Path) -> Vec<(String, Vec<u8>)> {
     let mut files = Vec::new();
-    for entry in fs::read_dir(folder).expect("a folder") {
+    for entry in fs::read_dir(directory).expect("a directory") {
         let entry = entry.expect("an entry");
-        let name = entry.file_name().into_string().expect("a name of letters");
+        let name = entry.file_name().into_string().expect("a UTF-8 file name");
         if name != RESERVE {
             files.push((name, fs::read(entry.path()).expect("reads")));
         }
@@ -692,10 +692,10 @@
 }
 
 #[compio::test]
-async fn a_control_node_s_folder_is_written_as_recorded() {
-    let folder = tempfile::tempdir().expect("a folder");
-    write_store(folder.path()).await;
-    let files = files_in(folder.path());
+async fn the_data_directory_is_written_as_recorded() {
+    let directory = tempfile::tempdir().expect("a directory");
+    write_store(directory.path()).await;
+    let files = files_in(directory.path());
     let actual: Vec<(&str, Vec<u8>)> = files
         .iter()
         .map(|(name, bytes)| (name.as_str(), bytes.clone()))
@@ -704,20 +704,20 @@
 }
 
 #[compio::test]
-async fn a_recorded_folder_is_recovered_whole_and_left_as_it_was() {
-    let folder = tempfile::tempdir().expect("a folder");
+async fn a_recorded_data_directory_is_recovered_completely_and_left_unchanged() {
+    let directory = tempfile::tempdir().expect("a directory");
     let recorded = read_fixture(STORE_FILES);
     for (name, bytes) in &recorded {
-        fs::write(folder.path().join(name), bytes).expect("writes");
+        fs::write(directory.path().join(name), bytes).expect("writes");
     }
-    let recovered = Disk::open(folder.path(), DISK_BYTES)
+    let recovered = Disk::open(directory.path(), DISK_BYTES)
         .await
         .expect("opens")
         .recovered;
     assert_eq!(recovered.records, stored_records());
     assert!(!recovered.cleared);
     assert_eq!(
-        files_in(folder.path()),
+        files_in(directory.path()),
         recorded.into_iter().collect::<Vec<_>>()
     );
 }
--- a/crates/lockusher-control/tests/recovery.rs
+++ b/crates/lockusher-control/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a replica makes of its disk at a start.
+//! Tests of a replica's recovery from its disk at the start.
 
 mod support;
 
@@ -7,7 +7,7 @@
 };
 use support::{address, document, first_view, persist, proposal_number, records, state_of};
 
-/// The seeds are named in another order than that of their addresses.
+/// Lists the seeds in another order than that of their addresses.
 fn setup(host: u8, first_start: bool) -> ReplicaSetup {
     ReplicaSetup {
         seeds: vec![address(3), address(1), address(2)],
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn seeds_agree_on_the_first_view_without_talk() {
+fn seeds_compute_the_same_first_view_without_communication() {
     let views: Vec<Option<View>> = (1..=3)
         .map(|host| {
             Replica::new(setup(host, true), Vec::new(), 0)
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_seed_that_lost_its_disk_comes_back_under_another_identity() {
+fn a_seed_that_lost_its_disk_restarts_with_another_identity() {
     let (first, _) = Replica::new(setup(1, true), Vec::new(), 0);
     let (wiped, _) = Replica::new(setup(1, false), Vec::new(), 0);
     assert_ne!(first.identity(), wiped.identity());
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn records_of_the_acceptor_count_in_their_epoch_only_and_in_any_order() {
+fn acceptor_records_count_only_in_their_epoch_and_in_any_order() {
     let view = first_view();
     let next = View {
         epoch: 2,
@@ -108,7 +108,7 @@
     );
 }
 
-/// The second sealed state may come as an entry on top of the first, at the same position.
+/// The second sealed state may be recorded as an entry on top of the first, at the same position.
 #[test]
 fn sealed_states_of_one_epoch_are_all_replayed() {
     let sealed = Position {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn entries_that_come_twice_or_without_their_predecessor_are_left_out() {
+fn duplicate_entries_and_entries_without_their_predecessor_are_skipped() {
     let start = ReplicatedState::default();
     let one = start.with(document(1));
     let entry = |index, previous: &ReplicatedState, version| DurableRecord::Entry {
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_snapshot_restores_what_it_was_taken_of() {
+fn a_snapshot_restores_the_state_of_which_it_was_taken() {
     let (mut replica, effects) = Replica::new(setup(1, true), Vec::new(), 0);
     persist(&mut replica, 1, &effects);
 
@@ -172,16 +172,16 @@
     assert_eq!(restored.snapshot(), snapshot);
 }
 
-/// A new node whose seeds run no control node finds the others by what an agent names.
+/// A new node whose seeds run no control node finds the others by the addresses that an agent reports.
 #[test]
-fn a_node_that_an_agent_introduced_to_others_contacts_them() {
-    let mut new = Replica::new(setup(9, false), Vec::new(), 0).0;
+fn a_node_contacts_the_control_nodes_that_an_agent_reports() {
+    let mut new_node = Replica::new(setup(9, false), Vec::new(), 0).0;
     let introduced = Event::Introduced {
         addresses: vec![address(5)],
     };
 
-    new.handle(10, introduced);
-    let effects = new.handle(10_000, Event::Tick);
+    new_node.handle(10, introduced);
+    let effects = new_node.handle(10_000, Event::Tick);
 
     let contacted = |host| {
         effects
--- a/crates/lockusher-control/tests/state.rs
+++ b/crates/lockusher-control/tests/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state against a plain list.
+//! Tests of the replicated state, in comparison with a plain list of the applied requests.
 
 mod support;
 
@@ -15,14 +15,14 @@
         applied.push(document(version).digest);
     }
 
-    let (forgotten, retained) = applied.split_at(applied.len() - MAX_HISTORY);
+    let (evicted, retained) = applied.split_at(applied.len() - MAX_HISTORY);
     assert!(retained.iter().all(|digest| state.has_applied(*digest)));
-    assert!(!forgotten.iter().any(|digest| state.has_applied(*digest)));
+    assert!(!evicted.iter().any(|digest| state.has_applied(*digest)));
     assert_eq!(state.version(), count);
 }
 
 #[test]
-fn history_digests_tell_sequences_apart() {
+fn history_digests_differ_for_different_sequences() {
     let start = ReplicatedState::default();
     let one = start.with(document(1));
     let two = one.with(document(2));
--- a/crates/lockusher-control/tests/support/disk_damage.rs
+++ b/crates/lockusher-control/tests/support/disk_damage.rs
@@ -4,11 +4,11 @@
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// Offset in a log segment of a byte of its first append.
+/// Offset of a byte of the first append in a log segment.
 const OFFSET_IN_FIRST_APPEND: u64 = 48;
 const FLIPPED_BIT: u8 = 0x10;
 
-/// Changes a byte of the first append, many appends ago.
+/// Flips a bit of the first append, which many others have followed.
 pub fn damage_first_append(folder: &Path) {
     let mut entries = fs::read_dir(folder)
         .expect("a folder")
--- a/crates/lockusher-control/tests/support/machines.rs
+++ b/crates/lockusher-control/tests/support/machines.rs
@@ -1,5 +1,5 @@
-//! Control nodes of one process on the loopback, each with a thread, a runtime and a folder of its own, and the calls
-//! that an operator makes.
+//! Control nodes in one process on loopback addresses, each with its own thread, runtime and data directory, and an
+//! operator's calls to them.
 
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 use std::thread::JoinHandle;
@@ -18,9 +18,9 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// Within this time every state is reached, also on a busy machine.
-const LIMIT: Duration = Duration::from_secs(60);
-const CALL_LIMIT: Duration = Duration::from_secs(10);
+/// Time within which every awaited state is reached, also on a busy machine.
+const STATE_TIMEOUT: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Ports that are the same on all machines.
 #[derive(Clone, Copy)]
@@ -29,7 +29,7 @@
     operator: u16,
 }
 
-/// Three neighbouring ports that are free on all of these addresses.
+/// Three consecutive ports that are free on all of these addresses.
 fn free_ports(hosts: &[Ipv4Addr]) -> Ports {
     for _ in 0..100 {
         let port = TcpListener::bind((hosts[0], 0)).and_then(|listener| listener.local_addr());
@@ -48,21 +48,21 @@
             };
         }
     }
-    panic!("no three neighbouring ports are free");
+    panic!("no three consecutive ports are free");
 }
 
-/// A process of the control role.
+/// A running control node.
 struct Running {
     stop: oneshot::Sender<()>,
     thread: JoinHandle<()>,
 }
 
-/// A core machine.
+/// A machine with a control node.
 pub struct Machine {
-    /// Where the operator calls it.
+    /// Address of its operator API.
     pub operator: SocketAddrV4,
     settings: String,
-    /// Its disk.
+    /// Its data directory.
     pub folder: TempDir,
     running: Option<Running>,
 }
@@ -81,11 +81,11 @@
         self.running = Some(Running { stop, thread });
     }
 
-    /// Ends the process as SIGTERM does, and waits for its end.
+    /// Stops the node as SIGTERM does, and waits for its exit.
     pub fn stop(&mut self) {
         let Running { stop, thread } = self.running.take().expect("a running node");
         stop.send(()).expect("the node still runs");
-        thread.join().expect("a planned end");
+        thread.join().expect("the thread ends without a panic");
     }
 
     pub async fn status(&self) -> Value {
@@ -93,17 +93,17 @@
         serde_json::from_slice(&answer.body).expect("JSON")
     }
 
-    /// Reads the configuration; the answer may be 503.
+    /// Reads the configuration; the response may be 503.
     pub async fn try_read(&self) -> Answer {
         call(self.operator, Method::GET, "/api/configuration", None, "").await
     }
 
-    /// Reads the configuration, again while the answer is 503, as an operator does.
+    /// Reads the configuration, with retries while the response is 503, as an operator does.
     pub async fn read(&self) -> Answer {
-        decided(async || self.try_read().await).await
+        retry_while_unavailable(async || self.try_read().await).await
     }
 
-    /// Puts a configuration, again while the answer is 503, as an operator does; the decision's status.
+    /// Puts a configuration, with retries while the response is 503, as an operator does; returns the final status.
     pub async fn put(&self, if_match: &str, body: &str) -> StatusCode {
         let put = async || {
             call(
@@ -115,10 +115,10 @@
             )
             .await
         };
-        decided(put).await.status
+        retry_while_unavailable(put).await.status
     }
 
-    /// Sends a patch, again while the answer is 503, as an operator does.
+    /// Sends a patch, with retries while the response is 503, as an operator does.
     pub async fn patch(&self, if_match: &str, body: &Value) -> Answer {
         let body = body.to_string();
         let patch = async || {
@@ -131,10 +131,10 @@
             )
             .await
         };
-        decided(patch).await
+        retry_while_unavailable(patch).await
     }
 
-    /// Asks for the status until the state is reached.
+    /// Polls the status until the state is reached.
     pub async fn wait_until(&self, state: &str, reached: impl Fn(&Value) -> bool) -> Value {
         let started = Instant::now();
         loop {
@@ -143,8 +143,8 @@
                 return status;
             }
             assert!(
-                started.elapsed() < LIMIT,
-                "{state} doesn't come about: {status}"
+                started.elapsed() < STATE_TIMEOUT,
+                "{state} isn't reached: {status}"
             );
         }
     }
@@ -153,14 +153,14 @@
 impl Drop for Machine {
     fn drop(&mut self) {
         if let Some(Running { stop, thread }) = self.running.take() {
-            // What failed was said by a panic already.
+            // A panic has already reported the failure.
             let _ = stop.send(());
             let _ = thread.join();
         }
     }
 }
 
-/// Machines at these addresses, all of them seeds; none is started.
+/// Machines at these addresses, all of them seeds. None is started.
 pub fn machines(hosts: &[[u8; 4]]) -> Vec<Machine> {
     let hosts: Vec<Ipv4Addr> = hosts.iter().copied().map(Ipv4Addr::from).collect();
     let ports = free_ports(&hosts);
@@ -190,15 +190,15 @@
     hosts.iter().map(machine).collect()
 }
 
-/// The first answer that isn't 503.
-async fn decided(ask: impl AsyncFn() -> Answer) -> Answer {
+/// Repeats an attempt until its response isn't 503.
+async fn retry_while_unavailable(attempt: impl AsyncFn() -> Answer) -> Answer {
     let started = Instant::now();
     loop {
-        let answer = ask().await;
+        let answer = attempt().await;
         if answer.status != StatusCode::SERVICE_UNAVAILABLE {
             return answer;
         }
-        assert!(started.elapsed() < LIMIT, "only 503");
+        assert!(started.elapsed() < STATE_TIMEOUT, "all responses were 503");
     }
 }
 
@@ -212,10 +212,13 @@
     let started = Instant::now();
     loop {
         let attempt = try_call(address, &method, path, if_match, body);
-        match compio::time::timeout(CALL_LIMIT, attempt).await {
+        match compio::time::timeout(CALL_TIMEOUT, attempt).await {
             Ok(Some(answer)) => return answer,
             // The node isn't listening yet.
-            Ok(None) | Err(_) => assert!(started.elapsed() < LIMIT, "{address} doesn't answer"),
+            Ok(None) | Err(_) => assert!(
+                started.elapsed() < STATE_TIMEOUT,
+                "{address} doesn't answer"
+            ),
         }
     }
 }
@@ -227,7 +230,7 @@
     if_match: Option<&str>,
     body: &str,
 ) -> Option<Answer> {
-    let stream = tcp::connect(address, CALL_LIMIT).await.ok()?;
+    let stream = tcp::connect(address, CALL_TIMEOUT).await.ok()?;
     let stream = HyperStream::new_plain(stream.into_poll_fd().ok()?);
     let (mut sender, connection) = hyper::client::conn::http1::handshake(stream).await.ok()?;
     let _driver = compio::runtime::spawn(connection);
--- a/crates/lockusher-control/tests/support/mod.rs
+++ b/crates/lockusher-control/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Control nodes for tests: seeds at fixed addresses, their set-up, and what their effects say.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Helpers for tests of replicas: seeds at fixed addresses, their setup, and the content of their effects.
+#![allow(dead_code, reason = "each test file uses only a part")]
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
     Identity::of_first_start(address(host))
 }
 
-/// Nodes 1, 2 and 3 are the seeds.
+/// Setup of a node; nodes 1, 2 and 3 are the seeds.
 pub fn setup(host: u8, first_start: bool) -> ReplicaSetup {
     ReplicaSetup {
         address: address(host),
@@ -35,7 +35,7 @@
     }
 }
 
-/// The view of the first start: all seeds vote, and are the chain in their order.
+/// The view of the first start: all seeds are voters, and form the chain in their order.
 pub fn first_view() -> View {
     View::first(&[address(1), address(2), address(3)])
 }
@@ -71,7 +71,7 @@
         })
 }
 
-/// Tickets of the writes asked for, in order.
+/// Tickets of the requested writes, in order.
 pub fn tickets(effects: &[Effect]) -> Vec<PersistTicket> {
     let persists = effects.iter().filter_map(|effect| match effect {
         Effect::Persist { ticket, .. } => Some(*ticket),
@@ -80,7 +80,7 @@
     persists.collect()
 }
 
-/// Records of the writes asked for, in order.
+/// Records of the requested writes, in order.
 pub fn records(effects: &[Effect]) -> Vec<DurableRecord> {
     let persisted = effects.iter().filter_map(|effect| match effect {
         Effect::Persist { records, .. } => Some(records.clone()),
@@ -89,7 +89,7 @@
     persisted.flatten().collect()
 }
 
-/// All writes asked for become durable; returns what follows.
+/// Reports all requested writes as durable; returns the effects that follow.
 pub fn persist(replica: &mut Replica, now: u64, effects: &[Effect]) -> Vec<Effect> {
     let tickets = tickets(effects);
     tickets
@@ -98,7 +98,7 @@
         .collect()
 }
 
-/// The replica's state, by the snapshot that it would write.
+/// The replicated state in the replica's snapshot.
 pub fn state_of(replica: &Replica) -> Option<ReplicatedState> {
     replica
         .snapshot()
--- a/crates/lockusher-control/tests/support/staged_fleet.rs
+++ b/crates/lockusher-control/tests/support/staged_fleet.rs
@@ -90,15 +90,16 @@
     }
 }
 
-/// Searchers that carry out orders as the platform's searchers do: away for a while, then back in the other stage.
+/// Searchers that carry out orders as the platform's searchers do: unavailable during the switch, then ready in the
+/// other stage.
 pub struct Fleet {
     /// The scheduler under test.
     pub scheduler: StageScheduler,
-    /// The list as the platform shows it.
+    /// The instance list as the platform reports it.
     pub instances: Vec<Instance>,
-    /// Changes that the searchers carry out, and when they are made.
+    /// Changes in progress, each with the time of its completion.
     pub in_flight: Vec<(Millis, StageChange)>,
-    /// All changes ordered, and when.
+    /// All ordered changes, each with the time of its order.
     pub orders: Vec<(Millis, StageChange)>,
     /// The simulated time.
     pub now: Millis,
@@ -122,7 +123,7 @@
         self.instances.iter().filter(serves).count()
     }
 
-    /// One observation of a load, and all that follows of it.
+    /// Makes one observation of a load, and carries out the change that the scheduler orders.
     pub fn observe(
         &mut self,
         load: &ServiceLoad,
@@ -131,31 +132,34 @@
     ) -> Option<StageChange> {
         self.now += OBSERVATION_INTERVAL_MS;
         let now = self.now;
-        for (_, change) in self.in_flight.extract_if(.., |(done, _)| *done <= now) {
+        for (_, change) in self
+            .in_flight
+            .extract_if(.., |(completed_at, _)| *completed_at <= now)
+        {
             let instance = self
                 .instances
                 .iter_mut()
-                .find(|one| one.identifier == change.identifier);
+                .find(|candidate| candidate.identifier == change.identifier);
             let Some(instance) = instance else { continue };
             instance.stage = Some(change.to);
             instance.state = InstanceState::Ready;
         }
         let configuration = configuration();
         let loads = [load.clone()];
-        let seen = Observation {
+        let observation = Observation {
             now,
             configuration: &configuration,
             instances: &self.instances,
             loads: &loads,
             proxies,
         };
-        let change = self.scheduler.next_change(&seen)?;
+        let change = self.scheduler.next_change(&observation)?;
         self.scheduler.order_completed(now, &change, outcome);
         if outcome == OrderOutcome::Accepted {
             let instance = self
                 .instances
                 .iter_mut()
-                .find(|one| one.identifier == change.identifier);
+                .find(|candidate| candidate.identifier == change.identifier);
             instance.expect("a searcher that is listed").state = InstanceState::Changing;
             self.in_flight
                 .push((now + SWITCH_MS + LIST_LAG_MS + 1_000, change.clone()));
--- a/crates/lockusher-control/tests/view_agreement.rs
+++ b/crates/lockusher-control/tests/view_agreement.rs
@@ -1,9 +1,10 @@
-//! Exhaustive search of the agreement on one view: three voters, two proposers with one attempt each, one lost disk.
+//! Exhaustive state-space search of the agreement on one view: three voters, two proposers with one attempt each, one
+//! lost disk.
 //!
-//! Messages to voters may be lost, doubled, delayed and reordered: one that was sent stays deliverable for good, and
-//! nothing forces its delivery. An answer arrives at once or never: a proposer only gathers answers, and what it asks
-//! next may be delayed at will, so a later arrival leads to no further state. Voters answer by the very code of the
-//! replica ([`AcceptorState`], [`Proposer`]); after each message they are replaced by what their records restore.
+//! Messages to voters may be lost, duplicated, delayed and reordered: a sent message stays deliverable forever, and its
+//! delivery is never forced. A response arrives at once or never; a later arrival leads to no further state, since a
+//! proposer only collects responses and its next request may be delayed arbitrarily. Voters run the replica's own code
+//! ([`AcceptorState`], [`Proposer`]); after each message their state is restored from their records.
 
 use std::{
     collections::{BTreeSet, HashSet},
@@ -26,7 +27,7 @@
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 struct Voter {
     acceptor: AcceptorState,
-    lost_its_disk: bool,
+    disk_lost: bool,
 }
 
 #[derive(Clone, Debug, Default, Hash)]
@@ -34,13 +35,13 @@
     voters: [Voter; VOTERS],
     /// The newest attempt of each proposer.
     attempts: [Option<Proposer>; 2],
-    /// How many of [`ATTEMPTS`] have started.
+    /// Which of [`ATTEMPTS`] have started.
     started: [bool; ATTEMPTS.len()],
-    /// Views that voters were asked to accept.
+    /// Views sent to voters for acceptance.
     proposed: BTreeSet<(ProposalNumber, usize)>,
-    /// Voters that ever accepted under a proposal number; no voter looks at it.
+    /// Voters that ever accepted under a proposal number. Not visible to any voter.
     acceptances: BTreeSet<(ProposalNumber, usize)>,
-    /// Views that a proposer holds to be agreed on.
+    /// Views that a proposer considers agreed on.
     agreed: BTreeSet<usize>,
 }
 
@@ -48,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum AfterDiskLoss {
     /// It takes no part under its former identity.
-    StaysSilent,
+    DoesNotVote,
     /// It votes as if it had never voted: the injected bug.
     VotesAgain,
 }
@@ -65,7 +66,7 @@
     Identity(voter as u64)
 }
 
-/// The view that a proposer wants; views are told apart by their chains.
+/// The view that a proposer prefers. Its chain identifies it.
 fn preferred_view(proposer: usize) -> View {
     View {
         epoch: EPOCH + 1,
@@ -74,12 +75,12 @@
     }
 }
 
-fn number_of(view: &View) -> usize {
+fn proposer_of(view: &View) -> usize {
     view.chain[0].0 as usize
 }
 
 impl State {
-    /// All states that one step leads to.
+    /// All states reachable in one step.
     fn successors(&self, after_disk_loss: AfterDiskLoss) -> Vec<State> {
         let mut states = Vec::new();
         for attempt in 0..ATTEMPTS.len() {
@@ -101,7 +102,7 @@
                 );
             }
         }
-        if self.voters.iter().all(|voter| !voter.lost_its_disk) {
+        if self.voters.iter().all(|voter| !voter.disk_lost) {
             states.extend((0..VOTERS).map(|voter| self.lose_disk(voter)));
         }
         states
@@ -125,10 +126,10 @@
     }
 
     fn may_vote(&self, voter: usize, after_disk_loss: AfterDiskLoss) -> bool {
-        !self.voters[voter].lost_its_disk || after_disk_loss == AfterDiskLoss::VotesAgain
+        !self.voters[voter].disk_lost || after_disk_loss == AfterDiskLoss::VotesAgain
     }
 
-    /// The voter's state comes back from its records, as after a restart.
+    /// Restores the voter's state from its records, as after a restart.
     fn restart(&mut self, voter: usize) {
         let mut restored = AcceptorState::default();
         self.voters[voter]
@@ -140,7 +141,7 @@
         self.voters[voter].acceptor = restored;
     }
 
-    /// A voter is sent a prepare: the states in which its answer is lost and in which it arrives.
+    /// Delivers a prepare to a voter. Returns the states in which its response is lost and in which it arrives.
     fn prepare(
         &self,
         attempt: usize,
@@ -163,13 +164,13 @@
         {
             let view = attempt
                 .proposed()
-                .map(|view| (proposal_number, number_of(view)));
+                .map(|view| (proposal_number, proposer_of(view)));
             response_received.proposed.extend(view);
         }
         Some([response_lost, response_received])
     }
 
-    /// A voter is asked to accept, likewise.
+    /// Delivers an accept to a voter. Returns the states in which its response is lost and in which it arrives.
     fn accept(
         &self,
         proposal_number: ProposalNumber,
@@ -191,13 +192,13 @@
         if let Some(attempt) = response_received.attempt_of(proposal_number) {
             let agreed = attempt
                 .on_accept_response(identity(voter), proposal_number)
-                .map(number_of);
+                .map(proposer_of);
             response_received.agreed.extend(agreed);
         }
         Some([response_lost, response_received])
     }
 
-    /// The newest attempt of the proposal number's proposer; it ignores answers to an older one.
+    /// The newest attempt of the proposal number's proposer, which ignores responses to an older one.
     fn attempt_of(&mut self, proposal_number: ProposalNumber) -> Option<&mut Proposer> {
         self.attempts[proposal_number.proposer as usize].as_mut()
     }
@@ -206,7 +207,7 @@
         let mut next = self.clone();
         next.voters[voter] = Voter {
             acceptor: AcceptorState::default(),
-            lost_its_disk: true,
+            disk_lost: true,
         };
         next
     }
@@ -229,7 +230,7 @@
 
     /// Voters that would confirm to a head that its epoch is the newest they know.
     fn confirming(&self) -> usize {
-        let confirms = |voter: &&Voter| !voter.lost_its_disk && voter.acceptor.accepted.is_none();
+        let confirms = |voter: &&Voter| !voter.disk_lost && voter.acceptor.accepted.is_none();
         self.voters.iter().filter(confirms).count()
     }
 
@@ -253,39 +254,39 @@
     }
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug, Default)]
 struct Search {
     states: usize,
     /// States in which a view is chosen.
-    with_choice: usize,
+    with_chosen_view: usize,
     violation: Option<&'static str>,
 }
 
 /// Visits every state, or stops at the first broken invariant.
 fn search(after_disk_loss: AfterDiskLoss) -> Search {
     let mut visited = HashSet::new();
-    let mut open = vec![State::default()];
+    let mut unvisited = vec![State::default()];
     let mut found = Search::default();
-    while let Some(state) = open.pop() {
+    while let Some(state) = unvisited.pop() {
         found.states += 1;
-        found.with_choice += usize::from(!state.chosen().is_empty());
+        found.with_chosen_view += usize::from(!state.chosen().is_empty());
         found.violation = state.broken_invariant();
         if found.violation.is_some() {
             return found;
         }
         let is_new = |next: &State| visited.insert(next.fingerprint());
-        open.extend(state.successors(after_disk_loss).into_iter().filter(is_new));
+        unvisited.extend(state.successors(after_disk_loss).into_iter().filter(is_new));
     }
     found
 }
 
 #[test]
 fn no_order_of_messages_losses_and_one_lost_disk_leads_to_two_views() {
-    let found = search(AfterDiskLoss::StaysSilent);
+    let found = search(AfterDiskLoss::DoesNotVote);
     println!("{found:?}");
     assert_eq!(found.violation, None);
-    assert!(found.with_choice > 0, "{found:?}");
+    assert!(found.with_chosen_view > 0, "{found:?}");
 }
 
 #[test]
--- a/crates/lockusher-control/tests/view_change.rs
+++ b/crates/lockusher-control/tests/view_change.rs
@@ -1,4 +1,4 @@
-//! Which view follows, from what a voter sees.
+//! Tests of the view planned from a voter's observations.
 
 use std::{
     collections::BTreeSet,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Node 1 sees all that is in `healthy_members` as well, and nothing else.
+/// Observations of node 1: the `healthy_members` are healthy, and no other node is known.
 fn context<'a>(view: &'a View, healthy_members: &[u64]) -> ViewChangeContext<'a> {
     ViewChangeContext {
         view,
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_lost_member_is_left_out_in_order() {
+fn a_lost_member_is_excluded_and_the_others_keep_their_order() {
     let view = view(&[1, 2, 3], &[3, 1, 2]);
     assert_eq!(
         chain_of(plan_view_change(&context(&view, &[1, 2]))),
@@ -153,31 +153,31 @@
 }
 
 proptest! {
-    /// Whatever is seen, a proposed view keeps the invariants that safety rests on.
+    /// For arbitrary observations, a planned view keeps the invariants on which safety depends.
     #[test]
     fn a_planned_view_keeps_the_invariants(
         voters in 1u64..=9,
         chain_length in 1usize..=9,
-        fit_mask in any::<u16>(),
+        healthy_mask in any::<u16>(),
         unreachable_mask in any::<u16>(),
         joining in proptest::collection::vec((1u64..=14, any::<bool>(), any::<bool>()), 0..5),
         flags in any::<[bool; 3]>(),
-        me in 1u64..=9,
+        own_number in 1u64..=9,
     ) {
         let numbers: Vec<u64> = (1..=voters).collect();
         let length = chain_length.clamp(majority_of(numbers.len()), numbers.len());
         let view = view(&numbers, &numbers[..length]);
         let selected = |mask: u16| numbers.iter().copied().filter(move |number| mask & 1 << number != 0);
-        let healthy_members: Vec<u64> = selected(fit_mask).collect();
+        let healthy_members: Vec<u64> = selected(healthy_mask).collect();
         let mut context = context(&view, &healthy_members);
-        context.own_identity = Identity(me.min(voters));
+        context.own_identity = Identity(own_number.min(voters));
         context.replaceable = identities(&selected(unreachable_mask).collect::<Vec<_>>());
         context.removable = context.replaceable.clone();
         [context.epoch_change_required, context.sealed, context.may_add_members] = flags;
-        let mut seen = BTreeSet::new();
+        let mut added_candidates = BTreeSet::new();
         for (number, caught_up, has_sealed_state) in joining {
             let in_chain = view.in_chain(Identity(number));
-            if !in_chain && seen.insert(number) {
+            if !in_chain && added_candidates.insert(number) {
                 context.join_candidates.push(JoinCandidate { caught_up, has_sealed_state, ..joiner(number) });
             }
         }
@@ -205,15 +205,16 @@
     }
 }
 
-/// A voter leaves while another one is silent: with the leaver removed, the two that are left are a majority of three.
+/// One voter shuts down while another one is unreachable: after the removal of the former, the remaining chain of two
+/// is a majority of the three voters.
 #[test]
-fn a_leaver_is_removed_by_the_view_that_shortens_the_chain_if_only_so_it_is_long_enough() {
+fn a_voter_that_shuts_down_is_removed_where_the_remaining_chain_is_a_majority_only_without_it() {
     let view = view(&[1, 2, 3, 4], &[1, 2, 3, 4]);
     let mut context = context(&view, &[1, 2]);
     context.replaceable = identities(&[4]);
     assert_eq!(plan_view_change(&context), None);
     context.removable = identities(&[3]);
-    let change = plan_view_change(&context).expect("a view without the leaver");
+    let change = plan_view_change(&context).expect("a view without the voter that shuts down");
     assert_eq!(change.view.voters, vec![member(1), member(2), member(4)]);
     assert_eq!(change.view.chain, identities(&[1, 2]));
 }
@@ -226,7 +227,7 @@
     assert_eq!(change.view.voters, voters);
 }
 
-/// A spread in which one zone may be lost, with the nodes of each zone.
+/// A spread that tolerates the loss of one zone, with the nodes of each zone.
 fn spread_over(zones: &[&[u64]]) -> VoterSpread {
     let nodes = zones.iter().enumerate().flat_map(|(zone, nodes)| {
         let locality = Locality {
@@ -308,7 +309,7 @@
 }
 
 #[test]
-fn a_joiner_takes_the_place_of_an_unreachable_voter_of_its_zone() {
+fn a_joiner_replaces_an_unreachable_voter_of_its_zone() {
     let view = view(&[1, 2, 3, 4, 5], &[1, 2, 3]);
     let mut context = context(&view, &[1, 2, 3]);
     context.spread = spread_over(&[&[1, 4, 6], &[2, 5], &[3]]);
--- a/crates/lockusher-control/tests/voting.rs
+++ b/crates/lockusher-control/tests/voting.rs
@@ -1,4 +1,4 @@
-//! One voter's responses, message by message.
+//! Tests of one voter's response to each message.
 
 mod support;
 
@@ -7,16 +7,16 @@
 use support::{address, first_view, identity, persist, proposal_number, setup, tickets};
 use yare::parameterized;
 
-const START: u64 = 0;
+const START_MS: u64 = 0;
 
 /// The second seed, with its first view on disk.
 fn started_voter() -> Replica {
-    let (mut replica, effects) = Replica::new(setup(2, true), Vec::new(), START);
-    persist(&mut replica, START, &effects);
+    let (mut replica, effects) = Replica::new(setup(2, true), Vec::new(), START_MS);
+    persist(&mut replica, START_MS, &effects);
     replica
 }
 
-/// What is sent to the first seed, heartbeats aside.
+/// Messages sent to the first seed, except heartbeats.
 fn responses(effects: &[Effect]) -> Vec<MessageBody> {
     let sent = effects.iter().filter_map(|effect| match effect {
         Effect::Send { to, message } if *to == address(1) => Some(message.body.clone()),
@@ -26,7 +26,7 @@
         .collect()
 }
 
-/// A message comes from the first seed, the head of the first view.
+/// Delivers a message from the first seed, the head of the first view.
 fn receive_from_head(replica: &mut Replica, epoch: u64, body: MessageBody) -> Vec<Effect> {
     let message = Message {
         sender: identity(1),
@@ -34,7 +34,7 @@
         body,
     };
     replica.handle(
-        START,
+        START_MS,
         Event::Message {
             from: address(1),
             message,
@@ -61,7 +61,7 @@
         },
     );
     assert_eq!(responses(&effects), Vec::new());
-    let effects = persist(&mut voter, START, &effects);
+    let effects = persist(&mut voter, START_MS, &effects);
 
     assert_eq!(
         responses(&effects),
@@ -85,15 +85,15 @@
     );
     let first = tickets(&effects)[0];
     assert_eq!(
-        responses(&voter.handle(START, Event::PersistFailed { ticket: first })),
+        responses(&voter.handle(START_MS, Event::PersistFailed { ticket: first })),
         Vec::new()
     );
     assert_eq!(
-        responses(&voter.handle(START, Event::Persisted { ticket: first })),
+        responses(&voter.handle(START_MS, Event::Persisted { ticket: first })),
         Vec::new()
     );
-    let retry = voter.handle(START + 300, Event::Tick);
-    let effects = persist(&mut voter, START, &retry);
+    let retry = voter.handle(START_MS + 300, Event::Tick);
+    let effects = persist(&mut voter, START_MS, &retry);
 
     assert_eq!(
         responses(&effects),
@@ -114,7 +114,7 @@
             proposal_number: proposal_number(3),
         },
     );
-    persist(&mut voter, START, &effects);
+    persist(&mut voter, START_MS, &effects);
 
     let body = MessageBody::Accept {
         proposal_number: proposal_number(2),
@@ -142,7 +142,7 @@
         },
     );
     assert_eq!(responses(&effects), Vec::new());
-    let effects = persist(&mut voter, START, &effects);
+    let effects = persist(&mut voter, START_MS, &effects);
     assert_eq!(
         responses(&effects),
         vec![MessageBody::AcceptResponse {
@@ -157,7 +157,7 @@
             proposal_number: proposal_number(4),
         },
     );
-    let effects = persist(&mut voter, START, &effects);
+    let effects = persist(&mut voter, START_MS, &effects);
 
     let responses = responses(&effects);
     assert!(
@@ -200,9 +200,9 @@
 fn a_message_of_an_older_epoch_is_answered_by_the_newer_view(body: MessageBody) {
     let mut voter = started_voter();
     let effects = receive_from_head(&mut voter, 1, MessageBody::NewView(next_view()));
-    persist(&mut voter, START, &effects);
-    let effects = voter.handle(START + 1000, Event::Tick);
-    persist(&mut voter, START, &effects);
+    persist(&mut voter, START_MS, &effects);
+    let effects = voter.handle(START_MS + 1000, Event::Tick);
+    persist(&mut voter, START_MS, &effects);
 
     let effects = receive_from_head(&mut voter, 1, body);
 
@@ -211,13 +211,13 @@
 
 #[test]
 fn a_voter_that_lost_its_disk_neither_votes_nor_confirms() {
-    let (mut wiped, effects) = Replica::new(setup(2, false), Vec::new(), START);
-    persist(&mut wiped, START, &effects);
+    let (mut wiped, effects) = Replica::new(setup(2, false), Vec::new(), START_MS);
+    persist(&mut wiped, START_MS, &effects);
     let effects = receive_from_head(&mut wiped, 1, MessageBody::NewView(first_view()));
-    persist(&mut wiped, START, &effects);
+    persist(&mut wiped, START_MS, &effects);
     assert_eq!(wiped.view(), Some(&first_view()));
 
-    // In succession, at the same replica: none may change what it answers to the next.
+    // Sent in succession to the same replica: none may change its response to the next.
     for body in [
         MessageBody::Prepare {
             proposal_number: proposal_number(9),
