--- a/crates/lockusher-control/tests/recorded_bytes.rs
+++ b/crates/lockusher-control/tests/recorded_bytes.rs
@@ -682,7 +682,7 @@
     let mut files = Vec::new();
     for entry in fs::read_dir(directory).expect("a directory") {
         let entry = entry.expect("an entry");
-        let name = entry.file_name().into_string().expect("a UTF-8 file name");
+        let name = entry.file_name().into_string().expect("a Unicode file name");
         if name != RESERVE {
             files.push((name, fs::read(entry.path()).expect("reads")));
         }
