--- a/crates/lockusher-control-simulation/src/operator.rs
+++ b/crates/lockusher-control-simulation/src/operator.rs
@@ -187,7 +187,7 @@
                 if_match,
                 document: document.clone(),
             },
-            Content::Patch { base: None } => Request::Base {
+            Content::Patch { base: None } => Request::PatchBase {
                 if_match,
                 version,
                 request,
--- a/crates/lockusher-control-simulation/tests/injected_bugs.rs
+++ b/crates/lockusher-control-simulation/tests/injected_bugs.rs
@@ -27,16 +27,16 @@
 
 fn detection(injected_bug: InjectedBug) -> Detection {
     match injected_bug {
-        InjectedBug::ReadUnconfirmed | InjectedBug::EarlierRoundCounts => Within([30, 30, 30]),
+        InjectedBug::ReadUnconfirmed | InjectedBug::StaleConfirmationUsed => Within([30, 30, 30]),
         InjectedBug::ConflictUnconfirmed => Within([200, 200, 200]),
         InjectedBug::NotNewerUnconfirmed => CoveredBy(
             "what is refused has a version at most its If-Match, and a change is taken only above its If-Match",
         ),
         InjectedBug::ConfirmAfterAccepting => Within([40, 40, 40]),
-        InjectedBug::IfMatchIgnored | InjectedBug::TakenNotRecognized => Within([5, 5, 5]),
+        InjectedBug::IfMatchIgnored | InjectedBug::AppliedChangeNotRecognized => Within([5, 5, 5]),
         InjectedBug::VersionIdentifiesChange => Within([5, 5, 5]),
         InjectedBug::RequestNumbersRestart => Within([120, 120, 120]),
-        InjectedBug::AcknowledgeBeforeTail | InjectedBug::PassOnBeforeDurable => Within([5, 5, 5]),
+        InjectedBug::AcknowledgeBeforeTail | InjectedBug::ForwardBeforeDurable => Within([5, 5, 5]),
         InjectedBug::EntryWithoutPredecessor => CoveredBy(
             "a head sends entries only to members that hold its state, one at a time, and those of older epochs don't count",
         ),
@@ -45,15 +45,15 @@
         InjectedBug::CommittedUnchecked => Within([5, 5, 5]),
         InjectedBug::EntryAfterSeal => Within([120, 120, 120]),
         InjectedBug::SealNotAwaited
-        | InjectedBug::JoinersUnfed
+        | InjectedBug::JoinersNotSentState
         | InjectedBug::JoinAnsweredBeforeDurable => Within([20, 20, 20]),
-        InjectedBug::OlderTransferTaken => Within([120, 120, 120]),
-        InjectedBug::HistoryForgotten => Within([10, 10, 10]),
+        InjectedBug::OlderTransferApplied => Within([120, 120, 120]),
+        InjectedBug::HistoryNotTransferred => Within([10, 10, 10]),
         InjectedBug::ShortChain => Within([30, 30, 60]),
         InjectedBug::SeveralVotersChanged => Within([10, 10, 20]),
         InjectedBug::VotersBelowMinimum => Within([10, 10, 200]),
         // With 9 voters a majority is left after two lost disks and a departure.
-        InjectedBug::DepartedVoterKept => Within([200, 200, HARMLESS]),
+        InjectedBug::DepartedVoterRetained => Within([200, 200, HARMLESS]),
         InjectedBug::LatestDepartureReplaced => {
             ByTest("scenarios::a_successor_takes_the_place_of_the_voter_that_left_first")
         }
@@ -61,24 +61,24 @@
         InjectedBug::DomainsIgnored => {
             ByTest("simulation::a_lost_zone_is_survived_only_by_spread_voters")
         }
-        InjectedBug::LowerBallotAccepted | InjectedBug::AcceptedNotReported => {
+        InjectedBug::LowerProposalAccepted | InjectedBug::AcceptedViewNotReported => {
             Within([100, 60, 60])
         }
-        InjectedBug::AcceptedPassedOver => Within([120, 120, 120]),
-        InjectedBug::VoteAnsweredBeforeDurable | InjectedBug::AdoptAfterOneAcceptance => {
+        InjectedBug::AcceptedViewIgnored => Within([120, 120, 120]),
+        InjectedBug::VoteAnsweredBeforeDurable | InjectedBug::InstallAfterOneAcceptance => {
             Within([5, 5, 5])
         }
-        InjectedBug::StrangersCount => Within([20, 20, 60]),
+        InjectedBug::NonVotersCount => Within([20, 20, 60]),
         InjectedBug::ActBeforeViewDurable => CoveredBy(
             "a disk keeps the order of writes, votes wait for the view, and no entry is appended without its predecessor",
         ),
         InjectedBug::OlderEpochsCount => Within([120, 120, 120]),
-        InjectedBug::VoteAfterWipe | InjectedBug::FirstStartAssumed => Within([20, 20, 60]),
-        InjectedBug::PromiseForgotten
-        | InjectedBug::AcceptanceForgotten
-        | InjectedBug::SealForgotten => Within([60, 60, 60]),
+        InjectedBug::VoteAfterDiskLoss | InjectedBug::FirstStartAssumed => Within([20, 20, 60]),
+        InjectedBug::PromiseNotRecovered
+        | InjectedBug::AcceptanceNotRecovered
+        | InjectedBug::SealNotRecovered => Within([60, 60, 60]),
         InjectedBug::SnapshotWithoutState => Within([5, 5, 5]),
-        InjectedBug::SnapshotWithoutVotes => Within([20, 20, 20]),
+        InjectedBug::SnapshotWithoutAcceptorState => Within([20, 20, 20]),
     }
 }
 
--- a/crates/lockusher-control-simulation/tests/scenarios.rs
+++ b/crates/lockusher-control-simulation/tests/scenarios.rs
@@ -535,7 +535,7 @@
 
 fn views_of(cluster: &Cluster) -> u64 {
     let replica = cluster.replica(0).expect("it runs");
-    replica.counters().views_adopted
+    replica.counters().views_installed
 }
 
 /// Bytes that a link of 10 Mbit/s carries in a millisecond.
--- a/crates/lockusher-control-simulation/tests/simulation.rs
+++ b/crates/lockusher-control-simulation/tests/simulation.rs
@@ -74,7 +74,7 @@
 
 #[parameterized(
     acknowledge_before_tail = { InjectedBug::AcknowledgeBeforeTail },
-    vote_after_wipe = { InjectedBug::VoteAfterWipe },
+    vote_after_wipe = { InjectedBug::VoteAfterDiskLoss },
 )]
 fn an_injected_bug_is_found(injected_bug: InjectedBug) {
     assert!(first_violation(3, Some(injected_bug), 1000, 500).is_some());
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_failing_run_is_shrunk_to_faults_that_are_all_needed() {
-    let injected_bug = Some(InjectedBug::VoteAfterWipe);
+    let injected_bug = Some(InjectedBug::VoteAfterDiskLoss);
     let (seed, full) =
         first_violation(3, injected_bug, 1000, 500).expect("the injected bug is found");
     let shrunk = shrink(SimulationOptions {
--- a/crates/lockusher-control/src/chain_role.rs
+++ b/crates/lockusher-control/src/chain_role.rs
@@ -19,7 +19,7 @@
     }
 
     /// Any other node in this epoch.
-    pub fn other(epoch: u64) -> Self {
+    pub fn not_head(epoch: u64) -> Self {
         ChainRole {
             is_head: false,
             epoch,
--- a/crates/lockusher-control/src/driver/announcement.rs
+++ b/crates/lockusher-control/src/driver/announcement.rs
@@ -49,7 +49,7 @@
             .map(|ip| SocketAddrV4::new(ip, ports.agents));
         let announcements = agents.map(|agent| announce(&driver, agent, ports.replicas));
         join_all(announcements).await;
-        let interval = if driver.read(Replica::is_current) {
+        let interval = if driver.read(Replica::is_voter_with_quorum) {
             INTERVAL
         } else {
             INTERVAL_WITHOUT_MAJORITY
@@ -79,7 +79,7 @@
 }
 
 async fn announce(driver: &ReplicaDriver, agent: SocketAddrV4, replica_port: u16) {
-    let is_current = driver.read(Replica::is_current);
+    let is_current = driver.read(Replica::is_voter_with_quorum);
     let announced = if is_current {
         known_control_nodes(driver)
     } else {
--- a/crates/lockusher-control/src/driver/operator_api.rs
+++ b/crates/lockusher-control/src/driver/operator_api.rs
@@ -87,7 +87,7 @@
     let (if_match, version) = (change.if_match, patch.version);
     let identity = patch_identity(if_match, &change.body);
     let base = match driver
-        .request(Request::Base {
+        .request(Request::PatchBase {
             if_match,
             version,
             request: identity,
--- a/crates/lockusher-control/src/driver/replica_driver.rs
+++ b/crates/lockusher-control/src/driver/replica_driver.rs
@@ -195,7 +195,7 @@
     /// Updates the status that heartbeats to subscribers carry. The head counts the fleet's proxies; the others learn
     /// their number from it.
     pub fn refresh_status(&self) {
-        let in_view = self.read(Replica::is_current);
+        let in_view = self.read(Replica::is_voter_with_quorum);
         let is_head = self.role().is_head;
         self.publisher.update_quietly(|publisher| {
             let downstream = publisher.downstream_proxies();
--- a/crates/lockusher-control/src/driver/status.rs
+++ b/crates/lockusher-control/src/driver/status.rs
@@ -64,7 +64,7 @@
     let scrubs = driver.scrub_counters();
     let newest = driver.publisher.read(Publisher::newest);
     let rows = [
-        ("control_views_adopted_total", counters.views_adopted),
+        ("control_views_adopted_total", counters.views_installed),
         ("control_view_proposals_total", counters.proposals),
         ("control_commits_total", counters.commits),
         (
--- a/crates/lockusher-control/src/replica/appends.rs
+++ b/crates/lockusher-control/src/replica/appends.rs
@@ -60,7 +60,7 @@
             document: entry.document.clone(),
         };
         let state = self.durable_state.state.with(entry.document.clone());
-        if bug_injected!(self.bug_injection, PassOnBeforeDurable) {
+        if bug_injected!(self.bug_injection, ForwardBeforeDurable) {
             self.forward_append(entry.clone());
         }
         self.persist_state(record, position, state, AfterWrite::ForwardAppend(entry));
--- a/crates/lockusher-control/src/replica/bug_alterations.rs
+++ b/crates/lockusher-control/src/replica/bug_alterations.rs
@@ -36,7 +36,7 @@
         if bug_injected!(self, SnapshotWithoutState) {
             records.retain(|record| !matches!(record, DurableRecord::State { .. }));
         }
-        if bug_injected!(self, SnapshotWithoutVotes) {
+        if bug_injected!(self, SnapshotWithoutAcceptorState) {
             records.retain(|record| !is_acceptor_record(record));
         }
         records
@@ -45,9 +45,9 @@
     /// The records recovered from the disk, altered by the injected bug.
     pub(super) fn altered_recovery(self, mut records: Vec<DurableRecord>) -> Vec<DurableRecord> {
         records.retain(|record| match record {
-            DurableRecord::Promise { .. } => !bug_injected!(self, PromiseForgotten),
-            DurableRecord::Accept { .. } => !bug_injected!(self, AcceptanceForgotten),
-            DurableRecord::Seal { .. } => !bug_injected!(self, SealForgotten),
+            DurableRecord::Promise { .. } => !bug_injected!(self, PromiseNotRecovered),
+            DurableRecord::Accept { .. } => !bug_injected!(self, AcceptanceNotRecovered),
+            DurableRecord::Seal { .. } => !bug_injected!(self, SealNotRecovered),
             _ => true,
         });
         records
@@ -56,12 +56,12 @@
     /// The body of an outgoing message, altered by the injected bug.
     pub(super) fn altered_body(self, body: MessageBody) -> MessageBody {
         match body {
-            MessageBody::Transfer(transfer) if bug_injected!(self, HistoryForgotten) => {
+            MessageBody::Transfer(transfer) if bug_injected!(self, HistoryNotTransferred) => {
                 MessageBody::Transfer(without_history(transfer))
             }
             MessageBody::PrepareResponse {
                 proposal_number, ..
-            } if bug_injected!(self, AcceptedNotReported) => MessageBody::PrepareResponse {
+            } if bug_injected!(self, AcceptedViewNotReported) => MessageBody::PrepareResponse {
                 proposal_number,
                 accepted: None,
             },
@@ -74,7 +74,7 @@
         self,
         accepted: Option<AcceptedView>,
     ) -> Option<AcceptedView> {
-        accepted.filter(|_| !bug_injected!(self, AcceptedPassedOver))
+        accepted.filter(|_| !bug_injected!(self, AcceptedViewIgnored))
     }
 }
 
--- a/crates/lockusher-control/src/replica/change_planning.rs
+++ b/crates/lockusher-control/src/replica/change_planning.rs
@@ -158,7 +158,7 @@
                 .at(voter.address)
                 .filter(|peer| peer.identity == voter.identity);
             peer.is_some_and(|peer| peer.health == Health::ShuttingDown)
-                && !bug_injected!(self.bug_injection, DepartedVoterKept)
+                && !bug_injected!(self.bug_injection, DepartedVoterRetained)
         };
         let shutting_down = view.voters.iter().filter(is_shutting_down);
         shutting_down.map(|voter| voter.identity).collect()
--- a/crates/lockusher-control/src/replica/confirmation.rs
+++ b/crates/lockusher-control/src/replica/confirmation.rs
@@ -19,7 +19,7 @@
             .head
             .as_ref()
             .map_or(0, |head| head.confirmation.last_started());
-        if bug_injected!(self.bug_injection, EarlierRoundCounts) {
+        if bug_injected!(self.bug_injection, StaleConfirmationUsed) {
             last_started.max(1)
         } else {
             last_started + 1
--- a/crates/lockusher-control/src/replica/counters.rs
+++ b/crates/lockusher-control/src/replica/counters.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counters {
     /// Views installed.
-    pub views_adopted: u64,
+    pub views_installed: u64,
     /// View proposals started.
     pub proposals: u64,
     /// Configurations committed while head.
--- a/crates/lockusher-control/src/replica/forwarding.rs
+++ b/crates/lockusher-control/src/replica/forwarding.rs
@@ -45,7 +45,7 @@
                 let hops = self.view.as_ref().map_or(1, |view| view.chain.len() + 1);
                 self.size_allowance(document.body.len()) * hops as Millis
             }
-            Request::Base { .. } | Request::Read => 0,
+            Request::PatchBase { .. } | Request::Read => 0,
         }
     }
 
--- a/crates/lockusher-control/src/replica/injected_bug.rs
+++ b/crates/lockusher-control/src/replica/injected_bug.rs
@@ -15,13 +15,13 @@
     /// The refusal of a version that isn't newer is answered without a confirmation of the epoch by a majority.
     NotNewerUnconfirmed,
     /// A confirmation that started before a request arrived counts for that request.
-    EarlierRoundCounts,
+    StaleConfirmationUsed,
     /// A voter confirms an epoch although it has accepted a successor view.
     ConfirmAfterAccepting,
     /// The version that a change builds on isn't compared with the current one.
     IfMatchIgnored,
     /// A change that was applied before isn't recognised.
-    TakenNotRecognized,
+    AppliedChangeNotRecognized,
     /// A change counts as applied if its version is the current one.
     VersionIdentifiesChange,
     /// The numbers of forwarded requests restart at 0 at each start.
@@ -30,7 +30,7 @@
     /// The head acknowledges an entry that only it has stored.
     AcknowledgeBeforeTail,
     /// A member sends an entry to its successor before it is durable.
-    PassOnBeforeDurable,
+    ForwardBeforeDurable,
     /// A member appends an entry without the preceding one.
     EntryWithoutPredecessor,
     /// The head serves before all members have stored its state.
@@ -47,13 +47,13 @@
     /// The sealed state is transferred before the seal is durable.
     SealNotAwaited,
     /// Joiners are never sent the sealed state.
-    JoinersUnfed,
+    JoinersNotSentState,
     /// A joiner responds that it has stored the sealed state before it is durable.
     JoinAnsweredBeforeDurable,
     /// A transferred state is stored although it is older than the stored one.
-    OlderTransferTaken,
+    OlderTransferApplied,
     /// A full snapshot is transferred without the identities of applied requests.
-    HistoryForgotten,
+    HistoryNotTransferred,
     // Agreement
     /// A chain shorter than a majority of the voters is proposed.
     ShortChain,
@@ -62,42 +62,42 @@
     /// Voters are removed below twice the tolerated losses plus one.
     VotersBelowMinimum,
     /// A voter that shut down stays a voter until the removal timeout.
-    DepartedVoterKept,
+    DepartedVoterRetained,
     /// A new node replaces the unreachable voter that left the chain last, instead of the first.
     LatestDepartureReplaced,
     /// Voters are chosen without regard to the zones and regions whose loss is tolerated.
     DomainsIgnored,
     /// A lower proposal number than the promised one is accepted.
-    LowerBallotAccepted,
+    LowerProposalAccepted,
     /// A prepare response doesn't report the accepted view.
-    AcceptedNotReported,
+    AcceptedViewNotReported,
     /// A proposer ignores the accepted views that prepare responses report.
-    AcceptedPassedOver,
+    AcceptedViewIgnored,
     /// Promises and acceptances are answered before they are durable.
     VoteAnsweredBeforeDurable,
     /// A view is installed after one acceptance.
-    AdoptAfterOneAcceptance,
+    InstallAfterOneAcceptance,
     /// Responses of nodes that aren't voters count.
-    StrangersCount,
+    NonVotersCount,
     /// A node acts in a view whose record isn't durable.
     ActBeforeViewDurable,
     /// Messages of older epochs count.
     OlderEpochsCount,
     // Disk
     /// A seed that lost its disk reuses its former identity.
-    VoteAfterWipe,
+    VoteAfterDiskLoss,
     /// A seed with an empty disk assumes that the deployment starts for the first time.
     FirstStartAssumed,
     /// A promise isn't recovered after a restart.
-    PromiseForgotten,
+    PromiseNotRecovered,
     /// An acceptance isn't recovered after a restart.
-    AcceptanceForgotten,
+    AcceptanceNotRecovered,
     /// A seal isn't recovered after a restart.
-    SealForgotten,
+    SealNotRecovered,
     /// A snapshot omits the replicated state.
     SnapshotWithoutState,
     /// A snapshot omits the acceptor's state.
-    SnapshotWithoutVotes,
+    SnapshotWithoutAcceptorState,
 }
 
 impl InjectedBug {
@@ -106,14 +106,14 @@
         InjectedBug::ReadUnconfirmed,
         InjectedBug::ConflictUnconfirmed,
         InjectedBug::NotNewerUnconfirmed,
-        InjectedBug::EarlierRoundCounts,
+        InjectedBug::StaleConfirmationUsed,
         InjectedBug::ConfirmAfterAccepting,
         InjectedBug::IfMatchIgnored,
-        InjectedBug::TakenNotRecognized,
+        InjectedBug::AppliedChangeNotRecognized,
         InjectedBug::VersionIdentifiesChange,
         InjectedBug::RequestNumbersRestart,
         InjectedBug::AcknowledgeBeforeTail,
-        InjectedBug::PassOnBeforeDurable,
+        InjectedBug::ForwardBeforeDurable,
         InjectedBug::EntryWithoutPredecessor,
         InjectedBug::ServeBeforeSynchronised,
         InjectedBug::RestartedHeadServes,
@@ -121,31 +121,31 @@
         InjectedBug::EntryAfterSeal,
         InjectedBug::ServeAfterSeal,
         InjectedBug::SealNotAwaited,
-        InjectedBug::JoinersUnfed,
+        InjectedBug::JoinersNotSentState,
         InjectedBug::JoinAnsweredBeforeDurable,
-        InjectedBug::OlderTransferTaken,
-        InjectedBug::HistoryForgotten,
+        InjectedBug::OlderTransferApplied,
+        InjectedBug::HistoryNotTransferred,
         InjectedBug::ShortChain,
         InjectedBug::SeveralVotersChanged,
         InjectedBug::VotersBelowMinimum,
-        InjectedBug::DepartedVoterKept,
+        InjectedBug::DepartedVoterRetained,
         InjectedBug::LatestDepartureReplaced,
         InjectedBug::DomainsIgnored,
-        InjectedBug::LowerBallotAccepted,
-        InjectedBug::AcceptedNotReported,
-        InjectedBug::AcceptedPassedOver,
+        InjectedBug::LowerProposalAccepted,
+        InjectedBug::AcceptedViewNotReported,
+        InjectedBug::AcceptedViewIgnored,
         InjectedBug::VoteAnsweredBeforeDurable,
-        InjectedBug::AdoptAfterOneAcceptance,
-        InjectedBug::StrangersCount,
+        InjectedBug::InstallAfterOneAcceptance,
+        InjectedBug::NonVotersCount,
         InjectedBug::ActBeforeViewDurable,
         InjectedBug::OlderEpochsCount,
-        InjectedBug::VoteAfterWipe,
+        InjectedBug::VoteAfterDiskLoss,
         InjectedBug::FirstStartAssumed,
-        InjectedBug::PromiseForgotten,
-        InjectedBug::AcceptanceForgotten,
-        InjectedBug::SealForgotten,
+        InjectedBug::PromiseNotRecovered,
+        InjectedBug::AcceptanceNotRecovered,
+        InjectedBug::SealNotRecovered,
         InjectedBug::SnapshotWithoutState,
-        InjectedBug::SnapshotWithoutVotes,
+        InjectedBug::SnapshotWithoutAcceptorState,
     ];
 
     /// The bug with this name, as [`std::fmt::Debug`] writes it.
--- a/crates/lockusher-control/src/replica/proposing.rs
+++ b/crates/lockusher-control/src/replica/proposing.rs
@@ -49,7 +49,7 @@
             proposer: self.identity.0,
         };
         let majority = self.view.as_ref().map_or(usize::MAX, View::majority);
-        let majority = if bug_injected!(self.bug_injection, AdoptAfterOneAcceptance) {
+        let majority = if bug_injected!(self.bug_injection, InstallAfterOneAcceptance) {
             1
         } else {
             majority
@@ -71,7 +71,7 @@
             phase_started_at: self.now,
             last_sent_at: self.now,
         });
-        if needs_joining && !bug_injected!(self.bug_injection, JoinersUnfed) {
+        if needs_joining && !bug_injected!(self.bug_injection, JoinersNotSentState) {
             self.seal_epoch();
             self.start_joining_once_sealed();
         } else {
@@ -162,7 +162,7 @@
     /// Whether the sender's responses count: it is a voter of the newest view.
     fn accepts_votes_from(&self, sender: Identity) -> bool {
         let is_voter = self.view.as_ref().is_some_and(|view| view.is_voter(sender));
-        is_voter || bug_injected!(self.bug_injection, StrangersCount)
+        is_voter || bug_injected!(self.bug_injection, NonVotersCount)
     }
 
     /// Handles a rejection by an acceptor that has promised a higher number.
--- a/crates/lockusher-control/src/replica/recovery.rs
+++ b/crates/lockusher-control/src/replica/recovery.rs
@@ -147,7 +147,7 @@
     fn start_on_empty_disk(&mut self) {
         let address = self.setup.address;
         let is_seed = self.setup.seeds.contains(&address);
-        if bug_injected!(self.bug_injection, VoteAfterWipe) && is_seed {
+        if bug_injected!(self.bug_injection, VoteAfterDiskLoss) && is_seed {
             self.identity = Identity::of_first_start(address);
         }
         let first_start =
--- a/crates/lockusher-control/src/replica/service.rs
+++ b/crates/lockusher-control/src/replica/service.rs
@@ -42,7 +42,7 @@
                     request,
                 })
             }
-            Request::Base {
+            Request::PatchBase {
                 if_match,
                 version,
                 request,
@@ -161,7 +161,7 @@
                 Reply::NotNewer { current },
                 bug_injected!(self.bug_injection, NotNewerUnconfirmed),
             )
-        } else if matches!(queued.request, Request::Base { .. }) {
+        } else if matches!(queued.request, Request::PatchBase { .. }) {
             // No confirmation is needed: only one configuration was ever committed with this version, and the put that
             // follows is decided on its own.
             Decision::Reply(newest())
@@ -177,6 +177,7 @@
         {
             return true;
         }
-        state.has_applied(change.request) && !bug_injected!(self.bug_injection, TakenNotRecognized)
+        state.has_applied(change.request)
+            && !bug_injected!(self.bug_injection, AppliedChangeNotRecognized)
     }
 }
--- a/crates/lockusher-control/src/replica/status.rs
+++ b/crates/lockusher-control/src/replica/status.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether this node votes in the newest view that it knows and is in contact with a majority of the voters.
-    pub fn is_current(&self) -> bool {
+    pub fn is_voter_with_quorum(&self) -> bool {
         self.is_voter() && self.has_confirmed_quorum()
     }
 
--- a/crates/lockusher-control/src/replica/transfers.rs
+++ b/crates/lockusher-control/src/replica/transfers.rs
@@ -37,7 +37,7 @@
         if self.is_already_applied(&transfer) {
             self.respond_to_transfer(from, transfer.purpose, true);
         } else if transfer.position >= self.durable_state.position
-            || bug_injected!(self.bug_injection, OlderTransferTaken)
+            || bug_injected!(self.bug_injection, OlderTransferApplied)
         {
             self.apply_transfer(from, transfer);
         }
--- a/crates/lockusher-control/src/replica/view_installation.rs
+++ b/crates/lockusher-control/src/replica/view_installation.rs
@@ -26,7 +26,7 @@
             self.setup.address,
             view.chain
         );
-        self.counters.views_adopted += 1;
+        self.counters.views_installed += 1;
         let epoch = view.epoch;
         self.view = Some(view.clone());
         self.acceptor = AcceptorState::default();
--- a/crates/lockusher-control/src/replica/voting.rs
+++ b/crates/lockusher-control/src/replica/voting.rs
@@ -20,7 +20,7 @@
         self.highest_proposal_counter = self.highest_proposal_counter.max(proposal_number.counter);
         let is_new = proposal_number > self.acceptor.promised;
         if let Err(promised) = self.acceptor.prepare(proposal_number)
-            && !bug_injected!(self.bug_injection, LowerBallotAccepted)
+            && !bug_injected!(self.bug_injection, LowerProposalAccepted)
         {
             self.send(from, MessageBody::ProposalRejected { promised });
             return;
@@ -61,7 +61,7 @@
             .accepted
             .as_ref()
             .is_none_or(|accepted| accepted.proposal_number != proposal_number);
-        if bug_injected!(self.bug_injection, LowerBallotAccepted) {
+        if bug_injected!(self.bug_injection, LowerProposalAccepted) {
             self.acceptor.promised = proposal_number;
         }
         if let Err(promised) = self.acceptor.accept(proposal_number, view.clone()) {
@@ -84,6 +84,6 @@
     /// Whether this node votes in the newest view.
     fn acts_as_acceptor(&self) -> bool {
         self.is_voter()
-            || (bug_injected!(self.bug_injection, StrangersCount) && self.view.is_some())
+            || (bug_injected!(self.bug_injection, NonVotersCount) && self.view.is_some())
     }
 }
--- a/crates/lockusher-control/src/request.rs
+++ b/crates/lockusher-control/src/request.rs
@@ -23,7 +23,7 @@
         document: ConfigurationDocument,
     },
     /// Reads the configuration that a patch builds on, unless the patch was applied already or can't be applied.
-    Base {
+    PatchBase {
         /// Version that the patch builds on.
         if_match: u64,
         /// Version that the patch produces.
--- a/crates/lockusher-control/tests/joining.rs
+++ b/crates/lockusher-control/tests/joining.rs
@@ -183,7 +183,7 @@
 
 #[parameterized(
     guarded = { None, false },
-    guard_disabled = { Some(InjectedBug::SealForgotten), true },
+    guard_disabled = { Some(InjectedBug::SealNotRecovered), true },
 )]
 fn a_seal_is_in_force_after_a_restart(injected_bug: Option<InjectedBug>, is_stored: bool) {
     let mut member = sealed_member(injected_bug).restart(2, injected_bug);
@@ -196,7 +196,7 @@
 /// A delayed transfer from the head reaches a node that has stored the sealed state, which is newer.
 #[parameterized(
     guarded = { None, 6 },
-    guard_disabled = { Some(InjectedBug::OlderTransferTaken), 5 },
+    guard_disabled = { Some(InjectedBug::OlderTransferApplied), 5 },
 )]
 fn a_transfer_of_an_older_state_is_not_applied(injected_bug: Option<InjectedBug>, version: u64) {
     let mut joiner = Node::in_view(3, injected_bug);
@@ -229,7 +229,7 @@
 /// A voter reports a view that it accepted under a lower proposal number: the proposer must propose that view.
 #[parameterized(
     guarded = { None, true },
-    guard_disabled = { Some(InjectedBug::AcceptedPassedOver), false },
+    guard_disabled = { Some(InjectedBug::AcceptedViewIgnored), false },
 )]
 fn a_view_accepted_under_a_lower_number_is_proposed(
     injected_bug: Option<InjectedBug>,
--- a/crates/lockusher-control/tests/recorded_bytes.rs
+++ b/crates/lockusher-control/tests/recorded_bytes.rs
@@ -95,7 +95,7 @@
     payload_kind,
     [Empty, LatestDocument, FullSnapshot]
 );
-kinds_of!(Request, REQUEST_KINDS, request_kind, [Put, Base, Read]);
+kinds_of!(Request, REQUEST_KINDS, request_kind, [Put, PatchBase, Read]);
 kinds_of!(
     Reply,
     REPLY_KINDS,
@@ -351,7 +351,7 @@
 }
 
 fn requests() -> Vec<(&'static str, Request)> {
-    let base = Request::Base {
+    let base = Request::PatchBase {
         if_match: 19,
         version: 70_000,
         request: patched_document().request,
@@ -682,7 +682,10 @@
     let mut files = Vec::new();
     for entry in fs::read_dir(directory).expect("a directory") {
         let entry = entry.expect("an entry");
-        let name = entry.file_name().into_string().expect("a Unicode file name");
+        let name = entry
+            .file_name()
+            .into_string()
+            .expect("a Unicode file name");
         if name != RESERVE {
             files.push((name, fs::read(entry.path()).expect("reads")));
         }
--- a/crates/lockusher-control/tests/stage_assignment_lease.rs
+++ b/crates/lockusher-control/tests/stage_assignment_lease.rs
@@ -27,7 +27,7 @@
 fn a_head_that_was_followed_by_another_waits_anew() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, ChainRole::head(4));
-    lease.observe(20_000, ChainRole::other(5));
+    lease.observe(20_000, ChainRole::not_head(5));
     assert_eq!(lease.fencing_token(30_000), None);
     lease.observe(30_000, ChainRole::head(6));
     assert_eq!(lease.fencing_token(35_999), None);
@@ -38,7 +38,7 @@
 fn a_head_that_lost_touch_for_a_while_keeps_its_fencing_token() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, ChainRole::head(4));
-    lease.observe(20_000, ChainRole::other(4));
+    lease.observe(20_000, ChainRole::not_head(4));
     assert_eq!(lease.fencing_token(20_500), None);
     lease.observe(21_000, ChainRole::head(4));
     assert_eq!(lease.fencing_token(21_000), Some(4));
