--- a/crates/lockusher-control/src/acceptor.rs
+++ b/crates/lockusher-control/src/acceptor.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     ///
-    /// The promised number, if it is higher.
+    /// The number promised before, if it is higher than `proposal_number`.
     pub fn prepare(&mut self, proposal_number: ProposalNumber) -> Result<(), ProposalNumber> {
         if proposal_number < self.promised {
             return Err(self.promised);
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// The promised number, if it is higher.
+    /// The number promised before, if it is higher than `proposal_number`.
     pub fn accept(
         &mut self,
         proposal_number: ProposalNumber,
--- a/crates/lockusher-control/src/chain_role.rs
+++ b/crates/lockusher-control/src/chain_role.rs
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Any other node in this epoch.
+    /// A node that isn't head in this epoch.
     pub fn not_head(epoch: u64) -> Self {
         ChainRole {
             is_head: false,
--- a/crates/lockusher-control/src/document.rs
+++ b/crates/lockusher-control/src/document.rs
@@ -7,8 +7,8 @@
 use bitcode::{Decode, Encode};
 use derive_more::Display;
 
-/// 128-bit FNV-1a digest of a document's body. It identifies a configuration that is sent again; it isn't
-/// cryptographic.
+/// 128-bit FNV-1a digest of a document's body. It identifies a configuration that is sent again; it isn't cryptographic
+/// and doesn't withstand forgery.
 #[derive(Clone, Copy, Debug, Decode, Display, Encode, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{_0:032x}")]
 pub struct Digest(pub u128);
--- a/crates/lockusher-control/src/replica/state_machine.rs
+++ b/crates/lockusher-control/src/replica/state_machine.rs
@@ -72,7 +72,7 @@
     pub(super) committed_document: Option<ConfigurationDocument>,
     /// Position up to which the durable state is known to be committed.
     pub(super) known_committed: Position,
-    /// Present while this node is head of `view`, from the start of its service on.
+    /// Present while this node is head of `view`, from its activation on.
     pub(super) head: Option<Head>,
     /// Whether this node, as head of `view`, can't serve in its epoch because it was restarted or its disk failed.
     /// Reset by the next view.
