--- a/crates/lockusher-aggregator/src/report.rs
+++ b/crates/lockusher-aggregator/src/logging.rs
@@ -131,7 +131,7 @@
     ($holds:expr, $what:literal) => {
         if !$holds {
             debug_assert!(false, $what);
-            let times = $crate::report::broken();
+            let times = $crate::logging::broken();
             tracing::error!(times, "does not hold: {}", $what);
         }
     };
--- a/crates/lockusher-aggregator/src/program/mod.rs
+++ b/crates/lockusher-aggregator/src/program/mod.rs
@@ -13,7 +13,7 @@
 use clap::{Parser, Subcommand};
 
 use crate::config::{self, Config};
-use crate::{operator, report};
+use crate::{logging, operator};
 
 /// Serves multigets from the searchers that hold their shards. `LB_CONFIG` names the platform's configuration.
 #[derive(Parser)]
@@ -72,12 +72,12 @@
     let operator = match operator::load(settings.as_deref()) {
         Ok(operator) => operator,
         Err(error) => {
-            report::start(&operator::Operator::default());
+            logging::start(&operator::Operator::default());
             tracing::error!("{error:#}");
             return ExitCode::FAILURE;
         }
     };
-    report::start(&operator);
+    logging::start(&operator);
     let system = actix_rt::System::new();
     let done = match command {
         Some(Command::Registry {
--- a/crates/lockusher-aggregator/src/routing/desk.rs
+++ b/crates/lockusher-aggregator/src/routing/dispatcher.rs
@@ -14,8 +14,8 @@
 use tokio::sync::{Notify, oneshot};
 
 use super::Given;
-use super::carrier::{Carrier, May, RepeatWindow, Sent, Wanted};
-use super::tally::Tally;
+use super::outcome_stats::Tally;
+use super::searcher_transport::{Carrier, May, RepeatWindow, Sent, Wanted};
 use crate::clock::duration;
 use crate::must_hold;
 use crate::protocol::client::{self, Request};
--- a/crates/lockusher-aggregator/src/routing/mod.rs
+++ b/crates/lockusher-aggregator/src/routing/mod.rs
@@ -1,8 +1,8 @@
 //! The one task that owns the decision module. Sockets reach it through its queue only.
 
-pub mod carrier;
-mod desk;
-mod tally;
+mod dispatcher;
+mod outcome_stats;
+pub mod searcher_transport;
 
 use std::cell::Cell;
 use std::collections::HashSet;
@@ -20,9 +20,9 @@
 use crate::config::{Config, Sockets};
 use crate::must_hold;
 use crate::protocol::client::{Request, Unusable};
-use carrier::{Carrier, Wanted};
-use desk::Desk;
+use dispatcher::Desk;
 use lockusher_multiget::list::List;
+use searcher_transport::{Carrier, Wanted};
 
 /// What comes to the router.
 pub enum Arrival {
--- a/crates/lockusher-aggregator/src/transport/clients.rs
+++ b/crates/lockusher-aggregator/src/transport/clients.rs
@@ -25,7 +25,7 @@
 use crate::config::Sockets;
 use crate::protocol::MOST_BODY;
 use crate::protocol::client::{self, Head, Unusable};
-use crate::routing::carrier::Wanted;
+use crate::routing::searcher_transport::Wanted;
 use crate::routing::{Arrival, Asked, Given};
 use crate::transport::client_stream::{ClientStream, Connections, LINGER, Usage};
 
--- a/crates/lockusher-aggregator/src/transport/searchers.rs
+++ b/crates/lockusher-aggregator/src/transport/frame_transport.rs
@@ -19,7 +19,7 @@
 use crate::config::Sockets;
 use crate::must_hold;
 use crate::protocol::frame::{self, FromSearcher, PartEnded};
-use crate::routing::carrier::{Carrier, May, Sent, Unsent};
+use crate::routing::searcher_transport::{Carrier, May, Sent, Unsent};
 use crate::routing::{Arrival, SendEnded};
 
 /// All connections to searchers, by searcher: frames over TCP, each carrying a few calls.
--- a/crates/lockusher-aggregator/src/transport/carriers.rs
+++ b/crates/lockusher-aggregator/src/transport/protocol_selection.rs
@@ -13,12 +13,12 @@
 use lockusher_policy::interface::*;
 use tokio::sync::mpsc;
 
-use super::searchers::Searchers;
+use super::frame_transport::Searchers;
 use crate::clock::duration;
 use crate::config::Sockets;
 use crate::operator::Http2;
 use crate::protocol::frame::CallPart;
-use crate::routing::carrier::{Carrier, May, Sent, Unsent};
+use crate::routing::searcher_transport::{Carrier, May, Sent, Unsent};
 use crate::routing::{Arrival, SendEnded};
 
 /// Whether an id matches a pattern in which a star stands for any letters.
--- a/crates/lockusher-aggregator/tests/endings.rs
+++ b/crates/lockusher-aggregator/tests/endings.rs
@@ -12,7 +12,7 @@
 use connections::{call, on_connections, up};
 use lockusher_aggregator::protocol::frame::CallPart;
 use lockusher_aggregator::routing::Arrival;
-use lockusher_aggregator::routing::carrier::{Carrier, May, RepeatWindow};
+use lockusher_aggregator::routing::searcher_transport::{Carrier, May, RepeatWindow};
 use lockusher_aggregator::transport::client_stream::{ClientStream, Connections};
 use lockusher_aggregator::transport::clients;
 use lockusher_aggregator_testbed::stand_in::*;
--- a/crates/lockusher-aggregator/tests/settings.rs
+++ b/crates/lockusher-aggregator/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The operator's settings: what is read, and which line and key a fault names.
 
 use lockusher_aggregator::operator::{Level, Operator, parse};
-use lockusher_aggregator::transport::carriers::matches;
+use lockusher_aggregator::transport::protocol_selection::matches;
 use lockusher_policy::interface::Span;
 use lockusher_registry_client::core::follow::Protocol;
 use rstest::rstest;
--- a/crates/lockusher-aggregator/tests/stories.rs
+++ b/crates/lockusher-aggregator/tests/stories.rs
@@ -10,7 +10,7 @@
 
 use connections::{call, on_connections, up};
 use lockusher_aggregator::routing::Arrival;
-use lockusher_aggregator::routing::carrier::{Carrier, May};
+use lockusher_aggregator::routing::searcher_transport::{Carrier, May};
 use lockusher_aggregator_testbed::stand_in::*;
 use lockusher_multiget::list::Place;
 use lockusher_policy::interface::*;
