--- a/crates/lockusher-aggregator/src/clock.rs
+++ b/crates/lockusher-aggregator/src/clock.rs
@@ -7,18 +7,18 @@
 
 #[derive(Clone, Copy)]
 pub struct Clock {
-    started: Instant,
-    unix_us: u64,
+    started_at: Instant,
+    started_unix_us: u64,
 }
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            started: Instant::now(),
-            unix_us: unix.as_micros() as u64,
+            started_at: Instant::now(),
+            started_unix_us: since_epoch.as_micros() as u64,
         }
     }
 
@@ -27,8 +27,11 @@
     }
 
     pub fn at(&self, instant: Instant) -> Time {
-        let gone = instant.saturating_duration_since(self.started);
-        Time::from_micros(self.unix_us.saturating_add(gone.as_micros() as u64))
+        let elapsed = instant.saturating_duration_since(self.started_at);
+        Time::from_micros(
+            self.started_unix_us
+                .saturating_add(elapsed.as_micros() as u64),
+        )
     }
 }
 
--- a/crates/lockusher-aggregator/src/config.rs
+++ b/crates/lockusher-aggregator/src/config.rs
@@ -18,184 +18,186 @@
     /// Where it is; nothing if it is not named, which only a registry in its place makes up for.
     pub discovery: Option<SocketAddr>,
     pub seed: u64,
-    pub sockets: Sockets,
+    pub sockets: SocketLimits,
     pub known: Option<ListText>,
     pub settings: Settings,
     /// Each key as it was written.
-    written: BTreeMap<String, Value>,
+    raw_values: BTreeMap<String, Value>,
 }
 
 impl Config {
     /// Discovery's address, where nothing else lists the searchers.
-    pub fn needs_discovery(&self) -> Result<SocketAddr> {
+    pub fn require_discovery(&self) -> Result<SocketAddr> {
         self.discovery
             .context("discovery: missing, and LB_DISCOVERY is not set")
     }
 
     /// The keys that differ in another and can't change in a running process.
-    pub fn needs_restart(&self, other: &Config) -> Vec<&'static str> {
+    pub fn keys_needing_restart(&self, other: &Config) -> Vec<&'static str> {
         // `known` is read at a start only: by now the process knows better.
-        const FIXED: [&str; 5] = ["name", "listen", "seed", "limits", "settings"];
-        FIXED
+        const RESTART_ONLY_KEYS: [&str; 5] = ["name", "listen", "seed", "limits", "settings"];
+        RESTART_ONLY_KEYS
             .into_iter()
-            .filter(|key| self.written.get(*key) != other.written.get(*key))
+            .filter(|key| self.raw_values.get(*key) != other.raw_values.get(*key))
             .collect()
     }
 }
 
 /// What the sockets go by.
 #[derive(Clone, Copy, Debug)]
-pub struct Sockets {
+pub struct SocketLimits {
     /// Client connections at once, and connections to searchers at once.
-    pub most_clients: usize,
+    pub max_client_connections: usize,
     /// Client connections that are kept once they were asked on.
-    pub most_kept: usize,
-    pub most_searchers: usize,
+    pub max_used_client_connections: usize,
+    pub max_searcher_connections: usize,
     pub connect_timeout: Span,
     /// Connections unused for so long are closed.
-    pub idle: Span,
+    pub idle_timeout: Span,
     /// Calls on one connection, and parts in one call.
-    pub most_calls: usize,
-    pub most_parts: usize,
+    pub max_calls_per_connection: usize,
+    pub max_parts_per_call: usize,
     /// Multigets and parts in hand.
-    pub most_open: usize,
+    pub max_in_flight: usize,
     /// Bytes that bodies may hold, and as many that values may.
-    pub most_bytes: usize,
-    pub shards: usize,
-    pub may_withdraw: bool,
-    pub may_probe: bool,
+    pub max_buffered_bytes: usize,
+    pub shard_count: usize,
+    pub cancellation_allowed: bool,
+    pub probing_allowed: bool,
     /// No client waits longer for an answer.
-    pub longest: Span,
+    pub max_route_timeout: Span,
     /// How long discovery may hold a watch at the most, and whether it tells only those that ask.
-    pub hold: Span,
-    pub on_request: bool,
+    pub max_watch_hold: Span,
+    pub lists_on_request: bool,
 }
 
 #[derive(Deserialize)]
-struct Text {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
     seed: Option<String>,
     #[serde(default)]
-    limits: LimitsText,
+    limits: LimitsSection,
     known: Option<ListText>,
     settings: Settings,
 }
 
 #[derive(Deserialize, Default)]
-struct LimitsText {
+struct LimitsSection {
     sockets: Option<usize>,
     memory_mb: Option<usize>,
 }
 
 /// Descriptors for standard streams, the runtime, the listener and discovery.
-const OWN_DESCRIPTORS: usize = 32;
-const LEAST_SOCKETS: usize = 2 * OWN_DESCRIPTORS;
+const RESERVED_DESCRIPTORS: usize = 32;
+const MIN_SOCKETS: usize = 2 * RESERVED_DESCRIPTORS;
 /// At rest the program takes some 5 MB; a connection's buffers take some 50 KB more.
-const LEAST_MEMORY_MB: usize = 16;
+const MIN_MEMORY_MB: usize = 16;
 
 /// Reads the file that `LB_CONFIG` names; `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` stand in for keys that
 /// it lacks. `variable` looks up a variable.
-pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config> {
+pub fn load(env_var: impl Fn(&str) -> Option<String>) -> Result<Config> {
     let path =
-        variable("LB_CONFIG").context("LB_CONFIG is not set: it names the configuration file")?;
+        env_var("LB_CONFIG").context("LB_CONFIG is not set: it names the configuration file")?;
     let text =
         std::fs::read_to_string(&path).with_context(|| format!("LB_CONFIG: cannot read {path}"))?;
-    parse(&text, variable).with_context(|| path.clone())
+    parse(&text, env_var).with_context(|| path.clone())
 }
 
-pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config> {
-    let reader = &mut serde_json::Deserializer::from_str(text);
-    let read: Text = serde_path_to_error::deserialize(reader).map_err(|e| {
-        let (path, inner) = (e.path().to_string(), e.into_inner());
+pub fn parse(text: &str, env_var: impl Fn(&str) -> Option<String>) -> Result<Config> {
+    let deserializer = &mut serde_json::Deserializer::from_str(text);
+    let file: ConfigFile = serde_path_to_error::deserialize(deserializer).map_err(|error| {
+        let (path, inner) = (error.path().to_string(), error.into_inner());
         anyhow::anyhow!(
             "{}: {inner}",
             if path == "." { "configuration" } else { &path }
         )
     })?;
-    let given = |key: &str, value: Option<String>, name: &str| {
+    let required = |key: &str, value: Option<String>, name: &str| {
         value
-            .or_else(|| variable(name))
+            .or_else(|| env_var(name))
             .with_context(|| format!("{key}: missing, and {name} is not set"))
     };
     let address = |key: &str, text: String| {
         text.parse::<SocketAddr>()
             .with_context(|| format!("{key}: \"{text}\" is no address with a port"))
     };
-    let seed = read.seed.context("seed: missing")?;
+    let seed = file.seed.context("seed: missing")?;
     let seed = u64::from_str_radix(&seed, 16)
         .with_context(|| format!("seed: \"{seed}\" is not 1 to 16 hexadecimal digits"))?;
-    let sockets = sockets(&read.settings, &read.limits)?;
+    let sockets = socket_limits(&file.settings, &file.limits)?;
     Ok(Config {
-        name: given("name", read.name, "LB_NAME")?,
-        listen: address("listen", given("listen", read.listen, "LB_LISTEN")?)?,
-        discovery: read
+        name: required("name", file.name, "LB_NAME")?,
+        listen: address("listen", required("listen", file.listen, "LB_LISTEN")?)?,
+        discovery: file
             .discovery
-            .or_else(|| variable("LB_DISCOVERY"))
-            .map(|at| address("discovery", at))
+            .or_else(|| env_var("LB_DISCOVERY"))
+            .map(|address_text| address("discovery", address_text))
             .transpose()?,
         seed,
         sockets,
-        known: read.known,
-        settings: read.settings,
-        written: serde_json::from_str(text)?,
+        known: file.known,
+        settings: file.settings,
+        raw_values: serde_json::from_str(text)?,
     })
 }
 
-fn sockets(settings: &Settings, limits: &LimitsText) -> Result<Sockets> {
+fn socket_limits(settings: &Settings, limits: &LimitsSection) -> Result<SocketLimits> {
     let descriptors = limits.sockets.unwrap_or(1_024);
     ensure!(
-        descriptors >= LEAST_SOCKETS,
-        "limits.sockets: {descriptors} is less than {LEAST_SOCKETS}"
+        descriptors >= MIN_SOCKETS,
+        "limits.sockets: {descriptors} is less than {MIN_SOCKETS}"
     );
-    let memory = limits.memory_mb.unwrap_or(192);
+    let memory_mb = limits.memory_mb.unwrap_or(192);
     ensure!(
-        memory >= LEAST_MEMORY_MB,
-        "limits.memory_mb: {memory} is less than {LEAST_MEMORY_MB}"
+        memory_mb >= MIN_MEMORY_MB,
+        "limits.memory_mb: {memory_mb} is less than {MIN_MEMORY_MB}"
     );
     let (limits, extra) = (&settings.limits, &settings.extra);
     ensure!(
         settings.layout().cells > 0,
         "settings.extra.cells: must not be 0"
     );
-    let given = |key: &str, value: Option<u64>| match value {
+    let check = |key: &str, value: Option<u64>| match value {
         None => bail!("settings.{key}: missing"),
         Some(0) => bail!("settings.{key}: must not be 0"),
         Some(value) => Ok(value),
     };
-    let span = |key: &str, value: Option<u64>| given(key, value).map(Span::from_micros);
+    let span = |key: &str, value: Option<u64>| check(key, value).map(Span::from_micros);
     let count =
-        |key: &str, value: Option<usize>| anyhow::Ok(given(key, value.map(|v| v as u64))? as usize);
+        |key: &str, value: Option<usize>| anyhow::Ok(check(key, value.map(|v| v as u64))? as usize);
     let connect_timeout = span("limits.connect_timeout_us", limits.connect_timeout_us)?;
-    let idle = span("limits.conn_idle_us", limits.conn_idle_us)?;
+    let idle_timeout = span("limits.conn_idle_us", limits.conn_idle_us)?;
     // What is sent as a searcher closes is lost: no connection is used when that close may be under way.
-    let idle = idle.saturating_sub(connect_timeout).max(idle.times(0.5));
-    let most_searchers = descriptors / 4;
+    let idle_timeout = idle_timeout
+        .saturating_sub(connect_timeout)
+        .max(idle_timeout.times(0.5));
+    let max_searcher_connections = descriptors / 4;
     let op_types = settings
         .op_types()
-        .map_err(|e| anyhow::anyhow!("settings: {e}"))?;
-    let longest = op_types
+        .map_err(|error| anyhow::anyhow!("settings: {error}"))?;
+    let max_route_timeout = op_types
         .iter()
         .map(|op| op.route_timeout)
         .max()
         .unwrap_or(Span::ZERO);
-    Ok(Sockets {
-        most_clients: descriptors - OWN_DESCRIPTORS - most_searchers,
+    Ok(SocketLimits {
+        max_client_connections: descriptors - RESERVED_DESCRIPTORS - max_searcher_connections,
         // For requests, clients hold a third at most: some of these stay free for others.
-        most_kept: descriptors / 4,
-        most_searchers,
+        max_used_client_connections: descriptors / 4,
+        max_searcher_connections,
         connect_timeout,
-        idle,
-        most_calls: count("limits.max_streams", limits.max_streams)?,
-        most_parts: count("extra.bundle_max", extra.bundle_max)?,
-        most_open: count("limits.max_open", limits.max_open)?,
-        most_bytes: memory * 1024 * 1024 / 8,
-        shards: count("extra.slices", extra.slices)?,
-        may_withdraw: limits.may_cancel,
-        may_probe: limits.probes,
-        longest,
-        hold: settings.ask_every().unwrap_or(Span::MAX),
-        on_request: settings.membership_mode == Membership::OnRequest,
+        idle_timeout,
+        max_calls_per_connection: count("limits.max_streams", limits.max_streams)?,
+        max_parts_per_call: count("extra.bundle_max", extra.bundle_max)?,
+        max_in_flight: count("limits.max_open", limits.max_open)?,
+        max_buffered_bytes: memory_mb * 1024 * 1024 / 8,
+        shard_count: count("extra.slices", extra.slices)?,
+        cancellation_allowed: limits.may_cancel,
+        probing_allowed: limits.probes,
+        max_route_timeout,
+        max_watch_hold: settings.ask_every().unwrap_or(Span::MAX),
+        lists_on_request: settings.membership_mode == Membership::OnRequest,
     })
 }
--- a/crates/lockusher-aggregator/src/logging.rs
+++ b/crates/lockusher-aggregator/src/logging.rs
@@ -12,97 +12,101 @@
 use tracing_subscriber::layer::{Layer, SubscriberExt};
 use tracing_subscriber::registry::LookupSpan;
 
-use crate::operator::{Level, Operator};
+use crate::operator::{Level, OperatorSettings};
 
 /// Enough to tell a trouble by, few enough not to cost a core.
-const LINES: u32 = 20;
+const MAX_LINES: u32 = 20;
 const WINDOW: Duration = Duration::from_secs(1);
 
 struct Window {
-    since: Option<Instant>,
+    started: Option<Instant>,
     lines: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-static WINDOW_NOW: Mutex<Window> = Mutex::new(Window {
-    since: None,
+static CURRENT_WINDOW: Mutex<Window> = Mutex::new(Window {
+    started: None,
     lines: 0,
-    left_out: 0,
+    suppressed: 0,
 });
-static BROKEN: AtomicU64 = AtomicU64::new(0);
+static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
 /// Whether another line may be written.
 fn admit() -> bool {
-    let mut window = WINDOW_NOW
+    let mut window = CURRENT_WINDOW
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    if window.since.is_none_or(|since| since.elapsed() >= WINDOW) {
-        (window.since, window.lines) = (Some(Instant::now()), 0);
+    if window
+        .started
+        .is_none_or(|started| started.elapsed() >= WINDOW)
+    {
+        (window.started, window.lines) = (Some(Instant::now()), 0);
     }
-    let admitted = window.lines < LINES;
+    let admitted = window.lines < MAX_LINES;
     if admitted {
         window.lines += 1;
     } else {
-        window.left_out += 1;
+        window.suppressed += 1;
     }
     admitted
 }
 
 /// How many lines were left out before this one.
-fn left_out() -> u64 {
-    let mut window = WINDOW_NOW
+fn take_suppressed() -> u64 {
+    let mut window = CURRENT_WINDOW
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
-    std::mem::take(&mut window.left_out)
+    std::mem::take(&mut window.suppressed)
 }
 
 /// Counts a broken invariant; tells how many there were.
-pub fn broken() -> u64 {
-    BROKEN.fetch_add(1, Ordering::Relaxed) + 1
+pub fn count_violation() -> u64 {
+    VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1
 }
 
 /// Standard error; says first how many lines were left out.
-struct Out {
+struct LogWriter {
     json: bool,
 }
 
-impl<'a> MakeWriter<'a> for Out {
+impl<'a> MakeWriter<'a> for LogWriter {
     type Writer = Stderr;
 
     fn make_writer(&'a self) -> Stderr {
-        let mut out = std::io::stderr();
-        let count = left_out();
+        let mut stderr = std::io::stderr();
+        let count = take_suppressed();
         if count > 0 {
             // A log that can't be written is no reason to stop.
             let _ = match self.json {
                 true => writeln!(
-                    out,
+                    stderr,
                     "{{\"level\":\"WARN\",\"fields\":{{\"left_out\":{count}}}}}"
                 ),
-                false => writeln!(out, "lockusher: {count} lines left out"),
+                false => writeln!(stderr, "lockusher: {count} lines left out"),
             };
         }
-        out
+        stderr
     }
 }
 
 /// One filter for both forms: the level first, then the rate, so that what is too fine takes no line's place.
-fn limited<S: Subscriber + for<'a> LookupSpan<'a>>(
+fn filtered<S: Subscriber + for<'a> LookupSpan<'a>>(
     lines: impl Layer<S> + Send + Sync,
     level: LevelFilter,
 ) -> impl Layer<S> + Send + Sync {
-    let wanted = move |meta: &Metadata| {
-        let ours = meta.target().starts_with("lockusher") || meta.target() == "registry";
-        *meta.level() <= level && (ours || *meta.level() <= tracing::Level::WARN)
+    let enabled = move |metadata: &Metadata| {
+        let own_target =
+            metadata.target().starts_with("lockusher") || metadata.target() == "registry";
+        *metadata.level() <= level && (own_target || *metadata.level() <= tracing::Level::WARN)
     };
     lines.with_filter(
-        dynamic_filter_fn(move |meta, _| meta.is_event() && wanted(meta) && admit())
+        dynamic_filter_fn(move |metadata, _| metadata.is_event() && enabled(metadata) && admit())
             .with_max_level_hint(level),
     )
 }
 
 /// Logs as the operator set; the first call of a process counts.
-pub fn start(operator: &Operator) {
+pub fn init(operator: &OperatorSettings) {
     let level = match operator.level {
         Level::Debug => LevelFilter::DEBUG,
         Level::Info => LevelFilter::INFO,
@@ -110,29 +114,29 @@
         Level::Error => LevelFilter::ERROR,
     };
     let lines = tracing_subscriber::fmt::layer()
-        .with_writer(Out {
+        .with_writer(LogWriter {
             json: operator.json_logs,
         })
         .with_ansi(false);
     let registry = tracing_subscriber::registry();
     let _ = match operator.json_logs {
         true => {
-            tracing::subscriber::set_global_default(registry.with(limited(lines.json(), level)))
+            tracing::subscriber::set_global_default(registry.with(filtered(lines.json(), level)))
         }
         false => tracing::subscriber::set_global_default(
-            registry.with(limited(lines.with_target(false), level)),
+            registry.with(filtered(lines.with_target(false), level)),
         ),
     };
 }
 
 /// What must hold: asserted in debug builds, counted and told in release builds.
 #[macro_export]
-macro_rules! must_hold {
-    ($holds:expr, $what:literal) => {
-        if !$holds {
-            debug_assert!(false, $what);
-            let times = $crate::logging::broken();
-            tracing::error!(times, "does not hold: {}", $what);
+macro_rules! check_invariant {
+    ($condition:expr, $invariant:literal) => {
+        if !$condition {
+            debug_assert!(false, $invariant);
+            let times = $crate::logging::count_violation();
+            tracing::error!(times, "does not hold: {}", $invariant);
         }
     };
 }
--- a/crates/lockusher-aggregator/src/operator.rs
+++ b/crates/lockusher-aggregator/src/operator.rs
@@ -20,7 +20,7 @@
 
 /// What the operator set, checked; by default all is off.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// The registry that is followed instead of discovery.
     pub registry: Option<Plan>,
     /// Which hosts are spoken to by HTTP/2, and how.
@@ -36,14 +36,14 @@
 pub struct Http2 {
     pub zones: Vec<String>,
     /// Patterns of ids; a star stands for any letters.
-    pub names: Vec<String>,
-    pub entries: bool,
-    pub fall_back: bool,
-    pub most_connections: usize,
-    pub most_streams: usize,
-    pub age: Span,
+    pub id_patterns: Vec<String>,
+    pub select_by_registry_entry: bool,
+    pub fall_back_to_frames: bool,
+    pub max_connections: usize,
+    pub max_streams: usize,
+    pub max_connection_age: Span,
     pub silent_after: Span,
-    pub resets_per_s: f64,
+    pub max_resets_per_s: f64,
 }
 
 /// How this mixer keeps a view of its fleet with others.
@@ -54,9 +54,9 @@
     pub advertise: SocketAddrV4,
     pub seeds: Vec<SocketAddrV4>,
     pub zone: String,
-    pub probe_every: Span,
-    pub suspect_for: Span,
-    pub remember: Span,
+    pub probe_interval: Span,
+    pub suspicion_timeout: Span,
+    pub dead_member_retention: Span,
     /// What is shared beyond the view.
     pub shares: Option<Shares>,
 }
@@ -72,24 +72,24 @@
 
 /// What is wrong with a settings file, and where.
 #[derive(Debug, PartialEq)]
-pub struct Faulty {
+pub struct SettingsError {
     /// Counted from 1; 0 if it concerns the file as a whole.
     pub line: usize,
-    pub why: String,
+    pub message: String,
 }
 
-impl fmt::Display for Faulty {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.line {
-            0 => write!(f, "{}", self.why),
-            line => write!(f, "line {line}: {}", self.why),
+            0 => write!(f, "{}", self.message),
+            line => write!(f, "line {line}: {}", self.message),
         }
     }
 }
 
-impl std::error::Error for Faulty {}
+impl std::error::Error for SettingsError {}
 
-static SETTINGS: LazyLock<MessageDescriptor> = LazyLock::new(|| {
+static SETTINGS_DESCRIPTOR: LazyLock<MessageDescriptor> = LazyLock::new(|| {
     let pool = DescriptorPool::decode(
         include_bytes!(concat!(env!("OUT_DIR"), "/settings.bin")).as_slice(),
     );
@@ -100,36 +100,37 @@
 });
 
 /// Budgets and fleets beyond these are slips of the pen.
-const MOST_BUDGET: f64 = 1e6;
-const MOST_MIXERS: u32 = 10_000;
+const MAX_BUDGET_PER_S: f64 = 1e6;
+const MAX_MIXERS: u32 = 10_000;
 /// Shorter, and an endpoint under load would count as silent.
-const LEAST_SILENCE: u32 = 200;
+const MIN_SILENT_AFTER_MS: u32 = 200;
 /// Reads that may be held longer than this outlive what proxies allow; Consul's own limit.
-const LONGEST_WAIT: u32 = 600_000;
+const MAX_WAIT_MS: u32 = 600_000;
 
 /// Reads a settings file; `None` names none, and all is off.
-pub fn load(path: Option<&Path>) -> anyhow::Result<Operator> {
+pub fn load(path: Option<&Path>) -> anyhow::Result<OperatorSettings> {
     let Some(path) = path else {
-        return Ok(Operator::default());
+        return Ok(OperatorSettings::default());
     };
     let text = std::fs::read_to_string(path)
         .map_err(|e| anyhow::anyhow!("{}: cannot be read: {e}", path.display()))?;
-    parse(&text).map_err(|faulty| anyhow::anyhow!("{}: {faulty}", path.display()))
+    parse(&text).map_err(|error| anyhow::anyhow!("{}: {error}", path.display()))
 }
 
-pub fn parse(text: &str) -> Result<Operator, Faulty> {
-    let message = DynamicMessage::parse_text_format(SETTINGS.clone(), text).map_err(|error| {
-        let label = error.labels().and_then(|mut labels| labels.next());
-        // An end that comes too soon has no place of its own: it is the last line.
-        let offset = label.map_or(text.len(), |label| label.offset());
-        Faulty {
-            line: line_at(text, offset),
-            why: error.to_string(),
-        }
-    })?;
-    let settings: text::Settings = message.transcode_to().map_err(|error| Faulty {
+pub fn parse(text: &str) -> Result<OperatorSettings, SettingsError> {
+    let message =
+        DynamicMessage::parse_text_format(SETTINGS_DESCRIPTOR.clone(), text).map_err(|error| {
+            let label = error.labels().and_then(|mut labels| labels.next());
+            // An end that comes too soon has no place of its own: it is the last line.
+            let offset = label.map_or(text.len(), |label| label.offset());
+            SettingsError {
+                line: line_of_offset(text, offset),
+                message: error.to_string(),
+            }
+        })?;
+    let settings: text::Settings = message.transcode_to().map_err(|error| SettingsError {
         line: 0,
-        why: error.to_string(),
+        message: error.to_string(),
     })?;
     let log = settings.log.unwrap_or_default();
     let level = match log.level() {
@@ -140,11 +141,17 @@
     };
     let registry = settings
         .registry
-        .map(|registry| plan(text, registry))
+        .map(|registry| registry_plan(text, registry))
+        .transpose()?;
+    let http2 = settings
+        .http2
+        .map(|read| http2_settings(text, read))
+        .transpose()?;
+    let fleet = settings
+        .fleet
+        .map(|read| fleet_settings(text, read))
         .transpose()?;
-    let http2 = settings.http2.map(|read| http2(text, read)).transpose()?;
-    let fleet = settings.fleet.map(|read| fleet(text, read)).transpose()?;
-    Ok(Operator {
+    Ok(OperatorSettings {
         registry,
         http2,
         fleet,
@@ -153,23 +160,28 @@
     })
 }
 
-fn plan(text: &str, registry: text::Registry) -> Result<Plan, Faulty> {
-    let faulty = |key: &str, nth: usize, why: String| {
-        let line = place(text, &["registry", key], nth).or_else(|| place(text, &["registry"], 0));
-        Faulty {
+fn registry_plan(text: &str, registry: text::Registry) -> Result<Plan, SettingsError> {
+    let key_error = |key: &str, nth: usize, message: String| {
+        let line = line_of_key(text, &["registry", key], nth)
+            .or_else(|| line_of_key(text, &["registry"], 0));
+        SettingsError {
             line: line.unwrap_or(0),
-            why: format!("registry.{key}: {why}"),
+            message: format!("registry.{key}: {message}"),
         }
     };
     let protocol = match registry.protocol() {
         text::registry::Protocol::Unset => {
-            return Err(faulty("protocol", 0, "missing: ETCD or CONSUL".to_owned()));
+            return Err(key_error(
+                "protocol",
+                0,
+                "missing: ETCD or CONSUL".to_owned(),
+            ));
         }
         text::registry::Protocol::Etcd => Protocol::Etcd,
         text::registry::Protocol::Consul => Protocol::Consul,
     };
     if registry.endpoints.is_empty() {
-        return Err(faulty(
+        return Err(key_error(
             "endpoints",
             0,
             "missing: HOST:PORT of one member at least".to_owned(),
@@ -183,14 +195,14 @@
             .and_then(|(_, port)| port.parse::<u16>().ok())
             .is_none_or(|port| port == 0)
         {
-            return Err(faulty(
+            return Err(key_error(
                 "endpoints",
                 nth,
                 format!("\"{endpoint}\" is not HOST:PORT"),
             ));
         }
         if registry.endpoints[..nth].contains(endpoint) {
-            return Err(faulty(
+            return Err(key_error(
                 "endpoints",
                 nth,
                 format!("\"{endpoint}\" is named twice"),
@@ -198,43 +210,50 @@
         }
     }
     if registry.prefix.is_empty() {
-        return Err(faulty(
+        return Err(key_error(
             "prefix",
             0,
             "missing: all keys of the registry would be hosts".to_owned(),
         ));
     }
-    let millis = |key: &str, value: Option<u32>, default: u32, least: u32, most: u32| match value {
-        Some(value) if value < least || value > most => Err(faulty(
-            key,
-            0,
-            format!("{value} is not between {least} and {most}"),
-        )),
-        value => Ok(Span::from_millis(value.unwrap_or(default).into())),
-    };
-    let silent_after = millis(
+    let millis_in_range =
+        |key: &str, value: Option<u32>, default: u32, min: u32, max: u32| match value {
+            Some(value) if value < min || value > max => Err(key_error(
+                key,
+                0,
+                format!("{value} is not between {min} and {max}"),
+            )),
+            value => Ok(Span::from_millis(value.unwrap_or(default).into())),
+        };
+    let silent_after = millis_in_range(
         "silent_after_ms",
         registry.silent_after_ms,
         3_000,
-        LEAST_SILENCE,
+        MIN_SILENT_AFTER_MS,
         60_000,
     )?;
-    let settle = millis("settle_ms", registry.settle_ms, 10_000, 0, 3_600_000)?;
-    let wait = millis("wait_ms", registry.wait_ms, 10_000, 100, LONGEST_WAIT)?;
+    let settle = millis_in_range("settle_ms", registry.settle_ms, 10_000, 0, 3_600_000)?;
+    let wait = millis_in_range("wait_ms", registry.wait_ms, 10_000, 100, MAX_WAIT_MS)?;
     let stale = match registry.stale_ms {
         Some(_) if protocol == Protocol::Etcd => {
-            return Err(faulty(
+            return Err(key_error(
                 "stale_ms",
                 0,
                 "only Consul has stale reads".to_owned(),
             ));
         }
-        Some(_) => Some(millis("stale_ms", registry.stale_ms, 0, 1, 3_600_000)?),
+        Some(_) => Some(millis_in_range(
+            "stale_ms",
+            registry.stale_ms,
+            0,
+            1,
+            3_600_000,
+        )?),
         None => None,
     };
     let page = registry.page.unwrap_or(1_000);
     if page == 0 {
-        return Err(faulty("page", 0, "must not be 0".to_owned()));
+        return Err(key_error("page", 0, "must not be 0".to_owned()));
     }
     let (endpoints, prefix) = (registry.endpoints, registry.prefix);
     Ok(Plan {
@@ -249,52 +268,55 @@
     })
 }
 
-fn http2(text: &str, read: text::Http2) -> Result<Http2, Faulty> {
-    let within = |key: &str, value: Option<u32>, default: u32, least: u32, most: u32| match value {
-        Some(value) if value < least || value > most => {
-            let line = place(text, &["http2", key], 0).unwrap_or(0);
-            Err(Faulty {
+fn http2_settings(text: &str, read: text::Http2) -> Result<Http2, SettingsError> {
+    let in_range = |key: &str, value: Option<u32>, default: u32, min: u32, max: u32| match value {
+        Some(value) if value < min || value > max => {
+            let line = line_of_key(text, &["http2", key], 0).unwrap_or(0);
+            Err(SettingsError {
                 line,
-                why: format!("http2.{key}: {value} is not between {least} and {most}"),
+                message: format!("http2.{key}: {value} is not between {min} and {max}"),
             })
         }
         value => Ok(value.unwrap_or(default)),
     };
     if read.zones.is_empty() && read.names.is_empty() && !read.entries {
-        let line = place(text, &["http2"], 0).unwrap_or(0);
-        return Err(Faulty {
+        let line = line_of_key(text, &["http2"], 0).unwrap_or(0);
+        return Err(SettingsError {
             line,
-            why: "http2: names no host: zones, names or entries is missing".to_owned(),
+            message: "http2: names no host: zones, names or entries is missing".to_owned(),
         });
     }
     Ok(Http2 {
-        most_connections: within("most_connections", read.most_connections, 2, 1, 16)? as usize,
-        most_streams: within("most_streams", read.most_streams, 128, 1, 10_000)? as usize,
-        age: Span::from_millis(u64::from(within("age_s", read.age_s, 3_600, 1, 864_000)?) * 1_000),
+        max_connections: in_range("most_connections", read.most_connections, 2, 1, 16)? as usize,
+        max_streams: in_range("most_streams", read.most_streams, 128, 1, 10_000)? as usize,
+        max_connection_age: Span::from_millis(
+            u64::from(in_range("age_s", read.age_s, 3_600, 1, 864_000)?) * 1_000,
+        ),
         silent_after: Span::from_millis(
-            within("silent_after_ms", read.silent_after_ms, 1_000, 50, 60_000)?.into(),
+            in_range("silent_after_ms", read.silent_after_ms, 1_000, 50, 60_000)?.into(),
         ),
-        resets_per_s: within("resets_per_s", read.resets_per_s, 10, 1, 10_000)?.into(),
+        max_resets_per_s: in_range("resets_per_s", read.resets_per_s, 10, 1, 10_000)?.into(),
         zones: read.zones,
-        names: read.names,
-        entries: read.entries,
-        fall_back: read.fall_back,
+        id_patterns: read.names,
+        select_by_registry_entry: read.entries,
+        fall_back_to_frames: read.fall_back,
     })
 }
 
-fn fleet(text: &str, read: text::Fleet) -> Result<Fleet, Faulty> {
-    let faulty = |key: &str, nth: usize, why: String| {
-        let line = place(text, &["fleet", key], nth).or_else(|| place(text, &["fleet"], 0));
-        Faulty {
+fn fleet_settings(text: &str, read: text::Fleet) -> Result<Fleet, SettingsError> {
+    let key_error = |key: &str, nth: usize, message: String| {
+        let line =
+            line_of_key(text, &["fleet", key], nth).or_else(|| line_of_key(text, &["fleet"], 0));
+        SettingsError {
             line: line.unwrap_or(0),
-            why: format!("fleet.{key}: {why}"),
+            message: format!("fleet.{key}: {message}"),
         }
     };
-    let within = |key: &str, value: Option<u32>, default: u32, least: u32, most: u32| match value {
-        Some(value) if value < least || value > most => Err(faulty(
+    let in_range = |key: &str, value: Option<u32>, default: u32, min: u32, max: u32| match value {
+        Some(value) if value < min || value > max => Err(key_error(
             key,
             0,
-            format!("{value} is not between {least} and {most}"),
+            format!("{value} is not between {min} and {max}"),
         )),
         value => Ok(u64::from(value.unwrap_or(default))),
     };
@@ -302,7 +324,7 @@
         let address = value.parse().ok().filter(|at: &SocketAddrV4| at.port() > 0);
         let address = address.filter(|at| !at.ip().is_unspecified() && !at.ip().is_multicast());
         address.ok_or_else(|| {
-            faulty(
+            key_error(
                 key,
                 nth,
                 format!("\"{value}\" is not an IPv4 ADDRESS:PORT that can be reached"),
@@ -311,68 +333,77 @@
     };
     for (key, word) in [("id", &read.id), ("zone", &read.zone)] {
         if word.len() > MOST_NAME {
-            return Err(faulty(key, 0, format!("longer than {MOST_NAME} bytes")));
+            return Err(key_error(key, 0, format!("longer than {MOST_NAME} bytes")));
         }
     }
     if read.id.is_empty() {
-        return Err(faulty(
+        return Err(key_error(
             "id",
             0,
             "missing: two fleets would merge".to_owned(),
         ));
     }
     if read.address.is_empty() {
-        return Err(faulty(
+        return Err(key_error(
             "address",
             0,
             "missing: ADDRESS:PORT to listen at".to_owned(),
         ));
     }
-    let own = address("address", 0, &read.address)?;
+    let own_address = address("address", 0, &read.address)?;
     let advertise = match read.advertise.as_str() {
-        "" => own,
+        "" => own_address,
         other => address("advertise", 0, other)?,
     };
     let mut seeds = Vec::new();
     for (nth, seed) in read.seeds.iter().enumerate() {
         let at = address("seeds", nth, seed)?;
         if seeds.contains(&at) {
-            return Err(faulty("seeds", nth, format!("\"{seed}\" is named twice")));
+            return Err(key_error(
+                "seeds",
+                nth,
+                format!("\"{seed}\" is named twice"),
+            ));
         }
         seeds.push(at);
     }
-    let probe_every = within("probe_every_ms", read.probe_every_ms, 200, 50, 10_000)?;
-    let suspect_for = within("suspect_for_ms", read.suspect_for_ms, 800, 100, 60_000)?;
-    if suspect_for < 2 * probe_every {
-        let why = format!(
-            "{suspect_for} leaves no time to refute: at least twice probe_every_ms ({probe_every})"
+    let probe_interval = in_range("probe_every_ms", read.probe_every_ms, 200, 50, 10_000)?;
+    let suspicion_timeout = in_range("suspect_for_ms", read.suspect_for_ms, 800, 100, 60_000)?;
+    if suspicion_timeout < 2 * probe_interval {
+        let message = format!(
+            "{suspicion_timeout} leaves no time to refute: at least twice probe_every_ms ({probe_interval})"
         );
-        return Err(faulty("suspect_for_ms", 0, why));
+        return Err(key_error("suspect_for_ms", 0, message));
     }
-    let shares = read.shared.map(|shared| shares(text, shared)).transpose()?;
+    let shares = read
+        .shared
+        .map(|shared| shared_state(text, shared))
+        .transpose()?;
     Ok(Fleet {
         shares,
-        address: own,
+        address: own_address,
         advertise,
         seeds,
-        probe_every: Span::from_millis(probe_every),
-        suspect_for: Span::from_millis(suspect_for),
-        remember: Span::from_millis(within("remember_s", read.remember_s, 600, 5, 86_400)? * 1_000),
+        probe_interval: Span::from_millis(probe_interval),
+        suspicion_timeout: Span::from_millis(suspicion_timeout),
+        dead_member_retention: Span::from_millis(
+            in_range("remember_s", read.remember_s, 600, 5, 86_400)? * 1_000,
+        ),
         id: read.id,
         zone: read.zone,
     })
 }
 
-fn shares(text: &str, read: text::Shared) -> Result<Shares, Faulty> {
+fn shared_state(text: &str, read: text::Shared) -> Result<Shares, SettingsError> {
     let budgets = read.budgets.unwrap_or_default();
-    let faulty = |key: &str, why: String| {
-        let line = place(text, &["fleet", "shared", "budgets", key], 0);
-        Faulty {
+    let key_error = |key: &str, message: String| {
+        let line = line_of_key(text, &["fleet", "shared", "budgets", key], 0);
+        SettingsError {
             line: line.unwrap_or(0),
-            why: format!("fleet.shared.budgets.{key}: {why}"),
+            message: format!("fleet.shared.budgets.{key}: {message}"),
         }
     };
-    let rates = [
+    let budget_keys = [
         ("further_per_s", Budget::Further, budgets.further_per_s),
         ("cold_per_s", Budget::Cold, budgets.cold_per_s),
         (
@@ -382,52 +413,52 @@
         ),
         ("probes_per_s", Budget::Probes, budgets.probes_per_s),
     ];
-    let mut given = Vec::new();
-    for (key, budget, rate) in rates {
+    let mut rates_set = Vec::new();
+    for (key, budget, rate) in budget_keys {
         match rate {
-            Some(rate) if !(rate > 0.0 && rate <= MOST_BUDGET) => {
-                return Err(faulty(
+            Some(rate) if !(rate > 0.0 && rate <= MAX_BUDGET_PER_S) => {
+                return Err(key_error(
                     key,
-                    format!("{rate} is not above 0 and up to {MOST_BUDGET}"),
+                    format!("{rate} is not above 0 and up to {MAX_BUDGET_PER_S}"),
                 ));
             }
-            rate => given.extend(rate.map(|rate| (budget, rate))),
+            rate => rates_set.extend(rate.map(|rate| (budget, rate))),
         }
     }
     let mixers = match budgets.mixers {
-        Some(mixers) if !(1..=MOST_MIXERS).contains(&mixers) => {
-            return Err(faulty(
+        Some(mixers) if !(1..=MAX_MIXERS).contains(&mixers) => {
+            return Err(key_error(
                 "mixers",
-                format!("{mixers} is not between 1 and {MOST_MIXERS}"),
+                format!("{mixers} is not between 1 and {MAX_MIXERS}"),
             ));
         }
         mixers => mixers.unwrap_or(0) as usize,
     };
     let (judgements, warm_starts, tenants) = (read.judgements, read.warm_starts, budgets.tenants);
-    if !judgements && !warm_starts && !tenants && given.is_empty() {
-        let line = place(text, &["fleet", "shared"], 0).unwrap_or(0);
-        return Err(Faulty {
+    if !judgements && !warm_starts && !tenants && rates_set.is_empty() {
+        let line = line_of_key(text, &["fleet", "shared"], 0).unwrap_or(0);
+        return Err(SettingsError {
             line,
-            why: "fleet.shared: names nothing that is to be shared".to_owned(),
+            message: "fleet.shared: names nothing that is to be shared".to_owned(),
         });
     }
     Ok(Shares {
         judgements,
         warm_starts,
-        budgets: given,
+        budgets: rates_set,
         mixers,
         tenants,
     })
 }
 
-fn line_at(text: &str, offset: usize) -> usize {
-    let before = &text.as_bytes()[..offset.min(text.len())];
-    before.iter().filter(|byte| **byte == b'\n').count() + 1
+fn line_of_offset(text: &str, offset: usize) -> usize {
+    let preceding = &text.as_bytes()[..offset.min(text.len())];
+    preceding.iter().filter(|byte| **byte == b'\n').count() + 1
 }
 
 /// The line of the `nth` key at a path of a text that has been read without a fault.
-fn place(text: &str, path: &[&str], mut nth: usize) -> Option<usize> {
-    let (mut open, mut key, mut rest) = (Vec::new(), "", text);
+fn line_of_key(text: &str, path: &[&str], mut nth: usize) -> Option<usize> {
+    let (mut open_blocks, mut key, mut rest) = (Vec::new(), "", text);
     loop {
         let at = rest.find(|c: char| !c.is_whitespace())?;
         rest = &rest[at..];
@@ -443,23 +474,23 @@
                 end.map_or(rest.len(), |end| end + 2)
             }
             b'{' | b'<' => {
-                open.push(key);
+                open_blocks.push(key);
                 1
             }
             b'}' | b'>' => {
-                open.pop();
+                open_blocks.pop();
                 1
             }
             byte if byte.is_ascii_alphanumeric() || byte == b'_' => {
                 let word = |c: char| !(c.is_ascii_alphanumeric() || c == '_');
                 let end = rest.find(word).unwrap_or(rest.len());
                 key = &rest[..end];
-                let behind = rest[end..].trim_start();
-                let is_key = behind.starts_with([':', '{', '<']);
-                let (last, above) = path.split_last()?;
-                if is_key && key == *last && open == above {
+                let following = rest[end..].trim_start();
+                let is_key = following.starts_with([':', '{', '<']);
+                let (last, parents) = path.split_last()?;
+                if is_key && key == *last && open_blocks == parents {
                     if nth == 0 {
-                        return Some(line_at(text, text.len() - rest.len()));
+                        return Some(line_of_offset(text, text.len() - rest.len()));
                     }
                     nth -= 1;
                 }
--- a/crates/lockusher-aggregator/src/program/check.rs
+++ b/crates/lockusher-aggregator/src/program/check.rs
@@ -5,12 +5,15 @@
 
 use crate::{config, operator};
 
-fn read(file: &Path) -> anyhow::Result<()> {
-    if file.extension().is_some_and(|ending| ending == "json") {
+fn check_file(file: &Path) -> anyhow::Result<()> {
+    if file
+        .extension()
+        .is_some_and(|extension| extension == "json")
+    {
         let text = std::fs::read_to_string(file)
             .map_err(|e| anyhow::anyhow!("{}: cannot be read: {e}", file.display()))?;
-        let read = config::parse(&text, |name| std::env::var(name).ok());
-        return read
+        let config = config::parse(&text, |variable| std::env::var(variable).ok());
+        return config
             .map(drop)
             .map_err(|e| anyhow::anyhow!("{}: {e:#}", file.display()));
     }
@@ -18,17 +21,17 @@
 }
 
 pub fn check(files: &[PathBuf]) -> ExitCode {
-    let mut faulty = false;
+    let mut any_invalid = false;
     for file in files {
-        match read(file) {
+        match check_file(file) {
             Ok(()) => println!("{}: good", file.display()),
             Err(error) => {
-                faulty = true;
+                any_invalid = true;
                 eprintln!("{error:#}");
             }
         }
     }
-    if faulty {
+    if any_invalid {
         ExitCode::from(2)
     } else {
         ExitCode::SUCCESS
--- a/crates/lockusher-aggregator/src/program/dump.rs
+++ b/crates/lockusher-aggregator/src/program/dump.rs
@@ -10,10 +10,10 @@
 
 use super::configuration;
 use crate::clock::Clock;
-use crate::operator::Operator;
+use crate::operator::OperatorSettings;
 
 /// Prints the first whole view. Zones are named as `LB_CONFIG` does, if it is set.
-pub async fn dump(operator: Operator, within: Duration) -> Result<()> {
+pub async fn dump(operator: OperatorSettings, timeout: Duration) -> Result<()> {
     let plan = operator
         .registry
         .context("registry: not set; --settings names the file that sets it")?;
@@ -21,26 +21,26 @@
         Some(_) => configuration()?.settings.names(),
         None => Names::default(),
     };
-    let (_plans, plans) = watch::channel(plan);
+    let (_plan_sender, plan_receiver) = watch::channel(plan);
     let (queue, mut lists) = mpsc::channel::<List>(1);
-    let (_asks, asked) = mpsc::channel(1);
+    let (_ask_sender, ask_receiver) = mpsc::channel(1);
     let clock = Clock::start();
     let following = follow(
-        plans,
+        plan_receiver,
         names.clone(),
         0,
         move || clock.now(),
         queue,
         |list| list,
-        asked,
+        ask_receiver,
     );
     tokio::select! {
-        () = following => bail!("registry: no longer followed"),
+        () = following => bail!("registry: the follower ended"),
         list = lists.recv() => {
-            let list = list.context("registry: nothing was told")?;
+            let list = list.context("registry: the follower ended without a list")?;
             println!("{}", serde_json::to_string_pretty(&ListOut::new(list.index, &list.lines, &names))?);
             Ok(())
         }
-        () = tokio::time::sleep(within) => bail!("registry: no whole view within {} ms", within.as_millis()),
+        () = tokio::time::sleep(timeout) => bail!("registry: no complete view within {} ms", timeout.as_millis()),
     }
 }
--- a/crates/lockusher-aggregator/src/program/mod.rs
+++ b/crates/lockusher-aggregator/src/program/mod.rs
@@ -18,7 +18,7 @@
 /// Serves multigets from the searchers that hold their shards. `LB_CONFIG` names the platform's configuration.
 #[derive(Parser)]
 #[command(name = "lockusher", version, about)]
-struct Line {
+struct CommandLine {
     /// The operator's own settings file, protobuf text format.
     #[arg(long, global = true, value_name = "FILE")]
     settings: Option<PathBuf>,
@@ -58,8 +58,8 @@
 
 /// Runs the program with these arguments, the first of which is its own name.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let Line { settings, command } = match Line::try_parse_from(args) {
-        Ok(line) => line,
+    let CommandLine { settings, command } = match CommandLine::try_parse_from(args) {
+        Ok(command_line) => command_line,
         Err(error) => {
             // Help and version are no faults.
             let _ = error.print();
@@ -72,20 +72,20 @@
     let operator = match operator::load(settings.as_deref()) {
         Ok(operator) => operator,
         Err(error) => {
-            logging::start(&operator::Operator::default());
+            logging::init(&operator::OperatorSettings::default());
             tracing::error!("{error:#}");
             return ExitCode::FAILURE;
         }
     };
-    logging::start(&operator);
+    logging::init(&operator);
     let system = actix_rt::System::new();
-    let done = match command {
+    let result = match command {
         Some(Command::Registry {
             what: Registry::Dump { within_ms },
         }) => system.block_on(dump::dump(operator, Duration::from_millis(within_ms))),
         _ => system.block_on(serve::serve(settings, operator)),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!("{error:#}");
--- a/crates/lockusher-aggregator/src/program/serve.rs
+++ b/crates/lockusher-aggregator/src/program/serve.rs
@@ -6,16 +6,16 @@
 use std::time::Duration;
 
 use super::configuration;
-use super::signals::{Signals, Told};
+use super::signals::{Signal, Signals};
 use crate::clock::{Clock, duration};
 use crate::config::Config;
-use crate::operator::{self, Fleet, Operator};
-use crate::routing::searcher_transport::Carrier;
-use crate::routing::{Arrival, Inlets, Router};
-use crate::transport::clients::{self, Desk, Stopping};
+use crate::operator::{self, Fleet, OperatorSettings};
+use crate::routing::searcher_transport::SearcherTransport;
+use crate::routing::{Router, RouterEvent, RouterInputs};
+use crate::transport::clients::{self, ServerState, ShutdownPhase};
 use crate::transport::discovery;
-use crate::transport::frame_transport::Searchers;
-use crate::transport::protocol_selection::Carriers;
+use crate::transport::frame_transport::FrameTransport;
+use crate::transport::protocol_selection::ProtocolSelector;
 use anyhow::{Context, Result};
 use lockusher_membership::core::share::Shares;
 use lockusher_membership::core::table::MixerName;
@@ -30,29 +30,31 @@
 /// A process told to stop is killed no sooner than this after the longest route timeout, of which no more than
 /// `LONGEST_COUNTED` counts. Until shortly before it serves those that have a connection to it: others may be
 /// down at the same time.
-const KILLED_AFTER: Duration = Duration::from_millis(700);
-const LONGEST_COUNTED: Duration = Duration::from_millis(3_000);
+const KILL_AFTER_TIMEOUT: Duration = Duration::from_millis(700);
+const MAX_COUNTED_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// So long before that it closes what is unused and each connection with its answer, and gives up what is still in
 /// hand; less of both where route timeouts are short, so that it serves on while new connections may still come.
-const CLOSE: Duration = Duration::from_millis(1_200);
-const GIVE_UP: Duration = Duration::from_millis(400);
+const CLOSE_BEFORE_KILL: Duration = Duration::from_millis(1_200);
+const GIVE_UP_BEFORE_KILL: Duration = Duration::from_millis(400);
 /// New connections come for up to 0.4 s after it was told; those that came with the last of them are read by then.
-const STILL_COMING: Duration = Duration::from_millis(500);
+const NEW_CONNECTION_PERIOD: Duration = Duration::from_millis(500);
 
 /// When a process that was told to stop closes what is unused, and when it gives up what is in hand; then how long the
 /// last answers may take, which ends before it is killed.
-fn stops(longest: Duration) -> [Duration; 3] {
-    let killed = longest.min(LONGEST_COUNTED) + KILLED_AFTER;
-    let close = killed.saturating_sub(CLOSE).max(STILL_COMING);
-    let give_up = GIVE_UP.min((killed - close) / 2);
-    [close, killed - give_up - close, give_up * 3 / 4]
+fn shutdown_delays(max_route_timeout: Duration) -> [Duration; 3] {
+    let kill = max_route_timeout.min(MAX_COUNTED_TIMEOUT) + KILL_AFTER_TIMEOUT;
+    let close_delay = kill
+        .saturating_sub(CLOSE_BEFORE_KILL)
+        .max(NEW_CONNECTION_PERIOD);
+    let give_up = GIVE_UP_BEFORE_KILL.min((kill - close_delay) / 2);
+    [close_delay, kill - give_up - close_delay, give_up * 3 / 4]
 }
 
 /// Between two reports of what this mixer saw: a few fit into a second, each costs a look at all searchers.
-const REPORT_EVERY: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What the platform's settings say of what is shared: how many mixers there are, and tenants' shares.
-fn with_platform(mut shares: Shares, settings: &Settings) -> Shares {
+fn add_platform_settings(mut shares: Shares, settings: &Settings) -> Shares {
     shares.mixers = if shares.mixers > 0 {
         shares.mixers
     } else {
@@ -70,11 +72,11 @@
 }
 
 /// Keeps a view of the fleet from here on; what it counts, and what is shared on it, goes to the router.
-async fn fleet(
+async fn start_fleet(
     set: &Fleet,
     config: &Config,
     clock: Clock,
-    queue: mpsc::Sender<Arrival>,
+    queue: mpsc::Sender<RouterEvent>,
 ) -> Result<Asks> {
     anyhow::ensure!(
         config.name.len() <= MOST_NAME,
@@ -89,13 +91,13 @@
         address: set.advertise,
         zone: set.zone.as_str().into(),
         seeds: set.seeds.clone(),
-        probe_every: set.probe_every,
-        suspect_for: set.suspect_for,
-        remember: set.remember,
+        probe_every: set.probe_interval,
+        suspect_for: set.suspicion_timeout,
+        remember: set.dead_member_retention,
         shares: set
             .shares
             .clone()
-            .map(|shares| with_platform(shares, &config.settings)),
+            .map(|shares| add_platform_settings(shares, &config.settings)),
     };
     let (now, mixers) = (clock.now(), config.settings.balancers);
     let core = Core::new(
@@ -106,18 +108,24 @@
         config.seed,
     );
     // Few ask, and each is answered at once.
-    let (ask, asked) = mpsc::channel(4);
-    let told = queue.clone();
-    let tell = move |news| told.try_send(Arrival::Fleet(news)).is_ok();
-    actix_rt::spawn(io::keep(socket, core, move || clock.now(), tell, asked));
+    let (ask, ask_receiver) = mpsc::channel(4);
+    let router_queue = queue.clone();
+    let forward_news = move |news| router_queue.try_send(RouterEvent::Fleet(news)).is_ok();
+    actix_rt::spawn(io::keep(
+        socket,
+        core,
+        move || clock.now(),
+        forward_news,
+        ask_receiver,
+    ));
     if set.shares.is_some() {
         let ask = ask.clone();
         actix_rt::spawn(async move {
             loop {
-                tokio::time::sleep(REPORT_EVERY).await;
+                tokio::time::sleep(REPORT_INTERVAL).await;
                 let (reply, report) = oneshot::channel();
-                let asked = queue.send(Arrival::Report(reply)).await;
-                let (Ok(()), Ok(own)) = (asked, report.await) else {
+                let sent = queue.send(RouterEvent::Report(reply)).await;
+                let (Ok(()), Ok(own)) = (sent, report.await) else {
                     return;
                 };
                 if ask.send(Ask::Tell(own)).await.is_err() {
@@ -129,24 +137,24 @@
     Ok(ask)
 }
 
-pub async fn serve(settings: Option<PathBuf>, operator: Operator) -> Result<()> {
+pub async fn serve(settings: Option<PathBuf>, operator: OperatorSettings) -> Result<()> {
     let mut config = configuration()?;
-    let held = operator.clone();
+    let initial = operator.clone();
     let clock = Clock::start();
-    let mut signals = Signals::heed().context("signals")?;
+    let mut signals = Signals::install().context("signals")?;
     let sockets = config.sockets;
-    let (queue, arrivals) = mpsc::channel(sockets.most_open);
-    let (left, left_inlet) = mpsc::unbounded_channel();
-    let (stop, stopping) = watch::channel(Stopping::No);
-    let (can_serve, open, asked) = (
+    let (queue, events) = mpsc::channel(sockets.max_in_flight);
+    let (disconnected, disconnected_receiver) = mpsc::unbounded_channel();
+    let (stop, shutdown) = watch::channel(ShutdownPhase::Running);
+    let (ready, open_multigets, list_requested) = (
         Rc::new(Cell::new(false)),
         Rc::new(Cell::new(0)),
         Rc::new(Notify::new()),
     );
     let open_sockets = Rc::default();
-    let frames = Searchers::new(sockets, queue.clone(), Rc::clone(&open_sockets));
-    let searchers: Box<dyn Carrier> = match operator.http2.clone() {
-        Some(http2) => Box::new(Carriers::new(
+    let frames = FrameTransport::new(sockets, queue.clone(), Rc::clone(&open_sockets));
+    let transport: Box<dyn SearcherTransport> = match operator.http2.clone() {
+        Some(http2) => Box::new(ProtocolSelector::new(
             frames,
             http2,
             sockets,
@@ -156,18 +164,18 @@
         )),
         None => Box::new(frames),
     };
-    let inlets = Inlets {
-        arrivals,
-        left: left_inlet,
+    let inputs = RouterInputs {
+        events,
+        disconnected: disconnected_receiver,
     };
     let mut router = Router::start(
         clock,
         &config,
-        searchers,
-        asked.clone(),
-        inlets,
-        can_serve.clone(),
-        open.clone(),
+        transport,
+        list_requested.clone(),
+        inputs,
+        ready.clone(),
+        open_multigets.clone(),
     )
     .context("settings")?;
     let known = config
@@ -176,103 +184,103 @@
         .map(|known| known.read(&config.settings.names()));
     let from = known.as_ref().map(|known| known.index);
     if let Some(known) = known {
-        router.remember(known);
+        router.restore_list(known);
     }
     let listener = clients::listen(config.listen)
         .await
         .with_context(|| format!("listen: {}", config.listen))?;
-    let at = listener.local_addr().context("listen")?;
+    let address = listener.local_addr().context("listen")?;
     let names = config.settings.names();
     // One of the two lists the searchers, for as long as the process runs.
-    let (mut registry, mut moves, mut asks) = (None, None, None);
+    let (mut registry_sender, mut discovery_sender, mut registry_asks) = (None, None, None);
     match operator.registry.clone() {
         Some(plan) => {
-            let (plans, planned) = watch::channel(plan);
+            let (plan_sender, plan_receiver) = watch::channel(plan);
             // Few ask, and each is answered at once.
-            let (ask, asked) = mpsc::channel(4);
-            (registry, asks) = (Some(plans), Some(ask));
+            let (ask, ask_receiver) = mpsc::channel(4);
+            (registry_sender, registry_asks) = (Some(plan_sender), Some(ask));
             let (now, names) = (move || clock.now(), config.settings.names());
-            let told = |list| Arrival::Told(Some(list));
+            let to_event = |list| RouterEvent::SearcherList(Some(list));
             actix_rt::spawn(follow(
-                planned,
+                plan_receiver,
                 names,
                 config.seed,
                 now,
                 queue.clone(),
-                told,
-                asked,
+                to_event,
+                ask_receiver,
             ));
         }
         None => {
-            let (to, moved) = watch::channel(config.needs_discovery()?);
-            moves = Some(to);
+            let (address_sender, address_receiver) = watch::channel(config.require_discovery()?);
+            discovery_sender = Some(address_sender);
             let watching = discovery::watch(
-                moved,
+                address_receiver,
                 sockets,
                 config.settings.names(),
                 from,
-                asked,
+                list_requested,
                 queue.clone(),
             );
             actix_rt::spawn(watching);
         }
     }
     let fleet = match &operator.fleet {
-        Some(set) => Some(fleet(set, &config, clock, queue.clone()).await?),
+        Some(set) => Some(start_fleet(set, &config, clock, queue.clone()).await?),
         None => None,
     };
     let mut routing = actix_rt::spawn(router.run());
-    let desk = Rc::new(Desk {
+    let server = Rc::new(ServerState {
         names,
         sockets,
         queue: queue.clone(),
-        left,
-        can_serve,
-        stopping,
-        bodies: Cell::new(0),
-        registry: asks,
+        disconnected,
+        ready,
+        shutdown,
+        body_bytes: Cell::new(0),
+        registry: registry_asks,
         fleet: fleet.clone(),
     });
-    let closed = Rc::new(Notify::new());
-    let mut serving = actix_rt::spawn(clients::serve(listener, desk, closed.clone()));
-    tracing::info!("{} serves on {at}", config.name);
+    let stop_accepting = Rc::new(Notify::new());
+    let mut serving = actix_rt::spawn(clients::serve(listener, server, stop_accepting.clone()));
+    tracing::info!("{} serves on {address}", config.name);
 
-    let read_again = |discovery: bool| {
+    let reload = |discovery: bool| {
         let new = configuration()?;
         if discovery {
-            new.needs_discovery()?;
+            new.require_discovery()?;
         }
         anyhow::Ok((new, operator::load(settings.as_deref())?))
     };
     loop {
         tokio::select! {
             // What is in hand, connections and what was learned stay; only the watch moves.
-            told = signals.next() => match told {
-                Told::Stop => break,
-                Told::HangUp => match read_again(moves.is_some()) {
+            signal = signals.next() => match signal {
+                Signal::Stop => break,
+                Signal::Reload => match reload(discovery_sender.is_some()) {
                 Ok((new, operator)) => {
                     let name = &config.name;
-                    if let (Some(moves), Ok(discovery)) = (&moves, new.needs_discovery()) {
-                        let moved = moves.send_if_modified(|at| std::mem::replace(at, discovery) != discovery);
-                        let moved = if moved { "moves to" } else { "stays at" };
-                        tracing::info!("{name}: configuration read again, discovery {moved} {discovery}");
+                    if let (Some(discovery_sender), Ok(discovery)) = (&discovery_sender, new.require_discovery()) {
+                        let change = discovery_sender.send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
+                        let change = if change { "moves to" } else { "stays at" };
+                        tracing::info!("{name}: configuration read again, discovery {change} {discovery}");
                     }
-                    match (&registry, operator.registry) {
-                        (Some(plans), Some(plan)) => {
-                            let moved = plans.send_if_modified(|held| std::mem::replace(held, plan.clone()) != plan);
-                            let moved = if moved { "is followed anew" } else { "stays as it was" };
-                            tracing::info!("{name}: settings read again, the registry {moved}");
+                    match (&registry_sender, operator.registry) {
+                        (Some(plan_sender), Some(plan)) => {
+                            let change = plan_sender.send_if_modified(|current| std::mem::replace(current, plan.clone()) != plan);
+                            let change = if change { "is followed anew" } else { "stays as it was" };
+                            tracing::info!("{name}: settings read again, the registry {change}");
                         }
                         (None, None) => {}
                         _ => tracing::warn!("registry: to be set or unset it needs a restart"),
                     }
-                    if operator.http2 != held.http2 {
+                    if operator.http2 != initial.http2 {
                         tracing::warn!("http2: another value needs a restart; the old one stays in force");
                     }
-                    if operator.fleet != held.fleet {
+                    if operator.fleet != initial.fleet {
                         tracing::warn!("fleet: another value needs a restart; the old one stays in force");
                     }
-                    for key in config.needs_restart(&new) {
+                    for key in config.keys_needing_restart(&new) {
                         tracing::warn!("{key}: another value needs a restart; the old one stays in force");
                     }
                 }
@@ -289,19 +297,28 @@
             }
         }
     }
-    tracing::info!("{} stops: {} multigets in hand", config.name, open.get());
-    stop.send_replace(Stopping::Asked);
+    tracing::info!(
+        "{} stops: {} multigets in hand",
+        config.name,
+        open_multigets.get()
+    );
+    stop.send_replace(ShutdownPhase::Draining);
     if let Some(fleet) = &fleet {
         let _ = fleet.send(Ask::Leave).await;
     }
-    let [close, answer, last] = stops(duration(sockets.longest));
-    tokio::time::sleep(close).await;
-    stop.send_replace(Stopping::Closing);
-    closed.notify_one();
-    let mut answered = tokio::time::timeout(answer, &mut serving).await.is_ok();
+    let [close_delay, answer_time, last_answer_time] =
+        shutdown_delays(duration(sockets.max_route_timeout));
+    tokio::time::sleep(close_delay).await;
+    stop.send_replace(ShutdownPhase::Closing);
+    stop_accepting.notify_one();
+    let mut answered = tokio::time::timeout(answer_time, &mut serving)
+        .await
+        .is_ok();
     if !answered {
-        let _ = queue.send(Arrival::Stop).await;
-        answered = tokio::time::timeout(last, serving).await.is_ok();
+        let _ = queue.send(RouterEvent::Stop).await;
+        answered = tokio::time::timeout(last_answer_time, serving)
+            .await
+            .is_ok();
     }
     tracing::info!(
         "{} ends: {}",
--- a/crates/lockusher-aggregator/src/program/signals.rs
+++ b/crates/lockusher-aggregator/src/program/signals.rs
@@ -16,66 +16,67 @@
 
 /// What the process was told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Told {
+pub enum Signal {
     /// Read the configuration and settings again.
-    HangUp,
+    Reload,
     /// Stop serving, as a planned restart asks.
     Stop,
 }
 
 /// The handlers, once set for the process, and the end of the pipe that they wake.
 pub struct Signals {
-    woken: pipe::Receiver,
-    hung_up: Arc<AtomicBool>,
-    stopped: Arc<AtomicBool>,
+    wake_pipe: pipe::Receiver,
+    reload_requested: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
 }
 
 impl Signals {
     /// Sets the handlers; within a tokio runtime. Errors: a pipe that cannot be had, a handler that cannot be set.
-    pub fn heed() -> io::Result<Self> {
+    pub fn install() -> io::Result<Self> {
         let (reader, writer) = io::pipe()?;
         let writer = OwnedFd::from(writer);
         // A full pipe must not hold a handler up: a wake-up is waiting then anyway.
-        let raw = writer.as_raw_fd();
+        let raw_fd = writer.as_raw_fd();
         // SAFETY: fcntl on a descriptor that this owns.
-        let flags = unsafe { libc::fcntl(raw, libc::F_GETFL) };
-        if flags < 0 || unsafe { libc::fcntl(raw, libc::F_SETFL, flags | libc::O_NONBLOCK) } < 0 {
+        let flags = unsafe { libc::fcntl(raw_fd, libc::F_GETFL) };
+        if flags < 0 || unsafe { libc::fcntl(raw_fd, libc::F_SETFL, flags | libc::O_NONBLOCK) } < 0
+        {
             return Err(io::Error::last_os_error());
         }
         // Open for as long as the process lives: a handler may write at any time.
         let fd = writer.into_raw_fd();
-        let (hung_up, stopped) = (
+        let (reload_requested, stop_requested) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicBool::new(false)),
         );
         for (signal, flag) in [
-            (libc::SIGHUP, &hung_up),
-            (libc::SIGTERM, &stopped),
-            (libc::SIGINT, &stopped),
+            (libc::SIGHUP, &reload_requested),
+            (libc::SIGTERM, &stop_requested),
+            (libc::SIGINT, &stop_requested),
         ] {
             let flag = Arc::clone(flag);
             // SAFETY: the action stores to an atomic and calls write(2), both async-signal-safe, and keeps errno.
-            unsafe { signal_hook_registry::register(signal, move || wake(&flag, fd)) }?;
+            unsafe { signal_hook_registry::register(signal, move || on_signal(&flag, fd)) }?;
         }
         Ok(Signals {
-            woken: pipe::Receiver::from_owned_fd(OwnedFd::from(reader))?,
-            hung_up,
-            stopped,
+            wake_pipe: pipe::Receiver::from_owned_fd(OwnedFd::from(reader))?,
+            reload_requested,
+            stop_requested,
         })
     }
 
     /// Waits for the next signal; a stop goes before a hang-up that came with it. Safe to cancel: what came is held
     /// by the flags until asked.
-    pub async fn next(&mut self) -> Told {
-        let mut bytes = [0u8; 64];
+    pub async fn next(&mut self) -> Signal {
+        let mut buffer = [0u8; 64];
         loop {
-            if self.stopped.swap(false, Ordering::SeqCst) {
-                return Told::Stop;
+            if self.stop_requested.swap(false, Ordering::SeqCst) {
+                return Signal::Stop;
             }
-            if self.hung_up.swap(false, Ordering::SeqCst) {
-                return Told::HangUp;
+            if self.reload_requested.swap(false, Ordering::SeqCst) {
+                return Signal::Reload;
             }
-            match self.woken.read(&mut bytes).await {
+            match self.wake_pipe.read(&mut buffer).await {
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
@@ -89,7 +90,7 @@
 }
 
 /// Within a signal handler.
-fn wake(flag: &AtomicBool, fd: RawFd) {
+fn on_signal(flag: &AtomicBool, fd: RawFd) {
     // SAFETY: errno is this thread's own; the write is of one byte from the stack to a descriptor kept open.
     let errno = unsafe { *libc::__errno_location() };
     flag.store(true, Ordering::SeqCst);
--- a/crates/lockusher-aggregator/src/protocol/client.rs
+++ b/crates/lockusher-aggregator/src/protocol/client.rs
@@ -8,15 +8,15 @@
 use lockusher_policy::interface::*;
 use serde::{Deserialize, Serialize};
 
-use super::MOST_BODY;
+use super::MAX_BODY_BYTES;
 
 /// The path that tells whether the mixer can serve.
-pub const UP: &str = "/up";
+pub const UP_PATH: &str = "/up";
 /// Where it says how the registry stands, if one is followed.
-pub const FLEET: &str = "/fleet";
-pub const REGISTRY: &str = "/registry";
+pub const FLEET_PATH: &str = "/fleet";
+pub const REGISTRY_PATH: &str = "/registry";
 /// The same with the view that is held.
-pub const REGISTRY_VIEW: &str = "/registry/view";
+pub const REGISTRY_VIEW_PATH: &str = "/registry/view";
 
 /// The head of a request, as far as it counts.
 pub struct Head<'a> {
@@ -29,14 +29,20 @@
     pub resubmitted: Option<&'a str>,
 }
 
-pub const ID: &str = "Req-Id";
-pub const OP_TYPE: &str = "Req-Kind";
-pub const TENANT: &str = "Req-Owner";
-pub const DEADLINE: &str = "Req-Deadline";
-pub const RESUBMITTED: &str = "Req-Retry";
+pub const ID_HEADER: &str = "Req-Id";
+pub const OP_TYPE_HEADER: &str = "Req-Kind";
+pub const TENANT_HEADER: &str = "Req-Owner";
+pub const DEADLINE_HEADER: &str = "Req-Deadline";
+pub const RESUBMITTED_HEADER: &str = "Req-Retry";
 
 /// Headers that may stand once only.
-pub const ONCE: [&str; 5] = [ID, OP_TYPE, TENANT, DEADLINE, RESUBMITTED];
+pub const SINGLE_HEADERS: [&str; 5] = [
+    ID_HEADER,
+    OP_TYPE_HEADER,
+    TENANT_HEADER,
+    DEADLINE_HEADER,
+    RESUBMITTED_HEADER,
+];
 
 /// A multiget as its client asks for it.
 #[derive(Debug, PartialEq)]
@@ -46,7 +52,7 @@
     pub tenant: Option<TenantId>,
     pub resubmitted: bool,
     /// How long its client waits.
-    pub given: Span,
+    pub time_limit: Span,
     pub text: Bytes,
     pub parts: Vec<RequestPart>,
 }
@@ -60,16 +66,16 @@
 
 /// Why a request is no use: a status and one line.
 #[derive(Debug, PartialEq)]
-pub struct Unusable {
+pub struct RequestError {
     pub status: u16,
-    pub why: String,
+    pub message: String,
 }
 
-impl Unusable {
-    pub fn new(status: u16, why: impl Into<String>) -> Self {
-        Unusable {
+impl RequestError {
+    pub fn new(status: u16, message: impl Into<String>) -> Self {
+        RequestError {
             status,
-            why: why.into(),
+            message: message.into(),
         }
     }
 }
@@ -88,54 +94,63 @@
 }
 
 /// What of a request's head alone makes it no use.
-pub fn check(head: &Head, names: &Names) -> Result<(), Unusable> {
-    line(head, names).map(|_| ())
+pub fn check_head(head: &Head, names: &Names) -> Result<(), RequestError> {
+    parse_head(head, names).map(|_| ())
 }
 
 /// A time limit beyond this is a mistake.
-const LONGEST: Span = Span::from_millis(24 * 60 * 60 * 1_000);
+const MAX_TIME_LIMIT: Span = Span::from_millis(24 * 60 * 60 * 1_000);
 
-struct Line {
+struct HeadFields {
     op_type: OpTypeId,
     tenant: Option<TenantId>,
-    given: Span,
+    time_limit: Span,
 }
 
-fn line(head: &Head, names: &Names) -> Result<Line, Unusable> {
+fn parse_head(head: &Head, names: &Names) -> Result<HeadFields, RequestError> {
     let path = head.path.strip_prefix('/').unwrap_or_default();
     let op_type = *(names.op_types.get(path))
-        .ok_or_else(|| Unusable::new(404, format!("no op type is served at {}", head.path)))?;
+        .ok_or_else(|| RequestError::new(404, format!("no op type is served at {}", head.path)))?;
     if head.method != "POST" {
-        return Err(Unusable::new(405, "a multiget is a POST"));
+        return Err(RequestError::new(405, "a multiget is a POST"));
     }
-    let bad = |why: String| Unusable::new(400, why);
+    let bad_request = |message: String| RequestError::new(400, message);
     match head.op_type {
-        Some(kind) if kind != path => {
-            return Err(bad(format!("{OP_TYPE} does not agree with the path")));
+        Some(header) if header != path => {
+            return Err(bad_request(format!(
+                "{OP_TYPE_HEADER} does not agree with the path"
+            )));
         }
         Some(_) => {}
-        None => return Err(bad(format!("{OP_TYPE} is missing"))),
+        None => return Err(bad_request(format!("{OP_TYPE_HEADER} is missing"))),
     }
     let tenant = match head.tenant {
         None if names.tenants.is_empty() => None,
-        None => return Err(bad(format!("{TENANT} is missing"))),
+        None => return Err(bad_request(format!("{TENANT_HEADER} is missing"))),
         Some(name) => {
-            let known = names.tenants.get(name).copied();
-            let nameless = names.tenants.is_empty();
-            if known.is_none() && !nameless {
-                return Err(bad(format!("{TENANT}: no tenant is named so")));
+            let tenant = names.tenants.get(name).copied();
+            let no_tenants_configured = names.tenants.is_empty();
+            if tenant.is_none() && !no_tenants_configured {
+                return Err(bad_request(format!(
+                    "{TENANT_HEADER}: no tenant is named so"
+                )));
             }
-            known
+            tenant
         }
     };
-    let given = head
+    let time_limit = head
         .deadline
-        .ok_or_else(|| bad(format!("{DEADLINE} is missing")))?;
-    let given = span(given).ok_or_else(|| bad(format!("{DEADLINE} is no number with m or u")))?;
-    if given == Span::ZERO || given > LONGEST {
-        return Err(bad(format!("{DEADLINE} is zero or beyond a day")));
+        .ok_or_else(|| bad_request(format!("{DEADLINE_HEADER} is missing")))?;
+    let time_limit = parse_span(time_limit)
+        .ok_or_else(|| bad_request(format!("{DEADLINE_HEADER} is no number with m or u")))?;
+    if time_limit == Span::ZERO || time_limit > MAX_TIME_LIMIT {
+        return Err(bad_request(format!(
+            "{DEADLINE_HEADER} is zero or beyond a day"
+        )));
     }
-    let id = head.id.ok_or_else(|| bad(format!("{ID} is missing")))?;
+    let id = head
+        .id
+        .ok_or_else(|| bad_request(format!("{ID_HEADER} is missing")))?;
     // It goes into frames and part ids: nothing that ends a word there.
     if id.is_empty()
         || id.len() > 128
@@ -143,102 +158,112 @@
             .bytes()
             .all(|b| b.is_ascii_alphanumeric() || b"-_".contains(&b))
     {
-        return Err(bad(format!("{ID} is not 1 to 128 letters, digits, - or _")));
+        return Err(bad_request(format!(
+            "{ID_HEADER} is not 1 to 128 letters, digits, - or _"
+        )));
     }
-    Ok(Line {
+    Ok(HeadFields {
         op_type,
         tenant,
-        given,
+        time_limit,
     })
 }
 
-pub fn decode(head: &Head, body: &[u8], names: &Names, shards: usize) -> Result<Request, Unusable> {
-    let Line {
+pub fn decode(
+    head: &Head,
+    body: &[u8],
+    names: &Names,
+    shard_count: usize,
+) -> Result<Request, RequestError> {
+    let HeadFields {
         op_type,
         tenant,
-        given,
-    } = line(head, names)?;
-    if body.len() > MOST_BODY {
-        return Err(Unusable::new(413, "the body is too large"));
+        time_limit,
+    } = parse_head(head, names)?;
+    if body.len() > MAX_BODY_BYTES {
+        return Err(RequestError::new(413, "the body is too large"));
     }
-    let bad = |why: String| Unusable::new(400, why);
-    let body: Body = serde_json::from_slice(body).map_err(|e| bad(format!("the body: {e}")))?;
+    let bad_request = |message: String| RequestError::new(400, message);
+    let body: Body =
+        serde_json::from_slice(body).map_err(|e| bad_request(format!("the body: {e}")))?;
     if body.ranges.is_empty() {
-        return Err(bad("ranges: none are asked for".into()));
+        return Err(bad_request("ranges: none are asked for".into()));
     }
     let mut seen = BTreeSet::new();
     for part in &body.ranges {
         let shard = part.range;
-        if shard >= shards {
-            return Err(bad(format!(
+        if shard >= shard_count {
+            return Err(bad_request(format!(
                 "range {shard} is beyond the last, {}",
-                shards - 1
+                shard_count - 1
             )));
         }
         if !seen.insert(shard) {
-            return Err(bad(format!("range {shard} is named twice")));
+            return Err(bad_request(format!("range {shard} is named twice")));
         }
         if !(part.portion > 0.0 && part.portion <= 1.0) {
-            return Err(bad(format!("portion of range {shard} is no share")));
+            return Err(bad_request(format!("portion of range {shard} is no share")));
         }
     }
     // Written shares are rounded: three of 0.333333 are a whole.
-    const ROUNDED: f64 = 0.001;
-    let all: f64 = body.ranges.iter().map(|part| part.portion).sum();
-    if (all - 1.0).abs() > ROUNDED {
-        return Err(bad(format!("portions sum to {all}, not to 1")));
+    const ROUNDING: f64 = 0.001;
+    let portion_sum: f64 = body.ranges.iter().map(|part| part.portion).sum();
+    if (portion_sum - 1.0).abs() > ROUNDING {
+        return Err(bad_request(format!(
+            "portions sum to {portion_sum}, not to 1"
+        )));
     }
-    let part = |r: &Range| RequestPart {
-        shard: Shard(r.range),
-        weight: r.portion / all,
-        hint: r.price.map(Span::from_micros),
+    let part = |range: &Range| RequestPart {
+        shard: Shard(range.range),
+        weight: range.portion / portion_sum,
+        hint: range.price.map(Span::from_micros),
     };
     Ok(Request {
         id: MultigetId::new(head.id.unwrap_or_default()),
         op_type,
         tenant,
         resubmitted: head.resubmitted == Some("1"),
-        given,
+        time_limit,
         text: body.predicate.into_bytes().into(),
         parts: body.ranges.iter().map(part).collect(),
     })
 }
 
-fn span(text: &str) -> Option<Span> {
-    let (number, scale) = match text.strip_suffix('m') {
+fn parse_span(text: &str) -> Option<Span> {
+    let (number, us_per_unit) = match text.strip_suffix('m') {
         Some(number) => (number, 1_000),
         None => (text.strip_suffix('u')?, 1),
     };
     let digits = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit());
     let number: u64 = digits.then(|| number.parse().ok())??;
     number
-        .checked_mul(scale)
+        .checked_mul(us_per_unit)
         .filter(|&us| us < u64::MAX / 4)
         .map(Span::from_micros)
 }
 
 #[derive(Serialize)]
-struct AnswerText<'a> {
+struct AnswerBody<'a> {
     total: bool,
-    answers: Vec<Hit<'a>>,
+    answers: Vec<AnswerItem<'a>>,
 }
 
 #[derive(Serialize)]
-struct Hit<'a> {
+struct AnswerItem<'a> {
     range: usize,
     blob: &'a str,
 }
 
 /// The body of an answer.
-pub fn answer<'a>(whole: bool, values: impl Iterator<Item = (Shard, &'a str)>) -> Bytes {
+pub fn encode_answer<'a>(complete: bool, values: impl Iterator<Item = (Shard, &'a str)>) -> Bytes {
     let answers = values
-        .map(|(shard, blob)| Hit {
+        .map(|(shard, blob)| AnswerItem {
             range: shard.0,
             blob,
         })
         .collect();
-    let text = AnswerText {
-        total: whole,
+    let text = AnswerBody {
+        total: complete,
         answers,
     };
     serde_json::to_vec(&text).unwrap_or_default().into()
--- a/crates/lockusher-aggregator/src/protocol/discovery.rs
+++ b/crates/lockusher-aggregator/src/protocol/discovery.rs
@@ -9,11 +9,11 @@
 }
 
 /// The path of the complete list, or of a watch for what is newer than a version.
-pub fn path(from: Option<u64>, hold: Span) -> String {
-    match from {
+pub fn path(after_version: Option<u64>, hold: Span) -> String {
+    match after_version {
         None => "/discovery/hosts".to_owned(),
-        Some(from) => format!(
-            "/discovery/hosts?from={from}&hold_ms={}",
+        Some(after_version) => format!(
+            "/discovery/hosts?from={after_version}&hold_ms={}",
             hold.as_micros() / 1_000
         ),
     }
--- a/crates/lockusher-aggregator/src/protocol/fleet.rs
+++ b/crates/lockusher-aggregator/src/protocol/fleet.rs
@@ -6,22 +6,22 @@
 use serde_json::{Value, json};
 
 fn encode_shared(now: Time, shared: &share::Shown) -> Value {
-    let judged: Vec<Value> = shared
+    let judgements: Vec<Value> = shared
         .standing
         .iter()
-        .map(|of| {
+        .map(|judgement| {
             json!({
-                "searcher": of.judged.id.as_str(),
-                "fault": of.fault.word(),
-                "good": of.judged.good,
-                "slower": of.judged.slower,
-                "seen_ms_ago": now.since(of.judged.at).as_micros() / 1_000,
-                "witnesses": of.witnesses.iter().map(lockusher_membership::core::table::MixerName::as_str).collect::<Vec<_>>(),
+                "searcher": judgement.judged.id.as_str(),
+                "fault": judgement.fault.word(),
+                "good": judgement.judged.good,
+                "slower": judgement.judged.slower,
+                "seen_ms_ago": now.since(judgement.judged.at).as_micros() / 1_000,
+                "witnesses": judgement.witnesses.iter().map(lockusher_membership::core::table::MixerName::as_str).collect::<Vec<_>>(),
             })
         })
         .collect();
     let rates = &shared.rates;
-    let name = |budget: &Budget| match budget {
+    let budget_name = |budget: &Budget| match budget {
         Budget::Further => "further".to_owned(),
         Budget::Cold => "cold".to_owned(),
         Budget::Connections => "connections".to_owned(),
@@ -32,15 +32,15 @@
         .portions
         .iter()
         .map(|(budget, portion)| {
-            let lapses = portion.until.since(now).as_micros() / 1_000;
-            json!({ "budget": name(budget), "own": portion.own, "lent": portion.lent, "lapses_in_ms": lapses })
+            let lapses_in_ms = portion.until.since(now).as_micros() / 1_000;
+            json!({ "budget": budget_name(budget), "own": portion.own, "lent": portion.lent, "lapses_in_ms": lapses_in_ms })
         })
         .collect();
     json!({
         "in_contact": shared.in_contact,
         "portions": portions,
         "lends": shared.lends,
-        "judged": judged,
+        "judged": judgements,
         "records": shared.records,
         "entries": shared.entries,
         "own_entries": shared.own,
@@ -68,16 +68,16 @@
         counts,
         shared,
     } = shown;
-    let (standing, taken_by) = match standing {
+    let (standing, name_taken_by) = match standing {
         Standing::Joining => ("joining", None),
         Standing::Member => ("member", None),
-        Standing::Outside(at) => ("outside", Some(at.to_string())),
+        Standing::Outside(address) => ("outside", Some(address.to_string())),
         Standing::Leaving => ("leaving", None),
     };
     let members: Vec<Value> = members
         .iter()
-        .map(|held| {
-            let record = &held.record;
+        .map(|member| {
+            let record = &member.record;
             json!({
                 "name": record.name.as_str(),
                 "address": record.address.to_string(),
@@ -85,7 +85,7 @@
                 "generation": record.generation,
                 "incarnation": record.incarnation,
                 "state": record.state.word(),
-                "since_ms": now.since(held.since).as_micros() / 1_000,
+                "since_ms": now.since(member.since).as_micros() / 1_000,
                 "by": record.by.as_ref().map(lockusher_membership::core::table::MixerName::as_str),
             })
         })
@@ -93,7 +93,7 @@
     let drops = &counts.drops;
     json!({
         "standing": standing,
-        "name_taken_by": taken_by,
+        "name_taken_by": name_taken_by,
         "living": living,
         "counted": counted,
         "digest": format!("{digest:016x}"),
--- a/crates/lockusher-aggregator/src/protocol/frame.rs
+++ b/crates/lockusher-aggregator/src/protocol/frame.rs
@@ -6,12 +6,12 @@
 use lockusher_policy::interface::{Outcome, PartId, Shard, Span};
 use tokio_util::codec::LengthDelimitedCodec;
 
-use super::MOST_BODY;
+use super::MAX_BODY_BYTES;
 
 /// The longest frame that is read: room for a value as large as a body, and its line.
-const MOST: usize = 2 * MOST_BODY;
+const MAX_FRAME_BYTES: usize = 2 * MAX_BODY_BYTES;
 /// The longest line at the head of an answer, many times what its words need.
-const MOST_LINE: usize = 4 * 1024;
+const MAX_LINE_BYTES: usize = 4 * 1024;
 
 /// The length before each frame that is written: four bytes, most significant first. What the mixer writes is
 /// bounded by what it has in hand.
@@ -25,21 +25,24 @@
 /// Takes the next whole frame off, less its length; `None` if more of it must come. What can't become a frame is
 /// told as soon as that shows, so that nothing absurd is waited for or kept.
 pub fn next(buffer: &mut BytesMut) -> Result<Option<BytesMut>, &'static str> {
-    let Some((length, come)) = buffer.split_first_chunk::<4>() else {
+    let Some((length, available)) = buffer.split_first_chunk::<4>() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(*length) as usize;
-    if length == 0 || length > MOST {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return Err("a frame of absurd length");
     }
-    if come.first().is_some_and(|letter| !b"opqr".contains(letter)) {
+    if available
+        .first()
+        .is_some_and(|kind| !b"opqr".contains(kind))
+    {
         return Err("a frame of an unknown letter");
     }
-    let answer = come.first() == Some(&b'q');
-    if answer && come.len() > MOST_LINE && !come[..MOST_LINE].contains(&b'\n') {
+    let answer = available.first() == Some(&b'q');
+    if answer && available.len() > MAX_LINE_BYTES && !available[..MAX_LINE_BYTES].contains(&b'\n') {
         return Err("a line that does not end");
     }
-    if come.len() < length {
+    if available.len() < length {
         return Ok(None);
     }
     let _ = buffer.split_to(4);
@@ -69,8 +72,13 @@
             part.wait.as_micros() / 1_000
         );
         if let Some((shards, whole)) = &part.first_step {
-            let names: Vec<String> = shards.iter().map(|s| s.0.to_string()).collect();
-            let _ = write!(line, ",from={},whole={}", names.join("+"), u8::from(*whole));
+            let shards: Vec<String> = shards.iter().map(|s| s.0.to_string()).collect();
+            let _ = write!(
+                line,
+                ",from={},whole={}",
+                shards.join("+"),
+                u8::from(*whole)
+            );
         }
         let _ = writeln!(line, " {}", part.text.len());
         frame.put_slice(line.as_bytes());
@@ -80,7 +88,7 @@
 }
 
 /// A part is given up: a frame `n`.
-pub fn given_up(id: &PartId) -> Bytes {
+pub fn cancel(id: &PartId) -> Bytes {
     Bytes::from(format!("n{}", id.as_str()))
 }
 
@@ -105,17 +113,17 @@
 
 /// What a searcher sends.
 #[derive(Debug, PartialEq)]
-pub enum FromSearcher {
-    Ended(PartEnded),
+pub enum SearcherFrame {
+    Answer(PartAnswer),
     Probe(Probe),
     /// An answer to a probe: that it came says what there is to know.
-    Nothing,
+    ProbeAnswer,
     /// A frame could not be used; the connection closes.
-    Unusable(String),
+    Rejected(String),
 }
 
 #[derive(Debug, PartialEq)]
-pub struct PartEnded {
+pub struct PartAnswer {
     pub id: PartId,
     pub outcome: Outcome,
     pub score: i64,
@@ -123,25 +131,27 @@
 }
 
 /// `None` if it can't be read.
-pub fn decode(frame: &[u8]) -> Option<FromSearcher> {
-    let (letter, rest) = frame.split_first()?;
-    Some(match letter {
-        b'q' => FromSearcher::Ended(ended(rest)?),
-        b'o' if rest.is_empty() => FromSearcher::Probe(Probe::Health),
-        b'p' if rest.is_empty() => FromSearcher::Probe(Probe::Load),
-        b'o' | b'p' => FromSearcher::Nothing,
-        b'r' => FromSearcher::Unusable(String::from_utf8_lossy(rest).into_owned()),
+pub fn decode(frame: &[u8]) -> Option<SearcherFrame> {
+    let (kind, rest) = frame.split_first()?;
+    Some(match kind {
+        b'q' => SearcherFrame::Answer(decode_answer(rest)?),
+        b'o' if rest.is_empty() => SearcherFrame::Probe(Probe::Health),
+        b'p' if rest.is_empty() => SearcherFrame::Probe(Probe::Load),
+        b'o' | b'p' => SearcherFrame::ProbeAnswer,
+        b'r' => SearcherFrame::Rejected(String::from_utf8_lossy(rest).into_owned()),
         _ => return None,
     })
 }
 
-fn ended(rest: &[u8]) -> Option<PartEnded> {
-    let end = rest.iter().position(|&b| b == b'\n')?;
+fn decode_answer(rest: &[u8]) -> Option<PartAnswer> {
+    let line_end = rest.iter().position(|&b| b == b'\n')?;
     // What follows the score is a report of load, which nothing here reads.
-    let mut words = rest[..end].split(|&b| b == b' ').map(std::str::from_utf8);
-    let mut word = || words.next()?.ok();
-    let (id, how, score) = (word()?, word()?, word()?);
-    let outcome = match how {
+    let mut fields = rest[..line_end]
+        .split(|&b| b == b' ')
+        .map(std::str::from_utf8);
+    let mut next_field = || fields.next()?.ok();
+    let (id, status, score) = (next_field()?, next_field()?, next_field()?);
+    let outcome = match status {
         "good" => Outcome::Returned,
         "bad" => Outcome::Error,
         "later" => Outcome::Full,
@@ -149,12 +159,12 @@
     };
     // Where there is nothing to score, a dash may stand.
     let score = if score == "-" { 0 } else { score.parse().ok()? };
-    let value = std::str::from_utf8(&rest[end + 1..]).ok()?;
+    let value = std::str::from_utf8(&rest[line_end + 1..]).ok()?;
     // A value is text: with other control characters in it, it is some other frame's bytes.
-    let text = !value
+    let is_text = !value
         .chars()
         .any(|c| c.is_control() && !"\n\r\t".contains(c));
-    (!id.is_empty() && text).then(|| PartEnded {
+    (!id.is_empty() && is_text).then(|| PartAnswer {
         id: PartId::new(id),
         outcome,
         score,
@@ -163,7 +173,7 @@
 }
 
 /// Whose answer a frame was to be that can't be read, if that can.
-pub fn meant(frame: &[u8]) -> Option<PartId> {
+pub fn answered_part_id(frame: &[u8]) -> Option<PartId> {
     let rest = frame.strip_prefix(b"q")?;
     let id = std::str::from_utf8(rest.split(|&b| b == b' ').next()?).ok()?;
     Some(PartId::new(id))
--- a/crates/lockusher-aggregator/src/protocol/mod.rs
+++ b/crates/lockusher-aggregator/src/protocol/mod.rs
@@ -7,7 +7,7 @@
 pub mod registry;
 
 /// What a body may hold at most.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// The longest head of a request that is read: many times what its lines need.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
--- a/crates/lockusher-aggregator/src/routing/dispatcher.rs
+++ b/crates/lockusher-aggregator/src/routing/dispatcher.rs
@@ -13,101 +13,103 @@
 use lockusher_policy::interface::*;
 use tokio::sync::{Notify, oneshot};
 
-use super::Given;
-use super::outcome_stats::Tally;
-use super::searcher_transport::{Carrier, May, RepeatWindow, Sent, Wanted};
+use super::ClientResponse;
+use super::outcome_stats::OutcomeStats;
+use super::searcher_transport::{
+    ClientConnected, DedupWindow, OutgoingPart, Permission, SearcherTransport,
+};
+use crate::check_invariant;
 use crate::clock::duration;
-use crate::must_hold;
 use crate::protocol::client::{self, Request};
 use crate::protocol::frame::CallPart;
 
 /// A multiget without its final answer.
-struct Open {
+struct OpenMultiget {
     number: u64,
     text: Bytes,
-    reply: oneshot::Sender<(Given, Instant)>,
-    wanted: Wanted,
+    reply: oneshot::Sender<(ClientResponse, Instant)>,
+    client_connected: ClientConnected,
     /// Multiget and parts, as they count against what may be in hand.
     weight: usize,
     /// Score and value of each part that came in.
     values: HashMap<PartId, (i64, String)>,
     /// What these take.
-    bytes: usize,
+    value_bytes: usize,
     /// Its parts that were sent, and the windows of those that have one.
     parts: Vec<PartId>,
-    windows: HashMap<PartId, Rc<RepeatWindow>>,
+    dedup_windows: HashMap<PartId, Rc<DedupWindow>>,
     /// The shards that the first step had in, and whether it was whole.
     first_step: Option<(Rc<[Shard]>, bool)>,
 }
 
 /// A part and the number of its send.
-type Nth = (PartId, usize);
+type SendKey = (PartId, usize);
 /// A send that ended without its searcher.
-type EndedHere = (PartId, usize, Outcome);
+type LocalEnd = (PartId, usize, Outcome);
 /// A part of a second step, with the number of its multiget.
-type Begun = (u64, NewPart);
+type SecondStepPart = (u64, NewPart);
 
-pub struct Desk {
-    searchers: Box<dyn Carrier>,
+pub struct Dispatcher {
+    transport: Box<dyn SearcherTransport>,
     /// Parts of the second step, by op type, and for how long repeats of its parts are dropped, if for a time only.
     second_steps: Vec<usize>,
-    windows: Vec<Option<Span>>,
-    asked: Rc<Notify>,
+    dedup_windows: Vec<Option<Span>>,
+    list_requested: Rc<Notify>,
     now: Time,
-    open: HashMap<MultigetId, Open>,
+    open: HashMap<MultigetId, OpenMultiget>,
     /// Whose part it is.
     owners: HashMap<PartId, MultigetId>,
-    held: usize,
+    in_flight: usize,
     /// Bytes of values that came in for multigets that are open.
-    values: usize,
-    most_values: usize,
+    value_bytes: usize,
+    max_value_bytes: usize,
     /// Sends that are out: where, and since when.
-    out: HashMap<Nth, (SearcherId, Time)>,
-    time_outs: BinaryHeap<Reverse<(Time, PartId, usize)>>,
+    outstanding: HashMap<SendKey, (SearcherId, Time)>,
+    timeouts: BinaryHeap<Reverse<(Time, PartId, usize)>>,
     /// Sends of this settling, not yet handed to the sockets.
-    departing: Vec<(SearcherId, Sent)>,
+    queued: Vec<(SearcherId, OutgoingPart)>,
     /// Sends that ended here, and second steps that began.
-    ended: Vec<EndedHere>,
-    begun: Vec<Begun>,
+    local_ends: Vec<LocalEnd>,
+    second_step_parts: Vec<SecondStepPart>,
     /// What became of the multigets of each second, for the log.
-    tally: Tally,
+    stats: OutcomeStats,
 }
 
-impl Desk {
+impl Dispatcher {
     pub fn new(
-        searchers: Box<dyn Carrier>,
+        transport: Box<dyn SearcherTransport>,
         op_types: &[OpType],
-        asked: Rc<Notify>,
-        most_values: usize,
+        list_requested: Rc<Notify>,
+        max_value_bytes: usize,
     ) -> Self {
         let window = |op: &OpType| match op.repeat {
             Repeat::Deduped(window) => Some(window),
             Repeat::Retriable | Repeat::NonRetriable => None,
         };
-        Desk {
-            searchers,
+        Dispatcher {
+            transport,
             second_steps: op_types.iter().map(|op| op.second_step).collect(),
-            windows: op_types.iter().map(window).collect(),
-            asked,
+            dedup_windows: op_types.iter().map(window).collect(),
+            list_requested,
             now: Time::from_micros(0),
             open: HashMap::new(),
             owners: HashMap::new(),
-            held: 0,
-            values: 0,
-            most_values,
-            out: HashMap::new(),
-            time_outs: BinaryHeap::new(),
-            departing: Vec::new(),
-            ended: Vec::new(),
-            begun: Vec::new(),
-            tally: Tally::default(),
+            in_flight: 0,
+            value_bytes: 0,
+            max_value_bytes,
+            outstanding: HashMap::new(),
+            timeouts: BinaryHeap::new(),
+            queued: Vec::new(),
+            local_ends: Vec::new(),
+            second_step_parts: Vec::new(),
+            stats: OutcomeStats::default(),
         }
     }
 
     /// A batch begins.
-    pub fn begin(&mut self, now: Time) {
+    pub fn begin_batch(&mut self, now: Time) {
         self.now = now;
-        if let Some((counts, span)) = self.tally.over(now) {
+        if let Some((counts, span)) = self.stats.finish_period(now) {
             tracing::info!(
                 answered = counts.answered,
                 partial = counts.partial,
@@ -121,72 +123,73 @@
         }
     }
 
-    pub fn holds(&self, id: &MultigetId) -> bool {
+    pub fn contains(&self, id: &MultigetId) -> bool {
         self.open.contains_key(id)
     }
 
     /// Multigets and parts without their final answer.
-    pub fn held(&self) -> usize {
-        self.held
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
     /// What was taken, sent and turned away since the start.
     pub fn totals(&self) -> Totals {
-        self.tally.totals()
+        self.stats.totals()
     }
 
     /// What may be spent on connections and probes, of what the whole fleet may.
-    pub fn portions(&mut self, portions: &[(Budget, Portion)]) {
-        self.searchers.portions(self.now, portions);
+    pub fn set_portions(&mut self, portions: &[(Budget, Portion)]) {
+        self.transport.set_portions(self.now, portions);
     }
 
-    pub fn spends(&self) -> Vec<(Budget, f64)> {
-        self.searchers.spends(self.now)
+    pub fn spending_rates(&self) -> Vec<(Budget, f64)> {
+        self.transport.spending_rates(self.now)
     }
 
-    pub fn multigets(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    pub fn take(
+    pub fn register(
         &mut self,
         number: u64,
         request: Request,
-        reply: oneshot::Sender<(Given, Instant)>,
-        wanted: Wanted,
+        reply: oneshot::Sender<(ClientResponse, Instant)>,
+        client_connected: ClientConnected,
     ) {
         let weight = 1 + request.parts.len();
-        self.tally.took(request.parts.len());
-        self.held += weight;
+        self.stats.record_multiget(request.parts.len());
+        self.in_flight += weight;
         let (text, values) = (request.text, HashMap::new());
         self.open.insert(
             request.id,
-            Open {
+            OpenMultiget {
                 number,
                 text,
                 reply,
-                wanted,
+                client_connected,
                 weight,
                 values,
-                bytes: 0,
+                value_bytes: 0,
                 parts: Vec::new(),
-                windows: HashMap::new(),
+                dedup_windows: HashMap::new(),
                 first_step: None,
             },
         );
     }
 
     /// An answer of a part; the first counts. Tells whether there was room for it.
-    pub fn came_in(&mut self, part: &PartId, answer: (i64, String)) -> bool {
+    pub fn store_value(&mut self, part: &PartId, answer: (i64, String)) -> bool {
         let Some(open) = self.owners.get(part).and_then(|id| self.open.get_mut(id)) else {
             return true;
         };
         let bytes = answer.1.len();
-        if self.values + bytes > self.most_values {
+        if self.value_bytes + bytes > self.max_value_bytes {
             return false;
         }
         open.values.entry(part.clone()).or_insert_with(|| {
-            (open.bytes, self.values) = (open.bytes + bytes, self.values + bytes);
+            (open.value_bytes, self.value_bytes) =
+                (open.value_bytes + bytes, self.value_bytes + bytes);
             answer
         });
         true
@@ -198,17 +201,17 @@
     }
 
     /// A line of the list: nothing more goes to a searcher that drains or is gone.
-    pub fn listed(&mut self, line: &Listed, place: Place) {
-        let unsent = match line.state {
-            SearcherState::Up => self.searchers.at(line, place),
-            SearcherState::Draining | SearcherState::Gone => self.searchers.leave(&line.id),
+    pub fn apply_entry(&mut self, entry: &Listed, place: Place) {
+        let unsent = match entry.state {
+            SearcherState::Up => self.transport.set_address(entry, place),
+            SearcherState::Draining | SearcherState::Gone => self.transport.drain(&entry.id),
         };
-        self.unsent(unsent);
+        self.end_unsent(unsent);
     }
 
     /// What never left says nothing of the searcher it was for.
-    fn unsent(&mut self, unsent: Vec<Nth>) {
-        self.ended.extend(
+    fn end_unsent(&mut self, unsent: Vec<SendKey>) {
+        self.local_ends.extend(
             unsent
                 .into_iter()
                 .map(|(part, nth)| (part, nth, Outcome::Moot)),
@@ -216,102 +219,108 @@
     }
 
     /// A complete list lacks these.
-    pub fn missing(&mut self, missing: impl Fn(&SearcherId) -> bool) {
-        for id in self.searchers.known().into_iter().filter(|id| missing(id)) {
-            let unsent = self.searchers.leave(&id);
-            self.unsent(unsent);
+    pub fn remove_missing(&mut self, missing: impl Fn(&SearcherId) -> bool) {
+        for id in self
+            .transport
+            .searcher_ids()
+            .into_iter()
+            .filter(|id| missing(id))
+        {
+            let unsent = self.transport.drain(&id);
+            self.end_unsent(unsent);
         }
     }
 
-    pub fn knows_any(&self) -> bool {
-        !self.searchers.known().is_empty()
+    pub fn has_searchers(&self) -> bool {
+        !self.transport.searcher_ids().is_empty()
     }
 
     /// A send has ended; tells when it began, unless it had ended before.
-    pub fn closed(&mut self, part: &PartId, nth: usize) -> Option<Time> {
-        let (_, at) = self.out.remove(&(part.clone(), nth))?;
+    pub fn finish_send(&mut self, part: &PartId, nth: usize) -> Option<Time> {
+        let (_, at) = self.outstanding.remove(&(part.clone(), nth))?;
         Some(at)
     }
 
     /// Gives a send up: its connection is told, its end is heard of in this batch.
-    pub fn give_up(&mut self, part: &PartId, nth: usize) {
-        self.cease(part, nth);
-        self.ended.push((part.clone(), nth, Outcome::Withdrawn));
+    pub fn cancel(&mut self, part: &PartId, nth: usize) {
+        self.stop_send(part, nth);
+        self.local_ends
+            .push((part.clone(), nth, Outcome::Withdrawn));
     }
 
-    fn cease(&mut self, part: &PartId, nth: usize) {
-        self.departing
+    fn stop_send(&mut self, part: &PartId, nth: usize) {
+        self.queued
             .retain(|(_, (n, p, _))| p.id != *part || *n != nth);
-        if let Some((to, _)) = self.out.get(&(part.clone(), nth)) {
-            self.searchers.give_up(to, part, nth);
+        if let Some((to, _)) = self.outstanding.get(&(part.clone(), nth)) {
+            self.transport.cancel(to, part, nth);
         }
     }
 
     /// A send that has timed out by now.
-    pub fn timed_out(&mut self) -> Option<Nth> {
-        while let Some(Reverse((due, ..))) = self.time_outs.peek()
+    pub fn pop_timed_out(&mut self) -> Option<SendKey> {
+        while let Some(Reverse((due, ..))) = self.timeouts.peek()
             && *due <= self.now
         {
-            let Reverse((_, part, nth)) = self.time_outs.pop()?;
+            let Reverse((_, part, nth)) = self.timeouts.pop()?;
             let sent = (part, nth);
-            if let Some((to, _)) = self.out.get(&sent).cloned() {
-                let unsent = self.searchers.in_vain(&to, &sent.0, nth);
-                self.unsent(unsent);
-                self.cease(&sent.0, nth);
+            if let Some((to, _)) = self.outstanding.get(&sent).cloned() {
+                let unsent = self.transport.send_timed_out(&to, &sent.0, nth);
+                self.end_unsent(unsent);
+                self.stop_send(&sent.0, nth);
                 return Some(sent);
             }
         }
         None
     }
 
-    pub fn next_time_out(&mut self, now: Time) -> Option<Span> {
-        while let Some(Reverse((due, part, nth))) = self.time_outs.peek() {
-            if self.out.contains_key(&(part.clone(), *nth)) {
+    pub fn next_timeout(&mut self, now: Time) -> Option<Span> {
+        while let Some(Reverse((due, part, nth))) = self.timeouts.peek() {
+            if self.outstanding.contains_key(&(part.clone(), *nth)) {
                 return Some(due.since(now));
             }
-            self.time_outs.pop();
+            self.timeouts.pop();
         }
         None
     }
 
     /// Hands this settling's sends to the sockets; those to one searcher share calls.
-    pub fn depart(&mut self) {
-        let mut calls: Vec<(SearcherId, Vec<Sent>)> = Vec::new();
-        let most = self.searchers.most_parts();
-        for (to, sent) in std::mem::take(&mut self.departing) {
+    pub fn flush(&mut self) {
+        let mut calls: Vec<(SearcherId, Vec<OutgoingPart>)> = Vec::new();
+        let max_parts = self.transport.max_parts_per_call();
+        for (to, sent) in std::mem::take(&mut self.queued) {
             match calls
                 .iter_mut()
                 .rev()
-                .find(|(at, call)| *at == to && call.len() < most)
+                .find(|(searcher, call)| *searcher == to && call.len() < max_parts)
             {
                 Some((_, call)) => call.push(sent),
                 None => calls.push((to, vec![sent])),
             }
         }
         for (to, call) in calls {
-            let refused = self.searchers.send(&to, call).err().into_iter().flatten();
-            self.ended
+            let refused = self.transport.send(&to, call).err().into_iter().flatten();
+            self.local_ends
                 .extend(refused.map(|(nth, part, _)| (part.id, nth, Outcome::Moot)));
         }
     }
 
     /// What came of the last settling: sends that ended here, and parts of second steps.
-    pub fn made(&mut self) -> (Vec<EndedHere>, Vec<Begun>) {
+    pub fn take_results(&mut self) -> (Vec<LocalEnd>, Vec<SecondStepPart>) {
         (
-            std::mem::take(&mut self.ended),
-            std::mem::take(&mut self.begun),
+            std::mem::take(&mut self.local_ends),
+            std::mem::take(&mut self.second_step_parts),
         )
     }
 
     /// A client went away; tells whether its multiget was open. One of the same id may be another's.
-    pub fn forget(&mut self, id: &MultigetId) -> bool {
+    pub fn remove_disconnected(&mut self, id: &MultigetId) -> bool {
         self.open.get(id).is_some_and(|open| open.reply.is_closed()) && self.close(id).is_some()
     }
 
-    fn close(&mut self, id: &MultigetId) -> Option<Open> {
+    fn close(&mut self, id: &MultigetId) -> Option<OpenMultiget> {
         let open = self.open.remove(id)?;
-        self.held -= open.weight;
-        self.values -= open.bytes;
+        self.in_flight -= open.weight;
+        self.value_bytes -= open.value_bytes;
         for part in &open.parts {
             self.owners.remove(part);
         }
@@ -320,7 +329,7 @@
 
     /// What has not left by the time its part is in, its step is over or its multiget has its final answer must not
     /// leave after it. A copy may wait for its connection for long.
-    pub fn recall<'a>(&mut self, parts: impl Iterator<Item = &'a Part>) {
+    pub fn cancel_unsent<'a>(&mut self, parts: impl Iterator<Item = &'a Part>) {
         for part in parts {
             for (nth, send) in part
                 .sends
@@ -328,19 +337,19 @@
                 .enumerate()
                 .filter(|(_, s)| s.outcome.is_none())
             {
-                let waiting = self
-                    .departing
+                let queued_sends = self
+                    .queued
                     .extract_if(.., |(_, (n, p, _))| p.id == part.id && *n == nth)
                     .count();
-                if waiting > 0 || self.searchers.recall(&send.to, &part.id, nth) {
-                    self.ended.push((part.id.clone(), nth, Outcome::Moot));
+                if queued_sends > 0 || self.transport.cancel_unsent(&send.to, &part.id, nth) {
+                    self.local_ends.push((part.id.clone(), nth, Outcome::Moot));
                 }
             }
         }
     }
 
     /// The second step goes to the highest scores among the shards that are in.
-    fn second_step(&mut self, multiget: &Multiget, whole: bool, most: usize) {
+    fn plan_second_step(&mut self, multiget: &Multiget, whole: bool, max_parts: usize) {
         let Some(open) = self.open.get_mut(&multiget.id) else {
             return;
         };
@@ -348,7 +357,7 @@
         let mut best: Vec<&Part> = multiget.parts.iter().filter(|p| p.returned).collect();
         let shards: Rc<[Shard]> = best.iter().map(|p| p.shard).collect();
         best.sort_by_key(|part| (Reverse(score(part)), part.shard));
-        best.truncate(most);
+        best.truncate(max_parts);
         let weight = 1.0 / best.len().max(1) as f64;
         for part in best {
             let id = PartId::new(&format!("{}.{}.r", multiget.id.as_str(), part.shard.0));
@@ -358,34 +367,34 @@
                 weight,
                 hint: None,
             };
-            self.begun.push((open.number, part));
+            self.second_step_parts.push((open.number, part));
         }
         open.first_step = Some((shards, whole));
     }
 }
 
-impl Wire for Desk {
+impl Wire for Dispatcher {
     fn send(&mut self, multiget: &Multiget, order: &Order) {
         let part = &multiget.parts[order.part];
-        must_hold!(
+        check_invariant!(
             !multiget.ended,
             "nothing is sent for a multiget that has its final answer"
         );
-        must_hold!(!part.returned, "nothing is sent for a part that is in");
+        check_invariant!(!part.returned, "nothing is sent for a part that is in");
         let Some(open) = self.open.get_mut(&multiget.id) else {
             return;
         };
         // A copy of what is late: is it the searcher, or the connection to it?
-        for (before, send) in part
+        for (earlier, send) in part
             .sends
             .iter()
             .enumerate()
             .filter(|(_, send)| send.outcome.is_none())
         {
-            self.searchers.doubt(&send.to, &part.id, before);
+            self.transport.check_liveness(&send.to, &part.id, earlier);
         }
         if order.anew {
-            self.searchers.close_unused(&order.to);
+            self.transport.close_idle(&order.to);
         }
         let (nth, id) = (part.sends.len(), part.id.clone());
         if self
@@ -395,9 +404,9 @@
         {
             open.parts.push(id.clone());
         }
-        self.out
+        self.outstanding
             .insert((id.clone(), nth), (order.to.clone(), self.now));
-        self.time_outs
+        self.timeouts
             .push(Reverse((self.now + order.timeout, id.clone(), nth)));
         let first_step = open.first_step.clone().filter(|_| part.second_step);
         let (shard, wait, text) = (part.shard, order.timeout, open.text.clone());
@@ -408,113 +417,118 @@
             first_step,
             text,
         };
-        self.tally.sent(nth);
-        let wanted = open.wanted.clone();
-        let window = self.windows[multiget.op_type.0].map(|span| {
-            let window = open.windows.entry(part.id.clone());
+        self.stats.record_send(nth);
+        let client_connected = open.client_connected.clone();
+        let window = self.dedup_windows[multiget.op_type.0].map(|span| {
+            let window = open.dedup_windows.entry(part.id.clone());
             window
-                .or_insert_with(|| Rc::new(RepeatWindow::new(duration(span))))
+                .or_insert_with(|| Rc::new(DedupWindow::new(duration(span))))
                 .clone()
         });
         if let Some(window) = window
             .as_ref()
             .filter(|_| part.first_that_may_have_run().is_none())
         {
-            window.never_ran();
+            window.reset();
         }
-        let may = move || match &window {
-            _ if !wanted() => May::Unwanted,
-            Some(window) => window.may_leave(Instant::now()),
-            None => May::Leave,
+        let permission = move || match &window {
+            _ if !client_connected() => Permission::Abandoned,
+            Some(window) => window.permission(Instant::now()),
+            None => Permission::Send,
         };
-        self.departing
-            .push((order.to.clone(), (nth, call, Rc::new(may))));
+        self.queued
+            .push((order.to.clone(), (nth, call, Rc::new(permission))));
     }
 
     fn withdraw(&mut self, part: &PartId, nth: usize) {
-        self.give_up(part, nth);
+        self.cancel(part, nth);
     }
 
     fn reply(&mut self, multiget: &Multiget, reply: Reply) {
         if let Reply::Answered { whole } = reply
             && !multiget.ended
         {
-            self.recall(multiget.parts.iter());
-            let most = self.second_steps[multiget.op_type.0];
-            return self.second_step(multiget, whole, most);
+            self.cancel_unsent(multiget.parts.iter());
+            let max_parts = self.second_steps[multiget.op_type.0];
+            return self.plan_second_step(multiget, whole, max_parts);
         }
-        self.recall(multiget.parts.iter());
+        self.cancel_unsent(multiget.parts.iter());
         let open = self.close(&multiget.id);
-        must_hold!(open.is_some(), "a multiget gets one final answer");
+        check_invariant!(open.is_some(), "a multiget gets one final answer");
         let Some(open) = open else { return };
-        self.tally.replied(
+        self.stats.record_reply(
             reply,
             multiget.parts.iter().any(|part| !part.sends.is_empty()),
         );
-        let given = match reply {
-            Reply::PushedBack { come_back_in } => Given::PushedBack(come_back_in),
-            Reply::Failed => Given::Failed,
+        let response = match reply {
+            Reply::PushedBack { come_back_in } => ClientResponse::PushedBack(come_back_in),
+            Reply::Failed => ClientResponse::Failed,
             Reply::Answered { whole } => {
-                let second = open.first_step.is_some();
-                let counts = |p: &&Part| p.returned && p.second_step == second;
+                let two_step = open.first_step.is_some();
+                let counts = |p: &&Part| p.returned && p.second_step == two_step;
                 let value = |p: &Part| open.values.get(&p.id).map(|(_, value)| value.as_str());
                 let parts = multiget.parts.iter().filter(counts);
-                Given::Answer(client::answer(
+                ClientResponse::Answer(client::encode_answer(
                     whole,
                     parts.filter_map(|p| Some((p.shard, value(p)?))),
                 ))
             }
         };
         // The answer must not overtake a copy that has just left: nothing is sent after it.
-        let out = |part: &Part, nth: usize| {
-            self.searchers
-                .on_its_way(&part.sends[nth].to, &part.id, nth)
+        let in_transit = |part: &Part, nth: usize| {
+            self.transport
+                .in_transit_until(&part.sends[nth].to, &part.id, nth)
         };
-        let all = multiget
+        let in_transit_times = multiget
             .parts
             .iter()
-            .flat_map(|part| (0..part.sends.len()).filter_map(move |nth| out(part, nth)));
-        let not_before = all.max().map_or_else(Instant::now, |until| {
+            .flat_map(|part| (0..part.sends.len()).filter_map(move |nth| in_transit(part, nth)));
+        let not_before = in_transit_times.max().map_or_else(Instant::now, |until| {
             // Not for long where little time is left.
             until.min(Instant::now() + duration(multiget.ends.since(self.now)) / 2)
         });
         // A client that went away meanwhile is no longer there to be told.
-        let _ = open.reply.send((given, not_before));
+        let _ = open.reply.send((response, not_before));
     }
 
     fn subscribe(&mut self) {
-        self.asked.notify_one();
+        self.list_requested.notify_one();
     }
 
     fn wants_belief(&self) -> bool {
-        self.tally.tell_belief()
+        self.stats.should_log_estimate()
     }
 
-    fn believed(&mut self, multiget: &Multiget, belief: Belief) {
+    fn believed(&mut self, multiget: &Multiget, estimate: Belief) {
         /// A few parts tell what the gate thought; a wide multiget would fill the log.
-        const SHOWN: usize = 6;
-        self.tally.belief_told();
+        const MAX_PICKS: usize = 6;
+        self.stats.set_estimate_logged();
         let ms = |secs: f64| (secs * 1_000.0).round() as i64;
-        let pick = |pick: &Option<Believed>| match pick {
-            Some((id, expected, idle, heard, good)) => {
+        let format_pick = |candidate: &Option<Believed>| match candidate {
+            Some((id, expected, idle, last_heard, good)) => {
                 let idle = if *idle { " idle" } else { "" };
                 format!(
                     "{}:{}ms{idle} heard {}ms ago good {good:.2}",
                     id.as_str(),
                     ms(*expected),
-                    ms(*heard)
+                    ms(*last_heard)
                 )
             }
             None => "none".to_owned(),
         };
-        let picks: Vec<String> = belief.picks.iter().take(SHOWN).map(pick).collect();
+        let picks: Vec<String> = estimate
+            .picks
+            .iter()
+            .take(MAX_PICKS)
+            .map(format_pick)
+            .collect();
         tracing::info!(
             multiget = multiget.id.as_str(),
-            parts = belief.picks.len(),
-            pass = format!("{:.2}", belief.pass),
-            left_ms = ms(belief.left),
-            unserved = format!("{:.2}", belief.unserved),
-            peers_ms = ms(belief.peers),
+            parts = estimate.picks.len(),
+            pass = format!("{:.2}", estimate.pass),
+            left_ms = ms(estimate.left),
+            unserved = format!("{:.2}", estimate.unserved),
+            peers_ms = ms(estimate.peers),
             picks = picks.join("; "),
             "pushed back unsent"
         );
--- a/crates/lockusher-aggregator/src/routing/mod.rs
+++ b/crates/lockusher-aggregator/src/routing/mod.rs
@@ -16,20 +16,20 @@
 use lockusher_policy::interface::*;
 use tokio::sync::{Notify, mpsc, oneshot};
 
+use crate::check_invariant;
 use crate::clock::{Clock, duration};
-use crate::config::{Config, Sockets};
-use crate::must_hold;
-use crate::protocol::client::{Request, Unusable};
-use dispatcher::Desk;
+use crate::config::{Config, SocketLimits};
+use crate::protocol::client::{Request, RequestError};
+use dispatcher::Dispatcher;
 use lockusher_multiget::list::List;
-use searcher_transport::{Carrier, Wanted};
+use searcher_transport::{ClientConnected, SearcherTransport};
 
 /// What comes to the router.
-pub enum Arrival {
-    Asked(Box<Asked>),
-    Ended(SendEnded),
+pub enum RouterEvent {
+    Multiget(Box<PendingRequest>),
+    SendEnded(SendEnded),
     /// Discovery told something, or refused.
-    Told(Option<List>),
+    SearcherList(Option<List>),
     /// The fleet tells something: how many mixers there may be, what they agree on.
     Fleet(News),
     /// What this mixer saw and did is to be told to the fleet.
@@ -39,21 +39,21 @@
 }
 
 /// A multiget, and the way back to its client, with the time before which it must not be written.
-pub struct Asked {
+pub struct PendingRequest {
     pub request: Request,
     /// When its last byte was read.
-    pub at: Instant,
-    pub reply: oneshot::Sender<(Given, Instant)>,
-    pub wanted: Wanted,
+    pub received_at: Instant,
+    pub reply: oneshot::Sender<(ClientResponse, Instant)>,
+    pub client_connected: ClientConnected,
 }
 
 /// What a client is given.
 #[derive(Debug)]
-pub enum Given {
+pub enum ClientResponse {
     Answer(Bytes),
     PushedBack(Option<Span>),
     Failed,
-    Unusable(Unusable),
+    Rejected(RequestError),
 }
 
 /// How a send ended.
@@ -67,21 +67,21 @@
 }
 
 /// The ends of the queue that others hold.
-pub struct Inlets {
-    pub arrivals: mpsc::Receiver<Arrival>,
-    pub left: mpsc::UnboundedReceiver<MultigetId>,
+pub struct RouterInputs {
+    pub events: mpsc::Receiver<RouterEvent>,
+    pub disconnected: mpsc::UnboundedReceiver<MultigetId>,
 }
 
 pub struct Router {
     clock: Clock,
     host: Host,
-    desk: Desk,
-    sockets: Sockets,
-    inlets: Inlets,
-    can_serve: Rc<Cell<bool>>,
+    dispatcher: Dispatcher,
+    sockets: SocketLimits,
+    inputs: RouterInputs,
+    ready: Rc<Cell<bool>>,
     next_number: u64,
     /// Multigets in hand that have no final answer yet.
-    open: Rc<Cell<usize>>,
+    open_multigets: Rc<Cell<usize>>,
     stopped: bool,
 }
 
@@ -89,79 +89,84 @@
     pub fn start(
         clock: Clock,
         config: &Config,
-        searchers: Box<dyn Carrier>,
-        asked: Rc<Notify>,
-        inlets: Inlets,
-        can_serve: Rc<Cell<bool>>,
-        open: Rc<Cell<usize>>,
+        transport: Box<dyn SearcherTransport>,
+        list_requested: Rc<Notify>,
+        inputs: RouterInputs,
+        ready: Rc<Cell<bool>>,
+        open_multigets: Rc<Cell<usize>>,
     ) -> Result<Self> {
         let host = Host::start(clock.now(), config.seed, &config.settings)?;
         let op_types = config.settings.op_types().map_err(anyhow::Error::msg)?;
-        let desk = Desk::new(searchers, &op_types, asked, config.sockets.most_bytes);
+        let dispatcher = Dispatcher::new(
+            transport,
+            &op_types,
+            list_requested,
+            config.sockets.max_buffered_bytes,
+        );
         let sockets = config.sockets;
         Ok(Router {
             clock,
             host,
-            desk,
+            dispatcher,
             sockets,
-            inlets,
-            can_serve,
+            inputs,
+            ready,
             next_number: 0,
-            open,
+            open_multigets,
             stopped: false,
         })
     }
 
     /// Tells the list that was held last.
-    pub fn remember(&mut self, list: List) {
-        self.told(self.clock.now(), list, News::Remembered);
+    pub fn restore_list(&mut self, list: List) {
+        self.apply_list(self.clock.now(), list, News::Remembered);
     }
 
     pub async fn run(mut self) {
         // A batch has one settling; a longer one would let the first of it wait.
-        const MOST: usize = 64;
+        const MAX_EVENTS_PER_BATCH: usize = 64;
         let mut next = Some(Span::ZERO);
         loop {
             let wait = next.map_or(std::time::Duration::MAX, duration);
-            let (mut arrival, mut left) = (None, None);
+            let (mut event, mut disconnected) = (None, None);
             tokio::select! {
-                got = self.inlets.arrivals.recv() => match got {
-                    Some(got) => arrival = Some(got),
+                received = self.inputs.events.recv() => match received {
+                    Some(received) => event = Some(received),
                     None => return,
                 },
-                Some(id) = self.inlets.left.recv() => left = Some(id),
+                Some(id) = self.inputs.disconnected.recv() => disconnected = Some(id),
                 () = tokio::time::sleep(wait) => {}
             }
             // What has come on the sockets is read first: after standing still, a copy that is due must not leave
             // for a client that has gone, nor a time-out be noted for what has been answered.
             tokio::task::yield_now().await;
             let now = self.clock.now();
-            self.desk.begin(now);
-            arrival = arrival.or_else(|| self.inlets.arrivals.try_recv().ok());
-            left = left.or_else(|| self.inlets.left.try_recv().ok());
+            self.dispatcher.begin_batch(now);
+            event = event.or_else(|| self.inputs.events.try_recv().ok());
+            disconnected = disconnected.or_else(|| self.inputs.disconnected.try_recv().ok());
             let mut handled = 0;
-            while let Some(got) = arrival {
-                self.arrived(now, got);
+            while let Some(received) = event {
+                self.handle_event(now, received);
                 handled += 1;
-                arrival = (handled < MOST)
-                    .then(|| self.inlets.arrivals.try_recv().ok())
+                event = (handled < MAX_EVENTS_PER_BATCH)
+                    .then(|| self.inputs.events.try_recv().ok())
                     .flatten();
             }
-            while let Some(id) = left {
-                self.client_left(&id);
-                left = self.inlets.left.try_recv().ok();
+            while let Some(id) = disconnected {
+                self.handle_disconnect(&id);
+                disconnected = self.inputs.disconnected.try_recv().ok();
             }
-            while let Some((part, nth)) = self.desk.timed_out() {
-                self.ended(now, part, nth, Outcome::TimedOut, None);
+            while let Some((part, nth)) = self.dispatcher.pop_timed_out() {
+                self.handle_send_end(now, part, nth, Outcome::TimedOut, None);
             }
             next = self.settle(now);
         }
     }
 
-    fn arrived(&mut self, now: Time, arrival: Arrival) {
-        match arrival {
-            Arrival::Asked(asked) => self.asked(now, *asked),
-            Arrival::Ended(SendEnded {
+    fn handle_event(&mut self, now: Time, event: RouterEvent) {
+        match event {
+            RouterEvent::Multiget(request) => self.handle_multiget(now, *request),
+            RouterEvent::SendEnded(SendEnded {
                 part,
                 nth,
                 outcome,
@@ -169,36 +174,36 @@
                 answer,
             }) => {
                 // A value that there is no room for is no answer.
-                let kept = answer.is_none_or(|answer| self.desk.came_in(&part, answer));
-                let outcome = if kept { outcome } else { Outcome::Error };
-                self.ended(now, part, nth, outcome, Some(self.clock.at(at)));
+                let stored = answer.is_none_or(|answer| self.dispatcher.store_value(&part, answer));
+                let outcome = if stored { outcome } else { Outcome::Error };
+                self.handle_send_end(now, part, nth, outcome, Some(self.clock.at(at)));
             }
-            Arrival::Told(Some(list)) => {
+            RouterEvent::SearcherList(Some(list)) => {
                 let kind = if list.complete {
                     News::All
                 } else {
                     News::Changes
                 };
-                self.told(now, list, kind);
+                self.apply_list(now, list, kind);
             }
-            Arrival::Stop => {
+            RouterEvent::Stop => {
                 self.stopped = true;
                 self.host.stop(now);
             }
-            Arrival::Fleet(news) => {
+            RouterEvent::Fleet(news) => {
                 if let News::Portions(portions) = &news {
-                    self.desk.portions(portions);
+                    self.dispatcher.set_portions(portions);
                 }
                 self.host.news(now, news);
             }
-            Arrival::Report(reply) => {
+            RouterEvent::Report(reply) => {
                 // Whoever asked may have gone.
-                let (seen, totals) = (self.host.seen(), self.desk.totals());
+                let (seen, totals) = (self.host.seen(), self.dispatcher.totals());
                 let wants = self
                     .host
                     .spends(now)
                     .into_iter()
-                    .chain(self.desk.spends())
+                    .chain(self.dispatcher.spending_rates())
                     .collect();
                 let _ = reply.send(Own {
                     seen,
@@ -206,30 +211,32 @@
                     wants,
                 });
             }
-            Arrival::Told(None) => self.host.news(now, News::Refused),
+            RouterEvent::SearcherList(None) => self.host.news(now, News::Refused),
         }
     }
 
-    fn asked(
+    fn handle_multiget(
         &mut self,
         now: Time,
-        Asked {
+        PendingRequest {
             request,
-            at,
+            received_at,
             reply,
-            wanted,
-        }: Asked,
+            client_connected,
+        }: PendingRequest,
     ) {
         if reply.is_closed() {
             return; // Its client went away while it waited here.
         }
-        if self.desk.holds(&request.id) || self.host.in_hand().contains_key(&request.id) {
-            let unusable = Unusable::new(409, "a multiget of this id is in hand");
-            let _ = reply.send((Given::Unusable(unusable), at));
+        if self.dispatcher.contains(&request.id) || self.host.in_hand().contains_key(&request.id) {
+            let error = RequestError::new(409, "a multiget of this id is in hand");
+            let _ = reply.send((ClientResponse::Rejected(error), received_at));
             return;
         }
-        if self.stopped || self.desk.held() + 1 + request.parts.len() > self.sockets.most_open {
-            let _ = reply.send((Given::PushedBack(None), at));
+        if self.stopped
+            || self.dispatcher.in_flight() + 1 + request.parts.len() > self.sockets.max_in_flight
+        {
+            let _ = reply.send((ClientResponse::PushedBack(None), received_at));
             return;
         }
         self.next_number += 1;
@@ -245,7 +252,8 @@
             tenant: request.tenant,
             resubmitted: request.resubmitted,
             hint,
-            ends: self.clock.at(at) + request.given.min(self.sockets.longest),
+            ends: self.clock.at(received_at)
+                + request.time_limit.min(self.sockets.max_route_timeout),
         };
         self.host.take(now, taken);
         for part in &request.parts {
@@ -262,12 +270,20 @@
                 },
             );
         }
-        self.desk.take(number, request, reply, wanted);
+        self.dispatcher
+            .register(number, request, reply, client_connected);
     }
 
     /// The end of a send, once; `at` is when it was heard of, if before now.
-    fn ended(&mut self, now: Time, part: PartId, nth: usize, outcome: Outcome, at: Option<Time>) {
-        let Some(sent) = self.desk.closed(&part, nth) else {
+    fn handle_send_end(
+        &mut self,
+        now: Time,
+        part: PartId,
+        nth: usize,
+        outcome: Outcome,
+        at: Option<Time>,
+    ) {
+        let Some(sent) = self.dispatcher.finish_send(&part, nth) else {
             return;
         };
         let elapsed = at.unwrap_or(now).since(sent);
@@ -279,40 +295,41 @@
             elapsed,
             closed,
         };
-        let noted = self.host.ended(now, &ended, &mut self.desk);
-        must_hold!(noted.is_ok(), "an outcome finds its send");
+        let recorded = self.host.ended(now, &ended, &mut self.dispatcher);
+        check_invariant!(recorded.is_ok(), "an outcome finds its send");
         if closed
             && let Some(multiget) = self
-                .desk
+                .dispatcher
                 .owner(&ended.part)
                 .and_then(|id| self.host.in_hand().get(id))
         {
-            self.desk
-                .recall(multiget.parts.iter().filter(|part| part.id == ended.part));
+            self.dispatcher
+                .cancel_unsent(multiget.parts.iter().filter(|part| part.id == ended.part));
         }
     }
 
-    fn told(&mut self, now: Time, list: List, kind: fn(Vec<Listed>) -> News) {
+    fn apply_list(&mut self, now: Time, list: List, kind: fn(Vec<Listed>) -> News) {
         if list.complete {
-            let named: HashSet<&SearcherId> = list.lines.iter().map(|(line, _)| &line.id).collect();
-            self.desk.missing(|id| !named.contains(id));
+            let listed: HashSet<&SearcherId> =
+                list.lines.iter().map(|(entry, _)| &entry.id).collect();
+            self.dispatcher.remove_missing(|id| !listed.contains(id));
         }
-        for (line, place) in &list.lines {
-            self.desk.listed(line, *place);
+        for (entry, place) in &list.lines {
+            self.dispatcher.apply_entry(entry, *place);
         }
         self.host.news(
             now,
-            kind(list.lines.into_iter().map(|(line, _)| line).collect()),
+            kind(list.lines.into_iter().map(|(entry, _)| entry).collect()),
         );
-        self.can_serve
-            .set(self.can_serve.get() || self.desk.knows_any());
+        self.ready
+            .set(self.ready.get() || self.dispatcher.has_searchers());
     }
 
-    fn client_left(&mut self, id: &MultigetId) {
-        if !self.desk.forget(id) {
+    fn handle_disconnect(&mut self, id: &MultigetId) {
+        if !self.dispatcher.remove_disconnected(id) {
             return; // Its answer crossed with its going.
         }
-        if self.sockets.may_withdraw
+        if self.sockets.cancellation_allowed
             && let Some(multiget) = self.host.in_hand().get(id)
         {
             for part in &multiget.parts {
@@ -322,7 +339,7 @@
                     .enumerate()
                     .filter(|(_, s)| s.outcome.is_none())
                 {
-                    self.desk.give_up(&part.id, nth);
+                    self.dispatcher.cancel(&part.id, nth);
                 }
             }
         }
@@ -333,20 +350,22 @@
     fn settle(&mut self, now: Time) -> Option<Span> {
         let mut next;
         loop {
-            next = self.host.settle(now, &mut self.desk);
-            self.desk.depart();
-            let (ended, begun) = self.desk.made();
-            if ended.is_empty() && begun.is_empty() {
+            next = self.host.settle(now, &mut self.dispatcher);
+            self.dispatcher.flush();
+            let (ended, second_step_parts) = self.dispatcher.take_results();
+            if ended.is_empty() && second_step_parts.is_empty() {
                 break;
             }
             for (part, nth, outcome) in ended {
-                self.ended(now, part, nth, outcome, None);
+                self.handle_send_end(now, part, nth, outcome, None);
             }
-            for (number, part) in begun {
+            for (number, part) in second_step_parts {
                 self.host.join(now, number, part);
             }
         }
-        self.open.set(self.desk.multigets());
-        next.into_iter().chain(self.desk.next_time_out(now)).min()
+        self.open_multigets.set(self.dispatcher.open_count());
+        next.into_iter()
+            .chain(self.dispatcher.next_timeout(now))
+            .min()
     }
 }
--- a/crates/lockusher-aggregator/src/routing/searcher_transport.rs
+++ b/crates/lockusher-aggregator/src/routing/searcher_transport.rs
@@ -11,96 +11,96 @@
 use crate::protocol::frame::CallPart;
 
 /// Whether anyone still waits for a part.
-pub type Wanted = Rc<dyn Fn() -> bool>;
+pub type ClientConnected = Rc<dyn Fn() -> bool>;
 
 /// Whether a part may leave, asked as it is about to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum May {
-    Leave,
+pub enum Permission {
+    Send,
     /// Its last byte too must leave by then.
-    LeaveBy(Instant),
+    SendBy(Instant),
     /// Nobody waits for it any more.
-    Unwanted,
+    Abandoned,
     /// Its window has passed: no repeat of it is dropped any more.
-    Late,
+    WindowExpired,
 }
 
 /// Where a searcher drops repeats of a part for a time only: that time runs from the first byte of the first of its
 /// sends to leave, whichever that is.
-pub struct RepeatWindow {
+pub struct DedupWindow {
     span: std::time::Duration,
-    began: Cell<Option<Instant>>,
+    started: Cell<Option<Instant>>,
 }
 
-impl RepeatWindow {
+impl DedupWindow {
     pub fn new(span: std::time::Duration) -> Self {
-        RepeatWindow {
+        DedupWindow {
             span,
-            began: Cell::new(None),
+            started: Cell::new(None),
         }
     }
 
     /// Whether a send may leave now; the first that may begins the window.
-    pub fn may_leave(&self, now: Instant) -> May {
-        match self.began.get() {
+    pub fn permission(&self, now: Instant) -> Permission {
+        match self.started.get() {
             None => {
-                self.began.set(Some(now));
-                May::Leave
+                self.started.set(Some(now));
+                Permission::Send
             }
-            Some(began) if now >= began + self.span => May::Late,
-            Some(began) => May::LeaveBy(began + self.span),
+            Some(started) if now >= started + self.span => Permission::WindowExpired,
+            Some(started) => Permission::SendBy(started + self.span),
         }
     }
 
     /// No send of it that left can have run: the next to leave is the first again.
-    pub fn never_ran(&self) {
-        self.began.set(None);
+    pub fn reset(&self) {
+        self.started.set(None);
     }
 }
 
 /// A part with the number of its send.
-pub type Sent = (usize, CallPart, Rc<dyn Fn() -> May>);
+pub type OutgoingPart = (usize, CallPart, Rc<dyn Fn() -> Permission>);
 /// One that had not left.
-pub type Unsent = (PartId, usize);
+pub type UnsentPart = (PartId, usize);
 
-pub trait Carrier {
+pub trait SearcherTransport {
     /// Where a searcher listens. Connections to where it listened before carry nothing new.
-    fn at(&mut self, line: &Listed, place: Place) -> Vec<Unsent>;
+    fn set_address(&mut self, entry: &Listed, place: Place) -> Vec<UnsentPart>;
 
     /// Nothing new goes to a searcher: hands back what had not left, lets the rest end.
-    fn leave(&mut self, id: &SearcherId) -> Vec<Unsent>;
+    fn drain(&mut self, id: &SearcherId) -> Vec<UnsentPart>;
 
     /// All that have an address.
-    fn known(&self) -> Vec<SearcherId>;
+    fn searcher_ids(&self) -> Vec<SearcherId>;
 
     /// Parts that one call may hold.
-    fn most_parts(&self) -> usize;
+    fn max_parts_per_call(&self) -> usize;
 
     /// Closes what unused connections there are to a searcher.
-    fn close_unused(&mut self, to: &SearcherId);
+    fn close_idle(&mut self, to: &SearcherId);
 
     /// Sends a call of one or more parts; hands it back if no connection can be had for it, which says nothing of
     /// the searcher.
-    fn send(&mut self, to: &SearcherId, call: Vec<Sent>) -> Result<(), Vec<Sent>>;
+    fn send(&mut self, to: &SearcherId, call: Vec<OutgoingPart>) -> Result<(), Vec<OutgoingPart>>;
 
     /// A send has waited in vain. Tells what else had not left and won't.
-    fn in_vain(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> Vec<Unsent>;
+    fn send_timed_out(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> Vec<UnsentPart>;
 
     /// A send is late enough for a copy: is it the searcher, or the connection to it?
-    fn doubt(&mut self, to: &SearcherId, part: &PartId, nth: usize);
+    fn check_liveness(&mut self, to: &SearcherId, part: &PartId, nth: usize);
 
     /// Gives a send up, wherever it is.
-    fn give_up(&mut self, to: &SearcherId, part: &PartId, nth: usize);
+    fn cancel(&mut self, to: &SearcherId, part: &PartId, nth: usize);
 
     /// Takes back a send that has not left whole; tells whether that was so.
-    fn recall(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> bool;
+    fn cancel_unsent(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> bool;
 
     /// What may be spent on connections and probes from now on, of what the whole fleet may.
-    fn portions(&mut self, now: Time, portions: &[(Budget, Portion)]);
+    fn set_portions(&mut self, now: Time, portions: &[(Budget, Portion)]);
 
     /// What is spent on them a second.
-    fn spends(&self, now: Time) -> Vec<(Budget, f64)>;
+    fn spending_rates(&self, now: Time) -> Vec<(Budget, f64)>;
 
     /// What was written just now may reach its searcher after what is written to a client next: until when that is so.
-    fn on_its_way(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<Instant>;
+    fn in_transit_until(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<Instant>;
 }
--- a/crates/lockusher-aggregator/src/transport/client_stream.rs
+++ b/crates/lockusher-aggregator/src/transport/client_stream.rs
@@ -19,64 +19,64 @@
 use tokio::sync::Notify;
 use tokio::time::Sleep;
 
-use crate::protocol::MOST_HEAD;
+use crate::protocol::MAX_HEAD_BYTES;
 
 /// A request is whole within this of its first byte, the first one of its connection's start: bad clients are
 /// owed an end within 3 s.
-const WHOLE: Duration = Duration::from_millis(2_500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A connection that never asked for a multiget is closed after this without use; the protocol's pages allow it.
-const SILENT: Duration = Duration::from_millis(2_000);
+const UNSERVED_IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// A usual request comes in at once: with no place left, one that takes longer makes room.
-const SLOW: Duration = Duration::from_millis(250);
+const SLOW_REQUEST: Duration = Duration::from_millis(250);
 /// One that was used is kept for longer, as clients keep theirs.
-const UNUSED: Duration = Duration::from_secs(10);
+const SERVED_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How often it is looked whether a client has gone whose end lies behind bytes that are not read yet: it must not be
 /// sent on for later than 0.1 s after.
-const LOOK_FOR_END: Duration = Duration::from_millis(30);
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 /// How long what still comes is read, and dropped, once nothing more will be written: a close over unread bytes resets
 /// the connection, and an answer on its way may be lost with it. Also how long a refusal may take to reach a client
 /// that is still sending.
 pub const LINGER: Duration = Duration::from_millis(500);
 /// The same where nothing was written for longer than this, so that nothing is on its way but a request that crosses the
 /// close: a crowd of such connections must not hold places for long.
-const WRITTEN_LATELY: Duration = Duration::from_millis(1_000);
-const CROSSING: Duration = Duration::from_millis(100);
+const RECENT_WRITE: Duration = Duration::from_millis(1_000);
+const SHORT_LINGER: Duration = Duration::from_millis(100);
 /// Reads of one turn that lingers, so that a client that sends without end holds up nobody.
-const MOST_READS: usize = 16;
+const MAX_LINGER_READS: usize = 16;
 
 /// What is known of one connection.
 pub struct Usage {
-    came: Instant,
+    since: Instant,
     /// When the first byte of a request came that is not whole yet.
-    began: Cell<Option<Instant>>,
+    request_started: Cell<Option<Instant>>,
     last_read: Cell<Instant>,
     /// Bytes read that no whole request accounts for.
-    ahead: Cell<usize>,
+    unconsumed_bytes: Cell<usize>,
     /// A request is with its handler; whole, it has its answer in time.
-    asked: Cell<bool>,
-    whole: Cell<bool>,
+    handling: Cell<bool>,
+    body_read: Cell<bool>,
     /// Of what follows on this connection nothing is used.
-    refused: Cell<bool>,
+    ignores_input: Cell<bool>,
     /// Bytes of an answer wait for the client to read.
-    unwritten: Cell<bool>,
+    write_blocked: Cell<bool>,
     /// When something was last written.
-    wrote: Cell<Option<Instant>>,
+    last_write: Cell<Option<Instant>>,
     /// It has had an answer; one to what it asked searchers for.
     answered: Cell<bool>,
     served: Cell<bool>,
-    used: Cell<Instant>,
+    last_used: Cell<Instant>,
     closing: Cell<Closing>,
-    reader: RefCell<Option<Waker>>,
-    gone: Cell<bool>,
-    left: Notify,
+    reader_waker: RefCell<Option<Waker>>,
+    disconnected: Cell<bool>,
+    disconnect_notify: Notify,
     stream: Weak<TcpStream>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Closing {
     No,
-    WhenUnused,
+    WhenIdle,
     /// Even with a request coming in or an answer going out; one that is whole is still answered.
     Now,
 }
@@ -85,22 +85,22 @@
     fn default() -> Self {
         let now = Instant::now();
         Usage {
-            came: now,
-            began: Cell::new(None),
+            since: now,
+            request_started: Cell::new(None),
             last_read: Cell::new(now),
-            ahead: Cell::new(0),
-            asked: Cell::new(false),
-            whole: Cell::new(false),
-            refused: Cell::new(false),
-            unwritten: Cell::new(false),
-            wrote: Cell::new(None),
+            unconsumed_bytes: Cell::new(0),
+            handling: Cell::new(false),
+            body_read: Cell::new(false),
+            ignores_input: Cell::new(false),
+            write_blocked: Cell::new(false),
+            last_write: Cell::new(None),
             answered: Cell::new(false),
             served: Cell::new(false),
-            used: Cell::new(now),
+            last_used: Cell::new(now),
             closing: Cell::new(Closing::No),
-            reader: RefCell::default(),
-            gone: Cell::new(false),
-            left: Notify::new(),
+            reader_waker: RefCell::default(),
+            disconnected: Cell::new(false),
+            disconnect_notify: Notify::new(),
             stream: Weak::new(),
         }
     }
@@ -108,60 +108,60 @@
 
 impl Usage {
     /// A request's head is with its handler.
-    pub fn asked(&self) {
-        self.asked.set(true);
-        self.ahead.set(0);
+    pub fn begin_request(&self) {
+        self.handling.set(true);
+        self.unconsumed_bytes.set(0);
     }
 
     /// The last byte of the request with its handler has been read; tells when. Of several that came at once
     /// each counts from then, however long it waited for those before it.
-    pub fn whole(&self) -> Instant {
-        self.whole.set(true);
-        self.ahead.set(0);
-        self.began.set(None);
+    pub fn body_complete(&self) -> Instant {
+        self.body_read.set(true);
+        self.unconsumed_bytes.set(0);
+        self.request_started.set(None);
         self.last_read.get()
     }
 
     /// The request with its handler has its answer; `served` if it was a multiget.
-    pub fn answered(&self, served: bool) {
-        self.asked.set(false);
-        self.whole.set(false);
+    pub fn finish_request(&self, served: bool) {
+        self.handling.set(false);
+        self.body_read.set(false);
         // What has come behind it begins another.
-        self.began
-            .set((self.ahead.get() > 0).then(|| self.last_read.get()));
+        self.request_started
+            .set((self.unconsumed_bytes.get() > 0).then(|| self.last_read.get()));
         self.answered.set(true);
         self.served.set(self.served.get() || served);
-        self.used.set(Instant::now());
-        self.wake();
+        self.last_used.set(Instant::now());
+        self.wake_reader();
     }
 
-    pub fn is_whole(&self) -> bool {
-        self.whole.get()
+    pub fn is_body_complete(&self) -> bool {
+        self.body_read.get()
     }
 
     /// Nothing that follows on this connection is read for use.
-    pub fn refuse(&self) {
-        self.refused.set(true);
+    pub fn ignore_further_input(&self) {
+        self.ignores_input.set(true);
     }
 
     /// Whether its client is there: asks the system, as a mixer that had to stand still has not read it yet.
-    pub fn present(&self) -> bool {
-        let Some(stream) = self.stream.upgrade().filter(|_| !self.gone.get()) else {
+    pub fn is_connected(&self) -> bool {
+        let Some(stream) = self.stream.upgrade().filter(|_| !self.disconnected.get()) else {
             return false;
         };
         // Its end may lie behind bytes that are not read yet.
-        !hung_up(&stream) && !matches!(unread(&stream), Unread::End)
+        !peer_closed(&stream) && !matches!(unread_input(&stream), UnreadInput::End)
     }
 
     /// Ends once the client has gone away.
-    pub async fn left(&self) {
-        while !self.gone.get() {
+    pub async fn wait_disconnected(&self) {
+        while !self.disconnected.get() {
             // With more come than is in use, reading may have stopped short of its end.
             tokio::select! {
-                () = self.left.notified() => {}
-                () = tokio::time::sleep(LOOK_FOR_END), if self.ahead.get() > 0 => {
-                    if !self.present() {
-                        return self.gone.set(true);
+                () = self.disconnect_notify.notified() => {}
+                () = tokio::time::sleep(DISCONNECT_CHECK_INTERVAL), if self.unconsumed_bytes.get() > 0 => {
+                    if !self.is_connected() {
+                        return self.disconnected.set(true);
                     }
                 }
             }
@@ -169,73 +169,73 @@
     }
 
     /// Whether it is to be closed as soon as it may be.
-    pub fn closes(&self) -> bool {
+    pub fn is_closing(&self) -> bool {
         self.closing.get() != Closing::No
     }
 
-    fn unused(&self) -> bool {
-        self.began.get().is_none() && !self.asked.get() && !self.unwritten.get()
+    fn is_idle(&self) -> bool {
+        self.request_started.get().is_none() && !self.handling.get() && !self.write_blocked.get()
     }
 
     /// Whether it has said nothing for too long, or takes too long to say what it wants.
-    fn overdue(&self) -> bool {
-        let begun = |at: Instant| if self.answered.get() { at } else { self.came };
-        match self.began.get() {
-            Some(_) if self.whole.get() => false,
-            Some(at) => begun(at).elapsed() > WHOLE,
-            None if self.asked.get() => false,
+    fn is_overdue(&self) -> bool {
+        let timed_from = |at: Instant| if self.answered.get() { at } else { self.since };
+        match self.request_started.get() {
+            Some(_) if self.body_read.get() => false,
+            Some(at) => timed_from(at).elapsed() > REQUEST_TIMEOUT,
+            None if self.handling.get() => false,
             // Its client does not read.
-            None if self.unwritten.get() => self.used.get().elapsed() > WHOLE,
-            None if self.served.get() => self.used.get().elapsed() > UNUSED,
-            None => self.used.get().elapsed() > SILENT,
+            None if self.write_blocked.get() => self.last_used.get().elapsed() > REQUEST_TIMEOUT,
+            None if self.served.get() => self.last_used.get().elapsed() > SERVED_IDLE_TIMEOUT,
+            None => self.last_used.get().elapsed() > UNSERVED_IDLE_TIMEOUT,
         }
     }
 
-    fn wake(&self) {
-        if let Some(reader) = self.reader.borrow_mut().take() {
-            reader.wake();
+    fn wake_reader(&self) {
+        if let Some(reader_waker) = self.reader_waker.borrow_mut().take() {
+            reader_waker.wake();
         }
     }
 
     /// Closes it whatever its client does, between two requests if that is where it is.
-    fn end(&self) {
-        self.close(if self.unused() {
-            Closing::WhenUnused
+    fn force_close(&self) {
+        self.close(if self.is_idle() {
+            Closing::WhenIdle
         } else {
             Closing::Now
         });
     }
 
-    fn close(&self, how: Closing) {
-        self.closing.set(how);
-        self.wake();
+    fn close(&self, when: Closing) {
+        self.closing.set(when);
+        self.wake_reader();
     }
 }
 
 /// Whether the other side has closed, asked of the system: this shows though bytes before it are not read yet.
-fn hung_up(stream: &TcpStream) -> bool {
-    let mut asked = libc::pollfd {
+fn peer_closed(stream: &TcpStream) -> bool {
+    let mut poll_entry = libc::pollfd {
         fd: stream.as_raw_fd(),
         events: libc::POLLRDHUP,
         revents: 0,
     };
     // SAFETY: one entry, which outlives the call; with no time to wait it returns at once.
-    let told = unsafe { libc::poll(&mut asked, 1, 0) };
-    told > 0 && asked.revents & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
+    let ready_count = unsafe { libc::poll(&mut poll_entry, 1, 0) };
+    ready_count > 0 && poll_entry.revents & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
 }
 
 /// What lies unread on a connection, asked of the system.
-enum Unread {
+enum UnreadInput {
     Nothing,
     Bytes,
     End,
 }
 
-fn unread(stream: &TcpStream) -> Unread {
+fn unread_input(stream: &TcpStream) -> UnreadInput {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
-        Ok(came) if came > 0 => Unread::Bytes,
-        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
-        Ok(_) | Err(_) => Unread::End,
+        Ok(received) if received > 0 => UnreadInput::Bytes,
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => UnreadInput::Nothing,
+        Ok(_) | Err(_) => UnreadInput::End,
     }
 }
 
@@ -243,9 +243,9 @@
     stream: Rc<TcpStream>,
     pub usage: Rc<Usage>,
     /// It has read in this turn: the next read is another turn's, so that what is read is used before.
-    rests: bool,
+    defer_next_read: bool,
     /// Nothing more is written; until when what comes is still read.
-    lingers: Option<Pin<Box<Sleep>>>,
+    linger: Option<Pin<Box<Sleep>>>,
 }
 
 impl ClientStream {
@@ -258,19 +258,19 @@
         ClientStream {
             stream,
             usage,
-            rests: false,
-            lingers: None,
+            defer_next_read: false,
+            linger: None,
         }
     }
 
     /// Reads what has come; tells how much, nothing at its end.
-    fn poll_come(&self, cx: &mut Context<'_>, buf: &mut ReadBuf) -> Poll<io::Result<usize>> {
+    fn poll_receive(&self, cx: &mut Context<'_>, buf: &mut ReadBuf) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
             match self.stream.try_read(buf.initialize_unfilled()) {
-                Ok(came) => {
-                    buf.advance(came);
-                    return Poll::Ready(Ok(came));
+                Ok(received) => {
+                    buf.advance(received);
+                    return Poll::Ready(Ok(received));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Poll::Ready(Err(error)),
@@ -285,35 +285,36 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        if std::mem::take(&mut self.rests) {
+        if std::mem::take(&mut self.defer_next_read) {
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
         let usage = self.usage.clone();
-        let ahead = usage.ahead.get();
+        let unconsumed_bytes = usage.unconsumed_bytes.get();
         // More than a head's length ahead of what is in use waits in the system; so does what is of no use.
-        let full = ahead >= MOST_HEAD && (usage.whole.get() || usage.refused.get());
-        if !full {
-            if ahead >= MOST_HEAD && !usage.asked.get() {
+        let paused = unconsumed_bytes >= MAX_HEAD_BYTES
+            && (usage.body_read.get() || usage.ignores_input.get());
+        if !paused {
+            if unconsumed_bytes >= MAX_HEAD_BYTES && !usage.handling.get() {
                 return Poll::Ready(Ok(())); // A head that does not end.
             }
-            match self.poll_come(cx, buf) {
+            match self.poll_receive(cx, buf) {
                 Poll::Pending => {}
                 Poll::Ready(ended @ (Ok(0) | Err(_))) => {
-                    usage.gone.set(true);
-                    usage.left.notify_one();
+                    usage.disconnected.set(true);
+                    usage.disconnect_notify.notify_one();
                     return Poll::Ready(ended.map(drop));
                 }
-                Poll::Ready(Ok(came)) => {
-                    self.rests = true;
-                    usage.ahead.set(ahead + came);
-                    if usage.whole.get() {
+                Poll::Ready(Ok(received)) => {
+                    self.defer_next_read = true;
+                    usage.unconsumed_bytes.set(unconsumed_bytes + received);
+                    if usage.body_read.get() {
                         // Whoever waits for its end has to look for it from here on.
-                        usage.left.notify_one();
+                        usage.disconnect_notify.notify_one();
                     }
                     usage.last_read.set(Instant::now());
-                    if usage.began.get().is_none() && !usage.whole.get() {
-                        usage.began.set(Some(Instant::now()));
+                    if usage.request_started.get().is_none() && !usage.body_read.get() {
+                        usage.request_started.set(Some(Instant::now()));
                     }
                     return Poll::Ready(Ok(()));
                 }
@@ -322,15 +323,15 @@
         // What has come is read even when closing: a request that was sent gets its answer. The system is asked, as
         // bytes may have come that nobody was told of yet.
         match usage.closing.get() {
-            Closing::WhenUnused
-                if usage.unused() && !matches!(unread(&self.stream), Unread::Bytes) =>
+            Closing::WhenIdle
+                if usage.is_idle() && !matches!(unread_input(&self.stream), UnreadInput::Bytes) =>
             {
                 return Poll::Ready(Ok(()));
             }
-            Closing::Now if !usage.whole.get() => return Poll::Ready(Ok(())),
+            Closing::Now if !usage.body_read.get() => return Poll::Ready(Ok(())),
             _ => {}
         }
-        *usage.reader.borrow_mut() = Some(cx.waker().clone());
+        *usage.reader_waker.borrow_mut() = Some(cx.waker().clone());
         Poll::Pending
     }
 }
@@ -350,8 +351,8 @@
                 },
             }
         };
-        self.usage.unwritten.set(written.is_pending());
-        self.usage.wrote.set(Some(Instant::now()));
+        self.usage.write_blocked.set(written.is_pending());
+        self.usage.last_write.set(Some(Instant::now()));
         if written.is_pending() && self.usage.closing.get() == Closing::Now {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
@@ -364,32 +365,32 @@
 
     /// A half-close, then a lingering close that is bounded: what comes now is read and dropped, never used.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.usage.gone.get() {
+        if self.usage.disconnected.get() {
             return Poll::Ready(Ok(()));
         }
-        if self.lingers.is_none() {
+        if self.linger.is_none() {
             if SockRef::from(&*self.stream)
                 .shutdown(Shutdown::Write)
                 .is_err()
             {
                 return Poll::Ready(Ok(())); // Its client was quicker.
             }
-            let lately = self
+            let wrote_recently = self
                 .usage
-                .wrote
+                .last_write
                 .get()
-                .is_some_and(|at| at.elapsed() < WRITTEN_LATELY);
-            let span = if lately { LINGER } else { CROSSING };
-            self.lingers = Some(Box::pin(tokio::time::sleep(span)));
+                .is_some_and(|at| at.elapsed() < RECENT_WRITE);
+            let span = if wrote_recently { LINGER } else { SHORT_LINGER };
+            self.linger = Some(Box::pin(tokio::time::sleep(span)));
         }
-        if let Some(lingers) = self.lingers.as_mut()
-            && lingers.as_mut().poll(cx).is_ready()
+        if let Some(linger) = self.linger.as_mut()
+            && linger.as_mut().poll(cx).is_ready()
         {
             return Poll::Ready(Ok(()));
         }
-        let mut waste = [0; 4 * 1024];
-        for _ in 0..MOST_READS {
-            match self.poll_come(cx, &mut ReadBuf::new(&mut waste)) {
+        let mut discarded = [0; 4 * 1024];
+        for _ in 0..MAX_LINGER_READS {
+            match self.poll_receive(cx, &mut ReadBuf::new(&mut discarded)) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Err(_)) => return Poll::Ready(Ok(())),
                 Poll::Ready(Ok(0)) => return Poll::Ready(Ok(())),
@@ -405,12 +406,12 @@
 #[derive(Default)]
 pub struct Connections {
     open: RefCell<BTreeMap<u64, Rc<Usage>>>,
-    next: Cell<u64>,
+    next_number: Cell<u64>,
 }
 
 impl Connections {
     pub fn add(&self, usage: Rc<Usage>) -> u64 {
-        let number = self.next.replace(self.next.get() + 1);
+        let number = self.next_number.replace(self.next_number.get() + 1);
         self.open.borrow_mut().insert(number, usage);
         number
     }
@@ -420,33 +421,35 @@
     }
 
     /// Closes each connection as soon as it is between two requests.
-    pub fn close_unused(&self) {
+    pub fn close_idle(&self) {
         self.open
             .borrow()
             .values()
-            .for_each(|usage| usage.close(Closing::WhenUnused));
+            .for_each(|usage| usage.close(Closing::WhenIdle));
     }
 
     /// Closes those that have said nothing for too long, or take too long to say what they want.
     pub fn close_overdue(&self) {
         let open = self.open.borrow();
         open.values()
-            .filter(|usage| usage.overdue())
-            .for_each(|usage| usage.end());
+            .filter(|usage| usage.is_overdue())
+            .for_each(|usage| usage.force_close());
     }
 
     /// Closes the connection unused for longest if more than `most` were asked multigets on: clients may hold only so
     /// many, and a crowd of them that ask once and stay would leave none for others.
-    pub fn keep(&self, most: usize) {
+    pub fn limit_used(&self, max_used: usize) {
         let open = self.open.borrow();
-        let asked = || {
+        let used = || {
             open.values()
-                .filter(|u| u.closing.get() == Closing::No && (u.served.get() || u.asked.get()))
+                .filter(|u| u.closing.get() == Closing::No && (u.served.get() || u.handling.get()))
         };
-        if asked().count() > most
-            && let Some(usage) = asked().filter(|u| u.unused()).min_by_key(|u| u.used.get())
+        if used().count() > max_used
+            && let Some(usage) = used()
+                .filter(|usage| usage.is_idle())
+                .min_by_key(|u| u.last_used.get())
         {
-            usage.close(Closing::WhenUnused);
+            usage.close(Closing::WhenIdle);
         }
     }
 
@@ -454,25 +457,31 @@
     /// else one that was used, between two requests; of these the longest unused.
     pub fn make_room(&self) {
         let open = self.open.borrow();
-        let closable = open.values().filter_map(|usage| {
+        let candidates = open.values().filter_map(|usage| {
             // One that has not been read yet may hold a request.
-            let waits = usage.closing.get() == Closing::No && usage.reader.borrow().is_some();
-            let asks = usage.began.get().filter(|_| !usage.whole.get());
-            let slow = asks.is_some_and(|at| at.elapsed() > SLOW);
-            let fit = waits && (usage.unused() || slow);
-            fit.then_some((usage, !slow && usage.served.get(), usage.used.get()))
+            let is_parked =
+                usage.closing.get() == Closing::No && usage.reader_waker.borrow().is_some();
+            let receiving_since = usage
+                .request_started
+                .get()
+                .filter(|_| !usage.body_read.get());
+            let is_slow = receiving_since.is_some_and(|at| at.elapsed() > SLOW_REQUEST);
+            let closable = is_parked && (usage.is_idle() || is_slow);
+            closable.then_some((usage, !is_slow && usage.served.get(), usage.last_used.get()))
         });
-        if let Some((usage, ..)) = closable.min_by_key(|(_, served, used)| (*served, *used)) {
-            usage.end();
+        if let Some((usage, ..)) =
+            candidates.min_by_key(|(_, served, last_used)| (*served, *last_used))
+        {
+            usage.force_close();
         }
     }
 
     /// Those that are being closed, whose places are free soon.
-    pub fn closing(&self) -> usize {
+    pub fn closing_count(&self) -> usize {
         self.open
             .borrow()
             .values()
-            .filter(|usage| usage.closes())
+            .filter(|usage| usage.is_closing())
             .count()
     }
 }
--- a/crates/lockusher-aggregator/src/transport/clients.rs
+++ b/crates/lockusher-aggregator/src/transport/clients.rs
@@ -22,66 +22,66 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc, oneshot, watch};
 
-use crate::config::Sockets;
-use crate::protocol::MOST_BODY;
-use crate::protocol::client::{self, Head, Unusable};
-use crate::routing::searcher_transport::Wanted;
-use crate::routing::{Arrival, Asked, Given};
+use crate::config::SocketLimits;
+use crate::protocol::MAX_BODY_BYTES;
+use crate::protocol::client::{self, Head, RequestError};
+use crate::routing::searcher_transport::ClientConnected;
+use crate::routing::{ClientResponse, PendingRequest, RouterEvent};
 use crate::transport::client_stream::{ClientStream, Connections, LINGER, Usage};
 
 /// How long accepting pauses when it can't go on, so that it neither spins nor keeps anyone waiting.
-const PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Places that are kept free, about as many as are closed at once.
-const AHEAD: usize = 8;
+const SPARE_SLOTS: usize = 8;
 /// How often connections are looked through for those to be closed.
-const LOOK: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How far the program has come in stopping.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub enum Stopping {
-    No,
+pub enum ShutdownPhase {
+    Running,
     /// It says so; those that have a connection go on using it.
-    Asked,
+    Draining,
     /// Unused connections are closed, answers close theirs.
     Closing,
 }
 
 /// What all connections share.
-pub struct Desk {
+pub struct ServerState {
     pub names: Names,
-    pub sockets: Sockets,
-    pub queue: mpsc::Sender<Arrival>,
+    pub sockets: SocketLimits,
+    pub queue: mpsc::Sender<RouterEvent>,
     /// Clients that went away; as many at most as multigets were taken.
-    pub left: mpsc::UnboundedSender<MultigetId>,
-    pub can_serve: Rc<Cell<bool>>,
-    pub stopping: watch::Receiver<Stopping>,
+    pub disconnected: mpsc::UnboundedSender<MultigetId>,
+    pub ready: Rc<Cell<bool>>,
+    pub shutdown: watch::Receiver<ShutdownPhase>,
     /// Bytes of bodies that are being read or in hand.
-    pub bodies: Cell<usize>,
+    pub body_bytes: Cell<usize>,
     /// The way to ask how the registry stands, if one is followed.
     pub registry: Option<Asks>,
     /// The way to ask how the fleet stands, if a view of it is kept.
     pub fleet: Option<fleet::Asks>,
 }
 
-impl Desk {
-    fn stops(&self) -> bool {
-        *self.stopping.borrow() != Stopping::No
+impl ServerState {
+    fn is_stopping(&self) -> bool {
+        *self.shutdown.borrow() != ShutdownPhase::Running
     }
 
-    fn closes(&self) -> bool {
-        *self.stopping.borrow() == Stopping::Closing
+    fn is_closing(&self) -> bool {
+        *self.shutdown.borrow() == ShutdownPhase::Closing
     }
 }
 
 /// Serves connections until `closed`; ends when the last one that was accepted has ended.
-pub async fn serve(listener: TcpListener, desk: Rc<Desk>, closed: Rc<Notify>) {
-    let most = desk.sockets.most_clients;
-    let (places, connections) = (
-        Arc::new(Semaphore::new(most)),
+pub async fn serve(listener: TcpListener, server: Rc<ServerState>, stop_accepting: Rc<Notify>) {
+    let max_connections = server.sockets.max_client_connections;
+    let (slots, connections) = (
+        Arc::new(Semaphore::new(max_connections)),
         Rc::new(Connections::default()),
     );
-    let shared = desk.clone();
+    let service_state = server.clone();
     let service = HttpService::build()
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
@@ -92,26 +92,26 @@
             data.insert(stream.usage.clone());
         })
         .finish(fn_service(move |request: Request| {
-            let desk = shared.clone();
-            async move { Ok::<_, Infallible>(handle(request, &desk).await) }
+            let server = service_state.clone();
+            async move { Ok::<_, Infallible>(handle(request, &server).await) }
         }))
         .new_service(())
         .await;
     let Ok(service) = service else {
         return tracing::info!("the server of clients could not be made");
     };
-    let start = |stream: TcpStream, peer, place: OwnedSemaphorePermit| {
+    let start_connection = |stream: TcpStream, peer, slot: OwnedSemaphorePermit| {
         let _ = stream.set_nodelay(true);
         let stream = ClientStream::new(stream);
         let number = connections.add(stream.usage.clone());
-        connections.keep(desk.sockets.most_kept);
+        connections.limit_used(server.sockets.max_used_client_connections);
         let connection = service.call((stream, Protocol::Http1, Some(peer)));
         let connections = connections.clone();
         actix_rt::spawn(async move {
             // What ends a connection concerns its client alone.
             let _ = connection.await;
             connections.remove(number);
-            drop(place);
+            drop(slot);
         });
     };
     let accept = async {
@@ -119,72 +119,74 @@
             // The place first: a connection that was accepted and has none would be reset if accepting ends now. With
             // no place left the next ones wait in the listener's backlog until one can be closed.
             // Room is made some places ahead, so that a crowd does not wait for each to be closed.
-            let place = loop {
-                if places.available_permits() + connections.closing() < AHEAD {
+            let slot = loop {
+                if slots.available_permits() + connections.closing_count() < SPARE_SLOTS {
                     // Those just accepted are read first, and show what they are.
                     tokio::task::yield_now().await;
                     connections.make_room();
                 }
-                let place = places.clone().acquire_owned();
-                match tokio::time::timeout(PAUSE, place).await {
-                    Ok(Ok(place)) => break place,
+                let slot = slots.clone().acquire_owned();
+                match tokio::time::timeout(ACCEPT_PAUSE, slot).await {
+                    Ok(Ok(slot)) => break slot,
                     Ok(Err(_)) => return,
                     Err(_) => {}
                 }
             };
             match listener.accept().await {
-                Ok((stream, peer)) => start(stream, peer, place),
+                Ok((stream, peer)) => start_connection(stream, peer, slot),
                 Err(error) => {
                     tracing::warn!("accepting: {error}");
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
     };
     let close_overdue = async {
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             connections.close_overdue();
         }
     };
     tokio::select! {
         () = accept => {}
         () = close_overdue => {}
-        () = closed.notified() => {}
+        () = stop_accepting.notified() => {}
     }
-    connections.close_unused();
+    connections.close_idle();
     // What the system has accepted counts as taken: it is served as far as places get free for it.
     tokio::task::yield_now().await;
-    while let Ok(Ok(place)) = tokio::time::timeout(LINGER, places.clone().acquire_owned()).await
+    while let Ok(Ok(slot)) = tokio::time::timeout(LINGER, slots.clone().acquire_owned()).await
         && let Some(Ok((stream, peer))) = listener.accept().now_or_never()
     {
-        start(stream, peer, place);
+        start_connection(stream, peer, slot);
     }
     drop(listener);
-    connections.close_unused();
-    let _ = places.acquire_many(most as u32).await;
+    connections.close_idle();
+    let _ = slots.acquire_many(max_connections as u32).await;
 }
 
-async fn handle(mut request: Request, desk: &Desk) -> Response<BoxBody> {
+async fn handle(mut request: Request, server: &ServerState) -> Response<BoxBody> {
     let usage = request
         .conn_data::<Rc<Usage>>()
         .cloned()
         .unwrap_or_default();
-    usage.asked();
+    usage.begin_request();
     let mut response = match request.path() {
-        client::UP if desk.can_serve.get() && !desk.stops() => plain(200, "up"),
-        client::UP => plain(503, "not serving"),
-        path @ (client::REGISTRY | client::REGISTRY_VIEW) if let Some(asks) = &desk.registry => {
-            registry(asks, path == client::REGISTRY_VIEW, &desk.names).await
+        client::UP_PATH if server.ready.get() && !server.is_stopping() => text_response(200, "up"),
+        client::UP_PATH => text_response(503, "not serving"),
+        path @ (client::REGISTRY_PATH | client::REGISTRY_VIEW_PATH)
+            if let Some(asks) = &server.registry =>
+        {
+            registry(asks, path == client::REGISTRY_VIEW_PATH, &server.names).await
         }
-        client::FLEET if let Some(asks) = &desk.fleet => fleet(asks).await,
-        _ => match multiget(&mut request, desk, &usage).await {
+        client::FLEET_PATH if let Some(asks) = &server.fleet => fleet(asks).await,
+        _ => match multiget(&mut request, server, &usage).await {
             Ok(response) => response,
-            Err(unusable) => {
-                let mut response = plain(unusable.status, &unusable.why);
-                if !usage.is_whole() {
+            Err(error) => {
+                let mut response = text_response(error.status, &error.message);
+                if !usage.is_body_complete() {
                     // Where it ends is not known: nothing that follows may be taken for a request.
-                    usage.refuse();
+                    usage.ignore_further_input();
                     response
                         .head_mut()
                         .set_connection_type(ConnectionType::Close);
@@ -193,8 +195,8 @@
             }
         },
     };
-    usage.answered(request.path() != client::UP && !response.status().is_client_error());
-    if desk.closes() || usage.closes() {
+    usage.finish_request(request.path() != client::UP_PATH && !response.status().is_client_error());
+    if server.is_closing() || usage.is_closing() {
         response
             .head_mut()
             .set_connection_type(ConnectionType::Close);
@@ -204,9 +206,9 @@
 
 async fn registry(asks: &Asks, view: bool, names: &Names) -> Response<BoxBody> {
     let (reply, shown) = oneshot::channel();
-    let asked = asks.send(Ask { view, reply }).await;
+    let sent = asks.send(Ask { view, reply }).await;
     match shown.await {
-        Ok(shown) if asked.is_ok() => {
+        Ok(shown) if sent.is_ok() => {
             let mut response = Response::build(StatusCode::OK);
             let body = crate::protocol::registry::encode(&shown, names);
             response
@@ -214,15 +216,15 @@
                 .body(body)
                 .map_into_boxed_body()
         }
-        _ => plain(503, "the registry is not followed"),
+        _ => text_response(503, "the registry is not followed"),
     }
 }
 
 async fn fleet(asks: &fleet::Asks) -> Response<BoxBody> {
     let (reply, shown) = oneshot::channel();
-    let asked = asks.send(fleet::Ask::Show(reply)).await;
+    let sent = asks.send(fleet::Ask::Show(reply)).await;
     match shown.await {
-        Ok(shown) if asked.is_ok() => {
+        Ok(shown) if sent.is_ok() => {
             let mut response = Response::build(StatusCode::OK);
             let body = crate::protocol::fleet::encode(&shown);
             response
@@ -230,28 +232,28 @@
                 .body(body)
                 .map_into_boxed_body()
         }
-        _ => plain(503, "no view of the fleet is kept"),
+        _ => text_response(503, "no view of the fleet is kept"),
     }
 }
 
-fn plain(status: u16, words: &str) -> Response<BoxBody> {
+fn text_response(status: u16, message: &str) -> Response<BoxBody> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     Response::build(status)
         .insert_header((CONTENT_TYPE, "text/plain"))
-        .body(format!("{words}\n"))
+        .body(format!("{message}\n"))
         .map_into_boxed_body()
 }
 
 /// Tells the router when a client goes away before its answer.
-struct Waiting<'a> {
-    desk: &'a Desk,
+struct DisconnectGuard<'a> {
+    server: &'a ServerState,
     id: Option<MultigetId>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
-            let _ = self.desk.left.send(id);
+            let _ = self.server.disconnected.send(id);
         }
     }
 }
@@ -260,122 +262,126 @@
 const SMALL_BODY: usize = 8 * 1024;
 
 /// Bytes of bodies, as long as they are kept.
-struct Kept<'a> {
-    all: &'a Cell<usize>,
+struct BufferedBody<'a> {
+    total: &'a Cell<usize>,
     bytes: usize,
 }
 
-impl Drop for Kept<'_> {
+impl Drop for BufferedBody<'_> {
     fn drop(&mut self) {
-        self.all.set(self.all.get() - self.bytes);
+        self.total.set(self.total.get() - self.bytes);
     }
 }
 
 async fn multiget(
     request: &mut Request,
-    desk: &Desk,
+    server: &ServerState,
     usage: &Rc<Usage>,
-) -> Result<Response<BoxBody>, Unusable> {
+) -> Result<Response<BoxBody>, RequestError> {
     let mut payload = request.take_payload();
     let headers = request.headers();
-    if let Some(name) = client::ONCE
+    if let Some(name) = client::SINGLE_HEADERS
         .into_iter()
         .find(|name| headers.get_all(*name).count() > 1)
     {
-        return Err(Unusable::new(400, format!("{name} is given twice")));
+        return Err(RequestError::new(400, format!("{name} is given twice")));
     }
     if headers.contains_key(UPGRADE) {
-        return Err(Unusable::new(400, "there is nothing to upgrade to"));
+        return Err(RequestError::new(400, "there is nothing to upgrade to"));
     }
-    let named = |name: &str| headers.get(name).and_then(|v| v.to_str().ok());
+    let header_value = |name: &str| headers.get(name).and_then(|v| v.to_str().ok());
     let head = Head {
         method: request.method().as_str(),
         path: request.path(),
-        id: named(client::ID),
-        op_type: named(client::OP_TYPE),
-        tenant: named(client::TENANT),
-        deadline: named(client::DEADLINE),
-        resubmitted: named(client::RESUBMITTED),
+        id: header_value(client::ID_HEADER),
+        op_type: header_value(client::OP_TYPE_HEADER),
+        tenant: header_value(client::TENANT_HEADER),
+        deadline: header_value(client::DEADLINE_HEADER),
+        resubmitted: header_value(client::RESUBMITTED_HEADER),
     };
-    client::check(&head, &desk.names)?;
-    let too_large = || Unusable::new(413, "the body is too large");
-    let length = named("content-length").and_then(|length| length.trim().parse::<usize>().ok());
-    if length.is_some_and(|length| length > MOST_BODY) {
+    client::check_head(&head, &server.names)?;
+    let too_large = || RequestError::new(413, "the body is too large");
+    let length =
+        header_value("content-length").and_then(|length| length.trim().parse::<usize>().ok());
+    if length.is_some_and(|length| length > MAX_BODY_BYTES) {
         return Err(too_large());
     }
     let mut body = BytesMut::new();
-    let mut kept = Kept {
-        all: &desk.bodies,
+    let mut buffered = BufferedBody {
+        total: &server.body_bytes,
         bytes: 0,
     };
     while let Some(chunk) = payload.next().await {
-        let chunk = chunk.map_err(|e| Unusable::new(400, format!("the body: {e}")))?;
-        if body.len() + chunk.len() > MOST_BODY {
+        let chunk = chunk.map_err(|error| RequestError::new(400, format!("the body: {error}")))?;
+        if body.len() + chunk.len() > MAX_BODY_BYTES {
             return Err(too_large());
         }
         body.extend_from_slice(&chunk);
-        let large = body.len().saturating_sub(SMALL_BODY) - kept.bytes;
-        if large > 0 && desk.bodies.get() + large > desk.sockets.most_bytes {
-            return Err(Unusable::new(503, "too much is waiting"));
+        let large = body.len().saturating_sub(SMALL_BODY) - buffered.bytes;
+        if large > 0 && server.body_bytes.get() + large > server.sockets.max_buffered_bytes {
+            return Err(RequestError::new(503, "too much is waiting"));
         }
-        kept.bytes += large;
-        desk.bodies.set(desk.bodies.get() + large);
+        buffered.bytes += large;
+        server.body_bytes.set(server.body_bytes.get() + large);
     }
-    let at = usage.whole();
+    let received_at = usage.body_complete();
     // A mixer that had to stand still reads a request and its client's going at once: nothing is sent for one
     // that is gone by now.
     tokio::task::yield_now().await;
-    if !usage.present() {
-        return Ok(plain(500, "its client has gone"));
+    if !usage.is_connected() {
+        return Ok(text_response(500, "its client has gone"));
     }
-    let request = client::decode(&head, &body, &desk.names, desk.sockets.shards)?;
+    let request = client::decode(&head, &body, &server.names, server.sockets.shard_count)?;
     drop(body);
-    let (reply, answer) = oneshot::channel();
+    let (reply, reply_received) = oneshot::channel();
     let id = request.id.clone();
-    let present = usage.clone();
-    let wanted: Wanted = Rc::new(move || present.present());
-    if desk
+    let connection_usage = usage.clone();
+    let client_connected: ClientConnected = Rc::new(move || connection_usage.is_connected());
+    if server
         .queue
-        .try_send(Arrival::Asked(Box::new(Asked {
+        .try_send(RouterEvent::Multiget(Box::new(PendingRequest {
             request,
-            at,
+            received_at,
             reply,
-            wanted,
+            client_connected,
         })))
         .is_err()
     {
-        return Ok(plain(503, "too much is waiting"));
+        return Ok(text_response(503, "too much is waiting"));
     }
-    let mut waiting = Waiting { desk, id: Some(id) };
-    let given = tokio::select! {
-        given = answer => given,
+    let mut guard = DisconnectGuard {
+        server,
+        id: Some(id),
+    };
+    let response = tokio::select! {
+        response = reply_received => response,
         // Nobody reads this; what it asked for is given up.
-        () = usage.left() => return Ok(plain(500, "its client has gone")),
+        () = usage.wait_disconnected() => return Ok(text_response(500, "its client has gone")),
     };
-    waiting.id = None;
-    if let Ok((_, not_before)) = &given
+    guard.id = None;
+    if let Ok((_, not_before)) = &response
         && *not_before > Instant::now()
     {
         tokio::time::sleep_until((*not_before).into()).await;
     }
-    Ok(match given.map(|(given, _)| given) {
-        Ok(Given::Answer(body)) => {
+    Ok(match response.map(|(response, _)| response) {
+        Ok(ClientResponse::Answer(body)) => {
             let mut response = Response::build(StatusCode::OK);
             response
                 .insert_header((CONTENT_TYPE, "application/json"))
                 .body(body)
                 .map_into_boxed_body()
         }
-        Ok(Given::PushedBack(None)) => plain(503, "pushed back"),
-        Ok(Given::PushedBack(Some(span))) => {
-            let mut response = plain(503, "pushed back");
+        Ok(ClientResponse::PushedBack(None)) => text_response(503, "pushed back"),
+        Ok(ClientResponse::PushedBack(Some(span))) => {
+            let mut response = text_response(503, "pushed back");
             if let Ok(value) = client::retry_after(span).parse() {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
             response
         }
-        Ok(Given::Unusable(unusable)) => return Err(unusable),
-        Ok(Given::Failed) | Err(_) => plain(500, "failed"),
+        Ok(ClientResponse::Rejected(error)) => return Err(error),
+        Ok(ClientResponse::Failed) | Err(_) => text_response(500, "failed"),
     })
 }
 
--- a/crates/lockusher-aggregator/src/transport/discovery.rs
+++ b/crates/lockusher-aggregator/src/transport/discovery.rs
@@ -11,44 +11,52 @@
 use tokio::sync::{Notify, mpsc, watch};
 
 use crate::clock::duration;
-use crate::config::Sockets;
+use crate::config::SocketLimits;
 use crate::protocol::discovery;
-use crate::routing::Arrival;
+use crate::routing::RouterEvent;
 
 /// A watch goes on if the next call comes within this of the last answer.
-const WITHIN: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// One that answers at once with nothing is not asked faster than this.
-const PACE: Duration = Duration::from_millis(100);
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a call waits for news that is not there yet. A watch that falls silent shows by nothing else, and what it
 /// misses counts as told 6 s after discovery had it: this, its lateness and two more calls that hang fit into that.
-const HOLD: Span = Span::from_millis(1_000);
+const MAX_HOLD: Span = Span::from_millis(1_000);
 /// The first call at an address, and each after a failure, is to be answered at once: news of an address that moved
 /// counts as told after 4 s, and versions may begin anew there.
-const AT_ONCE: Span = Span::from_millis(50);
+const FIRST_HOLD: Span = Span::from_millis(50);
 /// How long after its wait a call's answer may still come: usually, first after a failure, and at the most, for an
 /// agent that is slow.
-const LATE: Duration = Duration::from_millis(1_000);
-const LATE_AFTER_FAILURE: Duration = Duration::from_millis(500);
-const LATEST: Duration = Duration::from_millis(2_000);
+const ANSWER_GRACE: Duration = Duration::from_millis(1_000);
+const GRACE_AFTER_FAILURE: Duration = Duration::from_millis(500);
+const MAX_GRACE: Duration = Duration::from_millis(2_000);
 
 /// Watches for what is newer than `from`, for good, wherever discovery moves. Where it tells only those that ask,
 /// a watch begins when asked for or when discovery moves, and its failure is told.
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>,
-    sockets: Sockets,
+    sockets: SocketLimits,
     names: Names,
-    mut from: Option<u64>,
-    asked: Rc<Notify>,
-    queue: mpsc::Sender<Arrival>,
+    mut known_version: Option<u64>,
+    list_requested: Rc<Notify>,
+    queue: mpsc::Sender<RouterEvent>,
 ) {
-    let mut began = !sockets.on_request;
+    let mut requested = !sockets.lists_on_request;
     loop {
-        let at = *address.borrow_and_update();
-        let watching = watch_at(at, &sockets, &names, &mut from, &mut began, &asked, &queue);
+        let current = *address.borrow_and_update();
+        let watching = watch_at(
+            current,
+            &sockets,
+            &names,
+            &mut known_version,
+            &mut requested,
+            &list_requested,
+            &queue,
+        );
         tokio::select! {
             () = watching => return,
             // What was being told there is asked for anew, from the last list that was taken whole.
-            Ok(()) = address.changed() => began = true,
+            Ok(()) = address.changed() => requested = true,
         }
     }
 }
@@ -56,74 +64,74 @@
 /// Watches at one address; ends when nobody takes what it tells. A list counts once it is in the queue.
 async fn watch_at(
     address: SocketAddr,
-    sockets: &Sockets,
+    sockets: &SocketLimits,
     names: &Names,
-    from: &mut Option<u64>,
-    began: &mut bool,
-    asked: &Notify,
-    queue: &mpsc::Sender<Arrival>,
+    known_version: &mut Option<u64>,
+    requested: &mut bool,
+    list_requested: &Notify,
+    queue: &mpsc::Sender<RouterEvent>,
 ) {
     // No time-out of the client's own may end a watch early.
-    let longest = duration(HOLD) + LATEST;
+    let max_call_time = duration(MAX_HOLD) + MAX_GRACE;
     let connector = Connector::new()
         .timeout(duration(sockets.connect_timeout))
-        .conn_lifetime(longest * 1_000);
+        .conn_lifetime(max_call_time * 1_000);
     let client = Client::builder()
         .connector(connector)
-        .timeout(longest)
+        .timeout(max_call_time)
         .finish();
     // How late an answer may be, and how late it may usually be, by how long the last first call took.
-    let (mut hold, mut late, mut usual) = (AT_ONCE, LATE, LATE);
+    let (mut hold, mut grace, mut usual_grace) = (FIRST_HOLD, ANSWER_GRACE, ANSWER_GRACE);
     loop {
-        if !std::mem::replace(began, !sockets.on_request) {
-            asked.notified().await;
+        if !std::mem::replace(requested, !sockets.lists_on_request) {
+            list_requested.notified().await;
         }
         loop {
-            let began = Instant::now();
-            let told = match call(&client, address, names, *from, hold, late).await {
-                Ok(list) if list.complete || from.is_some_and(|from| list.index >= from) => list,
+            let sent_at = Instant::now();
+            let list = match call(&client, address, names, *known_version, hold, grace).await {
+                Ok(list) if list.complete || known_version.is_some_and(|v| list.index >= v) => list,
                 Ok(list) => {
                     // A version that goes back, or a change to a list not held, tells of a restart there.
                     tracing::info!(
                         "discovery went back to version {}: asking for the whole list",
                         list.index
                     );
-                    *from = None;
-                    tokio::time::sleep(PACE).await;
+                    *known_version = None;
+                    tokio::time::sleep(MIN_CALL_INTERVAL).await;
                     continue;
                 }
                 Err(error) => {
                     tracing::warn!("discovery: {error}");
-                    late = if hold == AT_ONCE {
-                        (late * 2).min(LATEST)
+                    grace = if hold == FIRST_HOLD {
+                        (grace * 2).min(MAX_GRACE)
                     } else {
-                        LATE_AFTER_FAILURE
+                        GRACE_AFTER_FAILURE
                     };
-                    hold = AT_ONCE;
-                    if sockets.on_request {
+                    hold = FIRST_HOLD;
+                    if sockets.lists_on_request {
                         break;
                     }
-                    tokio::time::sleep(WITHIN).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
             };
-            usual = if hold == AT_ONCE {
-                (began.elapsed() * 2).clamp(LATE, LATEST)
+            usual_grace = if hold == FIRST_HOLD {
+                (sent_at.elapsed() * 2).clamp(ANSWER_GRACE, MAX_GRACE)
             } else {
-                usual
+                usual_grace
             };
-            (hold, late) = (sockets.hold.min(HOLD), usual);
-            let (index, nothing) = (told.index, told.lines.is_empty());
-            let Ok(place) = queue.reserve().await else {
+            (hold, grace) = (sockets.max_watch_hold.min(MAX_HOLD), usual_grace);
+            let (index, is_empty) = (list.index, list.lines.is_empty());
+            let Ok(permit) = queue.reserve().await else {
                 return;
             };
-            place.send(Arrival::Told(Some(told)));
-            *from = Some(index);
-            if nothing && began.elapsed() < PACE {
-                tokio::time::sleep(PACE).await;
+            permit.send(RouterEvent::SearcherList(Some(list)));
+            *known_version = Some(index);
+            if is_empty && sent_at.elapsed() < MIN_CALL_INTERVAL {
+                tokio::time::sleep(MIN_CALL_INTERVAL).await;
             }
         }
-        if queue.send(Arrival::Told(None)).await.is_err() {
+        if queue.send(RouterEvent::SearcherList(None)).await.is_err() {
             return;
         }
     }
@@ -133,27 +141,27 @@
     client: &Client,
     address: SocketAddr,
     names: &Names,
-    from: Option<u64>,
+    known_version: Option<u64>,
     hold: Span,
-    late: Duration,
+    grace: Duration,
 ) -> Result<List, String> {
-    let url = format!("http://{address}{}", discovery::path(from, hold));
-    let whole = async {
+    let url = format!("http://{address}{}", discovery::path(known_version, hold));
+    let answer = async {
         let mut response = client.get(url).send().await.map_err(|e| e.to_string())?;
         if !response.status().is_success() {
-            return Err(format!("it answered {}", response.status()));
+            return Err(format!("answered {}", response.status()));
         }
         let body = response
             .body()
-            .limit(MOST_LIST)
+            .limit(MAX_LIST_BYTES)
             .await
             .map_err(|e| e.to_string())?;
-        discovery::decode(&body, names).map_err(|e| format!("no list: {e}"))
+        discovery::decode(&body, names).map_err(|e| format!("invalid list: {e}"))
     };
-    tokio::time::timeout(duration(hold) + late, whole)
+    tokio::time::timeout(duration(hold) + grace, answer)
         .await
-        .map_err(|_| "silent".to_owned())?
+        .map_err(|_| "no answer in time".to_owned())?
 }
 
 /// A list of some thousand searchers.
-const MOST_LIST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
