--- a/crates/lockusher-aggregator/src/transport/protocol_selection.rs
+++ b/crates/lockusher-aggregator/src/transport/protocol_selection.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use lockusher_http2::connection::{Came, Host, Sent as H2Sent, Shared};
+use lockusher_http2::connection::{Came, Host, Sent as Http2Part, Shared};
 use lockusher_http2::pool::{Limits, MOST_CALLS};
 use lockusher_http2::wire;
 use lockusher_multiget::list::Place;
@@ -13,41 +13,41 @@
 use lockusher_policy::interface::*;
 use tokio::sync::mpsc;
 
-use super::frame_transport::Searchers;
+use super::frame_transport::FrameTransport;
 use crate::clock::duration;
-use crate::config::Sockets;
+use crate::config::SocketLimits;
 use crate::operator::Http2;
 use crate::protocol::frame::CallPart;
-use crate::routing::searcher_transport::{Carrier, May, Sent, Unsent};
-use crate::routing::{Arrival, SendEnded};
+use crate::routing::searcher_transport::{OutgoingPart, Permission, SearcherTransport, UnsentPart};
+use crate::routing::{RouterEvent, SendEnded};
 
 /// Whether an id matches a pattern in which a star stands for any letters.
 pub fn matches(pattern: &str, id: &str) -> bool {
-    let Some((before, after)) = pattern.split_once('*') else {
+    let Some((prefix, suffix)) = pattern.split_once('*') else {
         return pattern == id;
     };
-    let Some(rest) = id.strip_prefix(before) else {
+    let Some(rest) = id.strip_prefix(prefix) else {
         return false;
     };
-    (0..=rest.len()).any(|at| rest.is_char_boundary(at) && matches(after, &rest[at..]))
+    (0..=rest.len()).any(|at| rest.is_char_boundary(at) && matches(suffix, &rest[at..]))
 }
 
 /// One host by HTTP/2; those before it, at other addresses, end what is out there.
-struct ByHttp2 {
-    host: Option<Rc<Host<Arrival>>>,
-    before: Vec<Rc<Host<Arrival>>>,
+struct Http2Hosts {
+    host: Option<Rc<Host<RouterEvent>>>,
+    retired: Vec<Rc<Host<RouterEvent>>>,
 }
 
-pub struct Carriers {
-    frames: Searchers,
+pub struct ProtocolSelector {
+    frames: FrameTransport,
     http2: Http2,
     names: Names,
     connect_timeout: Span,
-    shared: Rc<Shared<Arrival>>,
-    hosts: HashMap<SearcherId, ByHttp2>,
+    shared: Rc<Shared<RouterEvent>>,
+    hosts: HashMap<SearcherId, Http2Hosts>,
 }
 
-fn arrival(came: Came) -> Arrival {
+fn send_ended_event(came: Came) -> RouterEvent {
     let Came {
         part,
         nth,
@@ -55,7 +55,7 @@
         at,
         answer,
     } = came;
-    Arrival::Ended(SendEnded {
+    RouterEvent::SendEnded(SendEnded {
         part,
         nth,
         outcome,
@@ -64,8 +64,8 @@
     })
 }
 
-fn handed((nth, part, may): Sent) -> H2Sent {
-    let wanted = Rc::new(move || matches!(may(), May::Leave | May::LeaveBy(_)));
+fn to_http2((nth, part, permission): OutgoingPart) -> Http2Part {
+    let wanted = Rc::new(move || matches!(permission(), Permission::Send | Permission::SendBy(_)));
     let CallPart {
         id,
         shard,
@@ -74,7 +74,7 @@
         text,
     } = part;
     let first_step = first_step.map(|(shards, whole)| (shards.to_vec(), whole));
-    H2Sent {
+    Http2Part {
         nth,
         part: wire::Part {
             id,
@@ -87,7 +87,7 @@
     }
 }
 
-fn handed_back(sent: H2Sent) -> Sent {
+fn from_http2(sent: Http2Part) -> OutgoingPart {
     let wire::Part {
         id,
         shard,
@@ -96,11 +96,11 @@
         text,
     } = sent.part;
     let first_step = first_step.map(|(shards, whole)| (shards.into(), whole));
-    let may = move || {
+    let permission = move || {
         if (sent.wanted)() {
-            May::Leave
+            Permission::Send
         } else {
-            May::Unwanted
+            Permission::Abandoned
         }
     };
     (
@@ -112,40 +112,40 @@
             first_step,
             text,
         },
-        Rc::new(may),
+        Rc::new(permission),
     )
 }
 
-impl Carriers {
+impl ProtocolSelector {
     pub fn new(
-        frames: Searchers,
+        frames: FrameTransport,
         http2: Http2,
-        sockets: Sockets,
+        sockets: SocketLimits,
         names: Names,
         open: Rc<Cell<usize>>,
-        queue: mpsc::Sender<Arrival>,
+        queue: mpsc::Sender<RouterEvent>,
     ) -> Self {
         let limits = Limits {
-            most_connections: http2.most_connections,
-            most_streams: http2.most_streams,
+            most_connections: http2.max_connections,
+            most_streams: http2.max_streams,
             most_calls: MOST_CALLS,
-            most_waiting: sockets.most_open,
-            idle: sockets.idle,
-            age: http2.age,
+            most_waiting: sockets.max_in_flight,
+            idle: sockets.idle_timeout,
+            age: http2.max_connection_age,
             silent_after: http2.silent_after,
-            resets_per_s: http2.resets_per_s,
+            resets_per_s: http2.max_resets_per_s,
         };
         let shared = Rc::new(Shared {
             limits,
             connect_timeout: sockets.connect_timeout,
             open,
-            most_open: sockets.most_searchers,
+            most_open: sockets.max_searcher_connections,
             queue,
-            came: arrival,
+            came: send_ended_event,
             started: Instant::now(),
         });
         let connect_timeout = sockets.connect_timeout;
-        Carriers {
+        ProtocolSelector {
             frames,
             http2,
             names,
@@ -156,151 +156,158 @@
     }
 
     /// Whether a host is spoken to by HTTP/2.
-    fn chosen(&self, line: &Listed, place: Place) -> bool {
+    fn uses_http2(&self, host: &Listed, place: Place) -> bool {
         let zone =
-            |name: &String| line.zone.is_some() && self.names.zones.get(name).copied() == line.zone;
+            |name: &String| host.zone.is_some() && self.names.zones.get(name).copied() == host.zone;
         self.http2.zones.iter().any(zone)
             || self
                 .http2
-                .names
+                .id_patterns
                 .iter()
-                .any(|pattern| matches(pattern, line.id.as_str()))
-            || (self.http2.entries && place.http2)
+                .any(|pattern| matches(pattern, host.id.as_str()))
+            || (self.http2.select_by_registry_entry && place.http2)
     }
 
     /// The host that holds a send by HTTP/2, if one does.
-    fn holding(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<&Rc<Host<Arrival>>> {
-        let by = self.hosts.get(to)?;
-        by.host
+    fn host_with_send(
+        &self,
+        to: &SearcherId,
+        part: &PartId,
+        nth: usize,
+    ) -> Option<&Rc<Host<RouterEvent>>> {
+        let hosts = self.hosts.get(to)?;
+        hosts
+            .host
             .iter()
-            .chain(&by.before)
+            .chain(&hosts.retired)
             .find(|host| host.holds(part, nth))
     }
 
     /// The host, unless it turned out to speak no HTTP/2 and may be left to frames.
-    fn speaks(&self, to: &SearcherId) -> Option<&Rc<Host<Arrival>>> {
+    fn http2_host(&self, to: &SearcherId) -> Option<&Rc<Host<RouterEvent>>> {
         let host = self.hosts.get(to)?.host.as_ref()?;
-        (!self.http2.fall_back || host.speaks()).then_some(host)
+        (!self.http2.fall_back_to_frames || host.speaks()).then_some(host)
     }
 
-    fn end(&mut self, id: &SearcherId) -> Vec<Unsent> {
-        let Some(by) = self.hosts.get_mut(id) else {
+    fn retire_host(&mut self, id: &SearcherId) -> Vec<UnsentPart> {
+        let Some(hosts) = self.hosts.get_mut(id) else {
             return Vec::new();
         };
-        by.before.retain(|host| !host.is_over());
-        let Some(host) = by.host.take() else {
+        hosts.retired.retain(|host| !host.is_over());
+        let Some(host) = hosts.host.take() else {
             return Vec::new();
         };
         let unsent = host.leave();
-        by.before.push(host);
+        hosts.retired.push(host);
         unsent
     }
 }
 
-impl Carrier for Carriers {
-    fn at(&mut self, line: &Listed, place: Place) -> Vec<Unsent> {
+impl SearcherTransport for ProtocolSelector {
+    fn set_address(&mut self, entry: &Listed, place: Place) -> Vec<UnsentPart> {
         // Frames know all, so that what is left to them has an address.
-        let mut unsent = self.frames.at(line, place);
-        let here = self
+        let mut unsent = self.frames.set_address(entry, place);
+        let current = self
             .hosts
-            .get(&line.id)
-            .and_then(|by| by.host.as_ref())
+            .get(&entry.id)
+            .and_then(|hosts| hosts.host.as_ref())
             .map(|host| host.address());
-        let wanted = self.chosen(line, place).then_some(place.address);
-        if here != wanted {
-            unsent.extend(self.end(&line.id));
+        let wanted = self.uses_http2(entry, place).then_some(place.address);
+        if current != wanted {
+            unsent.extend(self.retire_host(&entry.id));
             if let Some(address) = wanted {
                 let host = Host::start(self.shared.clone(), address);
-                let by = self.hosts.entry(line.id.clone());
-                by.or_insert_with(|| ByHttp2 {
-                    host: None,
-                    before: Vec::new(),
-                })
-                .host = Some(host);
+                let hosts = self.hosts.entry(entry.id.clone());
+                hosts
+                    .or_insert_with(|| Http2Hosts {
+                        host: None,
+                        retired: Vec::new(),
+                    })
+                    .host = Some(host);
             }
         }
         unsent
     }
 
-    fn leave(&mut self, id: &SearcherId) -> Vec<Unsent> {
-        let mut unsent = self.frames.leave(id);
-        unsent.extend(self.end(id));
+    fn drain(&mut self, id: &SearcherId) -> Vec<UnsentPart> {
+        let mut unsent = self.frames.drain(id);
+        unsent.extend(self.retire_host(id));
         // Hosts come and go for good: nothing is kept of those with nothing out.
-        self.hosts.retain(|_, by| {
-            by.before.retain(|host| !host.is_over());
-            by.host.is_some() || !by.before.is_empty()
+        self.hosts.retain(|_, hosts| {
+            hosts.retired.retain(|host| !host.is_over());
+            hosts.host.is_some() || !hosts.retired.is_empty()
         });
         unsent
     }
 
-    fn known(&self) -> Vec<SearcherId> {
-        self.frames.known()
+    fn searcher_ids(&self) -> Vec<SearcherId> {
+        self.frames.searcher_ids()
     }
 
-    fn most_parts(&self) -> usize {
-        self.frames.most_parts()
+    fn max_parts_per_call(&self) -> usize {
+        self.frames.max_parts_per_call()
     }
 
-    fn close_unused(&mut self, to: &SearcherId) {
-        match self.speaks(to) {
+    fn close_idle(&mut self, to: &SearcherId) {
+        match self.http2_host(to) {
             Some(host) => host.retire_unused(),
-            None => self.frames.close_unused(to),
+            None => self.frames.close_idle(to),
         }
     }
 
-    fn send(&mut self, to: &SearcherId, call: Vec<Sent>) -> Result<(), Vec<Sent>> {
-        match self.speaks(to).cloned() {
+    fn send(&mut self, to: &SearcherId, call: Vec<OutgoingPart>) -> Result<(), Vec<OutgoingPart>> {
+        match self.http2_host(to).cloned() {
             Some(host) => {
-                let refused = host.send(call.into_iter().map(handed).collect());
-                refused.map_err(|call| call.into_iter().map(handed_back).collect())
+                let refused = host.send(call.into_iter().map(to_http2).collect());
+                refused.map_err(|call| call.into_iter().map(from_http2).collect())
             }
             None => self.frames.send(to, call),
         }
     }
 
-    fn in_vain(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> Vec<Unsent> {
-        match self.holding(to, part, nth) {
+    fn send_timed_out(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> Vec<UnsentPart> {
+        match self.host_with_send(to, part, nth) {
             Some(host) => {
                 host.doubt(part, nth, true);
                 Vec::new()
             }
-            None => self.frames.in_vain(to, part, nth),
+            None => self.frames.send_timed_out(to, part, nth),
         }
     }
 
-    fn doubt(&mut self, to: &SearcherId, part: &PartId, nth: usize) {
-        match self.holding(to, part, nth) {
+    fn check_liveness(&mut self, to: &SearcherId, part: &PartId, nth: usize) {
+        match self.host_with_send(to, part, nth) {
             Some(host) => host.doubt(part, nth, false),
-            None => self.frames.doubt(to, part, nth),
+            None => self.frames.check_liveness(to, part, nth),
         }
     }
 
-    fn give_up(&mut self, to: &SearcherId, part: &PartId, nth: usize) {
-        match self.holding(to, part, nth) {
+    fn cancel(&mut self, to: &SearcherId, part: &PartId, nth: usize) {
+        match self.host_with_send(to, part, nth) {
             Some(host) => host.give_up(part, nth),
-            None => self.frames.give_up(to, part, nth),
+            None => self.frames.cancel(to, part, nth),
         }
     }
 
-    fn recall(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> bool {
-        match self.holding(to, part, nth) {
+    fn cancel_unsent(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> bool {
+        match self.host_with_send(to, part, nth) {
             Some(host) => host.recall(part, nth),
-            None => self.frames.recall(to, part, nth),
+            None => self.frames.cancel_unsent(to, part, nth),
         }
     }
 
     /// Frames alone are metered: HTTP/2 holds few connections to a host, by limits of its own.
-    fn portions(&mut self, now: Time, portions: &[(Budget, Portion)]) {
-        self.frames.portions(now, portions);
+    fn set_portions(&mut self, now: Time, portions: &[(Budget, Portion)]) {
+        self.frames.set_portions(now, portions);
     }
 
-    fn spends(&self, now: Time) -> Vec<(Budget, f64)> {
-        self.frames.spends(now)
+    fn spending_rates(&self, now: Time) -> Vec<(Budget, f64)> {
+        self.frames.spending_rates(now)
     }
 
-    fn on_its_way(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<Instant> {
-        let Some(host) = self.holding(to, part, nth) else {
-            return self.frames.on_its_way(to, part, nth);
+    fn in_transit_until(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<Instant> {
+        let Some(host) = self.host_with_send(to, part, nth) else {
+            return self.frames.in_transit_until(to, part, nth);
         };
         let until = host.left_at(part, nth)? + duration(self.connect_timeout) / 50;
         (until > Instant::now()).then_some(until)
--- a/crates/lockusher-aggregator/tests/codecs.rs
+++ b/crates/lockusher-aggregator/tests/codecs.rs
@@ -30,7 +30,7 @@
         }
         let ended = |id, outcome, score, value: &str| {
             let value = value.to_owned();
-            frame::FromSearcher::Ended(frame::PartEnded {
+            frame::SearcherFrame::Answer(frame::PartAnswer {
                 id: PartId::new(id),
                 outcome,
                 score,
@@ -39,7 +39,7 @@
         };
         let wanted = [
             ended("a1.3", Outcome::Returned, 17, "value\nof two lines"),
-            frame::FromSearcher::Probe(frame::Probe::Health),
+            frame::SearcherFrame::Probe(frame::Probe::Health),
             ended("a1.4", Outcome::Full, 0, ""),
         ];
         assert_eq!(got, wanted, "split at {split}");
@@ -73,9 +73,12 @@
 fn a_report_that_cannot_be_read_spoils_nothing() {
     let ended = frame::decode(b"qa1.3 good 17 inflight=\xff,,\nvalue");
     assert!(
-        matches!(ended, Some(frame::FromSearcher::Ended(e)) if e.value == "value" && e.score == 17)
+        matches!(ended, Some(frame::SearcherFrame::Answer(e)) if e.value == "value" && e.score == 17)
+    );
+    assert_eq!(
+        frame::answered_part_id(b"qa1.3 fine 1 -\n"),
+        Some(PartId::new("a1.3"))
     );
-    assert_eq!(frame::meant(b"qa1.3 fine 1 -\n"), Some(PartId::new("a1.3")));
 }
 
 #[rstest]
@@ -91,7 +94,7 @@
     let parts = [part("q.3", 3, None), part("q.5.r", 5, Some((from, false)))];
     let wanted = "mq.3 3 d=240 8\nc41e77d0q.5.r 5 d=240,from=3+5,whole=0 8\nc41e77d0";
     assert_eq!(frame::call(parts.iter()), wanted);
-    assert_eq!(frame::given_up(&parts[0].id), "nq.3");
+    assert_eq!(frame::cancel(&parts[0].id), "nq.3");
 }
 
 #[rstest]
@@ -140,7 +143,7 @@
     text.pointer_mut(parent).expect("its parent")[last.parse::<usize>().map_or(last, |_| last)] =
         value;
     let said = config::parse(&text.to_string(), |_| None)
-        .and_then(|config| config.needs_discovery().map(drop));
+        .and_then(|config| config.require_discovery().map(drop));
     let said = said.map_or_else(|e| format!("{e:#}"), |()| String::new());
     assert!(
         said.contains(says) && said.is_empty() == says.is_empty(),
@@ -154,10 +157,10 @@
     let (old, mut new) = (configuration(), configuration());
     (new["discovery"], new["known"]) =
         ("127.0.0.1:2".into(), json!({ "index": 1, "endpoints": [] }));
-    assert!(parse(&old).needs_restart(&parse(&new)).is_empty());
+    assert!(parse(&old).keys_needing_restart(&parse(&new)).is_empty());
     (new["listen"], new["settings"]["tick_us"]) = ("127.0.0.1:3".into(), 6000.into());
     assert_eq!(
-        parse(&old).needs_restart(&parse(&new)),
+        parse(&old).keys_needing_restart(&parse(&new)),
         ["listen", "settings"]
     );
 }
--- a/crates/lockusher-aggregator/tests/connections/mod.rs
+++ b/crates/lockusher-aggregator/tests/connections/mod.rs
@@ -4,16 +4,18 @@
 
 use lockusher_aggregator::config;
 use lockusher_aggregator::protocol::frame::CallPart;
-use lockusher_aggregator::routing::Arrival;
-use lockusher_aggregator::routing::searcher_transport::{Carrier, May, Sent};
-use lockusher_aggregator::transport::frame_transport::Searchers;
+use lockusher_aggregator::routing::RouterEvent;
+use lockusher_aggregator::routing::searcher_transport::{
+    OutgoingPart, Permission, SearcherTransport,
+};
+use lockusher_aggregator::transport::frame_transport::FrameTransport;
 use lockusher_aggregator_testbed::stand_in::*;
 use lockusher_multiget::list::Place;
 use lockusher_policy::interface::*;
 use serde_json::json;
 
 /// A part as the router hands it over, by its shard.
-pub fn call(shard: usize) -> Vec<Sent> {
+pub fn call(shard: usize) -> Vec<OutgoingPart> {
     let (id, wait) = (PartId::new(&format!("q.{shard}")), Span::from_millis(4_000));
     vec![(
         0,
@@ -24,7 +26,7 @@
             first_step: None,
             text: "x".into(),
         },
-        Rc::new(|| May::Leave),
+        Rc::new(|| Permission::Send),
     )]
 }
 
@@ -44,7 +46,11 @@
 /// Connections to one searcher without a router.
 pub fn on_connections(
     setup: Setup,
-    story: impl AsyncFnOnce(&Searcher, &mut Searchers, &mut tokio::sync::mpsc::Receiver<Arrival>),
+    story: impl AsyncFnOnce(
+        &Searcher,
+        &mut FrameTransport,
+        &mut tokio::sync::mpsc::Receiver<RouterEvent>,
+    ),
 ) {
     let searcher = Searcher::start("s0");
     let text = json!({ "name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
@@ -54,8 +60,8 @@
         .sockets;
     actix_rt::System::new().block_on(async {
         let (queue, mut arrivals) = tokio::sync::mpsc::channel(8);
-        let mut searchers = Searchers::new(sockets, queue, Rc::default());
-        searchers.at(
+        let mut searchers = FrameTransport::new(sockets, queue, Rc::default());
+        searchers.set_address(
             &up("s0"),
             Place {
                 address: searcher.address,
--- a/crates/lockusher-aggregator/tests/endings.rs
+++ b/crates/lockusher-aggregator/tests/endings.rs
@@ -11,8 +11,10 @@
 
 use connections::{call, on_connections, up};
 use lockusher_aggregator::protocol::frame::CallPart;
-use lockusher_aggregator::routing::Arrival;
-use lockusher_aggregator::routing::searcher_transport::{Carrier, May, RepeatWindow};
+use lockusher_aggregator::routing::RouterEvent;
+use lockusher_aggregator::routing::searcher_transport::{
+    DedupWindow, Permission, SearcherTransport,
+};
 use lockusher_aggregator::transport::client_stream::{ClientStream, Connections};
 use lockusher_aggregator::transport::clients;
 use lockusher_aggregator_testbed::stand_in::*;
@@ -410,7 +412,7 @@
         let mut read = ReadBuf::new(&mut bytes);
         poll_fn(|cx| Poll::Ready(Pin::new(&mut stream).poll_read(cx, &mut read).is_pending()))
             .await;
-        connections.close_unused();
+        connections.close_idle();
         client.write(b"POST");
         let ended =
             poll_fn(|cx| Poll::Ready(Pin::new(&mut stream).poll_read(cx, &mut read).is_ready()))
@@ -473,17 +475,20 @@
 /// The window runs from the first byte of whichever of its sends leaves first, and begins anew where none can have run.
 #[rstest]
 fn a_window_runs_from_the_first_send_that_leaves() {
-    let (window, began) = (
-        RepeatWindow::new(Duration::from_millis(200)),
-        Instant::now(),
-    );
+    let (window, began) = (DedupWindow::new(Duration::from_millis(200)), Instant::now());
     let after = |ms| began + Duration::from_millis(ms);
-    assert_eq!(window.may_leave(after(500)), May::Leave);
-    assert_eq!(window.may_leave(after(600)), May::LeaveBy(after(700)));
-    assert_eq!(window.may_leave(after(700)), May::Late);
-    window.never_ran();
-    assert_eq!(window.may_leave(after(900)), May::Leave);
-    assert_eq!(window.may_leave(after(901)), May::LeaveBy(after(1_100)));
+    assert_eq!(window.permission(after(500)), Permission::Send);
+    assert_eq!(
+        window.permission(after(600)),
+        Permission::SendBy(after(700))
+    );
+    assert_eq!(window.permission(after(700)), Permission::WindowExpired);
+    window.reset();
+    assert_eq!(window.permission(after(900)), Permission::Send);
+    assert_eq!(
+        window.permission(after(901)),
+        Permission::SendBy(after(1_100))
+    );
 }
 
 /// A repeat whose frame is stuck half written as its window ends is broken off: it never arrives whole.
@@ -506,14 +511,17 @@
             };
             assert!(
                 searchers
-                    .send(&to, vec![(1, part, Rc::new(move || May::LeaveBy(by)))])
+                    .send(
+                        &to,
+                        vec![(1, part, Rc::new(move || Permission::SendBy(by)))]
+                    )
                     .is_ok()
             );
             let arrival = tokio::time::timeout(LONG, arrivals.recv())
                 .await
                 .expect("it is broken off");
             assert!(
-                matches!(arrival, Some(Arrival::Ended(ended)) if ended.outcome == Outcome::NoConnection)
+                matches!(arrival, Some(RouterEvent::SendEnded(ended)) if ended.outcome == Outcome::NoConnection)
             );
             searcher.reads(true);
             searcher.until(|log| log.closed == 1);
@@ -537,19 +545,20 @@
                 SearcherId::new("s1"),
                 SearcherId::new("s2"),
             );
-            let ended = async |arrivals: &mut tokio::sync::mpsc::Receiver<Arrival>| match arrivals
-                .recv()
-                .await
-            {
-                Some(Arrival::Ended(ended)) => ended.outcome,
-                _ => panic!("an end"),
-            };
+            let ended =
+                async |arrivals: &mut tokio::sync::mpsc::Receiver<RouterEvent>| match arrivals
+                    .recv()
+                    .await
+                {
+                    Some(RouterEvent::SendEnded(ended)) => ended.outcome,
+                    _ => panic!("an end"),
+                };
             // Nobody listens; the connection does not come up in time.
             let port = std::net::TcpListener::bind("127.0.0.1:0")
                 .expect("a port")
                 .local_addr()
                 .expect("one");
-            searchers.at(
+            searchers.set_address(
                 &up("s2"),
                 Place {
                     address: port,
@@ -561,7 +570,7 @@
             let (clogged, unclog) = std::thread::spawn(|| Searcher::clogged("s1"))
                 .join()
                 .expect("a searcher");
-            searchers.at(
+            searchers.set_address(
                 &up("s1"),
                 Place {
                     address: clogged.address,
--- a/crates/lockusher-aggregator/tests/settings.rs
+++ b/crates/lockusher-aggregator/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The operator's settings: what is read, and which line and key a fault names.
 
-use lockusher_aggregator::operator::{Level, Operator, parse};
+use lockusher_aggregator::operator::{Level, OperatorSettings, parse};
 use lockusher_aggregator::transport::protocol_selection::matches;
 use lockusher_policy::interface::Span;
 use lockusher_registry_client::core::follow::Protocol;
@@ -22,12 +22,16 @@
     );
     let http2 = read.http2.expect("hosts by HTTP/2");
     assert_eq!(
-        (http2.entries, http2.fall_back, http2.most_streams),
+        (
+            http2.select_by_registry_entry,
+            http2.fall_back_to_frames,
+            http2.max_streams
+        ),
         (true, true, 128)
     );
     let fleet = read.fleet.expect("a view of the fleet");
     assert_eq!((fleet.advertise, fleet.seeds.len()), (fleet.address, 2));
-    assert_eq!(parse("# nothing\n"), Ok(Operator::default()));
+    assert_eq!(parse("# nothing\n"), Ok(OperatorSettings::default()));
     assert_eq!(
         parse("log { level: WARN form: JSON }").map(|o| (o.json_logs, o.level)),
         Ok((true, Level::Warn))
@@ -121,7 +125,10 @@
     let mut lines: Vec<&str> = GOOD.lines().collect();
     lines[at - 1] = text;
     let fault = parse(&lines.join("\n")).expect_err("a fault");
-    assert!(fault.line == line && fault.why.contains(says), "{fault:?}");
+    assert!(
+        fault.line == line && fault.message.contains(says),
+        "{fault:?}"
+    );
 }
 
 #[rstest]
--- a/crates/lockusher-aggregator/tests/stories.rs
+++ b/crates/lockusher-aggregator/tests/stories.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use connections::{call, on_connections, up};
-use lockusher_aggregator::routing::Arrival;
-use lockusher_aggregator::routing::searcher_transport::{Carrier, May};
+use lockusher_aggregator::routing::RouterEvent;
+use lockusher_aggregator::routing::searcher_transport::{Permission, SearcherTransport};
 use lockusher_aggregator_testbed::stand_in::*;
 use lockusher_multiget::list::Place;
 use lockusher_policy::interface::*;
@@ -232,7 +232,7 @@
             }
             let mut ends = HashMap::new();
             for _ in 0..2 {
-                let Some(Arrival::Ended(ended)) = arrivals.recv().await else {
+                let Some(RouterEvent::SendEnded(ended)) = arrivals.recv().await else {
                     panic!("an end")
                 };
                 ends.insert(ended.part.as_str().to_owned(), ended.outcome);
@@ -244,7 +244,7 @@
             searcher.does(|_| Act::Good);
             assert!(searchers.send(&to, call(4)).is_ok());
             assert!(
-                matches!(arrivals.recv().await, Some(Arrival::Ended(e)) if e.outcome == Outcome::Returned)
+                matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Returned)
             );
             assert_eq!(searcher.log().opened, 2);
         },
@@ -313,14 +313,14 @@
             searcher.does(move |part| if part.id == "q.1" { act } else { Act::Good });
             assert!(searchers.send(&to, call(0)).is_ok());
             assert!(
-                matches!(arrivals.recv().await, Some(Arrival::Ended(e)) if e.outcome == Outcome::Returned)
+                matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Returned)
             );
             assert!(searchers.send(&to, call(1)).is_ok());
             while searcher.log().parts.len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             searcher.holds_probes();
-            searchers.doubt(&to, &PartId::new("q.1"), 0);
+            searchers.check_liveness(&to, &PartId::new("q.1"), 0);
             // The mixer has answered both probes of the new connection's greeting, so it has read that.
             while searcher.log().probes.len() < 4 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -334,11 +334,11 @@
             }
             if lost {
                 assert!(
-                    matches!(arrivals.recv().await, Some(Arrival::Ended(e)) if e.outcome == Outcome::Lost)
+                    matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Lost)
                 );
             }
             assert!(searchers.send(&to, call(2)).is_ok());
-            let Some(Arrival::Ended(ended)) = arrivals.recv().await else {
+            let Some(RouterEvent::SendEnded(ended)) = arrivals.recv().await else {
                 panic!("an end")
             };
             assert_eq!(
@@ -359,14 +359,14 @@
             let to = SearcherId::new("s0");
             let unwanted = call(1)
                 .into_iter()
-                .map(|(nth, part, _)| (nth, part, Rc::new(|| May::Unwanted) as _))
+                .map(|(nth, part, _)| (nth, part, Rc::new(|| Permission::Abandoned) as _))
                 .collect();
             assert!(searchers.send(&to, unwanted).is_ok() && searchers.send(&to, call(2)).is_ok());
             assert!(
-                matches!(arrivals.recv().await, Some(Arrival::Ended(e)) if e.part.as_str() == "q.2")
+                matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.part.as_str() == "q.2")
             );
             assert!(
-                searchers.recall(&to, &PartId::new("q.1"), 0),
+                searchers.cancel_unsent(&to, &PartId::new("q.1"), 0),
                 "it can be taken back"
             );
             assert_eq!(searcher.log().parts.len(), 1);
@@ -386,17 +386,21 @@
             let (to, part) = (SearcherId::new("s0"), PartId::new("q.1"));
             searcher.does(|_| Act::Silent);
             assert!(searchers.send(&to, call(1)).is_ok());
-            assert_eq!(searchers.on_its_way(&to, &part, 0), None, "it has not left");
+            assert_eq!(
+                searchers.in_transit_until(&to, &part, 0),
+                None,
+                "it has not left"
+            );
             while searcher.log().parts.is_empty() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             assert!(
                 searchers
-                    .on_its_way(&to, &part, 0)
+                    .in_transit_until(&to, &part, 0)
                     .is_some_and(|until| until > Instant::now())
             );
-            searchers.give_up(&to, &part, 0);
-            assert_eq!(searchers.on_its_way(&to, &part, 0), None);
+            searchers.cancel(&to, &part, 0);
+            assert_eq!(searchers.in_transit_until(&to, &part, 0), None);
         },
     );
 }
@@ -421,19 +425,23 @@
             });
             assert!(searchers.send(&to, call(0)).is_ok());
             assert!(
-                matches!(arrivals.recv().await, Some(Arrival::Ended(e)) if e.outcome == Outcome::Returned)
+                matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Returned)
             );
             assert!(searchers.send(&to, call(1)).is_ok());
             while searcher.log().parts.len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            assert!(searchers.in_vain(&to, &PartId::new("q.1"), 0).is_empty());
-            searchers.give_up(&to, &PartId::new("q.1"), 0);
+            assert!(
+                searchers
+                    .send_timed_out(&to, &PartId::new("q.1"), 0)
+                    .is_empty()
+            );
+            searchers.cancel(&to, &PartId::new("q.1"), 0);
             searcher.does(|_| Act::Good);
             for shard in 2..4 {
                 assert!(searchers.send(&to, call(shard)).is_ok());
                 assert!(
-                    matches!(arrivals.recv().await, Some(Arrival::Ended(e)) if e.outcome == Outcome::Returned)
+                    matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Returned)
                 );
             }
             assert_eq!(searcher.log().opened, 2);
@@ -446,7 +454,7 @@
             let others = thread::spawn(start).join().expect("searchers");
             for other in &others {
                 let to = SearcherId::new(&other.name);
-                searchers.at(
+                searchers.set_address(
                     &up(&other.name),
                     Place {
                         address: other.address,
@@ -455,7 +463,7 @@
                 );
                 assert!(searchers.send(&to, call(5)).is_ok());
                 assert!(
-                    matches!(arrivals.recv().await, Some(Arrival::Ended(e)) if e.outcome == Outcome::Returned)
+                    matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Returned)
                 );
             }
         },
@@ -996,16 +1004,16 @@
             for shard in 0..2 {
                 assert!(searchers.send(&to, call(shard)).is_ok());
             }
-            assert!(searchers.recall(&to, &id(0), 0));
+            assert!(searchers.cancel_unsent(&to, &id(0), 0));
             assert!(
-                matches!(arrivals.recv().await, Some(Arrival::Ended(ended)) if ended.part == id(1))
+                matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(ended)) if ended.part == id(1))
             );
             assert!(
-                !searchers.recall(&to, &id(1), 0),
+                !searchers.cancel_unsent(&to, &id(1), 0),
                 "it has left and come back"
             );
             assert!(searchers.send(&to, call(2)).is_ok());
-            assert_eq!(searchers.leave(&to), [(id(2), 0)]);
+            assert_eq!(searchers.drain(&to), [(id(2), 0)]);
             assert!(searchers.send(&to, call(3)).is_err());
             let came: Vec<String> = searcher.log().parts.into_iter().map(|p| p.id).collect();
             assert_eq!(came, ["q.1"]);
