--- a/crates/lockusher-aggregator/src/clock.rs
+++ b/crates/lockusher-aggregator/src/clock.rs
@@ -1,10 +1,11 @@
-//! The one clock: it only moves forward, and is set by Unix time once, so that starts that discovery tells
-//! can be read in it.
+//! The process-wide clock. It is monotonic and is aligned with Unix time once at the start, so that start times
+//! reported by discovery can be compared with it.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use lockusher_policy::interface::{Span, Time};
 
+/// Monotonic clock with an offset to Unix time.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
@@ -12,6 +13,7 @@
 }
 
 impl Clock {
+    /// Starts a clock aligned with the current Unix time.
     pub fn start() -> Self {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -22,10 +24,12 @@
         }
     }
 
+    /// The current time.
     pub fn now(&self) -> Time {
         self.at(Instant::now())
     }
 
+    /// Converts an instant to the time of this clock.
     pub fn at(&self, instant: Instant) -> Time {
         let elapsed = instant.saturating_duration_since(self.started_at);
         Time::from_micros(
@@ -35,6 +39,7 @@
     }
 }
 
+/// Converts a [`Span`] to a [`Duration`].
 pub fn duration(span: Span) -> Duration {
     Duration::from_micros(span.as_micros())
 }
--- a/crates/lockusher-aggregator/src/config.rs
+++ b/crates/lockusher-aggregator/src/config.rs
@@ -1,4 +1,4 @@
-//! The one place where the configuration is read, checked and given defaults. A message names the faulty key.
+//! Reads the platform's configuration, checks it and fills in defaults. Error messages name the offending key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,30 +11,32 @@
 
 use lockusher_multiget::list::ListText;
 
-/// What the mixer is told, checked.
+/// The validated configuration.
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    /// Where it is; nothing if it is not named, which only a registry in its place makes up for.
+    /// Address of discovery; `None` if it is not set, which is valid only if a registry is followed instead.
     pub discovery: Option<SocketAddr>,
+    /// Seed of all random decisions.
     pub seed: u64,
     pub sockets: SocketLimits,
+    /// The searcher list to start with, from before the last restart.
     pub known: Option<ListText>,
     pub settings: Settings,
-    /// Each key as it was written.
+    /// Each top-level key with its unparsed value.
     raw_values: BTreeMap<String, Value>,
 }
 
 impl Config {
-    /// Discovery's address, where nothing else lists the searchers.
+    /// Returns the address of discovery; fails if it is not set. Needed unless a registry lists the searchers.
     pub fn require_discovery(&self) -> Result<SocketAddr> {
         self.discovery
             .context("discovery: missing, and LB_DISCOVERY is not set")
     }
 
-    /// The keys that differ in another and can't change in a running process.
+    /// Returns the keys whose values differ in `other` and can only be changed by a restart.
     pub fn keys_needing_restart(&self, other: &Config) -> Vec<&'static str> {
-        // `known` is read at a start only: by now the process knows better.
+        // `known` is left out: it is only read at startup, after which the process holds a newer list.
         const RESTART_ONLY_KEYS: [&str; 5] = ["name", "listen", "seed", "limits", "settings"];
         RESTART_ONLY_KEYS
             .into_iter()
@@ -43,34 +45,41 @@
     }
 }
 
-/// What the sockets go by.
+/// Limits and timeouts of connections and buffers.
 #[derive(Clone, Copy, Debug)]
 pub struct SocketLimits {
-    /// Client connections at once, and connections to searchers at once.
+    /// Maximum number of concurrent client connections.
     pub max_client_connections: usize,
-    /// Client connections that are kept once they were asked on.
+    /// Maximum number of client connections that stay open after they have carried a multiget.
     pub max_used_client_connections: usize,
+    /// Maximum number of concurrent connections to searchers.
     pub max_searcher_connections: usize,
     pub connect_timeout: Span,
-    /// Connections unused for so long are closed.
+    /// Connections idle for this long are closed.
     pub idle_timeout: Span,
-    /// Calls on one connection, and parts in one call.
+    /// Maximum number of concurrent calls on one connection to a searcher.
     pub max_calls_per_connection: usize,
+    /// Maximum number of parts in one call.
     pub max_parts_per_call: usize,
-    /// Multigets and parts in hand.
+    /// Maximum number of multigets and parts in flight.
     pub max_in_flight: usize,
-    /// Bytes that bodies may hold, and as many that values may.
+    /// Maximum size of buffered request bodies in bytes; buffered values of answers have a limit of the same size.
     pub max_buffered_bytes: usize,
+    /// Number of shards.
     pub shard_count: usize,
+    /// Whether sends may be cancelled at searchers when a client disconnects.
     pub cancellation_allowed: bool,
+    /// Whether searchers may be probed to test a connection that has gone silent.
     pub probing_allowed: bool,
-    /// No client waits longer for an answer.
+    /// The longest route timeout of all op types; caps the time limits that clients set.
     pub max_route_timeout: Span,
-    /// How long discovery may hold a watch at the most, and whether it tells only those that ask.
+    /// How long discovery may hold a watch request open.
     pub max_watch_hold: Span,
+    /// Whether discovery sends lists only on request instead of pushing changes.
     pub lists_on_request: bool,
 }
 
+/// The configuration file as it is written.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: Option<String>,
@@ -83,28 +92,32 @@
     settings: Settings,
 }
 
+/// The section `limits` of the configuration file.
 #[derive(Deserialize, Default)]
 struct LimitsSection {
     sockets: Option<usize>,
     memory_mb: Option<usize>,
 }
 
-/// Descriptors for standard streams, the runtime, the listener and discovery.
+/// File descriptors reserved for the standard streams, the runtime, the listener and discovery.
 const RESERVED_DESCRIPTORS: usize = 32;
+/// Smallest accepted value of `limits.sockets`.
 const MIN_SOCKETS: usize = 2 * RESERVED_DESCRIPTORS;
-/// At rest the program takes some 5 MB; a connection's buffers take some 50 KB more.
+/// Smallest accepted value of `limits.memory_mb`: an idle process takes about 5 MB, the buffers of a connection
+/// about 50 KB more.
 const MIN_MEMORY_MB: usize = 16;
 
-/// Reads the file that `LB_CONFIG` names; `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` stand in for keys that
-/// it lacks. `variable` looks up a variable.
+/// Reads the file that `LB_CONFIG` names. `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` supply keys that the file
+/// lacks. `env_var` looks up an environment variable.
 pub fn load(env_var: impl Fn(&str) -> Option<String>) -> Result<Config> {
-    let path =
-        env_var("LB_CONFIG").context("LB_CONFIG is not set: it names the configuration file")?;
+    let path = env_var("LB_CONFIG")
+        .context("LB_CONFIG is not set: it must name the configuration file")?;
     let text =
         std::fs::read_to_string(&path).with_context(|| format!("LB_CONFIG: cannot read {path}"))?;
     parse(&text, env_var).with_context(|| path.clone())
 }
 
+/// Parses and validates the text of a configuration file; `env_var` looks up an environment variable.
 pub fn parse(text: &str, env_var: impl Fn(&str) -> Option<String>) -> Result<Config> {
     let deserializer = &mut serde_json::Deserializer::from_str(text);
     let file: ConfigFile = serde_path_to_error::deserialize(deserializer).map_err(|error| {
@@ -121,7 +134,7 @@
     };
     let address = |key: &str, text: String| {
         text.parse::<SocketAddr>()
-            .with_context(|| format!("{key}: \"{text}\" is no address with a port"))
+            .with_context(|| format!("{key}: \"{text}\" is not an address with a port"))
     };
     let seed = file.seed.context("seed: missing")?;
     let seed = u64::from_str_radix(&seed, 16)
@@ -143,6 +156,7 @@
     })
 }
 
+/// Derives the connection and buffer limits from the settings and the `limits` section.
 fn socket_limits(settings: &Settings, limits: &LimitsSection) -> Result<SocketLimits> {
     let descriptors = limits.sockets.unwrap_or(1_024);
     ensure!(
@@ -169,7 +183,8 @@
         |key: &str, value: Option<usize>| anyhow::Ok(check(key, value.map(|v| v as u64))? as usize);
     let connect_timeout = span("limits.connect_timeout_us", limits.connect_timeout_us)?;
     let idle_timeout = span("limits.conn_idle_us", limits.conn_idle_us)?;
-    // What is sent as a searcher closes is lost: no connection is used when that close may be under way.
+    // Data that reaches a searcher while it closes the connection is lost, so this side stops using a connection
+    // before the searcher's idle timeout can close it.
     let idle_timeout = idle_timeout
         .saturating_sub(connect_timeout)
         .max(idle_timeout.times(0.5));
@@ -184,7 +199,8 @@
         .unwrap_or(Span::ZERO);
     Ok(SocketLimits {
         max_client_connections: descriptors - RESERVED_DESCRIPTORS - max_searcher_connections,
-        // For requests, clients hold a third at most: some of these stay free for others.
+        // Below the third of the descriptors that clients may hold for requests, so that some stay free for other
+        // clients.
         max_used_client_connections: descriptors / 4,
         max_searcher_connections,
         connect_timeout,
--- a/crates/lockusher-aggregator/src/lib.rs
+++ b/crates/lockusher-aggregator/src/lib.rs
@@ -1,8 +1,8 @@
-//! The mixer on sockets, by layers: [`transport`] moves bytes, [`protocol`] turns them into typed values and
-//! back, [`routing`] owns the decision module; the program's own concerns are [`program`], [`config`],
-//! [`operator`], [`clock`] and [`logging`].
+//! The aggregator ("mixer") in layers: [`transport`] moves bytes, [`protocol`] converts between bytes and typed
+//! values, [`routing`] owns the decision module. Around them: [`program`] (command line and life cycle), [`config`]
+//! (the platform's configuration), [`operator`] (the operator's settings), [`clock`] and [`logging`].
 
-// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+// Exempt from these workspace lints for now; docs/ROADMAP.md lists the remaining work.
 #![allow(
     missing_docs,
     clippy::missing_errors_doc,
--- a/crates/lockusher-aggregator/src/logging.rs
+++ b/crates/lockusher-aggregator/src/logging.rs
@@ -1,5 +1,5 @@
-//! What the program says of itself: log lines on standard error through `tracing`, as text or JSON, limited in rate,
-//! and counts of broken invariants.
+//! Logging to standard error through `tracing`, as text or JSON and limited in rate, and a count of violated
+//! invariants.
 
 use std::io::{Stderr, Write};
 use std::sync::Mutex;
@@ -14,10 +14,13 @@
 
 use crate::operator::{Level, OperatorSettings};
 
-/// Enough to tell a trouble by, few enough not to cost a core.
+/// Maximum number of log lines in one [`WINDOW`]: enough to diagnose a fault, few enough to keep the cost below one
+/// core.
 const MAX_LINES: u32 = 20;
+/// Length of one window of the rate limit.
 const WINDOW: Duration = Duration::from_secs(1);
 
+/// State of the rate limit in the current window.
 struct Window {
     started: Option<Instant>,
     lines: u32,
@@ -29,9 +32,10 @@
     lines: 0,
     suppressed: 0,
 });
+/// Number of violated invariants since the start of the process.
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// Whether another line may be written.
+/// Whether another line may be written in the current window; counts it as written or suppressed.
 fn admit() -> bool {
     let mut window = CURRENT_WINDOW
         .lock()
@@ -51,7 +55,7 @@
     admitted
 }
 
-/// How many lines were left out before this one.
+/// Returns the number of lines suppressed since the last call and resets it.
 fn take_suppressed() -> u64 {
     let mut window = CURRENT_WINDOW
         .lock()
@@ -59,12 +63,12 @@
     std::mem::take(&mut window.suppressed)
 }
 
-/// Counts a broken invariant; tells how many there were.
+/// Counts a violated invariant and returns the total number of violations.
 pub fn count_violation() -> u64 {
     VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1
 }
 
-/// Standard error; says first how many lines were left out.
+/// Writes to standard error; before a line it reports how many lines were suppressed.
 struct LogWriter {
     json: bool,
 }
@@ -76,7 +80,7 @@
         let mut stderr = std::io::stderr();
         let count = take_suppressed();
         if count > 0 {
-            // A log that can't be written is no reason to stop.
+            // A failed write to the log must not stop the process.
             let _ = match self.json {
                 true => writeln!(
                     stderr,
@@ -89,7 +93,8 @@
     }
 }
 
-/// One filter for both forms: the level first, then the rate, so that what is too fine takes no line's place.
+/// Filters by level before it limits the rate, so that lines below the level do not use up the limit. Serves both
+/// output formats.
 fn filtered<S: Subscriber + for<'a> LookupSpan<'a>>(
     lines: impl Layer<S> + Send + Sync,
     level: LevelFilter,
@@ -105,7 +110,7 @@
     )
 }
 
-/// Logs as the operator set; the first call of a process counts.
+/// Installs the logger that the operator's settings describe. Only the first call in a process has an effect.
 pub fn init(operator: &OperatorSettings) {
     let level = match operator.level {
         Level::Debug => LevelFilter::DEBUG,
@@ -129,7 +134,7 @@
     };
 }
 
-/// What must hold: asserted in debug builds, counted and told in release builds.
+/// Checks an invariant: asserts it in debug builds; in release builds counts a violation and logs it as an error.
 #[macro_export]
 macro_rules! check_invariant {
     ($condition:expr, $invariant:literal) => {
--- a/crates/lockusher-aggregator/src/main.rs
+++ b/crates/lockusher-aggregator/src/main.rs
@@ -1,4 +1,4 @@
-//! `lockusher`: one mixer on sockets.
+//! The `lockusher` binary: runs one mixer.
 
 use std::process::ExitCode;
 
--- a/crates/lockusher-aggregator/src/operator.rs
+++ b/crates/lockusher-aggregator/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's own settings file: protobuf text format, checked by `proto/settings.proto`. A message names the
-//! file, the line and the faulty key.
+//! The operator's settings file: protobuf text format, checked against `proto/settings.proto`. Error messages name
+//! the file, the line and the offending key.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -18,49 +18,69 @@
     include!(concat!(env!("OUT_DIR"), "/lockusher.rs"));
 }
 
-/// What the operator set, checked; by default all is off.
+/// The validated operator settings; by default every optional feature is off.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorSettings {
-    /// The registry that is followed instead of discovery.
+    /// The registry that lists the searchers in place of discovery.
     pub registry: Option<Plan>,
-    /// Which hosts are spoken to by HTTP/2, and how.
+    /// Hosts that are called over HTTP/2; `None` calls all over frames.
     pub http2: Option<Http2>,
-    /// The view of the fleet that is kept with other mixers.
+    /// Membership in a fleet of mixers; `None` runs the mixer alone.
     pub fleet: Option<Fleet>,
+    /// Whether log lines are written as JSON.
     pub json_logs: bool,
+    /// Lowest level that is logged.
     pub level: Level,
 }
 
-/// Which hosts are spoken to by HTTP/2, and the limits of that.
+/// Selects the hosts that are called over HTTP/2 and limits their connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Http2 {
+    /// Zones whose hosts are called over HTTP/2.
     pub zones: Vec<String>,
-    /// Patterns of ids; a star stands for any letters.
+    /// Patterns of searcher ids; `*` matches any sequence of characters.
     pub id_patterns: Vec<String>,
+    /// Whether hosts whose registry entry offers HTTP/2 are selected as well.
     pub select_by_registry_entry: bool,
+    /// Whether a host that turns out not to speak HTTP/2 is called over frames.
     pub fall_back_to_frames: bool,
+    /// Maximum number of connections to one host.
     pub max_connections: usize,
+    /// Maximum number of concurrent calls on one connection.
     pub max_streams: usize,
+    /// Age at which a connection is replaced.
     pub max_connection_age: Span,
+    /// A connection with pending calls that receives nothing for this long is pinged, and closed after as long
+    /// again.
     pub silent_after: Span,
+    /// Maximum rate of call resets on one connection.
     pub max_resets_per_s: f64,
 }
 
-/// How this mixer keeps a view of its fleet with others.
+/// How this mixer takes part in the membership protocol of its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
+    /// Id of the fleet; fleets with different ids never merge.
     pub id: String,
+    /// UDP address to listen on.
     pub address: SocketAddrV4,
+    /// UDP address at which other mixers reach this one.
     pub advertise: SocketAddrV4,
+    /// Addresses of members to contact for joining, and for rejoining after a partition.
     pub seeds: Vec<SocketAddrV4>,
+    /// Zone of this mixer, for information only.
     pub zone: String,
+    /// Interval between probes; each goes to one member.
     pub probe_interval: Span,
+    /// Time within which a suspicion must be refuted before the member is declared dead.
     pub suspicion_timeout: Span,
+    /// How long records of dead and departed members are kept.
     pub dead_member_retention: Span,
-    /// What is shared beyond the view.
+    /// State that is shared beyond the membership view.
     pub shares: Option<Shares>,
 }
 
+/// Log level.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Level {
     Debug,
@@ -70,11 +90,12 @@
     Error,
 }
 
-/// What is wrong with a settings file, and where.
+/// An error in a settings file and its position.
 #[derive(Debug, PartialEq)]
 pub struct SettingsError {
-    /// Counted from 1; 0 if it concerns the file as a whole.
+    /// Line number, starting at 1; 0 if the error concerns the file as a whole.
     pub line: usize,
+    /// Description of the error, including the key.
     pub message: String,
 }
 
@@ -89,6 +110,7 @@
 
 impl std::error::Error for SettingsError {}
 
+/// Descriptor of the message `lockusher.Settings`, decoded from the embedded schema.
 static SETTINGS_DESCRIPTOR: LazyLock<MessageDescriptor> = LazyLock::new(|| {
     let pool = DescriptorPool::decode(
         include_bytes!(concat!(env!("OUT_DIR"), "/settings.bin")).as_slice(),
@@ -96,18 +118,19 @@
     let settings = pool
         .ok()
         .and_then(|pool| pool.get_message_by_name("lockusher.Settings"));
-    settings.expect("the proto compiled in has them")
+    settings.expect("the embedded schema defines lockusher.Settings")
 });
 
-/// Budgets and fleets beyond these are slips of the pen.
+/// Upper bound of a budget per second; larger values are treated as mistakes.
 const MAX_BUDGET_PER_S: f64 = 1e6;
+/// Upper bound of the number of mixers; larger values are treated as mistakes.
 const MAX_MIXERS: u32 = 10_000;
-/// Shorter, and an endpoint under load would count as silent.
+/// With a shorter timeout, an endpoint under load would count as silent.
 const MIN_SILENT_AFTER_MS: u32 = 200;
-/// Reads that may be held longer than this outlive what proxies allow; Consul's own limit.
+/// Blocking reads held for longer exceed what proxies allow; this is also Consul's own limit.
 const MAX_WAIT_MS: u32 = 600_000;
 
-/// Reads a settings file; `None` names none, and all is off.
+/// Reads and validates a settings file; without a path, returns the defaults.
 pub fn load(path: Option<&Path>) -> anyhow::Result<OperatorSettings> {
     let Some(path) = path else {
         return Ok(OperatorSettings::default());
@@ -117,11 +140,12 @@
     parse(&text).map_err(|error| anyhow::anyhow!("{}: {error}", path.display()))
 }
 
+/// Parses and validates the text of a settings file.
 pub fn parse(text: &str) -> Result<OperatorSettings, SettingsError> {
     let message =
         DynamicMessage::parse_text_format(SETTINGS_DESCRIPTOR.clone(), text).map_err(|error| {
             let label = error.labels().and_then(|mut labels| labels.next());
-            // An end that comes too soon has no place of its own: it is the last line.
+            // An unexpected end of input has no offset; the last line is reported.
             let offset = label.map_or(text.len(), |label| label.offset());
             SettingsError {
                 line: line_of_offset(text, offset),
@@ -160,6 +184,7 @@
     })
 }
 
+/// Validates the section `registry`.
 fn registry_plan(text: &str, registry: text::Registry) -> Result<Plan, SettingsError> {
     let key_error = |key: &str, nth: usize, message: String| {
         let line = line_of_key(text, &["registry", key], nth)
@@ -184,7 +209,7 @@
         return Err(key_error(
             "endpoints",
             0,
-            "missing: HOST:PORT of one member at least".to_owned(),
+            "missing: HOST:PORT of at least one member".to_owned(),
         ));
     }
     for (nth, endpoint) in registry.endpoints.iter().enumerate() {
@@ -213,7 +238,7 @@
         return Err(key_error(
             "prefix",
             0,
-            "missing: all keys of the registry would be hosts".to_owned(),
+            "missing: without it, every key of the registry would be read as a host".to_owned(),
         ));
     }
     let millis_in_range =
@@ -268,6 +293,7 @@
     })
 }
 
+/// Validates the section `http2`.
 fn http2_settings(text: &str, read: text::Http2) -> Result<Http2, SettingsError> {
     let in_range = |key: &str, value: Option<u32>, default: u32, min: u32, max: u32| match value {
         Some(value) if value < min || value > max => {
@@ -303,6 +329,7 @@
     })
 }
 
+/// Validates the section `fleet`.
 fn fleet_settings(text: &str, read: text::Fleet) -> Result<Fleet, SettingsError> {
     let key_error = |key: &str, nth: usize, message: String| {
         let line =
@@ -340,14 +367,14 @@
         return Err(key_error(
             "id",
             0,
-            "missing: two fleets would merge".to_owned(),
+            "missing: without it, separate fleets would merge".to_owned(),
         ));
     }
     if read.address.is_empty() {
         return Err(key_error(
             "address",
             0,
-            "missing: ADDRESS:PORT to listen at".to_owned(),
+            "missing: ADDRESS:PORT to listen on".to_owned(),
         ));
     }
     let own_address = address("address", 0, &read.address)?;
@@ -394,6 +421,7 @@
     })
 }
 
+/// Validates the section `fleet.shared`.
 fn shared_state(text: &str, read: text::Shared) -> Result<Shares, SettingsError> {
     let budgets = read.budgets.unwrap_or_default();
     let key_error = |key: &str, message: String| {
@@ -451,12 +479,14 @@
     })
 }
 
+/// Returns the line number, starting at 1, of a byte offset.
 fn line_of_offset(text: &str, offset: usize) -> usize {
     let preceding = &text.as_bytes()[..offset.min(text.len())];
     preceding.iter().filter(|byte| **byte == b'\n').count() + 1
 }
 
-/// The line of the `nth` key at a path of a text that has been read without a fault.
+/// Returns the line of the `nth` occurrence of the key at `path`, in a text that has already been parsed
+/// successfully.
 fn line_of_key(text: &str, path: &[&str], mut nth: usize) -> Option<usize> {
     let (mut open_blocks, mut key, mut rest) = (Vec::new(), "", text);
     loop {
--- a/crates/lockusher-aggregator/src/program/check.rs
+++ b/crates/lockusher-aggregator/src/program/check.rs
@@ -1,10 +1,11 @@
-//! `check`: reads files as the program would, and says what is wrong with each.
+//! `check`: validates settings and configuration files and reports the error in each.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use crate::{config, operator};
 
+/// Validates one file: a configuration if it is named `.json`, operator settings otherwise.
 fn check_file(file: &Path) -> anyhow::Result<()> {
     if file
         .extension()
@@ -20,6 +21,7 @@
     operator::load(Some(file)).map(drop)
 }
 
+/// Validates files; exits with 2 if any is invalid.
 pub fn check(files: &[PathBuf]) -> ExitCode {
     let mut any_invalid = false;
     for file in files {
--- a/crates/lockusher-aggregator/src/program/dump.rs
+++ b/crates/lockusher-aggregator/src/program/dump.rs
@@ -1,4 +1,4 @@
-//! `registry dump`: what the registry holds, as a mixer would see it.
+//! `registry dump`: prints the contents of the registry as a mixer sees them.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::clock::Clock;
 use crate::operator::OperatorSettings;
 
-/// Prints the first whole view. Zones are named as `LB_CONFIG` does, if it is set.
+/// Prints the first complete view. Zones are numbered as in the configuration that `LB_CONFIG` names, if it is set.
 pub async fn dump(operator: OperatorSettings, timeout: Duration) -> Result<()> {
     let plan = operator
         .registry
--- a/crates/lockusher-aggregator/src/program/mod.rs
+++ b/crates/lockusher-aggregator/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: what is to be done, and with which settings.
+//! The command line and its commands.
 
 mod check;
 mod dump;
@@ -15,11 +15,12 @@
 use crate::config::{self, Config};
 use crate::{logging, operator};
 
-/// Serves multigets from the searchers that hold their shards. `LB_CONFIG` names the platform's configuration.
+/// Splits multigets into parts and serves them from the searchers that hold their shards. The environment variable
+/// LB_CONFIG names the platform's configuration file.
 #[derive(Parser)]
 #[command(name = "lockusher", version, about)]
 struct CommandLine {
-    /// The operator's own settings file, protobuf text format.
+    /// The operator's settings file, in protobuf text format.
     #[arg(long, global = true, value_name = "FILE")]
     settings: Option<PathBuf>,
     #[command(subcommand)]
@@ -28,14 +29,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve; what is done if no command is given.
+    /// Serve multigets (the default).
     Serve,
-    /// Read and check files: settings, and configurations (named .json). Exits with 2 if one is faulty.
+    /// Validate settings files, and configuration files (named .json). Exits with 2 if any is invalid.
     Check {
         #[arg(required = true, value_name = "FILE")]
         files: Vec<PathBuf>,
     },
-    /// Look at the registry that the settings name.
+    /// Inspect the registry that the settings name.
     Registry {
         #[command(subcommand)]
         what: Registry,
@@ -44,24 +45,25 @@
 
 #[derive(Subcommand)]
 enum Registry {
-    /// Print the hosts that it holds as a mixer sees them, in discovery's form.
+    /// Print the hosts in the registry as a mixer sees them, in the format of discovery.
     Dump {
-        /// How long it may take, in milliseconds.
+        /// Timeout in milliseconds.
         #[arg(long, default_value_t = 10_000, value_name = "MS")]
         within_ms: u64,
     },
 }
 
+/// Reads the configuration that the environment names.
 fn configuration() -> anyhow::Result<Config> {
     config::load(|name| std::env::var(name).ok())
 }
 
-/// Runs the program with these arguments, the first of which is its own name.
+/// Runs the program; the first argument is the name of the program.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let CommandLine { settings, command } = match CommandLine::try_parse_from(args) {
         Ok(command_line) => command_line,
         Err(error) => {
-            // Help and version are no faults.
+            // Help and version are reported as errors as well, with exit code 0.
             let _ = error.print();
             return ExitCode::from(error.exit_code() as u8);
         }
--- a/crates/lockusher-aggregator/src/program/serve.rs
+++ b/crates/lockusher-aggregator/src/program/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: one mixer on sockets, configured by `LB_CONFIG` and the operator's settings.
+//! `serve`: runs a mixer, configured by `LB_CONFIG` and the operator's settings.
 
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -27,20 +27,22 @@
 use lockusher_registry_client::io::follow;
 use tokio::sync::{Notify, mpsc, oneshot, watch};
 
-/// A process told to stop is killed no sooner than this after the longest route timeout, of which no more than
-/// `LONGEST_COUNTED` counts. Until shortly before it serves those that have a connection to it: others may be
-/// down at the same time.
+/// A process that was asked to stop is killed no sooner than this after the longest route timeout, of which at most
+/// `MAX_COUNTED_TIMEOUT` counts. It serves existing connections until shortly before, as other mixers may be down
+/// at the same time.
 const KILL_AFTER_TIMEOUT: Duration = Duration::from_millis(700);
 const MAX_COUNTED_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// So long before that it closes what is unused and each connection with its answer, and gives up what is still in
-/// hand; less of both where route timeouts are short, so that it serves on while new connections may still come.
+/// How long before the kill idle connections are closed and each response closes its connection, and how long
+/// before it multigets in flight are given up. Both are shorter if route timeouts are short, so that the mixer
+/// keeps serving while new connections may still arrive.
 const CLOSE_BEFORE_KILL: Duration = Duration::from_millis(1_200);
 const GIVE_UP_BEFORE_KILL: Duration = Duration::from_millis(400);
-/// New connections come for up to 0.4 s after it was told; those that came with the last of them are read by then.
+/// New connections arrive for up to 0.4 s after the stop request; after this time, requests on the last of them
+/// have been read as well.
 const NEW_CONNECTION_PERIOD: Duration = Duration::from_millis(500);
 
-/// When a process that was told to stop closes what is unused, and when it gives up what is in hand; then how long the
-/// last answers may take, which ends before it is killed.
+/// Durations of the shutdown phases: until idle connections are closed, from then until multigets in flight are
+/// given up, and how long the last responses may take. The last phase ends before the process is killed.
 fn shutdown_delays(max_route_timeout: Duration) -> [Duration; 3] {
     let kill = max_route_timeout.min(MAX_COUNTED_TIMEOUT) + KILL_AFTER_TIMEOUT;
     let close_delay = kill
@@ -50,10 +52,12 @@
     [close_delay, kill - give_up - close_delay, give_up * 3 / 4]
 }
 
-/// Between two reports of what this mixer saw: a few fit into a second, each costs a look at all searchers.
+/// Interval between reports of this mixer's observations to the fleet: several fit into a second, and each costs a
+/// scan of all searchers.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the platform's settings say of what is shared: how many mixers there are, and tenants' shares.
+/// Adds what the platform's settings define for the shared state: the number of mixers if it is not set, and the
+/// tenants' quotas.
 fn add_platform_settings(mut shares: Shares, settings: &Settings) -> Shares {
     shares.mixers = if shares.mixers > 0 {
         shares.mixers
@@ -71,7 +75,7 @@
     shares
 }
 
-/// Keeps a view of the fleet from here on; what it counts, and what is shared on it, goes to the router.
+/// Starts the membership task. The number of mixers and the shared state are passed to the router.
 async fn start_fleet(
     set: &Fleet,
     config: &Config,
@@ -80,7 +84,7 @@
 ) -> Result<Asks> {
     anyhow::ensure!(
         config.name.len() <= MOST_NAME,
-        "name: longer than {MOST_NAME} bytes, which a fleet can't tell"
+        "name: longer than {MOST_NAME} bytes, the limit of the membership protocol"
     );
     let socket = io::bind(set.address)
         .await
@@ -107,7 +111,7 @@
         mixers,
         config.seed,
     );
-    // Few ask, and each is answered at once.
+    // Queries are rare, and each is answered at once.
     let (ask, ask_receiver) = mpsc::channel(4);
     let router_queue = queue.clone();
     let forward_news = move |news| router_queue.try_send(RouterEvent::Fleet(news)).is_ok();
@@ -137,6 +141,7 @@
     Ok(ask)
 }
 
+/// Serves until a signal requests a stop, then shuts down gracefully.
 pub async fn serve(settings: Option<PathBuf>, operator: OperatorSettings) -> Result<()> {
     let mut config = configuration()?;
     let initial = operator.clone();
@@ -191,12 +196,12 @@
         .with_context(|| format!("listen: {}", config.listen))?;
     let address = listener.local_addr().context("listen")?;
     let names = config.settings.names();
-    // One of the two lists the searchers, for as long as the process runs.
+    // Either the registry or discovery lists the searchers, for the lifetime of the process.
     let (mut registry_sender, mut discovery_sender, mut registry_asks) = (None, None, None);
     match operator.registry.clone() {
         Some(plan) => {
             let (plan_sender, plan_receiver) = watch::channel(plan);
-            // Few ask, and each is answered at once.
+            // Queries are rare, and each is answered at once.
             let (ask, ask_receiver) = mpsc::channel(4);
             (registry_sender, registry_asks) = (Some(plan_sender), Some(ask));
             let (now, names) = (move || clock.now(), config.settings.names());
@@ -254,7 +259,7 @@
     };
     loop {
         tokio::select! {
-            // What is in hand, connections and what was learned stay; only the watch moves.
+            // Multigets in flight, connections and learned state are kept; only the watch changes.
             signal = signals.next() => match signal {
                 Signal::Stop => break,
                 Signal::Reload => match reload(discovery_sender.is_some()) {
@@ -268,11 +273,11 @@
                     match (&registry_sender, operator.registry) {
                         (Some(plan_sender), Some(plan)) => {
                             let change = plan_sender.send_if_modified(|current| std::mem::replace(current, plan.clone()) != plan);
-                            let change = if change { "is followed anew" } else { "stays as it was" };
+                            let change = if change { "is followed with the new settings" } else { "is unchanged" };
                             tracing::info!("{name}: settings read again, the registry {change}");
                         }
                         (None, None) => {}
-                        _ => tracing::warn!("registry: to be set or unset it needs a restart"),
+                        _ => tracing::warn!("registry: setting or unsetting it needs a restart"),
                     }
                     if operator.http2 != initial.http2 {
                         tracing::warn!("http2: another value needs a restart; the old one stays in force");
@@ -288,12 +293,12 @@
             },
             },
             ended = &mut routing => {
-                ended.context("routing")?;
-                anyhow::bail!("routing has ended");
+                ended.context("router task")?;
+                anyhow::bail!("the router task ended unexpectedly");
             }
             ended = &mut serving => {
-                ended.context("serving")?;
-                anyhow::bail!("serving has ended");
+                ended.context("client server")?;
+                anyhow::bail!("the client server ended unexpectedly");
             }
         }
     }
--- a/crates/lockusher-aggregator/src/program/signals.rs
+++ b/crates/lockusher-aggregator/src/program/signals.rs
@@ -1,10 +1,9 @@
-//! The signals that the mixer heeds: SIGHUP (read the configuration again), SIGTERM and SIGINT (stop), told to the
-//! program's one thread through a pipe of its own.
+//! Signal handling: SIGHUP reloads the configuration, SIGTERM and SIGINT stop the process. Signals reach the
+//! single-threaded runtime through a pipe.
 //!
-//! Guarded against: tokio's own signal handling holds a pair of Unix sockets for its wake-ups, and the platform's
-//! standing test allows TCP and UDP over IPv4 alone (docs/design/platform-rules.md). A pipe is no socket. Each
-//! handler only sets a flag and writes one byte, both safe in a signal handler; the byte wakes the reader, the flags
-//! say what came.
+//! Tokio's own signal handling is not used because it holds a pair of Unix sockets, while the platform allows TCP
+//! and UDP over IPv4 only (docs/design/platform-rules.md); a pipe is not a socket. Each handler sets a flag and
+//! writes one byte, both async-signal-safe; the byte wakes the reader, and the flags tell which signals arrived.
 
 use std::io;
 use std::os::fd::{AsRawFd, IntoRawFd, OwnedFd, RawFd};
@@ -14,16 +13,16 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::unix::pipe;
 
-/// What the process was told.
+/// A request made by a signal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Signal {
-    /// Read the configuration and settings again.
+    /// Reload the configuration and the settings.
     Reload,
-    /// Stop serving, as a planned restart asks.
+    /// Shut down gracefully.
     Stop,
 }
 
-/// The handlers, once set for the process, and the end of the pipe that they wake.
+/// The installed signal handlers, and the receiving end of their pipe.
 pub struct Signals {
     wake_pipe: pipe::Receiver,
     reload_requested: Arc<AtomicBool>,
@@ -31,19 +30,20 @@
 }
 
 impl Signals {
-    /// Sets the handlers; within a tokio runtime. Errors: a pipe that cannot be had, a handler that cannot be set.
+    /// Installs the handlers; must be called within a tokio runtime. Fails if the pipe cannot be created or a
+    /// handler cannot be installed.
     pub fn install() -> io::Result<Self> {
         let (reader, writer) = io::pipe()?;
         let writer = OwnedFd::from(writer);
-        // A full pipe must not hold a handler up: a wake-up is waiting then anyway.
+        // A full pipe must not block a handler: a wake-up is already pending then.
         let raw_fd = writer.as_raw_fd();
-        // SAFETY: fcntl on a descriptor that this owns.
+        // SAFETY: fcntl on a descriptor owned by `writer`.
         let flags = unsafe { libc::fcntl(raw_fd, libc::F_GETFL) };
         if flags < 0 || unsafe { libc::fcntl(raw_fd, libc::F_SETFL, flags | libc::O_NONBLOCK) } < 0
         {
             return Err(io::Error::last_os_error());
         }
-        // Open for as long as the process lives: a handler may write at any time.
+        // Never closed: a handler may write at any time.
         let fd = writer.into_raw_fd();
         let (reload_requested, stop_requested) = (
             Arc::new(AtomicBool::new(false)),
@@ -65,8 +65,8 @@
         })
     }
 
-    /// Waits for the next signal; a stop goes before a hang-up that came with it. Safe to cancel: what came is held
-    /// by the flags until asked.
+    /// Waits for the next signal; a stop takes precedence over a reload that arrived with it. Cancel safe: the
+    /// flags keep pending signals.
     pub async fn next(&mut self) -> Signal {
         let mut buffer = [0u8; 64];
         loop {
@@ -80,7 +80,7 @@
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    // Signals are no longer heard; the process serves on and can still be killed.
+                    // Signals are no longer received; the process keeps serving and can still be killed.
                     tracing::error!("signals: the pipe cannot be read: {error}");
                     std::future::pending::<()>().await;
                 }
@@ -89,12 +89,12 @@
     }
 }
 
-/// Within a signal handler.
+/// Runs in a signal handler: sets the flag and wakes the reader.
 fn on_signal(flag: &AtomicBool, fd: RawFd) {
     // SAFETY: errno is this thread's own; the write is of one byte from the stack to a descriptor kept open.
     let errno = unsafe { *libc::__errno_location() };
     flag.store(true, Ordering::SeqCst);
-    // EAGAIN: the pipe is full, so the reader is woken already.
+    // EAGAIN means that the pipe is full, so the reader has been woken already.
     let _ = unsafe { libc::write(fd, [1u8].as_ptr().cast(), 1) };
     unsafe { *libc::__errno_location() = errno };
 }
--- a/crates/lockusher-aggregator/src/protocol/client.rs
+++ b/crates/lockusher-aggregator/src/protocol/client.rs
@@ -1,4 +1,4 @@
-//! Clients' requests and their answers.
+//! Requests of clients and the responses to them.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -10,15 +10,16 @@
 
 use super::MAX_BODY_BYTES;
 
-/// The path that tells whether the mixer can serve.
+/// Path of the readiness check.
 pub const UP_PATH: &str = "/up";
-/// Where it says how the registry stands, if one is followed.
+/// Path of the fleet status, served if membership is enabled.
 pub const FLEET_PATH: &str = "/fleet";
+/// Path of the registry status, served if a registry is followed.
 pub const REGISTRY_PATH: &str = "/registry";
-/// The same with the view that is held.
+/// Path of the registry status including the current view of the searchers.
 pub const REGISTRY_VIEW_PATH: &str = "/registry/view";
 
-/// The head of a request, as far as it counts.
+/// The parts of a request head that matter to the mixer.
 pub struct Head<'a> {
     pub method: &'a str,
     pub path: &'a str,
@@ -29,13 +30,18 @@
     pub resubmitted: Option<&'a str>,
 }
 
+/// Header with the id of the multiget.
 pub const ID_HEADER: &str = "Req-Id";
+/// Header with the op type, which must match the path.
 pub const OP_TYPE_HEADER: &str = "Req-Kind";
+/// Header with the tenant.
 pub const TENANT_HEADER: &str = "Req-Owner";
+/// Header with the time limit, a number with the unit `m` (milliseconds) or `u` (microseconds).
 pub const DEADLINE_HEADER: &str = "Req-Deadline";
+/// Header that is `1` if the client resubmits the multiget.
 pub const RESUBMITTED_HEADER: &str = "Req-Retry";
 
-/// Headers that may stand once only.
+/// Headers that must not occur more than once.
 pub const SINGLE_HEADERS: [&str; 5] = [
     ID_HEADER,
     OP_TYPE_HEADER,
@@ -44,27 +50,31 @@
     RESUBMITTED_HEADER,
 ];
 
-/// A multiget as its client asks for it.
+/// A decoded multiget request.
 #[derive(Debug, PartialEq)]
 pub struct Request {
     pub id: MultigetId,
     pub op_type: OpTypeId,
     pub tenant: Option<TenantId>,
     pub resubmitted: bool,
-    /// How long its client waits.
+    /// How long the client waits for the answer.
     pub time_limit: Span,
+    /// The predicate, forwarded to the searchers unchanged.
     pub text: Bytes,
     pub parts: Vec<RequestPart>,
 }
 
+/// One part of a multiget: a shard with its share of the whole and an optional cost hint.
 #[derive(Debug, PartialEq)]
 pub struct RequestPart {
     pub shard: Shard,
+    /// Share of the whole; the shares of all parts sum to 1.
     pub weight: f64,
+    /// The client's cost estimate, if given.
     pub hint: Option<Span>,
 }
 
-/// Why a request is no use: a status and one line.
+/// Why a request is rejected: an HTTP status and a one-line message.
 #[derive(Debug, PartialEq)]
 pub struct RequestError {
     pub status: u16,
@@ -93,20 +103,22 @@
     price: Option<u64>,
 }
 
-/// What of a request's head alone makes it no use.
+/// Checks the request head alone, before the body is read.
 pub fn check_head(head: &Head, names: &Names) -> Result<(), RequestError> {
     parse_head(head, names).map(|_| ())
 }
 
-/// A time limit beyond this is a mistake.
+/// Longer time limits are rejected as mistakes.
 const MAX_TIME_LIMIT: Span = Span::from_millis(24 * 60 * 60 * 1_000);
 
+/// Values taken from a valid request head.
 struct HeadFields {
     op_type: OpTypeId,
     tenant: Option<TenantId>,
     time_limit: Span,
 }
 
+/// Validates a request head and extracts its values.
 fn parse_head(head: &Head, names: &Names) -> Result<HeadFields, RequestError> {
     let path = head.path.strip_prefix('/').unwrap_or_default();
     let op_type = *(names.op_types.get(path))
@@ -151,7 +163,7 @@
     let id = head
         .id
         .ok_or_else(|| bad_request(format!("{ID_HEADER} is missing")))?;
-    // It goes into frames and part ids: nothing that ends a word there.
+    // The id becomes part of frames and part ids, so it must not contain their separators.
     if id.is_empty()
         || id.len() > 128
         || !id
@@ -169,6 +181,7 @@
     })
 }
 
+/// Decodes and validates a request.
 pub fn decode(
     head: &Head,
     body: &[u8],
@@ -205,7 +218,7 @@
             return Err(bad_request(format!("portion of range {shard} is no share")));
         }
     }
-    // Written shares are rounded: three of 0.333333 are a whole.
+    // Portions are rounded in decimal notation: three of 0.333333 count as a whole.
     const ROUNDING: f64 = 0.001;
     let portion_sum: f64 = body.ranges.iter().map(|part| part.portion).sum();
     if (portion_sum - 1.0).abs() > ROUNDING {
@@ -229,6 +242,7 @@
     })
 }
 
+/// Parses a number with the unit `m` (milliseconds) or `u` (microseconds).
 fn parse_span(text: &str) -> Option<Span> {
     let (number, us_per_unit) = match text.strip_suffix('m') {
         Some(number) => (number, 1_000),
@@ -254,7 +268,7 @@
     blob: &'a str,
 }
 
-/// The body of an answer.
+/// Encodes the body of an answer; `complete` is whether all parts were answered.
 pub fn encode_answer<'a>(complete: bool, values: impl Iterator<Item = (Shard, &'a str)>) -> Bytes {
     let answers = values
         .map(|(shard, blob)| AnswerItem {
@@ -269,7 +283,7 @@
     serde_json::to_vec(&text).unwrap_or_default().into()
 }
 
-/// A time to come back, in decimal seconds.
+/// Formats the value of a `Retry-After` header in decimal seconds.
 pub fn retry_after(span: Span) -> String {
     let mut text = String::new();
     let _ = write!(text, "{:.3}", span.as_secs());
--- a/crates/lockusher-aggregator/src/protocol/fleet.rs
+++ b/crates/lockusher-aggregator/src/protocol/fleet.rs
@@ -1,10 +1,11 @@
-//! How the fleet stands for this mixer, as JSON for staff and tools.
+//! Encodes the fleet status as JSON for operators and tools.
 
 use lockusher_membership::core::{Standing, share};
 use lockusher_membership::io::Shown;
 use lockusher_policy::interface::{Budget, TenantId, Time};
 use serde_json::{Value, json};
 
+/// Encodes the state shared between mixers.
 fn encode_shared(now: Time, shared: &share::Shown) -> Value {
     let judgements: Vec<Value> = shared
         .standing
@@ -57,6 +58,7 @@
     })
 }
 
+/// Encodes the membership status of this mixer.
 pub fn encode(shown: &Shown) -> String {
     let Shown {
         now,
--- a/crates/lockusher-aggregator/src/protocol/frame.rs
+++ b/crates/lockusher-aggregator/src/protocol/frame.rs
@@ -1,4 +1,4 @@
-//! Searchers' frames. A frame's length is put before it and taken off by [`codec`].
+//! Frames exchanged with searchers. Each frame is preceded by its length; see [`codec`].
 
 use std::fmt::Write;
 
@@ -8,13 +8,13 @@
 
 use super::MAX_BODY_BYTES;
 
-/// The longest frame that is read: room for a value as large as a body, and its line.
+/// Maximum size of a frame that is read: a value as large as a request body, and its line.
 const MAX_FRAME_BYTES: usize = 2 * MAX_BODY_BYTES;
-/// The longest line at the head of an answer, many times what its words need.
+/// Maximum size of the first line of an answer, many times what its fields need.
 const MAX_LINE_BYTES: usize = 4 * 1024;
 
-/// The length before each frame that is written: four bytes, most significant first. What the mixer writes is
-/// bounded by what it has in hand.
+/// Codec for written frames: a length of four bytes in big-endian order precedes each frame. Written frames are
+/// bounded by the requests in flight, so the codec sets no limit of its own.
 pub fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .length_field_length(4)
@@ -22,8 +22,9 @@
         .new_codec()
 }
 
-/// Takes the next whole frame off, less its length; `None` if more of it must come. What can't become a frame is
-/// told as soon as that shows, so that nothing absurd is waited for or kept.
+/// Removes and returns the next complete frame without its length, or `None` if more bytes are needed. Bytes that
+/// cannot become a valid frame are reported as early as possible, so that the mixer neither waits for nor buffers
+/// them.
 pub fn next(buffer: &mut BytesMut) -> Result<Option<BytesMut>, &'static str> {
     let Some((length, available)) = buffer.split_first_chunk::<4>() else {
         return Ok(None);
@@ -36,7 +37,7 @@
         .first()
         .is_some_and(|kind| !b"opqr".contains(kind))
     {
-        return Err("a frame of an unknown letter");
+        return Err("a frame of an unknown type");
     }
     let answer = available.first() == Some(&b'q');
     if answer && available.len() > MAX_LINE_BYTES && !available[..MAX_LINE_BYTES].contains(&b'\n') {
@@ -49,19 +50,20 @@
     Ok(Some(buffer.split_to(length)))
 }
 
-/// A part as it goes into a call.
+/// A part as it is encoded in a call.
 #[derive(Clone, Debug)]
 pub struct CallPart {
     pub id: PartId,
     pub shard: Shard,
-    /// How long the mixer waits.
+    /// How long the mixer waits for the answer.
     pub wait: Span,
-    /// For a part of the second step: the shards that were in, and whether that was whole.
+    /// For a part of the second step: the shards that were answered in the first step, and whether that step was
+    /// complete.
     pub first_step: Option<(std::rc::Rc<[Shard]>, bool)>,
     pub text: Bytes,
 }
 
-/// One call: a frame `m`.
+/// Encodes a call with one or more parts: a frame `m`.
 pub fn call<'a>(parts: impl Iterator<Item = &'a CallPart>) -> Bytes {
     let mut frame = BytesMut::from(&b"m"[..]);
     for part in parts {
@@ -87,17 +89,17 @@
     frame.freeze()
 }
 
-/// A part is given up: a frame `n`.
+/// Encodes the cancellation of a part: a frame `n`.
 pub fn cancel(id: &PartId) -> Bytes {
     Bytes::from(format!("n{}", id.as_str()))
 }
 
-/// Asks for a searcher's health.
+/// Encodes a health probe to a searcher.
 pub fn probe() -> Bytes {
     Bytes::from_static(b"o")
 }
 
-/// What the mixer answers a probe with: it is well; of its load it has nothing to tell.
+/// Encodes the answer to a searcher's probe: always healthy, no load reported.
 pub fn probe_answer(probe: Probe) -> Bytes {
     Bytes::from_static(match probe {
         Probe::Health => b"ogood",
@@ -105,23 +107,25 @@
     })
 }
 
+/// A probe sent by a searcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Probe {
     Health,
     Load,
 }
 
-/// What a searcher sends.
+/// A frame received from a searcher.
 #[derive(Debug, PartialEq)]
 pub enum SearcherFrame {
     Answer(PartAnswer),
     Probe(Probe),
-    /// An answer to a probe: that it came says what there is to know.
+    /// An answer to a probe; only its arrival matters.
     ProbeAnswer,
-    /// A frame could not be used; the connection closes.
+    /// The searcher could not use a frame and closes the connection.
     Rejected(String),
 }
 
+/// The answer to one part.
 #[derive(Debug, PartialEq)]
 pub struct PartAnswer {
     pub id: PartId,
@@ -130,7 +134,7 @@
     pub value: String,
 }
 
-/// `None` if it can't be read.
+/// Decodes a frame; `None` if it is malformed.
 pub fn decode(frame: &[u8]) -> Option<SearcherFrame> {
     let (kind, rest) = frame.split_first()?;
     Some(match kind {
@@ -143,9 +147,10 @@
     })
 }
 
+/// Decodes the rest of a frame `q`, the answer to a part.
 fn decode_answer(rest: &[u8]) -> Option<PartAnswer> {
     let line_end = rest.iter().position(|&b| b == b'\n')?;
-    // What follows the score is a report of load, which nothing here reads.
+    // The load report after the score is ignored.
     let mut fields = rest[..line_end]
         .split(|&b| b == b' ')
         .map(std::str::from_utf8);
@@ -157,10 +162,10 @@
         "later" => Outcome::Full,
         _ => return None,
     };
-    // Where there is nothing to score, a dash may stand.
+    // A dash stands for a missing score.
     let score = if score == "-" { 0 } else { score.parse().ok()? };
     let value = std::str::from_utf8(&rest[line_end + 1..]).ok()?;
-    // A value is text: with other control characters in it, it is some other frame's bytes.
+    // Values are text; other control characters mean that the bytes of another frame are mixed in.
     let is_text = !value
         .chars()
         .any(|c| c.is_control() && !"\n\r\t".contains(c));
@@ -172,7 +177,7 @@
     })
 }
 
-/// Whose answer a frame was to be that can't be read, if that can.
+/// Extracts the part id from an answer that is otherwise malformed, if possible.
 pub fn answered_part_id(frame: &[u8]) -> Option<PartId> {
     let rest = frame.strip_prefix(b"q")?;
     let id = std::str::from_utf8(rest.split(|&b| b == b' ').next()?).ok()?;
--- a/crates/lockusher-aggregator/src/protocol/mod.rs
+++ b/crates/lockusher-aggregator/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The wire's texts, decoded once into typed values and encoded once. Pure: no socket, no clock.
+//! Decodes bytes from the wire into typed values and encodes them. Pure functions: no socket, no clock.
 
 pub mod client;
 pub mod discovery;
@@ -6,8 +6,8 @@
 pub mod frame;
 pub mod registry;
 
-/// What a body may hold at most.
+/// Maximum size of a request body in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The longest head of a request that is read: many times what its lines need.
+/// Maximum size of a request head in bytes, many times what its lines need.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
--- a/crates/lockusher-aggregator/src/protocol/registry.rs
+++ b/crates/lockusher-aggregator/src/protocol/registry.rs
@@ -1,10 +1,11 @@
-//! How the registry stands, as JSON for staff and tools.
+//! Encodes the registry status as JSON for operators and tools.
 
 use lockusher_multiget::list::ListOut;
 use lockusher_multiget::settings::Names;
 use lockusher_registry_client::io::Shown;
 use serde_json::json;
 
+/// Encodes the status of the registry follower, with the view if one is given.
 pub fn encode(shown: &Shown, names: &Names) -> String {
     let Shown {
         status,
--- a/crates/lockusher-aggregator/src/routing/dispatcher.rs
+++ b/crates/lockusher-aggregator/src/routing/dispatcher.rs
@@ -1,5 +1,5 @@
-//! What the router keeps for the host: the ways back to clients, values that came in, sends that are out with
-//! their time-outs, and the second step's parts.
+//! State of the multigets in flight, on behalf of the decision module: reply channels to clients, received values,
+//! outstanding sends with their timeouts, and parts of second steps.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -23,59 +23,62 @@
 use crate::protocol::client::{self, Request};
 use crate::protocol::frame::CallPart;
 
-/// A multiget without its final answer.
+/// A multiget without a final answer.
 struct OpenMultiget {
     number: u64,
     text: Bytes,
     reply: oneshot::Sender<(ClientResponse, Instant)>,
     client_connected: ClientConnected,
-    /// Multiget and parts, as they count against what may be in hand.
+    /// The multiget and its parts, counted against the limit of requests in flight.
     weight: usize,
-    /// Score and value of each part that came in.
+    /// Score and value of each answered part.
     values: HashMap<PartId, (i64, String)>,
-    /// What these take.
+    /// Size of the values in bytes.
     value_bytes: usize,
-    /// Its parts that were sent, and the windows of those that have one.
+    /// Parts that were sent, and the deduplication windows of those that have one.
     parts: Vec<PartId>,
     dedup_windows: HashMap<PartId, Rc<DedupWindow>>,
-    /// The shards that the first step had in, and whether it was whole.
+    /// Once the first step is over: the shards it was answered for, and whether it was complete.
     first_step: Option<(Rc<[Shard]>, bool)>,
 }
 
-/// A part and the number of its send.
+/// A part and the index of its send.
 type SendKey = (PartId, usize);
-/// A send that ended without its searcher.
+/// A send that ended in this process, without an answer from the searcher.
 type LocalEnd = (PartId, usize, Outcome);
-/// A part of a second step, with the number of its multiget.
+/// A part of a second step with the number of its multiget.
 type SecondStepPart = (u64, NewPart);
 
+/// Tracks the multigets in flight and executes the decision module's orders.
 pub struct Dispatcher {
     transport: Box<dyn SearcherTransport>,
-    /// Parts of the second step, by op type, and for how long repeats of its parts are dropped, if for a time only.
+    /// By op type: the number of parts of the second step, and the deduplication window if repeats are dropped for
+    /// a limited time.
     second_steps: Vec<usize>,
     dedup_windows: Vec<Option<Span>>,
     list_requested: Rc<Notify>,
     now: Time,
     open: HashMap<MultigetId, OpenMultiget>,
-    /// Whose part it is.
+    /// The multiget that each part belongs to.
     owners: HashMap<PartId, MultigetId>,
     in_flight: usize,
-    /// Bytes of values that came in for multigets that are open.
+    /// Size in bytes of the values received for open multigets.
     value_bytes: usize,
     max_value_bytes: usize,
-    /// Sends that are out: where, and since when.
+    /// Outstanding sends, with the searcher and the start time of each.
     outstanding: HashMap<SendKey, (SearcherId, Time)>,
     timeouts: BinaryHeap<Reverse<(Time, PartId, usize)>>,
-    /// Sends of this settling, not yet handed to the sockets.
+    /// Sends of the current round that have not been handed to the transport yet.
     queued: Vec<(SearcherId, OutgoingPart)>,
-    /// Sends that ended here, and second steps that began.
+    /// Sends that ended in this process, and parts of second steps to start.
     local_ends: Vec<LocalEnd>,
     second_step_parts: Vec<SecondStepPart>,
-    /// What became of the multigets of each second, for the log.
+    /// Outcome statistics for the log.
     stats: OutcomeStats,
 }
 
 impl Dispatcher {
+    /// Creates a dispatcher without multigets.
     pub fn new(
         transport: Box<dyn SearcherTransport>,
         op_types: &[OpType],
@@ -106,7 +109,7 @@
         }
     }
 
-    /// A batch begins.
+    /// Starts a batch of events; logs the statistics of a period that is over.
     pub fn begin_batch(&mut self, now: Time) {
         self.now = now;
         if let Some((counts, span)) = self.stats.finish_period(now) {
@@ -123,33 +126,37 @@
         }
     }
 
+    /// Whether a multiget with this id is open.
     pub fn contains(&self, id: &MultigetId) -> bool {
         self.open.contains_key(id)
     }
 
-    /// Multigets and parts without their final answer.
+    /// Number of multigets and parts without a final answer.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// What was taken, sent and turned away since the start.
+    /// Totals of multigets, sends and push-backs since the start.
     pub fn totals(&self) -> Totals {
         self.stats.totals()
     }
 
-    /// What may be spent on connections and probes, of what the whole fleet may.
+    /// Sets this mixer's shares of the fleet-wide budgets for connections and probes.
     pub fn set_portions(&mut self, portions: &[(Budget, Portion)]) {
         self.transport.set_portions(self.now, portions);
     }
 
+    /// Current rates per second at which these budgets are spent.
     pub fn spending_rates(&self) -> Vec<(Budget, f64)> {
         self.transport.spending_rates(self.now)
     }
 
+    /// Number of open multigets.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
+    /// Registers an accepted multiget.
     pub fn register(
         &mut self,
         number: u64,
@@ -178,7 +185,8 @@
         );
     }
 
-    /// An answer of a part; the first counts. Tells whether there was room for it.
+    /// Stores the answer to a part; only the first one counts. Returns `false` if it exceeds the memory limit for
+    /// values.
     pub fn store_value(&mut self, part: &PartId, answer: (i64, String)) -> bool {
         let Some(open) = self.owners.get(part).and_then(|id| self.open.get_mut(id)) else {
             return true;
@@ -195,12 +203,12 @@
         true
     }
 
-    /// Whose part it is, if its multiget is open.
+    /// The multiget of a part, if it is open.
     pub fn owner(&self, part: &PartId) -> Option<&MultigetId> {
         self.owners.get(part)
     }
 
-    /// A line of the list: nothing more goes to a searcher that drains or is gone.
+    /// Applies an entry of the searcher list: nothing more is sent to a searcher that drains or is gone.
     pub fn apply_entry(&mut self, entry: &Listed, place: Place) {
         let unsent = match entry.state {
             SearcherState::Up => self.transport.set_address(entry, place),
@@ -209,7 +217,7 @@
         self.end_unsent(unsent);
     }
 
-    /// What never left says nothing of the searcher it was for.
+    /// Ends sends that were never written; this says nothing about the searcher.
     fn end_unsent(&mut self, unsent: Vec<SendKey>) {
         self.local_ends.extend(
             unsent
@@ -218,7 +226,7 @@
         );
     }
 
-    /// A complete list lacks these.
+    /// Stops sending to the searchers that a complete list does not contain.
     pub fn remove_missing(&mut self, missing: impl Fn(&SearcherId) -> bool) {
         for id in self
             .transport
@@ -231,23 +239,25 @@
         }
     }
 
+    /// Whether any searcher has an address.
     pub fn has_searchers(&self) -> bool {
         !self.transport.searcher_ids().is_empty()
     }
 
-    /// A send has ended; tells when it began, unless it had ended before.
+    /// Marks a send as ended and returns its start time, or `None` if it had already ended.
     pub fn finish_send(&mut self, part: &PartId, nth: usize) -> Option<Time> {
         let (_, at) = self.outstanding.remove(&(part.clone(), nth))?;
         Some(at)
     }
 
-    /// Gives a send up: its connection is told, its end is heard of in this batch.
+    /// Cancels a send: the transport cancels it, and it ends within this batch.
     pub fn cancel(&mut self, part: &PartId, nth: usize) {
         self.stop_send(part, nth);
         self.local_ends
             .push((part.clone(), nth, Outcome::Withdrawn));
     }
 
+    /// Removes a send from the queue, or has the transport cancel it.
     fn stop_send(&mut self, part: &PartId, nth: usize) {
         self.queued
             .retain(|(_, (n, p, _))| p.id != *part || *n != nth);
@@ -256,7 +266,7 @@
         }
     }
 
-    /// A send that has timed out by now.
+    /// Returns the next send that has timed out by now.
     pub fn pop_timed_out(&mut self) -> Option<SendKey> {
         while let Some(Reverse((due, ..))) = self.timeouts.peek()
             && *due <= self.now
@@ -273,6 +283,7 @@
         None
     }
 
+    /// Time until the next timeout of an outstanding send.
     pub fn next_timeout(&mut self, now: Time) -> Option<Span> {
         while let Some(Reverse((due, part, nth))) = self.timeouts.peek() {
             if self.outstanding.contains_key(&(part.clone(), *nth)) {
@@ -283,7 +294,7 @@
         None
     }
 
-    /// Hands this settling's sends to the sockets; those to one searcher share calls.
+    /// Hands the queued sends to the transport; sends to the same searcher share calls.
     pub fn flush(&mut self) {
         let mut calls: Vec<(SearcherId, Vec<OutgoingPart>)> = Vec::new();
         let max_parts = self.transport.max_parts_per_call();
@@ -304,7 +315,7 @@
         }
     }
 
-    /// What came of the last settling: sends that ended here, and parts of second steps.
+    /// Takes the results of the last round: sends that ended in this process and parts of second steps.
     pub fn take_results(&mut self) -> (Vec<LocalEnd>, Vec<SecondStepPart>) {
         (
             std::mem::take(&mut self.local_ends),
@@ -312,11 +323,13 @@
         )
     }
 
-    /// A client went away; tells whether its multiget was open. One of the same id may be another's.
+    /// Removes the multiget of a client that disconnected and returns whether it was open. A multiget with the same
+    /// id may belong to another client.
     pub fn remove_disconnected(&mut self, id: &MultigetId) -> bool {
         self.open.get(id).is_some_and(|open| open.reply.is_closed()) && self.close(id).is_some()
     }
 
+    /// Removes a multiget and releases what it holds.
     fn close(&mut self, id: &MultigetId) -> Option<OpenMultiget> {
         let open = self.open.remove(id)?;
         self.in_flight -= open.weight;
@@ -327,8 +340,8 @@
         Some(open)
     }
 
-    /// What has not left by the time its part is in, its step is over or its multiget has its final answer must not
-    /// leave after it. A copy may wait for its connection for long.
+    /// Cancels the unwritten sends of parts that are answered, whose step is over or whose multiget has its final
+    /// answer: they must not be written afterwards. A hedged request may wait for its connection for a long time.
     pub fn cancel_unsent<'a>(&mut self, parts: impl Iterator<Item = &'a Part>) {
         for part in parts {
             for (nth, send) in part
@@ -348,7 +361,7 @@
         }
     }
 
-    /// The second step goes to the highest scores among the shards that are in.
+    /// Plans the second step for the shards with the highest scores among those answered.
     fn plan_second_step(&mut self, multiget: &Multiget, whole: bool, max_parts: usize) {
         let Some(open) = self.open.get_mut(&multiget.id) else {
             return;
@@ -380,11 +393,14 @@
             !multiget.ended,
             "nothing is sent for a multiget that has its final answer"
         );
-        check_invariant!(!part.returned, "nothing is sent for a part that is in");
+        check_invariant!(
+            !part.returned,
+            "nothing is sent for a part that is answered"
+        );
         let Some(open) = self.open.get_mut(&multiget.id) else {
             return;
         };
-        // A copy of what is late: is it the searcher, or the connection to it?
+        // This is a hedged request: test whether the earlier sends wait for the searcher or on a dead connection.
         for (earlier, send) in part
             .sends
             .iter()
@@ -474,7 +490,8 @@
                 ))
             }
         };
-        // The answer must not overtake a copy that has just left: nothing is sent after it.
+        // The answer must not overtake a hedged request that has just been written, or the request would seem to be
+        // sent after it.
         let in_transit = |part: &Part, nth: usize| {
             self.transport
                 .in_transit_until(&part.sends[nth].to, &part.id, nth)
@@ -484,10 +501,10 @@
             .iter()
             .flat_map(|part| (0..part.sends.len()).filter_map(move |nth| in_transit(part, nth)));
         let not_before = in_transit_times.max().map_or_else(Instant::now, |until| {
-            // Not for long where little time is left.
+            // The delay is capped by half of the remaining time.
             until.min(Instant::now() + duration(multiget.ends.since(self.now)) / 2)
         });
-        // A client that went away meanwhile is no longer there to be told.
+        // The receiver is gone if the client has disconnected.
         let _ = open.reply.send((response, not_before));
     }
 
@@ -500,7 +517,7 @@
     }
 
     fn believed(&mut self, multiget: &Multiget, estimate: Belief) {
-        /// A few parts tell what the gate thought; a wide multiget would fill the log.
+        /// Maximum number of picks to log; a few suffice, and a wide multiget would flood the log.
         const MAX_PICKS: usize = 6;
         self.stats.set_estimate_logged();
         let ms = |secs: f64| (secs * 1_000.0).round() as i64;
--- a/crates/lockusher-aggregator/src/routing/mod.rs
+++ b/crates/lockusher-aggregator/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the decision module. Sockets reach it through its queue only.
+//! The router: the single task that owns the decision module. Transports reach it only through its queue.
 
 mod dispatcher;
 mod outcome_stats;
@@ -24,54 +24,65 @@
 use lockusher_multiget::list::List;
 use searcher_transport::{ClientConnected, SearcherTransport};
 
-/// What comes to the router.
+/// An event for the router.
 pub enum RouterEvent {
+    /// A multiget request.
     Multiget(Box<PendingRequest>),
+    /// The end of a send.
     SendEnded(SendEnded),
-    /// Discovery told something, or refused.
+    /// A searcher list from discovery or the registry; `None` if the request for it failed.
     SearcherList(Option<List>),
-    /// The fleet tells something: how many mixers there may be, what they agree on.
+    /// News from the fleet: the number of mixers, and the state they share.
     Fleet(News),
-    /// What this mixer saw and did is to be told to the fleet.
+    /// Requests this mixer's observations and totals, to be shared with the fleet.
     Report(oneshot::Sender<Own>),
-    /// The process ends: what is in hand is given up.
+    /// The process shuts down: multigets in flight are given up.
     Stop,
 }
 
-/// A multiget, and the way back to its client, with the time before which it must not be written.
+/// A multiget with the reply channel to its client. The reply carries the time before which it must not be written.
 pub struct PendingRequest {
     pub request: Request,
-    /// When its last byte was read.
+    /// When the last byte of the request was read.
     pub received_at: Instant,
     pub reply: oneshot::Sender<(ClientResponse, Instant)>,
+    /// Tells whether the client is still connected.
     pub client_connected: ClientConnected,
 }
 
-/// What a client is given.
+/// The response to a client.
 #[derive(Debug)]
 pub enum ClientResponse {
+    /// The encoded body of the answer.
     Answer(Bytes),
+    /// Not admitted; with the time after which to retry, if known.
     PushedBack(Option<Span>),
     Failed,
+    /// The request was invalid.
     Rejected(RequestError),
 }
 
-/// How a send ended.
+/// The end of a send.
 pub struct SendEnded {
     pub part: PartId,
+    /// Index of the send among the part's sends, starting at 0.
     pub nth: usize,
     pub outcome: Outcome,
+    /// When the end was observed.
     pub at: Instant,
-    /// Score and value of what returned.
+    /// Score and value, if an answer was returned.
     pub answer: Option<(i64, String)>,
 }
 
-/// The ends of the queue that others hold.
+/// The receiving ends of the router's queues.
 pub struct RouterInputs {
+    /// Events, in a bounded queue.
     pub events: mpsc::Receiver<RouterEvent>,
+    /// Multigets whose clients have disconnected.
     pub disconnected: mpsc::UnboundedReceiver<MultigetId>,
 }
 
+/// Connects the decision module with clients, searchers and the fleet.
 pub struct Router {
     clock: Clock,
     host: Host,
@@ -80,12 +91,13 @@
     inputs: RouterInputs,
     ready: Rc<Cell<bool>>,
     next_number: u64,
-    /// Multigets in hand that have no final answer yet.
+    /// Number of multigets without a final answer.
     open_multigets: Rc<Cell<usize>>,
     stopped: bool,
 }
 
 impl Router {
+    /// Creates a router; fails if the settings are invalid.
     pub fn start(
         clock: Clock,
         config: &Config,
@@ -117,13 +129,14 @@
         })
     }
 
-    /// Tells the list that was held last.
+    /// Restores the searcher list that was known before the restart.
     pub fn restore_list(&mut self, list: List) {
         self.apply_list(self.clock.now(), list, News::Remembered);
     }
 
+    /// Processes events until all senders of the queue are dropped.
     pub async fn run(mut self) {
-        // A batch has one settling; a longer one would let the first of it wait.
+        // Decisions are made once per batch; a longer batch would delay its first events.
         const MAX_EVENTS_PER_BATCH: usize = 64;
         let mut next = Some(Span::ZERO);
         loop {
@@ -137,8 +150,8 @@
                 Some(id) = self.inputs.disconnected.recv() => disconnected = Some(id),
                 () = tokio::time::sleep(wait) => {}
             }
-            // What has come on the sockets is read first: after standing still, a copy that is due must not leave
-            // for a client that has gone, nor a time-out be noted for what has been answered.
+            // Let the sockets be read first: after a stall of the process, a hedged request that is due must not be
+            // sent for a client that has disconnected, nor a timeout be recorded for a send that has been answered.
             tokio::task::yield_now().await;
             let now = self.clock.now();
             self.dispatcher.begin_batch(now);
@@ -163,6 +176,7 @@
         }
     }
 
+    /// Handles one event of the queue.
     fn handle_event(&mut self, now: Time, event: RouterEvent) {
         match event {
             RouterEvent::Multiget(request) => self.handle_multiget(now, *request),
@@ -173,7 +187,7 @@
                 at,
                 answer,
             }) => {
-                // A value that there is no room for is no answer.
+                // An answer whose value exceeds the memory limit counts as an error.
                 let stored = answer.is_none_or(|answer| self.dispatcher.store_value(&part, answer));
                 let outcome = if stored { outcome } else { Outcome::Error };
                 self.handle_send_end(now, part, nth, outcome, Some(self.clock.at(at)));
@@ -197,7 +211,7 @@
                 self.host.news(now, news);
             }
             RouterEvent::Report(reply) => {
-                // Whoever asked may have gone.
+                // The receiver may be gone.
                 let (seen, totals) = (self.host.seen(), self.dispatcher.totals());
                 let wants = self
                     .host
@@ -215,6 +229,7 @@
         }
     }
 
+    /// Accepts or rejects a multiget.
     fn handle_multiget(
         &mut self,
         now: Time,
@@ -226,7 +241,7 @@
         }: PendingRequest,
     ) {
         if reply.is_closed() {
-            return; // Its client went away while it waited here.
+            return; // The client disconnected while the request was queued.
         }
         if self.dispatcher.contains(&request.id) || self.host.in_hand().contains_key(&request.id) {
             let error = RequestError::new(409, "a multiget of this id is in hand");
@@ -274,7 +289,8 @@
             .register(number, request, reply, client_connected);
     }
 
-    /// The end of a send, once; `at` is when it was heard of, if before now.
+    /// Records the end of a send; later ends of the same send are ignored. `at` is when the end was observed, if
+    /// that was before now.
     fn handle_send_end(
         &mut self,
         now: Time,
@@ -308,6 +324,7 @@
         }
     }
 
+    /// Applies a searcher list and passes it to the decision module.
     fn apply_list(&mut self, now: Time, list: List, kind: fn(Vec<Listed>) -> News) {
         if list.complete {
             let listed: HashSet<&SearcherId> =
@@ -325,9 +342,10 @@
             .set(self.ready.get() || self.dispatcher.has_searchers());
     }
 
+    /// Handles the disconnection of a client.
     fn handle_disconnect(&mut self, id: &MultigetId) {
         if !self.dispatcher.remove_disconnected(id) {
-            return; // Its answer crossed with its going.
+            return; // The final answer was sent at the same time.
         }
         if self.sockets.cancellation_allowed
             && let Some(multiget) = self.host.in_hand().get(id)
@@ -346,7 +364,8 @@
         self.host.client_left(id);
     }
 
-    /// Has all turns taken that are due, until nothing more comes of them now.
+    /// Lets the decision module act until it produces nothing more for now; returns the time until it must run
+    /// again.
     fn settle(&mut self, now: Time) -> Option<Span> {
         let mut next;
         loop {
--- a/crates/lockusher-aggregator/src/routing/outcome_stats.rs
+++ b/crates/lockusher-aggregator/src/routing/outcome_stats.rs
@@ -1,21 +1,23 @@
-//! What became of the multigets of each second, for the log: a push-back for which nothing was sent tells of a gate
-//! that would not let it in; one after sends, of parts that could not be had. At 300 mixers the first kind, if it
-//! comes from a gate that has stopped learning, shows as mixers that push back nearly all while their neighbours do
-//! not (issue 25, docs/design/platform-rules.md). Decides nothing, reads no clock: the router gives the time.
+//! Per-second statistics on the outcomes of multigets, for the log. A push-back before any send comes from the
+//! admission gate; one after sends comes from parts that could not be served. At 300 mixers, a gate that has
+//! stopped learning shows as mixers that push back nearly everything before sending while their neighbours do not
+//! (issue 25, docs/design/platform-rules.md). Makes no decisions and reads no clock: the router passes the time in.
 
 use lockusher_membership::core::share::Totals;
 use lockusher_policy::interface::{Reply, Span, Time};
 
-/// One line a second at most: often enough to follow a trouble of a few seconds, rare enough for a fleet's logs.
+/// Minimum interval between log lines: short enough to follow a fault of a few seconds, long enough for the logs of
+/// a whole fleet.
 const LOG_INTERVAL: Span = Span::from_millis(1_000);
 
-/// Final answers and sends of one stretch of time.
+/// Counts of final answers and sends in one period.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
     pub answered: u32,
     pub partial: u32,
-    /// Pushed back before any of its parts was sent.
+    /// Pushed back before any part was sent.
     pub pushed_back_unsent: u32,
+    /// Pushed back after at least one part was sent.
     pub pushed_back_sent: u32,
     pub failed: u32,
     pub sends: u32,
@@ -27,28 +29,29 @@
     }
 }
 
-/// The counts of the stretch that is going on, and since when.
+/// Statistics of the current period, and totals since the start.
 #[derive(Default)]
 pub struct OutcomeStats {
     period_start: Option<Time>,
     counts: OutcomeCounts,
-    /// Whether what the gate believed was told in this stretch: once is enough to follow it.
+    /// Whether the gate's estimate was logged in this period; once a period is enough.
     estimate_logged: bool,
     totals: Totals,
 }
 
 impl OutcomeStats {
+    /// Totals since the start of the process.
     pub fn totals(&self) -> Totals {
         self.totals
     }
 
-    /// A multiget of so many parts.
+    /// Counts an accepted multiget and its parts.
     pub fn record_multiget(&mut self, parts: usize) {
         self.totals.multigets += 1;
         self.totals.parts += parts as u64;
     }
 
-    /// A final answer; `sent` whether any part of it was ever sent.
+    /// Counts a final answer; `sent` is whether any part of the multiget was ever sent.
     pub fn record_reply(&mut self, reply: Reply, sent: bool) {
         let counts = &mut self.counts;
         self.totals.pushed_back += u64::from(matches!(reply, Reply::PushedBack { .. }));
@@ -61,23 +64,24 @@
         }
     }
 
-    /// Whether the gate's belief at a push-back is to be told now; once a stretch.
+    /// Whether the gate's estimate at a push-back should be logged; true once a period.
     pub fn should_log_estimate(&self) -> bool {
         !self.estimate_logged
     }
 
+    /// Records that the gate's estimate was logged in this period.
     pub fn set_estimate_logged(&mut self) {
         self.estimate_logged = true;
     }
 
-    /// A send of a part, its first or a further one.
+    /// Counts a send of a part by its index; sends after the first count as additional.
     pub fn record_send(&mut self, nth: usize) {
         self.totals.further += u64::from(nth > 0);
         self.counts.sends += 1;
     }
 
-    /// Once a stretch is over: its counts and length, if anything in it was pushed back or failed; a calm mixer
-    /// says nothing. The next stretch begins now.
+    /// If the period is over, starts the next one, and returns the counts and the length of the ended one if it had
+    /// any push-back or failure. Periods without either are not logged.
     pub fn finish_period(&mut self, now: Time) -> Option<(OutcomeCounts, Span)> {
         let period_start = *self.period_start.get_or_insert(now);
         if now.since(period_start) < LOG_INTERVAL {
@@ -107,7 +111,7 @@
         assert_eq!(
             stats.finish_period(at_ms(1_000)),
             None,
-            "answers alone are not told"
+            "answers alone are not logged"
         );
         for _ in 0..40 {
             stats.record_reply(PUSHED_BACK, false);
@@ -116,9 +120,9 @@
         assert_eq!(
             stats.finish_period(at_ms(1_500)),
             None,
-            "not before the second is over"
+            "not before the period is over"
         );
-        let (counts, span) = stats.finish_period(at_ms(2_100)).expect("told");
+        let (counts, span) = stats.finish_period(at_ms(2_100)).expect("logged");
         assert_eq!(
             (
                 counts.pushed_back_unsent,
@@ -131,11 +135,11 @@
         assert_eq!(
             stats.finish_period(at_ms(3_200)),
             None,
-            "what was told is not told again"
+            "counts are logged once"
         );
         assert!(stats.should_log_estimate());
         stats.set_estimate_logged();
-        assert!(!stats.should_log_estimate(), "one belief a second");
+        assert!(!stats.should_log_estimate(), "one estimate a period");
         stats.finish_period(at_ms(4_300));
         assert!(stats.should_log_estimate());
     }
--- a/crates/lockusher-aggregator/src/routing/searcher_transport.rs
+++ b/crates/lockusher-aggregator/src/routing/searcher_transport.rs
@@ -1,5 +1,5 @@
-//! What carries calls to searchers, as the router sees it. A carrier reports each send's end through the router's
-//! queue; what is told here is told of the searcher as a whole.
+//! The interface between the router and the transport of calls to searchers. The end of each send is reported
+//! through the router's queue; the methods here address a searcher, not one of its connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,23 +10,23 @@
 
 use crate::protocol::frame::CallPart;
 
-/// Whether anyone still waits for a part.
+/// Returns whether the client that waits for a part is still connected.
 pub type ClientConnected = Rc<dyn Fn() -> bool>;
 
-/// Whether a part may leave, asked as it is about to.
+/// Whether a part may be written, evaluated just before it is written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Permission {
     Send,
-    /// Its last byte too must leave by then.
+    /// The part may be written, but its last byte must be written by this time.
     SendBy(Instant),
-    /// Nobody waits for it any more.
+    /// The client has disconnected.
     Abandoned,
-    /// Its window has passed: no repeat of it is dropped any more.
+    /// The deduplication window has passed: the searcher would no longer drop a repeat.
     WindowExpired,
 }
 
-/// Where a searcher drops repeats of a part for a time only: that time runs from the first byte of the first of its
-/// sends to leave, whichever that is.
+/// Deduplication window of a part whose repeats a searcher drops for a limited time only. The window starts with
+/// the first byte of whichever send of the part is written first.
 pub struct DedupWindow {
     span: std::time::Duration,
     started: Cell<Option<Instant>>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether a send may leave now; the first that may begins the window.
+    /// Whether a send may be written now; the first one that may starts the window.
     pub fn permission(&self, now: Instant) -> Permission {
         match self.started.get() {
             None => {
@@ -52,55 +52,59 @@
         }
     }
 
-    /// No send of it that left can have run: the next to leave is the first again.
+    /// Restarts the window with the next send, when no send written so far can have been executed.
     pub fn reset(&self) {
         self.started.set(None);
     }
 }
 
-/// A part with the number of its send.
+/// Index of a send, the part, and the permission check to evaluate before writing.
 pub type OutgoingPart = (usize, CallPart, Rc<dyn Fn() -> Permission>);
-/// One that had not left.
+/// A part and the index of a send that was not written.
 pub type UnsentPart = (PartId, usize);
 
+/// Sends parts to searchers. Sends of a part are identified by their index, starting at 0.
 pub trait SearcherTransport {
-    /// Where a searcher listens. Connections to where it listened before carry nothing new.
+    /// Sets the address of a searcher. If it changed, connections to the previous address are drained and their
+    /// unwritten sends returned.
     fn set_address(&mut self, entry: &Listed, place: Place) -> Vec<UnsentPart>;
 
-    /// Nothing new goes to a searcher: hands back what had not left, lets the rest end.
+    /// Stops sending to a searcher: returns the sends that were not written and lets the others end.
     fn drain(&mut self, id: &SearcherId) -> Vec<UnsentPart>;
 
-    /// All that have an address.
+    /// All searchers that have an address.
     fn searcher_ids(&self) -> Vec<SearcherId>;
 
-    /// Parts that one call may hold.
+    /// Maximum number of parts in one call.
     fn max_parts_per_call(&self) -> usize;
 
-    /// Closes what unused connections there are to a searcher.
+    /// Closes the idle connections to a searcher.
     fn close_idle(&mut self, to: &SearcherId);
 
-    /// Sends a call of one or more parts; hands it back if no connection can be had for it, which says nothing of
-    /// the searcher.
+    /// Sends a call of one or more parts. Returns the call if no connection is available for it, which says nothing
+    /// about the health of the searcher.
     fn send(&mut self, to: &SearcherId, call: Vec<OutgoingPart>) -> Result<(), Vec<OutgoingPart>>;
 
-    /// A send has waited in vain. Tells what else had not left and won't.
+    /// Reports that a send timed out. Returns other sends that were not written and will not be.
     fn send_timed_out(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> Vec<UnsentPart>;
 
-    /// A send is late enough for a copy: is it the searcher, or the connection to it?
+    /// Reports that a send is late enough for a hedged request; tests whether the searcher is slow or only the
+    /// connection is dead.
     fn check_liveness(&mut self, to: &SearcherId, part: &PartId, nth: usize);
 
-    /// Gives a send up, wherever it is.
+    /// Cancels a send in any state.
     fn cancel(&mut self, to: &SearcherId, part: &PartId, nth: usize);
 
-    /// Takes back a send that has not left whole; tells whether that was so.
+    /// Cancels a send unless its last byte has been written; returns whether it was cancelled.
     fn cancel_unsent(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> bool;
 
-    /// What may be spent on connections and probes from now on, of what the whole fleet may.
+    /// Sets this mixer's shares of the fleet-wide budgets for connections and probes.
     fn set_portions(&mut self, now: Time, portions: &[(Budget, Portion)]);
 
-    /// What is spent on them a second.
+    /// Current rates per second at which these budgets are spent.
     fn spending_rates(&self, now: Time) -> Vec<(Budget, f64)>;
 
-    /// What was written just now may reach its searcher after what is written to a client next: until when that is so.
+    /// Returns the time until which a send written just now may still be in transit, so that data written to a
+    /// client next could overtake it.
     fn in_transit_until(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<Instant>;
 }
--- a/crates/lockusher-aggregator/src/transport/client_stream.rs
+++ b/crates/lockusher-aggregator/src/transport/client_stream.rs
@@ -1,5 +1,5 @@
-//! A client's connection as the server reads and writes it: it knows whether a request is in hand, so that it
-//! can be closed between two, and reads no more than is of use.
+//! The stream of a client connection as the HTTP server uses it. It tracks whether a request is being handled, so
+//! that the connection can be closed between requests, and limits how far it reads ahead.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,70 +21,80 @@
 
 use crate::protocol::MAX_HEAD_BYTES;
 
-/// A request is whole within this of its first byte, the first one of its connection's start: bad clients are
-/// owed an end within 3 s.
+/// Time within which a request must be complete, from its first byte, or for the first request from the start of
+/// its connection: misbehaving clients must be disconnected within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A connection that never asked for a multiget is closed after this without use; the protocol's pages allow it.
+/// Idle timeout of a connection that never carried a multiget; the protocol allows closing it.
 const UNSERVED_IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A usual request comes in at once: with no place left, one that takes longer makes room.
+/// A request usually arrives at once: with no free slot, one that takes longer may be closed to make room.
 const SLOW_REQUEST: Duration = Duration::from_millis(250);
-/// One that was used is kept for longer, as clients keep theirs.
+/// Idle timeout of a connection that carried a multiget; longer, as clients keep such connections as well.
 const SERVED_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often it is looked whether a client has gone whose end lies behind bytes that are not read yet: it must not be
-/// sent on for later than 0.1 s after.
+/// Interval at which a client is checked for having disconnected while unread bytes precede the end of its stream:
+/// nothing may be sent on its behalf later than 0.1 s after it disconnected.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(30);
-/// How long what still comes is read, and dropped, once nothing more will be written: a close over unread bytes resets
-/// the connection, and an answer on its way may be lost with it. Also how long a refusal may take to reach a client
-/// that is still sending.
+/// How long incoming data is read and discarded after the write side is shut down: closing a socket with unread
+/// bytes resets the connection, which may lose an answer in transit. Also how long a rejection may take to reach a
+/// client that is still sending.
 pub const LINGER: Duration = Duration::from_millis(500);
-/// The same where nothing was written for longer than this, so that nothing is on its way but a request that crosses the
-/// close: a crowd of such connections must not hold places for long.
+/// If nothing was written for longer than this, nothing but a crossing request can be in transit, and
+/// [`SHORT_LINGER`] applies, so that a burst of such connections does not occupy slots for long.
 const RECENT_WRITE: Duration = Duration::from_millis(1_000);
+/// The shorter linger time; see [`RECENT_WRITE`].
 const SHORT_LINGER: Duration = Duration::from_millis(100);
-/// Reads of one turn that lingers, so that a client that sends without end holds up nobody.
+/// Maximum number of reads per poll while lingering, so that a client that sends without end does not starve
+/// others.
 const MAX_LINGER_READS: usize = 16;
 
-/// What is known of one connection.
-pub struct Usage {
+/// State of one connection, shared by its stream, its request handler and [`Connections`].
+pub struct ConnectionState {
+    /// When the connection was accepted.
     since: Instant,
-    /// When the first byte of a request came that is not whole yet.
+    /// When the first byte of the request arrived that is still incomplete.
     request_started: Cell<Option<Instant>>,
+    /// When bytes were last read.
     last_read: Cell<Instant>,
-    /// Bytes read that no whole request accounts for.
+    /// Number of bytes read beyond the request being handled.
     unconsumed_bytes: Cell<usize>,
-    /// A request is with its handler; whole, it has its answer in time.
+    /// Whether a request is being handled, and whether it has been read completely.
     handling: Cell<bool>,
     body_read: Cell<bool>,
-    /// Of what follows on this connection nothing is used.
+    /// Nothing that follows on this connection is parsed as a request.
     ignores_input: Cell<bool>,
-    /// Bytes of an answer wait for the client to read.
+    /// Bytes of a response wait for the client to read.
     write_blocked: Cell<bool>,
-    /// When something was last written.
+    /// When bytes were last written.
     last_write: Cell<Option<Instant>>,
-    /// It has had an answer; one to what it asked searchers for.
+    /// Whether any response was sent, and whether one was sent to a multiget.
     answered: Cell<bool>,
     served: Cell<bool>,
+    /// When a response was last finished.
     last_used: Cell<Instant>,
     closing: Cell<Closing>,
+    /// Waker of the pending read.
     reader_waker: RefCell<Option<Waker>>,
+    /// Whether the client has closed its side or the connection failed.
     disconnected: Cell<bool>,
     disconnect_notify: Notify,
     stream: Weak<TcpStream>,
 }
 
+/// Whether the connection is to be closed.
 #[derive(Clone, Copy, PartialEq)]
 enum Closing {
     No,
+    /// Close between two requests.
     WhenIdle,
-    /// Even with a request coming in or an answer going out; one that is whole is still answered.
+    /// Close even while a request is being received or a response is being written; a complete request is still
+    /// answered.
     Now,
 }
 
-impl Default for Usage {
+impl Default for ConnectionState {
     fn default() -> Self {
         let now = Instant::now();
-        Usage {
+        ConnectionState {
             since: now,
             request_started: Cell::new(None),
             last_read: Cell::new(now),
@@ -106,15 +116,15 @@
     }
 }
 
-impl Usage {
-    /// A request's head is with its handler.
+impl ConnectionState {
+    /// Records that the head of a request was passed to its handler.
     pub fn begin_request(&self) {
         self.handling.set(true);
         self.unconsumed_bytes.set(0);
     }
 
-    /// The last byte of the request with its handler has been read; tells when. Of several that came at once
-    /// each counts from then, however long it waited for those before it.
+    /// Records that the request being handled was read completely, and returns when its last byte was read.
+    /// Pipelined requests that were read together share this time, however long each waited for those before it.
     pub fn body_complete(&self) -> Instant {
         self.body_read.set(true);
         self.unconsumed_bytes.set(0);
@@ -122,11 +132,11 @@
         self.last_read.get()
     }
 
-    /// The request with its handler has its answer; `served` if it was a multiget.
+    /// Records that the response to the current request is finished; `served` if the request was a multiget.
     pub fn finish_request(&self, served: bool) {
         self.handling.set(false);
         self.body_read.set(false);
-        // What has come behind it begins another.
+        // Bytes that followed it belong to the next request.
         self.request_started
             .set((self.unconsumed_bytes.get() > 0).then(|| self.last_read.get()));
         self.answered.set(true);
@@ -135,28 +145,30 @@
         self.wake_reader();
     }
 
+    /// Whether the current request has been read completely.
     pub fn is_body_complete(&self) -> bool {
         self.body_read.get()
     }
 
-    /// Nothing that follows on this connection is read for use.
+    /// Stops parsing requests on this connection.
     pub fn ignore_further_input(&self) {
         self.ignores_input.set(true);
     }
 
-    /// Whether its client is there: asks the system, as a mixer that had to stand still has not read it yet.
+    /// Whether the client is still connected. Asks the kernel, as after a stall the end of the stream may not have
+    /// been read yet.
     pub fn is_connected(&self) -> bool {
         let Some(stream) = self.stream.upgrade().filter(|_| !self.disconnected.get()) else {
             return false;
         };
-        // Its end may lie behind bytes that are not read yet.
+        // Unread bytes may precede the end of the stream.
         !peer_closed(&stream) && !matches!(unread_input(&stream), UnreadInput::End)
     }
 
-    /// Ends once the client has gone away.
+    /// Completes once the client has disconnected.
     pub async fn wait_disconnected(&self) {
         while !self.disconnected.get() {
-            // With more come than is in use, reading may have stopped short of its end.
+            // With bytes read ahead, reading may have paused before the end of the stream.
             tokio::select! {
                 () = self.disconnect_notify.notified() => {}
                 () = tokio::time::sleep(DISCONNECT_CHECK_INTERVAL), if self.unconsumed_bytes.get() > 0 => {
@@ -168,36 +180,39 @@
         }
     }
 
-    /// Whether it is to be closed as soon as it may be.
+    /// Whether the connection is to be closed as soon as possible.
     pub fn is_closing(&self) -> bool {
         self.closing.get() != Closing::No
     }
 
+    /// Whether no request is being received, handled or answered.
     fn is_idle(&self) -> bool {
         self.request_started.get().is_none() && !self.handling.get() && !self.write_blocked.get()
     }
 
-    /// Whether it has said nothing for too long, or takes too long to say what it wants.
+    /// Whether the connection has been idle for too long, or a request takes too long to arrive.
     fn is_overdue(&self) -> bool {
         let timed_from = |at: Instant| if self.answered.get() { at } else { self.since };
         match self.request_started.get() {
             Some(_) if self.body_read.get() => false,
             Some(at) => timed_from(at).elapsed() > REQUEST_TIMEOUT,
             None if self.handling.get() => false,
-            // Its client does not read.
+            // The client does not read its response.
             None if self.write_blocked.get() => self.last_used.get().elapsed() > REQUEST_TIMEOUT,
             None if self.served.get() => self.last_used.get().elapsed() > SERVED_IDLE_TIMEOUT,
             None => self.last_used.get().elapsed() > UNSERVED_IDLE_TIMEOUT,
         }
     }
 
+    /// Wakes the pending read, so that it sees a change of state.
     fn wake_reader(&self) {
         if let Some(reader_waker) = self.reader_waker.borrow_mut().take() {
             reader_waker.wake();
         }
     }
 
-    /// Closes it whatever its client does, between two requests if that is where it is.
+    /// Closes the connection regardless of what the client does: between two requests if it is idle, at once
+    /// otherwise.
     fn force_close(&self) {
         self.close(if self.is_idle() {
             Closing::WhenIdle
@@ -206,31 +221,33 @@
         });
     }
 
+    /// Requests that the connection be closed.
     fn close(&self, when: Closing) {
         self.closing.set(when);
         self.wake_reader();
     }
 }
 
-/// Whether the other side has closed, asked of the system: this shows though bytes before it are not read yet.
+/// Whether the peer has closed the connection according to the kernel, even if unread bytes precede the end.
 fn peer_closed(stream: &TcpStream) -> bool {
     let mut poll_entry = libc::pollfd {
         fd: stream.as_raw_fd(),
         events: libc::POLLRDHUP,
         revents: 0,
     };
-    // SAFETY: one entry, which outlives the call; with no time to wait it returns at once.
+    // SAFETY: one entry, which outlives the call; with a timeout of zero the call returns at once.
     let ready_count = unsafe { libc::poll(&mut poll_entry, 1, 0) };
     ready_count > 0 && poll_entry.revents & (libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR) != 0
 }
 
-/// What lies unread on a connection, asked of the system.
+/// Unread input of a connection according to the kernel.
 enum UnreadInput {
     Nothing,
     Bytes,
     End,
 }
 
+/// Peeks at the input of a connection.
 fn unread_input(stream: &TcpStream) -> UnreadInput {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Ok(received) if received > 0 => UnreadInput::Bytes,
@@ -239,31 +256,33 @@
     }
 }
 
+/// The stream of a client connection, with its state.
 pub struct ClientStream {
     stream: Rc<TcpStream>,
-    pub usage: Rc<Usage>,
-    /// It has read in this turn: the next read is another turn's, so that what is read is used before.
+    pub state: Rc<ConnectionState>,
+    /// A read has completed in this poll: the next one waits for another poll, so that the data is processed first.
     defer_next_read: bool,
-    /// Nothing more is written; until when what comes is still read.
+    /// Set once the write side is shut down: when to stop reading and discarding input.
     linger: Option<Pin<Box<Sleep>>>,
 }
 
 impl ClientStream {
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         let stream = Rc::new(stream);
-        let usage = Rc::new(Usage {
+        let state = Rc::new(ConnectionState {
             stream: Rc::downgrade(&stream),
-            ..Usage::default()
+            ..ConnectionState::default()
         });
         ClientStream {
             stream,
-            usage,
+            state,
             defer_next_read: false,
             linger: None,
         }
     }
 
-    /// Reads what has come; tells how much, nothing at its end.
+    /// Reads available bytes and returns their number, 0 at the end of the stream.
     fn poll_receive(&self, cx: &mut Context<'_>, buf: &mut ReadBuf) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
@@ -289,49 +308,50 @@
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
-        let usage = self.usage.clone();
-        let unconsumed_bytes = usage.unconsumed_bytes.get();
-        // More than a head's length ahead of what is in use waits in the system; so does what is of no use.
+        let state = self.state.clone();
+        let unconsumed_bytes = state.unconsumed_bytes.get();
+        // Reading pauses once a maximum head is buffered beyond the current request, or beyond input that is
+        // ignored; the rest stays in the kernel.
         let paused = unconsumed_bytes >= MAX_HEAD_BYTES
-            && (usage.body_read.get() || usage.ignores_input.get());
+            && (state.body_read.get() || state.ignores_input.get());
         if !paused {
-            if unconsumed_bytes >= MAX_HEAD_BYTES && !usage.handling.get() {
-                return Poll::Ready(Ok(())); // A head that does not end.
+            if unconsumed_bytes >= MAX_HEAD_BYTES && !state.handling.get() {
+                return Poll::Ready(Ok(())); // The head exceeds the limit.
             }
             match self.poll_receive(cx, buf) {
                 Poll::Pending => {}
                 Poll::Ready(ended @ (Ok(0) | Err(_))) => {
-                    usage.disconnected.set(true);
-                    usage.disconnect_notify.notify_one();
+                    state.disconnected.set(true);
+                    state.disconnect_notify.notify_one();
                     return Poll::Ready(ended.map(drop));
                 }
                 Poll::Ready(Ok(received)) => {
                     self.defer_next_read = true;
-                    usage.unconsumed_bytes.set(unconsumed_bytes + received);
-                    if usage.body_read.get() {
-                        // Whoever waits for its end has to look for it from here on.
-                        usage.disconnect_notify.notify_one();
+                    state.unconsumed_bytes.set(unconsumed_bytes + received);
+                    if state.body_read.get() {
+                        // From here on, [`ConnectionState::wait_disconnected`] has to check for the end of the stream itself.
+                        state.disconnect_notify.notify_one();
                     }
-                    usage.last_read.set(Instant::now());
-                    if usage.request_started.get().is_none() && !usage.body_read.get() {
-                        usage.request_started.set(Some(Instant::now()));
+                    state.last_read.set(Instant::now());
+                    if state.request_started.get().is_none() && !state.body_read.get() {
+                        state.request_started.set(Some(Instant::now()));
                     }
                     return Poll::Ready(Ok(()));
                 }
             }
         }
-        // What has come is read even when closing: a request that was sent gets its answer. The system is asked, as
-        // bytes may have come that nobody was told of yet.
-        match usage.closing.get() {
+        // Available input is read even when closing: a request that was sent is answered. The kernel is asked, as
+        // bytes may have arrived without a wake-up yet.
+        match state.closing.get() {
             Closing::WhenIdle
-                if usage.is_idle() && !matches!(unread_input(&self.stream), UnreadInput::Bytes) =>
+                if state.is_idle() && !matches!(unread_input(&self.stream), UnreadInput::Bytes) =>
             {
                 return Poll::Ready(Ok(()));
             }
-            Closing::Now if !usage.body_read.get() => return Poll::Ready(Ok(())),
+            Closing::Now if !state.body_read.get() => return Poll::Ready(Ok(())),
             _ => {}
         }
-        *usage.reader_waker.borrow_mut() = Some(cx.waker().clone());
+        *state.reader_waker.borrow_mut() = Some(cx.waker().clone());
         Poll::Pending
     }
 }
@@ -351,9 +371,9 @@
                 },
             }
         };
-        self.usage.write_blocked.set(written.is_pending());
-        self.usage.last_write.set(Some(Instant::now()));
-        if written.is_pending() && self.usage.closing.get() == Closing::Now {
+        self.state.write_blocked.set(written.is_pending());
+        self.state.last_write.set(Some(Instant::now()));
+        if written.is_pending() && self.state.closing.get() == Closing::Now {
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         written
@@ -363,9 +383,9 @@
         Poll::Ready(Ok(()))
     }
 
-    /// A half-close, then a lingering close that is bounded: what comes now is read and dropped, never used.
+    /// Shuts down the write side, then reads and discards input for a limited time.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.usage.disconnected.get() {
+        if self.state.disconnected.get() {
             return Poll::Ready(Ok(()));
         }
         if self.linger.is_none() {
@@ -373,10 +393,10 @@
                 .shutdown(Shutdown::Write)
                 .is_err()
             {
-                return Poll::Ready(Ok(())); // Its client was quicker.
+                return Poll::Ready(Ok(())); // The client closed first.
             }
             let wrote_recently = self
-                .usage
+                .state
                 .last_write
                 .get()
                 .is_some_and(|at| at.elapsed() < RECENT_WRITE);
@@ -402,42 +422,44 @@
     }
 }
 
-/// All connections of clients that are open.
+/// All open client connections.
 #[derive(Default)]
 pub struct Connections {
-    open: RefCell<BTreeMap<u64, Rc<Usage>>>,
+    open: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     next_number: Cell<u64>,
 }
 
 impl Connections {
-    pub fn add(&self, usage: Rc<Usage>) -> u64 {
+    /// Adds a connection and returns its number.
+    pub fn add(&self, state: Rc<ConnectionState>) -> u64 {
         let number = self.next_number.replace(self.next_number.get() + 1);
-        self.open.borrow_mut().insert(number, usage);
+        self.open.borrow_mut().insert(number, state);
         number
     }
 
+    /// Removes a connection that has ended.
     pub fn remove(&self, number: u64) {
         self.open.borrow_mut().remove(&number);
     }
 
-    /// Closes each connection as soon as it is between two requests.
+    /// Closes every connection as soon as it is between two requests.
     pub fn close_idle(&self) {
         self.open
             .borrow()
             .values()
-            .for_each(|usage| usage.close(Closing::WhenIdle));
+            .for_each(|state| state.close(Closing::WhenIdle));
     }
 
-    /// Closes those that have said nothing for too long, or take too long to say what they want.
+    /// Closes connections that have been idle for too long or whose requests take too long to arrive.
     pub fn close_overdue(&self) {
         let open = self.open.borrow();
         open.values()
-            .filter(|usage| usage.is_overdue())
-            .for_each(|usage| usage.force_close());
+            .filter(|state| state.is_overdue())
+            .for_each(|state| state.force_close());
     }
 
-    /// Closes the connection unused for longest if more than `most` were asked multigets on: clients may hold only so
-    /// many, and a crowd of them that ask once and stay would leave none for others.
+    /// Closes the connection idle for longest if more than `max_used` have carried a multiget: otherwise clients
+    /// that send one request each and stay connected could leave no slot for others.
     pub fn limit_used(&self, max_used: usize) {
         let open = self.open.borrow();
         let used = || {
@@ -445,43 +467,43 @@
                 .filter(|u| u.closing.get() == Closing::No && (u.served.get() || u.handling.get()))
         };
         if used().count() > max_used
-            && let Some(usage) = used()
-                .filter(|usage| usage.is_idle())
+            && let Some(state) = used()
+                .filter(|state| state.is_idle())
                 .min_by_key(|u| u.last_used.get())
         {
-            usage.close(Closing::WhenIdle);
+            state.close(Closing::WhenIdle);
         }
     }
 
-    /// Makes room for another: closes one that never asked for a multiget and is silent or has been long in asking,
-    /// else one that was used, between two requests; of these the longest unused.
+    /// Frees a slot: closes a connection that never carried a multiget and is idle or slow to send its request,
+    /// else one that has, between two requests; among these the one idle for longest.
     pub fn make_room(&self) {
         let open = self.open.borrow();
-        let candidates = open.values().filter_map(|usage| {
-            // One that has not been read yet may hold a request.
+        let candidates = open.values().filter_map(|state| {
+            // A connection that has not been read yet may hold a request.
             let is_parked =
-                usage.closing.get() == Closing::No && usage.reader_waker.borrow().is_some();
-            let receiving_since = usage
+                state.closing.get() == Closing::No && state.reader_waker.borrow().is_some();
+            let receiving_since = state
                 .request_started
                 .get()
-                .filter(|_| !usage.body_read.get());
+                .filter(|_| !state.body_read.get());
             let is_slow = receiving_since.is_some_and(|at| at.elapsed() > SLOW_REQUEST);
-            let closable = is_parked && (usage.is_idle() || is_slow);
-            closable.then_some((usage, !is_slow && usage.served.get(), usage.last_used.get()))
+            let closable = is_parked && (state.is_idle() || is_slow);
+            closable.then_some((state, !is_slow && state.served.get(), state.last_used.get()))
         });
-        if let Some((usage, ..)) =
+        if let Some((state, ..)) =
             candidates.min_by_key(|(_, served, last_used)| (*served, *last_used))
         {
-            usage.force_close();
+            state.force_close();
         }
     }
 
-    /// Those that are being closed, whose places are free soon.
+    /// Number of connections that are being closed and will free their slots soon.
     pub fn closing_count(&self) -> usize {
         self.open
             .borrow()
             .values()
-            .filter(|usage| usage.is_closing())
+            .filter(|state| state.is_closing())
             .count()
     }
 }
--- a/crates/lockusher-aggregator/src/transport/clients.rs
+++ b/crates/lockusher-aggregator/src/transport/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: accepting, reading requests, writing answers.
+//! The HTTP server for clients: accepts connections, reads requests and writes responses.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -27,40 +27,42 @@
 use crate::protocol::client::{self, Head, RequestError};
 use crate::routing::searcher_transport::ClientConnected;
 use crate::routing::{ClientResponse, PendingRequest, RouterEvent};
-use crate::transport::client_stream::{ClientStream, Connections, LINGER, Usage};
+use crate::transport::client_stream::{ClientStream, ConnectionState, Connections, LINGER};
 
-/// How long accepting pauses when it can't go on, so that it neither spins nor keeps anyone waiting.
+/// Pause before accepting is tried again: long enough not to spin, short enough not to delay clients.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Places that are kept free, about as many as are closed at once.
+/// Connection slots that are kept free, about as many as are closed at a time.
 const SPARE_SLOTS: usize = 8;
-/// How often connections are looked through for those to be closed.
+/// Interval at which connections are checked for being overdue.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How far the program has come in stopping.
+/// Progress of the graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum ShutdownPhase {
+    /// No shutdown has been requested.
     Running,
-    /// It says so; those that have a connection go on using it.
+    /// The readiness check fails; clients may go on using their connections.
     Draining,
-    /// Unused connections are closed, answers close theirs.
+    /// Idle connections are closed, and every response closes its connection.
     Closing,
 }
 
-/// What all connections share.
+/// State shared by all connections.
 pub struct ServerState {
     pub names: Names,
     pub sockets: SocketLimits,
     pub queue: mpsc::Sender<RouterEvent>,
-    /// Clients that went away; as many at most as multigets were taken.
+    /// Reports clients that disconnected; holds at most as many entries as multigets were accepted.
     pub disconnected: mpsc::UnboundedSender<MultigetId>,
+    /// Whether the mixer has searchers to serve from.
     pub ready: Rc<Cell<bool>>,
     pub shutdown: watch::Receiver<ShutdownPhase>,
-    /// Bytes of bodies that are being read or in hand.
+    /// Size in bytes of the request bodies being read or in flight.
     pub body_bytes: Cell<usize>,
-    /// The way to ask how the registry stands, if one is followed.
+    /// Queries to the registry follower, if a registry is followed.
     pub registry: Option<Asks>,
-    /// The way to ask how the fleet stands, if a view of it is kept.
+    /// Queries to the membership task, if membership is enabled.
     pub fleet: Option<fleet::Asks>,
 }
 
@@ -74,7 +76,7 @@
     }
 }
 
-/// Serves connections until `closed`; ends when the last one that was accepted has ended.
+/// Serves connections until `stop_accepting` is notified; completes when the last accepted one has ended.
 pub async fn serve(listener: TcpListener, server: Rc<ServerState>, stop_accepting: Rc<Notify>) {
     let max_connections = server.sockets.max_client_connections;
     let (slots, connections) = (
@@ -86,10 +88,11 @@
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
         .client_disconnect_timeout(LINGER)
-        // A client that goes away is noticed by its stream; what came before nonsense still gets its answer.
+        // Disconnections are detected by [`ClientStream`]; requests received before malformed input are still
+        // answered.
         .h1_allow_half_closed(true)
         .on_connect_ext(|stream: &ClientStream, data| {
-            data.insert(stream.usage.clone());
+            data.insert(stream.state.clone());
         })
         .finish(fn_service(move |request: Request| {
             let server = service_state.clone();
@@ -98,17 +101,17 @@
         .new_service(())
         .await;
     let Ok(service) = service else {
-        return tracing::info!("the server of clients could not be made");
+        return tracing::info!("the client server could not be created");
     };
     let start_connection = |stream: TcpStream, peer, slot: OwnedSemaphorePermit| {
         let _ = stream.set_nodelay(true);
         let stream = ClientStream::new(stream);
-        let number = connections.add(stream.usage.clone());
+        let number = connections.add(stream.state.clone());
         connections.limit_used(server.sockets.max_used_client_connections);
         let connection = service.call((stream, Protocol::Http1, Some(peer)));
         let connections = connections.clone();
         actix_rt::spawn(async move {
-            // What ends a connection concerns its client alone.
+            // An error on a connection concerns its client alone.
             let _ = connection.await;
             connections.remove(number);
             drop(slot);
@@ -116,12 +119,12 @@
     };
     let accept = async {
         loop {
-            // The place first: a connection that was accepted and has none would be reset if accepting ends now. With
-            // no place left the next ones wait in the listener's backlog until one can be closed.
-            // Room is made some places ahead, so that a crowd does not wait for each to be closed.
+            // Acquire the slot first: an accepted connection without one would be reset if accepting stops now.
+            // Without a free slot, further connections wait in the backlog of the listener until one can be closed.
+            // Some slots are freed ahead of need, so that a burst does not wait for each close.
             let slot = loop {
                 if slots.available_permits() + connections.closing_count() < SPARE_SLOTS {
-                    // Those just accepted are read first, and show what they are.
+                    // Connections that were just accepted are read first, to tell whether they carry a request.
                     tokio::task::yield_now().await;
                     connections.make_room();
                 }
@@ -153,7 +156,7 @@
         () = stop_accepting.notified() => {}
     }
     connections.close_idle();
-    // What the system has accepted counts as taken: it is served as far as places get free for it.
+    // Connections in the backlog count as accepted: they are served as far as slots become free.
     tokio::task::yield_now().await;
     while let Ok(Ok(slot)) = tokio::time::timeout(LINGER, slots.clone().acquire_owned()).await
         && let Some(Ok((stream, peer))) = listener.accept().now_or_never()
@@ -166,11 +169,11 @@
 }
 
 async fn handle(mut request: Request, server: &ServerState) -> Response<BoxBody> {
-    let usage = request
-        .conn_data::<Rc<Usage>>()
+    let state = request
+        .conn_data::<Rc<ConnectionState>>()
         .cloned()
         .unwrap_or_default();
-    usage.begin_request();
+    state.begin_request();
     let mut response = match request.path() {
         client::UP_PATH if server.ready.get() && !server.is_stopping() => text_response(200, "up"),
         client::UP_PATH => text_response(503, "not serving"),
@@ -180,13 +183,13 @@
             registry(asks, path == client::REGISTRY_VIEW_PATH, &server.names).await
         }
         client::FLEET_PATH if let Some(asks) = &server.fleet => fleet(asks).await,
-        _ => match multiget(&mut request, server, &usage).await {
+        _ => match multiget(&mut request, server, &state).await {
             Ok(response) => response,
             Err(error) => {
                 let mut response = text_response(error.status, &error.message);
-                if !usage.is_body_complete() {
-                    // Where it ends is not known: nothing that follows may be taken for a request.
-                    usage.ignore_further_input();
+                if !state.is_body_complete() {
+                    // The end of the request is unknown, so nothing that follows may be parsed as a request.
+                    state.ignore_further_input();
                     response
                         .head_mut()
                         .set_connection_type(ConnectionType::Close);
@@ -195,8 +198,8 @@
             }
         },
     };
-    usage.finish_request(request.path() != client::UP_PATH && !response.status().is_client_error());
-    if server.is_closing() || usage.is_closing() {
+    state.finish_request(request.path() != client::UP_PATH && !response.status().is_client_error());
+    if server.is_closing() || state.is_closing() {
         response
             .head_mut()
             .set_connection_type(ConnectionType::Close);
@@ -244,7 +247,7 @@
         .map_into_boxed_body()
 }
 
-/// Tells the router when a client goes away before its answer.
+/// Reports the disconnection of a client to the router, unless its multiget has been answered.
 struct DisconnectGuard<'a> {
     server: &'a ServerState,
     id: Option<MultigetId>,
@@ -258,10 +261,11 @@
     }
 }
 
-/// What a usual body takes: so much of each has its place with its connection, whatever large ones hold.
+/// The first bytes of each body are not counted against the shared limit, so that large bodies cannot shut out
+/// usual ones.
 const SMALL_BODY: usize = 8 * 1024;
 
-/// Bytes of bodies, as long as they are kept.
+/// The share of a body in the total of buffered bytes, released on drop.
 struct BufferedBody<'a> {
     total: &'a Cell<usize>,
     bytes: usize,
@@ -276,7 +280,7 @@
 async fn multiget(
     request: &mut Request,
     server: &ServerState,
-    usage: &Rc<Usage>,
+    state: &Rc<ConnectionState>,
 ) -> Result<Response<BoxBody>, RequestError> {
     let mut payload = request.take_payload();
     let headers = request.headers();
@@ -324,19 +328,19 @@
         buffered.bytes += large;
         server.body_bytes.set(server.body_bytes.get() + large);
     }
-    let received_at = usage.body_complete();
-    // A mixer that had to stand still reads a request and its client's going at once: nothing is sent for one
-    // that is gone by now.
+    let received_at = state.body_complete();
+    // After a stall, the request and the disconnection of its client may be read together: nothing is sent for a
+    // client that has disconnected by now.
     tokio::task::yield_now().await;
-    if !usage.is_connected() {
+    if !state.is_connected() {
         return Ok(text_response(500, "its client has gone"));
     }
     let request = client::decode(&head, &body, &server.names, server.sockets.shard_count)?;
     drop(body);
     let (reply, reply_received) = oneshot::channel();
     let id = request.id.clone();
-    let connection_usage = usage.clone();
-    let client_connected: ClientConnected = Rc::new(move || connection_usage.is_connected());
+    let client_state = state.clone();
+    let client_connected: ClientConnected = Rc::new(move || client_state.is_connected());
     if server
         .queue
         .try_send(RouterEvent::Multiget(Box::new(PendingRequest {
@@ -355,8 +359,8 @@
     };
     let response = tokio::select! {
         response = reply_received => response,
-        // Nobody reads this; what it asked for is given up.
-        () = usage.wait_disconnected() => return Ok(text_response(500, "its client has gone")),
+        // The response reaches nobody; the multiget is given up.
+        () = state.wait_disconnected() => return Ok(text_response(500, "its client has gone")),
     };
     guard.id = None;
     if let Ok((_, not_before)) = &response
@@ -385,7 +389,7 @@
     })
 }
 
-/// Listens on this address only.
+/// Listens on this address only, with a backlog of 1,024 connections.
 pub async fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4().and_then(|socket| {
         socket.set_reuseaddr(true)?;
--- a/crates/lockusher-aggregator/src/transport/discovery.rs
+++ b/crates/lockusher-aggregator/src/transport/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery.
+//! Watches discovery for changes of the searcher list by long polling.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,24 +15,27 @@
 use crate::protocol::discovery;
 use crate::routing::RouterEvent;
 
-/// A watch goes on if the next call comes within this of the last answer.
+/// Delay before a failed call is repeated; discovery continues a watch if the next call arrives within 200 ms of
+/// the last answer.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// One that answers at once with nothing is not asked faster than this.
+/// Minimum interval between calls when answers arrive at once and are empty.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a call waits for news that is not there yet. A watch that falls silent shows by nothing else, and what it
-/// misses counts as told 6 s after discovery had it: this, its lateness and two more calls that hang fit into that.
+/// Maximum time that a call is held open without changes. A silent watch is only detected by its timeout, and a
+/// missed change must be applied within 6 s of discovery knowing it: this time, its grace period and two more
+/// failing calls fit into that.
 const MAX_HOLD: Span = Span::from_millis(1_000);
-/// The first call at an address, and each after a failure, is to be answered at once: news of an address that moved
-/// counts as told after 4 s, and versions may begin anew there.
+/// Hold time of the first call at an address and of each call after a failure, which must be answered almost at
+/// once: after a move to another address changes must be applied within 4 s, and versions may start anew there.
 const FIRST_HOLD: Span = Span::from_millis(50);
-/// How long after its wait a call's answer may still come: usually, first after a failure, and at the most, for an
-/// agent that is slow.
+/// Grace periods: how much later than its hold time an answer may arrive. The usual one, the one for the first call
+/// after a failure, and the maximum, for a slow agent.
 const ANSWER_GRACE: Duration = Duration::from_millis(1_000);
 const GRACE_AFTER_FAILURE: Duration = Duration::from_millis(500);
 const MAX_GRACE: Duration = Duration::from_millis(2_000);
 
-/// Watches for what is newer than `from`, for good, wherever discovery moves. Where it tells only those that ask,
-/// a watch begins when asked for or when discovery moves, and its failure is told.
+/// Watches for changes after `known_version` until the router stops, also when the address of discovery changes. If
+/// lists are sent on request only, a watch starts when it is requested or the address changes, and a failed watch
+/// is reported to the router.
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>,
     sockets: SocketLimits,
@@ -55,13 +58,13 @@
         );
         tokio::select! {
             () = watching => return,
-            // What was being told there is asked for anew, from the last list that was taken whole.
+            // The interrupted watch is repeated at the new address, from the last list that was passed on.
             Ok(()) = address.changed() => requested = true,
         }
     }
 }
 
-/// Watches at one address; ends when nobody takes what it tells. A list counts once it is in the queue.
+/// Watches at one address; completes when the router has stopped. A list counts as known once it is in the queue.
 async fn watch_at(
     address: SocketAddr,
     sockets: &SocketLimits,
@@ -71,7 +74,7 @@
     list_requested: &Notify,
     queue: &mpsc::Sender<RouterEvent>,
 ) {
-    // No time-out of the client's own may end a watch early.
+    // The HTTP client's own timeouts must not end a watch early.
     let max_call_time = duration(MAX_HOLD) + MAX_GRACE;
     let connector = Connector::new()
         .timeout(duration(sockets.connect_timeout))
@@ -80,7 +83,8 @@
         .connector(connector)
         .timeout(max_call_time)
         .finish();
-    // How late an answer may be, and how late it may usually be, by how long the last first call took.
+    // The current hold time and grace period, and the usual grace period, derived from the duration of the last
+    // first call.
     let (mut hold, mut grace, mut usual_grace) = (FIRST_HOLD, ANSWER_GRACE, ANSWER_GRACE);
     loop {
         if !std::mem::replace(requested, !sockets.lists_on_request) {
@@ -91,7 +95,8 @@
             let list = match call(&client, address, names, *known_version, hold, grace).await {
                 Ok(list) if list.complete || known_version.is_some_and(|v| list.index >= v) => list,
                 Ok(list) => {
-                    // A version that goes back, or a change to a list not held, tells of a restart there.
+                    // A version that decreases, or a change to a list that is not known, means that discovery
+                    // restarted.
                     tracing::info!(
                         "discovery went back to version {}: asking for the whole list",
                         list.index
@@ -137,6 +142,7 @@
     }
 }
 
+/// Requests a list of searchers.
 async fn call(
     client: &Client,
     address: SocketAddr,
@@ -163,5 +169,5 @@
         .map_err(|_| "no answer in time".to_owned())?
 }
 
-/// A list of some thousand searchers.
+/// Maximum size of a list in bytes, enough for several thousand searchers.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
--- a/crates/lockusher-aggregator/src/transport/frame_transport.rs
+++ b/crates/lockusher-aggregator/src/transport/frame_transport.rs
@@ -1,4 +1,4 @@
-//! Connections to searchers: one task each, many parts at once.
+//! The frame protocol over TCP: one task per connection to a searcher, with many parts pending at a time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -22,7 +22,7 @@
 use crate::routing::searcher_transport::{OutgoingPart, Permission, SearcherTransport, UnsentPart};
 use crate::routing::{RouterEvent, SendEnded};
 
-/// All connections to searchers, by searcher: frames over TCP, each carrying a few calls.
+/// All connections to searchers. Each carries several concurrent calls as frames over TCP.
 pub struct FrameTransport {
     sockets: SocketLimits,
     addresses: HashMap<SearcherId, SocketAddr>,
@@ -32,10 +32,10 @@
     shared_budgets: SharedBudgets,
 }
 
-/// What may be spent on new connections and probes, where the fleet shares that, by the clock that its shares go by.
+/// This mixer's shares of the fleet-wide budgets for connections and probes, measured by the router's clock.
 struct SharedBudgets {
     purses: Purses,
-    /// One instant by both clocks.
+    /// The same moment on both clocks.
     updated_at: (Time, Instant),
 }
 
@@ -45,7 +45,7 @@
         time + Span::from_micros(instant.elapsed().as_micros() as u64)
     }
 
-    /// Spends one of each of these, if there is one of each.
+    /// Spends one unit of each budget if every one of them has a unit left; returns whether it did.
     fn try_spend(&mut self, budgets: &[Budget]) -> bool {
         let now = self.now();
         let has = budgets.iter().all(|budget| self.purses.has(now, *budget));
@@ -57,7 +57,7 @@
 }
 
 impl FrameTransport {
-    /// `open` counts the descriptors in use for searchers, which other carriers share.
+    /// `open_count` is the number of descriptors in use for searchers, shared with the other transports.
     pub fn new(
         sockets: SocketLimits,
         queue: mpsc::Sender<RouterEvent>,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Searchers come and go for good: nothing is kept of connections that have ended.
+    /// Drops closed connections, so that state does not accumulate as searchers are replaced.
     fn remove_closed(&mut self) {
         self.connections.retain(|_, connections| {
             connections.retain(|c| c.state.get() != State::Closed);
@@ -86,6 +86,7 @@
         });
     }
 
+    /// Drains the connections to a searcher and returns their unwritten sends.
     fn drain_connections(&mut self, id: &SearcherId) -> Vec<UnsentPart> {
         self.remove_closed();
         self.connections
@@ -96,7 +97,8 @@
             .collect()
     }
 
-    /// Whether one more connection may be opened; with too many, the one unused for longest is closed for it.
+    /// Whether another connection may be opened. At the limit, the connection idle for longest is closed to make
+    /// room.
     fn make_room(&self) -> bool {
         if self.open_count.get() < self.sockets.max_searcher_connections {
             return true;
@@ -107,12 +109,13 @@
         let Some(connection) = idle.min_by_key(|c| c.last_used.get()) else {
             return false;
         };
-        // Its descriptor is free before the new one's task begins.
+        // The descriptor is released before the task of the new connection starts.
         connection.release_descriptor();
         connection.drain();
         true
     }
 
+    /// The connection that a send is pending on.
     fn connection_with_send(
         &self,
         to: &SearcherId,
@@ -154,22 +157,22 @@
             .filter(|c| c.is_idle())
         {
             let unsent = connection.drain();
-            check_invariant!(unsent.is_empty(), "nothing waits on an unused connection");
+            check_invariant!(unsent.is_empty(), "no part is queued on an idle connection");
         }
     }
 
-    /// Handed back where the searcher has no address, or no descriptor is left.
+    /// Returns the call if the searcher has no address, or no descriptor or budget is left for a connection.
     fn send(&mut self, to: &SearcherId, call: Vec<OutgoingPart>) -> Result<(), Vec<OutgoingPart>> {
         check_invariant!(
             call.len() <= self.sockets.max_parts_per_call,
-            "a call holds no more parts than it may"
+            "a call has no more parts than the limit"
         );
         let Some(address) = self.addresses.get(to).copied() else {
             return Err(call);
         };
         let has_capacity = |c: &&Rc<Connection>| {
             let accepting = matches!(c.state.get(), State::Connecting | State::Open);
-            // Answers come whole: with some of a frame, what follows it may be noise, or nothing.
+            // Answers arrive in complete frames: after a partial frame, what follows may be garbage or nothing.
             accepting
                 && !c.has_partial_frame.get()
                 && !c.suspect.get()
@@ -206,8 +209,8 @@
         Ok(())
     }
 
-    /// A send has waited in vain: if nothing at all has come on its connection since it left, nothing new goes
-    /// there. Tells what had not left.
+    /// If nothing has been received on the connection since the send was written, the connection is drained.
+    /// Returns its unwritten sends.
     fn send_timed_out(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> Vec<UnsentPart> {
         let Some(connection) = self.connection_with_send(to, part, nth) else {
             return Vec::new();
@@ -219,10 +222,9 @@
         }
     }
 
-    /// A send is late enough for a copy. If nothing has come on its connection since it left, its searcher is asked
-    /// how it is, there and on a new connection: if it says so on the new one alone, the old one has fallen silent.
-    /// Guards against boxes between and machines that forgot a connection; costs a handshake where a searcher
-    /// stands still.
+    /// If nothing has been received on the connection since the send was written, sends a health probe on it and on
+    /// a new connection. If only the new one is answered, the old one is dead, as after a middlebox or a machine
+    /// dropped its state. This costs a handshake whenever a searcher stalls.
     fn check_liveness(&mut self, to: &SearcherId, part: &PartId, nth: usize) {
         let Some(connection) = self.connection_with_send(to, part, nth).cloned() else {
             return;
@@ -290,8 +292,9 @@
         self.shared_budgets.purses.spent(now)
     }
 
-    /// A frame written just now may reach its searcher after what is written to a client next: until when that is
-    /// so. It takes longer on a connection on which nothing has come yet, as its first frame waits for a handshake.
+    /// A frame written just now may reach its searcher later than data that is written to a client next. The
+    /// allowance is larger on a connection on which nothing has been received yet, as its first frame waits for the
+    /// handshake.
     fn in_transit_until(&self, to: &SearcherId, part: &PartId, nth: usize) -> Option<Instant> {
         let connection = self.connection_with_send(to, part, nth)?;
         let written = connection
@@ -310,64 +313,68 @@
     }
 }
 
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Connecting,
     Open,
-    /// Takes nothing new, and closes once nothing is out.
+    /// Accepts no new calls, and closes once nothing is pending.
     Draining,
     Closed,
 }
 
+/// A frame to be written.
 enum OutgoingFrame {
     Call(Vec<OutgoingPart>),
     Cancel(PartId),
     Probe(Bytes),
 }
 
-/// A part that is out on a connection.
-struct SentPart {
+/// A part pending on a connection.
+struct PendingPart {
     nth: usize,
     call: u64,
     stage: Stage,
-    /// When it was taken, then written.
+    /// When the current stage was reached: queued first, then written.
     at: Instant,
 }
 
-/// How far a part's frame has come.
+/// How far a part's frame has been written.
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
     Queued,
-    /// Some of it may have been written.
+    /// Some bytes may have been written.
     Writing,
-    /// Its last byte has been written.
+    /// The last byte has been written.
     Written,
 }
 
+/// A connection to a searcher.
 struct Connection {
     address: SocketAddr,
     state: Cell<State>,
     outbox: RefCell<VecDeque<OutgoingFrame>>,
-    pending: RefCell<HashMap<PartId, SentPart>>,
-    /// Calls that are out, with how many of their parts are.
+    pending: RefCell<HashMap<PartId, PendingPart>>,
+    /// Pending calls, with the number of their pending parts.
     calls: RefCell<HashMap<u64, usize>>,
     next_call: Cell<u64>,
     last_used: Cell<Instant>,
-    /// When a frame last came, and whether any did.
+    /// When a frame was last received, and whether any was.
     last_received: Cell<Instant>,
     has_received: Cell<bool>,
-    /// Parts that were given up and may be answered yet, and some that were answered: of these, and of no
-    /// others, a further answer may come.
+    /// Parts that were cancelled and may still be answered, and recently answered ones: further answers are
+    /// accepted for these and for no others.
     cancelled: RefCell<VecDeque<PartId>>,
     answered: RefCell<VecDeque<PartId>>,
-    /// What came on it can't be read: what the next part that is out comes to.
+    /// Set once the connection is unusable: the outcome of the next written part that ends.
     failure_outcome: Cell<Option<Outcome>>,
-    /// Some of a frame has come, and not all.
+    /// Part of a frame has been received.
     has_partial_frame: Cell<bool>,
-    /// It is being found out whether it has fallen silent; the one that may take its place, which tells.
+    /// This connection is being tested for whether it is dead; and, on the new connection that was opened for the
+    /// test, the one under test.
     suspect: Cell<bool>,
     probe_for: RefCell<Option<Rc<Connection>>>,
-    /// It counts among those that are open.
+    /// Whether it is included in `open_count`.
     holds_descriptor: Cell<bool>,
     open_count: Rc<Cell<usize>>,
     wake: Notify,
@@ -418,9 +425,9 @@
         self.pending.borrow().is_empty()
     }
 
-    /// Whether this part has left and nothing has come since.
+    /// Whether a part has been written and nothing has been received since.
     fn silent_since_send(&self, part: &PartId) -> bool {
-        let silent = |p: &SentPart| p.stage == Stage::Written && self.last_received.get() < p.at;
+        let silent = |p: &PendingPart| p.stage == Stage::Written && self.last_received.get() < p.at;
         self.pending.borrow().get(part).is_some_and(silent)
     }
 
@@ -431,8 +438,8 @@
         self.wake.notify_one();
     }
 
-    /// A frame has come; `answers` if the searcher answered by it. What it says of its own accord at once, on a
-    /// connection that has just come up, tells nothing of how long an older one has been silent.
+    /// Records a received frame; `is_answer` if the searcher sent it in reply to one of this side. Frames that it
+    /// sends unasked on a new connection say nothing about how long an older one has been silent.
     fn frame_received(&self, is_answer: bool) {
         self.last_received.set(Instant::now());
         self.has_received.set(true);
@@ -451,13 +458,14 @@
         }
     }
 
+    /// Stops counting this connection in `open_count`.
     fn release_descriptor(&self) {
         if self.holds_descriptor.replace(false) {
             self.open_count.set(self.open_count.get() - 1);
         }
     }
 
-    /// Takes nothing new; hands back what had not begun to leave.
+    /// Starts draining and returns the sends that had not begun to be written.
     fn drain(&self) -> Vec<UnsentPart> {
         if self.state.get() == State::Closed {
             return Vec::new();
@@ -479,20 +487,21 @@
         unsent
     }
 
+    /// Queues a call.
     fn enqueue(&self, call: Vec<OutgoingPart>) {
         let number = self.next_call.replace(self.next_call.get() + 1);
         self.calls.borrow_mut().insert(number, call.len());
         for (nth, part, _) in &call {
             let previous = self.pending.borrow_mut().insert(
                 part.id.clone(),
-                SentPart {
+                PendingPart {
                     nth: *nth,
                     call: number,
                     stage: Stage::Queued,
                     at: Instant::now(),
                 },
             );
-            check_invariant!(previous.is_none(), "a part is out once on a connection");
+            check_invariant!(previous.is_none(), "a part is pending once on a connection");
         }
         self.outbox
             .borrow_mut()
@@ -501,8 +510,8 @@
         self.wake.notify_one();
     }
 
-    /// No longer waits for a part; tells what is known of it.
-    fn take(&self, part: &PartId) -> Option<SentPart> {
+    /// Stops waiting for a part and returns its state.
+    fn take(&self, part: &PartId) -> Option<PendingPart> {
         let sent = self.pending.borrow_mut().remove(part)?;
         let mut calls = self.calls.borrow_mut();
         if let Some(remaining) = calls.get_mut(&sent.call) {
@@ -518,6 +527,7 @@
         Some(sent)
     }
 
+    /// Cancels a part. Drops it if it is still queued, sends a cancellation if it has been written.
     fn cancel(&self, part: &PartId) {
         let mut outbox = self.outbox.borrow_mut();
         for outgoing in outbox.iter_mut() {
@@ -535,12 +545,13 @@
                     .push_back(OutgoingFrame::Cancel(part.clone()));
                 self.wake.notify_one();
             }
-            // Its frame is stuck half written: it must not arrive after all, so the connection ends.
+            // The frame is partly written and must not arrive after all, so the connection is closed.
             Some(Stage::Writing) => self.aborted.notify_one(),
             Some(Stage::Queued) | None => {}
         }
     }
 
+    /// Connects, then reads and writes frames until the connection ends.
     async fn run(&self, sockets: SocketLimits, queue: &mpsc::Sender<RouterEvent>) {
         let connecting = TcpStream::connect(self.address);
         let mut stream = match tokio::time::timeout(duration(sockets.connect_timeout), connecting)
@@ -549,7 +560,7 @@
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return tracing::info!("no connection to {}: {error}", self.address),
             Err(_) => {
-                return tracing::info!("no connection to {}: none came up in time", self.address);
+                return tracing::info!("no connection to {}: timed out", self.address);
             }
         };
         if let Err(error) = stream.set_nodelay(true) {
@@ -565,20 +576,20 @@
         let ended = tokio::select! {
             ended = &mut read => ended,
             ended = self.write(FramedWrite::new(writer, frame::codec()), queue) => {
-                // Answers that came before the break still count.
+                // Answers sent before the connection broke still count.
                 self.state.set(State::Draining);
                 let _ = tokio::time::timeout(duration(sockets.connect_timeout), &mut read).await;
                 ended
             }
             () = self.idle_or_drained(duration(sockets.idle_timeout)) => Ok(()),
-            () = self.aborted.notified() => Err(std::io::Error::other("it takes nothing more, or has fallen silent")),
+            () = self.aborted.notified() => Err(std::io::Error::other("it accepts no more data, or has fallen silent")),
         };
         if let Err(error) = ended {
             tracing::info!("connection to {} ended: {error}", self.address);
         }
     }
 
-    /// Ends when the connection has not been used for long, or is retired with nothing out.
+    /// Completes when the connection has been idle for `idle_timeout`, or is draining with nothing pending.
     async fn idle_or_drained(&self, idle_timeout: Duration) {
         loop {
             let idle = self.is_idle() && self.outbox.borrow().is_empty();
@@ -600,6 +611,7 @@
         }
     }
 
+    /// Writes queued frames.
     async fn write<W: AsyncWrite + Unpin>(
         &self,
         mut frames: FramedWrite<W, LengthDelimitedCodec>,
@@ -619,7 +631,7 @@
                             send_by = Some(send_by.map_or(at, |send_by| send_by.min(at)));
                             true
                         }
-                        // What nobody waits for any more stays here until the router gives it up.
+                        // Abandoned parts stay pending until the router cancels them.
                         Permission::Abandoned => false,
                         Permission::WindowExpired => {
                             expired.push(part.id.clone());
@@ -648,12 +660,12 @@
                     let written = frames.send(frame::call(parts.iter().map(|(_, part, _)| part)));
                     match send_by {
                         None => written.await?,
-                        // Half of it must not be followed by the rest once its window has passed.
+                        // A partly written frame must not be completed once the window has passed.
                         Some(send_by) => {
                             tokio::time::timeout_at(send_by.into(), written)
                                 .await
                                 .map_err(|_| {
-                                    std::io::Error::other("a repeat is stuck past its window")
+                                    std::io::Error::other("a repeat was not written completely within its deduplication window")
                                 })??;
                         }
                     }
@@ -665,7 +677,7 @@
         }
     }
 
-    /// Reads frames until one can't be read, none follows, or one is not whole in time.
+    /// Reads frames until the stream ends, a frame is malformed, or one is not complete within `frame_timeout`.
     async fn read<R: AsyncRead + Unpin>(
         &self,
         mut reader: R,
@@ -689,7 +701,7 @@
                     }
                     Some(SearcherFrame::Probe(probe)) => {
                         let mut outbox = self.outbox.borrow_mut();
-                        // One that probes faster than it reads gets no more.
+                        // A searcher that probes faster than it reads gets no further answers.
                         if outbox.len() < 64 {
                             outbox.push_back(OutgoingFrame::Probe(frame::probe_answer(probe)));
                             self.wake.notify_one();
@@ -734,14 +746,14 @@
         }
     }
 
-    /// What has come is of no use, nor is what follows it.
+    /// Marks the connection as unusable: neither what was received nor what follows can be trusted.
     fn mark_unreadable(&self, reason: &str) -> std::io::Error {
         self.failure_outcome.set(Some(Outcome::Error));
         self.state.set(State::Draining);
         std::io::Error::other(reason.to_owned())
     }
 
-    /// An answer; tells whether the queue goes on.
+    /// Handles an answer; returns whether the router still accepts events.
     async fn handle_answer(
         &self,
         part_answer: PartAnswer,
@@ -754,7 +766,7 @@
             } else if !self.answered.borrow().contains(&part_answer.id) {
                 return Err(self.mark_unreadable("an answer to what was never asked here"));
             }
-            return Ok(true); // Of a part that was given up, or answered before, nothing more counts.
+            return Ok(true); // Further answers to a cancelled or answered part are ignored.
         };
         push_bounded(&self.answered, &part_answer.id, 32);
         let answer = (part_answer.outcome == Outcome::Returned)
@@ -770,8 +782,9 @@
         Ok(queue.send(event).await.is_ok())
     }
 
-    /// Ends all that is still out: what was not written whole never ran. Where the mixer ended the connection
-    /// itself, one answer was spoilt and the others are waited for no longer: neither is a sign of a dead process.
+    /// Ends all pending parts. Parts that were not written completely were never executed. If this side closed the
+    /// connection because of a malformed answer, one part fails for it and the others are withdrawn: neither
+    /// indicates a dead process.
     async fn end_pending(&self, queue: &mpsc::Sender<RouterEvent>) {
         self.state.set(State::Closed);
         let mut parts: Vec<(u64, PartId)> = self
@@ -804,6 +817,7 @@
     }
 }
 
+/// The event for the end of a send without an answer.
 fn send_ended_event(part: PartId, nth: usize, outcome: Outcome) -> RouterEvent {
     RouterEvent::SendEnded(SendEnded {
         part,
@@ -814,7 +828,7 @@
     })
 }
 
-/// Keeps the last few.
+/// Appends an id and keeps the most recent `max_len` ids.
 fn push_bounded(ids: &RefCell<VecDeque<PartId>>, id: &PartId, max_len: usize) {
     let mut ids = ids.borrow_mut();
     if ids.len() >= max_len {
--- a/crates/lockusher-aggregator/src/transport/mod.rs
+++ b/crates/lockusher-aggregator/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets. They move bytes and decide nothing; what they learn goes to the router through its queue.
+//! Sockets. They move bytes and make no decisions; what they observe is sent to the router through its queue.
 
 pub mod client_stream;
 pub mod clients;
--- a/crates/lockusher-aggregator/src/transport/protocol_selection.rs
+++ b/crates/lockusher-aggregator/src/transport/protocol_selection.rs
@@ -1,4 +1,5 @@
-//! Two carriers side by side: HTTP/2 for the hosts that the operator's settings name, frames for all others.
+//! Selects the protocol for each searcher: HTTP/2 for the hosts that the operator's settings select, frames for all
+//! others.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -21,7 +22,7 @@
 use crate::routing::searcher_transport::{OutgoingPart, Permission, SearcherTransport, UnsentPart};
 use crate::routing::{RouterEvent, SendEnded};
 
-/// Whether an id matches a pattern in which a star stands for any letters.
+/// Whether an id matches a pattern, in which `*` matches any sequence of characters.
 pub fn matches(pattern: &str, id: &str) -> bool {
     let Some((prefix, suffix)) = pattern.split_once('*') else {
         return pattern == id;
@@ -32,12 +33,13 @@
     (0..=rest.len()).any(|at| rest.is_char_boundary(at) && matches(suffix, &rest[at..]))
 }
 
-/// One host by HTTP/2; those before it, at other addresses, end what is out there.
+/// The HTTP/2 host of a searcher, and hosts at its previous addresses that still have pending calls.
 struct Http2Hosts {
     host: Option<Rc<Host<RouterEvent>>>,
     retired: Vec<Rc<Host<RouterEvent>>>,
 }
 
+/// Sends calls over HTTP/2 or frames, depending on the searcher.
 pub struct ProtocolSelector {
     frames: FrameTransport,
     http2: Http2,
@@ -47,6 +49,7 @@
     hosts: HashMap<SearcherId, Http2Hosts>,
 }
 
+/// Converts the end of an HTTP/2 call to a router event.
 fn send_ended_event(came: Came) -> RouterEvent {
     let Came {
         part,
@@ -64,6 +67,7 @@
     })
 }
 
+/// Converts a part to the type of the HTTP/2 transport.
 fn to_http2((nth, part, permission): OutgoingPart) -> Http2Part {
     let wanted = Rc::new(move || matches!(permission(), Permission::Send | Permission::SendBy(_)));
     let CallPart {
@@ -87,6 +91,7 @@
     }
 }
 
+/// Converts a part that HTTP/2 did not accept back.
 fn from_http2(sent: Http2Part) -> OutgoingPart {
     let wire::Part {
         id,
@@ -117,6 +122,7 @@
 }
 
 impl ProtocolSelector {
+    /// Creates a selector without hosts; `open` counts the descriptors in use for searchers.
     pub fn new(
         frames: FrameTransport,
         http2: Http2,
@@ -155,7 +161,7 @@
         }
     }
 
-    /// Whether a host is spoken to by HTTP/2.
+    /// Whether the settings select HTTP/2 for a host.
     fn uses_http2(&self, host: &Listed, place: Place) -> bool {
         let zone =
             |name: &String| host.zone.is_some() && self.names.zones.get(name).copied() == host.zone;
@@ -168,7 +174,7 @@
             || (self.http2.select_by_registry_entry && place.http2)
     }
 
-    /// The host that holds a send by HTTP/2, if one does.
+    /// The HTTP/2 host that a send is pending at, if any.
     fn host_with_send(
         &self,
         to: &SearcherId,
@@ -183,12 +189,14 @@
             .find(|host| host.holds(part, nth))
     }
 
-    /// The host, unless it turned out to speak no HTTP/2 and may be left to frames.
+    /// The HTTP/2 host of a searcher, unless it turned out not to speak HTTP/2 and falling back to frames is
+    /// allowed.
     fn http2_host(&self, to: &SearcherId) -> Option<&Rc<Host<RouterEvent>>> {
         let host = self.hosts.get(to)?.host.as_ref()?;
         (!self.http2.fall_back_to_frames || host.speaks()).then_some(host)
     }
 
+    /// Drains the HTTP/2 host of a searcher and returns its unwritten sends.
     fn retire_host(&mut self, id: &SearcherId) -> Vec<UnsentPart> {
         let Some(hosts) = self.hosts.get_mut(id) else {
             return Vec::new();
@@ -205,7 +213,7 @@
 
 impl SearcherTransport for ProtocolSelector {
     fn set_address(&mut self, entry: &Listed, place: Place) -> Vec<UnsentPart> {
-        // Frames know all, so that what is left to them has an address.
+        // The frame transport is told of every searcher, so that it has an address for those that fall back to it.
         let mut unsent = self.frames.set_address(entry, place);
         let current = self
             .hosts
@@ -232,7 +240,7 @@
     fn drain(&mut self, id: &SearcherId) -> Vec<UnsentPart> {
         let mut unsent = self.frames.drain(id);
         unsent.extend(self.retire_host(id));
-        // Hosts come and go for good: nothing is kept of those with nothing out.
+        // Drops retired hosts without pending calls, so that state does not accumulate as hosts are replaced.
         self.hosts.retain(|_, hosts| {
             hosts.retired.retain(|host| !host.is_over());
             hosts.host.is_some() || !hosts.retired.is_empty()
@@ -296,7 +304,8 @@
         }
     }
 
-    /// Frames alone are metered: HTTP/2 holds few connections to a host, by limits of its own.
+    /// Only frames count against the shared budgets: HTTP/2 keeps few connections to a host, with limits of its
+    /// own.
     fn set_portions(&mut self, now: Time, portions: &[(Budget, Portion)]) {
         self.frames.set_portions(now, portions);
     }
--- a/crates/lockusher-aggregator/tests/codecs.rs
+++ b/crates/lockusher-aggregator/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! What is read and written, without a socket; and what a faulty configuration is told.
+//! Tests of decoding and encoding without sockets, and of the errors in an invalid configuration.
 
 use bytes::{BufMut, BytesMut};
 use lockusher_aggregator::config;
@@ -8,24 +8,24 @@
 use serde_json::{Value, json};
 
 #[rstest]
-fn frames_are_read_wherever_they_are_split() {
-    let rests = [
+fn frames_are_decoded_wherever_the_stream_is_split() {
+    let frames = [
         &b"qa1.3 good 17 inflight=7,util=0.61\nvalue\nof two lines"[..],
         b"o",
         b"qa1.4 later 0 -\n",
     ];
     let mut bytes = BytesMut::new();
-    for rest in rests {
-        bytes.put_u32(rest.len() as u32);
-        bytes.put_slice(rest);
+    for frame_body in frames {
+        bytes.put_u32(frame_body.len() as u32);
+        bytes.put_slice(frame_body);
     }
     for split in 0..=bytes.len() {
-        let mut got = Vec::new();
+        let mut decoded = Vec::new();
         let mut buffer = BytesMut::new();
         for piece in [&bytes[..split], &bytes[split..]] {
             buffer.put_slice(piece);
-            while let Some(read) = frame::next(&mut buffer).expect("sound frames") {
-                got.push(frame::decode(&read).expect("sound frames"));
+            while let Some(read) = frame::next(&mut buffer).expect("valid frames") {
+                decoded.push(frame::decode(&read).expect("valid frames"));
             }
         }
         let ended = |id, outcome, score, value: &str| {
@@ -37,40 +37,40 @@
                 value,
             })
         };
-        let wanted = [
+        let expected = [
             ended("a1.3", Outcome::Returned, 17, "value\nof two lines"),
             frame::SearcherFrame::Probe(frame::Probe::Health),
             ended("a1.4", Outcome::Full, 0, ""),
         ];
-        assert_eq!(got, wanted, "split at {split}");
+        assert_eq!(decoded, expected, "split at {split}");
     }
 }
 
 #[rstest]
-#[case::nothing(b"")]
-#[case::another_letter(b"x")]
+#[case::empty(b"")]
+#[case::unknown_frame_type(b"x")]
 #[case::no_line(b"qa1.3 good 1 -")]
-#[case::no_such_end(b"qa1.3 fine 1 -\n")]
+#[case::unknown_status(b"qa1.3 fine 1 -\n")]
 #[case::no_id(b"q good 1 -\n")]
 #[case::no_score(b"qa1.3 good much -\n")]
-#[case::no_text(b"qa1.3 good 1 -\n\xff\xfe")]
-#[case::another_frame_within(b"qa1.3 good 1 -\nvalue\0\0\0\x14qa1.4 good 2 -\nvalue")]
-fn a_malformed_frame_is_not_read(#[case] frame: &[u8]) {
+#[case::not_utf8(b"qa1.3 good 1 -\n\xff\xfe")]
+#[case::value_containing_another_frame(b"qa1.3 good 1 -\nvalue\0\0\0\x14qa1.4 good 2 -\nvalue")]
+fn a_malformed_frame_is_not_decoded(#[case] frame: &[u8]) {
     assert_eq!(frame::decode(frame), None);
 }
 
-/// What is spoilt is told before the rest of it comes, if any does.
+/// Malformed input must be reported before the rest of the frame arrives, if it ever does.
 #[rstest]
-#[case::a_length_beyond_sense(&[0x7f, 0xff, 0xff, 0xff, b'q'][..])]
-#[case::no_length(&[0, 0, 0, 0][..])]
-#[case::another_letter(&[0, 0, 0, 20, b'z'][..])]
-#[case::a_line_without_end(&[&[0, 1, 0, 0, b'q'][..], &[b'x'; 5_000]].concat())]
-fn what_can_become_no_frame_is_an_error_before_the_bytes_come(#[case] bytes: &[u8]) {
+#[case::length_too_large(&[0x7f, 0xff, 0xff, 0xff, b'q'][..])]
+#[case::length_of_zero(&[0, 0, 0, 0][..])]
+#[case::unknown_frame_type(&[0, 0, 0, 20, b'z'][..])]
+#[case::line_too_long(&[&[0, 1, 0, 0, b'q'][..], &[b'x'; 5_000]].concat())]
+fn an_invalid_frame_is_reported_before_all_of_it_has_arrived(#[case] bytes: &[u8]) {
     assert!(frame::next(&mut BytesMut::from(bytes)).is_err());
 }
 
 #[rstest]
-fn a_report_that_cannot_be_read_spoils_nothing() {
+fn a_malformed_load_report_does_not_invalidate_the_answer() {
     let ended = frame::decode(b"qa1.3 good 17 inflight=\xff,,\nvalue");
     assert!(
         matches!(ended, Some(frame::SearcherFrame::Answer(e)) if e.value == "value" && e.score == 17)
@@ -92,13 +92,13 @@
     };
     let from: std::rc::Rc<[Shard]> = [Shard(3), Shard(5)].into();
     let parts = [part("q.3", 3, None), part("q.5.r", 5, Some((from, false)))];
-    let wanted = "mq.3 3 d=240 8\nc41e77d0q.5.r 5 d=240,from=3+5,whole=0 8\nc41e77d0";
-    assert_eq!(frame::call(parts.iter()), wanted);
+    let expected = "mq.3 3 d=240 8\nc41e77d0q.5.r 5 d=240,from=3+5,whole=0 8\nc41e77d0";
+    assert_eq!(frame::call(parts.iter()), expected);
     assert_eq!(frame::cancel(&parts[0].id), "nq.3");
 }
 
 #[rstest]
-fn a_time_to_come_back_is_told_in_decimal_seconds() {
+fn retry_after_is_formatted_in_decimal_seconds() {
     assert_eq!(client::retry_after(Span::from_millis(1_250)), "1.250");
 }
 
@@ -118,12 +118,12 @@
 }
 
 #[rstest]
-#[case::as_it_should_be("/name", json!("n2"), "")]
-#[case::no_listen_address("/listen", json!("here:80"), "listen: \"here:80\" is no address with a port")]
+#[case::valid("/name", json!("n2"), "")]
+#[case::no_listen_address("/listen", json!("here:80"), "listen: \"here:80\" is not an address with a port")]
 #[case::missing("/discovery", json!(null), "discovery: missing, and LB_DISCOVERY is not set")]
 #[case::seed("/seed", json!("xyz"), "seed: \"xyz\" is not 1 to 16 hexadecimal digits")]
 #[case::a_word_for_a_number("/settings/rules/cold_from", json!("a"), "settings.rules.cold_from: invalid type")]
-#[case::no_such_effect("/settings/grades/0/effect", json!("odd"), "settings.grades[0].effect: unknown variant")]
+#[case::unknown_effect("/settings/grades/0/effect", json!("odd"), "settings.grades[0].effect: unknown variant")]
 #[case::too_few_sockets("/limits", json!({ "sockets": 10 }), "limits.sockets: 10 is less than 64")]
 #[case::too_little_memory("/limits", json!({ "memory_mb": 8 }), "limits.memory_mb: 8 is less than 16")]
 #[case::no_calls("/settings/limits/max_streams", json!(0), "settings.limits.max_streams: must not be 0")]
@@ -131,28 +131,28 @@
 #[case::connect_timeout("/settings/limits/connect_timeout_us", json!(null), "settings.limits.connect_timeout_us: missing")]
 #[case::idle_time("/settings/limits/conn_idle_us", json!(null), "settings.limits.conn_idle_us: missing")]
 #[case::calls_on_a_connection("/settings/limits/max_streams", json!(null), "settings.limits.max_streams: missing")]
-#[case::multigets_in_hand("/settings/limits/max_open", json!(null), "settings.limits.max_open: missing")]
+#[case::multigets_in_flight("/settings/limits/max_open", json!(null), "settings.limits.max_open: missing")]
 #[case::parts_in_a_call("/settings/extra/bundle_max", json!(null), "settings.extra.bundle_max: missing")]
 #[case::shards("/settings/extra/slices", json!(null), "settings.extra.slices: missing")]
 #[case::too_short_a_list("/settings/extra/least_share", json!([]), "extra.least_share has no entry for class 0")]
 #[case::no_cells("/settings/extra/cells", json!(0), "settings.extra.cells: must not be 0")]
-#[case::a_list_that_is_none("/known", json!({ "index": -1 }), "known.index: invalid value")]
-fn a_message_names_the_faulty_key(#[case] key: &str, #[case] value: Value, #[case] says: &str) {
+#[case::an_invalid_list("/known", json!({ "index": -1 }), "known.index: invalid value")]
+fn an_error_names_the_invalid_key(#[case] key: &str, #[case] value: Value, #[case] message: &str) {
     let mut text = configuration();
     let (parent, last) = key.rsplit_once('/').expect("a key");
     text.pointer_mut(parent).expect("its parent")[last.parse::<usize>().map_or(last, |_| last)] =
         value;
-    let said = config::parse(&text.to_string(), |_| None)
+    let error = config::parse(&text.to_string(), |_| None)
         .and_then(|config| config.require_discovery().map(drop));
-    let said = said.map_or_else(|e| format!("{e:#}"), |()| String::new());
+    let error = error.map_or_else(|e| format!("{e:#}"), |()| String::new());
     assert!(
-        said.contains(says) && said.is_empty() == says.is_empty(),
-        "{said}"
+        error.contains(message) && error.is_empty() == message.is_empty(),
+        "{error}"
     );
 }
 
 #[rstest]
-fn what_needs_a_restart_is_named() {
+fn keys_that_need_a_restart_are_listed() {
     let parse = |text: &Value| config::parse(&text.to_string(), |_| None).expect("a configuration");
     let (old, mut new) = (configuration(), configuration());
     (new["discovery"], new["known"]) =
