--- a/crates/lockusher-aggregator/tests/endings.rs
+++ b/crates/lockusher-aggregator/tests/endings.rs
@@ -1,5 +1,6 @@
-//! Rare moments: what ends while something is still owed. Each story holds one side until the mixer is seen at the
-//! point in question, and then lets the other happen. `docs/design/shutdown-and-races.md` lists them.
+//! Race conditions at the end of connections, requests and processes. Each test holds one side until the mixer is
+//! observed at the point in question, then lets the other event happen. `docs/design/shutdown-and-races.md` lists
+//! them.
 
 mod connections;
 
@@ -24,22 +25,23 @@
 use serde_json::{Value, json};
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// A change counts as told so long after discovery had it and could be reached, whatever failed before.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// Time within which a change must be applied, counted from when discovery knew it and was reachable, whatever
+/// failed before.
+const MAX_PROPAGATION: Duration = Duration::from_secs(6);
 
-/// How the watch ends that is open when a searcher begins to drain.
+/// How the open watch ends when a searcher begins to drain.
 #[derive(Clone, Copy, Debug)]
-enum Watch {
-    FallsSilent,
-    IsReset,
-    Stays,
+enum WatchEnd {
+    Silent,
+    Reset,
+    Answered,
 }
 
-/// The watch ends and the very next call fails as well. A watch once held 20 s and was given up 2 s later: what it
-/// missed was learnt after 22 s.
+/// The watch ends and the next call fails as well. With a hold time of 20 s and a grace period of 2 s, a missed
+/// change would be applied only after 22 s.
 #[rstest]
-fn a_drain_is_obeyed_in_time_though_the_watch_ends_and_the_next_call_fails(
-    #[values(Watch::FallsSilent, Watch::IsReset, Watch::Stays)] watch: Watch,
+fn a_drain_is_applied_in_time_though_the_watch_ends_and_the_next_call_fails(
+    #[values(WatchEnd::Silent, WatchEnd::Reset, WatchEnd::Answered)] watch: WatchEnd,
     #[values(
         Says::Nothing,
         Says::Errors,
@@ -59,21 +61,21 @@
     });
     world.discovery.told(1);
     world.discovery.next_say([next]);
-    let began = Instant::now();
+    let started = Instant::now();
     match watch {
-        Watch::FallsSilent => world.discovery.falls_silent(),
-        Watch::IsReset => world.discovery.resets(),
-        // The call that follows the wait fails alone.
-        Watch::Stays => world.discovery.said(),
+        WatchEnd::Silent => world.discovery.falls_silent(),
+        WatchEnd::Reset => world.discovery.resets(),
+        // Only the call after the watch fails.
+        WatchEnd::Answered => world.discovery.said(),
     }
     world
         .discovery
         .tell(2, false, vec![line(&world.searchers[0], 0, "leaving")]);
     world.discovery.told(2);
     assert!(
-        began.elapsed() < TOLD_AFTER,
-        "told after {:?}",
-        began.elapsed()
+        started.elapsed() < MAX_PROPAGATION,
+        "applied after {:?}",
+        started.elapsed()
     );
     let before = world.searchers[0].log().parts.len();
     let mut client = world.client();
@@ -83,14 +85,14 @@
     assert_eq!(world.searchers[0].log().parts.len(), before);
 }
 
-/// An agent that was down is asked soon after its return; and clients that hold every descriptor they can get take
-/// neither the one for it nor those for searchers that are new.
+/// An agent that was down must be called again soon after its return; clients that hold every descriptor they can
+/// get must leave the ones for the agent and for new searchers.
 #[rstest]
-#[case::told(false, 0)]
-#[case::on_asking(true, 0)]
-#[case::with_idle_clients_in_all_places(false, 600)]
-#[case::on_asking_with_idle_clients_in_all_places(true, 600)]
-fn a_drain_is_obeyed_in_time_after_the_agent_was_down(#[case] asks: bool, #[case] idle: usize) {
+#[case::pushed(false, 0)]
+#[case::on_request(true, 0)]
+#[case::idle_clients_in_all_slots(false, 600)]
+#[case::on_request_idle_clients_in_all_slots(true, 600)]
+fn a_drain_is_applied_in_time_after_the_agent_was_down(#[case] asks: bool, #[case] idle: usize) {
     let mut world = World::start(Setup {
         asks,
         ask_every_ms: 60_000,
@@ -99,9 +101,9 @@
     });
     world.discovery.told(1);
     world.discovery.goes_down();
-    let crowd: Vec<Client> = (0..idle).map(|_| world.client()).collect();
+    let idle_clients: Vec<Client> = (0..idle).map(|_| world.client()).collect();
     assert_eq!(world.client().ask("q0", &[1]).status, 200);
-    // The pauses between calls have grown to their longest by then.
+    // By then the delays between calls have grown to their maximum.
     world.discovery.next_say([Says::Errors; 6]);
     world.discovery.comes_up();
     world.discovery.said();
@@ -116,29 +118,29 @@
         line
     }));
     world.discovery.tell(2, true, lines);
-    let began = Instant::now();
+    let started = Instant::now();
     world.discovery.says(Says::Lists);
     world.discovery.told(2);
     assert!(
-        began.elapsed() < TOLD_AFTER,
-        "told after {:?}",
-        began.elapsed()
+        started.elapsed() < MAX_PROPAGATION,
+        "applied after {:?}",
+        started.elapsed()
     );
     let before = world.sends("").len();
     assert_eq!(world.client().ask("q1", &[1, 2, 3]).status, 200);
     assert_eq!(world.sends("").len(), before);
-    drop(crowd);
+    drop(idle_clients);
     assert!(world.runs());
 }
 
-/// Discovery moves by SIGHUP, and the first call at its new address fails: what it has to tell counts as told 4 s
-/// after the signal.
+/// SIGHUP changes the address of discovery and the first call there fails: changes must be applied within 4 s of
+/// the signal.
 #[rstest]
 #[case::silence(Says::Nothing)]
 #[case::an_error(Says::Errors)]
 #[case::a_reset(Says::Resets)]
 #[case::half_a_list(Says::HalfWithoutLength)]
-fn a_drain_is_obeyed_in_time_after_a_move_whose_first_call_fails(#[case] first: Says) {
+fn a_drain_is_applied_in_time_after_an_address_change_whose_first_call_fails(#[case] first: Says) {
     let mut world = World::start(Setup::default());
     world.discovery.told(1);
     let new = Discovery::start(
@@ -148,13 +150,13 @@
     );
     new.tell(2, false, vec![line(&world.searchers[0], 0, "leaving")]);
     new.next_say([first]);
-    let began = Instant::now();
+    let started = Instant::now();
     world.reload("discovery", new.address.to_string());
     new.told(2);
     assert!(
-        began.elapsed() < Duration::from_secs(4),
-        "told after {:?}",
-        began.elapsed()
+        started.elapsed() < Duration::from_secs(4),
+        "applied after {:?}",
+        started.elapsed()
     );
     let before = world.searchers[0].log().parts.len();
     let mut client = world.client();
@@ -164,31 +166,32 @@
     assert_eq!(world.searchers[0].log().parts.len(), before);
 }
 
-/// More than the mixer reads ahead of what is in use: some of it stays unread.
-const AHEAD: usize = 40_000;
+/// More than the mixer reads ahead of the current request, so that some bytes stay unread.
+const UNREAD_BYTES: usize = 40_000;
 
-/// Bytes behind a request that no request of use follows from.
-fn bytes_behind(how_many: usize) -> Vec<u8> {
+/// The head and part of the body of a further request, never completed.
+fn bytes_after_request(count: usize) -> Vec<u8> {
     format!(
         "POST /look HTTP/1.1\r\nHost: a\r\nContent-Length: 60000\r\n\r\n{}",
-        "x".repeat(how_many)
+        "x".repeat(count)
     )
     .into_bytes()
 }
 
-/// A client goes away between two attempts of its part, the first of which fails only then. Where its end lay behind
-/// bytes that the mixer had no use for, it counted as there, and the second attempt was sent.
+/// A client disconnects between two attempts of its part, the first of which fails only afterwards. The end of its
+/// stream may lie behind bytes that the mixer does not read; the client must not count as connected, and no second
+/// attempt be sent.
 #[rstest]
-#[case::nothing_behind(0)]
-#[case::with_bytes_unread(AHEAD)]
-fn nothing_begins_for_a_client_that_went_between_attempts(#[case] behind: usize) {
+#[case::no_unread_bytes(0)]
+#[case::unread_bytes(UNREAD_BYTES)]
+fn no_attempt_starts_for_a_client_that_disconnected_between_attempts(#[case] unread: usize) {
     let world = World::start(Setup::default());
     world.all_do(|_| Act::Held);
     let mut client = world.client();
     client.write(&request("q1", &body(&[3])));
     world.until(|| !world.sends("q1").is_empty());
-    if behind > 0 {
-        client.write(&bytes_behind(behind));
+    if unread > 0 {
+        client.write(&bytes_after_request(unread));
     }
     drop(client);
     world.until(|| world.searchers.iter().any(|s| s.log().given_up == ["q1.3"]));
@@ -201,12 +204,12 @@
     assert_eq!(world.sends("q1").len(), 1);
 }
 
-/// The same before the first attempt, while the part waits for a connection to come up.
+/// The client disconnects before the first attempt, while the part waits for a connection to come up.
 #[rstest]
-#[case::nothing_behind(0)]
-#[case::with_bytes_unread(AHEAD)]
-fn nothing_begins_for_a_client_that_went_while_its_part_waited_for_a_connection(
-    #[case] behind: usize,
+#[case::no_unread_bytes(0)]
+#[case::unread_bytes(UNREAD_BYTES)]
+fn no_attempt_starts_for_a_client_that_disconnected_while_its_part_waited_for_a_connection(
+    #[case] unread: usize,
 ) {
     let world = World::start(Setup {
         searchers: 1,
@@ -220,26 +223,26 @@
     world.discovery.told(2);
     let mut client = world.client();
     client.write(&request("q1", &body(&[3])));
-    // Its part waits: another's on the same connection does too.
-    let mut stays = world.client();
-    stays.write(&request("q2", &body(&[3])));
-    if behind > 0 {
-        client.write(&bytes_behind(behind));
+    // Another client's part waits for the same connection.
+    let mut remaining = world.client();
+    remaining.write(&request("q2", &body(&[3])));
+    if unread > 0 {
+        client.write(&bytes_after_request(unread));
     }
     drop(client);
     unclog();
-    // What leaves leaves in order: the first would have come before the second.
-    assert_eq!(stays.read().expect("an answer").status, 200);
-    let came: Vec<String> = slow.log().parts.into_iter().map(|part| part.id).collect();
-    assert_eq!(came, ["q2.3"]);
+    // Parts are written in order: the first would have arrived before the second.
+    assert_eq!(remaining.read().expect("an answer").status, 200);
+    let received: Vec<String> = slow.log().parts.into_iter().map(|part| part.id).collect();
+    assert_eq!(received, ["q2.3"]);
 }
 
-/// The same while the part waits for a cold searcher's turn.
+/// The client disconnects while its part waits for a slot at a cold searcher.
 #[rstest]
-#[case::nothing_behind(0)]
-#[case::with_bytes_unread(AHEAD)]
-fn nothing_begins_for_a_client_that_went_while_its_part_waited_for_a_cold_searcher(
-    #[case] behind: usize,
+#[case::no_unread_bytes(0)]
+#[case::unread_bytes(UNREAD_BYTES)]
+fn no_attempt_starts_for_a_client_that_disconnected_while_its_part_waited_for_a_cold_searcher(
+    #[case] unread: usize,
 ) {
     let world = World::start(Setup {
         searchers: 1,
@@ -254,49 +257,50 @@
     world.discovery.tell(2, true, vec![cold]);
     world.discovery.told(2);
     let mut clients: Vec<Client> = (0..4).map(|_| world.client()).collect();
-    // One has the turn, the others wait for theirs.
+    // One part is sent, the others wait.
     for (i, client) in clients.iter_mut().enumerate() {
         client.write(&request(&format!("q{i}"), &body(&[3])));
     }
     world.until(|| !world.sends("q").is_empty());
-    let turn = world.sends("q")[0].1.id.clone();
-    let (mut went, mut stays) = (Vec::new(), None);
+    let served_first = world.sends("q")[0].1.id.clone();
+    let (mut disconnected, mut remaining) = (Vec::new(), None);
     for (i, mut client) in clients
         .into_iter()
         .enumerate()
-        .filter(|(i, _)| turn != format!("q{i}.3"))
+        .filter(|(i, _)| served_first != format!("q{i}.3"))
     {
-        if stays.is_none() {
-            stays = Some(client);
+        if remaining.is_none() {
+            remaining = Some(client);
             continue;
         }
-        if behind > 0 {
-            client.write(&bytes_behind(behind));
+        if unread > 0 {
+            client.write(&bytes_after_request(unread));
         }
-        went.push(format!("q{i}.3"));
+        disconnected.push(format!("q{i}.3"));
     }
-    // One that stays has its turn after them, unless the gate gives it up.
-    let gone = Instant::now();
-    let answer = stays.expect("a client").read().expect("an answer");
+    // A part whose client remains is sent after it, unless the gate rejects it.
+    let disconnected_at = Instant::now();
+    let answer = remaining.expect("a client").read().expect("an answer");
     assert!(matches!(answer.status, 200 | 503), "{answer:?}");
     let late: Vec<_> = world
         .sends("q")
         .into_iter()
-        .filter(|(_, p)| went.contains(&p.id))
+        .filter(|(_, p)| disconnected.contains(&p.id))
         .collect();
     assert!(
         late.iter()
-            .all(|(_, p)| p.at < gone + Duration::from_millis(100)),
+            .all(|(_, p)| p.at < disconnected_at + Duration::from_millis(100)),
         "{late:?}"
     );
 }
 
-/// An answer that closes its connection while the client's bytes lie unread: the close once reset the connection, and
-/// the answer could be lost with it. What comes after the write side was shut is read, and not sent on.
+/// A response closes its connection while bytes of the client are unread: closing the socket would reset the
+/// connection, and the response could be lost. Data that arrives after the write side is shut down is read, but not
+/// forwarded.
 #[rstest]
-fn the_last_answer_survives_unread_bytes_and_what_follows_is_not_sent_on() {
+fn the_last_answer_survives_unread_bytes_and_later_requests_are_not_forwarded() {
     let mut world = World::start(Setup::default());
-    let (mut busy, mut rests) = (world.client(), world.client());
+    let (mut busy, mut idle) = (world.client(), world.client());
     world.all_do(|part| {
         if part.id.starts_with("q0") {
             Act::Good
@@ -304,13 +308,13 @@
             Act::Held
         }
     });
-    assert_eq!(rests.ask("q0", &[1]).status, 200);
+    assert_eq!(idle.ask("q0", &[1]).status, 200);
     busy.write(&request("q1", &body(&[3])));
     world.until(|| !world.sends("q1").is_empty());
     world.terminate();
-    assert_eq!(rests.end().expect("a clean end"), 0);
-    // From here on it closes with each answer. Some of this, a head without an end, stays unread.
-    busy.write(format!("POST /look HTTP/1.1\r\nX: {}", "x".repeat(AHEAD)).as_bytes());
+    assert_eq!(idle.end().expect("a clean end"), 0);
+    // From here on every response closes its connection. Part of this head without an end stays unread.
+    busy.write(format!("POST /look HTTP/1.1\r\nX: {}", "x".repeat(UNREAD_BYTES)).as_bytes());
     world
         .searchers
         .iter()
@@ -321,39 +325,38 @@
         (200, "close")
     );
     assert_eq!(busy.end().expect("a clean end"), 0);
-    // The write side is shut: this is read, if at all, to be dropped. Had the connection been reset, nothing could be
-    // written on it.
+    // The write side is shut down: this is read at most to be discarded. After a reset, writing would fail.
     assert!(
         busy.try_write(&request("late", &body(&[4]))),
-        "it was reset"
+        "the connection was reset"
     );
-    rests.try_write(&request("late", &body(&[5])));
+    idle.try_write(&request("late", &body(&[5])));
     assert!(world.ended().success());
     assert!(world.sends("late").is_empty());
 }
 
-/// The moment in which unused connections are closed passes while the mixer stands still: what came meanwhile, on a
-/// resting connection and on one that only the system has accepted, was taken and gets its answer.
+/// Idle connections are closed while the mixer is stalled: requests that arrived meanwhile, on an idle connection
+/// and on one that is still in the backlog, count as accepted and are answered.
 #[rstest]
-fn what_crossed_the_close_of_a_process_that_ends_is_answered() {
+fn requests_that_cross_the_close_during_shutdown_are_answered() {
     let mut world = World::start(Setup {
         deadline_ms: 300,
         ..Setup::default()
     });
-    let mut rests = world.client();
-    assert_eq!(rests.ask("q0", &[1]).status, 200);
+    let mut idle = world.client();
+    assert_eq!(idle.ask("q0", &[1]).status, 200);
     world.terminate();
     world.until(|| world.get("/up").status != 200);
     let mut new = None;
     world.meanwhile(|| {
-        rests.write(&request("q1", &body(&[1])));
+        idle.write(&request("q1", &body(&[1])));
         let mut client = world.client();
         client.write(&request("q2", &body(&[2])));
         new = Some(client);
-        // It closes half a second after it was told.
+        // Idle connections are closed half a second after the stop request.
         std::thread::sleep(Duration::from_millis(600));
     });
-    let answers = [rests.read(), new.expect("a client").read()];
+    let answers = [idle.read(), new.expect("a client").read()];
     assert!(
         answers.iter().all(|a| a
             .as_ref()
@@ -363,42 +366,43 @@
     assert!(world.ended().success());
 }
 
-/// With short deadlines a process that is told to end is killed soon; new connections come for 0.4 s all the same, and
-/// those were once refused at once.
+/// With short deadlines a stopped process is killed soon, but new connections arrive for 0.4 s all the same and
+/// must not be refused.
 #[rstest]
-fn with_short_deadlines_it_serves_on_as_long_as_new_connections_come() {
+fn with_short_deadlines_it_keeps_serving_while_new_connections_may_arrive() {
     let mut world = World::start(Setup {
         deadline_ms: 300,
         ..Setup::default()
     });
     world.terminate();
-    let told = Instant::now();
+    let stop_requested = Instant::now();
     world.until(|| world.get("/up").status != 200);
-    while told.elapsed() < Duration::from_millis(400) {
+    while stop_requested.elapsed() < Duration::from_millis(400) {
         assert_eq!(
             world
                 .client()
-                .ask(&format!("q{}", told.elapsed().as_nanos()), &[1])
+                .ask(&format!("q{}", stop_requested.elapsed().as_nanos()), &[1])
                 .status,
             200
         );
     }
-    // What is in hand at the end is given up before it would be killed.
+    // Multigets in flight at the end are given up before the process would be killed.
     world.all_do(|_| Act::Silent);
     let mut stuck = world.client();
     stuck.write(&request("s", &body(&[1])));
     assert_eq!(stuck.read().expect("an answer").status, 503);
     assert!(world.ended().success());
     assert!(
-        told.elapsed() < Duration::from_millis(1_000),
-        "it ends after {:?}",
-        told.elapsed()
+        stop_requested.elapsed() < Duration::from_millis(1_000),
+        "exited after {:?}",
+        stop_requested.elapsed()
     );
 }
 
-/// Bytes lie in the system's buffer when a connection between two requests is closed, and nobody was told of them yet.
+/// Bytes are in the kernel buffer when a connection is closed between two requests, and no wake-up has reported
+/// them yet.
 #[rstest]
-fn bytes_that_nobody_was_told_of_yet_are_read_before_a_close() {
+fn bytes_that_arrived_without_a_wake_up_are_read_before_a_close() {
     actix_rt::System::new().block_on(async {
         let listener = clients::listen("127.0.0.1:0".parse().expect("an address"))
             .await
@@ -407,7 +411,7 @@
         let (stream, _) = listener.accept().await.expect("a connection");
         let mut stream = ClientStream::new(stream);
         let connections = Connections::default();
-        connections.add(stream.usage.clone());
+        connections.add(stream.state.clone());
         let mut bytes = [0; 64];
         let mut read = ReadBuf::new(&mut bytes);
         poll_fn(|cx| Poll::Ready(Pin::new(&mut stream).poll_read(cx, &mut read).is_pending()))
@@ -417,7 +421,7 @@
         let ended =
             poll_fn(|cx| Poll::Ready(Pin::new(&mut stream).poll_read(cx, &mut read).is_ready()))
                 .await;
-        assert!(!ended, "it was closed over unread bytes");
+        assert!(!ended, "closed with unread bytes");
         poll_fn(|cx| Pin::new(&mut stream).poll_read(cx, &mut read))
             .await
             .expect("bytes");
@@ -425,10 +429,10 @@
     });
 }
 
-/// A repeat of a deduped part waits for its connection until the window in which it would be dropped has passed: it
-/// must not leave any more, and what nothing more can come of is answered at once. It left once the connection came up.
+/// A repeat of a deduplicated part waits for its connection until its deduplication window has passed: it must not
+/// be written when the connection comes up, and the multiget, which can get no further answer, is answered at once.
 #[rstest]
-fn a_repeat_never_leaves_after_its_window() {
+fn a_repeat_is_never_written_after_its_window() {
     let (slow, unclog) = Searcher::clogged("s9");
     let window_ms = 800;
     let setup = Setup {
@@ -457,7 +461,7 @@
     world.until(|| first.elapsed() > Duration::from_millis(window_ms));
     unclog();
     assert_eq!(client.read().expect("an answer").status, 500);
-    // Another's part takes the same way.
+    // A part of another multiget uses the same connection.
     world.discovery.tell(
         4,
         true,
@@ -472,11 +476,12 @@
     );
 }
 
-/// The window runs from the first byte of whichever of its sends leaves first, and begins anew where none can have run.
+/// The window starts with the first byte of whichever send is written first, and restarts if none can have been
+/// executed.
 #[rstest]
-fn a_window_runs_from_the_first_send_that_leaves() {
-    let (window, began) = (DedupWindow::new(Duration::from_millis(200)), Instant::now());
-    let after = |ms| began + Duration::from_millis(ms);
+fn a_window_starts_with_the_first_send_that_is_written() {
+    let (window, started) = (DedupWindow::new(Duration::from_millis(200)), Instant::now());
+    let after = |ms| started + Duration::from_millis(ms);
     assert_eq!(window.permission(after(500)), Permission::Send);
     assert_eq!(
         window.permission(after(600)),
@@ -491,16 +496,16 @@
     );
 }
 
-/// A repeat whose frame is stuck half written as its window ends is broken off: it never arrives whole.
+/// A repeat that is partly written when its window ends is aborted: it never arrives completely.
 #[rstest]
-fn a_repeat_that_is_stuck_half_written_is_broken_off_with_its_window() {
+fn a_partly_written_repeat_is_aborted_at_the_end_of_its_window() {
     on_connections(
         Setup::default(),
         async move |searcher, searchers, arrivals| {
             searcher.reads(false);
             let (to, id) = (SearcherId::new("s0"), PartId::new("q.1"));
-            let by = Instant::now() + Duration::from_millis(200);
-            // More than the system holds between two ends.
+            let deadline = Instant::now() + Duration::from_millis(200);
+            // More than the socket buffers of both sides hold.
             let text = vec![b'x'; 16 << 20].into();
             let part = CallPart {
                 id,
@@ -513,15 +518,15 @@
                 searchers
                     .send(
                         &to,
-                        vec![(1, part, Rc::new(move || Permission::SendBy(by)))]
+                        vec![(1, part, Rc::new(move || Permission::SendBy(deadline)))]
                     )
                     .is_ok()
             );
-            let arrival = tokio::time::timeout(LONG, arrivals.recv())
+            let event = tokio::time::timeout(LONG, arrivals.recv())
                 .await
-                .expect("it is broken off");
+                .expect("the connection is aborted");
             assert!(
-                matches!(arrival, Some(RouterEvent::SendEnded(ended)) if ended.outcome == Outcome::NoConnection)
+                matches!(event, Some(RouterEvent::SendEnded(ended)) if ended.outcome == Outcome::NoConnection)
             );
             searcher.reads(true);
             searcher.until(|log| log.closed == 1);
@@ -530,17 +535,17 @@
     );
 }
 
-/// What becomes of a part whose connection ends at each point of its way: known never to have run until its last byte
-/// was written, maybe run from then on. A connection that comes up late or never, is refused, or is reset long after.
+/// The outcome of a part whose connection ends at each stage: known not to have run until its last byte is written,
+/// possibly run from then on. Covers connections that are refused, come up late or never, or are reset long after.
 #[rstest]
-fn known_never_ran_and_may_have_run_are_told_apart() {
+fn parts_that_never_ran_are_distinguished_from_parts_that_may_have_run() {
     on_connections(
         Setup {
             connect_ms: 300,
             ..Setup::default()
         },
         async move |searcher, searchers, arrivals| {
-            let (to, slow, nobody) = (
+            let (to, slow, unreachable) = (
                 SearcherId::new("s0"),
                 SearcherId::new("s1"),
                 SearcherId::new("s2"),
@@ -551,21 +556,21 @@
                     .await
                 {
                     Some(RouterEvent::SendEnded(ended)) => ended.outcome,
-                    _ => panic!("an end"),
+                    _ => panic!("expected the end of a send"),
                 };
-            // Nobody listens; the connection does not come up in time.
-            let port = std::net::TcpListener::bind("127.0.0.1:0")
+            // No listener; then a connection that does not come up in time.
+            let unused_port = std::net::TcpListener::bind("127.0.0.1:0")
                 .expect("a port")
                 .local_addr()
-                .expect("one");
+                .expect("an address");
             searchers.set_address(
                 &up("s2"),
                 Place {
-                    address: port,
+                    address: unused_port,
                     http2: false,
                 },
             );
-            assert!(searchers.send(&nobody, call(1)).is_ok());
+            assert!(searchers.send(&unreachable, call(1)).is_ok());
             assert_eq!(ended(arrivals).await, Outcome::NoConnection);
             let (clogged, unclog) = std::thread::spawn(|| Searcher::clogged("s1"))
                 .join()
@@ -579,7 +584,7 @@
             );
             assert!(searchers.send(&slow, call(2)).is_ok());
             assert_eq!(ended(arrivals).await, Outcome::NoConnection);
-            // It comes up after all: nothing arrives on it, nor on one that follows, but what is sent then.
+            // It comes up after all: only what is sent from then on arrives, on it or on a later connection.
             unclog();
             let mut sent = 3;
             while {
@@ -588,20 +593,20 @@
             } {
                 sent += 1;
             }
-            let came: Vec<String> = clogged
+            let received: Vec<String> = clogged
                 .log()
                 .parts
                 .into_iter()
                 .map(|part| part.id)
                 .collect();
-            assert_eq!(came, [format!("q.{sent}")]);
-            // Reset once the frame is whole, at once and with half an answer.
+            assert_eq!(received, [format!("q.{sent}")]);
+            // Reset once the frame is complete, at once and after half an answer.
             for act in [Act::Break, Act::HalfAnswer] {
                 searcher.does(move |_| act);
                 assert!(searchers.send(&to, call(4)).is_ok());
                 assert_eq!(ended(arrivals).await, Outcome::Broken, "{act:?}");
             }
-            // Reset long after, with the answer held.
+            // Reset long after, with the answer held back.
             searcher.does(|_| Act::Held);
             assert!(searchers.send(&to, call(5)).is_ok());
             while searcher.log().parts.len() < 3 {
@@ -613,16 +618,19 @@
     );
 }
 
-/// Twenty and thirty processes told at one instant of a searcher that starts cold and that alone is left, each with a
-/// request for it: all that they send stays within the budget of each window and what is put down to chance.
+/// Twenty and thirty processes learn at the same moment of a searcher that starts cold and is the only one left,
+/// each with a request for it: the total of their sends must stay within the budget of each window, plus a
+/// statistical tolerance.
 #[rstest]
 #[case::twenty(20)]
 #[case::thirty(30)]
-fn a_cold_searcher_is_not_pushed_over_by_many_processes(#[case] mixers: usize) {
-    // A warm searcher does one part at a time, in 100 ms.
-    const TAKES: Duration = Duration::from_millis(100);
+fn a_cold_searcher_is_not_overloaded_by_many_processes(#[case] mixers: usize) {
+    // A warm searcher executes one part at a time, in 100 ms.
+    const SERVICE_TIME: Duration = Duration::from_millis(100);
     let searchers = [Searcher::start("s0"), Searcher::start("s1")];
-    searchers.iter().for_each(|s| s.does(|_| Act::After(TAKES)));
+    searchers
+        .iter()
+        .for_each(|s| s.does(|_| Act::After(SERVICE_TIME)));
     let warm = vec![line(&searchers[0], 0, "active")];
     let discovery = Discovery::start(warm.clone());
     let processes: Vec<Mixer> = (0..mixers)
@@ -636,7 +644,7 @@
             Mixer::start(&config, None, true)
         })
         .collect();
-    // What a part takes is known to all but every fourth, which have just restarted.
+    // All processes but every fourth, which have just restarted, know the service time of a part.
     for mixer in processes
         .iter()
         .enumerate()
@@ -662,8 +670,8 @@
             200 | 503
         ));
     }
-    // The settings: a fifth of the capacity at the start, four times of which is allowed in a second; by the end of
-    // the first seconds it has grown.
+    // By the settings, a fifth of the capacity at the start, four times of which is allowed in a second; the
+    // capacity grows during the first seconds.
     let sends: Vec<Instant> = searchers[1]
         .log()
         .parts
@@ -677,7 +685,7 @@
             .take_while(|at| at.duration_since(*first) < Duration::from_secs(1))
             .count();
         let capacity = 0.2 + 0.8 * first.duration_since(sends[0]).as_secs_f64() / 9.0;
-        let budget = 4.0 * capacity / TAKES.as_secs_f64();
+        let budget = 4.0 * capacity / SERVICE_TIME.as_secs_f64();
         assert!(
             within as f64 <= budget + 2.0 * budget.sqrt() + 2.0,
             "{within} sends in a window for {budget}"
@@ -685,26 +693,26 @@
     }
 }
 
-/// All names and numbers, each with its place.
-fn leaves(at: &str, value: &Value, into: &mut Vec<(String, Value)>) {
+/// Collects all strings and numbers with their paths.
+fn collect_leaves(path: &str, value: &Value, leaves_found: &mut Vec<(String, Value)>) {
     match value {
         Value::Object(all) => all
             .iter()
-            .for_each(|(key, value)| leaves(&format!("{at}/{key}"), value, into)),
+            .for_each(|(key, value)| collect_leaves(&format!("{path}/{key}"), value, leaves_found)),
         Value::Array(all) => {
             all.iter()
                 .enumerate()
-                .for_each(|(i, value)| leaves(&format!("{at}/{i}"), value, into));
+                .for_each(|(i, value)| collect_leaves(&format!("{path}/{i}"), value, leaves_found));
         }
-        Value::Number(_) | Value::String(_) => into.push((at.to_owned(), value.clone())),
+        Value::Number(_) | Value::String(_) => leaves_found.push((path.to_owned(), value.clone())),
         _ => {}
     }
 }
 
-/// Another customer's settings: every name and figure of the example differs, and so does what they allow. Nothing of
-/// the example holds here, and the mixer serves.
+/// Settings of another customer: every name and number differs from the example, and so does what they allow. The
+/// mixer must serve without relying on any value of the example.
 #[rstest]
-fn it_serves_on_settings_that_have_nothing_in_common_with_the_example() {
+fn it_serves_with_settings_that_have_nothing_in_common_with_the_example() {
     let example: Value =
         serde_json::from_str(include_str!("../../../examples/config.json")).expect("the example");
     let searchers: Vec<_> = (0..2).map(|i| Searcher::start(&format!("z{i}"))).collect();
@@ -740,11 +748,14 @@
                 "ask_every_us": 900_000, "look_back_us": 5_000_000, "spare_attempts": 1.0, "extra_ratio": 0.1 },
         },
     });
-    let (mut theirs, mut ours) = (Vec::new(), Vec::new());
-    leaves("", &example, &mut theirs);
-    leaves("", &config, &mut ours);
-    let same: Vec<_> = theirs.iter().filter(|leaf| ours.contains(leaf)).collect();
-    assert!(same.is_empty(), "as in the example: {same:?}");
+    let (mut example_leaves, mut config_leaves) = (Vec::new(), Vec::new());
+    collect_leaves("", &example, &mut example_leaves);
+    collect_leaves("", &config, &mut config_leaves);
+    let common: Vec<_> = example_leaves
+        .iter()
+        .filter(|leaf| config_leaves.contains(leaf))
+        .collect();
+    assert!(common.is_empty(), "as in the example: {common:?}");
     let mixer = Mixer::start(&config, None, false);
     until(|| mixer.get("/up").status == 200);
     let ask = |op_type: &str, tenant: &str, id: &str, shards: &[usize]| {
@@ -757,7 +768,7 @@
         );
         client.read().expect("an answer")
     };
-    // Second steps of one and of two parts, at their own holders.
+    // Second steps of one and of two parts, at the searchers that hold them.
     assert_eq!(ask("tally", "zed", "a", &[0, 1, 2]).values().len(), 1);
     assert_eq!(ask("scan", "yod", "b", &[3, 4, 5]).values().len(), 2);
     for searcher in &searchers {
@@ -772,7 +783,7 @@
             searcher.log().parts
         );
     }
-    // What the example names is not known here, nor is a shard beyond these.
+    // Names of the example are unknown here, and so is a shard out of range.
     assert_eq!(ask("lookup", "zed", "c", &[0]).status, 404);
     assert_eq!(ask("tally", "acme", "d", &[0]).status, 400);
     assert_eq!(ask("tally", "zed", "e", &[6]).status, 400);
@@ -780,18 +791,15 @@
     discovery.told(2);
 }
 
-/// A mixer that starts again is ready at once by the list it held, whatever discovery does, and with many searchers.
+/// A restarted mixer is ready at once by the list it had, whatever discovery does, and with many searchers.
 #[rstest]
 #[case::discovery_is_up(Some(Says::Lists), 3)]
 #[case::with_200_searchers(Some(Says::Lists), 200)]
-#[case::discovery_says_nothing(Some(Says::Nothing), 3)]
-#[case::discovery_errs(Some(Says::Errors), 200)]
+#[case::discovery_is_silent(Some(Says::Nothing), 3)]
+#[case::discovery_fails(Some(Says::Errors), 200)]
 #[case::discovery_is_slow(Some(Says::Late(Duration::from_millis(1_500))), 200)]
 #[case::discovery_is_down(None, 200)]
-fn a_mixer_that_starts_again_is_ready_in_time(
-    #[case] says: Option<Says>,
-    #[case] searchers: usize,
-) {
+fn a_restarted_mixer_is_ready_in_time(#[case] says: Option<Says>, #[case] searchers: usize) {
     let one = Searcher::start("s");
     let lines: Vec<Value> = (0..searchers)
         .map(|i| {
@@ -811,13 +819,13 @@
         "limits": { "sockets": setup.sockets, "memory_mb": setup.memory_mb }, "settings": settings(&setup),
         "known": { "index": 1, "snapshot": true, "endpoints": lines },
     });
-    let began = Instant::now();
+    let started = Instant::now();
     let mixer = Mixer::start(&config, None, false);
     until(|| mixer.get("/up").status == 200);
     assert!(
-        began.elapsed() < Duration::from_secs(10),
+        started.elapsed() < Duration::from_secs(10),
         "ready after {:?}",
-        began.elapsed()
+        started.elapsed()
     );
     let mut client = mixer.client();
     for i in 0..20 {
@@ -825,12 +833,12 @@
     }
 }
 
-/// Clients send on every connection that stays open until the process is gone, while one of three searchers hangs: what
-/// was sent on for gets its one final answer, and what got none was never sent on.
+/// Clients send on every connection that stays open until the process has exited, while one of three searchers
+/// hangs: a forwarded request gets exactly one final answer, and an unanswered one was never forwarded.
 #[rstest]
 #[case::usual_deadlines(5_000)]
 #[case::short_deadlines(400)]
-fn requests_that_arrive_until_the_end_are_answered_or_never_sent_on(#[case] deadline_ms: u64) {
+fn requests_that_arrive_during_shutdown_are_answered_or_never_forwarded(#[case] deadline_ms: u64) {
     let mut world = World::start(Setup {
         deadline_ms,
         ..Setup::default()
@@ -874,7 +882,7 @@
     for id in unanswered {
         assert!(
             world.sends(&format!("{id}.")).is_empty(),
-            "{id} was sent on and got no answer"
+            "{id} was forwarded and got no answer"
         );
     }
 }
