--- a/crates/lockusher-aggregator/tests/connections/mod.rs
+++ b/crates/lockusher-aggregator/tests/connections/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to one searcher without a router, for stories.
+//! Runs tests on connections to one searcher, without a router.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 use lockusher_policy::interface::*;
 use serde_json::json;
 
-/// A part as the router hands it over, by its shard.
+/// A call with one part, as the router passes it to the transport.
 pub fn call(shard: usize) -> Vec<OutgoingPart> {
     let (id, wait) = (PartId::new(&format!("q.{shard}")), Span::from_millis(4_000));
     vec![(
@@ -30,7 +30,7 @@
     )]
 }
 
-/// A line of the list for a searcher that is up.
+/// A list entry of a searcher that is up.
 pub fn up(id: &str) -> Listed {
     let (id, state) = (SearcherId::new(id), SearcherState::Up);
     Listed {
@@ -43,10 +43,10 @@
     }
 }
 
-/// Connections to one searcher without a router.
+/// Runs a test on connections to one searcher, without a router.
 pub fn on_connections(
     setup: Setup,
-    story: impl AsyncFnOnce(
+    test: impl AsyncFnOnce(
         &Searcher,
         &mut FrameTransport,
         &mut tokio::sync::mpsc::Receiver<RouterEvent>,
@@ -68,6 +68,6 @@
                 http2: false,
             },
         );
-        story(&searcher, &mut searchers, &mut arrivals).await;
+        test(&searcher, &mut searchers, &mut arrivals).await;
     });
 }
--- a/crates/lockusher-aggregator/tests/platform.rs
+++ b/crates/lockusher-aggregator/tests/platform.rs
@@ -1,6 +1,6 @@
-//! What the platform allows the mixer that `run` starts, as the system sees the running program: the line ends by
-//! `exec` in one process linked against the C library; its sockets are TCP and UDP over IPv4 alone; it starts no
-//! other program; when there is nothing to do every thread waits. The standing test refuses each of these otherwise.
+//! Tests the platform's rules on the running program that `run` starts: the command ends by `exec` in one process
+//! linked against the C library; its sockets are TCP and UDP over IPv4 only; it starts no other program; when idle,
+//! every thread blocks. The platform's acceptance test rejects violations of each.
 
 use std::fs;
 
@@ -12,7 +12,7 @@
 const DEPLOY: &str = include_str!("../../../deploy/balancer.toml");
 
 /// The quoted value of `key = "..."` in the deploy file.
-fn deployed(key: &str) -> &'static str {
+fn deploy_value(key: &str) -> &'static str {
     let line = DEPLOY
         .lines()
         .find(|l| l.split('=').next().is_some_and(|k| k.trim() == key));
@@ -27,25 +27,33 @@
 }
 
 #[test]
-fn run_hands_its_process_to_the_mixer_and_switches_nothing_on() {
-    let words: Vec<&str> = deployed("run").split_whitespace().collect();
-    // A shell left waiting would be a second process; settings named here would switch on the registry or HTTP/2.
-    assert_eq!(words.first(), Some(&"exec"), "{words:?}");
-    assert_eq!(words.get(1), Some(&"target/release/lockusher"), "{words:?}");
+fn the_run_command_execs_the_mixer_without_optional_features() {
+    let arguments: Vec<&str> = deploy_value("run").split_whitespace().collect();
+    // A shell that stays would be a second process; settings named here would enable the registry or HTTP/2.
+    assert_eq!(arguments.first(), Some(&"exec"), "{arguments:?}");
+    assert_eq!(
+        arguments.get(1),
+        Some(&"target/release/lockusher"),
+        "{arguments:?}"
+    );
     assert!(
-        !words
+        !arguments
             .iter()
-            .any(|w| w.starts_with("--settings") || w.contains('&') || w.contains(';')),
-        "{words:?}"
+            .any(|argument| argument.starts_with("--settings")
+                || argument.contains('&')
+                || argument.contains(';')),
+        "{arguments:?}"
     );
 }
 
-/// Tokio's signal handling once held a pair of Unix sockets here: `socket 71019 is not TCP or UDP over IPv4: unix`.
+/// Guards against tokio's signal handling, which holds a pair of Unix sockets: `socket 71019 is not TCP or UDP over
+/// IPv4: unix`.
 #[test]
-fn the_serving_mixer_is_one_waiting_process_on_ipv4_sockets() {
-    let exe = fs::read(env!("CARGO_BIN_EXE_lockusher")).expect("the program is built");
-    let interp = interpreter(&exe).expect("linked dynamically: a program interpreter is named");
-    assert!(interp.contains("ld-linux"), "{interp}");
+fn the_serving_mixer_is_one_blocking_process_with_ipv4_sockets_only() {
+    let executable = fs::read(env!("CARGO_BIN_EXE_lockusher")).expect("the program is built");
+    let interpreter_path =
+        interpreter(&executable).expect("linked dynamically: a program interpreter is named");
+    assert!(interpreter_path.contains("ld-linux"), "{interpreter_path}");
 
     let world = World::start(Setup::default());
     let mut client = world.client();
@@ -63,19 +71,19 @@
             .any(|l| l.contains("/libc.so") || l.contains("/libc-")),
         "the C library is loaded"
     );
-    let held = sockets(pid);
-    // Its listener, discovery and at least one searcher.
-    assert!(held.len() >= 3, "{held:?}");
-    for inode in &held {
+    let open_sockets = sockets(pid);
+    // The listener, discovery and at least one searcher.
+    assert!(open_sockets.len() >= 3, "{open_sockets:?}");
+    for inode in &open_sockets {
         let kinds = kinds(pid, inode);
         assert!(
             kinds == ["tcp"] || kinds == ["udp"],
             "socket {inode} is not TCP or UDP over IPv4: {kinds:?}"
         );
-        // Mixers talk to each other by datagrams, and without the operator's word not at all.
+        // Mixers exchange datagrams only if the operator enables it.
         assert!(
             kinds != ["udp"],
-            "socket {inode} speaks UDP though no fleet is set"
+            "socket {inode} is UDP although no fleet is configured"
         );
     }
     assert_eq!(
@@ -83,7 +91,7 @@
         Vec::<String>::new(),
         "it starts no other program"
     );
-    // With nothing to do, every thread waits at once: one that spins would never let this hold.
+    // When idle, all threads must block at the same time; a spinning one would never let this hold.
     world.until(|| states(pid).iter().all(|s| matches!(s, 'S' | 'D')));
     assert!(!states(pid).is_empty());
 }
--- a/crates/lockusher-aggregator/tests/settings.rs
+++ b/crates/lockusher-aggregator/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The operator's settings: what is read, and which line and key a fault names.
+//! Tests of the operator's settings: what is read, and which line and key an error names.
 
 use lockusher_aggregator::operator::{Level, OperatorSettings, parse};
 use lockusher_aggregator::transport::protocol_selection::matches;
@@ -6,12 +6,12 @@
 use lockusher_registry_client::core::follow::Protocol;
 use rstest::rstest;
 
-const GOOD: &str = include_str!("../../../deploy/settings.txtpb");
+const EXAMPLE: &str = include_str!("../../../deploy/settings.txtpb");
 
 #[rstest]
-fn the_example_is_good_and_nothing_is_on_without_it() {
-    let read = parse(GOOD).expect("the example");
-    let plan = read.registry.expect("a registry");
+fn the_example_is_valid_and_everything_is_off_by_default() {
+    let settings = parse(EXAMPLE).expect("the example");
+    let plan = settings.registry.expect("a registry");
     assert_eq!(
         (plan.protocol, plan.endpoints.len(), plan.page),
         (Protocol::Etcd, 3, 1_000)
@@ -20,7 +20,7 @@
         (plan.silent_after, plan.stale),
         (Span::from_millis(3_000), None)
     );
-    let http2 = read.http2.expect("hosts by HTTP/2");
+    let http2 = settings.http2.expect("HTTP/2 settings");
     assert_eq!(
         (
             http2.select_by_registry_entry,
@@ -29,19 +29,20 @@
         ),
         (true, true, 128)
     );
-    let fleet = read.fleet.expect("a view of the fleet");
+    let fleet = settings.fleet.expect("fleet settings");
     assert_eq!((fleet.advertise, fleet.seeds.len()), (fleet.address, 2));
     assert_eq!(parse("# nothing\n"), Ok(OperatorSettings::default()));
     assert_eq!(
-        parse("log { level: WARN form: JSON }").map(|o| (o.json_logs, o.level)),
+        parse("log { level: WARN form: JSON }")
+            .map(|settings| (settings.json_logs, settings.level)),
         Ok((true, Level::Warn))
     );
 }
 
 #[rstest]
-#[case::no_such_key(4, "  endpints: \"a:1\"", 4, "endpints")]
+#[case::an_unknown_key(4, "  endpints: \"a:1\"", 4, "endpints")]
 #[case::a_word_for_a_number(14, "  page: many", 14, "expected an integer")]
-#[case::not_closed(35, "", 35, "reached end of input")]
+#[case::an_unclosed_block(35, "", 35, "reached end of input")]
 #[case::no_fleet_id(30, "", 29, "fleet.id: missing")]
 #[case::no_fleet_address(31, "", 29, "fleet.address: missing")]
 #[case::a_name_for_an_address(
@@ -50,21 +51,21 @@
     31,
     "fleet.address: \"here:7946\" is not an IPv4"
 )]
-#[case::nowhere(31, "  address: \"0.0.0.0:7946\"", 31, "that can be reached")]
-#[case::a_seed_twice(
+#[case::an_unspecified_address(31, "  address: \"0.0.0.0:7946\"", 31, "that can be reached")]
+#[case::a_duplicate_seed(
     33,
     "  seeds: \"127.0.0.1:7946\"",
     33,
     "fleet.seeds: \"127.0.0.1:7946\" is named twice"
 )]
-#[case::no_time_to_refute(
+#[case::a_suspicion_timeout_below_two_probe_intervals(
     34,
     "  suspect_for_ms: 300",
     34,
     "fleet.suspect_for_ms: 300 leaves no time"
 )]
 #[case::nothing_shared(34, "  shared { }", 34, "fleet.shared: names nothing")]
-#[case::a_budget_of_nothing(
+#[case::a_budget_of_zero(
     34,
     "  shared { budgets { cold_per_s: 0 } }",
     34,
@@ -76,19 +77,19 @@
     34,
     "probes_per_s: NaN is not above 0"
 )]
-#[case::nobody_to_share_with(
+#[case::a_fleet_of_no_mixers(
     34,
     "  shared { budgets { tenants: true mixers: 0 } }",
     34,
     "budgets.mixers: 0 is not between"
 )]
-#[case::too_eager(
+#[case::a_probe_interval_below_the_minimum(
     34,
     "  probe_every_ms: 5",
     34,
     "fleet.probe_every_ms: 5 is not between 50 and"
 )]
-#[case::no_such_protocol(6, "  protocol: ZOOKEEPER", 6, "ZOOKEEPER")]
+#[case::an_unknown_protocol(6, "  protocol: ZOOKEEPER", 6, "ZOOKEEPER")]
 #[case::no_protocol(6, "", 5, "registry.protocol: missing")]
 #[case::not_host_and_port(
     8,
@@ -97,9 +98,9 @@
     "registry.endpoints: \"127.0.0.2\" is not HOST:PORT"
 )]
 #[case::a_url(8, "  endpoints: \"http://a:1\"", 8, "is not HOST:PORT")]
-#[case::named_twice(9, "  endpoints: \"127.0.0.1:2379\"", 9, "is named twice")]
+#[case::a_duplicate_endpoint(9, "  endpoints: \"127.0.0.1:2379\"", 9, "is named twice")]
 #[case::no_prefix(11, "", 5, "registry.prefix: missing")]
-#[case::too_short_a_silence(
+#[case::a_silence_timeout_below_the_minimum(
     13,
     "  silent_after_ms: 5",
     13,
@@ -115,19 +116,19 @@
     20,
     "http2.most_streams: 0 is not between 1 and"
 )]
-#[case::set_twice(14, "  prefix: \"b\"", 14, "prefix")]
-fn a_fault_names_its_line(
-    #[case] at: usize,
+#[case::a_duplicate_key(14, "  prefix: \"b\"", 14, "prefix")]
+fn an_error_names_its_line(
+    #[case] replaced_line: usize,
     #[case] text: &str,
     #[case] line: usize,
-    #[case] says: &str,
+    #[case] message: &str,
 ) {
-    let mut lines: Vec<&str> = GOOD.lines().collect();
-    lines[at - 1] = text;
-    let fault = parse(&lines.join("\n")).expect_err("a fault");
+    let mut lines: Vec<&str> = EXAMPLE.lines().collect();
+    lines[replaced_line - 1] = text;
+    let error = parse(&lines.join("\n")).expect_err("an error");
     assert!(
-        fault.line == line && fault.message.contains(says),
-        "{fault:?}"
+        error.line == line && error.message.contains(message),
+        "{error:?}"
     );
 }
 
@@ -138,6 +139,6 @@
 #[case("*", "", true)]
 #[case("roll", "roll-7", false)]
 #[case("**7", "27", true)]
-fn a_star_stands_for_any_letters(#[case] pattern: &str, #[case] id: &str, #[case] wanted: bool) {
-    assert_eq!(matches(pattern, id), wanted);
+fn a_star_matches_any_characters(#[case] pattern: &str, #[case] id: &str, #[case] expected: bool) {
+    assert_eq!(matches(pattern, id), expected);
 }
--- a/crates/lockusher-aggregator/tests/stories.rs
+++ b/crates/lockusher-aggregator/tests/stories.rs
@@ -1,4 +1,4 @@
-//! The mixer as its clients, searchers and discovery meet it.
+//! End-to-end tests of the mixer with clients, searchers and discovery.
 
 mod connections;
 
@@ -22,8 +22,8 @@
 }
 
 #[rstest]
-fn a_calm_multiget_is_answered_whole_with_its_text_unchanged() {
-    // Parts that may run once only: others are rightly sent again when they are late, as on a busy machine.
+fn a_multiget_is_answered_completely_and_its_text_is_forwarded_unchanged() {
+    // Non-retriable parts: others may be retried when they are late, as on a busy machine.
     let world = World::start(Setup {
         effect: "unsafe",
         ..Setup::default()
@@ -42,7 +42,7 @@
             .all(|(_, p)| p.text == "c41e77d0" && p.list.starts_with("d=")),
         "{sends:?}"
     );
-    // Many more on one connection: it is kept, as are those to searchers.
+    // Further requests reuse the client connection, and the connections to searchers.
     let mut client = world.client();
     for i in 0..20 {
         assert_eq!(client.ask(&format!("m{i}"), &[i, i + 1]).status, 200);
@@ -57,9 +57,10 @@
     );
 }
 
-/// Portions come rounded: three of 0.333333 once stayed under the least share, and all were pushed back.
+/// Portions are rounded in decimal notation: three of 0.333333 must not fall below the minimum share, or the
+/// multiget is pushed back.
 #[rstest]
-fn rounded_portions_make_a_whole() {
+fn rounded_portions_count_as_a_whole() {
     let world = World::start(Setup::default());
     let body = r#"{"ranges":[{"range":1,"portion":0.333333},{"range":2,"portion":0.333333},
         {"range":3,"portion":0.333333}],"predicate":"x"}"#;
@@ -72,7 +73,7 @@
 }
 
 #[rstest]
-fn a_body_may_come_in_chunks_and_byte_by_byte() {
+fn a_chunked_body_sent_byte_by_byte_is_read() {
     let world = World::start(Setup::default());
     let (text, mut client) = (body(&[5, 6]), world.client());
     let (first, second) = text.split_at(text.len() / 2);
@@ -81,28 +82,32 @@
         first.len(),
         second.len()
     );
-    let whole = format!(
+    let request_text = format!(
         "{}Transfer-Encoding: chunked\r\n\r\n{chunks}",
         head("q1", "4000000u")
     );
-    for byte in whole.as_bytes() {
+    for byte in request_text.as_bytes() {
         client.write(&[*byte]);
     }
     assert_eq!(
         client.read().expect("an answer").values(),
         values("q1", &[5, 6])
     );
-    assert_eq!(client.ask("q2", &[1]).status, 200, "the connection goes on");
+    assert_eq!(
+        client.ask("q2", &[1]).status,
+        200,
+        "the connection stays open"
+    );
 }
 
 #[rstest]
-fn the_second_step_goes_to_the_highest_scores_and_names_who_was_in() {
+fn the_second_step_goes_to_the_highest_scores_and_lists_the_answered_shards() {
     let world = World::start(Setup {
         second_step: 2,
         ..Setup::default()
     });
     let answer = world.client().ask("q1", &[9, 3, 5, 7]);
-    // Scores fall with the shard.
+    // Scores decrease with the shard number.
     let mut got = answer.values();
     got.sort();
     assert_eq!(got, [(3, "vq1.3.r".to_owned()), (5, "vq1.5.r".to_owned())]);
@@ -122,25 +127,25 @@
 
 #[rstest]
 #[case::error(Act::Bad)]
-#[case::turned_away(Act::Later)]
+#[case::rejected(Act::Later)]
 #[case::reset(Act::Break)]
 #[case::silence(Act::Silent)]
-#[case::a_frame_that_cannot_be_read(Act::Garbage)]
-#[case::a_frame_of_absurd_length(Act::Absurd)]
-#[case::told_that_a_frame_is_no_use(Act::Unusable)]
-#[case::a_frame_that_never_ends(Act::Endless)]
-#[case::an_answer_for_nobody(Act::OtherId)]
-#[case::an_end_that_is_none(Act::OtherEnd)]
-#[case::a_letter_that_is_none(Act::OtherLetter)]
-#[case::a_value_that_swallowed_a_frame(Act::Swallowing)]
+#[case::malformed_frame(Act::Garbage)]
+#[case::frame_of_invalid_length(Act::Absurd)]
+#[case::frame_rejected_by_the_searcher(Act::Unusable)]
+#[case::incomplete_frame(Act::Endless)]
+#[case::answer_to_an_unknown_part(Act::OtherId)]
+#[case::unknown_status(Act::OtherEnd)]
+#[case::unknown_frame_type(Act::OtherLetter)]
+#[case::value_containing_another_frame(Act::Swallowing)]
 fn a_part_that_fails_at_one_searcher_is_served_by_another(#[case] act: Act) {
-    // What was sent again is not late itself on a busy machine, as the target is far off.
+    // A distant target keeps retries from being late themselves on a busy machine.
     let world = World::start(Setup {
         promise_ms: 2_000,
         deadline_ms: 10_000,
         ..Setup::default()
     });
-    // The first searcher that any part comes to fails it; the others serve.
+    // The first searcher that receives a part fails it; the others serve.
     let first = std::sync::Arc::new(AtomicUsize::new(0));
     world.all_do(move |_| {
         if first.fetch_add(1, Ordering::SeqCst) == 0 {
@@ -156,10 +161,10 @@
 }
 
 #[rstest]
-#[case::turned_away_never_ran(Act::Later, true)]
+#[case::a_rejection_never_ran(Act::Later, true)]
 #[case::an_error_may_have_run(Act::Bad, false)]
 #[case::a_reset_may_have_run(Act::Break, false)]
-fn a_non_retriable_part_is_sent_again_only_if_it_never_ran(#[case] act: Act, #[case] again: bool) {
+fn a_non_retriable_part_is_retried_only_if_it_never_ran(#[case] act: Act, #[case] retried: bool) {
     let world = World::start(Setup {
         effect: "unsafe",
         ..Setup::default()
@@ -174,29 +179,29 @@
     });
     let answer = world.client().ask("q1", &[3]);
     let sends = world.sends("q1").len();
-    // What may have run is neither sent again nor pushed back: it fails, and that is no 429 or 503.
+    // A part that may have run is neither retried nor pushed back: it fails, with a status other than 429 or 503.
     assert_eq!(
         (answer.status, sends),
-        if again { (200, 2) } else { (500, 1) }
+        if retried { (200, 2) } else { (500, 1) }
     );
 }
 
-/// What was never written is known not to have run, even for a non-retriable part.
+/// A part that was never written is known not to have run, even if it is non-retriable.
 #[rstest]
-fn a_refused_connection_never_ran() {
+fn a_part_whose_connection_is_refused_is_known_not_to_have_run() {
     let world = World::start(Setup {
         effect: "unsafe",
         searchers: 1,
         ..Setup::default()
     });
-    // A port where nobody listens stands for two of the three.
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+    // A port without a listener stands for two of the three searchers.
+    let unused_port = std::net::TcpListener::bind("127.0.0.1:0")
         .expect("a port")
         .local_addr()
-        .expect("one");
+        .expect("an address");
     let dead = |name: &str, group| {
         let mut line = line(&world.searchers[0], group, "active");
-        (line["name"], line["address"]) = (name.into(), nobody.to_string().into());
+        (line["name"], line["address"]) = (name.into(), unused_port.to_string().into());
         line
     };
     let lines = vec![
@@ -213,15 +218,19 @@
     }
 }
 
-/// A spoilt answer ends its own send as failed, other parts as PROTOCOL says, and its connection is not used again;
-/// nor is its searcher taken for one that died and came back cold.
+/// A malformed answer fails its own part; other parts on the connection end as the protocol defines, the connection
+/// is not used again, and the searcher is not taken for one that died and restarted cold.
 #[rstest]
-#[case::noise(Act::Absurd, Outcome::Error, Outcome::Withdrawn)]
-#[case::an_end_that_is_none(Act::OtherEnd, Outcome::Error, Outcome::Withdrawn)]
-#[case::never_whole(Act::Endless, Outcome::Error, Outcome::Withdrawn)]
-#[case::for_nobody(Act::OtherId, Outcome::Error, Outcome::Withdrawn)]
+#[case::invalid_length(Act::Absurd, Outcome::Error, Outcome::Withdrawn)]
+#[case::unknown_status(Act::OtherEnd, Outcome::Error, Outcome::Withdrawn)]
+#[case::incomplete_frame(Act::Endless, Outcome::Error, Outcome::Withdrawn)]
+#[case::unknown_part(Act::OtherId, Outcome::Error, Outcome::Withdrawn)]
 #[case::a_broken_connection(Act::Break, Outcome::Broken, Outcome::Broken)]
-fn what_a_spoilt_answer_comes_to(#[case] act: Act, #[case] own: Outcome, #[case] other: Outcome) {
+fn a_malformed_answer_fails_its_part_and_withdraws_the_others_on_its_connection(
+    #[case] act: Act,
+    #[case] own: Outcome,
+    #[case] other: Outcome,
+) {
     on_connections(
         Setup::default(),
         async move |searcher, searchers, arrivals| {
@@ -233,7 +242,7 @@
             let mut ends = HashMap::new();
             for _ in 0..2 {
                 let Some(RouterEvent::SendEnded(ended)) = arrivals.recv().await else {
-                    panic!("an end")
+                    panic!("expected the end of a send")
                 };
                 ends.insert(ended.part.as_str().to_owned(), ended.outcome);
             }
@@ -251,26 +260,26 @@
     );
 }
 
-/// More than belongs to a good answer takes nothing from it. Every searcher answers alike, so an answer spoilt by
-/// what follows it would be spoilt at each, and the client would not get its value; one taken but not trusted would
-/// be sent again after the client had it. The number of sends is not the measure: noise ends each connection, the
-/// next send waits for a new one, and on a busy machine that is late enough for the gate to send a copy elsewhere.
+/// Surplus data after a valid answer must not invalidate it. Every searcher answers alike, so an answer invalidated
+/// by what follows it would fail everywhere and the client would not get its value; one that is accepted but not
+/// trusted would be retried after the client has it. The number of sends is not checked: garbage ends each
+/// connection, the next send waits for a new one, and on a busy machine that is late enough for a hedged request.
 #[rstest]
-#[case::twice(Act::Twice)]
-#[case::noise_behind_it(Act::Noise)]
-#[case::a_report_that_cannot_be_read(Act::OddReport)]
-fn a_good_answer_with_too_much_is_good(#[case] act: Act) {
+#[case::answer_repeated(Act::Twice)]
+#[case::followed_by_garbage(Act::Noise)]
+#[case::malformed_load_report(Act::OddReport)]
+fn a_valid_answer_followed_by_surplus_data_counts(#[case] act: Act) {
     let world = World::start(Setup::default());
     world.all_do(move |_| act);
     let mut client = world.client();
     let mut answered = Vec::new();
     for i in 0..5 {
         let id = format!("q{i}");
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         assert_eq!(client.ask(&id, &[1]).values(), values(&id, &[1]));
-        answered.push((id, asked.elapsed()));
+        answered.push((id, sent_at.elapsed()));
     }
-    // The later multigets give time for a late send of an earlier one to show.
+    // The later multigets leave time for a late send of an earlier one to show.
     for (id, took) in answered {
         let sends = world.sends(&id);
         let in_time = |(_, seen): &(String, Seen)| sent_after(seen) <= took + ROUNDING;
@@ -281,13 +290,13 @@
     }
 }
 
-/// What clients give, 4 s, less what the mixer keeps for its answer: three ticks of 5 ms and 5 ms.
-const GIVEN: Duration = Duration::from_millis(3_980);
+/// The clients' time limit of 4 s, less the mixer's reserve for its answer: three ticks of 5 ms, and 5 ms.
+const TIME_BUDGET: Duration = Duration::from_millis(3_980);
 /// Times on the wire are whole milliseconds.
 const ROUNDING: Duration = Duration::from_millis(1);
 
-/// How long after its multiget came a part was sent, by what it says is left of its client's time. When a searcher
-/// reads it doesn't matter.
+/// How long after its multiget arrived a part was sent, computed from the remaining time in the call, so that it
+/// does not depend on when the searcher reads it.
 fn sent_after(seen: &Seen) -> Duration {
     let left = seen
         .list
@@ -295,17 +304,22 @@
         .and_then(|rest| rest.split(',').next())
         .expect("time left");
     let left = Duration::from_millis(left.parse().expect("milliseconds"));
-    GIVEN.checked_sub(left).expect("no more than was given")
+    TIME_BUDGET
+        .checked_sub(left)
+        .expect("no more than the time budget")
 }
 
-/// What is late on a connection that says nothing more is lost with it, once its searcher answers elsewhere; where
-/// the connection answers too, the searcher is merely slow. Parts on one that had fallen silent were once waited for
-/// until their client's time was up, and more were sent after them. What a searcher says of its own accord on the new
-/// connection is no answer: a slow searcher's part was once taken for lost by its greeting.
+/// A late part is lost together with its connection if the searcher answers a probe on a new connection only; if
+/// the old one answers as well, the searcher is merely slow. Without the probe, parts on a dead connection are
+/// waited for until the client's time is up. Frames that the searcher sends unasked on the new connection are no
+/// answer: a greeting must not make a slow searcher's part count as lost.
 #[rstest]
-#[case::the_connection_fell_silent(Act::Mute, true)]
+#[case::the_connection_is_dead(Act::Mute, true)]
 #[case::the_searcher_is_slow(Act::Silent, false)]
-fn a_late_answer_casts_doubt_on_its_connection(#[case] act: Act, #[case] lost: bool) {
+fn a_late_answer_triggers_a_liveness_check_of_its_connection(
+    #[case] act: Act,
+    #[case] connection_dead: bool,
+) {
     on_connections(
         Setup::default(),
         async move |searcher, searchers, arrivals| {
@@ -321,25 +335,25 @@
             }
             searcher.holds_probes();
             searchers.check_liveness(&to, &PartId::new("q.1"), 0);
-            // The mixer has answered both probes of the new connection's greeting, so it has read that.
+            // The mixer has answered both probes of the new connection's greeting, so it has read the greeting.
             while searcher.log().probes.len() < 4 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             assert!(
                 arrivals.try_recv().is_err(),
-                "a greeting tells nothing of the older connection"
+                "a greeting is no answer on the older connection"
             );
-            while !searcher.answers_probes(if lost { 2 } else { 1 }) {
+            while !searcher.answers_probes(if connection_dead { 2 } else { 1 }) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            if lost {
+            if connection_dead {
                 assert!(
                     matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Lost)
                 );
             }
             assert!(searchers.send(&to, call(2)).is_ok());
             let Some(RouterEvent::SendEnded(ended)) = arrivals.recv().await else {
-                panic!("an end")
+                panic!("expected the end of a send")
             };
             assert_eq!(
                 (ended.part.as_str(), ended.outcome),
@@ -350,9 +364,9 @@
     );
 }
 
-/// A mixer that stands still in the middle of a batch writes the rest of it later: by then a client may have gone.
+/// A mixer that stalls in the middle of a batch writes the rest of it later, when a client may have disconnected.
 #[rstest]
-fn what_nobody_waits_for_any_more_is_not_written() {
+fn abandoned_parts_are_not_written() {
     on_connections(
         Setup::default(),
         async move |searcher, searchers, arrivals| {
@@ -367,16 +381,16 @@
             );
             assert!(
                 searchers.cancel_unsent(&to, &PartId::new("q.1"), 0),
-                "it can be taken back"
+                "it can be cancelled"
             );
             assert_eq!(searcher.log().parts.len(), 1);
         },
     );
 }
 
-/// An answer must not overtake a frame that has just left for a searcher.
+/// An answer must not overtake a frame that has just been written to a searcher.
 #[rstest]
-fn what_has_just_left_is_known_to_be_on_its_way() {
+fn a_frame_just_written_is_reported_as_in_transit() {
     on_connections(
         Setup {
             connect_ms: 500_000,
@@ -389,7 +403,7 @@
             assert_eq!(
                 searchers.in_transit_until(&to, &part, 0),
                 None,
-                "it has not left"
+                "it has not been written"
             );
             while searcher.log().parts.is_empty() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -405,10 +419,10 @@
     );
 }
 
-/// A connection on which a send waited in vain and nothing has come since takes nothing new; and with no descriptor
-/// left, one that is unused elsewhere makes room.
+/// A connection on which a send timed out and nothing has been received since takes no new calls; with no
+/// descriptor left, an idle connection elsewhere is closed to make room.
 #[rstest]
-fn connections_are_given_up_where_they_are_of_no_use() {
+fn silent_connections_take_no_new_calls_and_idle_ones_make_room() {
     on_connections(
         Setup {
             sockets: 64,
@@ -445,7 +459,7 @@
                 );
             }
             assert_eq!(searcher.log().opened, 2);
-            // A quarter of 64 is 16: many more searchers than that are served in turn.
+            // A quarter of 64 is 16: many more searchers than that are called in turn.
             let start = || {
                 (0..30)
                     .map(|i| Searcher::start(&format!("t{i}")))
@@ -482,7 +496,7 @@
 }
 
 #[rstest]
-fn parts_of_a_client_that_went_away_are_given_up() {
+fn parts_of_a_disconnected_client_are_cancelled() {
     let world = World::start(Setup::default());
     world.all_do(|_| Act::Silent);
     let mut client = world.client();
@@ -490,22 +504,23 @@
     world.until(|| !world.sends("q1").is_empty());
     drop(client);
     world.until(|| world.searchers.iter().any(|s| s.log().given_up == ["q1.3"]));
-    // Its id is free again, and the mixer goes on.
+    // The id can be used again, and the mixer keeps serving.
     world.all_do(|_| Act::Good);
     assert_eq!(world.client().ask("q1", &[3]).status, 200);
 }
 
-/// A mixer gets part of a core: it may stand still while a client asks and leaves, or while a copy falls due.
+/// A mixer with a share of a core may be stalled while a client sends a request and disconnects, or while a hedged
+/// request falls due.
 #[rstest]
-fn nothing_leaves_for_a_client_that_has_gone_while_the_mixer_stood_still() {
+fn nothing_is_sent_for_a_client_that_disconnects_while_the_mixer_is_stalled() {
     let world = World::start(Setup::default());
-    let (mut gone, mut waits) = (world.client(), world.client());
+    let (mut leaving_client, mut waiting_client) = (world.client(), world.client());
     world.all_do(|_| Act::Silent);
-    waits.write(&request("q3", &body(&[3])));
+    waiting_client.write(&request("q3", &body(&[3])));
     world.until(|| !world.sends("q3").is_empty());
     world.meanwhile(|| {
-        gone.write(&request("q4", &body(&[1, 2, 3])));
-        drop((gone, waits));
+        leaving_client.write(&request("q4", &body(&[1, 2, 3])));
+        drop((leaving_client, waiting_client));
         thread::sleep(Duration::from_millis(1_500));
     });
     world.all_do(|_| Act::Good);
@@ -513,12 +528,12 @@
     assert_eq!((world.sends("q3").len(), world.sends("q4").len()), (1, 0));
 }
 
-/// Parts that wait for connections which are slow to come up are answered elsewhere meanwhile. Once they left after
-/// all, when the connections came up: five in the middle of a long day.
+/// Parts that wait for connections which come up slowly are answered elsewhere meanwhile, and must not be written
+/// when the connections come up after all.
 #[rstest]
-#[case::another_part_is_still_awaited(0)]
-#[case::the_second_step_is_on(2)]
-fn a_part_that_is_in_is_not_sent_any_more(#[case] second_step: usize) {
+#[case::another_part_is_pending(0)]
+#[case::during_the_second_step(2)]
+fn an_answered_part_is_not_sent_again(#[case] second_step: usize) {
     let world = World::start(Setup {
         searchers: 1,
         connect_ms: 10_000,
@@ -535,38 +550,38 @@
     );
     world.discovery.tell(2, true, lines);
     world.discovery.told(2);
-    // One part is in nowhere: part 4, or a second step's.
-    let last = move |part: &Seen| {
+    // One part is never answered: part 4, or a part of the second step.
+    let silent = move |part: &Seen| {
         if second_step > 0 {
             part.id.ends_with(".r")
         } else {
             part.shard == 4
         }
     };
-    world.all_do(move |part| if last(part) { Act::Silent } else { Act::Good });
+    world.all_do(move |part| if silent(part) { Act::Silent } else { Act::Good });
     let mut client = world.client();
     client.write(&request("q1", &body(&[0, 1, 2, 3, 4, 5])));
-    let others = |sends: &[(String, Seen)]| sends.iter().filter(|(_, part)| !last(part)).count();
+    let others = |sends: &[(String, Seen)]| sends.iter().filter(|(_, part)| !silent(part)).count();
     world.until(|| {
-        others(&world.sends("q1")) >= 5 && world.sends("q1").iter().any(|(_, part)| last(part))
+        others(&world.sends("q1")) >= 5 && world.sends("q1").iter().any(|(_, part)| silent(part))
     });
     let clogged = clogged.map(|(searcher, unclog)| {
         unclog();
         searcher
     });
-    // Of the one that is awaited some leave.
-    let came = || {
+    // Sends of the pending part are written.
+    let received = || {
         clogged
             .iter()
             .flat_map(|searcher| searcher.log().parts)
             .collect::<Vec<_>>()
     };
-    world.until(|| !came().is_empty());
-    assert!(came().iter().all(last), "{:?}", came());
+    world.until(|| !received().is_empty());
+    assert!(received().iter().all(silent), "{:?}", received());
 }
 
 #[rstest]
-fn an_id_in_hand_is_not_taken_twice() {
+fn an_id_in_flight_is_rejected() {
     let world = World::start(Setup::default());
     world.all_do(|_| Act::Silent);
     let mut first = world.client();
@@ -583,7 +598,7 @@
 #[rstest]
 #[case::draining("leaving")]
 #[case::gone("left")]
-fn nothing_new_goes_to_a_searcher_that_leaves(#[case] status: &str) {
+fn a_draining_or_removed_searcher_receives_no_new_parts(#[case] status: &str) {
     let world = World::start(Setup::default());
     world
         .discovery
@@ -601,11 +616,11 @@
 #[case::errors(Says::Errors)]
 #[case::nonsense(Says::Nonsense)]
 #[case::silence(Says::Nothing)]
-fn the_last_list_serves_while_discovery_is_down(#[case] says: Says) {
+fn the_last_list_is_used_while_discovery_fails(#[case] says: Says) {
     let world = World::start(Setup::default());
     world.discovery.says(says);
     assert_eq!(world.client().ask("q1", &[1, 2]).status, 200);
-    // Back, its versions begin anew: the whole list counts, one searcher is missing from it.
+    // After its return, versions start anew: the complete list applies, and one searcher is missing from it.
     let left: Vec<_> = (1..3)
         .map(|i| line(&world.searchers[i], i, "active"))
         .collect();
@@ -619,11 +634,12 @@
     assert_eq!(world.searchers[0].log().parts.len(), before);
 }
 
-/// Where discovery tells only those that ask, a refusal goes to the module, which asks again.
+/// If discovery sends lists on request only, a failure is reported to the decision module, which requests a list
+/// again.
 #[rstest]
 #[case::errors(Says::Errors)]
 #[case::nonsense(Says::Nonsense)]
-fn a_watch_that_was_refused_is_asked_for_again(#[case] says: Says) {
+fn a_failed_watch_is_requested_again(#[case] says: Says) {
     let world = World::start(Setup {
         asks: true,
         ..Setup::default()
@@ -639,11 +655,12 @@
     assert!(world.sends("q2").iter().all(|(to, _)| to == "s1"));
 }
 
-/// SIGHUP once ended the process. What is in hand and what was learned stay, and news comes from the new address.
+/// SIGHUP must not end the process: multigets in flight and learned state are kept, and changes come from the new
+/// address.
 #[rstest]
-#[case::told(false)]
-#[case::on_asking(true)]
-fn a_configuration_read_again_moves_discovery_and_nothing_else(#[case] asks: bool) {
+#[case::pushed(false)]
+#[case::on_request(true)]
+fn a_reload_changes_the_discovery_address_and_nothing_else(#[case] asks: bool) {
     let mut world = World::start(Setup {
         asks,
         ..Setup::default()
@@ -660,12 +677,12 @@
     let (old, new) = (world.discovery.clone(), Discovery::start(lines(0..3)));
     new.tell(2, false, vec![line(&world.searchers[0], 0, "left")]);
     world.discovery = new.clone();
-    // A faulty file changes nothing; of several in a row the last one counts.
+    // An invalid file changes nothing; of several reloads in a row the last one counts.
     world.reload("seed", "no digits");
     world.reload("seed", "5eed");
     world.reload("discovery", new.address.to_string());
     new.told(2);
-    // What the old one says now is no longer heard.
+    // The old address is no longer watched.
     old.tell(9, true, Vec::new());
     world.all_do(|_| Act::Good);
     assert_eq!(busy.read().expect("an answer").status, 200);
@@ -681,7 +698,7 @@
 }
 
 #[rstest]
-fn a_searcher_that_moves_is_found_at_its_new_address() {
+fn a_searcher_that_moves_is_called_at_its_new_address() {
     let world = World::start(Setup {
         searchers: 1,
         ..Setup::default()
@@ -698,9 +715,9 @@
 }
 
 #[rstest]
-#[case::told(false)]
-#[case::on_asking(true)]
-fn without_a_remembered_list_it_serves_once_discovery_has_told_one(#[case] asks: bool) {
+#[case::pushed(false)]
+#[case::on_request(true)]
+fn without_a_known_list_it_serves_once_discovery_has_sent_one(#[case] asks: bool) {
     let world = World::start(Setup {
         knows: false,
         asks,
@@ -710,7 +727,7 @@
 }
 
 #[rstest]
-fn an_unused_connection_is_closed_before_its_searcher_would() {
+fn an_idle_connection_is_closed_before_the_searcher_closes_it() {
     let world = World::start(Setup {
         searchers: 1,
         idle_ms: 600,
@@ -727,15 +744,18 @@
 #[case::no_parts(request("q1", &body(&[])), 400)]
 #[case::a_part_named_twice(request("q1", &body(&[1, 1])), 400)]
 #[case::a_shard_out_of_range(request("q1", &body(&[24])), 400)]
-#[case::portions_that_are_no_whole(request("q1", r#"{"ranges":[{"range":1,"portion":0.5}]}"#), 400)]
+#[case::portions_that_do_not_sum_to_one(
+    request("q1", r#"{"ranges":[{"range":1,"portion":0.5}]}"#),
+    400
+)]
 #[case::an_unknown_path(b"POST /other HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n".to_vec(), 404)]
 #[case::another_method(b"GET /look HTTP/1.1\r\nHost: a\r\n\r\n".to_vec(), 405)]
-#[case::an_op_type_unlike_the_path(b"POST /look HTTP/1.1\r\nHost: a\r\nReq-Kind: a\r\nContent-Length: 0\r\n\r\n".to_vec(), 400)]
+#[case::an_op_type_other_than_the_path(b"POST /look HTTP/1.1\r\nHost: a\r\nReq-Kind: a\r\nContent-Length: 0\r\n\r\n".to_vec(), 400)]
 #[case::no_headers(b"POST /look HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n".to_vec(), 400)]
 #[case::an_unknown_tenant(replaced("acme", "nobody"), 400)]
 #[case::a_deadline_without_a_unit(replaced("4000m", "4000"), 400)]
-#[case::a_deadline_beyond_counting(replaced("4000m", "99999999999999999999m"), 400)]
-#[case::an_id_that_breaks_frames(replaced("q1", "q 1"), 400)]
+#[case::a_deadline_that_overflows(replaced("4000m", "99999999999999999999m"), 400)]
+#[case::an_id_with_a_separator(replaced("q1", "q 1"), 400)]
 #[case::a_body_too_large(request("q1", &"x".repeat(70_000)), 413)]
 #[case::a_body_of_a_length_too_large(replaced("Content-Length: ", "Content-Length: 60000"), 413)]
 #[case::a_negative_length(replaced("Content-Length: ", "Content-Length: -"), 400)]
@@ -743,18 +763,18 @@
 #[case::a_length_and_chunks(replaced("Req-Kind", "Transfer-Encoding: chunked\r\nReq-Kind"), 400)]
 #[case::a_header_given_twice(replaced("Req-Kind", "Req-Id: q1\r\nReq-Kind"), 400)]
 #[case::an_upgrade(replaced("Req-Kind", "Upgrade: websocket\r\nReq-Kind"), 400)]
-#[case::more_behind_the_path(replaced("/look", "/look/more"), 404)]
-#[case::no_time(replaced("4000m", "0m"), 400)]
-#[case::time_beyond_reason(replaced("4000m", "999999999999m"), 400)]
-#[case::nothing_to_carry(replaced("predicate", "whatever!"), 400)]
-#[case::a_portion_of_nothing(
+#[case::a_path_with_a_suffix(replaced("/look", "/look/more"), 404)]
+#[case::a_deadline_of_zero(replaced("4000m", "0m"), 400)]
+#[case::a_deadline_beyond_a_day(replaced("4000m", "999999999999m"), 400)]
+#[case::no_predicate(replaced("predicate", "whatever!"), 400)]
+#[case::a_portion_of_zero(
     request(
         "q1",
         r#"{"ranges":[{"range":1,"portion":1},{"range":2,"portion":0}],"predicate":""}"#
     ),
     400
 )]
-#[case::a_price_below_nothing(
+#[case::a_negative_price(
     request(
         "q1",
         r#"{"ranges":[{"range":1,"portion":1,"price":-4}],"predicate":""}"#
@@ -762,7 +782,7 @@
     400
 )]
 #[case::not_http(b"what is this\r\n\r\n".to_vec(), 400)]
-fn what_cannot_be_used_gets_one_plain_refusal_at_once(#[case] bytes: Vec<u8>, #[case] status: u16) {
+fn an_invalid_request_is_rejected_at_once(#[case] bytes: Vec<u8>, #[case] status: u16) {
     let mut world = World::start(Setup::default());
     let mut client = world.client();
     client.write(&bytes);
@@ -780,7 +800,7 @@
 }
 
 #[rstest]
-fn more_than_may_be_in_hand_is_pushed_back_at_once() {
+fn requests_beyond_the_in_flight_limit_are_pushed_back_at_once() {
     let world = World::start(Setup {
         most_open: 5,
         ..Setup::default()
@@ -795,14 +815,14 @@
     assert_eq!(
         world.client().ask("q3", &[1, 2]).status,
         200,
-        "there is room again"
+        "capacity is free again"
     );
 }
 
-/// Connections that never ask for anything, or only how the mixer is, must not shut others out, nor take the descriptors that
-/// searchers and discovery need.
+/// Connections that never send a request, or only check readiness, must not shut others out, nor use up the
+/// descriptors for searchers and discovery.
 #[rstest]
-fn a_flood_of_idle_connections_leaves_room_for_those_that_ask() {
+fn idle_connections_do_not_shut_out_active_ones() {
     let mut world = World::start(Setup {
         sockets: 80,
         ..Setup::default()
@@ -820,41 +840,43 @@
     assert_eq!(
         used.ask("q2", &[1]).status,
         200,
-        "one that was used is kept before those that never were"
+        "a connection that carried a multiget is kept longer"
     );
-    // Those that were closed for it were told so, and none was answered what it never asked.
+    // Connections closed to make room see a regular close, and no unsolicited response.
     assert!(flood[0].read().is_none());
     assert!(world.runs());
 }
 
-/// Clients may hold a third of the descriptors for requests; those that ask once and stay once held them all.
+/// Clients may hold a third of the descriptors for requests; connections that send one request and stay open must
+/// not use up all of them.
 #[rstest]
-fn a_crowd_that_asks_once_and_stays_is_let_go() {
+fn connections_kept_open_after_one_request_are_limited() {
     let world = World::start(Setup {
         sockets: 128,
         ..Setup::default()
     });
-    let mut crowd = Vec::new();
+    let mut clients = Vec::new();
     for i in 0..40 {
         let mut client = world.client();
         assert_eq!(client.ask(&format!("q{i}"), &[1]).status, 200);
-        crowd.push(client);
+        clients.push(client);
     }
-    // A quarter is kept, of these the last.
-    assert!(crowd[0].read().is_none());
-    assert_eq!(crowd[39].ask("last", &[1]).status, 200);
+    // A quarter is kept: the most recently used.
+    assert!(clients[0].read().is_none());
+    assert_eq!(clients[39].ask("last", &[1]).status, 200);
 }
 
-/// Requests that never end take every place and all room for bodies, at which usual ones were once pushed back; each is closed once no client would still wait for its answer. One
-/// that was accepted but not read yet was once taken for unused, and all waited for it to close.
+/// Incomplete requests occupy every slot and all the memory for bodies. Usual requests must not be pushed back
+/// because of them; each is closed once no client would still wait for its answer. A connection that was accepted
+/// but not read yet must not be taken for an idle one.
 #[rstest]
-fn a_flood_of_half_requests_does_not_shut_others_out() {
+fn incomplete_requests_do_not_shut_out_others() {
     let mut world = World::start(Setup {
         sockets: 256,
         memory_mb: 32,
         ..Setup::default()
     });
-    // First large ones, then ones that fill what these leave of the room for bodies.
+    // First large bodies, then small ones that fill the remaining memory for bodies.
     let sizes = [[63_000; 70].as_slice(), &[1_000; 60], &[50; 60]].concat();
     let mut flood: Vec<Client> = sizes.iter().map(|_| world.client()).collect();
     for (i, (client, size)) in flood.iter_mut().zip(sizes).enumerate() {
@@ -872,35 +894,38 @@
     assert!(world.runs());
 }
 
-/// Those that don't get to the point are owed an end within 3 s; meanwhile others are served, and a connection that
-/// was used is kept.
+/// Connections without a complete request must be closed within 3 s; meanwhile others are served, and a connection
+/// that carried a multiget is kept.
 #[rstest]
 #[case::silence("", "")]
-#[case::a_head_that_never_ends("POST /look HTTP/1.1\r\nHost: a\r\n", "A: b\r\n")]
-#[case::a_head_beyond_sense("POST /look HTTP/1.1\r\nHost: a\r\nA: ", "many more letters")]
-#[case::a_body_in_drops(
+#[case::an_endless_head("POST /look HTTP/1.1\r\nHost: a\r\n", "A: b\r\n")]
+#[case::an_endless_header("POST /look HTTP/1.1\r\nHost: a\r\nA: ", "many more letters")]
+#[case::a_slow_body(
     "POST /look HTTP/1.1\r\nHost: a\r\nReq-Id: q\r\nReq-Kind: look\r\nReq-Owner: acme\r\nReq-Deadline: 4000m\r\nContent-Length: 60000\r\n\r\n",
     "x"
 )]
-fn who_does_not_get_to_the_point_is_closed(#[case] begin: &str, #[case] goes_on: &str) {
+fn connections_without_a_complete_request_are_closed_in_time(
+    #[case] first_bytes: &str,
+    #[case] repeated: &str,
+) {
     let world = World::start(Setup::default());
-    let (mut used, mut client, began) = (world.client(), world.client(), Instant::now());
+    let (mut used, mut client, started) = (world.client(), world.client(), Instant::now());
     assert_eq!(used.ask("q0", &[1]).status, 200);
-    let taken = client.try_write(begin.as_bytes());
-    while taken && began.elapsed() < LONG && client.try_write(goes_on.as_bytes()) {
+    let taken = client.try_write(first_bytes.as_bytes());
+    while taken && started.elapsed() < LONG && client.try_write(repeated.as_bytes()) {
         thread::sleep(Duration::from_millis(10));
-        if goes_on.is_empty() {
+        if repeated.is_empty() {
             assert!(client.read().is_none());
             break;
         }
     }
-    assert!(began.elapsed() < LONG / 2, "it was never closed");
+    assert!(started.elapsed() < LONG / 2, "it was not closed in time");
     assert_eq!(used.ask("q1", &[1]).status, 200);
 }
 
-/// Answers keep the order of their requests, whatever stands between and behind them.
+/// Answers keep the order of their requests, whatever comes between and after them.
 #[rstest]
-fn many_requests_at_once_on_one_connection_are_all_answered_in_order() {
+fn pipelined_requests_are_all_answered_in_order() {
     let world = World::start(Setup::default());
     let mut client = world.client();
     let mut all = Vec::new();
@@ -921,17 +946,17 @@
     assert!(client.read().is_none_or(|answer| answer.status == 400));
 }
 
-/// With two mixers stopped one after the other, clients that have a connection are served until shortly before it
-/// would be killed.
+/// With two mixers stopped one after the other, clients with a connection are served until shortly before the
+/// process would be killed.
 #[rstest]
-fn told_to_stop_it_serves_on_for_a_while_answers_what_it_has_and_ends_well() {
+fn a_graceful_shutdown_keeps_serving_for_a_while_then_answers_requests_in_flight_and_exits() {
     let mut world = World::start(Setup::default());
     world.all_do(|_| Act::Silent);
     let (mut busy, mut used, mut stuck) = (world.client(), world.client(), world.client());
     busy.write(&request("q1", &body(&[3])));
     world.until(|| !world.sends("q1").is_empty());
     world.terminate();
-    let told = Instant::now();
+    let stop_requested = Instant::now();
     world.until(|| world.get("/up").status != 200);
     world.all_do(|part| {
         if part.id.starts_with("q9") {
@@ -945,16 +970,16 @@
         assert_eq!(used.ask(&format!("r{i}"), &[1]).status, 200);
         thread::sleep(Duration::from_millis(100));
     }
-    // What is still in hand near the end is given up, not left unanswered.
+    // Multigets in flight near the end are given up, not left unanswered.
     stuck.write(&request("q9", &body(&[3])));
-    assert!(used.read().is_none(), "an unused connection is closed");
+    assert!(used.read().is_none(), "an idle connection is closed");
     assert_eq!(stuck.read().expect("an answer").status, 503);
     assert!(world.ended().success());
-    assert!(told.elapsed() < Duration::from_millis(3_700) + LONG / 4);
+    assert!(stop_requested.elapsed() < Duration::from_millis(3_700) + LONG / 4);
 }
 
 #[rstest]
-fn a_client_that_never_ends_its_request_does_not_hold_up_the_end() {
+fn an_incomplete_request_does_not_delay_the_exit() {
     let mut world = World::start(Setup::default());
     let mut slow = world.client();
     slow.write(b"POST /look HTTP/1.1\r\nHost: a\r\nReq-");
@@ -963,10 +988,10 @@
     assert!(world.ended().success());
 }
 
-/// A frame stuck half written must not arrive after its multiget has its final answer: giving it up ends the
+/// A partly written frame must not arrive after its multiget has its final answer: cancelling it closes the
 /// connection.
 #[rstest]
-fn a_searcher_that_stops_reading_is_broken_off() {
+fn the_connection_to_a_searcher_that_stops_reading_is_closed() {
     let world = World::start(Setup {
         searchers: 1,
         most_calls: 200,
@@ -978,7 +1003,7 @@
         .map(|s| json!({ "range": s, "portion": 0.25 }))
         .collect();
     let body = json!({ "ranges": ranges, "predicate": "x".repeat(60_000) }).to_string();
-    // More than the system holds between two ends.
+    // More than the socket buffers of both sides hold.
     let mut clients: Vec<Client> = (0..50).map(|_| world.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         let head = head(&format!("q{i}"), "1000m");
@@ -991,10 +1016,10 @@
     stuck.until(|log| log.closed >= 1);
 }
 
-/// A copy that waits for its connection must not leave once another's answer has ended its multiget, nor once
-/// the list says that its searcher drains.
+/// A hedged request that waits for its connection must not be written once another answer has completed its
+/// multiget, nor once the list marks its searcher as draining.
 #[rstest]
-fn what_is_taken_back_before_it_has_left_never_arrives() {
+fn sends_cancelled_before_they_are_written_never_arrive() {
     on_connections(
         Setup::default(),
         async move |searcher, searchers, arrivals| {
@@ -1010,13 +1035,13 @@
             );
             assert!(
                 !searchers.cancel_unsent(&to, &id(1), 0),
-                "it has left and come back"
+                "it was written and answered"
             );
             assert!(searchers.send(&to, call(2)).is_ok());
             assert_eq!(searchers.drain(&to), [(id(2), 0)]);
             assert!(searchers.send(&to, call(3)).is_err());
-            let came: Vec<String> = searcher.log().parts.into_iter().map(|p| p.id).collect();
-            assert_eq!(came, ["q.1"]);
+            let received: Vec<String> = searcher.log().parts.into_iter().map(|p| p.id).collect();
+            assert_eq!(received, ["q.1"]);
         },
     );
 }
