--- a/crates/lockusher-aggregator/src/protocol/frame.rs
+++ b/crates/lockusher-aggregator/src/protocol/frame.rs
@@ -1,4 +1,4 @@
-//! Searchers' frames. A frame's length is put before it and taken off by [`codec`].
+//! Frames exchanged with searchers. Each frame is preceded by its length; see [`codec`].
 
 use std::fmt::Write;
 
@@ -6,15 +6,15 @@
 use lockusher_policy::interface::{Outcome, PartId, Shard, Span};
 use tokio_util::codec::LengthDelimitedCodec;
 
-use super::MOST_BODY;
+use super::MAX_BODY_BYTES;
 
-/// The longest frame that is read: room for a value as large as a body, and its line.
-const MOST: usize = 2 * MOST_BODY;
-/// The longest line at the head of an answer, many times what its words need.
-const MOST_LINE: usize = 4 * 1024;
+/// Maximum size of a frame that is read: a value as large as a request body, and its line.
+const MAX_FRAME_BYTES: usize = 2 * MAX_BODY_BYTES;
+/// Maximum size of the first line of an answer, many times what its fields need.
+const MAX_LINE_BYTES: usize = 4 * 1024;
 
-/// The length before each frame that is written: four bytes, most significant first. What the mixer writes is
-/// bounded by what it has in hand.
+/// Codec for written frames: a length of four bytes in big-endian order precedes each frame. Written frames are
+/// bounded by the requests in flight, so the codec sets no limit of its own.
 pub fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .length_field_length(4)
@@ -22,43 +22,48 @@
         .new_codec()
 }
 
-/// Takes the next whole frame off, less its length; `None` if more of it must come. What can't become a frame is
-/// told as soon as that shows, so that nothing absurd is waited for or kept.
+/// Removes and returns the next complete frame without its length, or `None` if more bytes are needed. Bytes that
+/// cannot become a valid frame are reported as early as possible, so that the mixer neither waits for nor buffers
+/// them.
 pub fn next(buffer: &mut BytesMut) -> Result<Option<BytesMut>, &'static str> {
-    let Some((length, come)) = buffer.split_first_chunk::<4>() else {
+    let Some((length, available)) = buffer.split_first_chunk::<4>() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(*length) as usize;
-    if length == 0 || length > MOST {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return Err("a frame of absurd length");
     }
-    if come.first().is_some_and(|letter| !b"opqr".contains(letter)) {
-        return Err("a frame of an unknown letter");
+    if available
+        .first()
+        .is_some_and(|kind| !b"opqr".contains(kind))
+    {
+        return Err("a frame of an unknown type");
     }
-    let answer = come.first() == Some(&b'q');
-    if answer && come.len() > MOST_LINE && !come[..MOST_LINE].contains(&b'\n') {
+    let answer = available.first() == Some(&b'q');
+    if answer && available.len() > MAX_LINE_BYTES && !available[..MAX_LINE_BYTES].contains(&b'\n') {
         return Err("a line that does not end");
     }
-    if come.len() < length {
+    if available.len() < length {
         return Ok(None);
     }
     let _ = buffer.split_to(4);
     Ok(Some(buffer.split_to(length)))
 }
 
-/// A part as it goes into a call.
+/// A part as it is encoded in a call.
 #[derive(Clone, Debug)]
 pub struct CallPart {
     pub id: PartId,
     pub shard: Shard,
-    /// How long the mixer waits.
+    /// How long the mixer waits for the answer.
     pub wait: Span,
-    /// For a part of the second step: the shards that were in, and whether that was whole.
+    /// For a part of the second step: the shards that were answered in the first step, and whether that step was
+    /// complete.
     pub first_step: Option<(std::rc::Rc<[Shard]>, bool)>,
     pub text: Bytes,
 }
 
-/// One call: a frame `m`.
+/// Encodes a call with one or more parts: a frame `m`.
 pub fn call<'a>(parts: impl Iterator<Item = &'a CallPart>) -> Bytes {
     let mut frame = BytesMut::from(&b"m"[..]);
     for part in parts {
@@ -69,8 +74,13 @@
             part.wait.as_micros() / 1_000
         );
         if let Some((shards, whole)) = &part.first_step {
-            let names: Vec<String> = shards.iter().map(|s| s.0.to_string()).collect();
-            let _ = write!(line, ",from={},whole={}", names.join("+"), u8::from(*whole));
+            let shards: Vec<String> = shards.iter().map(|s| s.0.to_string()).collect();
+            let _ = write!(
+                line,
+                ",from={},whole={}",
+                shards.join("+"),
+                u8::from(*whole)
+            );
         }
         let _ = writeln!(line, " {}", part.text.len());
         frame.put_slice(line.as_bytes());
@@ -79,17 +89,17 @@
     frame.freeze()
 }
 
-/// A part is given up: a frame `n`.
-pub fn given_up(id: &PartId) -> Bytes {
+/// Encodes the cancellation of a part: a frame `n`.
+pub fn cancel(id: &PartId) -> Bytes {
     Bytes::from(format!("n{}", id.as_str()))
 }
 
-/// Asks for a searcher's health.
+/// Encodes a health probe to a searcher.
 pub fn probe() -> Bytes {
     Bytes::from_static(b"o")
 }
 
-/// What the mixer answers a probe with: it is well; of its load it has nothing to tell.
+/// Encodes the answer to a searcher's probe: always healthy, no load reported.
 pub fn probe_answer(probe: Probe) -> Bytes {
     Bytes::from_static(match probe {
         Probe::Health => b"ogood",
@@ -97,64 +107,69 @@
     })
 }
 
+/// A probe sent by a searcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Probe {
     Health,
     Load,
 }
 
-/// What a searcher sends.
+/// A frame received from a searcher.
 #[derive(Debug, PartialEq)]
-pub enum FromSearcher {
-    Ended(PartEnded),
+pub enum SearcherFrame {
+    Answer(PartAnswer),
     Probe(Probe),
-    /// An answer to a probe: that it came says what there is to know.
-    Nothing,
-    /// A frame could not be used; the connection closes.
-    Unusable(String),
+    /// An answer to a probe; only its arrival matters.
+    ProbeAnswer,
+    /// The searcher could not use a frame and closes the connection.
+    Rejected(String),
 }
 
+/// The answer to one part.
 #[derive(Debug, PartialEq)]
-pub struct PartEnded {
+pub struct PartAnswer {
     pub id: PartId,
     pub outcome: Outcome,
     pub score: i64,
     pub value: String,
 }
 
-/// `None` if it can't be read.
-pub fn decode(frame: &[u8]) -> Option<FromSearcher> {
-    let (letter, rest) = frame.split_first()?;
-    Some(match letter {
-        b'q' => FromSearcher::Ended(ended(rest)?),
-        b'o' if rest.is_empty() => FromSearcher::Probe(Probe::Health),
-        b'p' if rest.is_empty() => FromSearcher::Probe(Probe::Load),
-        b'o' | b'p' => FromSearcher::Nothing,
-        b'r' => FromSearcher::Unusable(String::from_utf8_lossy(rest).into_owned()),
+/// Decodes a frame; `None` if it is malformed.
+pub fn decode(frame: &[u8]) -> Option<SearcherFrame> {
+    let (kind, rest) = frame.split_first()?;
+    Some(match kind {
+        b'q' => SearcherFrame::Answer(decode_answer(rest)?),
+        b'o' if rest.is_empty() => SearcherFrame::Probe(Probe::Health),
+        b'p' if rest.is_empty() => SearcherFrame::Probe(Probe::Load),
+        b'o' | b'p' => SearcherFrame::ProbeAnswer,
+        b'r' => SearcherFrame::Rejected(String::from_utf8_lossy(rest).into_owned()),
         _ => return None,
     })
 }
 
-fn ended(rest: &[u8]) -> Option<PartEnded> {
-    let end = rest.iter().position(|&b| b == b'\n')?;
-    // What follows the score is a report of load, which nothing here reads.
-    let mut words = rest[..end].split(|&b| b == b' ').map(std::str::from_utf8);
-    let mut word = || words.next()?.ok();
-    let (id, how, score) = (word()?, word()?, word()?);
-    let outcome = match how {
+/// Decodes the rest of a frame `q`, the answer to a part.
+fn decode_answer(rest: &[u8]) -> Option<PartAnswer> {
+    let line_end = rest.iter().position(|&b| b == b'\n')?;
+    // The load report after the score is ignored.
+    let mut fields = rest[..line_end]
+        .split(|&b| b == b' ')
+        .map(std::str::from_utf8);
+    let mut next_field = || fields.next()?.ok();
+    let (id, status, score) = (next_field()?, next_field()?, next_field()?);
+    let outcome = match status {
         "good" => Outcome::Returned,
         "bad" => Outcome::Error,
         "later" => Outcome::Full,
         _ => return None,
     };
-    // Where there is nothing to score, a dash may stand.
+    // A dash stands for a missing score.
     let score = if score == "-" { 0 } else { score.parse().ok()? };
-    let value = std::str::from_utf8(&rest[end + 1..]).ok()?;
-    // A value is text: with other control characters in it, it is some other frame's bytes.
-    let text = !value
+    let value = std::str::from_utf8(&rest[line_end + 1..]).ok()?;
+    // Values are text; other control characters mean that the bytes of another frame are mixed in.
+    let is_text = !value
         .chars()
         .any(|c| c.is_control() && !"\n\r\t".contains(c));
-    (!id.is_empty() && text).then(|| PartEnded {
+    (!id.is_empty() && is_text).then(|| PartAnswer {
         id: PartId::new(id),
         outcome,
         score,
@@ -162,8 +177,8 @@
     })
 }
 
-/// Whose answer a frame was to be that can't be read, if that can.
-pub fn meant(frame: &[u8]) -> Option<PartId> {
+/// Extracts the part id from an answer that is otherwise malformed, if possible.
+pub fn answered_part_id(frame: &[u8]) -> Option<PartId> {
     let rest = frame.strip_prefix(b"q")?;
     let id = std::str::from_utf8(rest.split(|&b| b == b' ').next()?).ok()?;
     Some(PartId::new(id))
