--- a/crates/lockusher-multiget/src/host.rs
+++ b/crates/lockusher-multiget/src/host.rs
@@ -1,45 +1,47 @@
-//! One mixer: its decision module and the multigets it has in hand. Clocks, timers and wires are its caller's.
+//! Host of the decision module of one mixer: it keeps the accepted multigets and carries out
+//! decisions. The caller provides the clock, the timer and the transport.
 
 use std::collections::HashMap;
 
 use anyhow::{Context, Result, ensure};
 use lockusher_policy::interface::*;
-use lockusher_policy::policy::{Asking, Further, Gate, Policy, Sender};
+use lockusher_policy::policy::{Admission, Policy, Polling, Retries, Selector};
 
 use crate::settings::Settings;
 
-/// The way out: advice is carried out by calls on this, in the order given.
+/// Receives the actions of the host, in order.
 pub trait Wire {
-    /// Sends a part; `order.part` is its place in the multiget, and its sends so far number this one.
-    fn send(&mut self, multiget: &Multiget, order: &Order);
-    /// Ceases to wait for a send.
+    /// Sends a part; `command.part` is its index, and the number of its attempts so far is the
+    /// index of this one.
+    fn send(&mut self, multiget: &Multiget, command: &Order);
+    /// Cancels an attempt.
     fn withdraw(&mut self, part: &PartId, nth: usize);
-    /// Gives an answer; it is the final one if the multiget has ended.
+    /// Gives a reply; it is the final one if `multiget.ended` is set.
     fn reply(&mut self, multiget: &Multiget, reply: Reply);
     /// Subscribes to discovery.
     fn subscribe(&mut self);
-    /// Whether it would keep what the gate believed at the next fresh multiget pushed back.
+    /// Whether to take an admission trace of the next rejected multiget.
     fn wants_belief(&self) -> bool {
         false
     }
-    /// What the gate believed of a fresh multiget that it pushed back, for a trace.
+    /// Receives the admission trace of a multiget that was rejected before any part was sent.
     fn believed(&mut self, _multiget: &Multiget, _belief: Belief) {}
 }
 
-/// A multiget as it is taken.
+/// A new multiget.
 pub struct Taken {
     pub id: MultigetId,
-    /// The caller's own number for it, which grows with each one taken.
+    /// Sequence number assigned by the caller; it increases with each multiget.
     pub number: u64,
     pub op_type: OpTypeId,
     pub tenant: Option<TenantId>,
     pub resubmitted: bool,
     pub hint: Option<Span>,
-    /// When its client's time for it is up.
+    /// The client's deadline.
     pub ends: Time,
 }
 
-/// A part as it joins its multiget.
+/// A new part of a multiget.
 pub struct NewPart {
     pub id: PartId,
     pub shard: Shard,
@@ -47,82 +49,92 @@
     pub hint: Option<Span>,
 }
 
-/// How a send ended.
+/// How an attempt ended.
 pub struct Ended {
     pub part: PartId,
     pub nth: usize,
     pub outcome: Outcome,
     pub elapsed: Span,
-    /// Nothing more comes of the part.
+    /// No further attempt of the part will be made or awaited.
     pub closed: bool,
 }
 
+/// The decision module and the pending multigets of one mixer.
 pub struct Host {
     policy: Policy,
     second_steps: Vec<usize>,
-    in_hand: InHand,
-    /// Multigets by their number, for the parts that follow them.
-    numbers: HashMap<u64, MultigetId>,
-    /// Where a part is in hand: its multiget and its place in it.
+    pending: PendingMultigets,
+    /// Ids by sequence number, for the parts that follow.
+    ids_by_number: HashMap<u64, MultigetId>,
+    /// The multiget of each part, and the part's index in it.
     parts: HashMap<PartId, (MultigetId, usize)>,
 }
 
 impl Host {
+    /// Creates a host; fails if the settings are incomplete or `extra.cells` is 0.
     pub fn start(now: Time, seed: u64, settings: &Settings) -> Result<Self> {
         let op_types = settings.op_types().map_err(anyhow::Error::msg)?;
         let layout = settings.layout();
         ensure!(layout.cells > 0, "extra.cells is 0");
         let tick = Span::from_micros(settings.tick_us);
         let second_steps = op_types.iter().map(|op| op.second_step).collect();
-        let site = (settings.home(), settings.cross_zone_price());
-        let sender = Sender::new(
+        let locality = (settings.home_zone(), settings.cross_zone_price());
+        let selector = Selector::new(
             now,
             layout,
-            settings.cold_rule(),
-            site,
+            settings.slow_start(),
+            locality,
             (settings.rank, settings.balancers),
         );
-        let further = Further::new(settings.part_limits(), settings.send_budget());
-        let gate = Gate::new(
+        let retries = Retries::new(settings.attempt_limits(), settings.retry_limit());
+        let admission = Admission::new(
             now,
             &settings.tenants(),
             settings.over_share_worth,
-            settings.by_work(),
-            settings.longest_come_back(),
+            settings.value_is_per_work(),
+            settings.max_retry_after(),
         );
-        let asking = Asking::new(now, settings.ask_every());
-        let policy = Policy::new(seed, tick, op_types, (sender, further, gate, asking));
-        let (in_hand, numbers, parts) = (InHand::new(), HashMap::new(), HashMap::new());
+        let polling = Polling::new(now, settings.ask_every());
+        let policy = Policy::new(
+            seed,
+            tick,
+            op_types,
+            (selector, retries, admission, polling),
+        );
+        let (pending, ids_by_number, parts) =
+            (PendingMultigets::new(), HashMap::new(), HashMap::new());
         Ok(Host {
             policy,
             second_steps,
-            in_hand,
-            numbers,
+            pending,
+            ids_by_number,
             parts,
         })
     }
 
-    pub fn in_hand(&self) -> &InHand {
-        &self.in_hand
+    /// The accepted multigets that have attempts in flight or no final reply.
+    pub fn in_hand(&self) -> &PendingMultigets {
+        &self.pending
     }
 
-    pub fn news(&mut self, now: Time, news: News) {
-        self.policy.news(now, news);
+    /// Applies an update from discovery or from the fleet's shared state.
+    pub fn news(&mut self, now: Time, update: News) {
+        self.policy.apply_update(now, update);
     }
 
-    /// What was seen of searchers, for other mixers.
+    /// Observations on searchers, for other mixers.
     pub fn seen(&self) -> Vec<Glimpse> {
-        self.policy.seen()
+        self.policy.observations()
     }
 
-    /// What is spent of the budgets that the fleet may share, a second.
+    /// Units per second spent of the budgets that the fleet shares.
     pub fn spends(&self, now: Time) -> Vec<(Budget, f64)> {
-        self.policy.spends(now)
+        self.policy.budget_usage(now)
     }
 
-    /// Takes a multiget; its parts follow before the next turn.
+    /// Adds a multiget; its parts must be added before the next `settle`.
     pub fn take(&mut self, now: Time, taken: Taken) {
-        self.numbers.insert(taken.number, taken.id.clone());
+        self.ids_by_number.insert(taken.number, taken.id.clone());
         let multiget = Multiget {
             id: taken.id.clone(),
             number: taken.number,
@@ -132,23 +144,23 @@
             hint: taken.hint,
             arrived: now,
             ends: taken.ends,
-            due: now,
+            next_check: now,
             parts: Vec::new(),
             first_answer: None,
             ended: false,
         };
-        self.in_hand.insert(taken.id, multiget);
+        self.pending.insert(taken.id, multiget);
     }
 
-    /// A part of a multiget no longer in hand needs nothing.
+    /// Adds a part; ignored if its multiget is no longer pending.
     pub fn join(&mut self, now: Time, number: u64, part: NewPart) {
-        let Some(id) = self.numbers.get(&number) else {
+        let Some(id) = self.ids_by_number.get(&number) else {
             return;
         };
-        let Some(multiget) = self.in_hand.get_mut(id) else {
+        let Some(multiget) = self.pending.get_mut(id) else {
             return;
         };
-        multiget.due = now;
+        multiget.next_check = now;
         self.parts
             .insert(part.id.clone(), (id.clone(), multiget.parts.len()));
         multiget.parts.push(Part {
@@ -163,15 +175,15 @@
         });
     }
 
-    /// Notes how a send ended, once; tells whether the part's answer counts.
+    /// Records how an attempt ended, once; returns whether its answer is used.
     pub fn ended(&mut self, now: Time, ended: &Ended, wire: &mut impl Wire) -> Result<bool> {
-        let Some((id, place)) = self.parts.get(&ended.part).cloned() else {
+        let Some((id, index)) = self.parts.get(&ended.part).cloned() else {
             return Ok(false);
         };
-        let Some(multiget) = self.in_hand.get_mut(&id) else {
+        let Some(multiget) = self.pending.get_mut(&id) else {
             return Ok(false);
         };
-        let part = &mut multiget.parts[place];
+        let part = &mut multiget.parts[index];
         let send = (part.sends.get_mut(ended.nth)).with_context(|| {
             format!(
                 "{}: attempt {} was never sent",
@@ -183,67 +195,69 @@
             return Ok(false);
         }
         send.outcome = Some(ended.outcome);
-        let late = part.returned || part.closed || multiget.ended;
-        let counts = ended.outcome == Outcome::Returned && !late;
-        part.returned |= counts;
+        let too_late = part.returned || part.closed || multiget.ended;
+        let accepted = ended.outcome == Outcome::Returned && !too_late;
+        part.returned |= accepted;
         part.closed |= ended.closed;
-        let advice = self
+        let decision = self
             .policy
-            .outcome(now, multiget, place, ended.nth, ended.elapsed);
-        self.follow(now, &id, advice, wire);
-        self.forget_if_over(&id);
-        Ok(counts)
+            .outcome(now, multiget, index, ended.nth, ended.elapsed);
+        self.carry_out(now, &id, decision, wire);
+        self.drop_if_finished(&id);
+        Ok(accepted)
     }
 
+    /// The client is gone: nothing more is sent for its multiget, and no reply is given.
     pub fn client_left(&mut self, id: &MultigetId) {
-        if let Some(multiget) = self.in_hand.get_mut(id) {
+        if let Some(multiget) = self.pending.get_mut(id) {
             multiget.ended = true;
-            self.forget_if_over(id);
+            self.drop_if_finished(id);
         }
     }
 
-    /// The time for all that is in hand is up now.
+    /// Expires all pending multigets.
     pub fn stop(&mut self, now: Time) {
-        for multiget in self.in_hand.values_mut() {
-            (multiget.ends, multiget.due) = (now, now);
+        for multiget in self.pending.values_mut() {
+            (multiget.ends, multiget.next_check) = (now, now);
         }
     }
 
-    /// Takes the turns that are due; tells when to be called again at the latest.
+    /// Runs the work that is due; returns the longest delay until the next call.
     pub fn settle(&mut self, now: Time, wire: &mut impl Wire) -> Option<Span> {
-        let wait = self.policy.wait(now, &self.in_hand);
-        if let Some(Ask::Subscribe) = wait.ask {
+        let schedule = self.policy.schedule(now, &self.pending);
+        if let Some(DiscoveryCall::Subscribe) = schedule.discovery {
             wire.subscribe();
         }
-        for id in &wait.turn {
-            if let Some(multiget) = self.in_hand.get(id) {
-                let advice = self.policy.place(now, multiget);
-                self.follow(now, id, advice, wire);
-                self.forget_if_over(id);
+        for id in &schedule.due {
+            if let Some(multiget) = self.pending.get(id) {
+                let decision = self.policy.decide(now, multiget);
+                self.carry_out(now, id, decision, wire);
+                self.drop_if_finished(id);
             }
         }
-        self.policy.wait(now, &self.in_hand).next
+        self.policy.schedule(now, &self.pending).next_call
     }
 
-    fn follow(&mut self, now: Time, id: &MultigetId, advice: Advice, wire: &mut impl Wire) {
-        let Some(multiget) = self.in_hand.get_mut(id) else {
+    /// Carries out a decision through `wire`.
+    fn carry_out(&mut self, now: Time, id: &MultigetId, decision: Decision, wire: &mut impl Wire) {
+        let Some(multiget) = self.pending.get_mut(id) else {
             return;
         };
-        if let Some(span) = advice.again {
-            multiget.due = now + span;
+        if let Some(delay) = decision.recheck_after {
+            multiget.next_check = now + delay;
         }
-        for (place, nth) in advice.withdraw {
-            wire.withdraw(&multiget.parts[place].id, nth);
+        for (index, nth) in decision.cancel {
+            wire.withdraw(&multiget.parts[index].id, nth);
         }
-        for order in advice.orders {
-            wire.send(multiget, &order);
-            multiget.parts[order.part].sends.push(Send {
-                to: order.to,
-                at: now,
+        for command in decision.commands {
+            wire.send(multiget, &command);
+            multiget.parts[command.part].sends.push(Attempt {
+                to: command.to,
+                sent_at: now,
                 outcome: None,
             });
         }
-        let Some(reply) = advice.reply else { return };
+        let Some(reply) = decision.reply else { return };
         if let Reply::Answered { whole } = reply {
             let second_step = self.second_steps[multiget.op_type.0] > 0;
             multiget.ended = !second_step || multiget.first_answer.is_some();
@@ -253,22 +267,23 @@
         }
         let fresh = multiget.parts.iter().all(|part| part.sends.is_empty());
         if matches!(reply, Reply::PushedBack { .. }) && fresh && wire.wants_belief() {
-            wire.believed(multiget, self.policy.believed(now, multiget));
+            wire.believed(multiget, self.policy.admission_trace(now, multiget));
         }
         wire.reply(multiget, reply);
     }
 
-    /// A multiget stays in hand until its last send is closed, so that each outcome finds its send.
-    fn forget_if_over(&mut self, id: &MultigetId) {
-        let over = |m: &Multiget| {
+    /// A finished multiget stays pending until its last attempt has ended, so that each outcome
+    /// finds its attempt.
+    fn drop_if_finished(&mut self, id: &MultigetId) {
+        let finished = |m: &Multiget| {
             let mut sends = m.parts.iter().flat_map(|p| &p.sends);
             m.ended && sends.all(|s| s.outcome.is_some())
         };
-        if !self.in_hand.get(id).is_some_and(over) {
+        if !self.pending.get(id).is_some_and(finished) {
             return;
         }
-        if let Some(multiget) = self.in_hand.remove(id) {
-            self.numbers.remove(&multiget.number);
+        if let Some(multiget) = self.pending.remove(id) {
+            self.ids_by_number.remove(&multiget.number);
             for part in &multiget.parts {
                 self.parts.remove(&part.id);
             }
--- a/crates/lockusher-multiget/src/lib.rs
+++ b/crates/lockusher-multiget/src/lib.rs
@@ -1,7 +1,8 @@
-//! What every program round the decision module shares: [`host`] keeps multigets in hand and carries out
-//! advice, [`settings`] reads the settings object, [`list`] the lists of searchers. Nothing here decides.
+//! Code shared by the programs that embed the decision module: [`host`] keeps the accepted multigets and
+//! carries out decisions, [`settings`] reads the settings object, and [`list`] reads and writes lists of
+//! searchers. It makes no decisions.
 
-// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+// Lints of the workspace that this package does not satisfy yet; docs/ROADMAP.md lists what remains.
 #![allow(missing_docs, clippy::missing_errors_doc, clippy::wildcard_imports)]
 
 pub mod host;
--- a/crates/lockusher-multiget/src/list.rs
+++ b/crates/lockusher-multiget/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of searchers as discovery and registries write it, and as it is used.
+//! The list of searchers: the JSON of discovery and registries, and the internal form.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::settings::Names;
 
-/// A list as discovery writes it.
+/// A list in discovery's JSON.
 #[derive(Deserialize)]
 pub struct ListText {
     index: u64,
@@ -16,7 +16,7 @@
     endpoints: Vec<LineText>,
 }
 
-/// One searcher as it is written. A registry's entry may leave its name to its key.
+/// One searcher in JSON. Registry entries may omit the name, which is their key.
 #[derive(Deserialize)]
 pub struct LineText {
     #[serde(default)]
@@ -30,14 +30,14 @@
     weight: Option<f64>,
     #[serde(default)]
     since_ms: u64,
-    /// What it can be spoken to by, beside frames.
+    /// The protocol that the searcher offers in addition to frames.
     #[serde(default)]
-    carrier: Offers,
+    carrier: CarrierProtocol,
 }
 
 #[derive(Serialize, Deserialize, Clone, Copy, Default, PartialEq)]
 #[serde(rename_all = "lowercase")]
-enum Offers {
+enum CarrierProtocol {
     #[default]
     Frames,
     Http2,
@@ -51,26 +51,27 @@
     Left,
 }
 
-/// Where a searcher listens, and whether its line says that it speaks HTTP/2 there.
+/// Address of a searcher, and whether its entry says that it offers HTTP/2 there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Place {
     pub address: SocketAddr,
     pub http2: bool,
 }
 
-/// A searcher, and where it is.
+/// A searcher and its address.
 pub type Line = (Listed, Place);
 
-/// A list as it is used.
+/// A list in its internal form.
 pub struct List {
-    /// The version of what told it, for whoever asks there again.
+    /// Version of the source, for the next call to it.
     pub index: u64,
-    /// The complete list, not changes only.
+    /// Whether this is the complete list, rather than changes only.
     pub complete: bool,
     pub lines: Vec<Line>,
 }
 
 impl LineText {
+    /// Converts an entry; a zone that is not in the settings becomes `None`.
     pub fn read(&self, names: &Names) -> Line {
         let listed = Listed {
             id: SearcherId::new(&self.name),
@@ -89,13 +90,14 @@
             listed,
             Place {
                 address: self.address,
-                http2: self.carrier == Offers::Http2,
+                http2: self.carrier == CarrierProtocol::Http2,
             },
         )
     }
 }
 
 impl ListText {
+    /// Converts the list to its internal form.
     pub fn read(self, names: &Names) -> List {
         let lines = self.endpoints.iter().map(|text| text.read(names)).collect();
         List {
@@ -106,16 +108,16 @@
     }
 }
 
-/// A list in discovery's form, which [`ListText`] reads back.
+/// A list to be written as discovery's JSON, which [`ListText`] reads.
 #[derive(Serialize)]
 pub struct ListOut<'a> {
     index: u64,
     snapshot: bool,
-    endpoints: Vec<LineOut<'a>>,
+    endpoints: Vec<EntryOutput<'a>>,
 }
 
 #[derive(Serialize)]
-struct LineOut<'a> {
+struct EntryOutput<'a> {
     name: &'a str,
     address: SocketAddr,
     zone: &'a str,
@@ -124,27 +126,27 @@
     weight: f64,
     since_ms: u64,
     #[serde(skip_serializing_if = "is_frames")]
-    carrier: Offers,
+    carrier: CarrierProtocol,
 }
 
-fn is_frames(offers: &Offers) -> bool {
-    *offers == Offers::Frames
+fn is_frames(protocol: &CarrierProtocol) -> bool {
+    *protocol == CarrierProtocol::Frames
 }
 
 impl<'a> ListOut<'a> {
-    /// A zone that the settings don't name is left empty.
+    /// A zone that is not in the settings is written as an empty name.
     pub fn new(index: u64, lines: impl IntoIterator<Item = &'a Line>, names: &'a Names) -> Self {
-        let named = |zone: Zone| {
+        let zone_name = |zone: Zone| {
             names
                 .zones
                 .iter()
                 .find(|(_, z)| **z == zone)
                 .map(|(name, _)| name.as_str())
         };
-        let line = |(listed, place): &'a Line| LineOut {
+        let line = |(listed, place): &'a Line| EntryOutput {
             name: listed.id.as_str(),
             address: place.address,
-            zone: listed.zone.and_then(named).unwrap_or_default(),
+            zone: listed.zone.and_then(zone_name).unwrap_or_default(),
             group: listed.cell.0,
             status: match listed.state {
                 SearcherState::Up => Status::Active,
@@ -156,9 +158,9 @@
                 .up_since
                 .map_or(0, |at| at.since(Time::from_micros(0)).as_micros() / 1_000),
             carrier: if place.http2 {
-                Offers::Http2
+                CarrierProtocol::Http2
             } else {
-                Offers::Frames
+                CarrierProtocol::Frames
             },
         };
         ListOut {
--- a/crates/lockusher-multiget/src/settings.rs
+++ b/crates/lockusher-multiget/src/settings.rs
@@ -1,18 +1,18 @@
-//! The settings object that an instance gets at its start: read and turned into the module's values. Its names
-//! end here.
+//! The settings object that an instance receives at its start, and its conversion to the types of
+//! the decision module. Names of the settings are used in this file only.
 
 use std::collections::BTreeMap;
 
 use lockusher_policy::interface::*;
 use serde::Deserialize;
 
-/// An instance's settings, of which only what the module asks for is read.
+/// Settings of an instance; keys that are not needed are ignored.
 #[derive(Deserialize)]
 pub struct Settings {
-    /// How many mixers there are, and which of them this is, from 0.
+    /// Number of mixers, and the index of this one, starting at 0.
     pub balancers: usize,
     pub rank: usize,
-    grades: Vec<Grade>,
+    grades: Vec<OpTypeSettings>,
     pub extra: Extra,
     pub limits: Limits,
     localities: Vec<String>,
@@ -21,30 +21,30 @@
     #[serde(default)]
     pub over_share_worth: f64,
     #[serde(default)]
-    parties: Vec<Party>,
+    parties: Vec<TenantSettings>,
     prices: Prices,
     rules: Rules,
     pub tick_us: u64,
     #[serde(default)]
-    worth_by: WorthBy,
+    worth_by: ValueBasis,
 }
 
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "snake_case")]
-enum WorthBy {
+enum ValueBasis {
     #[default]
     Request,
     Work,
 }
 
 #[derive(Deserialize)]
-struct Grade {
+struct OpTypeSettings {
     name: String,
     promise_us: u64,
     deadline_us: u64,
     #[serde(default)]
     aim_stretch: f64,
-    effect: Effect,
+    effect: RepeatSafety,
     dedup_window_us: Option<u64>,
     #[serde(default)]
     late_value: f64,
@@ -53,15 +53,16 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Effect {
+enum RepeatSafety {
     Safe,
     Keyed,
     Unsafe,
 }
 
+/// Settings of sharded queries.
 #[derive(Deserialize)]
 pub struct Extra {
-    /// Parts that one call to a searcher may hold.
+    /// Most parts in one call to a searcher.
     pub bundle_max: Option<usize>,
     cells: usize,
     in_a_row: usize,
@@ -71,19 +72,20 @@
     fetch_parts: Vec<usize>,
     least_share: Vec<f64>,
     need_by_class: Vec<f64>,
-    /// How many shards there are.
+    /// Number of shards.
     pub slices: Option<usize>,
 }
 
+/// Limits of calls, connections and attempts.
 #[derive(Deserialize)]
 pub struct Limits {
-    /// A searcher closes a connection unused for so long.
+    /// Searchers close connections that are idle for this long.
     pub conn_idle_us: Option<u64>,
     pub connect_timeout_us: Option<u64>,
     max_attempts: usize,
-    /// Multigets and parts that one mixer may hold.
+    /// Most multigets and parts that one mixer may hold at a time.
     pub max_open: Option<usize>,
-    /// Calls that one connection carries at once.
+    /// Most concurrent calls on one connection.
     pub max_streams: Option<usize>,
     #[serde(default)]
     max_retry_after_us: u64,
@@ -97,6 +99,7 @@
     retry_after: bool,
 }
 
+/// How the list of searchers is obtained: pushed by discovery, or on request.
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum Membership {
@@ -105,7 +108,7 @@
 }
 
 #[derive(Deserialize)]
-struct Party {
+struct TenantSettings {
     name: String,
     quota_per_s: f64,
 }
@@ -129,21 +132,23 @@
 }
 
 impl Settings {
+    /// The operation types; fails if a list in `extra` is too short or a deduplication window is
+    /// missing.
     pub fn op_types(&self) -> Result<Vec<OpType>, String> {
-        let of = |list: &[f64], i: usize, what: &str| {
+        let entry = |list: &[f64], i: usize, field: &str| {
             list.get(i)
                 .copied()
-                .ok_or_else(|| format!("facts.extra.{what} has no entry for class {i}"))
+                .ok_or_else(|| format!("facts.extra.{field} has no entry for class {i}"))
         };
         self.grades
             .iter()
             .enumerate()
             .map(|(i, g)| {
                 let repeat = match (&g.effect, g.dedup_window_us) {
-                    (Effect::Safe, _) => Repeat::Retriable,
-                    (Effect::Unsafe, _) => Repeat::NonRetriable,
-                    (Effect::Keyed, Some(us)) => Repeat::Deduped(Span::from_micros(us)),
-                    (Effect::Keyed, None) => {
+                    (RepeatSafety::Safe, _) => Repeat::Retriable,
+                    (RepeatSafety::Unsafe, _) => Repeat::NonRetriable,
+                    (RepeatSafety::Keyed, Some(us)) => Repeat::Deduped(Span::from_micros(us)),
+                    (RepeatSafety::Keyed, None) => {
                         return Err(format!(
                             "class {} is keyed but has no dedup_window_us",
                             g.name
@@ -151,15 +156,15 @@
                     }
                 };
                 Ok(OpType {
-                    latency_budget: Span::from_micros(g.promise_us),
-                    budget_stretch: g.aim_stretch,
+                    latency_target: Span::from_micros(g.promise_us),
+                    target_stretch: g.aim_stretch,
                     route_timeout: Span::from_micros(g.deadline_us),
-                    importance: g.worth,
-                    late_share: g.late_value,
+                    value: g.worth,
+                    late_value_ratio: g.late_value,
                     repeat,
-                    need: of(&self.extra.need_by_class, i, "need_by_class")?,
-                    least_share: of(&self.extra.least_share, i, "least_share")?,
-                    partial_pays: self.extra.class_partial.get(i).copied().unwrap_or(0.0),
+                    complete_share: entry(&self.extra.need_by_class, i, "need_by_class")?,
+                    min_share: entry(&self.extra.least_share, i, "least_share")?,
+                    partial_value_ratio: self.extra.class_partial.get(i).copied().unwrap_or(0.0),
                     second_step: self.extra.fetch_parts.get(i).copied().unwrap_or(0),
                 })
             })
@@ -167,7 +172,7 @@
     }
 
     pub fn tenants(&self) -> Vec<Tenant> {
-        let tenant = |p: &Party| Tenant {
+        let tenant = |p: &TenantSettings| Tenant {
             quota_per_s: p.quota_per_s,
         };
         self.parties.iter().map(tenant).collect()
@@ -176,59 +181,62 @@
     pub fn layout(&self) -> Layout {
         Layout {
             cells: self.extra.cells,
-            in_a_row: self.extra.in_a_row,
+            cells_per_shard: self.extra.in_a_row,
         }
     }
 
-    pub fn cold_rule(&self) -> ColdRule {
-        ColdRule {
-            starts_at: self.rules.cold_from,
+    pub fn slow_start(&self) -> SlowStart {
+        SlowStart {
+            initial_capacity: self.rules.cold_from,
             ramp: Span::from_micros(self.rules.ramp_time_us),
-            fall_multiple: self.rules.fall_multiple,
-            tip_after: Span::from_micros(self.rules.tip_after_us),
+            overload_multiple: self.rules.fall_multiple,
+            overload_window: Span::from_micros(self.rules.tip_after_us),
         }
     }
 
-    pub fn send_budget(&self) -> Option<SendBudget> {
-        Some(SendBudget {
-            free: self.rules.spare_attempts.unwrap_or(0.0),
-            share: self.rules.extra_ratio.unwrap_or(0.0),
+    pub fn retry_limit(&self) -> Option<RetryLimit> {
+        Some(RetryLimit {
+            base: self.rules.spare_attempts.unwrap_or(0.0),
+            ratio: self.rules.extra_ratio.unwrap_or(0.0),
             window: Span::from_micros(self.rules.look_back_us?),
         })
     }
 
-    pub fn part_limits(&self) -> PartLimits {
-        PartLimits {
-            most_sends: self.limits.max_attempts,
-            second_copies: self.limits.parallel_tries,
-            may_withdraw: self.limits.may_cancel,
+    pub fn attempt_limits(&self) -> AttemptLimits {
+        AttemptLimits {
+            max_attempts: self.limits.max_attempts,
+            may_hedge: self.limits.parallel_tries,
+            may_cancel: self.limits.may_cancel,
         }
     }
 
-    /// How often discovery must be asked at the least, where it tells only those that ask. Whatever a refusal or a
-    /// silence allows besides, a change counts as told so long after discovery had it and could be reached.
+    /// Longest interval between calls to discovery, where it only answers calls; `None` if it
+    /// pushes. Whatever failures and delays are allowed for, a change counts as known this long
+    /// after discovery had it and was reachable.
     pub fn ask_every(&self) -> Option<Span> {
-        const TOLD_AFTER: Span = Span::from_millis(6_000);
-        let stated = self.rules.ask_every_us.map(Span::from_micros);
+        const KNOWN_AFTER: Span = Span::from_millis(6_000);
+        let configured = self.rules.ask_every_us.map(Span::from_micros);
         (self.membership_mode == Membership::OnRequest)
-            .then(|| stated.map_or(TOLD_AFTER, |us| us.min(TOLD_AFTER)))
+            .then(|| configured.map_or(KNOWN_AFTER, |us| us.min(KNOWN_AFTER)))
     }
 
-    /// The longest time to come back that a client keeps to; none if clients are not told one.
-    pub fn longest_come_back(&self) -> Option<Span> {
+    /// The longest retry delay that clients observe; `None` if clients are not given one.
+    pub fn max_retry_after(&self) -> Option<Span> {
         let us = self.limits.max_retry_after_us;
         self.limits.retry_after.then(|| Span::from_micros(us))
     }
 
-    pub fn by_work(&self) -> bool {
-        self.worth_by == WorthBy::Work
+    /// Whether `worth` is per unit of work instead of per multiget.
+    pub fn value_is_per_work(&self) -> bool {
+        self.worth_by == ValueBasis::Work
     }
 
     pub fn cross_zone_price(&self) -> f64 {
         self.prices.cross_zone
     }
 
-    pub fn home(&self) -> Option<Zone> {
+    /// The mixer's own zone; `None` if it is not in `localities`.
+    pub fn home_zone(&self) -> Option<Zone> {
         self.zone(&self.locality)
     }
 
@@ -248,7 +256,7 @@
     }
 }
 
-/// The names that the settings give to what the module knows by number.
+/// Indices of the names in the settings.
 #[derive(Clone, Default)]
 pub struct Names {
     pub op_types: BTreeMap<String, OpTypeId>,
--- a/crates/lockusher-policy/src/interface.rs
+++ b/crates/lockusher-policy/src/interface.rs
@@ -1,5 +1,5 @@
-//! The plain values that the decision module is asked with and answers with, and the kinds of average it
-//! keeps. Nothing here decides, and no value is set here.
+//! Input and output types of the decision module, and the averages, rates and token buckets that it keeps.
+//! This module makes no decisions and sets no policy values.
 
 use std::collections::BTreeMap;
 use std::ops::{Add, Sub};
@@ -20,7 +20,7 @@
         Time(us)
     }
 
-    /// How long ago `earlier` was; nothing if it lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is in the future.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -46,7 +46,7 @@
         self.0 as f64 / 1e6
     }
 
-    /// A negative length becomes nothing, one too long the longest span.
+    /// Negative values become zero; values that are too large become the longest span.
     pub fn from_secs(secs: f64) -> Self {
         Span((secs * 1e6).round() as u64)
     }
@@ -108,112 +108,120 @@
 }
 
 name_id!(
-    /// A multiget's id, as the host names it.
+    /// Identifier of a multiget, assigned by the host.
     MultigetId,
-    /// A part's id, as the host names it.
+    /// Identifier of a part, assigned by the host.
     PartId,
-    /// A searcher's id, the same across its restarts.
+    /// Identifier of a searcher; it stays the same across restarts.
     SearcherId
 );
 
 number_id!(
-    /// An op type, by its place in the settings.
+    /// Operation type, by its index in the settings.
     OpTypeId,
-    /// A tenant, by its place in the settings.
+    /// Tenant, by its index in the settings.
     TenantId,
-    /// A zone, by its place in the settings.
+    /// Zone, by its index in the settings.
     Zone,
-    /// A shard's number.
+    /// Shard number.
     Shard,
-    /// A cell: a group of searchers that begin the same shards.
+    /// Cell number: a cell is a group of searchers that hold the same shards.
     Cell
 );
 
-/// What a repeat of a part does.
+/// Whether a part may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may run again.
+    /// Repeated execution is harmless.
     Retriable,
-    /// A repeat is dropped within this long of the first send that may have run.
+    /// The searcher drops duplicates for this long after the first attempt that may have been executed.
     Deduped(Span),
-    /// It must never run twice.
+    /// A second execution must be prevented.
     NonRetriable,
 }
 
-/// What the settings say of one op type.
+/// Settings of one operation type.
 #[derive(Clone, Debug)]
 pub struct OpType {
-    pub latency_budget: Span,
-    /// The latency budget grows by this multiple of the multiget's own work, up to the route timeout.
-    pub budget_stretch: f64,
+    pub latency_target: Span,
+    /// The latency target grows by this multiple of the multiget's own expected work, up to the route
+    /// timeout.
+    pub target_stretch: f64,
     pub route_timeout: Span,
-    pub importance: f64,
-    /// Share of the importance that an answer past the latency budget earns.
-    pub late_share: f64,
+    pub value: f64,
+    /// Fraction of `value` that an answer after the latency target is worth.
+    pub late_value_ratio: f64,
     pub repeat: Repeat,
-    /// Share of the first step's weight that makes a whole answer.
-    pub need: f64,
-    /// Least share of the weight for any answer.
-    pub least_share: f64,
-    /// What an answer that is not whole earns, times its share of `need`.
-    pub partial_pays: f64,
-    /// Parts of the second step; none means there is no second step.
+    /// Fraction of the first step's weight that makes an answer complete.
+    pub complete_share: f64,
+    /// Smallest fraction of the weight that any answer needs.
+    pub min_share: f64,
+    /// Value of a partial answer, multiplied by the fraction of `complete_share` that it holds.
+    pub partial_value_ratio: f64,
+    /// Number of parts in the second step; 0 if there is no second step.
     pub second_step: usize,
 }
 
-/// A tenant's share.
+/// Settings of one tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Multigets a second within its share, over all mixers.
+    /// Quota in multigets per second, summed over all mixers.
     pub quota_per_s: f64,
 }
 
-/// Which searchers hold a shard: those of cell (shard + j) mod `cells` for j below `in_a_row`.
+/// Placement of shards: shard `s` is held by cells (s + j) mod `cells` for each j below `cells_per_shard`.
 #[derive(Clone, Copy, Debug)]
 pub struct Layout {
     pub cells: usize,
-    pub in_a_row: usize,
+    pub cells_per_shard: usize,
 }
 
 impl Layout {
-    /// The shards, modulo `cells`, that the searchers of a cell hold.
+    /// The shards, modulo `cells`, that the searchers of `cell` hold.
     pub fn shards_of(self, cell: Cell) -> impl Iterator<Item = usize> {
         let first = cell.0 % self.cells + self.cells;
-        (0..self.in_a_row.min(self.cells)).map(move |j| (first - j) % self.cells)
+        (0..self.cells_per_shard.min(self.cells)).map(move |j| (first - j) % self.cells)
     }
 }
 
-/// The zone that the mixer is in, and the price of a send that leaves it.
-pub type Site = (Option<Zone>, f64);
+/// The mixer's own zone, and the price of sending to another zone.
+pub type Locality = (Option<Zone>, f64);
 
-/// Which of the mixers this is, from 0, and how many there are.
-pub type Rank = (usize, usize);
+/// Index of this mixer, starting at 0, and the number of mixers.
+pub type MixerRank = (usize, usize);
 
-/// The figures of the rule on cold searchers.
+/// Slow start of searchers that have just started: the load that they may be given while they warm up.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdRule {
-    pub starts_at: f64,
+pub struct SlowStart {
+    /// Fraction of its full capacity that a searcher has when it starts.
+    pub initial_capacity: f64,
+    /// Time in which the capacity grows linearly to its full value.
     pub ramp: Span,
-    pub fall_multiple: f64,
-    pub tip_after: Span,
+    /// A searcher may fail if its load exceeds this multiple of its capacity.
+    pub overload_multiple: f64,
+    /// How long the load must exceed it.
+    pub overload_window: Span,
 }
 
-/// The budget for sends beyond each part's first, where one is stated.
+/// Limit on retries over a sliding window: `base` plus `ratio` times the requests received in the window.
 #[derive(Clone, Copy, Debug)]
-pub struct SendBudget {
-    pub free: f64,
-    pub share: f64,
+pub struct RetryLimit {
+    pub base: f64,
+    pub ratio: f64,
     pub window: Span,
 }
 
-/// What may be done about one part.
+/// What may be done with one part.
 #[derive(Clone, Copy, Debug)]
-pub struct PartLimits {
-    pub most_sends: usize,
-    pub second_copies: bool,
-    pub may_withdraw: bool,
+pub struct AttemptLimits {
+    pub max_attempts: usize,
+    /// Whether a second attempt may be in flight while the first is.
+    pub may_hedge: bool,
+    /// Whether an attempt in flight may be cancelled.
+    pub may_cancel: bool,
 }
 
+/// State of a searcher in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearcherState {
     Up,
@@ -221,7 +229,7 @@
     Gone,
 }
 
-/// One line of the list of searchers.
+/// One entry of the list of searchers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
     pub id: SearcherId,
@@ -232,82 +240,85 @@
     pub rating: f64,
 }
 
-/// What discovery told.
+/// An update from discovery or from the fleet's shared state.
 #[derive(Clone, Debug)]
 pub enum News {
-    /// Altered lines only.
+    /// Changed entries only.
     Changes(Vec<Listed>),
-    /// The complete list: what it lacks has been removed.
+    /// The complete list; searchers missing from it have been removed.
     All(Vec<Listed>),
-    /// The complete list as it was last held, perhaps out of date.
+    /// The complete list as last stored; it may be out of date.
     Remembered(Vec<Listed>),
-    /// A call failed or the subscription broke.
+    /// A discovery call failed or the subscription was lost.
     Refused,
-    /// The mixers whose shares may be in use, where the fleet keeps a view of itself; else the settings' number.
+    /// Number of mixers that may be using their quota shares, where the fleet tracks its membership;
+    /// otherwise the number in the settings applies.
     Mixers(usize),
-    /// All that the fleet's mixers agree on of searchers that are unlike their peers.
+    /// Every searcher that the fleet's mixers agree differs from its peers.
     Judged(Vec<Judged>),
-    /// What other mixers held of searchers when this one started.
+    /// What other mixers had observed of searchers when this mixer started.
     Remembers(Vec<Known>),
-    /// What this mixer may spend of the budgets that the fleet shares.
+    /// This mixer's shares of the budgets that the fleet shares.
     Portions(Vec<(Budget, Portion)>),
 }
 
-/// What the whole fleet spends from one account, a second.
+/// A budget that the whole fleet shares, in units per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Budget {
-    /// Sends of a part beyond its first.
+    /// Attempts of a part beyond its first.
     Further,
-    /// Sends to searchers that are cold.
+    /// Attempts sent to searchers that are still warming up.
     Cold,
     /// New connections to searchers.
     Connections,
-    /// Searchers asked how they are.
+    /// Health checks of searchers.
     Probes,
-    /// A tenant's share.
+    /// A tenant's quota.
     Tenant(TenantId),
 }
 
-/// What a mixer itself saw of a searcher, for others to hear; it decides nothing. Latency in seconds.
+/// What this mixer observed of a searcher, published to other mixers; no decision uses it. Latency in
+/// seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Glimpse {
     pub id: SearcherId,
-    /// Its start as listed: which life this is of.
+    /// The searcher's start time as listed; it identifies the incarnation that was observed.
     pub life: Option<Time>,
     pub latency: Option<f64>,
-    /// The share of good sends.
+    /// EWMA of the fraction of attempts that succeeded.
     pub good: f64,
     pub heard: Time,
-    /// Since when a send is out with nothing heard after it left.
+    /// Send time of the oldest attempt in flight, if there was no outcome after it was sent.
     pub silent_since: Option<Time>,
-    /// Since when nothing but signs of a dead process came.
+    /// Since when every outcome has suggested a dead process.
     pub down_since: Option<Time>,
-    /// When it came back cold, by its symptoms.
+    /// When it came back after an outage and began to warm up, as inferred from its outcomes.
     pub cold_since: Option<Time>,
 }
 
 impl Judged {
-    /// Whether it is said against the searcher.
+    /// Whether the searcher is reported as worse than its peers.
     pub fn accuses(&self) -> bool {
         self.good < 1.0 || self.slower > 1.0
     }
 }
 
-/// What several mixers agree on of one searcher.
+/// Health of one searcher as agreed by several mixers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Judged {
     pub id: SearcherId,
-    /// The life that it is said of.
+    /// Start time of the incarnation that the report is about.
     pub life: Option<Time>,
-    /// The share of good sends that is to be expected, and latency as a multiple of its peers'.
+    /// Expected fraction of successful attempts, and latency as a multiple of its peers' latency.
     pub good: f64,
     pub slower: f64,
     pub cold_since: Option<Time>,
-    /// When it was last seen so.
+    /// Time of the latest observation behind the report.
     pub at: Time,
 }
 
-/// What another mixer held of a searcher: latency in seconds and share of good sends, as of a time.
+/// What another mixer had observed of a searcher up to `at`: latency in seconds and fraction of successful
+/// attempts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Known {
     pub id: SearcherId,
@@ -317,7 +328,7 @@
     pub at: Time,
 }
 
-/// How a send ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Returned,
@@ -327,97 +338,100 @@
     NoConnection,
     Broken,
     Withdrawn,
-    /// Its connection fell silent while its searcher answers on another: it may have run, and says nothing more.
+    /// Its connection stalled while the searcher answered on another one; the part may have been executed.
     Lost,
-    /// Not transmitted: the part was done, out of time or out of sends.
+    /// Never transmitted: the part was finished, or out of time or attempts.
     Moot,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the part never ran.
-    pub fn never_ran(self) -> bool {
+    /// Whether this outcome proves that the part was not executed.
+    pub fn proves_not_executed(self) -> bool {
         matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::Moot)
     }
 
-    /// Whether there was no answer though a connection was there.
-    pub fn came_to_nothing(self) -> bool {
+    /// Whether a connection existed but no answer arrived.
+    pub fn is_unanswered(self) -> bool {
         matches!(self, Outcome::Broken | Outcome::TimedOut | Outcome::Withdrawn)
     }
 }
 
-/// One send of a part.
+/// One attempt to have a part served.
 #[derive(Clone, Debug)]
-pub struct Send {
+pub struct Attempt {
     pub to: SearcherId,
-    pub at: Time,
+    pub sent_at: Time,
     pub outcome: Option<Outcome>,
 }
 
+/// One part of a multiget, served by a replica of its shard.
 #[derive(Clone, Debug)]
 pub struct Part {
     pub id: PartId,
     pub shard: Shard,
     pub weight: f64,
-    /// Rough expected work, where the host is told it.
+    /// Rough estimate of the work, if the host provides one.
     pub hint: Option<Span>,
-    /// Whether it belongs to the second step.
+    /// Whether the part belongs to the second step.
     pub second_step: bool,
-    pub sends: Vec<Send>,
-    /// Its answer is in.
+    pub sends: Vec<Attempt>,
+    /// An answer has arrived.
     pub returned: bool,
-    /// Nothing more comes of it.
+    /// No further attempt will be made or awaited.
     pub closed: bool,
 }
 
 impl Part {
-    /// The first of its sends that is not known never to have run.
-    pub fn first_that_may_have_run(&self) -> Option<&Send> {
-        self.sends.iter().find(|s| !s.outcome.is_some_and(Outcome::never_ran))
+    /// The first attempt that is not known to have been left unexecuted.
+    pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
+        self.sends.iter().find(|s| !s.outcome.is_some_and(Outcome::proves_not_executed))
     }
 }
 
+/// One multiget and the state of its parts.
 #[derive(Clone, Debug)]
 pub struct Multiget {
     pub id: MultigetId,
-    /// The host's own number for it, which grows with each one taken.
+    /// Sequence number assigned by the host; it increases with each multiget.
     pub number: u64,
     pub op_type: OpTypeId,
     pub tenant: Option<TenantId>,
-    /// The client marked this as a try after its first.
+    /// The client marked this as a retry.
     pub resubmitted: bool,
-    /// Rough expected work of all parts, where the host is told it.
+    /// Rough estimate of the work of all parts, if the host provides one.
     pub hint: Option<Span>,
     pub arrived: Time,
-    /// The client's time for this try is up.
+    /// The client's deadline for this request.
     pub ends: Time,
-    /// When to ask about it again, as the module last said.
-    pub due: Time,
+    /// Next time to call `Policy::decide`, from the last `Decision::recheck_after`.
+    pub next_check: Time,
     pub parts: Vec<Part>,
-    /// The first answer was given; whether it was whole.
+    /// Set once the first step is answered: whether that answer was complete.
     pub first_answer: Option<bool>,
-    /// It has its final answer; some of its sends may still be out.
+    /// The final reply was given; some attempts may still be in flight.
     pub ended: bool,
 }
 
 impl Multiget {
-    /// The parts of the step that is on, with their places.
-    pub fn step(&self) -> impl Iterator<Item = (usize, &Part)> {
-        let second = self.first_answer.is_some();
-        self.parts.iter().enumerate().filter(move |(_, p)| p.second_step == second)
+    /// The parts of the current step, with their indices.
+    pub fn current_step(&self) -> impl Iterator<Item = (usize, &Part)> {
+        let second_step = self.first_answer.is_some();
+        self.parts.iter().enumerate().filter(move |(_, p)| p.second_step == second_step)
     }
 }
 
-/// A send of a part that the module orders.
+/// An attempt that the host must send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// Place of the part in the multiget.
+    /// Index of the part in the multiget.
     pub part: usize,
     pub to: SearcherId,
     pub timeout: Span,
-    /// Close what unused connections there are to it first.
+    /// Close idle connections to the searcher first, so that the attempt uses a new one.
     pub anew: bool,
 }
 
+/// A reply to the client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
     Answered { whole: bool },
@@ -425,188 +439,198 @@
     Failed,
 }
 
-/// What the gate believed when it pushed a fresh multiget back, for a trace; it decides nothing. Times in seconds.
+/// Inputs of admission control when it rejected a multiget of which nothing had been sent; for traces only.
+/// Times in seconds.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Belief {
-    /// How much an idle replica's expected time counts, from 0 (not at all) to 1.
+    /// How far an idle replica's expected latency counts, from 0 (not at all) to 1 (fully).
     pub pass: f64,
-    /// The time that the multiget may plan to use.
+    /// Time that the multiget may plan to use.
     pub left: f64,
-    /// The share of first tries not answered in time, which shortens later tries' budgets.
+    /// Fraction of first tries not answered in time, which shortens the latency targets of retries.
     pub unserved: f64,
-    /// The middle latency of the fleet as this mixer holds it.
+    /// This mixer's estimate of the fleet's median latency.
     pub peers: f64,
-    /// By part: the replica that would be picked, what it is expected to take there, whether nothing of ours is
-    /// out there, how long ago it was heard from, and its share of good sends; `None` where none may be asked.
+    /// The replica that would be picked for each part; `None` if no replica may be sent the part now.
     pub picks: Vec<Option<Believed>>,
 }
 
-/// A replica as the gate saw it: (searcher, expected, idle, heard ago, good), as in [`Belief::picks`].
+/// A candidate replica: (searcher, expected latency, whether none of this mixer's attempts are in flight
+/// there, time since its last outcome, fraction of successful attempts).
 pub type Believed = (SearcherId, f64, bool, f64, f64);
 
-/// What to do about one multiget now.
+/// What to do with one multiget now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Advice {
-    /// Sends to cease waiting for, before the orders: place of the part and of the send.
-    pub withdraw: Vec<(usize, usize)>,
-    pub orders: Vec<Order>,
+pub struct Decision {
+    /// Attempts to cancel before the commands are carried out, as (part index, attempt index).
+    pub cancel: Vec<(usize, usize)>,
+    pub commands: Vec<Order>,
     pub reply: Option<Reply>,
-    /// Ask about it again after this, whatever happens before.
-    pub again: Option<Span>,
+    /// Call `Policy::decide` again after this long, even if nothing else happens.
+    pub recheck_after: Option<Span>,
 }
 
-/// A call on discovery.
+/// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum DiscoveryCall {
     Subscribe,
 }
 
-/// How long to wait, and what is due before.
+/// The work that is due now, and when to call again.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wait {
-    /// Multigets to ask about now, in this order.
-    pub turn: Vec<MultigetId>,
-    pub ask: Option<Ask>,
-    /// Call again after this at the latest.
-    pub next: Option<Span>,
+pub struct Schedule {
+    /// Multigets to call `Policy::decide` for now, in this order.
+    pub due: Vec<MultigetId>,
+    pub discovery: Option<DiscoveryCall>,
+    /// Call again after at most this long.
+    pub next_call: Option<Span>,
 }
 
-/// The multigets that the host has in hand.
-pub type InHand = BTreeMap<MultigetId, Multiget>;
+/// The multigets that the host has accepted and not yet dropped.
+pub type PendingMultigets = BTreeMap<MultigetId, Multiget>;
 
-/// What is left after a time of what halves in so many seconds.
-pub fn half_in(seconds: u32, gone: Span) -> f64 {
-    0.5f64.powf(gone.as_secs() / f64::from(seconds))
+/// Factor by which a value with the given half-life has decayed after `elapsed`.
+pub fn decay(half_life_s: u32, elapsed: Span) -> f64 {
+    0.5f64.powf(elapsed.as_secs() / f64::from(half_life_s))
 }
 
-/// The value that one in so many lies under.
-pub fn lowest(one_in: usize, values: &mut [f64]) -> Option<f64> {
-    let place = values.len() / one_in;
-    (!values.is_empty()).then(|| *values.select_nth_unstable_by(place, f64::total_cmp).1)
+/// The value at index `len / one_in` of the sorted values: the median for 2, the lower quartile for 4.
+pub fn quantile(one_in: usize, values: &mut [f64]) -> Option<f64> {
+    let index = values.len() / one_in;
+    (!values.is_empty()).then(|| *values.select_nth_unstable_by(index, f64::total_cmp).1)
 }
 
-/// A plain mean at first, then an average over about the last `LAST` samples.
+/// A plain mean at first, then a moving average over about the last `SAMPLES` samples.
 #[derive(Clone, Copy, Default)]
-pub struct Mean<const LAST: u32> {
+pub struct Mean<const SAMPLES: u32> {
     pub count: f64,
     pub value: f64,
 }
 
-impl<const LAST: u32> Mean<LAST> {
-    pub fn feed(&mut self, sample: f64) {
-        self.count = (self.count + 1.0).min(f64::from(LAST));
+impl<const SAMPLES: u32> Mean<SAMPLES> {
+    pub fn record(&mut self, sample: f64) {
+        self.count = (self.count + 1.0).min(f64::from(SAMPLES));
         blend(&mut self.value, sample, 1.0 / self.count);
     }
 
-    pub fn known(&self) -> Option<f64> {
+    pub fn get(&self) -> Option<f64> {
         (self.count > 0.0).then_some(self.value)
     }
 }
 
-/// The share of events that were bad, over about the last `LAST`, with `GOOD` counted as good beforehand; it
-/// halves in `HALF` seconds. It means the same whether events are many or rare.
-pub struct Share<const LAST: u32, const GOOD: u32, const HALF: u32> {
-    bad: f64,
-    all: f64,
-    at: Time,
+/// Fraction of events that failed, over about the last `SAMPLES`, with `PRIOR_SUCCESSES` successes assumed
+/// beforehand. It decays with a half-life of `HALF_LIFE_S` seconds, independently of the event rate.
+pub struct FailureRatio<const SAMPLES: u32, const PRIOR_SUCCESSES: u32, const HALF_LIFE_S: u32> {
+    failures: f64,
+    total: f64,
+    updated_at: Time,
 }
 
-impl<const LAST: u32, const GOOD: u32, const HALF: u32> Share<LAST, GOOD, HALF> {
-    pub fn new(at: Time) -> Self {
-        Share { bad: 0.0, all: 0.0, at }
+impl<const SAMPLES: u32, const PRIOR_SUCCESSES: u32, const HALF_LIFE_S: u32>
+    FailureRatio<SAMPLES, PRIOR_SUCCESSES, HALF_LIFE_S>
+{
+    pub fn new(updated_at: Time) -> Self {
+        FailureRatio { failures: 0.0, total: 0.0, updated_at }
     }
 
-    pub fn note(&mut self, now: Time, bad: bool) {
-        let memory = half_in(HALF, now.since(self.at)).min(f64::from(LAST) / (self.all + 1.0));
-        (self.bad, self.all, self.at) = (self.bad * memory + f64::from(bad), self.all * memory + 1.0, now);
+    pub fn record(&mut self, now: Time, failed: bool) {
+        let retained =
+            decay(HALF_LIFE_S, now.since(self.updated_at)).min(f64::from(SAMPLES) / (self.total + 1.0));
+        (self.failures, self.total, self.updated_at) =
+            (self.failures * retained + f64::from(failed), self.total * retained + 1.0, now);
     }
 
     pub fn value(&self, now: Time) -> f64 {
-        self.bad / (self.all + f64::from(GOOD)) * half_in(HALF, now.since(self.at))
+        self.failures / (self.total + f64::from(PRIOR_SUCCESSES))
+            * decay(HALF_LIFE_S, now.since(self.updated_at))
     }
 }
 
-/// How much comes a second, over a time that halves in `HALF` seconds.
+/// Amount per second, averaged with a half-life of `HALF_LIFE_S` seconds.
 #[derive(Clone, Copy, Default)]
-pub struct Rate<const HALF: u32> {
+pub struct Rate<const HALF_LIFE_S: u32> {
     amount: f64,
-    at: Time,
+    updated_at: Time,
 }
 
-impl<const HALF: u32> Rate<HALF> {
-    pub fn new(at: Time) -> Self {
-        Rate { amount: 0.0, at }
+impl<const HALF_LIFE_S: u32> Rate<HALF_LIFE_S> {
+    pub fn new(updated_at: Time) -> Self {
+        Rate { amount: 0.0, updated_at }
     }
 
     pub fn add(&mut self, now: Time, amount: f64) {
-        (self.amount, self.at) = (self.amount * half_in(HALF, now.since(self.at)) + amount, now);
+        (self.amount, self.updated_at) =
+            (self.amount * decay(HALF_LIFE_S, now.since(self.updated_at)) + amount, now);
     }
 
     pub fn per_second(&self, now: Time) -> f64 {
-        self.amount * half_in(HALF, now.since(self.at)) * std::f64::consts::LN_2 / f64::from(HALF)
+        self.amount * decay(HALF_LIFE_S, now.since(self.updated_at)) * std::f64::consts::LN_2
+            / f64::from(HALF_LIFE_S)
     }
 }
 
-/// What a mixer may spend of one of the fleet's budgets, a second: what is its own, and what it is lent for a time.
+/// This mixer's quota share of one fleet budget, in units per second: its own part, and a part lent for a
+/// limited time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Portion {
     pub own: f64,
     pub lent: f64,
-    /// When the loan lapses by itself.
+    /// When the loan expires.
     pub until: Time,
 }
 
 impl Portion {
-    /// What may be spent a second now.
+    /// Units per second that may be spent at `now`.
     pub fn rate(&self, now: Time) -> f64 {
         self.own + if now < self.until { self.lent } else { 0.0 }
     }
 }
 
-/// Meters what is spent of a share; with no share set, nothing is held back. Some is saved for uneven traffic, a fifth of
-/// a second's share or one, so that all mixers together never spend much more in any second than the budget.
+/// Token bucket that meters spending of a quota share; without a share, spending is unlimited. The capacity
+/// is a fifth of a second's share or one token, whichever is more: it absorbs bursts, yet all mixers
+/// together never exceed the budget by much in any second.
 #[derive(Clone, Copy, Default)]
 pub struct Allowance {
-    portion: Option<Portion>,
-    level: f64,
-    at: Time,
-    spent: Rate<2>,
+    share: Option<Portion>,
+    tokens: f64,
+    updated_at: Time,
+    spend_rate: Rate<2>,
 }
 
 impl Allowance {
-    /// From now on this is the share; it does not take effect before now, nor the old one after.
-    pub fn set(&mut self, now: Time, portion: Portion) {
-        match self.portion {
+    /// Replaces the share from `now` on; tokens up to `now` accrue at the old share's rate.
+    pub fn set(&mut self, now: Time, share: Portion) {
+        match self.share {
             Some(_) => self.fill(now),
-            None => self.at = now,
+            None => self.updated_at = now,
         }
-        self.portion = Some(portion);
+        self.share = Some(share);
     }
 
     fn fill(&mut self, now: Time) {
-        let Some(portion) = self.portion else { return };
-        let lent_for = portion.until.min(now).since(self.at.min(portion.until));
-        let gained = portion.own * now.since(self.at).as_secs() + portion.lent * lent_for.as_secs();
-        self.level = (self.level + gained).min((portion.rate(now) * 0.2).max(1.0));
-        self.at = self.at.max(now);
+        let Some(share) = self.share else { return };
+        let lent_duration = share.until.min(now).since(self.updated_at.min(share.until));
+        let gained = share.own * now.since(self.updated_at).as_secs() + share.lent * lent_duration.as_secs();
+        self.tokens = (self.tokens + gained).min((share.rate(now) * 0.2).max(1.0));
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Whether there is one to be spent.
+    /// Whether a token is available.
     pub fn has(&self, now: Time) -> bool {
-        let mut then = *self;
-        then.fill(now);
-        then.portion.is_none() || then.level >= 1.0
+        let mut bucket = *self;
+        bucket.fill(now);
+        bucket.share.is_none() || bucket.tokens >= 1.0
     }
 
-    /// Spends one, which `has` said is there.
+    /// Spends a token; the caller has checked `has`.
     pub fn spend(&mut self, now: Time) {
-        debug_assert!(self.has(now), "no more is spent than there is");
+        debug_assert!(self.has(now), "spending needs an available token");
         self.fill(now);
-        self.level -= if self.portion.is_some() { 1.0 } else { 0.0 };
-        self.spent.add(now, 1.0);
+        self.tokens -= if self.share.is_some() { 1.0 } else { 0.0 };
+        self.spend_rate.add(now, 1.0);
     }
 
-    /// Spends one, if there is one to be spent.
+    /// Spends a token if one is available.
     pub fn take(&mut self, now: Time) -> bool {
         let has = self.has(now);
         if has {
@@ -615,41 +639,42 @@
         has
     }
 
-    /// How many are spent a second.
-    pub fn spent(&self, now: Time) -> f64 {
-        self.spent.per_second(now)
+    /// Units spent per second.
+    pub fn spend_rate(&self, now: Time) -> f64 {
+        self.spend_rate.per_second(now)
     }
 }
 
-/// What is spent of each budget; one of which no share was told is spent freely, and counted.
+/// One token bucket for each budget; a budget without a share is unlimited, but its use is counted.
 #[derive(Default)]
 pub struct Purses(BTreeMap<Budget, Allowance>);
 
 impl Purses {
-    pub fn set(&mut self, now: Time, portions: &[(Budget, Portion)]) {
-        for (budget, portion) in portions {
-            self.0.entry(*budget).or_default().set(now, *portion);
+    pub fn set(&mut self, now: Time, shares: &[(Budget, Portion)]) {
+        for (budget, share) in shares {
+            self.0.entry(*budget).or_default().set(now, *share);
         }
     }
 
     pub fn has(&self, now: Time, budget: Budget) -> bool {
-        self.0.get(&budget).is_none_or(|allowance| allowance.has(now))
+        self.0.get(&budget).is_none_or(|bucket| bucket.has(now))
     }
 
-    /// Spends one, which `has` said is there.
+    /// Spends a token; the caller has checked `has`.
     pub fn spend(&mut self, now: Time, budget: Budget) {
         self.0.entry(budget).or_default().spend(now);
     }
 
-    /// Counts one that comes whether or not there is room for it; tells what may come a second, if a share was told.
-    pub fn comes(&mut self, now: Time, budget: Budget) -> Option<f64> {
-        let allowance = self.0.entry(budget).or_default();
-        allowance.spent.add(now, 1.0);
-        allowance.portion.map(|portion| portion.rate(now))
+    /// Counts an arrival that is not subject to the limit; returns the permitted rate per second if a share
+    /// is set.
+    pub fn record_arrival(&mut self, now: Time, budget: Budget) -> Option<f64> {
+        let bucket = self.0.entry(budget).or_default();
+        bucket.spend_rate.add(now, 1.0);
+        bucket.share.map(|share| share.rate(now))
     }
 
-    /// What is spent of each, a second.
+    /// Units spent per second of each budget.
     pub fn spent(&self, now: Time) -> Vec<(Budget, f64)> {
-        self.0.iter().map(|(budget, allowance)| (*budget, allowance.spent(now))).collect()
+        self.0.iter().map(|(budget, bucket)| (*budget, bucket.spend_rate(now))).collect()
     }
 }
--- a/crates/lockusher-policy/src/lib.rs
+++ b/crates/lockusher-policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of an aggregator that serves a multiget from many shards.
 //!
-//! [`policy`] holds every decision; [`interface`] holds the plain values that go in and come out.
+//! [`policy`] makes all decisions; [`interface`] defines the input and output types.
 
-// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+// Lints of the workspace that this package does not satisfy yet; docs/ROADMAP.md lists what remains.
 #![allow(missing_docs, clippy::wildcard_imports)]
 
 pub mod interface;
--- a/crates/lockusher-policy/src/policy.rs
+++ b/crates/lockusher-policy/src/policy.rs
@@ -1,10 +1,10 @@
-//! Every decision of a mixer: which replica serves each part, how long to wait, when to send again, when
-//! to reply, what to push back, and when to ask discovery. The submodules hold one concern each.
+//! All decisions of a mixer: which replica serves each part, how long to wait, when to retry, when to reply,
+//! what to reject under overload, and when to call discovery. Each submodule covers one concern.
 //!
-//! Build a [`Policy`], tell it [`Policy::news`] of the searchers, then ask [`Policy::place`], where to send a
-//! multiget (or not yet, or never); [`Policy::outcome`], what to do after an outcome; [`Policy::wait`], how
-//! long to wait and whose turn it is. The host keeps timers and multigets and carries out the [`Advice`]. The
-//! values are in `interface.rs`; reasons: `docs/design.md`.
+//! Create a [`Policy`], feed it updates on the searchers with [`Policy::apply_update`], then call
+//! [`Policy::decide`] for the next actions of a multiget, [`Policy::outcome`] after each attempt, and
+//! [`Policy::schedule`] for the multigets that are due. The host keeps the timers and the multigets and
+//! carries out each [`Decision`]. The types are in `interface.rs`; `docs/design.md` gives the reasons.
 
 mod budgets;
 mod gate;
@@ -16,196 +16,209 @@
 use rand_chacha::ChaCha8Rng;
 
 use self::searcher::Searcher;
-pub use self::{gate::Gate, retries::Further, sender::Sender};
+pub use self::{gate::Admission, retries::Retries, sender::Selector};
 use crate::interface::*;
 use crate::scoring::blend;
 
-/// When to ask discovery, where it must be asked.
-pub struct Asking {
-    every: Option<Span>,
+/// When to call discovery, where the list has to be requested.
+pub struct Polling {
+    interval: Option<Span>,
     next: Option<Time>,
     failures: i32,
 }
 
-impl Asking {
-    /// Where the list must be asked for, it is asked for at once: a mixer that starts has an old one.
-    pub fn new(now: Time, every: Option<Span>) -> Self {
-        Asking { every, next: every.map(|_| now), failures: 0 }
+impl Polling {
+    /// If the list has to be requested, the first call is immediate: a mixer that starts has an old list.
+    pub fn new(now: Time, interval: Option<Span>) -> Self {
+        Polling { interval, next: interval.map(|_| now), failures: 0 }
     }
 
-    /// Asks again with spread and back-off, yet far within the time after which silence counts as told.
-    fn refused(&mut self, now: Time, rng: &mut ChaCha8Rng) {
-        let Some(every) = self.every else { return };
-        // First after about as long as a call takes.
-        let back_off = (0.4 * 2f64.powi(self.failures)).min(every.as_secs() / 4.0);
+    /// Retries with jitter and backoff, capped far below the time after which the list counts as known.
+    fn retry_after_failure(&mut self, now: Time, rng: &mut ChaCha8Rng) {
+        let Some(interval) = self.interval else { return };
+        // The first retry comes after about the duration of a call.
+        let backoff = (0.4 * 2f64.powi(self.failures)).min(interval.as_secs() / 4.0);
         self.failures += 1;
-        self.next = Some(now + Span::from_secs(back_off * rng.random_range(0.5..1.5)));
+        self.next = Some(now + Span::from_secs(backoff * rng.random_range(0.5..1.5)));
     }
 }
 
-/// Over the last hundred samples: holds through one searcher's trouble, yet follows a day.
+/// Over the last hundred samples: stable while a single searcher is slow, yet it follows daily load changes.
 type Average = Mean<100>;
 
-/// An op type and what was seen of it.
-struct Kind {
+/// An operation type and its statistics.
+struct OpTypeState {
     op: OpType,
-    /// Latency and hint of parts of each step, so that unlike work can share one average.
-    usual: [(Average, Average); 2],
-    /// The time that most clients are given: a first try's. With how many votes.
-    first_try: (Span, i32),
+    /// Latency and work hint of the parts of each step, so that unequal parts can share one average.
+    averages: [(Average, Average); 2],
+    /// Timeout that most clients set, which is that of a first try, and its number of votes.
+    first_timeout: (Span, i32),
 }
 
+/// The decision module of one mixer.
 pub struct Policy {
     tick: Span,
     rng: ChaCha8Rng,
-    kinds: Vec<Kind>,
+    ops: Vec<OpTypeState>,
+    /// Latency of all parts.
     all: Average,
-    /// Of parts of usual weight: mean latency and its deviation.
+    /// Mean latency of parts of usual work, and its mean deviation.
     mean: Average,
     deviation: Average,
-    sender: Sender,
-    further: Further,
-    gate: Gate,
-    asking: Asking,
+    selector: Selector,
+    retries: Retries,
+    admission: Admission,
+    discovery: Polling,
 }
 
 impl Policy {
-    pub fn new(seed: u64, tick: Span, op_types: Vec<OpType>, parts: (Sender, Further, Gate, Asking)) -> Self {
-        let (sender, further, gate, asking) = parts;
+    pub fn new(
+        seed: u64,
+        tick: Span,
+        ops: Vec<OpType>,
+        deps: (Selector, Retries, Admission, Polling),
+    ) -> Self {
+        let (selector, retries, admission, discovery) = deps;
         let (rng, mean) = (ChaCha8Rng::seed_from_u64(seed), Average::default());
-        let kind = |op| Kind { op, usual: [(mean, mean); 2], first_try: (Span::ZERO, 0) };
-        let kinds = op_types.into_iter().map(kind).collect();
-        Policy { tick, rng, kinds, all: mean, mean, deviation: mean, sender, further, gate, asking }
+        let state = |op| OpTypeState { op, averages: [(mean, mean); 2], first_timeout: (Span::ZERO, 0) };
+        let ops = ops.into_iter().map(state).collect();
+        Policy { tick, rng, ops, all: mean, mean, deviation: mean, selector, retries, admission, discovery }
     }
 
-    /// Discovery told something.
-    pub fn news(&mut self, now: Time, news: News) {
-        match news {
-            News::Changes(list) => self.sender.news(now, list, false),
-            News::All(list) | News::Remembered(list) => self.sender.news(now, list, true),
-            News::Refused => return self.asking.refused(now, &mut self.rng),
-            News::Mixers(mixers) => return self.sender.mixers = mixers.max(1),
-            News::Judged(judged) => return self.sender.judged(judged),
-            News::Remembers(known) => return self.sender.remembers(now, known),
-            News::Portions(portions) => return self.sender.budgets.set(now, &portions),
+    /// Applies an update from discovery or from the fleet's shared state.
+    pub fn apply_update(&mut self, now: Time, update: News) {
+        match update {
+            News::Changes(list) => self.selector.apply_list(now, list, false),
+            News::All(list) | News::Remembered(list) => self.selector.apply_list(now, list, true),
+            News::Refused => return self.discovery.retry_after_failure(now, &mut self.rng),
+            News::Mixers(mixers) => return self.selector.mixers = mixers.max(1),
+            News::Judged(judged) => return self.selector.apply_agreed_health(judged),
+            News::Remembers(known) => return self.selector.apply_warm_start(now, known),
+            News::Portions(portions) => return self.selector.budgets.set(now, &portions),
         }
-        self.asking.failures = 0;
+        self.discovery.failures = 0;
     }
 
-    /// What this mixer spends of the budgets that the fleet may share, a second.
-    pub fn spends(&self, now: Time) -> Vec<(Budget, f64)> {
-        self.sender.budgets.spent(now)
+    /// Units per second that this mixer spends of the shared budgets.
+    pub fn budget_usage(&self, now: Time) -> Vec<(Budget, f64)> {
+        self.selector.budgets.spent(now)
     }
 
-    /// What was seen of searchers, for other mixers.
-    pub fn seen(&self) -> Vec<Glimpse> {
-        let seen = self.sender.up().map(|s| {
-            let &Searcher { latency, good, heard, down_since, cold_since, ref listed, ref out, .. } = s;
-            let silent_since = out.iter().map(|out| out.0).min().filter(|since| *since > heard);
+    /// Observations on searchers, for other mixers.
+    pub fn observations(&self) -> Vec<Glimpse> {
+        let observations = self.selector.active().map(|s| {
+            let &Searcher { latency, good, heard, down_since, cold_since, ref listed, ref in_flight, .. } = s;
+            let silent_since = in_flight.iter().map(|attempt| attempt.0).min().filter(|since| *since > heard);
             let (id, life) = (listed.id.clone(), listed.up_since);
             Glimpse { id, life, latency, good, heard, silent_since, down_since, cold_since }
         });
-        seen.filter(|seen| seen.latency.is_some() || seen.silent_since.is_some()).collect()
+        observations.filter(|o| o.latency.is_some() || o.silent_since.is_some()).collect()
     }
 
-    /// Whose turn it is, in what order, and how long to wait for the next.
-    pub fn wait(&mut self, now: Time, in_hand: &InHand) -> Wait {
-        let open = || in_hand.values().filter(|m| !m.ended);
-        let mut turn: Vec<&Multiget> = open().filter(|m| m.due <= now).collect();
-        turn.sort_by(|a, b| self.worth(b).total_cmp(&self.worth(a)).then(a.number.cmp(&b.number)));
-        let turn = turn.into_iter().map(|m| m.id.clone()).collect();
-        let ask = self.asking.next.take_if(|at| *at <= now).map(|_| Ask::Subscribe);
-        let next = open().map(|m| m.due).filter(|&due| due > now).chain(self.asking.next).min();
-        Wait { turn, ask, next: next.map(|at| at.since(now)) }
+    /// The multigets that are due, in order of priority, and the time until the next one is due.
+    pub fn schedule(&mut self, now: Time, pending: &PendingMultigets) -> Schedule {
+        let open = || pending.values().filter(|m| !m.ended);
+        let mut due: Vec<&Multiget> = open().filter(|m| m.next_check <= now).collect();
+        due.sort_by(|a, b| self.priority(b).total_cmp(&self.priority(a)).then(a.number.cmp(&b.number)));
+        let due = due.into_iter().map(|m| m.id.clone()).collect();
+        let discovery = self.discovery.next.take_if(|at| *at <= now).map(|_| DiscoveryCall::Subscribe);
+        let next = open().map(|m| m.next_check).filter(|&at| at > now).chain(self.discovery.next).min();
+        Schedule { due, discovery, next_call: next.map(|at| at.since(now)) }
     }
 
-    /// Where to send this multiget, or not yet, or never.
-    pub fn place(&mut self, now: Time, mg: &Multiget) -> Advice {
+    /// Decides on the next sends or the reply of a multiget.
+    pub fn decide(&mut self, now: Time, mg: &Multiget) -> Decision {
         if mg.ended {
-            return Advice::default();
+            return Decision::default();
         }
         let fresh = mg.parts.iter().all(|p| p.sends.is_empty());
         if fresh && mg.arrived == now {
-            self.take(now, mg);
+            self.record_arrival(now, mg);
         }
-        let mut reply = self.reply(now, mg);
+        let mut reply = self.final_reply(now, mg);
         if reply.is_none() && fresh && self.must_reject(now, mg) {
             reply = Some(self.give_up(mg));
         }
-        let Some(answer) = reply else { return self.send_parts(now, mg) };
-        let in_time = matches!(answer, Reply::Answered { .. }) && now <= self.budget_end(mg);
-        let first = self.like_first(mg);
-        let noted = [(!fresh).then_some(&mut self.gate.missed), first.then_some(&mut self.gate.unserved)];
-        noted.into_iter().flatten().for_each(|share| share.note(now, !in_time));
-        Advice { reply, ..Advice::default() }
+        let Some(answer) = reply else { return self.send_due_parts(now, mg) };
+        let in_time = matches!(answer, Reply::Answered { .. }) && now <= self.target_end(mg);
+        let first_try = self.is_first_try(mg);
+        let tracked = [
+            (!fresh).then_some(&mut self.admission.missed),
+            first_try.then_some(&mut self.admission.missed_first),
+        ];
+        tracked.into_iter().flatten().for_each(|ratio| ratio.record(now, !in_time));
+        Decision { reply, ..Decision::default() }
     }
 
-    /// What to do after this outcome of a send; the host has noted it in the multiget.
-    pub fn outcome(&mut self, now: Time, mg: &Multiget, part: usize, nth: usize, elapsed: Span) -> Advice {
+    /// Records an attempt's outcome, which the host has stored in `mg`, and decides what to do next.
+    pub fn outcome(&mut self, now: Time, mg: &Multiget, part: usize, nth: usize, elapsed: Span) -> Decision {
         let (op, p) = (mg.op_type, &mg.parts[part]);
-        let send = &p.sends[nth];
-        let outcome = send.outcome.unwrap_or(Outcome::Moot);
-        let peers =
-            self.sender.searchers.get(&send.to).map(|s| self.sender.near(s, self.op(mg).latency_budget));
-        if let Some((searcher, peers)) = self.sender.searchers.get_mut(&send.to).zip(peers)
-            && let Some((unused, sample)) = searcher.ended(now, send, elapsed, peers)
+        let attempt = &p.sends[nth];
+        let outcome = attempt.outcome.unwrap_or(Outcome::Moot);
+        let peers = self
+            .selector
+            .searchers
+            .get(&attempt.to)
+            .map(|s| self.selector.zone_latency(s, self.op(mg).latency_target));
+        if let Some((searcher, peers)) = self.selector.searchers.get_mut(&attempt.to).zip(peers)
+            && let Some((idle, sample)) = searcher.end(now, attempt, elapsed, peers)
         {
-            let fate = if unused { &mut self.sender.reaped } else { &mut self.sender.lost };
-            fate.note(now, outcome.came_to_nothing() || outcome == Outcome::NoConnection);
+            let losses = if idle { &mut self.selector.idle_lost } else { &mut self.selector.lost };
+            losses.record(now, outcome.is_unanswered() || outcome == Outcome::NoConnection);
             if outcome == Outcome::Returned {
-                self.sender.returned(now, &send.to, self.weight(op, p));
-                self.learn(op, p, elapsed, sample);
+                self.selector.record_answer(now, &attempt.to, self.part_work(op, p));
+                self.record_latency(op, p, elapsed, sample);
             }
         }
-        self.sender.survey(now);
+        self.selector.refresh_stats(now);
         if nth > 0 && outcome != Outcome::Moot {
-            let first = p.sends.iter().filter(|s| s.outcome == Some(Outcome::Returned)).count() == 1;
-            // About the last ten further sends.
-            blend(&mut self.further.helped, f64::from(outcome == Outcome::Returned && first), 0.1);
+            let sole = p.sends.iter().filter(|s| s.outcome == Some(Outcome::Returned)).count() == 1;
+            // Averages about the last ten retries.
+            blend(&mut self.retries.success, f64::from(outcome == Outcome::Returned && sole), 0.1);
         }
-        self.place(now, mg)
+        self.decide(now, mg)
     }
 
     fn op(&self, mg: &Multiget) -> &OpType {
-        &self.kinds[mg.op_type.0].op
+        &self.ops[mg.op_type.0].op
     }
 
-    /// A part's expected work against that of a usual part.
-    fn weight(&self, op: OpTypeId, part: &Part) -> f64 {
-        let (latency, hint) = &self.kinds[op.0].usual[usize::from(part.second_step)];
-        let by_kind = latency.known().map_or(1.0, |l| l / self.all.value);
+    /// Expected work of a part relative to that of a usual part.
+    fn part_work(&self, op: OpTypeId, part: &Part) -> f64 {
+        let (latency, hint) = &self.ops[op.0].averages[usize::from(part.second_step)];
+        let by_op_type = latency.get().map_or(1.0, |l| l / self.all.value);
         let by_hint = part.hint.filter(|_| hint.value > 0.0).map_or(1.0, |h| h.as_secs() / hint.value);
-        // Hints are rough and waiting does not grow with work: no more than a few times either way.
-        (by_kind * by_hint).clamp(0.2, 8.0)
+        // Hints are rough and queueing time does not grow with work: at most a few times either way.
+        (by_op_type * by_hint).clamp(0.2, 8.0)
     }
 
-    /// What a part takes beyond a usual one, in seconds.
-    fn extra(&self, op: OpTypeId, part: &Part) -> f64 {
-        self.sender.fleet.work * (self.weight(op, part) - 1.0)
+    /// Seconds that a part takes beyond a usual part.
+    fn extra_work(&self, op: OpTypeId, part: &Part) -> f64 {
+        self.selector.stats.min_work * (self.part_work(op, part) - 1.0)
     }
 
-    fn learn(&mut self, op: OpTypeId, part: &Part, elapsed: Span, sample: f64) {
-        let (latency, hint) = &mut self.kinds[op.0].usual[usize::from(part.second_step)];
-        latency.feed(elapsed.as_secs());
-        hint.feed(part.hint.map_or(0.0, Span::as_secs));
-        self.all.feed(elapsed.as_secs());
-        // Falls tenfold as readily as it rises, so it settles near the low end.
-        let fleet = &mut self.sender.fleet;
-        let by = if sample < fleet.work { 0.1 } else { 0.01 };
-        blend(&mut fleet.work, sample, if self.mean.count > 0.0 { by } else { 1.0 });
-        self.deviation.feed((sample - self.mean.known().unwrap_or(sample)).abs());
-        self.mean.feed(sample);
+    fn record_latency(&mut self, op: OpTypeId, part: &Part, elapsed: Span, sample: f64) {
+        let (latency, hint) = &mut self.ops[op.0].averages[usize::from(part.second_step)];
+        latency.record(elapsed.as_secs());
+        hint.record(part.hint.map_or(0.0, Span::as_secs));
+        self.all.record(elapsed.as_secs());
+        // Falls ten times faster than it rises, so it settles near the lower end of the samples.
+        let fleet = &mut self.selector.stats;
+        let weight = if sample < fleet.min_work { 0.1 } else { 0.01 };
+        blend(&mut fleet.min_work, sample, if self.mean.count > 0.0 { weight } else { 1.0 });
+        self.deviation.record((sample - self.mean.get().unwrap_or(sample)).abs());
+        self.mean.record(sample);
     }
 
-    /// Notes a multiget that has just been taken.
-    fn take(&mut self, now: Time, mg: &Multiget) {
-        const VOTES: i32 = 20; // At most: a change of habit shows within as many multigets.
-        self.further.took(now, mg.parts.len());
-        self.gate.took(now, mg, self.worth(mg), self.sender.mixers, &mut self.sender.budgets);
-        let (usual, votes) = self.kinds[mg.op_type.0].first_try;
-        self.kinds[mg.op_type.0].first_try = match self.like_first(mg) {
-            true => (usual, (votes + 1).min(VOTES)),
-            false if votes > 0 => (usual, votes - 1),
+    /// Records a new multiget.
+    fn record_arrival(&mut self, now: Time, mg: &Multiget) {
+        const MAX_VOTES: i32 = 20; // A change in client timeouts takes effect within this many multigets.
+        self.retries.record_parts(now, mg.parts.len());
+        self.admission.record(now, mg, self.priority(mg), self.selector.mixers, &mut self.selector.budgets);
+        let (timeout, votes) = self.ops[mg.op_type.0].first_timeout;
+        self.ops[mg.op_type.0].first_timeout = match self.is_first_try(mg) {
+            true => (timeout, (votes + 1).min(MAX_VOTES)),
+            false if votes > 0 => (timeout, votes - 1),
             false => (mg.ends.since(mg.arrived), 1),
         };
     }
--- a/crates/lockusher-policy/src/policy/retries.rs
+++ b/crates/lockusher-policy/src/policy/retries.rs
@@ -1,148 +1,155 @@
-//! Retries: when a part is sent, sent again or withdrawn, and the budget for further sends.
+//! Retries: when a part is sent, retried or cancelled, and the retry budget.
 
 use super::Policy;
 use crate::interface::*;
 
-/// How often further sends are made: as often as recent ones succeeded, within a budget where one is stated.
-pub struct Further {
-    pub(super) limits: PartLimits,
-    budget: Option<SendBudget>,
+/// Retry budget: as many retries as recent ones succeeded, within a sliding-window limit if one is set.
+pub struct Retries {
+    pub(super) limits: AttemptLimits,
+    window: Option<RetryLimit>,
     tokens: f64,
-    /// EWMA of the share of further sends that brought their part's answer.
-    pub(super) helped: f64,
-    taken: Vec<Time>,
-    made: Vec<Time>,
+    /// EWMA of the fraction of retries that brought their part's answer.
+    pub(super) success: f64,
+    arrivals: Vec<Time>,
+    sent: Vec<Time>,
 }
 
-impl Further {
-    pub fn new(limits: PartLimits, budget: Option<SendBudget>) -> Self {
-        // A few in hand, so that a mixer that has just started can meet a failure.
-        Further { limits, budget, tokens: 5.0, helped: 0.5, taken: Vec::new(), made: Vec::new() }
+impl Retries {
+    pub fn new(limits: AttemptLimits, window: Option<RetryLimit>) -> Self {
+        // Initial tokens, so that a mixer that has just started can handle a failure.
+        Retries { limits, window, tokens: 5.0, success: 0.5, arrivals: Vec::new(), sent: Vec::new() }
     }
 
-    /// A multiget with so many parts was taken.
-    pub(super) fn took(&mut self, now: Time, parts: usize) {
-        // Even when none helps, a few are made, to learn when they help again. Some are saved, half the parts
-        // of the largest multigets at least, so that some searchers' death is met at once.
-        const LEAST: f64 = 0.03;
-        let most = (parts as f64 / 2.0).max(20.0);
-        self.tokens = (self.tokens + parts as f64 * (LEAST + self.helped)).min(most);
-        let counted = if self.budget.is_some() { parts + 1 } else { 0 };
-        self.taken.extend(std::iter::repeat_n(now, counted));
+    /// Records a new multiget with this many parts.
+    pub(super) fn record_parts(&mut self, now: Time, parts: usize) {
+        // Even if no retry succeeds, a few are made to detect when they help again. The bucket holds at least
+        // half of the parts of a multiget, so that the failure of several searchers is handled at once.
+        const MIN_RATE: f64 = 0.03;
+        let max_tokens = (parts as f64 / 2.0).max(20.0);
+        self.tokens = (self.tokens + parts as f64 * (MIN_RATE + self.success)).min(max_tokens);
+        let counted = if self.window.is_some() { parts + 1 } else { 0 };
+        self.arrivals.extend(std::iter::repeat_n(now, counted));
     }
 
-    /// Whether the budgets, the own one and the fleet's, allow a further send.
-    fn allowed(&mut self, now: Time, fleet: &Purses) -> bool {
-        let stated = self.budget.is_none_or(|SendBudget { free, share, window }| {
-            // At the very edge of the window, sends made count and requests taken do not.
-            self.made.retain(|&at| now.since(at) <= window);
-            self.taken.retain(|&at| now.since(at) < window);
-            self.made.len() as f64 + 1.0 <= free + share * self.taken.len() as f64
+    /// Whether the own retry budget and the fleet's allow a retry.
+    fn allows(&mut self, now: Time, fleet: &Purses) -> bool {
+        let within_limit = self.window.is_none_or(|RetryLimit { base, ratio, window }| {
+            // At the exact edge of the window, retries count and arrivals do not.
+            self.sent.retain(|&at| now.since(at) <= window);
+            self.arrivals.retain(|&at| now.since(at) < window);
+            self.sent.len() as f64 + 1.0 <= base + ratio * self.arrivals.len() as f64
         });
-        stated && self.tokens >= 1.0 && fleet.has(now, Budget::Further)
+        within_limit && self.tokens >= 1.0 && fleet.has(now, Budget::Further)
     }
 
-    fn made(&mut self, now: Time, fleet: &mut Purses) {
+    fn record_retry(&mut self, now: Time, fleet: &mut Purses) {
         self.tokens -= 1.0;
-        self.made.extend(self.budget.map(|_| now));
+        self.sent.extend(self.window.map(|_| now));
         fleet.spend(now, Budget::Further);
     }
 }
 
 impl Policy {
-    /// Whether an answer of this part may still come: a send is out, or one more may go to a holder in time.
-    pub(super) fn may_return(&self, now: Time, mg: &Multiget, part: &Part) -> bool {
-        let out = part.sends.iter().any(|s| s.outcome.is_none());
-        let holders = || self.sender.holders(part.shard).next().is_some();
-        !part.closed && (out || (self.may_send(now, mg, part) && holders() && self.in_time(now, mg, part)))
+    /// Whether the part may still be answered: an attempt is in flight, or a replica can answer in time.
+    pub(super) fn may_be_answered(&self, now: Time, mg: &Multiget, part: &Part) -> bool {
+        let in_flight = part.sends.iter().any(|s| s.outcome.is_none());
+        let holders = || self.selector.holders(part.shard).next().is_some();
+        !part.closed
+            && (in_flight || (self.may_send(now, mg, part) && holders() && self.in_time(now, mg, part)))
     }
 
-    /// Whether a send now has some chance to be back before the answer is worth nothing.
+    /// Whether an attempt sent now may be answered before the answer loses its value.
     fn in_time(&self, now: Time, mg: &Multiget, part: &Part) -> bool {
-        let least = self.sender.peers(self.op(mg).latency_budget) * 0.5 + self.extra(mg.op_type, part);
-        self.useful_end(mg).since(now) >= Span::from_secs(least)
+        let min_time =
+            self.selector.median(self.op(mg).latency_target) * 0.5 + self.extra_work(mg.op_type, part);
+        self.usable_until(mg).since(now) >= Span::from_secs(min_time)
     }
 
-    /// Whether the rules allow another send of this part.
+    /// Whether the limits and the idempotency of the part allow another attempt.
     fn may_send(&self, now: Time, mg: &Multiget, part: &Part) -> bool {
-        if part.returned || part.closed || part.sends.len() >= self.further.limits.most_sends {
+        if part.returned || part.closed || part.sends.len() >= self.retries.limits.max_attempts {
             return false;
         }
-        let Some(ran) = part.first_that_may_have_run() else { return true };
+        let Some(first) = part.first_that_may_have_run() else { return true };
         match self.op(mg).repeat {
             Repeat::Retriable => true,
-            Repeat::Deduped(window) => now.since(ran.at) + self.margin() < window,
+            Repeat::Deduped(window) => now.since(first.sent_at) + self.reply_margin() < window,
             Repeat::NonRetriable => false,
         }
     }
 
-    /// How late a part of usual weight is when it is worth another send. A copy of a merely late one costs
-    /// more than it brings, so far out, less so if its searcher has been silent since.
-    fn retry_delay(&self, peers: f64, last: Option<&Send>) -> f64 {
-        let heard = last.and_then(|s| self.sender.searchers.get(&s.to).map(|to| to.heard > s.at));
-        // Farther where the first send must be given up for the second.
-        let far = if self.further.limits.second_copies { 10.0 } else { 15.0 };
-        let far = far * self.deviation.value * if heard == Some(true) { 1.0 } else { 2.0 / 3.0 };
-        if self.mean.count < 10.0 { peers * 3.0 } else { self.mean.value + far }
+    /// Seconds after which a part of usual work is retried. Duplicating a part that is only slightly late
+    /// costs more than it gains, so the threshold is high; it is lower if the searcher has been silent since.
+    fn retry_delay(&self, peers: f64, last: Option<&Attempt>) -> f64 {
+        let heard = last.and_then(|s| self.selector.searchers.get(&s.to).map(|to| to.heard > s.sent_at));
+        // Higher if the first attempt has to be given up for the second.
+        let deviations = if self.retries.limits.may_hedge { 10.0 } else { 15.0 };
+        let margin = deviations * self.deviation.value * if heard == Some(true) { 1.0 } else { 2.0 / 3.0 };
+        if self.mean.count < 10.0 { peers * 3.0 } else { self.mean.value + margin }
     }
 
-    pub(super) fn send_parts(&mut self, now: Time, mg: &Multiget) -> Advice {
-        let mut advice = Advice::default();
-        let (op, budget) = (mg.op_type, self.op(mg).latency_budget);
-        let peers = self.sender.peers(budget);
-        let PartLimits { second_copies, may_withdraw, .. } = self.further.limits;
-        let (partial_from, end) = (self.partial_from(mg), self.useful_end(mg));
-        // Guards against boxes between that drop unused connections: sends on these come to nothing far more
-        // often than others, so it is not the searchers. Costs handshakes if it errs.
-        let reaping = self.sender.reaped.value(now) > (2.0 * self.sender.lost.value(now)).max(0.2);
-        let mut wake = if now < partial_from { partial_from } else { end };
-        for (place, p) in mg.step().filter(|(_, p)| !p.returned && !p.closed) {
-            let extra = self.extra(op, p);
+    /// Sends or retries the parts that are due, and cancels the attempts that these replace.
+    pub(super) fn send_due_parts(&mut self, now: Time, mg: &Multiget) -> Decision {
+        let mut decision = Decision::default();
+        let (op, target) = (mg.op_type, self.op(mg).latency_target);
+        let peers = self.selector.median(target);
+        let AttemptLimits { may_hedge, may_cancel, .. } = self.retries.limits;
+        let (partial_from, end) = (self.partial_from(mg), self.usable_until(mg));
+        // Detects middleboxes that drop idle connections: attempts on these fail far more often than others,
+        // so the searchers are not at fault. A false positive costs handshakes.
+        let reaped = self.selector.idle_lost.value(now) > (2.0 * self.selector.lost.value(now)).max(0.2);
+        let mut wake_at = if now < partial_from { partial_from } else { end };
+        for (index, p) in mg.current_step().filter(|(_, p)| !p.returned && !p.closed) {
+            let extra = self.extra_work(op, p);
             let last = p.sends.last().filter(|s| s.outcome.is_none());
-            let late = Span::from_secs(self.retry_delay(peers, last) + extra).max(self.tick);
-            let out: Vec<usize> = (0..p.sends.len()).filter(|&i| p.sends[i].outcome.is_none()).collect();
-            if let Some(due) = out.last().map(|&last| p.sends[last].at + late).filter(|&due| due > now) {
-                wake = wake.min(due);
+            let delay = Span::from_secs(self.retry_delay(peers, last) + extra).max(self.tick);
+            let open: Vec<usize> = (0..p.sends.len()).filter(|&i| p.sends[i].outcome.is_none()).collect();
+            if let Some(due) = open.last().map(|&last| p.sends[last].sent_at + delay).filter(|&due| due > now)
+            {
+                wake_at = wake_at.min(due);
                 continue;
             }
             if !self.may_send(now, mg, p) || !self.in_time(now, mg, p) {
                 continue;
             }
-            let further = !p.sends.is_empty();
-            let pick = self.sender.pick(now, p, budget, &mut self.rng);
-            let allowed = |_: &_| !further || self.further.allowed(now, &self.sender.budgets);
+            let is_retry = !p.sends.is_empty();
+            let pick = self.selector.pick(now, p, target, &mut self.rng);
+            let allowed = |_: &_| !is_retry || self.retries.allows(now, &self.selector.budgets);
             let Some((to, _)) = pick.as_ref().ok().filter(allowed) else {
-                let again = pick.err().flatten().unwrap_or(Span::from_secs(peers * 0.5));
-                wake = wake.min(now + again.max(self.tick));
+                let retry_in = pick.err().flatten().unwrap_or(Span::from_secs(peers * 0.5));
+                wake_at = wake_at.min(now + retry_in.max(self.tick));
                 continue;
             };
-            let again = |failed: &Send| failed.at + Span::from_secs(peers * p.sends.len() as f64);
-            let before = p.sends.iter().rev().find(|s| s.to == *to);
-            if !out.is_empty() {
-                let given_up = out.iter().filter(|_| may_withdraw && !second_copies && before.is_none());
-                advice.withdraw.extend(given_up.map(|&nth| (place, nth)));
-                if before.is_some() || !second_copies {
+            let retry_at = |failed: &Attempt| failed.sent_at + Span::from_secs(peers * p.sends.len() as f64);
+            let previous = p.sends.iter().rev().find(|s| s.to == *to);
+            if !open.is_empty() {
+                let cancelled = open.iter().filter(|_| may_cancel && !may_hedge && previous.is_none());
+                decision.cancel.extend(cancelled.map(|&nth| (index, nth)));
+                if previous.is_some() || !may_hedge {
                     continue;
                 }
-            } else if let Some(again) = before.map(again).filter(|&again| again > now) {
-                // Its only replicas have failed it: not again before they have had some time.
-                wake = wake.min(again.max(now + self.tick));
+            } else if let Some(at) = previous.map(retry_at).filter(|&at| at > now) {
+                // All available replicas have failed this part: give them some time first.
+                wake_at = wake_at.min(at.max(now + self.tick));
                 continue;
             }
-            if further {
-                self.further.made(now, &mut self.sender.budgets);
+            if is_retry {
+                self.retries.record_retry(now, &mut self.selector.budgets);
             }
-            if self.sender.searchers.get(to).is_some_and(|s| s.capacity(now, &self.sender.cold) < 1.0) {
-                self.sender.budgets.spend(now, Budget::Cold);
+            if self.selector.searchers.get(to).is_some_and(|s| s.capacity(now, &self.selector.warmup) < 1.0) {
+                self.selector.budgets.spend(now, Budget::Cold);
             }
-            let anew =
-                self.sender.searchers.get_mut(to).is_some_and(|s| s.sent(now, extra, further || reaping));
-            let left = end.since(now);
-            let timeout = if second_copies || may_withdraw { left } else { late.min(left) };
-            wake = wake.min(now + late);
-            advice.orders.push(Order { part: place, to: to.clone(), timeout, anew });
+            let anew = self
+                .selector
+                .searchers
+                .get_mut(to)
+                .is_some_and(|s| s.on_send(now, extra, is_retry || reaped));
+            let time_left = end.since(now);
+            let timeout = if may_hedge || may_cancel { time_left } else { delay.min(time_left) };
+            wake_at = wake_at.min(now + delay);
+            decision.commands.push(Order { part: index, to: to.clone(), timeout, anew });
         }
-        advice.again = Some(wake.since(now).max(self.tick));
-        advice
+        decision.recheck_after = Some(wake_at.since(now).max(self.tick));
+        decision
     }
 }
--- a/crates/lockusher-policy/src/policy/searcher.rs
+++ b/crates/lockusher-policy/src/policy/searcher.rs
@@ -1,128 +1,145 @@
-//! The record of one searcher: what is in flight there, its averages, and whether it warms up.
+//! State of one searcher: its attempts in flight, its averages, and its slow start.
 
-use super::gate::FADES;
+use super::gate::RECENT_S;
 use crate::interface::*;
 use crate::scoring::{NEWEST, blend};
 
-/// The record of one searcher; nothing about it is kept anywhere else.
+/// Everything that this mixer knows about one searcher.
 pub(super) struct Searcher {
     pub(super) listed: Listed,
-    /// When this mixer learned of its present life.
-    pub(super) told_at: Time,
-    /// When it began to warm up, by the list or by its symptoms.
+    /// When this mixer learned of its current incarnation.
+    pub(super) listed_at: Time,
+    /// When it began to warm up, as listed or as inferred from its outcomes.
     pub(super) cold_since: Option<Time>,
-    /// This mixer's sends in flight there: when each left, what its work adds to a usual part's seconds, and
-    /// whether it went on a connection that had not been used for a while.
-    pub(super) out: Vec<(Time, f64, bool)>,
-    /// EWMA of the number of sends in flight.
+    /// Attempts in flight: send time, seconds of work beyond a usual part, and whether on an idle connection.
+    pub(super) in_flight: Vec<(Time, f64, bool)>,
+    /// EWMA of the number of attempts in flight.
     queue: f64,
-    /// EWMA of latency in seconds, as of a part of usual weight.
+    /// EWMA of latency in seconds, normalized to a part of usual work.
     pub(super) latency: Option<f64>,
-    /// EWMA of the share of sends that did not fail.
+    /// EWMA of the fraction of attempts that succeeded.
     pub(super) good: f64,
     pub(super) heard: Time,
     pub(super) sent_at: Option<Time>,
-    /// Since when it has returned only failures that hint at a dead process.
+    /// Since when all outcomes have been failures that suggest a dead process.
     pub(super) down_since: Option<Time>,
-    /// What other mixers saw of it.
-    pub(super) told: Option<Judged>,
+    /// Health as agreed by the fleet's mixers.
+    pub(super) agreed: Option<Judged>,
 }
 
-/// Half-life in seconds of what was learned of a searcher; with a few seconds, trials came too often.
-pub(super) const MEMORY: u32 = 20;
+/// Half-life in seconds of what is known of a searcher; a few seconds caused too many trial attempts.
+pub(super) const HALF_LIFE_S: u32 = 20;
 
 impl Searcher {
     pub(super) fn new(now: Time, listed: Listed) -> Self {
-        let (told_at, cold_since, heard, good) = (now, listed.up_since, now, 1.0);
-        let (out, queue, latency, sent_at, down_since, told) = Default::default();
-        Searcher { listed, told_at, cold_since, out, queue, latency, good, heard, sent_at, down_since, told }
+        let (listed_at, cold_since, heard, good) = (now, listed.up_since, now, 1.0);
+        let (in_flight, queue, latency, sent_at, down_since, agreed) = Default::default();
+        Searcher {
+            listed,
+            listed_at,
+            cold_since,
+            in_flight,
+            queue,
+            latency,
+            good,
+            heard,
+            sent_at,
+            down_since,
+            agreed,
+        }
     }
 
     pub(super) fn is_up(&self) -> bool {
         self.listed.state == SearcherState::Up
     }
 
-    /// The share of its capacity that it surely has: a searcher that starts cold warms up evenly.
-    pub(super) fn capacity(&self, now: Time, cold: &ColdRule) -> f64 {
+    /// Fraction of its full capacity that it has at least: it grows linearly during slow start.
+    pub(super) fn capacity(&self, now: Time, rule: &SlowStart) -> f64 {
         let Some(start) = self.cold_since else { return 1.0 };
-        let warmth = now.since(start).as_secs() / cold.ramp.as_secs().max(1e-6);
-        (cold.starts_at + (1.0 - cold.starts_at) * warmth).min(1.0)
+        let ramp_progress = now.since(start).as_secs() / rule.ramp.as_secs().max(1e-6);
+        (rule.initial_capacity + (1.0 - rule.initial_capacity) * ramp_progress).min(1.0)
     }
 
-    /// Notes a send; tells whether it wants a new connection, as a wary one does not go on an unused one.
-    pub(super) fn sent(&mut self, now: Time, extra: f64, wary: bool) -> bool {
-        // Far shorter than what keeps a connection open, longer than the gaps of steady traffic.
-        const UNUSED: Span = Span::from_millis(250);
-        let used = self.sent_at.map(|at| at.max(self.heard));
-        let unused = self.out.is_empty() && used.is_some_and(|at| now.since(at) > UNUSED);
-        self.out.push((now, extra, unused && !wary));
-        blend(&mut self.queue, self.out.len() as f64, NEWEST);
+    /// Records a send; returns whether it needs a new connection, as `avoid_idle` rules out an idle one.
+    pub(super) fn on_send(&mut self, now: Time, extra: f64, avoid_idle: bool) -> bool {
+        // Far shorter than connection idle timeouts, longer than the gaps between sends under steady traffic.
+        const IDLE_AFTER: Span = Span::from_millis(250);
+        let last_used = self.sent_at.map(|at| at.max(self.heard));
+        let idle = self.in_flight.is_empty() && last_used.is_some_and(|at| now.since(at) > IDLE_AFTER);
+        self.in_flight.push((now, extra, idle && !avoid_idle));
+        blend(&mut self.queue, self.in_flight.len() as f64, NEWEST);
         self.sent_at = Some(now);
-        unused && wary
+        idle && avoid_idle
     }
 
-    /// Feeds one outcome; tells whether it was on an unused connection, and the latency if it returned. A
-    /// failure never makes a searcher look quicker than its peers.
-    pub(super) fn ended(&mut self, now: Time, send: &Send, elapsed: Span, peers: f64) -> Option<(bool, f64)> {
-        let outcome = send.outcome.unwrap_or(Outcome::Moot);
-        let place = self.out.iter().position(|(at, ..)| *at == send.at)?;
-        let (_, extra, unused) = self.out.swap_remove(place);
-        blend(&mut self.queue, self.out.len() as f64, NEWEST);
+    /// Records an outcome. Returns whether the attempt used an idle connection, and its normalized latency. A
+    /// failure never makes a searcher look faster than its peers.
+    pub(super) fn end(
+        &mut self,
+        now: Time,
+        sent: &Attempt,
+        elapsed: Span,
+        peers: f64,
+    ) -> Option<(bool, f64)> {
+        let outcome = sent.outcome.unwrap_or(Outcome::Moot);
+        let index = self.in_flight.iter().position(|(at, ..)| *at == sent.sent_at)?;
+        let (_, extra, idle) = self.in_flight.swap_remove(index);
+        blend(&mut self.queue, self.in_flight.len() as f64, NEWEST);
         if matches!(outcome, Outcome::Moot | Outcome::Lost) {
             return None;
         }
-        // Waiting is common to all parts, work is not: what is more than usual of it comes off.
+        // Queueing affects all parts alike, work does not: time for more than the usual work is subtracted.
         let sample = (elapsed.as_secs() - extra).max(elapsed.as_secs() * 0.2);
         let returned = outcome == Outcome::Returned;
-        let fed = if returned { sample } else { sample.max(peers).max(self.latency.unwrap_or(0.0)) };
-        let learned = self.learned(now, peers);
-        // A queue is another one after some seconds: the longer ago the last sample, the more this weighs.
+        let value = if returned { sample } else { sample.max(peers).max(self.latency.unwrap_or(0.0)) };
+        let averages = self.averages(now, peers);
+        // The queue changes within seconds: the older the last sample, the more the new one weighs.
         let newest = 1.0 - (1.0 - NEWEST).powf(1.0 + now.since(self.heard).as_secs());
-        self.latency = Some(self.latency.map_or(fed, |_| learned.0 + (fed - learned.0) * newest));
-        self.good = learned.1;
-        // What is lost on an unused connection says nothing of the searcher: a middlebox may have dropped it.
-        if outcome != Outcome::Withdrawn && !(unused && outcome.came_to_nothing()) {
-            // A refused connection nearly proves that it is down; an error or a lost part does not.
+        self.latency = Some(self.latency.map_or(value, |_| averages.0 + (value - averages.0) * newest));
+        self.good = averages.1;
+        // A loss on an idle connection is not the searcher's fault: a middlebox may have dropped it.
+        if outcome != Outcome::Withdrawn && !(idle && outcome.is_unanswered()) {
+            // A refused connection is nearly proof that the searcher is down; an error or a lost part is not.
             let weight = if outcome == Outcome::NoConnection { 0.9 } else { NEWEST };
             blend(&mut self.good, f64::from(returned), weight);
         }
         self.heard = now;
-        // Guards against a process that came back cold before any list said so: silence or a broken
-        // connection, then an answer. A long hang costs it some traffic; pauses and queues are shorter.
-        const DEAD_FOR: Span = Span::from_millis(2_000);
-        let dead = matches!(outcome, Outcome::NoConnection | Outcome::Broken | Outcome::TimedOut);
-        if dead && !unused {
+        // Detects a restart that no list has reported yet: outcomes of a dead process, then an answer. Pauses
+        // and queues are shorter; a longer hang is mistaken for a restart, which costs some traffic.
+        const MIN_OUTAGE: Span = Span::from_millis(2_000);
+        let looks_dead = matches!(outcome, Outcome::NoConnection | Outcome::Broken | Outcome::TimedOut);
+        if looks_dead && !idle {
             self.down_since.get_or_insert(now);
         } else if let Some(since) = self.down_since.take_if(|_| returned)
-            && now.since(since) > DEAD_FOR
+            && now.since(since) > MIN_OUTAGE
             && self.cold_since.is_none_or(|start| start < since)
         {
             self.cold_since = Some(now);
         }
-        Some((unused, sample))
+        Some((idle, sample))
     }
 
-    /// Its averages of latency, good sends and queue, as far as they still count. A replica slowed once gets
-    /// few parts to correct them, so with nothing in flight or heard they drift to those of its peers.
-    pub(super) fn learned(&self, now: Time, peers: f64) -> (f64, f64, f64) {
-        let memory = if self.out.is_empty() { half_in(MEMORY, now.since(self.heard)) } else { 1.0 };
+    /// Current averages of latency, success and queue. A replica that was slow once gets few parts to correct
+    /// them, so without attempts in flight or outcomes they drift toward those of its peers.
+    pub(super) fn averages(&self, now: Time, peers: f64) -> (f64, f64, f64) {
+        let kept = if self.in_flight.is_empty() { decay(HALF_LIFE_S, now.since(self.heard)) } else { 1.0 };
         let latency = self.latency.unwrap_or(peers);
-        // What others saw since this mixer heard from it stands in, and fades unless they see it again.
-        let said = self.told.as_ref().filter(|said| said.at > self.heard);
-        let (told, good, slower) =
-            said.map_or((0.0, 1.0, 1.0), |said| (half_in(FADES, now.since(said.at)), said.good, said.slower));
-        let toward = |peers: f64, own: f64, said: f64| {
-            let alone = peers + (own - peers) * memory;
-            alone + (said - alone) * told
+        // Newer reports from other mixers replace own observations, and fade unless they are repeated.
+        let agreed = self.agreed.as_ref().filter(|a| a.at > self.heard);
+        let (agreed_weight, good, slower) =
+            agreed.map_or((0.0, 1.0, 1.0), |a| (decay(RECENT_S, now.since(a.at)), a.good, a.slower));
+        let combine = |peers: f64, own: f64, agreed: f64| {
+            let faded = peers + (own - peers) * kept;
+            faded + (agreed - faded) * agreed_weight
         };
-        (toward(peers, latency, peers * slower), toward(1.0, self.good, good), self.queue * memory)
+        (combine(peers, latency, peers * slower), combine(1.0, self.good, good), self.queue * kept)
     }
 
-    /// What a part of usual weight is expected to take here, in seconds.
-    pub(super) fn expected(&self, now: Time, peers: f64, work: f64, cold: &ColdRule) -> f64 {
-        // One that swallows parts shows only by sends getting old: the oldest is a lower bound.
-        let ages = self.out.iter().map(|(at, extra, _)| now.since(*at).as_secs() - extra);
-        // One that starts cold looks empty: it is slow until it has had time to warm.
-        ages.fold(self.learned(now, peers).0, f64::max).max(work / self.capacity(now, cold))
+    /// Expected latency in seconds of a part of usual work.
+    pub(super) fn expected(&self, now: Time, peers: f64, work: f64, rule: &SlowStart) -> f64 {
+        // A searcher that drops parts shows only as attempts that age: the oldest is a lower bound.
+        let ages = self.in_flight.iter().map(|(sent_at, extra, _)| now.since(*sent_at).as_secs() - extra);
+        // A searcher in slow start looks idle: its latency is bounded by its reduced capacity.
+        ages.fold(self.averages(now, peers).0, f64::max).max(work / self.capacity(now, rule))
     }
 }
--- a/crates/lockusher-policy/src/policy/sender.rs
+++ b/crates/lockusher-policy/src/policy/sender.rs
@@ -1,71 +1,72 @@
-//! The searchers that this mixer sends to: what is known of them all, and which replica serves a part.
+//! Replica selection: the searchers of this mixer, their shared statistics, and the choice of a replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::searcher::{MEMORY, Searcher};
+use super::searcher::{HALF_LIFE_S, Searcher};
 use crate::interface::*;
 use crate::scoring::score;
 
-/// Keeps a record a searcher and picks the replica of each part.
-pub struct Sender {
+/// Holds the state of all searchers and selects the replica for each part.
+pub struct Selector {
     layout: Layout,
-    pub(super) cold: ColdRule,
+    pub(super) warmup: SlowStart,
     home: Option<Zone>,
     price: f64,
     rank: usize,
     pub(super) mixers: usize,
     pub(super) searchers: BTreeMap<SearcherId, Searcher>,
-    pub(super) fleet: Fleet,
-    /// Sends that came to nothing: on connections not used for a while, and others.
-    pub(super) reaped: Lost,
-    pub(super) lost: Lost,
-    /// What may be spent of what the whole fleet may, where that is shared.
+    pub(super) stats: FleetStats,
+    /// Unanswered attempts: on idle connections, and on all others.
+    pub(super) idle_lost: LossRatio,
+    pub(super) lost: LossRatio,
+    /// Token buckets of the budgets that the fleet shares.
     pub(super) budgets: Purses,
 }
 
-/// Sends that came to nothing: a few prove little, the last thirty do; known for as long as a searcher.
-type Lost = Share<15, 1, MEMORY>;
+/// Over the last thirty attempts, as a few prove little; remembered as long as a searcher's averages.
+type LossRatio = FailureRatio<15, 1, HALF_LIFE_S>;
 
-/// What concerns the whole fleet, worked out once an outcome, so that a part costs no more than its holders.
+/// Statistics of the whole fleet, updated once per outcome, so that selection only visits a part's holders.
 #[derive(Default)]
-pub(super) struct Fleet {
-    /// By shard modulo cells: the searchers that hold it and are neither draining nor gone.
+pub(super) struct FleetStats {
+    /// By shard modulo cells: the searchers that hold it and are up.
     holders: Vec<Vec<SearcherId>>,
-    /// The middle latency average of those heard from, and how many are warm.
-    middle: Option<f64>,
+    /// Median of the searchers' latency averages, and the number of searchers that are warmed up.
+    median: Option<f64>,
     warm: usize,
-    /// By zone, where enough were heard from of late: the latency of the middle one, and of one in four; of
-    /// fewer than eight the quickest: with one sound, the path is. Does harm if a zone's machines are unlike.
+    /// By zone with enough recent samples: the median latency and the lower quartile, or with fewer than
+    /// eight the minimum: one fast searcher proves that the path is fast. Misjudges zones of unequal
+    /// machines.
     zones: BTreeMap<Option<Zone>, (f64, f64)>,
-    /// The lowest of the latter.
-    quickest: f64,
-    /// About the least that a part of usual weight takes: its work without waiting.
-    pub(super) work: f64,
-    /// Parts of usual weight that a warm searcher returns here, over bursts; and the rate when one last did.
+    /// The lowest quartile of all zones.
+    lowest: f64,
+    /// Approximate minimum time of a part of usual work: its work without queueing.
+    pub(super) min_work: f64,
+    /// Rate at which a warmed-up searcher answers parts of usual work, and its last known value.
     rate: Rate<3>,
     last_rate: f64,
 }
 
-/// Where a part may go and what it is expected to take there; if nowhere, when a cold replica may be asked.
+/// The selected replica and its expected latency, or else when a searcher in slow start is available.
 pub(super) type Pick = Result<(SearcherId, f64), Option<Span>>;
 
-impl Sender {
-    pub fn new(now: Time, layout: Layout, cold: ColdRule, (home, price): Site, of: Rank) -> Self {
+impl Selector {
+    pub fn new(now: Time, layout: Layout, warmup: SlowStart, (home, price): Locality, of: MixerRank) -> Self {
         let (rank, mixers) = (of.0, of.1.max(1));
-        let (searchers, fleet, budgets) = Default::default();
-        let (reaped, lost) = (Share::new(now), Share::new(now));
-        Sender { layout, cold, home, price, rank, mixers, searchers, fleet, reaped, lost, budgets }
+        let (searchers, stats, budgets) = Default::default();
+        let (idle_lost, lost) = (FailureRatio::new(now), FailureRatio::new(now));
+        Selector { layout, warmup, home, price, rank, mixers, searchers, stats, idle_lost, lost, budgets }
     }
 
-    /// The searchers in service.
-    pub(super) fn up(&self) -> impl Iterator<Item = &Searcher> {
+    /// The searchers that are up.
+    pub(super) fn active(&self) -> impl Iterator<Item = &Searcher> {
         self.searchers.values().filter(|s| s.is_up())
     }
 
-    pub(super) fn news(&mut self, now: Time, list: Vec<Listed>, complete: bool) {
+    pub(super) fn apply_list(&mut self, now: Time, list: Vec<Listed>, complete: bool) {
         let named: BTreeSet<&SearcherId> = list.iter().map(|line| &line.id).collect();
         for (_, missing) in self.searchers.iter_mut().filter(|(id, _)| complete && !named.contains(id)) {
             missing.listed.state = SearcherState::Gone;
@@ -73,158 +74,161 @@
         for line in list {
             let entry = self.searchers.entry(line.id.clone());
             let searcher = entry.or_insert_with(|| Searcher::new(now, line.clone()));
-            let start = line.up_since.max(searcher.listed.up_since);
-            if start > searcher.listed.up_since {
-                // A restart under the same id: what was learned was of another process.
-                (searcher.cold_since, searcher.down_since, searcher.told) = (start, None, None);
+            let started_at = line.up_since.max(searcher.listed.up_since);
+            if started_at > searcher.listed.up_since {
+                // Restarted under the same id: earlier observations are of another process.
+                (searcher.cold_since, searcher.down_since, searcher.agreed) = (started_at, None, None);
                 (searcher.latency, searcher.good) = (None, 1.0);
-                (searcher.told_at, searcher.sent_at) = (now, None);
+                (searcher.listed_at, searcher.sent_at) = (now, None);
             }
-            searcher.listed = Listed { up_since: start, ..line };
+            searcher.listed = Listed { up_since: started_at, ..line };
         }
-        self.searchers.retain(|_, s| s.listed.state != SearcherState::Gone || !s.out.is_empty());
+        self.searchers.retain(|_, s| s.listed.state != SearcherState::Gone || !s.in_flight.is_empty());
         let mut holders = vec![Vec::new(); self.layout.cells];
-        for Listed { id, cell, .. } in self.up().map(|s| &s.listed) {
+        for Listed { id, cell, .. } in self.active().map(|s| &s.listed) {
             self.layout.shards_of(*cell).for_each(|shard| holders[shard].push(id.clone()));
         }
-        self.fleet.holders = holders;
-        self.survey(now);
+        self.stats.holders = holders;
+        self.refresh_stats(now);
     }
 
-    /// What the fleet's mixers agree on counts where nothing newer was seen here: never against the last
-    /// holder of a shard, and not at all if half of the searchers are accused, as then it is those who look.
-    pub(super) fn judged(&mut self, mut judged: Vec<Judged>) {
-        self.searchers.values_mut().for_each(|s| s.told = None);
-        let known = |s: &Searcher, life| s.is_up() && s.listed.up_since == life;
-        judged.retain(|j| self.searchers.get(&j.id).is_some_and(|s| known(s, j.life)));
-        if judged.iter().filter(|j| j.accuses()).count() * 2 > self.up().count() {
+    /// Reports agreed by the fleet's mixers apply where this mixer has no newer outcome: never to a shard's
+    /// last healthy holder, and not at all if over half of the searchers are reported: then the reporters are
+    /// suspect.
+    pub(super) fn apply_agreed_health(&mut self, mut judged: Vec<Judged>) {
+        self.searchers.values_mut().for_each(|s| s.agreed = None);
+        let same_start = |s: &Searcher, life| s.is_up() && s.listed.up_since == life;
+        judged.retain(|j| self.searchers.get(&j.id).is_some_and(|s| same_start(s, j.life)));
+        if judged.iter().filter(|j| j.accuses()).count() * 2 > self.active().count() {
             return;
         }
         judged.sort_by(|a, b| a.good.total_cmp(&b.good).then(b.slower.total_cmp(&a.slower)));
-        for said in judged {
-            let mut shards = self.layout.shards_of(self.searchers[&said.id].listed.cell);
-            let out = |s: &Searcher| s.listed.id == said.id || s.told.as_ref().is_some_and(Judged::accuses);
-            let last = said.accuses() && shards.any(|shard| self.holders(Shard(shard)).all(out));
-            if let Some(s) = self.searchers.get_mut(&said.id).filter(|_| !last) {
-                // It warms up from when they saw it come back, unless something newer is known here.
-                s.cold_since = s.cold_since.max(said.cold_since.filter(|since| *since > s.heard));
-                s.told = Some(said);
+        for agreed in judged {
+            let mut shards = self.layout.shards_of(self.searchers[&agreed.id].listed.cell);
+            let down =
+                |s: &Searcher| s.listed.id == agreed.id || s.agreed.as_ref().is_some_and(Judged::accuses);
+            let last_holder = agreed.accuses() && shards.any(|shard| self.holders(Shard(shard)).all(down));
+            if let Some(s) = self.searchers.get_mut(&agreed.id).filter(|_| !last_holder) {
+                // Slow start begins when other mixers saw it return, unless an outcome here is newer.
+                s.cold_since = s.cold_since.max(agreed.cold_since.filter(|since| *since > s.heard));
+                s.agreed = Some(agreed);
             }
         }
     }
 
-    /// What other mixers held when this one started, for searchers not heard from here in the same life.
-    pub(super) fn remembers(&mut self, now: Time, known: Vec<Known>) {
+    /// Applies observations of other mixers to searchers without an outcome here in the same incarnation.
+    pub(super) fn apply_warm_start(&mut self, now: Time, known: Vec<Known>) {
         for Known { id, life, latency, good, at } in known {
             let unheard = |s: &&mut Searcher| s.latency.is_none() && s.listed.up_since == life;
             if let Some(s) = self.searchers.get_mut(&id).filter(unheard) {
                 (s.latency, s.good, s.heard) = (Some(latency), good, at);
             }
         }
-        self.survey(now);
+        self.refresh_stats(now);
     }
 
-    /// Works out the fleet's figures anew.
-    pub(super) fn survey(&mut self, now: Time) {
-        const ENOUGH: usize = 3; // Fewer tell little of a zone.
-        self.fleet.warm = self.up().filter(|s| s.capacity(now, &self.cold) >= 1.0).count();
-        // Of a fleet replaced all at once none was heard from yet; the old one tells more than a budget.
-        let middle = lowest(2, &mut self.up().filter_map(|s| s.latency).collect::<Vec<_>>());
-        self.fleet.middle = middle.or(self.fleet.middle);
+    /// Recomputes the fleet's statistics.
+    pub(super) fn refresh_stats(&mut self, now: Time) {
+        const MIN_SAMPLES: usize = 3; // Fewer say little about a zone.
+        self.stats.warm = self.active().filter(|s| s.capacity(now, &self.warmup) >= 1.0).count();
+        // After the whole fleet is replaced there are no samples: the old median is better than a target.
+        let median = quantile(2, &mut self.active().filter_map(|s| s.latency).collect::<Vec<_>>());
+        self.stats.median = median.or(self.stats.median);
         let mut zones = BTreeMap::<_, Vec<f64>>::new();
-        for s in self.up().filter(|s| now.since(s.heard).as_secs() < f64::from(MEMORY)) {
+        for s in self.active().filter(|s| now.since(s.heard).as_secs() < f64::from(HALF_LIFE_S)) {
             zones.entry(s.listed.zone).or_default().extend(s.latency);
         }
-        let known = zones.iter_mut().filter(|(_, heard)| heard.len() >= ENOUGH);
-        let quick = |heard: &mut Vec<f64>| lowest(if heard.len() < 8 { 8 } else { 4 }, heard);
-        self.fleet.zones = known.filter_map(|(z, l)| Some((*z, (lowest(2, l)?, quick(l)?)))).collect();
-        self.fleet.quickest = self.fleet.zones.values().map(|zone| zone.1).fold(f64::MAX, f64::min);
+        let sampled = zones.iter_mut().filter(|(_, values)| values.len() >= MIN_SAMPLES);
+        let low = |values: &mut Vec<f64>| quantile(if values.len() < 8 { 8 } else { 4 }, values);
+        self.stats.zones = sampled.filter_map(|(z, l)| Some((*z, (quantile(2, l)?, low(l)?)))).collect();
+        self.stats.lowest = self.stats.zones.values().map(|zone| zone.1).fold(f64::MAX, f64::min);
     }
 
-    /// The middle latency average of those heard from; with none, half the latency budget. The design says
-    /// the mean: one dead searcher's time-outs would then make all others look slow and shut the gate.
-    pub(super) fn peers(&self, budget: Span) -> f64 {
-        self.fleet.middle.unwrap_or(budget.as_secs() / 2.0)
+    /// Median of the latency averages, or half the latency target without any. A mean, as in the design,
+    /// would let the timeouts of one dead searcher make the others look slow and cause rejections.
+    pub(super) fn median(&self, target: Span) -> f64 {
+        self.stats.median.unwrap_or(target.as_secs() / 2.0)
     }
 
-    /// What a searcher not heard from is taken to be like: those of its zone, else of the fleet.
-    pub(super) fn near(&self, s: &Searcher, budget: Span) -> f64 {
-        self.fleet.zones.get(&s.listed.zone).map_or(self.peers(budget), |zone| zone.0)
+    /// Expected latency of a searcher without outcomes: the median of its zone, else of the fleet.
+    pub(super) fn zone_latency(&self, s: &Searcher, target: Span) -> f64 {
+        self.stats.zones.get(&s.listed.zone).map_or(self.median(target), |zone| zone.0)
     }
 
-    /// How long after its last send a cold searcher may get its next: all mixers' sends must stay under the
-    /// rule's multiple of the capacity that is sure. What one can do when warm is judged from what warm ones
-    /// return here, as all mixers' rates add up to at most that; before any did, from one part at a time.
-    fn cold_gap(&self, now: Time, searcher: &Searcher, budget: Span) -> Span {
-        let capacity = searcher.capacity(now, &self.cold);
-        // Where all are cold, as after a release, what warm ones did stays the best that is known.
-        let rate = if self.fleet.warm > 0 { self.fleet.rate.per_second(now) } else { self.fleet.last_rate };
-        let one_at_a_time = 1.0 / (self.peers(budget) * self.mixers as f64).max(1e-6);
-        let allowed = self.cold.fall_multiple * capacity * rate.max(one_at_a_time);
+    /// Minimum time between sends to a searcher in slow start: the sends of all mixers must stay below the
+    /// overload multiple of its certain capacity. Full capacity is estimated from the answers of warmed-up
+    /// searchers here, which all mixers' rates add up to at most; before any, from one part at a time.
+    fn ramp_gap(&self, now: Time, searcher: &Searcher, target: Span) -> Span {
+        let capacity = searcher.capacity(now, &self.warmup);
+        // If all are warming up, as after a release, the last known rate is the best estimate.
+        let rate = if self.stats.warm > 0 { self.stats.rate.per_second(now) } else { self.stats.last_rate };
+        let one_at_a_time = 1.0 / (self.median(target) * self.mixers as f64).max(1e-6);
+        let allowed = self.warmup.overload_multiple * capacity * rate.max(one_at_a_time);
         if capacity < 1.0 { Span::from_secs(1.0 / allowed) } else { Span::ZERO }
     }
 
-    /// Notes a part that came back. It counts by how many are warm as it does: many may leave at once, and
-    /// what all of them returned is not what the few that stay can do.
-    pub(super) fn returned(&mut self, now: Time, from: &SearcherId, weight: f64) {
-        let warm = |s: &Searcher| s.is_up() && s.capacity(now, &self.cold) >= 1.0;
-        if self.fleet.warm > 0 && self.searchers.get(from).is_some_and(warm) {
-            self.fleet.rate.add(now, weight / self.fleet.warm as f64);
-            self.fleet.last_rate = self.fleet.rate.per_second(now);
+    /// Records an answer, divided by the searchers warmed up at that time: many may leave at once, and the
+    /// total of all is not what the remaining few can serve.
+    pub(super) fn record_answer(&mut self, now: Time, from: &SearcherId, weight: f64) {
+        let warm = |s: &Searcher| s.is_up() && s.capacity(now, &self.warmup) >= 1.0;
+        if self.stats.warm > 0 && self.searchers.get(from).is_some_and(warm) {
+            self.stats.rate.add(now, weight / self.stats.warm as f64);
+            self.stats.last_rate = self.stats.rate.per_second(now);
         }
     }
 
-    /// How much longer a cold searcher gets nothing: the gap since the last send; before the first one this
-    /// mixer's part of the gap, as all are told at once, and one part each would be too much from many. The
-    /// mixers' turns are spread over the gap by their rank, and begin elsewhere for each searcher.
-    fn turn_in(&self, now: Time, searcher: &Searcher, gap: Span) -> Span {
-        let Some(sent) = searcher.sent_at else {
+    /// Time until a searcher in slow start may be sent a part: the rest of the gap after the last send. All
+    /// mixers learn of a start at once, and one part from each would be too many: the first send waits for
+    /// this mixer's slot in the gap, which depends on its rank and, by a hash, on the searcher.
+    fn ramp_wait(&self, now: Time, searcher: &Searcher, gap: Span) -> Span {
+        let Some(last_sent) = searcher.sent_at else {
             let fnv = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(16_777_619);
             let hash = searcher.listed.id.as_str().bytes().fold(2_166_136_261, fnv);
-            let begins = f64::from(hash) / f64::from(u32::MAX);
-            let turn = (begins + (self.rank as f64 + 0.5) / self.mixers as f64).fract();
-            return gap.times(turn).saturating_sub(now.since(searcher.told_at));
+            let offset = f64::from(hash) / f64::from(u32::MAX);
+            let turn = (offset + (self.rank as f64 + 0.5) / self.mixers as f64).fract();
+            return gap.times(turn).saturating_sub(now.since(searcher.listed_at));
         };
-        gap.saturating_sub(now.since(sent))
+        gap.saturating_sub(now.since(last_sent))
     }
 
     pub(super) fn holders(&self, shard: Shard) -> impl Iterator<Item = &Searcher> {
-        let ids = self.fleet.holders.get(shard.0 % self.layout.cells);
+        let ids = self.stats.holders.get(shard.0 % self.layout.cells);
         ids.into_iter().flatten().map(|id| &self.searchers[id])
     }
 
-    /// The replica with the lowest [`score`], but while there is another it passes over those sent this part.
-    pub(super) fn pick(&self, now: Time, part: &Part, budget: Span, rng: &mut ChaCha8Rng) -> Pick {
-        /// Times its price in latency budgets: no crossing among idle ones, yet a sound one beats a slow one.
-        const CROSSING: f64 = 20.0;
+    /// The replica with the lowest [`score`]; replicas that were sent this part before come last.
+    pub(super) fn pick(&self, now: Time, part: &Part, target: Span, rng: &mut ChaCha8Rng) -> Pick {
+        /// Cross-zone cost in latency targets per unit of price: idle replicas in the own zone are preferred,
+        /// but a healthy remote one beats a slow local one.
+        const ZONE_FACTOR: f64 = 20.0;
         type Entry<'a> = (bool, f64, u32, &'a SearcherId, f64);
         let mut best: Option<Entry> = None;
         let mut soonest: Option<Span> = None;
         for s in self.holders(part.shard) {
-            let gap = self.cold_gap(now, s, budget);
-            let turn_in = self.turn_in(now, s, gap);
-            if turn_in > Span::ZERO || (gap > Span::ZERO && !self.budgets.has(now, Budget::Cold)) {
-                soonest = soonest.into_iter().chain([turn_in]).min();
+            let gap = self.ramp_gap(now, s, target);
+            let ramp_wait = self.ramp_wait(now, s, gap);
+            if ramp_wait > Span::ZERO || (gap > Span::ZERO && !self.budgets.has(now, Budget::Cold)) {
+                soonest = soonest.into_iter().chain([ramp_wait]).min();
                 continue;
             }
-            let peers = self.near(s, budget);
-            let (_, good, queue) = s.learned(now, peers);
-            let expected = s.expected(now, peers, self.fleet.work, &self.cold);
-            // Full queues leave some quick: if even these take three times what they do elsewhere, it is the
-            // way there, and counts like eight more own parts: a second own part elsewhere weighs eight times,
-            // so parts would go on that way. Does harm if a whole zone is merely weak.
-            let zone = self.fleet.zones.get(&s.listed.zone);
-            let slow = zone.is_some_and(|zone| zone.1 > 3.0 * self.fleet.quickest);
-            let own = s.out.len() as f64;
-            // `score` adds one for the part itself, which is counted before the eight: sums round the same.
-            let (own, queue) = if slow { (own + queue + 1.0 + 8.0 - 1.0, 0.0) } else { (own, queue) };
-            let far = s.listed.zone.is_some() && s.listed.zone != self.home;
-            let crossing = if far { CROSSING * self.price * budget.as_secs() } else { 0.0 };
-            // One that fails fast looks quick and empty; a part has few sends, so failures weigh twice.
-            let failing = good.max(0.05).powi(2);
-            let score = score(own, queue, expected + crossing) / failing;
-            let sent = part.sends.iter().any(|send| send.to == s.listed.id);
-            let entry = (sent, score, rng.random::<u32>(), &s.listed.id, expected / failing);
+            let peers = self.zone_latency(s, target);
+            let (_, good, queue) = s.averages(now, peers);
+            let expected = s.expected(now, peers, self.stats.min_work, &self.warmup);
+            // With full queues some searchers are still fast: if even these take three times as long as
+            // elsewhere, the path is slow, and counts like eight more own parts. A second own part elsewhere
+            // weighs eight times, so some parts still take this path. Misjudges a zone that is merely weak.
+            let zone = self.stats.zones.get(&s.listed.zone);
+            let slow_path = zone.is_some_and(|zone| zone.1 > 3.0 * self.stats.lowest);
+            let own = s.in_flight.len() as f64;
+            // `score` adds one for the part itself; subtracting it here keeps the rounding of the sum.
+            let (own, queue) = if slow_path { (own + queue + 1.0 + 8.0 - 1.0, 0.0) } else { (own, queue) };
+            let cross_zone = s.listed.zone.is_some() && s.listed.zone != self.home;
+            let zone_cost = if cross_zone { ZONE_FACTOR * self.price * target.as_secs() } else { 0.0 };
+            // A searcher that fails fast looks fast and idle; attempts are few, so failures count squared.
+            let success = good.max(0.05).powi(2);
+            let score = score(own, queue, expected + zone_cost) / success;
+            let already_tried = part.sends.iter().any(|attempt| attempt.to == s.listed.id);
+            let entry = (already_tried, score, rng.random::<u32>(), &s.listed.id, expected / success);
             let order = |a: &Entry, b: &Entry| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2));
             best = best.into_iter().chain([entry]).min_by(order);
         }
--- a/crates/lockusher-policy/tests/scoring.rs
+++ b/crates/lockusher-policy/tests/scoring.rs
@@ -1,4 +1,4 @@
-//! The shared score against its formula, in numbers that a float holds exactly.
+//! The shared score against its formula, with numbers that floats represent exactly.
 
 use lockusher_policy::scoring::{EXPONENT, NEWEST, blend, score};
 use rstest::rstest;
--- a/crates/lockusher-policy/tests/stories.rs
+++ b/crates/lockusher-policy/tests/stories.rs
@@ -1,612 +1,629 @@
-//! Short stories of failures met, told against one tiny fake host.
+//! Regression tests of the decisions against one simulated host.
 
 mod cold_fleet;
 mod host;
 
-use host::{Host, Site, ms, part};
+use host::{Host, HostConfig, ms, part};
 use lockusher_policy::interface::*;
 use rstest::rstest;
 
 #[test]
-fn a_part_goes_to_the_replica_with_fewest_of_our_parts_out() {
-    let mut host = Host::new(Site::default());
-    let first = host.ask("m1", &[0]);
-    let second = host.ask("m2", &[0]);
-    let third = host.ask("m3", &[0]);
-    let mut used = [host.sent_to(first, 0), host.sent_to(second, 0), host.sent_to(third, 0)];
+fn a_part_goes_to_the_replica_with_the_fewest_attempts_in_flight() {
+    let mut host = Host::new(HostConfig::default());
+    let first = host.request("m1", &[0]);
+    let second = host.request("m2", &[0]);
+    let third = host.request("m3", &[0]);
+    let mut used =
+        [host.first_searcher(first, 0), host.first_searcher(second, 0), host.first_searcher(third, 0)];
     used.sort();
     assert_eq!(used, ["a", "b", "c"]);
 }
 
 #[test]
-fn a_slow_replica_loses_its_parts_to_quick_ones() {
-    let mut host = Host::new(Site::default());
-    host.speed("a", ms(900));
+fn a_slow_replica_loses_its_parts_to_fast_ones() {
+    let mut host = Host::new(HostConfig::default());
+    host.set_latency("a", ms(900));
     host.serve(60, &[0]);
-    host.forget_counts();
+    host.reset_counts();
     host.serve(30, &[0]);
-    assert!(host.count("a") <= 3, "slow replica got {} of 30", host.count("a"));
+    assert!(host.received("a") <= 3, "slow replica got {} of 30", host.received("a"));
 }
 
 #[test]
-fn a_replica_that_fails_fast_does_not_look_quick() {
-    let mut host = Host::new(Site::default());
-    host.speed("a", ms(2));
-    host.fails("a", Outcome::Error);
+fn a_replica_that_fails_fast_does_not_look_fast() {
+    let mut host = Host::new(HostConfig::default());
+    host.set_latency("a", ms(2));
+    host.set_outcome("a", Outcome::Error);
     host.serve(60, &[0]);
-    host.forget_counts();
+    host.reset_counts();
     host.serve(30, &[0]);
-    assert!(host.count("a") <= 3, "failing replica got {} of 30", host.count("a"));
+    assert!(host.received("a") <= 3, "failing replica got {} of 30", host.received("a"));
     assert_eq!(host.unanswered(), 0);
 }
 
 #[rstest]
 #[case::refused(Outcome::NoConnection, 0)]
 #[case::an_error(Outcome::Error, 1)]
-fn a_refused_connection_tells_more_than_an_error(#[case] outcome: Outcome, #[case] tried: usize) {
-    let mut host = Host::new(Site::default());
+fn a_refused_connection_weighs_more_than_an_error(#[case] outcome: Outcome, #[case] tried: usize) {
+    let mut host = Host::new(HostConfig::default());
     host.serve(12, &[0]);
-    host.fails("a", outcome);
-    while host.further() == 0 {
+    host.set_outcome("a", outcome);
+    while host.retries() == 0 {
         host.serve(1, &[0]);
     }
-    host.forget_counts();
-    let asked = (0..6).map(|i| host.ask(&format!("at once {i}"), &[0])).count();
-    assert_eq!((asked, host.count("a").min(1)), (6, tried));
+    host.reset_counts();
+    let requested = (0..6).map(|i| host.request(&format!("at once {i}"), &[0])).count();
+    assert_eq!((requested, host.received("a").min(1)), (6, tried));
 }
 
 #[test]
-fn a_replica_that_swallows_parts_is_left_alone_while_they_age() {
-    let mut host = Host::new(Site::default());
+fn a_replica_that_drops_parts_is_avoided_while_they_age() {
+    let mut host = Host::new(HostConfig::default());
     host.serve(20, &[0]);
-    host.swallows("a");
-    host.forget_counts();
+    host.drop_parts("a");
+    host.reset_counts();
     host.serve(40, &[0]);
-    assert!(host.count("a") <= 4, "swallowing replica got {} of 40", host.count("a"));
+    assert!(host.received("a") <= 4, "replica that drops parts got {} of 40", host.received("a"));
 }
 
 #[test]
-fn a_replica_slow_once_is_tried_again_after_a_while() {
-    let mut host = Host::new(Site::default());
-    host.speed("a", ms(900));
+fn a_formerly_slow_replica_is_tried_again_after_a_while() {
+    let mut host = Host::new(HostConfig::default());
+    host.set_latency("a", ms(900));
     host.serve(60, &[0]);
-    host.speed("a", ms(100));
-    host.pass(ms(100_000));
-    host.forget_counts();
+    host.set_latency("a", ms(100));
+    host.advance(ms(100_000));
+    host.reset_counts();
     host.serve(60, &[0]);
-    assert!(host.count("a") >= 10, "recovered replica got {} of 60", host.count("a"));
+    assert!(host.received("a") >= 10, "recovered replica got {} of 60", host.received("a"));
 }
 
 #[test]
-fn one_dead_searcher_does_not_make_a_good_day_look_overloaded() {
-    let mut host = Host::new(Site::default());
+fn one_dead_searcher_does_not_cause_rejections() {
+    let mut host = Host::new(HostConfig::default());
     host.serve(20, &[0, 1, 2]);
-    host.swallows("a");
+    host.drop_parts("a");
     host.serve(60, &[0, 1, 2]);
     assert!(host.pushed_back() <= 1, "{} pushed back", host.pushed_back());
 }
 
 #[test]
-fn a_heavy_hint_is_not_taken_for_overload() {
-    let mut host = Host::new(Site { by_work: true, ..Site::default() });
+fn a_large_work_hint_is_not_mistaken_for_overload() {
+    let mut host = Host::new(HostConfig { value_is_per_work: true, ..HostConfig::default() });
     host.serve_hinted(40, &[0, 1], Some(ms(100)));
-    let heavy = host.take("heavy", &[0, 1], ms(3_000), Some(ms(600)));
+    let heavy = host.request_with("heavy", &[0, 1], ms(3_000), Some(ms(600)));
     assert_eq!(host.reply(heavy), None);
-    assert!(host.sends(heavy).iter().all(|n| *n == 1));
+    assert!(host.attempts(heavy).iter().all(|n| *n == 1));
 }
 
 #[test]
-fn what_cannot_be_in_time_is_pushed_back_at_once_with_a_time_to_come_back() {
-    let mut host = Host::new(Site::default());
-    ["a", "b", "c"].iter().for_each(|id| host.speed(id, ms(1_400)));
-    let taken: Vec<_> = (0..60).map(|i| host.ask(&format!("m{i}"), &[0, 1, 2])).collect();
-    host.pass(ms(1_450));
-    let late = host.ask("late", &[0, 1, 2]);
-    let later = host.ask("later", &[0, 1, 2]);
-    assert!(taken.iter().any(|&mg| host.reply(mg).is_some()));
-    let pushed = [late, later].iter().any(|&mg| {
+fn a_multiget_that_cannot_be_in_time_is_rejected_at_once_with_a_retry_delay() {
+    let mut host = Host::new(HostConfig::default());
+    ["a", "b", "c"].iter().for_each(|id| host.set_latency(id, ms(1_400)));
+    let accepted: Vec<_> = (0..60).map(|i| host.request(&format!("m{i}"), &[0, 1, 2])).collect();
+    host.advance(ms(1_450));
+    let late = host.request("late", &[0, 1, 2]);
+    let later = host.request("later", &[0, 1, 2]);
+    assert!(accepted.iter().any(|&mg| host.reply(mg).is_some()));
+    let rejected =[late, later].iter().any(|&mg| {
         matches!(host.reply(mg), Some(Reply::PushedBack { come_back_in: Some(span) }) if span > Span::ZERO)
     });
-    assert!(pushed);
+    assert!(rejected);
 }
 
 #[test]
-fn an_idle_replica_does_not_hold_the_gate_open_while_most_that_are_let_in_miss() {
-    let mut host = Host::new(Site::default());
+fn idle_replicas_do_not_keep_admission_open_while_most_admitted_multigets_miss_their_target() {
+    let mut host = Host::new(HostConfig::default());
     host.serve(5, &[0, 1, 2]);
-    ["a", "b", "c"].iter().for_each(|id| host.speed(id, ms(1_600)));
-    let taken = (0..60).map(|i| host.ask(&format!("m{i}"), &[0, 1, 2])).count();
-    host.pass(ms(1_700));
-    let idle_again = host.ask("next", &[0]);
+    ["a", "b", "c"].iter().for_each(|id| host.set_latency(id, ms(1_600)));
+    let accepted = (0..60).map(|i| host.request(&format!("m{i}"), &[0, 1, 2])).count();
+    host.advance(ms(1_700));
+    let idle_again = host.request("next", &[0]);
     assert!(matches!(host.reply(idle_again), Some(Reply::PushedBack { .. })));
-    host.pass(ms(20_000));
-    let much_later = host.ask("much later", &[0]);
-    assert_eq!((host.sends(much_later), taken), (vec![1], 60));
+    host.advance(ms(20_000));
+    let much_later = host.request("much later", &[0]);
+    assert_eq!((host.attempts(much_later), accepted), (vec![1], 60));
 }
 
-/// Zone+mass, 60 mixers: once a lost zone was back, mixers pushed back nearly all without a send for ten seconds, on
-/// latencies of idle replicas last heard from seconds before. What was not heard of late must fade, or the gate stays
-/// shut; a fleet that is still slow is found out by the few that are let in, and the gate shuts again.
+/// Guards against admission that stays closed. After a lost zone was back, 60 mixers rejected nearly all
+/// requests for ten seconds without sending any, based on old latencies of idle replicas. Old latencies must
+/// fade; if the fleet is still slow, the few admitted multigets show it and rejection resumes.
 #[rstest]
 #[case::recovered(true)]
 #[case::still_slow(false)]
-fn a_shut_gate_learns_again_from_idle_replicas_as_what_it_knows_grows_old(#[case] recovered: bool) {
-    let mut host = Host::new(Site::default());
+fn admission_resumes_from_idle_replicas_as_their_averages_age(#[case] recovered: bool) {
+    let mut host = Host::new(HostConfig::default());
     host.serve(5, &[0, 1, 2]);
-    ["a", "b", "c"].iter().for_each(|id| host.speed(id, ms(1_600)));
-    (0..60).for_each(|i| _ = host.ask(&format!("m{i}"), &[0, 1, 2]));
-    host.pass(ms(1_700));
+    ["a", "b", "c"].iter().for_each(|id| host.set_latency(id, ms(1_600)));
+    (0..60).for_each(|i| _ = host.request(&format!("m{i}"), &[0, 1, 2]));
+    host.advance(ms(1_700));
     if recovered {
-        ["a", "b", "c"].iter().for_each(|id| host.speed(id, ms(5)));
+        ["a", "b", "c"].iter().for_each(|id| host.set_latency(id, ms(5)));
     }
-    let mut let_in = Vec::new();
+    let mut admitted = Vec::new();
     for i in 0..40 {
-        let mg = host.ask(&format!("after {i}"), &[0, 1, 2]);
-        let_in.push(host.sends(mg).iter().any(|&sends| sends > 0));
-        host.pass(ms(250));
+        let mg = host.request(&format!("after {i}"), &[0, 1, 2]);
+        admitted.push(host.attempts(mg).iter().any(|&sends| sends > 0));
+        host.advance(ms(250));
     }
-    // Within ten seconds, far before old averages are forgotten (20 s): a recovered fleet is found again, the last
-    // sends of 1.6 s having timed out some 6 s before; a slow one gets some few to learn from. Before, none of 40.
-    let count = let_in.iter().filter(|&&sent| sent).count();
-    let found = let_in[36..].iter().all(|&sent| sent);
-    assert!(if recovered { found } else { (1..=8).contains(&count) }, "{count} of 40 let in: {let_in:?}");
+    // Within ten seconds, far less than the half-life of averages (20 s), a recovered fleet serves again; the
+    // last attempts, of 1.6 s, timed out some 6 s before. A slow fleet gets a few attempts to measure it.
+    // Without the fading, none of 40 was admitted.
+    let count = admitted.iter().filter(|&&sent| sent).count();
+    let all_admitted = admitted[36..].iter().all(|&sent| sent);
+    assert!(
+        if recovered { all_admitted } else { (1..=8).contains(&count) },
+        "{count} of 40 admitted: {admitted:?}"
+    );
 }
 
 #[test]
-fn misses_shut_the_gate_even_at_one_multiget_in_two_seconds() {
-    let mut host = Host::new(Site::default());
+fn misses_stop_admission_even_at_one_multiget_in_two_seconds() {
+    let mut host = Host::new(HostConfig::default());
     host.serve(5, &[0, 1, 2]);
-    ["a", "b", "c"].iter().for_each(|id| host.speed(id, ms(1_600)));
+    ["a", "b", "c"].iter().for_each(|id| host.set_latency(id, ms(1_600)));
     for i in 0..6 {
-        host.ask(&format!("missed {i}"), &[0, 1, 2]);
-        host.pass(ms(1_700));
+        host.request(&format!("missed {i}"), &[0, 1, 2]);
+        host.advance(ms(1_700));
     }
-    let next = host.ask("next", &[0, 1, 2]);
+    let next = host.request("next", &[0, 1, 2]);
     assert!(matches!(host.reply(next), Some(Reply::PushedBack { .. })), "{:?}", host.reply(next));
 }
 
 #[test]
-fn the_more_parts_the_more_time_must_be_left_for_the_slowest() {
-    let mut host = Host::new(Site { by_work: true, ..Site::default() });
-    ["a", "b", "c"].iter().for_each(|id| host.speed(id, ms(700)));
+fn more_parts_need_more_time_left_for_the_slowest() {
+    let mut host = Host::new(HostConfig { value_is_per_work: true, ..HostConfig::default() });
+    ["a", "b", "c"].iter().for_each(|id| host.set_latency(id, ms(700)));
     host.serve(40, &[0]);
-    host.pass(ms(2_000));
-    let busy = host.ask("busy", &[0, 1, 2]);
-    let few = host.ask("few", &[0, 1, 2, 3]);
-    let many = host.ask("many", &(0..60).collect::<Vec<_>>());
+    host.advance(ms(2_000));
+    let busy = host.request("busy", &[0, 1, 2]);
+    let few = host.request("few", &[0, 1, 2, 3]);
+    let many = host.request("many", &(0..60).collect::<Vec<_>>());
     assert_eq!((host.reply(busy), host.reply(few)), (None, None));
     assert!(matches!(host.reply(many), Some(Reply::PushedBack { .. })), "{:?}", host.reply(many));
 }
 
 #[test]
-fn a_zone_behind_a_slow_path_is_left_alone_after_a_few_sends() {
-    let mut host = Host::new(Site { searchers: &["a", "b", "c", "d", "e", "f"], ..Site::default() });
+fn a_zone_behind_a_slow_path_is_avoided_after_a_few_attempts() {
+    let mut host =
+        Host::new(HostConfig { searchers: &["a", "b", "c", "d", "e", "f"], ..HostConfig::default() });
     host.serve(10, &[0, 1, 2, 3, 4, 5]);
-    ["d", "e", "f"].iter().for_each(|id| host.speed(id, ms(1_000)));
+    ["d", "e", "f"].iter().for_each(|id| host.set_latency(id, ms(1_000)));
     host.serve(10, &[0, 1, 2, 3, 4, 5]);
-    host.forget_counts();
+    host.reset_counts();
     host.serve(20, &[0, 1, 2, 3, 4, 5]);
-    let far: usize = ["d", "e", "f"].iter().map(|id| host.count(id)).sum();
-    assert!(far <= 6, "{far} of 120 parts went over the slow path");
+    let slow_zone: usize = ["d", "e", "f"].iter().map(|id| host.received(id)).sum();
+    assert!(slow_zone <= 6, "{slow_zone} of 120 parts went over the slow path");
 }
 
-/// A zone taken for slow was passed over even as all others had their queues full of own parts.
+/// A zone with a slow path was avoided even when all others had full queues of own parts.
 #[test]
-fn behind_a_slow_path_some_are_used_once_others_are_full() {
-    let mut host = Host::new(Site { searchers: &["a", "b", "c", "d", "e", "f"], ..Site::default() });
+fn a_zone_behind_a_slow_path_is_used_once_the_others_have_full_queues() {
+    let mut host =
+        Host::new(HostConfig { searchers: &["a", "b", "c", "d", "e", "f"], ..HostConfig::default() });
     host.serve(10, &[0, 1, 2, 3, 4, 5]);
-    ["d", "e", "f"].iter().for_each(|id| host.speed(id, ms(400)));
+    ["d", "e", "f"].iter().for_each(|id| host.set_latency(id, ms(400)));
     host.serve(30, &[0, 1, 2, 3, 4, 5]);
-    host.forget_counts();
-    host.ask("many", &(0..60).collect::<Vec<_>>());
-    let far: usize = ["d", "e", "f"].iter().map(|id| host.count(id)).sum();
-    assert!((3..30).contains(&far), "{far} of 60 parts went that way");
+    host.reset_counts();
+    host.request("many", &(0..60).collect::<Vec<_>>());
+    let slow_zone: usize = ["d", "e", "f"].iter().map(|id| host.received(id)).sum();
+    assert!((3..30).contains(&slow_zone), "{slow_zone} of 60 parts went over the slow path");
 }
 
-/// Three of four in a zone were slow, and the fourth, quick and idle, was passed over with them for seconds.
+/// Three of four searchers in a zone were slow; the fourth, fast and idle, was avoided with them for seconds.
 #[test]
-fn a_zone_with_a_quick_searcher_is_behind_no_slow_path() {
+fn a_zone_with_one_fast_searcher_is_not_behind_a_slow_path() {
     let searchers = &["a", "b", "c", "d", "e", "f", "g", "h"];
-    let mut host = Host::new(Site { searchers, in_a_zone: 4, ..Site::default() });
+    let mut host = Host::new(HostConfig { searchers, zone_size: 4, ..HostConfig::default() });
     host.serve(10, &[0, 1, 2, 3, 4, 5]);
-    ["f", "g", "h"].iter().for_each(|id| host.speed(id, ms(1_000)));
+    ["f", "g", "h"].iter().for_each(|id| host.set_latency(id, ms(1_000)));
     host.serve(10, &[0, 1, 2, 3, 4, 5]);
-    host.forget_counts();
+    host.reset_counts();
     host.serve(20, &[0, 1, 2, 3, 4, 5]);
-    assert!(host.count("e") > 10, "{} of 120 parts went to it", host.count("e"));
+    assert!(host.received("e") > 10, "{} of 120 parts went to it", host.received("e"));
 }
 
 #[rstest]
 #[case::dropped(Some(ms(1_000)))]
 #[case::kept(None)]
-fn connections_that_die_unseen_when_unused_are_opened_anew_and_only_then(#[case] drops: Option<Span>) {
-    let mut host = Host::new(Site::default());
-    host.reaps_after(drops);
-    host.serve_apart(20, ms(3_000), &[0, 1, 2]);
+fn idle_connections_are_replaced_only_where_they_are_silently_dropped(#[case] idle_timeout: Option<Span>) {
+    let mut host = Host::new(HostConfig::default());
+    host.set_idle_timeout(idle_timeout);
+    host.serve_with_gaps(20, ms(3_000), &[0, 1, 2]);
     let before = host.unanswered();
-    host.serve_apart(20, ms(3_000), &[0, 1, 2]);
+    host.serve_with_gaps(20, ms(3_000), &[0, 1, 2]);
     let lost = host.unanswered() - before;
-    assert!(lost <= 3, "{lost} of 20 lost once it is known; a few tell whether it still is so");
-    assert_eq!(host.opened() > 0, drops.is_some());
+    assert!(
+        lost <= 3,
+        "{lost} of 20 lost after detection; a few attempts check whether connections are still dropped"
+    );
+    assert_eq!(host.connections_opened() > 0, idle_timeout.is_some());
 }
 
 #[test]
-fn one_sample_in_many_seconds_is_enough_to_leave_a_slow_replica() {
-    let mut host = Host::new(Site::default());
-    host.serve_apart(12, ms(3_000), &[0]);
-    host.speed("a", ms(1_200));
-    host.serve_apart(4, ms(3_000), &[0]);
-    host.forget_counts();
-    host.serve_apart(9, ms(3_000), &[0]);
-    assert!(host.count("a") <= 1, "slow replica got {} of 9", host.count("a"));
+fn one_sample_after_many_seconds_is_enough_to_avoid_a_slow_replica() {
+    let mut host = Host::new(HostConfig::default());
+    host.serve_with_gaps(12, ms(3_000), &[0]);
+    host.set_latency("a", ms(1_200));
+    host.serve_with_gaps(4, ms(3_000), &[0]);
+    host.reset_counts();
+    host.serve_with_gaps(9, ms(3_000), &[0]);
+    assert!(host.received("a") <= 1, "slow replica got {} of 9", host.received("a"));
 }
 
 #[test]
-fn a_multiget_with_no_holder_left_is_given_up_at_once() {
-    let mut host = Host::new(Site::default());
+fn a_multiget_whose_shard_has_no_holder_is_rejected_at_once() {
+    let mut host = Host::new(HostConfig::default());
     for id in ["a", "b", "c"] {
-        host.listed(id, SearcherState::Gone);
+        host.list_state(id, SearcherState::Gone);
     }
-    let mg = host.ask("m", &[0]);
+    let mg = host.request("m", &[0]);
     assert!(matches!(host.reply(mg), Some(Reply::PushedBack { .. })));
 }
 
 #[rstest]
 #[case::draining(SearcherState::Draining)]
 #[case::gone(SearcherState::Gone)]
-fn nothing_new_goes_to_a_searcher_that_leaves(#[case] state: SearcherState) {
-    let mut host = Host::new(Site::default());
+fn no_new_part_goes_to_a_searcher_that_leaves(#[case] state: SearcherState) {
+    let mut host = Host::new(HostConfig::default());
     host.serve(12, &[0]);
-    host.listed("a", state);
-    host.forget_counts();
+    host.list_state("a", state);
+    host.reset_counts();
     host.serve(20, &[0]);
-    assert_eq!(host.count("a"), 0);
+    assert_eq!(host.received("a"), 0);
 }
 
 #[test]
-fn a_searcher_missing_from_a_complete_list_is_gone() {
-    let mut host = Host::new(Site::default());
-    host.only(&["b", "c"]);
+fn a_searcher_missing_from_a_complete_list_gets_no_parts() {
+    let mut host = Host::new(HostConfig::default());
+    host.list_exactly(&["b", "c"]);
     host.serve(20, &[0]);
-    assert_eq!(host.count("a"), 0);
+    assert_eq!(host.received("a"), 0);
 }
 
 #[test]
-fn a_searcher_told_to_have_restarted_gets_its_parts_spread_out() {
-    let mut host = Host::new(Site::default());
+fn a_restarted_searcher_gets_its_parts_spread_out() {
+    let mut host = Host::new(HostConfig::default());
     host.serve(40, &[0]);
-    host.restarted("a");
-    host.listed("b", SearcherState::Draining);
-    host.listed("c", SearcherState::Draining);
-    host.forget_counts();
-    let waiting: Vec<_> = (0..8).map(|i| host.ask(&format!("m{i}"), &[0])).collect();
-    host.pass(ms(1_400));
-    // At 0.2 to 0.3 of ten parts a second, the rule's multiple of 2 allows seven.
-    assert!((2..=7).contains(&host.count("a")), "{} parts in 1.4 s", host.count("a"));
-    assert!(host.gaps_to("a").iter().all(|gap| *gap > ms(150)), "{:?}", host.gaps_to("a"));
-    assert!(waiting.iter().any(|&mg| host.sends(mg) == [0]));
-}
-
-#[test]
-fn many_mixers_that_know_no_rate_do_not_push_a_cold_searcher_over() {
-    let mut host = Host::new(Site { mixers: 60, ..Site::default() });
-    host.restarted("a");
-    host.listed("b", SearcherState::Draining);
-    host.listed("c", SearcherState::Draining);
-    let taken: Vec<_> = (0..8).map(|i| host.ask(&format!("m{i}"), &[0])).collect();
-    host.pass(ms(1_400));
-    assert!(taken.iter().all(|&mg| host.sends(mg)[0] <= 1));
-    assert!(host.count("a") <= 1, "{} parts in 1.4 s from one of sixty", host.count("a"));
-}
-
-#[test]
-fn a_searcher_back_from_silence_counts_as_cold_before_any_list_says_so() {
-    let mut host = Host::new(Site::default());
+    host.list_restart("a");
+    host.list_state("b", SearcherState::Draining);
+    host.list_state("c", SearcherState::Draining);
+    host.reset_counts();
+    let waiting: Vec<_> = (0..8).map(|i| host.request(&format!("m{i}"), &[0])).collect();
+    host.advance(ms(1_400));
+    // At a capacity of 0.2 to 0.3 of ten parts per second, the overload multiple of 2 allows seven.
+    assert!((2..=7).contains(&host.received("a")), "{} parts in 1.4 s", host.received("a"));
+    assert!(
+        host.gaps_between_parts("a").iter().all(|gap| *gap > ms(150)),
+        "{:?}",
+        host.gaps_between_parts("a")
+    );
+    assert!(waiting.iter().any(|&mg| host.attempts(mg) == [0]));
+}
+
+#[test]
+fn many_mixers_without_a_known_rate_do_not_overload_a_searcher_in_slow_start() {
+    let mut host = Host::new(HostConfig { mixers: 60, ..HostConfig::default() });
+    host.list_restart("a");
+    host.list_state("b", SearcherState::Draining);
+    host.list_state("c", SearcherState::Draining);
+    let accepted: Vec<_> = (0..8).map(|i| host.request(&format!("m{i}"), &[0])).collect();
+    host.advance(ms(1_400));
+    assert!(accepted.iter().all(|&mg| host.attempts(mg)[0] <= 1));
+    assert!(host.received("a") <= 1, "{} parts in 1.4 s from one of sixty", host.received("a"));
+}
+
+#[test]
+fn a_searcher_that_answers_after_an_outage_enters_slow_start_before_it_is_listed_so() {
+    let mut host = Host::new(HostConfig::default());
     host.serve(20, &[0]);
-    host.fails("a", Outcome::NoConnection);
+    host.set_outcome("a", Outcome::NoConnection);
     host.serve(120, &[0]);
-    host.fails("a", Outcome::Returned);
-    host.pass(ms(30_000));
+    host.set_outcome("a", Outcome::Returned);
+    host.advance(ms(30_000));
     host.serve(30, &[0]);
-    host.forget_counts();
+    host.reset_counts();
     host.serve(30, &[0]);
-    assert!(host.count("a") < 10, "{} of 30 soon after its return", host.count("a"));
+    assert!(host.received("a") < 10, "{} of 30 soon after its restart", host.received("a"));
 }
 
 #[rstest]
 #[case::deduped(Repeat::Deduped(ms(400)), Outcome::Error, 2)]
 #[case::non_retriable(Repeat::NonRetriable, Outcome::Error, 1)]
-#[case::non_retriable_never_ran(Repeat::NonRetriable, Outcome::Full, 2)]
-fn a_part_is_sent_again_only_where_that_is_harmless(
+#[case::non_retriable_not_executed(Repeat::NonRetriable, Outcome::Full, 2)]
+fn a_part_is_retried_only_if_that_is_harmless(
     #[case] repeat: Repeat,
     #[case] outcome: Outcome,
     #[case] sends: usize,
 ) {
-    let mut host = Host::new(Site { repeat, ..Site::default() });
-    let mg = host.ask("m", &[0]);
-    host.pass(ms(5));
-    host.end_last_send(mg, 0, outcome);
-    assert_eq!(host.sends(mg), [sends]);
+    let mut host = Host::new(HostConfig { repeat, ..HostConfig::default() });
+    let mg = host.request("m", &[0]);
+    host.advance(ms(5));
+    host.end_last_attempt(mg, 0, outcome);
+    assert_eq!(host.attempts(mg), [sends]);
 }
 
 #[rstest]
-#[case::may_have_run(Outcome::Error, Reply::Failed)]
-#[case::never_ran(Outcome::NoConnection, Reply::PushedBack { come_back_in: None })]
-fn a_non_retriable_multiget_is_pushed_back_only_if_nothing_ran(
+#[case::may_have_executed(Outcome::Error, Reply::Failed)]
+#[case::not_executed(Outcome::NoConnection, Reply::PushedBack { come_back_in: None })]
+fn a_non_retriable_multiget_is_rejected_only_if_nothing_was_executed(
     #[case] outcome: Outcome,
     #[case] reply: Reply,
 ) {
-    let site = Site { repeat: Repeat::NonRetriable, most_sends: 1, come_back: None, ..Site::default() };
-    let mut host = Host::new(site);
-    let mg = host.ask("m", &[0]);
-    host.pass(ms(5));
-    host.end_last_send(mg, 0, outcome);
+    let config = HostConfig {
+        repeat: Repeat::NonRetriable,
+        max_attempts: 1,
+        retry_after: None,
+        ..HostConfig::default()
+    };
+    let mut host = Host::new(config);
+    let mg = host.request("m", &[0]);
+    host.advance(ms(5));
+    host.end_last_attempt(mg, 0, outcome);
     assert_eq!(host.reply(mg), Some(reply));
 }
 
 #[test]
-fn a_deduped_part_that_may_have_run_is_not_sent_again_past_its_window() {
-    let site = Site { repeat: Repeat::Deduped(ms(400)), second_copies: false, ..Site::default() };
-    let mut host = Host::new(site);
-    host.swallows_all();
-    let mg = host.ask("m", &[0]);
-    host.pass(ms(500));
-    host.end_last_send(mg, 0, Outcome::Broken);
-    assert_eq!(host.sends(mg), [1]);
+fn a_deduplicated_part_that_may_have_been_executed_is_not_retried_past_its_window() {
+    let config = HostConfig { repeat: Repeat::Deduped(ms(400)), may_hedge: false, ..HostConfig::default() };
+    let mut host = Host::new(config);
+    host.drop_all_parts();
+    let mg = host.request("m", &[0]);
+    host.advance(ms(500));
+    host.end_last_attempt(mg, 0, Outcome::Broken);
+    assert_eq!(host.attempts(mg), [1]);
     assert_eq!(host.reply(mg), Some(Reply::Failed));
 }
 
 #[test]
-fn further_sends_stay_within_the_stated_budget() {
-    let budget = SendBudget { free: 2.0, share: 0.1, window: ms(10_000) };
-    let mut host = Host::new(Site { budget: Some(budget), ..Site::default() });
+fn retries_stay_within_the_configured_limit() {
+    let retry_limit = RetryLimit { base: 2.0, ratio: 0.1, window: ms(10_000) };
+    let mut host = Host::new(HostConfig { retry_limit: Some(retry_limit), ..HostConfig::default() });
     for id in ["a", "b", "c"] {
-        host.fails(id, Outcome::Error);
-        host.speed(id, ms(10));
+        host.set_outcome(id, Outcome::Error);
+        host.set_latency(id, ms(10));
     }
     host.serve(30, &[0]);
-    // Thirty multigets of one part each: sixty taken.
-    assert!(host.further() as f64 <= 2.0 + 0.1 * 60.0, "{} further sends", host.further());
-    assert!(host.further() > 0);
+    // Thirty multigets with one part each: sixty arrivals.
+    assert!(host.retries() as f64 <= 2.0 + 0.1 * 60.0, "{} retries", host.retries());
+    assert!(host.retries() > 0);
 }
 
 #[test]
-fn further_sends_fade_when_none_of_them_helps() {
-    let mut host = Host::new(Site::default());
+fn retries_decrease_when_none_succeeds() {
+    let mut host = Host::new(HostConfig::default());
     for id in ["a", "b", "c"] {
-        host.fails(id, Outcome::Error);
+        host.set_outcome(id, Outcome::Error);
     }
     host.serve(100, &[0]);
-    let before = host.further();
+    let before = host.retries();
     host.serve(100, &[0]);
-    assert!(host.further() - before <= 10, "{} further sends in 100", host.further() - before);
+    assert!(host.retries() - before <= 10, "{} retries in 100 multigets", host.retries() - before);
 }
 
 #[test]
-fn where_no_second_copy_may_run_the_stuck_send_is_withdrawn_first() {
-    let mut host = Host::new(Site { second_copies: false, ..Site::default() });
+fn without_hedging_the_stuck_attempt_is_cancelled_first() {
+    let mut host = Host::new(HostConfig { may_hedge: false, ..HostConfig::default() });
     host.serve(30, &[0]);
-    host.swallows_all();
-    let mg = host.ask("m", &[0]);
-    host.pass(ms(1_400));
-    assert!(host.withdrawn(mg) >= 1);
-    assert_eq!(host.most_out_at_once(mg), 1);
+    host.drop_all_parts();
+    let mg = host.request("m", &[0]);
+    host.advance(ms(1_400));
+    assert!(host.cancelled(mg) >= 1);
+    assert_eq!(host.max_in_flight(mg), 1);
 }
 
 #[test]
-fn a_part_is_sent_again_sooner_if_its_searcher_has_been_silent_since() {
-    let waits = |others: &[usize]| {
-        let mut host = Host::new(Site::default());
-        host.speed("b", ms(60));
-        host.speed("c", ms(20));
+fn a_part_is_retried_sooner_if_its_searcher_has_been_silent_since() {
+    let steps_until_retry = |others: &[usize]| {
+        let mut host = Host::new(HostConfig::default());
+        host.set_latency("b", ms(60));
+        host.set_latency("c", ms(20));
         host.serve(60, &[0, 1, 2]);
-        host.swallows_shard(9);
-        let mg = host.ask("m", &[9]);
-        others.iter().for_each(|shard| assert!(host.ask(&format!("other {shard}"), &[*shard]) != mg));
+        host.drop_parts_of_shard(9);
+        let mg = host.request("m", &[9]);
+        others.iter().for_each(|shard| assert!(host.request(&format!("other {shard}"), &[*shard]) != mg));
         (1..).find(|_| {
-            host.pass(ms(10));
-            host.sends(mg) != [1]
+            host.advance(ms(10));
+            host.attempts(mg) != [1]
         })
     };
-    let (silent, heard) = (waits(&[]), waits(&[0, 1, 2, 3, 4, 5]));
+    let (silent, heard) = (steps_until_retry(&[]), steps_until_retry(&[0, 1, 2, 3, 4, 5]));
     assert!(silent < heard, "{silent:?}, {heard:?} steps");
 }
 
 #[test]
-fn a_second_copy_goes_to_another_replica_and_the_part_counts_once() {
-    let mut host = Host::new(Site { most_sends: 2, ..Site::default() });
+fn a_hedged_attempt_goes_to_another_replica_and_the_part_counts_once() {
+    let mut host = Host::new(HostConfig { max_attempts: 2, ..HostConfig::default() });
     host.serve(30, &[0]);
-    host.swallows_all();
-    let mg = host.ask("m", &[0]);
-    host.pass(ms(1_300));
-    assert_eq!(host.sends(mg), [2]);
-    host.end_last_send(mg, 0, Outcome::Returned);
+    host.drop_all_parts();
+    let mg = host.request("m", &[0]);
+    host.advance(ms(1_300));
+    assert_eq!(host.attempts(mg), [2]);
+    host.end_last_attempt(mg, 0, Outcome::Returned);
     assert_eq!(host.reply(mg), Some(Reply::Answered { whole: true }));
 }
 
 #[rstest]
 #[case::enough(0.7, Some(Reply::Answered { whole: false }))]
 #[case::too_little(0.8, Some(Reply::PushedBack { come_back_in: None }))]
-fn at_the_end_of_the_latency_budget_a_partial_answer_keeps_to_its_least_share(
-    #[case] least_share: f64,
+fn at_the_latency_target_a_partial_answer_needs_its_minimum_share(
+    #[case] min_share: f64,
     #[case] reply: Option<Reply>,
 ) {
-    let mut host = Host::new(Site { least_share, come_back: None, ..Site::default() });
-    host.swallows_shard(3);
-    let mg = host.ask("m", &[0, 1, 2, 3]);
-    host.pass(ms(700));
+    let mut host = Host::new(HostConfig { min_share, retry_after: None, ..HostConfig::default() });
+    host.drop_parts_of_shard(3);
+    let mg = host.request("m", &[0, 1, 2, 3]);
+    host.advance(ms(700));
     assert_eq!(host.reply(mg), None);
-    host.pass(ms(900));
+    host.advance(ms(900));
     assert_eq!(host.reply(mg), reply);
 }
 
 #[test]
-fn a_first_step_is_cut_in_time_for_the_second_where_parts_wait() {
-    let mut host = Host::new(Site { second_step: 2, least_share: 0.7, ..Site::default() });
-    ["a", "b", "c"].iter().for_each(|id| host.speed(id, ms(400)));
+fn a_first_step_ends_early_enough_for_the_second_where_parts_queue() {
+    let mut host = Host::new(HostConfig { second_step: 2, min_share: 0.7, ..HostConfig::default() });
+    ["a", "b", "c"].iter().for_each(|id| host.set_latency(id, ms(400)));
     host.serve(20, &[0]);
-    host.swallows_shard(3);
-    let mg = host.ask("m", &[0, 1, 2, 3]);
-    host.pass(ms(900));
+    host.drop_parts_of_shard(3);
+    let mg = host.request("m", &[0, 1, 2, 3]);
+    host.advance(ms(900));
     assert_eq!(host.reply(mg), Some(Reply::Answered { whole: false }));
 }
 
 #[test]
-fn the_second_step_is_whole_only_if_the_first_was_and_all_its_parts_are_in() {
-    let mut host = Host::new(Site { second_step: 2, ..Site::default() });
-    let mg = host.ask("m", &[0, 1]);
-    host.pass(ms(150));
+fn the_second_step_is_complete_only_if_the_first_was_and_all_its_parts_are_answered() {
+    let mut host = Host::new(HostConfig { second_step: 2, ..HostConfig::default() });
+    let mg = host.request("m", &[0, 1]);
+    host.advance(ms(150));
     assert_eq!(host.reply(mg), Some(Reply::Answered { whole: true }));
-    host.second_step(mg, &[part(0, 0.5), part(1, 0.5)]);
-    assert_eq!(host.replies(mg), 1);
-    host.pass(ms(250));
-    assert_eq!((host.replies(mg), host.reply(mg)), (2, Some(Reply::Answered { whole: true })));
+    host.add_second_step(mg, &[part(0, 0.5), part(1, 0.5)]);
+    assert_eq!(host.reply_count(mg), 1);
+    host.advance(ms(250));
+    assert_eq!((host.reply_count(mg), host.reply(mg)), (2, Some(Reply::Answered { whole: true })));
 }
 
-/// The route timeout is 3 s: a client with 0.9 s left has waited 2.1 s, past the latency budget, if first tries went
-/// wrong; else it is an impatient one. Half of all clients once gave less time, and were turned away by an idle fleet.
+/// The route timeout is 3 s: if first tries fail, a client with a timeout of 0.9 s has waited for 2.1 s, past
+/// the latency target; otherwise it is a first try with a short timeout. An idle fleet once rejected the half
+/// of its clients that set a shorter timeout.
 #[rstest]
-#[case::first_tries_went_wrong(true)]
-#[case::all_is_well(false)]
-fn a_later_try_is_known_by_the_time_it_was_given(#[case] trouble: bool) {
-    let mut host = Host::new(Site::default());
+#[case::first_tries_fail(true)]
+#[case::first_tries_succeed(false)]
+fn a_retry_is_recognized_by_its_timeout(#[case] first_tries_fail: bool) {
+    let mut host = Host::new(HostConfig::default());
     host.serve(10, &[0]);
-    if trouble {
-        host.swallows_shard(1);
+    if first_tries_fail {
+        host.drop_parts_of_shard(1);
         host.serve(20, &[1]);
     }
-    let mg = host.take("m", &[0], ms(900), None);
-    host.pass(ms(500));
+    let mg = host.request_with("m", &[0], ms(900), None);
+    host.advance(ms(500));
     let pushed_back = matches!(host.reply(mg), Some(Reply::PushedBack { .. }));
-    assert_eq!((pushed_back, host.sends(mg)[0]), if trouble { (true, 0) } else { (false, 1) });
+    assert_eq!((pushed_back, host.attempts(mg)[0]), if first_tries_fail { (true, 0) } else { (false, 1) });
 }
 
 #[test]
-fn every_multiget_gets_one_final_answer_in_time_when_nothing_answers() {
-    let mut host = Host::new(Site { late_share: 0.3, ..Site::default() });
-    host.swallows_all();
-    let taken: Vec<_> = (0..10).map(|i| host.ask(&format!("m{i}"), &[0, 1, 2])).collect();
-    host.pass(ms(3_000));
-    assert!(taken.iter().all(|&mg| host.replies(mg) == 1));
+fn every_multiget_gets_one_final_reply_in_time_when_no_searcher_answers() {
+    let mut host = Host::new(HostConfig { late_value_ratio: 0.3, ..HostConfig::default() });
+    host.drop_all_parts();
+    let accepted: Vec<_> = (0..10).map(|i| host.request(&format!("m{i}"), &[0, 1, 2])).collect();
+    host.advance(ms(3_000));
+    assert!(accepted.iter().all(|&mg| host.reply_count(mg) == 1));
 }
 
 #[test]
-fn discovery_is_asked_at_the_start_and_again_after_refusals_with_back_off() {
-    let mut host = Host::new(Site { ask_every: Some(ms(10_000)), ..Site::default() });
-    assert_eq!(host.asks(), 1);
+fn discovery_is_called_at_the_start_and_again_after_failures_with_backoff() {
+    let mut host = Host::new(HostConfig { poll_interval: Some(ms(10_000)), ..HostConfig::default() });
+    assert_eq!(host.discovery_calls(), 1);
     for _ in 0..6 {
-        host.refuse_discovery();
-        host.pass(ms(3_800));
+        host.fail_discovery();
+        host.advance(ms(3_800));
     }
-    assert_eq!(host.asks(), 7);
-    host.only(&["a", "b", "c"]);
-    host.pass(ms(60_000));
-    assert_eq!(host.asks(), 7);
+    assert_eq!(host.discovery_calls(), 7);
+    host.list_exactly(&["a", "b", "c"]);
+    host.advance(ms(60_000));
+    assert_eq!(host.discovery_calls(), 7);
 }
 
 #[test]
-fn what_is_worth_most_for_its_work_has_its_turn_first() {
-    let mut host = Host::new(Site::default());
-    assert_eq!(host.turns(&[("wide", &[0, 1, 2, 3, 4]), ("narrow", &[0])]), ["narrow", "wide"]);
+fn the_multiget_with_the_highest_value_per_work_is_due_first() {
+    let mut host = Host::new(HostConfig::default());
+    assert_eq!(host.due_order(&[("wide", &[0, 1, 2, 3, 4]), ("narrow", &[0])]), ["narrow", "wide"]);
 }
 
 #[test]
-fn same_events_same_actions() {
-    // Asking what the gate believes, as the mixer's lines of push-backs do, draws on a copy of its random numbers.
-    let play = |curious| {
-        let mut host = Host::new(Site::default());
-        host.curious = curious;
-        host.fails("b", Outcome::Full);
+fn the_same_events_lead_to_the_same_decisions() {
+    // A trace draws from a copy of the random generator, as it does for the log lines on rejections.
+    let run = |traces_admission| {
+        let mut host = Host::new(HostConfig::default());
+        host.traces_admission = traces_admission;
+        host.set_outcome("b", Outcome::Full);
         host.serve(50, &[0, 1, 2]);
         host.trace()
     };
-    assert_eq!(play(false), play(false));
-    assert_eq!(play(false), play(true));
+    assert_eq!(run(false), run(false));
+    assert_eq!(run(false), run(true));
 }
 
 #[rstest]
-#[case::seen_since(ms(0), 0)]
-#[case::seen_before_it_was_heard(ms(60_000), 1)]
-fn what_others_saw_of_a_searcher_counts_until_this_mixer_hears_from_it(
-    #[case] ago: Span,
-    #[case] tried: usize,
-) {
-    let mut host = Host::new(Site::default());
+#[case::newer_than_the_last_outcome(ms(0), 0)]
+#[case::older_than_the_last_outcome(ms(60_000), 1)]
+fn reported_health_applies_until_this_mixer_has_a_newer_outcome(#[case] ago: Span, #[case] tried: usize) {
+    let mut host = Host::new(HostConfig::default());
     host.serve(30, &[0]);
-    host.judged(&[("a", 0.05, 1.0, ago)]);
-    host.forget_counts();
-    let asked = (0..6).map(|nth| host.ask(&format!("at once {nth}"), &[0])).count();
-    assert_eq!((asked, host.count("a").min(1)), (6, tried));
+    host.report_health(&[("a", 0.05, 1.0, ago)]);
+    host.reset_counts();
+    let requested = (0..6).map(|nth| host.request(&format!("at once {nth}"), &[0])).count();
+    assert_eq!((requested, host.received("a").min(1)), (6, tried));
 }
 
 #[test]
-fn what_others_saw_fades_unless_they_see_it_again() {
-    let mut host = Host::new(Site::default());
+fn reported_health_fades_unless_it_is_repeated() {
+    let mut host = Host::new(HostConfig::default());
     host.serve(30, &[0]);
-    host.judged(&[("a", 0.05, 1.0, ms(0))]);
-    host.forget_counts();
-    host.pass(ms(12_000));
+    host.report_health(&[("a", 0.05, 1.0, ms(0))]);
+    host.reset_counts();
+    host.advance(ms(12_000));
     for nth in 0..6 {
-        host.ask(&format!("later {nth}"), &[0]);
+        host.request(&format!("later {nth}"), &[0]);
     }
-    assert!(host.count("a") > 0, "it is tried though nobody has said that it is back");
+    assert!(host.received("a") > 0, "it is tried although no mixer has reported its recovery");
 }
 
 #[test]
-fn the_last_holder_is_spared_whatever_others_say_of_it() {
-    let mut host = Host::new(Site { searchers: &["a", "b", "c", "d"], ..Site::default() });
+fn the_last_holder_is_used_whatever_health_is_reported() {
+    let mut host = Host::new(HostConfig { searchers: &["a", "b", "c", "d"], ..HostConfig::default() });
     host.serve(30, &[0]);
-    // Two of four: the half that may count. Of either shard's holders one at least is left.
-    host.judged(&[("a", 0.05, 1.0, ms(0)), ("b", 0.05, 1.0, ms(0))]);
-    host.only(&["a", "b"]);
-    host.judged(&[("a", 0.05, 1.0, ms(0))]);
-    host.forget_counts();
+    // Two of four are the most that may be reported. Each shard keeps at least one other holder.
+    host.report_health(&[("a", 0.05, 1.0, ms(0)), ("b", 0.05, 1.0, ms(0))]);
+    host.list_exactly(&["a", "b"]);
+    host.report_health(&[("a", 0.05, 1.0, ms(0))]);
+    host.reset_counts();
     for nth in 0..4 {
-        host.ask(&format!("m{nth}"), &[0]);
+        host.request(&format!("m{nth}"), &[0]);
     }
-    assert_eq!(host.count("a"), 0, "the other one holds it too");
-    host.only(&["a"]);
-    host.judged(&[("a", 0.05, 1.0, ms(0))]);
-    host.forget_counts();
+    assert_eq!(host.received("a"), 0, "another searcher holds the shard too");
+    host.list_exactly(&["a"]);
+    host.report_health(&[("a", 0.05, 1.0, ms(0))]);
+    host.reset_counts();
     host.serve(4, &[0]);
-    assert_eq!((host.count("a"), host.unanswered()), (4, 0));
+    assert_eq!((host.received("a"), host.unanswered()), (4, 0));
 }
 
 #[test]
-fn if_most_searchers_are_accused_it_counts_for_nothing() {
-    let mut host = Host::new(Site::default());
+fn reports_are_ignored_if_most_searchers_are_reported_unhealthy() {
+    let mut host = Host::new(HostConfig::default());
     host.serve(30, &[0]);
-    host.judged(&[("a", 0.05, 1.0, ms(0)), ("b", 0.05, 1.0, ms(0))]);
-    host.forget_counts();
+    host.report_health(&[("a", 0.05, 1.0, ms(0)), ("b", 0.05, 1.0, ms(0))]);
+    host.reset_counts();
     for nth in 0..6 {
-        host.ask(&format!("at once {nth}"), &[0]);
+        host.request(&format!("at once {nth}"), &[0]);
     }
-    assert_eq!([host.count("a"), host.count("b"), host.count("c")], [2, 2, 2]);
+    assert_eq!([host.received("a"), host.received("b"), host.received("c")], [2, 2, 2]);
 }
 
 #[test]
-fn one_that_starts_warm_does_not_begin_with_the_slow_one() {
-    let mut host = Host::new(Site::default());
-    host.speed("b", ms(900));
-    host.remembers(&[("a", 0.1), ("b", 0.9), ("c", 0.1)]);
+fn a_mixer_with_a_warm_start_does_not_begin_with_the_slow_searcher() {
+    let mut host = Host::new(HostConfig::default());
+    host.set_latency("b", ms(900));
+    host.warm_start(&[("a", 0.1), ("b", 0.9), ("c", 0.1)]);
     for nth in 0..2 {
-        host.ask(&format!("m{nth}"), &[0]);
+        host.request(&format!("m{nth}"), &[0]);
     }
-    assert_eq!(host.count("b"), 0);
+    assert_eq!(host.received("b"), 0);
 }
 
 #[test]
-fn further_sends_are_held_to_the_part_of_the_fleets_budget() {
-    let further = |part: Option<f64>| {
-        let mut host = Host::new(Site::default());
-        part.into_iter().for_each(|part| host.may(Budget::Further, part));
-        host.fails("a", Outcome::Error);
+fn retries_stay_within_the_share_of_the_fleets_budget() {
+    let retries = |share: Option<f64>| {
+        let mut host = Host::new(HostConfig::default());
+        share.into_iter().for_each(|share| host.set_share(Budget::Further, share));
+        host.set_outcome("a", Outcome::Error);
         for nth in 0..40 {
-            host.ask(&format!("m{nth}"), &[0]);
+            host.request(&format!("m{nth}"), &[0]);
         }
-        host.pass(ms(400));
-        host.further()
+        host.advance(ms(400));
+        host.retries()
     };
-    assert_eq!(further(Some(0.5)), 0, "in less than half a second nothing has come together");
-    assert!(further(None) > 2);
+    assert_eq!(retries(Some(0.5)), 0, "half a second's share is less than one token");
+    assert!(retries(None) > 2);
 }
--- a/crates/lockusher-simulator-adapter/src/main.rs
+++ b/crates/lockusher-simulator-adapter/src/main.rs
@@ -1,7 +1,8 @@
-//! Plays lockusher's decisions over the simulator's wire: batches on standard input, replies on
-//! standard output. It keeps the timers and the multigets in hand and decides nothing.
+//! Runs lockusher's decisions in the simulator's protocol: batches on standard input, replies on
+//! standard output. The adapter keeps the timers and the pending multigets and makes no decisions.
 
-// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+// Lints of the workspace that this package does not satisfy yet; docs/ROADMAP.md lists what
+// remains.
 #![allow(clippy::wildcard_imports)]
 
 mod mixer;
@@ -15,15 +16,16 @@
 use lockusher_policy::interface::Time;
 
 use mixer::Mixer;
-use wire::{Batch, Entry, Event, Mode, Reply, Tagged};
+use wire::{Batch, Entry, Event, InstanceAction, Mode, Reply};
 
+/// The running instances, and the lists of searchers by `set_id`.
 #[derive(Default)]
-struct Drill {
+struct Simulation {
     mixers: BTreeMap<String, Mixer>,
     catalogs: BTreeMap<u64, Vec<Entry>>,
 }
 
-impl Drill {
+impl Simulation {
     fn mixer(&mut self, name: &str) -> Result<&mut Mixer> {
         self.mixers
             .get_mut(name)
@@ -38,7 +40,7 @@
                 facts,
             } => {
                 let started = Mixer::start(now, random_seed, &facts)
-                    .with_context(|| format!("settings of {mixer}"))?;
+                    .with_context(|| format!("invalid settings for {mixer}"))?;
                 self.mixers.insert(mixer, started);
             }
             Event::Exit { mixer } => {
@@ -57,31 +59,33 @@
             } => {
                 let entries = match (&mode, set_id) {
                     (Mode::Refused, _) => &[],
-                    (_, None) => return Err(anyhow!("UPDATE for {mixer} names no set_id")),
+                    (_, None) => return Err(anyhow!("UPDATE for {mixer} has no set_id")),
                     (_, Some(number)) => self
                         .catalogs
                         .get(&number)
-                        .with_context(|| format!("UPDATE names list {number}, never given"))?
+                        .with_context(|| format!("UPDATE names undefined set_id {number}"))?
                         .as_slice(),
                 };
-                let hand = self
+                let instance = self
                     .mixers
                     .get_mut(&mixer)
                     .ok_or_else(|| anyhow!("{mixer} has not been started"))?;
-                hand.listed(now, &mode, entries);
+                instance.apply_list(now, &mode, entries);
             }
-            Event::Knock(knock) => self.mixer(&knock.mixer)?.knock(now, &knock)?,
-            Event::ClosedAttempt(closed) => self.mixer(&closed.mixer)?.closed(now, &closed)?,
+            Event::Arrival(arrival) => self.mixer(&arrival.mixer)?.arrival(now, &arrival)?,
+            Event::ClosedAttempt(closed) => self.mixer(&closed.mixer)?.ended(now, &closed)?,
             Event::ClientLeft { mixer, corr } => self.mixer(&mixer)?.client_left(&corr),
             Event::DeadlineHit { mixer, token } => self.mixer(&mixer)?.timer(token),
-            // Nothing that the module asks for brings these.
+            // Results of actions that the decision module never requests.
             Event::PingResult {} | Event::Begun {} | Event::Inbox {} => {}
         }
         Ok(())
     }
 
+    /// Handles one batch of events and returns the encoded reply.
     fn batch(&mut self, line: &str) -> Result<String> {
-        let batch: Batch = serde_json::from_str(line).context("not a batch of this wire")?;
+        let batch: Batch =
+            serde_json::from_str(line).context("not a batch of the simulator's protocol")?;
         let now = Time::from_micros(batch.sim_time_us);
         for event in batch.items {
             self.event(now, event)?;
@@ -89,7 +93,7 @@
         let mut cmds = Vec::new();
         for (name, mixer) in &mut self.mixers {
             let actions = mixer.settle(now);
-            cmds.extend(actions.into_iter().map(|action| Tagged {
+            cmds.extend(actions.into_iter().map(|action| InstanceAction {
                 mixer: name.as_str(),
                 action,
             }));
@@ -99,11 +103,11 @@
 }
 
 fn run() -> Result<()> {
-    let mut drill = Drill::default();
+    let mut simulation = Simulation::default();
     let mut out = BufWriter::new(io::stdout().lock());
     for (number, line) in io::stdin().lock().lines().enumerate() {
-        let line = line.context("standard input")?;
-        let reply = drill
+        let line = line.context("cannot read standard input")?;
+        let reply = simulation
             .batch(&line)
             .with_context(|| format!("line {}", number + 1))?;
         writeln!(out, "{reply}")?;
--- a/crates/lockusher-simulator-adapter/src/mixer.rs
+++ b/crates/lockusher-simulator-adapter/src/mixer.rs
@@ -1,39 +1,40 @@
-//! One instance on the simulator's wire: its host, its timer and the actions of a batch.
+//! One simulated instance: its host, its timer and the actions of the current batch.
 
 use anyhow::{Context, Result, bail};
 use lockusher_multiget::host::{Ended, Host, NewPart, Taken, Wire};
 use lockusher_multiget::settings::{Names, Settings};
 use lockusher_policy::interface::*;
 
-use crate::wire::{self, Action, ClosedAttempt, Customer, Entry, Knock, Mode};
+use crate::wire::{self, Action, Arrival, ClosedAttempt, Entry, Mode, TenantRef};
 
+/// One simulated instance.
 pub struct Mixer {
     host: Host,
     names: Names,
-    /// The one timer that counts: when it is due and its token. Others are stale.
-    armed: Option<(Time, u64)>,
+    /// The active timer: when it is due, and its token. Timers with other tokens are stale.
+    timer: Option<(Time, u64)>,
     next_token: u64,
-    touched: bool,
+    changed: bool,
     actions: Actions,
 }
 
-/// The actions of this batch so far.
+/// The actions of the current batch so far.
 #[derive(Default)]
 struct Actions(Vec<Action>);
 
 impl Wire for Actions {
-    fn send(&mut self, multiget: &Multiget, order: &Order) {
-        let searcher = order.to.as_str().to_owned();
-        if order.anew {
+    fn send(&mut self, multiget: &Multiget, command: &Order) {
+        let searcher = command.to.as_str().to_owned();
+        if command.anew {
             self.0.push(Action::Close {
                 searcher: searcher.clone(),
             });
         }
-        let corr = multiget.parts[order.part].id.as_str().to_owned();
+        let corr = multiget.parts[command.part].id.as_str().to_owned();
         self.0.push(Action::Relay {
             corr,
             searcher,
-            limit_us: order.timeout.as_micros(),
+            limit_us: command.timeout.as_micros(),
         });
     }
 
@@ -72,16 +73,19 @@
         Ok(Mixer {
             host: Host::start(now, seed, settings)?,
             names: settings.names(),
-            armed: None,
+            timer: None,
             next_token: 0,
-            touched: true,
+            changed: true,
             actions: Actions::default(),
         })
     }
 
-    pub fn listed(&mut self, now: Time, mode: &Mode, entries: &[Entry]) {
-        self.touched = true;
-        let list = entries.iter().map(|e| e.listed(&self.names)).collect();
+    pub fn apply_list(&mut self, now: Time, mode: &Mode, entries: &[Entry]) {
+        self.changed = true;
+        let list = entries
+            .iter()
+            .map(|e| e.searcher_entry(&self.names))
+            .collect();
         self.host.news(
             now,
             match mode {
@@ -93,47 +97,47 @@
         );
     }
 
-    pub fn knock(&mut self, now: Time, knock: &Knock) -> Result<()> {
-        self.touched = true;
-        if knock.slab < 0 {
-            return self.query(now, knock);
+    pub fn arrival(&mut self, now: Time, arrival: &Arrival) -> Result<()> {
+        self.changed = true;
+        if arrival.slab < 0 {
+            return self.take_multiget(now, arrival);
         }
         let part = NewPart {
-            id: PartId::new(&knock.corr),
-            shard: Shard(knock.slab as usize),
-            weight: knock.amount,
-            hint: knock.hint(),
+            id: PartId::new(&arrival.corr),
+            shard: Shard(arrival.slab as usize),
+            weight: arrival.amount,
+            hint: arrival.hint(),
         };
-        self.host.join(now, knock.whole_no, part);
+        self.host.join(now, arrival.whole_no, part);
         Ok(())
     }
 
-    fn query(&mut self, now: Time, knock: &Knock) -> Result<()> {
-        let op_type = *(self.names.op_types.get(&knock.kind))
-            .with_context(|| format!("{}: no class is named {}", knock.corr, knock.kind))?;
-        let tenant = match &knock.customer {
-            Some(Customer::Name(name)) => Some(
+    fn take_multiget(&mut self, now: Time, arrival: &Arrival) -> Result<()> {
+        let op_type = *(self.names.op_types.get(&arrival.kind))
+            .with_context(|| format!("{}: no class is named {}", arrival.corr, arrival.kind))?;
+        let tenant = match &arrival.customer {
+            Some(TenantRef::Name(name)) => Some(
                 *(self.names.tenants.get(name))
-                    .with_context(|| format!("{}: no tenant is named {name}", knock.corr))?,
+                    .with_context(|| format!("{}: no tenant is named {name}", arrival.corr))?,
             ),
-            Some(Customer::Number(0)) | None => None,
-            Some(Customer::Number(n)) => bail!("{}: no tenant is named {n}", knock.corr),
+            Some(TenantRef::Number(0)) | None => None,
+            Some(TenantRef::Number(n)) => bail!("{}: no tenant is named {n}", arrival.corr),
         };
         let taken = Taken {
-            id: MultigetId::new(&knock.corr),
-            number: knock.whole_no,
+            id: MultigetId::new(&arrival.corr),
+            number: arrival.whole_no,
             op_type,
             tenant,
-            resubmitted: knock.resubmitted(),
-            hint: knock.hint(),
-            ends: now + Span::from_micros(knock.time_left_us),
+            resubmitted: arrival.resubmitted(),
+            hint: arrival.hint(),
+            ends: now + Span::from_micros(arrival.time_left_us),
         };
         self.host.take(now, taken);
         Ok(())
     }
 
-    pub fn closed(&mut self, now: Time, closed: &ClosedAttempt) -> Result<()> {
-        self.touched = true;
+    pub fn ended(&mut self, now: Time, closed: &ClosedAttempt) -> Result<()> {
+        self.changed = true;
         let outcome = wire::outcome(closed.rc)
             .with_context(|| format!("{}: no outcome has the code {}", closed.corr, closed.rc))?;
         let ended = Ended {
@@ -148,37 +152,38 @@
     }
 
     pub fn client_left(&mut self, corr: &str) {
-        self.touched = true;
+        self.changed = true;
         self.host.client_left(&MultigetId::new(corr));
     }
 
     pub fn timer(&mut self, token: u64) {
-        self.touched = true;
-        if self.armed.is_some_and(|(_, newest)| newest == token) {
-            self.armed = None;
+        self.changed = true;
+        if self.timer.is_some_and(|(_, current)| current == token) {
+            self.timer = None;
         }
     }
 
-    /// Takes the turns that are due, arms the timer and hands over the actions of this batch.
+    /// Runs the work that is due, sets the timer and returns the actions of this batch.
     pub fn settle(&mut self, now: Time) -> Vec<Action> {
-        if !std::mem::take(&mut self.touched) {
+        if !std::mem::take(&mut self.changed) {
             return Vec::new();
         }
-        if let Some(span) = self.host.settle(now, &mut self.actions) {
-            self.arm(now, span);
+        if let Some(delay) = self.host.settle(now, &mut self.actions) {
+            self.arm(now, delay);
         }
         std::mem::take(&mut self.actions.0)
     }
 
-    fn arm(&mut self, now: Time, span: Span) {
-        let due = now + span;
-        if self.armed.is_some_and(|(armed, _)| armed <= due) {
+    /// Sets the timer unless an earlier one is active.
+    fn arm(&mut self, now: Time, delay: Span) {
+        let due = now + delay;
+        if self.timer.is_some_and(|(at, _)| at <= due) {
             return;
         }
         self.next_token += 1;
-        self.armed = Some((due, self.next_token));
+        self.timer = Some((due, self.next_token));
         self.actions.0.push(Action::After {
-            offset_us: span.as_micros(),
+            offset_us: delay.as_micros(),
             token: self.next_token,
         });
     }
--- a/crates/lockusher-simulator-adapter/src/wire.rs
+++ b/crates/lockusher-simulator-adapter/src/wire.rs
@@ -1,15 +1,17 @@
-//! The simulator's wire: its messages, decoded and encoded once. Wire names end here.
+//! The messages of the simulator's protocol. Their names are used in this package only.
 
 use lockusher_multiget::settings::{Names, Settings};
 use lockusher_policy::interface::*;
 use serde::{Deserialize, Serialize};
 
+/// Events of one point in simulated time.
 #[derive(Deserialize)]
 pub struct Batch {
     pub sim_time_us: u64,
     pub items: Vec<Event>,
 }
 
+/// An event for one instance, or a list that later events refer to.
 #[derive(Deserialize)]
 #[serde(tag = "event_type")]
 pub enum Event {
@@ -33,7 +35,7 @@
         set_id: Option<u64>,
     },
     #[serde(rename = "KNOCK")]
-    Knock(Box<Knock>),
+    Arrival(Box<Arrival>),
     #[serde(rename = "BEGUN")]
     Begun {},
     #[serde(rename = "CLOSED_ATTEMPT")]
@@ -75,7 +77,7 @@
 }
 
 #[derive(Deserialize)]
-pub struct Knock {
+pub struct Arrival {
     pub mixer: String,
     pub corr: String,
     pub kind: String,
@@ -87,10 +89,10 @@
     pub amount: f64,
     #[serde(default)]
     pub options: u64,
-    pub customer: Option<Customer>,
+    pub customer: Option<TenantRef>,
 }
 
-impl Knock {
+impl Arrival {
     pub fn hint(&self) -> Option<Span> {
         let valid = self.options & 1 != 0;
         self.estimate_us.filter(|_| valid).map(Span::from_micros)
@@ -101,10 +103,10 @@
     }
 }
 
-/// A tenant's name; sites without tenants may write 0.
+/// A tenant's name; sites without tenants may send 0.
 #[derive(Deserialize)]
 #[serde(untagged)]
-pub enum Customer {
+pub enum TenantRef {
     Name(String),
     Number(u64),
 }
@@ -122,6 +124,7 @@
     pub rc: u16,
 }
 
+/// Decodes the result code of an attempt.
 pub fn outcome(rc: u16) -> Option<Outcome> {
     Some(match rc {
         200 => Outcome::Returned,
@@ -137,7 +140,7 @@
 }
 
 impl Entry {
-    pub fn listed(&self, names: &Names) -> Listed {
+    pub fn searcher_entry(&self, names: &Names) -> Listed {
         let zone = self.rack_zone.as_ref();
         Listed {
             id: SearcherId::new(&self.searcher),
@@ -156,17 +159,18 @@
 
 #[derive(Serialize)]
 pub struct Reply<'a> {
-    pub cmds: Vec<Tagged<'a>>,
+    pub cmds: Vec<InstanceAction<'a>>,
 }
 
-/// An action with the instance that takes it.
+/// An action, and the instance that it belongs to.
 #[derive(Serialize)]
-pub struct Tagged<'a> {
+pub struct InstanceAction<'a> {
     pub mixer: &'a str,
     #[serde(flatten)]
     pub action: Action,
 }
 
+/// An action of one instance.
 #[derive(Serialize)]
 #[serde(tag = "event_type")]
 pub enum Action {
