--- a/crates/lockusher-multiget/src/host.rs
+++ b/crates/lockusher-multiget/src/host.rs
@@ -176,7 +176,7 @@
     }
 
     /// Records how an attempt ended, once; returns whether its answer is used.
-    pub fn ended(&mut self, now: Time, ended: &Ended, wire: &mut impl Wire) -> Result<bool> {
+    pub fn ended(&mut self, now: Time, ended: &Ended, sink: &mut impl Wire) -> Result<bool> {
         let Some((id, index)) = self.parts.get(&ended.part).cloned() else {
             return Ok(false);
         };
@@ -202,7 +202,7 @@
         let decision = self
             .policy
             .outcome(now, multiget, index, ended.nth, ended.elapsed);
-        self.carry_out(now, &id, decision, wire);
+        self.carry_out(now, &id, decision, sink);
         self.drop_if_finished(&id);
         Ok(accepted)
     }
@@ -223,23 +223,23 @@
     }
 
     /// Runs the work that is due; returns the longest delay until the next call.
-    pub fn settle(&mut self, now: Time, wire: &mut impl Wire) -> Option<Span> {
+    pub fn settle(&mut self, now: Time, sink: &mut impl Wire) -> Option<Span> {
         let schedule = self.policy.schedule(now, &self.pending);
         if let Some(DiscoveryCall::Subscribe) = schedule.discovery {
-            wire.subscribe();
+            sink.subscribe();
         }
         for id in &schedule.due {
             if let Some(multiget) = self.pending.get(id) {
                 let decision = self.policy.decide(now, multiget);
-                self.carry_out(now, id, decision, wire);
+                self.carry_out(now, id, decision, sink);
                 self.drop_if_finished(id);
             }
         }
         self.policy.schedule(now, &self.pending).next_call
     }
 
-    /// Carries out a decision through `wire`.
-    fn carry_out(&mut self, now: Time, id: &MultigetId, decision: Decision, wire: &mut impl Wire) {
+    /// Carries out a decision through `sink`.
+    fn carry_out(&mut self, now: Time, id: &MultigetId, decision: Decision, sink: &mut impl Wire) {
         let Some(multiget) = self.pending.get_mut(id) else {
             return;
         };
@@ -247,10 +247,10 @@
             multiget.next_check = now + delay;
         }
         for (index, nth) in decision.cancel {
-            wire.withdraw(&multiget.parts[index].id, nth);
+            sink.withdraw(&multiget.parts[index].id, nth);
         }
         for command in decision.commands {
-            wire.send(multiget, &command);
+            sink.send(multiget, &command);
             multiget.parts[command.part].sends.push(Attempt {
                 to: command.to,
                 sent_at: now,
@@ -266,10 +266,10 @@
             multiget.ended = true;
         }
         let fresh = multiget.parts.iter().all(|part| part.sends.is_empty());
-        if matches!(reply, Reply::PushedBack { .. }) && fresh && wire.wants_belief() {
-            wire.believed(multiget, self.policy.admission_trace(now, multiget));
+        if matches!(reply, Reply::PushedBack { .. }) && fresh && sink.wants_belief() {
+            sink.believed(multiget, self.policy.admission_trace(now, multiget));
         }
-        wire.reply(multiget, reply);
+        sink.reply(multiget, reply);
     }
 
     /// A finished multiget stays pending until its last attempt has ended, so that each outcome
