--- a/crates/lockusher-multiget/src/host.rs
+++ b/crates/lockusher-multiget/src/host.rs
@@ -133,23 +133,23 @@
     }
 
     /// Adds a multiget; its parts must be added before the next `settle`.
-    pub fn take(&mut self, now: Time, taken: Taken) {
-        self.ids_by_number.insert(taken.number, taken.id.clone());
+    pub fn take(&mut self, now: Time, new: Taken) {
+        self.ids_by_number.insert(new.number, new.id.clone());
         let multiget = Multiget {
-            id: taken.id.clone(),
-            number: taken.number,
-            op_type: taken.op_type,
-            tenant: taken.tenant,
-            resubmitted: taken.resubmitted,
-            hint: taken.hint,
+            id: new.id.clone(),
+            number: new.number,
+            op_type: new.op_type,
+            tenant: new.tenant,
+            resubmitted: new.resubmitted,
+            hint: new.hint,
             arrived: now,
-            ends: taken.ends,
+            ends: new.ends,
             next_check: now,
             parts: Vec::new(),
             first_answer: None,
             ended: false,
         };
-        self.pending.insert(taken.id, multiget);
+        self.pending.insert(new.id, multiget);
     }
 
     /// Adds a part; ignored if its multiget is no longer pending.
@@ -176,32 +176,32 @@
     }
 
     /// Records how an attempt ended, once; returns whether its answer is used.
-    pub fn ended(&mut self, now: Time, ended: &Ended, sink: &mut impl Wire) -> Result<bool> {
-        let Some((id, index)) = self.parts.get(&ended.part).cloned() else {
+    pub fn ended(&mut self, now: Time, result: &Ended, sink: &mut impl Wire) -> Result<bool> {
+        let Some((id, index)) = self.parts.get(&result.part).cloned() else {
             return Ok(false);
         };
         let Some(multiget) = self.pending.get_mut(&id) else {
             return Ok(false);
         };
         let part = &mut multiget.parts[index];
-        let send = (part.sends.get_mut(ended.nth)).with_context(|| {
+        let attempt = (part.sends.get_mut(result.nth)).with_context(|| {
             format!(
                 "{}: attempt {} was never sent",
-                ended.part.as_str(),
-                ended.nth
+                result.part.as_str(),
+                result.nth
             )
         })?;
-        if send.outcome.is_some() {
+        if attempt.outcome.is_some() {
             return Ok(false);
         }
-        send.outcome = Some(ended.outcome);
+        attempt.outcome = Some(result.outcome);
         let too_late = part.returned || part.closed || multiget.ended;
-        let accepted = ended.outcome == Outcome::Returned && !too_late;
+        let accepted = result.outcome == Outcome::Returned && !too_late;
         part.returned |= accepted;
-        part.closed |= ended.closed;
+        part.closed |= result.closed;
         let decision = self
             .policy
-            .outcome(now, multiget, index, ended.nth, ended.elapsed);
+            .outcome(now, multiget, index, result.nth, result.elapsed);
         self.carry_out(now, &id, decision, sink);
         self.drop_if_finished(&id);
         Ok(accepted)
@@ -276,8 +276,8 @@
     /// finds its attempt.
     fn drop_if_finished(&mut self, id: &MultigetId) {
         let finished = |m: &Multiget| {
-            let mut sends = m.parts.iter().flat_map(|p| &p.sends);
-            m.ended && sends.all(|s| s.outcome.is_some())
+            let mut attempts = m.parts.iter().flat_map(|p| &p.sends);
+            m.ended && attempts.all(|a| a.outcome.is_some())
         };
         if !self.pending.get(id).is_some_and(finished) {
             return;
--- a/crates/lockusher-multiget/src/list.rs
+++ b/crates/lockusher-multiget/src/list.rs
@@ -73,7 +73,7 @@
 impl LineText {
     /// Converts an entry; a zone that is not in the settings becomes `None`.
     pub fn read(&self, names: &Names) -> Line {
-        let listed = Listed {
+        let entry = Listed {
             id: SearcherId::new(&self.name),
             cell: Cell(self.group),
             zone: names.zones.get(&self.zone).copied(),
@@ -87,7 +87,7 @@
             rating: self.weight.unwrap_or(1.0),
         };
         (
-            listed,
+            entry,
             Place {
                 address: self.address,
                 http2: self.carrier == CarrierProtocol::Http2,
@@ -99,7 +99,11 @@
 impl ListText {
     /// Converts the list to its internal form.
     pub fn read(self, names: &Names) -> List {
-        let lines = self.endpoints.iter().map(|text| text.read(names)).collect();
+        let lines = self
+            .endpoints
+            .iter()
+            .map(|document| document.read(names))
+            .collect();
         List {
             index: self.index,
             complete: self.snapshot,
@@ -143,21 +147,21 @@
                 .find(|(_, z)| **z == zone)
                 .map(|(name, _)| name.as_str())
         };
-        let line = |(listed, place): &'a Line| EntryOutput {
-            name: listed.id.as_str(),
-            address: place.address,
-            zone: listed.zone.and_then(zone_name).unwrap_or_default(),
-            group: listed.cell.0,
-            status: match listed.state {
+        let output = |(entry, endpoint): &'a Line| EntryOutput {
+            name: entry.id.as_str(),
+            address: endpoint.address,
+            zone: entry.zone.and_then(zone_name).unwrap_or_default(),
+            group: entry.cell.0,
+            status: match entry.state {
                 SearcherState::Up => Status::Active,
                 SearcherState::Draining => Status::Leaving,
                 SearcherState::Gone => Status::Left,
             },
-            weight: listed.rating,
-            since_ms: listed
+            weight: entry.rating,
+            since_ms: entry
                 .up_since
                 .map_or(0, |at| at.since(Time::from_micros(0)).as_micros() / 1_000),
-            carrier: if place.http2 {
+            carrier: if endpoint.http2 {
                 CarrierProtocol::Http2
             } else {
                 CarrierProtocol::Frames
@@ -166,7 +170,7 @@
         ListOut {
             index,
             snapshot: true,
-            endpoints: lines.into_iter().map(line).collect(),
+            endpoints: lines.into_iter().map(output).collect(),
         }
     }
 }
--- a/crates/lockusher-multiget/src/settings.rs
+++ b/crates/lockusher-multiget/src/settings.rs
@@ -160,11 +160,11 @@
                     target_stretch: g.aim_stretch,
                     route_timeout: Span::from_micros(g.deadline_us),
                     value: g.worth,
-                    late_value_ratio: g.late_value,
+                    late_value: g.late_value,
                     repeat,
                     complete_share: entry(&self.extra.need_by_class, i, "need_by_class")?,
                     min_share: entry(&self.extra.least_share, i, "least_share")?,
-                    partial_value_ratio: self.extra.class_partial.get(i).copied().unwrap_or(0.0),
+                    partial_value: self.extra.class_partial.get(i).copied().unwrap_or(0.0),
                     second_step: self.extra.fetch_parts.get(i).copied().unwrap_or(0),
                 })
             })
--- a/crates/lockusher-policy/src/interface.rs
+++ b/crates/lockusher-policy/src/interface.rs
@@ -150,14 +150,14 @@
     pub route_timeout: Span,
     pub value: f64,
     /// Fraction of `value` that an answer after the latency target is worth.
-    pub late_value_ratio: f64,
+    pub late_value: f64,
     pub repeat: Repeat,
     /// Fraction of the first step's weight that makes an answer complete.
     pub complete_share: f64,
     /// Smallest fraction of the weight that any answer needs.
     pub min_share: f64,
     /// Value of a partial answer, multiplied by the fraction of `complete_share` that it holds.
-    pub partial_value_ratio: f64,
+    pub partial_value: f64,
     /// Number of parts in the second step; 0 if there is no second step.
     pub second_step: usize,
 }
--- a/crates/lockusher-policy/src/policy.rs
+++ b/crates/lockusher-policy/src/policy.rs
@@ -92,9 +92,9 @@
             News::All(list) | News::Remembered(list) => self.selector.apply_list(now, list, true),
             News::Refused => return self.discovery.retry_after_failure(now, &mut self.rng),
             News::Mixers(mixers) => return self.selector.mixers = mixers.max(1),
-            News::Judged(judged) => return self.selector.apply_agreed_health(judged),
+            News::Judged(reports) => return self.selector.apply_agreed_health(reports),
             News::Remembers(known) => return self.selector.apply_warm_start(now, known),
-            News::Portions(portions) => return self.selector.budgets.set(now, &portions),
+            News::Portions(shares) => return self.selector.budgets.set(now, &shares),
         }
         self.discovery.failures = 0;
     }
--- a/crates/lockusher-policy/src/policy/budgets.rs
+++ b/crates/lockusher-policy/src/policy/budgets.rs
@@ -31,7 +31,7 @@
 
     /// An answer after this time has no value.
     pub(super) fn usable_until(&self, mg: &Multiget) -> Time {
-        if self.op(mg).late_value_ratio > 0.0 { mg.ends - self.reply_margin() } else { self.target_end(mg) }
+        if self.op(mg).late_value > 0.0 { mg.ends - self.reply_margin() } else { self.target_end(mg) }
     }
 
     /// When a partial answer is given instead of waiting further.
--- a/crates/lockusher-policy/src/policy/retries.rs
+++ b/crates/lockusher-policy/src/policy/retries.rs
@@ -104,8 +104,7 @@
             let last = p.sends.last().filter(|s| s.outcome.is_none());
             let delay = Span::from_secs(self.retry_delay(peers, last) + extra).max(self.tick);
             let open: Vec<usize> = (0..p.sends.len()).filter(|&i| p.sends[i].outcome.is_none()).collect();
-            if let Some(due) = open.last().map(|&last| p.sends[last].sent_at + delay).filter(|&due| due > now)
-            {
+            if let Some(due) = open.last().map(|&i| p.sends[i].sent_at + delay).filter(|&due| due > now) {
                 wake_at = wake_at.min(due);
                 continue;
             }
@@ -120,7 +119,7 @@
                 wake_at = wake_at.min(now + retry_in.max(self.tick));
                 continue;
             };
-            let retry_at = |failed: &Attempt| failed.sent_at + Span::from_secs(peers * p.sends.len() as f64);
+            let retry_at = |last: &Attempt| last.sent_at + Span::from_secs(peers * p.sends.len() as f64);
             let previous = p.sends.iter().rev().find(|s| s.to == *to);
             if !open.is_empty() {
                 let cancelled = open.iter().filter(|_| may_cancel && !may_hedge && previous.is_none());
@@ -139,11 +138,8 @@
             if self.selector.searchers.get(to).is_some_and(|s| s.capacity(now, &self.selector.warmup) < 1.0) {
                 self.selector.budgets.spend(now, Budget::Cold);
             }
-            let anew = self
-                .selector
-                .searchers
-                .get_mut(to)
-                .is_some_and(|s| s.on_send(now, extra, is_retry || reaped));
+            let anew =
+                self.selector.searchers.get_mut(to).is_some_and(|s| s.begin(now, extra, is_retry || reaped));
             let time_left = end.since(now);
             let timeout = if may_hedge || may_cancel { time_left } else { delay.min(time_left) };
             wake_at = wake_at.min(now + delay);
--- a/crates/lockusher-policy/src/policy/searcher.rs
+++ b/crates/lockusher-policy/src/policy/searcher.rs
@@ -61,7 +61,7 @@
     }
 
     /// Records a send; returns whether it needs a new connection, as `avoid_idle` rules out an idle one.
-    pub(super) fn on_send(&mut self, now: Time, extra: f64, avoid_idle: bool) -> bool {
+    pub(super) fn begin(&mut self, now: Time, extra: f64, avoid_idle: bool) -> bool {
         // Far shorter than connection idle timeouts, longer than the gaps between sends under steady traffic.
         const IDLE_AFTER: Span = Span::from_millis(250);
         let last_used = self.sent_at.map(|at| at.max(self.heard));
@@ -107,8 +107,8 @@
         // Detects a restart that no list has reported yet: outcomes of a dead process, then an answer. Pauses
         // and queues are shorter; a longer hang is mistaken for a restart, which costs some traffic.
         const MIN_OUTAGE: Span = Span::from_millis(2_000);
-        let looks_dead = matches!(outcome, Outcome::NoConnection | Outcome::Broken | Outcome::TimedOut);
-        if looks_dead && !idle {
+        let dead = matches!(outcome, Outcome::NoConnection | Outcome::Broken | Outcome::TimedOut);
+        if dead && !idle {
             self.down_since.get_or_insert(now);
         } else if let Some(since) = self.down_since.take_if(|_| returned)
             && now.since(since) > MIN_OUTAGE
--- a/crates/lockusher-policy/src/policy/sender.rs
+++ b/crates/lockusher-policy/src/policy/sender.rs
@@ -38,8 +38,7 @@
     median: Option<f64>,
     warm: usize,
     /// By zone with enough recent samples: the median latency and the lower quartile, or with fewer than
-    /// eight the minimum: one fast searcher proves that the path is fast. Misjudges zones of unequal
-    /// machines.
+    /// eight the minimum: one fast searcher proves that the path is fast. Misjudges zones of mixed machines.
     zones: BTreeMap<Option<Zone>, (f64, f64)>,
     /// The lowest quartile of all zones.
     lowest: f64,
@@ -67,21 +66,21 @@
     }
 
     pub(super) fn apply_list(&mut self, now: Time, list: Vec<Listed>, complete: bool) {
-        let named: BTreeSet<&SearcherId> = list.iter().map(|line| &line.id).collect();
+        let named: BTreeSet<&SearcherId> = list.iter().map(|listed| &listed.id).collect();
         for (_, missing) in self.searchers.iter_mut().filter(|(id, _)| complete && !named.contains(id)) {
             missing.listed.state = SearcherState::Gone;
         }
-        for line in list {
-            let entry = self.searchers.entry(line.id.clone());
-            let searcher = entry.or_insert_with(|| Searcher::new(now, line.clone()));
-            let started_at = line.up_since.max(searcher.listed.up_since);
+        for listed in list {
+            let entry = self.searchers.entry(listed.id.clone());
+            let searcher = entry.or_insert_with(|| Searcher::new(now, listed.clone()));
+            let started_at = listed.up_since.max(searcher.listed.up_since);
             if started_at > searcher.listed.up_since {
                 // Restarted under the same id: earlier observations are of another process.
                 (searcher.cold_since, searcher.down_since, searcher.agreed) = (started_at, None, None);
                 (searcher.latency, searcher.good) = (None, 1.0);
                 (searcher.listed_at, searcher.sent_at) = (now, None);
             }
-            searcher.listed = Listed { up_since: started_at, ..line };
+            searcher.listed = Listed { up_since: started_at, ..listed };
         }
         self.searchers.retain(|_, s| s.listed.state != SearcherState::Gone || !s.in_flight.is_empty());
         let mut holders = vec![Vec::new(); self.layout.cells];
@@ -93,25 +92,24 @@
     }
 
     /// Reports agreed by the fleet's mixers apply where this mixer has no newer outcome: never to a shard's
-    /// last healthy holder, and not at all if over half of the searchers are reported: then the reporters are
+    /// last healthy holder, and not at all if over half of the searchers are reported: reporters are then
     /// suspect.
-    pub(super) fn apply_agreed_health(&mut self, mut judged: Vec<Judged>) {
+    pub(super) fn apply_agreed_health(&mut self, mut reports: Vec<Judged>) {
         self.searchers.values_mut().for_each(|s| s.agreed = None);
         let same_start = |s: &Searcher, life| s.is_up() && s.listed.up_since == life;
-        judged.retain(|j| self.searchers.get(&j.id).is_some_and(|s| same_start(s, j.life)));
-        if judged.iter().filter(|j| j.accuses()).count() * 2 > self.active().count() {
+        reports.retain(|r| self.searchers.get(&r.id).is_some_and(|s| same_start(s, r.life)));
+        if reports.iter().filter(|r| r.accuses()).count() * 2 > self.active().count() {
             return;
         }
-        judged.sort_by(|a, b| a.good.total_cmp(&b.good).then(b.slower.total_cmp(&a.slower)));
-        for agreed in judged {
-            let mut shards = self.layout.shards_of(self.searchers[&agreed.id].listed.cell);
-            let down =
-                |s: &Searcher| s.listed.id == agreed.id || s.agreed.as_ref().is_some_and(Judged::accuses);
-            let last_holder = agreed.accuses() && shards.any(|shard| self.holders(Shard(shard)).all(down));
-            if let Some(s) = self.searchers.get_mut(&agreed.id).filter(|_| !last_holder) {
+        reports.sort_by(|a, b| a.good.total_cmp(&b.good).then(b.slower.total_cmp(&a.slower)));
+        for r in reports {
+            let mut shards = self.layout.shards_of(self.searchers[&r.id].listed.cell);
+            let down = |s: &Searcher| s.listed.id == r.id || s.agreed.as_ref().is_some_and(Judged::accuses);
+            let last_holder = r.accuses() && shards.any(|shard| self.holders(Shard(shard)).all(down));
+            if let Some(s) = self.searchers.get_mut(&r.id).filter(|_| !last_holder) {
                 // Slow start begins when other mixers saw it return, unless an outcome here is newer.
-                s.cold_since = s.cold_since.max(agreed.cold_since.filter(|since| *since > s.heard));
-                s.agreed = Some(agreed);
+                s.cold_since = s.cold_since.max(r.cold_since.filter(|since| *since > s.heard));
+                s.agreed = Some(r);
             }
         }
     }
--- a/crates/lockusher-policy/tests/cold_fleet/mod.rs
+++ b/crates/lockusher-policy/tests/cold_fleet/mod.rs
@@ -88,7 +88,7 @@
         sends
     }
 
-    /// The window that comes closest to, or exceeds most, what chance allows: the sends in it and its limit.
+    /// Window with the largest excess over what chance allows: the sends in it, and its limit.
     fn worst(&self, seed: u64) -> (usize, f64) {
         let (sends, start) = (self.sends(seed), START + NEW_START_AFTER);
         let mut worst = (0, f64::MAX);
--- a/crates/lockusher-policy/tests/host/mod.rs
+++ b/crates/lockusher-policy/tests/host/mod.rs
@@ -13,7 +13,7 @@
 /// Configuration of the host; by default one operation type whose answers need all parts.
 pub struct HostConfig {
     pub repeat: Repeat,
-    pub late_value_ratio: f64,
+    pub late_value: f64,
     pub min_share: f64,
     pub second_step: usize,
     pub max_attempts: usize,
@@ -36,7 +36,7 @@
     fn default() -> Self {
         HostConfig {
             repeat: Repeat::Retriable,
-            late_value_ratio: 0.0,
+            late_value: 0.0,
             min_share: 1.0,
             second_step: 0,
             max_attempts: 3,
@@ -124,11 +124,11 @@
             target_stretch: 0.0,
             route_timeout: ms(3_000),
             value: 1.0,
-            late_value_ratio: config.late_value_ratio,
+            late_value: config.late_value,
             repeat: config.repeat,
             complete_share: 1.0,
             min_share: config.min_share,
-            partial_value_ratio: 0.9,
+            partial_value: 0.9,
             second_step: config.second_step,
         };
         let limits = AttemptLimits {
--- a/crates/lockusher-policy/tests/stories.rs
+++ b/crates/lockusher-policy/tests/stories.rs
@@ -503,7 +503,7 @@
 
 #[test]
 fn every_multiget_gets_one_final_reply_in_time_when_no_searcher_answers() {
-    let mut host = Host::new(HostConfig { late_value_ratio: 0.3, ..HostConfig::default() });
+    let mut host = Host::new(HostConfig { late_value: 0.3, ..HostConfig::default() });
     host.drop_all_parts();
     let accepted: Vec<_> = (0..10).map(|i| host.request(&format!("m{i}"), &[0, 1, 2])).collect();
     host.advance(ms(3_000));
--- a/crates/lockusher-simulator-adapter/src/mixer.rs
+++ b/crates/lockusher-simulator-adapter/src/mixer.rs
@@ -123,7 +123,7 @@
             Some(TenantRef::Number(0)) | None => None,
             Some(TenantRef::Number(n)) => bail!("{}: no tenant is named {n}", arrival.corr),
         };
-        let taken = Taken {
+        let multiget = Taken {
             id: MultigetId::new(&arrival.corr),
             number: arrival.whole_no,
             op_type,
@@ -132,7 +132,7 @@
             hint: arrival.hint(),
             ends: now + Span::from_micros(arrival.time_left_us),
         };
-        self.host.take(now, taken);
+        self.host.take(now, multiget);
         Ok(())
     }
 
@@ -140,14 +140,14 @@
         self.changed = true;
         let outcome = wire::outcome(closed.rc)
             .with_context(|| format!("{}: no outcome has the code {}", closed.corr, closed.rc))?;
-        let ended = Ended {
+        let result = Ended {
             part: PartId::new(&closed.corr),
             nth: closed.round_no,
             outcome,
             elapsed: Span::from_micros(closed.latency_us),
             closed: closed.terminal,
         };
-        self.host.ended(now, &ended, &mut self.actions)?;
+        self.host.ended(now, &result, &mut self.actions)?;
         Ok(())
     }
 
