--- a/crates/lockusher-policy/src/policy.rs
+++ b/crates/lockusher-policy/src/policy.rs
@@ -107,9 +107,9 @@
     /// Observations on searchers, for other mixers.
     pub fn observations(&self) -> Vec<Glimpse> {
         let observations = self.selector.active().map(|s| {
-            let &Searcher { latency, good, heard, down_since, cold_since, ref listed, ref in_flight, .. } = s;
+            let &Searcher { latency, good, heard, down_since, cold_since, ref entry, ref in_flight, .. } = s;
             let silent_since = in_flight.iter().map(|attempt| attempt.0).min().filter(|since| *since > heard);
-            let (id, life) = (listed.id.clone(), listed.up_since);
+            let (id, life) = (entry.id.clone(), entry.up_since);
             Glimpse { id, life, latency, good, heard, silent_since, down_since, cold_since }
         });
         observations.filter(|o| o.latency.is_some() || o.silent_since.is_some()).collect()
--- a/crates/lockusher-policy/src/policy/searcher.rs
+++ b/crates/lockusher-policy/src/policy/searcher.rs
@@ -6,7 +6,7 @@
 
 /// Everything that this mixer knows about one searcher.
 pub(super) struct Searcher {
-    pub(super) listed: Listed,
+    pub(super) entry: Listed,
     /// When this mixer learned of its current incarnation.
     pub(super) listed_at: Time,
     /// When it began to warm up, as listed or as inferred from its outcomes.
@@ -31,11 +31,11 @@
 pub(super) const HALF_LIFE_S: u32 = 20;
 
 impl Searcher {
-    pub(super) fn new(now: Time, listed: Listed) -> Self {
-        let (listed_at, cold_since, heard, good) = (now, listed.up_since, now, 1.0);
+    pub(super) fn new(now: Time, entry: Listed) -> Self {
+        let (listed_at, cold_since, heard, good) = (now, entry.up_since, now, 1.0);
         let (in_flight, queue, latency, sent_at, down_since, agreed) = Default::default();
         Searcher {
-            listed,
+            entry,
             listed_at,
             cold_since,
             in_flight,
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn is_up(&self) -> bool {
-        self.listed.state == SearcherState::Up
+        self.entry.state == SearcherState::Up
     }
 
     /// Fraction of its full capacity that it has at least: it grows linearly during slow start.
--- a/crates/lockusher-policy/src/policy/sender.rs
+++ b/crates/lockusher-policy/src/policy/sender.rs
@@ -68,23 +68,23 @@
     pub(super) fn apply_list(&mut self, now: Time, list: Vec<Listed>, complete: bool) {
         let named: BTreeSet<&SearcherId> = list.iter().map(|listed| &listed.id).collect();
         for (_, missing) in self.searchers.iter_mut().filter(|(id, _)| complete && !named.contains(id)) {
-            missing.listed.state = SearcherState::Gone;
+            missing.entry.state = SearcherState::Gone;
         }
         for listed in list {
             let entry = self.searchers.entry(listed.id.clone());
             let searcher = entry.or_insert_with(|| Searcher::new(now, listed.clone()));
-            let started_at = listed.up_since.max(searcher.listed.up_since);
-            if started_at > searcher.listed.up_since {
+            let started_at = listed.up_since.max(searcher.entry.up_since);
+            if started_at > searcher.entry.up_since {
                 // Restarted under the same id: earlier observations are of another process.
                 (searcher.cold_since, searcher.down_since, searcher.agreed) = (started_at, None, None);
                 (searcher.latency, searcher.good) = (None, 1.0);
                 (searcher.listed_at, searcher.sent_at) = (now, None);
             }
-            searcher.listed = Listed { up_since: started_at, ..listed };
+            searcher.entry = Listed { up_since: started_at, ..listed };
         }
-        self.searchers.retain(|_, s| s.listed.state != SearcherState::Gone || !s.in_flight.is_empty());
+        self.searchers.retain(|_, s| s.entry.state != SearcherState::Gone || !s.in_flight.is_empty());
         let mut holders = vec![Vec::new(); self.layout.cells];
-        for Listed { id, cell, .. } in self.active().map(|s| &s.listed) {
+        for Listed { id, cell, .. } in self.active().map(|s| &s.entry) {
             self.layout.shards_of(*cell).for_each(|shard| holders[shard].push(id.clone()));
         }
         self.stats.holders = holders;
@@ -96,15 +96,15 @@
     /// suspect.
     pub(super) fn apply_agreed_health(&mut self, mut reports: Vec<Judged>) {
         self.searchers.values_mut().for_each(|s| s.agreed = None);
-        let same_start = |s: &Searcher, life| s.is_up() && s.listed.up_since == life;
+        let same_start = |s: &Searcher, life| s.is_up() && s.entry.up_since == life;
         reports.retain(|r| self.searchers.get(&r.id).is_some_and(|s| same_start(s, r.life)));
         if reports.iter().filter(|r| r.accuses()).count() * 2 > self.active().count() {
             return;
         }
         reports.sort_by(|a, b| a.good.total_cmp(&b.good).then(b.slower.total_cmp(&a.slower)));
         for r in reports {
-            let mut shards = self.layout.shards_of(self.searchers[&r.id].listed.cell);
-            let down = |s: &Searcher| s.listed.id == r.id || s.agreed.as_ref().is_some_and(Judged::accuses);
+            let mut shards = self.layout.shards_of(self.searchers[&r.id].entry.cell);
+            let down = |s: &Searcher| s.entry.id == r.id || s.agreed.as_ref().is_some_and(Judged::accuses);
             let last_holder = r.accuses() && shards.any(|shard| self.holders(Shard(shard)).all(down));
             if let Some(s) = self.searchers.get_mut(&r.id).filter(|_| !last_holder) {
                 // Slow start begins when other mixers saw it return, unless an outcome here is newer.
@@ -117,7 +117,7 @@
     /// Applies observations of other mixers to searchers without an outcome here in the same incarnation.
     pub(super) fn apply_warm_start(&mut self, now: Time, known: Vec<Known>) {
         for Known { id, life, latency, good, at } in known {
-            let unheard = |s: &&mut Searcher| s.latency.is_none() && s.listed.up_since == life;
+            let unheard = |s: &&mut Searcher| s.latency.is_none() && s.entry.up_since == life;
             if let Some(s) = self.searchers.get_mut(&id).filter(unheard) {
                 (s.latency, s.good, s.heard) = (Some(latency), good, at);
             }
@@ -134,7 +134,7 @@
         self.stats.median = median.or(self.stats.median);
         let mut zones = BTreeMap::<_, Vec<f64>>::new();
         for s in self.active().filter(|s| now.since(s.heard).as_secs() < f64::from(HALF_LIFE_S)) {
-            zones.entry(s.listed.zone).or_default().extend(s.latency);
+            zones.entry(s.entry.zone).or_default().extend(s.latency);
         }
         let sampled = zones.iter_mut().filter(|(_, values)| values.len() >= MIN_SAMPLES);
         let low = |values: &mut Vec<f64>| quantile(if values.len() < 8 { 8 } else { 4 }, values);
@@ -150,7 +150,7 @@
 
     /// Expected latency of a searcher without outcomes: the median of its zone, else of the fleet.
     pub(super) fn zone_latency(&self, s: &Searcher, target: Span) -> f64 {
-        self.stats.zones.get(&s.listed.zone).map_or(self.median(target), |zone| zone.0)
+        self.stats.zones.get(&s.entry.zone).map_or(self.median(target), |zone| zone.0)
     }
 
     /// Minimum time between sends to a searcher in slow start: the sends of all mixers must stay below the
@@ -181,7 +181,7 @@
     fn ramp_wait(&self, now: Time, searcher: &Searcher, gap: Span) -> Span {
         let Some(last_sent) = searcher.sent_at else {
             let fnv = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(16_777_619);
-            let hash = searcher.listed.id.as_str().bytes().fold(2_166_136_261, fnv);
+            let hash = searcher.entry.id.as_str().bytes().fold(2_166_136_261, fnv);
             let offset = f64::from(hash) / f64::from(u32::MAX);
             let turn = (offset + (self.rank as f64 + 0.5) / self.mixers as f64).fract();
             return gap.times(turn).saturating_sub(now.since(searcher.listed_at));
@@ -215,18 +215,18 @@
             // With full queues some searchers are still fast: if even these take three times as long as
             // elsewhere, the path is slow, and counts like eight more own parts. A second own part elsewhere
             // weighs eight times, so some parts still take this path. Misjudges a zone that is merely weak.
-            let zone = self.stats.zones.get(&s.listed.zone);
+            let zone = self.stats.zones.get(&s.entry.zone);
             let slow_path = zone.is_some_and(|zone| zone.1 > 3.0 * self.stats.lowest);
             let own = s.in_flight.len() as f64;
             // `score` adds one for the part itself; subtracting it here keeps the rounding of the sum.
             let (own, queue) = if slow_path { (own + queue + 1.0 + 8.0 - 1.0, 0.0) } else { (own, queue) };
-            let cross_zone = s.listed.zone.is_some() && s.listed.zone != self.home;
+            let cross_zone = s.entry.zone.is_some() && s.entry.zone != self.home;
             let zone_cost = if cross_zone { ZONE_FACTOR * self.price * target.as_secs() } else { 0.0 };
             // A searcher that fails fast looks fast and idle; attempts are few, so failures count squared.
             let success = good.max(0.05).powi(2);
             let score = score(own, queue, expected + zone_cost) / success;
-            let already_tried = part.sends.iter().any(|attempt| attempt.to == s.listed.id);
-            let entry = (already_tried, score, rng.random::<u32>(), &s.listed.id, expected / success);
+            let already_tried = part.sends.iter().any(|attempt| attempt.to == s.entry.id);
+            let entry = (already_tried, score, rng.random::<u32>(), &s.entry.id, expected / success);
             let order = |a: &Entry, b: &Entry| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2));
             best = best.into_iter().chain([entry]).min_by(order);
         }
