--- a/crates/lockusher-policy/tests/stories.rs
+++ b/crates/lockusher-policy/tests/stories.rs
@@ -105,7 +105,7 @@
     let late = host.request("late", &[0, 1, 2]);
     let later = host.request("later", &[0, 1, 2]);
     assert!(accepted.iter().any(|&mg| host.reply(mg).is_some()));
-    let rejected =[late, later].iter().any(|&mg| {
+    let rejected = [late, later].iter().any(|&mg| {
         matches!(host.reply(mg), Some(Reply::PushedBack { come_back_in: Some(span) }) if span > Span::ZERO)
     });
     assert!(rejected);
