--- a/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Result;
 use lockusher_membership::core::share::{Own, Shares};
-use lockusher_policy::interface::{Budget, Glimpse, SearcherId, Span, Time};
+use lockusher_policy::interface::{Budget, SearcherId, SearcherObservation, Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -21,9 +21,9 @@
 /// What a member may spend on an average.
 const EACH: f64 = 3.0;
 
-fn glimpse(searcher: usize, now: Time, down_since: Option<Time>) -> Glimpse {
+fn glimpse(searcher: usize, now: Time, down_since: Option<Time>) -> SearcherObservation {
     let good = if down_since.is_some() { 0.1 } else { 1.0 };
-    Glimpse {
+    SearcherObservation {
         id: SearcherId::new(&format!("s{searcher}")),
         life: None,
         latency: Some(0.01),
@@ -72,7 +72,7 @@
             });
             let own = Own {
                 seen: seen.collect(),
-                wants: vec![(Budget::Further, self.wants[mixer])],
+                wants: vec![(Budget::Retries, self.wants[mixer])],
                 ..Own::default()
             };
             self.world.tell(mixer, own);
@@ -85,7 +85,7 @@
             .core(mixer)
             .standing_judgements()
             .iter()
-            .any(|of| of.judged.id == id && of.judged.accuses())
+            .any(|of| of.judged.id == id && of.judged.is_degraded())
     }
 
     fn bytes_s(&mut self, span: Span) -> f64 {
@@ -108,7 +108,7 @@
     world.zones = 3;
     world.plan.shares = Some(Shares {
         judgements: true,
-        budgets: vec![(Budget::Further, budget)],
+        budgets: vec![(Budget::Retries, budget)],
         mixers: members,
         ..Shares::default()
     });
--- a/crates/lockusher-aggregator-testbed/tests/http2.rs
+++ b/crates/lockusher-aggregator-testbed/tests/http2.rs
@@ -194,12 +194,12 @@
         story.searcher.says(Says::Goes { less: 1, code });
         assert_eq!(
             story.ends(1).await,
-            HashMap::from([("d.1".to_owned(), Outcome::Full)])
+            HashMap::from([("d.1".to_owned(), Outcome::Overloaded)])
         );
         story.searcher.says(Says::Goes { less: 2, code });
         assert_eq!(
             story.ends(1).await,
-            HashMap::from([("c.1".to_owned(), Outcome::Full)])
+            HashMap::from([("c.1".to_owned(), Outcome::Overloaded)])
         );
         assert!(all(&story.ends(2).await, Outcome::Returned));
         assert_eq!((story.ran("c.1"), story.ran("d.1")), (0, 0));
@@ -223,7 +223,7 @@
         story.call(&["a.1", "a.2"]);
         assert_eq!(story.ends(1).await["a.1"], Outcome::Returned);
         story.searcher.says(Says::Goes { less: 1, code: 0 });
-        assert_eq!(story.ends(1).await["a.2"], Outcome::Broken);
+        assert_eq!(story.ends(1).await["a.2"], Outcome::ConnectionLost);
     });
 }
 
@@ -237,20 +237,20 @@
         }
         story.came(3).await;
         story.searcher.says(Says::Close);
-        assert!(all(&story.ends(3).await, Outcome::Broken));
+        assert!(all(&story.ends(3).await, Outcome::ConnectionLost));
     });
 }
 
 /// Hard case 3, over a socket: how a stream ends concerns its own call alone.
 #[rstest]
-#[case::refused(Does::Reset(REFUSED_STREAM), Outcome::Full, 0)]
+#[case::refused(Does::Reset(REFUSED_STREAM), Outcome::Overloaded, 0)]
 #[case::cancelled(Does::Reset(CANCEL), Outcome::Error, 1)]
 #[case::internal_error(Does::Reset(2), Outcome::Error, 1)]
 #[case::half_a_message(Does::Half, Outcome::Error, 1)]
 #[case::noise(Does::Noise, Outcome::Error, 1)]
-#[case::no_place(Does::Status(503), Outcome::Full, 0)]
+#[case::no_place(Does::Status(503), Outcome::Overloaded, 0)]
 #[case::another_status(Does::Status(500), Outcome::Error, 1)]
-#[case::turned_away(Does::Later, Outcome::Full, 0)]
+#[case::turned_away(Does::Later, Outcome::Overloaded, 0)]
 #[case::an_error(Does::Bad, Outcome::Error, 1)]
 fn how_a_stream_ends(#[case] does: Does, #[case] means: Outcome, #[case] ran: usize) {
     story(Some(100), limits(), async |story| {
@@ -369,7 +369,7 @@
         let ends = story.ends(3).await;
         assert!(
             ends.values()
-                .all(|end| matches!(end, Outcome::Lost | Outcome::NoConnection)),
+                .all(|end| matches!(end, Outcome::ConnectionStalled | Outcome::NoConnection)),
             "{ends:?}"
         );
         assert!(
@@ -446,7 +446,10 @@
         story.searcher.says(says);
         let end = story.ends(1).await["b.1"];
         assert!(
-            matches!(end, Outcome::Broken | Outcome::Error | Outcome::Lost),
+            matches!(
+                end,
+                Outcome::ConnectionLost | Outcome::Error | Outcome::ConnectionStalled
+            ),
             "{end:?}"
         );
         story.call(&["c.1"]);
@@ -519,7 +522,7 @@
         story.call(&["b.1"]);
         story.came(2).await;
         story.host.doubt(&PartId::new("b.1"), 0, false);
-        assert_eq!(story.ends(1).await["b.1"], Outcome::Lost);
+        assert_eq!(story.ends(1).await["b.1"], Outcome::ConnectionStalled);
         story.call(&["c.1"]);
         assert_eq!(story.ends(1).await["c.1"], Outcome::Returned);
     });
--- a/crates/lockusher-aggregator/src/config.rs
+++ b/crates/lockusher-aggregator/src/config.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use lockusher_multiget::list::ListText;
+use lockusher_multiget::list::ListDocument;
 
 /// The validated configuration.
 pub struct Config {
@@ -21,7 +21,7 @@
     pub seed: u64,
     pub sockets: SocketLimits,
     /// The searcher list to start with, from before the last restart.
-    pub known: Option<ListText>,
+    pub known: Option<ListDocument>,
     pub settings: Settings,
     /// Each top-level key with its unparsed value.
     raw_values: BTreeMap<String, Value>,
@@ -88,7 +88,7 @@
     seed: Option<String>,
     #[serde(default)]
     limits: LimitsSection,
-    known: Option<ListText>,
+    known: Option<ListDocument>,
     settings: Settings,
 }
 
@@ -213,7 +213,7 @@
         cancellation_allowed: limits.may_cancel,
         probing_allowed: limits.probes,
         max_route_timeout,
-        max_watch_hold: settings.ask_every().unwrap_or(Span::MAX),
+        max_watch_hold: settings.poll_interval().unwrap_or(Span::MAX),
         lists_on_request: settings.membership_mode == Membership::OnRequest,
     })
 }
--- a/crates/lockusher-aggregator/src/operator.rs
+++ b/crates/lockusher-aggregator/src/operator.rs
@@ -432,7 +432,7 @@
         }
     };
     let budget_keys = [
-        ("further_per_s", Budget::Further, budgets.further_per_s),
+        ("further_per_s", Budget::Retries, budgets.further_per_s),
         ("cold_per_s", Budget::Cold, budgets.cold_per_s),
         (
             "connections_per_s",
--- a/crates/lockusher-aggregator/src/program/dump.rs
+++ b/crates/lockusher-aggregator/src/program/dump.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result, bail};
-use lockusher_multiget::list::{List, ListOut};
+use lockusher_multiget::list::{List, ListOutput};
 use lockusher_multiget::settings::Names;
 use lockusher_registry_client::io::follow;
 use tokio::sync::{mpsc, watch};
@@ -38,7 +38,7 @@
         () = following => bail!("registry: the follower ended"),
         list = lists.recv() => {
             let list = list.context("registry: the follower ended without a list")?;
-            println!("{}", serde_json::to_string_pretty(&ListOut::new(list.index, &list.lines, &names))?);
+            println!("{}", serde_json::to_string_pretty(&ListOutput::new(list.index, &list.lines, &names))?);
             Ok(())
         }
         () = tokio::time::sleep(timeout) => bail!("registry: no complete view within {} ms", timeout.as_millis()),
--- a/crates/lockusher-aggregator/src/protocol/discovery.rs
+++ b/crates/lockusher-aggregator/src/protocol/discovery.rs
@@ -1,12 +1,12 @@
 //! Requests to discovery and its lists of searchers.
 
-use lockusher_multiget::list::{List, ListText};
+use lockusher_multiget::list::{List, ListDocument};
 use lockusher_multiget::settings::Names;
 use lockusher_policy::interface::*;
 
 /// Decodes a list of searchers.
 pub fn decode(body: &[u8], names: &Names) -> Result<List, serde_json::Error> {
-    serde_json::from_slice::<ListText>(body).map(|text| text.read(names))
+    serde_json::from_slice::<ListDocument>(body).map(|text| text.read(names))
 }
 
 /// Returns the path of the complete list, or of a watch for changes after a version that discovery may hold open
--- a/crates/lockusher-aggregator/src/protocol/fleet.rs
+++ b/crates/lockusher-aggregator/src/protocol/fleet.rs
@@ -23,7 +23,7 @@
         .collect();
     let rates = &shared.rates;
     let budget_name = |budget: &Budget| match budget {
-        Budget::Further => "further".to_owned(),
+        Budget::Retries => "further".to_owned(),
         Budget::Cold => "cold".to_owned(),
         Budget::Connections => "connections".to_owned(),
         Budget::Probes => "probes".to_owned(),
--- a/crates/lockusher-aggregator/src/protocol/frame.rs
+++ b/crates/lockusher-aggregator/src/protocol/frame.rs
@@ -159,7 +159,7 @@
     let outcome = match status {
         "good" => Outcome::Returned,
         "bad" => Outcome::Error,
-        "later" => Outcome::Full,
+        "later" => Outcome::Overloaded,
         _ => return None,
     };
     // A dash stands for a missing score.
--- a/crates/lockusher-aggregator/src/protocol/registry.rs
+++ b/crates/lockusher-aggregator/src/protocol/registry.rs
@@ -1,6 +1,6 @@
 //! Encodes the registry status as JSON for operators and tools.
 
-use lockusher_multiget::list::ListOut;
+use lockusher_multiget::list::ListOutput;
 use lockusher_multiget::settings::Names;
 use lockusher_registry_client::io::Shown;
 use serde_json::json;
@@ -32,7 +32,7 @@
             "requests": counts.requests,
             "folded": status.folded,
         },
-        "view": view.as_ref().map(|lines| ListOut::new(revision.unwrap_or(0), lines, names)),
+        "view": view.as_ref().map(|lines| ListOutput::new(revision.unwrap_or(0), lines, names)),
     })
     .to_string()
 }
--- a/crates/lockusher-aggregator/src/routing/dispatcher.rs
+++ b/crates/lockusher-aggregator/src/routing/dispatcher.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use lockusher_membership::core::share::Totals;
-use lockusher_multiget::host::{NewPart, Wire};
-use lockusher_multiget::list::Place;
+use lockusher_multiget::host::{ActionSink, NewPart};
+use lockusher_multiget::list::SearcherEndpoint;
 use lockusher_policy::interface::*;
 use tokio::sync::{Notify, oneshot};
 
@@ -85,9 +85,9 @@
         list_requested: Rc<Notify>,
         max_value_bytes: usize,
     ) -> Self {
-        let window = |op: &OpType| match op.repeat {
-            Repeat::Deduped(window) => Some(window),
-            Repeat::Retriable | Repeat::NonRetriable => None,
+        let window = |op: &OpType| match op.idempotency {
+            Idempotency::Deduped(window) => Some(window),
+            Idempotency::Retriable | Idempotency::NonRetriable => None,
         };
         Dispatcher {
             transport,
@@ -142,7 +142,7 @@
     }
 
     /// Sets this mixer's shares of the fleet-wide budgets for connections and probes.
-    pub fn set_portions(&mut self, portions: &[(Budget, Portion)]) {
+    pub fn set_portions(&mut self, portions: &[(Budget, QuotaShare)]) {
         self.transport.set_portions(self.now, portions);
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// Applies an entry of the searcher list: nothing more is sent to a searcher that drains or is gone.
-    pub fn apply_entry(&mut self, entry: &Listed, place: Place) {
+    pub fn apply_entry(&mut self, entry: &SearcherEntry, place: SearcherEndpoint) {
         let unsent = match entry.state {
             SearcherState::Up => self.transport.set_address(entry, place),
             SearcherState::Draining | SearcherState::Gone => self.transport.drain(&entry.id),
@@ -222,7 +222,7 @@
         self.local_ends.extend(
             unsent
                 .into_iter()
-                .map(|(part, nth)| (part, nth, Outcome::Moot)),
+                .map(|(part, nth)| (part, nth, Outcome::NotSent)),
         );
     }
 
@@ -254,7 +254,7 @@
     pub fn cancel(&mut self, part: &PartId, nth: usize) {
         self.stop_send(part, nth);
         self.local_ends
-            .push((part.clone(), nth, Outcome::Withdrawn));
+            .push((part.clone(), nth, Outcome::Cancelled));
     }
 
     /// Removes a send from the queue, or has the transport cancel it.
@@ -311,7 +311,7 @@
         for (to, call) in calls {
             let refused = self.transport.send(&to, call).err().into_iter().flatten();
             self.local_ends
-                .extend(refused.map(|(nth, part, _)| (part.id, nth, Outcome::Moot)));
+                .extend(refused.map(|(nth, part, _)| (part.id, nth, Outcome::NotSent)));
         }
     }
 
@@ -345,7 +345,7 @@
     pub fn cancel_unsent<'a>(&mut self, parts: impl Iterator<Item = &'a Part>) {
         for part in parts {
             for (nth, send) in part
-                .sends
+                .attempts
                 .iter()
                 .enumerate()
                 .filter(|(_, s)| s.outcome.is_none())
@@ -355,14 +355,15 @@
                     .extract_if(.., |(_, (n, p, _))| p.id == part.id && *n == nth)
                     .count();
                 if queued_sends > 0 || self.transport.cancel_unsent(&send.to, &part.id, nth) {
-                    self.local_ends.push((part.id.clone(), nth, Outcome::Moot));
+                    self.local_ends
+                        .push((part.id.clone(), nth, Outcome::NotSent));
                 }
             }
         }
     }
 
     /// Plans the second step for the shards with the highest scores among those answered.
-    fn plan_second_step(&mut self, multiget: &Multiget, whole: bool, max_parts: usize) {
+    fn plan_second_step(&mut self, multiget: &Multiget, complete: bool, max_parts: usize) {
         let Some(open) = self.open.get_mut(&multiget.id) else {
             return;
         };
@@ -382,12 +383,12 @@
             };
             self.second_step_parts.push((open.number, part));
         }
-        open.first_step = Some((shards, whole));
+        open.first_step = Some((shards, complete));
     }
 }
 
-impl Wire for Dispatcher {
-    fn send(&mut self, multiget: &Multiget, order: &Order) {
+impl ActionSink for Dispatcher {
+    fn send(&mut self, multiget: &Multiget, order: &SendCommand) {
         let part = &multiget.parts[order.part];
         check_invariant!(
             !multiget.ended,
@@ -402,17 +403,17 @@
         };
         // This is a hedged request: test whether the earlier sends wait for the searcher or on a dead connection.
         for (earlier, send) in part
-            .sends
+            .attempts
             .iter()
             .enumerate()
             .filter(|(_, send)| send.outcome.is_none())
         {
             self.transport.check_liveness(&send.to, &part.id, earlier);
         }
-        if order.anew {
+        if order.fresh_connection {
             self.transport.close_idle(&order.to);
         }
-        let (nth, id) = (part.sends.len(), part.id.clone());
+        let (nth, id) = (part.attempts.len(), part.id.clone());
         if self
             .owners
             .insert(id.clone(), multiget.id.clone())
@@ -443,7 +444,7 @@
         });
         if let Some(window) = window
             .as_ref()
-            .filter(|_| part.first_that_may_have_run().is_none())
+            .filter(|_| part.first_possibly_executed().is_none())
         {
             window.reset();
         }
@@ -456,17 +457,17 @@
             .push((order.to.clone(), (nth, call, Rc::new(permission))));
     }
 
-    fn withdraw(&mut self, part: &PartId, nth: usize) {
+    fn cancel(&mut self, part: &PartId, nth: usize) {
         self.cancel(part, nth);
     }
 
     fn reply(&mut self, multiget: &Multiget, reply: Reply) {
-        if let Reply::Answered { whole } = reply
+        if let Reply::Answered { complete } = reply
             && !multiget.ended
         {
             self.cancel_unsent(multiget.parts.iter());
             let max_parts = self.second_steps[multiget.op_type.0];
-            return self.plan_second_step(multiget, whole, max_parts);
+            return self.plan_second_step(multiget, complete, max_parts);
         }
         self.cancel_unsent(multiget.parts.iter());
         let open = self.close(&multiget.id);
@@ -474,18 +475,18 @@
         let Some(open) = open else { return };
         self.stats.record_reply(
             reply,
-            multiget.parts.iter().any(|part| !part.sends.is_empty()),
+            multiget.parts.iter().any(|part| !part.attempts.is_empty()),
         );
         let response = match reply {
-            Reply::PushedBack { come_back_in } => ClientResponse::PushedBack(come_back_in),
+            Reply::PushedBack { retry_after } => ClientResponse::PushedBack(retry_after),
             Reply::Failed => ClientResponse::Failed,
-            Reply::Answered { whole } => {
+            Reply::Answered { complete } => {
                 let two_step = open.first_step.is_some();
                 let counts = |p: &&Part| p.returned && p.second_step == two_step;
                 let value = |p: &Part| open.values.get(&p.id).map(|(_, value)| value.as_str());
                 let parts = multiget.parts.iter().filter(counts);
                 ClientResponse::Answer(client::encode_answer(
-                    whole,
+                    complete,
                     parts.filter_map(|p| Some((p.shard, value(p)?))),
                 ))
             }
@@ -494,15 +495,15 @@
         // sent after it.
         let in_transit = |part: &Part, nth: usize| {
             self.transport
-                .in_transit_until(&part.sends[nth].to, &part.id, nth)
+                .in_transit_until(&part.attempts[nth].to, &part.id, nth)
         };
         let in_transit_times = multiget
             .parts
             .iter()
-            .flat_map(|part| (0..part.sends.len()).filter_map(move |nth| in_transit(part, nth)));
+            .flat_map(|part| (0..part.attempts.len()).filter_map(move |nth| in_transit(part, nth)));
         let not_before = in_transit_times.max().map_or_else(Instant::now, |until| {
             // The delay is capped by half of the remaining time.
-            until.min(Instant::now() + duration(multiget.ends.since(self.now)) / 2)
+            until.min(Instant::now() + duration(multiget.deadline.since(self.now)) / 2)
         });
         // The receiver is gone if the client has disconnected.
         let _ = open.reply.send((response, not_before));
@@ -512,16 +513,16 @@
         self.list_requested.notify_one();
     }
 
-    fn wants_belief(&self) -> bool {
+    fn wants_admission_trace(&self) -> bool {
         self.stats.should_log_estimate()
     }
 
-    fn believed(&mut self, multiget: &Multiget, estimate: Belief) {
+    fn record_admission_trace(&mut self, multiget: &Multiget, estimate: AdmissionTrace) {
         /// Maximum number of picks to log; a few suffice, and a wide multiget would flood the log.
         const MAX_PICKS: usize = 6;
         self.stats.set_estimate_logged();
         let ms = |secs: f64| (secs * 1_000.0).round() as i64;
-        let format_pick = |candidate: &Option<Believed>| match candidate {
+        let format_pick = |candidate: &Option<ReplicaEstimate>| match candidate {
             Some((id, expected, idle, last_heard, good)) => {
                 let idle = if *idle { " idle" } else { "" };
                 format!(
--- a/crates/lockusher-aggregator/src/routing/mod.rs
+++ b/crates/lockusher-aggregator/src/routing/mod.rs
@@ -12,7 +12,7 @@
 use anyhow::Result;
 use bytes::Bytes;
 use lockusher_membership::core::share::Own;
-use lockusher_multiget::host::{Ended, Host, NewPart, Taken};
+use lockusher_multiget::host::{AttemptResult, Host, NewMultiget, NewPart};
 use lockusher_policy::interface::*;
 use tokio::sync::{Notify, mpsc, oneshot};
 
@@ -33,7 +33,7 @@
     /// A searcher list from discovery or the registry; `None` if the request for it failed.
     SearcherList(Option<List>),
     /// News from the fleet: the number of mixers, and the state they share.
-    Fleet(News),
+    Fleet(PolicyUpdate),
     /// Requests this mixer's observations and totals, to be shared with the fleet.
     Report(oneshot::Sender<Own>),
     /// The process shuts down: multigets in flight are given up.
@@ -131,7 +131,7 @@
 
     /// Restores the searcher list that was known before the restart.
     pub fn restore_list(&mut self, list: List) {
-        self.apply_list(self.clock.now(), list, News::Remembered);
+        self.apply_list(self.clock.now(), list, PolicyUpdate::Cached);
     }
 
     /// Processes events until all senders of the queue are dropped.
@@ -194,28 +194,28 @@
             }
             RouterEvent::SearcherList(Some(list)) => {
                 let kind = if list.complete {
-                    News::All
+                    PolicyUpdate::All
                 } else {
-                    News::Changes
+                    PolicyUpdate::Changes
                 };
                 self.apply_list(now, list, kind);
             }
             RouterEvent::Stop => {
                 self.stopped = true;
-                self.host.stop(now);
+                self.host.expire_all(now);
             }
             RouterEvent::Fleet(news) => {
-                if let News::Portions(portions) = &news {
+                if let PolicyUpdate::QuotaShares(portions) = &news {
                     self.dispatcher.set_portions(portions);
                 }
-                self.host.news(now, news);
+                self.host.apply_update(now, news);
             }
             RouterEvent::Report(reply) => {
                 // The receiver may be gone.
-                let (seen, totals) = (self.host.seen(), self.dispatcher.totals());
+                let (seen, totals) = (self.host.observations(), self.dispatcher.totals());
                 let wants = self
                     .host
-                    .spends(now)
+                    .budget_usage(now)
                     .into_iter()
                     .chain(self.dispatcher.spending_rates())
                     .collect();
@@ -225,7 +225,7 @@
                     wants,
                 });
             }
-            RouterEvent::SearcherList(None) => self.host.news(now, News::Refused),
+            RouterEvent::SearcherList(None) => self.host.apply_update(now, PolicyUpdate::Failed),
         }
     }
 
@@ -243,7 +243,7 @@
         if reply.is_closed() {
             return; // The client disconnected while the request was queued.
         }
-        if self.dispatcher.contains(&request.id) || self.host.in_hand().contains_key(&request.id) {
+        if self.dispatcher.contains(&request.id) || self.host.pending().contains_key(&request.id) {
             let error = RequestError::new(409, "a multiget of this id is in hand");
             let _ = reply.send((ClientResponse::Rejected(error), received_at));
             return;
@@ -260,21 +260,21 @@
             .parts
             .iter()
             .try_fold(Span::ZERO, |all, part| Some(all + part.hint?));
-        let taken = Taken {
+        let taken = NewMultiget {
             id: request.id.clone(),
             number,
             op_type: request.op_type,
             tenant: request.tenant,
             resubmitted: request.resubmitted,
             hint,
-            ends: self.clock.at(received_at)
+            deadline: self.clock.at(received_at)
                 + request.time_limit.min(self.sockets.max_route_timeout),
         };
-        self.host.take(now, taken);
+        self.host.add_multiget(now, taken);
         for part in &request.parts {
             let id = PartId::new(&format!("{}.{}", request.id.as_str(), part.shard.0));
             let (shard, weight, hint) = (part.shard, part.weight, part.hint);
-            self.host.join(
+            self.host.add_part(
                 now,
                 number,
                 NewPart {
@@ -304,20 +304,20 @@
         };
         let elapsed = at.unwrap_or(now).since(sent);
         let closed = outcome == Outcome::Returned;
-        let ended = Ended {
+        let ended = AttemptResult {
             part,
             nth,
             outcome,
             elapsed,
             closed,
         };
-        let recorded = self.host.ended(now, &ended, &mut self.dispatcher);
+        let recorded = self.host.record_outcome(now, &ended, &mut self.dispatcher);
         check_invariant!(recorded.is_ok(), "an outcome finds its send");
         if closed
             && let Some(multiget) = self
                 .dispatcher
                 .owner(&ended.part)
-                .and_then(|id| self.host.in_hand().get(id))
+                .and_then(|id| self.host.pending().get(id))
         {
             self.dispatcher
                 .cancel_unsent(multiget.parts.iter().filter(|part| part.id == ended.part));
@@ -325,7 +325,7 @@
     }
 
     /// Applies a searcher list and passes it to the decision module.
-    fn apply_list(&mut self, now: Time, list: List, kind: fn(Vec<Listed>) -> News) {
+    fn apply_list(&mut self, now: Time, list: List, kind: fn(Vec<SearcherEntry>) -> PolicyUpdate) {
         if list.complete {
             let listed: HashSet<&SearcherId> =
                 list.lines.iter().map(|(entry, _)| &entry.id).collect();
@@ -334,7 +334,7 @@
         for (entry, place) in &list.lines {
             self.dispatcher.apply_entry(entry, *place);
         }
-        self.host.news(
+        self.host.apply_update(
             now,
             kind(list.lines.into_iter().map(|(entry, _)| entry).collect()),
         );
@@ -348,11 +348,11 @@
             return; // The final answer was sent at the same time.
         }
         if self.sockets.cancellation_allowed
-            && let Some(multiget) = self.host.in_hand().get(id)
+            && let Some(multiget) = self.host.pending().get(id)
         {
             for part in &multiget.parts {
                 for (nth, _) in part
-                    .sends
+                    .attempts
                     .iter()
                     .enumerate()
                     .filter(|(_, s)| s.outcome.is_none())
@@ -369,7 +369,7 @@
     fn settle(&mut self, now: Time) -> Option<Span> {
         let mut next;
         loop {
-            next = self.host.settle(now, &mut self.dispatcher);
+            next = self.host.run_due(now, &mut self.dispatcher);
             self.dispatcher.flush();
             let (ended, second_step_parts) = self.dispatcher.take_results();
             if ended.is_empty() && second_step_parts.is_empty() {
@@ -379,7 +379,7 @@
                 self.handle_send_end(now, part, nth, outcome, None);
             }
             for (number, part) in second_step_parts {
-                self.host.join(now, number, part);
+                self.host.add_part(now, number, part);
             }
         }
         self.open_multigets.set(self.dispatcher.open_count());
--- a/crates/lockusher-aggregator/src/routing/outcome_stats.rs
+++ b/crates/lockusher-aggregator/src/routing/outcome_stats.rs
@@ -56,8 +56,8 @@
         let counts = &mut self.counts;
         self.totals.pushed_back += u64::from(matches!(reply, Reply::PushedBack { .. }));
         match reply {
-            Reply::Answered { whole: true } => counts.answered += 1,
-            Reply::Answered { whole: false } => counts.partial += 1,
+            Reply::Answered { complete: true } => counts.answered += 1,
+            Reply::Answered { complete: false } => counts.partial += 1,
             Reply::PushedBack { .. } if sent => counts.pushed_back_sent += 1,
             Reply::PushedBack { .. } => counts.pushed_back_unsent += 1,
             Reply::Failed => counts.failed += 1,
@@ -99,7 +99,7 @@
 mod tests {
     use super::*;
 
-    const PUSHED_BACK: Reply = Reply::PushedBack { come_back_in: None };
+    const PUSHED_BACK: Reply = Reply::PushedBack { retry_after: None };
 
     #[test]
     fn periods_without_failures_are_not_logged_and_an_estimate_is_logged_once_a_period() {
@@ -107,7 +107,7 @@
         let at_ms = |ms: u64| Time::from_micros(ms * 1_000);
         assert_eq!(stats.finish_period(at_ms(0)), None);
         stats.record_send(0);
-        stats.record_reply(Reply::Answered { whole: true }, true);
+        stats.record_reply(Reply::Answered { complete: true }, true);
         assert_eq!(
             stats.finish_period(at_ms(1_000)),
             None,
--- a/crates/lockusher-aggregator/src/routing/searcher_transport.rs
+++ b/crates/lockusher-aggregator/src/routing/searcher_transport.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use lockusher_multiget::list::Place;
-use lockusher_policy::interface::{Budget, Listed, PartId, Portion, SearcherId, Time};
+use lockusher_multiget::list::SearcherEndpoint;
+use lockusher_policy::interface::{Budget, PartId, QuotaShare, SearcherEntry, SearcherId, Time};
 
 use crate::protocol::frame::CallPart;
 
@@ -67,7 +67,7 @@
 pub trait SearcherTransport {
     /// Sets the address of a searcher. If it changed, connections to the previous address are drained and their
     /// unwritten sends returned.
-    fn set_address(&mut self, entry: &Listed, place: Place) -> Vec<UnsentPart>;
+    fn set_address(&mut self, entry: &SearcherEntry, place: SearcherEndpoint) -> Vec<UnsentPart>;
 
     /// Stops sending to a searcher: returns the sends that were not written and lets the others end.
     fn drain(&mut self, id: &SearcherId) -> Vec<UnsentPart>;
@@ -99,7 +99,7 @@
     fn cancel_unsent(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> bool;
 
     /// Sets this mixer's shares of the fleet-wide budgets for connections and probes.
-    fn set_portions(&mut self, now: Time, portions: &[(Budget, Portion)]);
+    fn set_portions(&mut self, now: Time, portions: &[(Budget, QuotaShare)]);
 
     /// Current rates per second at which these budgets are spent.
     fn spending_rates(&self, now: Time) -> Vec<(Budget, f64)>;
--- a/crates/lockusher-aggregator/src/transport/frame_transport.rs
+++ b/crates/lockusher-aggregator/src/transport/frame_transport.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use futures_util::SinkExt;
-use lockusher_multiget::list::Place;
+use lockusher_multiget::list::SearcherEndpoint;
 use lockusher_policy::interface::*;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite};
 use tokio::net::TcpStream;
@@ -34,7 +34,7 @@
 
 /// This mixer's shares of the fleet-wide budgets for connections and probes, measured by the router's clock.
 struct SharedBudgets {
-    purses: Purses,
+    purses: TokenBuckets,
     /// The same moment on both clocks.
     updated_at: (Time, Instant),
 }
@@ -65,7 +65,7 @@
     ) -> Self {
         let (addresses, connections) = (HashMap::new(), HashMap::new());
         let shared_budgets = SharedBudgets {
-            purses: Purses::default(),
+            purses: TokenBuckets::default(),
             updated_at: (Time::default(), Instant::now()),
         };
         FrameTransport {
@@ -128,7 +128,11 @@
 }
 
 impl SearcherTransport for FrameTransport {
-    fn set_address(&mut self, entry: &Listed, Place { address, .. }: Place) -> Vec<UnsentPart> {
+    fn set_address(
+        &mut self,
+        entry: &SearcherEntry,
+        SearcherEndpoint { address, .. }: SearcherEndpoint,
+    ) -> Vec<UnsentPart> {
         match self.addresses.insert(entry.id.clone(), address) {
             Some(previous) if previous != address => self.drain_connections(&entry.id),
             _ => Vec::new(),
@@ -278,7 +282,7 @@
         unsent
     }
 
-    fn set_portions(&mut self, now: Time, portions: &[(Budget, Portion)]) {
+    fn set_portions(&mut self, now: Time, portions: &[(Budget, QuotaShare)]) {
         self.shared_budgets.updated_at = (now, Instant::now());
         let own = portions
             .iter()
@@ -452,7 +456,7 @@
             .take()
             .filter(|connection| connection.suspect.get())
         {
-            silent.failure_outcome.set(Some(Outcome::Lost));
+            silent.failure_outcome.set(Some(Outcome::ConnectionStalled));
             silent.state.set(State::Draining);
             silent.aborted.notify_one();
         }
@@ -641,7 +645,7 @@
                     for part in expired {
                         if let Some(sent) = self.take(&part) {
                             let _ = queue
-                                .send(send_ended_event(part, sent.nth, Outcome::Moot))
+                                .send(send_ended_event(part, sent.nth, Outcome::NotSent))
                                 .await;
                         }
                     }
@@ -719,7 +723,7 @@
                             .and_then(|id| Some((self.take(&id)?, id)));
                         let error = self.mark_unreadable("a frame that can't be read");
                         if let Some((sent, part)) = answered {
-                            self.failure_outcome.set(Some(Outcome::Withdrawn));
+                            self.failure_outcome.set(Some(Outcome::Cancelled));
                             let _ = queue
                                 .send(send_ended_event(part, sent.nth, Outcome::Error))
                                 .await;
@@ -798,12 +802,12 @@
             let Some(p) = self.take(&part) else { continue };
             let outcome = match (p.stage, self.failure_outcome.get()) {
                 (Stage::Written, Some(Outcome::Error)) => {
-                    self.failure_outcome.set(Some(Outcome::Withdrawn));
+                    self.failure_outcome.set(Some(Outcome::Cancelled));
                     Outcome::Error
                 }
                 (Stage::Written, Some(outcome)) => outcome,
-                (Stage::Written, None) => Outcome::Broken,
-                (Stage::Writing | Stage::Queued, Some(_)) => Outcome::Moot,
+                (Stage::Written, None) => Outcome::ConnectionLost,
+                (Stage::Writing | Stage::Queued, Some(_)) => Outcome::NotSent,
                 (Stage::Writing | Stage::Queued, None) => Outcome::NoConnection,
             };
             if queue
--- a/crates/lockusher-aggregator/src/transport/protocol_selection.rs
+++ b/crates/lockusher-aggregator/src/transport/protocol_selection.rs
@@ -9,7 +9,7 @@
 use lockusher_http2::connection::{Came, Host, Sent as Http2Part, Shared};
 use lockusher_http2::pool::{Limits, MOST_CALLS};
 use lockusher_http2::wire;
-use lockusher_multiget::list::Place;
+use lockusher_multiget::list::SearcherEndpoint;
 use lockusher_multiget::settings::Names;
 use lockusher_policy::interface::*;
 use tokio::sync::mpsc;
@@ -162,7 +162,7 @@
     }
 
     /// Whether the settings select HTTP/2 for a host.
-    fn uses_http2(&self, host: &Listed, place: Place) -> bool {
+    fn uses_http2(&self, host: &SearcherEntry, place: SearcherEndpoint) -> bool {
         let zone =
             |name: &String| host.zone.is_some() && self.names.zones.get(name).copied() == host.zone;
         self.http2.zones.iter().any(zone)
@@ -212,7 +212,7 @@
 }
 
 impl SearcherTransport for ProtocolSelector {
-    fn set_address(&mut self, entry: &Listed, place: Place) -> Vec<UnsentPart> {
+    fn set_address(&mut self, entry: &SearcherEntry, place: SearcherEndpoint) -> Vec<UnsentPart> {
         // The frame transport is told of every searcher, so that it has an address for those that fall back to it.
         let mut unsent = self.frames.set_address(entry, place);
         let current = self
@@ -306,7 +306,7 @@
 
     /// Only frames count against the shared budgets: HTTP/2 keeps few connections to a host, with limits of its
     /// own.
-    fn set_portions(&mut self, now: Time, portions: &[(Budget, Portion)]) {
+    fn set_portions(&mut self, now: Time, portions: &[(Budget, QuotaShare)]) {
         self.frames.set_portions(now, portions);
     }
 
--- a/crates/lockusher-aggregator/tests/codecs.rs
+++ b/crates/lockusher-aggregator/tests/codecs.rs
@@ -40,7 +40,7 @@
         let expected = [
             ended("a1.3", Outcome::Returned, 17, "value\nof two lines"),
             frame::SearcherFrame::Probe(frame::Probe::Health),
-            ended("a1.4", Outcome::Full, 0, ""),
+            ended("a1.4", Outcome::Overloaded, 0, ""),
         ];
         assert_eq!(decoded, expected, "split at {split}");
     }
--- a/crates/lockusher-aggregator/tests/connections/mod.rs
+++ b/crates/lockusher-aggregator/tests/connections/mod.rs
@@ -10,7 +10,7 @@
 };
 use lockusher_aggregator::transport::frame_transport::FrameTransport;
 use lockusher_aggregator_testbed::stand_in::*;
-use lockusher_multiget::list::Place;
+use lockusher_multiget::list::SearcherEndpoint;
 use lockusher_policy::interface::*;
 use serde_json::json;
 
@@ -31,9 +31,9 @@
 }
 
 /// A list entry of a searcher that is up.
-pub fn up(id: &str) -> Listed {
+pub fn up(id: &str) -> SearcherEntry {
     let (id, state) = (SearcherId::new(id), SearcherState::Up);
-    Listed {
+    SearcherEntry {
         id,
         cell: Cell(0),
         zone: None,
@@ -63,7 +63,7 @@
         let mut searchers = FrameTransport::new(sockets, queue, Rc::default());
         searchers.set_address(
             &up("s0"),
-            Place {
+            SearcherEndpoint {
                 address: searcher.address,
                 http2: false,
             },
--- a/crates/lockusher-aggregator/tests/endings.rs
+++ b/crates/lockusher-aggregator/tests/endings.rs
@@ -19,7 +19,7 @@
 use lockusher_aggregator::transport::client_stream::{ClientStream, Connections};
 use lockusher_aggregator::transport::clients;
 use lockusher_aggregator_testbed::stand_in::*;
-use lockusher_multiget::list::Place;
+use lockusher_multiget::list::SearcherEndpoint;
 use lockusher_policy::interface::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -565,7 +565,7 @@
                 .expect("an address");
             searchers.set_address(
                 &up("s2"),
-                Place {
+                SearcherEndpoint {
                     address: unused_port,
                     http2: false,
                 },
@@ -577,7 +577,7 @@
                 .expect("a searcher");
             searchers.set_address(
                 &up("s1"),
-                Place {
+                SearcherEndpoint {
                     address: clogged.address,
                     http2: false,
                 },
@@ -604,7 +604,7 @@
             for act in [Act::Break, Act::HalfAnswer] {
                 searcher.does(move |_| act);
                 assert!(searchers.send(&to, call(4)).is_ok());
-                assert_eq!(ended(arrivals).await, Outcome::Broken, "{act:?}");
+                assert_eq!(ended(arrivals).await, Outcome::ConnectionLost, "{act:?}");
             }
             // Reset long after, with the answer held back.
             searcher.does(|_| Act::Held);
@@ -613,7 +613,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             searcher.answers_held(Act::Break);
-            assert_eq!(ended(arrivals).await, Outcome::Broken);
+            assert_eq!(ended(arrivals).await, Outcome::ConnectionLost);
         },
     );
 }
--- a/crates/lockusher-aggregator/tests/stories.rs
+++ b/crates/lockusher-aggregator/tests/stories.rs
@@ -12,7 +12,7 @@
 use lockusher_aggregator::routing::RouterEvent;
 use lockusher_aggregator::routing::searcher_transport::{Permission, SearcherTransport};
 use lockusher_aggregator_testbed::stand_in::*;
-use lockusher_multiget::list::Place;
+use lockusher_multiget::list::SearcherEndpoint;
 use lockusher_policy::interface::*;
 use rstest::rstest;
 use serde_json::json;
@@ -221,11 +221,11 @@
 /// A malformed answer fails its own part; other parts on the connection end as the protocol defines, the connection
 /// is not used again, and the searcher is not taken for one that died and restarted cold.
 #[rstest]
-#[case::invalid_length(Act::Absurd, Outcome::Error, Outcome::Withdrawn)]
-#[case::unknown_status(Act::OtherEnd, Outcome::Error, Outcome::Withdrawn)]
-#[case::incomplete_frame(Act::Endless, Outcome::Error, Outcome::Withdrawn)]
-#[case::unknown_part(Act::OtherId, Outcome::Error, Outcome::Withdrawn)]
-#[case::a_broken_connection(Act::Break, Outcome::Broken, Outcome::Broken)]
+#[case::invalid_length(Act::Absurd, Outcome::Error, Outcome::Cancelled)]
+#[case::unknown_status(Act::OtherEnd, Outcome::Error, Outcome::Cancelled)]
+#[case::incomplete_frame(Act::Endless, Outcome::Error, Outcome::Cancelled)]
+#[case::unknown_part(Act::OtherId, Outcome::Error, Outcome::Cancelled)]
+#[case::a_broken_connection(Act::Break, Outcome::ConnectionLost, Outcome::ConnectionLost)]
 fn a_malformed_answer_fails_its_part_and_withdraws_the_others_on_its_connection(
     #[case] act: Act,
     #[case] own: Outcome,
@@ -348,7 +348,7 @@
             }
             if connection_dead {
                 assert!(
-                    matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Lost)
+                    matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::ConnectionStalled)
                 );
             }
             assert!(searchers.send(&to, call(2)).is_ok());
@@ -470,7 +470,7 @@
                 let to = SearcherId::new(&other.name);
                 searchers.set_address(
                     &up(&other.name),
-                    Place {
+                    SearcherEndpoint {
                         address: other.address,
                         http2: false,
                     },
--- a/crates/lockusher-http2/src/outcome.rs
+++ b/crates/lockusher-http2/src/outcome.rs
@@ -43,17 +43,17 @@
     // A call runs only once it is whole there.
     if !known.left {
         return match end {
-            End::GivenUp => Outcome::Moot,
+            End::GivenUp => Outcome::NotSent,
             _ => Outcome::NoConnection,
         };
     }
     match end {
         // A promise that it never ran is void once some of it has.
-        End::BeyondLast | End::Reset(REFUSED_STREAM) if !known.answered => Outcome::Full,
-        End::Status(503) if !known.answered => Outcome::Full,
+        End::BeyondLast | End::Reset(REFUSED_STREAM) if !known.answered => Outcome::Overloaded,
+        End::Status(503) if !known.answered => Outcome::Overloaded,
         End::Whole | End::Spoilt | End::Status(_) | End::Reset(_) => Outcome::Error,
-        End::BeyondLast | End::ConnectionOver => Outcome::Broken,
-        End::Silent => Outcome::Lost,
-        End::GivenUp => Outcome::Withdrawn,
+        End::BeyondLast | End::ConnectionOver => Outcome::ConnectionLost,
+        End::Silent => Outcome::ConnectionStalled,
+        End::GivenUp => Outcome::Cancelled,
     }
 }
--- a/crates/lockusher-http2/src/wire.rs
+++ b/crates/lockusher-http2/src/wire.rs
@@ -94,7 +94,7 @@
         let outcome = match end.end() {
             pb::part_end::End::Good => Outcome::Returned,
             pb::part_end::End::Bad => Outcome::Error,
-            pb::part_end::End::Later => Outcome::Full,
+            pb::part_end::End::Later => Outcome::Overloaded,
             pb::part_end::End::Unset => return Err("an end that is none"),
         };
         let value = String::from_utf8(end.value).map_err(|_| "a value that is no text")?;
--- a/crates/lockusher-http2/tests/pool.rs
+++ b/crates/lockusher-http2/tests/pool.rs
@@ -263,18 +263,18 @@
 
 /// The table of outcomes.
 #[rstest]
-#[case::refused(End::Reset(REFUSED_STREAM), true, false, Outcome::Full)]
+#[case::refused(End::Reset(REFUSED_STREAM), true, false, Outcome::Overloaded)]
 #[case::refused_after_an_answer(End::Reset(REFUSED_STREAM), true, true, Outcome::Error)]
 #[case::cancelled(End::Reset(CANCEL), true, false, Outcome::Error)]
 #[case::internal_error(End::Reset(2), true, false, Outcome::Error)]
 #[case::calm(End::Reset(ENHANCE_YOUR_CALM), true, false, Outcome::Error)]
-#[case::beyond_the_last(End::BeyondLast, true, false, Outcome::Full)]
-#[case::beyond_the_last_yet_answered(End::BeyondLast, true, true, Outcome::Broken)]
+#[case::beyond_the_last(End::BeyondLast, true, false, Outcome::Overloaded)]
+#[case::beyond_the_last_yet_answered(End::BeyondLast, true, true, Outcome::ConnectionLost)]
 #[case::half_a_message(End::Spoilt, true, true, Outcome::Error)]
 #[case::a_part_forgotten(End::Whole, true, true, Outcome::Error)]
-#[case::no_place(End::Status(503), true, false, Outcome::Full)]
+#[case::no_place(End::Status(503), true, false, Outcome::Overloaded)]
 #[case::another_status(End::Status(500), true, false, Outcome::Error)]
-#[case::the_connection_broke(End::ConnectionOver, true, false, Outcome::Broken)]
+#[case::the_connection_broke(End::ConnectionOver, true, false, Outcome::ConnectionLost)]
 #[case::it_broke_before_all_had_left(End::ConnectionOver, false, false, Outcome::NoConnection)]
 #[case::refused_before_all_had_left(
     End::Reset(REFUSED_STREAM),
@@ -282,9 +282,9 @@
     false,
     Outcome::NoConnection
 )]
-#[case::it_fell_silent(End::Silent, true, false, Outcome::Lost)]
-#[case::ended_here(End::GivenUp, true, false, Outcome::Withdrawn)]
-#[case::ended_here_before_it_left(End::GivenUp, false, false, Outcome::Moot)]
+#[case::it_fell_silent(End::Silent, true, false, Outcome::ConnectionStalled)]
+#[case::ended_here(End::GivenUp, true, false, Outcome::Cancelled)]
+#[case::ended_here_before_it_left(End::GivenUp, false, false, Outcome::NotSent)]
 fn what_an_end_means(
     #[case] end: End,
     #[case] left: bool,
--- a/crates/lockusher-membership/src/core/share.rs
+++ b/crates/lockusher-membership/src/core/share.rs
@@ -3,7 +3,9 @@
 
 use std::net::SocketAddrV4;
 
-use lockusher_policy::interface::{Budget, Glimpse, Known, Portion, Span, Time};
+use lockusher_policy::interface::{
+    Budget, QuotaShare, SearcherObservation, Span, Time, WarmStartEntry,
+};
 use rand::RngExt;
 
 use super::Core;
@@ -32,7 +34,7 @@
 /// What a mixer tells of itself, now and then.
 #[derive(Clone, Debug, Default)]
 pub struct Own {
-    pub seen: Vec<Glimpse>,
+    pub seen: Vec<SearcherObservation>,
     pub totals: Totals,
     /// What it would spend of budgets a second.
     pub wants: Vec<(Budget, f64)>,
@@ -79,7 +81,7 @@
     pub remembered: usize,
     /// What this mixer may spend of each budget; whether more than half of the fleet lives for it; and, if it is the one
     /// that lends, what of each is out.
-    pub portions: Vec<(Budget, Portion)>,
+    pub portions: Vec<(Budget, QuotaShare)>,
     pub in_contact: bool,
     pub lends: Option<Vec<f64>>,
 }
@@ -107,7 +109,7 @@
     /// Owners whose records have changes to be told, and from which version on.
     rumours: News,
     bases: ByName<u32>,
-    seen: Vec<Glimpse>,
+    seen: Vec<SearcherObservation>,
     totals: Option<(Totals, Time)>,
     pub own_rates: Option<Rates>,
     rates: ByName<(Rates, Time)>,
@@ -116,7 +118,7 @@
     lending: Option<Lending>,
     in_contact: bool,
     warming: Warming,
-    remembered: Option<Vec<Known>>,
+    remembered: Option<Vec<WarmStartEntry>>,
     known: usize,
     next: Time,
     /// Something is to be told sooner; how often that may be yet, as of when.
@@ -285,7 +287,7 @@
     }
 
     /// What others remembered of searchers, once, when this mixer started.
-    pub fn take_remembered(&mut self) -> Option<Vec<Known>> {
+    pub fn take_remembered(&mut self) -> Option<Vec<WarmStartEntry>> {
         self.sharing.as_mut()?.remembered.take()
     }
 
@@ -331,7 +333,7 @@
     }
 
     /// What this mixer may spend of each budget, as of now.
-    pub fn portions(&self, now: Time) -> Vec<(Budget, Portion)> {
+    pub fn portions(&self, now: Time) -> Vec<(Budget, QuotaShare)> {
         let Some(sharing) = &self.sharing else {
             return Vec::new();
         };
--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-use lockusher_policy::interface::{Judged, News, Time};
+use lockusher_policy::interface::{AgreedHealth, PolicyUpdate, Time};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
 
@@ -56,7 +56,7 @@
     socket: UdpSocket,
     mut core: Core,
     clock: impl Fn() -> Time,
-    tell: impl Fn(News) -> bool,
+    tell: impl Fn(PolicyUpdate) -> bool,
     mut asks: mpsc::Receiver<Ask>,
 ) {
     let (mut counted, mut judged, mut remembered) = (None, Vec::new(), None);
@@ -68,25 +68,27 @@
         for change in core.take_changes() {
             log(&change);
         }
-        if counted != Some(core.counted()) && tell(News::Mixers(core.counted())) {
+        if counted != Some(core.counted()) && tell(PolicyUpdate::Mixers(core.counted())) {
             counted = Some(core.counted());
         }
-        let stands: Vec<Judged> = core
+        let stands: Vec<AgreedHealth> = core
             .standing_judgements()
             .iter()
             .map(|of| of.judged.clone())
             .collect();
-        if judged != stands && tell(News::Judged(stands.clone())) {
+        if judged != stands && tell(PolicyUpdate::Health(stands.clone())) {
             log_judged(&judged, core.standing_judgements());
             judged = stands;
         }
         let now_portions = core.portions(clock());
-        if portions != now_portions && tell(News::Portions(now_portions.clone())) {
+        if portions != now_portions && tell(PolicyUpdate::QuotaShares(now_portions.clone())) {
             portions = now_portions;
         }
         log_contact(&mut in_contact, core.in_contact());
         remembered = core.take_remembered().or(remembered);
-        if let Some(known) = remembered.take_if(|known| tell(News::Remembers(known.clone()))) {
+        if let Some(known) =
+            remembered.take_if(|known| tell(PolicyUpdate::WarmStart(known.clone())))
+        {
             tracing::info!(target: "lockusher::fleet", "fleet: {} searchers are known from others", known.len());
         }
         let wait = Duration::from_micros(core.next().since(clock()).as_micros());
@@ -154,7 +156,7 @@
 }
 
 /// A line for each searcher that is judged, and for each that no longer is.
-fn log_judged(before: &[Judged], now: &[Standing]) {
+fn log_judged(before: &[AgreedHealth], now: &[Standing]) {
     for of in now
         .iter()
         .filter(|of| before.iter().all(|before| before.id != of.judged.id))
--- a/crates/lockusher-membership/src/shared/judge.rs
+++ b/crates/lockusher-membership/src/shared/judge.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
-use lockusher_policy::interface::{Glimpse, Judged, SearcherId, Span, Time};
+use lockusher_policy::interface::{AgreedHealth, SearcherId, SearcherObservation, Span, Time};
 
 use super::records::{Fault, Verdict};
 use crate::core::table::{Mixer, MixerName};
@@ -42,7 +42,7 @@
 }
 
 /// What this mixer saw of one searcher that is unlike its peers, if anything is.
-fn fault(now: Time, seen: &Glimpse, peers: f64) -> Option<Verdict> {
+fn fault(now: Time, seen: &SearcherObservation, peers: f64) -> Option<Verdict> {
     let verdict = |fault, weight, since, at| {
         Some(Verdict {
             life: seen.life,
@@ -82,8 +82,13 @@
 }
 
 /// What this mixer tells of searchers, the worst first; `accused` is what others say.
-pub fn tells(now: Time, seen: &[Glimpse], accused: &Accused) -> Vec<(SearcherId, Verdict)> {
-    let lately = |s: &&Glimpse| now.since(s.heard) <= LATELY || s.silent_since.is_some();
+pub fn tells(
+    now: Time,
+    seen: &[SearcherObservation],
+    accused: &Accused,
+) -> Vec<(SearcherId, Verdict)> {
+    let lately =
+        |s: &&SearcherObservation| now.since(s.heard) <= LATELY || s.silent_since.is_some();
     let peers = middle(seen.iter().filter_map(|s| s.latency));
     let (mut tried, mut told) = (0, Vec::new());
     for seen in seen.iter().filter(lately) {
@@ -96,7 +101,7 @@
     }
     told.retain(|(id, _)| accused.get(id).is_none_or(|of| of.before < ENOUGH));
     // An outcome may be a send that was given up: then what is known of its latency is no better than it was.
-    let quick = |s: &&Glimpse| s.latency.is_some_and(|latency| latency < peers * SLOW);
+    let quick = |s: &&SearcherObservation| s.latency.is_some_and(|latency| latency < peers * SLOW);
     let fine = seen
         .iter()
         .filter(|s| s.good > FINE && s.down_since.is_none() && s.silent_since.is_none());
@@ -135,7 +140,7 @@
 /// A judgement that stands, and who witnesses it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Standing {
-    pub judged: Judged,
+    pub judged: AgreedHealth,
     pub fault: Fault,
     pub witnesses: Vec<MixerName>,
 }
@@ -293,7 +298,7 @@
                 .filter(|said| said.verdict.fault == fault)
                 .map(|said| said.verdict.weight)
         };
-        let judged = Judged {
+        let judged = AgreedHealth {
             id: (*id).clone(),
             life: *life,
             good: match fault {
--- a/crates/lockusher-membership/src/shared/lend.rs
+++ b/crates/lockusher-membership/src/shared/lend.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lockusher_policy::interface::{Portion, Span, Time};
+use lockusher_policy::interface::{QuotaShare, Span, Time};
 
 use crate::core::table::MixerName;
 
@@ -189,9 +189,9 @@
     }
 
     /// What it may spend of each budget.
-    pub fn portions(&self, now: Time) -> Vec<Portion> {
+    pub fn portions(&self, now: Time) -> Vec<QuotaShare> {
         let held = self.held.as_ref().filter(|(.., until)| *until > now);
-        let share = |(nth, budget): (usize, &f64)| Portion {
+        let share = |(nth, budget): (usize, &f64)| QuotaShare {
             own: budget * self.own,
             lent: held.map_or(0.0, |(_, amounts, _)| amounts[nth]),
             until: held.map_or(Time::default(), |(.., until)| *until),
--- a/crates/lockusher-membership/src/shared/warm.rs
+++ b/crates/lockusher-membership/src/shared/warm.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lockusher_policy::interface::{Glimpse, Known, SearcherId, Span, Time};
+use lockusher_policy::interface::{SearcherId, SearcherObservation, Span, Time, WarmStartEntry};
 
 use crate::core::table::MixerName;
 use crate::core::wire::MOST_NAME;
@@ -29,7 +29,7 @@
     until: Option<Time>,
     over: bool,
     asked: BTreeMap<u32, MixerName>,
-    heard: BTreeMap<MixerName, Vec<Known>>,
+    heard: BTreeMap<MixerName, Vec<WarmStartEntry>>,
 }
 
 impl Warming {
@@ -45,7 +45,7 @@
     }
 
     /// An answer, or a page of one.
-    pub fn hears(&mut self, number: u32, known: Vec<Known>) {
+    pub fn hears(&mut self, number: u32, known: Vec<WarmStartEntry>) {
         if let Some(name) = self.asked.get(&number).filter(|_| !self.over) {
             let held = self.heard.entry(name.clone()).or_default();
             held.extend(known);
@@ -54,25 +54,25 @@
     }
 
     /// What is known, once answers have been waited for: by searcher and life the middle of what was said.
-    pub fn gives(&mut self, now: Time) -> Option<Vec<Known>> {
+    pub fn gives(&mut self, now: Time) -> Option<Vec<WarmStartEntry>> {
         self.until.filter(|until| *until <= now && !self.over)?;
         if self.heard.is_empty() && self.rounds < ROUNDS {
             self.until = None;
             return None;
         }
         self.over = true;
-        let mut said: BTreeMap<(SearcherId, Option<Time>), Vec<Known>> = BTreeMap::new();
+        let mut said: BTreeMap<(SearcherId, Option<Time>), Vec<WarmStartEntry>> = BTreeMap::new();
         for known in std::mem::take(&mut self.heard).into_values().flatten() {
             said.entry((known.id.clone(), known.life))
                 .or_default()
                 .push(known);
         }
-        let middle = |mut values: Vec<Known>| {
+        let middle = |mut values: Vec<WarmStartEntry>| {
             values.sort_by(|a, b| a.latency.total_cmp(&b.latency));
             let mut goods: Vec<f64> = values.iter().map(|known| known.good).collect();
             goods.sort_by(f64::total_cmp);
             let known = values.swap_remove(values.len() / 2);
-            Known {
+            WarmStartEntry {
                 good: goods[goods.len() / 2],
                 ..known
             }
@@ -82,7 +82,10 @@
 }
 
 /// What a mixer tells one that starts, of what it saw itself.
-pub fn known(now: Time, seen: &[Glimpse]) -> impl Iterator<Item = proto::KnownSearcher> {
+pub fn known(
+    now: Time,
+    seen: &[SearcherObservation],
+) -> impl Iterator<Item = proto::KnownSearcher> {
     let lately = seen
         .iter()
         .filter(move |seen| now.since(seen.heard) <= LATELY && seen.silent_since.is_none());
@@ -101,14 +104,14 @@
 }
 
 /// What another told, or nothing if any of it is none that a sound mixer tells.
-pub fn read(now: Time, told: &[proto::KnownSearcher]) -> Option<Vec<Known>> {
+pub fn read(now: Time, told: &[proto::KnownSearcher]) -> Option<Vec<WarmStartEntry>> {
     let read = |told: &proto::KnownSearcher| {
         let sound = !told.searcher.is_empty()
             && told.searcher.len() <= MOST_NAME
             && (1..=MOST_LATENCY_US).contains(&told.latency_us)
             && (0.0..=1.0).contains(&told.good)
             && Span::from_millis(told.age_ms.into()) <= LATELY;
-        sound.then(|| Known {
+        sound.then(|| WarmStartEntry {
             id: SearcherId::new(&told.searcher),
             life: (told.life > 0).then(|| Time::from_micros(told.life)),
             latency: f64::from(told.latency_us) / 1e6,
--- a/crates/lockusher-membership/tests/lending.rs
+++ b/crates/lockusher-membership/tests/lending.rs
@@ -5,7 +5,7 @@
 
 use lockusher_membership::core::table::MixerName;
 use lockusher_membership::shared::lend::{Lending, Life, Plan, View, Word};
-use lockusher_policy::interface::{Allowance, Portion, Span, Time};
+use lockusher_policy::interface::{QuotaShare, Span, Time, TokenBucket};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -171,7 +171,7 @@
         for (nth, budget) in BUDGETS.iter().enumerate() {
             let spends = |of: usize| {
                 let now = self.clock(of);
-                let Portion { own, lent, until } = self.nodes[of].lending.portions(now)[nth];
+                let QuotaShare { own, lent, until } = self.nodes[of].lending.portions(now)[nth];
                 (own, if now < until { lent } else { 0.0 })
             };
             let all: Vec<(f64, f64)> = (0..self.nodes.len()).map(spends).collect();
@@ -262,7 +262,7 @@
     };
     (0..200).for_each(|_| calm(&mut world));
     let now = world.clock(2);
-    let Portion { own, lent, .. } = world.nodes[2].lending.portions(now)[0];
+    let QuotaShare { own, lent, .. } = world.nodes[2].lending.portions(now)[0];
     assert_eq!(
         (own, lent),
         (10.0, 30.0),
@@ -294,8 +294,8 @@
     ) {
         let start = Time::from_micros(START);
         let until = start + Span::from_millis(until_ms);
-        let mut allowance = Allowance::default();
-        allowance.set(start, Portion { own, lent, until });
+        let mut allowance = TokenBucket::default();
+        allowance.set(start, QuotaShare { own, lent, until });
         let (mut now, mut spent) = (start, Vec::new());
         for wait in asks {
             now = now + Span::from_micros(wait);
--- a/crates/lockusher-membership/tests/recorded_bytes.rs
+++ b/crates/lockusher-membership/tests/recorded_bytes.rs
@@ -320,7 +320,7 @@
     let shares = Shares {
         judgements: true,
         warm_starts: true,
-        budgets: vec![(Budget::Further, 100.0), (Budget::Cold, 40.0)],
+        budgets: vec![(Budget::Retries, 100.0), (Budget::Cold, 40.0)],
         mixers: 3,
         tenants: false,
     };
--- a/crates/lockusher-membership/tests/shared.rs
+++ b/crates/lockusher-membership/tests/shared.rs
@@ -7,7 +7,7 @@
 use lockusher_membership::shared::judge::{OnceAccused, Said, accused, stands, tells};
 use lockusher_membership::shared::records::{Fault, MOST_NAMED, Merged, Record, Records, Verdict};
 use lockusher_membership::shared::warm::Warming;
-use lockusher_policy::interface::{Glimpse, Known, SearcherId, Span, Time};
+use lockusher_policy::interface::{SearcherId, SearcherObservation, Span, Time, WarmStartEntry};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -32,8 +32,8 @@
     }
 }
 
-fn sound(number: usize) -> Glimpse {
-    Glimpse {
+fn sound(number: usize) -> SearcherObservation {
+    SearcherObservation {
         id: id(number),
         life: LIFE,
         latency: Some(0.01),
@@ -45,8 +45,8 @@
     }
 }
 
-fn down(number: usize) -> Glimpse {
-    Glimpse {
+fn down(number: usize) -> SearcherObservation {
+    SearcherObservation {
         good: 0.1,
         down_since: Some(ago(300)),
         ..sound(number)
@@ -96,7 +96,7 @@
 #[case::three_of_eight(3, 3)]
 #[case::five_of_eight(5, 0)]
 fn who_finds_most_bad_judges_itself(#[case] bad: usize, #[case] told: usize) {
-    let seen: Vec<Glimpse> = (0..8)
+    let seen: Vec<SearcherObservation> = (0..8)
         .map(|nth| if nth < bad { down(nth) } else { sound(nth) })
         .collect();
     assert_eq!(tells(NOW, &seen, &BTreeMap::new()).len(), told);
@@ -109,7 +109,7 @@
         .map(|nth| MixerName::new(&format!("m{nth}")))
         .collect();
     let said = verdict(Fault::Down, ago(300), ago(100));
-    let seen: Vec<Glimpse> = (0..8)
+    let seen: Vec<SearcherObservation> = (0..8)
         .map(|nth| if nth == 0 { down(nth) } else { sound(nth) })
         .collect();
     let searcher = id(0);
@@ -156,7 +156,7 @@
     let told = tells(
         NOW,
         &[
-            Glimpse {
+            SearcherObservation {
                 heard: ago(heard_ms),
                 ..sound(0)
             },
@@ -192,8 +192,8 @@
     accused(NOW, &me, "z", said.into_iter(), &mut once);
     let now = NOW + Span::from_millis(after_ms);
     let accused = accused(now, &me, "z", std::iter::empty(), &mut once);
-    let seen: Vec<Glimpse> = (0..2)
-        .map(|nth| Glimpse {
+    let seen: Vec<SearcherObservation> = (0..2)
+        .map(|nth| SearcherObservation {
             heard: now,
             ..sound(nth)
         })
@@ -337,7 +337,7 @@
 #[rstest]
 fn a_warm_start_takes_the_middle() {
     let known = |latency| {
-        vec![Known {
+        vec![WarmStartEntry {
             id: id(0),
             life: LIFE,
             latency,
--- a/crates/lockusher-multiget/src/host.rs
+++ b/crates/lockusher-multiget/src/host.rs
@@ -10,26 +10,26 @@
 use crate::settings::Settings;
 
 /// Receives the actions of the host, in order.
-pub trait Wire {
+pub trait ActionSink {
     /// Sends a part; `command.part` is its index, and the number of its attempts so far is the
     /// index of this one.
-    fn send(&mut self, multiget: &Multiget, command: &Order);
+    fn send(&mut self, multiget: &Multiget, command: &SendCommand);
     /// Cancels an attempt.
-    fn withdraw(&mut self, part: &PartId, nth: usize);
+    fn cancel(&mut self, part: &PartId, nth: usize);
     /// Gives a reply; it is the final one if `multiget.ended` is set.
     fn reply(&mut self, multiget: &Multiget, reply: Reply);
     /// Subscribes to discovery.
     fn subscribe(&mut self);
     /// Whether to take an admission trace of the next rejected multiget.
-    fn wants_belief(&self) -> bool {
+    fn wants_admission_trace(&self) -> bool {
         false
     }
     /// Receives the admission trace of a multiget that was rejected before any part was sent.
-    fn believed(&mut self, _multiget: &Multiget, _belief: Belief) {}
+    fn record_admission_trace(&mut self, _multiget: &Multiget, _trace: AdmissionTrace) {}
 }
 
 /// A new multiget.
-pub struct Taken {
+pub struct NewMultiget {
     pub id: MultigetId,
     /// Sequence number assigned by the caller; it increases with each multiget.
     pub number: u64,
@@ -38,7 +38,7 @@
     pub resubmitted: bool,
     pub hint: Option<Span>,
     /// The client's deadline.
-    pub ends: Time,
+    pub deadline: Time,
 }
 
 /// A new part of a multiget.
@@ -50,7 +50,7 @@
 }
 
 /// How an attempt ended.
-pub struct Ended {
+pub struct AttemptResult {
     pub part: PartId,
     pub nth: usize,
     pub outcome: Outcome,
@@ -94,7 +94,7 @@
             settings.value_is_per_work(),
             settings.max_retry_after(),
         );
-        let polling = Polling::new(now, settings.ask_every());
+        let polling = Polling::new(now, settings.poll_interval());
         let policy = Policy::new(
             seed,
             tick,
@@ -113,27 +113,27 @@
     }
 
     /// The accepted multigets that have attempts in flight or no final reply.
-    pub fn in_hand(&self) -> &PendingMultigets {
+    pub fn pending(&self) -> &PendingMultigets {
         &self.pending
     }
 
     /// Applies an update from discovery or from the fleet's shared state.
-    pub fn news(&mut self, now: Time, update: News) {
+    pub fn apply_update(&mut self, now: Time, update: PolicyUpdate) {
         self.policy.apply_update(now, update);
     }
 
     /// Observations on searchers, for other mixers.
-    pub fn seen(&self) -> Vec<Glimpse> {
+    pub fn observations(&self) -> Vec<SearcherObservation> {
         self.policy.observations()
     }
 
     /// Units per second spent of the budgets that the fleet shares.
-    pub fn spends(&self, now: Time) -> Vec<(Budget, f64)> {
+    pub fn budget_usage(&self, now: Time) -> Vec<(Budget, f64)> {
         self.policy.budget_usage(now)
     }
 
     /// Adds a multiget; its parts must be added before the next `settle`.
-    pub fn take(&mut self, now: Time, new: Taken) {
+    pub fn add_multiget(&mut self, now: Time, new: NewMultiget) {
         self.ids_by_number.insert(new.number, new.id.clone());
         let multiget = Multiget {
             id: new.id.clone(),
@@ -143,7 +143,7 @@
             resubmitted: new.resubmitted,
             hint: new.hint,
             arrived: now,
-            ends: new.ends,
+            deadline: new.deadline,
             next_check: now,
             parts: Vec::new(),
             first_answer: None,
@@ -153,7 +153,7 @@
     }
 
     /// Adds a part; ignored if its multiget is no longer pending.
-    pub fn join(&mut self, now: Time, number: u64, part: NewPart) {
+    pub fn add_part(&mut self, now: Time, number: u64, part: NewPart) {
         let Some(id) = self.ids_by_number.get(&number) else {
             return;
         };
@@ -169,14 +169,19 @@
             weight: part.weight,
             hint: part.hint,
             second_step: multiget.first_answer.is_some(),
-            sends: Vec::new(),
+            attempts: Vec::new(),
             returned: false,
             closed: false,
         });
     }
 
     /// Records how an attempt ended, once; returns whether its answer is used.
-    pub fn ended(&mut self, now: Time, result: &Ended, sink: &mut impl Wire) -> Result<bool> {
+    pub fn record_outcome(
+        &mut self,
+        now: Time,
+        result: &AttemptResult,
+        sink: &mut impl ActionSink,
+    ) -> Result<bool> {
         let Some((id, index)) = self.parts.get(&result.part).cloned() else {
             return Ok(false);
         };
@@ -184,7 +189,7 @@
             return Ok(false);
         };
         let part = &mut multiget.parts[index];
-        let attempt = (part.sends.get_mut(result.nth)).with_context(|| {
+        let attempt = (part.attempts.get_mut(result.nth)).with_context(|| {
             format!(
                 "{}: attempt {} was never sent",
                 result.part.as_str(),
@@ -216,14 +221,14 @@
     }
 
     /// Expires all pending multigets.
-    pub fn stop(&mut self, now: Time) {
+    pub fn expire_all(&mut self, now: Time) {
         for multiget in self.pending.values_mut() {
-            (multiget.ends, multiget.next_check) = (now, now);
+            (multiget.deadline, multiget.next_check) = (now, now);
         }
     }
 
     /// Runs the work that is due; returns the longest delay until the next call.
-    pub fn settle(&mut self, now: Time, sink: &mut impl Wire) -> Option<Span> {
+    pub fn run_due(&mut self, now: Time, sink: &mut impl ActionSink) -> Option<Span> {
         let schedule = self.policy.schedule(now, &self.pending);
         if let Some(DiscoveryCall::Subscribe) = schedule.discovery {
             sink.subscribe();
@@ -239,7 +244,13 @@
     }
 
     /// Carries out a decision through `sink`.
-    fn carry_out(&mut self, now: Time, id: &MultigetId, decision: Decision, sink: &mut impl Wire) {
+    fn carry_out(
+        &mut self,
+        now: Time,
+        id: &MultigetId,
+        decision: Decision,
+        sink: &mut impl ActionSink,
+    ) {
         let Some(multiget) = self.pending.get_mut(id) else {
             return;
         };
@@ -247,27 +258,27 @@
             multiget.next_check = now + delay;
         }
         for (index, nth) in decision.cancel {
-            sink.withdraw(&multiget.parts[index].id, nth);
+            sink.cancel(&multiget.parts[index].id, nth);
         }
         for command in decision.commands {
             sink.send(multiget, &command);
-            multiget.parts[command.part].sends.push(Attempt {
+            multiget.parts[command.part].attempts.push(Attempt {
                 to: command.to,
                 sent_at: now,
                 outcome: None,
             });
         }
         let Some(reply) = decision.reply else { return };
-        if let Reply::Answered { whole } = reply {
+        if let Reply::Answered { complete } = reply {
             let second_step = self.second_steps[multiget.op_type.0] > 0;
             multiget.ended = !second_step || multiget.first_answer.is_some();
-            multiget.first_answer.get_or_insert(whole);
+            multiget.first_answer.get_or_insert(complete);
         } else {
             multiget.ended = true;
         }
-        let fresh = multiget.parts.iter().all(|part| part.sends.is_empty());
-        if matches!(reply, Reply::PushedBack { .. }) && fresh && sink.wants_belief() {
-            sink.believed(multiget, self.policy.admission_trace(now, multiget));
+        let fresh = multiget.parts.iter().all(|part| part.attempts.is_empty());
+        if matches!(reply, Reply::PushedBack { .. }) && fresh && sink.wants_admission_trace() {
+            sink.record_admission_trace(multiget, self.policy.admission_trace(now, multiget));
         }
         sink.reply(multiget, reply);
     }
@@ -276,7 +287,7 @@
     /// finds its attempt.
     fn drop_if_finished(&mut self, id: &MultigetId) {
         let finished = |m: &Multiget| {
-            let mut attempts = m.parts.iter().flat_map(|p| &p.sends);
+            let mut attempts = m.parts.iter().flat_map(|p| &p.attempts);
             m.ended && attempts.all(|a| a.outcome.is_some())
         };
         if !self.pending.get(id).is_some_and(finished) {
--- a/crates/lockusher-multiget/src/list.rs
+++ b/crates/lockusher-multiget/src/list.rs
@@ -9,16 +9,16 @@
 
 /// A list in discovery's JSON.
 #[derive(Deserialize)]
-pub struct ListText {
+pub struct ListDocument {
     index: u64,
     #[serde(default)]
     snapshot: bool,
-    endpoints: Vec<LineText>,
+    endpoints: Vec<EntryDocument>,
 }
 
 /// One searcher in JSON. Registry entries may omit the name, which is their key.
 #[derive(Deserialize)]
-pub struct LineText {
+pub struct EntryDocument {
     #[serde(default)]
     pub name: String,
     address: SocketAddr,
@@ -53,13 +53,13 @@
 
 /// Address of a searcher, and whether its entry says that it offers HTTP/2 there.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct SearcherEndpoint {
     pub address: SocketAddr,
     pub http2: bool,
 }
 
 /// A searcher and its address.
-pub type Line = (Listed, Place);
+pub type LocatedSearcher = (SearcherEntry, SearcherEndpoint);
 
 /// A list in its internal form.
 pub struct List {
@@ -67,13 +67,13 @@
     pub index: u64,
     /// Whether this is the complete list, rather than changes only.
     pub complete: bool,
-    pub lines: Vec<Line>,
+    pub lines: Vec<LocatedSearcher>,
 }
 
-impl LineText {
+impl EntryDocument {
     /// Converts an entry; a zone that is not in the settings becomes `None`.
-    pub fn read(&self, names: &Names) -> Line {
-        let entry = Listed {
+    pub fn read(&self, names: &Names) -> LocatedSearcher {
+        let entry = SearcherEntry {
             id: SearcherId::new(&self.name),
             cell: Cell(self.group),
             zone: names.zones.get(&self.zone).copied(),
@@ -88,7 +88,7 @@
         };
         (
             entry,
-            Place {
+            SearcherEndpoint {
                 address: self.address,
                 http2: self.carrier == CarrierProtocol::Http2,
             },
@@ -96,7 +96,7 @@
     }
 }
 
-impl ListText {
+impl ListDocument {
     /// Converts the list to its internal form.
     pub fn read(self, names: &Names) -> List {
         let lines = self
@@ -112,9 +112,9 @@
     }
 }
 
-/// A list to be written as discovery's JSON, which [`ListText`] reads.
+/// A list to be written as discovery's JSON, which [`ListDocument`] reads.
 #[derive(Serialize)]
-pub struct ListOut<'a> {
+pub struct ListOutput<'a> {
     index: u64,
     snapshot: bool,
     endpoints: Vec<EntryOutput<'a>>,
@@ -137,9 +137,13 @@
     *protocol == CarrierProtocol::Frames
 }
 
-impl<'a> ListOut<'a> {
+impl<'a> ListOutput<'a> {
     /// A zone that is not in the settings is written as an empty name.
-    pub fn new(index: u64, lines: impl IntoIterator<Item = &'a Line>, names: &'a Names) -> Self {
+    pub fn new(
+        index: u64,
+        lines: impl IntoIterator<Item = &'a LocatedSearcher>,
+        names: &'a Names,
+    ) -> Self {
         let zone_name = |zone: Zone| {
             names
                 .zones
@@ -147,7 +151,7 @@
                 .find(|(_, z)| **z == zone)
                 .map(|(name, _)| name.as_str())
         };
-        let output = |(entry, endpoint): &'a Line| EntryOutput {
+        let output = |(entry, endpoint): &'a LocatedSearcher| EntryOutput {
             name: entry.id.as_str(),
             address: endpoint.address,
             zone: entry.zone.and_then(zone_name).unwrap_or_default(),
@@ -167,7 +171,7 @@
                 CarrierProtocol::Frames
             },
         };
-        ListOut {
+        ListOutput {
             index,
             snapshot: true,
             endpoints: lines.into_iter().map(output).collect(),
--- a/crates/lockusher-multiget/src/settings.rs
+++ b/crates/lockusher-multiget/src/settings.rs
@@ -144,10 +144,10 @@
             .iter()
             .enumerate()
             .map(|(i, g)| {
-                let repeat = match (&g.effect, g.dedup_window_us) {
-                    (RepeatSafety::Safe, _) => Repeat::Retriable,
-                    (RepeatSafety::Unsafe, _) => Repeat::NonRetriable,
-                    (RepeatSafety::Keyed, Some(us)) => Repeat::Deduped(Span::from_micros(us)),
+                let idempotency = match (&g.effect, g.dedup_window_us) {
+                    (RepeatSafety::Safe, _) => Idempotency::Retriable,
+                    (RepeatSafety::Unsafe, _) => Idempotency::NonRetriable,
+                    (RepeatSafety::Keyed, Some(us)) => Idempotency::Deduped(Span::from_micros(us)),
                     (RepeatSafety::Keyed, None) => {
                         return Err(format!(
                             "class {} is keyed but has no dedup_window_us",
@@ -161,7 +161,7 @@
                     route_timeout: Span::from_micros(g.deadline_us),
                     value: g.worth,
                     late_value: g.late_value,
-                    repeat,
+                    idempotency,
                     complete_share: entry(&self.extra.need_by_class, i, "need_by_class")?,
                     min_share: entry(&self.extra.least_share, i, "least_share")?,
                     partial_value: self.extra.class_partial.get(i).copied().unwrap_or(0.0),
@@ -213,7 +213,7 @@
     /// Longest interval between calls to discovery, where it only answers calls; `None` if it
     /// pushes. Whatever failures and delays are allowed for, a change counts as known this long
     /// after discovery had it and was reachable.
-    pub fn ask_every(&self) -> Option<Span> {
+    pub fn poll_interval(&self) -> Option<Span> {
         const KNOWN_AFTER: Span = Span::from_millis(6_000);
         let configured = self.rules.ask_every_us.map(Span::from_micros);
         (self.membership_mode == Membership::OnRequest)
--- a/crates/lockusher-policy/src/interface.rs
+++ b/crates/lockusher-policy/src/interface.rs
@@ -131,7 +131,7 @@
 
 /// Whether a part may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Repeated execution is harmless.
     Retriable,
     /// The searcher drops duplicates for this long after the first attempt that may have been executed.
@@ -151,7 +151,7 @@
     pub value: f64,
     /// Fraction of `value` that an answer after the latency target is worth.
     pub late_value: f64,
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Fraction of the first step's weight that makes an answer complete.
     pub complete_share: f64,
     /// Smallest fraction of the weight that any answer needs.
@@ -231,7 +231,7 @@
 
 /// One entry of the list of searchers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct SearcherEntry {
     pub id: SearcherId,
     pub cell: Cell,
     pub zone: Option<Zone>,
@@ -242,31 +242,31 @@
 
 /// An update from discovery or from the fleet's shared state.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum PolicyUpdate {
     /// Changed entries only.
-    Changes(Vec<Listed>),
+    Changes(Vec<SearcherEntry>),
     /// The complete list; searchers missing from it have been removed.
-    All(Vec<Listed>),
+    All(Vec<SearcherEntry>),
     /// The complete list as last stored; it may be out of date.
-    Remembered(Vec<Listed>),
+    Cached(Vec<SearcherEntry>),
     /// A discovery call failed or the subscription was lost.
-    Refused,
+    Failed,
     /// Number of mixers that may be using their quota shares, where the fleet tracks its membership;
     /// otherwise the number in the settings applies.
     Mixers(usize),
     /// Every searcher that the fleet's mixers agree differs from its peers.
-    Judged(Vec<Judged>),
+    Health(Vec<AgreedHealth>),
     /// What other mixers had observed of searchers when this mixer started.
-    Remembers(Vec<Known>),
+    WarmStart(Vec<WarmStartEntry>),
     /// This mixer's shares of the budgets that the fleet shares.
-    Portions(Vec<(Budget, Portion)>),
+    QuotaShares(Vec<(Budget, QuotaShare)>),
 }
 
 /// A budget that the whole fleet shares, in units per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Budget {
     /// Attempts of a part beyond its first.
-    Further,
+    Retries,
     /// Attempts sent to searchers that are still warming up.
     Cold,
     /// New connections to searchers.
@@ -280,7 +280,7 @@
 /// What this mixer observed of a searcher, published to other mixers; no decision uses it. Latency in
 /// seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Glimpse {
+pub struct SearcherObservation {
     pub id: SearcherId,
     /// The searcher's start time as listed; it identifies the incarnation that was observed.
     pub life: Option<Time>,
@@ -296,16 +296,16 @@
     pub cold_since: Option<Time>,
 }
 
-impl Judged {
+impl AgreedHealth {
     /// Whether the searcher is reported as worse than its peers.
-    pub fn accuses(&self) -> bool {
+    pub fn is_degraded(&self) -> bool {
         self.good < 1.0 || self.slower > 1.0
     }
 }
 
 /// Health of one searcher as agreed by several mixers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Judged {
+pub struct AgreedHealth {
     pub id: SearcherId,
     /// Start time of the incarnation that the report is about.
     pub life: Option<Time>,
@@ -320,7 +320,7 @@
 /// What another mixer had observed of a searcher up to `at`: latency in seconds and fraction of successful
 /// attempts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Known {
+pub struct WarmStartEntry {
     pub id: SearcherId,
     pub life: Option<Time>,
     pub latency: f64,
@@ -333,26 +333,26 @@
 pub enum Outcome {
     Returned,
     Error,
-    Full,
+    Overloaded,
     TimedOut,
     NoConnection,
-    Broken,
-    Withdrawn,
+    ConnectionLost,
+    Cancelled,
     /// Its connection stalled while the searcher answered on another one; the part may have been executed.
-    Lost,
+    ConnectionStalled,
     /// Never transmitted: the part was finished, or out of time or attempts.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the part was not executed.
     pub fn proves_not_executed(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::NoConnection | Outcome::Moot)
+        matches!(self, Outcome::Overloaded | Outcome::NoConnection | Outcome::NotSent)
     }
 
     /// Whether a connection existed but no answer arrived.
     pub fn is_unanswered(self) -> bool {
-        matches!(self, Outcome::Broken | Outcome::TimedOut | Outcome::Withdrawn)
+        matches!(self, Outcome::ConnectionLost | Outcome::TimedOut | Outcome::Cancelled)
     }
 }
 
@@ -374,7 +374,7 @@
     pub hint: Option<Span>,
     /// Whether the part belongs to the second step.
     pub second_step: bool,
-    pub sends: Vec<Attempt>,
+    pub attempts: Vec<Attempt>,
     /// An answer has arrived.
     pub returned: bool,
     /// No further attempt will be made or awaited.
@@ -383,8 +383,8 @@
 
 impl Part {
     /// The first attempt that is not known to have been left unexecuted.
-    pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
-        self.sends.iter().find(|s| !s.outcome.is_some_and(Outcome::proves_not_executed))
+    pub fn first_possibly_executed(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|s| !s.outcome.is_some_and(Outcome::proves_not_executed))
     }
 }
 
@@ -402,7 +402,7 @@
     pub hint: Option<Span>,
     pub arrived: Time,
     /// The client's deadline for this request.
-    pub ends: Time,
+    pub deadline: Time,
     /// Next time to call `Policy::decide`, from the last `Decision::recheck_after`.
     pub next_check: Time,
     pub parts: Vec<Part>,
@@ -422,27 +422,27 @@
 
 /// An attempt that the host must send.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct SendCommand {
     /// Index of the part in the multiget.
     pub part: usize,
     pub to: SearcherId,
     pub timeout: Span,
     /// Close idle connections to the searcher first, so that the attempt uses a new one.
-    pub anew: bool,
+    pub fresh_connection: bool,
 }
 
 /// A reply to the client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reply {
-    Answered { whole: bool },
-    PushedBack { come_back_in: Option<Span> },
+    Answered { complete: bool },
+    PushedBack { retry_after: Option<Span> },
     Failed,
 }
 
 /// Inputs of admission control when it rejected a multiget of which nothing had been sent; for traces only.
 /// Times in seconds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Belief {
+pub struct AdmissionTrace {
     /// How far an idle replica's expected latency counts, from 0 (not at all) to 1 (fully).
     pub pass: f64,
     /// Time that the multiget may plan to use.
@@ -452,19 +452,19 @@
     /// This mixer's estimate of the fleet's median latency.
     pub peers: f64,
     /// The replica that would be picked for each part; `None` if no replica may be sent the part now.
-    pub picks: Vec<Option<Believed>>,
+    pub picks: Vec<Option<ReplicaEstimate>>,
 }
 
 /// A candidate replica: (searcher, expected latency, whether none of this mixer's attempts are in flight
 /// there, time since its last outcome, fraction of successful attempts).
-pub type Believed = (SearcherId, f64, bool, f64, f64);
+pub type ReplicaEstimate = (SearcherId, f64, bool, f64, f64);
 
 /// What to do with one multiget now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Decision {
     /// Attempts to cancel before the commands are carried out, as (part index, attempt index).
     pub cancel: Vec<(usize, usize)>,
-    pub commands: Vec<Order>,
+    pub commands: Vec<SendCommand>,
     pub reply: Option<Reply>,
     /// Call `Policy::decide` again after this long, even if nothing else happens.
     pub recheck_after: Option<Span>,
@@ -572,14 +572,14 @@
 /// This mixer's quota share of one fleet budget, in units per second: its own part, and a part lent for a
 /// limited time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Portion {
+pub struct QuotaShare {
     pub own: f64,
     pub lent: f64,
     /// When the loan expires.
     pub until: Time,
 }
 
-impl Portion {
+impl QuotaShare {
     /// Units per second that may be spent at `now`.
     pub fn rate(&self, now: Time) -> f64 {
         self.own + if now < self.until { self.lent } else { 0.0 }
@@ -590,16 +590,16 @@
 /// is a fifth of a second's share or one token, whichever is more: it absorbs bursts, yet all mixers
 /// together never exceed the budget by much in any second.
 #[derive(Clone, Copy, Default)]
-pub struct Allowance {
-    share: Option<Portion>,
+pub struct TokenBucket {
+    share: Option<QuotaShare>,
     tokens: f64,
     updated_at: Time,
     spend_rate: Rate<2>,
 }
 
-impl Allowance {
+impl TokenBucket {
     /// Replaces the share from `now` on; tokens up to `now` accrue at the old share's rate.
-    pub fn set(&mut self, now: Time, share: Portion) {
+    pub fn set(&mut self, now: Time, share: QuotaShare) {
         match self.share {
             Some(_) => self.fill(now),
             None => self.updated_at = now,
@@ -647,10 +647,10 @@
 
 /// One token bucket for each budget; a budget without a share is unlimited, but its use is counted.
 #[derive(Default)]
-pub struct Purses(BTreeMap<Budget, Allowance>);
+pub struct TokenBuckets(BTreeMap<Budget, TokenBucket>);
 
-impl Purses {
-    pub fn set(&mut self, now: Time, shares: &[(Budget, Portion)]) {
+impl TokenBuckets {
+    pub fn set(&mut self, now: Time, shares: &[(Budget, QuotaShare)]) {
         for (budget, share) in shares {
             self.0.entry(*budget).or_default().set(now, *share);
         }
--- a/crates/lockusher-policy/src/policy.rs
+++ b/crates/lockusher-policy/src/policy.rs
@@ -86,15 +86,15 @@
     }
 
     /// Applies an update from discovery or from the fleet's shared state.
-    pub fn apply_update(&mut self, now: Time, update: News) {
+    pub fn apply_update(&mut self, now: Time, update: PolicyUpdate) {
         match update {
-            News::Changes(list) => self.selector.apply_list(now, list, false),
-            News::All(list) | News::Remembered(list) => self.selector.apply_list(now, list, true),
-            News::Refused => return self.discovery.retry_after_failure(now, &mut self.rng),
-            News::Mixers(mixers) => return self.selector.mixers = mixers.max(1),
-            News::Judged(reports) => return self.selector.apply_agreed_health(reports),
-            News::Remembers(known) => return self.selector.apply_warm_start(now, known),
-            News::Portions(shares) => return self.selector.budgets.set(now, &shares),
+            PolicyUpdate::Changes(list) => self.selector.apply_list(now, list, false),
+            PolicyUpdate::All(list) | PolicyUpdate::Cached(list) => self.selector.apply_list(now, list, true),
+            PolicyUpdate::Failed => return self.discovery.retry_after_failure(now, &mut self.rng),
+            PolicyUpdate::Mixers(mixers) => return self.selector.mixers = mixers.max(1),
+            PolicyUpdate::Health(reports) => return self.selector.apply_agreed_health(reports),
+            PolicyUpdate::WarmStart(known) => return self.selector.apply_warm_start(now, known),
+            PolicyUpdate::QuotaShares(shares) => return self.selector.budgets.set(now, &shares),
         }
         self.discovery.failures = 0;
     }
@@ -105,12 +105,12 @@
     }
 
     /// Observations on searchers, for other mixers.
-    pub fn observations(&self) -> Vec<Glimpse> {
+    pub fn observations(&self) -> Vec<SearcherObservation> {
         let observations = self.selector.active().map(|s| {
             let &Searcher { latency, good, heard, down_since, cold_since, ref entry, ref in_flight, .. } = s;
             let silent_since = in_flight.iter().map(|attempt| attempt.0).min().filter(|since| *since > heard);
             let (id, life) = (entry.id.clone(), entry.up_since);
-            Glimpse { id, life, latency, good, heard, silent_since, down_since, cold_since }
+            SearcherObservation { id, life, latency, good, heard, silent_since, down_since, cold_since }
         });
         observations.filter(|o| o.latency.is_some() || o.silent_since.is_some()).collect()
     }
@@ -131,7 +131,7 @@
         if mg.ended {
             return Decision::default();
         }
-        let fresh = mg.parts.iter().all(|p| p.sends.is_empty());
+        let fresh = mg.parts.iter().all(|p| p.attempts.is_empty());
         if fresh && mg.arrived == now {
             self.record_arrival(now, mg);
         }
@@ -153,8 +153,8 @@
     /// Records an attempt's outcome, which the host has stored in `mg`, and decides what to do next.
     pub fn outcome(&mut self, now: Time, mg: &Multiget, part: usize, nth: usize, elapsed: Span) -> Decision {
         let (op, p) = (mg.op_type, &mg.parts[part]);
-        let attempt = &p.sends[nth];
-        let outcome = attempt.outcome.unwrap_or(Outcome::Moot);
+        let attempt = &p.attempts[nth];
+        let outcome = attempt.outcome.unwrap_or(Outcome::NotSent);
         let peers = self
             .selector
             .searchers
@@ -171,8 +171,8 @@
             }
         }
         self.selector.refresh_stats(now);
-        if nth > 0 && outcome != Outcome::Moot {
-            let sole = p.sends.iter().filter(|s| s.outcome == Some(Outcome::Returned)).count() == 1;
+        if nth > 0 && outcome != Outcome::NotSent {
+            let sole = p.attempts.iter().filter(|s| s.outcome == Some(Outcome::Returned)).count() == 1;
             // Averages about the last ten retries.
             blend(&mut self.retries.success, f64::from(outcome == Outcome::Returned && sole), 0.1);
         }
@@ -219,7 +219,7 @@
         self.ops[mg.op_type.0].first_timeout = match self.is_first_try(mg) {
             true => (timeout, (votes + 1).min(MAX_VOTES)),
             false if votes > 0 => (timeout, votes - 1),
-            false => (mg.ends.since(mg.arrived), 1),
+            false => (mg.deadline.since(mg.arrived), 1),
         };
     }
 }
--- a/crates/lockusher-policy/src/policy/budgets.rs
+++ b/crates/lockusher-policy/src/policy/budgets.rs
@@ -12,7 +12,7 @@
     /// Whether the client set the timeout that first tries have.
     pub(super) fn is_first_try(&self, mg: &Multiget) -> bool {
         let (usual, _) = self.ops[mg.op_type.0].first_timeout;
-        let given = mg.ends.since(mg.arrived);
+        let given = mg.deadline.since(mg.arrived);
         given.saturating_sub(usual).max(usual.saturating_sub(given)) < Span::from_millis(20)
     }
 
@@ -25,13 +25,13 @@
         let target = (op.latency_target + extra).min(op.route_timeout);
         let retry =
             if self.is_first_try(mg) { 0.0 } else { self.admission.missed_first.value(mg.arrived) * 3.0 };
-        let elapsed = op.route_timeout.saturating_sub(mg.ends.since(mg.arrived)).times(retry.min(1.0));
-        (mg.arrived + target - elapsed).min(mg.ends) - self.reply_margin()
+        let elapsed = op.route_timeout.saturating_sub(mg.deadline.since(mg.arrived)).times(retry.min(1.0));
+        (mg.arrived + target - elapsed).min(mg.deadline) - self.reply_margin()
     }
 
     /// An answer after this time has no value.
     pub(super) fn usable_until(&self, mg: &Multiget) -> Time {
-        if self.op(mg).late_value > 0.0 { mg.ends - self.reply_margin() } else { self.target_end(mg) }
+        if self.op(mg).late_value > 0.0 { mg.deadline - self.reply_margin() } else { self.target_end(mg) }
     }
 
     /// When a partial answer is given instead of waiting further.
@@ -61,24 +61,24 @@
         }
         let no_parts = missing == 0 && got == 0.0; // The parts of a second step are added a little later.
         if !no_parts && (missing == 0 || (first.is_none() && got + SLACK >= op.complete_share)) {
-            return Some(Reply::Answered { whole: first.unwrap_or(true) });
+            return Some(Reply::Answered { complete: first.unwrap_or(true) });
         }
         let partial = op.min_share < op.complete_share;
         let least = if first.is_some() && !partial { 1.0 } else { op.min_share };
         if partial && got > 0.0 && got + SLACK >= least && (now >= self.partial_from(mg) || possible <= got) {
-            return Some(Reply::Answered { whole: false });
+            return Some(Reply::Answered { complete: false });
         }
         (now >= self.usable_until(mg) || (!no_parts && possible + SLACK < least)).then(|| self.give_up(mg))
     }
 
     /// Rejects with a retry time if a retry is known to be harmless; otherwise fails.
     pub(super) fn give_up(&self, mg: &Multiget) -> Reply {
-        let may_have_executed = mg.parts.iter().any(|p| p.first_that_may_have_run().is_some());
-        if self.op(mg).repeat != Repeat::Retriable && may_have_executed {
+        let may_have_executed = mg.parts.iter().any(|p| p.first_possibly_executed().is_some());
+        if self.op(mg).idempotency != Idempotency::Retriable && may_have_executed {
             return Reply::Failed;
         }
         // The time in which about two more rounds of work are done.
         let rounds = Span::from_secs(self.selector.median(self.op(mg).latency_target) * 2.0);
-        Reply::PushedBack { come_back_in: self.admission.retry_after.map(|longest| rounds.min(longest)) }
+        Reply::PushedBack { retry_after: self.admission.retry_after.map(|longest| rounds.min(longest)) }
     }
 }
--- a/crates/lockusher-policy/src/policy/gate.rs
+++ b/crates/lockusher-policy/src/policy/gate.rs
@@ -39,7 +39,7 @@
         mg: &Multiget,
         priority: f64,
         mixers: usize,
-        budgets: &mut Purses,
+        budgets: &mut TokenBuckets,
     ) {
         self.mean.record(priority);
         let Some(tenant) = mg.tenant else { return };
@@ -91,7 +91,7 @@
     }
 
     /// Inputs of `must_reject`, for a trace. Draws from a copy of the random generator: no side effects.
-    pub fn admission_trace(&self, now: Time, mg: &Multiget) -> Belief {
+    pub fn admission_trace(&self, now: Time, mg: &Multiget) -> AdmissionTrace {
         let (target, rng) = (self.op(mg).latency_target, &mut self.rng.clone());
         let seen = |(id, expected): (SearcherId, f64)| {
             let s = &self.selector.searchers[&id];
@@ -100,7 +100,7 @@
         let picks =
             mg.current_step().map(|(_, p)| self.selector.pick(now, p, target, rng).ok().map(seen)).collect();
         let ((pass, left), unserved) = (self.limits(now, mg), self.admission.missed_first.value(now));
-        Belief { pass, left, unserved, peers: self.selector.median(target), picks }
+        AdmissionTrace { pass, left, unserved, peers: self.selector.median(target), picks }
     }
 
     /// Weight of an idle replica's latency in admission, and the seconds that this multiget may plan to use.
--- a/crates/lockusher-policy/src/policy/retries.rs
+++ b/crates/lockusher-policy/src/policy/retries.rs
@@ -32,27 +32,27 @@
     }
 
     /// Whether the own retry budget and the fleet's allow a retry.
-    fn allows(&mut self, now: Time, fleet: &Purses) -> bool {
+    fn allows(&mut self, now: Time, fleet: &TokenBuckets) -> bool {
         let within_limit = self.window.is_none_or(|RetryLimit { base, ratio, window }| {
             // At the exact edge of the window, retries count and arrivals do not.
             self.sent.retain(|&at| now.since(at) <= window);
             self.arrivals.retain(|&at| now.since(at) < window);
             self.sent.len() as f64 + 1.0 <= base + ratio * self.arrivals.len() as f64
         });
-        within_limit && self.tokens >= 1.0 && fleet.has(now, Budget::Further)
+        within_limit && self.tokens >= 1.0 && fleet.has(now, Budget::Retries)
     }
 
-    fn record_retry(&mut self, now: Time, fleet: &mut Purses) {
+    fn record_retry(&mut self, now: Time, fleet: &mut TokenBuckets) {
         self.tokens -= 1.0;
         self.sent.extend(self.window.map(|_| now));
-        fleet.spend(now, Budget::Further);
+        fleet.spend(now, Budget::Retries);
     }
 }
 
 impl Policy {
     /// Whether the part may still be answered: an attempt is in flight, or a replica can answer in time.
     pub(super) fn may_be_answered(&self, now: Time, mg: &Multiget, part: &Part) -> bool {
-        let in_flight = part.sends.iter().any(|s| s.outcome.is_none());
+        let in_flight = part.attempts.iter().any(|s| s.outcome.is_none());
         let holders = || self.selector.holders(part.shard).next().is_some();
         !part.closed
             && (in_flight || (self.may_send(now, mg, part) && holders() && self.in_time(now, mg, part)))
@@ -67,14 +67,14 @@
 
     /// Whether the limits and the idempotency of the part allow another attempt.
     fn may_send(&self, now: Time, mg: &Multiget, part: &Part) -> bool {
-        if part.returned || part.closed || part.sends.len() >= self.retries.limits.max_attempts {
+        if part.returned || part.closed || part.attempts.len() >= self.retries.limits.max_attempts {
             return false;
         }
-        let Some(first) = part.first_that_may_have_run() else { return true };
-        match self.op(mg).repeat {
-            Repeat::Retriable => true,
-            Repeat::Deduped(window) => now.since(first.sent_at) + self.reply_margin() < window,
-            Repeat::NonRetriable => false,
+        let Some(first) = part.first_possibly_executed() else { return true };
+        match self.op(mg).idempotency {
+            Idempotency::Retriable => true,
+            Idempotency::Deduped(window) => now.since(first.sent_at) + self.reply_margin() < window,
+            Idempotency::NonRetriable => false,
         }
     }
 
@@ -101,17 +101,18 @@
         let mut wake_at = if now < partial_from { partial_from } else { end };
         for (index, p) in mg.current_step().filter(|(_, p)| !p.returned && !p.closed) {
             let extra = self.extra_work(op, p);
-            let last = p.sends.last().filter(|s| s.outcome.is_none());
+            let last = p.attempts.last().filter(|s| s.outcome.is_none());
             let delay = Span::from_secs(self.retry_delay(peers, last) + extra).max(self.tick);
-            let open: Vec<usize> = (0..p.sends.len()).filter(|&i| p.sends[i].outcome.is_none()).collect();
-            if let Some(due) = open.last().map(|&i| p.sends[i].sent_at + delay).filter(|&due| due > now) {
+            let open: Vec<usize> =
+                (0..p.attempts.len()).filter(|&i| p.attempts[i].outcome.is_none()).collect();
+            if let Some(due) = open.last().map(|&i| p.attempts[i].sent_at + delay).filter(|&due| due > now) {
                 wake_at = wake_at.min(due);
                 continue;
             }
             if !self.may_send(now, mg, p) || !self.in_time(now, mg, p) {
                 continue;
             }
-            let is_retry = !p.sends.is_empty();
+            let is_retry = !p.attempts.is_empty();
             let pick = self.selector.pick(now, p, target, &mut self.rng);
             let allowed = |_: &_| !is_retry || self.retries.allows(now, &self.selector.budgets);
             let Some((to, _)) = pick.as_ref().ok().filter(allowed) else {
@@ -119,8 +120,8 @@
                 wake_at = wake_at.min(now + retry_in.max(self.tick));
                 continue;
             };
-            let retry_at = |last: &Attempt| last.sent_at + Span::from_secs(peers * p.sends.len() as f64);
-            let previous = p.sends.iter().rev().find(|s| s.to == *to);
+            let retry_at = |last: &Attempt| last.sent_at + Span::from_secs(peers * p.attempts.len() as f64);
+            let previous = p.attempts.iter().rev().find(|s| s.to == *to);
             if !open.is_empty() {
                 let cancelled = open.iter().filter(|_| may_cancel && !may_hedge && previous.is_none());
                 decision.cancel.extend(cancelled.map(|&nth| (index, nth)));
@@ -138,12 +139,12 @@
             if self.selector.searchers.get(to).is_some_and(|s| s.capacity(now, &self.selector.warmup) < 1.0) {
                 self.selector.budgets.spend(now, Budget::Cold);
             }
-            let anew =
+            let fresh_connection =
                 self.selector.searchers.get_mut(to).is_some_and(|s| s.begin(now, extra, is_retry || reaped));
             let time_left = end.since(now);
             let timeout = if may_hedge || may_cancel { time_left } else { delay.min(time_left) };
             wake_at = wake_at.min(now + delay);
-            decision.commands.push(Order { part: index, to: to.clone(), timeout, anew });
+            decision.commands.push(SendCommand { part: index, to: to.clone(), timeout, fresh_connection });
         }
         decision.recheck_after = Some(wake_at.since(now).max(self.tick));
         decision
--- a/crates/lockusher-policy/src/policy/searcher.rs
+++ b/crates/lockusher-policy/src/policy/searcher.rs
@@ -6,7 +6,7 @@
 
 /// Everything that this mixer knows about one searcher.
 pub(super) struct Searcher {
-    pub(super) entry: Listed,
+    pub(super) entry: SearcherEntry,
     /// When this mixer learned of its current incarnation.
     pub(super) listed_at: Time,
     /// When it began to warm up, as listed or as inferred from its outcomes.
@@ -24,14 +24,14 @@
     /// Since when all outcomes have been failures that suggest a dead process.
     pub(super) down_since: Option<Time>,
     /// Health as agreed by the fleet's mixers.
-    pub(super) agreed: Option<Judged>,
+    pub(super) agreed: Option<AgreedHealth>,
 }
 
 /// Half-life in seconds of what is known of a searcher; a few seconds caused too many trial attempts.
 pub(super) const HALF_LIFE_S: u32 = 20;
 
 impl Searcher {
-    pub(super) fn new(now: Time, entry: Listed) -> Self {
+    pub(super) fn new(now: Time, entry: SearcherEntry) -> Self {
         let (listed_at, cold_since, heard, good) = (now, entry.up_since, now, 1.0);
         let (in_flight, queue, latency, sent_at, down_since, agreed) = Default::default();
         Searcher {
@@ -81,11 +81,11 @@
         elapsed: Span,
         peers: f64,
     ) -> Option<(bool, f64)> {
-        let outcome = sent.outcome.unwrap_or(Outcome::Moot);
+        let outcome = sent.outcome.unwrap_or(Outcome::NotSent);
         let index = self.in_flight.iter().position(|(at, ..)| *at == sent.sent_at)?;
         let (_, extra, idle) = self.in_flight.swap_remove(index);
         blend(&mut self.queue, self.in_flight.len() as f64, NEWEST);
-        if matches!(outcome, Outcome::Moot | Outcome::Lost) {
+        if matches!(outcome, Outcome::NotSent | Outcome::ConnectionStalled) {
             return None;
         }
         // Queueing affects all parts alike, work does not: time for more than the usual work is subtracted.
@@ -98,7 +98,7 @@
         self.latency = Some(self.latency.map_or(value, |_| averages.0 + (value - averages.0) * newest));
         self.good = averages.1;
         // A loss on an idle connection is not the searcher's fault: a middlebox may have dropped it.
-        if outcome != Outcome::Withdrawn && !(idle && outcome.is_unanswered()) {
+        if outcome != Outcome::Cancelled && !(idle && outcome.is_unanswered()) {
             // A refused connection is nearly proof that the searcher is down; an error or a lost part is not.
             let weight = if outcome == Outcome::NoConnection { 0.9 } else { NEWEST };
             blend(&mut self.good, f64::from(returned), weight);
@@ -107,7 +107,7 @@
         // Detects a restart that no list has reported yet: outcomes of a dead process, then an answer. Pauses
         // and queues are shorter; a longer hang is mistaken for a restart, which costs some traffic.
         const MIN_OUTAGE: Span = Span::from_millis(2_000);
-        let dead = matches!(outcome, Outcome::NoConnection | Outcome::Broken | Outcome::TimedOut);
+        let dead = matches!(outcome, Outcome::NoConnection | Outcome::ConnectionLost | Outcome::TimedOut);
         if dead && !idle {
             self.down_since.get_or_insert(now);
         } else if let Some(since) = self.down_since.take_if(|_| returned)
--- a/crates/lockusher-policy/src/policy/sender.rs
+++ b/crates/lockusher-policy/src/policy/sender.rs
@@ -23,7 +23,7 @@
     pub(super) idle_lost: LossRatio,
     pub(super) lost: LossRatio,
     /// Token buckets of the budgets that the fleet shares.
-    pub(super) budgets: Purses,
+    pub(super) budgets: TokenBuckets,
 }
 
 /// Over the last thirty attempts, as a few prove little; remembered as long as a searcher's averages.
@@ -65,7 +65,7 @@
         self.searchers.values().filter(|s| s.is_up())
     }
 
-    pub(super) fn apply_list(&mut self, now: Time, list: Vec<Listed>, complete: bool) {
+    pub(super) fn apply_list(&mut self, now: Time, list: Vec<SearcherEntry>, complete: bool) {
         let named: BTreeSet<&SearcherId> = list.iter().map(|listed| &listed.id).collect();
         for (_, missing) in self.searchers.iter_mut().filter(|(id, _)| complete && !named.contains(id)) {
             missing.entry.state = SearcherState::Gone;
@@ -80,11 +80,11 @@
                 (searcher.latency, searcher.good) = (None, 1.0);
                 (searcher.listed_at, searcher.sent_at) = (now, None);
             }
-            searcher.entry = Listed { up_since: started_at, ..listed };
+            searcher.entry = SearcherEntry { up_since: started_at, ..listed };
         }
         self.searchers.retain(|_, s| s.entry.state != SearcherState::Gone || !s.in_flight.is_empty());
         let mut holders = vec![Vec::new(); self.layout.cells];
-        for Listed { id, cell, .. } in self.active().map(|s| &s.entry) {
+        for SearcherEntry { id, cell, .. } in self.active().map(|s| &s.entry) {
             self.layout.shards_of(*cell).for_each(|shard| holders[shard].push(id.clone()));
         }
         self.stats.holders = holders;
@@ -94,18 +94,19 @@
     /// Reports agreed by the fleet's mixers apply where this mixer has no newer outcome: never to a shard's
     /// last healthy holder, and not at all if over half of the searchers are reported: reporters are then
     /// suspect.
-    pub(super) fn apply_agreed_health(&mut self, mut reports: Vec<Judged>) {
+    pub(super) fn apply_agreed_health(&mut self, mut reports: Vec<AgreedHealth>) {
         self.searchers.values_mut().for_each(|s| s.agreed = None);
         let same_start = |s: &Searcher, life| s.is_up() && s.entry.up_since == life;
         reports.retain(|r| self.searchers.get(&r.id).is_some_and(|s| same_start(s, r.life)));
-        if reports.iter().filter(|r| r.accuses()).count() * 2 > self.active().count() {
+        if reports.iter().filter(|r| r.is_degraded()).count() * 2 > self.active().count() {
             return;
         }
         reports.sort_by(|a, b| a.good.total_cmp(&b.good).then(b.slower.total_cmp(&a.slower)));
         for r in reports {
             let mut shards = self.layout.shards_of(self.searchers[&r.id].entry.cell);
-            let down = |s: &Searcher| s.entry.id == r.id || s.agreed.as_ref().is_some_and(Judged::accuses);
-            let last_holder = r.accuses() && shards.any(|shard| self.holders(Shard(shard)).all(down));
+            let down =
+                |s: &Searcher| s.entry.id == r.id || s.agreed.as_ref().is_some_and(AgreedHealth::is_degraded);
+            let last_holder = r.is_degraded() && shards.any(|shard| self.holders(Shard(shard)).all(down));
             if let Some(s) = self.searchers.get_mut(&r.id).filter(|_| !last_holder) {
                 // Slow start begins when other mixers saw it return, unless an outcome here is newer.
                 s.cold_since = s.cold_since.max(r.cold_since.filter(|since| *since > s.heard));
@@ -115,8 +116,8 @@
     }
 
     /// Applies observations of other mixers to searchers without an outcome here in the same incarnation.
-    pub(super) fn apply_warm_start(&mut self, now: Time, known: Vec<Known>) {
-        for Known { id, life, latency, good, at } in known {
+    pub(super) fn apply_warm_start(&mut self, now: Time, known: Vec<WarmStartEntry>) {
+        for WarmStartEntry { id, life, latency, good, at } in known {
             let unheard = |s: &&mut Searcher| s.latency.is_none() && s.entry.up_since == life;
             if let Some(s) = self.searchers.get_mut(&id).filter(unheard) {
                 (s.latency, s.good, s.heard) = (Some(latency), good, at);
@@ -225,7 +226,7 @@
             // A searcher that fails fast looks fast and idle; attempts are few, so failures count squared.
             let success = good.max(0.05).powi(2);
             let score = score(own, queue, expected + zone_cost) / success;
-            let already_tried = part.sends.iter().any(|attempt| attempt.to == s.entry.id);
+            let already_tried = part.attempts.iter().any(|attempt| attempt.to == s.entry.id);
             let entry = (already_tried, score, rng.random::<u32>(), &s.entry.id, expected / success);
             let order = |a: &Entry, b: &Entry| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2));
             best = best.into_iter().chain([entry]).min_by(order);
--- a/crates/lockusher-policy/tests/host/mod.rs
+++ b/crates/lockusher-policy/tests/host/mod.rs
@@ -12,7 +12,7 @@
 
 /// Configuration of the host; by default one operation type whose answers need all parts.
 pub struct HostConfig {
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     pub late_value: f64,
     pub min_share: f64,
     pub second_step: usize,
@@ -35,7 +35,7 @@
 impl Default for HostConfig {
     fn default() -> Self {
         HostConfig {
-            repeat: Repeat::Retriable,
+            idempotency: Idempotency::Retriable,
             late_value: 0.0,
             min_share: 1.0,
             second_step: 0,
@@ -104,16 +104,16 @@
         weight,
         hint: None,
         second_step: false,
-        sends: Vec::new(),
+        attempts: Vec::new(),
         returned: false,
         closed: false,
     }
 }
 
-fn entry(id: &str, state: SearcherState, up_since: Option<Time>, zone_size: usize) -> Listed {
+fn entry(id: &str, state: SearcherState, up_since: Option<Time>, zone_size: usize) -> SearcherEntry {
     let number = usize::from(id.as_bytes()[0] - b'a');
     let (cell, zone) = (Cell(number), Some(Zone(number / zone_size)));
-    Listed { id: SearcherId::new(id), cell, zone, state, up_since, rating: 1.0 }
+    SearcherEntry { id: SearcherId::new(id), cell, zone, state, up_since, rating: 1.0 }
 }
 
 impl Host {
@@ -125,7 +125,7 @@
             route_timeout: ms(3_000),
             value: 1.0,
             late_value: config.late_value,
-            repeat: config.repeat,
+            idempotency: config.idempotency,
             complete_share: 1.0,
             min_share: config.min_share,
             partial_value: 0.9,
@@ -221,7 +221,8 @@
     }
 
     pub fn list_state(&mut self, id: &str, state: SearcherState) {
-        self.policy.apply_update(self.now, News::Changes(vec![entry(id, state, None, self.zone_size)]));
+        self.policy
+            .apply_update(self.now, PolicyUpdate::Changes(vec![entry(id, state, None, self.zone_size)]));
         self.settle();
     }
 
@@ -232,20 +233,20 @@
     /// The list reports that the searcher started at `at`.
     pub fn list_start(&mut self, id: &str, at: Time) {
         let entry = entry(id, SearcherState::Up, Some(at), self.zone_size);
-        self.policy.apply_update(self.now, News::Changes(vec![entry]));
+        self.policy.apply_update(self.now, PolicyUpdate::Changes(vec![entry]));
         self.settle();
     }
 
     pub fn list_exactly(&mut self, ids: &[&str]) {
         let list = ids.iter().map(|id| entry(id, SearcherState::Up, None, self.zone_size)).collect();
-        self.policy.apply_update(self.now, News::All(list));
+        self.policy.apply_update(self.now, PolicyUpdate::All(list));
         self.settle();
     }
 
     /// The fleet's mixers report the health of these searchers: (id, fraction of successful attempts, latency
     /// as a multiple of its peers', age of the report).
     pub fn report_health(&mut self, judged: &[(&str, f64, f64, Span)]) {
-        let judged = judged.iter().map(|(id, good, slower, ago)| Judged {
+        let judged = judged.iter().map(|(id, good, slower, ago)| AgreedHealth {
             id: SearcherId::new(id),
             life: None,
             good: *good,
@@ -253,29 +254,29 @@
             cold_since: None,
             at: self.now - *ago,
         });
-        self.policy.apply_update(self.now, News::Judged(judged.collect()));
+        self.policy.apply_update(self.now, PolicyUpdate::Health(judged.collect()));
     }
 
     /// Other mixers had observed these latencies when this mixer started.
     pub fn warm_start(&mut self, known: &[(&str, f64)]) {
-        let known = known.iter().map(|(id, latency)| Known {
+        let known = known.iter().map(|(id, latency)| WarmStartEntry {
             id: SearcherId::new(id),
             life: None,
             latency: *latency,
             good: 1.0,
             at: self.now,
         });
-        self.policy.apply_update(self.now, News::Remembers(known.collect()));
+        self.policy.apply_update(self.now, PolicyUpdate::WarmStart(known.collect()));
     }
 
     /// Sets this mixer's share of a fleet budget, in units per second.
     pub fn set_share(&mut self, budget: Budget, own: f64) {
-        let share = Portion { own, lent: 0.0, until: Time::default() };
-        self.policy.apply_update(self.now, News::Portions(vec![(budget, share)]));
+        let share = QuotaShare { own, lent: 0.0, until: Time::default() };
+        self.policy.apply_update(self.now, PolicyUpdate::QuotaShares(vec![(budget, share)]));
     }
 
     pub fn fail_discovery(&mut self) {
-        self.policy.apply_update(self.now, News::Refused);
+        self.policy.apply_update(self.now, PolicyUpdate::Failed);
         self.settle();
     }
 
@@ -300,7 +301,7 @@
             resubmitted: false,
             hint: None,
             arrived: self.now,
-            ends: self.now + timeout,
+            deadline: self.now + timeout,
             next_check: self.now,
             parts: shards.iter().map(|&s| Part { hint, ..part(s, weight) }).collect(),
             first_answer: None,
@@ -365,7 +366,7 @@
 
     pub fn end_last_attempt(&mut self, mg: Mg, part: usize, outcome: Outcome) {
         let id = self.ids[mg.0].clone();
-        let last = self.pending[&id].parts[part].sends.len() - 1;
+        let last = self.pending[&id].parts[part].attempts.len() - 1;
         self.scheduled_outcomes.retain(|e| (&e.1, e.2, e.3) != (&id, part, last));
         self.record_outcome(&id, part, last, outcome);
         self.settle();
@@ -374,10 +375,10 @@
     fn record_outcome(&mut self, id: &MultigetId, part: usize, nth: usize, outcome: Outcome) {
         let multiget = self.pending.get_mut(id).expect("a pending multiget");
         let p = &mut multiget.parts[part];
-        p.sends[nth].outcome = Some(outcome);
+        p.attempts[nth].outcome = Some(outcome);
         p.returned |= outcome == Outcome::Returned && !multiget.ended;
         p.closed |= p.returned;
-        let elapsed = self.now.since(p.sends[nth].sent_at);
+        let elapsed = self.now.since(p.attempts[nth].sent_at);
         let decision = self.policy.outcome(self.now, multiget, part, nth, elapsed);
         self.carry_out(id, decision);
     }
@@ -406,33 +407,34 @@
             self.cancelled.push(id.clone());
             let scheduled = self.scheduled_outcomes.iter_mut().find(|e| (&e.1, e.2, e.3) == (id, part, nth));
             let scheduled = scheduled.expect("an attempt in flight");
-            (scheduled.0, scheduled.4) = (self.now, Outcome::Withdrawn);
+            (scheduled.0, scheduled.4) = (self.now, Outcome::Cancelled);
         }
-        for Order { part, to, timeout, anew } in decision.commands {
+        for SendCommand { part, to, timeout, fresh_connection } in decision.commands {
             assert!(!multiget.ended, "an attempt after the final reply");
             let p = &mut multiget.parts[part];
             let fake = self.fakes.get_mut(to.as_str()).expect("a known searcher");
             fake.received_at.push(self.now);
             let idle = fake.last_used.replace(self.now).map(|at| self.now.since(at));
-            let dropped = !anew && fake.idle_timeout.zip(idle).is_some_and(|(timeout, idle)| idle > timeout);
-            fake.opened += usize::from(anew);
+            let dropped = !fresh_connection
+                && fake.idle_timeout.zip(idle).is_some_and(|(timeout, idle)| idle > timeout);
+            fake.opened += usize::from(fresh_connection);
             let answer = fake
                 .outcome
                 .filter(|_| !dropped && self.unanswered_shard != Some(p.shard) && fake.latency < timeout);
             let (elapsed, outcome) = answer.map_or((timeout, Outcome::TimedOut), |o| (fake.latency, o));
-            self.scheduled_outcomes.push((self.now + elapsed, id.clone(), part, p.sends.len(), outcome));
-            p.sends.push(Attempt { to, sent_at: self.now, outcome: None });
-            let in_flight = p.sends.iter().filter(|s| s.outcome.is_none()).count();
+            self.scheduled_outcomes.push((self.now + elapsed, id.clone(), part, p.attempts.len(), outcome));
+            p.attempts.push(Attempt { to, sent_at: self.now, outcome: None });
+            let in_flight = p.attempts.iter().filter(|s| s.outcome.is_none()).count();
             let max = self.max_in_flight.entry(id.clone()).or_default();
             *max = in_flight.max(*max);
         }
         if let Some(reply) = decision.reply {
             assert!(!multiget.ended, "a second final reply");
-            assert!(self.now <= multiget.ends, "a reply after the client's deadline");
+            assert!(self.now <= multiget.deadline, "a reply after the client's deadline");
             let first_of_two = self.second_step > 0 && multiget.first_answer.is_none();
             multiget.ended = !(first_of_two && matches!(reply, Reply::Answered { .. }));
-            if let Reply::Answered { whole } = reply {
-                multiget.first_answer.get_or_insert(whole);
+            if let Reply::Answered { complete } = reply {
+                multiget.first_answer.get_or_insert(complete);
             }
             self.replies.entry(id.clone()).or_default().push(reply);
         }
@@ -448,11 +450,11 @@
 
     /// Number of attempts of each part.
     pub fn attempts(&self, mg: Mg) -> Vec<usize> {
-        self.pending[&self.ids[mg.0]].parts.iter().map(|p| p.sends.len()).collect()
+        self.pending[&self.ids[mg.0]].parts.iter().map(|p| p.attempts.len()).collect()
     }
 
     pub fn first_searcher(&self, mg: Mg, part: usize) -> String {
-        self.pending[&self.ids[mg.0]].parts[part].sends[0].to.as_str().to_owned()
+        self.pending[&self.ids[mg.0]].parts[part].attempts[0].to.as_str().to_owned()
     }
 
     pub fn reset_counts(&mut self) {
@@ -474,7 +476,7 @@
 
     pub fn retries(&self) -> usize {
         let parts = self.pending.values().flat_map(|m| &m.parts);
-        parts.map(|p| p.sends.len().saturating_sub(1)).sum()
+        parts.map(|p| p.attempts.len().saturating_sub(1)).sum()
     }
 
     pub fn pushed_back(&self) -> usize {
--- a/crates/lockusher-policy/tests/stories.rs
+++ b/crates/lockusher-policy/tests/stories.rs
@@ -106,7 +106,7 @@
     let later = host.request("later", &[0, 1, 2]);
     assert!(accepted.iter().any(|&mg| host.reply(mg).is_some()));
     let rejected = [late, later].iter().any(|&mg| {
-        matches!(host.reply(mg), Some(Reply::PushedBack { come_back_in: Some(span) }) if span > Span::ZERO)
+        matches!(host.reply(mg), Some(Reply::PushedBack { retry_after: Some(span) }) if span > Span::ZERO)
     });
     assert!(rejected);
 }
@@ -328,15 +328,15 @@
 }
 
 #[rstest]
-#[case::deduped(Repeat::Deduped(ms(400)), Outcome::Error, 2)]
-#[case::non_retriable(Repeat::NonRetriable, Outcome::Error, 1)]
-#[case::non_retriable_not_executed(Repeat::NonRetriable, Outcome::Full, 2)]
+#[case::deduped(Idempotency::Deduped(ms(400)), Outcome::Error, 2)]
+#[case::non_retriable(Idempotency::NonRetriable, Outcome::Error, 1)]
+#[case::non_retriable_not_executed(Idempotency::NonRetriable, Outcome::Overloaded, 2)]
 fn a_part_is_retried_only_if_that_is_harmless(
-    #[case] repeat: Repeat,
+    #[case] idempotency: Idempotency,
     #[case] outcome: Outcome,
     #[case] sends: usize,
 ) {
-    let mut host = Host::new(HostConfig { repeat, ..HostConfig::default() });
+    let mut host = Host::new(HostConfig { idempotency, ..HostConfig::default() });
     let mg = host.request("m", &[0]);
     host.advance(ms(5));
     host.end_last_attempt(mg, 0, outcome);
@@ -345,13 +345,13 @@
 
 #[rstest]
 #[case::may_have_executed(Outcome::Error, Reply::Failed)]
-#[case::not_executed(Outcome::NoConnection, Reply::PushedBack { come_back_in: None })]
+#[case::not_executed(Outcome::NoConnection, Reply::PushedBack { retry_after: None })]
 fn a_non_retriable_multiget_is_rejected_only_if_nothing_was_executed(
     #[case] outcome: Outcome,
     #[case] reply: Reply,
 ) {
     let config = HostConfig {
-        repeat: Repeat::NonRetriable,
+        idempotency: Idempotency::NonRetriable,
         max_attempts: 1,
         retry_after: None,
         ..HostConfig::default()
@@ -365,12 +365,13 @@
 
 #[test]
 fn a_deduplicated_part_that_may_have_been_executed_is_not_retried_past_its_window() {
-    let config = HostConfig { repeat: Repeat::Deduped(ms(400)), may_hedge: false, ..HostConfig::default() };
+    let config =
+        HostConfig { idempotency: Idempotency::Deduped(ms(400)), may_hedge: false, ..HostConfig::default() };
     let mut host = Host::new(config);
     host.drop_all_parts();
     let mg = host.request("m", &[0]);
     host.advance(ms(500));
-    host.end_last_attempt(mg, 0, Outcome::Broken);
+    host.end_last_attempt(mg, 0, Outcome::ConnectionLost);
     assert_eq!(host.attempts(mg), [1]);
     assert_eq!(host.reply(mg), Some(Reply::Failed));
 }
@@ -440,12 +441,12 @@
     host.advance(ms(1_300));
     assert_eq!(host.attempts(mg), [2]);
     host.end_last_attempt(mg, 0, Outcome::Returned);
-    assert_eq!(host.reply(mg), Some(Reply::Answered { whole: true }));
+    assert_eq!(host.reply(mg), Some(Reply::Answered { complete: true }));
 }
 
 #[rstest]
-#[case::enough(0.7, Some(Reply::Answered { whole: false }))]
-#[case::too_little(0.8, Some(Reply::PushedBack { come_back_in: None }))]
+#[case::enough(0.7, Some(Reply::Answered { complete: false }))]
+#[case::too_little(0.8, Some(Reply::PushedBack { retry_after: None }))]
 fn at_the_latency_target_a_partial_answer_needs_its_minimum_share(
     #[case] min_share: f64,
     #[case] reply: Option<Reply>,
@@ -467,7 +468,7 @@
     host.drop_parts_of_shard(3);
     let mg = host.request("m", &[0, 1, 2, 3]);
     host.advance(ms(900));
-    assert_eq!(host.reply(mg), Some(Reply::Answered { whole: false }));
+    assert_eq!(host.reply(mg), Some(Reply::Answered { complete: false }));
 }
 
 #[test]
@@ -475,11 +476,11 @@
     let mut host = Host::new(HostConfig { second_step: 2, ..HostConfig::default() });
     let mg = host.request("m", &[0, 1]);
     host.advance(ms(150));
-    assert_eq!(host.reply(mg), Some(Reply::Answered { whole: true }));
+    assert_eq!(host.reply(mg), Some(Reply::Answered { complete: true }));
     host.add_second_step(mg, &[part(0, 0.5), part(1, 0.5)]);
     assert_eq!(host.reply_count(mg), 1);
     host.advance(ms(250));
-    assert_eq!((host.reply_count(mg), host.reply(mg)), (2, Some(Reply::Answered { whole: true })));
+    assert_eq!((host.reply_count(mg), host.reply(mg)), (2, Some(Reply::Answered { complete: true })));
 }
 
 /// The route timeout is 3 s: if first tries fail, a client with a timeout of 0.9 s has waited for 2.1 s, past
@@ -536,7 +537,7 @@
     let run = |traces_admission| {
         let mut host = Host::new(HostConfig::default());
         host.traces_admission = traces_admission;
-        host.set_outcome("b", Outcome::Full);
+        host.set_outcome("b", Outcome::Overloaded);
         host.serve(50, &[0, 1, 2]);
         host.trace()
     };
@@ -616,7 +617,7 @@
 fn retries_stay_within_the_share_of_the_fleets_budget() {
     let retries = |share: Option<f64>| {
         let mut host = Host::new(HostConfig::default());
-        share.into_iter().for_each(|share| host.set_share(Budget::Further, share));
+        share.into_iter().for_each(|share| host.set_share(Budget::Retries, share));
         host.set_outcome("a", Outcome::Error);
         for nth in 0..40 {
             host.request(&format!("m{nth}"), &[0]);
--- a/crates/lockusher-registry-client/src/core/entry.rs
+++ b/crates/lockusher-registry-client/src/core/entry.rs
@@ -1,6 +1,6 @@
 //! An entry of the registry: a key under the prefix, and a searcher's line as discovery writes it.
 
-use lockusher_multiget::list::{Line, LineText};
+use lockusher_multiget::list::{EntryDocument, LocatedSearcher};
 use lockusher_multiget::settings::Names;
 
 /// The number of a registry's state, which grows with each change: etcd's revision, Consul's index.
@@ -29,8 +29,8 @@
 
 /// Reads an entry. The searcher's id is the key less the prefix; a text that names another is refused, so that no
 /// two entries can claim one searcher.
-pub fn read(name: &str, value: &[u8], names: &Names) -> Result<Line, String> {
-    let mut text: LineText = serde_json::from_slice(value).map_err(|e| e.to_string())?;
+pub fn read(name: &str, value: &[u8], names: &Names) -> Result<LocatedSearcher, String> {
+    let mut text: EntryDocument = serde_json::from_slice(value).map_err(|e| e.to_string())?;
     if text.name.is_empty() {
         name.clone_into(&mut text.name);
     }
--- a/crates/lockusher-registry-client/src/core/follow/mod.rs
+++ b/crates/lockusher-registry-client/src/core/follow/mod.rs
@@ -17,7 +17,7 @@
 
 use std::collections::BTreeMap;
 
-use lockusher_multiget::list::{Line, List};
+use lockusher_multiget::list::{List, LocatedSearcher};
 use lockusher_multiget::settings::Names;
 use lockusher_policy::interface::{Span, Time};
 use rand::SeedableRng;
@@ -224,7 +224,7 @@
     }
 
     /// The view that is held; nothing before the first one.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<LocatedSearcher> {
         self.view.iter().flat_map(View::lines).cloned().collect()
     }
 
--- a/crates/lockusher-registry-client/src/core/view.rs
+++ b/crates/lockusher-registry-client/src/core/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lockusher_multiget::list::Line;
+use lockusher_multiget::list::LocatedSearcher;
 use lockusher_multiget::settings::Names;
 use lockusher_policy::interface::{SearcherId, SearcherState};
 
@@ -18,7 +18,7 @@
 /// An entry, as it could be read last.
 struct Row {
     modified: Revision,
-    line: Option<Line>,
+    line: Option<LocatedSearcher>,
     readable: bool,
 }
 
@@ -47,13 +47,13 @@
 /// Lines that have not been told yet: one a searcher, however often it changed.
 #[derive(Default)]
 pub struct Untold {
-    lines: BTreeMap<SearcherId, Line>,
+    lines: BTreeMap<SearcherId, LocatedSearcher>,
     /// Changes that another of the same searcher overtook before they were told.
     pub folded: u64,
 }
 
 impl Untold {
-    fn note(&mut self, line: Line) {
+    fn note(&mut self, line: LocatedSearcher) {
         self.folded += u64::from(self.lines.insert(line.0.id.clone(), line).is_some());
     }
 
@@ -61,17 +61,17 @@
         self.lines.is_empty()
     }
 
-    pub fn take(&mut self) -> Vec<Line> {
+    pub fn take(&mut self) -> Vec<LocatedSearcher> {
         std::mem::take(&mut self.lines).into_values().collect()
     }
 }
 
-fn is_up((listed, _): &Line) -> bool {
+fn is_up((listed, _): &LocatedSearcher) -> bool {
     listed.state == SearcherState::Up
 }
 
 impl View {
-    pub fn lines(&self) -> impl Iterator<Item = &Line> {
+    pub fn lines(&self) -> impl Iterator<Item = &LocatedSearcher> {
         self.rows.values().filter_map(|row| row.line.as_ref())
     }
 
--- a/crates/lockusher-registry-client/src/io/mod.rs
+++ b/crates/lockusher-registry-client/src/io/mod.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use lockusher_multiget::list::{Line, List};
+use lockusher_multiget::list::{List, LocatedSearcher};
 use lockusher_multiget::settings::Names;
 use lockusher_policy::interface::{Span, Time};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -46,7 +46,7 @@
     /// The endpoint that is asked now.
     pub endpoint: String,
     /// The view that is held, if it was asked for.
-    pub view: Option<Vec<Line>>,
+    pub view: Option<Vec<LocatedSearcher>>,
 }
 
 /// A question how the registry stands.
--- a/crates/lockusher-simulator-adapter/src/mixer.rs
+++ b/crates/lockusher-simulator-adapter/src/mixer.rs
@@ -1,7 +1,7 @@
 //! One simulated instance: its host, its timer and the actions of the current batch.
 
 use anyhow::{Context, Result, bail};
-use lockusher_multiget::host::{Ended, Host, NewPart, Taken, Wire};
+use lockusher_multiget::host::{ActionSink, AttemptResult, Host, NewMultiget, NewPart};
 use lockusher_multiget::settings::{Names, Settings};
 use lockusher_policy::interface::*;
 
@@ -22,10 +22,10 @@
 #[derive(Default)]
 struct Actions(Vec<Action>);
 
-impl Wire for Actions {
-    fn send(&mut self, multiget: &Multiget, command: &Order) {
+impl ActionSink for Actions {
+    fn send(&mut self, multiget: &Multiget, command: &SendCommand) {
         let searcher = command.to.as_str().to_owned();
-        if command.anew {
+        if command.fresh_connection {
             self.0.push(Action::Close {
                 searcher: searcher.clone(),
             });
@@ -38,7 +38,7 @@
         });
     }
 
-    fn withdraw(&mut self, part: &PartId, nth: usize) {
+    fn cancel(&mut self, part: &PartId, nth: usize) {
         self.0.push(Action::Withdraw {
             corr: part.as_str().to_owned(),
             round_no: nth,
@@ -48,12 +48,12 @@
     fn reply(&mut self, multiget: &Multiget, reply: Reply) {
         let corr = multiget.id.as_str().to_owned();
         self.0.push(match reply {
-            Reply::Answered { whole } => Action::WrapUp {
+            Reply::Answered { complete } => Action::WrapUp {
                 corr,
-                entire: whole,
+                entire: complete,
             },
-            Reply::PushedBack { come_back_in } => {
-                let not_before_for_us = come_back_in.map(Span::as_micros);
+            Reply::PushedBack { retry_after } => {
+                let not_before_for_us = retry_after.map(Span::as_micros);
                 Action::Reject {
                     corr,
                     not_before_for_us,
@@ -86,13 +86,13 @@
             .iter()
             .map(|e| e.searcher_entry(&self.names))
             .collect();
-        self.host.news(
+        self.host.apply_update(
             now,
             match mode {
-                Mode::Changes => News::Changes(list),
-                Mode::All => News::All(list),
-                Mode::Remembered => News::Remembered(list),
-                Mode::Refused => News::Refused,
+                Mode::Changes => PolicyUpdate::Changes(list),
+                Mode::All => PolicyUpdate::All(list),
+                Mode::Remembered => PolicyUpdate::Cached(list),
+                Mode::Refused => PolicyUpdate::Failed,
             },
         );
     }
@@ -108,7 +108,7 @@
             weight: arrival.amount,
             hint: arrival.hint(),
         };
-        self.host.join(now, arrival.whole_no, part);
+        self.host.add_part(now, arrival.whole_no, part);
         Ok(())
     }
 
@@ -123,16 +123,16 @@
             Some(TenantRef::Number(0)) | None => None,
             Some(TenantRef::Number(n)) => bail!("{}: no tenant is named {n}", arrival.corr),
         };
-        let multiget = Taken {
+        let multiget = NewMultiget {
             id: MultigetId::new(&arrival.corr),
             number: arrival.whole_no,
             op_type,
             tenant,
             resubmitted: arrival.resubmitted(),
             hint: arrival.hint(),
-            ends: now + Span::from_micros(arrival.time_left_us),
+            deadline: now + Span::from_micros(arrival.time_left_us),
         };
-        self.host.take(now, multiget);
+        self.host.add_multiget(now, multiget);
         Ok(())
     }
 
@@ -140,14 +140,14 @@
         self.changed = true;
         let outcome = wire::outcome(closed.rc)
             .with_context(|| format!("{}: no outcome has the code {}", closed.corr, closed.rc))?;
-        let result = Ended {
+        let result = AttemptResult {
             part: PartId::new(&closed.corr),
             nth: closed.round_no,
             outcome,
             elapsed: Span::from_micros(closed.latency_us),
             closed: closed.terminal,
         };
-        self.host.ended(now, &result, &mut self.actions)?;
+        self.host.record_outcome(now, &result, &mut self.actions)?;
         Ok(())
     }
 
@@ -168,7 +168,7 @@
         if !std::mem::take(&mut self.changed) {
             return Vec::new();
         }
-        if let Some(delay) = self.host.settle(now, &mut self.actions) {
+        if let Some(delay) = self.host.run_due(now, &mut self.actions) {
             self.arm(now, delay);
         }
         std::mem::take(&mut self.actions.0)
--- a/crates/lockusher-simulator-adapter/src/wire.rs
+++ b/crates/lockusher-simulator-adapter/src/wire.rs
@@ -129,20 +129,20 @@
     Some(match rc {
         200 => Outcome::Returned,
         500 => Outcome::Error,
-        503 => Outcome::Full,
+        503 => Outcome::Overloaded,
         504 => Outcome::TimedOut,
         502 => Outcome::NoConnection,
-        598 => Outcome::Broken,
-        499 => Outcome::Withdrawn,
-        410 => Outcome::Moot,
+        598 => Outcome::ConnectionLost,
+        499 => Outcome::Cancelled,
+        410 => Outcome::NotSent,
         _ => return None,
     })
 }
 
 impl Entry {
-    pub fn searcher_entry(&self, names: &Names) -> Listed {
+    pub fn searcher_entry(&self, names: &Names) -> SearcherEntry {
         let zone = self.rack_zone.as_ref();
-        Listed {
+        SearcherEntry {
             id: SearcherId::new(&self.searcher),
             cell: Cell(self.set_no.unwrap_or(0)),
             zone: zone.and_then(|z| names.zones.get(z).copied()),
