--- a/crates/lockusher-membership/src/core/join.rs
+++ b/crates/lockusher-membership/src/core/join.rs
@@ -1,153 +1,162 @@
-//! What this mixer is to its fleet: how it comes in, what it says to what others say of it, and how it leaves.
+//! The lifecycle of the local member: joining the fleet, answering what others report about it, and leaving.
 
 use std::net::SocketAddrV4;
 
 use lockusher_policy::interface::{Span, Time};
 use rand::RngExt;
 
-use super::table::{Record, State};
+use super::table::{MemberRecord, State};
 use super::wire::What;
-use super::{Core, TOLD_DIRECTLY};
+use super::{Core, DIRECT_NOTICES};
 use crate::proto;
 
-/// Tries to find others before a mixer counts as the first of its fleet.
-const ALONE_AFTER: f64 = 10.0;
-/// How often a mixer whose name is taken looks whether it has become free, in probes.
-const ASK_AGAIN: f64 = 5.0;
+/// After this many probe intervals without an answer, a mixer becomes the first member of its fleet.
+const BOOTSTRAP_PROBES: f64 = 10.0;
+/// A mixer whose name is in use checks at this interval, in probe intervals, whether the name is free.
+const NAME_RECHECK_PROBES: f64 = 5.0;
 
-pub(super) struct Joining {
-    /// Whoever has answered.
-    pub heard: bool,
-    /// Where a living process of the same name is.
-    pub taken: Option<SocketAddrV4>,
-    alone_at: Time,
-    ask_at: Time,
-    seeds: bool,
+/// How far this mixer has come in joining its fleet.
+pub(super) struct JoinState {
+    /// Whether any member has answered.
+    pub answered: bool,
+    /// The address of another live process of the same name.
+    pub name_holder: Option<SocketAddrV4>,
+    bootstrap_at: Time,
+    next_attempt: Time,
+    has_other_seeds: bool,
 }
 
-impl Joining {
-    pub fn new(now: Time, every: Span, seeds: bool) -> Self {
-        let alone_at = now + every.times(ALONE_AFTER);
-        Joining {
-            heard: false,
-            taken: None,
-            alone_at,
-            ask_at: now,
-            seeds,
+impl JoinState {
+    pub fn new(now: Time, probe_interval: Span, has_other_seeds: bool) -> Self {
+        let bootstrap_at = now + probe_interval.times(BOOTSTRAP_PROBES);
+        JoinState {
+            answered: false,
+            name_holder: None,
+            bootstrap_at,
+            next_attempt: now,
+            has_other_seeds,
         }
     }
 
-    pub fn may_claim(&self) -> bool {
-        self.taken.is_none() && self.heard
+    /// Whether a member has answered and the name is free.
+    pub fn may_become_member(&self) -> bool {
+        self.name_holder.is_none() && self.answered
     }
 }
 
 impl Core {
-    /// Asks a seed to be let in, until one answers or it is clear that nobody does.
-    pub(super) fn join(&mut self, now: Time) {
-        let alone = self.standing.taken.is_none()
-            && (!self.standing.seeds || now >= self.standing.alone_at);
-        if alone {
-            return self.claim(now);
+    /// Pings a seed until one answers, or until it is clear that none will.
+    pub(super) fn try_join(&mut self, now: Time) {
+        let bootstraps = self.join.name_holder.is_none()
+            && (!self.join.has_other_seeds || now >= self.join.bootstrap_at);
+        if bootstraps {
+            return self.become_member(now);
         }
-        if now < self.standing.ask_at {
+        if now < self.join.next_attempt {
             return;
         }
-        if self.standing.taken.take().is_some() {
-            // What the next answer says of the name counts.
-            self.standing.ask_at = now + self.plan.probe_every.times(ASK_AGAIN);
+        if self.join.name_holder.take().is_some() {
+            // The next answer decides whether the name is still in use.
+            self.join.next_attempt = now + self.config.probe_every.times(NAME_RECHECK_PROBES);
         }
         let others: Vec<SocketAddrV4> = self
-            .plan
+            .config
             .seeds
             .iter()
-            .filter(|at| **at != self.me.address)
+            .filter(|at| **at != self.local.address)
             .copied()
             .collect();
         if !others.is_empty() {
             let at = others[self.rng.random_range(0..others.len())];
             let ping = proto::Ping {
-                number: self.probes.number(),
+                number: self.probes.next_number(),
                 to: String::new(),
             };
             self.send(now, at, None, None, What::Ping(ping));
         }
     }
 
-    /// From here on it is a member.
-    pub(super) fn claim(&mut self, now: Time) {
-        if let Some(held) = self.table.get(&self.me.name) {
-            self.me.generation = self
-                .me
+    /// Becomes a member.
+    pub(super) fn become_member(&mut self, now: Time) {
+        if let Some(entry) = self.table.get(&self.local.name) {
+            self.local.generation = self
+                .local
                 .generation
-                .max(held.record.generation.saturating_add(1));
+                .max(entry.record.generation.saturating_add(1));
         }
-        self.me.state = State::Alive;
-        self.say(now);
+        self.local.state = State::Alive;
+        self.publish_local(now);
     }
 
-    /// Holds what it says of itself.
-    fn say(&mut self, now: Time) {
-        self.table.put(now, self.me.clone());
-        self.recount(now);
+    /// Stores the record of the local member.
+    fn publish_local(&mut self, now: Time) {
+        self.table.insert(now, self.local.clone());
+        self.update_counted(now);
     }
 
-    /// What others say of this name.
-    pub(super) fn of_myself(&mut self, now: Time, said: Record) {
-        if said.state == State::Joining
-            || (self.me.state != State::Joining && said.key() <= self.me.key())
+    /// Handles a record of the local name that another member sent.
+    pub(super) fn handle_own_record(&mut self, now: Time, record: MemberRecord) {
+        if record.state == State::Joining
+            || (self.local.state != State::Joining && record.rank() <= self.local.rank())
         {
             return;
         }
-        let elsewhere = said.address != self.me.address && said.state.lives();
-        if self.me.state == State::Joining {
-            let held = self.table.get(&said.name).map(|held| held.record.key());
-            if held.is_none_or(|held| held < said.key()) {
-                self.table.put(now, said.clone());
+        let other_live_process = record.address != self.local.address && record.state.is_live();
+        if self.local.state == State::Joining {
+            let known = self
+                .table
+                .get(&record.name)
+                .map(|entry| entry.record.rank());
+            if known.is_none_or(|known| known < record.rank()) {
+                self.table.insert(now, record.clone());
             }
-            if elsewhere && said.born != self.me.born {
-                self.standing.taken = Some(said.address);
-            } else if said.key() >= self.me.key() {
-                // A former life, perhaps of a clock that was ahead: this one comes after it.
-                self.me.generation = said.generation.saturating_add(1);
+            if other_live_process && record.born != self.local.born {
+                self.join.name_holder = Some(record.address);
+            } else if record.rank() >= self.local.rank() {
+                // A record of an earlier process, perhaps with a clock that was ahead: the local generation must exceed
+                // it.
+                self.local.generation = record.generation.saturating_add(1);
             }
             return;
         }
-        // Two processes of one name: the one that was there first keeps it, whatever their generations say.
-        if elsewhere && (said.born, said.address) < (self.me.born, self.me.address) {
-            self.me.state = State::Joining;
-            self.standing.taken = Some(said.address);
-            self.standing.ask_at = now + self.plan.probe_every.times(ASK_AGAIN);
-            self.table.put(now, said);
-            self.recount(now);
+        // Two processes with one name: the one started first keeps it, whatever their generations are.
+        if other_live_process
+            && (record.born, record.address) < (self.local.born, self.local.address)
+        {
+            self.local.state = State::Joining;
+            self.join.name_holder = Some(record.address);
+            self.join.next_attempt = now + self.config.probe_every.times(NAME_RECHECK_PROBES);
+            self.table.insert(now, record);
+            self.update_counted(now);
             return;
         }
-        if said.generation > self.me.generation {
-            (self.me.generation, self.me.incarnation) = (said.generation.saturating_add(1), 0);
+        if record.generation > self.local.generation {
+            (self.local.generation, self.local.incarnation) =
+                (record.generation.saturating_add(1), 0);
         } else {
-            self.me.incarnation = said.incarnation.saturating_add(1);
+            self.local.incarnation = record.incarnation.saturating_add(1);
         }
         self.counts.refuted += 1;
-        self.say(now);
-        self.tell_directly(now, || What::Notice(proto::Notice {}));
+        self.publish_local(now);
+        self.notify_members(now, || What::Notice(proto::Notice {}));
     }
 
-    /// Some members hear at once what this mixer now says of itself; the others by news.
-    fn tell_directly(&mut self, now: Time, what: impl Fn() -> What) {
-        for name in self.some(TOLD_DIRECTLY, None) {
-            if let Some(at) = self.table.get(&name).map(|held| held.record.address) {
-                self.send(now, at, Some(&name), None, what());
+    /// Sends the changed local record to a few members at once; the others receive it by gossip.
+    fn notify_members(&mut self, now: Time, body: impl Fn() -> What) {
+        for name in self.random_live_members(DIRECT_NOTICES, None) {
+            if let Some(at) = self.table.get(&name).map(|entry| entry.record.address) {
+                self.send(now, at, Some(&name), None, body());
             }
         }
     }
 
-    /// An operator's word: this mixer leaves. It still answers, and says so.
+    /// Leaves the fleet on request of the operator. The mixer announces this and goes on answering.
     pub fn leave(&mut self, now: Time) {
-        if self.me.state == State::Joining {
+        if self.local.state == State::Joining {
             return;
         }
-        self.me.state = State::Left;
-        self.say(now);
-        self.tell_directly(now, || What::Notice(proto::Notice {}));
+        self.local.state = State::Left;
+        self.publish_local(now);
+        self.notify_members(now, || What::Notice(proto::Notice {}));
     }
 }
--- a/crates/lockusher-membership/src/core/mod.rs
+++ b/crates/lockusher-membership/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! The core: what comes (a datagram, the time, an operator's word) and what follows (datagrams, the next time, changes
-//! of the view). No I/O, no clock; chance comes from the seed alone.
+//! The core of membership, without I/O, clock or randomness other than the seed's. Inputs are datagrams, the current
+//! time and requests of the operator; outputs are datagrams, the next timeout and changes of the view.
 
 mod datagrams;
 mod join;
@@ -21,55 +21,57 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use join::Joining;
-use news::News;
-use probes::{Due, Probes};
-use share::{Shares, Sharing};
-use table::{Held, MixerName, Record, State, Suspicion, Table};
+use join::JoinState;
+use news::GossipQueue;
+use probes::{ProbeAction, Probes};
+use share::{SharedState, Shares};
+use table::{MemberEntry, MemberRecord, MixerName, State, Suspicion, Table};
 use wire::Drops;
 
-/// What the operator sets.
+/// The configuration of the local member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Two fleets of other ids never merge.
+    /// Fleets with different ids never merge.
     pub fleet: String,
     pub name: MixerName,
-    /// Where others reach this mixer.
+    /// The address at which other members reach this mixer.
     pub address: SocketAddrV4,
     pub zone: Arc<str>,
-    /// Where others may be found, also after a long cut.
+    /// Addresses to join by; they are also contacted after a long partition.
     pub seeds: Vec<SocketAddrV4>,
-    /// One member is probed in each of these.
+    /// The probe interval: one member is probed in each.
     pub probe_every: Span,
-    /// A suspicion that several share must be refuted within this.
+    /// How long a suspicion with several witnesses may be refuted.
     pub suspect_for: Span,
-    /// The dead and those that left are remembered for this, and called on.
+    /// How long dead and departed members are retained, and dead ones contacted.
     pub remember: Span,
-    /// What is shared beyond the view; nothing by default.
+    /// The state shared beyond the view; `None` shares nothing.
     pub shares: Option<Shares>,
 }
 
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    pub member: Record,
-    /// `None` if it was not known, or forgotten.
+    /// The new record of the member, or the last one if it was forgotten.
+    pub member: MemberRecord,
+    /// `None` if the member was unknown or forgotten.
     pub from: Option<State>,
 }
 
-/// What the mixer itself is to its fleet.
+/// The membership status of the local mixer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Standing {
-    /// It asks to be let in.
+    /// It is asking to join.
     Joining,
+    /// It is a member.
     Member,
-    /// Another living process has its name: it stays out until that one has gone.
+    /// Another live process, at this address, has its name; it stays out until that process is gone.
     Outside(SocketAddrV4),
-    /// It has said that it leaves.
+    /// It has announced that it leaves.
     Leaving,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub datagrams_in: u64,
@@ -77,73 +79,79 @@
     pub datagrams_out: u64,
     pub bytes_out: u64,
     pub drops: Drops,
-    /// Probes in vain, suspicions that this mixer raised, and refutations of what was said of itself.
+    /// Failed probes, suspicions that this mixer raised, and refutations of records about itself.
     pub unreached: u64,
     pub suspected: u64,
     pub refuted: u64,
-    /// Exchanges of views.
+    /// Anti-entropy exchanges that this mixer started.
     pub exchanges: u64,
+    /// Stalls of this mixer.
     pub stood_still: u64,
 }
 
-/// A turn that comes this much later than it was due tells of a standstill of this mixer, not of others: several
-/// times what a busy core costs, less than what others take before they suspect.
-const STANDSTILL: Span = Span::from_millis(300);
-/// Refutations of one member that are relayed within a while: one that refutes for ever costs no more than that.
-const MOST_REFUTES: u32 = 3;
-const REFUTES_IN: Span = Span::from_millis(10_000);
-/// Between two calls on the dead, and between two on the seeds of the settings: cheap beside the probes.
-const CALL_EVERY: f64 = 5.0;
-/// Suspicions of two are enough to go by the shorter time; one alone waits this much longer (Lifeguard).
-const ALONE: f64 = 2.0;
-/// An incarnation so far beyond the one that is known of a life is damage: nobody misses as many refutations.
-const FAR_OFF: u32 = 1 << 16;
-/// Once so many in a row hold the same view, news has done its work: what a few still lack is healed by pages.
-const AGREE: u32 = 16;
-/// One that left serves for as long at the most: the longest route timeout that counts, and 0.7 s.
-const SERVES_ON: Span = Span::from_millis(3_700);
-/// Members that are told directly of a refutation and of a farewell, beside what rides on probes.
-const TOLD_DIRECTLY: usize = 4;
+/// A timeout handled this much too late indicates a stall of this mixer rather than failures of others: several times
+/// the delays of a busy core, and less than other members wait before they suspect.
+const STALL_THRESHOLD: Span = Span::from_millis(300);
+/// The most refutations of one member relayed within the window, which bounds the cost of a member that refutes
+/// endlessly.
+const MAX_RELAYED_REFUTATIONS: u32 = 3;
+const REFUTATION_WINDOW: Span = Span::from_millis(10_000);
+/// The interval of contacting dead members and seeds, in probe intervals: cheap compared with the probes.
+const RECONNECT_PROBES: f64 = 5.0;
+/// Two witnesses suffice for the shorter suspicion timeout; with one alone it is longer by this factor (Lifeguard).
+const UNCONFIRMED_FACTOR: f64 = 2.0;
+/// An incarnation this far beyond the known one of a generation is damage: no member misses as many refutations.
+const MAX_INCARNATION_JUMP: u32 = 1 << 16;
+/// After this many datagrams in a row with the local digest, gossip is dropped as delivered; anti-entropy repairs what
+/// a few members still lack.
+const CONVERGED_DATAGRAMS: u32 = 16;
+/// How long a member that left may still serve: the longest route timeout that is supported, plus 0.7 s.
+const LEAVE_GRACE: Span = Span::from_millis(3_700);
+/// Members that are notified directly of a refutation or a departure, in addition to piggybacked gossip.
+const DIRECT_NOTICES: usize = 4;
 
+/// The state of the local member.
 pub struct Core {
-    plan: Plan,
-    me: Record,
-    standing: Joining,
+    config: Plan,
+    local: MemberRecord,
+    join: JoinState,
     table: Table,
-    news: News,
+    gossip: GossipQueue,
     probes: Probes,
-    /// Members in the order in which they are probed, and the place reached.
-    round: Vec<MixerName>,
-    place: usize,
+    /// Members in the order in which they are probed, and the index of the next one.
+    probe_order: Vec<MixerName>,
+    probe_index: usize,
     next_probe: Time,
-    next_call: Time,
-    /// No exchange of views is begun before this, and no pages are given beyond this many.
+    next_reconnect: Time,
+    /// The earliest time of the next exchange of views; and the tokens that limit the pages sent, as of
+    /// `page_tokens_at`.
     next_exchange: Time,
-    pages_left: f64,
-    pages_at: Time,
-    /// Ends of suspicions and of memories; one that no longer holds is passed over.
-    alarms: BinaryHeap<Reverse<(Time, MixerName)>>,
-    /// The count of mixers that decisions go by.
+    page_tokens: f64,
+    page_tokens_at: Time,
+    /// Timers of suspicions and retention; one that is obsolete is ignored.
+    timers: BinaryHeap<Reverse<(Time, MixerName)>>,
+    /// The number of mixers that budgets are divided by.
     counted: usize,
     rng: ChaCha8Rng,
-    out: Vec<(SocketAddrV4, Vec<u8>)>,
+    outgoing: Vec<(SocketAddrV4, Vec<u8>)>,
     changes: Vec<Change>,
     counts: Counts,
-    /// When anything was last heard or done.
-    last: Time,
-    /// Datagrams in a row whose speakers held the same view.
-    agreeing: u32,
-    sharing: Option<Sharing>,
+    /// When the last datagram or timeout was handled.
+    last_activity: Time,
+    /// Datagrams in a row whose digest equalled the local one.
+    matching_digests: u32,
+    shared: Option<SharedState>,
 }
 
 impl Core {
-    /// `born` is the start's Unix time in microseconds; `counted` the mixers that the platform's settings name.
-    pub fn new(now: Time, born: u64, plan: Plan, counted: usize, seed: u64) -> Self {
+    /// `born` is the Unix time of the start in microseconds; `counted` is the number of mixers that the platform's
+    /// settings give.
+    pub fn new(now: Time, born: u64, config: Plan, counted: usize, seed: u64) -> Self {
         let born = born.max(1);
-        let me = Record {
-            name: plan.name.clone(),
-            address: plan.address,
-            zone: plan.zone.clone(),
+        let local = MemberRecord {
+            name: config.name.clone(),
+            address: config.address,
+            zone: config.zone.clone(),
             generation: born,
             born,
             incarnation: 0,
@@ -152,49 +160,51 @@
             age: Span::ZERO,
         };
         Core {
-            me,
-            standing: Joining::new(
+            local,
+            join: JoinState::new(
                 now,
-                plan.probe_every,
-                !plan.seeds.iter().all(|at| *at == plan.address),
+                config.probe_every,
+                !config.seeds.iter().all(|at| *at == config.address),
             ),
             table: Table::new(),
-            news: News::default(),
+            gossip: GossipQueue::default(),
             probes: Probes::default(),
-            round: Vec::new(),
-            place: 0,
+            probe_order: Vec::new(),
+            probe_index: 0,
             next_probe: now,
-            next_call: now,
+            next_reconnect: now,
             next_exchange: now,
-            pages_left: 0.0,
-            pages_at: now,
-            alarms: BinaryHeap::new(),
+            page_tokens: 0.0,
+            page_tokens_at: now,
+            timers: BinaryHeap::new(),
             counted: counted.max(1),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            out: Vec::new(),
+            outgoing: Vec::new(),
             changes: Vec::new(),
             counts: Counts::default(),
-            last: now,
-            agreeing: 0,
-            sharing: plan
+            last_activity: now,
+            matching_digests: 0,
+            shared: config
                 .shares
                 .clone()
-                .map(|shares| Sharing::new(now, shares, born)),
-            plan,
+                .map(|shares| SharedState::new(now, shares, born)),
+            config,
         }
     }
 
-    /// Datagrams to be sent.
+    /// Takes the datagrams to be sent, with their destinations.
     pub fn take_out(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
+    /// Takes the changes of the view since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
+    /// The membership status of this mixer.
     pub fn standing(&self) -> Standing {
-        match (self.me.state, self.standing.taken) {
+        match (self.local.state, self.join.name_holder) {
             (State::Left, _) => Standing::Leaving,
             (State::Joining, Some(by)) => Standing::Outside(by),
             (State::Joining, None) => Standing::Joining,
@@ -202,52 +212,55 @@
         }
     }
 
-    /// All that is known, in no order; the own entry is there once this mixer is a member.
-    pub fn view(&self) -> impl Iterator<Item = &Held> {
+    /// All known members in no particular order, the local one included once it is a member.
+    pub fn view(&self) -> impl Iterator<Item = &MemberEntry> {
         self.table.iter()
     }
 
+    /// The counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
+    /// The number of live members, this one and suspects included.
     pub fn living(&self) -> usize {
-        self.table.living()
+        self.table.live_count()
     }
 
-    /// One number for the living that this mixer knows; like views have like ones.
+    /// A digest of the live members; equal views have equal digests.
     pub fn digest(&self) -> u64 {
-        self.table.view()
+        self.table.view_digest()
     }
 
-    /// The mixers whose shares may be in use. The dead count as long as they are remembered, since one that is cut
-    /// off goes on with its share; and while this mixer sees no more than half of those counted, it may be the one
-    /// that is cut off, and the count does not fall at all. Never below what the settings name until a view has
-    /// been had.
+    /// The number of mixers whose budget shares may be in use. Dead members count while they are retained, since a
+    /// partitioned member goes on using its share. While this mixer sees no more than half of those counted, it may
+    /// itself be the partitioned one, and the count does not fall. It is never below the settings' number before this
+    /// mixer has been a member.
     pub fn counted(&self) -> usize {
         self.counted
     }
 
-    fn recount(&mut self, now: Time) {
+    /// Updates the number of mixers that budgets are divided by.
+    fn update_counted(&mut self, now: Time) {
         let in_use =
-            |held: &&Held| held.record.state != State::Left || now.since(held.since) < SERVES_ON;
+            |e: &&MemberEntry| e.record.state != State::Left || now.since(e.since) < LEAVE_GRACE;
         let may_be_in_use = self.table.iter().filter(in_use).count();
-        let most_seen = self.table.living() * 2 > self.counted;
-        if may_be_in_use > self.counted || (most_seen && self.me.state == State::Alive) {
+        let sees_majority = self.table.live_count() * 2 > self.counted;
+        if may_be_in_use > self.counted || (sees_majority && self.local.state == State::Alive) {
             self.counted = may_be_in_use.max(1);
         }
     }
 
-    /// When `due` wants to be called next.
+    /// When `due` is to be called next.
     pub fn next(&self) -> Time {
-        let alarm = self.alarms.peek().map(|Reverse((at, _))| *at);
-        let share = self.sharing.as_ref().map(Sharing::next);
+        let timer = self.timers.peek().map(|Reverse((at, _))| *at);
+        let shared = self.shared.as_ref().map(SharedState::next_timeout);
         let times = [
             Some(self.next_probe),
-            Some(self.next_call),
-            alarm,
-            self.probes.next(),
-            share,
+            Some(self.next_reconnect),
+            timer,
+            self.probes.next_timeout(),
+            shared,
         ];
         times
             .into_iter()
@@ -256,80 +269,80 @@
             .expect("a probe is always due")
     }
 
-    /// After a standstill nothing that was waited for tells anything of others.
-    fn awake(&mut self, now: Time) {
-        let (late, idle) = (now.since(self.next()), now.since(self.last));
-        self.last = self.last.max(now);
-        if late.min(idle) < STANDSTILL {
+    /// Detects a stall of this mixer, after which nothing that it waited for proves anything about other members.
+    fn detect_stall(&mut self, now: Time) {
+        let (late, idle) = (now.since(self.next()), now.since(self.last_activity));
+        self.last_activity = self.last_activity.max(now);
+        if late.min(idle) < STALL_THRESHOLD {
             return;
         }
         self.counts.stood_still += 1;
-        self.probes.stood_still();
-        (self.next_probe, self.next_call) = (now, now);
+        self.probes.handle_stall();
+        (self.next_probe, self.next_reconnect) = (now, now);
         let suspects: Vec<MixerName> = self
             .table
             .iter()
-            .filter(|h| h.suspicion.is_some())
+            .filter(|entry| entry.suspicion.is_some())
             .map(name_of)
             .collect();
-        let until = now + self.suspicion_for(1);
+        let until = now + self.suspicion_timeout(1);
         for name in suspects {
-            self.table.mind(&name, |held| {
-                held.suspicion = held
+            self.table.update_entry(&name, |entry| {
+                entry.suspicion = entry
                     .suspicion
                     .take()
                     .map(|suspicion| Suspicion { until, ..suspicion });
             });
-            self.alarms.push(Reverse((until, name)));
+            self.timers.push(Reverse((until, name)));
         }
     }
 
-    /// The time has come that `next` told, or a later one.
+    /// Handles all timeouts up to `now`.
     pub fn due(&mut self, now: Time) {
-        self.probes.late(now.since(self.next()));
-        self.awake(now);
-        for due in self.probes.due(now, self.plan.probe_every) {
-            match due {
-                Due::Again(number, target) => self.probe_again(now, number, &target),
-                Due::Unreached(target, generation) => self.unreached(now, &target, generation),
+        self.probes.record_lateness(now.since(self.next()));
+        self.detect_stall(now);
+        for action in self.probes.handle_timeouts(now, self.config.probe_every) {
+            match action {
+                ProbeAction::Retry(number, target) => self.probe_again(now, number, &target),
+                ProbeAction::Failed(target, generation) => self.suspect(now, &target, generation),
             }
         }
-        while let Some(Reverse((at, _))) = self.alarms.peek()
+        while let Some(Reverse((at, _))) = self.timers.peek()
             && *at <= now
         {
-            let Some(Reverse((_, name))) = self.alarms.pop() else {
+            let Some(Reverse((_, name))) = self.timers.pop() else {
                 break;
             };
-            self.alarm(now, &name);
+            self.handle_timer(now, &name);
         }
         if self.next_probe <= now {
-            // A tenth of chance either way: a fleet that started at once falls out of step.
-            let chance = self.rng.random_range(0.9..1.1);
-            self.next_probe = now + self.plan.probe_every.times(chance);
-            match self.me.state {
-                State::Joining => self.join(now),
+            // A jitter of 10% either way desynchronizes a fleet that started all at once.
+            let jitter = self.rng.random_range(0.9..1.1);
+            self.next_probe = now + self.config.probe_every.times(jitter);
+            match self.local.state {
+                State::Joining => self.try_join(now),
                 State::Left => {}
                 _ => self.probe_next(now),
             }
         }
-        if self.next_call <= now {
-            self.recount(now);
-            let chance = self.rng.random_range(0.8..1.2);
-            self.next_call = now + self.plan.probe_every.times(CALL_EVERY * chance);
-            self.call(now);
+        if self.next_reconnect <= now {
+            self.update_counted(now);
+            let jitter = self.rng.random_range(0.8..1.2);
+            self.next_reconnect = now + self.config.probe_every.times(RECONNECT_PROBES * jitter);
+            self.reconnect(now);
         }
         if self
-            .sharing
+            .shared
             .as_ref()
-            .is_some_and(|sharing| sharing.next() <= now)
+            .is_some_and(|shared| shared.next_timeout() <= now)
         {
-            self.share(now);
+            self.share_state(now);
         }
     }
 }
 
-fn name_of(held: &Held) -> MixerName {
-    held.record.name.clone()
+fn name_of(entry: &MemberEntry) -> MixerName {
+    entry.record.name.clone()
 }
 
 #[cfg(test)]
--- a/crates/lockusher-membership/src/core/pages.rs
+++ b/crates/lockusher-membership/src/core/pages.rs
@@ -1,5 +1,5 @@
-//! Exchange of views: where two mixers' digests differ, they compare sums of buckets and give each other the buckets
-//! that differ, in pages. What datagrams lost, and what came too fast for news, is healed by this.
+//! Anti-entropy: when the digests of two mixers differ, they compare bucket sums and send each other the differing
+//! buckets in pages. This repairs what was lost with datagrams or changed too fast for gossip.
 
 use std::net::SocketAddrV4;
 
@@ -7,113 +7,129 @@
 use rand::RngExt;
 
 use super::Core;
-use super::table::{Record, State};
-use super::wire::{BUCKETS, What, records};
+use super::table::{MemberRecord, State};
+use super::wire::{BUCKET_COUNT, What, decode_members};
 use crate::proto;
 
-/// Between two exchanges that one mixer begins: five seconds hold several, and a fleet in the middle of a change, in
-/// which all digests differ, spends some kB a second on them.
-const EXCHANGE_EVERY: Span = Span::from_millis(500);
-/// Pages that one mixer gives in a second: 3,000 members are some 120 pages.
-const MOST_PAGES: f64 = 64.0;
-/// Pages of one answer: what a socket's buffer takes at once.
-const MOST_AT_ONCE: usize = 32;
+/// The interval between exchanges that one mixer starts: five seconds hold several exchanges, and a fleet in the middle
+/// of a change, where all digests differ, spends a few kB a second on them.
+const EXCHANGE_INTERVAL: Span = Span::from_millis(500);
+/// The pages that one mixer sends in a second; 3,000 members are about 120 pages.
+const MAX_PAGES_PER_SEC: f64 = 64.0;
+/// The pages of one answer: what a socket buffer accepts at once.
+const MAX_PAGES_PER_ANSWER: usize = 32;
 
 impl Core {
-    /// Another's digest: if it is unlike the own one, views are exchanged.
-    pub(super) fn differs(&mut self, now: Time, at: SocketAddrV4, digest: u64) {
-        if digest == self.table.digest() || now < self.next_exchange || self.me.state == State::Left
+    /// Starts an exchange of views if the digest of another member differs from the local one.
+    pub(super) fn maybe_start_exchange(&mut self, now: Time, at: SocketAddrV4, digest: u64) {
+        if digest == self.table.sync_digest()
+            || now < self.next_exchange
+            || self.local.state == State::Left
         {
             return;
         }
-        self.next_exchange = now + EXCHANGE_EVERY.times(self.rng.random_range(0.8..1.2));
+        self.next_exchange = now + EXCHANGE_INTERVAL.times(self.rng.random_range(0.8..1.2));
         self.counts.exchanges += 1;
-        let draft = self.draft(What::Sums(proto::Sums {
-            sums: self.table.sums(),
+        let builder = self.builder(What::Sums(proto::Sums {
+            sums: self.table.bucket_sums(),
         }));
-        self.dispatch(at, draft);
+        self.dispatch(at, builder);
     }
 
-    /// Gives the buckets whose sums differ, from a place by chance on: what there is no page for comes another time.
-    pub(super) fn give_pages(&mut self, now: Time, at: SocketAddrV4, sums: &[u32]) {
-        self.pages_left =
-            (self.pages_left + MOST_PAGES * now.since(self.pages_at).as_secs()).min(MOST_PAGES);
-        self.pages_at = now;
-        let own = self.table.sums();
-        let first = self.rng.random_range(0..BUCKETS);
-        let places = (0..BUCKETS).map(|nth| (first + nth) % BUCKETS);
-        let unlike: Vec<usize> = places.filter(|place| own[*place] != sums[*place]).collect();
-        let mut held = self.table.in_buckets(now, &unlike);
-        let buckets = unlike
+    /// Sends the buckets whose sums differ, starting at a random one, so that buckets beyond the page limit are sent by
+    /// a later exchange.
+    pub(super) fn send_differing_buckets(&mut self, now: Time, at: SocketAddrV4, sums: &[u32]) {
+        self.page_tokens = (self.page_tokens
+            + MAX_PAGES_PER_SEC * now.since(self.page_tokens_at).as_secs())
+        .min(MAX_PAGES_PER_SEC);
+        self.page_tokens_at = now;
+        let local_sums = self.table.bucket_sums();
+        let first = self.rng.random_range(0..BUCKET_COUNT);
+        let buckets = (0..BUCKET_COUNT).map(|nth| (first + nth) % BUCKET_COUNT);
+        let differing: Vec<usize> = buckets
+            .filter(|bucket| local_sums[*bucket] != sums[*bucket])
+            .collect();
+        let mut records = self.table.records_by_bucket(now, &differing);
+        let buckets = differing
             .iter()
-            .map(|place| (Some(*place), held.remove(place).unwrap_or_default()));
-        self.give(at, buckets.collect(), true);
+            .map(|bucket| (Some(*bucket), records.remove(bucket).unwrap_or_default()));
+        self.send_pages(at, buckets.collect(), true);
     }
 
-    /// Buckets in as few pages as they fit on; one that fits on none goes in pieces that count for no whole bucket.
-    fn give(&mut self, at: SocketAddrV4, buckets: Vec<(Option<usize>, Vec<Record>)>, answer: bool) {
+    /// Packs buckets into as few pages as possible. A bucket that is larger than a page is split, and its parts are not
+    /// marked as whole buckets.
+    fn send_pages(
+        &mut self,
+        at: SocketAddrV4,
+        buckets: Vec<(Option<usize>, Vec<MemberRecord>)>,
+        answer: bool,
+    ) {
         let empty = || {
             What::Page(proto::Page {
                 answer,
                 ..proto::Page::default()
             })
         };
-        let (mut draft, mut filled, mut given) = (self.draft(empty()), false, 0);
-        let mut queue: Vec<(Option<usize>, Vec<Record>)> = buckets;
+        let (mut builder, mut has_content, mut sent_pages) = (self.builder(empty()), false, 0);
+        let mut queue: Vec<(Option<usize>, Vec<MemberRecord>)> = buckets;
         queue.reverse();
-        while let Some((place, mut records)) = queue.pop() {
-            if given >= MOST_AT_ONCE || self.pages_left < 1.0 {
+        while let Some((bucket, mut records)) = queue.pop() {
+            if sent_pages >= MAX_PAGES_PER_ANSWER || self.page_tokens < 1.0 {
                 self.counts.drops.beyond_share += 1;
                 return;
             }
-            if draft.add_bucket(place, &records) {
-                filled = true;
+            if builder.add_bucket(bucket, &records) {
+                has_content = true;
                 continue;
             }
-            if filled {
-                (given, filled) = (given + 1, false);
-                self.pages_left -= 1.0;
-                let full = std::mem::replace(&mut draft, self.draft(empty()));
+            if has_content {
+                (sent_pages, has_content) = (sent_pages + 1, false);
+                self.page_tokens -= 1.0;
+                let full = std::mem::replace(&mut builder, self.builder(empty()));
                 self.dispatch(at, full);
-                queue.push((place, records));
+                queue.push((bucket, records));
             } else if records.len() > 1 {
                 let rest = records.split_off(records.len() / 2);
                 queue.push((None, rest));
                 queue.push((None, records));
             }
         }
-        if filled {
-            self.pages_left -= 1.0;
-            self.dispatch(at, draft);
+        if has_content {
+            self.page_tokens -= 1.0;
+            self.dispatch(at, builder);
         }
     }
 
-    /// Takes what a page tells and, if it asks for that, tells what is held beyond it in its whole buckets.
-    pub(super) fn take_page(&mut self, now: Time, at: SocketAddrV4, page: proto::Page) {
-        let Ok(told) = records(page.members) else {
+    /// Merges a page and, if requested, sends back the newer records of the whole buckets on it.
+    pub(super) fn handle_page(&mut self, now: Time, at: SocketAddrV4, page: proto::Page) {
+        let Ok(received) = decode_members(page.members) else {
             self.counts.drops.absurd += 1;
             return;
         };
-        for record in &told {
-            self.take(now, record.clone());
+        for record in &received {
+            self.merge_record(now, record.clone());
         }
         if !page.answer {
             return;
         }
-        let places: Vec<usize> = page
+        let buckets: Vec<usize> = page
             .buckets
             .iter()
-            .map(|place| *place as usize % BUCKETS)
+            .map(|bucket| *bucket as usize % BUCKET_COUNT)
             .collect();
-        let held = self.table.in_buckets(now, &places);
-        let newer = |own: &Record| {
-            let same = told.iter().find(|record| record.name == own.name);
-            own.state != State::Joining && same.is_none_or(|record| record.key() < own.key())
+        let local_records = self.table.records_by_bucket(now, &buckets);
+        let is_newer = |local: &MemberRecord| {
+            let same = received.iter().find(|record| record.name == local.name);
+            local.state != State::Joining && same.is_none_or(|record| record.rank() < local.rank())
         };
-        let beyond: Vec<Record> = held.into_values().flatten().filter(newer).collect();
-        if !beyond.is_empty() {
-            self.pages_left = self.pages_left.max(1.0);
-            self.give(at, vec![(None, beyond)], false);
+        let newer_records: Vec<MemberRecord> = local_records
+            .into_values()
+            .flatten()
+            .filter(is_newer)
+            .collect();
+        if !newer_records.is_empty() {
+            self.page_tokens = self.page_tokens.max(1.0);
+            self.send_pages(at, vec![(None, newer_records)], false);
         }
     }
 }
--- a/crates/lockusher-membership/src/core/probes.rs
+++ b/crates/lockusher-membership/src/core/probes.rs
@@ -1,5 +1,5 @@
-//! Probes that are out: each is repeated, from the second time on through others as well, before its target is
-//! suspected; and what this mixer thinks of its own health, which stretches its patience.
+//! Outstanding probes. A probe is retried, from the second attempt on also through other members, before its target is
+//! suspected. Also tracks the local health score, which lengthens timeouts (Lifeguard).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -8,162 +8,178 @@
 
 use super::table::MixerName;
 
-/// Tries of one probe while this mixer is well: one of them lost both ways and through three helpers at 10% loss has
-/// a chance of some 1 in 100,000.
-const TRIES: u32 = 3;
-/// Members that are asked to try in this one's stead (SWIM's k).
-pub(super) const HELPERS: usize = 3;
-/// The worst that a mixer thinks of its own health (Lifeguard's S).
-const WORST: u32 = 8;
-/// Probes that others asked for, at once.
-const MOST_ERRANDS: usize = 256;
-
+/// Attempts of one probe while this mixer is healthy. At 10% loss, the chance that all of them are lost, directly and
+/// through three helpers, is about 1 in 100,000.
+const MAX_ATTEMPTS: u32 = 3;
+/// Members that are asked to probe the target indirectly (SWIM's k).
+pub(super) const INDIRECT_PROBES: usize = 3;
+/// The worst local health score (Lifeguard's S).
+const MAX_HEALTH_SCORE: u32 = 8;
+/// Probes relayed for other members at the same time.
+const MAX_RELAYED_PROBES: usize = 256;
+
+/// An outstanding probe of one member.
 pub(super) struct Probe {
     pub target: MixerName,
     pub generation: u64,
-    /// Tries so far.
-    tries: u32,
-    due: Time,
+    /// Attempts so far.
+    attempts: u32,
+    timeout_at: Time,
 }
 
-/// A ping on another's behalf.
-struct Errand {
-    asker: SocketAddrV4,
+/// A ping sent on behalf of another member.
+struct RelayedProbe {
+    requester: SocketAddrV4,
     number: u32,
-    until: Time,
+    expires_at: Time,
 }
 
+/// All outstanding probes and the local health score.
 #[derive(Default)]
 pub(super) struct Probes {
-    out: BTreeMap<u32, Probe>,
-    errands: BTreeMap<u32, Errand>,
-    next: u32,
-    /// 0 while all is well; grows with each first try in vain, falls with each that is answered.
-    health: u32,
-    /// How late this mixer's own turns are, smoothed.
-    late: Span,
+    in_flight: BTreeMap<u32, Probe>,
+    relayed: BTreeMap<u32, RelayedProbe>,
+    last_number: u32,
+    /// The local health score (Lifeguard): 0 is healthy. It rises when a first attempt gets no answer and falls when
+    /// one does.
+    health_score: u32,
+    /// How late the timers of this mixer fire, smoothed.
+    timer_lateness: Span,
 }
 
-/// What is to be done about a probe.
-pub(super) enum Due {
-    /// Ping again, also by way of others.
-    Again(u32, MixerName),
-    /// Nobody reached it.
-    Unreached(MixerName, u64),
+/// What to do about a probe whose attempt timed out.
+pub(super) enum ProbeAction {
+    /// Ping again, also through other members.
+    Retry(u32, MixerName),
+    /// No attempt was answered.
+    Failed(MixerName, u64),
 }
 
 impl Probes {
-    pub fn number(&mut self) -> u32 {
-        self.next = self.next.wrapping_add(1);
-        self.next
+    /// A number that identifies a ping and its ack.
+    pub fn next_number(&mut self) -> u32 {
+        self.last_number = self.last_number.wrapping_add(1);
+        self.last_number
     }
 
-    /// How long one try is waited for.
-    fn patience(&self, every: Span) -> Span {
-        every.times(0.5) + self.late.times(2.0)
+    /// How long one attempt waits for its answer.
+    fn attempt_timeout(&self, interval: Span) -> Span {
+        interval.times(0.5) + self.timer_lateness.times(2.0)
     }
 
-    /// How much longer a suspicion waits than it would at a mixer that is well (Lifeguard).
-    pub fn stretch(&self) -> f64 {
-        1.0 + f64::from(self.health) / f64::from(WORST)
+    /// The factor by which the local health score lengthens a suspicion (Lifeguard).
+    pub fn timeout_multiplier(&self) -> f64 {
+        1.0 + f64::from(self.health_score) / f64::from(MAX_HEALTH_SCORE)
     }
 
-    pub fn begin(&mut self, now: Time, every: Span, target: MixerName, generation: u64) -> u32 {
-        let (number, due) = (self.number(), now + self.patience(every));
-        self.out.insert(
+    /// Records the first attempt of a probe and returns its number.
+    pub fn start(&mut self, now: Time, interval: Span, target: MixerName, generation: u64) -> u32 {
+        let (number, timeout_at) = (self.next_number(), now + self.attempt_timeout(interval));
+        self.in_flight.insert(
             number,
             Probe {
                 target,
                 generation,
-                tries: 1,
-                due,
+                attempts: 1,
+                timeout_at,
             },
         );
         number
     }
 
-    pub fn probes(&self, name: &MixerName) -> bool {
-        self.out.values().any(|probe| probe.target == *name)
+    /// Whether a probe of this member is outstanding.
+    pub fn is_probing(&self, name: &MixerName) -> bool {
+        self.in_flight.values().any(|probe| probe.target == *name)
     }
 
-    /// An answer came, to a probe or an errand.
-    pub fn answered(&mut self, number: u32, of: &MixerName) -> Option<(SocketAddrV4, u32)> {
+    /// Handles an ack. For a relayed probe, returns the requester and the number of its probe.
+    pub fn handle_ack(&mut self, number: u32, of: &MixerName) -> Option<(SocketAddrV4, u32)> {
         if self
-            .out
+            .in_flight
             .get(&number)
             .is_some_and(|probe| probe.target == *of)
         {
-            let probe = self.out.remove(&number);
-            if probe.is_some_and(|probe| probe.tries == 1) {
-                self.health = self.health.saturating_sub(1);
+            let probe = self.in_flight.remove(&number);
+            if probe.is_some_and(|probe| probe.attempts == 1) {
+                self.health_score = self.health_score.saturating_sub(1);
             }
             return None;
         }
-        self.errands
+        self.relayed
             .remove(&number)
-            .map(|errand| (errand.asker, errand.number))
+            .map(|relay| (relay.requester, relay.number))
     }
 
-    pub fn errand(
+    /// Records a probe for another member and returns its number, unless too many are outstanding.
+    pub fn relay(
         &mut self,
         now: Time,
-        every: Span,
-        asker: SocketAddrV4,
+        interval: Span,
+        requester: SocketAddrV4,
         number: u32,
     ) -> Option<u32> {
-        if self.errands.len() >= MOST_ERRANDS {
+        if self.relayed.len() >= MAX_RELAYED_PROBES {
             return None;
         }
-        let own = self.number();
-        self.errands.insert(
-            own,
-            Errand {
-                asker,
+        let relayed_number = self.next_number();
+        self.relayed.insert(
+            relayed_number,
+            RelayedProbe {
+                requester,
                 number,
-                until: now + every.times(2.0),
+                expires_at: now + interval.times(2.0),
             },
         );
-        Some(own)
+        Some(relayed_number)
     }
 
-    /// What is due now.
-    pub fn due(&mut self, now: Time, every: Span) -> Vec<Due> {
-        self.errands.retain(|_, errand| errand.until > now);
-        let (patience, most) = (self.patience(every), TRIES + self.health / 2);
-        let (mut due, mut over) = (Vec::new(), Vec::new());
-        for (number, probe) in self.out.iter_mut().filter(|(_, probe)| probe.due <= now) {
-            if probe.tries == 1 {
-                self.health = (self.health + 1).min(WORST);
+    /// Expires relayed probes and returns what to do about attempts that timed out.
+    pub fn handle_timeouts(&mut self, now: Time, interval: Span) -> Vec<ProbeAction> {
+        self.relayed.retain(|_, relay| relay.expires_at > now);
+        let (timeout, max_attempts) = (
+            self.attempt_timeout(interval),
+            MAX_ATTEMPTS + self.health_score / 2,
+        );
+        let (mut actions, mut failed) = (Vec::new(), Vec::new());
+        for (number, probe) in self
+            .in_flight
+            .iter_mut()
+            .filter(|(_, probe)| probe.timeout_at <= now)
+        {
+            if probe.attempts == 1 {
+                self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
             }
-            if probe.tries >= most {
-                over.push(*number);
+            if probe.attempts >= max_attempts {
+                failed.push(*number);
                 continue;
             }
-            probe.tries += 1;
-            probe.due = now + patience;
-            due.push(Due::Again(*number, probe.target.clone()));
+            probe.attempts += 1;
+            probe.timeout_at = now + timeout;
+            actions.push(ProbeAction::Retry(*number, probe.target.clone()));
         }
-        let over = over
+        let failed = failed
             .into_iter()
-            .filter_map(|number| self.out.remove(&number));
-        due.extend(over.map(|probe| Due::Unreached(probe.target, probe.generation)));
-        due
+            .filter_map(|number| self.in_flight.remove(&number));
+        actions.extend(failed.map(|probe| ProbeAction::Failed(probe.target, probe.generation)));
+        actions
     }
 
-    pub fn next(&self) -> Option<Time> {
-        self.out.values().map(|probe| probe.due).min()
+    /// When the next attempt times out.
+    pub fn next_timeout(&self) -> Option<Time> {
+        self.in_flight.values().map(|probe| probe.timeout_at).min()
     }
 
-    /// A turn came so much later than it was due.
-    pub fn late(&mut self, by: Span) {
-        // A quarter of the newest, so that one late turn in two counts for a good part.
-        self.late = self.late.times(0.75) + by.times(0.25);
+    /// Records by how much a timer fired late.
+    pub fn record_lateness(&mut self, lateness: Span) {
+        // The newest sample weighs a quarter, so that a mixer whose every other timer fires late still waits noticeably
+        // longer.
+        self.timer_lateness = self.timer_lateness.times(0.75) + lateness.times(0.25);
     }
 
-    /// This mixer stood still: what was out tells nothing of others.
-    pub fn stood_still(&mut self) {
-        self.out.clear();
-        self.errands.clear();
-        self.health = (self.health + 2).min(WORST);
+    /// After a stall of this mixer, outstanding probes prove nothing about their targets.
+    pub fn handle_stall(&mut self) {
+        self.in_flight.clear();
+        self.relayed.clear();
+        self.health_score = (self.health_score + 2).min(MAX_HEALTH_SCORE);
     }
 }
--- a/crates/lockusher-membership/src/core/probing.rs
+++ b/crates/lockusher-membership/src/core/probing.rs
@@ -1,59 +1,61 @@
-//! Whom this mixer probes, and what follows where nobody answers.
+//! Failure detection: the order in which members are probed, and what follows when no attempt is answered.
 
 use std::net::SocketAddrV4;
 
 use lockusher_policy::interface::{Span, Time};
 use rand::RngExt;
 
-use super::probes::HELPERS;
-use super::table::{MixerName, Record, State};
+use super::probes::INDIRECT_PROBES;
+use super::table::{MemberRecord, MixerName, State};
 use super::wire::What;
-use super::{ALONE, Core, name_of};
+use super::{Core, UNCONFIRMED_FACTOR, name_of};
 use crate::proto;
 
 impl Core {
+    /// Starts the probe of the next live member.
     pub(super) fn probe_next(&mut self, now: Time) {
-        for _ in 0..=self.round.len() {
-            if self.place >= self.round.len() {
-                self.place = 0;
-                self.round = self
+        for _ in 0..=self.probe_order.len() {
+            if self.probe_index >= self.probe_order.len() {
+                self.probe_index = 0;
+                self.probe_order = self
                     .table
                     .iter()
-                    .filter(|held| held.record.state.lives())
+                    .filter(|entry| entry.record.state.is_live())
                     .map(name_of)
                     .collect();
-                self.round.retain(|name| *name != self.me.name);
-                // Shuffled anew each round: who probes whom, and when, is never in step.
-                for last in (1..self.round.len()).rev() {
-                    let other = self.rng.random_range(0..=last);
-                    self.round.swap(last, other);
+                self.probe_order.retain(|name| *name != self.local.name);
+                // Shuffled in each round, so that members do not probe in lockstep.
+                for last in (1..self.probe_order.len()).rev() {
+                    let swap_with = self.rng.random_range(0..=last);
+                    self.probe_order.swap(last, swap_with);
                 }
             }
-            let Some(target) = self.round.get(self.place).cloned() else {
+            let Some(target) = self.probe_order.get(self.probe_index).cloned() else {
                 return;
             };
-            self.place += 1;
-            let lives = self
+            self.probe_index += 1;
+            let live = self
                 .table
                 .get(&target)
-                .filter(|held| held.record.state.lives());
-            if let Some(generation) = lives.map(|held| held.record.generation)
-                && !self.probes.probes(&target)
+                .filter(|entry| entry.record.state.is_live());
+            if let Some(generation) = live.map(|entry| entry.record.generation)
+                && !self.probes.is_probing(&target)
             {
                 let number =
                     self.probes
-                        .begin(now, self.plan.probe_every, target.clone(), generation);
+                        .start(now, self.config.probe_every, target.clone(), generation);
                 return self.ping(now, number, &target);
             }
         }
     }
 
+    /// Retries a probe, also through other members.
     pub(super) fn probe_again(&mut self, now: Time, number: u32, target: &MixerName) {
         self.ping(now, number, target);
-        let Some(at) = self.table.get(target).map(|held| held.record.address) else {
+        let Some(at) = self.table.get(target).map(|entry| entry.record.address) else {
             return;
         };
-        for helper in self.some(HELPERS, Some(target)) {
+        for helper in self.random_live_members(INDIRECT_PROBES, Some(target)) {
             let to = target.as_str().to_owned();
             let ask = proto::Ask {
                 number,
@@ -61,28 +63,28 @@
                 ip: u32::from(*at.ip()),
                 port: at.port().into(),
             };
-            let Some(at) = self.table.get(&helper).map(|held| held.record.address) else {
+            let Some(at) = self.table.get(&helper).map(|entry| entry.record.address) else {
                 continue;
             };
             self.send(now, at, Some(&helper), None, What::Ask(ask));
         }
     }
 
-    /// Nobody reached it: it is suspected, and may say that it lives.
-    pub(super) fn unreached(&mut self, now: Time, target: &MixerName, generation: u64) {
+    /// Suspects a member that did not answer; it may refute that.
+    pub(super) fn suspect(&mut self, now: Time, target: &MixerName, generation: u64) {
         self.counts.unreached += 1;
-        let Some(held) = self.table.get(target) else {
+        let Some(entry) = self.table.get(target) else {
             return;
         };
-        let record = held.record.clone();
-        if record.generation != generation || !record.state.lives() {
+        let record = entry.record.clone();
+        if record.generation != generation || !record.state.is_live() {
             return;
         }
         self.counts.suspected += u64::from(record.state == State::Alive);
-        let by = Some(self.me.name.clone());
-        self.take(
+        let by = Some(self.local.name.clone());
+        self.merge_record(
             now,
-            Record {
+            MemberRecord {
                 state: State::Suspect,
                 by,
                 age: Span::ZERO,
@@ -91,47 +93,48 @@
         );
     }
 
-    pub(super) fn suspicion_for(&self, witnesses: usize) -> Span {
-        // With two others at the most nobody else may be there to confirm it.
-        let alone = witnesses < 2 && self.table.living() > 3;
-        self.plan
-            .suspect_for
-            .times(self.probes.stretch() * if alone { ALONE } else { 1.0 })
+    /// How long a suspicion with this many witnesses waits to be refuted.
+    pub(super) fn suspicion_timeout(&self, witnesses: usize) -> Span {
+        // With at most two other members nobody else may be there to confirm a suspicion.
+        let unconfirmed = witnesses < 2 && self.table.live_count() > 3;
+        self.config.suspect_for.times(
+            self.probes.timeout_multiplier() * if unconfirmed { UNCONFIRMED_FACTOR } else { 1.0 },
+        )
     }
 
-    /// One of the dead is called on, and one of the seeds that no living member is at: so halves of the fleet find
-    /// each other after a cut, however long.
-    pub(super) fn call(&mut self, now: Time) {
-        if self.me.state != State::Alive {
+    /// Pings one dead member, and one seed at whose address there is no live member, so that the parts of a partitioned
+    /// fleet find each other however long the partition lasted.
+    pub(super) fn reconnect(&mut self, now: Time) {
+        if self.local.state != State::Alive {
             return;
         }
         let dead: Vec<MixerName> = self
             .table
             .iter()
-            .filter(|held| held.record.state == State::Dead)
+            .filter(|entry| entry.record.state == State::Dead)
             .map(name_of)
             .collect();
         if !dead.is_empty() {
             let name = dead[self.rng.random_range(0..dead.len())].clone();
-            let number = self.probes.number();
+            let number = self.probes.next_number();
             self.ping(now, number, &name);
         }
-        let lives = |at: &SocketAddrV4| {
+        let has_live_member = |at: &SocketAddrV4| {
             self.table
                 .iter()
-                .any(|held| held.record.address == *at && held.record.state.lives())
+                .any(|entry| entry.record.address == *at && entry.record.state.is_live())
         };
         let seeds: Vec<SocketAddrV4> = self
-            .plan
+            .config
             .seeds
             .iter()
-            .filter(|at| !lives(at))
+            .filter(|at| !has_live_member(at))
             .copied()
             .collect();
         if !seeds.is_empty() {
             let at = seeds[self.rng.random_range(0..seeds.len())];
             let ping = proto::Ping {
-                number: self.probes.number(),
+                number: self.probes.next_number(),
                 to: String::new(),
             };
             self.send(now, at, None, None, What::Ping(ping));
--- a/crates/lockusher-membership/src/core/reports.rs
+++ b/crates/lockusher-membership/src/core/reports.rs
@@ -1,30 +1,31 @@
-//! Reports of members: which one counts, when a suspicion becomes a death, and what is told on.
+//! Merging member records: which one takes precedence, when a suspicion becomes a death, and what is gossiped on.
 
 use std::cmp::Reverse;
 
 use lockusher_policy::interface::{Span, Time};
 use rand::RngExt;
 
-use super::table::{MixerName, Record, State, Suspicion};
+use super::table::{MemberRecord, MixerName, State, Suspicion};
 use super::wire::What;
-use super::{Change, Core, FAR_OFF, MOST_REFUTES, REFUTES_IN};
+use super::{Change, Core, MAX_INCARNATION_JUMP, MAX_RELAYED_REFUTATIONS, REFUTATION_WINDOW};
 use crate::proto;
 
 impl Core {
-    pub(super) fn alarm(&mut self, now: Time, name: &MixerName) {
-        let Some(held) = self.table.get(name) else {
+    /// Ends a suspicion or forgets a member, if its time is over.
+    pub(super) fn handle_timer(&mut self, now: Time, name: &MixerName) {
+        let Some(entry) = self.table.get(name) else {
             return;
         };
-        let record = held.record.clone();
-        match (record.state, &held.suspicion) {
-            // One that is no member is told too little to believe a death.
+        let record = entry.record.clone();
+        match (record.state, &entry.suspicion) {
+            // A mixer that is not a member receives too little to declare a death.
             (State::Suspect, Some(suspicion))
-                if suspicion.until <= now && self.me.state == State::Alive =>
+                if suspicion.until <= now && self.local.state == State::Alive =>
             {
                 let by = suspicion.witnesses.first().cloned();
-                self.take(
+                self.merge_record(
                     now,
-                    Record {
+                    MemberRecord {
                         state: State::Dead,
                         by,
                         age: Span::ZERO,
@@ -32,23 +33,23 @@
                     },
                 );
             }
-            (State::Dead | State::Left, _) if now.since(held.since) >= self.plan.remember => {
-                self.table.forget(name);
-                self.news.remove(name);
+            (State::Dead | State::Left, _) if now.since(entry.since) >= self.config.remember => {
+                self.table.remove(name);
+                self.gossip.remove(name);
                 self.changes.push(Change {
                     from: Some(record.state),
                     member: record,
                 });
-                self.recount(now);
+                self.update_counted(now);
             }
             _ => {}
         }
     }
 
-    /// Takes a report of any member; tells whether it was news.
-    pub(super) fn take(&mut self, now: Time, record: Record) -> bool {
-        if record.name == self.me.name {
-            self.of_myself(now, record);
+    /// Merges a record of any member; returns whether it changed anything.
+    pub(super) fn merge_record(&mut self, now: Time, record: MemberRecord) -> bool {
+        if record.name == self.local.name {
+            self.handle_own_record(now, record);
             return false;
         }
         if record.state == State::Joining {
@@ -56,94 +57,101 @@
         }
         let old = self.table.get(&record.name);
         match old {
-            // What is dead and was forgotten, or never met, is no news after its time.
-            None if !record.state.lives() && record.age >= self.plan.remember => return false,
-            Some(old) if record.key() == old.record.key() => return self.confirm(now, record),
-            Some(old) if record.key() < old.record.key() => return false,
+            // A dead member that was already forgotten, or never known, is ignored once its retention time is over.
+            None if !record.state.is_live() && record.age >= self.config.remember => return false,
+            Some(old) if record.rank() == old.record.rank() => return self.confirm(now, record),
+            Some(old) if record.rank() < old.record.rank() => return false,
             Some(old)
                 if record.generation == old.record.generation
-                    && record.incarnation - old.record.incarnation > FAR_OFF =>
+                    && record.incarnation - old.record.incarnation > MAX_INCARNATION_JUMP =>
             {
                 self.counts.drops.far_off += 1;
                 return false;
             }
             _ => {}
         }
-        let before = old.map(|old| old.record.state);
-        let refutes = old.is_some_and(|old| {
+        let previous_state = old.map(|old| old.record.state);
+        let is_refutation = old.is_some_and(|old| {
             record.state == State::Alive && record.generation == old.record.generation
         });
-        let record = self.table.in_held_letters(record);
-        let relayed = !refutes || self.relays(now, &record.name);
+        let record = self.table.intern(record);
+        let may_relay = !is_refutation || self.may_relay_refutation(now, &record.name);
         let (name, state, by) = (record.name.clone(), record.state, record.by.clone());
-        if before != Some(state) || !refutes {
+        if previous_state != Some(state) || !is_refutation {
             self.changes.push(Change {
                 member: record.clone(),
-                from: before,
+                from: previous_state,
             });
         }
-        self.table.put(now, record);
+        self.table.insert(now, record);
         match state {
-            State::Suspect => self.suspect(now, &name, by),
+            State::Suspect => self.start_suspicion(now, &name, by),
             State::Dead | State::Left => {
-                let since = self.table.get(&name).map_or(now, |held| held.since);
-                self.alarms
-                    .push(Reverse((since + self.plan.remember, name.clone())));
+                let since = self.table.get(&name).map_or(now, |entry| entry.since);
+                self.timers
+                    .push(Reverse((since + self.config.remember, name.clone())));
             }
-            // One that has just come is probed within the round that runs.
-            _ if !before.is_some_and(State::lives) => {
-                self.round.push(name.clone());
-                let last = self.round.len() - 1;
-                let place = self.rng.random_range(self.place.min(last)..=last);
-                self.round.swap(place, last);
+            // A new member is probed within the current round.
+            _ if !previous_state.is_some_and(State::is_live) => {
+                self.probe_order.push(name.clone());
+                let last = self.probe_order.len() - 1;
+                let probe_slot = self.rng.random_range(self.probe_index.min(last)..=last);
+                self.probe_order.swap(probe_slot, last);
             }
             _ => {}
         }
-        if relayed {
-            self.news.add(&name);
+        if may_relay {
+            self.gossip.add(&name);
         }
-        // One more counts at once; one less is looked at now and then.
-        self.counted = self.counted.max(self.table.living());
+        // An additional member counts at once; a missing one at the next periodic check.
+        self.counted = self.counted.max(self.table.live_count());
         true
     }
 
-    /// Whether a refutation is told on: a member that refutes for ever must not fill all datagrams.
-    pub(super) fn relays(&mut self, now: Time, name: &MixerName) -> bool {
-        let mut relayed = false;
-        self.table.mind(name, |held| {
-            let (since, count) = held.refutes;
-            let fresh = now.since(since) >= REFUTES_IN;
-            held.refutes = if fresh { (now, 1) } else { (since, count + 1) };
-            relayed = held.refutes.1 <= MOST_REFUTES;
+    /// Whether a refutation is gossiped on: a member that refutes endlessly must not fill all datagrams.
+    pub(super) fn may_relay_refutation(&mut self, now: Time, name: &MixerName) -> bool {
+        let mut may_relay = false;
+        self.table.update_entry(name, |entry| {
+            let (since, count) = entry.relayed_refutations;
+            let window_over = now.since(since) >= REFUTATION_WINDOW;
+            entry.relayed_refutations = if window_over {
+                (now, 1)
+            } else {
+                (since, count + 1)
+            };
+            may_relay = entry.relayed_refutations.1 <= MAX_RELAYED_REFUTATIONS;
         });
-        relayed
+        may_relay
     }
 
-    pub(super) fn suspect(&mut self, now: Time, name: &MixerName, by: Option<MixerName>) {
-        let until = now + self.suspicion_for(1);
-        let own = by.as_ref() == Some(&self.me.name);
+    /// Starts the timer of a suspicion.
+    pub(super) fn start_suspicion(&mut self, now: Time, name: &MixerName, by: Option<MixerName>) {
+        let until = now + self.suspicion_timeout(1);
+        let is_first_witness = by.as_ref() == Some(&self.local.name);
         let witnesses = by.into_iter().collect();
-        self.table.mind(name, |held| {
-            held.suspicion = Some(Suspicion {
+        self.table.update_entry(name, |entry| {
+            entry.suspicion = Some(Suspicion {
                 until,
                 since: now,
                 witnesses,
             });
         });
-        self.alarms.push(Reverse((until, name.clone())));
-        // It learns of it at once, and not by chance; from the first witness, not from all that hear of it.
-        if own && let Some(at) = self.table.get(name).map(|held| held.record.address) {
+        self.timers.push(Reverse((until, name.clone())));
+        // The suspect learns of it at once and not by chance, but from the first witness only, not from every member
+        // that receives the suspicion.
+        if is_first_witness && let Some(at) = self.table.get(name).map(|entry| entry.record.address)
+        {
             let ping = proto::Ping {
-                number: self.probes.number(),
+                number: self.probes.next_number(),
                 to: name.as_str().to_owned(),
             };
             self.send(now, at, Some(name), None, What::Ping(ping));
         }
     }
 
-    /// A second witness of a suspicion shortens it; it is told on once.
-    pub(super) fn confirm(&mut self, now: Time, record: Record) -> bool {
-        let Record {
+    /// A second witness shortens a suspicion; this is gossiped on once.
+    pub(super) fn confirm(&mut self, now: Time, record: MemberRecord) -> bool {
+        let MemberRecord {
             name,
             state,
             by: Some(by),
@@ -152,23 +160,23 @@
         else {
             return false;
         };
-        let short = self.suspicion_for(2);
+        let confirmed_timeout = self.suspicion_timeout(2);
         let mut until = None;
-        self.table.mind(&name, |held| {
-            if let Some(suspicion) = held.suspicion.as_mut().filter(|_| state == State::Suspect)
+        self.table.update_entry(&name, |entry| {
+            if let Some(suspicion) = entry.suspicion.as_mut().filter(|_| state == State::Suspect)
                 && suspicion.witnesses.len() == 1
                 && !suspicion.witnesses.contains(&by)
             {
                 suspicion.witnesses.push(by.clone());
-                held.record.by = Some(by);
-                suspicion.until = suspicion.until.min(suspicion.since + short);
+                entry.record.by = Some(by);
+                suspicion.until = suspicion.until.min(suspicion.since + confirmed_timeout);
                 until = Some(suspicion.until);
             }
         });
         let Some(until) = until else { return false };
-        self.alarms.push(Reverse((until.max(now), name.clone())));
-        // Told on with the second witness's name.
-        self.news.add(&name);
+        self.timers.push(Reverse((until.max(now), name.clone())));
+        // Gossiped on with the name of the second witness.
+        self.gossip.add(&name);
         true
     }
 }
--- a/crates/lockusher-membership/src/core/share.rs
+++ b/crates/lockusher-membership/src/core/share.rs
@@ -1,5 +1,6 @@
-//! Shared state on the fleet's datagrams: changes of records ride on datagrams of their own while there are any, rates on
-//! all; what was missed is asked for. Nothing here is sent or kept where the operator shares nothing.
+//! Shared state on the fleet's datagrams. Changes of verdict records are gossiped in datagrams of their own, request
+//! rates are carried by all datagrams, and missing changes are requested. Nothing here is sent or stored where the
+//! operator shares nothing.
 
 use std::net::SocketAddrV4;
 
@@ -7,38 +8,39 @@
 use rand::RngExt;
 
 use super::Core;
-use super::news::News;
-use super::table::{ByName, MixerName, State};
-use super::wire::{WantOf, What};
+use super::news::GossipQueue;
+use super::table::{MixerName, NameMap, State};
+use super::wire::{WantRequest, What};
 use crate::proto;
-use crate::shared::judge::{self, OnceAccused, Said, Standing};
-use crate::shared::lend::{self, Lending, View, Word};
-use crate::shared::records::{Merged, Record, Records};
-use crate::shared::warm::{self, ASKED, Warming};
+use crate::shared::judge::{self, AgreedVerdict, FormerlyAccused, Vote};
+use crate::shared::lend::{self, BudgetLeasing, FleetView, LeaseMessage};
+use crate::shared::records::{Merged, VerdictRecord, VerdictRecords};
+use crate::shared::warm::{self, WARM_START_PEERS, WarmStart};
 
-/// What the operator has shared.
+/// Which state the operator shares.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shares {
     pub judgements: bool,
     pub warm_starts: bool,
-    /// The budgets that are lent out, what the whole fleet may spend of each a second; none, or each once.
+    /// The leased budgets with the amount that the whole fleet may spend of each per second; empty, or each budget
+    /// once.
     pub budgets: Vec<(Budget, f64)>,
-    /// Mixers that make up the fleet, at the most.
+    /// The most mixers in the fleet.
     pub mixers: usize,
-    /// Whether tenants' shares are among the budgets; which tenants there are, the platform's settings tell.
+    /// Whether the tenants' quotas are among the budgets; the platform's settings list the tenants.
     pub tenants: bool,
 }
 
-/// What a mixer tells of itself, now and then.
+/// What the local mixer periodically reports about itself.
 #[derive(Clone, Debug, Default)]
 pub struct Own {
     pub seen: Vec<Glimpse>,
     pub totals: Totals,
-    /// What it would spend of budgets a second.
+    /// The demand for each budget, per second.
     pub wants: Vec<(Budget, f64)>,
 }
 
-/// Counts since the mixer's start.
+/// Counters since the start of the mixer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Totals {
     pub multigets: u64,
@@ -47,7 +49,7 @@
     pub pushed_back: u64,
 }
 
-/// The same, a second.
+/// The rates of `Totals`, per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rates {
     pub multigets: f64,
@@ -56,7 +58,7 @@
     pub pushed_back: f64,
 }
 
-/// Rates of all mixers that were heard from lately, added up, with how many of the living these are.
+/// The sum of the rates of all mixers that reported recently, with the number of these and of the live members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetRates {
     pub heard: usize,
@@ -64,131 +66,141 @@
     pub rates: Rates,
 }
 
-/// How a judgement of each searcher came about, and how records stand, for those who look.
+/// The agreed verdicts and the state of the records, for status reports.
 #[derive(Clone, Debug, Default)]
 pub struct Shown {
-    pub standing: Vec<Standing>,
+    pub standing: Vec<AgreedVerdict>,
     pub rates: FleetRates,
-    /// Records held of others, entries in all and of the own one.
+    /// Records of other mixers, and the entries in all of them and in the local one.
     pub records: usize,
     pub entries: usize,
     pub own: usize,
-    /// Entries that were not held or told for want of room.
+    /// Entries that were dropped because a record was full.
     pub crowded: u64,
-    /// Searchers known from others since the start.
+    /// Searchers learnt by the warm start.
     pub remembered: usize,
-    /// What this mixer may spend of each budget; whether more than half of the fleet lives for it; and, if it is the one
-    /// that lends, what of each is out.
+    /// What this mixer may spend of each budget; whether more than half of the fleet is live for it; and, if it is the
+    /// lender, the outstanding loans of each budget.
     pub portions: Vec<(Budget, Portion)>,
     pub in_contact: bool,
     pub lends: Option<Vec<f64>>,
 }
 
-/// Between two tellings: two of them fit into half a second, in which thin traffic meets a dead searcher about once.
-const TELL_EVERY: Span = Span::from_millis(200);
-/// What is new is told sooner, so soon and to so many, as often as this in a second and so often at once: a death that
-/// waits for three tellings in a row is met by all themselves.
-const SOON: Span = Span::from_millis(20);
-const TOLD_SOON: usize = 2;
-const SOONER: f64 = 2.0;
-const MOST_SOONER: f64 = 4.0;
-/// The time over which own rates are worked out.
-const RATES_OVER: Span = Span::from_millis(2_000);
-/// Rates heard longer ago are not counted. Datagrams of ten members come a second, so of 300 half were heard in it.
-const RATES_KEPT: Span = Span::from_millis(30_000);
-/// Questions for what is missing, and answers to such, in a second.
-const MOST_ASKED: f64 = 8.0;
-/// More multigets a second than any mixer serves.
-const MOST_RATE: f32 = 1e7;
-
-pub(super) struct Sharing {
-    pub plan: Shares,
-    pub records: Records,
-    /// Owners whose records have changes to be told, and from which version on.
-    rumours: News,
-    bases: ByName<u32>,
+/// The interval between gossip rounds. Two of them fit into half a second, in which a mixer with little traffic meets a
+/// dead searcher about once.
+const GOSSIP_INTERVAL: Span = Span::from_millis(200);
+/// New changes are sent after a shorter delay and to more members, limited by a token bucket (tokens per second,
+/// burst): if news of a death waited for three rounds, every mixer would meet the dead searcher itself.
+const URGENT_DELAY: Span = Span::from_millis(20);
+const URGENT_FANOUT: usize = 2;
+const URGENT_PER_SEC: f64 = 2.0;
+const URGENT_BURST: f64 = 4.0;
+/// The window over which the local rates are measured.
+const RATE_WINDOW: Span = Span::from_millis(2_000);
+/// The age after which received rates are ignored. A member receives datagrams of about ten members a second, so of 300
+/// members half are heard from within this time.
+const RATES_MAX_AGE: Span = Span::from_millis(30_000);
+/// Requests for missing changes, and answers to such requests, per second.
+const MAX_QUERIES_PER_SEC: f64 = 8.0;
+/// The greatest valid rate, above what any mixer serves per second.
+const MAX_RATE_PER_SEC: f32 = 1e7;
+
+/// The shared state of the local mixer.
+pub(super) struct SharedState {
+    pub config: Shares,
+    pub records: VerdictRecords,
+    /// The owners of records with changes to be sent, and the version from which on the changes are sent.
+    pending_deltas: GossipQueue,
+    base_versions: NameMap<u32>,
     seen: Vec<Glimpse>,
     totals: Option<(Totals, Time)>,
     pub own_rates: Option<Rates>,
-    rates: ByName<(Rates, Time)>,
-    standing: Vec<Standing>,
-    once: OnceAccused,
-    lending: Option<Lending>,
-    in_contact: bool,
-    warming: Warming,
-    remembered: Option<Vec<Known>>,
-    known: usize,
-    next: Time,
-    /// Something is to be told sooner; how often that may be yet, as of when.
-    soon: bool,
-    sooner: f64,
-    sooner_at: Time,
-    asks_left: f64,
-    asks_at: Time,
+    rates: NameMap<(Rates, Time)>,
+    agreed: Vec<AgreedVerdict>,
+    formerly_accused: FormerlyAccused,
+    lending: Option<BudgetLeasing>,
+    has_quorum: bool,
+    warm_start: WarmStart,
+    warm_start_result: Option<Vec<Known>>,
+    warm_start_count: usize,
+    next_round: Time,
+    /// Whether an early round is scheduled; and the tokens left for early rounds, as of `urgent_tokens_at`.
+    urgent: bool,
+    urgent_tokens: f64,
+    urgent_tokens_at: Time,
+    query_tokens: f64,
+    query_tokens_at: Time,
 }
 
-impl Sharing {
-    pub fn new(now: Time, plan: Shares, generation: u64) -> Self {
-        let amounts: Vec<f64> = plan.budgets.iter().map(|(_, amount)| *amount).collect();
-        let lending =
-            (!amounts.is_empty()).then(|| Lending::new(now, lend::Plan::new(amounts, plan.mixers)));
-        Sharing {
+impl SharedState {
+    pub fn new(now: Time, config: Shares, generation: u64) -> Self {
+        let amounts: Vec<f64> = config.budgets.iter().map(|(_, amount)| *amount).collect();
+        let lending = (!amounts.is_empty())
+            .then(|| BudgetLeasing::new(now, lend::LeaseConfig::new(amounts, config.mixers)));
+        SharedState {
             lending,
-            in_contact: false,
-            plan,
-            records: Records::new(generation),
-            rumours: News::default(),
-            bases: ByName::default(),
+            has_quorum: false,
+            config,
+            records: VerdictRecords::new(generation),
+            pending_deltas: GossipQueue::default(),
+            base_versions: NameMap::default(),
             seen: Vec::new(),
             totals: None,
             own_rates: None,
-            rates: ByName::default(),
-            standing: Vec::new(),
-            once: OnceAccused::default(),
-            warming: Warming::default(),
-            remembered: None,
-            known: 0,
-            next: now,
-            soon: false,
-            sooner: MOST_SOONER,
-            sooner_at: now,
-            asks_left: MOST_ASKED,
-            asks_at: now,
+            rates: NameMap::default(),
+            agreed: Vec::new(),
+            formerly_accused: FormerlyAccused::default(),
+            warm_start: WarmStart::default(),
+            warm_start_result: None,
+            warm_start_count: 0,
+            next_round: now,
+            urgent: false,
+            urgent_tokens: URGENT_BURST,
+            urgent_tokens_at: now,
+            query_tokens: MAX_QUERIES_PER_SEC,
+            query_tokens_at: now,
         }
     }
 
-    pub fn next(&self) -> Time {
-        self.next
+    /// When the next round is due.
+    pub fn next_timeout(&self) -> Time {
+        self.next_round
     }
 
-    fn rumour(&mut self, now: Time, of: &MixerName, base: u32) {
-        self.rumours.add(of);
-        self.bases.entry(of.clone()).or_insert(base);
-        self.sooner = (self.sooner + SOONER * now.since(self.sooner_at).as_secs()).min(MOST_SOONER);
-        self.sooner_at = now;
-        if !self.soon && self.sooner >= 1.0 {
-            (self.soon, self.sooner) = (true, self.sooner - 1.0);
-            self.next = self.next.min(now + SOON);
+    /// Queues the changes of a record after a version, and schedules an early round if the rate limit allows.
+    fn queue_delta(&mut self, now: Time, of: &MixerName, base_version: u32) {
+        self.pending_deltas.add(of);
+        self.base_versions.entry(of.clone()).or_insert(base_version);
+        self.urgent_tokens = (self.urgent_tokens
+            + URGENT_PER_SEC * now.since(self.urgent_tokens_at).as_secs())
+        .min(URGENT_BURST);
+        self.urgent_tokens_at = now;
+        if !self.urgent && self.urgent_tokens >= 1.0 {
+            (self.urgent, self.urgent_tokens) = (true, self.urgent_tokens - 1.0);
+            self.next_round = self.next_round.min(now + URGENT_DELAY);
         }
     }
 
-    /// Whether one more question or answer is within its share.
-    fn may_ask(&mut self, now: Time) -> bool {
-        self.asks_left =
-            (self.asks_left + MOST_ASKED * now.since(self.asks_at).as_secs()).min(MOST_ASKED) - 1.0;
-        self.asks_at = now;
-        let may = self.asks_left >= 0.0;
-        self.asks_left = self.asks_left.max(0.0);
-        may
+    /// Whether one more request or answer is within the rate limit.
+    fn take_query_token(&mut self, now: Time) -> bool {
+        self.query_tokens = (self.query_tokens
+            + MAX_QUERIES_PER_SEC * now.since(self.query_tokens_at).as_secs())
+        .min(MAX_QUERIES_PER_SEC)
+            - 1.0;
+        self.query_tokens_at = now;
+        let allowed = self.query_tokens >= 0.0;
+        self.query_tokens = self.query_tokens.max(0.0);
+        allowed
     }
 
-    fn count(&mut self, now: Time, totals: Totals) {
+    /// Updates the local rates once per window.
+    fn update_rates(&mut self, now: Time, totals: Totals) {
         let Some((before, at)) = self.totals else {
             self.totals = Some((totals, now));
             return;
         };
         let span = now.since(at);
-        if span < RATES_OVER {
+        if span < RATE_WINDOW {
             return;
         }
         let rate = |now: u64, before: u64| now.saturating_sub(before) as f64 / span.as_secs();
@@ -203,59 +215,66 @@
 }
 
 impl Core {
-    /// What this mixer saw and did, as it tells it now and then.
-    pub fn tell(&mut self, now: Time, own: Own) {
-        let Some(mut sharing) = self.sharing.take() else {
+    /// Takes the periodic report of the local mixer.
+    pub fn tell(&mut self, now: Time, report: Own) {
+        let Some(mut shared) = self.shared.take() else {
             return;
         };
-        sharing.count(now, own.totals);
-        sharing.seen = own.seen;
-        if let Some(lending) = &mut sharing.lending {
-            let want = |budget: &Budget| {
-                own.wants
+        shared.update_rates(now, report.totals);
+        shared.seen = report.seen;
+        if let Some(lending) = &mut shared.lending {
+            let demand = |budget: &Budget| {
+                report
+                    .wants
                     .iter()
                     .find(|(of, _)| of == budget)
                     .map_or(0.0, |want| want.1)
             };
-            lending.wants(
-                sharing
-                    .plan
+            lending.set_demand(
+                shared
+                    .config
                     .budgets
                     .iter()
-                    .map(|(budget, _)| want(budget))
+                    .map(|(budget, _)| demand(budget))
                     .collect(),
             );
         }
-        if sharing.plan.judgements && self.me.state == State::Alive {
-            sharing.records.reborn(self.me.generation);
-            let mut once = std::mem::take(&mut sharing.once);
+        if shared.config.judgements && self.local.state == State::Alive {
+            shared.records.set_generation(self.local.generation);
+            let mut formerly_accused = std::mem::take(&mut shared.formerly_accused);
             let others = self
-                .said(&sharing)
-                .filter(|(_, said)| *said.by != self.me.name);
-            let accused = judge::accused(now, &self.me.name, &self.me.zone, others, &mut once);
-            sharing.once = once;
-            let verdicts = judge::tells(now, &sharing.seen, &accused);
-            if let Some(before) = sharing.records.publish(now, verdicts) {
-                sharing.rumour(now, &self.me.name, before);
+                .live_verdicts(&shared)
+                .filter(|(_, vote)| *vote.by != self.local.name);
+            let accusations = judge::accusations(
+                now,
+                &self.local.name,
+                &self.local.zone,
+                others,
+                &mut formerly_accused,
+            );
+            shared.formerly_accused = formerly_accused;
+            let verdicts = judge::local_verdicts(now, &shared.seen, &accusations);
+            if let Some(before) = shared.records.publish(now, verdicts) {
+                shared.queue_delta(now, &self.local.name, before);
             }
-            self.judge(now, &mut sharing);
+            self.update_agreed(now, &mut shared);
         }
-        self.sharing = Some(sharing);
+        self.shared = Some(shared);
     }
 
-    /// All that living mixers say of searchers, this one among them.
-    fn said<'a>(
+    /// The verdicts of all live mixers, the local one included.
+    fn live_verdicts<'a>(
         &'a self,
-        sharing: &'a Sharing,
-    ) -> impl Iterator<Item = (&'a lockusher_policy::interface::SearcherId, Said<'a>)> {
-        let of = |by: &'a MixerName, zone: &'a str, record: &'a Record| {
+        shared: &'a SharedState,
+    ) -> impl Iterator<Item = (&'a lockusher_policy::interface::SearcherId, Vote<'a>)> {
+        let of = |by: &'a MixerName, zone: &'a str, record: &'a VerdictRecord| {
             let entries = record.entries.iter().filter(|(_, entry)| {
                 entry.verdict.fault != crate::shared::records::Fault::Withdrawn
             });
             entries.map(move |(id, entry)| {
                 (
                     id,
-                    Said {
+                    Vote {
                         by,
                         zone,
                         verdict: &entry.verdict,
@@ -263,148 +282,156 @@
                 )
             })
         };
-        let others = sharing.records.others().filter_map(move |(name, record)| {
-            let held = self.table.get(name)?;
-            let lives = held.record.state.lives() && held.record.generation == record.generation;
-            lives.then(|| of(name, &held.record.zone, record))
+        let others = shared.records.others().filter_map(move |(name, record)| {
+            let entry = self.table.get(name)?;
+            let is_live =
+                entry.record.state.is_live() && entry.record.generation == record.generation;
+            is_live.then(|| of(name, &entry.record.zone, record))
         });
         others
             .flatten()
-            .chain(of(&self.me.name, &self.me.zone, sharing.records.own()))
+            .chain(of(&self.local.name, &self.local.zone, shared.records.own()))
     }
 
-    fn judge(&self, now: Time, sharing: &mut Sharing) {
-        sharing.standing = judge::stands(now, self.said(sharing), self.table.living_zones());
+    /// Recomputes the agreed verdicts.
+    fn update_agreed(&self, now: Time, shared: &mut SharedState) {
+        shared.agreed = judge::agreed_verdicts(
+            now,
+            self.live_verdicts(shared),
+            self.table.live_zone_count(),
+        );
     }
 
-    /// What stands of searchers now.
-    pub fn standing_judgements(&self) -> &[Standing] {
-        self.sharing
-            .as_ref()
-            .map_or(&[], |sharing| &sharing.standing)
+    /// The verdicts that enough witnesses agree on.
+    pub fn standing_judgements(&self) -> &[AgreedVerdict] {
+        self.shared.as_ref().map_or(&[], |shared| &shared.agreed)
     }
 
-    /// What others remembered of searchers, once, when this mixer started.
+    /// The result of the warm start, returned once.
     pub fn take_remembered(&mut self) -> Option<Vec<Known>> {
-        self.sharing.as_mut()?.remembered.take()
+        self.shared.as_mut()?.warm_start_result.take()
     }
 
+    /// The shared state for status reports; `None` if nothing is shared.
     pub fn shown(&self, now: Time) -> Option<Shown> {
-        let sharing = self.sharing.as_ref()?;
+        let shared = self.shared.as_ref()?;
         let mut rates = FleetRates {
             living: self.living(),
             ..FleetRates::default()
         };
-        let heard = sharing.rates.iter().filter(|(name, (_, at))| {
-            now.since(*at) < RATES_KEPT
+        let recent = shared.rates.iter().filter(|(name, (_, at))| {
+            now.since(*at) < RATES_MAX_AGE
                 && self
                     .table
                     .get(name)
-                    .is_some_and(|held| held.record.state.lives())
+                    .is_some_and(|entry| entry.record.state.is_live())
         });
-        for own in heard.map(|(_, (rates, _))| *rates).chain(sharing.own_rates) {
+        for member in recent.map(|(_, (rates, _))| *rates).chain(shared.own_rates) {
             rates.heard += 1;
-            rates.rates.multigets += own.multigets;
-            rates.rates.parts += own.parts;
-            rates.rates.further += own.further;
-            rates.rates.pushed_back += own.pushed_back;
+            rates.rates.multigets += member.multigets;
+            rates.rates.parts += member.parts;
+            rates.rates.further += member.further;
+            rates.rates.pushed_back += member.pushed_back;
         }
         Some(Shown {
-            standing: sharing.standing.clone(),
+            standing: shared.agreed.clone(),
             rates,
-            records: sharing.records.others().count(),
-            entries: sharing
+            records: shared.records.others().count(),
+            entries: shared
                 .records
                 .others()
                 .map(|(_, record)| record.entries.len())
                 .sum(),
-            own: sharing.records.own().fresh(now).count(),
-            crowded: sharing.records.crowded,
-            remembered: sharing.known,
+            own: shared.records.own().fresh(now).count(),
+            crowded: shared.records.crowded,
+            remembered: shared.warm_start_count,
             portions: self.portions(now),
-            in_contact: sharing.in_contact,
-            lends: sharing
+            in_contact: shared.has_quorum,
+            lends: shared
                 .lending
                 .as_ref()
-                .and_then(|lending| lending.lends(now)),
+                .and_then(|lending| lending.loaned_out(now)),
         })
     }
 
-    /// What this mixer may spend of each budget, as of now.
+    /// What this mixer may spend of each budget as of `now`.
     pub fn portions(&self, now: Time) -> Vec<(Budget, Portion)> {
-        let Some(sharing) = &self.sharing else {
+        let Some(shared) = &self.shared else {
             return Vec::new();
         };
-        let Some(lending) = &sharing.lending else {
+        let Some(lending) = &shared.lending else {
             return Vec::new();
         };
-        let budgets = sharing.plan.budgets.iter().map(|(budget, _)| *budget);
+        let budgets = shared.config.budgets.iter().map(|(budget, _)| *budget);
         budgets.zip(lending.portions(now)).collect()
     }
 
-    /// Whether more than half of the fleet lives, as far as this mixer knows; `None` where no budget is lent.
-    pub fn in_contact(&self) -> Option<bool> {
-        let sharing = self.sharing.as_ref()?;
-        sharing.lending.as_ref().map(|_| sharing.in_contact)
+    /// Whether more than half of the fleet is live as far as this mixer knows; `None` if no budget is leased.
+    pub fn has_quorum(&self) -> Option<bool> {
+        let shared = self.shared.as_ref()?;
+        shared.lending.as_ref().map(|_| shared.has_quorum)
     }
 
-    /// The living, and the one of them that is to lend: the one that was started first, as it is the likeliest to stay.
-    fn lenders(&self) -> (Vec<MixerName>, Option<MixerName>) {
-        let living = || {
+    /// The live members, and the one of them that is to be the lender: the one that was started first, as it is the
+    /// most likely to stay.
+    fn live_members_and_lender(&self) -> (Vec<MixerName>, Option<MixerName>) {
+        let live = || {
             self.table
                 .iter()
-                .map(|held| &held.record)
-                .filter(|record| record.state.lives())
+                .map(|entry| &entry.record)
+                .filter(|record| record.state.is_live())
         };
-        let first = living().min_by_key(|record| (record.born, record.name.clone()));
-        let first = first.map(|record| record.name.clone());
-        let mut living: Vec<MixerName> = living().map(|record| record.name.clone()).collect();
-        living.sort();
-        (living, first)
+        let lender = live().min_by_key(|record| (record.born, record.name.clone()));
+        let lender = lender.map(|record| record.name.clone());
+        let mut live: Vec<MixerName> = live().map(|record| record.name.clone()).collect();
+        live.sort();
+        (live, lender)
     }
 
-    fn lend(&mut self, now: Time, sharing: &mut Sharing) {
-        let Some(lending) = &mut sharing.lending else {
+    /// Runs a round of budget leasing.
+    fn lend_budgets(&mut self, now: Time, shared: &mut SharedState) {
+        let Some(lending) = &mut shared.lending else {
             return;
         };
-        let (living, first) = self.lenders();
-        let me = (self.me.name.clone(), self.me.generation);
-        let view = View {
-            me: &me,
-            first: first.as_ref(),
-            living: &living,
+        let (live, lender) = self.live_members_and_lender();
+        let local = (self.local.name.clone(), self.local.generation);
+        let view = FleetView {
+            local: &local,
+            lender: lender.as_ref(),
+            live: &live,
             counted: self.counted,
         };
-        sharing.in_contact = view.most(lending.plan());
-        for (to, word) in lending.due(now, &view) {
-            if let Some(at) = self.table.get(&to).map(|held| held.record.address) {
-                self.say_of_lending(at, word);
+        shared.has_quorum = view.has_quorum(lending.config());
+        for (to, message) in lending.handle_timeout(now, &view) {
+            if let Some(at) = self.table.get(&to).map(|entry| entry.record.address) {
+                self.send_lending(at, message);
             }
         }
     }
 
-    fn say_of_lending(&mut self, at: SocketAddrV4, word: Word) {
-        use proto::lending::What as Said;
-        let of = |number, what: Said| proto::Lending {
+    /// Sends a message of budget leasing.
+    fn send_lending(&mut self, at: SocketAddrV4, message: LeaseMessage) {
+        use proto::lending::What as Kind;
+        let with_kind = |number, kind: Kind| proto::Lending {
             number,
-            what: what.into(),
+            what: kind.into(),
             ..proto::Lending::default()
         };
         let ms = |span: Span| (span.as_micros() / 1_000) as u32;
-        let what = match word {
-            Word::Promise { number, span } => proto::Lending {
+        let body = match message {
+            LeaseMessage::PromiseRequest { number, span } => proto::Lending {
                 for_ms: ms(span),
-                ..of(number, Said::Promise)
+                ..with_kind(number, Kind::Promise)
             },
-            Word::Promised { number, life } => proto::Lending {
+            LeaseMessage::PromiseGrant { number, life } => proto::Lending {
                 life,
-                ..of(number, Said::Promised)
+                ..with_kind(number, Kind::Promised)
             },
-            Word::Wants { number, amounts } => proto::Lending {
+            LeaseMessage::LoanRequest { number, amounts } => proto::Lending {
                 amounts,
-                ..of(number, Said::Wants)
+                ..with_kind(number, Kind::Wants)
             },
-            Word::Lent {
+            LeaseMessage::LoanGrant {
                 number,
                 life,
                 span,
@@ -413,187 +440,201 @@
                 life,
                 for_ms: ms(span),
                 amounts,
-                ..of(number, Said::Lent)
+                ..with_kind(number, Kind::Lent)
             },
         };
-        let draft = self.draft(What::Lending(what));
-        self.dispatch(at, draft);
+        let builder = self.builder(What::Lending(body));
+        self.dispatch(at, builder);
     }
 
-    fn hear_of_lending(
+    /// Handles a message of budget leasing.
+    fn handle_lending(
         &mut self,
         now: Time,
-        sharing: &mut Sharing,
+        shared: &mut SharedState,
         from: SocketAddrV4,
-        speaker: &super::table::Record,
-        said: proto::Lending,
+        sender: &super::table::MemberRecord,
+        body: proto::Lending,
     ) {
-        use proto::lending::What as Said;
-        let Some(lending) = &mut sharing.lending else {
+        use proto::lending::What as Kind;
+        let Some(lending) = &mut shared.lending else {
             return;
         };
-        // Of a member that lives, in the life that is known: a former one's words are void.
+        // Only messages of live members in their known generation are valid; those of an earlier process are ignored.
         let known = self
             .table
-            .get(&speaker.name)
-            .map(|held| (held.record.generation, held.record.state.lives()));
-        if known != Some((speaker.generation, true)) || self.me.state != State::Alive {
+            .get(&sender.name)
+            .map(|entry| (entry.record.generation, entry.record.state.is_live()));
+        if known != Some((sender.generation, true)) || self.local.state != State::Alive {
             return;
         }
         let (number, life, span) = (
-            said.number,
-            said.life,
-            Span::from_millis(said.for_ms.into()),
+            body.number,
+            body.life,
+            Span::from_millis(body.for_ms.into()),
         );
-        let word = match Said::try_from(said.what) {
-            Ok(Said::Promise) => Word::Promise { number, span },
-            Ok(Said::Promised) => Word::Promised { number, life },
-            Ok(Said::Wants) => Word::Wants {
+        let message = match Kind::try_from(body.what) {
+            Ok(Kind::Promise) => LeaseMessage::PromiseRequest { number, span },
+            Ok(Kind::Promised) => LeaseMessage::PromiseGrant { number, life },
+            Ok(Kind::Wants) => LeaseMessage::LoanRequest {
                 number,
-                amounts: said.amounts,
+                amounts: body.amounts,
             },
-            Ok(Said::Lent) => Word::Lent {
+            Ok(Kind::Lent) => LeaseMessage::LoanGrant {
                 number,
                 life,
                 span,
-                amounts: said.amounts,
+                amounts: body.amounts,
             },
-            Ok(Said::Nothing) | Err(_) => return self.counts.drops.absurd += 1,
+            Ok(Kind::Nothing) | Err(_) => return self.counts.drops.absurd += 1,
         };
-        let (living, first) = self.lenders();
-        let me = (self.me.name.clone(), self.me.generation);
-        let view = View {
-            me: &me,
-            first: first.as_ref(),
-            living: &living,
+        let (live, lender) = self.live_members_and_lender();
+        let local = (self.local.name.clone(), self.local.generation);
+        let view = FleetView {
+            local: &local,
+            lender: lender.as_ref(),
+            live: &live,
             counted: self.counted,
         };
-        let life = (speaker.name.clone(), speaker.generation);
-        for (_, word) in lending.hear(now, &life, word, &view) {
-            self.say_of_lending(from, word);
+        let instance = (sender.name.clone(), sender.generation);
+        for (_, message) in lending.handle_message(now, &instance, message, &view) {
+            self.send_lending(from, message);
         }
     }
 
-    /// Tells what is to be told, asks what is to be asked.
-    pub(super) fn share(&mut self, now: Time) {
-        let Some(mut sharing) = self.sharing.take() else {
+    /// Runs a round: sends the changes and requests that are due.
+    pub(super) fn share_state(&mut self, now: Time) {
+        let Some(mut shared) = self.shared.take() else {
             return;
         };
-        let chance = self.rng.random_range(0.8..1.2);
-        sharing.next = now + TELL_EVERY.times(chance);
-        if self.me.state == State::Alive {
-            self.warm(now, &mut sharing);
-            let lives = |name: &MixerName| {
+        let jitter = self.rng.random_range(0.8..1.2);
+        shared.next_round = now + GOSSIP_INTERVAL.times(jitter);
+        if self.local.state == State::Alive {
+            self.request_warm_start(now, &mut shared);
+            let is_live = |name: &MixerName| {
                 self.table
                     .get(name)
-                    .is_some_and(|held| held.record.state.lives())
+                    .is_some_and(|entry| entry.record.state.is_live())
             };
-            sharing.records.keep(lives);
-            sharing.rates.retain(|name, _| lives(name));
-            sharing.bases.retain(|name, _| lives(name));
-            sharing.rumours.keep(lives);
-            self.rumour(now, &mut sharing);
-            self.judge(now, &mut sharing);
-            self.lend(now, &mut sharing);
+            shared.records.retain(is_live);
+            shared.rates.retain(|name, _| is_live(name));
+            shared.base_versions.retain(|name, _| is_live(name));
+            shared.pending_deltas.retain(is_live);
+            self.send_deltas(now, &mut shared);
+            self.update_agreed(now, &mut shared);
+            self.lend_budgets(now, &mut shared);
         }
-        self.sharing = Some(sharing);
+        self.shared = Some(shared);
     }
 
-    /// One datagram of changes to one member, or to some if they are new, if there are any.
-    fn rumour(&mut self, now: Time, sharing: &mut Sharing) {
-        let most = if std::mem::take(&mut sharing.soon) {
-            TOLD_SOON
+    /// Sends the pending changes, if any, to one member, or to several if they are new.
+    fn send_deltas(&mut self, now: Time, shared: &mut SharedState) {
+        let fanout = if std::mem::take(&mut shared.urgent) {
+            URGENT_FANOUT
         } else {
             1
         };
-        for to in self.some(most, None) {
-            if sharing.bases.is_empty() {
+        for to in self.random_live_members(fanout, None) {
+            if shared.base_versions.is_empty() {
                 return;
             }
-            let Some(at) = self.table.get(&to).map(|held| held.record.address) else {
+            let Some(at) = self.table.get(&to).map(|entry| entry.record.address) else {
                 continue;
             };
-            let mut draft = self.draft(What::Told(proto::Told::default()));
-            let Sharing {
+            let mut builder = self.builder(What::Told(proto::Told::default()));
+            let SharedState {
                 records,
-                rumours,
-                bases,
+                pending_deltas,
+                base_versions,
                 ..
-            } = sharing;
-            let own = &self.me.name;
-            rumours.tell(self.table.living(), |name| {
+            } = shared;
+            let own = &self.local.name;
+            pending_deltas.offer(self.table.live_count(), |name| {
                 let record = if name == own {
                     Some(records.own())
                 } else {
                     records.get(name)
                 };
-                let base = bases.get(name).copied();
-                // Nobody has to be told of its own record.
-                let told = record.zip(base).filter(|_| *name != to);
-                told.is_none_or(|(record, base)| draft.add_delta(record.delta(name, base, now)))
+                let base = base_versions.get(name).copied();
+                // The recipient does not need its own record.
+                let source = record.zip(base).filter(|_| *name != to);
+                source.is_none_or(|(record, base)| builder.add_delta(record.delta(name, base, now)))
             });
-            bases.retain(|name, _| rumours.holds(name));
-            self.dispatch(at, draft);
+            base_versions.retain(|name, _| pending_deltas.contains(name));
+            self.dispatch(at, builder);
         }
     }
 
-    /// Asks some members what they know, and takes what they told.
-    fn warm(&mut self, now: Time, sharing: &mut Sharing) {
-        if !sharing.plan.warm_starts {
+    /// Requests observations from some members, and takes the result once it is complete.
+    fn request_warm_start(&mut self, now: Time, shared: &mut SharedState) {
+        if !shared.config.warm_starts {
             return;
         }
-        if sharing.warming.asks() {
-            let asked = self.some(ASKED, None);
-            let questions: Vec<(u32, MixerName)> = asked
+        if shared.warm_start.should_ask() {
+            let peers = self.random_live_members(WARM_START_PEERS, None);
+            let requests: Vec<(u32, MixerName)> = peers
                 .into_iter()
-                .map(|name| (self.probes.number(), name))
+                .map(|name| (self.probes.next_number(), name))
                 .collect();
-            for (number, name) in &questions {
-                if let Some(at) = self.table.get(name).map(|held| held.record.address) {
+            for (number, name) in &requests {
+                if let Some(at) = self.table.get(name).map(|entry| entry.record.address) {
                     let what = What::Recall(proto::Recall { number: *number });
-                    let draft = self.draft(what);
-                    self.dispatch(at, draft);
+                    let builder = self.builder(what);
+                    self.dispatch(at, builder);
                 }
             }
-            sharing.warming.asked(now, questions.into_iter());
+            shared.warm_start.record_requests(now, requests.into_iter());
         }
-        if let Some(known) = sharing.warming.gives(now).filter(|known| !known.is_empty()) {
-            sharing.known = known.len();
-            sharing.remembered = Some(known);
+        if let Some(known) = shared
+            .warm_start
+            .take_result(now)
+            .filter(|known| !known.is_empty())
+        {
+            shared.warm_start_count = known.len();
+            shared.warm_start_result = Some(known);
         }
     }
 
-    /// A datagram of shared state has come.
-    pub(super) fn hear_shared(
+    /// Handles a message about shared state.
+    pub(super) fn handle_shared(
         &mut self,
         now: Time,
         from: SocketAddrV4,
-        speaker: &super::table::Record,
+        sender: &super::table::MemberRecord,
         what: What,
     ) {
-        let Some(mut sharing) = self.sharing.take() else {
+        let Some(mut shared) = self.shared.take() else {
             return;
         };
         match what {
-            What::Told(told) => self.told(now, &mut sharing, from, told),
-            What::Want(want) => self.give_records(now, &mut sharing, from, &want),
-            What::Lending(said) => self.hear_of_lending(now, &mut sharing, from, speaker, said),
-            What::Recall(recall) => self.recall(now, &mut sharing, from, recall.number),
-            What::Known(known) => match warm::read(now, &known.searchers) {
-                Some(read) => sharing.warming.hears(known.number, read),
+            What::Told(body) => self.handle_told(now, &mut shared, from, body),
+            What::Want(want) => self.send_record(now, &mut shared, from, &want),
+            What::Lending(body) => self.handle_lending(now, &mut shared, from, sender, body),
+            What::Recall(recall) => self.send_known(now, &mut shared, from, recall.number),
+            What::Known(known) => match warm::decode_known(now, &known.searchers) {
+                Some(observations) => shared.warm_start.handle_answer(known.number, observations),
                 None => self.counts.drops.absurd += 1,
             },
             _ => {}
         }
-        self.sharing = Some(sharing);
+        self.shared = Some(shared);
     }
 
-    pub(super) fn hear_rates(&mut self, now: Time, of: &MixerName, told: proto::Rates) {
-        let values = [told.multigets, told.parts, told.further, told.pushed_back];
-        let Some(sharing) = self.sharing.as_mut() else {
+    /// Stores the rates of another live member.
+    pub(super) fn handle_rates(&mut self, now: Time, of: &MixerName, received: proto::Rates) {
+        let values = [
+            received.multigets,
+            received.parts,
+            received.further,
+            received.pushed_back,
+        ];
+        let Some(shared) = self.shared.as_mut() else {
             return;
         };
-        if !values.iter().all(|value| (0.0..=MOST_RATE).contains(value)) {
+        if !values
+            .iter()
+            .all(|value| (0.0..=MAX_RATE_PER_SEC).contains(value))
+        {
             self.counts.drops.absurd += 1;
             return;
         }
@@ -601,9 +642,9 @@
         if self
             .table
             .get(of)
-            .is_some_and(|held| held.record.state.lives())
+            .is_some_and(|entry| entry.record.state.is_live())
         {
-            sharing.rates.insert(
+            shared.rates.insert(
                 of.clone(),
                 (
                     Rates {
@@ -618,62 +659,76 @@
         }
     }
 
-    fn told(&mut self, now: Time, sharing: &mut Sharing, from: SocketAddrV4, told: proto::Told) {
-        for delta in told.deltas {
+    /// Merges changes of verdict records, and requests missing ones.
+    fn handle_told(
+        &mut self,
+        now: Time,
+        shared: &mut SharedState,
+        from: SocketAddrV4,
+        body: proto::Told,
+    ) {
+        for delta in body.deltas {
             let name = MixerName::new(&delta.name);
             let known = self
                 .table
                 .get(&name)
-                .map(|held| (held.record.generation, held.record.state));
-            // Only of members that live, in the life that is known: nothing else counts, and room is bounded by them.
-            if name == self.me.name
-                || known.is_none_or(|(life, state)| life != delta.generation || !state.lives())
+                .map(|entry| (entry.record.generation, entry.record.state));
+            // Only records of live members in their known generation are stored, which bounds the memory by the number
+            // of members.
+            if name == self.local.name
+                || known.is_none_or(|(known, state)| known != delta.generation || !state.is_live())
             {
                 continue;
             }
             let generation = delta.generation;
-            match sharing.records.merge(now, delta) {
-                Merged::News(before) => sharing.rumour(now, &name, before),
-                Merged::Old => {}
-                Merged::Gap(have) => {
-                    if sharing.may_ask(now) {
-                        let want = WantOf {
+            match shared.records.merge(now, delta) {
+                Merged::Updated(before) => shared.queue_delta(now, &name, before),
+                Merged::Unchanged => {}
+                Merged::Gap(known_version) => {
+                    if shared.take_query_token(now) {
+                        let want = WantRequest {
                             name: name.as_str().to_owned(),
                             generation,
-                            from: have,
+                            from: known_version,
                         };
-                        let draft = self.draft(What::Want(want));
-                        self.dispatch(from, draft);
+                        let builder = self.builder(What::Want(want));
+                        self.dispatch(from, builder);
                     }
                 }
-                Merged::Absurd => self.counts.drops.absurd += 1,
+                Merged::Invalid => self.counts.drops.absurd += 1,
             }
         }
-        self.judge(now, sharing);
+        self.update_agreed(now, shared);
     }
 
-    /// What is held of one record beyond a version.
-    fn give_records(&mut self, now: Time, sharing: &mut Sharing, to: SocketAddrV4, want: &WantOf) {
-        if !sharing.may_ask(now) {
+    /// Sends the changes of one record after a version.
+    fn send_record(
+        &mut self,
+        now: Time,
+        shared: &mut SharedState,
+        to: SocketAddrV4,
+        want: &WantRequest,
+    ) {
+        if !shared.take_query_token(now) {
             self.counts.drops.beyond_share += 1;
             return;
         }
         let name = MixerName::new(&want.name);
-        let record = if name == self.me.name {
-            Some(sharing.records.own())
+        let record = if name == self.local.name {
+            Some(shared.records.own())
         } else {
-            sharing.records.get(&name)
+            shared.records.get(&name)
         };
         if let Some(record) = record.filter(|record| record.generation == want.generation) {
-            let mut draft = self.draft(What::Told(proto::Told::default()));
-            draft.add_delta(record.delta(&name, want.from, now));
-            self.dispatch(to, draft);
+            let mut builder = self.builder(What::Told(proto::Told::default()));
+            builder.add_delta(record.delta(&name, want.from, now));
+            self.dispatch(to, builder);
         }
     }
 
-    /// What this mixer knows of searchers, for one that starts.
-    fn recall(&mut self, now: Time, sharing: &mut Sharing, to: SocketAddrV4, number: u32) {
-        if !sharing.plan.warm_starts || !sharing.may_ask(now) {
+    /// Sends what this mixer knows about searchers to a mixer that starts.
+    fn send_known(&mut self, now: Time, shared: &mut SharedState, to: SocketAddrV4, number: u32) {
+        if !shared.config.warm_starts || !shared.take_query_token(now) {
             self.counts.drops.beyond_share += 1;
             return;
         }
@@ -683,14 +738,14 @@
                 searchers: Vec::new(),
             })
         };
-        let mut draft = self.draft(page());
-        for known in warm::known(now, &sharing.seen) {
-            if !draft.add_known(&known) {
-                let full = std::mem::replace(&mut draft, self.draft(page()));
+        let mut builder = self.builder(page());
+        for known in warm::encode_known(now, &shared.seen) {
+            if !builder.add_known(&known) {
+                let full = std::mem::replace(&mut builder, self.builder(page()));
                 self.dispatch(to, full);
-                draft.add_known(&known);
+                builder.add_known(&known);
             }
         }
-        self.dispatch(to, draft);
+        self.dispatch(to, builder);
     }
 }
--- a/crates/lockusher-membership/src/core/table.rs
+++ b/crates/lockusher-membership/src/core/table.rs
@@ -1,6 +1,6 @@
-//! What is held of each member, and which of two reports of it counts. Reports are ordered by life, incarnation and
-//! gravity; the greatest one heard is held, so members that heard the same reports, in any order and any number of
-//! times, hold the same.
+//! The membership table: the newest record of each member. Records of one member are totally ordered by generation,
+//! incarnation and state, and the table keeps the greatest one it received. Members that received the same records, in
+//! any order and any number of times, therefore hold the same table.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{BuildHasherDefault, Hasher};
@@ -9,9 +9,9 @@
 
 use lockusher_policy::interface::{Span, Time};
 
-use super::wire::BUCKETS;
+use super::wire::BUCKET_COUNT;
 
-/// A mixer's name, the same after a restart.
+/// The name of a mixer, which stays the same across restarts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MixerName(Arc<str>);
 
@@ -25,14 +25,15 @@
     }
 }
 
-/// Values by name. Hashed alike in every process, so that the same inputs make the same bytes; a sender of colliding
-/// names gains what it gains by sending many.
-pub type ByName<T> = HashMap<MixerName, T, BuildHasherDefault<Mixer>>;
+/// A map keyed by mixer name. The hash is the same in every process, so that equal inputs produce equal bytes. An
+/// attacker who sends colliding names gains no more than one who sends many names.
+pub type NameMap<T> = HashMap<MixerName, T, BuildHasherDefault<StableHasher>>;
 
+/// A hasher without random state, based on `mix`.
 #[derive(Default)]
-pub struct Mixer(u64);
+pub struct StableHasher(u64);
 
-impl Hasher for Mixer {
+impl Hasher for StableHasher {
     fn write(&mut self, bytes: &[u8]) {
         for chunk in bytes.chunks(8) {
             let mut word = [0; 8];
@@ -46,24 +47,26 @@
     }
 }
 
-/// What is said of a member, the graver later.
+/// The state of a member. Among records of one incarnation the later variant takes rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// It asks to be let in, and is no member yet.
+    /// It has asked to join and is not a member yet.
     Joining,
     Alive,
     Suspect,
-    /// Believed so by others.
+    /// Declared dead by other members.
     Dead,
-    /// It said so itself.
+    /// It announced that it leaves.
     Left,
 }
 
 impl State {
-    pub fn lives(self) -> bool {
+    /// Whether the member is alive as far as is known; a suspect still counts.
+    pub fn is_live(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 
+    /// The name of the state in logs and reports.
     pub fn word(self) -> &'static str {
         match self {
             State::Joining => "joining",
@@ -75,137 +78,152 @@
     }
 }
 
-/// One report of a member.
+/// What one member reports about another, or about itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
+pub struct MemberRecord {
     pub name: MixerName,
     pub address: SocketAddrV4,
     pub zone: Arc<str>,
-    /// Which life of that name: the start's Unix microseconds, or one more than the last life's if that is later.
+    /// Distinguishes restarts under one name: the Unix time of the start in microseconds, or one more than the previous
+    /// generation if that is greater.
     pub generation: u64,
-    /// The start's Unix microseconds.
+    /// The Unix time of the start in microseconds.
     pub born: u64,
-    /// Counted up by the member alone.
+    /// Incremented only by the member itself, to refute a suspicion.
     pub incarnation: u32,
     pub state: State,
-    /// Who said so, of a suspicion or a death.
+    /// The member that reported the suspicion or the death.
     pub by: Option<MixerName>,
-    /// For how long it has been so, as far as the teller knows.
+    /// How long the member has been in this state, as far as the sender knows.
     pub age: Span,
 }
 
-impl Record {
-    /// The order of reports of one member.
-    pub fn key(&self) -> (u64, u32, State) {
+impl MemberRecord {
+    /// The order of records of one member; the greater one takes rank.
+    pub fn rank(&self) -> (u64, u32, State) {
         (self.generation, self.incarnation, self.state)
     }
 
-    /// Which life of which member, if it lives: what a view is. A suspicion is not yet a difference.
-    fn life(&self) -> u64 {
-        let mut sum = Mixer(self.generation);
-        sum.write(self.name.as_str().as_bytes());
-        if self.state.lives() { sum.finish() } else { 0 }
+    /// The hash of a live member's name and generation, 0 for any other member; the view digest combines these hashes.
+    /// A suspicion does not change it.
+    fn live_hash(&self) -> u64 {
+        let mut hasher = StableHasher(self.generation);
+        hasher.write(self.name.as_str().as_bytes());
+        if self.state.is_live() {
+            hasher.finish()
+        } else {
+            0
+        }
     }
 
-    /// What an exchange makes alike: the newest refutation too, which ends a suspicion that news missed.
-    fn sum(&self) -> u64 {
-        if self.state.lives() {
-            mix(self.life(), u64::from(self.incarnation))
+    /// Like `live_hash`, with the incarnation: an exchange also transfers the newest refutation, which ends a suspicion
+    /// whose refutation gossip did not deliver.
+    fn state_hash(&self) -> u64 {
+        if self.state.is_live() {
+            mix(self.live_hash(), u64::from(self.incarnation))
         } else {
             0
         }
     }
 }
 
-/// A plain multiplicative mix (splitmix64's finisher): the same on every machine, which std's hashers do not promise.
-fn mix(sum: u64, word: u64) -> u64 {
-    let mut z = sum.rotate_left(17) ^ word.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+/// A multiplicative mix (the finalizer of splitmix64) that gives the same result on every machine, which the hashers of
+/// std don't guarantee.
+fn mix(state: u64, word: u64) -> u64 {
+    let mut z = state.rotate_left(17) ^ word.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-/// A suspicion that waits to be refuted.
+/// A suspicion that has not been refuted yet.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
     pub until: Time,
     pub since: Time,
-    /// Who suspects it, the first few.
+    /// The first members that reported the suspicion.
     pub witnesses: Vec<MixerName>,
 }
 
+/// What the table stores about one member.
 #[derive(Clone, Debug)]
-pub struct Held {
-    pub record: Record,
-    /// Since when it is in this state, by this mixer's clock.
+pub struct MemberEntry {
+    pub record: MemberRecord,
+    /// When the member entered this state, by the local clock.
     pub since: Time,
     pub suspicion: Option<Suspicion>,
-    /// When its refutations were last relayed, and how many since.
-    pub refutes: (Time, u32),
-    /// The bucket that its name falls into.
-    place: u16,
+    /// The start of the current window of relayed refutations, and how many were relayed in it.
+    pub relayed_refutations: (Time, u32),
+    /// The anti-entropy bucket of the member's name.
+    bucket: u16,
 }
 
-/// All members that are known, the own one among them.
+/// All known members, including the local one.
 #[derive(Default)]
 pub struct Table {
-    /// Boxed: a hash table keeps up to half of its places free, and each would be as large as a record.
-    members: ByName<Box<Held>>,
-    sums: Vec<u64>,
-    /// Of all lives.
-    lives: u64,
-    living: usize,
-    /// Zones that were told of, so that all members of one share its letters.
+    /// Boxed because a hash table keeps up to half of its slots free, and each slot would be as large as an entry.
+    members: NameMap<Box<MemberEntry>>,
+    bucket_sums: Vec<u64>,
+    /// XOR of the `live_hash` of all members.
+    live_digest: u64,
+    live_count: usize,
+    /// Interned zone names, shared by all members of a zone.
     zones: BTreeSet<Arc<str>>,
 }
 
-/// Zones whose letters are shared: more than any fleet has; what is beyond is damage and kept by itself.
-const MOST_ZONES: usize = 64;
+/// The number of interned zone names: more than any fleet has. Names beyond it are damage and are stored with their
+/// record.
+const MAX_ZONES: usize = 64;
 
-fn bucket(name: &MixerName) -> usize {
-    let mut sum = Mixer::default();
-    sum.write(name.as_str().as_bytes());
-    sum.finish() as usize % BUCKETS
+/// The anti-entropy bucket that a name belongs to.
+fn bucket_of(name: &MixerName) -> usize {
+    let mut hasher = StableHasher::default();
+    hasher.write(name.as_str().as_bytes());
+    hasher.finish() as usize % BUCKET_COUNT
 }
 
 impl Table {
     pub fn new() -> Self {
-        let (members, zones) = (ByName::default(), BTreeSet::new());
+        let (members, zones) = (NameMap::default(), BTreeSet::new());
         Table {
             members,
-            sums: vec![0; BUCKETS],
-            lives: 0,
-            living: 0,
+            bucket_sums: vec![0; BUCKET_COUNT],
+            live_digest: 0,
+            live_count: 0,
             zones,
         }
     }
 
-    pub fn get(&self, name: &MixerName) -> Option<&Held> {
+    pub fn get(&self, name: &MixerName) -> Option<&MemberEntry> {
         self.members.get(name).map(Box::as_ref)
     }
 
-    /// For what is no part of the report: suspicions and refutations.
-    pub fn mind(&mut self, name: &MixerName, what: impl FnOnce(&mut Held)) {
-        if let Some(held) = self.members.get_mut(name) {
-            let before = held.record.key();
-            what(held);
-            debug_assert_eq!(before, held.record.key(), "a report is put, not altered");
+    /// Updates what is not part of the record: the suspicion and the count of refutations.
+    pub fn update_entry(&mut self, name: &MixerName, update: impl FnOnce(&mut MemberEntry)) {
+        if let Some(entry) = self.members.get_mut(name) {
+            let before = entry.record.rank();
+            update(entry);
+            debug_assert_eq!(
+                before,
+                entry.record.rank(),
+                "the record must only change through `insert`"
+            );
         }
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &Held> {
+    pub fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values().map(Box::as_ref)
     }
 
-    pub fn living(&self) -> usize {
-        self.living
+    /// The number of live members, suspects included.
+    pub fn live_count(&self) -> usize {
+        self.live_count
     }
 
-    /// In how many zones the living are.
-    pub fn living_zones(&self) -> usize {
-        let living = self.iter().filter(|held| held.record.state.lives());
-        living
-            .map(|held| &held.record.zone)
+    /// The number of zones that have live members.
+    pub fn live_zone_count(&self) -> usize {
+        let live = self.iter().filter(|entry| entry.record.state.is_live());
+        live.map(|entry| &entry.record.zone)
             .collect::<BTreeSet<_>>()
             .len()
     }
@@ -218,98 +236,112 @@
         self.members.is_empty()
     }
 
-    /// The same report in the letters that are held already: each that is read from a datagram has its own.
-    pub fn in_held_letters(&mut self, mut record: Record) -> Record {
-        let held = |name: &MixerName| {
+    /// Replaces the strings of a record by interned ones; each record decoded from a datagram has its own copies.
+    pub fn intern(&mut self, mut record: MemberRecord) -> MemberRecord {
+        let interned = |name: &MixerName| {
             self.members
                 .get_key_value(name)
-                .map(|(held, _)| held.clone())
+                .map(|(interned, _)| interned.clone())
         };
-        record.name = held(&record.name).unwrap_or(record.name);
-        record.by = record.by.map(|by| held(&by).unwrap_or(by));
+        record.name = interned(&record.name).unwrap_or(record.name);
+        record.by = record.by.map(|by| interned(&by).unwrap_or(by));
         match self.zones.get(&record.zone) {
             Some(zone) => record.zone = zone.clone(),
-            None if self.zones.len() < MOST_ZONES => drop(self.zones.insert(record.zone.clone())),
+            None if self.zones.len() < MAX_ZONES => drop(self.zones.insert(record.zone.clone())),
             None => {}
         }
         record
     }
 
-    /// Holds this report from now on, whatever was held; tells what was.
-    pub fn put(&mut self, now: Time, record: Record) -> Option<Record> {
-        let (place, sum, lives) = (bucket(&record.name), record.sum(), record.state.lives());
-        let life = record.life();
-        let old = self.members.get(&record.name);
-        let unlike = |old: &Held| {
-            old.record.state != record.state || old.record.generation != record.generation
+    /// Stores this record, whatever was stored before, and returns the previous one.
+    pub fn insert(&mut self, now: Time, record: MemberRecord) -> Option<MemberRecord> {
+        let (bucket, hash, is_live) = (
+            bucket_of(&record.name),
+            record.state_hash(),
+            record.state.is_live(),
+        );
+        let live_hash = record.live_hash();
+        let previous = self.members.get(&record.name);
+        let state_changed = |previous: &MemberEntry| {
+            previous.record.state != record.state || previous.record.generation != record.generation
         };
-        let since = match old {
-            Some(old) if !unlike(old) => old.since,
+        let since = match previous {
+            Some(previous) if !state_changed(previous) => previous.since,
             _ => now - record.age,
         };
-        let refutes = old.map_or((now, 0), |old| old.refutes);
-        let held = Held {
+        let relayed_refutations =
+            previous.map_or((now, 0), |previous| previous.relayed_refutations);
+        let entry = MemberEntry {
             since,
             suspicion: None,
-            refutes,
-            place: place as u16,
+            relayed_refutations,
+            bucket: bucket as u16,
             record,
         };
-        let old = self
+        let previous = self
             .members
-            .insert(held.record.name.clone(), Box::new(held))
-            .map(|old| old.record);
-        // Sums are undone by the same operation that made them.
-        self.sums[place] ^= sum ^ old.as_ref().map_or(0, Record::sum);
-        self.lives ^= life ^ old.as_ref().map_or(0, Record::life);
-        self.living += usize::from(lives);
-        self.living -= usize::from(old.as_ref().is_some_and(|old| old.state.lives()));
-        old
+            .insert(entry.record.name.clone(), Box::new(entry))
+            .map(|previous| previous.record);
+        // XOR undoes itself, so the previous hash is removed by the operation that added it.
+        self.bucket_sums[bucket] ^= hash ^ previous.as_ref().map_or(0, MemberRecord::state_hash);
+        self.live_digest ^= live_hash ^ previous.as_ref().map_or(0, MemberRecord::live_hash);
+        self.live_count += usize::from(is_live);
+        self.live_count -= usize::from(
+            previous
+                .as_ref()
+                .is_some_and(|previous| previous.state.is_live()),
+        );
+        previous
     }
 
-    pub fn forget(&mut self, name: &MixerName) {
-        if let Some(held) = self.members.remove(name) {
-            self.sums[bucket(name)] ^= held.record.sum();
-            self.lives ^= held.record.life();
-            self.living -= usize::from(held.record.state.lives());
+    /// Removes a member whose retention time is over.
+    pub fn remove(&mut self, name: &MixerName) {
+        if let Some(entry) = self.members.remove(name) {
+            self.bucket_sums[bucket_of(name)] ^= entry.record.state_hash();
+            self.live_digest ^= entry.record.live_hash();
+            self.live_count -= usize::from(entry.record.state.is_live());
         }
     }
 
-    /// One number for all lives: unlike views have unlike ones, but for one case in 2^64.
-    pub fn view(&self) -> u64 {
-        self.lives
+    /// A digest of all live members. Different views have different digests, except for one case in 2^64.
+    pub fn view_digest(&self) -> u64 {
+        self.live_digest
     }
 
-    /// The same with each member's newest refutation: what exchanges go by.
-    pub fn digest(&self) -> u64 {
-        self.sums.iter().fold(0, |all, sum| mix(all, *sum))
+    /// A digest that also covers the incarnations; exchanges of views compare this one.
+    pub fn sync_digest(&self) -> u64 {
+        self.bucket_sums.iter().fold(0, |all, sum| mix(all, *sum))
     }
 
-    /// The sums by bucket, shortened.
-    pub fn sums(&self) -> Vec<u32> {
-        self.sums
+    /// The hash of each bucket, folded to 32 bits.
+    pub fn bucket_sums(&self) -> Vec<u32> {
+        self.bucket_sums
             .iter()
             .map(|sum| (sum ^ (sum >> 32)) as u32)
             .collect()
     }
 
-    /// What is held in each bucket of a set, in the buckets' order, as told at `now`; one pass over all.
-    pub fn in_buckets(&self, now: Time, wanted: &[usize]) -> BTreeMap<usize, Vec<Record>> {
-        let mut out: BTreeMap<usize, Vec<Record>> =
-            wanted.iter().map(|place| (*place, Vec::new())).collect();
-        for held in self.members.values() {
-            if let Some(records) = out.get_mut(&usize::from(held.place)) {
-                records.push(held.told(now));
+    /// The records of the given buckets as of `now`, ordered by bucket, collected in one pass over the table.
+    pub fn records_by_bucket(
+        &self,
+        now: Time,
+        wanted: &[usize],
+    ) -> BTreeMap<usize, Vec<MemberRecord>> {
+        let mut out: BTreeMap<usize, Vec<MemberRecord>> =
+            wanted.iter().map(|bucket| (*bucket, Vec::new())).collect();
+        for entry in self.members.values() {
+            if let Some(records) = out.get_mut(&usize::from(entry.bucket)) {
+                records.push(entry.current_record(now));
             }
         }
         out
     }
 }
 
-impl Held {
-    /// The report as it is told now.
-    pub fn told(&self, now: Time) -> Record {
-        Record {
+impl MemberEntry {
+    /// The record with its age as of `now`.
+    pub fn current_record(&self, now: Time) -> MemberRecord {
+        MemberRecord {
             age: now.since(self.since),
             ..self.record.clone()
         }
--- a/crates/lockusher-membership/src/core/tests.rs
+++ b/crates/lockusher-membership/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the core that look at what it holds.
+//! Tests that inspect the state of the core.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 const NOW: Time = Time::from_micros(1_700_000_000_000_000);
 
 fn core() -> Core {
-    let plan = Plan {
+    let config = Plan {
         fleet: "f".into(),
         name: MixerName::new("own"),
         address: SocketAddrV4::new([127, 0, 0, 1].into(), 1),
@@ -20,13 +20,13 @@
         remember: Span::from_millis(60_000),
         shares: None,
     };
-    let mut core = Core::new(NOW, 1, plan, 1, 1);
+    let mut core = Core::new(NOW, 1, config, 1, 1);
     core.due(NOW);
     core
 }
 
-fn report(name: u8, generation: u64, incarnation: u32, state: State) -> Record {
-    Record {
+fn record(name: u8, generation: u64, incarnation: u32, state: State) -> MemberRecord {
+    MemberRecord {
         name: MixerName::new(&format!("m{name}")),
         address: SocketAddrV4::new([127, 0, 0, 1].into(), 100 + u16::from(name)),
         zone: "a".into(),
@@ -39,82 +39,91 @@
     }
 }
 
-fn held(core: &Core) -> BTreeMap<MixerName, (u64, u32, State)> {
+fn member_ranks(core: &Core) -> BTreeMap<MixerName, (u64, u32, State)> {
     core.view()
-        .map(|held| (held.record.name.clone(), held.record.key()))
+        .map(|entry| (entry.record.name.clone(), entry.record.rank()))
         .collect()
 }
 
 #[rstest]
-fn news_of_the_dead_that_comes_after_the_rebirth_buries_nobody() {
+fn a_death_of_an_earlier_generation_does_not_affect_a_restarted_member() {
     let mut core = core();
-    core.take(NOW, report(1, 5, 0, State::Alive));
-    core.take(NOW, report(1, 9, 0, State::Alive));
-    core.take(NOW, report(1, 5, 7, State::Dead));
+    core.merge_record(NOW, record(1, 5, 0, State::Alive));
+    core.merge_record(NOW, record(1, 9, 0, State::Alive));
+    core.merge_record(NOW, record(1, 5, 7, State::Dead));
     assert_eq!(core.living(), 2);
 }
 
-/// One that refutes for ever is held as it last said, and told on no more than a few times in a while.
+/// The newest refutation of a member that refutes endlessly is stored, but only a few of them are relayed per window.
 #[rstest]
-fn one_that_refutes_for_ever_does_not_fill_the_news() {
-    let (mut core, mut told) = (core(), Vec::new());
-    core.take(NOW, report(1, 5, 0, State::Alive));
-    core.news.keep(|_| false);
+fn endless_refutations_of_one_member_are_relayed_a_few_times_per_window() {
+    let (mut core, mut relayed) = (core(), Vec::new());
+    core.merge_record(NOW, record(1, 5, 0, State::Alive));
+    core.gossip.retain(|_| false);
     for nth in 1..=100 {
         let now = NOW + Span::from_millis(150 * u64::from(nth));
-        core.take(now, report(1, 5, nth, State::Alive));
-        core.news.tell(2, |_| {
-            told.push(nth);
+        core.merge_record(now, record(1, 5, nth, State::Alive));
+        core.gossip.offer(2, |_| {
+            relayed.push(nth);
             true
         });
-        core.news.keep(|_| false);
-        assert_eq!(held(&core)[&MixerName::new("m1")], (5, nth, State::Alive));
+        core.gossip.retain(|_| false);
+        assert_eq!(
+            member_ranks(&core)[&MixerName::new("m1")],
+            (5, nth, State::Alive)
+        );
     }
     assert_eq!(
-        told,
+        relayed,
         [1, 2, 3, 67, 68, 69],
-        "three at once, and three when ten seconds have gone"
+        "three at once, and three more after the window of ten seconds"
     );
 }
 
-/// What would have refuted it may wait in the socket: a suspicion that ran out meanwhile is no death yet.
+/// The refutation may still wait in the socket, so a suspicion that expired during a stall must not become a death at
+/// once.
 #[rstest]
-fn a_suspicion_that_ran_out_while_this_mixer_stood_still_begins_anew() {
+fn a_suspicion_that_expired_during_a_local_stall_is_restarted() {
     let mut core = core();
-    core.take(NOW, report(1, 5, 0, State::Alive));
-    core.take(NOW, report(1, 5, 0, State::Suspect));
-    let woken = NOW + Span::from_millis(5_000);
-    core.due(woken);
+    core.merge_record(NOW, record(1, 5, 0, State::Alive));
+    core.merge_record(NOW, record(1, 5, 0, State::Suspect));
+    let resumed = NOW + Span::from_millis(5_000);
+    core.due(resumed);
     assert_eq!((core.living(), core.counts().stood_still), (2, 1));
-    core.take(woken, report(1, 5, 1, State::Alive));
-    assert_eq!(held(&core)[&MixerName::new("m1")], (5, 1, State::Alive));
+    core.merge_record(resumed, record(1, 5, 1, State::Alive));
+    assert_eq!(
+        member_ranks(&core)[&MixerName::new("m1")],
+        (5, 1, State::Alive)
+    );
 }
 
 proptest! {
-    /// The greatest report counts, in whatever order and however often they come; sums follow what is held.
+    /// The record with the greatest rank is stored, in whatever order and however often records arrive, and the digests
+    /// depend only on what is stored.
     #[test]
-    fn reports_may_come_in_any_order(
+    fn records_may_arrive_in_any_order(
         reports in proptest::collection::vec((0..4_u8, 1..4_u64, 0..4_u32, 0..4_usize), 0..30),
         order in any::<u64>(),
     ) {
         let states = [State::Alive, State::Suspect, State::Dead, State::Left];
-        let all: Vec<Record> =
-            reports.iter().map(|(name, life, count, state)| report(*name, *life, *count, states[*state])).collect();
+        let all: Vec<MemberRecord> =
+            reports.iter().map(|(name, generation, incarnation, state)|
+                record(*name, *generation, *incarnation, states[*state])).collect();
         let (mut one, mut other) = (core(), core());
-        all.iter().for_each(|record| { one.take(NOW, record.clone()); });
+        all.iter().for_each(|record| { one.merge_record(NOW, record.clone()); });
         let mut rng = ChaCha8Rng::seed_from_u64(order);
-        let mut mixed: Vec<Record> = all.iter().chain(&all).cloned().collect();
-        for last in (1..mixed.len()).rev() {
-            mixed.swap(last, rng.random_range(0..=last));
+        let mut shuffled: Vec<MemberRecord> = all.iter().chain(&all).cloned().collect();
+        for last in (1..shuffled.len()).rev() {
+            shuffled.swap(last, rng.random_range(0..=last));
         }
-        mixed.into_iter().for_each(|record| { other.take(NOW, record); });
-        prop_assert_eq!(held(&one), held(&other));
+        shuffled.into_iter().for_each(|record| { other.merge_record(NOW, record); });
+        prop_assert_eq!(member_ranks(&one), member_ranks(&other));
         prop_assert_eq!((one.digest(), one.living()), (other.digest(), other.living()));
         let greatest = all.iter().map(|record| record.name.clone())
-            .map(|name| (name.clone(), all.iter().filter(|r| r.name == name).map(Record::key).max()))
+            .map(|name| (name.clone(), all.iter().filter(|r| r.name == name).map(MemberRecord::rank).max()))
             .collect::<BTreeMap<_, _>>();
         for (name, key) in greatest {
-            prop_assert_eq!(held(&one).get(&name).copied(), key);
+            prop_assert_eq!(member_ranks(&one).get(&name).copied(), key);
         }
     }
 }
--- a/crates/lockusher-membership/src/core/wire.rs
+++ b/crates/lockusher-membership/src/core/wire.rs
@@ -1,68 +1,72 @@
-//! Datagrams: encoded within their limit, and read only if they are whole, of this fleet and within bounds. What is
-//! not is dropped by cause; nothing of it is believed.
+//! The encoding of datagrams within their size limit, and their validation: a datagram is used only if it is complete,
+//! belongs to this fleet and is within all bounds. Any other one is dropped and counted by reason.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use lockusher_policy::interface::Span;
 use prost::Message as _;
 
-use super::table::{MixerName, Record, State};
+use super::table::{MemberRecord, MixerName, State};
 use crate::proto;
-pub(crate) use crate::proto::Want as WantOf;
+pub(crate) use crate::proto::Want as WantRequest;
 pub(crate) use crate::proto::message::What;
 
-/// Below what any path carries in one piece (1,500 less headers and tunnels).
-pub const MOST_BYTES: usize = 1_400;
-/// What the envelope around a message takes.
-const ENVELOPE: usize = 8;
-/// The newest form of messages that this program reads; it writes each in the oldest that can be read as it is meant.
-const FORM: u32 = 2;
-/// Names and zones are labels of machines; longer ones are damage or malice.
+/// The largest datagram: below what any path carries unfragmented (1,500 less headers and tunnels).
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// The bytes that the envelope around a message takes.
+const ENVELOPE_BYTES: usize = 8;
+/// The newest message format that this program reads. It writes each message in the oldest format that expresses it.
+const FORMAT_VERSION: u32 = 2;
+/// The longest name or zone. They label machines; a longer one is damaged or malicious.
 pub const MOST_NAME: usize = 64;
-/// More members than fit into a datagram of the smallest records.
-const MOST_MEMBERS: usize = 100;
-/// Records of which one datagram tells changes.
-const MOST_DELTAS: usize = 64;
-/// Searchers on one page of what a mixer knows.
-const MOST_KNOWN: usize = 100;
-/// Budgets that are lent: those of the fleet and one a tenant; their amounts fit into one datagram.
+/// The most members in a datagram: more than fit, even of the smallest records.
+const MAX_MEMBERS: usize = 100;
+/// The most verdict records whose changes one datagram carries.
+const MAX_DELTAS: usize = 64;
+/// The most searchers on one page of a warm-start answer.
+const MAX_KNOWN_PER_PAGE: usize = 100;
+/// The most budgets that are leased: those of the fleet and one per tenant. Their amounts fit into one datagram.
 pub const MOST_BUDGETS: usize = 100;
-/// Buckets that names fall into: a page's worth each at 3,000 members, and their sums fit into one datagram.
-pub const BUCKETS: usize = 256;
-/// Incarnations grow by one with each refutation: thousands a second for weeks are none.
-const MOST_INCARNATION: u32 = u32::MAX / 2;
-/// Generations are Unix microseconds; later than the year 4,000 is no start of a process.
-const MOST_GENERATION: u64 = 64_000_000_000_000_000;
+/// The number of anti-entropy buckets that names hash to: at 3,000 members each bucket fills about one page, and all
+/// bucket sums fit into one datagram.
+pub const BUCKET_COUNT: usize = 256;
+/// The greatest valid incarnation. It grows by one with each refutation; thousands of refutations a second for weeks
+/// don't happen.
+const MAX_INCARNATION: u32 = u32::MAX / 2;
+/// The greatest valid generation. Generations are Unix microseconds; no process starts after the year 4,000.
+const MAX_GENERATION: u64 = 64_000_000_000_000_000;
 
-/// Why a datagram was dropped.
+/// How many datagrams were dropped, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Drops {
-    /// Checksum or form of the bytes: cut, altered, not ours at all.
+    /// The checksum or the encoding is wrong: truncated, altered or of another protocol.
     pub damaged: u64,
-    /// Written in a form that this program does not read.
+    /// Written in a message format that this program does not read.
     pub other_form: u64,
+    /// Sent by a member of another fleet.
     pub other_fleet: u64,
-    /// Counts, names or numbers that no sound mixer sends.
+    /// Counts, names or numbers that no correct mixer sends.
     pub absurd: u64,
-    /// Meant for another name, at an address that is ours now.
+    /// Addressed to another name that used this address before.
     pub misdirected: u64,
-    /// An incarnation far beyond what is known of that life.
+    /// An incarnation too far beyond the known one of the same generation.
     pub far_off: u64,
-    /// More was asked of this mixer than it answers.
+    /// Requests beyond the rate limits of this mixer.
     pub beyond_share: u64,
 }
 
-/// What one datagram says, checked.
-pub(crate) struct Heard {
-    pub me: Record,
+/// The validated content of one datagram.
+pub(crate) struct DecodedMessage {
+    pub sender: MemberRecord,
     pub digest: u64,
-    pub what: What,
-    pub news: Vec<Record>,
+    pub body: What,
+    pub updates: Vec<MemberRecord>,
     pub rates: Option<proto::Rates>,
 }
 
+/// Why a datagram failed validation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Cause {
+pub(crate) enum DropReason {
     Damaged,
     OtherForm,
     OtherFleet,
@@ -70,16 +74,17 @@
 }
 
 impl Drops {
-    pub(crate) fn count(&mut self, cause: Cause) {
-        *match cause {
-            Cause::Damaged => &mut self.damaged,
-            Cause::OtherForm => &mut self.other_form,
-            Cause::OtherFleet => &mut self.other_fleet,
-            Cause::Absurd => &mut self.absurd,
+    pub(crate) fn count(&mut self, reason: DropReason) {
+        *match reason {
+            DropReason::Damaged => &mut self.damaged,
+            DropReason::OtherForm => &mut self.other_form,
+            DropReason::OtherFleet => &mut self.other_fleet,
+            DropReason::Absurd => &mut self.absurd,
         } += 1;
     }
 
-    pub fn all(&self) -> u64 {
+    /// The number of dropped datagrams of all reasons.
+    pub fn total(&self) -> u64 {
         let Drops {
             damaged,
             other_form,
@@ -93,61 +98,65 @@
     }
 }
 
-pub(crate) fn read(bytes: &[u8], fleet: &str) -> Result<Heard, Cause> {
-    if bytes.len() > MOST_BYTES {
-        return Err(Cause::Absurd);
+/// Decodes and validates a datagram of the given fleet.
+pub(crate) fn decode(bytes: &[u8], fleet: &str) -> Result<DecodedMessage, DropReason> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DropReason::Absurd);
     }
     let proto::Datagram { checksum, message } =
-        proto::Datagram::decode(bytes).map_err(|_| Cause::Damaged)?;
+        proto::Datagram::decode(bytes).map_err(|_| DropReason::Damaged)?;
     if crc32fast::hash(&message) != checksum {
-        return Err(Cause::Damaged);
+        return Err(DropReason::Damaged);
     }
-    let message = proto::Message::decode(message.as_slice()).map_err(|_| Cause::Damaged)?;
-    if message.form == 0 || message.form > FORM {
-        return Err(Cause::OtherForm);
+    let message = proto::Message::decode(message.as_slice()).map_err(|_| DropReason::Damaged)?;
+    if message.form == 0 || message.form > FORMAT_VERSION {
+        return Err(DropReason::OtherForm);
     }
     if message.fleet != fleet {
-        return Err(Cause::OtherFleet);
+        return Err(DropReason::OtherFleet);
     }
-    let me = message.me.and_then(record).ok_or(Cause::Absurd)?;
-    let what = message.what.ok_or(Cause::Absurd)?;
-    let sound = match &what {
-        What::Page(page) => page.members.len() <= MOST_MEMBERS && page.buckets.len() <= BUCKETS,
-        What::Sums(sums) => sums.sums.len() == BUCKETS,
+    let sender = message
+        .me
+        .and_then(decode_member)
+        .ok_or(DropReason::Absurd)?;
+    let body = message.what.ok_or(DropReason::Absurd)?;
+    let valid = match &body {
+        What::Page(page) => page.members.len() <= MAX_MEMBERS && page.buckets.len() <= BUCKET_COUNT,
+        What::Sums(sums) => sums.sums.len() == BUCKET_COUNT,
         What::Ping(ping) => ping.to.len() <= MOST_NAME,
         What::Ask(ask) => {
             !ask.to.is_empty() && ask.to.len() <= MOST_NAME && u16::try_from(ask.port).is_ok()
         }
         What::Ack(ack) => !ack.of.is_empty() && ack.of.len() <= MOST_NAME,
-        What::Told(told) => told.deltas.len() <= MOST_DELTAS,
+        What::Told(told) => told.deltas.len() <= MAX_DELTAS,
         What::Want(want) => !want.name.is_empty() && want.name.len() <= MOST_NAME,
-        What::Known(known) => known.searchers.len() <= MOST_KNOWN,
-        What::Lending(said) => said.amounts.len() <= MOST_BUDGETS,
+        What::Known(known) => known.searchers.len() <= MAX_KNOWN_PER_PAGE,
+        What::Lending(lending) => lending.amounts.len() <= MOST_BUDGETS,
         What::Notice(_) | What::Recall(_) => true,
     };
-    if !sound || message.news.len() > MOST_MEMBERS {
-        return Err(Cause::Absurd);
+    if !valid || message.news.len() > MAX_MEMBERS {
+        return Err(DropReason::Absurd);
     }
-    let news = records(message.news)?;
-    Ok(Heard {
-        me,
+    let updates = decode_members(message.news)?;
+    Ok(DecodedMessage {
+        sender,
         digest: message.digest,
-        what,
-        news,
+        body,
+        updates,
         rates: message.rates,
     })
 }
 
-/// All of a list, or nothing: one faulty member makes the whole datagram doubtful.
-pub(crate) fn records(members: Vec<proto::Member>) -> Result<Vec<Record>, Cause> {
+/// Decodes all members of a list; one invalid member makes the whole datagram invalid.
+pub(crate) fn decode_members(members: Vec<proto::Member>) -> Result<Vec<MemberRecord>, DropReason> {
     members
         .into_iter()
-        .map(record)
+        .map(decode_member)
         .collect::<Option<_>>()
-        .ok_or(Cause::Absurd)
+        .ok_or(DropReason::Absurd)
 }
 
-fn record(member: proto::Member) -> Option<Record> {
+fn decode_member(member: proto::Member) -> Option<MemberRecord> {
     let state = match proto::State::try_from(member.state).ok()? {
         proto::State::Joining => State::Joining,
         proto::State::Alive => State::Alive,
@@ -156,13 +165,13 @@
         proto::State::Left => State::Left,
     };
     let port = u16::try_from(member.port).ok().filter(|port| *port > 0)?;
-    let sound = !member.name.is_empty()
+    let valid = !member.name.is_empty()
         && [&member.name, &member.zone, &member.by]
             .into_iter()
-            .all(|word| word.len() <= MOST_NAME)
-        && member.incarnation <= MOST_INCARNATION
-        && (1..=MOST_GENERATION).contains(&member.generation);
-    sound.then(|| Record {
+            .all(|text| text.len() <= MOST_NAME)
+        && member.incarnation <= MAX_INCARNATION
+        && (1..=MAX_GENERATION).contains(&member.generation);
+    valid.then(|| MemberRecord {
         name: MixerName::new(&member.name),
         address: SocketAddrV4::new(Ipv4Addr::from(member.ip), port),
         zone: member.zone.as_str().into(),
@@ -175,7 +184,7 @@
     })
 }
 
-pub(crate) fn member(record: &Record) -> proto::Member {
+pub(crate) fn encode_member(record: &MemberRecord) -> proto::Member {
     let state = match record.state {
         State::Joining => proto::State::Joining,
         State::Alive => proto::State::Alive,
@@ -201,56 +210,58 @@
     }
 }
 
-/// A message that is filled up to its limit.
-pub(crate) struct Draft {
+/// Builds a datagram and fills it up to the size limit.
+pub(crate) struct DatagramBuilder {
     message: proto::Message,
     bytes: usize,
 }
 
-impl Draft {
+impl DatagramBuilder {
     pub fn new(
         fleet: &str,
-        me: &Record,
+        sender: &MemberRecord,
         digest: u64,
-        what: What,
+        body: What,
         rates: Option<proto::Rates>,
     ) -> Self {
         let shared = matches!(
-            what,
+            body,
             What::Told(_) | What::Want(_) | What::Recall(_) | What::Known(_) | What::Lending(_)
         );
         let message = proto::Message {
             form: if shared { 2 } else { 1 },
             rates,
             fleet: fleet.to_owned(),
-            me: Some(member(me)),
+            me: Some(encode_member(sender)),
             digest,
-            what: Some(what),
+            what: Some(body),
             news: Vec::new(),
         };
-        let bytes = message.encoded_len() + ENVELOPE;
-        Draft { message, bytes }
+        let bytes = message.encoded_len() + ENVELOPE_BYTES;
+        DatagramBuilder { message, bytes }
     }
 
-    /// Adds an item of news if there is room for it.
-    pub fn add(&mut self, record: &Record) -> bool {
-        let item = member(record);
-        let fits = self.grow(item.encoded_len(), self.message.news.len());
+    /// Appends a member record as gossip if it fits.
+    pub fn add_update(&mut self, record: &MemberRecord) -> bool {
+        let item = encode_member(record);
+        let fits = self.reserve(item.encoded_len(), self.message.news.len());
         if fits {
             self.message.news.push(item);
         }
         fits
     }
 
-    /// Adds members to a page if there is room for all of them; `bucket` if they are all of one.
-    pub fn add_bucket(&mut self, bucket: Option<usize>, records: &[Record]) -> bool {
-        let members: Vec<proto::Member> = records.iter().map(member).collect();
-        // Each has a tag and a length before it.
+    /// Appends members to a page if all of them fit; `bucket` is set if they are the whole of that bucket.
+    pub fn add_bucket(&mut self, bucket: Option<usize>, records: &[MemberRecord]) -> bool {
+        let members: Vec<proto::Member> = records.iter().map(encode_member).collect();
+        // Each member is preceded by a tag and a length.
         let size = members.iter().map(|m| m.encoded_len() + 4).sum::<usize>() + 4;
         let Some(What::Page(page)) = &mut self.message.what else {
             return false;
         };
-        if self.bytes + size > MOST_BYTES || page.members.len() + members.len() > MOST_MEMBERS {
+        if self.bytes + size > MAX_DATAGRAM_BYTES
+            || page.members.len() + members.len() > MAX_MEMBERS
+        {
             return false;
         }
         self.bytes += size;
@@ -259,14 +270,14 @@
         true
     }
 
-    /// Adds changes of a record as far as there is room for them, in their order; tells whether any of it is there.
+    /// Appends the changes of a verdict record, in version order, as far as they fit. Returns whether any fitted.
     pub fn add_delta(&mut self, mut delta: proto::Delta) -> bool {
-        let held = match &self.message.what {
+        let delta_count = match &self.message.what {
             Some(What::Told(told)) => told.deltas.len(),
             _ => return false,
         };
-        while !self.grow(delta.encoded_len(), held + MOST_MEMBERS - MOST_DELTAS) {
-            // The rest is told another time: what is here is whole up to a lower version.
+        while !self.reserve(delta.encoded_len(), delta_count + MAX_MEMBERS - MAX_DELTAS) {
+            // The rest is sent another time: this delta is complete up to a lower version.
             delta.verdicts.pop();
             let Some(last) = delta.verdicts.last() else {
                 return false;
@@ -279,11 +290,12 @@
         true
     }
 
+    /// Appends a searcher to a warm-start answer if it fits.
     pub fn add_known(&mut self, searcher: &proto::KnownSearcher) -> bool {
         let Some(What::Known(known)) = &self.message.what else {
             return false;
         };
-        let fits = self.grow(searcher.encoded_len(), known.searchers.len());
+        let fits = self.reserve(searcher.encoded_len(), known.searchers.len());
         if let Some(What::Known(known)) = &mut self.message.what
             && fits
         {
@@ -292,13 +304,15 @@
         fits
     }
 
-    fn grow(&mut self, size: usize, held: usize) -> bool {
-        let fits = self.bytes + size + 4 <= MOST_BYTES && held < MOST_MEMBERS;
+    /// Accounts for an item of `size` bytes if it fits.
+    fn reserve(&mut self, size: usize, count: usize) -> bool {
+        let fits = self.bytes + size + 4 <= MAX_DATAGRAM_BYTES && count < MAX_MEMBERS;
         self.bytes += if fits { size + 4 } else { 0 };
         fits
     }
 
-    pub fn seal(self) -> Vec<u8> {
+    /// Encodes the datagram with its checksum.
+    pub fn encode(self) -> Vec<u8> {
         let message = self.message.encode_to_vec();
         let datagram = proto::Datagram {
             checksum: crc32fast::hash(&message),
@@ -306,8 +320,8 @@
         };
         let bytes = datagram.encode_to_vec();
         debug_assert!(
-            bytes.len() <= MOST_BYTES,
-            "a datagram of {} bytes",
+            bytes.len() <= MAX_DATAGRAM_BYTES,
+            "encoded datagram has {} bytes, more than the limit",
             bytes.len()
         );
         bytes
--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -1,4 +1,4 @@
-//! What carries the core's datagrams: one UDP socket, IPv4, on the mixer's own thread. Nothing here decides.
+//! The driver of the membership core: one IPv4 UDP socket on the mixer's own thread. It makes no decisions.
 
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -8,125 +8,125 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::core::share::{self, Own};
-use crate::core::table::{Held, State};
+use crate::core::table::{MemberEntry, State};
 use crate::core::{Change, Core, Counts};
-use crate::shared::judge::Standing;
+use crate::shared::judge::AgreedVerdict;
 
-/// Datagrams that are read in one turn, and how long the next turn waits after a full one: a flood takes at most
-/// 6,400 short looks a second and a client's time never; the rest is dropped by the system. An exchange of views at
-/// 3,000 members is 32 at once.
-const A_TURN: usize = 64;
-const REST: Duration = Duration::from_millis(10);
+/// The most datagrams read per turn, and the pause after a full turn: a flood costs at most 6,400 short reads a second
+/// and takes no time from clients; the system drops the rest. An exchange of views at 3,000 members is 32 datagrams at
+/// once.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+const FULL_TURN_PAUSE: Duration = Duration::from_millis(10);
 
-/// How the fleet stands for this mixer.
+/// The state of the fleet as this mixer knows it.
 pub struct Shown {
     pub now: Time,
     pub standing: crate::core::Standing,
-    /// In the order of their names.
-    pub members: Vec<Held>,
+    /// Ordered by name.
+    pub members: Vec<MemberEntry>,
     pub living: usize,
     pub counted: usize,
     pub digest: u64,
     pub counts: Counts,
-    /// Where state is shared.
+    /// `None` if no state is shared.
     pub shared: Option<share::Shown>,
 }
 
-/// What is asked of the driver.
+/// A request to the driver.
 pub enum Ask {
-    /// How the fleet stands.
+    /// Returns the state of the fleet.
     Show(oneshot::Sender<Shown>),
-    /// What this mixer saw and did lately is told to others.
+    /// Takes the periodic report of the local mixer, to be shared with others.
     Tell(Own),
-    /// This mixer leaves: others are told; what comes is answered on.
+    /// Announces that this mixer leaves; datagrams are still answered.
     Leave,
 }
 
-/// The way to ask.
+/// The sender of requests to the driver.
 pub type Asks = mpsc::Sender<Ask>;
 
-/// Binds the socket. Errors: an address that is not ours, or in use.
+/// Binds the socket. Fails if the address is not local or is in use.
 pub async fn bind(address: SocketAddrV4) -> std::io::Result<UdpSocket> {
     UdpSocket::bind(address).await
 }
 
-/// Keeps the view for good, and tells the mixer what comes of it: the count of mixers whenever it changes, and what
-/// the fleet shares. `tell` says whether there was room for it; if not, it is told again. Ends when nobody can ask.
+/// Runs membership until all request senders are dropped. Passes news to the mixer: the number of mixers whenever it
+/// changes, and the shared state. `tell` returns whether the news was accepted; if not, it is offered again.
 pub async fn keep(
     socket: UdpSocket,
     mut core: Core,
     clock: impl Fn() -> Time,
     tell: impl Fn(News) -> bool,
-    mut asks: mpsc::Receiver<Ask>,
+    mut requests: mpsc::Receiver<Ask>,
 ) {
     let (mut counted, mut judged, mut remembered) = (None, Vec::new(), None);
-    let (mut portions, mut in_contact) = (Vec::new(), None);
-    let mut buffer = [0; 2 * crate::core::wire::MOST_BYTES];
-    let mut rest: Option<tokio::time::Instant> = None;
+    let (mut portions, mut had_quorum) = (Vec::new(), None);
+    let mut buffer = [0; 2 * crate::core::wire::MAX_DATAGRAM_BYTES];
+    let mut paused_until: Option<tokio::time::Instant> = None;
     loop {
-        carry(&socket, &mut core).await;
+        send_datagrams(&socket, &mut core).await;
         for change in core.take_changes() {
-            log(&change);
+            log_change(&change);
         }
         if counted != Some(core.counted()) && tell(News::Mixers(core.counted())) {
             counted = Some(core.counted());
         }
-        let stands: Vec<Judged> = core
+        let agreed: Vec<Judged> = core
             .standing_judgements()
             .iter()
-            .map(|of| of.judged.clone())
+            .map(|verdict| verdict.judged.clone())
             .collect();
-        if judged != stands && tell(News::Judged(stands.clone())) {
-            log_judged(&judged, core.standing_judgements());
-            judged = stands;
+        if judged != agreed && tell(News::Judged(agreed.clone())) {
+            log_agreed_verdicts(&judged, core.standing_judgements());
+            judged = agreed;
         }
-        let now_portions = core.portions(clock());
-        if portions != now_portions && tell(News::Portions(now_portions.clone())) {
-            portions = now_portions;
+        let new_portions = core.portions(clock());
+        if portions != new_portions && tell(News::Portions(new_portions.clone())) {
+            portions = new_portions;
         }
-        log_contact(&mut in_contact, core.in_contact());
+        log_quorum(&mut had_quorum, core.has_quorum());
         remembered = core.take_remembered().or(remembered);
         if let Some(known) = remembered.take_if(|known| tell(News::Remembers(known.clone()))) {
-            tracing::info!(target: "lockusher::fleet", "fleet: {} searchers are known from others", known.len());
+            tracing::info!(target: "lockusher::fleet", "fleet: warm start with {} searchers known from other mixers", known.len());
         }
         let wait = Duration::from_micros(core.next().since(clock()).as_micros());
         tokio::select! {
             biased;
-            asked = asks.recv() => match asked {
-                Some(Ask::Show(reply)) => drop(reply.send(shown(clock(), &core))),
+            request = requests.recv() => match request {
+                Some(Ask::Show(reply)) => drop(reply.send(fleet_status(clock(), &core))),
                 Some(Ask::Tell(own)) => core.tell(clock(), own),
                 Some(Ask::Leave) => core.leave(clock()),
                 None => return,
             },
             () = tokio::time::sleep(wait) => core.due(clock()),
-            () = tokio::time::sleep_until(rest.unwrap_or_else(tokio::time::Instant::now)), if rest.is_some() => {
-                rest = None;
+            () = tokio::time::sleep_until(paused_until.unwrap_or_else(tokio::time::Instant::now)), if paused_until.is_some() => {
+                paused_until = None;
             }
-            ready = socket.readable(), if rest.is_none() => {
-                let (mut read, mut dry) = (0, false);
-                while ready.is_ok() && read < A_TURN && !dry {
-                    read += 1;
+            ready = socket.readable(), if paused_until.is_none() => {
+                let (mut read_count, mut drained) = (0, false);
+                while ready.is_ok() && read_count < MAX_DATAGRAMS_PER_TURN && !drained {
+                    read_count += 1;
                     match socket.try_recv_from(&mut buffer) {
                         Ok((length, SocketAddr::V4(from))) => core.hear(clock(), from, &buffer[..length]),
                         Ok(_) => {}
-                        Err(error) => dry = error.kind() == std::io::ErrorKind::WouldBlock,
+                        Err(error) => drained = error.kind() == std::io::ErrorKind::WouldBlock,
                     }
                 }
-                rest = (!dry).then(|| tokio::time::Instant::now() + REST);
+                paused_until = (!drained).then(|| tokio::time::Instant::now() + FULL_TURN_PAUSE);
             }
         }
     }
 }
 
-async fn carry(socket: &UdpSocket, core: &mut Core) {
+async fn send_datagrams(socket: &UdpSocket, core: &mut Core) {
     for (at, bytes) in core.take_out() {
-        // A datagram that can't leave now is lost, as one on the way may be.
+        // A datagram that can't be sent now is lost, as one in transit may be.
         let _ = socket.try_send_to(&bytes, at.into());
     }
 }
 
-fn shown(now: Time, core: &Core) -> Shown {
-    let mut members: Vec<Held> = core.view().cloned().collect();
+fn fleet_status(now: Time, core: &Core) -> Shown {
+    let mut members: Vec<MemberEntry> = core.view().cloned().collect();
     members.sort_by(|one, other| one.record.name.cmp(&other.record.name));
     Shown {
         now,
@@ -140,61 +140,65 @@
     }
 }
 
-/// A line when contact with the most of the fleet is lost, and found.
-fn log_contact(before: &mut Option<bool>, now: Option<bool>) {
+/// Logs when contact with a majority of the members is lost and when it is restored.
+fn log_quorum(before: &mut Option<bool>, now: Option<bool>) {
     match (std::mem::replace(before, now), now) {
         (Some(true), Some(false)) => {
-            tracing::warn!(target: "lockusher::fleet", "fleet: contact with the most of it is lost, nothing more is lent");
+            tracing::warn!(target: "lockusher::fleet", "fleet: contact with a majority of the members lost, no further budget loans");
         }
         (Some(false), Some(true)) => {
-            tracing::info!(target: "lockusher::fleet", "fleet: contact with the most of it");
+            tracing::info!(target: "lockusher::fleet", "fleet: contact with a majority of the members restored");
         }
         _ => {}
     }
 }
 
-/// A line for each searcher that is judged, and for each that no longer is.
-fn log_judged(before: &[Judged], now: &[Standing]) {
-    for of in now
+/// Logs each searcher on which a verdict is agreed, and each on which none is any more.
+fn log_agreed_verdicts(before: &[Judged], now: &[AgreedVerdict]) {
+    for verdict in now
         .iter()
-        .filter(|of| before.iter().all(|before| before.id != of.judged.id))
+        .filter(|verdict| before.iter().all(|before| before.id != verdict.judged.id))
     {
-        let by: Vec<&str> = of
+        let witnesses: Vec<&str> = verdict
             .witnesses
             .iter()
             .map(super::core::table::MixerName::as_str)
             .collect();
-        let (id, fault, by) = (of.judged.id.as_str(), of.fault.word(), by.join(", "));
-        tracing::info!(target: "lockusher::fleet", "fleet: searcher {id} is {fault}, say {by}");
+        let (id, fault, witnesses) = (
+            verdict.judged.id.as_str(),
+            verdict.fault.word(),
+            witnesses.join(", "),
+        );
+        tracing::info!(target: "lockusher::fleet", "fleet: searcher {id} is {fault}, reported by {witnesses}");
     }
     for id in before
         .iter()
         .map(|of| &of.id)
-        .filter(|id| now.iter().all(|of| of.judged.id != **id))
+        .filter(|id| now.iter().all(|verdict| verdict.judged.id != **id))
     {
-        tracing::info!(target: "lockusher::fleet", "fleet: nothing stands against searcher {} any more", id.as_str());
+        tracing::info!(target: "lockusher::fleet", "fleet: no verdict on searcher {} is agreed any more", id.as_str());
     }
 }
 
-/// One line for each change; a suspicion that may pass is for those who look closely.
-fn log(change: &Change) {
+/// Logs a change of the view; suspicions, which are often refuted, only at debug level.
+fn log_change(change: &Change) {
     let Change { member, from } = change;
     let (name, at, state) = (member.name.as_str(), member.address, member.state.word());
-    let by = member
+    let reporter = member
         .by
         .as_ref()
-        .map(|by| format!(", says {}", by.as_str()))
+        .map(|by| format!(", reported by {}", by.as_str()))
         .unwrap_or_default();
-    let was = from.map_or("unknown", State::word);
+    let previous = from.map_or("unknown", State::word);
     match (member.state, from) {
         (State::Suspect, _) | (State::Alive, Some(State::Suspect)) => {
-            tracing::debug!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{by} (was {was})");
+            tracing::debug!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{reporter} (was {previous})");
         }
         (State::Dead, _) => {
-            tracing::warn!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{by} (was {was})");
+            tracing::warn!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{reporter} (was {previous})");
         }
         _ => {
-            tracing::info!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{by} (was {was})");
+            tracing::info!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{reporter} (was {previous})");
         }
     }
 }
--- a/crates/lockusher-membership/src/shared/judge.rs
+++ b/crates/lockusher-membership/src/shared/judge.rs
@@ -1,5 +1,5 @@
-//! Judgements on searchers: which of a mixer's own are worth telling, and which of all that were told stand. One mixer
-//! alone proves nothing: its path, its clock or its program may be at fault.
+//! Verdicts on searchers: which local ones are worth publishing, and on which of all published ones enough witnesses
+//! agree. A single mixer proves nothing, since its path, its clock or its program may be at fault.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -7,42 +7,46 @@
 use lockusher_policy::interface::{Glimpse, Judged, SearcherId, Span, Time};
 
 use super::records::{Fault, Verdict};
-use crate::core::table::{Mixer, MixerName};
+use crate::core::table::{MixerName, StableHasher};
 
-/// What was heard of a searcher longer ago is not told: others may have heard since.
-const LATELY: Span = Span::from_millis(5_000);
-/// A searcher is silent when a send has been out for so many times what its peers take, and for `LEAST_SILENCE`.
-const SILENT: f64 = 4.0;
-const LEAST_SILENCE: Span = Span::from_millis(100);
-/// Latency that is told of: the policy's own bound for a slow path.
-const SLOW: f64 = 3.0;
-/// A share of good sends that is told of: two failures in a row, or half of many.
-const ERRS: f64 = 0.5;
-/// A share of good sends with which nobody would say that it is fine: one failure in a row is within it.
-const FINE: f64 = 0.6;
-/// One that was heard from so soon after others first found it bad may have died in between: what is under way when a
-/// process ends arrives a little later, and ages are told in milliseconds.
-const CROSSING: Span = Span::from_millis(50);
-/// What is to be expected of one that is down: the policy's own least share.
-const DOWN_GOOD: f64 = 0.05;
-/// What was seen longer ago than this does not witness any more. At 4 s all mixers tried a dead searcher again together
-/// after 8 s, as the policy's fading does the rest; one that is back is told of as soon as any of them finds it.
-pub const WITNESSES_FOR: Span = Span::from_millis(8_000);
-/// Witnesses of one zone that are enough: others who hear them do not say it again. Who they are falls to chance by
-/// name and searcher, or all would fall silent at once when they hear each other, and speak at once again.
-const ENOUGH: usize = 3;
+/// Older observations of a searcher are not published, as other mixers may have newer ones.
+const OBSERVATION_MAX_AGE: Span = Span::from_millis(5_000);
+/// A searcher is silent when a send has been unanswered for this multiple of its peers' latency, and for at least
+/// `MIN_SILENCE`.
+const SILENCE_FACTOR: f64 = 4.0;
+const MIN_SILENCE: Span = Span::from_millis(100);
+/// The latency from which a searcher counts as slow, as a multiple of its peers': the bound that the policy uses for a
+/// slow path.
+const SLOW_FACTOR: f64 = 3.0;
+/// A success ratio below this is published: two failures in a row, or half of many sends.
+const ERRS_BELOW: f64 = 0.5;
+/// A success ratio above this is fine; one failure in a row is within it.
+const FINE_ABOVE: f64 = 0.6;
+/// A searcher that answered within this time after others first found it faulty may have died in between: an answer in
+/// flight when the process ends arrives a little later, and ages have a resolution of a millisecond.
+const TRANSIT_TOLERANCE: Span = Span::from_millis(50);
+/// The success ratio to be expected of a searcher that is down: the policy's minimum.
+const DOWN_SUCCESS_RATIO: f64 = 0.05;
+/// Verdicts on older observations are ignored. With 4 s, all mixers retried a dead searcher at the same time after 8 s,
+/// because the decay of the policy's averages adds to this time. A recovered searcher is reported as soon as any mixer
+/// finds it.
+pub const VERDICT_MAX_AGE: Span = Span::from_millis(8_000);
+/// Enough witnesses of one zone: mixers that know of so many do not publish the same verdict. The order of witnesses is
+/// a hash of mixer and searcher; without an order, all would withdraw their verdicts at once on hearing each other, and
+/// then publish them again at once.
+const MAX_WITNESSES: usize = 3;
 /// One mixer may be wrong.
-const LEAST_WITNESSES: usize = 2;
+const MIN_WITNESSES: usize = 2;
 
-/// The middle one of several, 0 of none.
-fn middle(values: impl Iterator<Item = f64>) -> f64 {
+/// The median, 0 without values.
+fn median(values: impl Iterator<Item = f64>) -> f64 {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or_default()
 }
 
-/// What this mixer saw of one searcher that is unlike its peers, if anything is.
-fn fault(now: Time, seen: &Glimpse, peers: f64) -> Option<Verdict> {
+/// The fault of one searcher that the local observations show in comparison with its peers, if any.
+fn detect_fault(now: Time, seen: &Glimpse, peer_latency: f64) -> Option<Verdict> {
     let verdict = |fault, weight, since, at| {
         Some(Verdict {
             life: seen.life,
@@ -52,21 +56,21 @@
             at,
         })
     };
-    let patience = Span::from_secs(peers * SILENT).max(LEAST_SILENCE);
+    let timeout = Span::from_secs(peer_latency * SILENCE_FACTOR).max(MIN_SILENCE);
     if let Some(since) = seen
         .silent_since
-        .filter(|since| now.since(*since) > patience)
+        .filter(|since| now.since(*since) > timeout)
     {
-        // It may have answered others for as long as it was waited for here.
-        return verdict(Fault::Down, DOWN_GOOD, since + patience, now);
+        // Before that, it may still have answered other mixers.
+        return verdict(Fault::Down, DOWN_SUCCESS_RATIO, since + timeout, now);
     }
-    if now.since(seen.heard) > LATELY {
+    if now.since(seen.heard) > OBSERVATION_MAX_AGE {
         return None;
     }
     if let Some(since) = seen.down_since {
-        return verdict(Fault::Down, DOWN_GOOD, since, seen.heard);
+        return verdict(Fault::Down, DOWN_SUCCESS_RATIO, since, seen.heard);
     }
-    if seen.good < ERRS {
+    if seen.good < ERRS_BELOW {
         return verdict(Fault::Errs, seen.good.max(0.0), seen.heard, seen.heard);
     }
     if let Some(since) = seen
@@ -75,39 +79,48 @@
     {
         return verdict(Fault::Cold, 0.0, since, seen.heard);
     }
-    let slower = seen.latency.unwrap_or(peers) / peers.max(1e-6);
-    (slower > SLOW)
-        .then(|| verdict(Fault::Slow, slower.min(1e3), seen.heard, seen.heard))
+    let slowdown = seen.latency.unwrap_or(peer_latency) / peer_latency.max(1e-6);
+    (slowdown > SLOW_FACTOR)
+        .then(|| verdict(Fault::Slow, slowdown.min(1e3), seen.heard, seen.heard))
         .flatten()
 }
 
-/// What this mixer tells of searchers, the worst first; `accused` is what others say.
-pub fn tells(now: Time, seen: &[Glimpse], accused: &Accused) -> Vec<(SearcherId, Verdict)> {
-    let lately = |s: &&Glimpse| now.since(s.heard) <= LATELY || s.silent_since.is_some();
-    let peers = middle(seen.iter().filter_map(|s| s.latency));
-    let (mut tried, mut told) = (0, Vec::new());
-    for seen in seen.iter().filter(lately) {
+/// The verdicts that this mixer publishes, the worst first. `accusations` are those of other mixers.
+pub fn local_verdicts(
+    now: Time,
+    seen: &[Glimpse],
+    accused: &Accusations,
+) -> Vec<(SearcherId, Verdict)> {
+    let is_recent =
+        |s: &&Glimpse| now.since(s.heard) <= OBSERVATION_MAX_AGE || s.silent_since.is_some();
+    let peer_latency = median(seen.iter().filter_map(|s| s.latency));
+    let (mut tried, mut verdicts) = (0, Vec::new());
+    for seen in seen.iter().filter(is_recent) {
         tried += 1;
-        told.extend(fault(now, seen, peers).map(|verdict| (seen.id.clone(), verdict)));
+        verdicts.extend(
+            detect_fault(now, seen, peer_latency).map(|verdict| (seen.id.clone(), verdict)),
+        );
     }
-    if told.len() * 2 > tried && told.len() > 1 {
-        // Most of those it tried: it is this mixer's own path, or itself.
+    if verdicts.len() * 2 > tried && verdicts.len() > 1 {
+        // Most of the searchers that were tried look faulty, so the fault is that of this mixer or its path.
         return Vec::new();
     }
-    told.retain(|(id, _)| accused.get(id).is_none_or(|of| of.before < ENOUGH));
-    // An outcome may be a send that was given up: then what is known of its latency is no better than it was.
-    let quick = |s: &&Glimpse| s.latency.is_some_and(|latency| latency < peers * SLOW);
+    verdicts.retain(|(id, _)| accused.get(id).is_none_or(|a| a.accusers < MAX_WITNESSES));
+    // The last outcome may be an abandoned send, which does not update the latency.
+    let is_quick = |s: &&Glimpse| s.latency.is_some_and(|l| l < peer_latency * SLOW_FACTOR);
     let fine = seen
         .iter()
-        .filter(|s| s.good > FINE && s.down_since.is_none() && s.silent_since.is_none());
-    let fine = fine.filter(quick);
-    for seen in fine.filter(|s| now.since(s.heard) <= LATELY) {
-        let against = accused.get(&seen.id).filter(|of| of.for_it < ENOUGH);
-        if against.is_some_and(|of| seen.heard > of.since + CROSSING)
-            && told.iter().all(|(id, _)| *id != seen.id)
+        .filter(|s| s.good > FINE_ABOVE && s.down_since.is_none() && s.silent_since.is_none());
+    let fine = fine.filter(is_quick);
+    for seen in fine.filter(|s| now.since(s.heard) <= OBSERVATION_MAX_AGE) {
+        let accusation = accused
+            .get(&seen.id)
+            .filter(|accusation| accusation.defenders < MAX_WITNESSES);
+        if accusation.is_some_and(|accusation| seen.heard > accusation.since + TRANSIT_TOLERANCE)
+            && verdicts.iter().all(|(id, _)| *id != seen.id)
         {
             let (life, at) = (seen.life, seen.heard);
-            told.push((
+            verdicts.push((
                 seen.id.clone(),
                 Verdict {
                     life,
@@ -119,83 +132,89 @@
             ));
         }
     }
-    // Down before slow, and what was seen last first.
-    told.sort_by(|(_, a), (_, b)| a.fault.cmp(&b.fault).then(b.at.cmp(&a.at)));
-    told
+    // Down before slow, and the latest observation first.
+    verdicts.sort_by(|(_, a), (_, b)| a.fault.cmp(&b.fault).then(b.at.cmp(&a.at)));
+    verdicts
 }
 
-/// What one mixer says of a searcher, with who says it.
+/// The verdict of one mixer on a searcher.
 #[derive(Clone, Debug)]
-pub struct Said<'a> {
+pub struct Vote<'a> {
+    /// The mixer that gives the verdict.
     pub by: &'a MixerName,
     pub zone: &'a str,
     pub verdict: &'a Verdict,
 }
 
-/// A judgement that stands, and who witnesses it.
+/// A verdict that enough witnesses agree on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct AgreedVerdict {
     pub judged: Judged,
     pub fault: Fault,
     pub witnesses: Vec<MixerName>,
 }
 
-/// Since when, as the second witness says, so that one alone can't set it back; `None` with fewer.
-fn since(witnesses: &[&Said]) -> Option<Time> {
-    let mut times: Vec<Time> = witnesses.iter().map(|said| said.verdict.since).collect();
+/// The start according to the second witness, so that a single one can't backdate it; `None` with fewer witnesses.
+fn agreed_since(witnesses: &[&Vote]) -> Option<Time> {
+    let mut times: Vec<Time> = witnesses.iter().map(|vote| vote.verdict.since).collect();
     times.sort();
-    times.get(LEAST_WITNESSES - 1).copied()
+    times.get(MIN_WITNESSES - 1).copied()
 }
 
-/// How one searcher is accused by others.
+/// How other mixers accuse one searcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Accusation {
-    /// Since when, as the first of them says; once nobody does any more, until when.
+    /// The earliest start that the accusers report; once nobody accuses the searcher any more, the time until which it
+    /// was accused.
     pub since: Time,
-    /// How many of this mixer's zone that say so, or speak for it, come before it in the order of witnesses.
-    before: usize,
-    for_it: usize,
+    /// How many accusers, and how many mixers that found the searcher fine, of the local zone precede this mixer in the
+    /// order of witnesses.
+    accusers: usize,
+    defenders: usize,
 }
 
-pub type Accused = BTreeMap<SearcherId, Accusation>;
+/// The accused searchers.
+pub type Accusations = BTreeMap<SearcherId, Accusation>;
 
-/// One that was accused is remembered for so long, so that who finds it answering says so: others' own averages of it
-/// take that long to fade.
-const FOUND_FOR: Span = Span::from_millis(60_000);
-/// More searchers than are accused in a minute by mixers that judge each at most sixteen.
-const MOST_ONCE_ACCUSED: usize = 256;
+/// How long an accusation is remembered, so that a mixer that finds the searcher answering publishes this: the averages
+/// of other mixers take that long to fade.
+const ACCUSATION_MAX_AGE: Span = Span::from_millis(60_000);
+/// More searchers than are accused in a minute by mixers that publish at most sixteen verdicts each.
+const MAX_FORMERLY_ACCUSED: usize = 256;
 
-/// Until when each was accused.
+/// Until when each searcher was accused.
 #[derive(Debug, Default)]
-pub struct OnceAccused(BTreeMap<SearcherId, Time>);
+pub struct FormerlyAccused(BTreeMap<SearcherId, Time>);
 
-impl OnceAccused {
-    fn note(&mut self, id: &SearcherId, at: Time) {
-        if self.0.len() < MOST_ONCE_ACCUSED || self.0.contains_key(id) {
+impl FormerlyAccused {
+    fn record(&mut self, id: &SearcherId, at: Time) {
+        if self.0.len() < MAX_FORMERLY_ACCUSED || self.0.contains_key(id) {
             let until = self.0.entry(id.clone()).or_insert(at);
             *until = (*until).max(at);
         }
     }
 }
 
-/// The place of a mixer in the order of a searcher's witnesses: each searcher has another order.
-fn place(of: &MixerName, searcher: &SearcherId) -> (u64, MixerName) {
-    let mut hasher = Mixer::default();
+/// The position of a mixer in the order of a searcher's witnesses, which differs from searcher to searcher.
+fn witness_rank(of: &MixerName, searcher: &SearcherId) -> (u64, MixerName) {
+    let mut hasher = StableHasher::default();
     hasher.write(of.as_str().as_bytes());
     hasher.write(searcher.as_str().as_bytes());
     (hasher.finish(), of.clone())
 }
 
-/// Who is accused by others of late, or was, as one mixer of a zone hears it.
-pub fn accused<'a>(
+/// The recent and remembered accusations by other mixers, as seen by a mixer of `zone`.
+pub fn accusations<'a>(
     now: Time,
     me: &MixerName,
     zone: &str,
-    said: impl Iterator<Item = (&'a SearcherId, Said<'a>)>,
-    once: &mut OnceAccused,
-) -> Accused {
-    once.0.retain(|_, until| now.since(*until) < FOUND_FOR);
-    let mut accused: Accused = once
+    votes: impl Iterator<Item = (&'a SearcherId, Vote<'a>)>,
+    formerly_accused: &mut FormerlyAccused,
+) -> Accusations {
+    formerly_accused
+        .0
+        .retain(|_, until| now.since(*until) < ACCUSATION_MAX_AGE);
+    let mut accusations: Accusations = formerly_accused
         .0
         .iter()
         .map(|(id, until)| {
@@ -203,80 +222,86 @@
                 id.clone(),
                 Accusation {
                     since: *until,
-                    before: 0,
-                    for_it: 0,
+                    accusers: 0,
+                    defenders: 0,
                 },
             )
         })
         .collect();
     let mut accusing = BTreeSet::new();
-    let said: Vec<(&SearcherId, Said)> = said
-        .filter(|(_, said)| now.since(said.verdict.at) < WITNESSES_FOR)
+    let votes: Vec<(&SearcherId, Vote)> = votes
+        .filter(|(_, vote)| now.since(vote.verdict.at) < VERDICT_MAX_AGE)
         .collect();
-    for (id, said) in said.iter().filter(|(_, said)| said.verdict.fault.accuses()) {
-        once.note(id, said.verdict.at);
-        let first = Accusation {
-            since: said.verdict.since,
-            before: 0,
-            for_it: 0,
+    for (id, vote) in votes
+        .iter()
+        .filter(|(_, vote)| vote.verdict.fault.accuses())
+    {
+        formerly_accused.record(id, vote.verdict.at);
+        let new = Accusation {
+            since: vote.verdict.since,
+            accusers: 0,
+            defenders: 0,
         };
-        let of = accused.entry((*id).clone()).or_insert(first);
-        of.since = if accusing.insert(*id) {
-            said.verdict.since
+        let accusation = accusations.entry((*id).clone()).or_insert(new);
+        accusation.since = if accusing.insert(*id) {
+            vote.verdict.since
         } else {
-            of.since.min(said.verdict.since)
+            accusation.since.min(vote.verdict.since)
         };
-        of.before += usize::from(said.zone == zone && place(said.by, id) < place(me, id));
+        accusation.accusers +=
+            usize::from(vote.zone == zone && witness_rank(vote.by, id) < witness_rank(me, id));
     }
-    for (id, said) in said
+    for (id, vote) in votes
         .iter()
-        .filter(|(_, said)| said.verdict.fault == Fault::Fine)
+        .filter(|(_, vote)| vote.verdict.fault == Fault::Fine)
     {
-        if let Some(of) = accused.get_mut(*id) {
-            of.for_it += usize::from(said.zone == zone && place(said.by, id) < place(me, id));
+        if let Some(accusation) = accusations.get_mut(*id) {
+            accusation.defenders +=
+                usize::from(vote.zone == zone && witness_rank(vote.by, id) < witness_rank(me, id));
         }
     }
-    accused
+    accusations
 }
 
-/// The judgements that stand: each of two witnesses at least, from two zones where the living are in several, that are
-/// more than twice as many as those who found the searcher fine since. Once nobody accuses one any more, those who find
-/// it fine are witnesses of that. `zones` is how many zones the living are in.
-pub fn stands<'a>(
+/// The verdicts with enough witnesses: at least two, of two zones if the live members are in several, and more than
+/// twice as many as the mixers that found the searcher fine since. Once nobody accuses a searcher any more, the mixers
+/// that find it fine are the witnesses of that. `zones` is the number of zones with live members.
+pub fn agreed_verdicts<'a>(
     now: Time,
-    said: impl Iterator<Item = (&'a SearcherId, Said<'a>)>,
+    votes: impl Iterator<Item = (&'a SearcherId, Vote<'a>)>,
     zones: usize,
-) -> Vec<Standing> {
-    // What is said of different lives is of different searchers; a lie about one says nothing of another.
-    let mut of_life: BTreeMap<(&SearcherId, Option<Time>), Vec<Said>> = BTreeMap::new();
-    for (id, said) in said.filter(|(_, said)| now.since(said.verdict.at) < WITNESSES_FOR) {
-        of_life
-            .entry((id, said.verdict.life))
+) -> Vec<AgreedVerdict> {
+    // Verdicts on different processes of a searcher are independent, so that a false one about one process does not
+    // affect another.
+    let mut by_process: BTreeMap<(&SearcherId, Option<Time>), Vec<Vote>> = BTreeMap::new();
+    for (id, vote) in votes.filter(|(_, vote)| now.since(vote.verdict.at) < VERDICT_MAX_AGE) {
+        by_process
+            .entry((id, vote.verdict.life))
             .or_default()
-            .push(said);
+            .push(vote);
     }
-    let judge = |((id, life), said): (&(&SearcherId, Option<Time>), &Vec<Said>)| {
-        let (accusers, fine): (Vec<&Said>, Vec<&Said>) =
-            said.iter().partition(|said| said.verdict.fault.accuses());
+    let agree = |((id, life), votes): (&(&SearcherId, Option<Time>), &Vec<Vote>)| {
+        let (accusers, fine): (Vec<&Vote>, Vec<&Vote>) =
+            votes.iter().partition(|vote| vote.verdict.fault.accuses());
         let witnesses = if accusers.is_empty() {
             &fine
         } else {
             &accusers
         };
-        let since = since(witnesses)?;
-        let from: BTreeSet<&str> = witnesses.iter().map(|said| said.zone).collect();
-        let against = fine
+        let since = agreed_since(witnesses)?;
+        let witness_zones: BTreeSet<&str> = witnesses.iter().map(|vote| vote.zone).collect();
+        let contradicting = fine
             .iter()
-            .filter(|said| !accusers.is_empty() && said.verdict.at > since + CROSSING)
+            .filter(|vote| !accusers.is_empty() && vote.verdict.at > since + TRANSIT_TOLERANCE)
             .count();
-        if witnesses.len() <= 2 * against || from.len() < zones.min(2) {
+        if witnesses.len() <= 2 * contradicting || witness_zones.len() < zones.min(2) {
             return None;
         }
-        // The fault that most see; of like ones the graver.
+        // The fault that most witnesses report; of equally frequent ones the most severe.
         let count = |fault: Fault| {
             witnesses
                 .iter()
-                .filter(|said| said.verdict.fault == fault)
+                .filter(|vote| vote.verdict.fault == fault)
                 .count()
         };
         let faults = [
@@ -290,32 +315,32 @@
         let weights = || {
             witnesses
                 .iter()
-                .filter(|said| said.verdict.fault == fault)
-                .map(|said| said.verdict.weight)
+                .filter(|vote| vote.verdict.fault == fault)
+                .map(|vote| vote.verdict.weight)
         };
         let judged = Judged {
             id: (*id).clone(),
             life: *life,
             good: match fault {
-                Fault::Down => DOWN_GOOD,
-                Fault::Errs => middle(weights()).clamp(DOWN_GOOD, 1.0),
+                Fault::Down => DOWN_SUCCESS_RATIO,
+                Fault::Errs => median(weights()).clamp(DOWN_SUCCESS_RATIO, 1.0),
                 _ => 1.0,
             },
             slower: if fault == Fault::Slow {
-                middle(weights()).max(1.0)
+                median(weights()).max(1.0)
             } else {
                 1.0
             },
             cold_since: (fault == Fault::Cold).then_some(since),
-            at: witnesses.iter().map(|said| said.verdict.at).max()?.min(now),
+            at: witnesses.iter().map(|vote| vote.verdict.at).max()?.min(now),
         };
-        let mut names: Vec<MixerName> = witnesses.iter().map(|said| said.by.clone()).collect();
+        let mut names: Vec<MixerName> = witnesses.iter().map(|vote| vote.by.clone()).collect();
         names.sort();
-        Some(Standing {
+        Some(AgreedVerdict {
             judged,
             fault,
             witnesses: names,
         })
     };
-    of_life.iter().filter_map(judge).collect()
+    by_process.iter().filter_map(agree).collect()
 }
