--- a/crates/lockusher-membership/src/core/datagrams.rs
+++ b/crates/lockusher-membership/src/core/datagrams.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Up to `most` random live members other than `but`, without duplicates.
+    /// Up to `max_count` random live members other than `except`, without duplicates.
     pub(super) fn random_live_members(
         &mut self,
         max_count: usize,
--- a/crates/lockusher-membership/src/core/mod.rs
+++ b/crates/lockusher-membership/src/core/mod.rs
@@ -33,9 +33,11 @@
 pub struct Plan {
     /// Fleets with different ids never merge.
     pub fleet: String,
+    /// The name of the local mixer.
     pub name: MixerName,
     /// The address at which other members reach this mixer.
     pub address: SocketAddrV4,
+    /// The zone of the local mixer.
     pub zone: Arc<str>,
     /// Addresses to join by; they are also contacted after a long partition.
     pub seeds: Vec<SocketAddrV4>,
@@ -74,14 +76,21 @@
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Datagrams received.
     pub datagrams_in: u64,
+    /// Bytes received.
     pub bytes_in: u64,
+    /// Datagrams sent.
     pub datagrams_out: u64,
+    /// Bytes sent.
     pub bytes_out: u64,
+    /// Datagrams and requests dropped.
     pub drops: Drops,
-    /// Failed probes, suspicions that this mixer raised, and refutations of records about itself.
+    /// Probes of which no attempt was answered.
     pub unreached: u64,
+    /// Suspicions that this mixer raised.
     pub suspected: u64,
+    /// Refutations of records about this mixer.
     pub refuted: u64,
     /// Anti-entropy exchanges that this mixer started.
     pub exchanges: u64,
@@ -130,7 +139,7 @@
     page_tokens_at: Time,
     /// Timers of suspicions and retention; one that is obsolete is ignored.
     timers: BinaryHeap<Reverse<(Time, MixerName)>>,
-    /// The number of mixers that budgets are divided by.
+    /// The number of mixers whose budget shares may be in use.
     counted: usize,
     rng: ChaCha8Rng,
     outgoing: Vec<(SocketAddrV4, Vec<u8>)>,
@@ -240,7 +249,7 @@
         self.counted
     }
 
-    /// Updates the number of mixers that budgets are divided by.
+    /// Updates the number of mixers whose budget shares may be in use.
     fn update_counted(&mut self, now: Time) {
         let in_use =
             |e: &&MemberEntry| e.record.state != State::Left || now.since(e.since) < LEAVE_GRACE;
--- a/crates/lockusher-membership/src/core/share.rs
+++ b/crates/lockusher-membership/src/core/share.rs
@@ -20,7 +20,9 @@
 /// Which state the operator shares.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shares {
+    /// Whether verdicts on searchers are shared.
     pub judgements: bool,
+    /// Whether mixers that start receive observations from others.
     pub warm_starts: bool,
     /// The leased budgets with the amount that the whole fleet may spend of each per second; empty, or each budget
     /// once.
@@ -34,7 +36,9 @@
 /// What the local mixer periodically reports about itself.
 #[derive(Clone, Debug, Default)]
 pub struct Own {
+    /// The observations of searchers.
     pub seen: Vec<Glimpse>,
+    /// The counters of requests.
     pub totals: Totals,
     /// The demand for each budget, per second.
     pub wants: Vec<(Budget, f64)>,
@@ -43,46 +47,62 @@
 /// Counters since the start of the mixer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Totals {
+    /// Multigets received.
     pub multigets: u64,
+    /// Parts of these multigets.
     pub parts: u64,
+    /// Additional sends: retries and hedged requests.
     pub further: u64,
+    /// Sends that searchers pushed back.
     pub pushed_back: u64,
 }
 
 /// The rates of `Totals`, per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rates {
+    /// Multigets per second.
     pub multigets: f64,
+    /// Parts per second.
     pub parts: f64,
+    /// Additional sends per second.
     pub further: f64,
+    /// Pushed-back sends per second.
     pub pushed_back: f64,
 }
 
 /// The sum of the rates of all mixers that reported recently, with the number of these and of the live members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetRates {
+    /// Mixers whose rates are included.
     pub heard: usize,
+    /// Live members.
     pub living: usize,
+    /// The sum of the rates.
     pub rates: Rates,
 }
 
 /// The agreed verdicts and the state of the records, for status reports.
 #[derive(Clone, Debug, Default)]
 pub struct Shown {
+    /// The verdicts that enough witnesses agree on.
     pub standing: Vec<AgreedVerdict>,
+    /// The rates of the fleet.
     pub rates: FleetRates,
-    /// Records of other mixers, and the entries in all of them and in the local one.
+    /// Records of other mixers.
     pub records: usize,
+    /// Entries in these records.
     pub entries: usize,
+    /// Entries of the local record.
     pub own: usize,
     /// Entries that were dropped because a record was full.
     pub crowded: u64,
     /// Searchers learnt by the warm start.
     pub remembered: usize,
-    /// What this mixer may spend of each budget; whether more than half of the fleet is live for it; and, if it is the
-    /// lender, the outstanding loans of each budget.
+    /// What this mixer may spend of each budget.
     pub portions: Vec<(Budget, Portion)>,
+    /// Whether more than half of the fleet is live.
     pub in_contact: bool,
+    /// The outstanding loans of each budget, if this mixer is the lender.
     pub lends: Option<Vec<f64>>,
 }
 
--- a/crates/lockusher-membership/src/core/table.rs
+++ b/crates/lockusher-membership/src/core/table.rs
@@ -16,10 +16,12 @@
 pub struct MixerName(Arc<str>);
 
 impl MixerName {
+    /// A mixer name with this text.
     pub fn new(name: &str) -> Self {
         MixerName(name.into())
     }
 
+    /// The text of the name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -47,12 +49,14 @@
     }
 }
 
-/// The state of a member. Among records of one incarnation the later variant takes rank.
+/// The state of a member. Among records of one incarnation the later variant ranks higher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
     /// It has asked to join and is not a member yet.
     Joining,
+    /// It answers probes, as far as is known.
     Alive,
+    /// It did not answer probes and may still refute the suspicion.
     Suspect,
     /// Declared dead by other members.
     Dead,
@@ -81,8 +85,11 @@
 /// What one member reports about another, or about itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberRecord {
+    /// The name of the member.
     pub name: MixerName,
+    /// The address at which the member receives datagrams.
     pub address: SocketAddrV4,
+    /// The zone of the member.
     pub zone: Arc<str>,
     /// Distinguishes restarts under one name: the Unix time of the start in microseconds, or one more than the previous
     /// generation if that is greater.
@@ -91,6 +98,7 @@
     pub born: u64,
     /// Incremented only by the member itself, to refute a suspicion.
     pub incarnation: u32,
+    /// The reported state.
     pub state: State,
     /// The member that reported the suspicion or the death.
     pub by: Option<MixerName>,
@@ -99,7 +107,7 @@
 }
 
 impl MemberRecord {
-    /// The order of records of one member; the greater one takes rank.
+    /// The order of records of one member; the greater one ranks higher.
     pub fn rank(&self) -> (u64, u32, State) {
         (self.generation, self.incarnation, self.state)
     }
@@ -139,7 +147,9 @@
 /// A suspicion that has not been refuted yet.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
+    /// When the suspicion becomes a death.
     pub until: Time,
+    /// When the suspicion started.
     pub since: Time,
     /// The first members that reported the suspicion.
     pub witnesses: Vec<MixerName>,
@@ -148,9 +158,11 @@
 /// What the table stores about one member.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
+    /// The newest record of the member.
     pub record: MemberRecord,
     /// When the member entered this state, by the local clock.
     pub since: Time,
+    /// The suspicion, while the member is suspected.
     pub suspicion: Option<Suspicion>,
     /// The start of the current window of relayed refutations, and how many were relayed in it.
     pub relayed_refutations: (Time, u32),
@@ -183,6 +195,7 @@
 }
 
 impl Table {
+    /// An empty table.
     pub fn new() -> Self {
         let (members, zones) = (NameMap::default(), BTreeSet::new());
         Table {
@@ -194,6 +207,7 @@
         }
     }
 
+    /// The entry of a member.
     pub fn get(&self, name: &MixerName) -> Option<&MemberEntry> {
         self.members.get(name).map(Box::as_ref)
     }
@@ -211,6 +225,7 @@
         }
     }
 
+    /// The entries of all members, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values().map(Box::as_ref)
     }
@@ -228,10 +243,12 @@
             .len()
     }
 
+    /// The number of known members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
+    /// Whether no member is known.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -20,13 +20,19 @@
 
 /// The state of the fleet as this mixer knows it.
 pub struct Shown {
+    /// The time to which the state refers.
     pub now: Time,
+    /// The membership status of this mixer.
     pub standing: crate::core::Standing,
     /// Ordered by name.
     pub members: Vec<MemberEntry>,
+    /// The number of live members.
     pub living: usize,
+    /// The number of mixers whose budget shares may be in use.
     pub counted: usize,
+    /// The digest of the live members.
     pub digest: u64,
+    /// The counters since the start.
     pub counts: Counts,
     /// `None` if no state is shared.
     pub shared: Option<share::Shown>,
--- a/crates/lockusher-membership/src/shared/judge.rs
+++ b/crates/lockusher-membership/src/shared/judge.rs
@@ -31,9 +31,9 @@
 /// because the decay of the policy's averages adds to this time. A recovered searcher is reported as soon as any mixer
 /// finds it.
 pub const VERDICT_MAX_AGE: Span = Span::from_millis(8_000);
-/// Enough witnesses of one zone: mixers that know of so many do not publish the same verdict. The order of witnesses is
-/// a hash of mixer and searcher; without an order, all would withdraw their verdicts at once on hearing each other, and
-/// then publish them again at once.
+/// The most witnesses of one zone that publish the same verdict. A hash of mixer and searcher decides which ones;
+/// without such an order, all would withdraw their verdicts at once on hearing each other, and then publish them again
+/// at once.
 const MAX_WITNESSES: usize = 3;
 /// One mixer may be wrong.
 const MIN_WITNESSES: usize = 2;
@@ -85,7 +85,7 @@
         .flatten()
 }
 
-/// The verdicts that this mixer publishes, the worst first. `accusations` are those of other mixers.
+/// The verdicts that this mixer publishes, the worst first. `accused` holds the accusations by other mixers.
 pub fn local_verdicts(
     now: Time,
     seen: &[Glimpse],
@@ -142,15 +142,20 @@
 pub struct Vote<'a> {
     /// The mixer that gives the verdict.
     pub by: &'a MixerName,
+    /// The zone of that mixer.
     pub zone: &'a str,
+    /// Its verdict.
     pub verdict: &'a Verdict,
 }
 
 /// A verdict that enough witnesses agree on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgreedVerdict {
+    /// The verdict as the policy uses it.
     pub judged: Judged,
+    /// The fault that most witnesses report.
     pub fault: Fault,
+    /// The mixers that agree, in the order of their names.
     pub witnesses: Vec<MixerName>,
 }
 
--- a/crates/lockusher-membership/src/shared/lend.rs
+++ b/crates/lockusher-membership/src/shared/lend.rs
@@ -43,6 +43,7 @@
 }
 
 impl LeaseConfig {
+    /// A configuration with the default margin.
     pub fn new(budgets: Vec<f64>, mixers: usize) -> Self {
         LeaseConfig {
             budgets,
@@ -76,16 +77,35 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseMessage {
     /// Asks for the promise to be the only lender for a time.
-    PromiseRequest { number: u32, span: Span },
+    PromiseRequest {
+        /// The number of the request.
+        number: u32,
+        /// The duration of the promise.
+        span: Span,
+    },
     /// Grants the promise.
-    PromiseGrant { number: u32, life: u64 },
+    PromiseGrant {
+        /// The number of the request.
+        number: u32,
+        /// The generation that sent the request.
+        life: u64,
+    },
     /// Asks for so much of each budget per second, in addition to the sender's own share.
-    LoanRequest { number: u32, amounts: Vec<f64> },
+    LoanRequest {
+        /// The number of the request.
+        number: u32,
+        /// The requested amount of each budget.
+        amounts: Vec<f64>,
+    },
     /// Grants a loan; its duration counts from the request.
     LoanGrant {
+        /// The number of the request.
         number: u32,
+        /// The generation that sent the request.
         life: u64,
+        /// The duration of the loan.
         span: Span,
+        /// The granted amount of each budget.
         amounts: Vec<f64>,
     },
 }
@@ -95,9 +115,11 @@
 
 /// The view of the fleet that leasing depends on.
 pub struct FleetView<'a> {
+    /// The local mixer.
     pub local: &'a MixerInstance,
     /// The mixer that is to be the lender; the same for all members with the same view.
     pub lender: Option<&'a MixerName>,
+    /// The live members, sorted by name.
     pub live: &'a [MixerName],
     /// The number of mixers whose shares may be in use.
     pub counted: usize,
@@ -157,6 +179,8 @@
 }
 
 impl BudgetLeasing {
+    /// The state after the start of a process: no promise is given before one from an earlier process must have
+    /// expired.
     pub fn new(now: Time, config: LeaseConfig) -> Self {
         BudgetLeasing {
             last_number: 0,
@@ -175,6 +199,7 @@
         }
     }
 
+    /// The configuration.
     pub fn config(&self) -> &LeaseConfig {
         &self.config
     }
--- a/crates/lockusher-membership/src/shared/records.rs
+++ b/crates/lockusher-membership/src/shared/records.rs
@@ -67,27 +67,33 @@
 pub struct Verdict {
     /// The listed start of the searcher's process.
     pub life: Option<Time>,
+    /// The kind of fault.
     pub fault: Fault,
     /// For `Errs` the success ratio, for `Slow` the latency relative to its peers.
     pub weight: f64,
-    /// The first and the last observation of the fault, by the local clock.
+    /// The first observation of the fault, by the local clock.
     pub since: Time,
+    /// The last observation of the fault, by the local clock.
     pub at: Time,
 }
 
 /// A verdict with the version of the record that set it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VerdictEntry {
+    /// The version of the record in which the verdict was set.
     pub version: u32,
+    /// The verdict.
     pub verdict: Verdict,
 }
 
 /// The record that one mixer publishes, or as much of it as has been received.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VerdictRecord {
+    /// The generation of the mixer that publishes the record.
     pub generation: u64,
     /// All changes up to this version are included.
     pub upto: u32,
+    /// The entries by searcher.
     pub entries: BTreeMap<SearcherId, VerdictEntry>,
 }
 
@@ -176,6 +182,7 @@
 }
 
 impl VerdictRecords {
+    /// No records of others, and an empty local one of this generation.
     pub fn new(generation: u64) -> Self {
         VerdictRecords {
             own: VerdictRecord {
@@ -196,6 +203,7 @@
         &self.own
     }
 
+    /// The record of another mixer.
     pub fn get(&self, name: &MixerName) -> Option<&VerdictRecord> {
         self.others.get(name)
     }
