--- a/crates/lockusher-membership/src/core/mod.rs
+++ b/crates/lockusher-membership/src/core/mod.rs
@@ -1,13 +1,13 @@
 //! The core of membership, without I/O, clock or randomness other than the seed's. Inputs are datagrams, the current
 //! time and requests of the operator; outputs are datagrams, the next timeout and changes of the view.
 
+mod anti_entropy;
 mod datagrams;
+mod failure_detector;
+mod gossip;
 mod join;
-mod news;
-mod pages;
+mod merge;
 mod probes;
-mod probing;
-mod reports;
 pub mod share;
 pub mod table;
 pub mod wire;
@@ -21,8 +21,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use gossip::GossipQueue;
 use join::JoinState;
-use news::GossipQueue;
 use probes::{ProbeAction, Probes};
 use share::{SharedState, Shares};
 use table::{MemberEntry, MemberRecord, MixerName, State, Suspicion, Table};
--- a/crates/lockusher-membership/src/core/share.rs
+++ b/crates/lockusher-membership/src/core/share.rs
@@ -8,14 +8,14 @@
 use rand::RngExt;
 
 use super::Core;
-use super::news::GossipQueue;
+use super::gossip::GossipQueue;
 use super::table::{MixerName, NameMap, State};
 use super::wire::{WantRequest, What};
 use crate::proto;
-use crate::shared::judge::{self, AgreedVerdict, FormerlyAccused, Vote};
-use crate::shared::lend::{self, BudgetLeasing, FleetView, LeaseMessage};
+use crate::shared::consensus::{self, AgreedVerdict, FormerlyAccused, Vote};
+use crate::shared::leasing::{self, BudgetLeasing, FleetView, LeaseMessage};
 use crate::shared::records::{Merged, VerdictRecord, VerdictRecords};
-use crate::shared::warm::{self, WARM_START_PEERS, WarmStart};
+use crate::shared::warm_start::{self, WARM_START_PEERS, WarmStart};
 
 /// Which state the operator shares.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -156,7 +156,7 @@
     pub fn new(now: Time, config: Shares, generation: u64) -> Self {
         let amounts: Vec<f64> = config.budgets.iter().map(|(_, amount)| *amount).collect();
         let lending = (!amounts.is_empty())
-            .then(|| BudgetLeasing::new(now, lend::LeaseConfig::new(amounts, config.mixers)));
+            .then(|| BudgetLeasing::new(now, leasing::LeaseConfig::new(amounts, config.mixers)));
         SharedState {
             lending,
             has_quorum: false,
@@ -265,7 +265,7 @@
             let others = self
                 .live_verdicts(&shared)
                 .filter(|(_, vote)| *vote.by != self.local.name);
-            let accusations = judge::accusations(
+            let accusations = consensus::accusations(
                 now,
                 &self.local.name,
                 &self.local.zone,
@@ -273,7 +273,7 @@
                 &mut formerly_accused,
             );
             shared.formerly_accused = formerly_accused;
-            let verdicts = judge::local_verdicts(now, &shared.seen, &accusations);
+            let verdicts = consensus::local_verdicts(now, &shared.seen, &accusations);
             if let Some(before) = shared.records.publish(now, verdicts) {
                 shared.queue_delta(now, &self.local.name, before);
             }
@@ -315,7 +315,7 @@
 
     /// Recomputes the agreed verdicts.
     fn update_agreed(&self, now: Time, shared: &mut SharedState) {
-        shared.agreed = judge::agreed_verdicts(
+        shared.agreed = consensus::agreed_verdicts(
             now,
             self.live_verdicts(shared),
             self.table.live_zone_count(),
@@ -631,7 +631,7 @@
             What::Want(want) => self.send_record(now, &mut shared, from, &want),
             What::Lending(body) => self.handle_lending(now, &mut shared, from, sender, body),
             What::Recall(recall) => self.send_known(now, &mut shared, from, recall.number),
-            What::Known(known) => match warm::decode_known(now, &known.searchers) {
+            What::Known(known) => match warm_start::decode_known(now, &known.searchers) {
                 Some(observations) => shared.warm_start.handle_answer(known.number, observations),
                 None => self.counts.drops.absurd += 1,
             },
@@ -759,7 +759,7 @@
             })
         };
         let mut builder = self.builder(page());
-        for known in warm::encode_known(now, &shared.seen) {
+        for known in warm_start::encode_known(now, &shared.seen) {
             if !builder.add_known(&known) {
                 let full = std::mem::replace(&mut builder, self.builder(page()));
                 self.dispatch(to, full);
--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -10,7 +10,7 @@
 use crate::core::share::{self, Own};
 use crate::core::table::{MemberEntry, State};
 use crate::core::{Change, Core, Counts};
-use crate::shared::judge::AgreedVerdict;
+use crate::shared::consensus::AgreedVerdict;
 
 /// The most datagrams read per turn, and the pause after a full turn: a flood costs at most 6,400 short reads a second
 /// and takes no time from clients; the system drops the rest. An exchange of views at 3,000 members is 32 datagrams at
--- a/crates/lockusher-membership/tests/lending.rs
+++ b/crates/lockusher-membership/tests/lending.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use lockusher_membership::core::table::MixerName;
-use lockusher_membership::shared::lend::{
+use lockusher_membership::shared::leasing::{
     BudgetLeasing, FleetView, LeaseConfig, LeaseMessage, MixerInstance,
 };
 use lockusher_policy::interface::{Allowance, Portion, Span, Time};
@@ -175,7 +175,7 @@
                 }
                 let messages = self.with_view(
                     of,
-                    lockusher_membership::shared::lend::BudgetLeasing::handle_timeout,
+                    lockusher_membership::shared::leasing::BudgetLeasing::handle_timeout,
                 );
                 self.send(of, messages);
             }
@@ -270,7 +270,7 @@
         for of in 0..3 {
             let messages = world.with_view(
                 of,
-                lockusher_membership::shared::lend::BudgetLeasing::handle_timeout,
+                lockusher_membership::shared::leasing::BudgetLeasing::handle_timeout,
             );
             world.send(of, messages);
             while let Some((_, to, from, message)) = world.in_flight.pop_front() {
@@ -298,7 +298,7 @@
         world.now += 100_000;
         world.with_view(
             2,
-            lockusher_membership::shared::lend::BudgetLeasing::handle_timeout,
+            lockusher_membership::shared::leasing::BudgetLeasing::handle_timeout,
         );
     }
     let now = world.clock(2);
--- a/crates/lockusher-membership/tests/shared.rs
+++ b/crates/lockusher-membership/tests/shared.rs
@@ -4,13 +4,13 @@
 
 use lockusher_membership::core::table::MixerName;
 use lockusher_membership::proto;
-use lockusher_membership::shared::judge::{
+use lockusher_membership::shared::consensus::{
     FormerlyAccused, Vote, accusations, agreed_verdicts, local_verdicts,
 };
 use lockusher_membership::shared::records::{
     Fault, MAX_PUBLISHED, Merged, Verdict, VerdictRecord, VerdictRecords,
 };
-use lockusher_membership::shared::warm::WarmStart;
+use lockusher_membership::shared::warm_start::WarmStart;
 use lockusher_policy::interface::{Glimpse, Known, SearcherId, Span, Time};
 use proptest::prelude::*;
 use rstest::rstest;
