--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -57,15 +57,15 @@
 }
 
 /// Runs membership until all request senders are dropped. Passes news to the mixer: the number of mixers whenever it
-/// changes, and the shared state. `tell` returns whether the news was accepted; if not, it is offered again.
+/// changes, and the shared state. `deliver` returns whether the news was accepted; if not, it is offered again.
 pub async fn keep(
     socket: UdpSocket,
     mut core: Core,
     clock: impl Fn() -> Time,
-    tell: impl Fn(News) -> bool,
+    deliver: impl Fn(News) -> bool,
     mut requests: mpsc::Receiver<Ask>,
 ) {
-    let (mut counted, mut judged, mut remembered) = (None, Vec::new(), None);
+    let (mut counted, mut judged, mut warm_start) = (None, Vec::new(), None);
     let (mut portions, mut had_quorum) = (Vec::new(), None);
     let mut buffer = [0; 2 * crate::core::wire::MAX_DATAGRAM_BYTES];
     let mut paused_until: Option<tokio::time::Instant> = None;
@@ -74,7 +74,7 @@
         for change in core.take_changes() {
             log_change(&change);
         }
-        if counted != Some(core.counted()) && tell(News::Mixers(core.counted())) {
+        if counted != Some(core.counted()) && deliver(News::Mixers(core.counted())) {
             counted = Some(core.counted());
         }
         let agreed: Vec<Judged> = core
@@ -82,17 +82,17 @@
             .iter()
             .map(|verdict| verdict.judged.clone())
             .collect();
-        if judged != agreed && tell(News::Judged(agreed.clone())) {
+        if judged != agreed && deliver(News::Judged(agreed.clone())) {
             log_agreed_verdicts(&judged, core.standing_judgements());
             judged = agreed;
         }
         let new_portions = core.portions(clock());
-        if portions != new_portions && tell(News::Portions(new_portions.clone())) {
+        if portions != new_portions && deliver(News::Portions(new_portions.clone())) {
             portions = new_portions;
         }
         log_quorum(&mut had_quorum, core.has_quorum());
-        remembered = core.take_remembered().or(remembered);
-        if let Some(known) = remembered.take_if(|known| tell(News::Remembers(known.clone()))) {
+        warm_start = core.take_remembered().or(warm_start);
+        if let Some(known) = warm_start.take_if(|known| deliver(News::Remembers(known.clone()))) {
             tracing::info!(target: "lockusher::fleet", "fleet: warm start with {} searchers known from other mixers", known.len());
         }
         let wait = Duration::from_micros(core.next().since(clock()).as_micros());
@@ -100,7 +100,7 @@
             biased;
             request = requests.recv() => match request {
                 Some(Ask::Show(reply)) => drop(reply.send(fleet_status(clock(), &core))),
-                Some(Ask::Tell(own)) => core.tell(clock(), own),
+                Some(Ask::Tell(report)) => core.tell(clock(), report),
                 Some(Ask::Leave) => core.leave(clock()),
                 None => return,
             },
--- a/crates/lockusher-membership/src/shared/consensus.rs
+++ b/crates/lockusher-membership/src/shared/consensus.rs
@@ -49,7 +49,7 @@
 fn detect_fault(now: Time, seen: &Glimpse, peer_latency: f64) -> Option<Verdict> {
     let verdict = |fault, weight, since, at| {
         Some(Verdict {
-            life: seen.life,
+            searcher_start: seen.life,
             fault,
             weight,
             since,
@@ -119,11 +119,11 @@
         if accusation.is_some_and(|accusation| seen.heard > accusation.since + TRANSIT_TOLERANCE)
             && verdicts.iter().all(|(id, _)| *id != seen.id)
         {
-            let (life, at) = (seen.life, seen.heard);
+            let (searcher_start, at) = (seen.life, seen.heard);
             verdicts.push((
                 seen.id.clone(),
                 Verdict {
-                    life,
+                    searcher_start,
                     fault: Fault::Fine,
                     weight: 1.0,
                     since: at,
@@ -281,11 +281,11 @@
     let mut by_process: BTreeMap<(&SearcherId, Option<Time>), Vec<Vote>> = BTreeMap::new();
     for (id, vote) in votes.filter(|(_, vote)| now.since(vote.verdict.at) < VERDICT_MAX_AGE) {
         by_process
-            .entry((id, vote.verdict.life))
+            .entry((id, vote.verdict.searcher_start))
             .or_default()
             .push(vote);
     }
-    let agree = |((id, life), votes): (&(&SearcherId, Option<Time>), &Vec<Vote>)| {
+    let agree = |((id, searcher_start), votes): (&(&SearcherId, Option<Time>), &Vec<Vote>)| {
         let (accusers, fine): (Vec<&Vote>, Vec<&Vote>) =
             votes.iter().partition(|vote| vote.verdict.fault.accuses());
         let witnesses = if accusers.is_empty() {
@@ -325,7 +325,7 @@
         };
         let judged = Judged {
             id: (*id).clone(),
-            life: *life,
+            life: *searcher_start,
             good: match fault {
                 Fault::Down => DOWN_SUCCESS_RATIO,
                 Fault::Errs => median(weights()).clamp(DOWN_SUCCESS_RATIO, 1.0),
--- a/crates/lockusher-membership/src/shared/records.rs
+++ b/crates/lockusher-membership/src/shared/records.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     /// The listed start of the searcher's process.
-    pub life: Option<Time>,
+    pub searcher_start: Option<Time>,
     /// The kind of fault.
     pub fault: Fault,
     /// For `Errs` the success ratio, for `Slow` the latency relative to its peers.
@@ -236,7 +236,8 @@
         for (id, verdict) in verdicts {
             let unchanged = self.own.entries.get(&id).is_some_and(|entry| {
                 let published = &entry.verdict;
-                (published.fault, published.life) == (verdict.fault, verdict.life)
+                (published.fault, published.searcher_start)
+                    == (verdict.fault, verdict.searcher_start)
                     && verdict.at.since(published.at) < REPUBLISH_INTERVAL
             });
             if !unchanged {
@@ -312,8 +313,8 @@
         version: *version,
         searcher: id.as_str().to_owned(),
         life: verdict
-            .life
-            .map_or(0, |life| life.since(Time::from_micros(0)).as_micros()),
+            .searcher_start
+            .map_or(0, |start| start.since(Time::from_micros(0)).as_micros()),
         fault: fault.into(),
         weight: verdict.weight as f32,
         since_ms: ms(verdict.since),
@@ -344,7 +345,7 @@
             && encoded.age_ms <= encoded.since_ms;
         let ago = |ms: u32| now - Span::from_millis(ms.into());
         let verdict = Verdict {
-            life: (encoded.life > 0).then(|| Time::from_micros(encoded.life)),
+            searcher_start: (encoded.life > 0).then(|| Time::from_micros(encoded.life)),
             fault,
             weight: encoded.weight.into(),
             since: ago(encoded.since_ms),
--- a/crates/lockusher-membership/tests/lending.rs
+++ b/crates/lockusher-membership/tests/lending.rs
@@ -302,8 +302,8 @@
         );
     }
     let now = world.clock(2);
-    let alone = world.nodes[2].lending.portions(now)[0];
-    assert_eq!((alone.own, alone.lent), (10.0, 0.0));
+    let partitioned = world.nodes[2].lending.portions(now)[0];
+    assert_eq!((partitioned.own, partitioned.lent), (10.0, 0.0));
 }
 
 proptest! {
--- a/crates/lockusher-membership/tests/recorded_bytes.rs
+++ b/crates/lockusher-membership/tests/recorded_bytes.rs
@@ -485,12 +485,12 @@
     let name = MixerName::new("aggregator-2");
     let record = records.get(&name).expect("it is stored");
     let entry = |version: u32, fault, weight| {
-        let life = version
+        let searcher_start = version
             .is_multiple_of(2)
             .then_some(Time::from_micros(SEARCHER_START_MICROS));
         let ago = |ms: u32| NOW - Span::from_millis(ms.into());
         let verdict = Verdict {
-            life,
+            searcher_start,
             fault,
             weight,
             since: ago(400 + version),
--- a/crates/lockusher-membership/tests/shared.rs
+++ b/crates/lockusher-membership/tests/shared.rs
@@ -28,7 +28,7 @@
 
 fn verdict(fault: Fault, since: Time, at: Time) -> Verdict {
     Verdict {
-        life: SEARCHER_START,
+        searcher_start: SEARCHER_START,
         fault,
         weight: 0.1,
         since,
@@ -58,16 +58,16 @@
 }
 
 /// The number of agreed verdicts if each mixer gives one verdict on searcher 0 from its zone.
-fn agreed_count(said: &[(&str, Fault, u64)], zones: usize) -> usize {
-    let names: Vec<MixerName> = (0..said.len())
+fn agreed_count(votes: &[(&str, Fault, u64)], zones: usize) -> usize {
+    let names: Vec<MixerName> = (0..votes.len())
         .map(|nth| MixerName::new(&format!("m{nth}")))
         .collect();
-    let verdicts: Vec<Verdict> = said
+    let verdicts: Vec<Verdict> = votes
         .iter()
         .map(|(_, fault, ms)| verdict(*fault, ago(*ms), ago(*ms)))
         .collect();
     let searcher = id(0);
-    let all = said.iter().zip(&names).zip(&verdicts);
+    let all = votes.iter().zip(&names).zip(&verdicts);
     let all = all.map(|(((zone, ..), by), verdict)| (&searcher, Vote { by, zone, verdict }));
     agreed_verdicts(NOW, all, zones).len()
 }
@@ -87,11 +87,11 @@
 #[case::fine_before_it_died(
     &[("a", Fault::Down, 200), ("b", Fault::Down, 300), ("a", Fault::Fine, 600), ("b", Fault::Fine, 700)], 2, 1)]
 fn a_verdict_needs_several_witnesses(
-    #[case] said: &[(&str, Fault, u64)],
+    #[case] votes: &[(&str, Fault, u64)],
     #[case] zones: usize,
     #[case] agreed: usize,
 ) {
-    assert_eq!(agreed_count(said, zones), agreed);
+    assert_eq!(agreed_count(votes, zones), agreed);
 }
 
 /// A mixer that finds most of the searchers it tried faulty publishes nothing: the fault is on its own path.
@@ -119,7 +119,7 @@
     let names: Vec<MixerName> = (0..30)
         .map(|nth| MixerName::new(&format!("m{nth}")))
         .collect();
-    let said = verdict(Fault::Down, ago(300), ago(100));
+    let accusing = verdict(Fault::Down, ago(300), ago(100));
     let seen: Vec<Glimpse> = (0..8)
         .map(|nth| if nth == 0 { down(nth) } else { healthy(nth) })
         .collect();
@@ -134,7 +134,7 @@
                 Vote {
                     by,
                     zone: zone(other),
-                    verdict: &said,
+                    verdict: &accusing,
                 },
             )
         });
@@ -157,20 +157,20 @@
     #[case] defends: bool,
 ) {
     let (by, me) = (MixerName::new("a"), MixerName::new("b"));
-    let (said, searcher) = (verdict(Fault::Down, ago(500), ago(50)), id(0));
-    let said = [(
+    let (accusing, searcher) = (verdict(Fault::Down, ago(500), ago(50)), id(0));
+    let votes = [(
         &searcher,
         Vote {
             by: &by,
             zone: "z",
-            verdict: &said,
+            verdict: &accusing,
         },
     )];
     let accusations = accusations(
         NOW,
         &me,
         "z",
-        said.into_iter(),
+        votes.into_iter(),
         &mut FormerlyAccused::default(),
     );
     let published = local_verdicts(
@@ -202,16 +202,16 @@
         MixerName::new("b"),
         FormerlyAccused::default(),
     );
-    let (said, searcher) = (verdict(Fault::Down, ago(500), ago(50)), id(0));
-    let said = [(
+    let (accusing, searcher) = (verdict(Fault::Down, ago(500), ago(50)), id(0));
+    let votes = [(
         &searcher,
         Vote {
             by: &by,
             zone: "z",
-            verdict: &said,
+            verdict: &accusing,
         },
     )];
-    accusations(NOW, &me, "z", said.into_iter(), &mut formerly_accused);
+    accusations(NOW, &me, "z", votes.into_iter(), &mut formerly_accused);
     let now = NOW + Span::from_millis(after_ms);
     let accusations = accusations(now, &me, "z", std::iter::empty(), &mut formerly_accused);
     let seen: Vec<Glimpse> = (0..2)
@@ -236,11 +236,11 @@
     let names = [MixerName::new("a"), MixerName::new("b")];
     let old = verdict(Fault::Down, ago(300), ago(100));
     let new = Verdict {
-        life: Some(ago(50)),
+        searcher_start: Some(ago(50)),
         ..old.clone()
     };
     let searcher = id(0);
-    let said = |verdicts: [&Verdict; 2]| {
+    let agreed = |verdicts: [&Verdict; 2]| {
         let all = names.iter().zip(verdicts);
         let all: Vec<_> = all
             .map(|(by, verdict)| {
@@ -256,8 +256,12 @@
             .collect();
         agreed_verdicts(NOW, all.into_iter(), 1)
     };
-    assert_eq!(said([&old, &new]).len(), 0, "one witness for each process");
-    assert_eq!(said([&old, &old])[0].judged.life, SEARCHER_START);
+    assert_eq!(
+        agreed([&old, &new]).len(),
+        0,
+        "one witness for each process"
+    );
+    assert_eq!(agreed([&old, &old])[0].judged.life, SEARCHER_START);
 }
 
 fn delta(from: u32, upto: u32, verdicts: Vec<proto::Verdict>) -> proto::Delta {
