--- a/crates/lockusher-membership/src/core/probes.rs
+++ b/crates/lockusher-membership/src/core/probes.rs
@@ -10,7 +10,7 @@
 
 /// Attempts of one probe while this mixer is healthy. At 10% loss, the chance that all of them are lost, directly and
 /// through three helpers, is about 1 in 100,000.
-const MAX_ATTEMPTS: u32 = 3;
+const BASE_ATTEMPTS: u32 = 3;
 /// Members that are asked to probe the target indirectly (SWIM's k).
 pub(super) const INDIRECT_PROBES: usize = 3;
 /// The worst local health score (Lifeguard's S).
@@ -138,7 +138,7 @@
         self.relayed.retain(|_, relay| relay.expires_at > now);
         let (timeout, max_attempts) = (
             self.attempt_timeout(interval),
-            MAX_ATTEMPTS + self.health_score / 2,
+            BASE_ATTEMPTS + self.health_score / 2,
         );
         let (mut actions, mut failed) = (Vec::new(), Vec::new());
         for (number, probe) in self
--- a/crates/lockusher-membership/src/core/share.rs
+++ b/crates/lockusher-membership/src/core/share.rs
@@ -53,7 +53,7 @@
     pub parts: u64,
     /// Additional sends: retries and hedged requests.
     pub further: u64,
-    /// Sends that searchers pushed back.
+    /// Multigets answered with a push-back.
     pub pushed_back: u64,
 }
 
@@ -66,7 +66,7 @@
     pub parts: f64,
     /// Additional sends per second.
     pub further: f64,
-    /// Pushed-back sends per second.
+    /// Multigets answered with a push-back per second.
     pub pushed_back: f64,
 }
 
--- a/crates/lockusher-membership/src/shared/leasing.rs
+++ b/crates/lockusher-membership/src/shared/leasing.rs
@@ -209,7 +209,7 @@
         debug_assert_eq!(
             demand.len(),
             self.config.budgets.len(),
-            "the demand for each budget"
+            "the demand needs one amount per budget"
         );
         self.demand = demand;
     }
