--- a/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
@@ -1,7 +1,7 @@
 //! `shared-sim`: state that mixers share in virtual time, at sizes that processes do not reach.
 
 use anyhow::Result;
-use lockusher_membership::core::share::{Own, Shares};
+use lockusher_membership::core::shared_state::{LocalReport, SharingConfig};
 use lockusher_policy::interface::{Budget, SearcherId, SearcherObservation, Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -70,10 +70,10 @@
                 }
                 _ => Some(glimpse(searcher, now, None)),
             });
-            let own = Own {
+            let own = LocalReport {
                 seen: seen.collect(),
                 wants: vec![(Budget::Retries, self.wants[mixer])],
-                ..Own::default()
+                ..LocalReport::default()
             };
             self.world.tell(mixer, own);
         }
@@ -83,7 +83,7 @@
         let id = SearcherId::new(&format!("s{searcher}"));
         self.world
             .core(mixer)
-            .standing_judgements()
+            .agreed_verdicts()
             .iter()
             .any(|of| of.judged.id == id && of.judged.is_degraded())
     }
@@ -106,11 +106,11 @@
     let mut world = World::new(members, seed);
     let budget = EACH * members as f64;
     world.zones = 3;
-    world.plan.shares = Some(Shares {
+    world.plan.sharing = Some(SharingConfig {
         judgements: true,
         budgets: vec![(Budget::Retries, budget)],
         mixers: members,
-        ..Shares::default()
+        ..SharingConfig::default()
     });
     for member in 0..members {
         world.start(member);
--- a/crates/lockusher-aggregator-testbed/src/mixers/virtual_time.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/virtual_time.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use lockusher_membership::core::share::Own;
+use lockusher_membership::core::shared_state::LocalReport;
 use lockusher_membership::core::table::{MixerName, State};
-use lockusher_membership::core::{Change, Core, Counts, Plan, Standing};
+use lockusher_membership::core::{Change, Core, Counts, MembershipConfig, MembershipStatus};
 use lockusher_policy::interface::{Span, Time};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -86,7 +86,7 @@
     pub false_deaths: Vec<FalseDeath>,
     /// Whether changes are judged: not while the net itself is in trouble beyond what is promised.
     pub judges: bool,
-    pub plan: Plan,
+    pub plan: MembershipConfig,
     /// Mixers fall into zones by their numbers.
     pub zones: usize,
     seeds: Vec<usize>,
@@ -94,17 +94,17 @@
     pub folded: u32,
 }
 
-pub fn plan() -> Plan {
-    Plan {
+pub fn plan() -> MembershipConfig {
+    MembershipConfig {
         fleet: "lab".into(),
         name: MixerName::new("?"),
         address: address(0),
         zone: "a".into(),
         seeds: Vec::new(),
-        probe_every: Span::from_millis(200),
-        suspect_for: Span::from_millis(800),
-        remember: Span::from_millis(60_000),
-        shares: None,
+        probe_interval: Span::from_millis(200),
+        suspicion_timeout: Span::from_millis(800),
+        retention: Span::from_millis(60_000),
+        sharing: None,
     }
 }
 
@@ -214,7 +214,7 @@
         let (now, seed) = (self.now, self.rng.random());
         let zone = format!("z{}", mixer % self.zones).as_str().into();
         let node = &mut self.nodes[mixer];
-        let plan = Plan {
+        let plan = MembershipConfig {
             name: node.name.clone(),
             address: node.address,
             seeds,
@@ -255,10 +255,10 @@
     }
 
     /// A mixer reports what it saw and spends.
-    pub fn tell(&mut self, mixer: usize, own: Own) {
+    pub fn tell(&mut self, mixer: usize, own: LocalReport) {
         let (now, node) = (self.now, &mut self.nodes[mixer]);
         if let Some(core) = node.core.as_mut().filter(|_| node.still.is_none()) {
-            core.tell(now, own);
+            core.report(now, own);
             self.carry(mixer);
         }
     }
@@ -306,7 +306,11 @@
         let Some(core) = self.nodes[mixer].core.as_mut() else {
             return;
         };
-        let (out, changes, next) = (core.take_out(), core.take_changes(), core.next());
+        let (out, changes, next) = (
+            core.take_datagrams(),
+            core.take_changes(),
+            core.next_timeout(),
+        );
         for (at, bytes) in out {
             self.folded = self.folded.rotate_left(5)
                 ^ bytes.iter().fold(0, |sum: u32, byte| {
@@ -359,7 +363,7 @@
             let sound = |node: &Node| node.core.is_some() && node.still.is_none();
             let (one, other) = (&self.nodes[by], &self.nodes[of]);
             let life = self.nodes[of].core.as_ref().and_then(|core| {
-                core.view()
+                core.members()
                     .find(|held| held.record.name == change.member.name)
                     .map(|h| h.record.generation)
             });
@@ -422,7 +426,7 @@
                         }
                         return;
                     }
-                    (None, Some(core)) => core.hear(now, from, &bytes),
+                    (None, Some(core)) => core.handle_datagram(now, from, &bytes),
                 }
                 self.carry(to);
             }
@@ -432,7 +436,7 @@
                     return;
                 }
                 if let Some(core) = node.core.as_mut() {
-                    core.due(now);
+                    core.handle_timeout(now);
                     self.carry(mixer);
                 }
             }
@@ -445,8 +449,8 @@
                 if let Some(core) = node.core.as_mut() {
                     waiting
                         .iter()
-                        .for_each(|(from, bytes)| core.hear(now, *from, bytes));
-                    core.due(now);
+                        .for_each(|(from, bytes)| core.handle_datagram(now, *from, bytes));
+                    core.handle_timeout(now);
                     node.wake = now;
                     self.carry(mixer);
                 }
@@ -461,8 +465,8 @@
         let first = digests.next();
         digests.all(|digest| Some(digest) == first)
             && up.iter().all(|mixer| {
-                self.core(*mixer).living() == up.len()
-                    && self.core(*mixer).standing() == Standing::Member
+                self.core(*mixer).live_count() == up.len()
+                    && self.core(*mixer).status() == MembershipStatus::Member
             })
     }
 
@@ -510,7 +514,7 @@
     pub fn holds(&self, by: usize, of: usize) -> Option<State> {
         let name = &self.nodes[of].name;
         self.core(by)
-            .view()
+            .members()
             .find(|held| held.record.name == *name)
             .map(|held| held.record.state)
     }
--- a/crates/lockusher-aggregator-testbed/tests/fleet_view.rs
+++ b/crates/lockusher-aggregator-testbed/tests/fleet_view.rs
@@ -1,7 +1,7 @@
 //! The fleet's view in virtual time: what breaks it, and that it settles again. No sockets, no real time.
 
 use lockusher_aggregator_testbed::mixers::virtual_time::World;
-use lockusher_membership::core::Standing;
+use lockusher_membership::core::MembershipStatus;
 use lockusher_membership::core::table::State;
 use lockusher_policy::interface::Span;
 use proptest::prelude::*;
@@ -77,7 +77,10 @@
     let mut world = settled(20, 7);
     world.net.group = (0..20).map(|mixer| u8::from(mixer >= 10)).collect();
     world.play(Span::from_millis(seconds * 1_000));
-    assert_eq!((world.core(0).living(), world.core(19).living()), (10, 10));
+    assert_eq!(
+        (world.core(0).live_count(), world.core(19).live_count()),
+        (10, 10)
+    );
     assert_eq!(
         world.core(19).counted(),
         20,
@@ -100,7 +103,7 @@
     assert!(world.settle(FIVE).is_some());
     world.net.group = (0..12).map(|mixer| u8::from(mixer >= 6)).collect();
     world.play(Span::from_millis(15_000));
-    assert_eq!(world.core(1).living(), 5);
+    assert_eq!(world.core(1).live_count(), 5);
     world.net.group = vec![0; 12];
     assert!(world.settle(FIVE).is_some());
 }
@@ -110,7 +113,10 @@
     let mut world = settled(12, 9);
     world.net.group[4] = 1;
     world.play(Span::from_millis(10_000));
-    assert_eq!((world.core(4).living(), world.core(0).living()), (1, 11));
+    assert_eq!(
+        (world.core(4).live_count(), world.core(0).live_count()),
+        (1, 11)
+    );
     assert_eq!(world.core(4).counted(), 12);
     world.net.group[4] = 0;
     assert!(world.settle(FIVE).is_some());
@@ -170,7 +176,7 @@
     let life = |world: &World| {
         let own = world
             .core(6)
-            .view()
+            .members()
             .find(|held| held.record.name.as_str() == "mixer-6");
         own.map(|held| held.record.generation)
     };
@@ -244,12 +250,14 @@
     world.start(6);
     world.play(Span::from_millis(10_000));
     assert!(
-        matches!(world.core(6).standing(), Standing::Outside(_)),
+        matches!(world.core(6).status(), MembershipStatus::NameTaken(_)),
         "{:?}",
-        world.core(6).standing()
+        world.core(6).status()
     );
-    assert_eq!(world.core(4).standing(), Standing::Member);
-    assert!((0..6).all(|mixer| world.core(mixer).living() == 6 && world.core(mixer).counts().refuted == 0));
+    assert_eq!(world.core(4).status(), MembershipStatus::Member);
+    assert!((0..6).all(
+        |mixer| world.core(mixer).live_count() == 6 && world.core(mixer).counts().refuted == 0
+    ));
     world.kill(4);
     assert!(
         world.settle(Span::from_millis(8_000)).is_some(),
@@ -269,13 +277,16 @@
     world.play(Span::from_millis(6_000));
     world.start(8);
     world.play(Span::from_millis(4_000));
-    assert_eq!(world.core(8).standing(), Standing::Member);
+    assert_eq!(world.core(8).status(), MembershipStatus::Member);
     world.net.group = vec![0; 9];
     world.play(Span::from_millis(6_000));
-    assert!(matches!(world.core(8).standing(), Standing::Outside(_)));
+    assert!(matches!(
+        world.core(8).status(),
+        MembershipStatus::NameTaken(_)
+    ));
     assert_eq!(
-        (world.core(1).standing(), world.core(0).living()),
-        (Standing::Member, 8)
+        (world.core(1).status(), world.core(0).live_count()),
+        (MembershipStatus::Member, 8)
     );
 }
 
--- a/crates/lockusher-aggregator/src/operator.rs
+++ b/crates/lockusher-aggregator/src/operator.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 use std::sync::LazyLock;
 
-use lockusher_membership::core::share::Shares;
-use lockusher_membership::core::wire::MOST_NAME;
+use lockusher_membership::core::shared_state::SharingConfig;
+use lockusher_membership::core::wire::MAX_NAME_BYTES;
 use lockusher_policy::interface::{Budget, Span};
 use lockusher_registry_client::core::follow::{Plan, Protocol};
 use miette::Diagnostic;
@@ -77,7 +77,7 @@
     /// How long records of dead and departed members are kept.
     pub dead_member_retention: Span,
     /// State that is shared beyond the membership view.
-    pub shares: Option<Shares>,
+    pub shares: Option<SharingConfig>,
 }
 
 /// Log level.
@@ -359,8 +359,12 @@
         })
     };
     for (key, word) in [("id", &read.id), ("zone", &read.zone)] {
-        if word.len() > MOST_NAME {
-            return Err(key_error(key, 0, format!("longer than {MOST_NAME} bytes")));
+        if word.len() > MAX_NAME_BYTES {
+            return Err(key_error(
+                key,
+                0,
+                format!("longer than {MAX_NAME_BYTES} bytes"),
+            ));
         }
     }
     if read.id.is_empty() {
@@ -422,7 +426,7 @@
 }
 
 /// Validates the section `fleet.shared`.
-fn shared_state(text: &str, read: text::Shared) -> Result<Shares, SettingsError> {
+fn shared_state(text: &str, read: text::Shared) -> Result<SharingConfig, SettingsError> {
     let budgets = read.budgets.unwrap_or_default();
     let key_error = |key: &str, message: String| {
         let line = line_of_key(text, &["fleet", "shared", "budgets", key], 0);
@@ -470,7 +474,7 @@
             message: "fleet.shared: names nothing that is to be shared".to_owned(),
         });
     }
-    Ok(Shares {
+    Ok(SharingConfig {
         judgements,
         warm_starts,
         budgets: rates_set,
--- a/crates/lockusher-aggregator/src/program/serve.rs
+++ b/crates/lockusher-aggregator/src/program/serve.rs
@@ -17,11 +17,11 @@
 use crate::transport::frame_transport::FrameTransport;
 use crate::transport::protocol_selection::ProtocolSelector;
 use anyhow::{Context, Result};
-use lockusher_membership::core::share::Shares;
+use lockusher_membership::core::shared_state::SharingConfig;
 use lockusher_membership::core::table::MixerName;
-use lockusher_membership::core::wire::{MOST_BUDGETS, MOST_NAME};
-use lockusher_membership::core::{Core, Plan};
-use lockusher_membership::io::{self, Ask, Asks};
+use lockusher_membership::core::wire::{MAX_BUDGETS, MAX_NAME_BYTES};
+use lockusher_membership::core::{Core, MembershipConfig};
+use lockusher_membership::io::{self, FleetRequest, FleetRequestSender};
 use lockusher_multiget::settings::Settings;
 use lockusher_policy::interface::{Budget, TenantId, Time};
 use lockusher_registry_client::io::follow;
@@ -58,7 +58,7 @@
 
 /// Adds what the platform's settings define for the shared state: the number of mixers if it is not set, and the
 /// tenants' quotas.
-fn add_platform_settings(mut shares: Shares, settings: &Settings) -> Shares {
+fn add_platform_settings(mut shares: SharingConfig, settings: &Settings) -> SharingConfig {
     shares.mixers = if shares.mixers > 0 {
         shares.mixers
     } else {
@@ -70,7 +70,7 @@
             tenants.map(|(nth, tenant)| (Budget::Tenant(TenantId(nth)), tenant.quota_per_s));
         shares
             .budgets
-            .extend(budgets.take(MOST_BUDGETS.saturating_sub(shares.budgets.len())));
+            .extend(budgets.take(MAX_BUDGETS.saturating_sub(shares.budgets.len())));
     }
     shares
 }
@@ -81,24 +81,24 @@
     config: &Config,
     clock: Clock,
     queue: mpsc::Sender<RouterEvent>,
-) -> Result<Asks> {
+) -> Result<FleetRequestSender> {
     anyhow::ensure!(
-        config.name.len() <= MOST_NAME,
-        "name: longer than {MOST_NAME} bytes, the limit of the membership protocol"
+        config.name.len() <= MAX_NAME_BYTES,
+        "name: longer than {MAX_NAME_BYTES} bytes, the limit of the membership protocol"
     );
     let socket = io::bind(set.address)
         .await
         .with_context(|| format!("fleet.address: {}", set.address))?;
-    let plan = Plan {
+    let plan = MembershipConfig {
         fleet: set.id.clone(),
         name: MixerName::new(&config.name),
         address: set.advertise,
         zone: set.zone.as_str().into(),
         seeds: set.seeds.clone(),
-        probe_every: set.probe_interval,
-        suspect_for: set.suspicion_timeout,
-        remember: set.dead_member_retention,
-        shares: set
+        probe_interval: set.probe_interval,
+        suspicion_timeout: set.suspicion_timeout,
+        retention: set.dead_member_retention,
+        sharing: set
             .shares
             .clone()
             .map(|shares| add_platform_settings(shares, &config.settings)),
@@ -115,7 +115,7 @@
     let (ask, ask_receiver) = mpsc::channel(4);
     let router_queue = queue.clone();
     let forward_news = move |news| router_queue.try_send(RouterEvent::Fleet(news)).is_ok();
-    actix_rt::spawn(io::keep(
+    actix_rt::spawn(io::run(
         socket,
         core,
         move || clock.now(),
@@ -132,7 +132,7 @@
                 let (Ok(()), Ok(own)) = (sent, report.await) else {
                     return;
                 };
-                if ask.send(Ask::Tell(own)).await.is_err() {
+                if ask.send(FleetRequest::Report(own)).await.is_err() {
                     return;
                 }
             }
@@ -309,7 +309,7 @@
     );
     stop.send_replace(ShutdownPhase::Draining);
     if let Some(fleet) = &fleet {
-        let _ = fleet.send(Ask::Leave).await;
+        let _ = fleet.send(FleetRequest::Leave).await;
     }
     let [close_delay, answer_time, last_answer_time] =
         shutdown_delays(duration(sockets.max_route_timeout));
--- a/crates/lockusher-aggregator/src/protocol/fleet.rs
+++ b/crates/lockusher-aggregator/src/protocol/fleet.rs
@@ -1,19 +1,19 @@
 //! Encodes the fleet status as JSON for operators and tools.
 
-use lockusher_membership::core::{Standing, share};
-use lockusher_membership::io::Shown;
+use lockusher_membership::core::{MembershipStatus, shared_state};
+use lockusher_membership::io::FleetStatus;
 use lockusher_policy::interface::{Budget, TenantId, Time};
 use serde_json::{Value, json};
 
 /// Encodes the state shared between mixers.
-fn encode_shared(now: Time, shared: &share::Shown) -> Value {
+fn encode_shared(now: Time, shared: &shared_state::SharedStatus) -> Value {
     let judgements: Vec<Value> = shared
         .standing
         .iter()
         .map(|judgement| {
             json!({
                 "searcher": judgement.judged.id.as_str(),
-                "fault": judgement.fault.word(),
+                "fault": judgement.fault.as_str(),
                 "good": judgement.judged.good,
                 "slower": judgement.judged.slower,
                 "seen_ms_ago": now.since(judgement.judged.at).as_micros() / 1_000,
@@ -59,8 +59,8 @@
 }
 
 /// Encodes the membership status of this mixer.
-pub fn encode(shown: &Shown) -> String {
-    let Shown {
+pub fn encode(shown: &FleetStatus) -> String {
+    let FleetStatus {
         now,
         standing,
         members,
@@ -71,10 +71,10 @@
         shared,
     } = shown;
     let (standing, name_taken_by) = match standing {
-        Standing::Joining => ("joining", None),
-        Standing::Member => ("member", None),
-        Standing::Outside(address) => ("outside", Some(address.to_string())),
-        Standing::Leaving => ("leaving", None),
+        MembershipStatus::Joining => ("joining", None),
+        MembershipStatus::Member => ("member", None),
+        MembershipStatus::NameTaken(address) => ("outside", Some(address.to_string())),
+        MembershipStatus::Leaving => ("leaving", None),
     };
     let members: Vec<Value> = members
         .iter()
@@ -86,7 +86,7 @@
                 "zone": &*record.zone,
                 "generation": record.generation,
                 "incarnation": record.incarnation,
-                "state": record.state.word(),
+                "state": record.state.as_str(),
                 "since_ms": now.since(member.since).as_micros() / 1_000,
                 "by": record.by.as_ref().map(lockusher_membership::core::table::MixerName::as_str),
             })
--- a/crates/lockusher-aggregator/src/routing/dispatcher.rs
+++ b/crates/lockusher-aggregator/src/routing/dispatcher.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use lockusher_membership::core::share::Totals;
+use lockusher_membership::core::shared_state::Totals;
 use lockusher_multiget::host::{ActionSink, NewPart};
 use lockusher_multiget::list::SearcherEndpoint;
 use lockusher_policy::interface::*;
--- a/crates/lockusher-aggregator/src/routing/mod.rs
+++ b/crates/lockusher-aggregator/src/routing/mod.rs
@@ -11,7 +11,7 @@
 
 use anyhow::Result;
 use bytes::Bytes;
-use lockusher_membership::core::share::Own;
+use lockusher_membership::core::shared_state::LocalReport;
 use lockusher_multiget::host::{AttemptResult, Host, NewMultiget, NewPart};
 use lockusher_policy::interface::*;
 use tokio::sync::{Notify, mpsc, oneshot};
@@ -35,7 +35,7 @@
     /// News from the fleet: the number of mixers, and the state they share.
     Fleet(PolicyUpdate),
     /// Requests this mixer's observations and totals, to be shared with the fleet.
-    Report(oneshot::Sender<Own>),
+    Report(oneshot::Sender<LocalReport>),
     /// The process shuts down: multigets in flight are given up.
     Stop,
 }
@@ -219,7 +219,7 @@
                     .into_iter()
                     .chain(self.dispatcher.spending_rates())
                     .collect();
-                let _ = reply.send(Own {
+                let _ = reply.send(LocalReport {
                     seen,
                     totals,
                     wants,
--- a/crates/lockusher-aggregator/src/routing/outcome_stats.rs
+++ b/crates/lockusher-aggregator/src/routing/outcome_stats.rs
@@ -3,7 +3,7 @@
 //! stopped learning shows as mixers that push back nearly everything before sending while their neighbours do not
 //! (issue 25, docs/design/platform-rules.md). Makes no decisions and reads no clock: the router passes the time in.
 
-use lockusher_membership::core::share::Totals;
+use lockusher_membership::core::shared_state::Totals;
 use lockusher_policy::interface::{Reply, Span, Time};
 
 /// Minimum interval between log lines: short enough to follow a fault of a few seconds, long enough for the logs of
--- a/crates/lockusher-aggregator/src/transport/clients.rs
+++ b/crates/lockusher-aggregator/src/transport/clients.rs
@@ -63,7 +63,7 @@
     /// Queries to the registry follower, if a registry is followed.
     pub registry: Option<Asks>,
     /// Queries to the membership task, if membership is enabled.
-    pub fleet: Option<fleet::Asks>,
+    pub fleet: Option<fleet::FleetRequestSender>,
 }
 
 impl ServerState {
@@ -223,9 +223,9 @@
     }
 }
 
-async fn fleet(asks: &fleet::Asks) -> Response<BoxBody> {
+async fn fleet(asks: &fleet::FleetRequestSender) -> Response<BoxBody> {
     let (reply, shown) = oneshot::channel();
-    let sent = asks.send(fleet::Ask::Show(reply)).await;
+    let sent = asks.send(fleet::FleetRequest::Status(reply)).await;
     match shown.await {
         Ok(shown) if sent.is_ok() => {
             let mut response = Response::build(StatusCode::OK);
--- a/crates/lockusher-membership/src/core/datagrams.rs
+++ b/crates/lockusher-membership/src/core/datagrams.rs
@@ -108,7 +108,7 @@
     }
 
     /// Handles a received datagram.
-    pub fn hear(&mut self, now: Time, from: SocketAddrV4, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Time, from: SocketAddrV4, bytes: &[u8]) {
         self.detect_stall(now);
         self.counts.datagrams_in += 1;
         self.counts.bytes_in += bytes.len() as u64;
@@ -200,7 +200,7 @@
             .is_some_and(|entry| entry.record.address == at);
         let number = known.then(|| {
             self.probes
-                .relay(now, self.config.probe_every, requester, ask.number)
+                .relay(now, self.config.probe_interval, requester, ask.number)
         });
         match number.flatten() {
             Some(number) => {
--- a/crates/lockusher-membership/src/core/failure_detector.rs
+++ b/crates/lockusher-membership/src/core/failure_detector.rs
@@ -43,7 +43,7 @@
             {
                 let number =
                     self.probes
-                        .start(now, self.config.probe_every, target.clone(), generation);
+                        .start(now, self.config.probe_interval, target.clone(), generation);
                 return self.ping(now, number, &target);
             }
         }
@@ -97,7 +97,7 @@
     pub(super) fn suspicion_timeout(&self, witnesses: usize) -> Span {
         // With at most two other members nobody else may be there to confirm a suspicion.
         let unconfirmed = witnesses < 2 && self.table.live_count() > 3;
-        self.config.suspect_for.times(
+        self.config.suspicion_timeout.times(
             self.probes.timeout_multiplier() * if unconfirmed { UNCONFIRMED_FACTOR } else { 1.0 },
         )
     }
--- a/crates/lockusher-membership/src/core/join.rs
+++ b/crates/lockusher-membership/src/core/join.rs
@@ -57,7 +57,7 @@
         }
         if self.join.name_holder.take().is_some() {
             // The next answer decides whether the name is still in use.
-            self.join.next_attempt = now + self.config.probe_every.times(NAME_RECHECK_PROBES);
+            self.join.next_attempt = now + self.config.probe_interval.times(NAME_RECHECK_PROBES);
         }
         let others: Vec<SocketAddrV4> = self
             .config
@@ -125,7 +125,7 @@
         {
             self.local.state = State::Joining;
             self.join.name_holder = Some(record.address);
-            self.join.next_attempt = now + self.config.probe_every.times(NAME_RECHECK_PROBES);
+            self.join.next_attempt = now + self.config.probe_interval.times(NAME_RECHECK_PROBES);
             self.table.insert(now, record);
             self.update_counted(now);
             return;
--- a/crates/lockusher-membership/src/core/merge.rs
+++ b/crates/lockusher-membership/src/core/merge.rs
@@ -33,7 +33,7 @@
                     },
                 );
             }
-            (State::Dead | State::Left, _) if now.since(entry.since) >= self.config.remember => {
+            (State::Dead | State::Left, _) if now.since(entry.since) >= self.config.retention => {
                 self.table.remove(name);
                 self.gossip.remove(name);
                 self.changes.push(Change {
@@ -58,7 +58,7 @@
         let old = self.table.get(&record.name);
         match old {
             // A dead member that was already forgotten, or never known, is ignored once its retention time is over.
-            None if !record.state.is_live() && record.age >= self.config.remember => return false,
+            None if !record.state.is_live() && record.age >= self.config.retention => return false,
             Some(old) if record.rank() == old.record.rank() => return self.confirm(now, record),
             Some(old) if record.rank() < old.record.rank() => return false,
             Some(old)
@@ -89,7 +89,7 @@
             State::Dead | State::Left => {
                 let since = self.table.get(&name).map_or(now, |entry| entry.since);
                 self.timers
-                    .push(Reverse((since + self.config.remember, name.clone())));
+                    .push(Reverse((since + self.config.retention, name.clone())));
             }
             // A new member is probed within the current round.
             _ if !previous_state.is_some_and(State::is_live) => {
--- a/crates/lockusher-membership/src/core/mod.rs
+++ b/crates/lockusher-membership/src/core/mod.rs
@@ -8,7 +8,7 @@
 mod join;
 mod merge;
 mod probes;
-pub mod share;
+pub mod shared_state;
 pub mod table;
 pub mod wire;
 
@@ -24,13 +24,13 @@
 use gossip::GossipQueue;
 use join::JoinState;
 use probes::{ProbeAction, Probes};
-use share::{SharedState, Shares};
+use shared_state::{SharedState, SharingConfig};
 use table::{MemberEntry, MemberRecord, MixerName, State, Suspicion, Table};
 use wire::Drops;
 
 /// The configuration of the local member.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct MembershipConfig {
     /// Fleets with different ids never merge.
     pub fleet: String,
     /// The name of the local mixer.
@@ -42,13 +42,13 @@
     /// Addresses to join by; they are also contacted after a long partition.
     pub seeds: Vec<SocketAddrV4>,
     /// The probe interval: one member is probed in each.
-    pub probe_every: Span,
+    pub probe_interval: Span,
     /// How long a suspicion with several witnesses may be refuted.
-    pub suspect_for: Span,
+    pub suspicion_timeout: Span,
     /// How long dead and departed members are retained, and dead ones contacted.
-    pub remember: Span,
+    pub retention: Span,
     /// The state shared beyond the view; `None` shares nothing.
-    pub shares: Option<Shares>,
+    pub sharing: Option<SharingConfig>,
 }
 
 /// A change of the view.
@@ -62,13 +62,13 @@
 
 /// The membership status of the local mixer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
+pub enum MembershipStatus {
     /// It is asking to join.
     Joining,
     /// It is a member.
     Member,
     /// Another live process, at this address, has its name; it stays out until that process is gone.
-    Outside(SocketAddrV4),
+    NameTaken(SocketAddrV4),
     /// It has announced that it leaves.
     Leaving,
 }
@@ -121,7 +121,7 @@
 
 /// The state of the local member.
 pub struct Core {
-    config: Plan,
+    config: MembershipConfig,
     local: MemberRecord,
     join: JoinState,
     table: Table,
@@ -155,7 +155,7 @@
 impl Core {
     /// `born` is the Unix time of the start in microseconds; `counted` is the number of mixers that the platform's
     /// settings give.
-    pub fn new(now: Time, born: u64, config: Plan, counted: usize, seed: u64) -> Self {
+    pub fn new(now: Time, born: u64, config: MembershipConfig, counted: usize, seed: u64) -> Self {
         let born = born.max(1);
         let local = MemberRecord {
             name: config.name.clone(),
@@ -172,7 +172,7 @@
             local,
             join: JoinState::new(
                 now,
-                config.probe_every,
+                config.probe_interval,
                 !config.seeds.iter().all(|at| *at == config.address),
             ),
             table: Table::new(),
@@ -194,7 +194,7 @@
             last_activity: now,
             matching_digests: 0,
             shared: config
-                .shares
+                .sharing
                 .clone()
                 .map(|shares| SharedState::new(now, shares, born)),
             config,
@@ -202,7 +202,7 @@
     }
 
     /// Takes the datagrams to be sent, with their destinations.
-    pub fn take_out(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
@@ -212,17 +212,17 @@
     }
 
     /// The membership status of this mixer.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> MembershipStatus {
         match (self.local.state, self.join.name_holder) {
-            (State::Left, _) => Standing::Leaving,
-            (State::Joining, Some(by)) => Standing::Outside(by),
-            (State::Joining, None) => Standing::Joining,
-            _ => Standing::Member,
+            (State::Left, _) => MembershipStatus::Leaving,
+            (State::Joining, Some(by)) => MembershipStatus::NameTaken(by),
+            (State::Joining, None) => MembershipStatus::Joining,
+            _ => MembershipStatus::Member,
         }
     }
 
     /// All known members in no particular order, the local one included once it is a member.
-    pub fn view(&self) -> impl Iterator<Item = &MemberEntry> {
+    pub fn members(&self) -> impl Iterator<Item = &MemberEntry> {
         self.table.iter()
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// The number of live members, this one and suspects included.
-    pub fn living(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.table.live_count()
     }
 
@@ -260,8 +260,8 @@
         }
     }
 
-    /// When `due` is to be called next.
-    pub fn next(&self) -> Time {
+    /// When `handle_timeout` is to be called next.
+    pub fn next_timeout(&self) -> Time {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let shared = self.shared.as_ref().map(SharedState::next_timeout);
         let times = [
@@ -280,7 +280,10 @@
 
     /// Detects a stall of this mixer, after which nothing that it waited for proves anything about other members.
     fn detect_stall(&mut self, now: Time) {
-        let (late, idle) = (now.since(self.next()), now.since(self.last_activity));
+        let (late, idle) = (
+            now.since(self.next_timeout()),
+            now.since(self.last_activity),
+        );
         self.last_activity = self.last_activity.max(now);
         if late.min(idle) < STALL_THRESHOLD {
             return;
@@ -307,10 +310,10 @@
     }
 
     /// Handles all timeouts up to `now`.
-    pub fn due(&mut self, now: Time) {
-        self.probes.record_lateness(now.since(self.next()));
+    pub fn handle_timeout(&mut self, now: Time) {
+        self.probes.record_lateness(now.since(self.next_timeout()));
         self.detect_stall(now);
-        for action in self.probes.handle_timeouts(now, self.config.probe_every) {
+        for action in self.probes.handle_timeouts(now, self.config.probe_interval) {
             match action {
                 ProbeAction::Retry(number, target) => self.probe_again(now, number, &target),
                 ProbeAction::Failed(target, generation) => self.suspect(now, &target, generation),
@@ -327,7 +330,7 @@
         if self.next_probe <= now {
             // A jitter of 10% either way desynchronizes a fleet that started all at once.
             let jitter = self.rng.random_range(0.9..1.1);
-            self.next_probe = now + self.config.probe_every.times(jitter);
+            self.next_probe = now + self.config.probe_interval.times(jitter);
             match self.local.state {
                 State::Joining => self.try_join(now),
                 State::Left => {}
@@ -337,7 +340,7 @@
         if self.next_reconnect <= now {
             self.update_counted(now);
             let jitter = self.rng.random_range(0.8..1.2);
-            self.next_reconnect = now + self.config.probe_every.times(RECONNECT_PROBES * jitter);
+            self.next_reconnect = now + self.config.probe_interval.times(RECONNECT_PROBES * jitter);
             self.reconnect(now);
         }
         if self
--- a/crates/lockusher-membership/src/core/share.rs
+++ b/crates/lockusher-membership/src/core/shared_state.rs
@@ -21,7 +21,7 @@
 
 /// Which state the operator shares.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shares {
+pub struct SharingConfig {
     /// Whether verdicts on searchers are shared.
     pub judgements: bool,
     /// Whether mixers that start receive observations from others.
@@ -37,7 +37,7 @@
 
 /// What the local mixer periodically reports about itself.
 #[derive(Clone, Debug, Default)]
-pub struct Own {
+pub struct LocalReport {
     /// The observations of searchers.
     pub seen: Vec<SearcherObservation>,
     /// The counters of requests.
@@ -85,7 +85,7 @@
 
 /// The agreed verdicts and the state of the records, for status reports.
 #[derive(Clone, Debug, Default)]
-pub struct Shown {
+pub struct SharedStatus {
     /// The verdicts that enough witnesses agree on.
     pub standing: Vec<AgreedVerdict>,
     /// The rates of the fleet.
@@ -129,7 +129,7 @@
 
 /// The shared state of the local mixer.
 pub(super) struct SharedState {
-    pub config: Shares,
+    pub config: SharingConfig,
     pub records: VerdictRecords,
     /// The owners of records with changes to be sent, and the version from which on the changes are sent.
     pending_deltas: GossipQueue,
@@ -155,7 +155,7 @@
 }
 
 impl SharedState {
-    pub fn new(now: Time, config: Shares, generation: u64) -> Self {
+    pub fn new(now: Time, config: SharingConfig, generation: u64) -> Self {
         let amounts: Vec<f64> = config.budgets.iter().map(|(_, amount)| *amount).collect();
         let lending = (!amounts.is_empty())
             .then(|| BudgetLeasing::new(now, leasing::LeaseConfig::new(amounts, config.mixers)));
@@ -238,7 +238,7 @@
 
 impl Core {
     /// Takes the periodic report of the local mixer.
-    pub fn tell(&mut self, now: Time, report: Own) {
+    pub fn report(&mut self, now: Time, report: LocalReport) {
         let Some(mut shared) = self.shared.take() else {
             return;
         };
@@ -325,20 +325,20 @@
     }
 
     /// The verdicts that enough witnesses agree on.
-    pub fn standing_judgements(&self) -> &[AgreedVerdict] {
+    pub fn agreed_verdicts(&self) -> &[AgreedVerdict] {
         self.shared.as_ref().map_or(&[], |shared| &shared.agreed)
     }
 
     /// The result of the warm start, returned once.
-    pub fn take_remembered(&mut self) -> Option<Vec<WarmStartEntry>> {
+    pub fn take_warm_start(&mut self) -> Option<Vec<WarmStartEntry>> {
         self.shared.as_mut()?.warm_start_result.take()
     }
 
     /// The shared state for status reports; `None` if nothing is shared.
-    pub fn shown(&self, now: Time) -> Option<Shown> {
+    pub fn shared_status(&self, now: Time) -> Option<SharedStatus> {
         let shared = self.shared.as_ref()?;
         let mut rates = FleetRates {
-            living: self.living(),
+            living: self.live_count(),
             ..FleetRates::default()
         };
         let recent = shared.rates.iter().filter(|(name, (_, at))| {
@@ -355,7 +355,7 @@
             rates.rates.further += member.further;
             rates.rates.pushed_back += member.pushed_back;
         }
-        Some(Shown {
+        Some(SharedStatus {
             standing: shared.agreed.clone(),
             rates,
             records: shared.records.others().count(),
--- a/crates/lockusher-membership/src/core/table.rs
+++ b/crates/lockusher-membership/src/core/table.rs
@@ -71,7 +71,7 @@
     }
 
     /// The name of the state in logs and reports.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             State::Joining => "joining",
             State::Alive => "alive",
--- a/crates/lockusher-membership/src/core/tests.rs
+++ b/crates/lockusher-membership/src/core/tests.rs
@@ -9,19 +9,19 @@
 const NOW: Time = Time::from_micros(1_700_000_000_000_000);
 
 fn core() -> Core {
-    let config = Plan {
+    let config = MembershipConfig {
         fleet: "f".into(),
         name: MixerName::new("own"),
         address: SocketAddrV4::new([127, 0, 0, 1].into(), 1),
         zone: "a".into(),
         seeds: Vec::new(),
-        probe_every: Span::from_millis(200),
-        suspect_for: Span::from_millis(800),
-        remember: Span::from_millis(60_000),
-        shares: None,
+        probe_interval: Span::from_millis(200),
+        suspicion_timeout: Span::from_millis(800),
+        retention: Span::from_millis(60_000),
+        sharing: None,
     };
     let mut core = Core::new(NOW, 1, config, 1, 1);
-    core.due(NOW);
+    core.handle_timeout(NOW);
     core
 }
 
@@ -40,7 +40,7 @@
 }
 
 fn member_ranks(core: &Core) -> BTreeMap<MixerName, (u64, u32, State)> {
-    core.view()
+    core.members()
         .map(|entry| (entry.record.name.clone(), entry.record.rank()))
         .collect()
 }
@@ -51,7 +51,7 @@
     core.merge_record(NOW, record(1, 5, 0, State::Alive));
     core.merge_record(NOW, record(1, 9, 0, State::Alive));
     core.merge_record(NOW, record(1, 5, 7, State::Dead));
-    assert_eq!(core.living(), 2);
+    assert_eq!(core.live_count(), 2);
 }
 
 /// The newest refutation of a member that refutes endlessly is stored, but only a few of them are relayed per window.
@@ -88,8 +88,8 @@
     core.merge_record(NOW, record(1, 5, 0, State::Alive));
     core.merge_record(NOW, record(1, 5, 0, State::Suspect));
     let resumed = NOW + Span::from_millis(5_000);
-    core.due(resumed);
-    assert_eq!((core.living(), core.counts().stood_still), (2, 1));
+    core.handle_timeout(resumed);
+    assert_eq!((core.live_count(), core.counts().stood_still), (2, 1));
     core.merge_record(resumed, record(1, 5, 1, State::Alive));
     assert_eq!(
         member_ranks(&core)[&MixerName::new("m1")],
@@ -118,7 +118,7 @@
         }
         shuffled.into_iter().for_each(|record| { other.merge_record(NOW, record); });
         prop_assert_eq!(member_ranks(&one), member_ranks(&other));
-        prop_assert_eq!((one.digest(), one.living()), (other.digest(), other.living()));
+        prop_assert_eq!((one.digest(), one.live_count()), (other.digest(), other.live_count()));
         let greatest = all.iter().map(|record| record.name.clone())
             .map(|name| (name.clone(), all.iter().filter(|r| r.name == name).map(MemberRecord::rank).max()))
             .collect::<BTreeMap<_, _>>();
--- a/crates/lockusher-membership/src/core/wire.rs
+++ b/crates/lockusher-membership/src/core/wire.rs
@@ -18,7 +18,7 @@
 /// The newest message format that this program reads. It writes each message in the oldest format that expresses it.
 const FORMAT_VERSION: u32 = 2;
 /// The longest name or zone. They label machines; a longer one is damaged or malicious.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// The most members in a datagram: more than fit, even of the smallest records.
 const MAX_MEMBERS: usize = 100;
 /// The most verdict records whose changes one datagram carries.
@@ -26,7 +26,7 @@
 /// The most searchers on one page of a warm-start answer.
 const MAX_KNOWN_PER_PAGE: usize = 100;
 /// The most budgets that are leased: those of the fleet and one per tenant. Their amounts fit into one datagram.
-pub const MOST_BUDGETS: usize = 100;
+pub const MAX_BUDGETS: usize = 100;
 /// The number of anti-entropy buckets that names hash to: at 3,000 members each bucket fills about one page, and all
 /// bucket sums fit into one datagram.
 pub const BUCKET_COUNT: usize = 256;
@@ -123,15 +123,15 @@
     let valid = match &body {
         What::Page(page) => page.members.len() <= MAX_MEMBERS && page.buckets.len() <= BUCKET_COUNT,
         What::Sums(sums) => sums.sums.len() == BUCKET_COUNT,
-        What::Ping(ping) => ping.to.len() <= MOST_NAME,
+        What::Ping(ping) => ping.to.len() <= MAX_NAME_BYTES,
         What::Ask(ask) => {
-            !ask.to.is_empty() && ask.to.len() <= MOST_NAME && u16::try_from(ask.port).is_ok()
+            !ask.to.is_empty() && ask.to.len() <= MAX_NAME_BYTES && u16::try_from(ask.port).is_ok()
         }
-        What::Ack(ack) => !ack.of.is_empty() && ack.of.len() <= MOST_NAME,
+        What::Ack(ack) => !ack.of.is_empty() && ack.of.len() <= MAX_NAME_BYTES,
         What::Told(told) => told.deltas.len() <= MAX_DELTAS,
-        What::Want(want) => !want.name.is_empty() && want.name.len() <= MOST_NAME,
+        What::Want(want) => !want.name.is_empty() && want.name.len() <= MAX_NAME_BYTES,
         What::Known(known) => known.searchers.len() <= MAX_KNOWN_PER_PAGE,
-        What::Lending(lending) => lending.amounts.len() <= MOST_BUDGETS,
+        What::Lending(lending) => lending.amounts.len() <= MAX_BUDGETS,
         What::Notice(_) | What::Recall(_) => true,
     };
     if !valid || message.news.len() > MAX_MEMBERS {
@@ -168,7 +168,7 @@
     let valid = !member.name.is_empty()
         && [&member.name, &member.zone, &member.by]
             .into_iter()
-            .all(|text| text.len() <= MOST_NAME)
+            .all(|text| text.len() <= MAX_NAME_BYTES)
         && member.incarnation <= MAX_INCARNATION
         && (1..=MAX_GENERATION).contains(&member.generation);
     valid.then(|| MemberRecord {
--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -7,7 +7,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::core::share::{self, Own};
+use crate::core::shared_state::{self, LocalReport};
 use crate::core::table::{MemberEntry, State};
 use crate::core::{Change, Core, Counts};
 use crate::shared::consensus::AgreedVerdict;
@@ -19,11 +19,11 @@
 const FULL_TURN_PAUSE: Duration = Duration::from_millis(10);
 
 /// The state of the fleet as this mixer knows it.
-pub struct Shown {
+pub struct FleetStatus {
     /// The time to which the state refers.
     pub now: Time,
     /// The membership status of this mixer.
-    pub standing: crate::core::Standing,
+    pub standing: crate::core::MembershipStatus,
     /// Ordered by name.
     pub members: Vec<MemberEntry>,
     /// The number of live members.
@@ -35,21 +35,21 @@
     /// The counters since the start.
     pub counts: Counts,
     /// `None` if no state is shared.
-    pub shared: Option<share::Shown>,
+    pub shared: Option<shared_state::SharedStatus>,
 }
 
 /// A request to the driver.
-pub enum Ask {
+pub enum FleetRequest {
     /// Returns the state of the fleet.
-    Show(oneshot::Sender<Shown>),
+    Status(oneshot::Sender<FleetStatus>),
     /// Takes the periodic report of the local mixer, to be shared with others.
-    Tell(Own),
+    Report(LocalReport),
     /// Announces that this mixer leaves; datagrams are still answered.
     Leave,
 }
 
 /// The sender of requests to the driver.
-pub type Asks = mpsc::Sender<Ask>;
+pub type FleetRequestSender = mpsc::Sender<FleetRequest>;
 
 /// Binds the socket. Fails if the address is not local or is in use.
 pub async fn bind(address: SocketAddrV4) -> std::io::Result<UdpSocket> {
@@ -58,12 +58,12 @@
 
 /// Runs membership until all request senders are dropped. Passes news to the mixer: the number of mixers whenever it
 /// changes, and the shared state. `deliver` returns whether the news was accepted; if not, it is offered again.
-pub async fn keep(
+pub async fn run(
     socket: UdpSocket,
     mut core: Core,
     clock: impl Fn() -> Time,
     deliver: impl Fn(PolicyUpdate) -> bool,
-    mut requests: mpsc::Receiver<Ask>,
+    mut requests: mpsc::Receiver<FleetRequest>,
 ) {
     let (mut counted, mut judged, mut warm_start) = (None, Vec::new(), None);
     let (mut portions, mut had_quorum) = (Vec::new(), None);
@@ -78,12 +78,12 @@
             counted = Some(core.counted());
         }
         let agreed: Vec<AgreedHealth> = core
-            .standing_judgements()
+            .agreed_verdicts()
             .iter()
             .map(|verdict| verdict.judged.clone())
             .collect();
         if judged != agreed && deliver(PolicyUpdate::Health(agreed.clone())) {
-            log_agreed_verdicts(&judged, core.standing_judgements());
+            log_agreed_verdicts(&judged, core.agreed_verdicts());
             judged = agreed;
         }
         let new_portions = core.portions(clock());
@@ -91,22 +91,22 @@
             portions = new_portions;
         }
         log_quorum(&mut had_quorum, core.has_quorum());
-        warm_start = core.take_remembered().or(warm_start);
+        warm_start = core.take_warm_start().or(warm_start);
         if let Some(known) =
             warm_start.take_if(|known| deliver(PolicyUpdate::WarmStart(known.clone())))
         {
             tracing::info!(target: "lockusher::fleet", "fleet: warm start with {} searchers known from other mixers", known.len());
         }
-        let wait = Duration::from_micros(core.next().since(clock()).as_micros());
+        let wait = Duration::from_micros(core.next_timeout().since(clock()).as_micros());
         tokio::select! {
             biased;
             request = requests.recv() => match request {
-                Some(Ask::Show(reply)) => drop(reply.send(fleet_status(clock(), &core))),
-                Some(Ask::Tell(report)) => core.tell(clock(), report),
-                Some(Ask::Leave) => core.leave(clock()),
+                Some(FleetRequest::Status(reply)) => drop(reply.send(fleet_status(clock(), &core))),
+                Some(FleetRequest::Report(report)) => core.report(clock(), report),
+                Some(FleetRequest::Leave) => core.leave(clock()),
                 None => return,
             },
-            () = tokio::time::sleep(wait) => core.due(clock()),
+            () = tokio::time::sleep(wait) => core.handle_timeout(clock()),
             () = tokio::time::sleep_until(paused_until.unwrap_or_else(tokio::time::Instant::now)), if paused_until.is_some() => {
                 paused_until = None;
             }
@@ -115,7 +115,7 @@
                 while ready.is_ok() && read_count < MAX_DATAGRAMS_PER_TURN && !drained {
                     read_count += 1;
                     match socket.try_recv_from(&mut buffer) {
-                        Ok((length, SocketAddr::V4(from))) => core.hear(clock(), from, &buffer[..length]),
+                        Ok((length, SocketAddr::V4(from))) => core.handle_datagram(clock(), from, &buffer[..length]),
                         Ok(_) => {}
                         Err(error) => drained = error.kind() == std::io::ErrorKind::WouldBlock,
                     }
@@ -127,24 +127,24 @@
 }
 
 async fn send_datagrams(socket: &UdpSocket, core: &mut Core) {
-    for (at, bytes) in core.take_out() {
+    for (at, bytes) in core.take_datagrams() {
         // A datagram that can't be sent now is lost, as one in transit may be.
         let _ = socket.try_send_to(&bytes, at.into());
     }
 }
 
-fn fleet_status(now: Time, core: &Core) -> Shown {
-    let mut members: Vec<MemberEntry> = core.view().cloned().collect();
+fn fleet_status(now: Time, core: &Core) -> FleetStatus {
+    let mut members: Vec<MemberEntry> = core.members().cloned().collect();
     members.sort_by(|one, other| one.record.name.cmp(&other.record.name));
-    Shown {
+    FleetStatus {
         now,
-        standing: core.standing(),
+        standing: core.status(),
         members,
-        living: core.living(),
+        living: core.live_count(),
         counted: core.counted(),
         digest: core.digest(),
         counts: core.counts(),
-        shared: core.shown(now),
+        shared: core.shared_status(now),
     }
 }
 
@@ -174,7 +174,7 @@
             .collect();
         let (id, fault, witnesses) = (
             verdict.judged.id.as_str(),
-            verdict.fault.word(),
+            verdict.fault.as_str(),
             witnesses.join(", "),
         );
         tracing::info!(target: "lockusher::fleet", "fleet: searcher {id} is {fault}, reported by {witnesses}");
@@ -191,13 +191,13 @@
 /// Logs a change of the view; suspicions, which are often refuted, only at debug level.
 fn log_change(change: &Change) {
     let Change { member, from } = change;
-    let (name, at, state) = (member.name.as_str(), member.address, member.state.word());
+    let (name, at, state) = (member.name.as_str(), member.address, member.state.as_str());
     let reporter = member
         .by
         .as_ref()
         .map(|by| format!(", reported by {}", by.as_str()))
         .unwrap_or_default();
-    let previous = from.map_or("unknown", State::word);
+    let previous = from.map_or("unknown", State::as_str);
     match (member.state, from) {
         (State::Suspect, _) | (State::Alive, Some(State::Suspect)) => {
             tracing::debug!(target: "lockusher::fleet", "fleet: {name} at {at} is {state}{reporter} (was {previous})");
--- a/crates/lockusher-membership/src/shared/leasing.rs
+++ b/crates/lockusher-membership/src/shared/leasing.rs
@@ -76,7 +76,7 @@
 /// process, and what was promised or lent to an earlier process has been running since then.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseMessage {
-    /// Asks for the promise to be the only lender for a time.
+    /// FleetRequestSender for the promise to be the only lender for a time.
     PromiseRequest {
         /// The number of the request.
         number: u32,
@@ -90,7 +90,7 @@
         /// The generation that sent the request.
         life: u64,
     },
-    /// Asks for so much of each budget per second, in addition to the sender's own share.
+    /// FleetRequestSender for so much of each budget per second, in addition to the sender's own share.
     LoanRequest {
         /// The number of the request.
         number: u32,
--- a/crates/lockusher-membership/src/shared/mod.rs
+++ b/crates/lockusher-membership/src/shared/mod.rs
@@ -1,5 +1,5 @@
 //! State that mixers share, each part a core of its own without I/O or clock: verdicts on searchers and the records
-//! that carry them, warm starts, and leased budgets. `core/share.rs` carries it on the fleet's datagrams.
+//! that carry them, warm starts, and leased budgets. `core/shared_state.rs` carries it on the fleet's datagrams.
 
 pub mod consensus;
 pub mod leasing;
--- a/crates/lockusher-membership/src/shared/records.rs
+++ b/crates/lockusher-membership/src/shared/records.rs
@@ -8,7 +8,7 @@
 use lockusher_policy::interface::{SearcherId, Span, Time};
 
 use crate::core::table::{MixerName, NameMap};
-use crate::core::wire::MOST_NAME;
+use crate::core::wire::MAX_NAME_BYTES;
 use crate::proto;
 
 /// The most searchers in a published record. If there are more, the mixer's own path is in doubt, or the worst are
@@ -45,7 +45,7 @@
 
 impl Fault {
     /// The name of the fault in logs and reports.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Fault::Withdrawn => "withdrawn",
             Fault::Fine => "fine",
@@ -325,7 +325,7 @@
 /// Decodes the verdicts of a delta; `None` if any of them is invalid.
 fn decode_verdicts(now: Time, delta: &proto::Delta) -> Option<Vec<(SearcherId, VerdictEntry)>> {
     let valid = !delta.name.is_empty()
-        && delta.name.len() <= MOST_NAME
+        && delta.name.len() <= MAX_NAME_BYTES
         && delta.from <= delta.upto
         && delta.verdicts.len() <= MAX_ENTRIES;
     let decode = |encoded: &proto::Verdict| {
@@ -338,7 +338,7 @@
             proto::Fault::Cold => Fault::Cold,
         };
         let valid = !encoded.searcher.is_empty()
-            && encoded.searcher.len() <= MOST_NAME
+            && encoded.searcher.len() <= MAX_NAME_BYTES
             && encoded.version > delta.from
             && encoded.version <= delta.upto
             && (0.0..=MAX_WEIGHT).contains(&encoded.weight)
--- a/crates/lockusher-membership/src/shared/warm_start.rs
+++ b/crates/lockusher-membership/src/shared/warm_start.rs
@@ -6,7 +6,7 @@
 use lockusher_policy::interface::{SearcherId, SearcherObservation, Span, Time, WarmStartEntry};
 
 use crate::core::table::MixerName;
-use crate::core::wire::MOST_NAME;
+use crate::core::wire::MAX_NAME_BYTES;
 use crate::proto;
 
 /// Members that are asked: the median of three is right even if one is wrong.
@@ -111,7 +111,7 @@
 pub fn decode_known(now: Time, searchers: &[proto::KnownSearcher]) -> Option<Vec<WarmStartEntry>> {
     let decode = |known: &proto::KnownSearcher| {
         let valid = !known.searcher.is_empty()
-            && known.searcher.len() <= MOST_NAME
+            && known.searcher.len() <= MAX_NAME_BYTES
             && (1..=MAX_LATENCY_US).contains(&known.latency_us)
             && (0.0..=1.0).contains(&known.good)
             && Span::from_millis(known.age_ms.into()) <= MAX_AGE;
--- a/crates/lockusher-membership/tests/datagrams.rs
+++ b/crates/lockusher-membership/tests/datagrams.rs
@@ -5,7 +5,7 @@
 
 use lockusher_membership::core::table::MixerName;
 use lockusher_membership::core::wire::MAX_DATAGRAM_BYTES;
-use lockusher_membership::core::{Core, Plan, Standing};
+use lockusher_membership::core::{Core, MembershipConfig, MembershipStatus};
 use lockusher_policy::interface::{Span, Time};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
@@ -19,16 +19,16 @@
 }
 
 fn core(fleet: &str, name: &str, port: u16, seed: u16) -> Core {
-    let config = Plan {
+    let config = MembershipConfig {
         fleet: fleet.into(),
         name: MixerName::new(name),
         address: address(port),
         zone: "a".into(),
         seeds: vec![address(seed)],
-        probe_every: Span::from_millis(200),
-        suspect_for: Span::from_millis(800),
-        remember: Span::from_millis(60_000),
-        shares: None,
+        probe_interval: Span::from_millis(200),
+        suspicion_timeout: Span::from_millis(800),
+        retention: Span::from_millis(60_000),
+        sharing: None,
     };
     Core::new(
         START,
@@ -43,17 +43,17 @@
 fn joined_pair() -> (Core, Core, Vec<Vec<u8>>, Time) {
     let (mut one, mut other) = (core("f", "one", 1, 2), core("f", "other", 2, 1));
     let (mut now, mut exchanged) = (START, Vec::new());
-    while one.living() < 2 || other.living() < 2 {
+    while one.live_count() < 2 || other.live_count() < 2 {
         now = now + Span::from_millis(50);
-        one.due(now);
-        other.due(now);
+        one.handle_timeout(now);
+        other.handle_timeout(now);
         for _ in 0..4 {
-            for (_, bytes) in one.take_out() {
-                other.hear(now, address(1), &bytes);
+            for (_, bytes) in one.take_datagrams() {
+                other.handle_datagram(now, address(1), &bytes);
                 exchanged.push(bytes);
             }
-            for (_, bytes) in other.take_out() {
-                one.hear(now, address(2), &bytes);
+            for (_, bytes) in other.take_datagrams() {
+                one.handle_datagram(now, address(2), &bytes);
                 exchanged.push(bytes);
             }
         }
@@ -76,14 +76,14 @@
 fn datagrams_of_another_fleet_are_dropped() {
     let (mut one, ..) = joined_pair();
     let mut stranger = core("g", "stranger", 3, 1);
-    stranger.due(START);
-    let sent = stranger.take_out();
+    stranger.handle_timeout(START);
+    let sent = stranger.take_datagrams();
     assert!(!sent.is_empty());
     sent.iter()
-        .for_each(|(_, bytes)| one.hear(START, address(3), bytes));
-    assert_eq!((one.counts().drops.other_fleet, one.living()), (1, 2));
+        .for_each(|(_, bytes)| one.handle_datagram(START, address(3), bytes));
+    assert_eq!((one.counts().drops.other_fleet, one.live_count()), (1, 2));
     assert!(
-        one.take_out().iter().all(|(to, _)| *to != address(3)),
+        one.take_datagrams().iter().all(|(to, _)| *to != address(3)),
         "it is not answered"
     );
 }
@@ -92,16 +92,16 @@
 fn datagrams_for_another_name_at_this_address_are_dropped() {
     let (mut one, mut other, .., now) = joined_pair();
     let mut newcomer = core("f", "newcomer", 2, 1);
-    one.due(now + Span::from_millis(400));
-    let pings = one.take_out();
+    one.handle_timeout(now + Span::from_millis(400));
+    let pings = one.take_datagrams();
     assert!(!pings.is_empty());
     pings
         .iter()
-        .for_each(|(_, bytes)| newcomer.hear(now, address(1), bytes));
-    assert!(newcomer.counts().drops.misdirected > 0 && newcomer.take_out().is_empty());
+        .for_each(|(_, bytes)| newcomer.handle_datagram(now, address(1), bytes));
+    assert!(newcomer.counts().drops.misdirected > 0 && newcomer.take_datagrams().is_empty());
     pings
         .iter()
-        .for_each(|(_, bytes)| other.hear(now, address(1), bytes));
+        .for_each(|(_, bytes)| other.handle_datagram(now, address(1), bytes));
     assert_eq!(other.counts().drops.total(), 0);
 }
 
@@ -112,8 +112,8 @@
 #[case::just_above_the_limit(vec![0; MAX_DATAGRAM_BYTES + 1])]
 fn invalid_datagrams_are_counted(#[case] bytes: Vec<u8>) {
     let (mut one, .., now) = joined_pair();
-    one.hear(now, address(9), &bytes);
-    assert_eq!((one.counts().drops.total(), one.living()), (1, 2));
+    one.handle_datagram(now, address(9), &bytes);
+    assert_eq!((one.counts().drops.total(), one.live_count()), (1, 2));
 }
 
 /// A million datagrams, damaged with the old checksum: none of them adds a member or kills one. Then altered datagrams
@@ -126,9 +126,9 @@
         let mut bytes = valid[rng.random_range(0..valid.len())].clone();
         let position = rng.random_range(0..bytes.len());
         bytes[position] ^= 1 << rng.random_range(0..8);
-        one.hear(now, address(9), &bytes);
+        one.handle_datagram(now, address(9), &bytes);
     }
-    assert_eq!((one.living(), one.view().count()), (2, 2));
+    assert_eq!((one.live_count(), one.members().count()), (2, 2));
     assert_eq!(
         one.counts().drops.damaged + one.counts().drops.misdirected,
         one.counts().drops.total()
@@ -138,7 +138,7 @@
         "{:?}",
         one.counts().drops
     );
-    one.take_out();
+    one.take_datagrams();
     for _ in 0..20_000 {
         let mut bytes = valid[rng.random_range(0..valid.len())].clone();
         for _ in 0..rng.random_range(1..4) {
@@ -146,23 +146,23 @@
             bytes[position] = rng.random();
         }
         bytes.truncate(rng.random_range(bytes.len() / 2..=bytes.len()));
-        one.hear(now, address(9), &with_valid_checksum(bytes));
-        one.due(now);
+        one.handle_datagram(now, address(9), &with_valid_checksum(bytes));
+        one.handle_timeout(now);
         assert!(
-            one.take_out()
+            one.take_datagrams()
                 .iter()
                 .all(|(_, bytes)| bytes.len() <= MAX_DATAGRAM_BYTES)
         );
     }
-    assert_eq!(one.standing(), Standing::Member);
+    assert_eq!(one.status(), MembershipStatus::Member);
 }
 
 proptest! {
     #[test]
     fn arbitrary_bytes_cause_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1_500)) {
         let (mut one, .., now) = joined_pair();
-        one.hear(now, address(9), &bytes);
-        one.hear(now, address(9), &with_valid_checksum(bytes));
-        prop_assert_eq!(one.living(), 2);
+        one.handle_datagram(now, address(9), &bytes);
+        one.handle_datagram(now, address(9), &with_valid_checksum(bytes));
+        prop_assert_eq!(one.live_count(), 2);
     }
 }
--- a/crates/lockusher-membership/tests/recorded_bytes.rs
+++ b/crates/lockusher-membership/tests/recorded_bytes.rs
@@ -6,9 +6,9 @@
 
 use std::net::SocketAddrV4;
 
-use lockusher_membership::core::share::Shares;
+use lockusher_membership::core::shared_state::SharingConfig;
 use lockusher_membership::core::table::{MemberRecord, MixerName, State};
-use lockusher_membership::core::{Core, Plan};
+use lockusher_membership::core::{Core, MembershipConfig};
 use lockusher_membership::proto;
 use lockusher_membership::proto::lending::What as LendingWhat;
 use lockusher_membership::proto::message::What;
@@ -321,23 +321,23 @@
 
 /// A core that shares all state.
 fn core() -> Core {
-    let shares = Shares {
+    let shares = SharingConfig {
         judgements: true,
         warm_starts: true,
         budgets: vec![(Budget::Retries, 100.0), (Budget::Cold, 40.0)],
         mixers: 3,
         tenants: false,
     };
-    let config = Plan {
+    let config = MembershipConfig {
         fleet: FLEET.into(),
         name: MixerName::new("aggregator-1"),
         address: address(1),
         zone: "zone-1".into(),
         seeds: vec![address(2)],
-        probe_every: Span::from_millis(200),
-        suspect_for: Span::from_millis(800),
-        remember: Span::from_millis(60_000),
-        shares: Some(shares),
+        probe_interval: Span::from_millis(200),
+        suspicion_timeout: Span::from_millis(800),
+        retention: Span::from_millis(60_000),
+        sharing: Some(shares),
     };
     Core::new(START, START_MICROS, config, 3, 57)
 }
@@ -346,13 +346,13 @@
 fn core_after(names: &[&str]) -> (Core, Vec<Vec<u8>>) {
     let recorded = read_fixture(DATAGRAMS);
     let mut core = core();
-    core.due(START);
-    core.take_out();
+    core.handle_timeout(START);
+    core.take_datagrams();
     for name in names {
-        core.hear(NOW, address(2), &recorded[*name]);
+        core.handle_datagram(NOW, address(2), &recorded[*name]);
     }
     let sent = core
-        .take_out()
+        .take_datagrams()
         .into_iter()
         .map(|(_, datagram)| datagram)
         .collect();
@@ -385,7 +385,7 @@
     assert_eq!(recorded.len(), messages().len());
     for (name, datagram) in recorded {
         let mut core = core();
-        core.hear(NOW, address(2), &datagram);
+        core.handle_datagram(NOW, address(2), &datagram);
         let drops = core.counts().drops;
         assert_eq!(
             (
@@ -399,7 +399,7 @@
         );
         let sender = MixerName::new("aggregator-2");
         assert!(
-            core.view().any(|entry| entry.record.name == sender),
+            core.members().any(|entry| entry.record.name == sender),
             "{name}"
         );
     }
@@ -408,9 +408,9 @@
 #[test]
 fn a_core_sends_and_answers_as_recorded() {
     let mut joining = core();
-    joining.due(START);
+    joining.handle_timeout(START);
     let join_requests: Vec<Vec<u8>> = joining
-        .take_out()
+        .take_datagrams()
         .into_iter()
         .map(|(_, datagram)| datagram)
         .collect();
@@ -443,7 +443,7 @@
     let (core, _) = core_after(&["notice-with-news-and-rates"]);
     let stored = |number: u8| -> MemberRecord {
         let name = MixerName::new(&format!("aggregator-{number}"));
-        core.view()
+        core.members()
             .find(|entry| entry.record.name == name)
             .expect("it is stored")
             .record
@@ -467,7 +467,7 @@
     assert_eq!(stored(5), expected(5, State::Dead, by));
     assert_eq!(stored(6), expected(6, State::Left, None));
     assert_eq!(
-        core.view().count(),
+        core.members().count(),
         5,
         "a joining mixer is not stored as a member"
     );
