--- a/crates/lockusher-proxy/src/decision/selection.rs
+++ b/crates/lockusher-proxy/src/decision/selection.rs
@@ -16,11 +16,11 @@
 
 /// The wait at a prompt's affinity target may exceed the wait at the best searcher by this factor if its cache saves
 /// the complete prefill, and proportionally less if it saves a part. A repeated prefill elsewhere delays all requests
-/// there. Benchmarked at 15 and 30.
+/// there.
 const PREFILL_AFFINITY_WAIT_FACTOR: f64 = 30.0;
 
 /// The allowed wait ratio at decode searchers, where a cached prefix saves a prefill only without a KV cache transfer,
-/// and affinity keeps transfers within a zone. Benchmarked from 1.25 to 10.
+/// and affinity keeps transfers within a zone.
 const DECODE_AFFINITY_WAIT_RATIO: f64 = 4.0;
 
 /// Cost of a crossing between zones, and between regions, as added latency in multiples of the expected service time.
