--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -4,7 +4,7 @@
 //! Invariant: once a send may have run the request, a request that isn't idempotent is not sent again; and each send reports
 //! its outcome to the request router exactly once (`SendGuard`).
 
-mod handover;
+mod kv_transfer;
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,7 +16,6 @@
 use hyper::Request;
 use hyper::header::HeaderValue;
 
-use crate::answer_check::may_be_forwarded;
 use crate::attempt_policy::AttemptPolicy;
 use crate::deadline::Deadlines;
 use crate::decision::{Choice, Purpose, RequestPlan, SendOutcome};
@@ -24,6 +23,7 @@
 use crate::prefill::KvHandle;
 use crate::proxy_state::{ProxyState, SendGuard};
 use crate::request::ClientRequest;
+use crate::response_check::may_be_forwarded;
 use crate::timer::until;
 use crate::unserved::UnservedReason;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
--- a/crates/lockusher-proxy/src/client/connection.rs
+++ b/crates/lockusher-proxy/src/client/connection.rs
@@ -16,10 +16,10 @@
 
 use super::registry::ClientState;
 use super::stream::ClientStream;
-use crate::answer::{AnswerBody, closing};
 use crate::forward::forward;
 use crate::proxy_state::{ProxyState, RequestInFlight};
 use crate::relay::AnswerAborted;
+use crate::response::{AnswerBody, closing};
 
 /// The least buffer that the HTTP library works with.
 const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -11,7 +11,6 @@
 use hyper::{Request, Response, StatusCode};
 use lockusher_config::configuration::{Configuration, Route};
 
-use crate::answer::{self, Answer, AnswerBody};
 use crate::attempt_policy::AttemptPolicy;
 use crate::attempts::{AcceptedAnswer, NoAnswer, RequestAttempts};
 use crate::deadline::Deadlines;
@@ -21,6 +20,7 @@
 use crate::proxy_state::ProxyState;
 use crate::relay::{Relay, is_event_stream, outcome_of};
 use crate::request::{ClientRequest, RequestError};
+use crate::response::{self, Answer, AnswerBody};
 use crate::timer::{DeadlineExceeded, until};
 use crate::unserved::UnservedReason;
 use crate::upstream::exchange::{Exchange, SendFailure};
@@ -32,7 +32,7 @@
 pub(crate) async fn forward(shared: &Rc<ProxyState>, request: Request<Incoming>) -> Answer {
     let Some(routes) = shared.routes() else {
         shared.record_unserved("", UnservedReason::NoConfiguration);
-        return answer::closing(answer::refusal_without_estimate());
+        return response::closing(response::refusal_without_estimate());
     };
     let limit = routes.configuration().limits.body_bytes;
     let request = match ClientRequest::read(request, limit, &shared.body_memory).await {
@@ -42,10 +42,10 @@
     // The configuration may have changed while the body came.
     let Some(routes) = shared.routes() else {
         shared.record_unserved("", UnservedReason::NoConfiguration);
-        return answer::refusal_without_estimate();
+        return response::refusal_without_estimate();
     };
     let Some(route) = routes.lookup(&request.host, request.path()) else {
-        return answer::local(StatusCode::NOT_FOUND);
+        return response::local(StatusCode::NOT_FOUND);
     };
     let timeout = Duration::from_millis(route.timeout_ms);
     let deadlines = Deadlines::new(request.arrived, request.deadline_remaining, timeout);
@@ -58,7 +58,7 @@
     match admission {
         Admission::Refused { retry_after_ms } => {
             shared.record_unserved(service, UnservedReason::NotAdmitted);
-            answer::refusal(retry_after_ms)
+            response::refusal(retry_after_ms)
         }
         Admission::Admitted(plan) => {
             let policy = AttemptPolicy::new(route, handle_hold_ms(routes.configuration(), service));
@@ -70,7 +70,7 @@
 
 fn reject(error: RequestError) -> Answer {
     log::debug!("request rejected: {error}");
-    answer::rejection(error)
+    response::rejection(error)
 }
 
 fn handle_hold_ms(configuration: &Configuration, service: &str) -> u64 {
@@ -146,9 +146,9 @@
     };
     attempts.shared().record_unserved(service, reason);
     match no_answer {
-        NoAnswer::NotRun { retry_after_ms } => answer::refusal(retry_after_ms),
-        NoAnswer::Failed => answer::local(StatusCode::BAD_GATEWAY),
-        NoAnswer::TimedOut => answer::local(StatusCode::GATEWAY_TIMEOUT),
+        NoAnswer::NotRun { retry_after_ms } => response::refusal(retry_after_ms),
+        NoAnswer::Failed => response::local(StatusCode::BAD_GATEWAY),
+        NoAnswer::TimedOut => response::local(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
--- a/crates/lockusher-proxy/src/lib.rs
+++ b/crates/lockusher-proxy/src/lib.rs
@@ -9,8 +9,6 @@
 pub mod traffic_split;
 pub mod unserved;
 
-mod answer;
-mod answer_check;
 mod attempt_policy;
 mod attempts;
 mod client;
@@ -27,6 +25,8 @@
 mod readiness;
 mod relay;
 mod request;
+mod response;
+mod response_check;
 mod timer;
 mod upstream;
 
--- a/crates/lockusher-proxy/tests/modules.rs
+++ b/crates/lockusher-proxy/tests/modules.rs
@@ -41,7 +41,7 @@
     let modules = modules_of_cycles();
 
     assert!(
-        !modules.contains("answer") && !modules.contains("relay"),
+        !modules.contains("response") && !modules.contains("relay"),
         "{modules:?}"
     );
 }
