--- a/crates/lockusher-proxy/src/attempt_policy.rs
+++ b/crates/lockusher-proxy/src/attempt_policy.rs
@@ -1,28 +1,28 @@
-//! What a route says of the attempts of its requests, and how long clients wait.
+//! The rules of a route for the attempts of its requests, and how long clients wait for a stream.
 
 use std::time::Duration;
 
 use lockusher_config::configuration::{Route, RouteKind};
 
-/// Clients give no stream up after a shorter inactivity.
+/// The minimum inactivity timeout of clients for a stream.
 const MIN_CLIENT_INACTIVITY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Clients bear an inactivity of this many latency targets.
-const INACTIVITY_LATENCY_TARGETS: u64 = 4;
+/// Clients' inactivity timeout is at least this many target latencies.
+const INACTIVITY_TARGET_LATENCIES: u64 = 4;
 
-/// Clients bear an inactivity of this many latency targets between events.
+/// Clients' inactivity timeout is at least this many targets for the gap between events.
 const INACTIVITY_GAP_TARGETS: u64 = 8;
 
-/// What a route says of the attempts of its requests.
+/// The rules of a route for the attempts of its requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptPolicy {
     /// Whether the request may run more than once.
     pub(crate) is_idempotent: bool,
-    /// Whether a stream may be resumed at another searcher within one answer.
+    /// Whether a broken stream may be resumed at another searcher within the response.
     pub(crate) resumable: bool,
-    /// How long a prefill searcher reserves KV cache for a decode searcher.
+    /// How long a prefill searcher holds KV cache for a decode searcher.
     pub(crate) handle_lifetime: Duration,
-    /// How long the client waits for the first event of a stream; absent for other answers.
+    /// How long the client waits for the first event of a stream; `None` for other responses.
     pub(crate) first_event_timeout: Option<Duration>,
 }
 
@@ -38,9 +38,9 @@
     }
 }
 
-/// How long a stream may be inactive before clients give it up, also before its first event (PROTOCOL, "Requests").
+/// How long a stream may be inactive, also before its first event, until clients give up (PROTOCOL, "Requests").
 fn client_inactivity_timeout(route: &Route) -> Duration {
-    let by_target = Duration::from_millis(INACTIVITY_LATENCY_TARGETS * route.target_latency_ms);
+    let by_latency = Duration::from_millis(INACTIVITY_TARGET_LATENCIES * route.target_latency_ms);
     let by_gap = Duration::from_millis(INACTIVITY_GAP_TARGETS * route.gap_aim_ms.unwrap_or(0));
-    MIN_CLIENT_INACTIVITY_TIMEOUT.max(by_target).max(by_gap)
+    MIN_CLIENT_INACTIVITY_TIMEOUT.max(by_latency).max(by_gap)
 }
--- a/crates/lockusher-proxy/src/client/listener.rs
+++ b/crates/lockusher-proxy/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients, and closes idle ones where descriptors run short.
+//! Accepts clients, and closes idle ones if file descriptors run out.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -10,22 +10,22 @@
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
 
 use super::connection;
-use super::registry::{ClientRegistry, SWEEP_PERIOD};
+use super::registry::{ClientRegistry, SWEEP_INTERVAL};
 use crate::descriptors::DescriptorPermit;
 use crate::error::ProxyError;
 use crate::proxy_state::ProxyState;
 
-/// Connections that may wait to be accepted; a full queue drops opening packets.
+/// Length of the accept queue; the kernel drops SYNs while it is full.
 const BACKLOG: i32 = 1_024;
 
 /// Delay before the next accept after one that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Opens a listener; an address that is in use is waited for.
+/// Opens a listener; waits for an address that is in use.
 ///
 /// # Errors
 ///
-/// [`ProxyError::Listen`] with the address.
+/// [`ProxyError::Listen`] if the address can't be listened on.
 pub(crate) async fn listen(address: SocketAddrV4) -> Result<TcpListener, ProxyError> {
     wait_for_address(address, async || open(address))
         .await
@@ -40,7 +40,7 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Accepts clients for ever.
+/// Accepts clients while descriptors are available; runs until it is cancelled.
 pub(crate) async fn accept_clients(
     shared: Rc<ProxyState>,
     clients: Rc<ClientRegistry>,
@@ -54,7 +54,7 @@
         let socket = match accept(&listener).await {
             Ok(socket) => socket,
             Err(error) => {
-                log::warn!("cannot accept: {error}");
+                log::warn!("cannot accept a client connection: {error}");
                 compio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -84,15 +84,18 @@
     clients.remove(key);
 }
 
-/// Closes connections of clients and to searchers that have been idle for too long, for ever.
+/// Periodically closes client and searcher connections that have been idle for too long; runs until it is cancelled.
 pub(crate) async fn sweep(shared: Rc<ProxyState>, clients: Rc<ClientRegistry>) {
     loop {
-        compio::time::sleep(SWEEP_PERIOD).await;
+        compio::time::sleep(SWEEP_INTERVAL).await;
         shared.pool.sweep();
         if let Some(routes) = shared.routes() {
             let limits = routes.configuration().limits;
-            let idle = Duration::from_millis(limits.idle_timeout_ms);
-            clients.sweep(idle, Duration::from_millis(limits.header_timeout_ms));
+            let idle_timeout = Duration::from_millis(limits.idle_timeout_ms);
+            clients.sweep(
+                idle_timeout,
+                Duration::from_millis(limits.header_timeout_ms),
+            );
         }
     }
 }
--- a/crates/lockusher-proxy/src/client/mod.rs
+++ b/crates/lockusher-proxy/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: accepted within the descriptors, watched for idleness, answered.
+//! Client connections: accepts them within the descriptor limit, serves their requests and closes idle ones.
 
 pub(crate) mod connection;
 pub(crate) mod listener;
--- a/crates/lockusher-proxy/src/client/registry.rs
+++ b/crates/lockusher-proxy/src/client/registry.rs
@@ -1,4 +1,4 @@
-//! What every client connection is doing, so that idle and stuck ones can be closed without a timer for each.
+//! Tracks the activity of every client connection, so that idle and stuck ones are closed without a timer for each.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,21 +6,21 @@
 use std::task::Waker;
 use std::time::Duration;
 
-/// Client connections are looked through this often.
-pub(crate) const SWEEP_PERIOD: Duration = Duration::from_millis(500);
+/// Interval between two sweeps over the client connections.
+pub(crate) const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a connection is doing, and since which sweep.
+/// The activity of a connection, and the sweep at which it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Activity {
     /// Between requests.
     Idle { since: u64 },
-    /// Some bytes of a head have arrived.
+    /// Part of a request's head has arrived.
     ReadingHead { since: u64 },
     /// A request is in flight.
     Serving,
 }
 
-/// One client connection as its owner and the sweeps see it.
+/// The state of one client connection, shared by its task and the sweeps.
 #[derive(Debug)]
 pub(crate) struct ClientState {
     sweeps: Rc<Cell<u64>>,
@@ -30,7 +30,7 @@
 }
 
 impl ClientState {
-    /// Records that bytes arrived; outside a request they begin a head.
+    /// Records that bytes arrived; between requests they start a head.
     pub(super) fn record_read(&self) {
         if let Activity::Idle { .. } = self.activity.get() {
             self.activity.set(Activity::ReadingHead {
@@ -39,19 +39,19 @@
         }
     }
 
-    /// A request's head is complete.
+    /// Records that a request's head is complete.
     pub(super) fn begin_request(&self) {
         self.activity.set(Activity::Serving);
     }
 
-    /// The answer is complete.
+    /// Records that the response is complete.
     pub(super) fn end_request(&self) {
         self.activity.set(Activity::Idle {
             since: self.sweeps.get(),
         });
     }
 
-    /// Whether the connection was asked to close; else wakes its task when it is.
+    /// Whether the connection must close; if not, stores the waker to be woken when it must.
     pub(super) fn must_close(&self, waker: &Waker) -> bool {
         if self.close.get() {
             return true;
@@ -74,19 +74,19 @@
     }
 }
 
-/// All client connections, the oldest first.
+/// All client connections, in the order in which they were accepted.
 #[derive(Debug, Default)]
 pub(crate) struct ClientRegistry {
     sweeps: Rc<Cell<u64>>,
-    next: Cell<u64>,
+    next_key: Cell<u64>,
     clients: RefCell<BTreeMap<u64, Rc<ClientState>>>,
 }
 
 impl ClientRegistry {
-    /// Adds a connection that is idle so far; returns its key.
+    /// Adds a connection as idle; returns its key and state.
     pub(crate) fn add(&self) -> (u64, Rc<ClientState>) {
-        let key = self.next.get();
-        self.next.set(key + 1);
+        let key = self.next_key.get();
+        self.next_key.set(key + 1);
         let state = Rc::new(ClientState {
             sweeps: self.sweeps.clone(),
             activity: Cell::new(Activity::Idle {
@@ -103,24 +103,24 @@
         self.clients.borrow_mut().remove(&key);
     }
 
-    /// Closes connections that have been idle, or in the middle of a head, for too long.
+    /// Closes connections that exceed the idle limit or the limit for receiving a head.
     pub(crate) fn sweep(&self, idle_limit: Duration, head_limit: Duration) {
         let now = self.sweeps.get() + 1;
         self.sweeps.set(now);
         let (idle_limit, head_limit) = (sweeps_in(idle_limit), sweeps_in(head_limit));
         for state in self.clients.borrow().values() {
-            let late = match state.activity.get() {
+            let is_expired = match state.activity.get() {
                 Activity::Idle { since } => now - since > idle_limit,
                 Activity::ReadingHead { since } => now - since > head_limit,
                 Activity::Serving => false,
             };
-            if late {
+            if is_expired {
                 state.request_close();
             }
         }
     }
 
-    /// Closes all connections that are between requests.
+    /// Closes all idle connections.
     pub(crate) fn close_idle(&self) {
         for state in self.clients.borrow().values() {
             if let Activity::Idle { .. } = state.activity.get() {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest; false if none is idle.
+    /// Closes the connection that has been idle for the longest time; false if none is idle.
     pub(crate) fn close_one_idle(&self) -> bool {
         let clients = self.clients.borrow();
         let idle = clients.values().filter(|state| !state.close.get());
@@ -145,6 +145,7 @@
     }
 }
 
+/// The number of sweeps in a duration, rounded up.
 fn sweeps_in(limit: Duration) -> u64 {
-    limit.as_millis().div_ceil(SWEEP_PERIOD.as_millis()) as u64
+    limit.as_millis().div_ceil(SWEEP_INTERVAL.as_millis()) as u64
 }
--- a/crates/lockusher-proxy/src/client/stream.rs
+++ b/crates/lockusher-proxy/src/client/stream.rs
@@ -1,4 +1,4 @@
-//! A client's socket that notes when a request's head begins to come.
+//! A client's socket that records when bytes of a request's head arrive.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -12,7 +12,7 @@
 
 use super::registry::ClientState;
 
-/// Bytes to and from a client.
+/// The byte stream of a client connection.
 pub(super) struct ClientStream {
     inner: HyperStream<PollFd<Socket>>,
     state: Rc<ClientState>,
@@ -34,7 +34,7 @@
         buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let read = ready!(Pin::new(&mut self.inner).poll_read(cx, buffer));
-        // At the end of the stream this notes too much, but then the connection is about to end.
+        // This also records the end of the stream as a read, which is harmless because the connection is about to close.
         self.state.record_read();
         Poll::Ready(read)
     }
--- a/crates/lockusher-proxy/src/descriptors.rs
+++ b/crates/lockusher-proxy/src/descriptors.rs
@@ -1,18 +1,18 @@
-//! Counts the descriptors of clients and searchers together against the limit of the process.
+//! Limits the file descriptors of client and searcher connections together.
 //!
-//! The listener and the pool acquire a permit for each socket; dropped with the socket, it gives the descriptor back.
+//! The listener and the connection pool acquire a permit for each socket and drop it with the socket.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// The sockets that may be open at once.
+/// The number of open sockets and its limit.
 #[derive(Debug)]
 pub(crate) struct Descriptors {
     limit: u64,
     open: Cell<u64>,
-    /// The accept loop, where it waits for capacity.
+    /// Waker of the accept loop while it waits for capacity.
     waiting: RefCell<Option<Waker>>,
 }
 
@@ -30,7 +30,7 @@
         self.open.get() < self.limit
     }
 
-    /// Counts a socket; it may exceed the limit by what was accepted already.
+    /// Acquires a permit for a socket. The limit isn't enforced here, as the socket may be open already.
     pub(crate) fn acquire(self: &Rc<Self>) -> DescriptorPermit {
         self.open.set(self.open.get() + 1);
         DescriptorPermit {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Waits until another socket may be opened. One waiter at a time.
+    /// Waits until another socket may be opened. Only one task may wait at a time.
     pub(crate) async fn capacity_available(&self) {
         poll_fn(|cx| {
             if self.has_capacity() {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Permit for one open socket; given back when dropped.
+/// A permit for one open socket; released when dropped.
 #[derive(Debug)]
 pub(crate) struct DescriptorPermit {
     descriptors: Rc<Descriptors>,
--- a/crates/lockusher-proxy/src/error.rs
+++ b/crates/lockusher-proxy/src/error.rs
@@ -1,25 +1,25 @@
-//! Why a proxy could not serve.
+//! Errors that prevent a proxy from serving.
 
 use std::io;
 use std::net::SocketAddrV4;
 
 use derive_more::{Display, Error};
 
-/// A failure that prevents the proxy from serving.
+/// An error that prevents the proxy from serving.
 #[derive(Debug, Display, Error)]
 pub enum ProxyError {
-    /// The settings lack an address that the role needs.
-    #[display("the settings name no listenAddresses.{name}")]
+    /// The settings lack an address that the proxy listens on.
+    #[display("the settings contain no listenAddresses.{name}")]
     MissingAddress {
-        /// Its key below `listenAddresses`.
+        /// The key below `listenAddresses`.
         name: &'static str,
     },
     /// A listener could not be opened.
     #[display("cannot listen on {address}: {source}")]
     Listen {
-        /// Where it was to listen.
+        /// The address to listen on.
         address: SocketAddrV4,
-        /// Why the system refused.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/lockusher-proxy/src/handle_reuse.rs
+++ b/crates/lockusher-proxy/src/handle_reuse.rs
@@ -1,18 +1,19 @@
-//! Retries of a handover: whether a decode searcher's rejection means that the KV cache handle is gone, or only that this searcher is full.
+//! Decides whether a KV cache handle is sent to another decode searcher after the first one rejected it.
 //!
-//! The answer is the same for both. A handle that is still there is of use at another searcher, and prefilling the
-//! prompt again is expensive; a handle that is gone costs another rejected send. What the last trials found decides.
+//! The response is the same whether the handle has expired or the decode searcher is full. A handle that is still valid
+//! can be transferred to another searcher, which saves an expensive repeated prefill; an expired one causes another
+//! rejected send. The result of the last retry decides.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// After trials that failed, one rejection in so many is tried with the same handle again.
-const TRIAL_PERIOD: u32 = 8;
+/// After a failed retry, only one in this many rejections is retried with the same handle.
+const RETRY_PERIOD: u32 = 8;
 
-/// A handle is assumed to be there for this part of the time for which it is reserved (quarters).
+/// A handle is assumed to be valid during this fraction of its lifetime, in quarters.
 const FRESH_QUARTERS: u32 = 2;
 
-/// The outcome of the last retries of handovers.
+/// The result of the last retry, and the retries skipped since.
 #[derive(Debug, Default)]
 pub(crate) struct HandleReuse {
     last_failed: Cell<bool>,
@@ -20,7 +21,7 @@
 }
 
 impl HandleReuse {
-    /// Whether a handle of this age should be sent once more after its first rejection.
+    /// Whether a handle of this age should be sent again after its first rejection.
     pub(crate) fn should_retry(&self, age: Duration, lifetime: Duration) -> bool {
         if age > lifetime * FRESH_QUARTERS / 4 {
             return false;
@@ -29,11 +30,11 @@
             return true;
         }
         let skipped = self.skipped.get() + 1;
-        self.skipped.set(skipped % TRIAL_PERIOD);
-        skipped == TRIAL_PERIOD
+        self.skipped.set(skipped % RETRY_PERIOD);
+        skipped == RETRY_PERIOD
     }
 
-    /// Records whether a handle that was sent again was fetched.
+    /// Records whether the KV cache was transferred when its handle was sent again.
     pub(crate) fn record(&self, transferred: bool) {
         self.last_failed.set(!transferred);
     }
--- a/crates/lockusher-proxy/src/memory.rs
+++ b/crates/lockusher-proxy/src/memory.rs
@@ -1,11 +1,11 @@
-//! Bounds the memory reserved for the bodies of requests in flight.
+//! Limits the memory for the bodies of requests in flight.
 //!
-//! Each request owns a reservation, which grows as its body arrives and is given back when dropped.
+//! Each request owns a reservation that grows as its body arrives and is released when dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes of request bodies that may be in memory at once.
+/// The reserved bytes of request bodies and their limit.
 #[derive(Debug)]
 pub(crate) struct BodyMemory {
     limit: u64,
@@ -20,7 +20,7 @@
         })
     }
 
-    /// A reservation of nothing, to grow as a body arrives.
+    /// An empty reservation, to grow as a body arrives.
     pub(crate) fn reserve(self: &Rc<Self>) -> Reservation {
         Reservation {
             memory: self.clone(),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Memory reserved for one body; given back when dropped.
+/// Memory reserved for one body; released when dropped.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     memory: Rc<BodyMemory>,
@@ -37,7 +37,7 @@
 }
 
 impl Reservation {
-    /// Reserves more bytes; false, with nothing reserved, if the limit would be exceeded.
+    /// Reserves more bytes; returns false without reserving any if the limit would be exceeded.
     pub(crate) fn grow(&mut self, bytes: u64) -> bool {
         let reserved = self.memory.reserved.get() + bytes;
         if reserved > self.memory.limit {
--- a/crates/lockusher-proxy/src/traffic_split.rs
+++ b/crates/lockusher-proxy/src/traffic_split.rs
@@ -1,27 +1,27 @@
-//! Weighted traffic split: which service of a route takes a request, by weight, in every window of requests and not only on
-//! the average.
+//! Weighted traffic split: chooses a service of a route for each request, in proportion to the weights in every window of
+//! consecutive requests and not only on average.
 //!
-//! Independent draws stray: of 200 requests, a service with half of the weight gets between 80 and 120. The positions of a
-//! sequence that steps by the golden ratio lie as evenly as can be in every run of consecutive requests.
+//! Independent random choices deviate too much: of 200 requests, a service with half of the weight gets between 80 and 120.
+//! The multiples of the golden ratio modulo 1, a low-discrepancy sequence, are evenly spread in every window.
 
 use std::collections::{BTreeSet, HashMap};
 
 use lockusher_config::configuration::Route;
 
-/// The golden ratio's fraction: the step that leaves the smallest gaps.
+/// Fractional part of the golden ratio, the step whose multiples modulo 1 are spread most evenly.
 const STEP: f64 = 0.618_033_988_749_894_9;
 
-/// How far each split route has come.
+/// The positions of all routes in their sequences.
 #[derive(Clone, Debug)]
 pub struct TrafficSplits {
-    /// Where every route's sequence starts, in 0..1; it differs between proxies.
+    /// Start of every route's sequence, in 0..1; differs between proxies.
     start: f64,
-    /// Requests so far, by the name of the route.
+    /// Number of requests so far, by route name.
     request_counts: HashMap<String, u64>,
 }
 
 impl TrafficSplits {
-    /// Sequences that start at this position in 0..1.
+    /// Creates sequences that start at a position in 0..1.
     pub fn new(start: f64) -> Self {
         Self {
             start,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The service that takes the next request of the route.
+    /// Chooses the service for the next request of a route.
     pub fn choose<'route>(&mut self, route: &'route Route) -> &'route str {
         if let [only] = &route.split[..] {
             return &only.service;
@@ -48,7 +48,7 @@
         position
     }
 
-    /// Forgets routes that aren't among these.
+    /// Drops the state of all routes except these.
     pub fn keep_only(&mut self, routes: &[Route]) {
         let names: BTreeSet<&str> = routes.iter().map(|route| route.name.as_str()).collect();
         self.request_counts
@@ -56,24 +56,24 @@
     }
 }
 
-/// The service whose part of the weights covers this position in 0..1.
+/// The service whose weight interval contains a position in 0..1.
 fn service_at(route: &Route, position: f64) -> &str {
     let total: u64 = route
         .split
         .iter()
         .map(|weighted| u64::from(weighted.weight))
         .sum();
-    let mut left = (position * total as f64) as u64;
+    let mut remaining = (position * total as f64) as u64;
     for weighted in &route.split {
         let weight = u64::from(weighted.weight);
-        if left < weight {
+        if remaining < weight {
             return &weighted.service;
         }
-        left -= weight;
+        remaining -= weight;
     }
     &route
         .split
         .last()
-        .expect("a checked route has a service")
+        .expect("a validated route has a service")
         .service
 }
