--- a/crates/lockusher-proxy/src/attempts.rs
+++ b/crates/lockusher-proxy/src/attempts.rs
@@ -1,8 +1,8 @@
-//! The attempts of one request, one after another, until a searcher's answer may be forwarded.
+//! Sends one request to searchers, one attempt after another, until a response may be forwarded.
 //!
-//! `forward` makes one [`RequestAttempts`] for each admitted request; `relay` asks it for another answer if a stream breaks.
-//! Invariant: once a send may have run the request, a request that isn't idempotent is not sent again; and each send reports
-//! its outcome to the request router exactly once (`SendGuard`).
+//! `forward` creates one [`RequestAttempts`] for each admitted request; `relay` requests another response from it if a
+//! stream breaks. Invariants: a request that isn't idempotent is not sent again once a send may have run it; and each send
+//! reports its final outcome to the request router exactly once (`SendGuard`).
 
 mod kv_transfer;
 
@@ -24,46 +24,46 @@
 use crate::proxy_state::{ProxyState, SendGuard};
 use crate::request::ClientRequest;
 use crate::response_check::may_be_forwarded;
-use crate::timer::until;
+use crate::timer::run_until;
 use crate::unserved::UnservedReason;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
 
-/// What is reserved of the client's time for the answer's way back.
+/// Subtracted from the deadline that a searcher is given, for the transit of its response.
 const TRANSIT_RESERVE: Duration = Duration::from_millis(5);
 
-/// With less time left than this, no attempt is begun.
+/// No attempt is started with less time than this before the deadline.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(10);
 
-/// Why no answer of a searcher can be used.
+/// Why a request gets no response from a searcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoAnswer {
-    /// The request has not run and never will; come back after this time, in milliseconds.
+pub(crate) enum RequestFailure {
+    /// The request has not run and will not run; the client may retry after this time.
     NotRun { retry_after_ms: u64 },
-    /// The request may have run, and no send may follow.
+    /// The request may have run and must not be sent again.
     Failed,
-    /// Time ran out while the request was at a searcher.
+    /// The deadline passed while a searcher was processing the request.
     TimedOut,
 }
 
-/// Why one attempt brought no answer that may be forwarded.
+/// Why one attempt produced no response that may be forwarded.
 #[derive(Debug, From)]
 enum AttemptFailure {
-    /// The send failed; whether another attempt may follow is for [`RequestAttempts::record_failure`] to say.
+    /// The send failed; [`RequestAttempts::record_failure`] decides whether another attempt may follow.
     Send(SendFailure),
-    /// The request's deadline passed while a searcher was at work.
+    /// The request's deadline passed before the searcher responded.
     #[from(ignore)]
     DeadlineExceeded,
 }
 
-/// An answer whose head may be forwarded, with what its body needs.
+/// A response whose head may be forwarded, with the connection that its body is read from.
 #[derive(Debug)]
-pub(crate) struct AcceptedAnswer {
+pub(crate) struct AcceptedResponse {
     pub(crate) destination: Destination,
     pub(crate) send: SendGuard,
     pub(crate) exchange: Exchange,
 }
 
-/// One admitted request and its attempts so far.
+/// An admitted request and the state of its attempts.
 #[derive(Debug)]
 pub(crate) struct RequestAttempts {
     shared: Rc<ProxyState>,
@@ -72,16 +72,16 @@
     deadlines: Deadlines,
     timer: Sleep,
     plan: RequestPlan,
-    /// A send may have run the request.
+    /// Whether a send may have run the request.
     may_have_run: bool,
-    /// KV cache that was prefilled for this request and that no decode searcher has fetched yet.
+    /// The KV cache that was prefilled for this request and not yet fetched by a decode searcher.
     handle: Option<KvHandle>,
     prefill_calls: u32,
-    /// `Priority` of the send that was chosen last.
+    /// The `Priority` header of the send that was chosen last.
     priority: u8,
-    /// The stream is resumed after this event.
-    last_event: Option<HeaderValue>,
-    /// Why the last send came to nothing.
+    /// The `Last-Event-Id` header of the next send: the stream is resumed after this event.
+    last_event_id: Option<HeaderValue>,
+    /// Why the last send failed.
     last_failure: Option<UnservedReason>,
 }
 
@@ -98,18 +98,18 @@
             request,
             policy,
             deadlines,
-            timer: compio::time::sleep_until(deadlines.answer),
+            timer: compio::time::sleep_until(deadlines.response_head),
             plan,
             may_have_run: false,
             handle: None,
             prefill_calls: 0,
             priority: 0,
-            last_event: None,
+            last_event_id: None,
             last_failure: None,
         }
     }
 
-    /// Why the last send came to nothing; none if there was no send.
+    /// Why the last send failed; `None` if no send has failed.
     pub(crate) fn last_failure(&self) -> Option<UnservedReason> {
         self.last_failure
     }
@@ -126,31 +126,31 @@
         &mut self.timer
     }
 
-    /// An answer has begun: it may take until the client's deadline.
+    /// Extends the deadline to the client's own, once the head of a response has been accepted.
     pub(crate) fn extend_to_client_deadline(&mut self) {
-        self.timer = compio::time::sleep_until(self.deadlines.end);
+        self.timer = compio::time::sleep_until(self.deadlines.response_end);
     }
 
-    /// Resumes a stream that broke, after the last event that the client was given.
+    /// Makes the next send resume a broken stream after the last event that was forwarded to the client.
     pub(crate) fn resume_after(&mut self, event_id: Option<HeaderValue>) {
-        self.last_event = event_id.or(self.last_event.take());
+        self.last_event_id = event_id.or(self.last_event_id.take());
     }
 
-    /// Attempts the request until an answer may be forwarded.
-    pub(crate) async fn next_answer(&mut self) -> Result<AcceptedAnswer, NoAnswer> {
+    /// Sends the request, with retries, until a response may be forwarded.
+    pub(crate) async fn next_response(&mut self) -> Result<AcceptedResponse, RequestFailure> {
         loop {
             if self.remaining() < MIN_ATTEMPT_TIME {
                 return Err(self.deadline_exceeded());
             }
             self.obtain_kv_handle().await;
             if self.may_have_run && !self.policy.is_idempotent {
-                return Err(NoAnswer::Failed);
+                return Err(RequestFailure::Failed);
             }
             if self.handle.is_none()
                 && self.prefill_calls > 0
-                && self.prefill_time() < MIN_ATTEMPT_TIME
+                && self.prefill_timeout() < MIN_ATTEMPT_TIME
             {
-                // Its time went by in a prefill queue, and the client is about to leave.
+                // The time was spent in a prefill queue, and the client is about to give up.
                 return Err(self.deadline_exceeded());
             }
             let purpose = if self.handle.is_some() {
@@ -169,56 +169,60 @@
         }
     }
 
-    /// Records that a send, or the body of its answer, failed.
+    /// Records that a send or the body of its response failed.
     ///
     /// # Errors
     ///
-    /// [`NoAnswer`] if the request may not be sent again.
-    pub(crate) fn record_failure(&mut self, failure: &SendFailure) -> Result<(), NoAnswer> {
+    /// [`RequestFailure`] if the request may not be sent again.
+    pub(crate) fn record_failure(&mut self, failure: &SendFailure) -> Result<(), RequestFailure> {
         self.may_have_run |= !failure.proves_not_run();
         self.last_failure = Some(failure.unserved_reason());
         if self.may_have_run && !self.policy.is_idempotent {
-            return Err(NoAnswer::Failed);
+            return Err(RequestFailure::Failed);
         }
         self.keep_or_release_handle(failure);
         Ok(())
     }
 
-    /// Records that the deadline passed while a searcher was at work.
-    pub(crate) fn record_timeout(&mut self) -> NoAnswer {
+    /// Records that the deadline passed while a searcher was processing the request.
+    pub(crate) fn record_timeout(&mut self) -> RequestFailure {
         self.may_have_run = true;
-        NoAnswer::TimedOut
+        RequestFailure::TimedOut
     }
 
+    /// Time until the deadline for the head of a response.
     fn remaining(&self) -> Duration {
         self.deadlines
-            .answer
+            .response_head
             .saturating_duration_since(Instant::now())
     }
 
-    fn deadline_exceeded(&self) -> NoAnswer {
+    /// The failure of the request after its deadline.
+    fn deadline_exceeded(&self) -> RequestFailure {
         if self.may_have_run {
-            NoAnswer::TimedOut
+            RequestFailure::TimedOut
         } else {
             self.not_run()
         }
     }
 
-    fn no_searcher(&self) -> NoAnswer {
+    /// The failure of the request if no searcher can be chosen.
+    fn no_searcher(&self) -> RequestFailure {
         if self.may_have_run {
-            NoAnswer::Failed
+            RequestFailure::Failed
         } else {
             self.not_run()
         }
     }
 
-    fn not_run(&self) -> NoAnswer {
+    /// The failure of a request that has not run, with the router's estimate of when to retry.
+    fn not_run(&self) -> RequestFailure {
         let router = self.shared.router.borrow();
         let retry_after_ms = router.retry_after_ms(self.shared.clock.micros(), &self.plan);
-        NoAnswer::NotRun { retry_after_ms }
+        RequestFailure::NotRun { retry_after_ms }
     }
 
-    /// Has the router choose a searcher.
+    /// Lets the router choose a searcher; `None` if no send is possible or allowed.
     fn choose(&mut self, purpose: Purpose) -> Option<(Destination, SendGuard)> {
         let now = self.shared.clock.micros();
         let choice = self
@@ -247,12 +251,19 @@
         }
     }
 
-    /// The request as it goes to one searcher, to be done within a time.
-    fn outgoing(&self, destination: &Destination, time: Duration) -> Request<Full<Bytes>> {
+    /// The request as it is sent to a searcher that has to respond within `time_limit`.
+    fn outgoing_request(
+        &self,
+        destination: &Destination,
+        time_limit: Duration,
+    ) -> Request<Full<Bytes>> {
         let mut request = self.request.to_forward();
         let fields = request.headers_mut();
-        let left = time.saturating_sub(TRANSIT_RESERVE).as_millis().max(1) as u64;
-        fields.insert(headers::DEADLINE_REMAINING, HeaderValue::from(left));
+        let remaining_ms = time_limit
+            .saturating_sub(TRANSIT_RESERVE)
+            .as_millis()
+            .max(1) as u64;
+        fields.insert(headers::DEADLINE_REMAINING, HeaderValue::from(remaining_ms));
         fields.insert(
             headers::PRIORITY,
             HeaderValue::from(u16::from(self.priority)),
@@ -260,28 +271,28 @@
         if let Ok(instance) = HeaderValue::try_from(&destination.identifier) {
             fields.insert(headers::EXPECTED_INSTANCE, instance);
         }
-        if let Some(event) = &self.last_event {
-            fields.insert(headers::LAST_EVENT_ID, event.clone());
+        if let Some(event_id) = &self.last_event_id {
+            fields.insert(headers::LAST_EVENT_ID, event_id.clone());
         }
         request
     }
 
-    /// One send to a searcher that runs the request.
+    /// Sends the request to a searcher and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// [`AttemptFailure`] if its answer can't be forwarded.
+    /// [`AttemptFailure`] if no response arrives in time or it can't be forwarded.
     async fn attempt(
         &mut self,
         destination: Destination,
         mut send: SendGuard,
-    ) -> Result<AcceptedAnswer, AttemptFailure> {
-        let mut request = self.outgoing(&destination, self.remaining());
+    ) -> Result<AcceptedResponse, AttemptFailure> {
+        let mut request = self.outgoing_request(&destination, self.remaining());
         if let Some(source) = self.handle.as_ref().and_then(KvHandle::header_value) {
             request.headers_mut().insert(headers::KV_FROM, source);
         }
         let exchange = exchange(&self.shared, &destination, request);
-        let Ok(exchanged) = until(&mut self.timer, exchange).await else {
+        let Ok(exchanged) = run_until(&mut self.timer, exchange).await else {
             send.finish(SendOutcome::TimedOut);
             self.may_have_run = true;
             return Err(AttemptFailure::DeadlineExceeded);
@@ -290,7 +301,7 @@
         let status = exchange.response.status();
         if !may_be_forwarded(&exchange.response) {
             log::debug!(
-                "{}: answer {status} can't be passed on",
+                "{}: response with status {status} can't be forwarded",
                 destination.address
             );
             send.finish(SendOutcome::Failed);
@@ -299,7 +310,7 @@
         if status.is_success() {
             self.mark_handle_transferred();
         }
-        Ok(AcceptedAnswer {
+        Ok(AcceptedResponse {
             destination,
             send,
             exchange,
--- a/crates/lockusher-proxy/src/attempts/kv_transfer.rs
+++ b/crates/lockusher-proxy/src/attempts/kv_transfer.rs
@@ -1,7 +1,7 @@
-//! The handover of a request from a prefill searcher to a decode searcher: its KV-cache handle is obtained, sent along, and
-//! kept or released after a failed send.
+//! The KV cache transfer of a request from a prefill searcher to a decode searcher: obtains a handle by a prefill call, and
+//! keeps or releases it after a failed send.
 //!
-//! Invariant: at most one handle per request; one that is not transferred is released when dropped.
+//! Invariant: a request has at most one handle; a handle whose KV cache was not transferred is released when dropped.
 
 use std::time::Duration;
 
@@ -14,38 +14,39 @@
 use crate::prefill::{PrefillFailure, prefill};
 use crate::upstream::exchange::SendFailure;
 
-/// Most prefill calls for one request, whatever else allows more.
+/// The maximum number of prefill calls for one request, whatever the retry budget allows.
 const MAX_PREFILL_CALLS: u32 = 4;
 
 impl RequestAttempts {
-    /// How long a prefill call may take: what comes after the client has given up is prefilled for nothing.
-    pub(super) fn prefill_time(&self) -> Duration {
+    /// Timeout of a prefill call. It ends before the client gives up, since a prefill after that is wasted.
+    pub(super) fn prefill_timeout(&self) -> Duration {
         let Some(first_event_timeout) = self.policy.first_event_timeout else {
             return self.remaining();
         };
-        let waited = self.request.arrived.elapsed();
+        let elapsed = self.request.arrived.elapsed();
         self.remaining()
-            .min(first_event_timeout.saturating_sub(waited + CLIENT_DEADLINE_RESERVE))
+            .min(first_event_timeout.saturating_sub(elapsed + CLIENT_DEADLINE_RESERVE))
     }
 
-    /// Where the stages are split, has a prefill searcher prefill the prompt. Without a handle afterwards, a decode
-    /// searcher prefills it itself.
+    /// Calls a prefill searcher if prefill and decode are to be split. If there is no handle afterwards, a decode searcher
+    /// prefills the prompt in place.
     pub(super) async fn obtain_kv_handle(&mut self) {
-        while self.handle.is_none() && self.prefill_calls < MAX_PREFILL_CALLS && self.is_split() {
-            if self.prefill_time() < MIN_ATTEMPT_TIME {
+        while self.handle.is_none() && self.prefill_calls < MAX_PREFILL_CALLS && self.should_split()
+        {
+            if self.prefill_timeout() < MIN_ATTEMPT_TIME {
                 return;
             }
             let Some((prefill_searcher, mut send)) = self.choose(Purpose::Prefill) else {
                 return;
             };
             self.prefill_calls += 1;
-            let limit = self.prefill_time();
-            let mut request = self.outgoing(&prefill_searcher, limit);
+            let timeout = self.prefill_timeout();
+            let mut request = self.outgoing_request(&prefill_searcher, timeout);
             request
                 .headers_mut()
                 .insert(headers::STAGE, HeaderValue::from_static("prefill"));
             let call =
-                compio::time::timeout(limit, prefill(&self.shared, &prefill_searcher, request));
+                compio::time::timeout(timeout, prefill(&self.shared, &prefill_searcher, request));
             match call.await {
                 Ok(Ok(handle)) => {
                     send.finish(SendOutcome::Answered);
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Whether prefill and decode of this request are split between two searchers.
-    fn is_split(&self) -> bool {
+    /// Whether prefill and decode of this request should run at two searchers.
+    fn should_split(&self) -> bool {
         self.request.has_prompt()
             && self
                 .shared
@@ -72,8 +73,8 @@
                 .should_split(self.shared.clock.micros(), &self.plan)
     }
 
-    /// Whether a handle that was rejected may be sent to another decode searcher.
-    fn may_retry_handover(&self) -> bool {
+    /// Whether a rejected handle may be sent to another decode searcher.
+    fn may_retry_transfer(&self) -> bool {
         let now = self.shared.clock.micros();
         self.shared
             .router
@@ -81,25 +82,25 @@
             .may_transfer_again(now, &self.plan)
     }
 
-    /// After a failed send: keeps the handle if it may still be of use, else releases it.
+    /// Keeps the handle after a failed send if another decode searcher may still use it, otherwise releases it.
     pub(super) fn keep_or_release_handle(&mut self, failure: &SendFailure) {
-        let may_retry_handover = self.may_retry_handover();
+        let may_retry_transfer = self.may_retry_transfer();
         let Some(mut handle) = self.handle.take() else {
             return;
         };
         let reuse = &self.shared.handle_reuse;
         let keep = match failure {
-            // The searcher did not reach for it.
+            // The searcher did not try to fetch the KV cache.
             SendFailure::AtLimit | SendFailure::Unreachable | SendFailure::Misdirected => true,
             SendFailure::Broken => false,
             SendFailure::Rejected { .. } => {
                 handle.rejections += 1;
-                let first = handle.rejections == 1;
-                if !first {
+                let is_first_rejection = handle.rejections == 1;
+                if !is_first_rejection {
                     reuse.record(false);
                 }
-                first
-                    && may_retry_handover
+                is_first_rejection
+                    && may_retry_transfer
                     && reuse.should_retry(handle.age(), self.policy.handle_lifetime)
             }
         };
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A decode searcher has fetched the KV cache.
+    /// Records that a decode searcher has fetched the KV cache.
     pub(super) fn mark_handle_transferred(&mut self) {
         let Some(mut handle) = self.handle.take() else {
             return;
--- a/crates/lockusher-proxy/src/client/connection.rs
+++ b/crates/lockusher-proxy/src/client/connection.rs
@@ -18,19 +18,19 @@
 use super::stream::ClientStream;
 use crate::forward::forward;
 use crate::proxy_state::{ProxyState, RequestInFlight};
-use crate::relay::AnswerAborted;
-use crate::response::{AnswerBody, closing};
+use crate::relay::ResponseAborted;
+use crate::response::{ResponseBody, closing};
 
-/// The least buffer that the HTTP library works with.
+/// The minimum buffer size that the HTTP library accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 
-/// Serves a client until it leaves, is asked to close, or breaks the protocol.
+/// Serves a client until it disconnects, the proxy closes the connection, or the client violates the protocol.
 pub(crate) async fn serve(shared: Rc<ProxyState>, socket: PollFd<Socket>, state: Rc<ClientState>) {
     let header_bytes = shared
         .routes()
         .map(|routes| routes.configuration().limits.header_bytes as usize);
     let stream = ClientStream::new(socket, state.clone());
-    let service = service_fn(|request| answer(shared.clone(), state.clone(), request));
+    let service = service_fn(|request| respond(shared.clone(), state.clone(), request));
     let mut builder = Builder::new();
     builder.auto_date_header(false);
     if let Some(limit) = header_bytes {
@@ -50,7 +50,8 @@
     .await;
 }
 
-async fn answer(
+/// Forwards one request, counted as in flight until the end of the response.
+async fn respond(
     shared: Rc<ProxyState>,
     state: Rc<ClientState>,
     request: Request<Incoming>,
@@ -60,17 +61,17 @@
         state,
         _count: shared.start_request(),
     };
-    let mut answer = forward(&shared, request).await;
+    let mut response = forward(&shared, request).await;
     if shared.is_draining() {
-        answer = closing(answer);
+        response = closing(response);
     }
-    Ok(answer.map(|body| ClientBody {
+    Ok(response.map(|body| ClientBody {
         body,
         _in_flight: in_flight,
     }))
 }
 
-/// A request from its head to the end of its answer.
+/// Guard of a request in flight, from its head to the end of its response.
 struct ExchangeInFlight {
     state: Rc<ClientState>,
     _count: RequestInFlight,
@@ -82,20 +83,20 @@
     }
 }
 
-/// The body of an answer; the request is in flight until it is dropped.
+/// The body of a response; the request counts as in flight until the body is dropped.
 struct ClientBody {
-    body: AnswerBody,
+    body: ResponseBody,
     _in_flight: ExchangeInFlight,
 }
 
 impl Body for ClientBody {
     type Data = Bytes;
-    type Error = AnswerAborted;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
--- a/crates/lockusher-proxy/src/deadline.rs
+++ b/crates/lockusher-proxy/src/deadline.rs
@@ -1,42 +1,43 @@
-//! The deadlines of a request. An answer that is begun when the client's time is up comes after the client
-//! has left, so a part of that time is reserved for its way back.
+//! The deadlines of a request. A response that starts at the client's deadline arrives after the client has given up, so
+//! part of the client's time is reserved for the transit of the response.
 
 use std::time::{Duration, Instant};
 
-/// An answer of our own is begun this long before the client gives the request up by itself.
+/// The proxy starts a response of its own this long before the client's deadline.
 pub(crate) const CLIENT_DEADLINE_RESERVE: Duration = Duration::from_millis(40);
 
-/// Of a short time the reserve is this fraction at most (divisor).
+/// The reserve is at most the client's time divided by this.
 const RESERVE_DIVISOR: u32 = 10;
 
-/// The limits of one request's time.
+/// The deadlines of one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Deadlines {
-    /// Until when the head of an answer is waited for.
-    pub(crate) answer: Instant,
-    /// Until when an answer that has begun may go on.
-    pub(crate) end: Instant,
+    /// Deadline for the head of a response.
+    pub(crate) response_head: Instant,
+    /// Deadline for the end of a response that has started.
+    pub(crate) response_end: Instant,
 }
 
 impl Deadlines {
-    /// The limits of a request that arrived at a time, for which its client waits for `deadline_remaining` (if it says so) and
-    /// its route allows `timeout`.
+    /// The deadlines of a request: the client's `deadline_remaining`, if it sent one, or the route's `timeout`, whichever
+    /// is earlier.
     pub(crate) fn new(
         arrived: Instant,
         deadline_remaining: Option<Duration>,
         timeout: Duration,
     ) -> Self {
-        let to_answer =
-            deadline_remaining.map_or(timeout, |remaining| timeout.min(time_to_answer(remaining)));
-        let in_all = deadline_remaining.map_or(timeout, |remaining| timeout.min(remaining));
+        let to_response_head =
+            deadline_remaining.map_or(timeout, |remaining| timeout.min(without_reserve(remaining)));
+        let to_response_end =
+            deadline_remaining.map_or(timeout, |remaining| timeout.min(remaining));
         Deadlines {
-            answer: arrived + to_answer,
-            end: arrived + in_all,
+            response_head: arrived + to_response_head,
+            response_end: arrived + to_response_end,
         }
     }
 }
 
-/// What is left of a client's time without the reserve.
-fn time_to_answer(deadline_remaining: Duration) -> Duration {
+/// The client's remaining time without the reserve.
+fn without_reserve(deadline_remaining: Duration) -> Duration {
     deadline_remaining - CLIENT_DEADLINE_RESERVE.min(deadline_remaining / RESERVE_DIVISOR)
 }
--- a/crates/lockusher-proxy/src/events.rs
+++ b/crates/lockusher-proxy/src/events.rs
@@ -1,21 +1,22 @@
-//! Splits a stream of server-sent events into complete events, so that another searcher can resume exactly after the last one forwarded.
+//! Splits a stream of server-sent events into complete events, so that another searcher can resume the stream exactly after
+//! the last event that was forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// An event longer than this is not held back; a stream that has one can't be resumed any more.
+/// A longer event is forwarded before it is complete; after that, the stream can't be resumed.
 const MAX_HELD_BACK_BYTES: usize = 256 * 1_024;
 
-/// Holds an unfinished event back, and remembers the id of the last complete one.
+/// Holds back an incomplete event and keeps the id of the last complete one.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     incomplete: BytesMut,
     last_id: Option<Bytes>,
-    /// Something was forwarded that no id names.
+    /// Data without an event id was forwarded, so that the stream can't be resumed after it.
     has_event_without_id: bool,
 }
 
 impl EventSplitter {
-    /// Adds a chunk of the stream; returns the events that it completes, possibly none.
+    /// Adds a chunk of the stream; returns the events that are complete now, or no bytes.
     pub(crate) fn push(&mut self, chunk: Bytes) -> Bytes {
         let complete = if self.incomplete.is_empty() {
             self.split_first(chunk)
@@ -34,7 +35,7 @@
         complete
     }
 
-    /// Splits a chunk that begins with an event; the usual chunk is forwarded without a copy.
+    /// Splits a chunk that starts at the beginning of an event, without copying the complete events.
     fn split_first(&mut self, mut chunk: Bytes) -> Bytes {
         let end = end_of_events(&chunk);
         let complete = chunk.split_to(end);
@@ -49,23 +50,23 @@
         }
     }
 
-    /// Takes what is held back: at the end of a stream, or when it broke.
+    /// Takes the incomplete event that is held back, at the end of a stream or after it broke.
     pub(crate) fn take_incomplete(&mut self) -> Bytes {
         self.incomplete.split().freeze()
     }
 
-    /// Whether a new run can resume after what was forwarded.
+    /// Whether another searcher can resume the stream after the data that was forwarded.
     pub(crate) fn can_resume(&self) -> bool {
         !self.has_event_without_id
     }
 
-    /// The id of the last complete event.
+    /// The id of the last complete event that has one.
     pub(crate) fn last_id(&self) -> Option<&Bytes> {
         self.last_id.as_ref()
     }
 }
 
-/// Whether the first of these events comes after the event `last`, where both ids are numbers.
+/// Whether the first id in these events is greater than the id `last`; false unless both are numbers.
 pub(crate) fn begins_after(events: &[u8], last: &[u8]) -> bool {
     let number = |id: &[u8]| std::str::from_utf8(id).ok()?.parse::<u64>().ok();
     let first = ids(events).next().and_then(number);
@@ -75,17 +76,17 @@
     }
 }
 
-/// Where the last complete event ends: behind its empty line.
+/// The position after the last complete event, which ends with an empty line.
 fn end_of_events(bytes: &[u8]) -> usize {
-    let line_feeds = bytes
+    let after_lf = bytes
         .windows(2)
         .rposition(|pair| pair == b"\n\n")
         .map(|position| position + 2);
-    let returns = bytes
+    let after_crlf = bytes
         .windows(4)
-        .rposition(|four| four == b"\r\n\r\n")
+        .rposition(|window| window == b"\r\n\r\n")
         .map(|position| position + 4);
-    line_feeds.max(returns).unwrap_or(0)
+    after_lf.max(after_crlf).unwrap_or(0)
 }
 
 /// The value of the last `id` field.
--- a/crates/lockusher-proxy/src/forward.rs
+++ b/crates/lockusher-proxy/src/forward.rs
@@ -1,7 +1,7 @@
-//! Forwards one request: reads it, routes it, has it admitted and attempted, and answers the client.
+//! Forwards one request: reads and routes it, applies admission control, sends it to searchers and responds to the client.
 //!
-//! Called by `client::connection` for each request. Short answers are buffered, so that a broken one is never begun; a
-//! searcher's own failure is replaced by another searcher's answer where the route allows a retry.
+//! Called by `client::connection` for each request. Short responses are buffered, so that an incomplete one never reaches
+//! the client; a server error is replaced by another searcher's response if the route allows a retry.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,24 +12,25 @@
 use lockusher_config::configuration::{Configuration, Route};
 
 use crate::attempt_policy::AttemptPolicy;
-use crate::attempts::{AcceptedAnswer, NoAnswer, RequestAttempts};
+use crate::attempts::{AcceptedResponse, RequestAttempts, RequestFailure};
 use crate::deadline::Deadlines;
 use crate::decision::{Admission, RequestAttributes, SendOutcome};
 use crate::headers;
-use crate::prefill::read_small_answer;
+use crate::prefill::read_small_response;
 use crate::proxy_state::ProxyState;
 use crate::relay::{Relay, is_event_stream, outcome_of};
 use crate::request::{ClientRequest, RequestError};
-use crate::response::{self, Answer, AnswerBody};
-use crate::timer::{DeadlineExceeded, until};
+use crate::response::{self, ClientResponse, ResponseBody};
+use crate::timer::{DeadlineExceeded, run_until};
 use crate::unserved::UnservedReason;
 use crate::upstream::exchange::{Exchange, SendFailure};
 
-/// Answers up to this length are buffered completely before they are forwarded, so that a broken one is never begun.
-const MAX_BUFFERED_ANSWER_BYTES: u64 = 64 * 1_024;
+/// Responses up to this length are buffered completely before they are forwarded, so that an incomplete one never
+/// reaches the client.
+const MAX_BUFFERED_RESPONSE_BYTES: u64 = 64 * 1_024;
 
-/// Forwards a client's request and answers it.
-pub(crate) async fn forward(shared: &Rc<ProxyState>, request: Request<Incoming>) -> Answer {
+/// Forwards a client's request and returns the response to it.
+pub(crate) async fn forward(shared: &Rc<ProxyState>, request: Request<Incoming>) -> ClientResponse {
     let Some(routes) = shared.routes() else {
         shared.record_unserved("", UnservedReason::NoConfiguration);
         return response::closing(response::refusal_without_estimate());
@@ -39,7 +40,7 @@
         Ok(request) => request,
         Err(error) => return reject(error),
     };
-    // The configuration may have changed while the body came.
+    // The configuration may have changed while the body arrived.
     let Some(routes) = shared.routes() else {
         shared.record_unserved("", UnservedReason::NoConfiguration);
         return response::refusal_without_estimate();
@@ -50,11 +51,11 @@
     let timeout = Duration::from_millis(route.timeout_ms);
     let deadlines = Deadlines::new(request.arrived, request.deadline_remaining, timeout);
     let service = shared.choose_service(route);
-    let facts = facts(&request, route, service, deadlines.answer);
+    let attributes = request_attributes(&request, route, service, deadlines.response_head);
     let admission = shared
         .router
         .borrow_mut()
-        .admit(shared.clock.micros(), &facts);
+        .admit(shared.clock.micros(), &attributes);
     match admission {
         Admission::Refused { retry_after_ms } => {
             shared.record_unserved(service, UnservedReason::NotAdmitted);
@@ -63,16 +64,17 @@
         Admission::Admitted(plan) => {
             let policy = AttemptPolicy::new(route, handle_hold_ms(routes.configuration(), service));
             let attempts = RequestAttempts::new(shared.clone(), request, policy, deadlines, plan);
-            answer_by_attempts(service, attempts).await
+            run_attempts(service, attempts).await
         }
     }
 }
 
-fn reject(error: RequestError) -> Answer {
+fn reject(error: RequestError) -> ClientResponse {
     log::debug!("request rejected: {error}");
     response::rejection(error)
 }
 
+/// How long the engine of a service holds KV cache for a handle; 0 without an engine.
 fn handle_hold_ms(configuration: &Configuration, service: &str) -> u64 {
     let service = configuration
         .services
@@ -83,7 +85,8 @@
         .map_or(0, |engine| engine.handle_hold_ms)
 }
 
-fn facts(
+/// The attributes of a request that the request router decides by.
+fn request_attributes(
     request: &ClientRequest,
     route: &Route,
     service: &str,
@@ -102,67 +105,75 @@
             .as_millis() as u64,
         prompt: request.prompt(),
         prompt_tokens: token_counts.prompt,
-        max_output_tokens: token_counts.max_answer,
+        max_output_tokens: token_counts.max_output,
     }
 }
 
-/// Attempts the request until there is an answer, or none can come any more.
-async fn answer_by_attempts(service: &str, mut attempts: RequestAttempts) -> Answer {
-    // A searcher's own failure, retained in case no other searcher does better.
-    let mut failure: Option<Answer> = None;
+/// Sends the request until there is a response for the client, or no further send is possible.
+async fn run_attempts(service: &str, mut attempts: RequestAttempts) -> ClientResponse {
+    // A searcher's server error, returned if no other searcher responds successfully.
+    let mut error_response: Option<ClientResponse> = None;
     loop {
-        let accepted = match attempts.next_answer().await {
+        let accepted = match attempts.next_response().await {
             Ok(accepted) => accepted,
-            Err(no_answer) => {
-                return failure.unwrap_or_else(|| answer_to_failure(service, &attempts, no_answer));
+            Err(failure) => {
+                return error_response
+                    .unwrap_or_else(|| failure_response(service, &attempts, failure));
             }
         };
         if !is_buffered(&accepted.exchange.response) {
             return relay(attempts, accepted);
         }
-        match buffer_answer(&mut attempts, accepted).await {
-            Err(no_answer) => {
-                return failure.unwrap_or_else(|| answer_to_failure(service, &attempts, no_answer));
+        match buffer_response(&mut attempts, accepted).await {
+            Err(failure) => {
+                return error_response
+                    .unwrap_or_else(|| failure_response(service, &attempts, failure));
             }
             Ok(None) => {}
-            Ok(Some(answer))
-                if answer.status().is_server_error() && attempts.policy.is_idempotent =>
+            Ok(Some(response))
+                if response.status().is_server_error() && attempts.policy.is_idempotent =>
             {
-                failure = Some(answer);
-                // The route allows repeats, so this cannot forbid one.
+                error_response = Some(response);
+                // This can't fail, as the request is idempotent.
                 let _ = attempts.record_failure(&SendFailure::Broken);
             }
-            Ok(Some(answer)) => return answer,
+            Ok(Some(response)) => return response,
         }
     }
 }
 
-fn answer_to_failure(service: &str, attempts: &RequestAttempts, no_answer: NoAnswer) -> Answer {
-    let reason = match no_answer {
-        NoAnswer::TimedOut => UnservedReason::TimedOut,
-        NoAnswer::NotRun { .. } | NoAnswer::Failed => attempts
+/// The proxy's own response to a request that failed.
+fn failure_response(
+    service: &str,
+    attempts: &RequestAttempts,
+    failure: RequestFailure,
+) -> ClientResponse {
+    let reason = match failure {
+        RequestFailure::TimedOut => UnservedReason::TimedOut,
+        RequestFailure::NotRun { .. } | RequestFailure::Failed => attempts
             .last_failure()
             .unwrap_or(UnservedReason::NoSearcher),
     };
     attempts.shared().record_unserved(service, reason);
-    match no_answer {
-        NoAnswer::NotRun { retry_after_ms } => response::refusal(retry_after_ms),
-        NoAnswer::Failed => response::local(StatusCode::BAD_GATEWAY),
-        NoAnswer::TimedOut => response::local(StatusCode::GATEWAY_TIMEOUT),
+    match failure {
+        RequestFailure::NotRun { retry_after_ms } => response::refusal(retry_after_ms),
+        RequestFailure::Failed => response::local(StatusCode::BAD_GATEWAY),
+        RequestFailure::TimedOut => response::local(StatusCode::GATEWAY_TIMEOUT),
     }
 }
 
+/// Whether a response is short enough to be buffered, and no event stream.
 fn is_buffered(response: &Response<Incoming>) -> bool {
     let length = response.body().size_hint().exact();
-    length.is_some_and(|length| length <= MAX_BUFFERED_ANSWER_BYTES) && !is_event_stream(response)
+    length.is_some_and(|length| length <= MAX_BUFFERED_RESPONSE_BYTES) && !is_event_stream(response)
 }
 
-/// Buffers a short answer; `None` if it broke and the request may be sent again.
-async fn buffer_answer(
+/// Buffers a short response; `None` if it was incomplete and the request may be sent again.
+async fn buffer_response(
     attempts: &mut RequestAttempts,
-    accepted: AcceptedAnswer,
-) -> Result<Option<Answer>, NoAnswer> {
-    let AcceptedAnswer {
+    accepted: AcceptedResponse,
+) -> Result<Option<ClientResponse>, RequestFailure> {
+    let AcceptedResponse {
         destination,
         mut send,
         exchange: Exchange {
@@ -172,8 +183,8 @@
     } = accepted;
     let shared = attempts.shared().clone();
     let (parts, body) = response.into_parts();
-    let read = read_small_answer(&shared, &destination, body, connection);
-    match until(attempts.timer(), read).await {
+    let reading = read_small_response(&shared, &destination, body, connection);
+    match run_until(attempts.timer(), reading).await {
         Err(DeadlineExceeded) => {
             send.finish(SendOutcome::TimedOut);
             Err(attempts.record_timeout())
@@ -187,29 +198,29 @@
             send.finish(outcome_of(parts.status));
             let is_head = attempts.request().is_head();
             Ok(Some(stripped(
-                Response::from_parts(parts, AnswerBody::Buffered(bytes)),
+                Response::from_parts(parts, ResponseBody::Buffered(bytes)),
                 is_head,
             )))
         }
     }
 }
 
-/// Forwards an answer chunk by chunk.
-fn relay(attempts: RequestAttempts, accepted: AcceptedAnswer) -> Answer {
+/// Forwards a response chunk by chunk as it arrives.
+fn relay(attempts: RequestAttempts, accepted: AcceptedResponse) -> ClientResponse {
     let is_head = attempts.request().is_head();
     let (head, relay) = Relay::new(attempts, accepted);
-    stripped(head.map(|()| AnswerBody::Relay(Box::new(relay))), is_head)
+    stripped(head.map(|()| ResponseBody::Relay(Box::new(relay))), is_head)
 }
 
-/// The answer without what concerns only the searcher's connection.
-fn stripped(mut answer: Answer, keeps_length: bool) -> Answer {
-    strip(answer.headers_mut(), keeps_length);
-    answer
+/// The response without hop-by-hop and framing header fields; `Content-Length` stays if `keeps_length`.
+fn stripped(mut response: ClientResponse, keeps_length: bool) -> ClientResponse {
+    strip(response.headers_mut(), keeps_length);
+    response
 }
 
 fn strip(fields: &mut HeaderMap, keeps_length: bool) {
     let length = fields.get(header::CONTENT_LENGTH).cloned();
-    headers::strip_answer(fields);
+    headers::strip_response(fields);
     if let Some(length) = length.filter(|_| keeps_length) {
         fields.insert(header::CONTENT_LENGTH, length);
     }
--- a/crates/lockusher-proxy/src/headers.rs
+++ b/crates/lockusher-proxy/src/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields of the fleet, and which fields pass a proxy.
+//! The header fields of the protocol between clients, proxies and searchers, and which fields a proxy forwards.
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
@@ -17,7 +17,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Fields that concern one connection only (RFC 9110, 7.6.1), and those that frame a body.
+/// Hop-by-hop fields (RFC 9110, 7.6.1) and fields that frame a body.
 const HOP_BY_HOP: [HeaderName; 10] = [
     header::CONNECTION,
     KEEP_ALIVE,
@@ -31,8 +31,8 @@
     header::CONTENT_LENGTH,
 ];
 
-/// Fields that only the fleet may set.
-const FLEET_ONLY: [HeaderName; 6] = [
+/// Fields that only proxies may set; they are removed from clients' requests.
+const PROXY_ONLY: [HeaderName; 6] = [
     EXPECTED_INSTANCE,
     EXPECT_VERSION,
     PRIORITY,
@@ -41,34 +41,34 @@
     DEADLINE_REMAINING,
 ];
 
-/// Removes from a client's request what must not reach a searcher.
+/// Removes the fields of a client's request that must not reach a searcher.
 pub(crate) fn strip_request(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     headers.remove(header::EXPECT);
-    for name in &FLEET_ONLY {
+    for name in &PROXY_ONLY {
         headers.remove(name);
     }
 }
 
-/// Removes from a searcher's answer what concerns only its connection.
-pub(crate) fn strip_answer(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop and framing fields of a searcher's response.
+pub(crate) fn strip_response(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
 }
 
-/// Whether it is plain where the body of an answer ends: by one coding that is undone here, `chunked`, or by a length, not by
-/// both (RFC 9112, 6.1 and 6.3). Another coding would reach the client as if it were the body, and with a length beside it
-/// two readers may disagree on what belongs to the answer.
-pub(crate) fn has_plain_framing(answer: &HeaderMap) -> bool {
-    let mut codings = answer.get_all(header::TRANSFER_ENCODING).iter();
+/// Whether the framing of a response body is unambiguous: `Transfer-Encoding` is absent, or is `chunked` alone and without a
+/// `Content-Length` (RFC 9112, 6.1 and 6.3). Any other coding would be forwarded to the client as part of the body, and with
+/// both fields two implementations may disagree on where the response ends.
+pub(crate) fn has_unambiguous_framing(response: &HeaderMap) -> bool {
+    let mut codings = response.get_all(header::TRANSFER_ENCODING).iter();
     let Some(coding) = codings.next() else {
         return true;
     };
     let is_chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
-    is_chunked && codings.next().is_none() && !answer.contains_key(header::CONTENT_LENGTH)
+    is_chunked && codings.next().is_none() && !response.contains_key(header::CONTENT_LENGTH)
 }
 
 fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    for name in named_by_connection(headers) {
+    for name in connection_options(headers) {
         headers.remove(name);
     }
     for name in &HOP_BY_HOP {
@@ -76,8 +76,8 @@
     }
 }
 
-/// Fields that `Connection` names as its own; never the request's identity or the searcher's signature.
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+/// The fields that `Connection` lists as hop-by-hop. `Request-Identifier`, `Server-Signature` and `Host` are never removed.
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     headers
         .get_all(header::CONNECTION)
         .iter()
@@ -90,8 +90,8 @@
         .collect()
 }
 
-/// Whether `Connection` lists `close`.
-pub(crate) fn says_close(headers: &HeaderMap) -> bool {
+/// Whether `Connection` contains the option `close`.
+pub(crate) fn has_close_option(headers: &HeaderMap) -> bool {
     headers
         .get_all(header::CONNECTION)
         .iter()
@@ -100,7 +100,7 @@
         .any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Seconds for which the sender keeps an idle connection (`Keep-Alive: timeout=N`).
+/// The time in seconds after which the sender closes an idle connection (`Keep-Alive: timeout=N`).
 pub(crate) fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     value.split(',').find_map(|parameter| {
@@ -110,14 +110,22 @@
     })
 }
 
-/// The only value of a field; `None` if it is absent or repeated.
-pub(crate) fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
+/// The value of a field; `None` if the field is absent or repeated.
+pub(crate) fn single_value<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     let first = values.next()?;
     values.next().is_none().then_some(first)
 }
 
-/// A field that holds one integer.
-pub(crate) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
-    single(headers, name)?.to_str().ok()?.trim().parse().ok()
+/// The value of a field as an integer; `None` if the field is absent, repeated or no integer.
+pub(crate) fn integer(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+    single_value(headers, name)?
+        .to_str()
+        .ok()?
+        .trim()
+        .parse()
+        .ok()
 }
--- a/crates/lockusher-proxy/src/lib.rs
+++ b/crates/lockusher-proxy/src/lib.rs
@@ -1,8 +1,9 @@
 //! The data plane: an HTTP/1.1 reverse proxy that forwards requests to searchers, which prefill and decode.
 //!
-//! [`serve::run`] listens, applies the updates of its feed and forwards. The way of a request: `client` accepts and parses
-//! it, `forward` routes it and has it admitted, `attempts` sends it by way of `upstream`, `relay` forwards the answer. All
-//! choices are made in [`decision`], without I/O and clock. A proxy runs on one thread; its tasks share one `ProxyState`.
+//! [`serve::run`] opens the listeners, applies configuration and instance list updates, and forwards requests. A request
+//! passes through `client` (accept, parse), `forward` (routing, admission control), `attempts` (sends and retries, over the
+//! connections of `upstream`) and `relay` (forwarding of the response body). [`decision`] makes all choices, without I/O and
+//! without a clock. A proxy runs on one thread; its tasks share one `ProxyState`.
 
 pub mod decision;
 pub mod serve;
--- a/crates/lockusher-proxy/src/prefill.rs
+++ b/crates/lockusher-proxy/src/prefill.rs
@@ -1,4 +1,5 @@
-//! The prefill call: has one searcher prefill the prompt, and owns the KV-cache handle until a decode searcher fetches it.
+//! The prefill call: lets one searcher prefill the prompt, and owns the KV cache handle until a decode searcher has fetched
+//! the KV cache.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,13 +15,14 @@
 use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, exchange};
 
-/// An answer to a prefill call holds one small object.
-const MAX_ANSWER_BYTES: usize = 64 * 1_024;
+/// Limit for a response that is read completely; the response to a prefill call is one small JSON object.
+const MAX_RESPONSE_BYTES: usize = 64 * 1_024;
 
-/// A searcher that does not release a handle in this time lets it lapse.
+/// Timeout of a release call; a handle that is not released expires at the searcher.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// KV cache that a prefill searcher reserves for one request. Unless it was transferred, it is released when dropped.
+/// A handle to the KV cache that a prefill searcher holds for one request. Unless the KV cache was transferred, the handle
+/// is released when dropped.
 #[derive(Debug)]
 pub(crate) struct KvHandle {
     shared: Rc<ProxyState>,
@@ -28,22 +30,22 @@
     handle: String,
     transferred: bool,
     obtained: Instant,
-    /// Decode searchers that rejected it.
+    /// Number of decode searchers that rejected the handle.
     pub(crate) rejections: u32,
 }
 
 impl KvHandle {
-    /// The value of `Kv-From`.
+    /// The value of the `Kv-From` header; `None` if the handle can't be a header value.
     pub(crate) fn header_value(&self) -> Option<HeaderValue> {
         HeaderValue::try_from(format!("{}/{}", self.prefill_searcher.address, self.handle)).ok()
     }
 
-    /// How long ago it was obtained.
+    /// Time since the handle was obtained.
     pub(crate) fn age(&self) -> Duration {
         self.obtained.elapsed()
     }
 
-    /// A decode searcher has fetched the KV cache, or may have.
+    /// Records that a decode searcher has fetched the KV cache or may have, so that it isn't released.
     pub(crate) fn mark_transferred(&mut self) {
         self.transferred = true;
     }
@@ -63,18 +65,18 @@
     }
 }
 
-/// Why a prefill call brought no handle.
+/// Why a prefill call returned no handle.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum PrefillFailure {
-    /// The call failed; it may be repeated in any case, as nothing runs.
+    /// The call failed. It may always be retried, as a prefill call doesn't run the request.
     #[display("{_0}")]
     Send(SendFailure),
-    /// The searcher took no notice of `Stage` and ran the request: its answer is signed.
-    #[display("the request ran where it should only have been read")]
+    /// The searcher ignored `Stage` and ran the request, as its signed response shows.
+    #[display("the searcher ran a request that it should only have prefilled")]
     Ran,
 }
 
-/// Sends a request with `Stage: prefill` and reads the handle.
+/// Sends a request with `Stage: prefill` and reads the handle from the response.
 ///
 /// # Errors
 ///
@@ -93,9 +95,9 @@
         return Err(PrefillFailure::Ran);
     }
     let body =
-        read_small_answer(shared, prefill_searcher, response.into_body(), connection).await?;
+        read_small_response(shared, prefill_searcher, response.into_body(), connection).await?;
     let handle = (status == StatusCode::OK)
-        .then(|| handle_in(&body))
+        .then(|| parse_handle(&body))
         .flatten();
     let handle = handle.ok_or(SendFailure::Broken)?;
     Ok(KvHandle {
@@ -108,29 +110,30 @@
     })
 }
 
-fn handle_in(body: &[u8]) -> Option<String> {
-    let answer: serde_json::Value = serde_json::from_slice(body).ok()?;
-    answer.get("promptHandle")?.as_str().map(str::to_owned)
+/// The handle in the body of a response to a prefill call.
+fn parse_handle(body: &[u8]) -> Option<String> {
+    let response: serde_json::Value = serde_json::from_slice(body).ok()?;
+    response.get("promptHandle")?.as_str().map(str::to_owned)
 }
 
-/// Reads a small answer completely and gives the connection back.
-pub(crate) async fn read_small_answer(
+/// Reads a small response completely and returns its connection to the pool.
+pub(crate) async fn read_small_response(
     shared: &ProxyState,
     destination: &Destination,
     body: hyper::body::Incoming,
     mut connection: UpstreamConnection,
 ) -> Result<Bytes, SendFailure> {
-    let complete = connection
-        .drive_while(Limited::new(body, MAX_ANSWER_BYTES).collect())
+    let collected = connection
+        .drive_while(Limited::new(body, MAX_RESPONSE_BYTES).collect())
         .await;
-    let complete = complete.map_err(|_| SendFailure::Broken)?.to_bytes();
+    let collected = collected.map_err(|_| SendFailure::Broken)?.to_bytes();
     if connection.is_reusable().await {
         shared.pool.checkin(&destination.identifier, connection);
     }
-    Ok(complete)
+    Ok(collected)
 }
 
-/// Releases a handle that was not transferred. Failures need no care: it lapses by itself.
+/// Releases a handle whose KV cache was not transferred. Failures are only logged, as the handle expires by itself.
 async fn release(shared: Rc<ProxyState>, prefill_searcher: Destination, handle: String) {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.method_mut() = Method::DELETE;
@@ -148,16 +151,16 @@
     fields.insert(HOST, host);
     fields.insert(headers::EXPECTED_INSTANCE, instance);
     let sent = exchange(&shared, &prefill_searcher, request);
-    let answer = compio::time::timeout(RELEASE_TIMEOUT, async {
+    let released = compio::time::timeout(RELEASE_TIMEOUT, async {
         let Exchange {
             response,
             connection,
         } = sent.await?;
-        read_small_answer(&shared, &prefill_searcher, response.into_body(), connection).await
+        read_small_response(&shared, &prefill_searcher, response.into_body(), connection).await
     });
-    if let Ok(Err(error)) = answer.await {
+    if let Ok(Err(error)) = released.await {
         log::debug!(
-            "{}: a handle was not freed: {error}",
+            "{}: KV cache handle not released: {error}",
             prefill_searcher.address
         );
     }
--- a/crates/lockusher-proxy/src/proxy_state.rs
+++ b/crates/lockusher-proxy/src/proxy_state.rs
@@ -1,4 +1,5 @@
-//! The state that the tasks of one proxy share: the configuration and instances in force, the decisions, the pools and the counts.
+//! The state that the tasks of one proxy share: the current configuration and instance list, the request router, the
+//! connection pool, and counters.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,15 +20,15 @@
 use crate::unserved::{UnservedReason, UnservedSummary};
 use crate::upstream::pool::Pool;
 
-/// Descriptors reserved for files outside the disk folder, listeners and the runtime.
+/// File descriptors reserved for files outside the data directory, listeners and the runtime.
 const RESERVED_DESCRIPTORS: u64 = 220;
 
-/// The part of the process's memory that bodies in flight may take (divisor).
+/// The memory limit of the process divided by this is the limit for the bodies of requests in flight.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 
 const BYTES_PER_MB: u64 = 1_048_576;
 
-/// The state of one proxy; one thread, so cells suffice.
+/// The state of one proxy. It is used by one thread only, hence the cells.
 #[derive(Debug)]
 pub(crate) struct ProxyState {
     pub(crate) clock: Clock,
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Applies a complete update; requests admitted before go on with their snapshot.
+    /// Applies an update; requests that were admitted before continue with their snapshot of the configuration.
     pub(crate) fn apply(&self, update: FeedUpdate) {
         let now = self.clock.micros();
         let mut router = self.router.borrow_mut();
@@ -101,17 +102,17 @@
         }
     }
 
-    /// The routes in force; `None` before the first configuration.
+    /// The current routes; `None` before the first configuration.
     pub(crate) fn routes(&self) -> Option<Rc<RouteTable>> {
         self.routes.borrow().clone()
     }
 
-    /// Whether clients may be sent here.
+    /// Whether this proxy is ready to serve clients.
     pub(crate) fn is_ready(&self) -> bool {
         !self.draining.get() && self.has_instances.get() && self.routes.borrow().is_some()
     }
 
-    /// What is missing before clients may be sent here; none if nothing is.
+    /// The data that this proxy still needs to be ready, as named in log lines; `None` if it has all of it.
     pub(crate) fn missing(&self) -> Option<&'static str> {
         match (self.routes.borrow().is_some(), self.has_instances.get()) {
             (true, true) => None,
@@ -121,13 +122,13 @@
         }
     }
 
-    /// Records a request that is answered without a searcher's answer; `service` is empty if it isn't known.
+    /// Records a request that the proxy answers itself; `service` is empty if it isn't known.
     pub(crate) fn record_unserved(&self, service: &str, reason: UnservedReason) {
         let now_ms = self.clock.millis();
         self.unserved.borrow_mut().record(now_ms, service, reason);
     }
 
-    /// Logs why requests weren't served of late, if a line is due.
+    /// Logs why requests weren't served since the last summary, if a summary is due.
     pub(crate) fn log_unserved(&self) {
         let now = self.clock.micros();
         let router = self.router.borrow();
@@ -149,12 +150,12 @@
         self.draining.set(true);
     }
 
-    /// The service that takes the next request of this route.
+    /// Chooses the service for the next request of a route.
     pub(crate) fn choose_service<'route>(&self, route: &'route Route) -> &'route str {
         self.traffic_splits.borrow_mut().choose(route)
     }
 
-    /// Counts a request until the guard is dropped, after the last byte of its answer.
+    /// Counts a request as in flight until the guard is dropped, after the last byte of its response.
     pub(crate) fn start_request(self: &Rc<Self>) -> RequestInFlight {
         self.requests_in_flight
             .set(self.requests_in_flight.get() + 1);
@@ -164,17 +165,17 @@
         }
     }
 
-    /// Requests whose answers are not complete yet.
+    /// Number of requests whose responses are not complete yet.
     pub(crate) fn requests_in_flight(&self) -> u64 {
         self.requests_in_flight.get()
     }
 
-    /// Requests accepted since the start.
+    /// Number of requests accepted since the start.
     pub(crate) fn requests_accepted(&self) -> u64 {
         self.requests_accepted.get()
     }
 
-    /// A guard that reports what became of a send exactly once.
+    /// A guard that reports the final outcome of a send exactly once.
     pub(crate) fn guard_send(self: &Rc<Self>, ticket: SendTicket) -> SendGuard {
         SendGuard {
             shared: self.clone(),
@@ -183,7 +184,7 @@
     }
 }
 
-/// A request in flight; see [`ProxyState::start_request`].
+/// Guard of a request in flight; see [`ProxyState::start_request`].
 #[derive(Debug)]
 pub(crate) struct RequestInFlight {
     shared: Rc<ProxyState>,
@@ -196,7 +197,7 @@
     }
 }
 
-/// Owes the router the outcome of one send. Dropped without one, the send was cancelled.
+/// Reports the final outcome of one send to the router; `Cancelled` if it is dropped without one.
 #[derive(Debug)]
 pub(crate) struct SendGuard {
     shared: Rc<ProxyState>,
@@ -204,14 +205,14 @@
 }
 
 impl SendGuard {
-    /// Reports the first event of a stream; the final outcome is still owed.
+    /// Reports the first event of a stream; the final outcome is reported separately.
     pub(crate) fn first_event(&self) {
         if let Some(ticket) = self.ticket {
             self.report(ticket, SendOutcome::FirstEvent);
         }
     }
 
-    /// Reports the final outcome.
+    /// Reports the final outcome; later calls have no effect.
     pub(crate) fn finish(&mut self, outcome: SendOutcome) {
         if let Some(ticket) = self.ticket.take() {
             self.report(ticket, outcome);
--- a/crates/lockusher-proxy/src/readiness.rs
+++ b/crates/lockusher-proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's readiness probes: whether this proxy may receive new clients.
+//! Serves the platform's readiness probes: whether this proxy may receive new clients.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -17,32 +17,32 @@
 
 const READINESS_PATH: &str = "/api/readiness";
 
-/// Delay after a probe's connection could not be accepted.
+/// Delay before the next accept after one that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers readiness probes for ever.
-pub(crate) async fn answer_readiness(shared: Rc<ProxyState>, listener: TcpListener) {
+/// Accepts connections and serves readiness probes on them; runs until it is cancelled.
+pub(crate) async fn serve_readiness(shared: Rc<ProxyState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                compio::runtime::spawn(answer_probes(shared.clone(), stream)).detach();
+                compio::runtime::spawn(serve_probes(shared.clone(), stream)).detach();
             }
             Err(error) => {
-                log::warn!("cannot accept a readiness probe: {error}");
+                log::warn!("cannot accept a readiness connection: {error}");
                 compio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Answers the probes that come over one connection.
-async fn answer_probes(shared: Rc<ProxyState>, stream: TcpStream) {
+/// Serves the probes of one connection.
+async fn serve_probes(shared: Rc<ProxyState>, stream: TcpStream) {
     let Ok(stream) = stream.into_poll_fd() else {
         return;
     };
     let service = service_fn(|request| {
-        let answer = probe_answer(&shared, &request);
-        async move { Ok::<_, Infallible>(answer) }
+        let response = probe_response(&shared, &request);
+        async move { Ok::<_, Infallible>(response) }
     });
     let connection = Builder::new()
         .auto_date_header(false)
@@ -52,13 +52,13 @@
     }
 }
 
-fn probe_answer(shared: &ProxyState, request: &Request<Incoming>) -> Response<Empty<Bytes>> {
+fn probe_response(shared: &ProxyState, request: &Request<Incoming>) -> Response<Empty<Bytes>> {
     let status = match request.uri().path() {
         READINESS_PATH if shared.is_ready() => StatusCode::OK,
         READINESS_PATH => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::NOT_FOUND,
     };
-    let mut answer = Response::new(Empty::new());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Empty::new());
+    *response.status_mut() = status;
+    response
 }
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -1,5 +1,5 @@
-//! Forwards the body of a searcher's answer, chunk by chunk as it comes. Where the route allows it, a stream that
-//! breaks is resumed at another searcher, after the last complete event that the client was given.
+//! Forwards the body of a searcher's response, chunk by chunk as it arrives. If the route allows it, a stream that
+//! breaks is resumed at another searcher, after the last complete event that was forwarded to the client.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -10,7 +10,7 @@
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode};
 
-use crate::attempts::{AcceptedAnswer, NoAnswer, RequestAttempts};
+use crate::attempts::{AcceptedResponse, RequestAttempts, RequestFailure};
 use crate::decision::SendOutcome;
 use crate::events::{EventSplitter, begins_after};
 use crate::headers;
@@ -18,52 +18,53 @@
 use crate::upstream::connection::UpstreamConnection;
 use crate::upstream::exchange::{Destination, Exchange, SendFailure, is_acknowledgement_timeout};
 
-/// The answer broke off; the client's connection is closed without a proper end.
+/// The response was interrupted; the client's connection is closed before the end of the body.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("the answer broke off")]
-pub(crate) struct AnswerAborted;
+#[display("the response was interrupted")]
+pub(crate) struct ResponseAborted;
 
-/// A body on its way from a searcher to a client. Dropped before its end, it closes the searcher's connection
-/// and reports the send as cancelled.
+/// Forwards a response body from a searcher to a client. Dropped before the end of the body, it closes the searcher's
+/// connection and reports the send as cancelled.
 #[derive(Debug)]
 pub(crate) struct Relay {
     state: State,
-    /// Present where a stream that breaks may be resumed within the answer.
+    /// Present if a broken stream may be resumed within the response.
     splitter: Option<EventSplitter>,
-    /// The id of the event after which the stream was resumed: the first event of the new run must come after it.
+    /// The id of the event after which the stream was resumed, until the first event of the resumed stream has been
+    /// checked to come after it.
     resumed_after: Option<Bytes>,
 }
 
 #[derive(Debug)]
 enum State {
-    Relaying(Box<RelayedAnswer>),
+    Relaying(Box<RelayedResponse>),
     Resuming(Resuming),
     Ended,
 }
 
-/// A searcher's stream that is being forwarded.
+/// A searcher's response that is being forwarded.
 #[derive(Debug)]
-struct RelayedAnswer {
+struct RelayedResponse {
     attempts: RequestAttempts,
     destination: Destination,
     body: Incoming,
     connection: UpstreamConnection,
     send: SendGuard,
     status: StatusCode,
-    /// Bytes still to come, where the searcher announced the length.
+    /// Bytes of the body that are still missing; `None` if the searcher didn't send a length.
     remaining_bytes: Option<u64>,
     started: bool,
 }
 
-/// The attempts at resuming the stream.
+/// The pending attempts to resume a stream.
 struct Resuming(Pin<Box<dyn Future<Output = ResumeResult>>>);
 
-/// The end of the attempts at resuming a stream.
+/// The result of the attempts to resume a stream.
 struct ResumeResult {
-    /// The request's attempts, given back.
+    /// The state of the request's attempts, for the rest of the response.
     attempts: RequestAttempts,
-    /// The answer that resumes the stream.
-    answer: Result<AcceptedAnswer, NoAnswer>,
+    /// The response that resumes the stream.
+    response: Result<AcceptedResponse, RequestFailure>,
 }
 
 impl std::fmt::Debug for Resuming {
@@ -72,16 +73,16 @@
     }
 }
 
-type PolledFrame = Poll<Option<Result<Frame<Bytes>, AnswerAborted>>>;
+type PolledFrame = Poll<Option<Result<Frame<Bytes>, ResponseAborted>>>;
 
 impl Relay {
     pub(crate) fn new(
         mut attempts: RequestAttempts,
-        accepted: AcceptedAnswer,
+        accepted: AcceptedResponse,
     ) -> (Response<()>, Self) {
         attempts.extend_to_client_deadline();
         let resumable = attempts.policy.resumable && is_event_stream(&accepted.exchange.response);
-        let (head, relayed) = RelayedAnswer::new(attempts, accepted);
+        let (head, relayed) = RelayedResponse::new(attempts, accepted);
         let splitter = resumable.then(EventSplitter::default);
         (
             head,
@@ -93,7 +94,7 @@
         )
     }
 
-    /// The length that the searcher announced, if it did.
+    /// The remaining length of the body if the searcher sent a length.
     pub(crate) fn size_hint(&self) -> SizeHint {
         match &self.state {
             State::Relaying(relayed) => relayed
@@ -108,8 +109,8 @@
         loop {
             match &mut self.state {
                 State::Ended => return Poll::Ready(None),
-                State::Resuming(search) => {
-                    let resumed = ready!(search.0.as_mut().poll(cx));
+                State::Resuming(resuming) => {
+                    let resumed = ready!(resuming.0.as_mut().poll(cx));
                     if !self.continue_with(resumed) {
                         return self.abort();
                     }
@@ -118,7 +119,7 @@
                     Ok(Some(chunk)) => match self.complete_events(chunk, cx) {
                         Ok(chunk) if chunk.is_empty() => {}
                         Ok(chunk) => return Poll::Ready(Some(Ok(Frame::data(chunk)))),
-                        Err(AnswerAborted) => return self.abort(),
+                        Err(ResponseAborted) => return self.abort(),
                     },
                     Ok(None) => {
                         if let Some(rest) = self.finish(cx) {
@@ -135,16 +136,16 @@
         }
     }
 
-    /// What of a chunk is forwarded now: all of it, or its complete events where the stream may be resumed.
+    /// The data to forward after a chunk: the chunk, or only complete events if the stream may be resumed.
     fn complete_events(
         &mut self,
         chunk: Bytes,
         cx: &mut Context<'_>,
-    ) -> Result<Bytes, AnswerAborted> {
+    ) -> Result<Bytes, ResponseAborted> {
         if let State::Relaying(relayed) = &mut self.state
             && relayed.remaining_bytes == Some(0)
         {
-            // Whoever writes a body of known length does not ask for more.
+            // The HTTP library doesn't poll again after the last byte of a body of known length.
             self.finish(cx);
         }
         let Some(splitter) = &mut self.splitter else {
@@ -157,13 +158,13 @@
         if let Some(last) = self.resumed_after.take()
             && !begins_after(&complete, &last)
         {
-            log::warn!("a resumed stream does not go on behind the last event");
-            return Err(AnswerAborted);
+            log::warn!("the resumed stream does not continue after the last forwarded event");
+            return Err(ResponseAborted);
         }
         Ok(complete)
     }
 
-    /// The body is complete; returns what was held back of it.
+    /// Ends a complete body; returns the incomplete event that was held back, if any.
     fn finish(&mut self, cx: &mut Context<'_>) -> Option<Bytes> {
         if let State::Relaying(relayed) = std::mem::replace(&mut self.state, State::Ended) {
             relayed.finish(cx);
@@ -172,19 +173,19 @@
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// The stream broke: looks for a searcher that resumes it, if it may be resumed.
+    /// Starts to resume a broken stream at another searcher; false if it may not be resumed.
     fn resume(&mut self, outcome: SendOutcome) -> bool {
         let State::Relaying(relayed) = std::mem::replace(&mut self.state, State::Ended) else {
             return false;
         };
-        let RelayedAnswer {
+        let RelayedResponse {
             mut attempts,
             destination,
             connection,
             mut send,
             ..
         } = *relayed;
-        log::debug!("{}: answer broken off, {outcome:?}", destination.address);
+        log::debug!("{}: response interrupted: {outcome:?}", destination.address);
         drop(connection);
         send.finish(outcome);
         let Some(splitter) = self
@@ -195,27 +196,27 @@
             return false;
         };
         splitter.take_incomplete();
-        let event = splitter.last_id().map(|id| HeaderValue::from_bytes(id));
-        let Ok(event) = event.transpose() else {
+        let event_id = splitter.last_id().map(|id| HeaderValue::from_bytes(id));
+        let Ok(event_id) = event_id.transpose() else {
             return false;
         };
         if !splitter.can_resume() || attempts.record_failure(&SendFailure::Broken).is_err() {
             return false;
         }
         self.resumed_after = splitter.last_id().cloned();
-        attempts.resume_after(event);
+        attempts.resume_after(event_id);
         self.state = State::Resuming(Resuming(Box::pin(async move {
-            let answer = attempts.next_answer().await;
-            ResumeResult { attempts, answer }
+            let response = attempts.next_response().await;
+            ResumeResult { attempts, response }
         })));
         true
     }
 
-    /// Continues with the answer that resumes the stream; false if there is none.
+    /// Continues with the response that resumes the stream; false if there is no such response.
     fn continue_with(&mut self, resumed: ResumeResult) -> bool {
         let ResumeResult {
             attempts,
-            answer: Ok(accepted),
+            response: Ok(accepted),
         } = resumed
         else {
             return false;
@@ -223,20 +224,21 @@
         if !is_event_stream(&accepted.exchange.response) {
             return false;
         }
-        let (_, relayed) = RelayedAnswer::new(attempts, accepted);
+        let (_, relayed) = RelayedResponse::new(attempts, accepted);
         self.state = State::Relaying(Box::new(relayed));
         true
     }
 
+    /// Ends the body with an error, so that the client's connection is closed.
     fn abort(&mut self) -> PolledFrame {
         self.state = State::Ended;
-        Poll::Ready(Some(Err(AnswerAborted)))
+        Poll::Ready(Some(Err(ResponseAborted)))
     }
 }
 
-impl RelayedAnswer {
-    fn new(attempts: RequestAttempts, accepted: AcceptedAnswer) -> (Response<()>, Self) {
-        let AcceptedAnswer {
+impl RelayedResponse {
+    fn new(attempts: RequestAttempts, accepted: AcceptedResponse) -> (Response<()>, Self) {
+        let AcceptedResponse {
             destination,
             send,
             exchange: Exchange {
@@ -247,7 +249,7 @@
         let (parts, body) = response.into_parts();
         let remaining_bytes = body.size_hint().exact();
         let status = parts.status;
-        let relayed = RelayedAnswer {
+        let relayed = RelayedResponse {
             attempts,
             destination,
             body,
@@ -260,7 +262,7 @@
         (Response::from_parts(parts, ()), relayed)
     }
 
-    /// The next chunk; `None` at the end of the body.
+    /// Polls for the next chunk; `None` at the end of the body.
     fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, SendOutcome>> {
         loop {
             let Poll::Ready(item) = self.poll_body(cx) else {
@@ -288,7 +290,7 @@
         }
     }
 
-    /// Polls the body, and drives its connection where it has nothing.
+    /// Polls the body, and drives the connection if no data is buffered.
     fn poll_body(
         &mut self,
         cx: &mut Context<'_>,
@@ -310,7 +312,7 @@
         }
     }
 
-    /// The body is complete: the connection may serve another request if nothing odd follows.
+    /// Ends a complete body. The connection returns to the pool unless unexpected bytes follow.
     fn finish(mut self, cx: &mut Context<'_>) {
         self.send.finish(outcome_of(self.status));
         if self.connection.poll_reusable(cx) {
@@ -322,7 +324,8 @@
     }
 }
 
-/// A searcher's own failure counts against it, also where its answer is forwarded.
+/// The outcome of a send by the status of its response. A server error counts as a failure of the searcher even if the
+/// response is forwarded.
 pub(crate) fn outcome_of(status: StatusCode) -> SendOutcome {
     if status.is_server_error() {
         SendOutcome::Failed
@@ -331,9 +334,9 @@
     }
 }
 
-/// Whether an answer is a stream of server-sent events.
+/// Whether a response is a stream of server-sent events.
 pub(crate) fn is_event_stream(response: &Response<Incoming>) -> bool {
-    let content_type = headers::single(response.headers(), &hyper::header::CONTENT_TYPE);
+    let content_type = headers::single_value(response.headers(), &hyper::header::CONTENT_TYPE);
     let content_type = content_type.map(HeaderValue::as_bytes).unwrap_or_default();
     response.status() == StatusCode::OK && content_type.starts_with(b"text/event-stream")
 }
--- a/crates/lockusher-proxy/src/request.rs
+++ b/crates/lockusher-proxy/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, read completely and checked: what may be forwarded, and what its head says of it.
+//! A client's request: reads and validates it, and parses the header fields that the proxy uses.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,63 +15,63 @@
 use crate::headers;
 use crate::memory::{BodyMemory, Reservation};
 
-/// How long a body may take where the client names no deadline.
+/// Timeout for reading a body if the client sends no deadline.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a request cannot be forwarded.
+/// Why a request can't be forwarded.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum RequestError {
-    /// No single, non-empty `Host`.
-    #[display("one Host field is needed")]
+    /// `Host` is missing, empty or repeated.
+    #[display("exactly one Host header field is required")]
     BadHost,
-    /// No single, non-empty `Request-Identifier`.
-    #[display("one Request-Identifier field is needed")]
+    /// `Request-Identifier` is missing, empty or repeated.
+    #[display("exactly one Request-Identifier header field is required")]
     MissingIdentifier,
     /// The request target has no path.
-    #[display("the request names no path")]
+    #[display("the request target has no path")]
     BadTarget,
     /// The body exceeds `limits.bodyBytes`.
     #[display("the body is larger than limits.bodyBytes")]
     BodyTooLarge,
-    /// The body is cut short or malformed.
-    #[display("the body ended early or is no valid body")]
+    /// The body is incomplete or malformed.
+    #[display("the body is incomplete or malformed")]
     BodyBroken,
     /// The body did not arrive by the deadline.
-    #[display("the body did not come in time")]
+    #[display("the body did not arrive by the deadline")]
     BodyTooSlow,
-    /// Bodies of other requests take all memory reserved for them.
-    #[display("bodies in flight take all memory reserved for them")]
+    /// The bodies of other requests in flight use all memory reserved for bodies.
+    #[display("the bodies of requests in flight use all memory reserved for bodies")]
     MemoryFull,
 }
 
-/// What `Token-Counts` says of a request; zeros where it says nothing.
+/// The values of the `Token-Counts` header; 0 where unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TokenCounts {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub(crate) prompt: u32,
-    /// Most tokens of the answer.
-    pub(crate) max_answer: u32,
+    /// Maximum number of output tokens.
+    pub(crate) max_output: u32,
 }
 
-/// A request that was read completely.
+/// A request that was read completely and validated.
 #[derive(Debug)]
 pub(crate) struct ClientRequest {
     method: Method,
     /// Path and query as the client sent them.
     target: Uri,
     pub(crate) host: String,
-    /// Fields that are passed along.
+    /// Header fields that are forwarded.
     headers: HeaderMap,
     body: Bytes,
     _memory: Reservation,
     pub(crate) arrived: Instant,
-    /// `Deadline-Remaining` as it arrived.
+    /// The value of `Deadline-Remaining` on arrival.
     pub(crate) deadline_remaining: Option<Duration>,
 }
 
 impl ClientRequest {
-    /// Reads a request's body and checks its head. The body is read first, so that whatever the answer, the
-    /// connection can take another request.
+    /// Reads a request's body and validates its head. The body is read first, so that the connection can be reused
+    /// whatever the response.
     pub(crate) async fn read(
         request: Request<Incoming>,
         body_limit: u64,
@@ -79,15 +79,15 @@
     ) -> Result<Self, RequestError> {
         let arrived = Instant::now();
         let (parts, body) = request.into_parts();
-        let deadline_remaining = headers::number(&parts.headers, &headers::DEADLINE_REMAINING);
+        let deadline_remaining = headers::integer(&parts.headers, &headers::DEADLINE_REMAINING);
         let deadline_remaining = deadline_remaining.map(Duration::from_millis);
         let mut reservation = memory.reserve();
         let body = if body.is_end_stream() {
             Bytes::new()
         } else {
             let collected = collect(body, body_limit, &mut reservation);
-            let limit = arrived + deadline_remaining.unwrap_or(BODY_TIMEOUT);
-            compio::time::timeout_at(limit, collected)
+            let body_deadline = arrived + deadline_remaining.unwrap_or(BODY_TIMEOUT);
+            compio::time::timeout_at(body_deadline, collected)
                 .await
                 .map_err(|_| RequestError::BodyTooSlow)??
         };
@@ -115,7 +115,7 @@
         self.method == Method::HEAD
     }
 
-    /// The request as it goes to a searcher, without the fields that the fleet adds.
+    /// The request to send to a searcher, without the header fields that the proxy adds for each send.
     pub(crate) fn to_forward(&self) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -124,35 +124,36 @@
         request
     }
 
-    /// The parts of the prompt, as `Prompt-Prefix` names them; what cannot be read ends the list.
+    /// The parts of the prompt listed in `Prompt-Prefix`, up to the first one that is malformed.
     pub(crate) fn prompt(&self) -> Vec<PromptPart> {
-        let value = headers::single(&self.headers, &headers::PROMPT_PREFIX);
+        let value = headers::single_value(&self.headers, &headers::PROMPT_PREFIX);
         let Some(text) = value.and_then(|value| value.to_str().ok()) else {
             return Vec::new();
         };
         text.split(',').map_while(prompt_part).collect()
     }
 
-    /// Whether there is a prompt that one searcher could read for another.
+    /// Whether the request has a prompt that a prefill searcher could prefill.
     pub(crate) fn has_prompt(&self) -> bool {
         self.headers.contains_key(headers::PROMPT_PREFIX) || self.token_counts().prompt > 0
     }
 
-    /// The value of `Token-Counts`.
+    /// The values of the `Token-Counts` header.
     pub(crate) fn token_counts(&self) -> TokenCounts {
-        let value = headers::single(&self.headers, &headers::TOKEN_COUNTS);
+        let value = headers::single_value(&self.headers, &headers::TOKEN_COUNTS);
         let text = value
             .and_then(|value| value.to_str().ok())
             .unwrap_or_default();
-        let (prompt, max_answer) = text.split_once(',').unwrap_or((text, ""));
+        let (prompt, max_output) = text.split_once(',').unwrap_or((text, ""));
         let number = |text: &str| text.trim().parse().unwrap_or(0);
         TokenCounts {
             prompt: number(prompt),
-            max_answer: number(max_answer),
+            max_output: number(max_output),
         }
     }
 }
 
+/// Parses one `id:tokens` entry of `Prompt-Prefix`; the id is in hexadecimal.
 fn prompt_part(text: &str) -> Option<PromptPart> {
     let (id, tokens) = text.trim().split_once(':')?;
     Some(PromptPart {
@@ -161,12 +162,13 @@
     })
 }
 
+/// Validates the head of a request; returns the host and the target without scheme and authority.
 fn check_head(parts: &Parts) -> Result<(String, Uri), RequestError> {
-    let host = headers::single(&parts.headers, &HOST).and_then(|host| host.to_str().ok());
+    let host = headers::single_value(&parts.headers, &HOST).and_then(|host| host.to_str().ok());
     let host = host
         .filter(|host| !host.is_empty())
         .ok_or(RequestError::BadHost)?;
-    let identifier = headers::single(&parts.headers, &headers::REQUEST_IDENTIFIER);
+    let identifier = headers::single_value(&parts.headers, &headers::REQUEST_IDENTIFIER);
     if identifier.is_none_or(HeaderValue::is_empty) {
         return Err(RequestError::MissingIdentifier);
     }
@@ -174,7 +176,7 @@
     Ok((host.to_owned(), Uri::from(target.clone())))
 }
 
-/// Reads a complete body, within a limit and the memory reserved.
+/// Reads a complete body within the size limit and the reserved memory. A body of one frame isn't copied.
 async fn collect(
     mut body: Incoming,
     limit: u64,
--- a/crates/lockusher-proxy/src/response.rs
+++ b/crates/lockusher-proxy/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: the proxy's own, and those relayed from searchers.
+//! Responses to clients: the proxy's own, and those forwarded from searchers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,79 +8,79 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-use crate::relay::{AnswerAborted, Relay};
+use crate::relay::{Relay, ResponseAborted};
 use crate::request::RequestError;
 
-/// When to come back after the proxy itself has no capacity or is not set up yet, in milliseconds.
+/// `Retry-After` if the proxy has no memory for the body or no configuration yet.
 const DEFAULT_RETRY_MS: u64 = 250;
 
-/// The body of an answer to a client.
+/// The body of a response to a client.
 #[derive(Debug)]
-pub(crate) enum AnswerBody {
+pub(crate) enum ResponseBody {
     /// Buffered completely.
     Buffered(Bytes),
-    /// Forwarded chunk by chunk as a searcher sends it.
+    /// Forwarded chunk by chunk as it arrives from a searcher.
     Relay(Box<Relay>),
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerAborted;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         match self.get_mut() {
-            AnswerBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
-            AnswerBody::Buffered(bytes) => {
+            ResponseBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            ResponseBody::Buffered(bytes) => {
                 Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes)))))
             }
-            AnswerBody::Relay(relay) => relay.poll_frame(cx),
+            ResponseBody::Relay(relay) => relay.poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Buffered(bytes) => bytes.is_empty(),
-            AnswerBody::Relay(_) => false,
+            ResponseBody::Buffered(bytes) => bytes.is_empty(),
+            ResponseBody::Relay(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            AnswerBody::Relay(relay) => relay.size_hint(),
+            ResponseBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            ResponseBody::Relay(relay) => relay.size_hint(),
         }
     }
 }
 
-/// An answer to a client.
-pub(crate) type Answer = Response<AnswerBody>;
+/// A response to a client.
+pub(crate) type ClientResponse = Response<ResponseBody>;
 
-/// An answer that the proxy itself gives.
-pub(crate) fn local(status: StatusCode) -> Answer {
-    let mut answer = Response::new(AnswerBody::Buffered(Bytes::new()));
-    *answer.status_mut() = status;
-    answer
+/// A response of the proxy itself, with an empty body.
+pub(crate) fn local(status: StatusCode) -> ClientResponse {
+    let mut response = Response::new(ResponseBody::Buffered(Bytes::new()));
+    *response.status_mut() = status;
+    response
 }
 
-/// 503: the request has not run and never will; come back after a while.
-pub(crate) fn refusal(retry_after_ms: u64) -> Answer {
-    let mut answer = local(StatusCode::SERVICE_UNAVAILABLE);
+/// 503 with `Retry-After`: the request has not run and will not run.
+pub(crate) fn refusal(retry_after_ms: u64) -> ClientResponse {
+    let mut response = local(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = format!("{}.{:03}", retry_after_ms / 1_000, retry_after_ms % 1_000);
-    let value = HeaderValue::try_from(seconds).expect("digits and a dot make a field value");
-    answer.headers_mut().insert(header::RETRY_AFTER, value);
-    answer
+    let value = HeaderValue::try_from(seconds).expect("digits and a dot are a valid header value");
+    response.headers_mut().insert(header::RETRY_AFTER, value);
+    response
 }
 
-/// 503 where it is unknown when there will be capacity.
-pub(crate) fn refusal_without_estimate() -> Answer {
+/// 503 with the default `Retry-After`, if it is unknown when there will be capacity.
+pub(crate) fn refusal_without_estimate() -> ClientResponse {
     refusal(DEFAULT_RETRY_MS)
 }
 
-/// The answer to a request that cannot be forwarded.
-pub(crate) fn rejection(error: RequestError) -> Answer {
+/// The response to a request that can't be forwarded.
+pub(crate) fn rejection(error: RequestError) -> ClientResponse {
     match error {
         RequestError::BadHost | RequestError::MissingIdentifier | RequestError::BadTarget => {
             local(StatusCode::BAD_REQUEST)
@@ -92,10 +92,10 @@
     }
 }
 
-/// The same answer, after which the client's connection is closed.
-pub(crate) fn closing(mut answer: Answer) -> Answer {
-    answer
+/// The response with `Connection: close`, so that the client's connection is closed after it.
+pub(crate) fn closing(mut response: ClientResponse) -> ClientResponse {
+    response
         .headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
-    answer
+    response
 }
--- a/crates/lockusher-proxy/src/serve.rs
+++ b/crates/lockusher-proxy/src/serve.rs
@@ -15,35 +15,36 @@
 use crate::client::registry::ClientRegistry;
 use crate::error::ProxyError;
 use crate::proxy_state::ProxyState;
-use crate::readiness::answer_readiness;
+use crate::readiness::serve_readiness;
 
-/// The platform detects within this time that a proxy is no longer ready.
+/// Time within which the platform detects that a proxy is no longer ready.
 const READINESS_DETECTION: Duration = Duration::from_secs(3);
 
-/// Where the grace is short, this part of it is left to the platform for that (eighths).
+/// The maximum fraction of the grace period that is left to the platform for that detection, in eighths.
 const READINESS_DETECTION_EIGHTHS: u32 = 3;
 
-/// Reserved of the grace for the end of the process itself.
+/// Part of the grace period that is reserved for the exit of the process.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(500);
 
-/// How often a draining proxy looks whether all requests are answered.
+/// Interval at which a draining proxy checks whether requests are in flight.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often this proxy looks whether something is to be logged of its service.
-const SERVICE_LOG_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which readiness and unserved requests are checked for log lines that are due.
+const STATUS_LOG_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Not being ready is logged after this time, and so often, in milliseconds.
+/// How long the proxy is not ready before this is logged first.
 const NOT_READY_LOG_DELAY_MS: u64 = 500;
+/// Interval between two log lines while the proxy is not ready.
 const NOT_READY_LOG_INTERVAL_MS: u64 = 2_000;
 
-/// Interval between two reports of this proxy's load.
+/// Interval between two reports of the load that this proxy puts on the searchers.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// [`run_and_report`] without reports.
+/// [`run_and_report`] without load reports.
 ///
 /// # Errors
 ///
-/// [`ProxyError`] if an address is missing or cannot be listened on.
+/// [`ProxyError`] if an address is missing from the settings or can't be listened on.
 pub async fn run(
     settings: NodeSettings,
     feed: impl Stream<Item = FeedUpdate> + 'static,
@@ -52,14 +53,14 @@
     run_and_report(settings, feed, |_| (), stop).await
 }
 
-/// Serves until `stop` is ready, and calls `report` twice a second with the load on the searchers.
+/// Serves until `stop` completes, and calls `report` twice a second with the load on the searchers.
 ///
-/// Then it shuts down gracefully: it is no longer ready, but serves on until the platform has detected that; from then it
-/// accepts no client, finishes the requests in flight and returns, within the grace.
+/// The shutdown is graceful: readiness probes fail at once, but the proxy continues to serve until the platform has
+/// detected that. Then it stops accepting clients, finishes the requests in flight and returns, within the grace period.
 ///
 /// # Errors
 ///
-/// [`ProxyError`] if an address is missing or cannot be listened on.
+/// [`ProxyError`] if an address is missing from the settings or can't be listened on.
 pub async fn run_and_report(
     settings: NodeSettings,
     feed: impl Stream<Item = FeedUpdate> + 'static,
@@ -80,14 +81,14 @@
     };
     let shared = ProxyState::new(&settings, rand::random());
     let clients = Rc::new(ClientRegistry::default());
-    // Tasks end when their handles are dropped.
+    // Dropping a task's handle cancels the task.
     let accepting = compio::runtime::spawn(accept_clients(shared.clone(), clients.clone(), front));
     let _tasks = [
-        compio::runtime::spawn(take_updates(shared.clone(), feed)),
-        compio::runtime::spawn(answer_readiness(shared.clone(), readiness)),
+        compio::runtime::spawn(apply_updates(shared.clone(), feed)),
+        compio::runtime::spawn(serve_readiness(shared.clone(), readiness)),
         compio::runtime::spawn(sweep(shared.clone(), clients.clone())),
         compio::runtime::spawn(report_loads(shared.clone(), report)),
-        compio::runtime::spawn(log_service(shared.clone())),
+        compio::runtime::spawn(log_status(shared.clone())),
     ];
     stop.await;
     let grace = Duration::from_millis(settings.bounds.grace_ms);
@@ -105,14 +106,16 @@
     Ok(())
 }
 
-async fn take_updates(shared: Rc<ProxyState>, feed: impl Stream<Item = FeedUpdate>) {
+/// Applies the updates of the feed until it ends.
+async fn apply_updates(shared: Rc<ProxyState>, feed: impl Stream<Item = FeedUpdate>) {
     let mut feed = std::pin::pin!(feed);
     while let Some(update) = feed.next().await {
         shared.apply(update);
     }
-    log::warn!("the feed ended; serving on with the last state");
+    log::warn!("the feed ended; serving with the last configuration and instance list");
 }
 
+/// Reports the load on the searchers periodically; runs until it is cancelled.
 async fn report_loads(shared: Rc<ProxyState>, report: impl Fn(Vec<ServiceLoad>)) {
     loop {
         compio::time::sleep(LOAD_REPORT_INTERVAL).await;
@@ -123,12 +126,12 @@
     }
 }
 
-/// Logs while this proxy lacks what it needs to be ready, and why requests aren't served, for ever.
-async fn log_service(shared: Rc<ProxyState>) {
+/// Logs why this proxy isn't ready and why requests aren't served; runs until it is cancelled.
+async fn log_status(shared: Rc<ProxyState>) {
     let mut not_ready = RecurrenceLog::new(NOT_READY_LOG_DELAY_MS, NOT_READY_LOG_INTERVAL_MS);
     let mut has_been_ready = false;
     loop {
-        compio::time::sleep(SERVICE_LOG_INTERVAL).await;
+        compio::time::sleep(STATUS_LOG_INTERVAL).await;
         let now_ms = shared.clock.millis();
         match shared.missing() {
             Some(missing) => {
@@ -146,19 +149,19 @@
     }
 }
 
-/// Waits until no request is in flight and none has come since the last look, at most until `last`.
-async fn drain_requests(shared: &ProxyState, last: Instant) {
+/// Waits until no request is in flight and none was accepted since the last check, at most until `deadline`.
+async fn drain_requests(shared: &ProxyState, deadline: Instant) {
     let mut accepted = shared.requests_accepted();
-    while Instant::now() < last {
+    while Instant::now() < deadline {
         compio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
-        let quiet = shared.requests_in_flight() == 0 && shared.requests_accepted() == accepted;
-        if quiet {
+        let is_idle = shared.requests_in_flight() == 0 && shared.requests_accepted() == accepted;
+        if is_idle {
             return;
         }
         accepted = shared.requests_accepted();
     }
     log::warn!(
-        "ended with {} requests in flight",
+        "shut down with {} requests in flight",
         shared.requests_in_flight()
     );
 }
--- a/crates/lockusher-proxy/src/timer.rs
+++ b/crates/lockusher-proxy/src/timer.rs
@@ -1,4 +1,4 @@
-//! Waits that a timer ends.
+//! A timeout by a timer that is shared by several waits.
 
 use std::future::{Future, poll_fn};
 use std::pin::{Pin, pin};
@@ -6,22 +6,22 @@
 
 use compio::time::Sleep;
 
-/// The deadline of a request or of one of its calls has passed.
+/// The timer has elapsed before the future completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DeadlineExceeded;
 
-/// Waits for a future, but no longer than the timer runs.
+/// Waits for a future until the timer elapses.
 ///
 /// # Errors
 ///
-/// [`DeadlineExceeded`] if the timer ended first.
-pub(crate) async fn until<F: Future>(
+/// [`DeadlineExceeded`] if the timer elapses first.
+pub(crate) async fn run_until<F: Future>(
     timer: &mut Sleep,
-    awaited: F,
+    future: F,
 ) -> Result<F::Output, DeadlineExceeded> {
-    let mut awaited = pin!(awaited);
+    let mut future = pin!(future);
     poll_fn(|cx| {
-        if let Poll::Ready(output) = awaited.as_mut().poll(cx) {
+        if let Poll::Ready(output) = future.as_mut().poll(cx) {
             return Poll::Ready(Ok(output));
         }
         Pin::new(&mut *timer)
--- a/crates/lockusher-proxy/src/unserved.rs
+++ b/crates/lockusher-proxy/src/unserved.rs
@@ -1,14 +1,14 @@
-//! Why requests aren't served: a count by reason and service, logged once a second while there is something to log.
+//! Counts the requests that no searcher served, by reason and service, for a summary in the log at most once a second.
 //!
-//! Owned by the state that the tasks of a proxy share; `forward` records each answer that the proxy gives in
-//! place of a searcher's. No I/O and no clock.
+//! Part of `ProxyState`; `forward` records each response of the proxy itself that replaces a searcher's. No I/O and no
+//! clock.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 
 use derive_more::Display;
 
-/// Time between two lines, in milliseconds.
+/// Time covered by one summary.
 const SUMMARY_INTERVAL_MS: u64 = 1_000;
 
 /// Why the proxy answers a request itself.
@@ -17,28 +17,28 @@
     /// This proxy has no configuration yet.
     #[display("no-configuration")]
     NoConfiguration,
-    /// Admission control rejected it: too many wait, or its time was over.
+    /// Admission control refused the request: too many requests wait, or its deadline has passed.
     #[display("not-admitted")]
     NotAdmitted,
-    /// No searcher of the stage that it needs may take it.
+    /// No searcher of the stage that the request needs is available.
     #[display("no-searcher")]
     NoSearcher,
-    /// This proxy may open no further connection to the searchers.
+    /// This proxy has reached its limit of connections to the searchers.
     #[display("connection-limit")]
     ConnectionLimit,
-    /// No connection to a searcher came up.
+    /// No connection to a searcher could be established.
     #[display("unreachable")]
     Unreachable,
-    /// Searchers rejected it: they are full, or warming up.
+    /// Searchers rejected the request because they are full or warming up.
     #[display("rejected-by-searchers")]
     Rejected,
-    /// Searchers said that they are others than listed, or of another stage.
+    /// Searchers reported that the address belongs to another searcher or stage.
     #[display("misdirected")]
     Misdirected,
-    /// A connection broke after the request was sent, or the answer can't be used.
+    /// A connection broke after the request was sent, or the response was invalid.
     #[display("broken")]
     Broken,
-    /// Time ran out at a searcher.
+    /// The deadline passed while a searcher was processing the request.
     #[display("timed-out")]
     TimedOut,
 }
@@ -46,17 +46,17 @@
 /// The searchers of one service, as this proxy knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SearcherCounts {
-    /// Listed, whatever their state.
+    /// All listed searchers, ready or not.
     pub listed: usize,
-    /// Ready, without a stage.
+    /// Ready searchers without a stage.
     pub plain: usize,
-    /// Ready to prefill.
+    /// Ready prefill searchers.
     pub prefill: usize,
-    /// Ready to decode.
+    /// Ready decode searchers.
     pub decode: usize,
-    /// Of the ready ones, those that are in slow start.
+    /// Ready searchers in slow start.
     pub warming_up: usize,
-    /// Of the ready ones, those whose last sends failed.
+    /// Ready searchers whose last sends failed.
     pub failing: usize,
 }
 
@@ -70,22 +70,22 @@
     }
 }
 
-/// Counts since the last line.
+/// The counts since the last summary.
 #[derive(Debug, Default)]
 pub struct UnservedSummary {
     counts: BTreeMap<(String, UnservedReason), u64>,
-    /// When the first count was recorded, in milliseconds.
+    /// When the first request since the last summary was recorded, in milliseconds.
     since_ms: Option<u64>,
 }
 
 impl UnservedSummary {
-    /// Records a request that the proxy answered itself; `service` is empty if its route isn't known.
+    /// Records a request that no searcher served; `service` is empty if it isn't known.
     pub fn record(&mut self, now_ms: u64, service: &str, reason: UnservedReason) {
         self.since_ms.get_or_insert(now_ms);
         *self.counts.entry((service.to_owned(), reason)).or_default() += 1;
     }
 
-    /// One line for each service, if they are due; `counts_of` says what searchers a service has.
+    /// Returns one line for each service if a summary is due; `counts_of` returns the searchers of a service.
     pub fn take_lines(
         &mut self,
         now_ms: u64,
@@ -107,6 +107,7 @@
     }
 }
 
+/// The log line for one service.
 fn describe(
     span_ms: u64,
     service: &str,
@@ -115,7 +116,7 @@
 ) -> String {
     let mut line = format!("unserved in {span_ms} ms:");
     for (reason, count) in reasons {
-        // Writing to a string doesn't fail.
+        // Writing to a string can't fail.
         let _ = write!(line, " {reason}={count}");
     }
     if !service.is_empty() {
--- a/crates/lockusher-proxy/src/upstream/connection.rs
+++ b/crates/lockusher-proxy/src/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection to a searcher. It is driven by whoever uses it, without a task of its own, so that
-//! dropping it closes the socket at once.
+//! One HTTP/1.1 connection to a searcher. It has no task of its own but is polled by its user, so that dropping it closes
+//! the socket at once.
 
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
@@ -23,39 +23,41 @@
 use crate::descriptors::DescriptorPermit;
 use crate::headers;
 
-/// A machine that is there answers an opening packet within this; one that is dead says nothing.
+/// Timeout for connecting. A live machine acknowledges a SYN within this time, a dead one never does.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The kernel gives a connection up when sent bytes stay unacknowledged for this long.
+/// The kernel closes a connection whose sent bytes stay unacknowledged for this time (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A silent connection is probed after this time, and so often: a dead machine ends no connection by itself.
-const KEEP_ALIVE_PERIOD: Duration = Duration::from_secs(1);
+/// Idle time before the first TCP keep-alive probe, and interval between probes: a dead machine doesn't close its
+/// connections.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a connection may be idle where the searcher advertises no time: its buffers cost memory, a new one a handshake.
+/// Idle timeout of a pooled connection if the searcher advertises none. An idle connection takes memory for its buffers,
+/// a new one costs a handshake.
 const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(12);
 
 type Io = HyperStream<PollFd<Socket>>;
 
-/// Why a request got no answer on a connection.
+/// Why a request received no response on a connection.
 #[derive(Debug, Display, Error)]
 pub(crate) enum ExchangeError {
-    /// Not a byte of the request was written.
-    #[display("closed before the request was written")]
+    /// No byte of the request was written.
+    #[display("connection closed before the request was written")]
     NotWritten,
     /// The request may have reached the searcher.
-    #[display("no answer: {_0}")]
+    #[display("no response: {_0}")]
     Broken(#[error(ignore)] hyper::Error),
 }
 
-/// A connection that holds one request at a time.
+/// A connection that carries one request at a time.
 pub(crate) struct UpstreamConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: Connection<Io, Full<Bytes>>,
     /// The connection has ended; it must not be polled again.
     ended: bool,
-    /// The searcher announced that it closes the connection after the answer.
-    closes_after_answer: bool,
+    /// The searcher sent `Connection: close` with the response.
+    closes_after_response: bool,
     idle_limit: Duration,
     idle_since: Instant,
     _permit: ConnectionPermit,
@@ -70,10 +72,10 @@
 }
 
 impl UpstreamConnection {
-    /// Dials a searcher. An error proves that nothing was sent.
+    /// Connects to a searcher. An error proves that no request was sent.
     pub(crate) async fn open(address: SocketAddrV4, permit: ConnectionPermit) -> io::Result<Self> {
-        let dial = compio::time::timeout(CONNECT_TIMEOUT, dial(address));
-        let stream = dial
+        let connecting = compio::time::timeout(CONNECT_TIMEOUT, connect(address));
+        let stream = connecting
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
         let handshake = Builder::new().handshake(HyperStream::new_plain(stream));
@@ -82,25 +84,25 @@
             sender,
             connection,
             ended: false,
-            closes_after_answer: false,
+            closes_after_response: false,
             idle_limit: DEFAULT_IDLE_LIMIT,
             idle_since: Instant::now(),
             _permit: permit,
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        let mut answer = pin!(self.sender.try_send_request(request));
+        let mut pending = pin!(self.sender.try_send_request(request));
         let result = poll_fn(|cx| {
-            if let Poll::Ready(result) = answer.as_mut().poll(cx) {
+            if let Poll::Ready(result) = pending.as_mut().poll(cx) {
                 return Poll::Ready(result);
             }
-            self.ended |= drive(&mut self.connection, self.ended, cx);
-            answer.as_mut().poll(cx)
+            self.ended |= poll_connection(&mut self.connection, self.ended, cx);
+            pending.as_mut().poll(cx)
         })
         .await;
         let response = result.map_err(|mut error| match error.take_message() {
@@ -111,28 +113,28 @@
         Ok(response)
     }
 
-    /// Takes what the answer's head says of the connection.
-    fn apply_connection_fields(&mut self, answer: &HeaderMap) {
-        if headers::says_close(answer) {
-            self.closes_after_answer = true;
+    /// Applies the header fields of a response that concern the connection.
+    fn apply_connection_fields(&mut self, response: &HeaderMap) {
+        if headers::has_close_option(response) {
+            self.closes_after_response = true;
         }
-        if let Some(seconds) = headers::keep_alive_seconds(answer) {
+        if let Some(seconds) = headers::keep_alive_seconds(response) {
             self.idle_limit = idle_limit_for(Duration::from_secs(seconds));
         }
     }
 
-    /// Lets the connection read and write; true if it has ended.
+    /// Polls the connection, so that it reads and writes; true if it has ended.
     pub(crate) fn poll_drive(&mut self, cx: &mut Context<'_>) -> bool {
-        self.ended |= drive(&mut self.connection, self.ended, cx);
+        self.ended |= poll_connection(&mut self.connection, self.ended, cx);
         self.ended
     }
 
-    /// Whether another request may be sent: the last answer was complete, nothing followed it, neither side closed.
+    /// Whether another request may be sent: the last response was complete, no bytes followed it, and neither side closed.
     pub(crate) fn poll_reusable(&mut self, cx: &mut Context<'_>) -> bool {
-        !self.closes_after_answer && !self.poll_drive(cx) && self.sender.is_ready()
+        !self.closes_after_response && !self.poll_drive(cx) && self.sender.is_ready()
     }
 
-    /// Waits for something that the connection brings, such as the rest of a body.
+    /// Waits for a future that depends on the connection, such as the rest of a body, while polling the connection.
     pub(crate) async fn drive_while<F: Future>(&mut self, awaited: F) -> F::Output {
         let mut awaited = pin!(awaited);
         poll_fn(|cx| {
@@ -150,25 +152,30 @@
         poll_fn(|cx| Poll::Ready(self.poll_reusable(cx))).await
     }
 
-    /// Starts the time for which the connection is idle.
+    /// Records the start of the connection's idle time.
     pub(crate) fn mark_idle(&mut self, now: Instant) {
         self.idle_since = now;
     }
 
-    /// Whether it has been idle for so long that the searcher may soon close it.
-    pub(crate) fn is_idle_for_too_long(&self, now: Instant) -> bool {
+    /// Whether the connection has been idle for so long that the searcher may soon close it.
+    pub(crate) fn is_idle_expired(&self, now: Instant) -> bool {
         now.duration_since(self.idle_since) >= self.idle_limit
     }
 }
 
-/// Well before the time at which the searcher closes an idle connection.
+/// The idle limit for an advertised timeout: 1.5 s less, but at least a third of it, so that no request is sent on a
+/// connection that the searcher is about to close.
 fn idle_limit_for(advertised: Duration) -> Duration {
-    let early = advertised.saturating_sub(Duration::from_millis(1_500));
-    early.max(advertised / 3).min(DEFAULT_IDLE_LIMIT)
+    let reduced = advertised.saturating_sub(Duration::from_millis(1_500));
+    reduced.max(advertised / 3).min(DEFAULT_IDLE_LIMIT)
 }
 
-/// Polls a connection that has not ended; true if it has ended by now.
-fn drive(connection: &mut Connection<Io, Full<Bytes>>, ended: bool, cx: &mut Context<'_>) -> bool {
+/// Polls a connection unless it has ended; true if it has ended.
+fn poll_connection(
+    connection: &mut Connection<Io, Full<Bytes>>,
+    ended: bool,
+    cx: &mut Context<'_>,
+) -> bool {
     if ended {
         return true;
     }
@@ -176,13 +183,14 @@
         Poll::Pending => false,
         Poll::Ready(Ok(())) => true,
         Poll::Ready(Err(error)) => {
-            log::debug!("connection to a searcher ended: {error}");
+            log::debug!("searcher connection ended: {error}");
             true
         }
     }
 }
 
-async fn dial(address: SocketAddrV4) -> io::Result<PollFd<Socket>> {
+/// Opens a non-blocking TCP connection with the timeouts and keep-alive probes above.
+async fn connect(address: SocketAddrV4) -> io::Result<PollFd<Socket>> {
     let socket = Socket::new(
         Domain::IPV4,
         Type::STREAM.nonblocking(),
@@ -191,15 +199,15 @@
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(KEEP_ALIVE_PERIOD)
-        .with_interval(KEEP_ALIVE_PERIOD);
+        .with_time(KEEP_ALIVE_INTERVAL)
+        .with_interval(KEEP_ALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes.with_retries(1))?;
     let stream = PollFd::new(socket)?;
     stream.connect(&SockAddr::from(address)).await?;
     Ok(stream)
 }
 
-/// Permit for one of the connections that a searcher may have from this proxy; given back when dropped.
+/// A permit for one of the connections that this proxy may have to a searcher; released when dropped.
 #[derive(Debug)]
 pub(crate) struct ConnectionPermit {
     open: Rc<Cell<u32>>,
--- a/crates/lockusher-proxy/src/upstream/exchange.rs
+++ b/crates/lockusher-proxy/src/upstream/exchange.rs
@@ -1,7 +1,7 @@
-//! One request sent to one searcher, up to the head of its answer, which is checked: it must name the request.
+//! Sends one request to one searcher and receives the head of the response, which must carry the request's identifier.
 //!
-//! Called by `attempts` and `prefill`. A [`SendFailure`] says whether the request may have run. Source: the operators' pages
-//! (PROTOCOL, "Searchers").
+//! Called by `attempts` and `prefill`. A [`SendFailure`] shows whether the request may have run; the rules for that are
+//! in the protocol documentation (PROTOCOL, "Searchers").
 
 use std::error::Error as _;
 use std::io;
@@ -22,46 +22,46 @@
 use crate::proxy_state::ProxyState;
 use crate::unserved::UnservedReason;
 
-/// A rejection whose body is longer is not read for the sake of its connection.
+/// If the body of a rejection is longer, the connection is closed instead of reused.
 const MAX_REJECTION_BYTES: usize = 16 * 1_024;
 
-/// Nor is one that takes longer.
+/// If reading the body of a rejection takes longer, the connection is closed instead of reused.
 const REJECTION_READ_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where a request is sent.
+/// The searcher that a request is sent to.
 #[derive(Clone, Debug)]
 pub(crate) struct Destination {
     pub(crate) identifier: String,
     pub(crate) address: String,
 }
 
-/// Why a send came to no answer that may be used.
+/// Why a send produced no valid response.
 #[derive(Debug, Display, Error)]
 pub(crate) enum SendFailure {
-    /// This proxy may not open another connection to that searcher now.
-    #[display("no connection to spare")]
+    /// This proxy has reached its limit of connections to the searcher.
+    #[display("connection limit reached")]
     AtLimit,
-    /// No connection came up, or it closed before a byte of the request was written.
+    /// No connection was established, or it closed before a byte of the request was written.
     #[display("unreachable")]
     Unreachable,
     /// The searcher rejected the request without running it.
     #[display("rejected with {status}")]
     Rejected { status: StatusCode },
-    /// The address or the stage is another's (421).
+    /// The address belongs to another searcher or stage (421).
     #[display("misdirected")]
     Misdirected,
-    /// Anything else: the request may have run.
+    /// Any other failure: the request may have run.
     #[display("broken")]
     Broken,
 }
 
 impl SendFailure {
-    /// Whether it is certain that the request has not run and never will.
+    /// Whether the failure proves that the request has not run and will not run.
     pub(crate) fn proves_not_run(&self) -> bool {
         !matches!(self, SendFailure::Broken)
     }
 
-    /// Why a request isn't served if no other send succeeds.
+    /// The reason to count if the request isn't served in the end.
     pub(crate) fn unserved_reason(&self) -> UnservedReason {
         match self {
             SendFailure::AtLimit => UnservedReason::ConnectionLimit,
@@ -83,18 +83,18 @@
     }
 }
 
-/// The head of an answer that names the request, with the connection that carries its body.
+/// A response whose head belongs to the request, with the connection that its body is read from.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: UpstreamConnection,
 }
 
-/// Sends a request to a searcher and checks the head of the answer.
+/// Sends a request to a searcher and validates the head of the response.
 ///
 /// # Errors
 ///
-/// A [`SendFailure`] that says whether the request may have run.
+/// A [`SendFailure`], which shows whether the request may have run.
 pub(crate) async fn exchange(
     shared: &Rc<ProxyState>,
     destination: &Destination,
@@ -105,10 +105,10 @@
         .pool
         .checkout(&destination.identifier, &destination.address)
         .await;
-    let mut connection = checkout.map_err(|error| failed_checkout(shared, destination, &error))?;
+    let mut connection = checkout.map_err(|error| checkout_failure(shared, destination, &error))?;
     let sent = connection.send(request).await;
-    let response = sent.map_err(|error| failed_exchange(shared, destination, &error))?;
-    let checked = check_answer_head(
+    let response = sent.map_err(|error| exchange_failure(shared, destination, &error))?;
+    let checked = check_response_head(
         destination,
         response.headers(),
         response.status(),
@@ -133,7 +133,7 @@
     })
 }
 
-/// Reads the rest of a rejection in a task of its own, so that its connection can serve another request.
+/// Reads the body of a rejection in a separate task, so that its connection can be reused.
 async fn drain_rejection(
     shared: Rc<ProxyState>,
     destination: Destination,
@@ -147,7 +147,8 @@
     }
 }
 
-fn failed_checkout(
+/// Logs a failed checkout and converts it; closes the idle connections to an unreachable searcher.
+fn checkout_failure(
     shared: &ProxyState,
     destination: &Destination,
     error: &CheckoutError,
@@ -163,7 +164,8 @@
     }
 }
 
-fn failed_exchange(
+/// Logs a failed exchange and converts it; closes the idle connections to a searcher that acknowledges nothing.
+fn exchange_failure(
     shared: &ProxyState,
     destination: &Destination,
     error: &ExchangeError,
@@ -180,7 +182,7 @@
     }
 }
 
-/// Whether the kernel gave the connection up because nothing was acknowledged: the machine may be dead.
+/// Whether the kernel closed the connection because sent bytes weren't acknowledged: the machine may be dead.
 pub(crate) fn is_acknowledgement_timeout(error: &hyper::Error) -> bool {
     let cause = error
         .source()
@@ -188,25 +190,31 @@
     cause.is_some_and(|cause| cause.kind() == io::ErrorKind::TimedOut)
 }
 
-/// Whether the head of an answer is this request's, and no rejection.
-fn check_answer_head(
+/// Checks that the head of a response belongs to the request, has unambiguous framing and is no rejection.
+fn check_response_head(
     destination: &Destination,
-    answer: &HeaderMap,
+    response: &HeaderMap,
     status: StatusCode,
     identifier: Option<&HeaderValue>,
 ) -> Result<(), SendFailure> {
-    if headers::single(answer, &headers::REQUEST_IDENTIFIER) != identifier {
-        log::debug!("{}: the answer names another request", destination.address);
+    if headers::single_value(response, &headers::REQUEST_IDENTIFIER) != identifier {
+        log::debug!(
+            "{}: the response carries another request identifier",
+            destination.address
+        );
         return Err(SendFailure::Broken);
     }
-    if !headers::has_plain_framing(answer) {
-        log::debug!("{}: the answer's framing is ambiguous", destination.address);
+    if !headers::has_unambiguous_framing(response) {
+        log::debug!(
+            "{}: the response has ambiguous framing",
+            destination.address
+        );
         return Err(SendFailure::Broken);
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Err(SendFailure::Misdirected);
     }
-    if answer.contains_key(headers::NOT_EXECUTED) {
+    if response.contains_key(headers::NOT_EXECUTED) {
         return Err(SendFailure::Rejected { status });
     }
     Ok(())
--- a/crates/lockusher-proxy/src/upstream/mod.rs
+++ b/crates/lockusher-proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to searchers: dialled, pooled by incarnation, one request at a time.
+//! Connections to searchers: opened on demand, pooled by incarnation, with one request at a time.
 
 pub(crate) mod connection;
 pub(crate) mod exchange;
--- a/crates/lockusher-proxy/src/upstream/pool.rs
+++ b/crates/lockusher-proxy/src/upstream/pool.rs
@@ -1,7 +1,7 @@
-//! Connection pool: idle connections by incarnation of a searcher, as addresses may pass to other services.
+//! Connection pool: keeps idle connections by incarnation of a searcher, as an address may be reassigned to another service.
 //!
-//! Each searcher's connections are limited by this proxy's quota of the service's `connectionLimit`. `exchange` checks
-//! connections out and in; the feed's updates change limits and searchers.
+//! The connections to each searcher are limited by this proxy's quota of the service's `connectionLimit`. `exchange` checks
+//! connections out and in; updates of the configuration and the instance list change limits and searchers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,23 +17,23 @@
 use super::connection::{ConnectionPermit, UpstreamConnection};
 use crate::descriptors::Descriptors;
 
-/// Proxies assumed to share a searcher's connections until the fleet's size is known.
+/// Number of proxies assumed to share a searcher's connections until the fleet size is known.
 const ASSUMED_PROXIES: u32 = 16;
 
-/// Connections a searcher may have from one proxy before its service's limit is known.
+/// Limit of this proxy's connections to one searcher until the limit of the service is known.
 const ASSUMED_LIMIT: u32 = 4;
 
-/// Why no connection could be had; nothing was sent.
+/// Why there is no connection for a request; no request was sent.
 #[derive(Debug, Display, Error)]
 pub(crate) enum CheckoutError {
-    /// The listed address is none.
-    #[display("the address {address:?} cannot be read")]
+    /// The listed address can't be parsed.
+    #[display("invalid address {address:?}")]
     BadAddress { address: String },
-    /// The quota of connections to this searcher is used up.
-    #[display("all connections that this proxy may have are in use")]
+    /// This proxy's quota of connections to the searcher is used up.
+    #[display("connection quota exhausted")]
     AtLimit,
     /// The connection could not be established.
-    #[display("no connection came up: {_0}")]
+    #[display("cannot connect: {_0}")]
     Unreachable(io::Error),
 }
 
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     searchers: RefCell<HashMap<String, SearcherConnections>>,
-    /// Connections that one searcher accepts from all callers, by service.
+    /// The number of connections that one searcher accepts from all proxies, by service.
     limits: RefCell<HashMap<String, u32>>,
     proxies: Cell<Option<u32>>,
     descriptors: Rc<Descriptors>,
@@ -50,10 +50,10 @@
 #[derive(Debug)]
 struct SearcherConnections {
     service: String,
-    /// Whether idle connections are pooled for another request: the searcher is listed and ready.
-    pools_idle: bool,
+    /// Whether idle connections are kept for reuse; false while the searcher is draining.
+    keeps_idle: bool,
     idle: Vec<UpstreamConnection>,
-    /// Connections open, in use or idle.
+    /// Number of open connections, in use or idle.
     open: Rc<Cell<u32>>,
 }
 
@@ -73,7 +73,8 @@
         *self.limits.borrow_mut() = limits.collect();
     }
 
-    /// Closes idle connections to searchers that are draining or gone, and pools none of theirs from now on.
+    /// Closes the idle connections to searchers that are draining or no longer listed, and keeps none for reuse from then
+    /// on.
     pub(crate) fn apply_instances(&self, instances: &[Instance]) {
         let mut old = self.searchers.take();
         let listed = instances.iter().map(|instance| {
@@ -81,12 +82,12 @@
                 old.remove(&instance.identifier)
                     .unwrap_or_else(|| SearcherConnections {
                         service: instance.service.clone(),
-                        pools_idle: true,
+                        keeps_idle: true,
                         idle: Vec::new(),
                         open: Rc::default(),
                     });
-            connections.pools_idle = instance.state != InstanceState::Draining;
-            if !connections.pools_idle {
+            connections.keeps_idle = instance.state != InstanceState::Draining;
+            if !connections.keeps_idle {
                 connections.idle.clear();
             }
             (instance.identifier.clone(), connections)
@@ -98,7 +99,7 @@
         self.proxies.set(Some(proxies.max(1)));
     }
 
-    /// A connection on which nothing is pending: an idle one that is still alive, else a new one.
+    /// A connection without a request: an idle one that is still open, otherwise a new one.
     pub(crate) async fn checkout(
         &self,
         identifier: &str,
@@ -124,8 +125,8 @@
         let mut searchers = self.searchers.borrow_mut();
         let idle = &mut searchers.get_mut(identifier)?.idle;
         let connection = idle.pop()?;
-        if connection.is_idle_for_too_long(Instant::now()) {
-            // Those below it have been idle for longer.
+        if connection.is_idle_expired(Instant::now()) {
+            // The connections below it have been idle for longer.
             idle.clear();
             return None;
         }
@@ -150,27 +151,27 @@
         Some(ConnectionPermit::new(open, self.descriptors.acquire()))
     }
 
-    /// Connections that this proxy may have to one searcher of a service.
+    /// The number of connections that this proxy may have to one searcher of a service.
     fn connection_quota(&self, service: &str) -> u32 {
         let limit = self.limits.borrow().get(service).copied();
         let proxies = self.proxies.get().unwrap_or(ASSUMED_PROXIES);
         limit.map_or(ASSUMED_LIMIT, |limit| (limit / proxies).max(1))
     }
 
-    /// Takes a connection back after a complete answer, if it can serve another request.
+    /// Returns a reusable connection to the pool after a complete response.
     pub(crate) fn checkin(&self, identifier: &str, mut connection: UpstreamConnection) {
         let mut searchers = self.searchers.borrow_mut();
         let Some(connections) = searchers.get_mut(identifier) else {
             return;
         };
-        if connections.pools_idle {
+        if connections.keeps_idle {
             connection.mark_idle(Instant::now());
             connections.idle.push(connection);
         }
     }
 
-    /// Closes the idle connections to a searcher that seems dead: a send on one could not be proven not to have
-    /// run, while a connection that does not come up proves it.
+    /// Closes the idle connections to a searcher that seems dead. A request sent on one of them may have run, whereas a
+    /// failure to connect proves that it has not.
     pub(crate) fn close_idle_to(&self, identifier: &str) {
         if let Some(connections) = self.searchers.borrow_mut().get_mut(identifier) {
             connections.idle.clear();
@@ -183,7 +184,7 @@
         for connections in self.searchers.borrow_mut().values_mut() {
             connections
                 .idle
-                .retain(|connection| !connection.is_idle_for_too_long(now));
+                .retain(|connection| !connection.is_idle_expired(now));
         }
     }
 
