--- a/crates/lockusher-proxy/tests/modules.rs
+++ b/crates/lockusher-proxy/tests/modules.rs
@@ -1,4 +1,4 @@
-//! The modules of the proxy lie in layers: none imports from one that imports from it.
+//! The modules of the proxy form layers: there are no import cycles.
 
 #[path = "../../../tests/support/module_layers.rs"]
 mod module_layers;
@@ -12,7 +12,7 @@
     let modules = ModuleGraph::of_package(env!("CARGO_MANIFEST_DIR"));
     assert!(
         modules.module_count() > 40,
-        "the sources were found: {modules:?}"
+        "too few modules found: {modules:?}"
     );
     modules.cycles()
 }
@@ -22,12 +22,12 @@
 }
 
 #[test]
-fn no_module_imports_from_one_that_imports_from_it() {
+fn modules_have_no_import_cycles() {
     assert_eq!(proxy_cycles(), Vec::new());
 }
 
 #[test]
-fn the_decisions_lie_in_layers() {
+fn decision_modules_have_no_import_cycles() {
     let modules = modules_of_cycles();
 
     assert!(
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_answer_needs_its_relay_and_not_the_other_way_round() {
+fn response_and_relay_are_in_no_import_cycle() {
     let modules = modules_of_cycles();
 
     assert!(
@@ -50,11 +50,11 @@
     none = { &[("a", "b"), ("b", "c")], 0 },
     of_two = { &[("a", "b"), ("b", "a"), ("c", "d")], 2 },
 )]
-fn a_circle_is_found(needs: &[(&str, &str)], modules: usize) {
+fn an_import_cycle_is_detected(imports: &[(&str, &str)], modules: usize) {
     let source =
         |(from, to): &(&str, &str)| (format!("{from}.rs"), format!("use crate::{to}::Item;"));
 
-    let cycles = ModuleGraph::of_sources(needs.iter().map(source)).cycles();
+    let cycles = ModuleGraph::of_sources(imports.iter().map(source)).cycles();
 
     assert_eq!(cycles.iter().map(BTreeSet::len).sum::<usize>(), modules);
 }
--- a/crates/lockusher-proxy/tests/traffic_split.rs
+++ b/crates/lockusher-proxy/tests/traffic_split.rs
@@ -1,15 +1,17 @@
-//! A route's requests are spread over its services by weight.
+//! The requests of a route are split between its services in proportion to their weights.
 
 use lockusher_config::configuration::{Configuration, Route};
 use lockusher_proxy::traffic_split::TrafficSplits;
 use proptest::prelude::*;
 
 const REQUESTS: usize = 2_000;
-/// Every run of so many consecutive requests is looked at.
+/// Length of the windows of consecutive requests that are checked.
 const WINDOW: usize = 200;
-/// By how much a share may differ from its weight's in such a window. Independent draws differ by 0.1 somewhere.
-const MOST_OFF: f64 = 0.03;
+/// Maximum difference between a service's share of a window and its share of the weights. With independent random choices
+/// the difference reaches 0.1 in some window.
+const MAX_DEVIATION: f64 = 0.03;
 
+/// A route of a parsed configuration, with one service per weight.
 fn route(name: &str, weights: &[u32]) -> Route {
     let services: Vec<serde_json::Value> = (0..weights.len())
         .map(|number| serde_json::json!({"name": format!("s{number}"), "healthCheck": "/h", "connectionLimit": 5, "protocol": "h1", "transportSecurity": false}))
@@ -31,17 +33,17 @@
     configuration.routes[0].clone()
 }
 
-/// The numbers of the services that took the requests, in order.
+/// The numbers of the services chosen for consecutive requests.
 fn chosen(splits: &mut TrafficSplits, route: &Route, requests: usize) -> Vec<usize> {
     (0..requests)
         .map(|_| splits.choose(route)[1..].parse().expect("a number"))
         .collect()
 }
 
-/// How many of the first requests went to the service, for every number of them.
+/// For each n up to the number of requests: how many of the first n requests went to the service.
 fn counts_up_to(chosen: &[usize], service: usize) -> Vec<u32> {
-    let counts = chosen.iter().scan(0, |count, taker| {
-        *count += u32::from(*taker == service);
+    let counts = chosen.iter().scan(0, |count, chosen_service| {
+        *count += u32::from(*chosen_service == service);
         Some(*count)
     });
     std::iter::once(0).chain(counts).collect()
@@ -49,7 +51,7 @@
 
 proptest! {
     #[test]
-    fn every_window_keeps_to_the_weights(
+    fn every_window_follows_the_weights(
         weights in proptest::collection::vec(0u32..100, 2..5)
             .prop_filter("some weight", |weights| weights.iter().any(|weight| *weight > 0)),
         start in 0.0f64..1.0,
@@ -57,46 +59,46 @@
         let chosen = chosen(&mut TrafficSplits::new(start), &route("r", &weights), REQUESTS);
         let total: u32 = weights.iter().sum();
         for (service, weight) in weights.iter().enumerate() {
-            let owed = f64::from(*weight) / f64::from(total);
-            let counted = counts_up_to(&chosen, service);
-            for (before, up_to) in counted.iter().zip(&counted[WINDOW..]) {
-                let share = f64::from(up_to - before) / WINDOW as f64;
-                prop_assert!((share - owed).abs() <= MOST_OFF, "service {service}: {share} of {owed}");
+            let expected = f64::from(*weight) / f64::from(total);
+            let counts = counts_up_to(&chosen, service);
+            for (before, after) in counts.iter().zip(&counts[WINDOW..]) {
+                let share = f64::from(after - before) / WINDOW as f64;
+                prop_assert!((share - expected).abs() <= MAX_DEVIATION, "service {service}: {share} of {expected}");
             }
             if *weight == 0 {
-                prop_assert!(!chosen.contains(&service), "a service without weight gets nothing");
+                prop_assert!(!chosen.contains(&service), "a service with weight 0 gets no requests");
             }
         }
     }
 }
 
 #[test]
-fn routes_have_sequences_of_their_own() {
+fn routes_have_independent_sequences() {
     let (one, other) = (route("one", &[1, 1]), route("other", &[1, 1]));
     let alone = chosen(&mut TrafficSplits::new(0.3), &one, 20);
     let mut splits = TrafficSplits::new(0.3);
-    let beside: Vec<usize> = (0..20)
+    let interleaved: Vec<usize> = (0..20)
         .flat_map(|_| {
             let first = chosen(&mut splits, &one, 1);
             chosen(&mut splits, &other, 3);
             first
         })
         .collect();
-    assert_eq!(alone, beside);
+    assert_eq!(alone, interleaved);
 }
 
 #[test]
 fn a_route_that_remains_continues_its_sequence() {
-    let (stays, goes) = (route("stays", &[1, 3]), route("goes", &[1, 3]));
-    let whole = chosen(&mut TrafficSplits::new(0.7), &stays, 20);
+    let (kept, removed) = (route("stays", &[1, 3]), route("goes", &[1, 3]));
+    let uninterrupted = chosen(&mut TrafficSplits::new(0.7), &kept, 20);
     let mut splits = TrafficSplits::new(0.7);
-    let mut parts = chosen(&mut splits, &stays, 10);
-    chosen(&mut splits, &goes, 5);
-    splits.keep_only(std::slice::from_ref(&stays));
-    parts.extend(chosen(&mut splits, &stays, 10));
-    assert_eq!(whole, parts);
+    let mut parts = chosen(&mut splits, &kept, 10);
+    chosen(&mut splits, &removed, 5);
+    splits.keep_only(std::slice::from_ref(&kept));
+    parts.extend(chosen(&mut splits, &kept, 10));
+    assert_eq!(uninterrupted, parts);
     assert_eq!(
-        chosen(&mut splits, &goes, 5),
-        chosen(&mut TrafficSplits::new(0.7), &goes, 5)
+        chosen(&mut splits, &removed, 5),
+        chosen(&mut TrafficSplits::new(0.7), &removed, 5)
     );
 }
--- a/crates/lockusher-proxy/tests/unserved.rs
+++ b/crates/lockusher-proxy/tests/unserved.rs
@@ -1,4 +1,4 @@
-//! The lines that say why requests aren't served.
+//! The log lines that summarize why requests weren't served.
 
 use lockusher_proxy::unserved::{SearcherCounts, UnservedReason, UnservedSummary};
 
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn a_line_a_second_tells_reasons_and_searchers_of_each_service() {
+fn a_summary_per_second_shows_reasons_and_searchers_of_each_service() {
     let mut summary = UnservedSummary::default();
     summary.record(1_000, "reader", UnservedReason::NoSearcher);
     summary.record(1_400, "reader", UnservedReason::NoSearcher);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn nothing_is_logged_while_all_is_served() {
+fn nothing_is_logged_while_all_requests_are_served() {
     let mut summary = UnservedSummary::default();
 
     assert_eq!(summary.take_lines(9_000, |_| None), Vec::<String>::new());
