--- a/crates/lockusher-proxy/tests/fuzzed_connections.rs
+++ b/crates/lockusher-proxy/tests/fuzzed_connections.rs
@@ -1,8 +1,8 @@
-//! Arbitrary bytes on real connections: answers of searchers and requests of clients, of two callers at once.
+//! Fuzzes the responses of searchers and the requests of clients on real connections, with two clients at once.
 //!
-//! A plain model says whose bytes are whose: it frames what the searcher sent for a request, as HTTP does. Whatever a searcher
-//! sends, a caller gets that first answer or a part of it, nothing of what follows it, and no success that isn't signed. Whatever a
-//! client sends, the proxy goes on serving. Inputs are drawn from a fixed seed; `FUZZ_CASES` sets how many (64 by default).
+//! A simple model parses the first HTTP response in the bytes that a searcher sent for a request. Whatever a searcher sends,
+//! a client receives this response or a prefix of it, nothing that follows it, and no unsigned success. Whatever a client
+//! sends, the proxy continues to serve. Inputs come from a fixed seed; `FUZZ_CASES` sets their number (64 by default).
 
 mod support;
 
@@ -17,13 +17,13 @@
 
 use support::{HOST, ONCE, Proxy, Searcher, run};
 
-/// Inputs of a run in CI.
+/// Number of inputs by default, as in CI.
 const DEFAULT_CASES: u32 = 64;
-/// The callers' requests.
+/// The identifiers of the two clients' requests.
 const IDENTIFIERS: [&str; 2] = ["caller-a", "caller-b"];
-/// How often the identifier stands in a body.
+/// How often a body repeats the identifier.
 const BODY_REPETITIONS: usize = 40;
-/// Pieces in which an answer is written, so that those of two callers interleave.
+/// Size of the pieces in which a response is written, so that the responses to two clients interleave.
 const PIECE_BYTES: usize = 97;
 
 fn runner() -> TestRunner {
@@ -39,16 +39,16 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// Which request an answer claims to belong to.
+/// The request identifiers in a response.
 #[derive(Clone, Copy, Debug)]
-enum Claim {
+enum IdentifierClaim {
     Own,
     Other,
     None,
     Both,
 }
 
-/// How an answer says where its body ends.
+/// The framing of a response body.
 #[derive(Clone, Copy, Debug)]
 enum Framing {
     Length { difference: i64 },
@@ -60,23 +60,23 @@
 
 /// What a searcher sends for one request.
 #[derive(Clone, Debug)]
-struct FuzzedAnswer {
+struct FuzzedResponse {
     status: &'static str,
-    claim: Claim,
+    claim: IdentifierClaim,
     is_signed: bool,
     framing: Framing,
     field: String,
-    /// Follows the answer.
+    /// Bytes that follow the response.
     surplus: Vec<u8>,
-    /// A second answer, for the other caller, follows.
-    answers_other: bool,
-    /// A byte that is replaced.
+    /// Whether a second response, to the other client's request, follows.
+    responds_to_other: bool,
+    /// The position and new value of a byte that is replaced.
     replaced: Option<(Index, u8)>,
-    /// Where it breaks off.
-    cut: Option<Index>,
+    /// The position at which the bytes are truncated.
+    truncated_at: Option<Index>,
 }
 
-fn fuzzed_answer() -> impl Strategy<Value = FuzzedAnswer> {
+fn fuzzed_response() -> impl Strategy<Value = FuzzedResponse> {
     let statuses = vec![
         "200 OK",
         "200 OK",
@@ -94,12 +94,12 @@
         "",
     ];
     let claim = select(vec![
-        Claim::Own,
-        Claim::Own,
-        Claim::Own,
-        Claim::Other,
-        Claim::None,
-        Claim::Both,
+        IdentifierClaim::Own,
+        IdentifierClaim::Own,
+        IdentifierClaim::Own,
+        IdentifierClaim::Other,
+        IdentifierClaim::None,
+        IdentifierClaim::Both,
     ]);
     let framing = prop_oneof![
         3 => Just(Framing::Length { difference: 0 }),
@@ -134,31 +134,41 @@
         prop::option::weighted(0.2, any::<Index>()),
     )
         .prop_map(
-            |(status, claim, is_signed, framing, field, surplus, answers_other, replaced, cut)| {
-                FuzzedAnswer {
+            |(
+                status,
+                claim,
+                is_signed,
+                framing,
+                field,
+                surplus,
+                responds_to_other,
+                replaced,
+                truncated_at,
+            )| {
+                FuzzedResponse {
                     status,
                     claim,
                     is_signed,
                     framing,
                     field: field.to_owned(),
                     surplus,
-                    answers_other,
+                    responds_to_other,
                     replaced,
-                    cut,
+                    truncated_at,
                 }
             },
         )
 }
 
-impl FuzzedAnswer {
-    /// The bytes for the request `own`, while `other` waits too.
+impl FuzzedResponse {
+    /// The bytes sent for the request `own` while the request `other` is in flight.
     fn bytes(&self, own: &str, other: &str) -> Vec<u8> {
         let body = own.repeat(BODY_REPETITIONS);
         let claims = match self.claim {
-            Claim::Own => vec![own],
-            Claim::Other => vec![other],
-            Claim::None => Vec::new(),
-            Claim::Both => vec![own, other],
+            IdentifierClaim::Own => vec![own],
+            IdentifierClaim::Other => vec![other],
+            IdentifierClaim::None => Vec::new(),
+            IdentifierClaim::Both => vec![own, other],
         };
         let mut head = format!("HTTP/1.1 {}\r\n", self.status);
         for claim in claims {
@@ -187,7 +197,7 @@
             Framing::UntilClose => format!("{head}\r\n{body}"),
         }
         .into_bytes();
-        if self.answers_other {
+        if self.responds_to_other {
             let body = other.repeat(BODY_REPETITIONS);
             let second = format!(
                 "HTTP/1.1 200 OK\r\nRequest-Identifier: {other}\r\nServer-Signature: {other}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -200,25 +210,28 @@
             let position = index.index(bytes.len());
             bytes[position] = byte;
         }
-        if let Some(index) = self.cut {
+        if let Some(index) = self.truncated_at {
             bytes.truncate(index.index(bytes.len()));
         }
         bytes
     }
 }
 
-/// Answers every request by the bytes planned for it, in pieces, and closes.
-async fn play_searcher(searcher: Searcher, answers: Rc<RefCell<HashMap<String, Vec<u8>>>>) {
+/// Responds to each request with the bytes planned for it, in pieces, and closes the connection.
+async fn serve_planned_responses(
+    searcher: Searcher,
+    responses: Rc<RefCell<HashMap<String, Vec<u8>>>>,
+) {
     loop {
-        let mut wire = searcher.accept().await;
-        let answers = Rc::clone(&answers);
+        let mut connection = searcher.accept().await;
+        let responses = Rc::clone(&responses);
         compio::runtime::spawn(async move {
-            let Some(identifier) = wire.next_identifier().await else {
+            let Some(identifier) = connection.read_identifier().await else {
                 return;
             };
-            let bytes = answers.borrow().get(&identifier).cloned();
+            let bytes = responses.borrow().get(&identifier).cloned();
             for piece in bytes.unwrap_or_default().chunks(PIECE_BYTES) {
-                if !wire.try_write(piece.to_vec()).await {
+                if !connection.try_write(piece.to_vec()).await {
                     return;
                 }
                 compio::runtime::spawn(async {}).await.unwrap_or(());
@@ -228,15 +241,15 @@
     }
 }
 
-/// An answer as HTTP frames it: its head, and all that may be of its body.
-struct Framed {
+/// A parsed response: its head, and all bytes that may belong to its body.
+struct ParsedResponse {
     head: String,
-    /// None if the head doesn't say where the body ends, so that all up to the close may be of it.
+    /// `None` if the body ends with the connection or its framing is invalid.
     body: Option<Vec<u8>>,
 }
 
-/// The first answer in these bytes; none without a complete head.
-fn framed(bytes: &[u8]) -> Option<Framed> {
+/// Parses the first response in these bytes; `None` without a complete head.
+fn parse_response(bytes: &[u8]) -> Option<ParsedResponse> {
     let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = String::from_utf8_lossy(&bytes[..end]).to_ascii_lowercase();
     let rest = &bytes[end + 4..];
@@ -252,14 +265,14 @@
             let length = length.parse::<usize>().ok();
             length.map(|length| rest[..length.min(rest.len())].to_vec())
         }
-        ([], [coding]) if coding == "chunked" => Some(unchunked(rest)),
+        ([], [coding]) if coding == "chunked" => Some(decode_chunks(rest)),
         _ => None,
     };
-    Some(Framed { head, body })
+    Some(ParsedResponse { head, body })
 }
 
-/// The data of a chunked body, as far as it is one.
-fn unchunked(mut bytes: &[u8]) -> Vec<u8> {
+/// The data of a chunked body, up to the first malformed chunk.
+fn decode_chunks(mut bytes: &[u8]) -> Vec<u8> {
     let mut data = Vec::new();
     while let Some(end) = bytes.windows(2).position(|window| window == b"\r\n") {
         let size = String::from_utf8_lossy(&bytes[..end]);
@@ -276,58 +289,67 @@
     data
 }
 
-/// Statuses of the proxy's own answers.
+/// Statuses of responses by the proxy itself.
 const OWN_STATUSES: [&str; 3] = ["502", "503", "504"];
 
-/// What is wrong with what a caller got, when this was sent for it: it must be the first answer that was sent, or a part of
-/// it, and nothing after.
+/// Checks what a client received against the bytes that were sent for its request: it must be the first response in them or
+/// a prefix of it.
 fn check_received(received: &[u8], sent: &[u8]) -> Result<(), TestCaseError> {
     let text = String::from_utf8_lossy(received);
-    let Some(answer) = framed(received) else {
+    let Some(response) = parse_response(received) else {
         return Ok(());
     };
-    let status = answer.head.split(' ').nth(1).unwrap_or_default().to_owned();
+    let status = response
+        .head
+        .split(' ')
+        .nth(1)
+        .unwrap_or_default()
+        .to_owned();
     if OWN_STATUSES.contains(&status.as_str()) {
         return Ok(());
     }
     if status.starts_with('2') {
         prop_assert!(
-            answer.head.contains("server-signature: "),
+            response.head.contains("server-signature: "),
             "a success without signature: {text:?}"
         );
     }
-    let expected = framed(sent).and_then(|sent| sent.body);
-    if let (Some(body), Some(expected)) = (answer.body, expected) {
-        prop_assert!(expected.starts_with(&body), "not what was sent: {text:?}");
+    let expected = parse_response(sent).and_then(|sent| sent.body);
+    if let (Some(body), Some(expected)) = (response.body, expected) {
+        prop_assert!(
+            expected.starts_with(&body),
+            "not a prefix of the response that was sent: {text:?}"
+        );
     }
     Ok(())
 }
 
 #[test]
-fn no_caller_gets_bytes_of_another_whatever_searchers_send() {
-    let strategy = (fuzzed_answer(), fuzzed_answer());
+fn no_client_receives_bytes_of_another_whatever_searchers_send() {
+    let strategy = (fuzzed_response(), fuzzed_response());
     let successes = Cell::new(0);
     let checked = runner().run(&strategy, |(first, second)| {
         let [one, other] = IDENTIFIERS;
         let sent = [first.bytes(one, other), second.bytes(other, one)];
-        let answers = HashMap::from([
+        let responses = HashMap::from([
             (one.to_owned(), sent[0].clone()),
             (other.to_owned(), sent[1].clone()),
         ]);
         let received = run(async move {
             let searcher = Searcher::plain("i-1").await;
             let proxy = Proxy::serving(&[&searcher]).await;
-            let answers = Rc::new(RefCell::new(answers));
-            let _playing = compio::runtime::spawn(play_searcher(searcher, answers));
+            let responses = Rc::new(RefCell::new(responses));
+            let _serving = compio::runtime::spawn(serve_planned_responses(searcher, responses));
             let [mut first, mut second] = [proxy.client().await, proxy.client().await];
             first
-                .ask(ONCE, one, "Connection: close\r\n", "question")
+                .send_request(ONCE, one, "Connection: close\r\n", "question")
                 .await;
             second
-                .ask(ONCE, other, "Connection: close\r\n", "question")
+                .send_request(ONCE, other, "Connection: close\r\n", "question")
                 .await;
-            let (first, second) = futures_util::join!(first.rest_bytes(), second.rest_bytes());
-            assert_eq!(proxy.readiness().await, 200);
+            let (first, second) =
+                futures_util::join!(first.read_bytes_to_end(), second.read_bytes_to_end());
+            assert_eq!(proxy.readiness_status().await, 200);
             [first.0, second.0]
         });
         let is_success = |bytes: &&Vec<u8>| bytes.starts_with(b"HTTP/1.1 2");
@@ -338,12 +360,12 @@
     checked.unwrap_or_else(|failure| panic!("{failure}"));
     assert!(
         successes.get() > 0,
-        "no answer got through, so that nothing was checked"
+        "no successful response was forwarded, so that nothing was checked"
     );
-    println!("{} answers were successes", successes.get());
+    println!("{} successful responses", successes.get());
 }
 
-/// A request, or something like one.
+/// A request that may be malformed, or arbitrary bytes.
 fn fuzzed_request() -> impl Strategy<Value = Vec<u8>> {
     let line = select(vec![
         "POST /once/ HTTP/1.1",
@@ -399,24 +421,24 @@
 }
 
 #[test]
-fn a_proxy_serves_on_whatever_clients_send() {
+fn a_proxy_continues_to_serve_whatever_clients_send() {
     let strategy = vec(fuzzed_request(), 1..4);
     let checked = runner().run(&strategy, |requests| {
         run(async move {
             let searcher = Searcher::plain("i-1").await;
             let proxy = Proxy::serving(&[&searcher]).await;
-            let answer = "HTTP/1.1 200 OK\r\nRequest-Identifier: caller-b\r\nServer-Signature: s\r\nContent-Length: 2\r\n\r\nok";
-            let answers = HashMap::from([("caller-b".to_owned(), answer.as_bytes().to_vec())]);
-            let answers = Rc::new(RefCell::new(answers));
-            let _playing = compio::runtime::spawn(play_searcher(searcher, answers));
-            let mut good = proxy.client().await;
-            good.ask(ONCE, "caller-b", "Connection: close\r\n", "question").await;
+            let response = "HTTP/1.1 200 OK\r\nRequest-Identifier: caller-b\r\nServer-Signature: s\r\nContent-Length: 2\r\n\r\nok";
+            let responses = HashMap::from([("caller-b".to_owned(), response.as_bytes().to_vec())]);
+            let responses = Rc::new(RefCell::new(responses));
+            let _serving = compio::runtime::spawn(serve_planned_responses(searcher, responses));
+            let mut valid = proxy.client().await;
+            valid.send_request(ONCE, "caller-b", "Connection: close\r\n", "question").await;
             let mut fuzzed = proxy.client().await;
             fuzzed.try_write(requests.concat()).await;
-            let (received, _) = good.rest().await;
+            let (received, _) = valid.read_to_end().await;
             fuzzed.close().await;
             prop_assert!(received.starts_with("HTTP/1.1 200") && received.ends_with("ok"), "{received:?}");
-            prop_assert_eq!(proxy.readiness().await, 200);
+            prop_assert_eq!(proxy.readiness_status().await, 200);
             Ok(())
         })
     });
--- a/crates/lockusher-proxy/tests/resumption.rs
+++ b/crates/lockusher-proxy/tests/resumption.rs
@@ -1,15 +1,17 @@
-//! A stream that may be resumed goes on at another searcher within its answer, joined exactly.
+//! Resumable streams: a broken stream continues at another searcher within the same response, without lost or repeated
+//! events.
 
 mod support;
 
-use support::{Proxy, RESUME, Searcher, Wire, accept_either, run};
+use support::{Connection, Proxy, RESUME, Searcher, accept_either, run};
 use yare::parameterized;
 
+/// Two decode searchers, a proxy that serves them, and a connected client.
 struct Pair {
     one: Searcher,
     two: Searcher,
     _proxy: Proxy,
-    client: Wire,
+    client: Connection,
 }
 
 impl Pair {
@@ -26,25 +28,26 @@
         }
     }
 
-    /// Streams one event and a part of the next, then breaks off; the other searcher's connection.
-    async fn break_within_an_event(&mut self) -> Wire {
+    /// Streams one event and a part of the next, then resets the connection; returns the connection to the other searcher,
+    /// which has received the resuming request.
+    async fn break_within_an_event(&mut self) -> Connection {
         self.client
-            .ask(RESUME, "id-1", "Last-Event-Id: 4\r\n", "prompt")
+            .send_request(RESUME, "id-1", "Last-Event-Id: 4\r\n", "prompt")
             .await;
-        let (mut wire, other) = accept_either(&self.one, &self.two).await;
-        let (request, _) = wire.message().await;
+        let (mut connection, other) = accept_either(&self.one, &self.two).await;
+        let (request, _) = connection.read_message().await;
         assert_eq!(request.field("last-event-id"), Some("4"));
-        wire.begin_stream("id-1").await;
-        wire.chunk("id: 5\ndata: a\n\n").await;
-        wire.chunk("id: 6\nda").await;
+        connection.send_stream_head("id-1").await;
+        connection.send_chunk("id: 5\ndata: a\n\n").await;
+        connection.send_chunk("id: 6\nda").await;
         assert_eq!(
-            self.client.head().await.field("server-signature"),
+            self.client.read_head().await.field("server-signature"),
             Some("sig")
         );
         assert_eq!(self.client.read_chunk().await, "id: 5\ndata: a\n\n");
-        wire.reset();
+        connection.reset();
         let mut second = other.accept().await;
-        let (request, body) = second.message().await;
+        let (request, body) = second.read_message().await;
         assert_eq!(request.field("last-event-id"), Some("5"));
         assert_eq!(request.field("request-identifier"), Some("id-1"));
         assert_eq!(body, "prompt");
@@ -57,50 +60,50 @@
     run(async {
         let mut pair = Pair::start().await;
         let mut second = pair.break_within_an_event().await;
-        second.begin_stream("id-1").await;
-        second.chunk("id: 6\ndata: b\n\nid: 7\n").await;
-        second.chunk("data: c\n\n").await;
-        second.end_chunks().await;
+        second.send_stream_head("id-1").await;
+        second.send_chunk("id: 6\ndata: b\n\nid: 7\n").await;
+        second.send_chunk("data: c\n\n").await;
+        second.send_last_chunk().await;
         assert_eq!(pair.client.read_chunk().await, "id: 6\ndata: b\n\n");
         assert_eq!(pair.client.read_chunk().await, "id: 7\ndata: c\n\n");
         assert_eq!(pair.client.read_chunk().await, "");
     });
 }
 
-/// What the second searcher answers that can't be joined.
+/// A response of the second searcher that can't continue the stream.
 #[derive(Clone, Copy)]
 enum InvalidResumption {
-    RepeatsAnEvent,
-    NamesNoEvent,
-    IsNoStream,
-    FailsItself,
-    NamesAnother,
+    RepeatedEvent,
+    NoEventId,
+    NoEventStream,
+    ServerError,
+    WrongIdentifier,
 }
 
 #[parameterized(
-    repeats_an_event = { InvalidResumption::RepeatsAnEvent },
-    names_no_event = { InvalidResumption::NamesNoEvent },
-    is_no_stream = { InvalidResumption::IsNoStream },
-    fails_itself = { InvalidResumption::FailsItself },
-    names_another = { InvalidResumption::NamesAnother },
+    repeated_event = { InvalidResumption::RepeatedEvent },
+    no_event_id = { InvalidResumption::NoEventId },
+    no_event_stream = { InvalidResumption::NoEventStream },
+    server_error = { InvalidResumption::ServerError },
+    wrong_identifier = { InvalidResumption::WrongIdentifier },
 )]
-fn an_invalid_resumption_breaks_the_answer_off(invalid: InvalidResumption) {
+fn an_invalid_resumption_aborts_the_response(invalid: InvalidResumption) {
     run(async {
         let mut pair = Pair::start().await;
         let mut second = pair.break_within_an_event().await;
         match invalid {
-            InvalidResumption::RepeatsAnEvent => {
-                second.begin_stream("id-1").await;
-                second.chunk("id: 5\ndata: a\n\n").await;
+            InvalidResumption::RepeatedEvent => {
+                second.send_stream_head("id-1").await;
+                second.send_chunk("id: 5\ndata: a\n\n").await;
             }
-            InvalidResumption::NamesNoEvent => {
-                second.begin_stream("id-1").await;
-                second.chunk("data: a\n\n").await;
+            InvalidResumption::NoEventId => {
+                second.send_stream_head("id-1").await;
+                second.send_chunk("data: a\n\n").await;
             }
-            InvalidResumption::IsNoStream => second.succeed("id-1", "text").await,
-            InvalidResumption::FailsItself => {
+            InvalidResumption::NoEventStream => second.respond_ok("id-1", "text").await,
+            InvalidResumption::ServerError => {
                 second
-                    .answer(
+                    .respond(
                         "500 Internal Server Error",
                         "id-1",
                         "Server-Signature: s\r\n",
@@ -108,31 +111,31 @@
                     )
                     .await;
             }
-            InvalidResumption::NamesAnother => {
-                second.begin_stream("id-2").await;
-                second.chunk("id: 6\ndata: b\n\n").await;
+            InvalidResumption::WrongIdentifier => {
+                second.send_stream_head("id-2").await;
+                second.send_chunk("id: 6\ndata: b\n\n").await;
             }
         }
-        let (rest, _) = pair.client.rest().await;
+        let (rest, _) = pair.client.read_to_end().await;
         assert_eq!(rest, "");
     });
 }
 
 #[test]
-fn without_another_searcher_the_answer_breaks_off() {
+fn without_another_searcher_the_response_is_aborted() {
     run(async {
         let decode = Searcher::decode("d-1").await;
         let proxy = Proxy::serving(&[&decode]).await;
         let mut client = proxy.client().await;
-        client.ask(RESUME, "id-1", "", "prompt").await;
-        let mut wire = decode.accept().await;
-        wire.message().await;
-        wire.begin_stream("id-1").await;
-        wire.chunk("id: 1\n\n").await;
-        client.head().await;
+        client.send_request(RESUME, "id-1", "", "prompt").await;
+        let mut connection = decode.accept().await;
+        connection.read_message().await;
+        connection.send_stream_head("id-1").await;
+        connection.send_chunk("id: 1\n\n").await;
+        client.read_head().await;
         client.read_chunk().await;
-        wire.reset();
-        assert_eq!(client.rest().await.0, "");
+        connection.reset();
+        assert_eq!(client.read_to_end().await.0, "");
     });
 }
 
@@ -142,60 +145,62 @@
         let decode = Searcher::decode("d-1").await;
         let proxy = Proxy::serving(&[&decode]).await;
         let mut client = proxy.client().await;
-        client.ask(RESUME, "id-1", "", "prompt").await;
-        let mut wire = decode.accept().await;
-        wire.message().await;
-        wire.begin_stream("id-1").await;
-        wire.chunk("id: 1\n\nrest").await;
-        wire.end_chunks().await;
-        client.head().await;
+        client.send_request(RESUME, "id-1", "", "prompt").await;
+        let mut connection = decode.accept().await;
+        connection.read_message().await;
+        connection.send_stream_head("id-1").await;
+        connection.send_chunk("id: 1\n\nrest").await;
+        connection.send_last_chunk().await;
+        client.read_head().await;
         assert_eq!(client.read_chunk().await, "id: 1\n\n");
         assert_eq!(client.read_chunk().await, "rest");
         assert_eq!(client.read_chunk().await, "");
     });
 }
 
-/// The slow plain model of a joined stream: whatever was cut off, the client gets each event once, in order.
+/// Breaks a stream at every byte: the client always receives each event once and in order.
 #[test]
 fn wherever_a_stream_breaks_each_event_arrives_once() {
     run(async {
         let events: Vec<String> = (1..=4)
             .map(|id| format!("id: {id}\ndata: {id}\n\n"))
             .collect();
-        let whole = events.concat();
-        for cut in 0..whole.len() {
+        let complete_stream = events.concat();
+        for break_position in 0..complete_stream.len() {
             let one = Searcher::decode("d-1").await;
             let two = Searcher::decode("d-2").await;
             let proxy = Proxy::serving(&[&one, &two]).await;
             let mut client = proxy.client().await;
-            client.ask(RESUME, "id-1", "", "prompt").await;
-            let (mut wire, other) = accept_either(&one, &two).await;
-            wire.message().await;
-            wire.begin_stream("id-1").await;
-            client.head().await;
-            if cut > 0 {
-                wire.chunk(&whole[..cut]).await;
+            client.send_request(RESUME, "id-1", "", "prompt").await;
+            let (mut connection, other) = accept_either(&one, &two).await;
+            connection.read_message().await;
+            connection.send_stream_head("id-1").await;
+            client.read_head().await;
+            if break_position > 0 {
+                connection
+                    .send_chunk(&complete_stream[..break_position])
+                    .await;
             }
-            wire.close().await;
+            connection.close().await;
             let mut second = other.accept().await;
-            let (request, _) = second.message().await;
-            let given = whole[..cut].matches("\n\n").count();
+            let (request, _) = second.read_message().await;
+            let complete_events = complete_stream[..break_position].matches("\n\n").count();
             let last = request
                 .field("last-event-id")
                 .map_or(0, |id| id.parse().expect("a number"));
-            assert_eq!(last, given, "cut at {cut}");
-            second.begin_stream("id-1").await;
-            second.chunk(&events[given..].concat()).await;
-            second.end_chunks().await;
-            let mut seen = String::new();
+            assert_eq!(last, complete_events, "broken at {break_position}");
+            second.send_stream_head("id-1").await;
+            second.send_chunk(&events[complete_events..].concat()).await;
+            second.send_last_chunk().await;
+            let mut received = String::new();
             loop {
                 let piece = client.read_chunk().await;
                 if piece.is_empty() {
                     break;
                 }
-                seen.push_str(&piece);
+                received.push_str(&piece);
             }
-            assert_eq!(seen, whole, "cut at {cut}");
+            assert_eq!(received, complete_stream, "broken at {break_position}");
         }
     });
 }
--- a/crates/lockusher-proxy/tests/stopping.rs
+++ b/crates/lockusher-proxy/tests/stopping.rs
@@ -1,16 +1,16 @@
-//! SIGTERM in each state of a request: requests in flight are finished, and the proxy ends within its grace.
+//! Graceful shutdown in each state of a request: requests in flight are finished, and the proxy ends within its grace period.
 
 mod support;
 
 use support::{Ending, ONCE, Proxy, STREAM, Searcher, run};
 
 #[test]
-fn an_idle_proxy_ends_once_the_platform_has_detected_that() {
+fn an_idle_proxy_ends_after_the_readiness_detection_time() {
     run(async {
         let mut proxy = Proxy::serving(&[]).await;
         proxy.stop();
-        while proxy.readiness().await != 503 {}
-        proxy.ended().await.expect("an orderly end");
+        while proxy.readiness_status().await != 503 {}
+        proxy.wait_for_exit().await.expect("a graceful shutdown");
     });
 }
 
@@ -20,17 +20,17 @@
         let searcher = Searcher::plain("i-1").await;
         let mut proxy = Proxy::serving(&[&searcher]).await;
         proxy.stop();
-        while proxy.readiness().await != 503 {}
+        while proxy.readiness_status().await != 503 {}
         let mut client = proxy.client().await;
-        client.ask(ONCE, "id-1", "", "").await;
-        let mut wire = searcher.accept().await;
-        wire.message().await;
-        wire.succeed("id-1", "roster").await;
-        let (answer, body) = client.message().await;
-        assert_eq!((answer.status(), &*body), (200, "roster"));
-        assert_eq!(answer.field("connection"), Some("close"));
-        assert_eq!(client.rest().await, (String::new(), Ending::Closed));
-        proxy.ended().await.expect("an orderly end");
+        client.send_request(ONCE, "id-1", "", "").await;
+        let mut connection = searcher.accept().await;
+        connection.read_message().await;
+        connection.respond_ok("id-1", "roster").await;
+        let (response, body) = client.read_message().await;
+        assert_eq!((response.status(), &*body), (200, "roster"));
+        assert_eq!(response.field("connection"), Some("close"));
+        assert_eq!(client.read_to_end().await, (String::new(), Ending::Closed));
+        proxy.wait_for_exit().await.expect("a graceful shutdown");
     });
 }
 
@@ -40,37 +40,37 @@
         let searcher = Searcher::plain("i-1").await;
         let mut proxy = Proxy::serving(&[&searcher]).await;
         let mut client = proxy.client().await;
-        client.ask(ONCE, "id-1", "", "").await;
-        let mut wire = searcher.accept().await;
-        wire.message().await;
+        client.send_request(ONCE, "id-1", "", "").await;
+        let mut connection = searcher.accept().await;
+        connection.read_message().await;
         proxy.stop();
-        while proxy.readiness().await != 503 {}
-        wire.succeed("id-1", "roster").await;
-        assert_eq!(client.message().await.1, "roster");
-        proxy.ended().await.expect("an orderly end");
+        while proxy.readiness_status().await != 503 {}
+        connection.respond_ok("id-1", "roster").await;
+        assert_eq!(client.read_message().await.1, "roster");
+        proxy.wait_for_exit().await.expect("a graceful shutdown");
     });
 }
 
 #[test]
-fn a_stream_is_finished() {
+fn a_stream_in_flight_is_finished() {
     run(async {
         let decode = Searcher::decode("d-1").await;
         let mut proxy = Proxy::serving(&[&decode]).await;
         let mut client = proxy.client().await;
-        client.ask(STREAM, "id-1", "", "").await;
-        let mut wire = decode.accept().await;
-        wire.message().await;
-        wire.begin_stream("id-1").await;
-        wire.chunk("id: 1\n\n").await;
-        client.head().await;
+        client.send_request(STREAM, "id-1", "", "").await;
+        let mut connection = decode.accept().await;
+        connection.read_message().await;
+        connection.send_stream_head("id-1").await;
+        connection.send_chunk("id: 1\n\n").await;
+        client.read_head().await;
         client.read_chunk().await;
         proxy.stop();
-        while proxy.readiness().await != 503 {}
-        wire.chunk("id: 2\n\n").await;
+        while proxy.readiness_status().await != 503 {}
+        connection.send_chunk("id: 2\n\n").await;
         assert_eq!(client.read_chunk().await, "id: 2\n\n");
-        wire.end_chunks().await;
+        connection.send_last_chunk().await;
         assert_eq!(client.read_chunk().await, "");
-        proxy.ended().await.expect("an orderly end");
+        proxy.wait_for_exit().await.expect("a graceful shutdown");
     });
 }
 
@@ -84,47 +84,47 @@
             .write("POST /once/ HTTP/1.1\r\nHost: desk.example\r\nRequest-Identifier: id-1\r\nContent-Length: 8\r\n\r\nfirst")
             .await;
         proxy.stop();
-        while proxy.readiness().await != 503 {}
+        while proxy.readiness_status().await != 503 {}
         client.write("end").await;
-        let mut wire = searcher.accept().await;
-        assert_eq!(wire.message().await.1, "firstend");
-        wire.succeed("id-1", "roster").await;
-        assert_eq!(client.message().await.1, "roster");
-        proxy.ended().await.expect("an orderly end");
+        let mut connection = searcher.accept().await;
+        assert_eq!(connection.read_message().await.1, "firstend");
+        connection.respond_ok("id-1", "roster").await;
+        assert_eq!(client.read_message().await.1, "roster");
+        proxy.wait_for_exit().await.expect("a graceful shutdown");
     });
 }
 
 #[test]
-fn a_searcher_that_never_answers_does_not_delay_the_end() {
+fn a_searcher_that_never_responds_does_not_delay_the_shutdown() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let mut proxy = Proxy::serving(&[&searcher]).await;
         let mut client = proxy.client().await;
-        client.ask(ONCE, "id-1", "", "").await;
-        let mut wire = searcher.accept().await;
-        wire.message().await;
+        client.send_request(ONCE, "id-1", "", "").await;
+        let mut connection = searcher.accept().await;
+        connection.read_message().await;
         proxy.stop();
-        proxy.ended().await.expect("an orderly end");
+        proxy.wait_for_exit().await.expect("a graceful shutdown");
     });
 }
 
 #[test]
-fn idle_clients_are_closed_before_the_end() {
+fn idle_clients_are_closed_before_requests_in_flight_are_finished() {
     run(async {
         let searcher = Searcher::plain("i-1").await;
         let mut proxy = Proxy::serving(&[&searcher]).await;
         let mut idle = proxy.client().await;
-        idle.ask("/other/", "id-1", "", "").await;
-        idle.message().await;
+        idle.send_request("/other/", "id-1", "", "").await;
+        idle.read_message().await;
         let mut busy = proxy.client().await;
-        busy.ask(ONCE, "id-2", "", "").await;
-        let mut wire = searcher.accept().await;
-        wire.message().await;
+        busy.send_request(ONCE, "id-2", "", "").await;
+        let mut connection = searcher.accept().await;
+        connection.read_message().await;
         proxy.stop();
-        // Closed while the other client's request is still in hand.
-        assert_eq!(idle.rest().await, (String::new(), Ending::Closed));
-        wire.succeed("id-2", "roster").await;
-        assert_eq!(busy.message().await.1, "roster");
-        proxy.ended().await.expect("an orderly end");
+        // It is closed while the other client's request is still in flight.
+        assert_eq!(idle.read_to_end().await, (String::new(), Ending::Closed));
+        connection.respond_ok("id-2", "roster").await;
+        assert_eq!(busy.read_message().await.1, "roster");
+        proxy.wait_for_exit().await.expect("a graceful shutdown");
     });
 }
--- a/crates/lockusher-proxy/tests/support/deployment.rs
+++ b/crates/lockusher-proxy/tests/support/deployment.rs
@@ -1,4 +1,4 @@
-//! The settings and the configuration that the tests run with.
+//! The node settings and the configuration that the tests use.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/lockusher-proxy/tests/support/mod.rs
+++ b/crates/lockusher-proxy/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A proxy on loopback between a scripted client and scripted searchers, all on one thread.
-//! Every step waits for the bytes or the close that it expects; nothing waits for time to pass.
-#![allow(dead_code, unused_imports)] // Each test file uses a part of it.
+//! Runs a proxy on loopback between a scripted client and scripted searchers, all on one thread. Each step waits for the
+//! bytes or the close that it expects; there are no sleeps.
+#![allow(dead_code, unused_imports)] // Each test file uses only a part of it.
 
 mod deployment;
 mod wire;
@@ -24,7 +24,7 @@
 
 pub use deployment::configuration;
 use deployment::settings;
-pub use wire::{Ending, Head, Wire};
+pub use wire::{Connection, Ending, Head};
 
 pub const HOST: &str = "desk.example";
 /// A non-idempotent route to the plain service.
@@ -38,10 +38,10 @@
 const PLAIN: &str = "roster";
 const ENGINE: &str = "model";
 
-/// A step that takes longer than this has failed.
+/// Timeout of a single step.
 const STEP_LIMIT: Duration = Duration::from_secs(10);
 
-/// Runs a test on a runtime of its own.
+/// Runs a test on its own runtime, with a timeout.
 pub fn run<F: Future>(test: F) -> F::Output {
     let runtime = compio::runtime::Runtime::new().expect("a runtime starts");
     runtime.block_on(async {
@@ -51,15 +51,15 @@
     })
 }
 
-/// A loopback address that no other test uses.
-fn own_address() -> Ipv4Addr {
+/// A loopback address that no other running test uses.
+fn unique_address() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id() % 60_000;
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
     Ipv4Addr::from(0x7f00_0000 | (process + 1) << 8 | next)
 }
 
-/// A proxy that runs, with the ends of its feed and stop signal.
+/// A running proxy, with the senders of its feed and its stop signal.
 pub struct Proxy {
     address: Ipv4Addr,
     feed: mpsc::UnboundedSender<FeedUpdate>,
@@ -68,14 +68,14 @@
 }
 
 impl Proxy {
-    /// Starts a proxy that holds nothing yet.
-    pub fn bare() -> Self {
-        Self::start(|_| {})
+    /// Starts a proxy without a configuration.
+    pub fn unconfigured() -> Self {
+        Self::with_settings(|_| {})
     }
 
-    /// Starts a proxy that holds nothing yet, with settings of its own.
-    pub fn start(change: impl FnOnce(&mut NodeSettings)) -> Self {
-        let address = own_address();
+    /// Starts a proxy without a configuration, with changed node settings.
+    pub fn with_settings(change: impl FnOnce(&mut NodeSettings)) -> Self {
+        let address = unique_address();
         let mut settings = settings(address, 2_000);
         change(&mut settings);
         let (feed, updates) = mpsc::unbounded();
@@ -92,62 +92,62 @@
         }
     }
 
-    /// Starts a proxy that serves these searchers.
+    /// Starts a proxy that is ready to serve these searchers.
     pub async fn serving(searchers: &[&Searcher]) -> Self {
-        let proxy = Self::bare();
-        proxy.supply(searchers).await;
+        let proxy = Self::unconfigured();
+        proxy.configure(searchers).await;
         proxy
     }
 
-    /// Feeds the proxy all that it needs to serve these searchers.
-    pub async fn supply(&self, searchers: &[&Searcher]) {
-        self.send(FeedUpdate::Configuration(Rc::new(configuration(1))));
-        self.list(searchers);
-        self.send(FeedUpdate::FleetSize(1));
-        self.until_ready().await;
+    /// Sends the proxy all updates that it needs to serve these searchers, and waits until it is ready.
+    pub async fn configure(&self, searchers: &[&Searcher]) {
+        self.send_update(FeedUpdate::Configuration(Rc::new(configuration(1))));
+        self.update_instances(searchers);
+        self.send_update(FeedUpdate::FleetSize(1));
+        self.wait_until_ready().await;
     }
 
-    pub fn send(&self, update: FeedUpdate) {
+    pub fn send_update(&self, update: FeedUpdate) {
         self.feed
             .unbounded_send(update)
             .expect("the proxy takes updates");
     }
 
-    /// Replaces the list of searchers.
-    pub fn list(&self, searchers: &[&Searcher]) {
+    /// Replaces the instance list.
+    pub fn update_instances(&self, searchers: &[&Searcher]) {
         let list = searchers
             .iter()
             .map(|searcher| searcher.instance.clone())
             .collect();
         let revision = InstanceListRevision::default();
-        self.send(FeedUpdate::Instances {
+        self.send_update(FeedUpdate::Instances {
             revision,
             instances: Rc::new(list),
         });
     }
 
-    /// Asks for readiness until the answer is 200.
-    pub async fn until_ready(&self) {
-        while self.readiness().await != 200 {}
+    /// Sends readiness probes until the response is 200.
+    pub async fn wait_until_ready(&self) {
+        while self.readiness_status().await != 200 {}
     }
 
-    /// The status that readiness is answered with now.
-    pub async fn readiness(&self) -> u16 {
-        let mut probe = Wire::connect(SocketAddrV4::new(self.address, 8_140)).await;
+    /// The status of the response to a readiness probe.
+    pub async fn readiness_status(&self) -> u16 {
+        let mut probe = Connection::connect(SocketAddrV4::new(self.address, 8_140)).await;
         probe
             .write(&format!(
                 "GET /api/readiness HTTP/1.1\r\nHost: {HOST}\r\n\r\n"
             ))
             .await;
-        probe.head().await.status()
+        probe.read_head().await.status()
     }
 
-    /// A client's connection.
-    pub async fn client(&self) -> Wire {
-        Wire::connect(SocketAddrV4::new(self.address, 8_144)).await
+    /// Opens a client connection.
+    pub async fn client(&self) -> Connection {
+        Connection::connect(SocketAddrV4::new(self.address, 8_144)).await
     }
 
-    /// Asks the proxy to stop.
+    /// Sends the proxy the stop signal.
     pub fn stop(&mut self) {
         self.stop
             .take()
@@ -156,13 +156,13 @@
             .expect("the proxy runs");
     }
 
-    /// Waits until the proxy has ended.
-    pub async fn ended(self) -> Result<(), ProxyError> {
+    /// Waits until the proxy has shut down.
+    pub async fn wait_for_exit(self) -> Result<(), ProxyError> {
         step(self.running).await.expect("the proxy does not panic")
     }
 }
 
-/// A searcher of a service, played by the test.
+/// A searcher of a service that the test controls.
 pub struct Searcher {
     pub instance: Instance,
     listener: TcpListener,
@@ -181,9 +181,9 @@
         Self::new(identifier, ENGINE, Some(Stage::Decode)).await
     }
 
-    /// A plain searcher whose machine says nothing to opening packets, as its queue of connections is full. The
-    /// connections that fill it must be kept.
-    pub async fn silent(identifier: &str) -> (Self, Vec<std::net::TcpStream>) {
+    /// A plain searcher whose machine drops SYNs because its accept queue is full. The returned connections fill the queue
+    /// and must be kept.
+    pub async fn unresponsive(identifier: &str) -> (Self, Vec<std::net::TcpStream>) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
         socket.bind(&any.into()).expect("an address is free");
@@ -192,18 +192,21 @@
         let address = listener.local_addr().expect("it has an address");
         let connect =
             || std::net::TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
-        let filling = std::iter::from_fn(connect).collect();
-        (Self::listening(identifier, PLAIN, None, listener), filling)
+        let backlog = std::iter::from_fn(connect).collect();
+        (
+            Self::with_listener(identifier, PLAIN, None, listener),
+            backlog,
+        )
     }
 
     async fn new(identifier: &str, service: &str, stage: Option<Stage>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .expect("a searcher listens");
-        Self::listening(identifier, service, stage, listener)
+        Self::with_listener(identifier, service, stage, listener)
     }
 
-    fn listening(
+    fn with_listener(
         identifier: &str,
         service: &str,
         stage: Option<Stage>,
@@ -233,35 +236,39 @@
         self.listener.close().await.expect("a listener closes");
     }
 
-    /// Is listed as about to end from now on.
+    /// Marks the searcher as draining in later instance lists.
     pub fn drain(&mut self) {
         self.instance.state = InstanceState::Draining;
     }
 
-    /// The next connection of the proxy.
-    pub async fn accept(&self) -> Wire {
+    /// Accepts the next connection of the proxy.
+    pub async fn accept(&self) -> Connection {
         let (stream, _) = step(self.listener.accept())
             .await
             .expect("the proxy connects");
-        Wire::new(stream)
+        Connection::new(stream)
     }
 }
 
-/// The first connection that the proxy opens to one of two searchers, and the other searcher.
-pub async fn accept_either<'a>(one: &'a Searcher, other: &'a Searcher) -> (Wire, &'a Searcher) {
+/// Accepts the first connection that the proxy opens to either of two searchers; returns it and the other searcher.
+pub async fn accept_either<'a>(
+    one: &'a Searcher,
+    other: &'a Searcher,
+) -> (Connection, &'a Searcher) {
     let accepts = (std::pin::pin!(one.accept()), std::pin::pin!(other.accept()));
     match select(accepts.0, accepts.1).await {
-        Either::Left((wire, _)) => (wire, other),
-        Either::Right((wire, _)) => (wire, one),
+        Either::Left((connection, _)) => (connection, other),
+        Either::Right((connection, _)) => (connection, one),
     }
 }
 
-/// The first connection that the proxy opens to one of some searchers.
-pub async fn accept_any(searchers: &[Searcher]) -> Wire {
+/// Accepts the first connection that the proxy opens to any of these searchers.
+pub async fn accept_any(searchers: &[Searcher]) -> Connection {
     let accepts = searchers.iter().map(|searcher| Box::pin(searcher.accept()));
     select_all(accepts).await.0
 }
 
+/// Waits for a step of the test, with a timeout.
 async fn step<F: Future>(step: F) -> F::Output {
     compio::time::timeout(STEP_LIMIT, step)
         .await
--- a/crates/lockusher-proxy/tests/support/wire.rs
+++ b/crates/lockusher-proxy/tests/support/wire.rs
@@ -1,4 +1,4 @@
-//! Raw HTTP/1.1 over TCP, as a scripted client or searcher writes and reads it.
+//! Raw HTTP/1.1 over TCP for scripted clients and searchers.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -9,22 +9,22 @@
 
 use super::{HOST, step};
 
-/// How a peer ended a connection.
+/// How the peer ended the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Closed,
     Reset,
 }
 
-/// One end of a connection.
-pub struct Wire {
+/// One end of a TCP connection, with the bytes that were received but not yet read by the test.
+pub struct Connection {
     stream: TcpStream,
     unread: Vec<u8>,
 }
 
-impl Wire {
+impl Connection {
     pub(super) fn new(stream: TcpStream) -> Self {
-        Wire {
+        Connection {
             stream,
             unread: Vec::new(),
         }
@@ -48,14 +48,14 @@
         result.expect("the peer reads");
     }
 
-    /// Writes bytes to a peer that may end the connection meanwhile; whether all were taken.
+    /// Writes bytes to a peer that may close the connection meanwhile; returns whether all were written.
     pub async fn try_write(&mut self, bytes: Vec<u8>) -> bool {
         let BufResult(result, _) = step(self.stream.write_all(bytes)).await;
         result.is_ok()
     }
 
-    /// A client's request with the fields that one needs, and those given.
-    pub async fn ask(&mut self, path: &str, identifier: &str, fields: &str, body: &str) {
+    /// Sends a client's request with the required header fields and the given ones.
+    pub async fn send_request(&mut self, path: &str, identifier: &str, fields: &str, body: &str) {
         let length = body.len();
         self.write(&format!(
             "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Identifier: {identifier}\r\n\
@@ -64,8 +64,8 @@
         .await;
     }
 
-    /// A searcher's answer with a length.
-    pub async fn answer(&mut self, status: &str, identifier: &str, fields: &str, body: &str) {
+    /// Sends a searcher's response with a `Content-Length`.
+    pub async fn respond(&mut self, status: &str, identifier: &str, fields: &str, body: &str) {
         let length = body.len();
         self.write(&format!(
             "HTTP/1.1 {status}\r\nRequest-Identifier: {identifier}\r\nContent-Length: {length}\r\n\
@@ -74,14 +74,14 @@
         .await;
     }
 
-    /// A searcher's successful answer.
-    pub async fn succeed(&mut self, identifier: &str, body: &str) {
-        self.answer("200 OK", identifier, "Server-Signature: sig\r\n", body)
+    /// Sends a searcher's signed 200 response.
+    pub async fn respond_ok(&mut self, identifier: &str, body: &str) {
+        self.respond("200 OK", identifier, "Server-Signature: sig\r\n", body)
             .await;
     }
 
-    /// The head of a searcher's stream.
-    pub async fn begin_stream(&mut self, identifier: &str) {
+    /// Sends the head of a searcher's event stream.
+    pub async fn send_stream_head(&mut self, identifier: &str) {
         self.write(&format!(
             "HTTP/1.1 200 OK\r\nRequest-Identifier: {identifier}\r\nServer-Signature: sig\r\n\
              Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -89,30 +89,30 @@
         .await;
     }
 
-    /// One chunk of a chunked body.
-    pub async fn chunk(&mut self, data: &str) {
+    /// Sends one chunk of a chunked body.
+    pub async fn send_chunk(&mut self, data: &str) {
         self.write(&format!("{:x}\r\n{data}\r\n", data.len())).await;
     }
 
-    /// The end of a chunked body.
-    pub async fn end_chunks(&mut self) {
+    /// Sends the last chunk of a chunked body.
+    pub async fn send_last_chunk(&mut self) {
         self.write("0\r\n\r\n").await;
     }
 
-    /// A searcher's rejection of a request that it did not run.
+    /// Sends a searcher's rejection of a request that it has not run.
     pub async fn reject(&mut self, status: &str, identifier: &str) {
-        self.answer(status, identifier, "Not-Executed: 1\r\n", "")
+        self.respond(status, identifier, "Not-Executed: 1\r\n", "")
             .await;
     }
 
     /// Reads up to the end of a head.
-    pub async fn head(&mut self) -> Head {
+    pub async fn read_head(&mut self) -> Head {
         let end = self.read_past("\r\n\r\n").await;
         Head(String::from_utf8(end).expect("a head is text"))
     }
 
     /// Reads a number of bytes.
-    pub async fn body(&mut self, length: usize) -> String {
+    pub async fn read_body(&mut self, length: usize) -> String {
         while self.unread.len() < length {
             assert!(
                 self.read_more().await.expect("no reset"),
@@ -123,34 +123,34 @@
         String::from_utf8(std::mem::replace(&mut self.unread, rest)).expect("bodies are text here")
     }
 
-    /// Reads a head and the body whose length it tells.
-    pub async fn message(&mut self) -> (Head, String) {
-        let head = self.head().await;
+    /// Reads a head and the body of the length that it contains.
+    pub async fn read_message(&mut self) -> (Head, String) {
+        let head = self.read_head().await;
         let length = head
             .field("content-length")
             .map_or(0, |length| length.parse().expect("a number"));
-        let body = self.body(length).await;
+        let body = self.read_body(length).await;
         (head, body)
     }
 
-    /// As [`Self::message`]; `None` if the peer ends the connection before one begins.
-    pub async fn next_message(&mut self) -> Option<(Head, String)> {
+    /// Like [`Self::read_message`]; `None` if the peer closes the connection first.
+    pub async fn try_read_message(&mut self) -> Option<(Head, String)> {
         while self.unread.is_empty() {
             if !matches!(self.read_more().await, Ok(true)) {
                 return None;
             }
         }
-        Some(self.message().await)
+        Some(self.read_message().await)
     }
 
-    /// Reads a request with a length, its body any bytes; its identifier, or `None` if it has none or ends early.
-    pub async fn next_identifier(&mut self) -> Option<String> {
+    /// Reads a request with a body of arbitrary bytes and returns its identifier; `None` if it has none or is incomplete.
+    pub async fn read_identifier(&mut self) -> Option<String> {
         while !self.unread.windows(4).any(|window| window == b"\r\n\r\n") {
             if !matches!(self.read_more().await, Ok(true)) {
                 return None;
             }
         }
-        let head = self.head().await;
+        let head = self.read_head().await;
         let length = head.field("content-length")?.parse().ok()?;
         while self.unread.len() < length {
             if !matches!(self.read_more().await, Ok(true)) {
@@ -166,19 +166,19 @@
         let line = self.read_past("\r\n").await;
         let size = std::str::from_utf8(&line).expect("a size").trim();
         let size = usize::from_str_radix(size, 16).expect("a size in hex");
-        let data = self.body(size).await;
-        self.body(2).await;
+        let data = self.read_body(size).await;
+        self.read_body(2).await;
         data
     }
 
-    /// Reads until the peer ends; what came, and how it ended.
-    pub async fn rest(&mut self) -> (String, Ending) {
-        let (bytes, ending) = self.rest_bytes().await;
+    /// Reads until the peer closes; returns what was received and how the connection ended.
+    pub async fn read_to_end(&mut self) -> (String, Ending) {
+        let (bytes, ending) = self.read_bytes_to_end().await;
         (String::from_utf8_lossy(&bytes).into_owned(), ending)
     }
 
-    /// As [`Self::rest`], of any bytes.
-    pub async fn rest_bytes(&mut self) -> (Vec<u8>, Ending) {
+    /// Like [`Self::read_to_end`], for arbitrary bytes.
+    pub async fn read_bytes_to_end(&mut self) -> (Vec<u8>, Ending) {
         let ending = loop {
             match self.read_more().await {
                 Ok(true) => {}
@@ -199,26 +199,26 @@
         self.stream.set_zero_linger().expect("linger can be set");
     }
 
-    async fn read_past(&mut self, mark: &str) -> Vec<u8> {
+    async fn read_past(&mut self, delimiter: &str) -> Vec<u8> {
         loop {
             let found = self
                 .unread
-                .windows(mark.len())
-                .position(|window| window == mark.as_bytes());
+                .windows(delimiter.len())
+                .position(|window| window == delimiter.as_bytes());
             if let Some(position) = found {
-                let rest = self.unread.split_off(position + mark.len());
+                let rest = self.unread.split_off(position + delimiter.len());
                 return std::mem::replace(&mut self.unread, rest);
             }
             let more = self.read_more().await;
             let seen = String::from_utf8_lossy(&self.unread).into_owned();
             assert!(
                 matches!(more, Ok(true)),
-                "ended ({more:?}) before {mark:?}: {seen}"
+                "ended ({more:?}) before {delimiter:?}: {seen}"
             );
         }
     }
 
-    /// Reads what is there; false if the peer has closed.
+    /// Reads available bytes; false if the peer has closed the connection.
     async fn read_more(&mut self) -> io::Result<bool> {
         let BufResult(result, bytes) = step(self.stream.read(Vec::with_capacity(4_096))).await;
         let length = result?;
@@ -227,17 +227,17 @@
     }
 }
 
-/// The head of a request or an answer.
+/// The head of a request or response.
 #[derive(Debug)]
 pub struct Head(String);
 
 impl Head {
-    pub fn line(&self) -> &str {
+    pub fn first_line(&self) -> &str {
         self.0.lines().next().expect("a first line")
     }
 
     pub fn status(&self) -> u16 {
-        self.line()
+        self.first_line()
             .split(' ')
             .nth(1)
             .expect("a status")
@@ -252,8 +252,8 @@
         })
     }
 
-    /// Whether the answer promises that the request has not run.
-    pub fn promises_not_run(&self) -> bool {
+    /// Whether the status guarantees that the request has not run.
+    pub fn guarantees_not_run(&self) -> bool {
         matches!(self.status(), 408 | 421 | 429 | 503)
     }
 }
