--- a/crates/lockusher-proxy/src/handle_reuse.rs
+++ b/crates/lockusher-proxy/src/handle_reuse.rs
@@ -2,7 +2,8 @@
 //!
 //! The response is the same whether the handle has expired or the decode searcher is full. A handle that is still valid
 //! can be transferred to another searcher, which saves an expensive repeated prefill; an expired one causes another
-//! rejected send. The result of the last retry decides.
+//! rejected send. The result of the last retry decides; after a failed one, an occasional retry probes whether retries
+//! succeed again.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/crates/lockusher-proxy/src/prefill.rs
+++ b/crates/lockusher-proxy/src/prefill.rs
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 ///
-/// [`PrefillFailure`], which says whether the request ran.
+/// [`PrefillFailure`], which shows whether the request ran.
 pub(crate) async fn prefill(
     shared: &Rc<ProxyState>,
     prefill_searcher: &Destination,
--- a/crates/lockusher-proxy/src/relay.rs
+++ b/crates/lockusher-proxy/src/relay.rs
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Polls the body, and drives the connection if no data is buffered.
+    /// Polls the body; if no data is buffered, polls the connection for more and then the body again.
     fn poll_body(
         &mut self,
         cx: &mut Context<'_>,
--- a/crates/lockusher-proxy/src/upstream/connection.rs
+++ b/crates/lockusher-proxy/src/upstream/connection.rs
@@ -135,14 +135,14 @@
     }
 
     /// Waits for a future that depends on the connection, such as the rest of a body, while polling the connection.
-    pub(crate) async fn drive_while<F: Future>(&mut self, awaited: F) -> F::Output {
-        let mut awaited = pin!(awaited);
+    pub(crate) async fn drive_while<F: Future>(&mut self, future: F) -> F::Output {
+        let mut future = pin!(future);
         poll_fn(|cx| {
-            if let Poll::Ready(output) = awaited.as_mut().poll(cx) {
+            if let Poll::Ready(output) = future.as_mut().poll(cx) {
                 return Poll::Ready(output);
             }
             self.poll_drive(cx);
-            awaited.as_mut().poll(cx)
+            future.as_mut().poll(cx)
         })
         .await
     }
