--- a/crates/lockusher-control/src/lib.rs
+++ b/crates/lockusher-control/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Replica`] is the pure state machine of one control node. It has no I/O, no clock and no threads: a driver feeds it
 //! [`Event`]s together with the monotonic time, and carries out the [`Effect`]s it returns. The voters of each epoch
 //! agree on its successor's [`View`] by single-decree Paxos; the members of a view replicate the configuration along
-//! their chain.
+//! their chain. The protocol is described in `docs/system.md`, section "Control state".
 
 pub mod acceptor;
 mod acceptor_log;
