--- a/crates/lockusher-control/src/driver/stage_assignment.rs
+++ b/crates/lockusher-control/src/driver/stage_assignment.rs
@@ -1,11 +1,11 @@
 //! Stage assignment: while this node is head, it orders searchers to change their stage as the scheduler decides.
 //!
-//! A task of the control node, started by [`crate::serve`]. It owns the [`StageScheduler`] and the
-//! [`StageAssignmentLease`]; which searcher changes and whether an order may be sent is decided there.
+//! A task of the control node, started by [`crate::serve`]. It owns the [`StageScheduler`], which decides which
+//! searcher changes, and the [`StageAssignmentLease`], which decides whether an order may be sent.
 //!
-//! Before an order the list that the fleet is given shows the searcher as changing, so that no request meets it on the
-//! way. Invariant: an order is written only under a fencing token that was confirmed within half a lease, and is given
-//! up, its connection reset, within a fifth of the lease.
+//! Before an order is sent, the instance list that is published to the fleet shows the searcher as changing, so that no
+//! request is sent to it during the change. Invariant: an order is written only under a fencing token that was
+//! confirmed less than half a lease ago, and is abandoned, with a reset of its connection, after a fifth of the lease.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -25,14 +25,15 @@
 use crate::stage_scheduler::{Observation, OrderOutcome, StageChange, StageScheduler};
 use crate::time::Millis;
 
-/// Between two decisions of the scheduler.
+/// Time between two decisions of the scheduler.
 const SCHEDULING_INTERVAL: Duration = Duration::from_millis(250);
-/// Time in which all proxies are notified that a searcher is about to change.
+/// Time within which a published list has reached all proxies.
 const LIST_PROPAGATION_DELAY: Duration = Duration::from_millis(300);
-/// The connection may take the limit of an attempt divided by this.
-const CONNECT_LIMIT_DIVISOR: u32 = 2;
+/// Connecting to a searcher times out after the timeout of the whole order divided by this.
+const CONNECT_TIMEOUT_DIVISOR: u32 = 2;
 
-/// Orders changes while this node is head, for ever. Dropping the future ends it at once, an order in flight included.
+/// Orders changes while this node is head; never returns. Dropping the future stops it at once, including an order in
+/// flight.
 pub async fn run(
     driver: Rc<ReplicaDriver>,
     list_publisher: Rc<InstanceListPublisher>,
@@ -53,6 +54,7 @@
     }
 }
 
+/// State of the stage assignment task.
 struct StageAssignment {
     driver: Rc<ReplicaDriver>,
     list_publisher: Rc<InstanceListPublisher>,
@@ -62,11 +64,11 @@
     log: StageLog,
 }
 
-/// What entitles this node to send one order, as long as it is valid.
+/// Permission to send one order: a fencing token and a confirmation, which expires.
 #[derive(Clone, Copy, Debug)]
 struct OrderPermit {
     fencing_token: u64,
-    /// When the confirmation of this node's epoch was requested of the voters.
+    /// When the confirmation of this node's epoch was requested from the voters.
     requested_at: Millis,
 }
 
@@ -75,7 +77,7 @@
         self.driver.clock.millis()
     }
 
-    /// The fencing token under which this node may order now; none if it isn't head or has to wait.
+    /// The fencing token under which this node may send orders now; none if it isn't head or must still wait.
     fn fencing_token(&mut self) -> Option<u64> {
         let role = self.driver.role();
         let now = self.now();
@@ -83,7 +85,7 @@
         self.lease.fencing_token(now)
     }
 
-    /// Has the scheduler decide, and carries out the change that it returns, if any.
+    /// Runs the scheduler once, and sends the order for the change that it returns, if any.
     async fn run_cycle(&mut self) {
         let Some(fencing_token) = self.fencing_token() else {
             if !self.driver.role().is_head {
@@ -101,7 +103,7 @@
         sleep(LIST_PROPAGATION_DELAY).await;
         let outcome = self.send_order(fencing_token, &change).await;
         log::info!(
-            "order: {} becomes {:?}: {outcome:?}",
+            "order: searcher {} to stage {:?}: {outcome:?}",
             change.identifier,
             change.to
         );
@@ -109,7 +111,7 @@
         self.publish_switching();
     }
 
-    /// Logs services without a ready searcher in a stage. This node is head.
+    /// Logs services without a ready searcher in a stage. Called only while this node is head.
     fn log_empty_stages(&mut self) {
         let now = self.now();
         let may_order = self.fencing_token().is_some();
@@ -122,13 +124,13 @@
             return;
         };
         let scheduler = &self.scheduler;
-        let why_no_order = |service: &str| match scheduler.why_no_change(service) {
-            _ if !may_order => "no order while the former head may still send one".to_owned(),
+        let order_status = |service: &str| match scheduler.no_change_reason(service) {
+            _ if !may_order => "no order yet: the former head may still send one".to_owned(),
             Some(reason) => format!("no order: {reason}"),
             None => "a change is ordered".to_owned(),
         };
         self.log
-            .observe(now, &configuration, &list.instances, why_no_order);
+            .observe(now, &configuration, &list.instances, order_status);
     }
 
     fn next_change(&mut self) -> Option<StageChange> {
@@ -146,7 +148,7 @@
         self.scheduler.next_change(&observation)
     }
 
-    /// Lets the published list show which searchers are changing.
+    /// Updates which searchers the published list shows as changing.
     fn publish_switching(&self) {
         self.list_publisher
             .set_switching(self.scheduler.changes_in_flight());
@@ -159,15 +161,21 @@
         let Some(permit) = self.confirm(fencing_token).await else {
             return OrderOutcome::NotSent;
         };
-        let limit = Duration::from_millis(self.lease.attempt_limit());
-        let attempt = self.attempt(address, permit, change, limit / CONNECT_LIMIT_DIVISOR);
-        // What was given up may have been accepted.
-        timeout(limit, attempt)
+        let order_timeout = Duration::from_millis(self.lease.attempt_timeout_ms());
+        let attempt = self.attempt(
+            address,
+            permit,
+            change,
+            order_timeout / CONNECT_TIMEOUT_DIVISOR,
+        );
+        // The searcher may have accepted an order that timed out.
+        timeout(order_timeout, attempt)
             .await
             .unwrap_or(OrderOutcome::Unknown)
     }
 
-    /// Has a majority of the voters confirm that this node's epoch is the newest: a read does.
+    /// Requests a confirmation from a majority of the voters that this node's epoch is the newest. A linearizable read
+    /// includes it.
     async fn confirm(&mut self, fencing_token: u64) -> Option<OrderPermit> {
         let permit = OrderPermit {
             fencing_token,
@@ -179,21 +187,23 @@
 
     fn is_valid(&mut self, permit: OrderPermit) -> bool {
         self.fencing_token() == Some(permit.fencing_token)
-            && self.lease.is_confirmed(permit.requested_at, self.now())
+            && self
+                .lease
+                .is_confirmation_valid(permit.requested_at, self.now())
     }
 
-    /// One attempt to have the searcher carry the order out. The permit is looked at again right before the write.
+    /// Sends the order once. The permit is checked again directly before the write.
     async fn attempt(
         &mut self,
         address: SocketAddrV4,
         permit: OrderPermit,
         change: &StageChange,
-        connect_limit: Duration,
+        connect_timeout: Duration,
     ) -> OrderOutcome {
-        let Ok(stream) = tcp::connect(address, connect_limit).await else {
+        let Ok(stream) = tcp::connect(address, connect_timeout).await else {
             return OrderOutcome::Rejected;
         };
-        // What is given up must not be sent again by the kernel later.
+        // The kernel must not retransmit an abandoned order after the connection is closed.
         let discards_on_close = tcp::discard_on_close(&stream).is_ok();
         let request =
             stage_change_request(address, change, &self.settings.node, permit.fencing_token);
@@ -206,7 +216,7 @@
         match http::exchange(stream, request).await {
             Ok(answer) => order_outcome(answer.status),
             Err(error) => {
-                log::debug!("order to {address}: {error}");
+                log::debug!("order to searcher {address} failed: {error}");
                 OrderOutcome::Unknown
             }
         }
--- a/crates/lockusher-control/src/driver/stage_change_order.rs
+++ b/crates/lockusher-control/src/driver/stage_change_order.rs
@@ -1,6 +1,6 @@
-//! The order to change a searcher's stage, as an HTTP request, and the meaning of the searcher's answer.
+//! The HTTP request that orders a searcher to change its stage, and the interpretation of the response.
 //!
-//! Called by the stage assignment; no I/O. The wire is the platform's: `POST /api/order`.
+//! Called by the stage assignment; no I/O. The platform defines the protocol: `POST /api/order`.
 
 use std::net::SocketAddrV4;
 
@@ -14,14 +14,14 @@
 
 const ORDER_PATH: &str = "/api/order";
 
-/// The request that orders a change.
+/// Builds the request that orders a change.
 ///
-/// `holder` names the node that sends it, `fencing_token` rises from one head to the next: a searcher rejects an order
-/// with a lower one than it has seen.
+/// `holder` is the name of the sending node. `fencing_token` increases from one head to the next; a searcher rejects an
+/// order with a lower one than the highest that it has seen.
 ///
 /// # Errors
 ///
-/// [`TransportError::Request`] if the searcher's identifier can't stand in a header.
+/// [`TransportError::Request`] if the searcher's identifier isn't a valid header value.
 pub fn stage_change_request(
     address: SocketAddrV4,
     change: &StageChange,
@@ -46,7 +46,7 @@
     Ok(request)
 }
 
-/// What the status of a searcher's answer means.
+/// The outcome that the status of a searcher's response stands for.
 pub fn order_outcome(status: StatusCode) -> OrderOutcome {
     match status {
         StatusCode::OK | StatusCode::ACCEPTED => OrderOutcome::Accepted,
--- a/crates/lockusher-control/src/driver/stage_log.rs
+++ b/crates/lockusher-control/src/driver/stage_log.rs
@@ -1,6 +1,6 @@
-//! Logs a service that has lost all ready searchers of a stage, and why none is ordered to it.
+//! Logs services without a ready searcher in a stage, and why no searcher is ordered to change to it.
 //!
-//! Owned by the stage assignment, which shows it the searchers at each of its cycles. No I/O besides the log.
+//! Owned by the stage assignment, which passes it the instance list in each of its cycles. No I/O besides the log.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +11,25 @@
 use crate::stage_scheduler::{StageCounts, is_ready};
 use crate::time::Millis;
 
-/// A stage is empty for this long before it is logged, in milliseconds.
+/// An empty stage is logged once it has been empty for this long, in milliseconds.
 const LOG_DELAY_MS: Millis = 500;
-/// Time between two lines while a stage is empty, in milliseconds.
+/// Time between two log lines while a stage is empty, in milliseconds.
 const LOG_INTERVAL_MS: Millis = 2_000;
 
-/// What is logged of the services' stages.
+/// Logs empty stages, by service, at a limited rate.
 #[derive(Debug, Default)]
 pub struct StageLog {
-    empty_stages: BTreeMap<String, RecurrenceLog>,
+    recurrence_logs: BTreeMap<String, RecurrenceLog>,
 }
 
 impl StageLog {
-    /// Takes the newest list; `why_no_order` says for a service why no order is due.
+    /// Checks the newest list; `order_status` returns for a service why no order was sent, or that one was.
     pub fn observe(
         &mut self,
         now: Millis,
         configuration: &Configuration,
         instances: &[Instance],
-        why_no_order: impl Fn(&str) -> String,
+        order_status: impl Fn(&str) -> String,
     ) {
         let staged = configuration
             .services
@@ -41,7 +41,7 @@
                 .iter()
                 .filter(|instance| instance.service == name && instance.stage.is_some());
             let searchers: Vec<&Instance> = of_service.collect();
-            self.observe_service(now, name, &searchers, &why_no_order);
+            self.observe_service(now, name, &searchers, &order_status);
         }
     }
 
@@ -50,11 +50,12 @@
         now: Millis,
         service: &str,
         searchers: &[&Instance],
-        why_no_order: impl Fn(&str) -> String,
+        order_status: impl Fn(&str) -> String,
     ) {
-        let ready = StageCounts::by_stage(|stage| count(searchers, |one| is_ready(one, stage)));
+        let ready =
+            StageCounts::by_stage(|stage| count(searchers, |searcher| is_ready(searcher, stage)));
         let log = self
-            .empty_stages
+            .recurrence_logs
             .entry(service.to_owned())
             .or_insert_with(|| RecurrenceLog::new(LOG_DELAY_MS, LOG_INTERVAL_MS));
         let Some(stage) = empty_stage(ready).filter(|_| !searchers.is_empty()) else {
@@ -64,23 +65,26 @@
         let Some(Recurrence { for_ms, .. }) = log.observe(now) else {
             return;
         };
-        let in_state = |state| count(searchers, |one| one.state == state);
+        let in_state = |state| count(searchers, |searcher| searcher.state == state);
         log::warn!(
             "service {service}: no searcher to {stage} for {for_ms} ms ({} prefill, {} decode, {} changing, {} draining): {}",
             ready.prefill,
             ready.decode,
             in_state(InstanceState::Changing),
             in_state(InstanceState::Draining),
-            why_no_order(service)
+            order_status(service)
         );
     }
 }
 
 fn count(searchers: &[&Instance], is_counted: impl Fn(&Instance) -> bool) -> usize {
-    searchers.iter().filter(|one| is_counted(one)).count()
+    searchers
+        .iter()
+        .filter(|searcher| is_counted(searcher))
+        .count()
 }
 
-/// The verb of a stage without a ready searcher; the more important one if both are empty.
+/// The verb of a stage without a ready searcher; decode if both stages are empty.
 fn empty_stage(ready: StageCounts) -> Option<&'static str> {
     match (ready.prefill, ready.decode) {
         (_, 0) => Some(verb(Stage::Decode)),
--- a/crates/lockusher-control/src/driver/stage_switch_overlay.rs
+++ b/crates/lockusher-control/src/driver/stage_switch_overlay.rs
@@ -1,6 +1,6 @@
-//! Shows the searchers that are changing their stage as changing in the list that the fleet is given.
+//! Marks the searchers that are changing their stage as changing in the published instance list.
 //!
-//! The platform's list doesn't show it. Owned by the publisher of the list; pure, without I/O.
+//! The platform's list doesn't contain this. Owned by the publisher of the list; pure, without I/O.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,43 +9,43 @@
 
 use crate::stage_scheduler::StageChange;
 
-/// The searchers that are changing their stage.
+/// The stage changes in flight, applied to an instance list.
 #[derive(Debug, Default)]
 pub struct StageSwitchOverlay {
-    /// The stage that a searcher leaves, by its identifier.
-    leaving: BTreeMap<String, Stage>,
+    /// The stage that each searcher leaves, by its identifier.
+    former_stages: BTreeMap<String, Stage>,
 }
 
 impl StageSwitchOverlay {
-    /// Replaces the changes; true if they differ from those before.
+    /// Replaces the changes; returns whether they differ from the former ones.
     pub fn set<'a>(&mut self, changes: impl Iterator<Item = &'a StageChange>) -> bool {
-        let leaving: BTreeMap<String, Stage> = changes
+        let former_stages: BTreeMap<String, Stage> = changes
             .map(|change| (change.identifier.clone(), change.from))
             .collect();
-        let differs = self.leaving != leaving;
-        self.leaving = leaving;
+        let differs = self.former_stages != former_stages;
+        self.former_stages = former_stages;
         differs
     }
 
-    /// The list with the searchers of the changes shown as changing; one that serves its new stage, or drains, is shown
-    /// as it is.
+    /// Returns the list with the searchers of the changes marked as changing. A searcher that serves its new stage
+    /// already, or is draining, stays as it is.
     pub fn apply(&self, instances: &Rc<Vec<Instance>>) -> Rc<Vec<Instance>> {
         if !instances.iter().any(|instance| self.is_switching(instance)) {
             return Rc::clone(instances);
         }
-        let mut shown = instances.as_ref().clone();
-        for instance in shown
+        let mut marked = instances.as_ref().clone();
+        for instance in marked
             .iter_mut()
             .filter(|instance| self.is_switching(instance))
         {
             instance.state = InstanceState::Changing;
         }
-        Rc::new(shown)
+        Rc::new(marked)
     }
 
     fn is_switching(&self, instance: &Instance) -> bool {
         instance.state == InstanceState::Ready
             && instance.stage.is_some()
-            && self.leaving.get(&instance.identifier).copied() == instance.stage
+            && self.former_stages.get(&instance.identifier).copied() == instance.stage
     }
 }
--- a/crates/lockusher-control/src/stage_scheduler.rs
+++ b/crates/lockusher-control/src/stage_scheduler.rs
@@ -1,16 +1,19 @@
-//! Scheduler of the searchers' stages: how many of a service serve prefill and how many decode, and which one changes.
+//! Scheduler of the searchers' stages: how many searchers of a service do prefill and how many decode, and which
+//! searcher changes.
 //!
-//! Owned by the head's stage assignment ([`crate::driver::stage_assignment`]), which shows it the newest list and the
-//! loads that the proxies report, sends the order for each change that it returns, and reports what became of it. A
-//! scheduler lives as long as its node is head; a new head starts without memory. It decides only, without I/O or
-//! clock.
+//! Owned by the head's stage assignment ([`crate::driver::stage_assignment`]), which passes it the newest instance list
+//! and the loads that the proxies report, sends the order for each change that it returns, and reports the outcome. A
+//! scheduler exists as long as its node is head; a new head starts with an empty one. It makes decisions only: it has
+//! no I/O and no clock.
 //!
-//! The modules below are one concern each: `coverage` finds a stage that has no searcher left, `demand` estimates how many searchers each stage keeps busy and which
-//! stage should grow, `hysteresis` whether that has lasted, `change_budget` bounds the number of changes,
-//! `searcher_selection` chooses the searcher, and `service_state` puts them together for one service.
+//! Each submodule has one concern: `coverage` finds a stage without searchers, `demand` estimates how many searchers
+//! the load keeps busy in each stage and which stage should grow, `hysteresis` checks that the demand has persisted,
+//! `change_budget` limits the rate of changes, `searcher_selection` chooses the searcher, and `service_state` combines
+//! them for one service.
 //!
-//! Invariant: a change leaves each stage of a service with one searcher at least, and with two in a service of four or
-//! more; only where a stage has none, the last searcher of the other may go. The rules are described in `docs/design/control.md`, section "Stage assignment".
+//! Invariant: a change leaves at least one searcher in each stage of a service, and at least two in a service of four
+//! or more. The exception is a stage without searchers: for it the last searcher of the other stage may change. The
+//! rules are described in `docs/design/control.md`, section "Stage assignment".
 
 mod change_budget;
 mod coverage;
@@ -35,38 +38,38 @@
 pub use self::searcher_selection::is_ready;
 pub use self::stage_change::{OrderOutcome, StageChange};
 
-/// What the scheduler looks at.
+/// Input of one scheduling decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation<'a> {
-    /// When it was made, in milliseconds of the steady clock.
+    /// Time of the observation, in milliseconds of the monotonic clock.
     pub now: Millis,
     /// The newest committed configuration.
     pub configuration: &'a Configuration,
-    /// The newest list of searchers.
+    /// The newest instance list.
     pub instances: &'a [Instance],
-    /// Loads summed over the proxies.
+    /// Load of each service, summed over the proxies.
     pub loads: &'a [ServiceLoad],
-    /// Proxies in the fleet.
+    /// Number of proxies in the fleet.
     pub proxies: u32,
 }
 
 impl<'a> Observation<'a> {
-    /// The searchers of a service that serve a stage or change it.
+    /// The searchers of a service that have a stage, including those that are changing it.
     fn staged_searchers(&self, service: &str) -> Vec<&'a Instance> {
         let is_staged =
             |instance: &&Instance| instance.service == service && instance.stage.is_some();
         self.instances.iter().filter(is_staged).collect()
     }
 
-    /// The load of a service, if enough proxies reported for it to mean something.
+    /// The load of a service, if it has requests and at least half of the proxies reported it.
     fn representative_load(&self, service: &str) -> Option<&'a ServiceLoad> {
         let load = self.loads.iter().find(|load| load.service == service)?;
-        let has_majority = self.proxies > 0 && load.proxies.saturating_mul(2) >= self.proxies;
-        (has_majority && load.requests_per_s > 0).then_some(load)
+        let has_enough_reports = self.proxies > 0 && load.proxies.saturating_mul(2) >= self.proxies;
+        (has_enough_reports && load.requests_per_s > 0).then_some(load)
     }
 }
 
-/// The scheduler of one head.
+/// Schedules the stage changes of all services while its node is head.
 #[derive(Debug)]
 pub struct StageScheduler {
     list_lag_ms: Millis,
@@ -74,7 +77,7 @@
 }
 
 impl StageScheduler {
-    /// A scheduler without memory. `list_lag_ms` is how far the platform's list lags behind the searchers.
+    /// Creates an empty scheduler. `list_lag_ms` is the delay with which the platform's list shows a searcher's change.
     pub fn new(list_lag_ms: Millis) -> Self {
         StageScheduler {
             list_lag_ms,
@@ -82,7 +85,7 @@
         }
     }
 
-    /// The next change to order, if one is due; it counts as in flight from now on.
+    /// Returns the next change to order, if one is due; it counts as in flight from now on.
     pub fn next_change(&mut self, observation: &Observation) -> Option<StageChange> {
         let now = observation.now;
         for service in &observation.configuration.services {
@@ -105,19 +108,19 @@
         None
     }
 
-    /// Why no change of a service was due when it was last looked at; none if one was, or before the first look.
-    pub fn why_no_change(&self, service: &str) -> Option<NoChange> {
-        self.services.get(service)?.why_no_change()
+    /// Why the last decision on a service made no change; none if it made one, or before the first decision.
+    pub fn no_change_reason(&self, service: &str) -> Option<NoChange> {
+        self.services.get(service)?.no_change_reason()
     }
 
-    /// Takes what became of the order for a change.
+    /// Handles the outcome of the order for a change.
     pub fn order_completed(&mut self, now: Millis, change: &StageChange, outcome: OrderOutcome) {
         if let Some(state) = self.services.get_mut(&change.service) {
             state.on_order_outcome(now, change, outcome);
         }
     }
 
-    /// The changes that were started and haven't ended.
+    /// The changes that were started and have neither completed nor failed.
     pub fn changes_in_flight(&self) -> impl Iterator<Item = &StageChange> {
         self.services
             .values()
--- a/crates/lockusher-control/src/stage_scheduler/change_budget.rs
+++ b/crates/lockusher-control/src/stage_scheduler/change_budget.rs
@@ -1,18 +1,18 @@
-//! A token bucket that bounds how many changes a service has in the long run.
+//! Token bucket that limits the rate of a service's stage changes.
 //!
-//! Owned by the service's state. Each change takes a token; tokens come with time, in proportion to the number of
-//! searchers, up to a capacity that allows a burst after a long rest.
+//! Owned by the service's state. Each change takes a token. The bucket is refilled at a rate proportional to the number
+//! of searchers, up to a capacity that allows a burst after a long time without changes.
 
 use crate::time::Millis;
 
-/// In the long run a service has one change for each of its searchers in this time.
+/// Long-term rate: one change for each searcher of the service in this interval.
 const REFILL_INTERVAL_MS: Millis = 50_000;
-/// Capacity of the bucket as a share of the service's searchers.
+/// Capacity of the bucket, in changes for each searcher of the service.
 const CAPACITY_PER_SEARCHER: f64 = 0.5;
-/// Capacity of the bucket at least, in changes.
+/// Lower bound of the capacity, in changes.
 const MIN_CAPACITY: f64 = 4.0;
 
-/// The changes that a service may still have.
+/// Token bucket of one service; a token permits one change.
 #[derive(Debug)]
 pub struct ChangeBudget {
     tokens: f64,
@@ -20,7 +20,7 @@
 }
 
 impl ChangeBudget {
-    /// A full budget for a service with so many searchers.
+    /// Creates a full bucket for a service with this number of searchers.
     pub fn full(now: Millis, searchers: usize) -> Self {
         ChangeBudget {
             tokens: capacity(searchers),
@@ -28,19 +28,20 @@
         }
     }
 
-    /// Adds what was earned since the last refill.
+    /// Adds the tokens that have accrued since the last refill.
     pub fn refill(&mut self, now: Millis, searchers: usize) {
-        let earned = (now - self.refilled_at) as f64 * searchers as f64 / REFILL_INTERVAL_MS as f64;
-        self.tokens = (self.tokens + earned).min(capacity(searchers));
+        let accrued =
+            (now - self.refilled_at) as f64 * searchers as f64 / REFILL_INTERVAL_MS as f64;
+        self.tokens = (self.tokens + accrued).min(capacity(searchers));
         self.refilled_at = now;
     }
 
-    /// Whether a change is left.
+    /// Whether a token is available.
     pub fn allows_change(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Pays for a change.
+    /// Takes the token of a change.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
--- a/crates/lockusher-control/src/stage_scheduler/coverage.rs
+++ b/crates/lockusher-control/src/stage_scheduler/coverage.rs
@@ -1,22 +1,23 @@
-//! Coverage: a model that no ready searcher of a stage serves any more, while searchers of the other stage do.
+//! Coverage: detects a model that no ready searcher of a stage serves, while searchers of the other stage serve it.
 //!
-//! Loads don't show that: without a decode searcher every request for the model is rejected, and what is rejected puts no
-//! load on anybody. So the change that gives the stage a searcher is decided by the list alone. Without a prefill searcher
-//! requests are still served, decode searchers reading the prompts; one is given up for it only if two others stay.
+//! Loads don't show this: without a decode searcher every request for the model is rejected, and rejected requests
+//! cause no load. So the change that restores the stage is decided by the instance list alone. Without a prefill
+//! searcher requests are still served, since decode searchers process the prompts themselves; a decode searcher changes
+//! to prefill only if two others remain.
 //!
-//! Called by the service's state with each observation; no memory, clock or I/O.
+//! Called by the service's state with each observation; stateless, without clock or I/O.
 
 use std::collections::BTreeSet;
 
 use lockusher_config::instances::{Instance, Stage};
 
-use super::searcher_selection::{is_last_serving_a_model, is_ready};
+use super::searcher_selection::{is_only_server_of_a_model, is_ready};
 use super::stage_change::{StageChange, opposite};
 
-/// Decode searchers that a model keeps when one of them goes over to prefill.
-const DECODE_SEARCHERS_RETAINED: usize = 2;
+/// Number of decode searchers that a model must keep when one of them changes to prefill.
+const MIN_REMAINING_DECODE_SEARCHERS: usize = 2;
 
-/// A stage in which a model has no searcher, and who could change to it.
+/// A stage in which a model has no searcher, and the searchers that could change to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UncoveredStage<'a> {
     /// The stage without a searcher.
@@ -25,7 +26,8 @@
     pub candidates: Vec<&'a Instance>,
 }
 
-/// The most urgent stage that isn't covered; `in_flight` are the changes that are expected to be made.
+/// The most urgent stage without a searcher for some model: decode before prefill. A change in `in_flight` counts as if
+/// it were complete.
 pub fn uncovered_stage<'a>(
     searchers: &[&'a Instance],
     in_flight: &[&StageChange],
@@ -39,7 +41,7 @@
     uncovered(Stage::Decode).or_else(|| uncovered(Stage::Prefill))
 }
 
-/// Names of the models that are served; `None` stands for searchers that list none.
+/// Names of the models that are served; `None` stands for searchers that list no models.
 fn models_of(searchers: &[&Instance]) -> BTreeSet<Option<String>> {
     let names = |searcher: &&Instance| -> Vec<Option<String>> {
         if searcher.models.is_empty() {
@@ -57,26 +59,30 @@
     stage: Stage,
     model: Option<&str>,
 ) -> Option<UncoveredStage<'a>> {
-    let serving = searchers.iter().copied().filter(|one| serves(one, model));
+    let serving = searchers
+        .iter()
+        .copied()
+        .filter(|searcher| serves(searcher, model));
     let serving: Vec<&Instance> = serving.collect();
-    let is_coming = |one: &Instance| {
+    let is_changing_to_stage = |searcher: &Instance| {
         in_flight
             .iter()
-            .any(|change| change.to == stage && change.identifier == one.identifier)
+            .any(|change| change.to == stage && change.identifier == searcher.identifier)
     };
     if serving
         .iter()
-        .any(|one| is_ready(one, stage) || is_coming(one))
+        .any(|searcher| is_ready(searcher, stage) || is_changing_to_stage(searcher))
     {
         return None;
     }
     let mut candidates: Vec<&Instance> = serving;
-    candidates.retain(|one| is_ready(one, opposite(stage)));
+    candidates.retain(|searcher| is_ready(searcher, opposite(stage)));
     if stage == Stage::Prefill {
-        if candidates.len() <= DECODE_SEARCHERS_RETAINED {
+        if candidates.len() <= MIN_REMAINING_DECODE_SEARCHERS {
             return None;
         }
-        candidates.retain(|one| !is_last_serving_a_model(one, Stage::Decode, searchers));
+        candidates
+            .retain(|searcher| !is_only_server_of_a_model(searcher, Stage::Decode, searchers));
     }
     (!candidates.is_empty()).then_some(UncoveredStage { stage, candidates })
 }
--- a/crates/lockusher-control/src/stage_scheduler/demand.rs
+++ b/crates/lockusher-control/src/stage_scheduler/demand.rs
@@ -1,8 +1,8 @@
-//! Demand estimate: how many searchers a service's load keeps busy in each stage, and how best to split them.
+//! Demand estimate: how many searchers a service's load keeps busy in each stage, and how to split the searchers.
 //!
-//! The *pressure* of a stage is the share of its usable capacity that the load takes: 1 is what it should bear at most.
-//! The best split of a service's searchers is the one whose larger pressure is the least. Called by the service's
-//! state with each observation; pure arithmetic.
+//! The *pressure* of a stage is its load divided by its usable capacity: above 1 the stage is overloaded. The best
+//! split of a service's searchers minimizes the larger pressure of the two stages. Called by the service's state with
+//! each observation; pure arithmetic.
 
 use std::cmp::Ordering;
 
@@ -12,35 +12,35 @@
 
 use super::stage_change::opposite;
 
-/// Share of the time that a prefill searcher should be busy at most: a prompt then waits about as long as its prefill
+/// Highest utilization of a prefill searcher; at this one a prompt waits in the queue about as long as its prefill
 /// takes.
 const MAX_PREFILL_UTILIZATION: f64 = 0.5;
-/// Share of its batch or of its KV cache that a decode searcher should fill at most, after one was lost.
+/// Highest utilization of a decode searcher's batch or KV cache after the loss of one decode searcher.
 const MAX_DECODE_UTILIZATION: f64 = 0.5;
-/// Share of their batch or KV cache that the decode searchers may fill while others of them change.
+/// Highest utilization of the remaining decode searchers' batches or KV caches while others change their stage.
 const MAX_DECODE_UTILIZATION_DURING_SWITCH: f64 = 0.7;
-/// Capacity of a lone decode searcher, in searchers, in place of "all but one": it can't be done without.
-const LONE_DECODE_CAPACITY: f64 = 0.5;
-/// Below this pressure of both stages nothing is changed.
+/// Capacity of a single decode searcher, in searchers; "all but one" would give a capacity of 0.
+const SINGLE_DECODE_CAPACITY: f64 = 0.5;
+/// No change is made while the pressure of both stages is below this.
 const MIN_PRESSURE_FOR_CHANGE: f64 = 0.8;
-/// A change must lower the larger pressure to this share of it at least.
+/// The best split must lower the larger pressure to at most this ratio of its current value.
 const MAX_PRESSURE_RATIO_AFTER_CHANGE: f64 = 0.88;
-/// From so many searchers on each stage keeps [`REDUNDANT_SEARCHERS`].
+/// A service with at least this number of searchers keeps [`REDUNDANT_SEARCHERS`] in each stage.
 const MIN_SEARCHERS_FOR_REDUNDANCY: usize = 4;
-/// Searchers that a stage keeps at least if the service has enough of them, so that one may be lost.
+/// Lower bound of a stage's searchers in a service with enough of them, so that the stage survives the loss of one.
 const REDUNDANT_SEARCHERS: usize = 2;
 
-/// Numbers of searchers in the two stages of a service.
+/// Number of searchers in each stage of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageCounts {
-    /// Searchers of the prefill stage.
+    /// Number of prefill searchers.
     pub prefill: usize,
-    /// Searchers of the decode stage.
+    /// Number of decode searchers.
     pub decode: usize,
 }
 
 impl StageCounts {
-    /// Counts both stages with `count`.
+    /// Evaluates `count` for both stages.
     pub fn by_stage(count: impl Fn(Stage) -> usize) -> Self {
         StageCounts {
             prefill: count(Stage::Prefill),
@@ -48,49 +48,49 @@
         }
     }
 
-    /// Searchers of both stages.
+    /// Number of searchers in both stages.
     pub fn total(self) -> usize {
         self.prefill + self.decode
     }
 }
 
-/// The load of a service in numbers of searchers that it would keep busy.
+/// The load of a service, as the number of searchers that it would keep fully busy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Prefill searchers that would be busy all the time.
+    /// Number of prefill searchers at a utilization of 1.
     pub prefill: f64,
-    /// Decode searchers with a full batch or a full KV cache, whichever is more.
+    /// Number of decode searchers with a full batch, or with a full KV cache, whichever is larger.
     pub decode: f64,
 }
 
 impl Demand {
-    /// The demand behind a load that `prefill_searchers` bear now. One that serves a queue of mean length N is busy
-    /// N / (1 + N) of the time (M/M/1).
-    pub fn of(load: &ServiceLoad, engine: &Engine, prefill_searchers: usize) -> Demand {
+    /// Estimates the demand from a load that `prefill_searchers` serve now. The utilization of a searcher with N
+    /// requests in its queue on average is N / (1 + N) (M/M/1).
+    pub fn from_load(load: &ServiceLoad, engine: &Engine, prefill_searchers: usize) -> Demand {
         let queue = from_hundredths(load.prefill_in_flight) / prefill_searchers.max(1) as f64;
         let batch = from_hundredths(load.decode_in_flight) / f64::from(engine.slots.max(1));
-        let memory = f64::from(load.decode_tokens) / engine.cache_tokens.max(1) as f64;
+        let kv_cache = f64::from(load.decode_tokens) / engine.cache_tokens.max(1) as f64;
         Demand {
             prefill: prefill_searchers as f64 * queue / (1.0 + queue),
-            decode: batch.max(memory),
+            decode: batch.max(kv_cache),
         }
     }
 
-    /// The larger pressure of the two stages with so many searchers.
+    /// The larger pressure of the two stages with these numbers of searchers.
     pub fn pressure(&self, counts: StageCounts) -> f64 {
         let prefill = self.prefill / (counts.prefill as f64 * MAX_PREFILL_UTILIZATION);
-        // The others must bear the loss of one.
+        // The remaining searchers must be able to take over the load of one that is lost.
         let decode_capacity = if counts.decode > 1 {
             (counts.decode - 1) as f64
         } else {
-            LONE_DECODE_CAPACITY
+            SINGLE_DECODE_CAPACITY
         };
         prefill.max(self.decode / (decode_capacity * MAX_DECODE_UTILIZATION))
     }
 
-    /// The split of `total` searchers with the least pressure; of equal ones that with a number of prefill searchers
-    /// nearest to `present_prefill`.
-    pub fn best_split(&self, total: usize, present_prefill: usize) -> StageCounts {
+    /// The split of `total` searchers with the lowest pressure. Among equal ones, the one closest to `current_prefill`
+    /// prefill searchers.
+    pub fn best_split(&self, total: usize, current_prefill: usize) -> StageCounts {
         let split = |prefill: usize| StageCounts {
             prefill,
             decode: total - prefill,
@@ -100,22 +100,24 @@
                 .pressure(split(*left))
                 .total_cmp(&self.pressure(split(*right)));
             pressures.then(
-                left.abs_diff(present_prefill)
-                    .cmp(&right.abs_diff(present_prefill)),
+                left.abs_diff(current_prefill)
+                    .cmp(&right.abs_diff(current_prefill)),
             )
         };
-        let least = if total >= MIN_SEARCHERS_FOR_REDUNDANCY {
+        let min_per_stage = if total >= MIN_SEARCHERS_FOR_REDUNDANCY {
             REDUNDANT_SEARCHERS
         } else {
             1
         };
-        let candidates = least..=total.saturating_sub(least);
-        split(candidates.min_by(by_pressure).unwrap_or(present_prefill))
+        let candidates = min_per_stage..=total.saturating_sub(min_per_stage);
+        split(candidates.min_by(by_pressure).unwrap_or(current_prefill))
     }
 
-    /// The stage that should have one more searcher, if the change is worth its cost and can be borne.
+    /// The stage that should get one more searcher, if the change lowers the pressure enough and the other stage can
+    /// release one.
     ///
-    /// `ready` are the searchers that serve now; `expected` counts those whose change is in flight where they go.
+    /// `ready` counts the searchers that serve now; `expected` counts the searchers whose change is in flight in their
+    /// new stage, too.
     pub(super) fn stage_to_grow(&self, ready: StageCounts, expected: StageCounts) -> Option<Stage> {
         if ready.prefill == 0 || ready.decode == 0 {
             return None;
@@ -134,8 +136,8 @@
         self.can_release(opposite(to), ready).then_some(to)
     }
 
-    /// Whether a stage can do without one of its searchers. Those that are changing are of no use yet: the ones that
-    /// stay must bear the load meanwhile.
+    /// Whether a stage can release one of its searchers. Searchers that are changing don't serve yet, so the remaining
+    /// ones must handle the load in the meantime.
     fn can_release(&self, from: Stage, ready: StageCounts) -> bool {
         match from {
             Stage::Prefill => ready.prefill > 1,
@@ -148,7 +150,7 @@
     }
 }
 
-/// The value of a number that the proxies report in hundredths.
+/// Converts a number that the proxies report in hundredths.
 fn from_hundredths(number: u32) -> f64 {
     f64::from(number) / f64::from(HUNDREDTHS)
 }
--- a/crates/lockusher-control/src/stage_scheduler/hysteresis.rs
+++ b/crates/lockusher-control/src/stage_scheduler/hysteresis.rs
@@ -1,65 +1,65 @@
-//! Hysteresis: a change is made only once the demand for it has lasted, and reversed only after a while.
+//! Hysteresis: a change is made only once the demand for it has persisted, and reversed only after a longer interval.
 //!
-//! Owned by the service's state, which says with each observation what stage should grow. A load that jitters around
-//! what fits must not have searchers go to and fro.
+//! Owned by the service's state, which reports with each observation which stage should grow. It keeps searchers from
+//! oscillating between the stages when the load fluctuates around the capacity.
 
 use lockusher_config::instances::Stage;
 
 use crate::time::Millis;
 
-/// A change must have been desired this long before it is made.
+/// A change is made once it has been desired continuously for this long.
 const MIN_PERSISTENCE_MS: Millis = 400;
-/// After a change has ended, loads aren't used for this long: they are of the time before.
+/// Loads aren't used for this long after a change has ended, because they still describe the time before it.
 const LOAD_STABILIZATION_MS: Millis = 1_500;
-/// A change in the other direction than the last one must wait this long since that one,
+/// Minimum time between a change and the next one in the opposite direction.
 const MIN_REVERSAL_INTERVAL_MS: Millis = 10_000;
-/// and be desired for this long without a break.
+/// A change in the opposite direction to the last one must also have been desired continuously for this long.
 const MIN_REVERSAL_PERSISTENCE_MS: Millis = 4_000;
-/// How long a service whose searchers don't know the order is left alone.
-const UNSUPPORTED_ORDER_BACK_OFF_MS: Millis = 120_000;
+/// Backoff after a searcher of the service answered that it doesn't support the order.
+const UNSUPPORTED_ORDER_BACKOFF_MS: Millis = 120_000;
 
-/// Which stage should grow, and since when without a break.
+/// The stage that should grow, and since when continuously.
 #[derive(Clone, Copy, Debug)]
 struct DesiredGrowth {
     stage: Stage,
     since: Millis,
 }
 
-/// The latest change: which stage it made grow, and when it was started.
+/// The latest change: the stage that it gave a searcher to, and its start.
 #[derive(Clone, Copy, Debug)]
 struct LastChange {
     to: Stage,
     at: Millis,
 }
 
-/// What has to be remembered of a service so that its changes are few and steady.
+/// The state by which changes of one service are delayed.
 #[derive(Debug, Default)]
 pub struct Hysteresis {
     desired: Option<DesiredGrowth>,
     last_change: Option<LastChange>,
-    /// Until then nothing is changed.
-    resting_until: Millis,
-    /// Until then the service's searchers aren't sent orders.
+    /// Load-driven changes are suspended until this time.
+    suspended_until: Millis,
+    /// End of the backoff after an unsupported order.
     unsupported_until: Millis,
 }
 
 impl Hysteresis {
-    /// Records which stage should grow by the load seen now.
+    /// Records which stage should grow according to the current load.
     pub fn observe(&mut self, now: Millis, stage_to_grow: Option<Stage>) {
-        let present = self
+        let unchanged = self
             .desired
             .filter(|desired| Some(desired.stage) == stage_to_grow);
-        let since = present.map_or(now, |desired| desired.since);
+        let since = unchanged.map_or(now, |desired| desired.since);
         self.desired = stage_to_grow.map(|stage| DesiredGrowth { stage, since });
     }
 
-    /// The stage that may grow now. A service with changes in flight need not wait for persistence: what they were
-    /// made for has lasted long enough.
+    /// The stage that may grow now. The persistence isn't required while the service has changes in flight: the demand
+    /// that caused them has already persisted.
     pub fn stage_due(&self, now: Millis, has_changes_in_flight: bool) -> Option<Stage> {
         let desired = self.desired?;
         let has_persisted = now >= desired.since + MIN_PERSISTENCE_MS || has_changes_in_flight;
         let is_due =
-            now >= self.resting_until && has_persisted && !self.is_early_reversal(now, desired);
+            now >= self.suspended_until && has_persisted && !self.is_early_reversal(now, desired);
         is_due.then_some(desired.stage)
     }
 
@@ -71,24 +71,24 @@
             || now < desired.since + MIN_REVERSAL_PERSISTENCE_MS
     }
 
-    /// A change was started: the desire for it is met.
+    /// Records the start of a change, which resets the desired growth.
     pub fn on_change_started(&mut self, now: Millis, to: Stage) {
         self.last_change = Some(LastChange { to, at: now });
         self.desired = None;
     }
 
-    /// A change has ended: loads are of the time before for a while.
+    /// Records the end of a change: until loads have stabilized no further change is due.
     pub fn on_change_ended(&mut self, now: Millis) {
-        self.resting_until = self.resting_until.max(now + LOAD_STABILIZATION_MS);
+        self.suspended_until = self.suspended_until.max(now + LOAD_STABILIZATION_MS);
     }
 
-    /// The service's searchers don't know the order.
+    /// Records that the service's searchers don't support the order, and starts the backoff.
     pub fn on_order_unsupported(&mut self, now: Millis) {
-        self.resting_until = now + UNSUPPORTED_ORDER_BACK_OFF_MS;
-        self.unsupported_until = self.resting_until;
+        self.suspended_until = now + UNSUPPORTED_ORDER_BACKOFF_MS;
+        self.unsupported_until = self.suspended_until;
     }
 
-    /// Whether the service's searchers didn't know the order of late.
+    /// Whether the backoff after an unsupported order is still running.
     pub fn is_unsupported(&self, now: Millis) -> bool {
         now < self.unsupported_until
     }
--- a/crates/lockusher-control/src/stage_scheduler/no_change.rs
+++ b/crates/lockusher-control/src/stage_scheduler/no_change.rs
@@ -1,32 +1,32 @@
-//! Why the scheduler makes no change of a service's stages now. For the log.
+//! Reasons why the scheduler makes no change for a service, for the log.
 
 use derive_more::Display;
 
-/// Why no change is due.
+/// The reason why no change is due.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum NoChange {
-    /// No majority of the proxies has reported a load.
+    /// The service has no requests, or fewer than half of the proxies have reported a load.
     #[display("no load is reported")]
     NoLoad,
-    /// A stage has no ready searcher, and the other has too few to give one.
-    #[display("the other stage has no searcher to spare")]
+    /// A stage has no ready searcher, and the other stage has too few to release one.
+    #[display("a stage is empty and the other can't release a searcher")]
     EmptyStage,
-    /// The service's searchers didn't know the order of late.
-    #[display("its searchers don't know the order")]
+    /// The service's searchers recently answered that they don't support the order.
+    #[display("its searchers don't support the order")]
     Unsupported,
-    /// The load asks for no other split, or the stage that would give a searcher can't spare one.
-    #[display("the load asks for no change")]
+    /// The present split is good enough for the load, or the stage that should release a searcher can't.
+    #[display("the load requires no change")]
     NotWorthwhile,
-    /// The demand hasn't lasted long enough, or the last change was a moment ago.
-    #[display("the demand hasn't lasted yet")]
+    /// The demand hasn't persisted long enough, or the last change was too recent.
+    #[display("the demand hasn't persisted long enough")]
     NotPersistent,
-    /// As many searchers are changing as may at once.
-    #[display("other changes are under way")]
+    /// The maximum number of searchers is changing already.
+    #[display("the maximum number of changes is in flight")]
     ChangesInFlight,
-    /// The service has had as many changes as it may for now.
-    #[display("the budget of changes is spent")]
+    /// The token bucket of the service's changes is empty.
+    #[display("the change budget is exhausted")]
     BudgetExhausted,
-    /// No searcher of the stage may leave it.
-    #[display("no searcher may leave its stage")]
+    /// Each searcher of the stage is excluded, changing already, or the only one that serves a model.
+    #[display("no searcher is eligible to leave its stage")]
     NoCandidate,
 }
--- a/crates/lockusher-control/src/stage_scheduler/searcher_selection.rs
+++ b/crates/lockusher-control/src/stage_scheduler/searcher_selection.rs
@@ -1,26 +1,27 @@
 //! Selection of the searcher that leaves a stage.
 //!
-//! Zones stay balanced, searchers that are still warming up are spared if others can go first, and no model is left
-//! without a searcher of the stage.
+//! Keeps the zones balanced, prefers searchers that have warmed up, and leaves no model without a searcher of the
+//! stage.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use lockusher_config::instances::{Instance, InstanceState, Stage};
 
-/// Ready searchers of one zone.
+/// Numbers of ready searchers in one zone.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneCounts {
     in_stage: usize,
     in_other_stage: usize,
 }
 
-/// Whether a searcher serves this stage now.
+/// Whether a searcher is ready and serves this stage.
 pub fn is_ready(searcher: &Instance, stage: Stage) -> bool {
     searcher.stage == Some(stage) && searcher.state == InstanceState::Ready
 }
 
-/// The searcher that leaves the stage `from`: of the zone with the most of that stage, and the fewest of the other.
+/// Selects the searcher that leaves the stage `from`, in the order of [`select_preferred`]. Excluded searchers and the
+/// only server of a model aren't selected.
 pub fn select_searcher<'a>(
     searchers: &[&'a Instance],
     from: Stage,
@@ -29,12 +30,13 @@
     let may_leave = |searcher: &Instance| {
         is_ready(searcher, from)
             && !is_excluded(searcher)
-            && !is_last_serving_a_model(searcher, from, searchers)
+            && !is_only_server_of_a_model(searcher, from, searchers)
     };
     select_preferred(searchers, from, may_leave)
 }
 
-/// Of the searchers that may leave the stage `from`, the one whose zone has the most of it and the fewest of the other.
+/// Selects one of the searchers that may leave the stage `from`: from the zone with the most searchers of that stage,
+/// then the fewest of the other stage; within it the one with the least remaining warm-up time.
 pub fn select_preferred<'a>(
     searchers: &[&'a Instance],
     from: Stage,
@@ -76,8 +78,12 @@
     zones
 }
 
-/// Whether a model would be left without a searcher of the stage.
-pub fn is_last_serving_a_model(searcher: &Instance, stage: Stage, searchers: &[&Instance]) -> bool {
+/// Whether a model would have no ready searcher of the stage without this one.
+pub fn is_only_server_of_a_model(
+    searcher: &Instance,
+    stage: Stage,
+    searchers: &[&Instance],
+) -> bool {
     let others = searchers
         .iter()
         .filter(|other| is_ready(other, stage) && other.identifier != searcher.identifier);
--- a/crates/lockusher-control/src/stage_scheduler/service_state.rs
+++ b/crates/lockusher-control/src/stage_scheduler/service_state.rs
@@ -1,8 +1,8 @@
-//! What the scheduler remembers of one service, and the decision on its next change.
+//! State of one service in the scheduler, and the decision on its next change.
 //!
-//! Owned by the scheduler, which shows it the service's searchers and load with each observation. Demand says which
-//! stage should grow, hysteresis, budget and the changes in flight whether it may now, the selection which searcher
-//! goes.
+//! Owned by the scheduler, which passes it the service's searchers and load with each observation. The demand
+//! determines which stage should grow; hysteresis, budget and the changes in flight whether it may grow now; the
+//! selection which searcher changes.
 
 use std::collections::BTreeMap;
 
@@ -19,41 +19,41 @@
 use super::stage_change::{OrderOutcome, StageChange, opposite};
 use crate::time::Millis;
 
-/// So many of a service's searchers may be changing at once, as a share of all; one always may.
+/// Highest share of a service's searchers that may be changing at the same time; one is always allowed.
 const MAX_IN_FLIGHT_SHARE: f64 = 0.25;
-/// How long a searcher that rejected an order, or didn't carry it out, is left alone.
+/// How long a searcher that rejected an order, or didn't execute it in time, is excluded from selection.
 const EXCLUSION_MS: Millis = 10_000;
-/// A stage must have been without a searcher for this long before one is ordered to it: a list that is being replaced may
-/// show it for a moment.
+/// A stage must have been without a searcher for this long before one is ordered to it: the list may briefly show an
+/// empty stage while searchers are being replaced.
 const UNCOVERED_PERSISTENCE_MS: Millis = 400;
-/// Time beyond the change itself until the list must show it: requests in flight are finished first.
+/// Added to the duration of a change before it counts as failed: the searcher completes its requests in flight first.
 const REQUEST_COMPLETION_ALLOWANCE_MS: Millis = 8_000;
 
-/// A change that was ordered, or is about to be, and that the list doesn't show yet.
+/// A change that was ordered, or is about to be ordered, and that the list doesn't show as complete yet.
 #[derive(Clone, Debug)]
 struct ChangeInFlight {
     change: StageChange,
-    /// When it counts as failed if the list doesn't show it.
+    /// The change counts as failed if the list doesn't show it by then.
     deadline: Millis,
-    /// Whether the searcher may not have been reached: no answer to the order came.
+    /// Whether no response to the order was received, so that the searcher may not have got it.
     is_unanswered: bool,
 }
 
-/// The changes of one service.
+/// Decides on the stage changes of one service and tracks them.
 #[derive(Debug)]
 pub struct ServiceState {
     in_flight: Vec<ChangeInFlight>,
     hysteresis: Hysteresis,
     budget: ChangeBudget,
-    /// Searchers that aren't chosen until the time given, by identifier.
+    /// End of a searcher's exclusion from selection, by its identifier.
     excluded_until: BTreeMap<String, Millis>,
-    /// Since when a stage has had no searcher.
+    /// Time since which a model has had no searcher of some stage.
     uncovered_since: Option<Millis>,
-    why_no_change: Option<NoChange>,
+    no_change_reason: Option<NoChange>,
 }
 
 impl ServiceState {
-    /// The state of a service with so many searchers that has had no change.
+    /// Creates the state of a service with this number of searchers.
     pub fn new(now: Millis, searchers: usize) -> Self {
         ServiceState {
             in_flight: Vec::new(),
@@ -61,31 +61,32 @@
             budget: ChangeBudget::full(now, searchers),
             excluded_until: BTreeMap::new(),
             uncovered_since: None,
-            why_no_change: None,
+            no_change_reason: None,
         }
     }
 
-    /// Ends the changes that the list shows as made, or that can't be made any more.
+    /// Removes the changes that the list shows as complete, that can no longer complete, or that have exceeded their
+    /// deadline.
     pub fn observe_instances(&mut self, now: Millis, searchers: &[&Instance]) {
         self.budget.refill(now, searchers.len());
         self.excluded_until.retain(|_, until| *until > now);
         let before = self.in_flight.len();
         let excluded_until = &mut self.excluded_until;
         self.in_flight.retain(|in_flight| {
-            let is_open = is_open(&in_flight.change, searchers);
+            let is_pending = is_pending(&in_flight.change, searchers);
             let has_expired = now >= in_flight.deadline;
-            if is_open && has_expired {
+            if is_pending && has_expired {
                 excluded_until.insert(in_flight.change.identifier.clone(), now + EXCLUSION_MS);
             }
-            is_open && !has_expired
+            is_pending && !has_expired
         });
         if self.in_flight.len() < before {
             self.hysteresis.on_change_ended(now);
         }
     }
 
-    /// The change to make now, if one is due; `load` is absent if it isn't known. The change isn't in flight until
-    /// [`ServiceState::start_change`].
+    /// Returns the change to make now, if one is due; `load` is absent if it isn't known. The change counts as in
+    /// flight only from [`ServiceState::start_change`] on.
     pub fn next_change(
         &mut self,
         now: Millis,
@@ -94,13 +95,13 @@
         searchers: &[&Instance],
     ) -> Option<StageChange> {
         let change = self.decide(now, engine, load, searchers);
-        self.why_no_change = change.as_ref().err().copied();
+        self.no_change_reason = change.as_ref().err().copied();
         change.ok()
     }
 
-    /// Why the last look led to no change.
-    pub fn why_no_change(&self) -> Option<NoChange> {
-        self.why_no_change
+    /// Why the last decision made no change.
+    pub fn no_change_reason(&self) -> Option<NoChange> {
+        self.no_change_reason
     }
 
     fn decide(
@@ -111,19 +112,22 @@
         searchers: &[&Instance],
     ) -> Result<StageChange, NoChange> {
         if let Some(uncovered) = uncovered_stage(searchers, &self.expected_changes()) {
-            return self.cover(now, searchers, &uncovered);
+            return self.cover_stage(now, searchers, &uncovered);
         }
         self.uncovered_since = None;
         let Some(load) = load else {
-            // What was desired before doesn't count any more.
+            // Without a load the growth that was desired before is no longer continuous.
             self.hysteresis.observe(now, None);
             return Err(NoChange::NoLoad);
         };
         let ready = StageCounts::by_stage(|stage| {
-            searchers.iter().filter(|one| is_ready(one, stage)).count()
+            searchers
+                .iter()
+                .filter(|searcher| is_ready(searcher, stage))
+                .count()
         });
-        let demand = Demand::of(load, engine, ready.prefill);
-        let stage_to_grow = demand.stage_to_grow(ready, self.with_changes_made(ready));
+        let demand = Demand::from_load(load, engine, ready.prefill);
+        let stage_to_grow = demand.stage_to_grow(ready, self.counts_after_changes(ready));
         self.hysteresis.observe(now, stage_to_grow);
         if ready.prefill == 0 || ready.decode == 0 {
             return Err(NoChange::EmptyStage);
@@ -144,12 +148,12 @@
             |searcher: &Instance| self.excluded_until.contains_key(&searcher.identifier);
         let searcher =
             select_searcher(searchers, from, is_excluded).ok_or(NoChange::NoCandidate)?;
-        Ok(StageChange::of(searcher, from, to))
+        Ok(StageChange::new(searcher, from, to))
     }
 
-    /// The change that gives a stage without a searcher one. It needs neither a load nor a budget: without it nothing is
-    /// served.
-    fn cover(
+    /// The change that gives a searcher to a stage without one. It depends neither on a load nor on the budget: without
+    /// a decode searcher no request is served.
+    fn cover_stage(
         &mut self,
         now: Millis,
         searchers: &[&Instance],
@@ -163,7 +167,7 @@
             return Err(NoChange::Unsupported);
         }
         let from = opposite(uncovered.stage);
-        let candidates = |searcher: &Instance| {
+        let may_leave = |searcher: &Instance| {
             let is_candidate = uncovered
                 .candidates
                 .iter()
@@ -171,9 +175,8 @@
             let is_excluded = self.excluded_until.contains_key(&searcher.identifier);
             is_candidate && !is_excluded && !self.is_in_flight(searcher)
         };
-        let searcher =
-            select_preferred(searchers, from, candidates).ok_or(NoChange::NoCandidate)?;
-        Ok(StageChange::of(searcher, from, uncovered.stage))
+        let searcher = select_preferred(searchers, from, may_leave).ok_or(NoChange::NoCandidate)?;
+        Ok(StageChange::new(searcher, from, uncovered.stage))
     }
 
     fn is_in_flight(&self, searcher: &Instance) -> bool {
@@ -181,14 +184,17 @@
             .any(|change| change.identifier == searcher.identifier)
     }
 
-    /// The changes in flight whose orders are being sent or were accepted.
+    /// The changes in flight whose order is being sent or was accepted.
     fn expected_changes(&self) -> Vec<&StageChange> {
-        let expected = self.in_flight.iter().filter(|one| !one.is_unanswered);
+        let expected = self
+            .in_flight
+            .iter()
+            .filter(|in_flight| !in_flight.is_unanswered);
         expected.map(|in_flight| &in_flight.change).collect()
     }
 
-    /// The counts once the changes in flight are made. Searchers that are changing aren't ready.
-    fn with_changes_made(&self, ready: StageCounts) -> StageCounts {
+    /// The counts after completion of the changes in flight. `ready` doesn't include searchers that are changing.
+    fn counts_after_changes(&self, ready: StageCounts) -> StageCounts {
         let incoming = StageCounts::by_stage(|stage| {
             self.in_flight
                 .iter()
@@ -201,7 +207,7 @@
         }
     }
 
-    /// Counts a change as in flight from now on.
+    /// Records a change as in flight, and takes its token from the budget.
     pub fn start_change(
         &mut self,
         now: Millis,
@@ -219,13 +225,13 @@
         self.budget.take();
     }
 
-    /// Takes what became of the order for a change. One that may have been accepted stays in flight.
+    /// Handles the outcome of the order for a change. A change whose order may have been accepted stays in flight.
     pub fn on_order_outcome(&mut self, now: Millis, change: &StageChange, outcome: OrderOutcome) {
         match outcome {
             OrderOutcome::Accepted => return,
             OrderOutcome::Unknown => {
-                let of_change = |one: &&mut ChangeInFlight| one.change == *change;
-                if let Some(in_flight) = self.in_flight.iter_mut().find(of_change) {
+                let is_this_change = |in_flight: &&mut ChangeInFlight| in_flight.change == *change;
+                if let Some(in_flight) = self.in_flight.iter_mut().find(is_this_change) {
                     in_flight.is_unanswered = true;
                 }
                 return;
@@ -241,14 +247,14 @@
             .retain(|in_flight| in_flight.change.identifier != change.identifier);
     }
 
-    /// The changes that were started and haven't ended.
+    /// The changes that were started and have neither completed nor failed.
     pub fn changes_in_flight(&self) -> impl Iterator<Item = &StageChange> {
         self.in_flight.iter().map(|in_flight| &in_flight.change)
     }
 }
 
-/// Whether the list shows the searcher in the stage that it is to leave, so that the change may still be made.
-fn is_open(change: &StageChange, searchers: &[&Instance]) -> bool {
+/// Whether the list still shows the searcher in its former stage and not draining, so that the change may yet complete.
+fn is_pending(change: &StageChange, searchers: &[&Instance]) -> bool {
     let listed = searchers
         .iter()
         .find(|searcher| searcher.identifier == change.identifier);
@@ -257,7 +263,7 @@
     })
 }
 
-/// How many of a service's searchers may be changing at once.
+/// Number of a service's searchers that may be changing at the same time.
 fn max_in_flight(searchers: usize) -> usize {
     ((searchers as f64 * MAX_IN_FLIGHT_SHARE) as usize).max(1)
 }
--- a/crates/lockusher-control/tests/stage_assignment_lease.rs
+++ b/crates/lockusher-control/tests/stage_assignment_lease.rs
@@ -1,4 +1,5 @@
-//! Orders of a head and the next one before simulated clocks, delays and pauses: they never take turns within the lease.
+//! Lease under which heads send orders: with simulated clocks, delays and pauses, orders of two successive heads arrive
+//! at least one lease apart.
 
 use lockusher_control::Millis;
 use lockusher_control::chain_role::ChainRole;
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn a_head_that_goes_on_in_the_next_epoch_needs_no_wait() {
+fn a_head_that_stays_head_in_the_next_epoch_need_not_wait_again() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, ChainRole::head(4));
     lease.observe(20_000, ChainRole::head(5));
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn a_head_that_was_followed_by_another_waits_anew() {
+fn a_head_that_was_replaced_in_between_waits_again() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, ChainRole::head(4));
     lease.observe(20_000, ChainRole::not_head(5));
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_head_that_lost_touch_for_a_while_keeps_its_fencing_token() {
+fn a_head_that_lost_contact_temporarily_keeps_its_fencing_token() {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
     lease.observe(10_000, ChainRole::head(4));
     lease.observe(20_000, ChainRole::not_head(4));
@@ -45,10 +46,10 @@
 }
 
 #[test]
-fn a_confirmation_ages() {
+fn a_confirmation_expires() {
     let lease = StageAssignmentLease::new(LEASE_MS, 0);
-    assert!(lease.is_confirmed(1_000, 2_499));
-    assert!(!lease.is_confirmed(1_000, 2_500));
+    assert!(lease.is_confirmation_valid(1_000, 2_499));
+    assert!(!lease.is_confirmation_valid(1_000, 2_500));
 }
 
 /// An order that reached a searcher.
@@ -59,55 +60,57 @@
     holder: usize,
 }
 
-/// One attempt of a head: it asks the voters, waits for their answers, stalls, and sends.
+/// One attempt of a head to send an order: it requests a confirmation, waits for the voters' responses, pauses, and
+/// sends the order.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
-    begin: Millis,
-    answered_after: Millis,
-    stalled_for: Millis,
-    transit: Millis,
+    started_at: Millis,
+    confirmed_after_ms: Millis,
+    paused_for_ms: Millis,
+    transit_ms: Millis,
 }
 
 fn attempts() -> impl Strategy<Value = Vec<Attempt>> {
     let attempt = (0u64..30_000, 0u64..4_000, 0u64..6_000, 0u64..600).prop_map(
-        |(begin, answered_after, stalled_for, transit)| Attempt {
-            begin,
-            answered_after,
-            stalled_for,
-            transit,
+        |(started_at, confirmed_after_ms, paused_for_ms, transit_ms)| Attempt {
+            started_at,
+            confirmed_after_ms,
+            paused_for_ms,
+            transit_ms,
         },
     );
     prop::collection::vec(attempt, 0..60)
 }
 
-/// The arrivals of one holder's attempts. It is head by its own belief from `head_from` on; voters confirm its epoch until
-/// `agreed`, when a majority accepts the next one. Its steady clock is `skew` ahead of true time.
+/// The arrivals of one holder's orders. The holder considers itself head from `head_from` on; voters confirm its epoch
+/// until `agreed_at`, when a majority accepts the next one. Its monotonic clock is `skew_ms` ahead of the simulated
+/// time.
 fn arrivals(
     holder: usize,
     epoch: u64,
     head_from: Millis,
-    agreed: Millis,
-    skew: Millis,
+    agreed_at: Millis,
+    skew_ms: Millis,
     attempts: &[Attempt],
 ) -> Vec<Arrival> {
     let mut lease = StageAssignmentLease::new(LEASE_MS, 0);
-    lease.observe(head_from + skew, ChainRole::head(epoch));
+    lease.observe(head_from + skew_ms, ChainRole::head(epoch));
     let mut arrivals = Vec::new();
     for attempt in attempts {
-        let requested_at = attempt.begin;
-        // Voters answer at any moment between question and answer; none does once the next epoch is accepted.
-        if requested_at < head_from || requested_at >= agreed {
+        let requested_at = attempt.started_at;
+        // A voter may confirm at any time between request and response, but not after it has accepted the next epoch.
+        if requested_at < head_from || requested_at >= agreed_at {
             continue;
         }
-        let sent = requested_at + attempt.answered_after + attempt.stalled_for;
-        let transit = attempt.transit.min(lease.attempt_limit());
-        let fencing_token = lease.fencing_token(sent + skew);
+        let sent_at = requested_at + attempt.confirmed_after_ms + attempt.paused_for_ms;
+        let transit_ms = attempt.transit_ms.min(lease.attempt_timeout_ms());
+        let fencing_token = lease.fencing_token(sent_at + skew_ms);
         if let (Some(fencing_token), true) = (
             fencing_token,
-            lease.is_confirmed(requested_at + skew, sent + skew),
+            lease.is_confirmation_valid(requested_at + skew_ms, sent_at + skew_ms),
         ) {
             arrivals.push(Arrival {
-                at: sent + transit,
+                at: sent_at + transit_ms,
                 fencing_token,
                 holder,
             });
@@ -118,22 +121,22 @@
 
 proptest! {
     #[test]
-    fn two_heads_never_take_turns_within_the_lease(
-        agreed in 8_000u64..20_000,
-        learned_after in 0u64..3_000,
-        skews in (0u64..100_000, 0u64..100_000),
+    fn orders_of_two_heads_arrive_at_least_a_lease_apart(
+        agreed_at in 8_000u64..20_000,
+        learned_after_ms in 0u64..3_000,
+        skews_ms in (0u64..100_000, 0u64..100_000),
         former in attempts(),
         next in attempts(),
     ) {
-        let mut all = arrivals(1, 4, 0, agreed, skews.0, &former);
-        all.extend(arrivals(2, 5, agreed + learned_after, Millis::MAX, skews.1, &next));
+        let mut all = arrivals(1, 4, 0, agreed_at, skews_ms.0, &former);
+        all.extend(arrivals(2, 5, agreed_at + learned_after_ms, Millis::MAX, skews_ms.1, &next));
         all.sort_by_key(|arrival| arrival.at);
         for pair in all.windows(2) {
-            let (one, other) = (pair[0], pair[1]);
-            prop_assert!(one.fencing_token <= other.fencing_token, "fencing tokens fall: {one:?} {other:?}");
-            if one.holder != other.holder {
-                prop_assert!(one.fencing_token != other.fencing_token);
-                prop_assert!(other.at - one.at >= LEASE_MS, "turns: {one:?} {other:?}");
+            let (earlier, later) = (pair[0], pair[1]);
+            prop_assert!(earlier.fencing_token <= later.fencing_token, "fencing token decreases: {earlier:?} {later:?}");
+            if earlier.holder != later.holder {
+                prop_assert!(earlier.fencing_token != later.fencing_token);
+                prop_assert!(later.at - earlier.at >= LEASE_MS, "less than a lease apart: {earlier:?} {later:?}");
             }
         }
     }
--- a/crates/lockusher-control/tests/stage_change_order.rs
+++ b/crates/lockusher-control/tests/stage_change_order.rs
@@ -1,4 +1,4 @@
-//! Orders on the wire, against a scripted searcher on loopback.
+//! The HTTP request of an order, received by a scripted searcher on loopback, and the outcome of each response.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -11,7 +11,8 @@
 use lockusher_transport::{http, tcp};
 use yare::parameterized;
 
-const ANSWER: &[u8] = b"HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}";
+const RESPONSE: &[u8] =
+    b"HTTP/1.1 202 Accepted\r\ncontent-length: 2\r\nconnection: close\r\n\r\n{}";
 
 fn change(address: SocketAddrV4) -> StageChange {
     StageChange {
@@ -23,13 +24,16 @@
     }
 }
 
-/// Reads one request with a body of a stated length.
+/// Reads one request, with a body as long as its `content-length`.
 async fn read_request(stream: &mut compio::net::TcpStream) -> String {
     let mut text = String::new();
     loop {
         let (read, buffer) = stream.read(Vec::with_capacity(4_096)).await.into();
         let read = read.expect("a request");
-        assert!(read > 0, "the request is whole: {text:?}");
+        assert!(
+            read > 0,
+            "the connection ended within the request: {text:?}"
+        );
         text.push_str(std::str::from_utf8(&buffer[..read]).expect("text"));
         let Some((head, body)) = text.split_once("\r\n\r\n") else {
             continue;
@@ -45,7 +49,7 @@
 }
 
 #[compio::test]
-async fn an_order_names_searcher_stage_holder_and_fencing_token() {
+async fn an_order_contains_searcher_stage_holder_and_fencing_token() {
     let listener = TcpListener::bind(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))
         .await
         .expect("a listener");
@@ -56,11 +60,11 @@
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let request = read_request(&mut stream).await;
         stream
-            .write_all(ANSWER)
+            .write_all(RESPONSE)
             .await
             .0
-            .expect("the answer is taken");
-        stream.flush().await.expect("the answer is sent");
+            .expect("the response is written");
+        stream.flush().await.expect("the response is flushed");
         request
     });
     let stream = tcp::connect(address, std::time::Duration::from_secs(5))
@@ -68,7 +72,7 @@
         .expect("a connection");
     tcp::discard_on_close(&stream).expect("an option");
     let request = stage_change_request(address, &change(address), "node-7", 41).expect("a request");
-    let answer = http::exchange(stream, request).await.expect("an answer");
+    let answer = http::exchange(stream, request).await.expect("a response");
     assert_eq!(order_outcome(answer.status), OrderOutcome::Accepted);
     let request = searcher.await.expect("the searcher's task");
     let (head, body) = request.split_once("\r\n\r\n").expect("a head");
@@ -83,13 +87,13 @@
 #[parameterized(
     already_in_the_stage = { 200, OrderOutcome::Accepted },
     started = { 202, OrderOutcome::Accepted },
-    no_such_order = { 400, OrderOutcome::Unsupported },
-    another_in_flight = { 409, OrderOutcome::Rejected },
+    unsupported_order = { 400, OrderOutcome::Unsupported },
+    another_order_in_flight = { 409, OrderOutcome::Rejected },
     fencing_token_too_low = { 412, OrderOutcome::Rejected },
     another_searcher = { 421, OrderOutcome::Rejected },
-    fault = { 500, OrderOutcome::Unknown },
+    internal_error = { 500, OrderOutcome::Unknown },
 )]
-fn the_status_of_an_answer_says_what_became_of_the_order(status: u16, outcome: OrderOutcome) {
+fn the_response_status_determines_the_outcome_of_the_order(status: u16, outcome: OrderOutcome) {
     assert_eq!(
         order_outcome(StatusCode::from_u16(status).expect("a status")),
         outcome
--- a/crates/lockusher-control/tests/stage_coverage.rs
+++ b/crates/lockusher-control/tests/stage_coverage.rs
@@ -1,4 +1,4 @@
-//! A stage that has lost all of its searchers is given one again, whatever the load.
+//! Coverage: a stage that has lost all its searchers gets one again, independently of the load.
 
 #[path = "support/staged_fleet.rs"]
 #[allow(dead_code)]
@@ -12,7 +12,7 @@
 
 use support::{Fleet, PROXIES, load, searcher};
 
-/// While every request is rejected, searchers see no load.
+/// The load reported while every request is rejected.
 fn no_load() -> ServiceLoad {
     ServiceLoad {
         requests_per_s: 0,
@@ -20,18 +20,18 @@
     }
 }
 
-/// Observes for a while; the first change that is ordered, and after how many milliseconds.
+/// Makes up to 40 observations; returns the first change that is ordered, and the time until then in milliseconds.
 fn first_change(fleet: &mut Fleet, outcome: OrderOutcome) -> Option<(Millis, StageChange)> {
-    let begun = fleet.now;
+    let started_at = fleet.now;
     (0..40).find_map(|_| {
         let change = fleet.observe(&no_load(), PROXIES, outcome)?;
-        Some((fleet.now - begun, change))
+        Some((fleet.now - started_at, change))
     })
 }
 
 #[parameterized(
-    several_left = { 3 },
-    one_left = { 1 },
+    several_prefill = { 3 },
+    one_prefill = { 1 },
 )]
 fn without_a_decode_searcher_one_is_ordered_within_a_second_and_without_a_load(prefill: usize) {
     let mut fleet = Fleet::new(prefill, 0);
@@ -41,13 +41,18 @@
     assert_eq!(change.to, Stage::Decode);
     assert!(after_ms <= 1_000, "after {after_ms} ms");
     fleet.run(30, |_| no_load());
-    assert_eq!(fleet.orders.len(), 1, "one is enough: {:?}", fleet.orders);
+    assert_eq!(
+        fleet.orders.len(),
+        1,
+        "exactly one order: {:?}",
+        fleet.orders
+    );
     assert_eq!(fleet.count(Stage::Decode), 1);
 }
 
-/// One that drains serves on for a while, but not for long.
+/// A draining searcher still serves, but only for a short time.
 #[test]
-fn a_draining_decode_searcher_covers_nothing() {
+fn a_draining_decode_searcher_does_not_cover_its_stage() {
     let mut fleet = Fleet::new(3, 1);
     fleet.instances[3].state = InstanceState::Draining;
 
@@ -56,12 +61,12 @@
     assert_eq!(change.expect("an order").1.to, Stage::Decode);
 }
 
-/// Decode searchers read prompts themselves: one is given up only if two others stay.
+/// Decode searchers can process prompts themselves, so one changes to prefill only if two others remain.
 #[parameterized(
     two_decode = { 2, 0 },
     three_decode = { 3, 1 },
 )]
-fn without_a_prefill_searcher_one_is_ordered_if_two_others_stay(decode: usize, ordered: usize) {
+fn without_a_prefill_searcher_one_is_ordered_if_two_others_remain(decode: usize, ordered: usize) {
     let mut fleet = Fleet::new(0, decode);
 
     fleet.run(30, |_| no_load());
@@ -70,12 +75,12 @@
     assert_eq!(fleet.orders.len(), ordered);
 }
 
-/// The order may have been lost with the searcher that it was meant for.
+/// The searcher that the first order was sent to may have failed.
 #[parameterized(
-    no_answer = { OrderOutcome::Unknown },
+    no_response = { OrderOutcome::Unknown },
     rejected = { OrderOutcome::Rejected },
 )]
-fn another_searcher_is_ordered_if_the_first_does_not_answer(outcome: OrderOutcome) {
+fn another_searcher_is_ordered_if_the_first_does_not_accept(outcome: OrderOutcome) {
     let mut fleet = Fleet::new(3, 0);
     let (_, first) = first_change(&mut fleet, outcome).expect("an order");
 
@@ -86,32 +91,32 @@
 }
 
 #[test]
-fn searchers_that_do_not_know_the_order_are_left_alone() {
+fn no_further_order_is_sent_after_an_unsupported_one() {
     let mut fleet = Fleet::new(3, 0);
     first_change(&mut fleet, OrderOutcome::Unsupported).expect("an order");
 
     assert_eq!(first_change(&mut fleet, OrderOutcome::Unsupported), None);
     assert_eq!(
-        fleet.scheduler.why_no_change("llm"),
+        fleet.scheduler.no_change_reason("llm"),
         Some(NoChange::Unsupported)
     );
 }
 
-/// A list may show a stage as empty for a moment while searchers are replaced.
+/// The list may briefly show an empty stage while searchers are being replaced.
 #[test]
-fn a_stage_that_is_empty_for_a_moment_is_left_alone() {
+fn a_briefly_empty_stage_causes_no_order() {
     let mut fleet = Fleet::new(3, 1);
     fleet.observe(&no_load(), PROXIES, OrderOutcome::Accepted);
-    let gone = fleet.instances.pop().expect("the decode searcher");
+    let removed = fleet.instances.pop().expect("the decode searcher");
     fleet.observe(&no_load(), PROXIES, OrderOutcome::Accepted);
-    fleet.instances.push(gone);
+    fleet.instances.push(removed);
 
     fleet.run(10, |_| no_load());
 
     assert_eq!(fleet.orders, []);
 }
 
-/// Other models have decode searchers; this one has none.
+/// One model has no decode searcher, while another model has some.
 #[test]
 fn each_model_is_covered() {
     let mut fleet = Fleet::new(2, 2);
--- a/crates/lockusher-control/tests/stage_switch_overlay.rs
+++ b/crates/lockusher-control/tests/stage_switch_overlay.rs
@@ -1,4 +1,4 @@
-//! Searchers that are changing their stage are shown as changing.
+//! The published list marks searchers that are changing their stage as changing.
 
 use std::rc::Rc;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_switching_searcher_is_shown_as_changing_until_it_serves_its_new_stage_or_drains() {
+fn a_searcher_is_marked_as_changing_until_it_serves_its_new_stage_or_drains() {
     let mut overlay = StageSwitchOverlay::default();
     let ready = Rc::new(vec![
         searcher("a", Stage::Decode, InstanceState::Ready),
@@ -42,8 +42,15 @@
 
     let change = change("a", Stage::Decode, Stage::Prefill);
     assert!(overlay.set([&change].into_iter()));
-    assert!(!overlay.set([&change].into_iter()), "nothing new");
-    let states: Vec<InstanceState> = overlay.apply(&ready).iter().map(|one| one.state).collect();
+    assert!(
+        !overlay.set([&change].into_iter()),
+        "the same changes again"
+    );
+    let states: Vec<InstanceState> = overlay
+        .apply(&ready)
+        .iter()
+        .map(|searcher| searcher.state)
+        .collect();
     assert_eq!(states, [InstanceState::Changing, InstanceState::Ready]);
 
     let changed = Rc::new(vec![searcher("a", Stage::Prefill, InstanceState::Ready)]);
--- a/crates/lockusher-control/tests/support/staged_fleet.rs
+++ b/crates/lockusher-control/tests/support/staged_fleet.rs
@@ -9,9 +9,11 @@
 const LIST_LAG_MS: Millis = 500;
 const SWITCH_MS: Millis = 2_000;
 const OBSERVATION_INTERVAL_MS: Millis = 250;
+/// Number of proxies in the fleet.
 pub const PROXIES: u32 = 6;
 const ZONES: [&str; 3] = ["north", "south", "west"];
 
+/// The engine of the searchers' service.
 pub fn engine() -> Engine {
     Engine {
         slots: 100,
@@ -46,6 +48,7 @@
     }
 }
 
+/// A ready searcher of a stage, in a zone by its number.
 pub fn searcher(number: usize, stage: Stage) -> Instance {
     Instance {
         identifier: format!("i-{number}"),
@@ -77,6 +80,7 @@
         .collect()
 }
 
+/// A load reported by all proxies, with these mean numbers of requests in each stage.
 pub fn load(prefill_in_flight: f64, decode_in_flight: f64) -> ServiceLoad {
     ServiceLoad {
         service: "llm".to_owned(),
@@ -90,14 +94,14 @@
     }
 }
 
-/// Searchers that carry out orders as the platform's searchers do: unavailable during the switch, then ready in the
+/// Searchers that execute orders as the platform's searchers do: they are changing during the switch, then ready in the
 /// other stage.
 pub struct Fleet {
     /// The scheduler under test.
     pub scheduler: StageScheduler,
     /// The instance list as the platform reports it.
     pub instances: Vec<Instance>,
-    /// Changes in progress, each with the time of its completion.
+    /// Changes in flight, each with the time of its completion.
     pub in_flight: Vec<(Millis, StageChange)>,
     /// All ordered changes, each with the time of its order.
     pub orders: Vec<(Millis, StageChange)>,
@@ -106,6 +110,7 @@
 }
 
 impl Fleet {
+    /// A fleet with these numbers of searchers in each stage.
     pub fn new(prefill: usize, decode: usize) -> Self {
         Fleet {
             scheduler: StageScheduler::new(LIST_LAG_MS),
@@ -116,6 +121,7 @@
         }
     }
 
+    /// Number of ready searchers of a stage.
     pub fn count(&self, stage: Stage) -> usize {
         let serves = |instance: &&Instance| {
             instance.stage == Some(stage) && instance.state == InstanceState::Ready
@@ -123,7 +129,7 @@
         self.instances.iter().filter(serves).count()
     }
 
-    /// Makes one observation of a load, and carries out the change that the scheduler orders.
+    /// Makes one observation of a load, and applies the change that the scheduler orders, with this outcome.
     pub fn observe(
         &mut self,
         load: &ServiceLoad,
@@ -168,6 +174,7 @@
         Some(change)
     }
 
+    /// Runs for a time under a load that may depend on the fleet; all orders are accepted.
     pub fn run(&mut self, seconds: u64, load: impl Fn(&Fleet) -> ServiceLoad) {
         for _ in 0..seconds * 1_000 / OBSERVATION_INTERVAL_MS {
             let load = load(self);
