--- a/crates/lockusher-control/src/driver/announcement.rs
+++ b/crates/lockusher-control/src/driver/announcement.rs
@@ -1,9 +1,10 @@
-//! Announces the control nodes to the agents on the seeds' machines, where these run no control node.
+//! Announces the control nodes to the agents on those seed machines that run no control node.
 //!
-//! A settings file names three machines that take operators' calls. Where agents do that too, these may be machines without a
-//! control node, and whoever is started with such seeds finds no control node by them. So each control node tells the agents
-//! there of the control nodes, and an agent that is asked refers to them. A node that doesn't reach a majority announces nothing
-//! but learns from the agents' answers whom to contact: it may be new, or may have moved.
+//! The seeds in a settings file are three machines that serve operators. Where agents serve operators too, these may be
+//! machines without a control node, and a process that starts with such seeds finds no control node at them. Each
+//! control node therefore announces the known control nodes to the agents on such machines, which pass them on to
+//! processes that contact them. A node without contact to a majority announces nothing, but contacts the control nodes
+//! in the agents' responses: it may be new, or may have moved to another address.
 //!
 //! A task of the control node, started by [`crate::serve`].
 
@@ -19,21 +20,22 @@
 use super::replica_driver::ReplicaDriver;
 use crate::replica::{Event, Replica};
 
-/// Time between two announcements; up to a quarter of it is added at random.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// The same while this node doesn't reach a majority: it will have something to announce soon, or needs to be told.
-const INTERVAL_WITHOUT_MAJORITY: Duration = Duration::from_millis(250);
+/// Time between two announcements; a random jitter of up to a quarter is added.
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_secs(1);
+/// The same without contact to a majority: either contact is made soon and can be announced, or this node depends on
+/// the agents to learn of other control nodes.
+const ANNOUNCEMENT_INTERVAL_WITHOUT_MAJORITY: Duration = Duration::from_millis(250);
 
-/// Ports of a machine at which its processes are called, the same on all machines.
+/// Ports of the processes of a machine, the same on all machines.
 #[derive(Clone, Copy, Debug)]
 pub struct AnnouncementPorts {
-    /// Agents.
+    /// Port on which agents receive announcements.
     pub agents: u16,
-    /// Control nodes, by each other.
+    /// Port on which control nodes receive messages from each other.
     pub replicas: u16,
 }
 
-/// Announces for ever.
+/// Announces the control nodes periodically; never returns.
 pub async fn run(
     driver: Rc<ReplicaDriver>,
     own_address: Ipv4Addr,
@@ -42,7 +44,7 @@
 ) {
     loop {
         if let Err(error) = seed_file.refresh() {
-            log::debug!("seeds are not read again: {error}");
+            log::debug!("reloading the seeds failed, the former ones stay in use: {error}");
         }
         let agents = seeds_without_control_node(&driver, own_address, &seed_file)
             .into_iter()
@@ -50,15 +52,15 @@
         let announcements = agents.map(|agent| announce(&driver, agent, ports.replicas));
         join_all(announcements).await;
         let interval = if driver.read(Replica::is_voter_with_quorum) {
-            INTERVAL
+            ANNOUNCEMENT_INTERVAL
         } else {
-            INTERVAL_WITHOUT_MAJORITY
+            ANNOUNCEMENT_INTERVAL_WITHOUT_MAJORITY
         };
         sleep(interval.mul_f64(rand::random_range(1.0..1.25))).await;
     }
 }
 
-/// Machines of the seeds of which no control node is known.
+/// Addresses of the seeds at which no control node is known.
 fn seeds_without_control_node(
     driver: &ReplicaDriver,
     own_address: Ipv4Addr,
@@ -79,22 +81,22 @@
 }
 
 async fn announce(driver: &ReplicaDriver, agent: SocketAddrV4, replica_port: u16) {
-    let is_current = driver.read(Replica::is_voter_with_quorum);
-    let announced = if is_current {
+    let has_majority = driver.read(Replica::is_voter_with_quorum);
+    let announced = if has_majority {
         known_control_nodes(driver)
     } else {
         Vec::new()
     };
     match announce_control_nodes(agent, announced).await {
-        Ok(named) if !is_current && !named.is_empty() => {
-            let addresses = named
+        Ok(reported) if !has_majority && !reported.is_empty() => {
+            let addresses = reported
                 .iter()
                 .map(|node| SocketAddrV4::new(*node.ip(), replica_port))
                 .collect();
-            log::info!("the agent at {agent} names control nodes: {named:?}");
+            log::info!("agent {agent} reported control nodes: {reported:?}");
             driver.dispatch(Event::Introduced { addresses });
         }
         Ok(_) => {}
-        Err(error) => log::debug!("announcement to {agent}: {error}"),
+        Err(error) => log::debug!("announcement to agent {agent} failed: {error}"),
     }
 }
--- a/crates/lockusher-control/src/driver/change_request.rs
+++ b/crates/lockusher-control/src/driver/change_request.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration as the operator sends it: its version precondition and its body.
+//! An operator's request to change the configuration: its version precondition and its body.
 //!
 //! Used by the operator's HTTP interface.
 
@@ -9,25 +9,25 @@
 use lockusher_transport::error::TransportError;
 use lockusher_transport::http::read_body;
 
-/// The largest configuration that is accepted, in bytes.
+/// Size limit of a configuration or patch, in bytes.
 const MAX_CONFIGURATION_BYTES: usize = 8 * 1024 * 1024;
 
-/// A change as the operator sent it.
+/// A change of the configuration as received from the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeRequest {
-    /// The version that the change builds on.
+    /// The version that the change is based on.
     pub if_match: u64,
-    /// A configuration or a patch, as bytes.
+    /// The bytes of a configuration or a patch.
     pub body: Bytes,
 }
 
-/// Why a change can't be read. Sending the same again helps only after [`ChangeRequestError::BodyIncomplete`].
+/// Why a change can't be read. Only [`ChangeRequestError::BodyIncomplete`] is worth a retry of the same request.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ChangeRequestError {
     /// The header `If-Match` is missing.
     #[display("If-Match: missing")]
     VersionMissing,
-    /// The header `If-Match` isn't plain text.
+    /// The header `If-Match` contains other than visible ASCII characters.
     #[display("If-Match: not a version")]
     VersionNotText,
     /// The header `If-Match` isn't a number.
@@ -36,16 +36,16 @@
         /// The header's value.
         found: String,
     },
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     #[display("configuration too large")]
     TooLarge,
-    /// The connection failed within the body.
-    #[display("the body could not be read whole")]
+    /// The connection failed before the end of the body.
+    #[display("the body could not be read completely")]
     BodyIncomplete,
 }
 
 impl ChangeRequestError {
-    /// The status with which it is answered.
+    /// The status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             ChangeRequestError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -55,11 +55,11 @@
 }
 
 impl ChangeRequest {
-    /// Reads a change to its end.
+    /// Reads a change from a request.
     ///
     /// # Errors
     ///
-    /// [`ChangeRequestError`] if it names no version that it builds on, is too large or doesn't come to its end.
+    /// [`ChangeRequestError`] if `If-Match` holds no version, or the body is too large or incomplete.
     pub async fn read(request: Request<Incoming>) -> Result<ChangeRequest, ChangeRequestError> {
         let if_match = expected_version(request.headers().get(IF_MATCH))?;
         match read_body(request.into_body(), MAX_CONFIGURATION_BYTES).await {
@@ -70,11 +70,11 @@
     }
 }
 
-/// The version in `If-Match`, plain or in quotes.
+/// Parses the version in `If-Match`, with or without quotes.
 ///
 /// # Errors
 ///
-/// [`ChangeRequestError`] if there is none.
+/// [`ChangeRequestError`] if the header is missing or holds no version.
 pub fn expected_version(header: Option<&HeaderValue>) -> Result<u64, ChangeRequestError> {
     let value = header.ok_or(ChangeRequestError::VersionMissing)?;
     let text = value
--- a/crates/lockusher-control/src/driver/disk.rs
+++ b/crates/lockusher-control/src/driver/disk.rs
@@ -1,8 +1,8 @@
-//! The disk of a control node: recovery at the start, then appends, snapshots and scrubs by a thread of its own.
+//! The disk of a control node: recovery at startup, then appends, snapshots and scrubs on a thread of its own.
 //!
-//! Owned by the [`ReplicaDriver`](super::replica_driver::ReplicaDriver), which hands it the records that the replica
-//! wants durable and every completion of the storage thread. Invariant: a ticket counts as durable only once the
-//! storage says that its records are synced; a damaged disk is never taken for one that was never used.
+//! Owned by the [`ReplicaDriver`](super::replica_driver::ReplicaDriver), which passes it the records to make durable
+//! and every completion of the storage thread. Invariant: a ticket counts as durable only once the storage has reported
+//! that its records are synced; a damaged disk is never mistaken for an unused one.
 
 use std::cell::Cell;
 use std::path::Path;
@@ -17,64 +17,65 @@
 use crate::durable_record::{DurableRecord, PersistTicket};
 use crate::replica::DiskComparison;
 
-/// Ticket of a snapshot; appends count up from 0 and don't reach it.
+/// Ticket of a snapshot; the tickets of appends count up from 0 and never reach it.
 const SNAPSHOT_TICKET: u64 = u64::MAX;
 /// Ticket of a scrub, likewise.
 const SCRUB_TICKET: u64 = u64::MAX - 1;
-/// Delay before a disk that refused to open is tried again.
+/// Delay before opening the disk is retried after an I/O error.
 const REOPEN_DELAY: Duration = Duration::from_millis(200);
 
-/// Why the disk of a control node can't be used. Trying again without a change of the machine doesn't help: what may
-/// pass, [`Disk::open`] retries by itself.
+/// Why the disk of a control node can't be used. A retry doesn't help: [`Disk::open`] itself retries after errors that
+/// may be transient.
 #[derive(Debug, Display, Error, From)]
 pub enum DiskError {
     /// The storage thread can't be started: the machine is out of threads or memory.
     #[display("storage thread: {_0}")]
     Thread(std::io::Error),
-    /// A record whose checksum is good can't be decoded: it was written by a program of another format.
-    #[display("a record on disk can't be read: {_0}")]
+    /// A record with a valid checksum can't be decoded: it was written in another format.
+    #[display("a record on disk can't be decoded: {_0}")]
     Record(bitcode::Error),
 }
 
-/// An opened disk, and what it held.
+/// An opened disk and its recovered contents.
 pub struct OpenedDisk {
     /// The disk, ready for appends.
     pub disk: Disk,
-    /// Outcomes of what is submitted to the disk; each is to be handed to it.
+    /// Outcomes of the jobs submitted to the disk; the caller passes each to [`Disk::on_completion`] and
+    /// [`Disk::on_scrub_completion`].
     pub completions: Completions,
-    /// What it held.
+    /// The recovered contents.
     pub recovered: RecoveredRecords,
 }
 
-/// What a disk held at the start.
+/// The contents of a disk at startup.
 #[derive(Debug, Default)]
 pub struct RecoveredRecords {
-    /// The records of the newest snapshot, then those appended after it, in order.
+    /// The records of the newest snapshot, followed by those appended after it, in order.
     pub records: Vec<DurableRecord>,
-    /// Something acknowledged was unreadable: the disk was cleared, now or by a start that was cut short, and this node
-    /// begins as a new one.
+    /// Whether durable records were unreadable, so that the disk was cleared, by this start or by an earlier one that
+    /// was interrupted, and this node starts as a new one.
     pub cleared: bool,
 }
 
-/// What became of an append.
+/// Outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
     /// Its records are durable.
     Durable(PersistTicket),
-    /// The disk refused; none of its records counts.
+    /// The append failed; none of its records counts as durable.
     Failed(PersistTicket),
 }
 
-/// Counts of scrubs since the start.
+/// Counters of scrubs since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ScrubCounters {
-    /// Scrubs that read everything back, or found damage.
+    /// Number of scrubs that read the whole disk, or found damage.
     pub completed: u64,
-    /// Scrubs that found the disk damaged or unlike the state in memory.
+    /// Number of scrubs that found damage, or a difference from the state in memory.
     pub damage_found: u64,
 }
 
-/// Where a replica's records are made durable.
+/// Makes a replica's records durable, and scrubs them.
 pub struct Disk {
     writer: StoreWriter,
     snapshot_due: Cell<bool>,
@@ -82,7 +83,8 @@
 }
 
 impl Disk {
-    /// Opens the folder and reads what it holds. A damaged disk is cleared; one that refuses is tried until it answers.
+    /// Opens the folder and recovers its records. A damaged disk is cleared; I/O errors are retried until the disk
+    /// opens.
     ///
     /// # Errors
     ///
@@ -106,11 +108,11 @@
         })
     }
 
-    /// Appends records; the ticket comes back as a completion.
+    /// Submits an append; the outcome is reported by a completion with the ticket.
     ///
     /// # Errors
     ///
-    /// [`SubmitError::ThreadEnded`] if the storage thread is gone: nothing is written, now or later.
+    /// [`SubmitError::ThreadEnded`] if the storage thread has ended: the records are never written.
     pub fn append(
         &self,
         ticket: PersistTicket,
@@ -123,7 +125,7 @@
         })
     }
 
-    /// Takes a completion; the outcome of the append if it is one.
+    /// Handles a completion; returns the outcome if it is one of an append.
     pub fn on_completion(&self, completion: &Completion) -> Option<AppendOutcome> {
         if completion.ticket == SCRUB_TICKET {
             return None;
@@ -142,7 +144,7 @@
         })
     }
 
-    /// Writes a snapshot if one is due and nothing is in flight.
+    /// Submits a snapshot if one is due and no job is in flight.
     pub fn snapshot_if_due(&self, records: impl FnOnce() -> Vec<DurableRecord>) {
         if !self.snapshot_due.get() || !self.writer.is_idle() {
             return;
@@ -153,27 +155,27 @@
             ticket: SNAPSHOT_TICKET,
             bytes,
         }) {
-            log::warn!("snapshot: {error}");
+            log::warn!("disk: snapshot not submitted: {error}");
         }
     }
 
-    /// Has everything read back and compared, unless something is in flight.
+    /// Submits a scrub, which reads the whole disk, unless a job is in flight.
     pub fn scrub_if_idle(&self) {
         if self.writer.is_idle()
             && let Err(error) = self.writer.submit(Job::Scrub {
                 ticket: SCRUB_TICKET,
             })
         {
-            log::warn!("scrub: {error}");
+            log::warn!("disk: scrub not submitted: {error}");
         }
     }
 
-    /// Counts of scrubs.
+    /// Counters of scrubs.
     pub fn scrub_counters(&self) -> ScrubCounters {
         self.scrubs.get()
     }
 
-    /// Takes the outcome of a scrub, if this is one. A damaged disk is rewritten by a snapshot of the state in memory.
+    /// Handles a completion if it is one of a scrub. A damaged disk is rewritten by a snapshot of the state in memory.
     pub fn on_scrub_completion(
         &self,
         completion: &Completion,
@@ -206,7 +208,7 @@
     }
 }
 
-/// What a scrub found; none if the disk refused, which says nothing about what it holds.
+/// Result of a scrub; none after an I/O error, which doesn't indicate damage.
 fn scrub_result(
     completion: &Completion,
     compare: impl FnOnce(Vec<DurableRecord>) -> DiskComparison,
@@ -220,15 +222,15 @@
     }
 }
 
-/// A store as it was opened.
+/// An opened store.
 struct OpenedStore {
     store: Store<DiskFileSystem>,
     recovered: Recovered,
-    /// The disk was damaged and has been cleared.
+    /// Whether the disk was damaged and has been cleared.
     cleared: bool,
 }
 
-/// Opens the store, again and again until the disk answers; a damaged one is cleared.
+/// Opens the store; clears it if it is damaged, and retries after I/O errors.
 async fn open_store(folder: &Path, options: StoreOptions) -> OpenedStore {
     let mut cleared = false;
     loop {
@@ -255,7 +257,8 @@
     }
 }
 
-/// Empties the folder of a damaged store. Should it fail, the next opening finds the damage or carries the reset through.
+/// Clears the folder of a damaged store. After a failure, the next attempt to open it finds the damage again or
+/// completes the reset.
 async fn clear(folder: &Path) {
     if let Err(error) = Store::reset(&mut DiskFileSystem::new(folder.to_path_buf())) {
         log::warn!("clearing the disk: {error}");
@@ -263,7 +266,7 @@
     }
 }
 
-/// The records of the snapshot, then those of the log.
+/// Decodes the records of the snapshot, followed by those of the log.
 fn decode(recovered: &Recovered) -> Result<Vec<DurableRecord>, DiskError> {
     let mut records: Vec<DurableRecord> = match &recovered.snapshot {
         Some(bytes) => bitcode::decode(bytes)?,
--- a/crates/lockusher-control/src/driver/instance_list_polling.rs
+++ b/crates/lockusher-control/src/driver/instance_list_polling.rs
@@ -1,7 +1,7 @@
-//! The source of the instance list at a control node: the head polls the platform, the others follow the head.
+//! The source of a control node's instance list: the head polls the platform, the other nodes subscribe to the head.
 //!
-//! A task of the control node, started by [`crate::serve`]; a change of this node's role or of the head ends what it
-//! does and starts anew. Invariant: one node polls, the head of the newest view that it knows.
+//! A task of the control node, started by [`crate::serve`]. On a change of this node's role or of the head the polling
+//! or subscription is cancelled and restarted. Invariant: a node polls only as head of the newest view that it knows.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use super::replica_driver::ReplicaDriver;
 use crate::chain_role::ChainRole;
 
-/// Polls the list while this node is head and follows the head otherwise, for ever.
+/// Polls the list while this node is head, and subscribes to the head otherwise; never returns.
 pub async fn run(
     driver: Rc<ReplicaDriver>,
     list_publisher: Rc<InstanceListPublisher>,
@@ -41,20 +41,21 @@
             .role_changed()
             .changed_since(seen_generation)
             .fuse();
-        let work = source.run_in_role(role).fuse();
-        pin_mut!(changed, work);
+        let task = source.run_in_role(role).fuse();
+        pin_mut!(changed, task);
         select_biased! {
             _ = changed => {}
-            () = work => {}
+            () = task => {}
         }
     }
 }
 
+/// State of the polling task.
 struct InstanceListSource {
     driver: Rc<ReplicaDriver>,
     list_publisher: Rc<InstanceListPublisher>,
     settings: Rc<NodeSettings>,
-    /// Seed of the poller's and of the connection's random delays.
+    /// Random seed of the poller's and of the subscription's delays.
     random_seed: u64,
 }
 
@@ -63,13 +64,13 @@
         if role.is_head {
             self.poll_platform(role.epoch).await;
         } else if let Some(head) = self.driver.head_address() {
-            self.follow(head).await;
+            self.subscribe_to_head(head).await;
         } else {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Polls the platform for ever, as head in `epoch`.
+    /// Polls the platform as head in `epoch`; never returns.
     async fn poll_platform(&self, epoch: u64) {
         let settings = &self.settings;
         let drain_ms = settings.bounds.drain_ms;
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Subscribes to the head and publishes what it publishes, for ever.
-    async fn follow(&self, head: SocketAddrV4) {
+    /// Subscribes to the head and republishes its list and status; never returns.
+    async fn subscribe_to_head(&self, head: SocketAddrV4) {
         let identity = SubscriberIdentity {
             node: self.settings.node.clone(),
             zone: self.settings.zone.clone(),
@@ -112,7 +113,7 @@
         }
     }
 
-    /// What this node reports to the head of the proxies that it feeds.
+    /// The status of the proxies downstream of this node, reported to the head.
     fn downstream(&self) -> Downstream {
         self.driver.publisher.read(|publisher| Downstream {
             in_force_version: 0,
@@ -122,8 +123,9 @@
     }
 }
 
-/// Publishes the head's list and status at this node; true if the list is newer than the one published before. The head
-/// counts the fleet's proxies; a node that was head a moment ago may know of more.
+/// Publishes the head's list and status at this node; returns whether the list is newer than the one published before.
+/// The number of proxies is the head's, unless more are downstream of this node, which may have been head until
+/// recently.
 fn relay(subscriber: &Subscriber, publisher: &mut Publisher, downstream_proxies: u32) -> bool {
     let status = publisher.status();
     publisher.set_status(PublisherStatus {
--- a/crates/lockusher-control/src/driver/instance_list_publisher.rs
+++ b/crates/lockusher-control/src/driver/instance_list_publisher.rs
@@ -1,8 +1,8 @@
 //! Publishes the instance list that this node polled as head.
 //!
-//! Shared by the task that polls the platform and by the stage assignment, which says what searchers are changing.
-//! Owns the last poll and the overlay of changing searchers. Invariant: a list goes out only while this node is head
-//! in the epoch in which it polled it, and under a revision above all that subscribers have applied.
+//! Shared by the task that polls the platform and by the stage assignment, which reports the searchers that are
+//! changing. Owns the last poll and the overlay of changing searchers. Invariant: a list is published only while this
+//! node is head in the epoch of the poll, and under a higher revision than any that subscribers have applied.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,12 +21,12 @@
 /// The platform's list as this node last polled it.
 #[derive(Clone, Debug)]
 struct PolledList {
-    /// Epoch in which this node was head at the time.
+    /// Epoch in which this node polled the list as head.
     epoch: u64,
     instances: Rc<Vec<Instance>>,
 }
 
-/// Publishes polled lists with the searchers that are changing shown as such.
+/// Publishes polled lists, with searchers that are changing their stage marked as changing.
 pub struct InstanceListPublisher {
     driver: Rc<ReplicaDriver>,
     overlay: RefCell<StageSwitchOverlay>,
@@ -34,7 +34,7 @@
 }
 
 impl InstanceListPublisher {
-    /// A publisher that has seen no poll yet.
+    /// Creates a publisher without a poll.
     pub fn new(driver: Rc<ReplicaDriver>) -> Rc<Self> {
         Rc::new(InstanceListPublisher {
             driver,
@@ -43,8 +43,8 @@
         })
     }
 
-    /// Publishes a poll made as head in `epoch` if it differs from the newest list; in any case says how fresh the list
-    /// is.
+    /// Publishes a list polled as head in `epoch` if it differs from the newest one; always updates the time at which
+    /// the list was last confirmed.
     pub fn publish_poll(&self, epoch: u64, poll: &InstanceListPoll) {
         self.driver.publisher.update_quietly(|publisher| {
             let status = PublisherStatus {
@@ -62,15 +62,15 @@
         self.publish(&polled, poll.changed);
     }
 
-    /// Shows the searchers of these changes, and no others, as changing. If they differ from those before, the last poll
-    /// is published again.
+    /// Marks exactly the searchers of these changes as changing. If they differ from the former ones, the last poll is
+    /// published again.
     pub fn set_switching<'a>(&self, changes: impl Iterator<Item = &'a StageChange>) {
         if self.overlay.borrow_mut().set(changes) {
             self.republish();
         }
     }
 
-    /// No searcher is changing by order of this node, which isn't head any more.
+    /// Marks no searcher as changing, without publishing the list: this node is no longer head.
     pub fn clear_switching(&self) {
         self.overlay.borrow_mut().set(std::iter::empty());
     }
@@ -103,7 +103,7 @@
 }
 
 fn time_of_day_ms() -> u64 {
-    // A clock before 1970 counts as 1970: revisions then count up by one.
+    // A clock before 1970 yields 0: revisions are then incremented by one.
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
--- a/crates/lockusher-control/src/driver/instance_list_revision.rs
+++ b/crates/lockusher-control/src/driver/instance_list_revision.rs
@@ -2,8 +2,8 @@
 
 use lockusher_config::instances::InstanceListRevision;
 
-/// A revision above `newest`, of a head in `epoch`. Its sequence is at least the time of day in milliseconds, so that a
-/// head that was restarted in the same view counts on from above what it published before.
+/// Returns a revision above `newest` for a head in `epoch`. Its sequence is at least the time of day in milliseconds,
+/// so that the revisions of a head that was restarted in the same view are above those it published before.
 pub fn next_revision(
     epoch: u64,
     newest: InstanceListRevision,
@@ -21,8 +21,8 @@
     }
 }
 
-/// Whether the list published is of this epoch and of no lower revision than a subscriber has applied: unless its
-/// content has changed, it needs no new revision.
+/// Whether the published list has this epoch and at least the highest revision that a subscriber has applied. It then
+/// needs a new revision only if its content has changed.
 pub fn is_current(
     epoch: u64,
     published: InstanceListRevision,
--- a/crates/lockusher-control/src/driver/mod.rs
+++ b/crates/lockusher-control/src/driver/mod.rs
@@ -1,10 +1,10 @@
-//! The driver of one control node's replica: peers, operator, subscribers, disk and clock.
+//! The driver of one control node: the I/O with peers, operator, subscribers and disk, and the clock.
 //!
-//! The replica ([`crate::replica::Replica`]) and the stage scheduler ([`crate::stage_scheduler`]) decide without I/O; the
-//! modules here own the sockets, the disk and the clock, hand events to them and carry out what they decide.
-//! [`crate::serve`] puts them together and starts their tasks. Of those that decide something by themselves, each is a
-//! module without I/O: `instance_list_revision`, `operator_error`, `send_queue`,
-//! `stage_change_order` and `stage_switch_overlay`.
+//! The replica ([`crate::replica::Replica`]) and the stage scheduler ([`crate::stage_scheduler`]) make decisions
+//! without I/O. The modules here own the sockets, the disk and the clock, pass events to them and execute their
+//! decisions. [`crate::serve`] creates them and starts their tasks. Logic of the driver's own is kept in modules
+//! without I/O: `instance_list_revision`, `operator_error`, `send_queue`, `stage_change_order` and
+//! `stage_switch_overlay`.
 
 pub mod announcement;
 pub mod change_request;
--- a/crates/lockusher-control/src/driver/operator_api.rs
+++ b/crates/lockusher-control/src/driver/operator_api.rs
@@ -1,7 +1,7 @@
 //! The operator's HTTP interface of a control node: the routing configuration, the node's status and its metrics.
 //!
-//! Called by the HTTP server that [`crate::serve`] starts, for each call. The replica decides on changes and reads; this
-//! module turns calls into its requests and replies into answers.
+//! Called for each HTTP request by the server that [`crate::serve`] starts. The replica decides on changes and reads;
+//! this module translates HTTP requests into its requests and its replies into HTTP responses.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain; charset=utf-8";
 
-/// Answers one call of the operator.
+/// Handles one HTTP request of the operator.
 pub async fn handle(
     driver: Rc<ReplicaDriver>,
     request: HttpRequest<Incoming>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The answer to a change that made this version, or failed.
+/// The response to a change, with the version that it made or the error.
 fn change_response(outcome: Result<u64, OperatorError>) -> Response<FullBody> {
     match outcome {
         Ok(version) => answer(StatusCode::OK, JSON, format!("{{\"version\":{version}}}")),
@@ -77,7 +77,7 @@
     put_document(driver, change.if_match, document).await
 }
 
-/// Applies a patch to the configuration that it builds on and puts what comes of it under the patch's own identity.
+/// Applies a patch to the configuration that it is based on, and puts the result under the patch's identity.
 async fn patch_configuration(
     driver: &ReplicaDriver,
     request: HttpRequest<Incoming>,
@@ -113,7 +113,7 @@
     change_outcome(reply, if_match, version)
 }
 
-/// What a reply says of a change that builds on `if_match` and makes `version`.
+/// The outcome of a change that is based on `if_match` and makes `version`.
 fn change_outcome(reply: Reply, if_match: u64, version: u64) -> Result<u64, OperatorError> {
     match reply {
         Reply::Accepted => Ok(version),
--- a/crates/lockusher-control/src/driver/peer_links.rs
+++ b/crates/lockusher-control/src/driver/peer_links.rs
@@ -1,9 +1,10 @@
-//! Outgoing links to other control nodes: for each peer one connection for short messages and, once there are such, one for
-//! long ones, each made again when it ends.
+//! Outgoing links to other control nodes: for each peer one connection for short messages and, once needed, one for
+//! long messages. Each is reconnected when it fails.
 //!
 //! Owned by the [`ReplicaDriver`](super::replica_driver::ReplicaDriver), which sends the replica's messages on them.
-//! Messages may be lost: the replica's protocol repeats what matters. Invariant: a peer that can't be reached costs a
-//! bounded queue, and what waited for it isn't sent once it is back; and a long message on a thin link holds up no heartbeat.
+//! Messages may be lost: the replica's protocol retransmits the ones that matter. Invariant: an unreachable peer costs
+//! no more than a bounded queue, whose messages are dropped instead of being sent after the reconnect; and a long
+//! message on a slow link delays no heartbeat.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,63 +23,64 @@
 use super::send_queue::SendQueue;
 use crate::envelope::Envelope;
 
-/// A connection attempt may take `acknowledgeMs` divided by this, the interval of heartbeats,
-const CONNECT_LIMIT_DIVISOR: u32 = 20;
-/// and the next one follows after it divided by this.
+/// A connection attempt times out after `acknowledgeMs` divided by this, which is the heartbeat interval.
+const CONNECT_TIMEOUT_DIVISOR: u32 = 20;
+/// The next attempt starts after a delay of `acknowledgeMs` divided by this.
 const RECONNECT_DELAY_DIVISOR: u32 = 80;
-/// A connection attempt has this long at least, for a way between regions.
-const MIN_CONNECT_LIMIT: Duration = Duration::from_millis(100);
-/// A peer that takes no bytes for this long is connected to anew.
+/// Lower bound of the connection timeout, sufficient for the latency between regions.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// A connection on which a write takes longer than this is closed, and the peer reconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A link that had nothing to send for this long is closed.
+/// A link without messages for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A longer frame goes on the connection for long messages.
+/// Longer frames are sent on the connection for long messages.
 const MAX_SHORT_FRAME_BYTES: usize = 32 * 1024;
 
-/// Which connection to a peer a message takes. Messages of different lanes may pass each other, as the replica allows.
+/// The connection to a peer on which a message is sent, by its length. The replica tolerates that messages on different
+/// connections are reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Lane {
+enum ConnectionKind {
     /// Heartbeats, votes and short entries.
     Short,
-    /// Configurations and states that take a while on a thin link.
+    /// Configurations and states, which take long to send on a slow link.
     Long,
 }
 
-impl Lane {
-    fn of(frame: &[u8]) -> Self {
+impl ConnectionKind {
+    fn for_frame(frame: &[u8]) -> Self {
         if frame.len() > MAX_SHORT_FRAME_BYTES {
-            Lane::Long
+            ConnectionKind::Long
         } else {
-            Lane::Short
+            ConnectionKind::Short
         }
     }
 }
 
-/// What a control node sends to another on a connection.
+/// Frame that one control node sends to another.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct PeerFrame {
-    /// The sender's internal listener.
+    /// Address of the sender's internal listener.
     pub from: SocketAddrV4,
-    /// [`Envelope`] as bytes.
+    /// The encoded [`Envelope`].
     pub envelope: Vec<u8>,
 }
 
-/// Times of a link. An attempt to connect to a machine without power hangs, so that an attempt, the delay and the next
-/// attempt must be over before nodes that have come back together suspect each other.
+/// Timing of a link. An attempt to connect to a machine without power hangs until its timeout. When nodes restart
+/// together, such an attempt, the delay and the next attempt must be over before the nodes suspect each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkTiming {
-    /// How long a connection attempt may take.
-    pub connect_limit: Duration,
-    /// Delay between the end of a connection, or of an attempt, and the next attempt.
+    /// Timeout of a connection attempt.
+    pub connect_timeout: Duration,
+    /// Delay between the end of a connection, or of a failed attempt, and the next attempt.
     pub reconnect_delay: Duration,
 }
 
 impl LinkTiming {
-    /// Times for an operator who waits this long for an acknowledgement.
+    /// Derives the timing from `acknowledgeMs`, the time that the operator waits for an acknowledgement.
     pub fn new(acknowledge: Duration) -> Self {
         LinkTiming {
-            connect_limit: (acknowledge / CONNECT_LIMIT_DIVISOR).max(MIN_CONNECT_LIMIT),
+            connect_timeout: (acknowledge / CONNECT_TIMEOUT_DIVISOR).max(MIN_CONNECT_TIMEOUT),
             reconnect_delay: acknowledge / RECONNECT_DELAY_DIVISOR,
         }
     }
@@ -88,18 +90,18 @@
 pub struct PeerLinks {
     own_address: SocketAddrV4,
     timing: LinkTiming,
-    links: RefCell<HashMap<(SocketAddrV4, Lane), Link>>,
+    links: RefCell<HashMap<(SocketAddrV4, ConnectionKind), Link>>,
 }
 
-/// The sending side of a link. Its task ends after a while without messages.
+/// Handle of a link. Its task ends after [`IDLE_TIMEOUT`] without messages.
 struct Link {
     queue: Rc<RefCell<SendQueue>>,
-    /// Wakes the link's task; one pending wake-up is enough.
+    /// Wakes the link's task; a capacity of one pending wake-up is sufficient.
     wake: mpsc::Sender<()>,
 }
 
 impl PeerLinks {
-    /// Links of the node with this internal listener; none is open yet.
+    /// Creates the links of the node with this internal listener; none is open yet.
     pub fn new(own_address: SocketAddrV4, timing: LinkTiming) -> Self {
         PeerLinks {
             own_address,
@@ -116,7 +118,7 @@
         });
         let mut links = self.links.borrow_mut();
         let link = links
-            .entry((to, Lane::of(&frame)))
+            .entry((to, ConnectionKind::for_frame(&frame)))
             .or_insert_with(|| Link::open(to, self.timing, SendQueue::default()));
         link.queue.borrow_mut().push(frame);
         if !link.wake() {
@@ -142,7 +144,7 @@
 
     /// Wakes the task; false if it has ended.
     fn wake(&mut self) -> bool {
-        // A full channel is a wake-up that the task hasn't seen yet.
+        // A full channel holds a wake-up that the task hasn't received yet.
         !self
             .wake
             .try_send(())
@@ -150,7 +152,7 @@
     }
 }
 
-/// The task that connects one link and writes what is queued.
+/// The task of one link: it connects to the peer and writes the queued frames.
 struct LinkTask {
     to: SocketAddrV4,
     timing: LinkTiming,
@@ -159,14 +161,14 @@
 }
 
 impl LinkTask {
-    /// Serves the link until nothing was sent on it for a while.
+    /// Runs the link until it has been idle for [`IDLE_TIMEOUT`].
     async fn run(mut self) {
         loop {
             match self.connect_and_write().await {
                 Ok(()) => return,
-                Err(error) => log::debug!("link to {}: {error}", self.to),
+                Err(error) => log::debug!("link to {} failed: {error}", self.to),
             }
-            // What waited is out of date by the time the peer is back; the replica repeats what matters.
+            // Queued messages would be outdated after a reconnect; the replica retransmits the ones that matter.
             self.queue.borrow_mut().clear();
             sleep(self.timing.reconnect_delay).await;
             if timeout(IDLE_TIMEOUT, self.wake_ups.next()).await.is_err() {
@@ -175,9 +177,10 @@
         }
     }
 
-    /// One connection; in order if it was idle for a while.
+    /// Connects to the peer and writes queued frames; returns `Ok` once the connection has been idle for
+    /// [`IDLE_TIMEOUT`].
     async fn connect_and_write(&mut self) -> Result<(), TransportError> {
-        let stream = tcp::connect(self.to, self.timing.connect_limit).await?;
+        let stream = tcp::connect(self.to, self.timing.connect_timeout).await?;
         self.write_queue(stream).await
     }
 
--- a/crates/lockusher-control/src/driver/peer_listener.rs
+++ b/crates/lockusher-control/src/driver/peer_listener.rs
@@ -1,7 +1,7 @@
-//! Accepts the connections of other control nodes and hands their messages to the replica.
+//! Accepts the connections of other control nodes and passes their messages to the replica.
 //!
-//! A task of the control node, started by [`crate::serve`]. Connections carry messages one way: what this node sends
-//! goes on its own [`PeerLinks`](super::peer_links::PeerLinks).
+//! A task of the control node, started by [`crate::serve`]. The connections are unidirectional: this node sends its
+//! messages on its own [`PeerLinks`](super::peer_links::PeerLinks).
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -18,21 +18,21 @@
 use crate::envelope::{Envelope, EnvelopeError};
 use crate::replica::Event;
 
-/// Delay after a failed accept: the process may be out of descriptors for a while.
+/// Delay after a failed accept: the process may be out of file descriptors for some time.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Why a peer's connection ended. The peer connects again by itself.
+/// Why a peer's connection ended. The peer is responsible for reconnecting.
 #[derive(Debug, Display, Error, From)]
 pub enum ReceiveError {
     /// The connection failed or was closed.
     #[display("{_0}")]
     Transport(TransportError),
-    /// The peer sent what isn't an envelope of this protocol; it will again unless its program changes.
+    /// The peer sent a frame that isn't an envelope of this protocol. The error persists until its program is replaced.
     #[display("{_0}")]
     Envelope(EnvelopeError),
 }
 
-/// Accepts connections of peers for ever.
+/// Accepts connections of peers; never returns.
 pub async fn run(driver: Rc<ReplicaDriver>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -40,7 +40,7 @@
                 compio::runtime::spawn(serve_peer(Rc::clone(&driver), stream)).detach();
             }
             Err(error) => {
-                log::warn!("accept: {error}");
+                log::warn!("accepting a peer's connection failed: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -55,11 +55,11 @@
         });
     };
     if let Err(error) = receive(stream, deliver).await {
-        log::debug!("peer: {error}");
+        log::debug!("connection of a peer ended: {error}");
     }
 }
 
-/// Reads a peer's messages and hands each to `deliver`, until the connection ends.
+/// Reads a peer's messages and passes each to `deliver`, until the connection ends.
 async fn receive(
     stream: TcpStream,
     deliver: impl Fn(SocketAddrV4, Envelope),
--- a/crates/lockusher-control/src/driver/replica_driver.rs
+++ b/crates/lockusher-control/src/driver/replica_driver.rs
@@ -1,9 +1,9 @@
-//! Drives one replica: hands it events, carries out its effects.
+//! Drives one replica: passes events to it and executes its effects.
 //!
-//! Owned by [`crate::serve`] and shared by the tasks of one control node, all on one thread. The replica decides; the
-//! driver owns what it acts on: the links to peers, the disk, the publisher of what is committed, and the operator's
-//! pending requests. Invariant: effects are carried out in the order in which the replica asked for them, and the events
-//! that they lead to at once are handed over before any other.
+//! Owned by [`crate::serve`] and shared by the tasks of one control node, all on one thread. The replica makes the
+//! decisions; the driver owns the links to peers, the disk, the publisher of committed state, and the operator's
+//! pending requests. Invariant: effects are executed in the order in which the replica returned them, and an event that
+//! results directly from an effect is dispatched before any other event.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -27,29 +27,29 @@
 use crate::replica::{Effect, Event, Replica};
 use crate::request::{Reply, Request, RequestTicket};
 
-/// One control node's replica with everything that it acts on.
+/// One control node's replica, with the resources that its effects act on.
 pub struct ReplicaDriver {
-    /// The process's steady clock.
+    /// The process's monotonic clock.
     pub clock: Clock,
-    /// What this node publishes to its subscribers.
+    /// Publishes the configuration, the instance list and the status to this node's subscribers.
     pub publisher: Rc<SharedPublisher>,
     replica: RefCell<Replica>,
     disk: Disk,
     links: PeerLinks,
-    /// Where the reply to a request goes, until it comes.
+    /// Receivers of the replies to pending requests.
     pending_requests: RefCell<HashMap<RequestTicket, oneshot::Sender<Reply>>>,
     next_ticket: Cell<u64>,
     role: Cell<ChainRole>,
-    /// The address of the head as [`ReplicaDriver::role_changed`] last reported it.
+    /// The address of the head at the last notification of [`ReplicaDriver::role_changed`].
     reported_head_address: Cell<Option<SocketAddrV4>>,
     role_changed: ChangeNotifier,
-    /// Port at which control nodes serve subscribers.
+    /// Port on which control nodes serve subscribers.
     subscription_port: u16,
     service_log: RefCell<ServiceLog>,
 }
 
 impl ReplicaDriver {
-    /// Puts a replica together with what it acts on. The effects of its start are to be carried out by
+    /// Creates the driver of a replica. The caller passes the effects of the replica's start to
     /// [`ReplicaDriver::apply_effects`].
     pub fn new(
         clock: Clock,
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Looks at the replica.
+    /// Reads from the replica.
     pub fn read<R>(&self, inspect: impl FnOnce(&Replica) -> R) -> R {
         inspect(&self.replica.borrow())
     }
@@ -85,12 +85,13 @@
         self.role.get()
     }
 
-    /// Signals each change of [`ReplicaDriver::role`] and [`ReplicaDriver::head_address`].
+    /// Notifies of each change of [`ReplicaDriver::role`] and [`ReplicaDriver::head_address`].
     pub fn role_changed(&self) -> &ChangeNotifier {
         &self.role_changed
     }
 
-    /// Where the head of the newest view known serves subscribers; none if this node is the head or knows no view.
+    /// Address at which the head of the newest known view serves subscribers; none if this node is the head or knows no
+    /// view.
     pub fn head_address(&self) -> Option<SocketAddrV4> {
         let head_ip = self.read(|replica| {
             let view = replica.view()?;
@@ -101,7 +102,7 @@
         Some(SocketAddrV4::new(head_ip, self.subscription_port))
     }
 
-    /// Hands the replica an event and carries out what it asks for.
+    /// Passes an event to the replica and executes the resulting effects.
     pub fn dispatch(&self, event: Event) {
         let effects = self.replica.borrow_mut().handle(self.clock.millis(), event);
         self.apply_effects(effects);
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Carries out effects, and the events that they lead to at once.
+    /// Executes effects, and dispatches the events that result directly from them.
     pub fn apply_effects(&self, effects: Vec<Effect>) {
         let mut queue = VecDeque::from(effects);
         while let Some(effect) = queue.pop_front() {
@@ -121,13 +122,13 @@
         }
     }
 
-    /// Carries out one effect; the event that it leads to at once, if any.
+    /// Executes one effect and returns the event that results directly from it, if any.
     fn apply_effect(&self, effect: Effect) -> Option<Event> {
         match effect {
             Effect::Send { to, message } => self.links.send(to, &Envelope::new(message)),
             Effect::Persist { ticket, records } => {
                 if let Err(error) = self.disk.append(ticket, &records) {
-                    log::error!("disk: {error}");
+                    log::error!("disk: append failed: {error}");
                     return Some(Event::PersistFailed { ticket });
                 }
             }
@@ -144,7 +145,7 @@
 
     fn reply(&self, ticket: RequestTicket, reply: Reply) {
         if let Some(sender) = self.pending_requests.borrow_mut().remove(&ticket) {
-            // The caller may have gone.
+            // The caller may have dropped the receiver.
             let _ = sender.send(reply);
         }
     }
@@ -157,7 +158,10 @@
                     .update(|publisher| publisher.publish_configuration(configuration));
                 log::info!("configuration {} committed", document.version);
             }
-            Err(faults) => log::error!("committed configuration {}: {faults}", document.version),
+            Err(faults) => log::error!(
+                "committed configuration {} is invalid: {faults}",
+                document.version
+            ),
         }
     }
 
@@ -182,7 +186,7 @@
             .update(|publisher| publisher.set_control_nodes(addresses));
     }
 
-    /// Puts a request to the replica and waits for its reply; [`Reply::Unavailable`] if none comes.
+    /// Sends a request to the replica and waits for the reply; [`Reply::Unavailable`] if there is none.
     pub async fn request(&self, request: Request) -> Reply {
         let ticket = RequestTicket(self.next_ticket.get());
         self.next_ticket.set(ticket.0 + 1);
@@ -192,8 +196,8 @@
         receiver.await.unwrap_or(Reply::Unavailable)
     }
 
-    /// Updates the status that heartbeats to subscribers carry. The head counts the fleet's proxies; the others learn
-    /// their number from it.
+    /// Updates the status in the heartbeats to subscribers. The head counts the fleet's proxies; the other nodes get
+    /// their number from the head.
     pub fn refresh_status(&self) {
         let in_view = self.read(Replica::is_voter_with_quorum);
         let is_head = self.role().is_head;
@@ -212,24 +216,24 @@
         });
     }
 
-    /// Logs why this node doesn't serve, if it doesn't.
+    /// Logs the reason if this node isn't serving.
     pub fn log_service(&self) {
         let contact = self.read(Replica::voter_contact);
         let now = self.clock.millis();
         self.service_log.borrow_mut().observe(now, contact);
     }
 
-    /// Has the disk read back and compared with the state in memory, unless it is busy.
+    /// Starts a scrub, which reads the disk and compares it with the state in memory, unless the disk is busy.
     pub fn scrub(&self) {
         self.disk.scrub_if_idle();
     }
 
-    /// Counts of scrubs of the disk.
+    /// Counters of the disk's scrubs.
     pub fn scrub_counters(&self) -> ScrubCounters {
         self.disk.scrub_counters()
     }
 
-    /// Takes a completion of the disk.
+    /// Handles a completion of the storage thread.
     pub fn on_disk_completion(&self, completion: &Completion) {
         match self.disk.on_completion(completion) {
             Some(AppendOutcome::Durable(ticket)) => self.dispatch(Event::Persisted { ticket }),
--- a/crates/lockusher-control/src/driver/send_queue.rs
+++ b/crates/lockusher-control/src/driver/send_queue.rs
@@ -1,11 +1,11 @@
-//! The bounded queue of frames that wait for one peer. Owned by a peer's link; pure, without I/O.
+//! Bounded queue of the frames to be sent to one peer. Owned by a peer's link; pure, without I/O.
 
 use std::collections::VecDeque;
 
-/// Bytes that may wait for one peer; the oldest frames give way.
+/// Bound on the bytes queued for one peer; the oldest frames are dropped beyond it.
 pub const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
 
-/// Frames that wait to be written, oldest first.
+/// Frames to be written, oldest first.
 #[derive(Debug, Default)]
 pub struct SendQueue {
     frames: VecDeque<Vec<u8>>,
@@ -13,7 +13,8 @@
 }
 
 impl SendQueue {
-    /// Queues a frame; the oldest ones give way if there are too many bytes. The newest one always stays.
+    /// Queues a frame and drops the oldest ones while the queue exceeds [`MAX_QUEUED_BYTES`]. The newest one is never
+    /// dropped.
     pub fn push(&mut self, frame: Vec<u8>) {
         self.bytes += frame.len();
         self.frames.push_back(frame);
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Takes the oldest frame.
+    /// Removes and returns the oldest frame.
     pub fn pop(&mut self) -> Option<Vec<u8>> {
         let frame = self.frames.pop_front()?;
         self.bytes -= frame.len();
--- a/crates/lockusher-control/src/driver/service_log.rs
+++ b/crates/lockusher-control/src/driver/service_log.rs
@@ -1,7 +1,8 @@
-//! Logs why a control node doesn't serve: it has no view, doesn't vote, or doesn't reach a majority of the voters.
+//! Logs why a control node isn't serving: it has no view, isn't a voter, or has no contact with a majority of the
+//! voters.
 //!
-//! Owned by the [`ReplicaDriver`](super::replica_driver::ReplicaDriver), which shows it the replica's contact at each
-//! tick. No I/O besides the log.
+//! Owned by the [`ReplicaDriver`](super::replica_driver::ReplicaDriver), which passes it the replica's contact with the
+//! voters at each tick. No I/O besides the log.
 
 use std::fmt;
 
@@ -10,28 +11,28 @@
 use crate::replica::VoterContact;
 use crate::time::Millis;
 
-/// Contact is missing for this long before it is logged, in milliseconds.
+/// A node that isn't serving logs the reason after this time, in milliseconds.
 const LOG_DELAY_MS: Millis = 500;
-/// Time between two lines while it is missing, in milliseconds.
+/// Time between two log lines while the node isn't serving, in milliseconds.
 const LOG_INTERVAL_MS: Millis = 2_000;
 
-/// Why a control node can't serve.
+/// The reason why a control node can't serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NotServing {
-    /// It has never been told a view: it looks for the others by its seeds.
+    /// It has not learned of a view yet, and contacts its seeds to find the other nodes.
     NoView,
-    /// It isn't among the voters of the newest view that it knows.
+    /// It isn't a voter of the newest view that it knows.
     NotAVoter {
         /// Epoch of that view.
         epoch: u64,
     },
-    /// It doesn't reach a majority of the voters.
+    /// It has no contact with a majority of the voters.
     NoMajority(VoterContact),
 }
 
 impl NotServing {
-    /// Why a node with this contact can't serve; none if it can.
-    pub fn of(contact: VoterContact) -> Option<NotServing> {
+    /// The reason why a node with this contact can't serve; none if it can.
+    pub fn from_contact(contact: VoterContact) -> Option<NotServing> {
         let reached = contact.voters - contact.missing.len();
         if contact.epoch == 0 {
             Some(NotServing::NoView)
@@ -70,7 +71,7 @@
     }
 }
 
-/// What is logged of a node's contact with the voters.
+/// Logs the loss and the return of contact with a majority of the voters, at a limited rate.
 #[derive(Debug)]
 pub struct ServiceLog {
     not_serving: RecurrenceLog,
@@ -87,10 +88,10 @@
 }
 
 impl ServiceLog {
-    /// Takes the contact at a tick.
+    /// Checks the contact with the voters, once for each tick.
     pub fn observe(&mut self, now: Millis, contact: VoterContact) {
         let (epoch, voters) = (contact.epoch, contact.voters);
-        if let Some(reason) = NotServing::of(contact) {
+        if let Some(reason) = NotServing::from_contact(contact) {
             if let Some(Recurrence { for_ms, .. }) = self.not_serving.observe(now) {
                 log::warn!("control: not serving for {for_ms} ms: {reason}");
             }
--- a/crates/lockusher-control/src/driver/status.rs
+++ b/crates/lockusher-control/src/driver/status.rs
@@ -1,6 +1,6 @@
-//! The status and the metrics of a control node, as the operator's HTTP interface answers them.
+//! The status report and the metrics of a control node, served by the operator's HTTP interface.
 //!
-//! Reads the replica and the publisher; changes nothing. The keys of the report and the names of the metrics are
+//! Reads the replica and the publisher, and changes neither. The keys of the report and the names of the metrics are
 //! described in `docs/operators/control-plane.md`.
 
 use std::fmt::Write;
@@ -12,7 +12,7 @@
 use crate::replica::Replica;
 use crate::view::{Member, View};
 
-/// The state of this control node as JSON.
+/// The status of this control node, as JSON.
 pub fn report(driver: &ReplicaDriver) -> String {
     let subscribers: Vec<Value> = driver
         .publisher
@@ -57,7 +57,7 @@
     })
 }
 
-/// Counters of this control node in the common text format.
+/// The metrics of this control node, in the Prometheus text format.
 pub fn metrics(driver: &ReplicaDriver) -> String {
     let counters = driver.read(Replica::counters);
     let domain_shortfall = driver.read(Replica::domain_shortfall);
@@ -86,7 +86,7 @@
     ];
     let mut text = String::new();
     for (name, value) in rows {
-        // Writing to a string doesn't fail.
+        // Writing to a string can't fail.
         let _ = writeln!(text, "lockusher_{name} {value}");
     }
     text
--- a/crates/lockusher-control/tests/disk.rs
+++ b/crates/lockusher-control/tests/disk.rs
@@ -1,4 +1,4 @@
-//! What a control node makes of its folder at a start, on the machine's file system.
+//! Recovery and scrubs of a control node's disk, on the machine's file system.
 
 #[path = "support/disk_damage.rs"]
 mod disk_damage;
@@ -34,7 +34,7 @@
     .0
 }
 
-/// A folder that holds these records, one append each.
+/// A folder with these records, one append for each.
 fn folder_with(records: &[DurableRecord]) -> TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = open_store(folder.path());
@@ -61,7 +61,7 @@
 }
 
 #[compio::test]
-async fn a_missing_folder_is_a_new_one() {
+async fn a_missing_folder_is_opened_as_an_empty_disk() {
     let folder = tempfile::tempdir().expect("a folder");
     let recovered = open(&folder.path().join("control")).await;
     assert_eq!(recovered.records, []);
@@ -77,12 +77,12 @@
     assert!(recovered.cleared);
     let again = open(folder.path()).await;
     assert_eq!(again.records, []);
-    assert!(!again.cleared, "it was whole this time");
+    assert!(!again.cleared, "the cleared folder is undamaged");
 }
 
-/// A process that was killed in the midst of a reset must not take what is left for a disk that was never used.
+/// The process was killed during a reset: the next start must not mistake the remaining files for an unused disk.
 #[compio::test]
-async fn a_reset_cut_short_is_carried_through_and_told() {
+async fn an_interrupted_reset_is_completed_and_reported() {
     let folder = folder_with(&[record(1), record(2), record(3)]);
     fs::write(folder.path().join("reset"), b"").expect("writes");
     let recovered = open(folder.path()).await;
@@ -91,10 +91,10 @@
     assert!(!folder.path().join("reset").exists());
 }
 
-/// One scrub, with the answer that the comparison gives; whatever the disk then asks for is written.
+/// Runs one scrub that compares the disk with `records`, and submits the snapshot that becomes due by it, if any.
 async fn scrub(disk: &Disk, completions: &mut Completions, records: &[DurableRecord]) {
     disk.scrub_if_idle();
-    let completion = completions.next().await.expect("an outcome");
+    let completion = completions.next().await.expect("a completion");
     assert_eq!(disk.on_completion(&completion), None);
     disk.on_scrub_completion(&completion, |found| match found == records {
         true => DiskComparison::Same,
@@ -150,7 +150,7 @@
     assert!(!recovered.cleared);
 }
 
-/// Whole files may hold something else than memory does: that is damage, too.
+/// Undamaged files with other records than those in memory count as damage, too.
 #[compio::test]
 async fn a_scrub_rewrites_a_disk_that_differs_from_memory() {
     let folder = folder_with(&[record(1)]);
--- a/crates/lockusher-control/tests/instance_list_revision.rs
+++ b/crates/lockusher-control/tests/instance_list_revision.rs
@@ -1,4 +1,4 @@
-//! Revisions of the list that a head publishes: they rise over restarts and from one head to the next.
+//! Revisions of the published instance list: they increase across restarts and from one head to the next.
 
 use lockusher_config::instances::InstanceListRevision;
 use lockusher_control::driver::instance_list_revision::{is_current, next_revision};
@@ -14,8 +14,8 @@
     first_of_the_fleet = { revision(0, 0), revision(4, TIME_OF_DAY_MS) },
     first_of_a_head = { revision(3, TIME_OF_DAY_MS + 70), revision(4, TIME_OF_DAY_MS) },
     next_of_a_head = { revision(4, TIME_OF_DAY_MS - 250), revision(4, TIME_OF_DAY_MS) },
-    clock_behind = { revision(4, TIME_OF_DAY_MS + 70), revision(4, TIME_OF_DAY_MS + 71) },
-    later_head_was_seen = { revision(5, TIME_OF_DAY_MS + 70), revision(5, TIME_OF_DAY_MS + 71) },
+    clock_behind_the_newest = { revision(4, TIME_OF_DAY_MS + 70), revision(4, TIME_OF_DAY_MS + 71) },
+    newest_of_a_later_head = { revision(5, TIME_OF_DAY_MS + 70), revision(5, TIME_OF_DAY_MS + 71) },
 )]
 fn the_next_revision_is_above_the_newest(
     newest: InstanceListRevision,
--- a/crates/lockusher-control/tests/loopback.rs
+++ b/crates/lockusher-control/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Control nodes on the loopback, as an operator sees them over HTTP.
+//! Control nodes on loopback addresses, tested through the operator's HTTP interface.
 
 #[path = "support/disk_damage.rs"]
 mod disk_damage;
@@ -23,7 +23,7 @@
 }
 
 #[compio::test]
-async fn three_nodes_take_and_answer_for_each_other() {
+async fn every_node_accepts_changes_and_serves_reads() {
     let mut machines = machines(&[[127, 0, 0, 11], [127, 0, 0, 12], [127, 0, 0, 13]]);
     machines.iter_mut().for_each(|machine| machine.start(true));
     let [first, second, third] = &machines[..] else {
@@ -45,7 +45,7 @@
     assert_eq!(
         third.put("1", "{\"version\":2}").await,
         StatusCode::BAD_REQUEST,
-        "incomplete body"
+        "configuration without required keys"
     );
     assert_eq!(
         third.put("one", &configuration(2)).await,
@@ -67,14 +67,15 @@
     assert_eq!(
         first.put("0", &configuration(1)).await,
         StatusCode::OK,
-        "the same body again, though it is old"
+        "the same body again, although it is older than the current one"
     );
     assert_eq!(third.read().await.body[..], *configuration(2).as_bytes());
 
     for machine in &machines {
-        let is_whole = |status: &Value| status["configuration"] == 2 && chain_length(status) == 3;
+        let has_converged =
+            |status: &Value| status["configuration"] == 2 && chain_length(status) == 3;
         machine
-            .wait_until("version 2 in a chain of three", is_whole)
+            .wait_until("version 2 in a chain of three", has_converged)
             .await;
     }
     let answer = call(machines[0].operator, Method::GET, "/metrics", None, "").await;
@@ -85,8 +86,8 @@
     );
 }
 
-/// A patch that sets one more route.
-fn one_more(version: u64, prefix: &str) -> Value {
+/// A patch that adds a route with this path prefix.
+fn add_route(version: u64, prefix: &str) -> Value {
     let route = json!({
         "name": prefix, "host": "chat.example", "pathPrefix": prefix, "kind": "idempotent", "timeoutMs": 7, "service": "chat"
     });
@@ -94,27 +95,27 @@
 }
 
 #[compio::test]
-async fn patches_are_known_again_by_the_whole_request_and_not_by_their_version() {
+async fn a_repeated_patch_is_recognized_by_its_whole_request_and_not_by_its_version() {
     let mut machines = machines(&[[127, 0, 0, 31], [127, 0, 0, 32], [127, 0, 0, 33]]);
     machines.iter_mut().for_each(|machine| machine.start(true));
     let [first, second, third] = &machines[..] else {
         panic!("three machines")
     };
 
-    let early = first.patch("0", &one_more(1, "/x/")).await;
+    let premature = first.patch("0", &add_route(1, "/x/")).await;
     assert_eq!(
-        early.status,
+        premature.status,
         StatusCode::CONFLICT,
-        "nothing to patch: {early:?}"
+        "nothing to patch: {premature:?}"
     );
     assert_eq!(first.put("0", &configuration(3)).await, StatusCode::OK);
 
-    let (winner, loser) = (one_more(5, "/w/"), one_more(5, "/l/"));
+    let (winner, loser) = (add_route(5, "/w/"), add_route(5, "/l/"));
     assert_eq!(second.patch("3", &winner).await.status, StatusCode::OK);
     assert_eq!(
         third.patch("3", &loser).await.status,
         StatusCode::PRECONDITION_FAILED,
-        "same number, other change"
+        "same version, different change"
     );
     assert_eq!(
         first.patch("3", &winner).await.status,
@@ -129,26 +130,26 @@
     routes.push(winner["upsert"]["routes"][0].clone());
     assert_eq!(read, expected);
 
-    let faulty = third
+    let invalid = third
         .patch(
             "5",
             &json!({"version": 6, "remove": {"services": ["chat"]}}),
         )
         .await;
-    assert_eq!(faulty.status, StatusCode::BAD_REQUEST);
-    let faults = String::from_utf8(faulty.body.to_vec()).expect("text");
+    assert_eq!(invalid.status, StatusCode::BAD_REQUEST);
+    let faults = String::from_utf8(invalid.body.to_vec()).expect("text");
     assert_eq!(
         faults.lines().count(),
         2,
-        "both routes lose their service: {faults}"
+        "one fault for each of the two routes: {faults}"
     );
     assert_eq!(
-        third.patch("5", &one_more(5, "/y/")).await.status,
+        third.patch("5", &add_route(5, "/y/")).await.status,
         StatusCode::BAD_REQUEST,
         "not newer"
     );
     assert_eq!(
-        third.patch("3", &one_more(6, "/y/")).await.status,
+        third.patch("3", &add_route(6, "/y/")).await.status,
         StatusCode::PRECONDITION_FAILED,
         "stale"
     );
@@ -157,7 +158,7 @@
     assert_eq!(
         second.patch("3", &winner).await.status,
         StatusCode::OK,
-        "the same patch again, though it is old"
+        "the same patch again, although it is older than the current version"
     );
     assert_eq!(
         third.patch("3", &loser).await.status,
@@ -177,8 +178,8 @@
     );
 }
 
-/// Though told that it is the first start, a node whose disk was damaged neither takes its former identity nor serves what
-/// it can't know; it joins and is fed.
+/// A node whose disk was damaged must not keep its former identity or serve a state that it doesn't have, even with
+/// `firstStart` set: it joins as a new node and receives the state from the others.
 #[compio::test]
 async fn a_node_with_a_damaged_disk_starts_as_a_new_one() {
     let mut machines = machines(&[[127, 0, 0, 21], [127, 0, 0, 22], [127, 0, 0, 23]]);
@@ -189,7 +190,7 @@
     );
     let last = &machines[2];
     let before = last
-        .wait_until("a whole chain", |status| chain_length(status) == 3)
+        .wait_until("a chain of three", |status| chain_length(status) == 3)
         .await;
     let former = before["identity"].clone();
     machines[2].stop();
@@ -199,7 +200,7 @@
     machines[2].start(true);
     let alone = machines[2].status().await;
     assert_ne!(alone["identity"], former);
-    assert_eq!(alone["view"], Value::Null, "nobody told it of a view");
+    assert_eq!(alone["view"], Value::Null, "it knows no view");
     assert_eq!(
         machines[2].try_read().await.status,
         StatusCode::SERVICE_UNAVAILABLE
--- a/crates/lockusher-control/tests/modules.rs
+++ b/crates/lockusher-control/tests/modules.rs
@@ -1,4 +1,4 @@
-//! The modules of this package lie in layers.
+//! The modules of this package form layers: imports between them have no cycles.
 
 #[path = "../../../tests/support/module_layers.rs"]
 mod module_layers;
--- a/crates/lockusher-control/tests/operator_errors.rs
+++ b/crates/lockusher-control/tests/operator_errors.rs
@@ -1,4 +1,4 @@
-//! How the operator's calls are refused: status, text, and when to come back.
+//! Errors of the operator's HTTP interface: status, text and `Retry-After`.
 
 use hyper::StatusCode;
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -12,17 +12,14 @@
     weak = { "W/\"12\"", Err(ChangeRequestError::VersionNotNumber { found: "W/\"12\"".to_owned() }) },
     word = { "one", Err(ChangeRequestError::VersionNotNumber { found: "one".to_owned() }) },
 )]
-fn the_version_that_a_change_builds_on_is_read(
-    header: &str,
-    expected: Result<u64, ChangeRequestError>,
-) {
+fn the_version_in_if_match_is_parsed(header: &str, expected: Result<u64, ChangeRequestError>) {
     let header = HeaderValue::from_str(header).expect("a header");
 
     assert_eq!(expected_version(Some(&header)), expected);
 }
 
 #[test]
-fn a_change_without_a_version_is_unreadable() {
+fn a_missing_if_match_is_an_error() {
     assert_eq!(
         expected_version(None),
         Err(ChangeRequestError::VersionMissing)
@@ -42,13 +39,13 @@
     },
     undecided = { OperatorError::Undecided, 503, "undecided; try again" },
 )]
-fn a_refusal_has_a_status_and_a_reason(error: OperatorError, status: u16, reason: &str) {
+fn an_error_has_a_status_and_a_reason(error: OperatorError, status: u16, reason: &str) {
     assert_eq!(error.status().as_u16(), status);
     assert_eq!(error.to_string(), reason);
 }
 
 #[test]
-fn only_an_undecided_request_is_to_be_sent_again() {
+fn only_an_undecided_request_is_answered_with_retry_after() {
     let undecided = OperatorError::Undecided.response();
     assert_eq!(undecided.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(
--- a/crates/lockusher-control/tests/peer_links.rs
+++ b/crates/lockusher-control/tests/peer_links.rs
@@ -1,4 +1,4 @@
-//! The times and the queue of the links between control nodes.
+//! Timing, send queue and connections of the links between control nodes.
 
 use std::time::Duration;
 
@@ -13,12 +13,13 @@
 use lockusher_transport::frame;
 use yare::parameterized;
 
-/// Heartbeats go every twentieth of `acknowledgeMs`; a node is suspected after a fifth of it.
+/// A heartbeat is sent every twentieth of `acknowledgeMs`; a node is suspected after a fifth of it without one.
 const HEARTBEAT_DIVISOR: u32 = 20;
-const SUSPECT_DIVISOR: u32 = 5;
+const SUSPICION_DIVISOR: u32 = 5;
 
-/// After a loss of power at all nodes, the first attempts go to machines that are still down and hang. The attempts that
-/// follow must be through before the nodes suspect each other, or the next view waits for that.
+/// After a power loss of all nodes, the first connection attempts hang because their peers are still down. The
+/// following attempts must succeed before the nodes suspect each other; otherwise the next view is delayed by the
+/// suspicion.
 #[parameterized(
     one_second = { 1_000 },
     two_seconds = { 2_000 },
@@ -26,25 +27,25 @@
     five_seconds = { 5_000 },
     twenty_seconds = { 20_000 },
 )]
-fn a_hanging_attempt_and_the_next_fit_before_a_node_is_suspected(acknowledge_ms: u64) {
+fn a_hanging_attempt_and_the_next_one_fit_into_the_suspicion_timeout(acknowledge_ms: u64) {
     let acknowledge = Duration::from_millis(acknowledge_ms);
 
     let timing = LinkTiming::new(acknowledge);
 
     let next_message = acknowledge / HEARTBEAT_DIVISOR;
-    let cycle = timing.connect_limit + timing.reconnect_delay + next_message;
-    assert!(cycle < acknowledge / SUSPECT_DIVISOR, "{timing:?}");
+    let cycle = timing.connect_timeout + timing.reconnect_delay + next_message;
+    assert!(cycle < acknowledge / SUSPICION_DIVISOR, "{timing:?}");
 }
 
 #[test]
-fn an_attempt_has_time_for_a_way_between_regions() {
+fn the_connect_timeout_covers_the_latency_between_regions() {
     let timing = LinkTiming::new(Duration::from_millis(200));
 
-    assert!(timing.connect_limit >= Duration::from_millis(100));
+    assert!(timing.connect_timeout >= Duration::from_millis(100));
 }
 
 #[test]
-fn the_oldest_frames_give_way_when_too_many_bytes_wait() {
+fn the_oldest_frames_are_dropped_when_the_queue_exceeds_its_bound() {
     let mut queue = SendQueue::default();
     let half = MAX_QUEUED_BYTES / 2;
 
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn a_frame_over_the_bound_is_sent_alone() {
+fn a_frame_above_the_bound_replaces_all_queued_ones() {
     let mut queue = SendQueue::default();
     queue.push(vec![1; 1]);
 
@@ -76,7 +77,7 @@
     })
 }
 
-/// A configuration of this size on its way to the head.
+/// A message that forwards a configuration of this size to the head.
 fn long_message(bytes: usize) -> MessageBody {
     let document = ConfigurationDocument::new(1, Arc::from(vec![b' '; bytes]));
     MessageBody::Forward {
@@ -88,9 +89,9 @@
     }
 }
 
-/// The peer takes nothing on the connection of the long message, as a thin link does for seconds.
+/// The peer reads nothing from the connection of the long message, like a slow link that is blocked for seconds.
 #[test]
-fn a_long_message_holds_up_no_short_one() {
+fn a_long_message_does_not_delay_a_short_one() {
     let runtime = compio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("listens");
--- a/crates/lockusher-control/tests/service_log.rs
+++ b/crates/lockusher-control/tests/service_log.rs
@@ -1,4 +1,4 @@
-//! What a control node says of why it doesn't serve.
+//! Reasons that a control node logs while it isn't serving.
 
 use std::net::SocketAddrV4;
 
@@ -9,7 +9,7 @@
     format!("10.0.0.{host}:7661").parse().expect("an address")
 }
 
-/// Five voters, so many of which aren't reached.
+/// Contact with five voters, of which `missing` aren't reached.
 fn contact(missing: u8) -> VoterContact {
     VoterContact {
         epoch: 7,
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn a_majority_is_enough() {
-    assert_eq!(NotServing::of(contact(0)), None);
-    assert_eq!(NotServing::of(contact(2)), None);
+fn a_node_in_contact_with_a_majority_serves() {
+    assert_eq!(NotServing::from_contact(contact(0)), None);
+    assert_eq!(NotServing::from_contact(contact(2)), None);
 }
 
 #[test]
-fn without_a_majority_the_missing_voters_are_named() {
-    let reason = NotServing::of(contact(3)).expect("it can't serve");
+fn without_a_majority_the_missing_voters_are_listed() {
+    let reason = NotServing::from_contact(contact(3)).expect("it can't serve");
 
     assert_eq!(
         reason.to_string(),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_node_without_a_view_and_one_that_does_not_vote_say_so() {
+fn a_missing_view_and_a_node_that_is_not_a_voter_are_reported() {
     let new = VoterContact {
         epoch: 0,
         voters: 0,
@@ -50,7 +50,7 @@
         ..contact(0)
     };
 
-    assert_eq!(NotServing::of(new), Some(NotServing::NoView));
-    let reason = NotServing::of(learner).expect("it can't serve");
+    assert_eq!(NotServing::from_contact(new), Some(NotServing::NoView));
+    let reason = NotServing::from_contact(learner).expect("it can't serve");
     assert_eq!(reason.to_string(), "not a voter of view 7");
 }
--- a/crates/lockusher-control/tests/support/disk_damage.rs
+++ b/crates/lockusher-control/tests/support/disk_damage.rs
@@ -1,4 +1,4 @@
-//! Damage to the disk of a control node.
+//! Damages the disk of a control node.
 
 use std::fs::{self, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -8,7 +8,7 @@
 const OFFSET_IN_FIRST_APPEND: u64 = 48;
 const FLIPPED_BIT: u8 = 0x10;
 
-/// Flips a bit of the first append, which many others have followed.
+/// Flips a bit of the first append. Other appends follow it, so that recovery can't take this for a torn last append.
 pub fn damage_first_append(folder: &Path) {
     let mut entries = fs::read_dir(folder)
         .expect("a folder")
