--- a/crates/lockusher-control/src/serve.rs
+++ b/crates/lockusher-control/src/serve.rs
@@ -1,8 +1,8 @@
-//! One control node: opens its disk, starts its replica and serves until it is told to stop.
+//! Runs one control node: opens its disk, starts its replica and serves until shutdown.
 //!
-//! Called by the program's roles `control` and, on some machines, `agent`. Everything runs as tasks on the caller's
-//! runtime, that of one thread, except for the storage thread. Invariant: listeners are bound before the disk is read, so
-//! that a second process on the machine ends before it touches the disk.
+//! Called by the program's roles `control` and, on some machines, `agent`. Everything except the storage thread runs as
+//! tasks on the caller's single-threaded runtime. Invariant: listeners are bound before the disk is opened, so that a
+//! second process on the machine fails before it accesses the disk.
 
 use std::future::Future;
 use std::hash::{BuildHasher, RandomState};
@@ -34,29 +34,29 @@
 use crate::locality::{Locality, ToleratedDomains};
 use crate::replica::{Event, Replica, ReplicaSetup};
 
-/// Between two ticks of the replica.
+/// Time between two ticks of the replica.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a node that was told to stop goes on at least, so that others take over what it did.
-const MIN_HAND_OVER: Duration = Duration::from_millis(600);
-/// It goes on until it has handed over, for the grace divided by this at most.
-const HAND_OVER_GRACE_DIVISOR: u32 = 2;
-/// Between two scrubs of the disk.
+/// Minimum time that a node keeps serving after the request to stop, so that other nodes take over its duties.
+const MIN_HAND_OVER_DURATION: Duration = Duration::from_millis(600);
+/// The node stops waiting for the hand-over after `graceMs` divided by this.
+const HAND_OVER_TIMEOUT_DIVISOR: u32 = 2;
+/// Time between two scrubs of the disk.
 const SCRUB_INTERVAL: Duration = Duration::from_secs(600);
-/// Bytes that a link of 1 Mbit/s carries in a millisecond.
+/// Throughput of a link of 1 Mbit/s, in bytes per millisecond.
 const BYTES_PER_MS_OF_MBPS: f64 = 125.0;
-/// Throughput that is counted on at most, in bytes per millisecond: that of a slow disk.
+/// Upper bound of the assumed throughput, in bytes per millisecond: that of a slow disk.
 const MAX_BYTES_PER_MS: u64 = 4096;
-/// Bytes of a megabyte of `limits.diskMb`.
+/// Bytes of one megabyte in `limits.diskMb`.
 const BYTES_PER_MB: u64 = 1024 * 1024;
 
-/// Why a control node can't run. Starting again helps only if the settings or the machine have changed.
+/// Why a control node can't run. A restart helps only after a change of the settings or the machine.
 #[derive(Debug, Display, Error, From)]
 pub enum ControlError {
-    /// A setting that a control node needs is missing; its key.
+    /// A required setting is missing; holds its key.
     #[display("settings: {_0} is missing")]
     #[from(ignore)]
     Missing(#[error(not(source))] &'static str),
-    /// The settings name too few internal ports.
+    /// The settings contain too few internal ports.
     #[display("{_0}")]
     Ports(TooFewPorts),
     /// The disk can't be used.
@@ -67,10 +67,10 @@
     Transport(TransportError),
 }
 
-/// What the command line says of a control node.
+/// Command-line options of a control node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlOptions {
-    /// Whether searchers are ordered to change their stage as the load demands.
+    /// Whether this node, as head, orders searchers to change their stage according to the load.
     pub stage_assignment: bool,
 }
 
@@ -82,18 +82,18 @@
     }
 }
 
-/// Runs a control node until `stop` is done; then hands over and returns.
+/// Runs a control node until `stop` completes; then hands over its duties and returns.
 ///
 /// # Errors
 ///
-/// [`ControlError`] if a setting is missing, a listener can't be bound, or the disk can't be used. Once it serves, a node
-/// doesn't fail.
+/// [`ControlError`] if a setting is missing, a listener can't be bound, or the disk can't be used. All errors occur
+/// before the node serves.
 pub async fn run(
     settings: NodeSettings,
     options: ControlOptions,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ControlError> {
-    let resources = Resources::named_by(&settings)?;
+    let resources = Resources::from_settings(&settings)?;
     pin_mut!(stop);
     let bound = tcp::unless_stopped(Listeners::bind(&resources), stop.as_mut()).await;
     let Some(listeners) = bound.transpose()? else {
@@ -108,8 +108,9 @@
     let random_seed = RandomState::new().hash_one(resources.peer_address);
     let driver = start_driver(&settings, &resources, disk, recovered, random_seed);
 
-    let hand_over_limit = Duration::from_millis(settings.bounds.grace_ms) / HAND_OVER_GRACE_DIVISOR;
-    let announcing = resources.announcement_ports.map(|ports| {
+    let hand_over_timeout =
+        Duration::from_millis(settings.bounds.grace_ms) / HAND_OVER_TIMEOUT_DIVISOR;
+    let announcement_task = resources.announcement_ports.map(|ports| {
         let seed_file = SeedFile::new(settings.seeds.clone());
         let driver = Rc::clone(&driver);
         announcement::run(driver, settings.ip_address, ports, seed_file)
@@ -128,30 +129,30 @@
     let _tasks = (
         spawn_tasks(&driver, completions, listeners),
         spawn(list_polling),
-        announcing.map(spawn),
+        announcement_task.map(spawn),
     );
     stop.await;
     log::info!("stopping");
-    // Ends an order in flight, too: its connection is reset.
+    // Aborts an order in flight as well, with a reset of its connection.
     drop(stage_assignment_task);
     driver.dispatch(Event::Stop);
-    hand_over(&driver, hand_over_limit).await;
+    hand_over(&driver, hand_over_timeout).await;
     Ok(())
 }
 
-/// What a control node needs of its machine.
+/// Addresses, ports and folder of a control node on its machine.
 struct Resources {
     operator_address: SocketAddrV4,
-    /// Where other control nodes send their messages; names this node among them.
+    /// Address to which other control nodes send their messages, and by which they identify this node.
     peer_address: SocketAddrV4,
     subscription_address: SocketAddrV4,
-    /// Absent if the range of ports leaves none for agents.
+    /// None if the range of internal ports contains none for agents.
     announcement_ports: Option<AnnouncementPorts>,
     data_directory: PathBuf,
 }
 
 impl Resources {
-    fn named_by(settings: &NodeSettings) -> Result<Self, ControlError> {
+    fn from_settings(settings: &NodeSettings) -> Result<Self, ControlError> {
         let operator_address = settings
             .control
             .ok_or(ControlError::Missing("listenAddresses.control"))?;
@@ -176,7 +177,7 @@
     }
 }
 
-/// The sockets at which a control node is called.
+/// The listeners of a control node.
 struct Listeners {
     operator: TcpListener,
     peers: TcpListener,
@@ -193,7 +194,7 @@
     }
 }
 
-/// Starts the replica with what its disk held, and carries out what it asks for first.
+/// Starts the replica from the recovered records, and executes its first effects.
 fn start_driver(
     settings: &NodeSettings,
     resources: &Resources,
@@ -259,14 +260,15 @@
     }
 }
 
-/// The throughput to another node that is counted on: half of the machine's link, since others share it, and no more than a
-/// disk writes.
+/// The assumed throughput to another node: half of the machine's link, which is shared with other traffic, but no more
+/// than a slow disk writes.
 fn bytes_per_ms(link_mbps: f64) -> u64 {
     let half_of_link = (link_mbps * BYTES_PER_MS_OF_MBPS / 2.0) as u64;
     half_of_link.clamp(1, MAX_BYTES_PER_MS)
 }
 
-/// Starts the tasks that serve the replica's disk, clock, peers, subscribers and operator; they end when dropped.
+/// Starts the tasks for the replica's disk, clock, peers, subscribers and operator; each is cancelled when its handle
+/// is dropped.
 fn spawn_tasks(
     driver: &Rc<ReplicaDriver>,
     completions: Completions,
@@ -275,7 +277,7 @@
     let operator_driver = Rc::clone(driver);
     let operator = move |request| operator_api::handle(Rc::clone(&operator_driver), request);
     [
-        spawn(follow_disk(Rc::clone(driver), completions)),
+        spawn(process_disk_completions(Rc::clone(driver), completions)),
         spawn(tick_periodically(Rc::clone(driver))),
         spawn(scrub_periodically(Rc::clone(driver))),
         spawn(peer_listener::run(Rc::clone(driver), listeners.peers)),
@@ -287,17 +289,17 @@
     ]
 }
 
-/// Waits until the others do without this node, or for `limit` if they can't agree on that.
-async fn hand_over(driver: &ReplicaDriver, limit: Duration) {
+/// Waits until the other nodes have taken over the duties of this node, or until `timeout` if they can't agree on that.
+async fn hand_over(driver: &ReplicaDriver, timeout: Duration) {
     let started_at = driver.clock.millis();
-    sleep(MIN_HAND_OVER).await;
-    let is_over = || driver.clock.millis() - started_at >= limit.as_millis() as u64;
-    while !driver.read(Replica::has_handed_over) && !is_over() {
+    sleep(MIN_HAND_OVER_DURATION).await;
+    let has_timed_out = || driver.clock.millis() - started_at >= timeout.as_millis() as u64;
+    while !driver.read(Replica::has_handed_over) && !has_timed_out() {
         sleep(TICK_INTERVAL).await;
     }
 }
 
-async fn follow_disk(driver: Rc<ReplicaDriver>, mut completions: Completions) {
+async fn process_disk_completions(driver: Rc<ReplicaDriver>, mut completions: Completions) {
     while let Some(completion) = completions.next().await {
         driver.on_disk_completion(&completion);
     }
@@ -312,7 +314,7 @@
     }
 }
 
-/// Scrubs the disk now and then; the first delay is drawn anew by each node, so that they don't all read at once.
+/// Scrubs the disk periodically. The first delay is random, so that the nodes don't all scrub at the same time.
 async fn scrub_periodically(driver: Rc<ReplicaDriver>) {
     sleep(SCRUB_INTERVAL.mul_f64(rand::random_range(0.5..1.0))).await;
     loop {
