--- a/crates/lockusher-storage/src/disk.rs
+++ b/crates/lockusher-storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! The file system of the machine.
+//! [`FileSystem`] over a directory of the operating system's file system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
@@ -7,7 +7,7 @@
 use crate::error::{FileError, FileOperation};
 use crate::file_system::FileSystem;
 
-/// Files of one directory on the disk. Keeps at most one of them open, the one that was written last.
+/// Files of one directory. Caches the handle of the file that was written last, and no other.
 #[derive(Debug)]
 pub struct DiskFileSystem {
     directory: PathBuf,
@@ -21,7 +21,7 @@
 }
 
 impl DiskFileSystem {
-    /// Uses this directory; it is created with the first file if it doesn't exist.
+    /// Uses `directory`, which is created together with its first file if it doesn't exist.
     pub fn new(directory: PathBuf) -> DiskFileSystem {
         DiskFileSystem {
             directory,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Adds to an error what was tried on which file.
-    fn on_file<T>(
+    /// Adds the operation and the path of the file to an error.
+    fn with_context<T>(
         &self,
         operation: FileOperation,
         name: &str,
@@ -101,35 +101,37 @@
 
     fn length(&mut self, name: &str) -> Result<u64, FileError> {
         let metadata = fs::metadata(self.path(name));
-        Ok(self.on_file(FileOperation::Length, name, metadata)?.len())
+        Ok(self
+            .with_context(FileOperation::Length, name, metadata)?
+            .len())
     }
 
     fn read(&mut self, name: &str) -> Result<Vec<u8>, FileError> {
-        self.on_file(FileOperation::Read, name, fs::read(self.path(name)))
+        self.with_context(FileOperation::Read, name, fs::read(self.path(name)))
     }
 
     fn create(&mut self, name: &str) -> Result<(), FileError> {
         let created = self.create_file(name);
-        self.on_file(FileOperation::Create, name, created)
+        self.with_context(FileOperation::Create, name, created)
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), FileError> {
         let written = self.write_at(name, offset, bytes);
-        self.on_file(FileOperation::Write, name, written)
+        self.with_context(FileOperation::Write, name, written)
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> Result<(), FileError> {
         let truncated = self
             .open_for_writing(name)
             .and_then(|file| file.set_len(length));
-        self.on_file(FileOperation::Truncate, name, truncated)
+        self.with_context(FileOperation::Truncate, name, truncated)
     }
 
     fn remove(&mut self, name: &str) -> Result<(), FileError> {
         self.drop_handle(name);
         match fs::remove_file(self.path(name)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
-            removed => self.on_file(FileOperation::Remove, name, removed),
+            removed => self.with_context(FileOperation::Remove, name, removed),
         }
     }
 
@@ -137,7 +139,7 @@
         let synced = self
             .open_for_writing(name)
             .and_then(|file| file.sync_data());
-        self.on_file(FileOperation::SyncFile, name, synced)
+        self.with_context(FileOperation::SyncFile, name, synced)
     }
 
     fn sync_directory(&mut self) -> Result<(), FileError> {
@@ -147,7 +149,7 @@
     }
 }
 
-/// Names of the files in a directory; none if it doesn't exist.
+/// Names of the entries of a directory; empty if the directory doesn't exist.
 fn list_names(directory: &Path) -> io::Result<Vec<String>> {
     let entries = match fs::read_dir(directory) {
         Ok(entries) => entries,
@@ -156,7 +158,7 @@
     };
     let mut names = Vec::new();
     for entry in entries {
-        // Names that aren't UTF-8 can't be the store's.
+        // The store's own file names are ASCII: a name that isn't valid UTF-8 is foreign and skipped.
         if let Ok(name) = entry?.file_name().into_string() {
             names.push(name);
         }
--- a/crates/lockusher-storage/src/error.rs
+++ b/crates/lockusher-storage/src/error.rs
@@ -8,7 +8,7 @@
 
 use crate::frame_number::FrameNumber;
 
-/// An operation of a [`FileSystem`](crate::FileSystem).
+/// An operation of a [`FileSystem`](crate::FileSystem), as named in error messages.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum FileOperation {
     /// List the names in the directory.
@@ -20,7 +20,7 @@
     /// Read a file.
     #[display("read")]
     Read,
-    /// Create or empty a file.
+    /// Create a file, or truncate an existing one to zero bytes.
     #[display("create")]
     Create,
     /// Write to a file.
@@ -44,11 +44,11 @@
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{operation} {}: {cause}", path.display())]
 pub struct FileError {
-    /// What was tried.
+    /// The operation that failed.
     pub operation: FileOperation,
-    /// The file or directory it was tried on.
+    /// The file or directory that it was applied to.
     pub path: PathBuf,
-    /// Why it failed.
+    /// The cause of the failure.
     #[error(source)]
     pub cause: FileErrorCause,
 }
@@ -56,18 +56,18 @@
 /// Why an operation on a file failed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum FileErrorCause {
-    /// The disk has no space for the bytes, or the quota is used up.
+    /// The disk is full, or the disk quota is exhausted.
     #[display("no space left on the disk")]
     NoSpace,
     /// The file doesn't exist.
     #[display("no such file")]
     NotFound,
-    /// Any other refusal of the operating system.
+    /// Any other I/O error.
     #[display("{message}")]
     Io {
-        /// The standard library's classification.
+        /// The error's kind in the standard library.
         kind: io::ErrorKind,
-        /// What the operating system said.
+        /// The operating system's message.
         message: String,
     },
 }
@@ -85,87 +85,87 @@
     }
 }
 
-/// Damage that a power loss can't have caused: what was acknowledged is not all there.
+/// Corruption that a power loss can't have caused: acknowledged data is missing or unreadable.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Damage {
     /// A segment's header is unreadable although the segment was in use.
-    #[display("{file}: the header of the segment is unreadable")]
+    #[display("{file}: segment header is unreadable")]
     SegmentHeader {
         /// Name of the file.
         file: String,
     },
-    /// A frame is unreadable, yet was followed by others.
-    #[display("{file}: the frame at byte {offset} is unreadable, and later ones follow")]
+    /// A frame is unreadable although later frames follow it, or bytes follow a segment's seal.
+    #[display("{file}: frame at offset {offset} is unreadable, but later frames follow")]
     Frame {
         /// Name of the file.
         file: String,
-        /// Byte in the file at which the frame begins.
+        /// Offset in bytes at which the frame begins.
         offset: u64,
     },
     /// A segment ends before the next one begins.
-    #[display("{file}: the segment ends early, at frame {next_frame}")]
+    #[display("{file}: segment ends early: frame {next_frame} is missing")]
     SegmentEndsEarly {
         /// Name of the file.
         file: String,
-        /// The first frame that is absent.
+        /// The first missing frame.
         next_frame: FrameNumber,
     },
-    /// The segment that begins with this frame is absent.
-    #[display("the segment that begins with frame {first_frame} is missing")]
+    /// The segment that begins with this frame is missing.
+    #[display("segment that begins with frame {first_frame} is missing")]
     MissingSegment {
         /// The segment's first frame.
         first_frame: FrameNumber,
     },
-    /// The log begins after frame 0, and no readable snapshot covers what came before.
-    #[display("no readable snapshot covers the frames before {first_frame}")]
+    /// The log begins after frame 0, and no readable snapshot covers the earlier frames.
+    #[display("no readable snapshot covers the frames before frame {first_frame}")]
     MissingSnapshot {
         /// The first frame in the log.
         first_frame: FrameNumber,
     },
 }
 
-/// Why an operation on the store failed.
+/// Error of an operation on the store.
 ///
-/// | error | in the log after a restart | does a retry help |
+/// | error | append found after a restart | can be retried |
 /// | --- | --- | --- |
-/// | `NoSpace` | no | after [`Store::snapshot`](crate::Store::snapshot), which shortens the log, or once others free space |
-/// | `Refused` | no | once the disk works again; the store repairs what it needs to first |
-/// | `Uncertain` | perhaps | as for `Refused`; the next success settles the outcome |
+/// | `NoSpace` | no | after [`Store::snapshot`](crate::Store::snapshot), which truncates the log, or once space is freed otherwise |
+/// | `Io` | no | once the disk works again; the store first repairs its files |
+/// | `Uncertain` | possibly | as for `Io`; the next success settles the outcome |
 /// | `TooLarge` | no | never |
-/// | `Damaged` | – | never; the content must come from elsewhere, after [`Store::reset`](crate::Store::reset) |
-/// | `Skipped` | no | yes, once the failure before it is handled |
+/// | `Damaged` | – | never; the data must be restored from another replica, after [`Store::reset`](crate::Store::reset) |
+/// | `Skipped` | no | yes, once the preceding failure is handled |
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum StoreError {
-    /// No space, or none but what is reserved for a snapshot. Nothing of the append stays in the log.
+    /// The disk is full, except for the space that is reserved for a snapshot. The append isn't in the log.
     #[display("no space left on the disk")]
     NoSpace,
-    /// The disk refused. Nothing of the append stays in the log.
-    #[display("the disk refused: {error}")]
-    Refused {
-        /// What was tried, on which file, and why it failed.
+    /// An I/O error. The append isn't in the log.
+    #[display("I/O error: {error}")]
+    Io {
+        /// The operation, the file and the cause.
         error: FileError,
     },
-    /// The disk refused and what was written couldn't be removed again: the append may be found after a restart. The
-    /// next successful append or snapshot removes it for good.
-    #[display("the disk refused, the outcome is open: {error}")]
+    /// An I/O error after which the partial write couldn't be removed either: the append may be found after a restart.
+    /// The next successful append or snapshot removes it permanently.
+    #[display("I/O error, outcome unknown: {error}")]
     Uncertain {
-        /// The first failure; the attempt to remove the bytes failed after it.
+        /// The first error; the attempt to remove the written bytes failed after it.
         error: FileError,
     },
-    /// More bytes than one append or snapshot may hold.
-    #[display("{bytes} bytes are too many for one append or snapshot")]
+    /// The append or snapshot exceeds the size limit.
+    #[display("{bytes} bytes exceed the size limit of one append or snapshot")]
     TooLarge {
-        /// Size as requested.
+        /// The requested size.
         bytes: u64,
     },
     /// The log or the snapshot is damaged; see [`Store::reset`](crate::Store::reset).
     #[display("damaged: {damage}")]
     Damaged {
-        /// Which damage, and where.
+        /// The kind and the place of the damage.
         damage: Damage,
     },
-    /// Not tried, since an append before it had failed when this was submitted.
-    #[display("not tried: an earlier append failed")]
+    /// Not executed: an earlier append had failed, and its failure wasn't yet observed when this job was submitted.
+    #[display("skipped: an earlier append failed")]
     Skipped,
 }
 
@@ -173,7 +173,7 @@
     fn from(error: FileError) -> StoreError {
         match error.cause {
             FileErrorCause::NoSpace => StoreError::NoSpace,
-            FileErrorCause::NotFound | FileErrorCause::Io { .. } => StoreError::Refused { error },
+            FileErrorCause::NotFound | FileErrorCause::Io { .. } => StoreError::Io { error },
         }
     }
 }
--- a/crates/lockusher-storage/src/file_names.rs
+++ b/crates/lockusher-storage/src/file_names.rs
@@ -1,25 +1,24 @@
-//! Names of the files of a store, and what each says of its content.
+//! Names of a store's files, and what each name tells about the content.
 //!
 //! A segment is named after its first frame and a snapshot after the first frame that it doesn't cover, in 20 decimal
-//! digits, so that the names sort as the numbers do. No file is ever renamed.
+//! digits, so that names sort in the order of their numbers. Files are never renamed.
 
 use crate::frame_number::FrameNumber;
 
 const SEGMENT_PREFIX: &str = "segment-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
 
-/// What a file's name says.
+/// Kind of a file, as parsed from its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileKind {
     /// A segment that begins with this frame.
     Segment(FrameNumber),
-    /// A snapshot of all before this frame.
+    /// A snapshot that covers all frames before this one.
     Snapshot(FrameNumber),
 }
 
 impl FileKind {
-    /// The segment or snapshot of this name; `None` for any other name, also one that [`name`](Self::name) wouldn't
-    /// spell so.
+    /// Parses a file name; `None` for a name that [`name`](Self::name) wouldn't produce, such as one with fewer digits.
     pub(crate) fn parse(name: &str) -> Option<FileKind> {
         let kind = match name.strip_prefix(SEGMENT_PREFIX) {
             Some(digits) => FileKind::Segment(FrameNumber(digits.parse().ok()?)),
@@ -40,7 +39,7 @@
     }
 }
 
-/// Marks that a reset has started; see [`Store::reset`](crate::Store::reset).
+/// Exists while a reset is in progress; see [`Store::reset`](crate::Store::reset).
 pub(crate) const RESET_MARKER_FILE: &str = "reset";
-/// Reserved space; see [`Reserve`](crate::reserve::Reserve).
+/// Occupies reserved space; see [`Reserve`](crate::reserve::Reserve).
 pub(crate) const RESERVE_FILE: &str = "reserve";
--- a/crates/lockusher-storage/src/file_system.rs
+++ b/crates/lockusher-storage/src/file_system.rs
@@ -1,17 +1,18 @@
-//! The few operations on files that the store needs.
+//! The file operations that the store needs.
 
 use crate::error::FileError;
 
 /// One directory of files. There is no rename: the store never needs one (`docs/design/storage.md`).
 ///
-/// No content survives a power loss before [`sync_file`](FileSystem::sync_file), and no creation or removal of a name
-/// before [`sync_directory`](FileSystem::sync_directory); without them any part of it may survive, in any order.
+/// Content is guaranteed to survive a power loss only after [`sync_file`](FileSystem::sync_file), the creation or
+/// removal of a name only after [`sync_directory`](FileSystem::sync_directory). Any subset of the changes that weren't
+/// synced may survive, in any order.
 pub trait FileSystem {
     /// Names of all files, in no particular order.
     ///
     /// # Errors
     ///
-    /// If the directory can't be read; one that doesn't exist yet is empty.
+    /// If the directory can't be read. A directory that doesn't exist yet is empty.
     fn list(&mut self) -> Result<Vec<String>, FileError>;
 
     /// Size of a file in bytes.
@@ -32,41 +33,41 @@
     ///
     /// # Errors
     ///
-    /// If the disk refuses; the file may exist afterwards.
+    /// On an I/O error; the file may exist afterwards.
     fn create(&mut self, name: &str) -> Result<(), FileError>;
 
     /// Writes at an offset of an existing file.
     ///
     /// # Errors
     ///
-    /// If the file doesn't exist or the disk refuses; a part of the bytes may be in the file afterwards.
+    /// If the file doesn't exist or on an I/O error; a part of the bytes may have been written.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), FileError>;
 
     /// Shortens an existing file to this length.
     ///
     /// # Errors
     ///
-    /// If the file doesn't exist or the disk refuses.
+    /// If the file doesn't exist or on an I/O error.
     fn truncate(&mut self, name: &str, length: u64) -> Result<(), FileError>;
 
-    /// Removes a file; one that doesn't exist is no error.
+    /// Removes a file; succeeds if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// If the disk refuses.
+    /// On an I/O error.
     fn remove(&mut self, name: &str) -> Result<(), FileError>;
 
     /// Makes the content of a file durable.
     ///
     /// # Errors
     ///
-    /// If the file doesn't exist or the disk refuses; what is durable is unknown then.
+    /// If the file doesn't exist or on an I/O error; it is unknown then which changes are durable.
     fn sync_file(&mut self, name: &str) -> Result<(), FileError>;
 
     /// Makes creations and removals of names durable.
     ///
     /// # Errors
     ///
-    /// If the disk refuses; what is durable is unknown then.
+    /// On an I/O error; it is unknown then which changes are durable.
     fn sync_directory(&mut self) -> Result<(), FileError>;
 }
--- a/crates/lockusher-storage/src/format.rs
+++ b/crates/lockusher-storage/src/format.rs
@@ -11,8 +11,8 @@
 //! | 8 | 8 | number of the first frame, N |
 //! | 16 | 4 | checksum of bytes 0..16 |
 //!
-//! **Frame**: a header of 28 bytes, then the payload. A frame holds the records of one append under one checksum, so
-//! that an append is there as a whole or not at all.
+//! **Frame**: a header of 28 bytes, then the payload. A frame holds the records of one append under one checksum,
+//! which makes appends atomic.
 //!
 //! | offset | size | field |
 //! | --- | --- | --- |
@@ -24,7 +24,7 @@
 //! | 24 | 4 | checksum of bytes 0..24 |
 //! | 28 | – | payload: for each record its size in 4 bytes, then the record; empty in a seal |
 //!
-//! A **seal** is the last frame of a segment that has a successor; it promises that the successor exists.
+//! A **seal** is the last frame of a segment that has a successor; it guarantees that the successor exists.
 //!
 //! **Snapshot** (`snapshot-N`): covers all frames before N.
 //!
@@ -40,8 +40,8 @@
 //!
 //! # Torn tail or damage
 //!
-//! A frame is written only after the one before it was synced, so a power loss can tear only the last frame of a file.
-//! An unreadable frame with a readable one of a higher number behind it is therefore [`Damage`].
+//! A frame is written only after the preceding frame was synced, so a power loss can tear only the last frame of a file.
+//! An unreadable frame that is followed by a readable frame with a higher number is therefore [`Damage`].
 
 use crate::error::Damage;
 use crate::file_names::FileKind;
@@ -61,14 +61,14 @@
 const RECORD_SIZE_BYTES: usize = 4;
 /// Bytes of the checksum that ends each header.
 const CHECKSUM_BYTES: usize = 4;
-// The first byte of each magic never occurs in UTF-8 text, so that no text in a record is mistaken for a frame.
+// The first byte of each magic never occurs in UTF-8, so that text in a record can't be mistaken for a frame.
 const SEGMENT_MAGIC: [u8; 4] = [0xF8, b'L', b'S', 0xF8];
 const FRAME_MAGIC: [u8; 4] = [0xF8, b'L', b'F', 0xF8];
 const SNAPSHOT_MAGIC: [u8; 4] = [0xF8, b'L', b'P', 0xF8];
 const KIND_RECORDS: u32 = 1;
 const KIND_SEAL: u32 = 2;
 
-/// The header of a segment.
+/// Encodes the header of a segment.
 pub(crate) fn encode_segment_header(first_frame: FrameNumber) -> Vec<u8> {
     let mut header = Vec::with_capacity(SEGMENT_HEADER_BYTES);
     header.extend(SEGMENT_MAGIC);
@@ -78,7 +78,7 @@
     header
 }
 
-/// Size in bytes of the frame that [`encode_records`] makes.
+/// Size in bytes of the frame that [`encode_records`] returns.
 pub(crate) fn records_frame_bytes(records: &[Vec<u8>]) -> u64 {
     let payload: u64 = records
         .iter()
@@ -87,7 +87,7 @@
     FRAME_HEADER_BYTES as u64 + payload
 }
 
-/// A frame that holds these records.
+/// Encodes a frame that holds these records.
 pub(crate) fn encode_records(number: FrameNumber, records: &[Vec<u8>]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(records_frame_bytes(records) as usize);
     frame.resize(FRAME_HEADER_BYTES, 0);
@@ -100,7 +100,7 @@
     frame
 }
 
-/// The seal of a segment.
+/// Encodes the seal of a segment.
 pub(crate) fn encode_seal(number: FrameNumber) -> Vec<u8> {
     frame_header(KIND_SEAL, number, &[])
 }
@@ -116,7 +116,7 @@
     header
 }
 
-/// The file of a snapshot that covers all before `first_frame`.
+/// Encodes the file of a snapshot that covers all frames before `first_frame`.
 pub(crate) fn encode_snapshot(first_frame: FrameNumber, snapshot: &[u8]) -> Vec<u8> {
     let mut file = Vec::with_capacity(SNAPSHOT_HEADER_BYTES + snapshot.len());
     file.extend(SNAPSHOT_MAGIC);
@@ -129,7 +129,7 @@
     file
 }
 
-/// The content of a snapshot's file, or `None` if the file is torn or damaged.
+/// Decodes a snapshot's file; `None` if the file is torn or damaged.
 pub(crate) fn decode_snapshot(first_frame: FrameNumber, mut file: Vec<u8>) -> Option<Vec<u8>> {
     let header = checked_header(&file, SNAPSHOT_HEADER_BYTES, SNAPSHOT_MAGIC)?;
     let is_complete = u32_at(header, 4) == VERSION
@@ -139,23 +139,23 @@
     is_complete.then(|| file.split_off(SNAPSHOT_HEADER_BYTES))
 }
 
-/// What a segment's file holds.
+/// The decoded content of a segment's file.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct DecodedSegment {
     /// The records of all frames, in order.
     pub records: Vec<Vec<u8>>,
     /// Number of the frame after the last one, the seal included.
     pub next_frame: FrameNumber,
-    /// Length of the readable part.
+    /// Length of the readable part in bytes.
     pub length: u64,
-    /// Bytes after the readable part: a torn append.
+    /// Bytes after the readable part, left by a torn append.
     pub torn_bytes: u64,
     /// Whether the last frame is a seal.
     pub sealed: bool,
 }
 
 impl DecodedSegment {
-    /// Whether the segment holds no frame.
+    /// Whether the segment holds no frames.
     pub(crate) fn is_empty(&self) -> bool {
         self.length == SEGMENT_HEADER_BYTES as u64
     }
@@ -168,11 +168,11 @@
     }
 }
 
-/// Reads a segment; `None` if its header never became durable, so that it was never used.
+/// Decodes a segment; `None` if its header never became durable, which means that the segment was never used.
 ///
 /// # Errors
 ///
-/// [`Damage::SegmentHeader`] or [`Damage::Frame`] if a power loss doesn't explain what is unreadable.
+/// [`Damage::SegmentHeader`] or [`Damage::Frame`] if a power loss can't explain the unreadable part.
 pub(crate) fn decode_segment(
     first_frame: FrameNumber,
     file: &[u8],
@@ -204,7 +204,8 @@
     Ok(Some(segment))
 }
 
-/// Whether the segment has a header; without one it was never used. A header that isn't this segment's is damage.
+/// Whether the segment has a header. A file that is no longer than an invalid header was never used; any other invalid
+/// header, and that of another segment, is damage.
 fn has_segment_header(first_frame: FrameNumber, file: &[u8]) -> Result<bool, Damage> {
     let is_valid = match checked_header(file, SEGMENT_HEADER_BYTES, SEGMENT_MAGIC) {
         Some(header) => u32_at(header, 4) == VERSION && frame_number_at(header, 8) == first_frame,
@@ -224,7 +225,7 @@
     number: FrameNumber,
     is_seal: bool,
     records: Vec<Vec<u8>>,
-    /// Size of header and payload.
+    /// Size of header and payload in bytes.
     bytes: usize,
 }
 
@@ -256,9 +257,9 @@
     Some(records)
 }
 
-/// Whether a readable frame with a higher number lies behind an unreadable one, so that no power loss explains it.
+/// Whether a readable frame with a higher number follows the unreadable one, which a power loss can't explain.
 fn is_followed_by_later_frame(bytes: &[u8], unreadable: FrameNumber) -> bool {
-    // Where the header is readable its payload is skipped: a record may hold the bytes of a frame.
+    // If the header is readable, its payload is skipped: a record may contain the bytes of a frame.
     let search_from = checked_header(bytes, FRAME_HEADER_BYTES, FRAME_MAGIC)
         .filter(|header| frame_number_at(header, 8) == unreadable)
         .map_or(1, |header| FRAME_HEADER_BYTES + u32_at(header, 16) as usize);
@@ -270,13 +271,13 @@
     })
 }
 
-/// Ends a header with its checksum.
+/// Appends the checksum of a header to it.
 fn append_header_checksum(header: &mut Vec<u8>) {
     let checksum = crc32fast::hash(header);
     header.extend(checksum.to_le_bytes());
 }
 
-/// The header at the start of `bytes`, if magic and checksum are right.
+/// The header at the start of `bytes`, if its magic and checksum are valid.
 fn checked_header(bytes: &[u8], length: usize, magic: [u8; 4]) -> Option<&[u8]> {
     let header = bytes.get(..length)?;
     let (fields, checksum) = header.split_at(length - CHECKSUM_BYTES);
--- a/crates/lockusher-storage/src/frame_number.rs
+++ b/crates/lockusher-storage/src/frame_number.rs
@@ -1,14 +1,14 @@
-//! Position in the log.
+//! Positions in the log.
 
 use derive_more::Display;
 
-/// Number of a frame. Frames are numbered from 0 through the whole life of a store, across segments and snapshots; a
-/// seal has a number, too.
+/// Sequence number of a frame. Numbers start at 0 and increase by 1 over the lifetime of a store, across segments and
+/// snapshots; seals are numbered as well.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FrameNumber(pub u64);
 
 impl FrameNumber {
-    /// The first frame of a store's life.
+    /// The first frame of a store.
     pub const FIRST: FrameNumber = FrameNumber(0);
 
     /// The frame after this one.
--- a/crates/lockusher-storage/src/job.rs
+++ b/crates/lockusher-storage/src/job.rs
@@ -1,30 +1,30 @@
-//! Jobs for the storage thread, and their outcomes.
+//! Jobs for the storage thread, and their completions.
 
 use derive_more::{Display, Error};
 
 use crate::error::StoreError;
 use crate::recovery::Recovered;
 
-/// Work for the storage thread. Jobs are done in the order of their submission.
+/// Work for the storage thread. Jobs are executed in the order of submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Job {
     /// [`Store::append`](crate::Store::append).
     Append {
-        /// Returned with the completion; the caller's to choose.
+        /// Identifies the job in its completion; assigned by the caller.
         ticket: u64,
-        /// What to append.
+        /// The records to append.
         records: Vec<Vec<u8>>,
     },
     /// [`Store::snapshot`](crate::Store::snapshot).
     Snapshot {
-        /// Returned with the completion; the caller's to choose.
+        /// Identifies the job in its completion; assigned by the caller.
         ticket: u64,
-        /// The snapshot, which holds the effect of every append that was completed without an error, and no other.
+        /// The snapshot, which must contain the effects of all appends that completed without an error, and of no others.
         bytes: Vec<u8>,
     },
     /// [`Store::scrub`](crate::Store::scrub).
     Scrub {
-        /// Returned with the completion; the caller's to choose.
+        /// Identifies the job in its completion; assigned by the caller.
         ticket: u64,
     },
 }
@@ -32,11 +32,11 @@
 /// The outcome of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Ticket of the job.
+    /// The job's ticket.
     pub ticket: u64,
-    /// What the store returned.
+    /// The result that the store returned.
     pub result: Result<(), StoreError>,
-    /// What a scrub read back; `None` for other jobs and for a scrub that failed.
+    /// The data that a scrub read back; `None` for other jobs and for a scrub that failed.
     pub scrubbed: Option<Recovered>,
     /// [`Store::log_bytes`](crate::Store::log_bytes) after the job.
     pub log_bytes: u64,
@@ -44,20 +44,20 @@
     pub snapshot_due: bool,
 }
 
-/// Why a job wasn't accepted.
+/// A job was rejected.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum SubmitError {
-    /// A snapshot can't say which of the appends in flight it covers, nor can a scrub: submit it again once
-    /// [`StoreWriter::is_idle`](crate::StoreWriter::is_idle).
+    /// It would be ambiguous which of the appends in flight a snapshot or scrub covers. Can be retried once
+    /// [`StoreWriter::is_idle`](crate::StoreWriter::is_idle) returns true.
     #[display("a snapshot or scrub was submitted while appends are in flight")]
     AppendsInFlight,
-    /// The thread has ended, which it does only by a panic; a retry doesn't help.
-    #[display("the storage thread has ended")]
+    /// The thread has terminated, which happens only after a panic. Can't be retried.
+    #[display("the storage thread has terminated")]
     ThreadEnded,
 }
 
 impl Job {
-    /// The submitter's identification of the job.
+    /// The identifier that the submitter assigned to the job.
     pub(crate) fn ticket(&self) -> u64 {
         match self {
             Job::Append { ticket, .. } | Job::Snapshot { ticket, .. } | Job::Scrub { ticket } => {
--- a/crates/lockusher-storage/src/layout.rs
+++ b/crates/lockusher-storage/src/layout.rs
@@ -1,4 +1,4 @@
-//! Which files a store relies on, and which it no longer needs.
+//! Which files a store uses, and which are obsolete.
 
 use crate::error::FileError;
 use crate::file_names::FileKind;
@@ -29,28 +29,28 @@
     }
 }
 
-/// The files as recovery finds them.
+/// The files that recovery found.
 #[derive(Debug, Default)]
 pub(crate) struct Layout {
     /// The newest readable snapshot.
     pub snapshot: Option<SnapshotFile>,
     /// Segments before the last, oldest first.
     pub closed_segments: Vec<StoredFile>,
-    /// The segment before the last, if its seal isn't written yet. It is among the closed ones as well.
+    /// The segment before the last, if its seal isn't written yet. Also contained in `closed_segments`.
     pub unsealed: Option<OpenSegment>,
     /// The last segment; `None` in an empty directory.
     pub tail: Option<OpenSegment>,
     /// Name of a segment that was created but whose header never became durable.
     pub unused_segment: Option<String>,
-    /// Files no longer needed.
+    /// Files that are no longer needed.
     pub obsolete: Vec<StoredFile>,
     /// Size of the reserve file; 0 if there is none.
     pub reserve_bytes: u64,
 }
 
 impl Layout {
-    /// Makes everything that was read durable. A process that was killed may have left bytes that were written but
-    /// never synced: they can be read now, and must not vanish with the next power loss.
+    /// Makes everything that was read durable. A process that was killed may have left data that was written but never
+    /// synced: it is readable now, and must not be lost by the next power loss.
     pub(crate) fn sync<F: FileSystem>(&self, files: &mut F) -> Result<(), FileError> {
         for segment in &self.closed_segments {
             files.sync_file(&segment.name)?;
--- a/crates/lockusher-storage/src/recovery.rs
+++ b/crates/lockusher-storage/src/recovery.rs
@@ -1,8 +1,8 @@
-//! Recovery: reads what the files hold when a store is opened or scrubbed.
+//! Recovery: reads the files when a store is opened or scrubbed.
 //!
-//! The newest readable snapshot is taken, then the segments from its end on. What [`segment_sequence`] and the format
-//! accept as the trace of a power loss is cut off or ignored; everything else is [`Damage`](crate::Damage). Nothing is
-//! changed here, except that a reset that was interrupted is completed first.
+//! Reads the newest readable snapshot, then the segments from its end on. Irregularities that [`segment_sequence`] and
+//! the format attribute to a power loss are reported and skipped; all others are [`Damage`](crate::Damage). No file is
+//! changed, except that an interrupted reset is completed first.
 //!
 //! [`segment_sequence`]: crate::segment_sequence
 
@@ -16,33 +16,33 @@
 use crate::segment::OpenSegment;
 use crate::segment_sequence::SegmentSequence;
 
-/// What a store held when it was opened.
+/// The content of a store when it was opened or scrubbed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The newest snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// The records that were appended after it, in order.
+    /// The records that were appended after the snapshot, in order.
     pub records: Vec<Vec<u8>>,
-    /// What was found on the way.
+    /// Irregularities and statistics of the recovery.
     pub report: RecoveryReport,
 }
 
-/// What was found at opening besides the content.
+/// Irregularities and statistics of a recovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryReport {
-    /// Segments read.
+    /// Number of segments read.
     pub segments: usize,
-    /// Bytes cut off the end of the log: an append that was in flight when power was lost, or damage to the last one.
+    /// Bytes cut off the end of the log: an append that was in flight when power was lost, or a damaged last append.
     pub torn_bytes: u64,
-    /// Snapshots ignored because they are incomplete or damaged; the log they would have replaced is complete.
+    /// Number of snapshots ignored as incomplete or damaged; the log that they would have replaced is complete.
     pub unreadable_snapshots: usize,
-    /// Files removed, or to be removed, since they are no longer needed.
+    /// Number of files that are no longer needed and get removed.
     pub obsolete_files: usize,
-    /// A reset had been interrupted and was completed.
+    /// Whether an interrupted reset was completed.
     pub reset_completed: bool,
 }
 
-/// Reads all files.
+/// Reads all files of the store.
 ///
 /// # Errors
 ///
@@ -91,7 +91,7 @@
                 None if name == RESERVE_FILE => {
                     self.layout.reserve_bytes = self.files.length(RESERVE_FILE)?;
                 }
-                None => log::warn!("{name}: not a file of the store, left alone"),
+                None => log::warn!("{name}: not a file of the store, ignored"),
             }
         }
         found.segments.sort_unstable();
@@ -99,7 +99,7 @@
         Ok(found)
     }
 
-    /// Takes the newest readable snapshot; the others are obsolete.
+    /// Reads the newest readable snapshot; the others are obsolete.
     fn read_snapshots(&mut self, snapshots: &[FrameNumber]) -> Result<(), FileError> {
         for &first_frame in snapshots.iter().rev() {
             let name = FileKind::Snapshot(first_frame).name();
--- a/crates/lockusher-storage/src/reset.rs
+++ b/crates/lockusher-storage/src/reset.rs
@@ -1,14 +1,14 @@
 //! Empties the directory of a damaged store, durably.
 //!
-//! A store that lost only some of its files would look damaged, or worse, like an older one. The marker file prevents
-//! that: it is durable before the first file is removed, and removed only once all removals are durable. A directory
-//! with a marker is emptied when it is opened.
+//! A store with only some of its files removed would look damaged or, worse, like an intact store of an earlier state. A
+//! marker file prevents this: it is durable before the first file is removed, and is removed only once all removals are
+//! durable. A directory with a marker is emptied when it is opened.
 
 use crate::error::StoreError;
 use crate::file_names::{FileKind, RESERVE_FILE, RESET_MARKER_FILE};
 use crate::file_system::FileSystem;
 
-/// Removes all files of the store. A power loss on the way leaves a directory that is unchanged or emptied at opening.
+/// Removes all files of the store. A power loss meanwhile leaves a directory that is unchanged or is emptied when opened.
 pub(crate) fn reset<F: FileSystem>(files: &mut F) -> Result<(), StoreError> {
     files.create(RESET_MARKER_FILE)?;
     files.sync_file(RESET_MARKER_FILE)?;
@@ -16,7 +16,7 @@
     remove_all(files)
 }
 
-/// Finishes a reset that was interrupted; whether there was one.
+/// Completes an interrupted reset; returns whether there was one.
 pub(crate) fn complete_reset<F: FileSystem>(files: &mut F) -> Result<bool, StoreError> {
     let reset_pending = files.list()?.iter().any(|name| name == RESET_MARKER_FILE);
     if reset_pending {
@@ -26,7 +26,7 @@
 }
 
 fn remove_all<F: FileSystem>(files: &mut F) -> Result<(), StoreError> {
-    // The marker may be there without being durable yet, and must outlast the files.
+    // The marker may exist without being durable yet; it must survive longer than the files.
     files.sync_directory()?;
     for name in files.list()? {
         if FileKind::parse(&name).is_some() || name == RESERVE_FILE {
--- a/crates/lockusher-storage/src/segment.rs
+++ b/crates/lockusher-storage/src/segment.rs
@@ -1,7 +1,7 @@
-//! Writing of one segment: its header, its frames, its seal, and the repair of a torn tail.
+//! Writes one segment: its header, frames and seal; repairs a torn tail.
 //!
-//! An [`OpenSegment`] knows how many bytes of its file are acknowledged. The file may hold more after a failed write
-//! ([`torn`](OpenSegment::torn)); nothing is appended before these bytes are cut off.
+//! An [`OpenSegment`] knows how many bytes of its file are acknowledged. The file may be longer after a failed
+//! write ([`torn`](OpenSegment::torn)); the excess bytes are cut off before the next append.
 
 use crate::error::{FileError, FileErrorCause, StoreError};
 use crate::file_names::FileKind;
@@ -15,14 +15,14 @@
     pub first_frame: FrameNumber,
     /// Number of the next frame to be appended.
     pub next_frame: FrameNumber,
-    /// Bytes of the file that are acknowledged.
+    /// Acknowledged bytes of the file.
     pub length: u64,
-    /// Whether the file may hold more than that.
+    /// Whether the file may be longer than that.
     pub torn: bool,
 }
 
 impl OpenSegment {
-    /// Creates a segment without frames; it is durable when this returns.
+    /// Creates a segment without frames. It is durable when this returns.
     pub(crate) fn create<F: FileSystem>(
         files: &mut F,
         first_frame: FrameNumber,
@@ -38,7 +38,7 @@
         Ok(segment)
     }
 
-    /// The segment as it was read back.
+    /// The segment that recovery has read.
     pub(crate) fn from_decoded(first_frame: FrameNumber, segment: &DecodedSegment) -> OpenSegment {
         OpenSegment {
             first_frame,
@@ -53,7 +53,7 @@
         FileKind::Segment(self.first_frame).name()
     }
 
-    /// Whether the segment holds a frame.
+    /// Whether the segment holds any frames.
     pub(crate) fn has_frames(&self) -> bool {
         self.next_frame > self.first_frame
     }
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// After [`StoreError::Uncertain`] the frame may be found after a restart, after any other error not.
+    /// After [`StoreError::Uncertain`] the frame may be found after a restart; after any other error it isn't.
     pub(crate) fn append<F: FileSystem>(
         &mut self,
         files: &mut F,
@@ -72,7 +72,7 @@
         self.torn = true;
         if let Err(error) = files.write(&name, self.length, frame) {
             let repaired = self.repair(files).is_ok();
-            // Without space for all bytes the frame is incomplete: it isn't found even if its bytes stay for now.
+            // A full disk leaves an incomplete frame, which recovery ignores even if its bytes can't be removed now.
             let absent = repaired || error.cause == FileErrorCause::NoSpace;
             return Err(if absent {
                 error.into()
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    /// Cuts off what a failed append left behind, durably.
+    /// Durably cuts off the bytes that a failed append left behind.
     pub(crate) fn repair<F: FileSystem>(&mut self, files: &mut F) -> Result<(), FileError> {
         if self.torn {
             let name = self.name();
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Writes the seal, which promises that the next segment exists; it is durable when this returns. May be repeated
+    /// Writes the seal, which guarantees that the next segment exists. It is durable when this returns. Can be repeated
     /// after a failure.
     pub(crate) fn seal<F: FileSystem>(&mut self, files: &mut F) -> Result<(), FileError> {
         self.repair(files)?;
@@ -116,7 +116,7 @@
     }
 }
 
-/// Creates a file with this content; content and name are durable when this returns, in this order.
+/// Creates a file with this content. When this returns the content and the name are durable, the content first.
 pub(crate) fn write_new_file<F: FileSystem>(
     files: &mut F,
     name: &str,
--- a/crates/lockusher-storage/src/segment_sequence.rs
+++ b/crates/lockusher-storage/src/segment_sequence.rs
@@ -1,16 +1,16 @@
-//! Decides whether the segments found at recovery form one log without a gap.
+//! Checks that the segments found at recovery form one log without gaps. Does no I/O.
 //!
-//! The log begins at the newest snapshot, or at frame 0 without one. Each segment but the last ends with a seal and the
-//! next begins right after it. Two irregularities are explained by a power loss while a new segment was created, and are
-//! accepted: a last segment without a durable header, and an empty last segment behind one that isn't sealed yet.
-//! Everything else is [`Damage`]. Nothing here does I/O.
+//! The log begins at the newest snapshot, or at frame 0 without one. Each segment but the last ends with a seal, and the
+//! next segment begins right after it. Two irregularities are accepted, since a power loss during the creation of a
+//! segment explains them: a last segment without a durable header, and an empty last segment after one that isn't sealed
+//! yet. Everything else is [`Damage`].
 
 use crate::error::Damage;
 use crate::file_names::FileKind;
 use crate::format::DecodedSegment;
 use crate::frame_number::FrameNumber;
 
-/// The segments as far as they were checked.
+/// The segments that were checked so far.
 #[derive(Debug)]
 pub(crate) struct SegmentSequence {
     /// Frame at which the log begins.
@@ -19,7 +19,7 @@
     previous: Option<CheckedSegment>,
 }
 
-/// What the next segment is compared with.
+/// The last segment that was checked.
 #[derive(Debug)]
 struct CheckedSegment {
     first_frame: FrameNumber,
@@ -42,18 +42,18 @@
         self.start
     }
 
-    /// Whether the last segment that was checked is followed by a seal.
+    /// Whether the last segment that was checked ends with a seal.
     pub(crate) fn ends_with_seal(&self) -> bool {
         self.previous
             .as_ref()
             .is_some_and(|previous| previous.sealed)
     }
 
-    /// Checks where the oldest segment begins; `None` if there is no segment.
+    /// Checks that the oldest segment (`None` if there are no segments) begins where the log begins.
     ///
     /// # Errors
     ///
-    /// [`Damage::MissingSegment`] or [`Damage::MissingSnapshot`] if that isn't where the log begins.
+    /// [`Damage::MissingSegment`] or [`Damage::MissingSnapshot`] if it doesn't.
     pub(crate) fn check_first(&self, first: Option<FrameNumber>) -> Result<(), Damage> {
         match first {
             Some(first) if first == self.start => Ok(()),
@@ -67,11 +67,11 @@
         }
     }
 
-    /// Checks a segment without a readable header: it may only be the last, created but not yet relied on.
+    /// Checks a segment without a durable header: it must be the last one, created but not yet in use.
     ///
     /// # Errors
     ///
-    /// [`Damage::SegmentHeader`] if something relies on it.
+    /// [`Damage::SegmentHeader`] if it was in use.
     pub(crate) fn check_unused(
         &self,
         first_frame: FrameNumber,
@@ -89,11 +89,11 @@
         }
     }
 
-    /// Checks that a segment continues where the previous one ends, and adds it.
+    /// Checks that a segment begins where the previous one ends, and adds it.
     ///
     /// # Errors
     ///
-    /// [`Damage::MissingSegment`] or [`Damage::SegmentEndsEarly`] for a gap.
+    /// [`Damage::MissingSegment`] or [`Damage::SegmentEndsEarly`] if there is a gap.
     pub(crate) fn push(
         &mut self,
         first_frame: FrameNumber,
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// [`Damage::MissingSegment`] if the last segment has a seal, which promises another.
+    /// [`Damage::MissingSegment`] if the last segment has a seal, which requires a successor.
     pub(crate) fn finish(&self) -> Result<(), Damage> {
         match &self.previous {
             Some(last) if last.sealed => Err(Damage::MissingSegment {
@@ -141,9 +141,10 @@
                 }),
             };
         }
-        // Power was lost between the creation of the new segment and the seal, which takes a number, too.
-        let awaits_seal = is_last && segment.is_empty() && self.next_frame.next() == first_frame;
-        match awaits_seal {
+        // Power was lost between the creation of the new segment and the write of the seal, which occupies one number.
+        let seal_is_pending =
+            is_last && segment.is_empty() && self.next_frame.next() == first_frame;
+        match seal_is_pending {
             true => Ok(()),
             false => Err(Damage::SegmentEndsEarly {
                 file: FileKind::Segment(self.first_frame).name(),
--- a/crates/lockusher-storage/src/store.rs
+++ b/crates/lockusher-storage/src/store.rs
@@ -1,14 +1,15 @@
-//! The store: opens the files, appends records, closes segments, and reads back what it relies on.
+//! The store: opens the files, appends records, rolls segments and scrubs the files in use.
 //!
-//! One [`Store`] owns a directory. [`snapshots`] replaces the log, [`repair`] brings the files back after a failure.
+//! One [`Store`] owns a directory. [`snapshots`] replaces the log by a snapshot, [`repair`] restores the files after a
+//! failed operation.
 //!
 //! # Invariants
 //!
-//! - A frame is written only after the frame before it was synced, and after every repair that is due.
+//! - A frame is written only after the preceding frame was synced, and after every pending repair.
 //! - A segment's seal is written only after the next segment's header and name are durable. Until the seal is durable,
 //!   nothing is appended to the next segment.
-//! - Files are removed only once the snapshot that replaces them is durable, content first, then name.
-//! - The segments in use follow each other without a gap, from the newest snapshot's end to the tail.
+//! - Files are removed only once the snapshot that replaces them is durable, its content before its name.
+//! - The segments in use are contiguous, from the end of the newest snapshot to the tail.
 
 mod repair;
 mod snapshots;
@@ -30,29 +31,29 @@
 pub struct Store<F> {
     files: F,
     options: StoreOptions,
-    /// The segment that is appended to.
+    /// The segment that records are appended to.
     tail: OpenSegment,
-    /// The segment before the tail, while its seal isn't known to be durable. It is among the closed ones as well.
+    /// The segment before the tail, while its seal isn't known to be durable. Also contained in `closed_segments`.
     unsealed: Option<OpenSegment>,
     /// Segments before the tail, oldest first.
     closed_segments: Vec<StoredFile>,
     snapshot: Option<SnapshotFile>,
-    /// Files to be removed. Each may reappear after a power loss, which does no harm.
+    /// Files to be removed. Recovery ignores those that reappear after a power loss.
     obsolete: Vec<StoredFile>,
-    /// Name of a segment whose creation failed; it must be gone before the tail grows.
+    /// Name of a segment whose creation failed; it must be removed before the next append.
     abandoned_segment: Option<String>,
     reserve: Reserve,
-    /// Whether the disk had no space for the last append.
+    /// Whether the last append failed for lack of space.
     append_out_of_space: bool,
 }
 
 impl<F: FileSystem> Store<F> {
-    /// Reads what the directory holds. What is returned is durable.
+    /// Opens the store of a directory, or creates one. Everything that is returned is durable.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if something acknowledged is unreadable or missing (nothing is changed then), and the
-    /// errors of the file system.
+    /// [`StoreError::Damaged`] if acknowledged data is unreadable or missing (no file is changed then), and the errors of
+    /// the file system.
     pub fn open(mut files: F, options: StoreOptions) -> Result<(Store<F>, Recovered), StoreError> {
         let (layout, recovered) = recovery::read(&mut files)?;
         let tail = match &layout.tail {
@@ -79,22 +80,22 @@
         Ok((store, recovered))
     }
 
-    /// Empties the directory of a damaged store, durably. A power loss on the way leaves a directory that is unchanged,
-    /// or that is emptied when it is opened.
+    /// Durably empties the directory of a damaged store. A power loss meanwhile leaves a directory that is unchanged or
+    /// that is emptied when it is opened.
     ///
     /// # Errors
     ///
-    /// Those of the file system; a retry, or the next opening, completes a reset that has started.
+    /// The errors of the file system; a retry or [`Store::open`] completes a reset that has started.
     pub fn reset(files: &mut F) -> Result<(), StoreError> {
         reset::reset(files)
     }
 
-    /// Appends the records as a whole; they are durable when this returns.
+    /// Appends the records atomically. They are durable when this returns.
     ///
     /// # Errors
     ///
     /// After [`StoreError::Uncertain`] the records may be found after a restart; after any other error they are not
-    /// in the log. The store can be used on after each of them.
+    /// in the log. The store remains usable after every error.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StoreError> {
         if records.is_empty() {
             return Ok(());
@@ -104,12 +105,12 @@
         result
     }
 
-    /// Reads back all files that the store relies on, and returns what they hold, as an opening would.
+    /// Reads and checks all files in use, and returns their content as [`Store::open`] does.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if something acknowledged is unreadable, missing or not what was written;
-    /// [`Store::snapshot`] then replaces every file. Other errors say nothing about what was acknowledged.
+    /// [`StoreError::Damaged`] if acknowledged data is unreadable, missing or altered; [`Store::snapshot`] then replaces
+    /// every file. Other errors don't imply that acknowledged data is damaged.
     pub fn scrub(&mut self) -> Result<Recovered, StoreError> {
         self.repair()?;
         let (layout, recovered) = recovery::read(&mut self.files)?;
@@ -133,25 +134,25 @@
         Ok(recovered)
     }
 
-    /// Bytes of the log since the newest snapshot.
+    /// Size of the log after the newest snapshot, in bytes.
     pub fn log_bytes(&self) -> u64 {
         let closed: u64 = self.closed_segments.iter().map(|file| file.bytes).sum();
         closed + self.tail.length
     }
 
-    /// Whether a snapshot would be of use now: the log has grown long, or the disk is full.
+    /// Whether a snapshot should be taken: the log has reached its threshold, or the disk is full.
     pub fn snapshot_due(&self) -> bool {
         let has_records = self.log_bytes() > format::SEGMENT_HEADER_BYTES as u64;
         let due_bytes = self.options.snapshot_due_bytes(self.snapshot_bytes());
         has_records && (self.append_out_of_space || self.log_bytes() >= due_bytes)
     }
 
-    /// Size of the newest snapshot's file; 0 if there is none.
+    /// Size of the newest snapshot's file in bytes; 0 if there is none.
     fn snapshot_bytes(&self) -> u64 {
         self.snapshot.map_or(0, |snapshot| snapshot.bytes)
     }
 
-    /// Bytes of all files except the reserve.
+    /// Size of all files except the reserve, in bytes.
     fn used_bytes(&self) -> u64 {
         let obsolete: u64 = self.obsolete.iter().map(|file| file.bytes).sum();
         self.log_bytes() + self.snapshot_bytes() + obsolete
@@ -174,9 +175,9 @@
         self.tail.append(&mut self.files, &frame)
     }
 
-    /// Closes the tail and creates a new one. The new one is durable before the seal that promises it.
+    /// Closes the tail and creates a new one, which is durable before the seal that refers to it is written.
     fn roll(&mut self) -> Result<(), StoreError> {
-        // The seal takes the number between.
+        // The seal occupies the number in between.
         let first_frame = self.tail.next_frame.next();
         let next = match OpenSegment::create(&mut self.files, first_frame) {
             Ok(next) => next,
--- a/crates/lockusher-storage/src/store/repair.rs
+++ b/crates/lockusher-storage/src/store/repair.rs
@@ -1,7 +1,7 @@
-//! Repair: brings the files back to what the store relies on, where an earlier operation failed half-way.
+//! Repair: restores the invariants of the files after an operation that failed half-way.
 //!
-//! Each operation starts with [`Store::repair`], so that a store works again once its disk does, without being opened
-//! again. Every repair can be repeated.
+//! Each operation starts with [`Store::repair`], so that a store works again as soon as its disk does, without being
+//! reopened. Repairs are idempotent.
 
 use crate::error::FileError;
 use crate::file_names::FileKind;
@@ -10,17 +10,19 @@
 use crate::store::Store;
 
 impl<F: FileSystem> Store<F> {
-    /// Repairs what is due: an abandoned segment must be gone, and a missing seal written, before the tail grows.
+    /// Performs the pending repairs: removes an abandoned segment, writes a missing seal and cuts off a torn append, all of
+    /// which must precede the next append.
     pub(super) fn repair(&mut self) -> Result<(), FileError> {
         self.remove_abandoned_segment()?;
         self.write_missing_seal()?;
         self.tail.repair(&mut self.files)
     }
 
-    /// Repairs at opening. A full disk is no reason not to open: what fails here is done by the next operation.
+    /// Repairs at opening. A failure doesn't prevent opening, so that a store on a full disk can be opened: the next
+    /// operation repeats the repair.
     pub(super) fn repair_at_open(&mut self) {
         if let Err(error) = self.repair() {
-            log::warn!("the end of the log can't be repaired yet: {error}");
+            log::warn!("repair of the end of the log failed and will be retried: {error}");
         }
         self.remove_obsolete();
         let snapshot_bytes = self.snapshot_bytes();
@@ -29,10 +31,10 @@
             .ensure(&mut self.files, snapshot_bytes, target_bytes);
     }
 
-    /// Notes that the creation of a segment failed, and tries to remove what there is of it.
+    /// Records that the creation of a segment failed, and tries to remove its file.
     pub(super) fn abandon_segment(&mut self, first_frame: FrameNumber) {
         self.abandoned_segment = Some(FileKind::Segment(first_frame).name());
-        // If this fails, the next operation begins with it.
+        // If this fails, the next operation repeats it.
         let _ = self.remove_abandoned_segment();
     }
 
--- a/crates/lockusher-storage/src/store/snapshots.rs
+++ b/crates/lockusher-storage/src/store/snapshots.rs
@@ -1,8 +1,8 @@
-//! Snapshots: replace the log by the state that it adds up to.
+//! Snapshots: replace the log by the state that results from it.
 //!
 //! Order of the writes: a new segment N (if the tail holds frames), the snapshot N with its content and then its name,
-//! and only then the removal of what is older. A power loss at any point leaves either the old log or the new snapshot,
-//! and perhaps files that are no longer needed.
+//! and only then the removal of the older files. A power loss at any point leaves either the old log or the new snapshot,
+//! and possibly obsolete files.
 
 use crate::error::StoreError;
 use crate::file_names::FileKind;
@@ -13,12 +13,12 @@
 use crate::store::Store;
 
 impl<F: FileSystem> Store<F> {
-    /// Replaces everything appended so far by a snapshot of it; it is durable when this returns. Then the older
-    /// segments and snapshots are removed.
+    /// Replaces everything appended so far by a snapshot of it, and removes the older segments and snapshots. The
+    /// snapshot is durable when this returns.
     ///
     /// # Errors
     ///
-    /// After any of them the log stands as before.
+    /// After every error the log is as before.
     pub fn snapshot(&mut self, snapshot: &[u8]) -> Result<(), StoreError> {
         let bytes = (format::SNAPSHOT_HEADER_BYTES + snapshot.len()) as u64;
         if snapshot.len() as u64 > format::MAX_PAYLOAD_BYTES {
@@ -33,18 +33,19 @@
             Err(StoreError::NoSpace) if !self.reserve.is_empty() => {
                 self.reserve.release(&mut self.files)?;
                 self.write_snapshot(snapshot)?;
-                // On a disk that was full, appends need the space that the snapshot has freed.
+                // On a disk that was full, the reserve gets only a quarter more than the snapshot: appends need the freed
+                // space.
                 bytes + bytes / 4
             }
             Err(error) => return Err(error),
         };
-        self.supersede(bytes);
+        self.replace_snapshot(bytes);
         self.remove_obsolete();
         self.reserve.ensure(&mut self.files, bytes, reserve_bytes);
         Ok(())
     }
 
-    /// Writes the snapshot's file, so that it covers everything before an empty tail.
+    /// Writes the snapshot's file; the snapshot covers all frames before the tail, which is empty.
     fn write_snapshot(&mut self, snapshot: &[u8]) -> Result<(), StoreError> {
         self.repair()?;
         let tail_start = self.tail.first_frame;
@@ -59,15 +60,15 @@
         self.obsolete.retain(|file| file.name != name);
         let content = format::encode_snapshot(first_frame, snapshot);
         if let Err(error) = write_new_file(&mut self.files, &name, &content) {
-            // Should it stay, it is overwritten by the next snapshot or ignored at opening.
+            // If it can't be removed, the next snapshot overwrites it or recovery ignores it.
             let _ = self.files.remove(&name);
             return Err(error.into());
         }
         Ok(())
     }
 
-    /// Notes that the snapshot before the tail, of this size, is the newest; what it replaces is obsolete.
-    fn supersede(&mut self, bytes: u64) {
+    /// Makes the snapshot before the tail, of this size, the newest; the files that it replaces become obsolete.
+    fn replace_snapshot(&mut self, bytes: u64) {
         let newest = SnapshotFile {
             first_frame: self.tail.first_frame,
             bytes,
@@ -82,7 +83,7 @@
         self.append_out_of_space = false;
     }
 
-    /// What can't be removed now is removed after the next snapshot or at the next opening.
+    /// Removes the obsolete files. Those that can't be removed now are removed after the next snapshot or opening.
     pub(super) fn remove_obsolete(&mut self) {
         if self.obsolete.is_empty() {
             return;
@@ -91,7 +92,9 @@
         self.obsolete
             .retain(|file| files.remove(&file.name).is_err());
         if let Err(error) = self.files.sync_directory() {
-            log::warn!("obsolete files of the log may reappear after a power loss: {error}");
+            log::warn!(
+                "removal of obsolete log files is not durable, they may reappear after a power loss: {error}"
+            );
         }
     }
 }
--- a/crates/lockusher-storage/src/worker.rs
+++ b/crates/lockusher-storage/src/worker.rs
@@ -1,10 +1,10 @@
-//! The storage thread: does the submitted jobs in order, and groups appends that wait (group commit).
+//! The storage thread: executes the submitted jobs in order, and batches queued appends into one write (group commit).
 //!
 //! # Invariants
 //!
-//! - One completion for each job, in the order of submission, and none before the job's data is durable.
-//! - After an append failed, every job that was submitted before its submitter saw that failure is skipped: it may
-//!   depend on the append. The thread knows by comparing counts of failures.
+//! - Each job gets one completion, in the order of submission and only once the job's data is durable.
+//! - After a failed append, every job that was submitted before the submitter observed the failure is skipped, since it
+//!   may depend on the append. This is detected by comparing failure counts.
 
 use std::sync::mpsc::Receiver;
 
@@ -15,39 +15,39 @@
 use crate::job::{Completion, Job};
 use crate::store::Store;
 
-/// Appends that wait are put into one write until it holds this many bytes of records.
+/// Queued appends are batched into one write until it holds this many bytes of records.
 const MAX_GROUP_BYTES: usize = 4 * 1024 * 1024;
 
-/// A job on its way to the thread.
+/// A job as it is sent to the thread.
 pub(crate) struct Submission {
     pub job: Job,
-    /// Failures of appends that the submitter had seen.
+    /// Number of failed appends that the submitter had observed.
     pub observed_failures: u64,
 }
 
-/// A completion on its way to the submitter.
+/// A completion as it is sent to the submitter.
 #[derive(Debug)]
 pub(crate) struct Outcome {
     pub completion: Completion,
-    /// An append was tried and failed, so that what was submitted meanwhile is skipped.
+    /// Whether an append was executed and failed, so that jobs submitted meanwhile are skipped.
     pub append_failed: bool,
 }
 
-/// The thread's side.
+/// The state of the storage thread.
 pub(crate) struct Worker<F> {
     store: Store<F>,
     submissions: Receiver<Submission>,
     outcomes: UnboundedSender<Outcome>,
-    /// Failures of appends that were sent.
+    /// Number of failed appends whose outcomes were sent.
     failures: u64,
 }
 
-/// Appends that go into one write.
+/// Appends that are batched into one write.
 #[derive(Default)]
 struct Group {
     tickets: Vec<u64>,
     records: Vec<Vec<u8>>,
-    /// Bytes of the records.
+    /// Size of the records in bytes.
     bytes: usize,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl<F: FileSystem> Worker<F> {
-    /// A worker that does what comes from `submissions` and sends the outcomes.
+    /// Creates a worker that executes `submissions` and sends their outcomes.
     pub(crate) fn new(
         store: Store<F>,
         submissions: Receiver<Submission>,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Does jobs until the submitter is gone and all are done.
+    /// Executes jobs until the submitter is dropped and the queue is empty.
     pub(crate) fn run(mut self) {
         while let Ok(submission) = self.submissions.recv() {
             let mut next = Some(submission);
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Does a job, together with appends that wait behind it; returns a submission that was received on the way but not
-    /// done.
+    /// Executes a job, an append together with those queued behind it; returns a submission that was received meanwhile
+    /// but not executed.
     fn execute(&mut self, submission: Submission) -> Option<Submission> {
         if submission.observed_failures < self.failures {
             let completion = self.completion(submission.job.ticket(), Err(StoreError::Skipped));
@@ -107,7 +107,7 @@
     fn append_group(&mut self, ticket: u64, records: Vec<Vec<u8>>) -> Option<Submission> {
         let mut group = Group::default();
         group.add(ticket, records);
-        let next = self.fill(&mut group);
+        let next = self.fill_group(&mut group);
         let result = self.store.append(&group.records);
         for ticket in group.tickets {
             self.failures += u64::from(result.is_err());
@@ -120,8 +120,9 @@
         next
     }
 
-    /// Adds appends that wait to the group, until it is large enough or something else waits, which is returned.
-    fn fill(&mut self, group: &mut Group) -> Option<Submission> {
+    /// Adds queued appends to the group until it is large enough, or until another kind of job follows, which is
+    /// returned.
+    fn fill_group(&mut self, group: &mut Group) -> Option<Submission> {
         while group.bytes < MAX_GROUP_BYTES {
             match self.submissions.try_recv().ok()? {
                 Submission {
@@ -164,7 +165,7 @@
     }
 
     fn send_outcome(&self, outcome: Outcome) {
-        // Nobody listens any more when the process ends; the jobs are done all the same.
+        // The receiver may already be dropped during shutdown; the remaining jobs are executed nevertheless.
         let _ = self.outcomes.unbounded_send(outcome);
     }
 }
--- a/crates/lockusher-storage/src/writer.rs
+++ b/crates/lockusher-storage/src/writer.rs
@@ -1,8 +1,8 @@
 //! The submitter's side of the storage thread.
 //!
-//! A write or a sync blocks its thread until the disk is done, so a store runs on a thread of its own. The control node
-//! holds a [`StoreWriter`] to submit jobs and [`Completions`] to await their outcomes on its async runtime; the
-//! [`worker`](crate::worker) does the jobs.
+//! Writes and syncs block their thread, so a store runs on a dedicated thread. The control node uses a [`StoreWriter`]
+//! to submit jobs and [`Completions`] to await their outcomes on its async runtime; the [`worker`](crate::worker)
+//! executes the jobs.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,16 +17,16 @@
 use crate::store::Store;
 use crate::worker::{Outcome, Submission, Worker};
 
-/// Counters that the submitter and the taker of completions share.
+/// Counters shared by [`StoreWriter`] and [`Completions`].
 #[derive(Debug, Default)]
 struct Progress {
-    /// Jobs submitted and not yet taken from the completions.
+    /// Jobs whose completions haven't been received yet.
     in_flight: AtomicU64,
-    /// Failed appends whose completions were taken.
+    /// Failed appends whose completions were received.
     observed_failures: AtomicU64,
 }
 
-/// Submits jobs to the storage thread. The thread ends when this is dropped, after the jobs submitted before.
+/// Submits jobs to the storage thread. After this is dropped, the thread executes the queued jobs and terminates.
 #[derive(Debug)]
 pub struct StoreWriter {
     jobs: Option<Sender<Submission>>,
@@ -34,7 +34,7 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// Outcomes of the jobs, in the order of their submission.
+/// Stream of the jobs' completions, in the order of submission.
 #[derive(Debug)]
 pub struct Completions {
     receiver: UnboundedReceiver<Outcome>,
@@ -42,7 +42,7 @@
 }
 
 impl StoreWriter {
-    /// Moves a store to a thread of its own.
+    /// Moves a store to a new thread.
     ///
     /// # Errors
     ///
@@ -65,14 +65,14 @@
         Ok((writer, Completions { receiver, progress }))
     }
 
-    /// Submits a job; its outcome comes from [`Completions`].
+    /// Submits a job; its outcome is delivered by [`Completions`].
     ///
-    /// When an append fails, the jobs that were submitted before its completion was taken are
+    /// When an append fails, the jobs that were submitted before its completion was received are
     /// [skipped](crate::StoreError::Skipped): they may depend on it.
     ///
     /// # Errors
     ///
-    /// The job isn't done then; see [`SubmitError`].
+    /// [`SubmitError`]; the job isn't executed then.
     pub fn submit(&self, job: Job) -> Result<(), SubmitError> {
         let is_append = matches!(job, Job::Append { .. });
         if !is_append && !self.is_idle() {
@@ -91,24 +91,24 @@
         })
     }
 
-    /// Whether the outcomes of all jobs have been taken, so that a snapshot can be submitted.
+    /// Whether the completions of all jobs were received, so that a snapshot or scrub can be submitted.
     pub fn is_idle(&self) -> bool {
         self.progress.in_flight.load(Ordering::Acquire) == 0
     }
 
-    /// Ends the thread after the jobs submitted so far and waits for it; blocks the caller until the disk is done.
+    /// Lets the thread execute the queued jobs and terminate, and waits for it. Blocks the calling thread.
     pub fn close(mut self) {
         self.jobs = None;
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            log::error!("the storage thread ended by a panic");
+            log::error!("the storage thread panicked");
         }
     }
 }
 
 impl Completions {
-    /// The next outcome, or `None` once the writer is gone and all were taken. Dropping the future loses nothing.
+    /// The next completion, or `None` once the writer is dropped and all completions were received. Cancel safe.
     pub async fn next(&mut self) -> Option<Completion> {
         let Outcome {
             completion,
--- a/crates/lockusher-storage/tests/writer.rs
+++ b/crates/lockusher-storage/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that owns a store.
+//! The storage thread and its submitter.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use support::simulated_file_system::SimulatedFileSystem;
 use support::{SMALL_DISK, all_records};
 
-/// A disk that reports when it starts to sync an append, and blocks until the test releases it.
+/// A disk that signals when it begins to sync an append, and blocks until the test releases the sync.
 struct BlockingFileSystem {
     files: SimulatedFileSystem,
     started: Sender<()>,
@@ -23,7 +23,7 @@
     next_sync_blocks: bool,
 }
 
-/// The test's side of a blocked disk.
+/// The test's handle to a blocked disk.
 struct SyncGate {
     started: Receiver<()>,
     release: Sender<()>,
@@ -35,7 +35,7 @@
     }
 
     fn release_sync(&self) {
-        self.release.send(()).expect("the disk is there");
+        self.release.send(()).expect("the disk exists");
     }
 }
 
@@ -57,7 +57,7 @@
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), FileError> {
-        // Opening the store doesn't write frames behind a header, so that only appends block.
+        // Opening the store writes no frames after a segment's header, so only appends block.
         self.next_sync_blocks = name.starts_with("segment-") && offset > 0;
         self.files.write(name, offset, bytes)
     }
@@ -72,7 +72,7 @@
 
     fn sync_file(&mut self, name: &str) -> Result<(), FileError> {
         if std::mem::take(&mut self.next_sync_blocks) {
-            self.started.send(()).expect("the test listens");
+            self.started.send(()).expect("the gate exists");
             self.release.recv().expect("the test releases the sync");
         }
         self.files.sync_file(name)
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_completion_wakes_the_runtime_and_the_records_are_there() {
+fn completions_wake_the_runtime_and_the_records_are_durable() {
     let directory = tempfile::tempdir().expect("a directory");
     let files = || DiskFileSystem::new(directory.path().to_owned());
     let (store, _) = Store::open(files(), SMALL_DISK).expect("opens");
@@ -144,13 +144,13 @@
 }
 
 #[test]
-fn appends_that_wait_share_one_write() {
+fn queued_appends_are_batched_into_one_write() {
     let files = SimulatedFileSystem::new();
     let (writer, mut completions, gate) = blocking_writer(&files);
     run(async {
         writer.submit(append(1)).expect("submits");
         gate.wait_for_sync();
-        // The thread is blocked by the disk; this one is not.
+        // The storage thread is blocked by the disk; the submitter isn't.
         let before = files.operations();
         for ticket in 2..=9 {
             writer.submit(append(ticket)).expect("submits");
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn no_append_is_completed_before_its_sync() {
+fn an_append_is_not_completed_before_its_sync() {
     let files = SimulatedFileSystem::new();
     let (writer, mut completions, gate) = blocking_writer(&files);
     run(async {
@@ -195,8 +195,8 @@
         gate.wait_for_sync();
         files.set_fault(files.operations(), Fault::Io);
         gate.release_sync();
-        // The failure lies in the completions, and the caller hasn't looked.
-        while writer_is_behind(&files) {
+        // Wait until the append has failed; its completion isn't received yet.
+        while repair_is_pending(&files) {
             std::thread::yield_now();
         }
         writer.submit(append(2)).expect("submits");
@@ -208,7 +208,7 @@
                 message: "simulated fault".to_owned(),
             },
         };
-        expect(&mut completions, 1, Err(StoreError::Refused { error })).await;
+        expect(&mut completions, 1, Err(StoreError::Io { error })).await;
         expect(&mut completions, 2, Err(StoreError::Skipped)).await;
 
         writer.submit(append(3)).expect("submits");
@@ -220,8 +220,8 @@
     assert_eq!(all_records(&recovered), [vec![3; 10]]);
 }
 
-/// Whether the failed append's bytes haven't been cut off yet.
-fn writer_is_behind(files: &SimulatedFileSystem) -> bool {
+/// Whether the bytes of the failed append are still in the file.
+fn repair_is_pending(files: &SimulatedFileSystem) -> bool {
     files.contents()["segment-00000000000000000000"].len() > 20
 }
 
@@ -241,7 +241,7 @@
         expect(&mut completions, 1, Ok(())).await;
         assert!(writer.is_idle());
         writer.submit(snapshot(2)).expect("submits");
-        // The seal of the segment that the snapshot replaces.
+        // The snapshot seals the segment that it replaces, which is synced first.
         gate.wait_for_sync();
         gate.release_sync();
         expect(&mut completions, 2, Ok(())).await;
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn jobs_submitted_before_closing_are_done() {
+fn jobs_submitted_before_closing_are_executed() {
     let files = SimulatedFileSystem::new();
     let (store, _) = Store::open(files.clone(), SMALL_DISK).expect("opens");
     let (writer, completions) = StoreWriter::spawn(store).expect("the thread starts");
