--- a/crates/lockusher-storage/tests/crash_points.rs
+++ b/crates/lockusher-storage/tests/crash_points.rs
@@ -1,4 +1,4 @@
-//! Power lost after every operation of a script, with every outcome for what wasn't synced.
+//! Simulates a power loss after every operation of a script, with every possible outcome for the unsynced changes.
 
 mod support;
 
@@ -11,7 +11,7 @@
 };
 use yare::parameterized;
 
-/// Outcomes tried for one crash point exhaustively; beyond that as many are sampled.
+/// Outcomes tried exhaustively for one crash point; if there are more, as many again are sampled.
 const MAX_OUTCOMES_PER_CRASH_POINT: u64 = 4_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,8 @@
 
 use Step::{Append, Open, Snapshot};
 
-/// Opens, appends of one and of several records, segment rolls, snapshots with and without records before, reopening.
+/// Opening and reopening, appends of one and of several records, segment rolls, and snapshots with and without preceding
+/// records.
 const SCRIPT: &[Step] = &[
     Open,
     Append(&[20]),
@@ -44,19 +45,19 @@
     Append(&[70]),
 ];
 
-/// Why a script ended early.
+/// Error that ended a script early.
 #[derive(Debug)]
 enum ScriptError {
-    /// The disk failed, as it does without power.
+    /// The disk failed, as it does while power is off.
     DiskFailed,
-    /// What was found at opening isn't what was acknowledged.
-    Broken(String),
+    /// The content found at opening differs from what was acknowledged.
+    Violation(String),
 }
 
 impl From<StoreError> for ScriptError {
     fn from(error: StoreError) -> ScriptError {
         match error {
-            StoreError::Damaged { damage } => ScriptError::Broken(damage.to_string()),
+            StoreError::Damaged { damage } => ScriptError::Violation(damage.to_string()),
             _ => ScriptError::DiskFailed,
         }
     }
@@ -73,7 +74,7 @@
         match (step, &mut store) {
             (Open, _) => {
                 let (opened, recovered) = Store::open(files.clone(), SMALL_DISK)?;
-                model.check(&recovered).map_err(ScriptError::Broken)?;
+                model.check(&recovered).map_err(ScriptError::Violation)?;
                 store = Some(opened);
             }
             (Append(sizes), Some(store)) => model.append(store, sizes)?,
@@ -84,36 +85,37 @@
     Ok(())
 }
 
-/// After a crash, the store opens with what was acknowledged, works on, and that survives, too.
+/// Checks that after a crash the store opens with all acknowledged records and accepts appends and a snapshot, all of
+/// which survive further power losses.
 fn check_after_crash(
     files: &SimulatedFileSystem,
     options: StoreOptions,
     mut model: Model,
 ) -> Result<(), String> {
     let mut store = open_and_check(files, options, &mut model)?;
-    // Opening has made durable what it returned.
+    // Whatever opening returned is durable.
     let crashed_again = files.fork();
-    crashed_again.lose_power(&mut LoseAll);
+    crashed_again.lose_power(&mut LoseUnsynced);
     open_and_check(&crashed_again, options, &mut model.clone())?;
 
     model
         .append(&mut store, &[80])
         .map_err(|error| format!("append after the crash: {error}"))?;
     let crashed_again = files.fork();
-    crashed_again.lose_power(&mut LoseAll);
+    crashed_again.lose_power(&mut LoseUnsynced);
     open_and_check(&crashed_again, options, &mut model.clone())?;
 
     store
         .snapshot(&snapshot_of(&model.acknowledged))
         .map_err(|error| format!("snapshot after the crash: {error}"))?;
-    files.lose_power(&mut LoseAll);
+    files.lose_power(&mut LoseUnsynced);
     open_and_check(files, options, &mut model).map(|_| ())
 }
 
-/// Nothing stays that wasn't synced.
-struct LoseAll;
+/// Loses all unsynced changes.
+struct LoseUnsynced;
 
-impl Choices for LoseAll {
+impl Choices for LoseUnsynced {
     fn choose(&mut self, _options: usize) -> usize {
         0
     }
@@ -126,19 +128,19 @@
     sampled_crash_points: u64,
 }
 
-/// Runs the steps on a disk that loses power at some point.
+/// Runs the steps on a disk that may lose power.
 fn run_until_crash(
     files: &SimulatedFileSystem,
     steps: &[Step],
     model: &mut Model,
 ) -> Result<(), String> {
     match run_script(files, steps, model) {
-        Err(ScriptError::Broken(error)) => Err(error),
+        Err(ScriptError::Violation(error)) => Err(error),
         Ok(()) | Err(ScriptError::DiskFailed) => Ok(()),
     }
 }
 
-/// Tries every crash point; the error names the first that breaks a promise.
+/// Tries every crash point; the error names the first at which a durability guarantee is violated.
 fn try_every_crash_point(
     steps: &[Step],
     injected_bug: Option<InjectedBug>,
@@ -165,7 +167,7 @@
     Ok(coverage)
 }
 
-/// Checks the disk as a kill leaves it, and after every outcome of the power loss.
+/// Checks the disk after a kill of the process, and after every outcome of the power loss.
 fn try_every_outcome(
     files: &SimulatedFileSystem,
     model: &Model,
@@ -206,7 +208,7 @@
 
 #[test]
 fn acknowledged_records_survive_every_crash_point() {
-    let coverage = try_every_crash_point(SCRIPT, None).expect("no promise is broken");
+    let coverage = try_every_crash_point(SCRIPT, None).expect("all acknowledged records survive");
     println!("{coverage:?}");
     assert!(coverage.crash_points > 60, "{coverage:?}");
     assert_eq!(
@@ -215,7 +217,7 @@
     );
 }
 
-/// What happens between the first crash and the second.
+/// Steps between the first crash and the second.
 const SECOND_SCRIPT: &[Step] = &[
     Open,
     Append(&[90]),
@@ -225,8 +227,8 @@
     Open,
 ];
 
-/// Power lost twice, the second time also while the store recovers; the first may also be a kill that leaves the
-/// files as they are.
+/// Two crashes, the second of which may happen during recovery. The first may also be a kill, which leaves the files as
+/// they are.
 #[test]
 fn acknowledged_records_survive_every_pair_of_crash_points() {
     let complete = SimulatedFileSystem::new();
@@ -236,7 +238,7 @@
         let files = SimulatedFileSystem::new();
         files.set_power_off_after(Some(crash_point));
         let mut model = Model::default();
-        run_until_crash(&files, SCRIPT, &mut model).expect("no promise is broken");
+        run_until_crash(&files, SCRIPT, &mut model).expect("all acknowledged records survive");
         let mut starts = vec![after_kill(&files)];
         starts.extend(every_power_loss(&files));
         for start in starts {
@@ -277,10 +279,10 @@
     no_file_sync = { InjectedBug::NoFileSync },
 )]
 fn an_omitted_sync_is_detected(injected_bug: InjectedBug) {
-    try_every_crash_point(SCRIPT, Some(injected_bug)).expect_err("the injected bug is found");
+    try_every_crash_point(SCRIPT, Some(injected_bug)).expect_err("the injected bug is detected");
 }
 
-/// The first directory sync matters only before the next, so a short script is tried as well.
+/// The first directory sync matters only until the next one, so short scripts are tried as well.
 #[parameterized(
     at_first_append = { &[Open, Append(&[20])] },
     at_roll = { &[Open, Append(&[900]), Append(&[900])] },
@@ -288,6 +290,6 @@
 )]
 fn an_omitted_directory_sync_is_detected_in_a_short_script(steps: &[Step]) {
     try_every_crash_point(steps, Some(InjectedBug::NoDirectorySync))
-        .expect_err("the injected bug is found");
-    try_every_crash_point(steps, None).expect("without it no promise is broken");
+        .expect_err("the injected bug is detected");
+    try_every_crash_point(steps, None).expect("without it all acknowledged records survive");
 }
--- a/crates/lockusher-storage/tests/damage.rs
+++ b/crates/lockusher-storage/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Damage that no power loss explains: bytes changed, files truncated or missing.
+//! Damage that a power loss can't explain: changed bytes, truncated and missing files.
 
 mod support;
 
@@ -9,11 +9,12 @@
 use support::{Model, SMALL_DISK, all_records, every_power_loss, open_and_check, snapshot_of};
 use yare::parameterized;
 
-/// Bytes of the last append of [`grown_store`] in its segment: header of the frame, size of its record, the record.
+/// Bytes of the last append of [`populated_store`] in its segment: frame header (28), size of the record (4), record
+/// (30).
 const LAST_APPEND_BYTES: usize = 28 + 4 + 30;
 
-/// Two closed segments and a third in use, after a snapshot or without one.
-fn grown_store(with_snapshot: bool) -> (SimulatedFileSystem, Model) {
+/// A store with two closed segments and a third in use, with a preceding snapshot or without one.
+fn populated_store(with_snapshot: bool) -> (SimulatedFileSystem, Model) {
     let files = SimulatedFileSystem::new();
     let mut model = Model::default();
     let (mut store, _) = Store::open(files.clone(), SMALL_DISK).expect("opens");
@@ -29,14 +30,14 @@
     (files, model)
 }
 
-/// All files but the reserve, whose content means nothing.
+/// All files except the reserve, whose content is irrelevant.
 fn log_files(files: &SimulatedFileSystem) -> BTreeMap<String, Vec<u8>> {
     let mut contents = files.contents();
     contents.remove("reserve");
     contents
 }
 
-/// Name of the last file whose name begins so.
+/// The last of the file names with this prefix.
 fn last_file(files: &SimulatedFileSystem, prefix: &str) -> String {
     let contents = files.contents();
     contents
@@ -46,7 +47,7 @@
         .clone()
 }
 
-/// The disk with a file whose byte at this offset is changed by these bits.
+/// A copy of the disk with these bits flipped in the byte at this offset of a file.
 fn with_changed_byte(
     files: &SimulatedFileSystem,
     name: &str,
@@ -64,25 +65,31 @@
     files.overwrite(name, content);
 }
 
-fn assert_damaged(files: SimulatedFileSystem, what: &str) {
+fn assert_damaged(files: SimulatedFileSystem, context: &str) {
     let opened = Store::open(files, SMALL_DISK);
-    assert!(matches!(opened, Err(StoreError::Damaged { .. })), "{what}");
+    assert!(
+        matches!(opened, Err(StoreError::Damaged { .. })),
+        "{context}"
+    );
 }
 
-/// Either the damage is reported, or only the last append is gone and the report says that bytes were cut off.
-fn assert_damage_is_reported(files: &SimulatedFileSystem, model: &Model, what: &str) {
+/// Asserts that opening reports damage, or that only the last append is missing and the report counts the bytes cut off.
+fn assert_damage_is_reported(files: &SimulatedFileSystem, model: &Model, context: &str) {
     match Store::open(files.clone(), SMALL_DISK) {
         Err(StoreError::Damaged { .. }) => {}
-        Err(error) => panic!("{what}: {error}"),
+        Err(error) => panic!("{context}: {error}"),
         Ok((_, recovered)) => {
             let found = all_records(&recovered);
             if found != model.acknowledged {
                 let without_last = &model.acknowledged[..model.acknowledged.len() - 1];
                 assert!(
                     found == without_last,
-                    "{what}: something else than the last append differs"
+                    "{context}: more than the last append differs"
+                );
+                assert!(
+                    recovered.report.torn_bytes > 0,
+                    "{context}: torn bytes not reported"
                 );
-                assert!(recovered.report.torn_bytes > 0, "{what}: not reported");
             }
         }
     }
@@ -90,7 +97,7 @@
 
 #[parameterized(plain = { false }, with_snapshot = { true })]
 fn a_changed_byte_is_detected(with_snapshot: bool) {
-    let (files, model) = grown_store(with_snapshot);
+    let (files, model) = populated_store(with_snapshot);
     for (name, content) in log_files(&files) {
         for offset in 0..content.len() {
             for bit in [0, 7] {
@@ -107,7 +114,7 @@
 
 #[parameterized(plain = { false }, with_snapshot = { true })]
 fn a_changed_byte_before_the_last_append_is_damage(with_snapshot: bool) {
-    let (files, _) = grown_store(with_snapshot);
+    let (files, _) = populated_store(with_snapshot);
     let last_segment = last_file(&files, "segment-");
     for (name, content) in log_files(&files) {
         let end = if name == last_segment {
@@ -122,10 +129,10 @@
     }
 }
 
-/// A truncated last segment looks like a torn write, unless something relies on its header.
+/// A truncated last segment is indistinguishable from a torn write, unless its header must have been durable.
 #[parameterized(plain = { false }, with_snapshot = { true })]
 fn a_truncated_last_segment_loses_appends_from_its_end_only(with_snapshot: bool) {
-    let (files, model) = grown_store(with_snapshot);
+    let (files, model) = populated_store(with_snapshot);
     let last_segment = last_file(&files, "segment-");
     let content = files.contents()[&last_segment].clone();
     for length in 0..content.len() {
@@ -147,7 +154,7 @@
 
 #[parameterized(plain = { false }, with_snapshot = { true })]
 fn any_other_truncated_file_is_damage(with_snapshot: bool) {
-    let (files, _) = grown_store(with_snapshot);
+    let (files, _) = populated_store(with_snapshot);
     let last_segment = last_file(&files, "segment-");
     for (name, content) in log_files(&files)
         .into_iter()
@@ -163,7 +170,7 @@
 
 #[parameterized(plain = { false }, with_snapshot = { true })]
 fn a_missing_file_is_damage(with_snapshot: bool) {
-    let (files, _) = grown_store(with_snapshot);
+    let (files, _) = populated_store(with_snapshot);
     for name in log_files(&files).into_keys() {
         let damaged = files.fork();
         damaged.erase(&name);
@@ -172,8 +179,8 @@
 }
 
 #[test]
-fn the_damage_is_named_and_nothing_is_changed() {
-    let (files, _) = grown_store(true);
+fn opening_a_damaged_store_names_the_damage_and_changes_no_file() {
+    let (files, _) = populated_store(true);
     let name = last_file(&files, "snapshot-");
     files.erase(&name);
     let before = files.contents();
@@ -189,10 +196,10 @@
     assert_eq!(files.contents(), before);
 }
 
-/// Old segments that reappear after a power loss don't matter beside the snapshot.
+/// Obsolete segments may reappear after a power loss; the snapshot supersedes them.
 #[test]
 fn removed_files_that_reappear_are_ignored() {
-    let (files, mut model) = grown_store(false);
+    let (files, mut model) = populated_store(false);
     let old = files.contents();
     let (mut store, _) = Store::open(files.clone(), SMALL_DISK).expect("opens");
     store
@@ -220,7 +227,7 @@
     for crash_point in files.operations()..=complete.operations() {
         let interrupted = files.fork();
         interrupted.set_power_off_after(Some(crash_point));
-        // Fails at the crash point, if it reaches it.
+        // Fails if it reaches the crash point.
         let _ = Store::reset(&mut interrupted.clone());
         for disk in every_power_loss(&interrupted) {
             match Store::open(disk, SMALL_DISK) {
@@ -229,7 +236,7 @@
                 Ok((_, recovered)) => {
                     assert!(
                         all_records(&recovered).is_empty(),
-                        "crash point {crash_point}: neither"
+                        "crash point {crash_point}: neither damaged nor empty"
                     );
                 }
             }
@@ -239,15 +246,15 @@
 
 /// A store whose snapshot is unreadable.
 fn damaged_store() -> SimulatedFileSystem {
-    let (files, _) = grown_store(true);
+    let (files, _) = populated_store(true);
     files.overwrite(&last_file(&files, "snapshot-"), b"not a snapshot".to_vec());
     files
 }
 
-/// While the store is in use: any changed byte is found by a scrub, and a snapshot repairs the disk.
+/// A scrub of an open store finds any changed byte, and a snapshot then replaces the damaged files.
 #[parameterized(plain = { false }, with_snapshot = { true })]
 fn a_scrub_finds_a_changed_byte_and_a_snapshot_repairs_it(with_snapshot: bool) {
-    let (files, model) = grown_store(with_snapshot);
+    let (files, model) = populated_store(with_snapshot);
     for (name, content) in log_files(&files) {
         for offset in 0..content.len() {
             let disk = files.fork();
--- a/crates/lockusher-storage/tests/disk.rs
+++ b/crates/lockusher-storage/tests/disk.rs
@@ -67,7 +67,7 @@
     truncate = { FileOperation::Truncate, |files| files.truncate("absent", 0) },
     sync_file = { FileOperation::SyncFile, |files| files.sync_file("absent") },
 )]
-fn an_error_says_what_was_tried_on_which_file(operation: FileOperation, operate: Operate) {
+fn an_error_names_the_operation_and_the_file(operation: FileOperation, operate: Operate) {
     let directory = tempfile::tempdir().expect("a directory");
     let mut files = DiskFileSystem::new(directory.path().to_owned());
 
@@ -85,18 +85,20 @@
 }
 
 #[test]
-fn a_file_that_does_not_exist_is_removed_without_an_error() {
+fn removing_a_missing_file_succeeds() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut files = DiskFileSystem::new(directory.path().to_owned());
     assert_eq!(files.remove("absent"), Ok(()));
 }
 
 #[test]
-fn a_directory_that_does_not_exist_is_empty_until_a_file_is_created() {
+fn a_missing_directory_is_listed_as_empty_and_created_with_the_first_file() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut files = DiskFileSystem::new(directory.path().join("data"));
     assert_eq!(files.list(), Ok(Vec::new()));
-    files.create("first").expect("creates the directory, too");
+    files
+        .create("first")
+        .expect("creates the directory and the file");
     assert_eq!(files.list(), Ok(vec!["first".to_owned()]));
 }
 
--- a/crates/lockusher-storage/tests/model.rs
+++ b/crates/lockusher-storage/tests/model.rs
@@ -1,4 +1,4 @@
-//! Random operations, failures, full disks, kills and power losses, compared with a reference model.
+//! Random operations, faults, full disks, kills and power losses; the store is compared with a reference model.
 
 mod support;
 
@@ -8,27 +8,27 @@
 use support::simulated_file_system::SimulatedFileSystem;
 use support::{Model, SMALL_DISK, SeededChoice, all_records, open_and_check, snapshot_of};
 
-/// Size of a log without appends.
+/// Size in bytes of a log without appends.
 const SEGMENT_HEADER_BYTES: u64 = 20;
 
 #[derive(Clone, Debug)]
 enum Event {
     Append(Vec<usize>),
     Snapshot,
-    /// The process ends and starts again; the files are as they were.
+    /// The process is killed and restarted; the files stay as they are.
     Kill,
-    /// Power is lost after this many further operations; the outcome follows from the seed.
+    /// Power is lost after this many further operations; the seed determines the outcome.
     LosePower {
         operations: u64,
         seed: u64,
     },
-    /// An operation shortly after fails.
+    /// The operation after this many further ones fails.
     Fault {
         operations: u64,
         fault: Fault,
     },
     Full(bool),
-    /// The disk has space for this many bytes more than it holds, or for any number.
+    /// Limits the free space to this many bytes, or removes the limit.
     FreeSpace(Option<u64>),
 }
 
@@ -50,18 +50,18 @@
     prop::collection::vec(event, 1..80)
 }
 
-/// A store on a simulated disk, beside the model of it.
-struct Trial {
+/// A store on a simulated disk, and the model of it.
+struct Simulation {
     files: SimulatedFileSystem,
     store: Option<Store<SimulatedFileSystem>>,
     model: Model,
-    /// Seed of the power loss that is due once an operation fails.
+    /// Seed of the pending power loss, which takes effect once an operation fails.
     power_loss: Option<u64>,
 }
 
-impl Trial {
-    fn new() -> Trial {
-        Trial {
+impl Simulation {
+    fn new() -> Simulation {
+        Simulation {
             files: SimulatedFileSystem::new(),
             store: None,
             model: Model::default(),
@@ -69,7 +69,7 @@
         }
     }
 
-    fn play(&mut self, event: &Event) -> Result<(), String> {
+    fn apply(&mut self, event: &Event) -> Result<(), String> {
         match event {
             Event::Append(sizes) => self.append(sizes)?,
             Event::Snapshot => self.snapshot()?,
@@ -118,14 +118,14 @@
             .expect("ensure_open opened it")
             .snapshot(&snapshot);
         if result.is_ok() {
-            // The snapshot replaces the log with everything in it.
+            // The snapshot replaces the whole log, including uncertain appends.
             self.model.uncertain.clear();
         }
         self.end_if_power_is_lost(result.is_err());
         Ok(())
     }
 
-    /// Opens the store if it isn't; false if the disk doesn't allow it now.
+    /// Opens the store if it isn't open; false if the disk fails.
     fn ensure_open(&mut self) -> Result<bool, String> {
         if self.store.is_some() {
             return Ok(true);
@@ -136,7 +136,7 @@
                 self.store = Some(store);
                 Ok(true)
             }
-            Err(StoreError::Damaged { damage }) => Err(format!("taken for damage: {damage}")),
+            Err(StoreError::Damaged { damage }) => Err(format!("reported as damage: {damage}")),
             Err(_) => {
                 self.end_if_power_is_lost(true);
                 Ok(false)
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Once an operation has failed while power was to be lost, it is.
+    /// Executes the pending power loss if an operation has failed.
     fn end_if_power_is_lost(&mut self, failed: bool) {
         if let Some(seed) = self.power_loss.filter(|_| failed) {
             self.store = None;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// With all faults over, the store works at once, without being opened again.
+    /// Removes all faults and checks that the store works at once, without being reopened.
     fn finish(mut self) -> Result<(), String> {
         self.files.set_power_off_after(None);
         self.files.clear_faults();
@@ -164,14 +164,14 @@
         let records = self.model.new_records(&[100]);
         let mut result = store.append(&records);
         if result == Err(StoreError::NoSpace) {
-            // The log has used its share of the disk.
+            // The log has reached its limit on the disk.
             store
                 .snapshot(&snapshot_of(&self.model.acknowledged))
                 .map_err(|error| format!("snapshot: {error}"))?;
             result = store.append(&records);
         }
-        self.model.appended(records, &result);
-        result.map_err(|error| format!("append with all faults over: {error}"))?;
+        self.model.record_append(records, &result);
+        result.map_err(|error| format!("append without faults: {error}"))?;
         self.files.lose_power(&mut SeededChoice(0));
         open_and_check(&self.files, SMALL_DISK, &mut self.model).map(|_| ())
     }
@@ -181,21 +181,21 @@
     #![proptest_config(ProptestConfig { cases: 1000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_store_holds_what_the_model_holds(events in events()) {
-        let mut trial = Trial::new();
+    fn the_store_agrees_with_the_reference_model(events in events()) {
+        let mut simulation = Simulation::new();
         for (index, event) in events.iter().enumerate() {
-            trial.play(event).map_err(|error| TestCaseError::fail(format!("event {index}: {error}")))?;
+            simulation.apply(event).map_err(|error| TestCaseError::fail(format!("event {index}: {error}")))?;
         }
-        trial.finish().map_err(TestCaseError::fail)?;
+        simulation.finish().map_err(TestCaseError::fail)?;
     }
 }
 
-/// Fills the disk, whose size the store may know or not, and frees space by a snapshot.
+/// Fills the disk, whose size the store may or may not know, and frees space by a snapshot.
 #[yare::parameterized(
     size_known = { SMALL_DISK },
     size_unknown = { StoreOptions { disk_bytes: 0 } },
 )]
-fn a_full_disk_refuses_cleanly_and_a_snapshot_frees_space(options: StoreOptions) {
+fn an_append_to_a_full_disk_fails_with_no_space_and_a_snapshot_frees_space(options: StoreOptions) {
     let files = SimulatedFileSystem::new();
     files.set_capacity(Some(90 * 1024));
     let mut model = Model::default();
@@ -211,9 +211,9 @@
     let mut reopened = open_and_check(&files.fork(), options, &mut model.clone()).expect("opens");
     reopened
         .snapshot(b"")
-        .expect("takes a snapshot after opening, too");
+        .expect("takes a snapshot after reopening");
 
-    // The state is smaller than the log.
+    // The snapshot is smaller than the log.
     store
         .snapshot(&snapshot_of(&model.acknowledged[..2]))
         .expect("takes a snapshot");
@@ -223,9 +223,9 @@
     assert_eq!(all_records(&recovered).len(), 3);
 }
 
-/// Others fill the disk to the last byte: the reserve leaves space for the snapshot.
+/// Another process fills the disk completely: the reserve still provides space for the snapshot.
 #[test]
-fn the_reserve_leaves_space_for_a_snapshot() {
+fn the_reserve_provides_space_for_a_snapshot() {
     let files = SimulatedFileSystem::new();
     let mut model = Model::default();
     let mut store = open_and_check(&files, SMALL_DISK, &mut model).expect("opens");
@@ -237,7 +237,7 @@
     store.append(&[vec![3; 500]]).expect("appends");
 }
 
-/// A disk that refuses every write opens with all that was acknowledged, and works again once it has space.
+/// A store on a full disk opens with all acknowledged records, and works again once space is freed.
 #[test]
 fn a_full_disk_can_be_opened() {
     let files = SimulatedFileSystem::new();
@@ -257,12 +257,11 @@
     open_and_check(&files, SMALL_DISK, &mut model).expect("opens");
 }
 
-/// A hundred thousand changes, of a size that fills the disk many hundred times over: use stays below the disk's size,
-/// and few bytes are written beside those appended.
+/// 100,000 changes, whose total size exceeds the disk's many times: disk use and write amplification stay bounded.
 #[test]
 fn disk_use_and_write_amplification_are_bounded() {
     const CHANGES: u64 = 100_000;
-    // A change is to the disk as 256 KiB to 128 MiB, and the state as 4 MiB.
+    // Scaled down: a change of up to 256 bytes on 128 KiB corresponds to 256 KiB on 128 MiB, and the state to 4 MiB.
     let options = StoreOptions {
         disk_bytes: 128 * 1024,
     };
@@ -282,7 +281,7 @@
         max_used_bytes = max_used_bytes.max(files.used_bytes());
     }
     println!(
-        "used at most {max_used_bytes} bytes, {} written for {appended_bytes}",
+        "used at most {max_used_bytes} bytes, {} written for {appended_bytes} appended",
         files.written_bytes()
     );
     assert!(
--- a/crates/lockusher-storage/tests/recorded_bytes.rs
+++ b/crates/lockusher-storage/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! Segments and snapshots are written as the recorded files of an earlier release, and those are recovered whole: a
-//! release takes over the disks of the one before.
+//! Compatibility of the on-disk format: segments and snapshots are encoded exactly as in the recorded files of an earlier
+//! release, and the recorded files are recovered completely. A release reads the disks that earlier releases wrote.
 
 #[path = "../../../tests/support/recorded_bytes.rs"]
 mod recorded_bytes;
@@ -13,14 +13,14 @@
 
 /// A log of three segments, of which two are sealed.
 const LOG: &str = include_str!("recorded_bytes/log.hex");
-/// The same log replaced by a snapshot, and appended to.
+/// The same log replaced by a snapshot, with further appends.
 const LOG_AFTER_SNAPSHOT: &str = include_str!("recorded_bytes/log_after_snapshot.hex");
 
 /// Segments of 256 bytes.
 const OPTIONS: StoreOptions = StoreOptions {
     disk_bytes: 16 * 1024,
 };
-/// File of zeros that is kept beside the log.
+/// Name of the reserve file, which isn't compared.
 const RESERVE: &str = "reserve";
 
 fn record(length: u8) -> Vec<u8> {
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// What is appended before the snapshot, by append.
+/// The appends before the snapshot.
 fn first_appends() -> Vec<Vec<Vec<u8>>> {
     let like_a_frame = b"\xf8LF\xf8\x01\x00\x00\x00".to_vec();
     vec![
@@ -45,7 +45,7 @@
     record(250)
 }
 
-/// What is appended after the snapshot, by append.
+/// The appends after the snapshot.
 fn later_appends() -> Vec<Vec<Vec<u8>>> {
     vec![
         vec![b"after the snapshot".to_vec()],
@@ -53,8 +53,8 @@
     ]
 }
 
-fn open(folder: &Path) -> (Store<DiskFileSystem>, Recovered) {
-    Store::open(DiskFileSystem::new(folder.to_path_buf()), OPTIONS).expect("opens")
+fn open(directory: &Path) -> (Store<DiskFileSystem>, Recovered) {
+    Store::open(DiskFileSystem::new(directory.to_path_buf()), OPTIONS).expect("opens")
 }
 
 fn append_all(store: &mut Store<DiskFileSystem>, appends: &[Vec<Vec<u8>>]) {
@@ -63,14 +63,14 @@
     }
 }
 
-fn write_log(folder: &Path) -> Store<DiskFileSystem> {
-    let (mut store, _) = open(folder);
+fn write_log(directory: &Path) -> Store<DiskFileSystem> {
+    let (mut store, _) = open(directory);
     append_all(&mut store, &first_appends());
     store
 }
 
-fn write_log_after_snapshot(folder: &Path) {
-    let mut store = write_log(folder);
+fn write_log_after_snapshot(directory: &Path) {
+    let mut store = write_log(directory);
     store
         .snapshot(&snapshot_content())
         .expect("writes a snapshot");
@@ -78,11 +78,11 @@
 }
 
 /// Names and contents of the log's files.
-fn files_in(folder: &Path) -> Vec<(String, Vec<u8>)> {
+fn files_in(directory: &Path) -> Vec<(String, Vec<u8>)> {
     let mut files = Vec::new();
-    for entry in fs::read_dir(folder).expect("a folder") {
+    for entry in fs::read_dir(directory).expect("a directory") {
         let entry = entry.expect("an entry");
-        let name = entry.file_name().into_string().expect("a name of letters");
+        let name = entry.file_name().into_string().expect("a UTF-8 name");
         if name != RESERVE {
             files.push((name, fs::read(entry.path()).expect("reads")));
         }
@@ -91,8 +91,8 @@
     files
 }
 
-fn assert_files_as_recorded(folder: &Path, fixture: &str) {
-    let files = files_in(folder);
+fn assert_files_as_recorded(directory: &Path, fixture: &str) {
+    let files = files_in(directory);
     let actual: Vec<(&str, Vec<u8>)> = files
         .iter()
         .map(|(name, bytes)| (name.as_str(), bytes.clone()))
@@ -100,32 +100,32 @@
     assert_bytes_as_recorded(fixture, &actual);
 }
 
-fn recorded_folder(fixture: &str) -> TempDir {
-    let folder = tempfile::tempdir().expect("a folder");
+fn recorded_directory(fixture: &str) -> TempDir {
+    let directory = tempfile::tempdir().expect("a directory");
     for (name, bytes) in read_fixture(fixture) {
-        fs::write(folder.path().join(name), bytes).expect("writes");
+        fs::write(directory.path().join(name), bytes).expect("writes");
     }
-    folder
+    directory
 }
 
 #[test]
 fn a_log_is_written_as_recorded() {
-    let folder = tempfile::tempdir().expect("a folder");
-    write_log(folder.path());
-    assert_files_as_recorded(folder.path(), LOG);
+    let directory = tempfile::tempdir().expect("a directory");
+    write_log(directory.path());
+    assert_files_as_recorded(directory.path(), LOG);
 }
 
 #[test]
 fn a_log_after_a_snapshot_is_written_as_recorded() {
-    let folder = tempfile::tempdir().expect("a folder");
-    write_log_after_snapshot(folder.path());
-    assert_files_as_recorded(folder.path(), LOG_AFTER_SNAPSHOT);
+    let directory = tempfile::tempdir().expect("a directory");
+    write_log_after_snapshot(directory.path());
+    assert_files_as_recorded(directory.path(), LOG_AFTER_SNAPSHOT);
 }
 
 #[test]
-fn a_recorded_log_is_recovered_whole_and_left_as_it_was() {
-    let folder = recorded_folder(LOG);
-    let (_store, recovered) = open(folder.path());
+fn a_recorded_log_is_recovered_completely_and_not_changed() {
+    let directory = recorded_directory(LOG);
+    let (_store, recovered) = open(directory.path());
     let report = RecoveryReport {
         segments: 3,
         ..RecoveryReport::default()
@@ -138,13 +138,13 @@
             report
         }
     );
-    assert_files_as_recorded(folder.path(), LOG);
+    assert_files_as_recorded(directory.path(), LOG);
 }
 
 #[test]
-fn a_recorded_log_after_a_snapshot_is_recovered_whole_and_left_as_it_was() {
-    let folder = recorded_folder(LOG_AFTER_SNAPSHOT);
-    let (_store, recovered) = open(folder.path());
+fn a_recorded_log_after_a_snapshot_is_recovered_completely_and_not_changed() {
+    let directory = recorded_directory(LOG_AFTER_SNAPSHOT);
+    let (_store, recovered) = open(directory.path());
     let report = RecoveryReport {
         segments: 1,
         ..RecoveryReport::default()
@@ -158,17 +158,17 @@
             report
         }
     );
-    assert_files_as_recorded(folder.path(), LOG_AFTER_SNAPSHOT);
+    assert_files_as_recorded(directory.path(), LOG_AFTER_SNAPSHOT);
 }
 
-/// What is done with a recorded folder continues as if this release had written it from the start.
+/// A recorded directory is continued with the same bytes as one that this release has written from the start.
 #[test]
 fn a_recorded_log_is_continued_as_recorded() {
-    let folder = recorded_folder(LOG);
-    let (mut store, _) = open(folder.path());
+    let directory = recorded_directory(LOG);
+    let (mut store, _) = open(directory.path());
     store
         .snapshot(&snapshot_content())
         .expect("writes a snapshot");
     append_all(&mut store, &later_appends());
-    assert_files_as_recorded(folder.path(), LOG_AFTER_SNAPSHOT);
+    assert_files_as_recorded(directory.path(), LOG_AFTER_SNAPSHOT);
 }
--- a/crates/lockusher-storage/tests/support/mod.rs
+++ b/crates/lockusher-storage/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of the store share: a model that counts what was acknowledged, and ways to choose the outcome of a power loss.
+//! Helpers shared by the tests: a reference model of the acknowledged records, and strategies that choose the outcome of a
+//! power loss.
 #![allow(dead_code)]
 
 pub mod simulated_disk;
@@ -10,12 +11,12 @@
 use simulated_disk::Choices;
 use simulated_file_system::SimulatedFileSystem;
 
-/// Segments of 1 KiB; a snapshot is due after 4 KiB of log.
+/// A disk with segments of 1 KiB, on which a snapshot is due after 4 KiB of log.
 pub const SMALL_DISK: StoreOptions = StoreOptions {
     disk_bytes: 64 * 1024,
 };
 
-/// All ways of choosing, one after the other.
+/// Enumerates all sequences of choices, one after the other.
 #[derive(Debug, Default)]
 pub struct EveryChoice {
     digits: Vec<Digit>,
@@ -29,7 +30,7 @@
 }
 
 impl EveryChoice {
-    /// Goes on to the next way; false after the last.
+    /// Advances to the next sequence of choices; false after the last.
     pub fn advance(&mut self) -> bool {
         self.position = 0;
         while let Some(last) = self.digits.last_mut() {
@@ -53,7 +54,7 @@
     }
 }
 
-/// The disk after a power loss, once for each outcome of what wasn't synced.
+/// The disk after a power loss, once for each possible outcome for the unsynced changes.
 pub fn every_power_loss(files: &SimulatedFileSystem) -> Vec<SimulatedFileSystem> {
     let mut choices = EveryChoice::default();
     let mut disks = Vec::new();
@@ -67,14 +68,14 @@
     }
 }
 
-/// The disk after the process was killed: power is on, and the files are as they were, also what isn't synced.
+/// The disk after a kill of the process: power is on, and the files are unchanged, including unsynced changes.
 pub fn after_kill(files: &SimulatedFileSystem) -> SimulatedFileSystem {
     let disk = files.fork();
     disk.set_power_off_after(None);
     disk
 }
 
-/// Choices that follow from a seed.
+/// Pseudorandom choices, determined by a seed.
 #[derive(Debug)]
 pub struct SeededChoice(pub u64);
 
@@ -89,7 +90,7 @@
     }
 }
 
-/// A snapshot that holds these records.
+/// A snapshot that contains these records.
 pub fn snapshot_of(records: &[Vec<u8>]) -> Vec<u8> {
     let mut snapshot = Vec::new();
     for record in records {
@@ -99,7 +100,7 @@
     snapshot
 }
 
-/// All records that a store held, those in the snapshot first.
+/// All recovered records, those of the snapshot first.
 pub fn all_records(recovered: &Recovered) -> Vec<Vec<u8>> {
     let mut records = Vec::new();
     let mut rest = recovered.snapshot.as_deref().unwrap_or_default();
@@ -112,18 +113,18 @@
     records
 }
 
-/// The reference model: what was acknowledged, and what may be there besides.
+/// The reference model: acknowledged records, and those whose append has an unknown outcome.
 #[derive(Clone, Debug, Default)]
 pub struct Model {
     /// Records that must be found, in order.
     pub acknowledged: Vec<Vec<u8>>,
-    /// Records that may be found behind them.
+    /// Records that may be found after them.
     pub uncertain: Vec<Vec<u8>>,
     next_record: u64,
 }
 
 impl Model {
-    /// Records that differ from all others, of these sizes.
+    /// New records of these sizes (at least 8 bytes), which differ from all others.
     pub fn new_records(&mut self, sizes: &[usize]) -> Vec<Vec<u8>> {
         let mut records = Vec::new();
         for &size in sizes {
@@ -135,7 +136,7 @@
         records
     }
 
-    /// Appends new records of these sizes and takes note of the outcome.
+    /// Appends new records of these sizes and records the outcome.
     pub fn append<F: FileSystem>(
         &mut self,
         store: &mut Store<F>,
@@ -143,12 +144,12 @@
     ) -> Result<(), StoreError> {
         let records = self.new_records(sizes);
         let result = store.append(&records);
-        self.appended(records, &result);
+        self.record_append(records, &result);
         result
     }
 
-    /// Takes note of an append's outcome.
-    pub fn appended(&mut self, records: Vec<Vec<u8>>, result: &Result<(), StoreError>) {
+    /// Records the outcome of an append.
+    pub fn record_append(&mut self, records: Vec<Vec<u8>>, result: &Result<(), StoreError>) {
         match result {
             Ok(()) => {
                 self.acknowledged.extend(records);
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Compares with what was found, which is acknowledged from now on.
+    /// Compares with the recovered records, which count as acknowledged from now on.
     pub fn check(&mut self, recovered: &Recovered) -> Result<(), String> {
         let found = all_records(recovered);
         let with_uncertain = [self.acknowledged.clone(), self.uncertain.clone()].concat();
@@ -178,7 +179,7 @@
     }
 }
 
-/// Opens the store and compares what it holds with the model.
+/// Opens the store and compares its content with the model.
 pub fn open_and_check(
     files: &SimulatedFileSystem,
     options: StoreOptions,
--- a/crates/lockusher-storage/tests/support/simulated_disk.rs
+++ b/crates/lockusher-storage/tests/support/simulated_disk.rs
@@ -1,4 +1,4 @@
-//! The disk behind a simulated file system: names, contents, faults, and what a power loss leaves.
+//! The disk of a simulated file system: names, contents, faults and the effects of a power loss.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,7 +8,7 @@
 
 use super::simulated_file::SimulatedFile;
 
-/// Chooses what a power loss leaves of what wasn't synced, one uncertain change after the other.
+/// Chooses the outcome of a power loss for each unsynced change.
 pub trait Choices {
     /// Picks one of `options` outcomes, from 0.
     fn choose(&mut self, options: usize) -> usize;
@@ -17,15 +17,15 @@
 /// How an operation fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails for want of space; a write leaves half of its bytes.
+    /// It fails for lack of space; a write leaves half of its bytes.
     NoSpace,
     /// It fails; a write leaves half of its bytes.
     Io,
-    /// It fails although it was carried out.
+    /// It fails although it took effect.
     IoAfterEffect,
 }
 
-/// A bug put in on purpose, which a test must detect.
+/// A deliberately injected bug that a test must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
     /// The sync of the directory does nothing.
@@ -34,7 +34,7 @@
     NoFileSync,
 }
 
-/// The state of the disk, with the faults that are due.
+/// The state of the disk, with pending faults.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Disk {
     pub(super) files: Vec<SimulatedFile>,
@@ -48,14 +48,14 @@
     pub(super) injected_bug: Option<InjectedBug>,
 }
 
-/// A name with the files that it may refer to after a power loss: the last value is the current one, and the first is
-/// the one at the last sync of the directory; `None` is no file.
+/// The files that a name may refer to after a power loss: the last value is the current one, the first is that of the
+/// last directory sync. `None` means that the name doesn't exist.
 #[derive(Clone, Debug)]
 pub(super) struct Name {
     pub(super) values: Vec<Option<usize>>,
 }
 
-/// Whether a full disk refuses this.
+/// Whether the operation fails on a full disk.
 pub(super) fn needs_space(operation: FileOperation) -> bool {
     matches!(
         operation,
@@ -78,13 +78,13 @@
     }
 }
 
-/// Whether an operation does its work although it may fail.
+/// Whether an operation with this fault takes effect.
 pub(super) fn takes_effect(fault: Option<Fault>) -> bool {
     !matches!(fault, Some(Fault::NoSpace | Fault::Io))
 }
 
 impl Disk {
-    /// Counts an operation and lets it fail where it must.
+    /// Counts an operation and applies a pending fault to it.
     pub(super) fn operate(
         &mut self,
         operation: FileOperation,
@@ -171,7 +171,7 @@
         (inside + free).min(length)
     }
 
-    /// Drops the contents of files that no name refers to, nor may after a power loss.
+    /// Drops the contents of files that no name refers to, now or after a power loss.
     pub(super) fn drop_unreferenced_contents(&mut self) {
         self.names.retain(|_, name| name.values != [None]);
         let present: Vec<usize> = self
--- a/crates/lockusher-storage/tests/support/simulated_file.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file.rs
@@ -2,10 +2,10 @@
 
 use super::simulated_disk::Choices;
 
-/// Ways in which a write that wasn't synced may be found.
+/// Number of possible outcomes of a power loss for an unsynced write.
 const WRITE_OUTCOMES: usize = 5;
 
-/// A file as it can be read, and what of it survives a power loss.
+/// A file with its current content, its durable content and the unsynced changes between them.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedFile {
     durable: Vec<u8>,
@@ -21,7 +21,7 @@
 }
 
 impl SimulatedFile {
-    /// A file that is durable as it is.
+    /// A file whose content is durable.
     pub fn with_content(content: Vec<u8>) -> SimulatedFile {
         SimulatedFile {
             durable: content.clone(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// What can be read now.
+    /// The current content.
     pub fn content(&self) -> &[u8] {
         &self.current
     }
--- a/crates/lockusher-storage/tests/support/simulated_file_system.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file_system.rs
@@ -1,4 +1,4 @@
-//! A file system in memory that loses power, fills up and fails as a test says.
+//! An in-memory file system with simulated power losses, full disks and I/O errors.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -8,7 +8,7 @@
 use super::simulated_disk::{Choices, Disk, Fault, InjectedBug, Name, file_error, takes_effect};
 use super::simulated_file::{Change, SimulatedFile};
 
-/// Files in memory. Clones share the same files, so that a test keeps its hand on the disk of a store.
+/// Files in memory. Clones share the same files, so that a test retains access to the disk of a store.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedFileSystem {
     disk: Arc<Mutex<Disk>>,
@@ -27,23 +27,23 @@
         }
     }
 
-    /// Operations that changed or synced something, or tried to.
+    /// Number of attempted operations that change or sync something.
     pub fn operations(&self) -> u64 {
         self.disk().operations
     }
 
-    /// Bytes written in all.
+    /// Total number of bytes written.
     pub fn written_bytes(&self) -> u64 {
         self.disk().written_bytes
     }
 
-    /// Bytes in all files.
+    /// Total size of all files in bytes.
     pub fn used_bytes(&self) -> u64 {
         self.disk().used_bytes()
     }
 
-    /// From this number of operations on, every operation fails without effect; `None` for never. A process that is
-    /// killed and started again finds the files as they are then, also what isn't synced.
+    /// After this number of operations, every operation fails without effect; `None` for never. A process that is killed
+    /// and restarted finds the files unchanged, including unsynced changes.
     pub fn set_power_off_after(&self, operations: Option<u64>) {
         self.disk().power_off_after = operations;
     }
@@ -53,32 +53,33 @@
         self.disk().faults.insert(operation, fault);
     }
 
-    /// Writes fail beyond this many bytes in all files; `None` for no limit.
+    /// Limits the total size of all files in bytes; `None` for no limit.
     pub fn set_capacity(&self, bytes: Option<u64>) {
         self.disk().capacity = bytes;
     }
 
-    /// While set, creating, writing and truncating fail for want of space.
+    /// While set, creating, writing and truncating fail for lack of space.
     pub fn set_full(&self, full: bool) {
         self.disk().full = full;
     }
 
-    /// Takes back all faults that haven't struck yet.
+    /// Removes all pending faults.
     pub fn clear_faults(&self) {
         self.disk().faults.clear();
     }
 
-    /// Puts in a mistake.
+    /// Injects a bug.
     pub fn inject_bug(&self, injected_bug: InjectedBug) {
         self.disk().injected_bug = Some(injected_bug);
     }
 
-    /// Loses power: of what wasn't synced, each part survives, is lost or torn as the choices say. Then power is back.
+    /// Simulates a power loss: the choices decide for each unsynced change whether it survives, is lost or torn. Power is
+    /// on again afterwards.
     pub fn lose_power(&self, choices: &mut dyn Choices) {
         self.disk().lose_power(choices);
     }
 
-    /// Names and contents as they can be read now.
+    /// Current names and contents of all files.
     pub fn contents(&self) -> BTreeMap<String, Vec<u8>> {
         let disk = self.disk();
         let current = |name: &Name| {
@@ -91,7 +92,7 @@
             .collect()
     }
 
-    /// Replaces a file's content, durably: damage, or a file put there by hand.
+    /// Durably replaces a file's content, or creates the file.
     pub fn overwrite(&self, name: &str, content: Vec<u8>) {
         let mut disk = self.disk();
         let file = disk.add_file();
@@ -104,7 +105,7 @@
         );
     }
 
-    /// Makes a file vanish, durably.
+    /// Durably removes a file.
     pub fn erase(&self, name: &str) {
         self.disk().names.remove(name);
     }
