--- a/crates/lockusher-agent/tests/capacity.rs
+++ b/crates/lockusher-agent/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! What gossip costs an agent at the size that docs/CAPACITY.md plans for.
+//! Network cost of gossip for one agent, as planned in docs/CAPACITY.md.
 //! `cargo test --release -p lockusher-agent --test capacity -- --nocapture` prints the figures.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -9,11 +9,11 @@
 use lockusher_distribution::departures::Departure;
 use lockusher_distribution::message::Envelope;
 
-/// Header bytes of a datagram over IPv4.
+/// IPv4 and UDP header bytes of a datagram.
 const HEADER_BYTES: usize = 28;
-/// In a gossip interval each agent starts one exchange and, on average, answers one; both datagrams of both count.
+/// In a gossip interval each agent starts one exchange and responds to one on average; each has two datagrams.
 const DATAGRAMS_PER_INTERVAL: usize = 4;
-/// What the operators allow for all of control at a mixer is ten times this.
+/// A tenth of the operators' limit for all control traffic at a mixer.
 const MAX_BYTES_PER_S: usize = 500;
 
 fn datagram_bytes(rumors: usize) -> usize {
@@ -39,15 +39,13 @@
 }
 
 #[test]
-fn gossip_at_rest_costs_a_tenth_of_what_control_may() {
-    let at_rest = datagram_bytes(0);
-    let bytes_per_s = DATAGRAMS_PER_INTERVAL * at_rest * 1_000 / IDLE_GOSSIP_INTERVAL_MS as usize;
+fn idle_gossip_uses_at_most_a_tenth_of_the_control_traffic_limit() {
+    let idle_datagram_bytes = datagram_bytes(0);
+    let bytes_per_s =
+        DATAGRAMS_PER_INTERVAL * idle_datagram_bytes * 1_000 / IDLE_GOSSIP_INTERVAL_MS as usize;
     println!(
-        "a datagram: {at_rest} bytes at rest, {} with 16 departures; {bytes_per_s} bytes/s at rest",
+        "a datagram: {idle_datagram_bytes} bytes when idle, {} with 16 departures; {bytes_per_s} bytes/s when idle",
         datagram_bytes(16)
     );
-    assert!(
-        bytes_per_s < MAX_BYTES_PER_S,
-        "{bytes_per_s} bytes a second"
-    );
+    assert!(bytes_per_s < MAX_BYTES_PER_S, "{bytes_per_s} bytes/s");
 }
--- a/crates/lockusher-agent/tests/fleet_size.rs
+++ b/crates/lockusher-agent/tests/fleet_size.rs
@@ -1,14 +1,14 @@
-//! The number of proxies that budgets rely on.
+//! The number of proxies by which budgets are divided.
 
 use lockusher_agent::fleet_size::FleetSize;
 
 #[test]
-fn nothing_is_relied_on_before_a_count_was_received() {
+fn the_fleet_size_is_unknown_before_a_count_is_received() {
     assert_eq!(FleetSize::default().proxies(), 0);
 }
 
 #[test]
-fn a_rise_counts_at_once_and_a_fall_only_when_it_lasts() {
+fn an_increase_applies_at_once_and_a_decrease_only_after_the_window() {
     let mut size = FleetSize::default();
 
     size.record(0, 40);
--- a/crates/lockusher-agent/tests/list_selection.rs
+++ b/crates/lockusher-agent/tests/list_selection.rs
@@ -1,4 +1,4 @@
-//! Which list is in force, and under which revision it is published to the proxy.
+//! Selection of the list in force, and assignment of the revision under which it is published to the proxy.
 
 mod support;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A selection whose list in force is `list`, confirmed at that time.
+/// A selection in which `list` is in force, last confirmed at `confirmed_at_ms`.
 fn selection_with(list: &InstanceList, confirmed_at_ms: u64) -> ListSelection {
     let mut lists = ListSelection::default();
     lists.receive_control_list(confirmed_at_ms, list, Some(confirmed_at_ms));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_control_planes_list_is_passed_on_under_its_own_revision() {
+fn the_control_planes_list_is_published_under_its_own_revision() {
     let mut lists = ListSelection::default();
     let first = list(1, &[instance("a")]);
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_own_poll_is_in_force_until_the_control_plane_has_caught_up() {
+fn an_own_poll_is_in_force_until_the_control_planes_list_is_confirmed_later() {
     let mut lists = selection_with(&list(1, &[instance("a")]), 1_000);
 
     lists.receive_own_poll(5_000, &own_poll(5_000, &[instance("a"), instance("b")]));
@@ -59,7 +59,7 @@
     assert_eq!(names(&own), ["a", "b"]);
     assert!(!is_poller_revision(own.revision));
 
-    // A control node that lags brings a newer revision of an older list.
+    // A lagging control node sends a newer revision with an earlier confirmation.
     lists.receive_control_list(
         3_000,
         &list(2, &[instance("a"), instance("c")]),
@@ -74,7 +74,7 @@
     assert_eq!(caught_up, list(3, &[instance("b")]));
 }
 
-/// The control plane's list needn't change to be right again.
+/// An unchanged list of the control plane replaces the agent's poll once it is confirmed later than the poll.
 #[test]
 fn a_confirmed_list_that_did_not_change_is_published_under_a_higher_revision() {
     let unchanged = list(1, &[instance("a"), instance("b")]);
@@ -108,19 +108,19 @@
 }
 
 #[test]
-fn what_was_seen_draining_or_gone_does_not_come_back_with_an_older_list() {
+fn an_older_list_does_not_bring_back_searchers_seen_draining_or_gone() {
     let control = list(1, &[instance("a"), instance("b"), instance("c")]);
     let mut lists = selection_with(&control, 1_000);
     lists.receive_own_poll(5_000, &own_poll(5_000, &[draining("a"), instance("c")]));
     lists.take_update(5_100);
 
-    // By a wrong date the older list counts as confirmed later.
+    // Because of a wrong confirmation time, the older list counts as confirmed later.
     lists.receive_control_list(5_400, &control, Some(5_400));
 
     assert_eq!(
         lists.take_update(5_500),
         None,
-        "the same list remains: a drains, b is gone"
+        "the list in force stays: a is draining, b is gone"
     );
     let in_force = lists.in_force().expect("a list was published");
     assert_eq!(*in_force.instances, [draining("a"), instance("c")]);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_new_agent_does_not_replace_the_proxys_list_by_one_that_may_be_older() {
+fn a_restarted_agent_does_not_replace_the_proxys_list_by_one_that_may_be_older() {
     let mut lists = ListSelection::default();
     let applied = revision(1, 2 * POLLER_REVISION_STEP + 7);
     let control = list(2, &[instance("a")]);
@@ -153,14 +153,14 @@
     lists.receive_control_list(1_400, &control, Some(1_400));
     let update = lists
         .take_update(1_400)
-        .expect("surely newer than what the proxy has applied");
+        .expect("definitely newer than the list that the proxy has applied");
     assert!(update.revision > applied);
     assert_eq!(update.instances, control.instances);
     assert_eq!(lists.take_update(1_500), None);
 }
 
 #[test]
-fn poller_revisions_leave_a_gap_and_start_anew_in_a_new_epoch() {
+fn poller_revisions_leave_a_gap_and_restart_in_a_new_epoch() {
     let first = next_poller_revision(InstanceListRevision::default(), 3);
     let after_the_gap = next_poller_revision(revision(3, POLLER_REVISION_STEP + 12), 3);
     let in_a_new_epoch = next_poller_revision(revision(3, 9 * POLLER_REVISION_STEP), 4);
@@ -173,10 +173,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Control nodes that lag, own polls, restarts of the agent: the proxy's revisions rise, no searcher comes back, and a
-    /// fresh control node brings the newest list.
+    /// With lagging control nodes, polls of the agent and restarts of the agent, the proxy's revisions increase, no departed
+    /// searcher returns, and an up-to-date control node delivers the newest list.
     #[test]
-    fn no_searcher_comes_back_and_the_newest_list_wins(seed in any::<u64>()) {
+    fn no_departed_searcher_returns_and_the_newest_list_wins(seed in any::<u64>()) {
         let mut simulation = ListSimulation::new(seed);
         for _ in 0..400 {
             simulation.step();
--- a/crates/lockusher-agent/tests/loopback.rs
+++ b/crates/lockusher-agent/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! The agent between a publisher and a proxy's feed, with a stand-in for the platform, all on loopback. Waits for
-//! states, never for time.
+//! The agent between a control node's publisher and a proxy's feed, with a fake platform, all on loopback. The tests wait
+//! for states, never for a fixed time.
 
 mod support;
 
@@ -17,12 +17,12 @@
 use support::common::{configuration, identity, instance};
 use support::departed;
 use support::edge::{
-    ControlNode, LIMIT, OperatorAnswer, Platform, Proxy, call_operator, control_address,
+    ControlNode, OperatorResponse, Platform, Proxy, TIMEOUT, call_operator, control_address,
     free_ports, operator_address, settings, settings_with_ports, start_agent,
 };
 
 #[compio::test]
-async fn a_proxy_is_fed_through_its_agent_over_restarts_of_both_ends() {
+async fn a_proxy_receives_updates_across_restarts_of_its_agent_and_the_control_node() {
     let ports = free_ports().await;
     let platform = Platform::start().await;
     let settings = settings(ports, platform.address);
@@ -47,7 +47,7 @@
 
     proxy.wait_for_configuration(5).await;
 
-    // The agent restarts; the proxy keeps what it has and gets what is newer.
+    // The agent restarts; the proxy keeps its state and receives newer versions.
     drop(agent);
     let _agent = start_agent(&settings);
     control.publish_configuration(configuration(6, &[]));
@@ -56,9 +56,9 @@
     proxy.wait_for_configuration(6).await;
 }
 
-/// The second agent knows no control node; its peer has the configuration.
+/// A configuration can be fetched from a peer, and departures and configuration versions reach peers by gossip.
 #[compio::test]
-async fn an_agent_that_is_cut_off_gets_the_configuration_from_a_peer() {
+async fn a_partitioned_agent_gets_the_configuration_from_a_peer() {
     let ports = free_ports().await;
     let platform = Platform::start().await;
     let control = ControlNode::start(control_address(ports)).await;
@@ -70,7 +70,7 @@
     let mut proxy = Proxy::start(ports);
     proxy.wait_for_configuration(8).await;
 
-    // The configuration is there to be fetched.
+    // The connected agent serves its configuration.
     let fetched =
         fetch_configuration(connected_address, identity("cut-off"), None, Clock::start()).await;
     assert_eq!(
@@ -78,7 +78,7 @@
         configuration(8, &[(1, 1)])
     );
 
-    // A departure reaches the proxy of the peer.
+    // A departure spread by the partitioned agent reaches the proxy of its peer.
     let own = SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 4), ports.agents());
     let partitioned = PeerSocket::bind(own, 1, Clock::start())
         .await
@@ -89,7 +89,7 @@
     partitioned.update(|gossip| gossip.add_rumor(departed("a", Departure::Gone)));
     proxy.wait_for_list(&[]).await;
 
-    // The peer advertises its configuration.
+    // The peer advertises its configuration version.
     let fetch_is_due = async {
         loop {
             let seen = partitioned.received().generation();
@@ -101,13 +101,13 @@
             partitioned.received().changed_since(seen).await;
         }
     };
-    timeout(LIMIT, fetch_is_due)
+    timeout(TIMEOUT, fetch_is_due)
         .await
         .expect("the peer advertises its version");
 }
 
 #[compio::test]
-async fn without_a_control_node_the_agent_reads_the_platforms_list_until_one_returns() {
+async fn the_agent_polls_the_platform_until_a_control_node_is_reachable() {
     let ports = free_ports().await;
     let platform = Platform::start().await;
     *platform.identifiers.borrow_mut() = vec!["a", "b"];
@@ -128,7 +128,7 @@
     proxy.wait_for_list(&["a", "b", "c", "d"]).await;
 }
 
-/// The only seed's machine runs an agent and no control node.
+/// The machine of the only seed runs an agent but no control node.
 #[compio::test]
 async fn an_agent_whose_seed_runs_no_control_node_is_referred_to_one() {
     let ports = free_ports().await;
@@ -143,16 +143,16 @@
     let _agent = start_agent(&settings);
     let mut proxy = Proxy::start(ports);
 
-    // The seed's agent knows no control node at first.
+    // The seed's agent knows no control node until now.
     seed_agent.publish_control_nodes(vec![control_address(ports)]);
 
     proxy.wait_for_configuration(6).await;
     proxy.wait_for_list(&["a"]).await;
 }
 
-/// All seeds are this machine's own agent, which no control node is connected to.
+/// The only seed is this machine itself, so that the agent knows no control node.
 #[compio::test]
-async fn an_agent_without_control_nodes_learns_of_them_by_their_announcement() {
+async fn an_agent_without_control_nodes_learns_their_addresses_from_an_announcement() {
     let ports = free_ports().await;
     let platform = Platform::start().await;
     let mut settings = settings(ports, platform.address);
@@ -171,7 +171,9 @@
             }
         }
     };
-    let known = timeout(LIMIT, announced).await.expect("the agent answers");
+    let known = timeout(TIMEOUT, announced)
+        .await
+        .expect("the agent answers");
 
     assert_eq!(known, [control_address(ports)]);
     proxy.wait_for_configuration(7).await;
@@ -184,27 +186,27 @@
     let ports = free_ports().await;
     let platform = Platform::start().await;
     let mut settings = settings(ports, platform.address);
-    let here = operator_address(ports, 2);
-    settings.control = Some(here);
+    let own_operator_address = operator_address(ports, 2);
+    settings.control = Some(own_operator_address);
     settings.data_directory = Some("/nowhere".into());
     let _agent = start_agent(&settings);
     let mut proxy = Proxy::start(ports);
     // The agent listens once it accepts a connection.
     let ready = async {
-        while lockusher_transport::tcp::connect(here, LIMIT)
+        while lockusher_transport::tcp::connect(own_operator_address, TIMEOUT)
             .await
             .is_err()
         {}
     };
-    timeout(LIMIT, ready).await.expect("the agent listens");
+    timeout(TIMEOUT, ready).await.expect("the agent listens");
 
-    let without_control_node = call_operator(here).await;
+    let without_control_node = call_operator(own_operator_address).await;
     let control = ControlNode::start(control_address(ports)).await;
     control.publish_configuration(configuration(4, &[]));
     proxy.wait_for_configuration(4).await;
-    let with_control_node = call_operator(here).await;
+    let with_control_node = call_operator(own_operator_address).await;
 
-    let unavailable = OperatorAnswer {
+    let unavailable = OperatorResponse {
         status: StatusCode::SERVICE_UNAVAILABLE,
         location: None,
     };
@@ -213,7 +215,7 @@
         "http://{}/api/configuration?x=1",
         operator_address(ports, 3)
     );
-    let redirect = OperatorAnswer {
+    let redirect = OperatorResponse {
         status: StatusCode::TEMPORARY_REDIRECT,
         location: Some(location),
     };
@@ -228,16 +230,16 @@
 
     let result = serve::run(settings, std::future::pending()).await;
 
-    let error = result.expect_err("two ports are too few");
+    let error = result.expect_err("a range of two ports is too short");
     assert_eq!(
         error.to_string(),
         "settings: internalPorts: expected 3 ports at least"
     );
 }
 
-/// The address is in use for as long as the test lasts.
+/// The agent's address is in use for the duration of the test.
 #[compio::test]
-async fn an_agent_that_waits_for_its_address_can_be_told_to_end() {
+async fn an_agent_that_waits_for_its_address_can_be_stopped() {
     let ports = free_ports().await;
     let platform = Platform::start().await;
     let own = SocketAddrV4::new(Ipv4Addr::LOCALHOST, ports.subscriptions());
@@ -245,6 +247,6 @@
 
     let run = serve::run(settings(ports, platform.address), std::future::ready(()));
 
-    let ended = timeout(LIMIT, run).await.expect("it ends at once");
-    ended.expect("an end in order");
+    let ended = timeout(TIMEOUT, run).await.expect("the agent ends at once");
+    ended.expect("the agent ends without an error");
 }
--- a/crates/lockusher-agent/tests/modules.rs
+++ b/crates/lockusher-agent/tests/modules.rs
@@ -1,4 +1,4 @@
-//! The modules of this package lie in layers.
+//! Checks that the modules of this package have no cyclic imports.
 
 #[path = "../../../tests/support/module_layers.rs"]
 mod module_layers;
@@ -6,7 +6,7 @@
 use module_layers::ModuleGraph;
 
 #[test]
-fn no_module_imports_from_one_that_imports_from_it() {
+fn modules_have_no_import_cycles() {
     let modules = ModuleGraph::of_package(env!("CARGO_MANIFEST_DIR"));
 
     assert!(
--- a/crates/lockusher-agent/tests/peers.rs
+++ b/crates/lockusher-agent/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Peer sampling and rumor mongering, simulated: views stay small, random and connected, and rumors reach everyone.
+//! Peer sampling and rumor mongering in a simulated fleet: views stay bounded, random and connected, and rumors reach
+//! nearly all agents.
 
 mod support;
 
@@ -15,12 +16,12 @@
 use support::gossip_fleet::{Fleet, address, rumor};
 
 #[yare::parameterized(
-    sound = { 400, 0.0, 1 },
+    lossless = { 400, 0.0, 1 },
     lossy = { 400, 0.05, 2 },
     small = { 6, 0.02, 3 },
 )]
-fn views_stay_small_balanced_and_connected(count: usize, loss: f64, seed: u64) {
-    let mut fleet = Fleet::new(count, loss, seed);
+fn views_stay_bounded_balanced_and_connected(count: usize, loss_probability: f64, seed: u64) {
+    let mut fleet = Fleet::new(count, loss_probability, seed);
 
     fleet.gossip(60);
 
@@ -43,12 +44,12 @@
     let bytes_per_interval = fleet.sent_bytes / 60 / count;
     assert!(
         bytes_per_interval <= 160,
-        "{bytes_per_interval} bytes an interval and agent"
+        "{bytes_per_interval} bytes per interval and agent"
     );
 }
 
 #[test]
-fn agents_that_have_terminated_are_forgotten_and_the_rest_stays_connected() {
+fn terminated_agents_leave_all_views_and_the_others_stay_connected() {
     let mut fleet = Fleet::new(400, 0.0, 4);
     fleet.gossip(20);
 
@@ -58,23 +59,23 @@
     fleet.gossip(40);
 
     assert_eq!(fleet.connected_agents(), fleet.alive().count());
-    let dead = fleet
+    let terminated = fleet
         .in_degrees()
         .into_keys()
         .filter(|peer| !fleet.agents[peer].is_alive)
         .count();
-    assert_eq!(dead, 0, "no view has one of the dead");
+    assert_eq!(terminated, 0, "no view contains a terminated agent");
 }
 
 #[yare::parameterized(
-    sound = { 400, 0.0 },
+    lossless = { 400, 0.0 },
     lossy = { 400, 0.05 },
     small = { 6, 0.0 },
 )]
-fn a_rumor_reaches_nearly_everyone_in_ten_intervals(count: usize, loss: f64) {
+fn a_rumor_reaches_nearly_all_agents_in_ten_intervals(count: usize, loss_probability: f64) {
     let mut reached = 0;
     for seed in 0..5 {
-        let mut fleet = Fleet::new(count, loss, seed);
+        let mut fleet = Fleet::new(count, loss_probability, seed);
         fleet.gossip(10);
         fleet.agent(0).observe(rumor(1));
         fleet.gossip(10);
@@ -84,12 +85,12 @@
             .count();
     }
 
-    let share = reached as f64 / (5 * count) as f64;
-    assert!(share >= 0.985, "{share} of the agents");
+    let fraction = reached as f64 / (5 * count) as f64;
+    assert!(fraction >= 0.985, "{fraction} of the agents");
 }
 
 #[test]
-fn many_rumors_fit_a_datagram_and_cease_to_be_spread() {
+fn many_rumors_fit_into_datagrams_and_are_eventually_dropped() {
     let mut fleet = Fleet::new(50, 0.0, 5);
     for number in 0..300 {
         fleet
@@ -99,20 +100,23 @@
     }
 
     fleet.gossip(100);
-    let longest_while_spreading = fleet.longest_message;
-    fleet.longest_message = 0;
+    let longest_while_spreading = fleet.longest_message_bytes;
+    fleet.longest_message_bytes = 0;
     fleet.gossip(1);
-    let longest_at_rest = fleet.longest_message;
+    let longest_when_idle = fleet.longest_message_bytes;
 
     assert!(
         longest_while_spreading <= 1_200,
         "{longest_while_spreading} bytes"
     );
-    assert!(longest_at_rest <= 100, "{longest_at_rest} bytes at rest");
+    assert!(
+        longest_when_idle <= 100,
+        "{longest_when_idle} bytes when idle"
+    );
 }
 
 #[test]
-fn rumors_sent_least_go_first() {
+fn rumors_sent_least_often_are_sent_first() {
     let mut rumors = Rumors::default();
     rumors.add(rumor(1));
     rumors.take_for_message();
@@ -122,7 +126,7 @@
 }
 
 #[test]
-fn the_latest_departure_of_a_searcher_counts() {
+fn a_rumor_replaces_an_earlier_one_about_the_same_searcher() {
     let mut rumors = Rumors::default();
     let gone = departed(&rumor(1).identifier, Departure::Gone);
     rumors.add(rumor(1));
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn an_endless_identifier_is_not_spread() {
+fn a_rumor_with_an_overlong_identifier_is_not_spread() {
     let mut rumors = Rumors::default();
     rumors.add(rumor(1));
     rumors.add(rumor(2));
@@ -142,12 +146,12 @@
     assert_eq!(
         rumors.take_for_message().len(),
         2,
-        "an endless identifier isn't spread"
+        "the overlong identifier isn't spread"
     );
 }
 
 #[test]
-fn a_rumor_ceases_to_be_spread() {
+fn a_rumor_is_dropped_after_a_number_of_transmissions() {
     let mut rumors = Rumors::default();
     rumors.add(rumor(1));
     rumors.add(rumor(2));
@@ -170,9 +174,9 @@
     assert!(gossip.next_exchange_ms(false) >= IDLE_GOSSIP_INTERVAL_MS);
 }
 
-/// A peer that sends more than it should, or itself, or the receiver.
+/// A peer sends more entries than allowed, with duplicates, its own entry and that of the receiver.
 #[test]
-fn strange_entries_do_no_harm() {
+fn excess_duplicate_and_own_entries_are_ignored() {
     let mut gossip = Gossip::new(address(0), 1);
     let entries = (0..1_000)
         .map(|number| PeerEntry {
@@ -204,7 +208,7 @@
 }
 
 #[test]
-fn the_newest_configuration_is_fetched_once_when_the_control_plane_does_not_bring_it() {
+fn the_newest_configuration_is_fetched_once_if_the_control_plane_does_not_deliver_it() {
     let mut policy = FetchPolicy::default();
     policy.record_advertised(10_000, address(1), 7, 5);
     policy.record_advertised(10_100, address(2), 9, 5);
@@ -213,20 +217,20 @@
     assert_eq!(
         policy.take_due(10_300, 5),
         None,
-        "the control plane may still bring it"
+        "the control plane may still deliver it"
     );
     assert_eq!(policy.take_due(10_800, 5), Some(address(2)));
     assert_eq!(policy.take_due(20_000, 5), None);
 }
 
 #[test]
-fn a_configuration_that_the_control_plane_brought_is_not_fetched() {
+fn a_configuration_that_the_control_plane_delivered_is_not_fetched() {
     let mut policy = FetchPolicy::default();
     policy.record_advertised(30_000, address(2), 9, 5);
 
     assert_eq!(
         policy.take_due(40_000, 9),
         None,
-        "the control plane brought it"
+        "the control plane delivered it"
     );
 }
--- a/crates/lockusher-agent/tests/recorded_bytes.rs
+++ b/crates/lockusher-agent/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! What agents send each other is encoded as the recorded bytes of an earlier release, so that agents of both releases
-//! understand each other.
+//! Compatibility of the gossip messages: they are encoded exactly as the recorded bytes of an earlier release, so that
+//! agents of both releases can communicate.
 
 #[path = "../../../tests/support/recorded_bytes.rs"]
 mod recorded_bytes;
@@ -80,7 +80,7 @@
     ]
 }
 
-/// A message as a datagram: the envelope around it.
+/// Encodes a message as a datagram, enclosed in an envelope.
 fn encode(message: &PeerMessage) -> Vec<u8> {
     bitcode::encode(&Envelope::encode(message))
 }
--- a/crates/lockusher-agent/tests/support/edge.rs
+++ b/crates/lockusher-agent/tests/support/edge.rs
@@ -1,4 +1,4 @@
-//! An edge machine on loopback: a control node's listener, a stand-in for the platform, the agent, and a proxy's feed.
+//! An edge machine on loopback: a control node's listener, a fake platform, the agent, and a proxy's feed.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -21,8 +21,8 @@
 
 use super::common::{identity, revision};
 
-/// No state takes this long to come about.
-pub const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout for a state to be reached; far longer than any takes.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A control node's listener.
 pub struct ControlNode {
@@ -51,7 +51,7 @@
             .update(|publisher| publisher.publish_configuration(Rc::new(configuration)));
     }
 
-    /// Publishes which control nodes there are.
+    /// Publishes the addresses of control nodes.
     pub fn publish_control_nodes(&self, control_nodes: Vec<SocketAddrV4>) {
         self.publisher
             .update(|publisher| publisher.set_control_nodes(control_nodes));
@@ -77,7 +77,7 @@
     }
 }
 
-/// The platform's list, in pages of one entry.
+/// A fake platform, which serves its instance list in pages of one entry.
 pub struct Platform {
     pub address: SocketAddrV4,
     pub identifiers: Rc<RefCell<Vec<&'static str>>>,
@@ -129,24 +129,24 @@
     format!(r#"{{"instances":[{entry}],"nextToken":{next}}}"#)
 }
 
-/// Three neighbouring ports that are free on all of loopback, the same for all machines of a test.
+/// Three consecutive ports that are free on all loopback addresses of a test, and are the same on all of its machines.
 #[derive(Clone, Copy)]
 pub struct Ports {
     first: u16,
 }
 
 impl Ports {
-    /// For control nodes and agents, as publishers.
+    /// Port at which control nodes and agents serve subscribers.
     pub fn subscriptions(self) -> u16 {
         self.first
     }
 
-    /// For operators.
+    /// Port for operators.
     fn operators(self) -> u16 {
         self.first + 1
     }
 
-    /// For the gossip of agents.
+    /// Port for gossip between agents.
     pub fn agents(self) -> u16 {
         self.first + 2
     }
@@ -170,7 +170,7 @@
             return Ports { first: port };
         }
     }
-    panic!("no three neighbouring ports are free");
+    panic!("no three consecutive ports are free");
 }
 
 /// An edge machine at 127.0.0.2 whose control node is at 127.0.0.3.
@@ -178,7 +178,7 @@
     settings_with_ports(ports.subscriptions(), ports.agents(), platform)
 }
 
-/// The same with any range of internal ports.
+/// The settings of [`settings`], with any range of internal ports.
 pub fn settings_with_ports(first: u16, last: u16, platform: SocketAddrV4) -> NodeSettings {
     let text = format!(
         "node=edge-1\nzone=zone\nipAddress=127.0.0.2\ninternalPorts={first},{last}\nseeds=127.0.0.3:1\ncloud.address={platform}\ncloud.ratePerS=2000\n"
@@ -186,7 +186,7 @@
     NodeSettings::parse(&text).expect("settings")
 }
 
-/// Where operators call at the edge machine and at the control node.
+/// Address for operators at the machine 127.0.0.`host`.
 pub fn operator_address(ports: Ports, host: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, host), ports.operators())
 }
@@ -204,7 +204,7 @@
     })
 }
 
-/// A proxy: the newest of each kind that its feed brought.
+/// A proxy: the newest state that its feed has delivered.
 pub struct Proxy {
     feed: Feed,
     configuration_version: u64,
@@ -224,12 +224,12 @@
         }
     }
 
-    async fn take_update(&mut self) {
+    async fn receive_update(&mut self) {
         match self.feed.next().await {
             FeedUpdate::Configuration(configuration) => {
                 assert!(
                     configuration.version > self.configuration_version,
-                    "a version went back"
+                    "the configuration version decreased"
                 );
                 self.configuration_version = configuration.version;
             }
@@ -243,16 +243,16 @@
         }
     }
 
-    /// Takes updates until the state is reached, whatever the order in which they come.
+    /// Receives updates until the state is reached, in whatever order they arrive.
     pub async fn wait_until(&mut self, state: &str, reached: impl Fn(&Proxy) -> bool) {
         let wait = async {
             while !reached(self) {
-                self.take_update().await;
+                self.receive_update().await;
             }
         };
-        timeout(LIMIT, wait)
+        timeout(TIMEOUT, wait)
             .await
-            .unwrap_or_else(|_| panic!("{state} doesn't come about"));
+            .unwrap_or_else(|_| panic!("not reached in time: {state}"));
     }
 
     pub async fn wait_for_configuration(&mut self, version: u64) {
@@ -269,16 +269,16 @@
     }
 }
 
-/// The answer to an operator's request.
+/// Response to an operator's request.
 #[derive(Debug, PartialEq)]
-pub struct OperatorAnswer {
+pub struct OperatorResponse {
     pub status: StatusCode,
     pub location: Option<String>,
 }
 
-/// Sends an operator's request with a large body.
-pub async fn call_operator(address: SocketAddrV4) -> OperatorAnswer {
-    let stream = lockusher_transport::tcp::connect(address, LIMIT)
+/// Sends an operator's request with a body of 300,000 bytes.
+pub async fn call_operator(address: SocketAddrV4) -> OperatorResponse {
+    let stream = lockusher_transport::tcp::connect(address, TIMEOUT)
         .await
         .expect("a connection");
     let stream = cyper_core::HyperStream::new_plain(stream.into_poll_fd().expect("polled"));
@@ -294,12 +294,12 @@
             vec![b'x'; 300_000],
         ))
         .expect("a request");
-    let response = sender.send_request(request).await.expect("an answer");
+    let response = sender.send_request(request).await.expect("a response");
     let location = response
         .headers()
         .get("location")
         .map(|value| value.to_str().expect("text").to_owned());
-    OperatorAnswer {
+    OperatorResponse {
         status: response.status(),
         location,
     }
--- a/crates/lockusher-agent/tests/support/gossip_fleet.rs
+++ b/crates/lockusher-agent/tests/support/gossip_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of agents that gossip, simulated without sockets; messages may be lost.
+//! Simulation of a fleet of gossiping agents without sockets; messages may be lost.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -12,10 +12,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+/// Address of the agent with this number.
 pub fn address(number: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + number as u32), 7661)
 }
 
+/// The draining of the searcher with this number.
 pub fn rumor(number: u32) -> InstanceDeparture {
     InstanceDeparture {
         identifier: format!("i-{number:08x}"),
@@ -23,37 +25,38 @@
     }
 }
 
-/// An agent of the fleet.
+/// A simulated agent.
 pub struct Agent {
     pub gossip: Gossip,
-    /// Searchers of which it knows that they have departed.
+    /// Searchers that the agent knows to have departed.
     pub known_departed: BTreeSet<String>,
     pub is_alive: bool,
 }
 
 impl Agent {
-    /// Takes a departure that is new to the agent, as its lists would.
+    /// Records a departure that is new to the agent, and spreads it.
     pub fn observe(&mut self, observed: InstanceDeparture) {
         self.known_departed.insert(observed.identifier.clone());
         self.gossip.add_rumor(observed);
     }
 }
 
+/// A simulated fleet.
 pub struct Fleet {
     pub agents: BTreeMap<SocketAddrV4, Agent>,
     random: ChaCha8Rng,
     /// Probability that a message is lost.
-    loss: f64,
+    loss_probability: f64,
     now_ms: u64,
-    /// Bytes of all messages.
+    /// Total size of all messages in bytes.
     pub sent_bytes: usize,
-    /// Bytes of the longest message.
-    pub longest_message: usize,
+    /// Size of the longest message in bytes.
+    pub longest_message_bytes: usize,
 }
 
 impl Fleet {
-    /// Agents that the control plane introduced to a few of those that had come before them.
-    pub fn new(count: usize, loss: f64, seed: u64) -> Self {
+    /// A fleet in which each agent has a random sample of the preceding agents as bootstrap peers.
+    pub fn new(count: usize, loss_probability: f64, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut agents = BTreeMap::new();
         for number in 0..count {
@@ -74,13 +77,14 @@
         Fleet {
             agents,
             random,
-            loss,
+            loss_probability,
             now_ms: 0,
             sent_bytes: 0,
-            longest_message: 0,
+            longest_message_bytes: 0,
         }
     }
 
+    /// The living agents.
     pub fn alive(&self) -> impl Iterator<Item = &Agent> {
         self.agents.values().filter(|agent| agent.is_alive)
     }
@@ -91,14 +95,14 @@
             .expect("the number is below the fleet's size")
     }
 
-    /// Lets a number of gossip intervals pass.
+    /// Simulates a number of gossip intervals.
     pub fn gossip(&mut self, intervals: usize) {
         for _ in 0..intervals {
             self.gossip_once();
         }
     }
 
-    /// Every living agent starts one exchange; messages arrive, or are lost.
+    /// Each living agent starts one exchange, whose messages are delivered or lost.
     fn gossip_once(&mut self) {
         self.now_ms += IDLE_GOSSIP_INTERVAL_MS;
         let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
@@ -118,8 +122,8 @@
                     .map(|outgoing| (from, outgoing)),
             );
             while let Some((from, outgoing)) = in_flight.pop_front() {
-                let answer = self.deliver(from, &outgoing);
-                in_flight.extend(answer.map(|answer| (outgoing.to, answer)));
+                let response = self.deliver(from, &outgoing);
+                in_flight.extend(response.map(|response| (outgoing.to, response)));
             }
         }
     }
@@ -127,8 +131,8 @@
     fn deliver(&mut self, from: SocketAddrV4, outgoing: &Outgoing) -> Option<Outgoing> {
         let bytes = bitcode::encode(&Envelope::encode(&outgoing.message)).len();
         self.sent_bytes += bytes;
-        self.longest_message = self.longest_message.max(bytes);
-        if self.random.random_bool(self.loss) {
+        self.longest_message_bytes = self.longest_message_bytes.max(bytes);
+        if self.random.random_bool(self.loss_probability) {
             return None;
         }
         let agent = self
@@ -146,7 +150,7 @@
         received.response
     }
 
-    /// How many living agents can be reached over views, in either direction, from the first.
+    /// Number of living agents that are connected to the first one, views being edges in both directions.
     pub fn connected_agents(&self) -> usize {
         let mut neighbours: BTreeMap<SocketAddrV4, BTreeSet<SocketAddrV4>> = BTreeMap::new();
         for (own, agent) in self.agents.iter().filter(|(_, agent)| agent.is_alive) {
@@ -164,18 +168,18 @@
             return 0;
         };
         let mut reached = BTreeSet::from([first]);
-        let mut open = vec![first];
-        while let Some(next) = open.pop() {
+        let mut unvisited = vec![first];
+        while let Some(next) = unvisited.pop() {
             for peer in &neighbours[&next] {
                 if reached.insert(*peer) {
-                    open.push(*peer);
+                    unvisited.push(*peer);
                 }
             }
         }
         reached.len()
     }
 
-    /// How many views each living agent stands in.
+    /// For each agent, the number of living agents' views that contain it.
     pub fn in_degrees(&self) -> BTreeMap<SocketAddrV4, usize> {
         let mut degrees: BTreeMap<SocketAddrV4, usize> = BTreeMap::new();
         for agent in self.alive() {
--- a/crates/lockusher-agent/tests/support/list_history.rs
+++ b/crates/lockusher-agent/tests/support/list_history.rs
@@ -1,5 +1,5 @@
-//! Simulation of an instance list and those who follow it: the platform, control nodes that lag behind it, the agent's
-//! list selection, and what a proxy sees of each searcher.
+//! Simulation of an instance list and its subscribers: the platform, control nodes that lag behind it, the agent's list
+//! selection, and the presence of each searcher as seen by a proxy.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 
 use super::common::instance;
 
-/// A poll that an agent made itself.
+/// Result of a poll by the agent.
 pub fn own_poll(started_at_ms: u64, instances: &[Instance]) -> InstanceListPoll {
     InstanceListPoll {
         instances: Rc::new(instances.to_vec()),
@@ -24,9 +24,9 @@
     }
 }
 
-/// The platform: searchers that start, drain and terminate, each by its time.
+/// The platform: searchers that start, drain and terminate over time.
 struct Platform {
-    /// The state of each searcher that was ever started; `None`: it has terminated.
+    /// The state of each searcher that was ever started; `None` if it has terminated.
     states: BTreeMap<String, Option<InstanceState>>,
     started: u32,
     /// The list after each change, by time.
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Starts a searcher, or lets one drain or terminate.
+    /// Starts a searcher, or makes one drain or terminate.
     fn change(&mut self, now_ms: u64, random: &mut ChaCha8Rng) {
         let running: Vec<String> = self
             .states
@@ -91,60 +91,61 @@
     }
 }
 
-/// A control node: the last poll that it received, sometimes long ago.
+/// A control node: the last poll that it received, which may be long ago.
 #[derive(Clone)]
 struct ControlNode {
     list: InstanceList,
     polled_at_ms: u64,
 }
 
-/// What a proxy saw of each searcher that was also true; it outlives its agents.
+/// A proxy with the departures that it has correctly observed; it survives restarts of its agent.
 #[derive(Default)]
 struct Proxy {
     revision: InstanceListRevision,
     instances: Rc<Vec<Instance>>,
-    /// How far each searcher was surely seen to have departed.
-    seen: HashMap<String, Presence>,
-    /// Missing since a list that was older than it seemed: whatever befell them since then wasn't seen.
-    hidden: HashSet<String>,
+    /// The most advanced presence of each searcher that was shown while it was also true.
+    observed: HashMap<String, Presence>,
+    /// Searchers missing from the list although alive, because the list was older than its confirmation time. Changes of
+    /// their state since then weren't observed.
+    wrongly_missing: HashSet<String>,
 }
 
-/// What a list shows of a searcher, in the order in which it can change.
+/// Presence of a searcher in a list, in the order in which it can change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Presence {
-    /// Ready or changing its stage.
+    /// Listed as ready or as changing its stage.
     Present,
     Draining,
     Gone,
 }
 
 impl Proxy {
-    /// Takes an update. A searcher that has departed, and was seen so, must not come back within one agent's lifetime;
-    /// one that is alive may be missing for a while, when a list is older than it seems.
-    fn take(&mut self, update: &InstanceList, platform: &[Instance]) {
+    /// Applies an update. A searcher whose departure was observed must not return within one agent's lifetime. One that is
+    /// alive may be missing temporarily, if a list is older than its confirmation time.
+    fn apply(&mut self, update: &InstanceList, platform: &[Instance]) {
         if update.revision <= self.revision {
             return;
         }
         self.revision = update.revision;
         self.instances = Rc::clone(&update.instances);
         let listed = by_name(&update.instances);
-        let truth = by_name(platform);
-        for (name, seen) in &mut self.seen {
+        let actual = by_name(platform);
+        for (name, observed) in &mut self.observed {
             let shown = presence(&listed, name);
-            assert!(shown >= *seen, "{name} came back");
-            let true_presence = presence(&truth, name);
+            assert!(shown >= *observed, "{name} returned after its departure");
+            let actual_presence = presence(&actual, name);
             if shown < Presence::Gone {
-                self.hidden.remove(name);
-            } else if true_presence < Presence::Gone {
-                self.hidden.insert(name.clone());
+                self.wrongly_missing.remove(name);
+            } else if actual_presence < Presence::Gone {
+                self.wrongly_missing.insert(name.clone());
             }
-            if !self.hidden.contains(name) {
-                *seen = (*seen).max(shown.min(true_presence));
+            if !self.wrongly_missing.contains(name) {
+                *observed = (*observed).max(shown.min(actual_presence));
             }
         }
         for instance in update.instances.iter() {
             let shown = presence(&listed, &instance.identifier);
-            self.seen
+            self.observed
                 .entry(instance.identifier.clone())
                 .or_insert(shown);
         }
@@ -172,11 +173,11 @@
     now_ms: u64,
     platform: Platform,
     /// The last revision that the control plane's poller assigned.
-    polled: InstanceListRevision,
+    last_polled: InstanceListRevision,
     nodes: Vec<ControlNode>,
     lists: ListSelection,
-    /// The revision of the agent's subscription.
-    subscribed: InstanceListRevision,
+    /// The last revision that the agent's subscription has received.
+    last_received: InstanceListRevision,
     proxy: Proxy,
 }
 
@@ -190,7 +191,7 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             now_ms: 1_000,
             platform: Platform::new(),
-            polled: InstanceListRevision::default(),
+            last_polled: InstanceListRevision::default(),
             nodes: vec![
                 ControlNode {
                     list: empty,
@@ -199,7 +200,7 @@
                 3
             ],
             lists: ListSelection::default(),
-            subscribed: InstanceListRevision::default(),
+            last_received: InstanceListRevision::default(),
             proxy: Proxy::default(),
         }
     }
@@ -209,7 +210,7 @@
         &self.proxy.instances
     }
 
-    /// Lets some time pass, and one thing happen.
+    /// Advances the clock and simulates one random event.
     pub fn step(&mut self) {
         self.now_ms += self.random.random_range(1..200);
         match self.random.random_range(0..10) {
@@ -225,12 +226,12 @@
         self.publish();
     }
 
-    /// After a while the control plane is reachable and has just polled; returns its list.
+    /// Advances the clock by 31 s, after which the control plane is reachable and has just polled; returns its list.
     pub fn recover(&mut self) -> Rc<Vec<Instance>> {
         self.now_ms += 31_000;
-        self.polled = next_poller_revision(self.polled, 2);
+        self.last_polled = next_poller_revision(self.last_polled, 2);
         let newest = InstanceList {
-            revision: self.polled,
+            revision: self.last_polled,
             instances: self.platform.list_at(self.now_ms),
         };
         self.lists
@@ -239,17 +240,17 @@
         newest.instances
     }
 
-    /// Some control nodes receive the poll.
+    /// The control plane polls the platform; a random subset of the control nodes receives the result.
     fn control_plane_polls(&mut self) {
         let instances = self.platform.list_at(self.now_ms);
         let is_known = |node: &ControlNode| {
-            node.list.revision == self.polled && node.list.instances == instances
+            node.list.revision == self.last_polled && node.list.instances == instances
         };
         if !self.nodes.iter().any(is_known) {
-            self.polled = next_poller_revision(self.polled, 1);
+            self.last_polled = next_poller_revision(self.last_polled, 1);
         }
         let list = InstanceList {
-            revision: self.polled,
+            revision: self.last_polled,
             instances,
         };
         let polled = ControlNode {
@@ -263,13 +264,14 @@
         }
     }
 
-    /// A subscription ignores older lists and confirms only its own.
+    /// The agent receives a control node's list. As in a subscription, older lists are ignored, and a confirmation applies
+    /// only to the list it comes with.
     fn agent_receives_from_a_control_node(&mut self) {
         let node = &self.nodes[self.random.random_range(0..self.nodes.len())];
         let has_polled = node.list.revision != InstanceListRevision::default();
-        if has_polled && node.list.revision >= self.subscribed {
-            self.subscribed = node.list.revision;
-            // Heartbeats take their time, so that a confirmation seems later than it was.
+        if has_polled && node.list.revision >= self.last_received {
+            self.last_received = node.list.revision;
+            // Heartbeats arrive with a delay, so a confirmation may be dated later than it was.
             let delay_ms = self.random.random_range(0..1_500);
             let confirmed_at_ms = (node.polled_at_ms + delay_ms).min(self.now_ms);
             self.lists
@@ -284,17 +286,17 @@
 
     fn agent_restarts(&mut self) {
         self.lists = ListSelection::default();
-        self.subscribed = InstanceListRevision::default();
+        self.last_received = InstanceListRevision::default();
         self.lists
             .receive_proxy_revision(self.now_ms, self.proxy.revision);
-        // What the agent before saw draining isn't remembered by the new one; it may come back.
-        self.proxy.seen.clear();
+        // The new agent doesn't know which searchers the previous one saw draining; these may return.
+        self.proxy.observed.clear();
     }
 
     fn publish(&mut self) {
         if let Some(update) = self.lists.take_update(self.now_ms) {
             self.proxy
-                .take(&update, &self.platform.list_at(self.now_ms));
+                .apply(&update, &self.platform.list_at(self.now_ms));
         }
     }
 }
