--- a/crates/lockusher-agent/src/confirmed_list.rs
+++ b/crates/lockusher-agent/src/confirmed_list.rs
@@ -8,12 +8,12 @@
 
 use lockusher_config::instances::Instance;
 
-/// Maximum error of a confirmation time in either direction, in milliseconds: confirmations are dated by heartbeats, which
-/// arrive with a delay.
+/// Maximum error of a confirmation time in either direction, in milliseconds: confirmations are dated by heartbeats,
+/// which arrive with a delay.
 const MAX_CONFIRMATION_ERROR_MS: u64 = 300;
 
-/// Source of a list. Only lists of the same source are definitely ordered, so that searchers missing in the later one are
-/// gone.
+/// Source of a list. Only lists of the same source are definitely ordered, so that searchers missing in the later one
+/// are gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
     /// The control plane, through the agent's subscription.
--- a/crates/lockusher-agent/src/departure_recorder.rs
+++ b/crates/lockusher-agent/src/departure_recorder.rs
@@ -1,8 +1,8 @@
 //! Records departures of searchers, as seen in lists or received from peers, and queues those to be gossiped.
 //!
 //! Owned by [`ListSelection`](crate::list_selection::ListSelection). Invariants: an older list doesn't bring back a
-//! searcher that was seen draining or gone ([`DepartedInstances`] has the rules); a departure is gossiped only if it was
-//! definitely observed here; the number of queued departures is bounded.
+//! searcher that was seen draining or gone ([`DepartedInstances`] has the rules); a departure is gossiped only if it
+//! was definitely observed here; the number of queued departures is bounded.
 
 use std::rc::Rc;
 
--- a/crates/lockusher-agent/src/error.rs
+++ b/crates/lockusher-agent/src/error.rs
@@ -13,7 +13,8 @@
     /// The settings contain too few internal ports. Can't be retried until they are changed.
     #[display("{_0}")]
     Ports(TooFewPorts),
-    /// A socket can't be bound. Can be retried once the address is free, for example after a previous agent has terminated.
+    /// A socket can't be bound. Can be retried once the address is free, for example after a previous agent has
+    /// terminated.
     #[display("listener at {address}: {source}")]
     Listen {
         /// The address to bind.
--- a/crates/lockusher-agent/src/fleet_size.rs
+++ b/crates/lockusher-agent/src/fleet_size.rs
@@ -1,8 +1,8 @@
 //! The number of proxies in the fleet, by which fleet-wide budgets are divided.
 //!
-//! When a control node fails, its agents are missing from the count until they have reconnected to another one. A budget
-//! divided among too few proxies is exceeded, so the maximum over a sliding window is used. Owned by the agent's tasks.
-//! Invariant: the counts in the window are strictly decreasing, so the first is the maximum.
+//! When a control node fails, its agents are missing from the count until they have reconnected to another one. A
+//! budget divided among too few proxies is exceeded, so the maximum over a sliding window is used. Owned by the agent's
+//! tasks. Invariant: the counts in the window are strictly decreasing, so the first is the maximum.
 
 use std::collections::VecDeque;
 
--- a/crates/lockusher-agent/src/forward.rs
+++ b/crates/lockusher-agent/src/forward.rs
@@ -1,8 +1,8 @@
 //! Forwards received state to the proxy, to the control plane and to the gossip.
 //!
 //! Called after each event that may have changed the state: a message of the control node, an acknowledgement of the
-//! proxy, a departure received by gossip, a poll of the platform. Received state is compared with the published state, so
-//! that redundant calls have no effect.
+//! proxy, a departure received by gossip, a poll of the platform. Received state is compared with the published state,
+//! so that redundant calls have no effect.
 
 use lockusher_distribution::message::Downstream;
 use lockusher_distribution::publisher::{Publisher, PublisherStatus};
--- a/crates/lockusher-agent/src/list_fallback.rs
+++ b/crates/lockusher-agent/src/list_fallback.rs
@@ -1,7 +1,8 @@
 //! Polls the platform's instance list while the control plane's is stale.
 //!
-//! Runs as a separate task, spawned by [`serve::run`](crate::serve::run). While the control plane is unreachable, all agents
-//! may poll at the same time; the [`InstanceListPoller`] uses this agent's quota share of the platform's rate limit.
+//! Runs as a separate task, spawned by [`serve::run`](crate::serve::run). While the control plane is unreachable, all
+//! agents may poll at the same time; the [`InstanceListPoller`] uses this agent's quota share of the platform's rate
+//! limit.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/lockusher-agent/src/list_selection.rs
+++ b/crates/lockusher-agent/src/list_selection.rs
@@ -1,14 +1,15 @@
 //! Selects the instance list in force: the control plane's, or one that the agent polled itself.
 //!
-//! Lists are compared by the time at which they were last confirmed to match the platform's list. The control plane's list
-//! is confirmed by heartbeats; a poll of the agent is dated by its first call. The agent's poll stays in force until the
-//! control plane's list is confirmed at a later time, and is then discarded.
+//! Lists are compared by the time at which they were last confirmed to match the platform's list. The control plane's
+//! list is confirmed by heartbeats; a poll of the agent is dated by its first call. The agent's poll stays in force
+//! until the control plane's list is confirmed at a later time, and is then discarded.
 //!
-//! Owned by the agent's tasks ([`state`](crate::state)): the subscription, the poller and the gossip provide the input, and
-//! updates go to the proxy's publisher. Uses neither I/O nor a clock.
+//! Owned by the agent's tasks ([`state`](crate::state)): the subscription, the poller and the gossip provide the input,
+//! and updates go to the proxy's publisher. Uses neither I/O nor a clock.
 //!
-//! Invariants: the revisions of updates increase ([`revision_assignment`](crate::revision_assignment)), and an older list
-//! doesn't bring back a searcher that was seen draining or gone ([`departure_recorder`](crate::departure_recorder)).
+//! Invariants: the revisions of updates increase ([`revision_assignment`](crate::revision_assignment)), and an older
+//! list doesn't bring back a searcher that was seen draining or gone
+//! ([`departure_recorder`](crate::departure_recorder)).
 
 use std::rc::Rc;
 
--- a/crates/lockusher-agent/src/peers/configuration_fetch.rs
+++ b/crates/lockusher-agent/src/peers/configuration_fetch.rs
@@ -1,8 +1,8 @@
 //! Fetches a configuration from a peer over TCP, at the same port number as its gossip.
 //!
 //! The peer handles this as a subscription like a proxy's; it ends with the first newer configuration. Called by the
-//! agent's tasks ([`gossip_tasks`](crate::gossip_tasks)) when the [`FetchPolicy`](super::fetch_policy::FetchPolicy) selects
-//! a peer.
+//! agent's tasks ([`gossip_tasks`](crate::gossip_tasks)) when the [`FetchPolicy`](super::fetch_policy::FetchPolicy)
+//! selects a peer.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -25,8 +25,8 @@
 ///
 /// # Errors
 ///
-/// If the peer is unreachable, sends a message that can't be decoded, or sends no newer configuration before the timeout.
-/// A retry may succeed, preferably with another peer.
+/// If the peer is unreachable, sends a message that can't be decoded, or sends no newer configuration before the
+/// timeout. A retry may succeed, preferably with another peer.
 pub async fn fetch_configuration(
     peer: SocketAddrV4,
     identity: SubscriberIdentity,
--- a/crates/lockusher-agent/src/peers/fetch_policy.rs
+++ b/crates/lockusher-agent/src/peers/fetch_policy.rs
@@ -3,7 +3,8 @@
 //! The control plane usually delivers a new version at about the same time as peers advertise it. A fetch is therefore
 //! delayed, and then goes to the peer that advertised the newest version.
 //!
-//! Owned by [`Gossip`](super::gossip::Gossip). Invariant: only a peer with a version newer than the local one is selected.
+//! Owned by [`Gossip`](super::gossip::Gossip). Invariant: only a peer with a version newer than the local one is
+//! selected.
 
 use std::net::SocketAddrV4;
 
--- a/crates/lockusher-agent/src/peers/gossip.rs
+++ b/crates/lockusher-agent/src/peers/gossip.rs
@@ -4,7 +4,8 @@
 //! Combines the view, the rumors and the fetch policy; uses neither a socket nor a clock. Owned and driven by
 //! [`PeerSocket`](super::socket::PeerSocket), and by a simulated fleet in the tests.
 //!
-//! Invariant: all random numbers are drawn from one generator in a fixed order, so that a seed determines the exchanges.
+//! Invariant: all random numbers are drawn from one generator in a fixed order, so that a seed determines the
+//! exchanges.
 
 use std::net::SocketAddrV4;
 
@@ -18,8 +19,8 @@
 
 /// Interval between two exchanges that an agent starts, in milliseconds; up to a quarter is added as jitter.
 pub const IDLE_GOSSIP_INTERVAL_MS: u64 = 1_000;
-/// The interval while the agent is partitioned from the control plane and has rumors to spread, in milliseconds; without
-/// jitter.
+/// The interval while the agent is partitioned from the control plane and has rumors to spread, in milliseconds;
+/// without jitter.
 pub const URGENT_GOSSIP_INTERVAL_MS: u64 = 200;
 
 /// A message to send.
--- a/crates/lockusher-agent/src/peers/message.rs
+++ b/crates/lockusher-agent/src/peers/message.rs
@@ -1,8 +1,8 @@
 //! The messages between agents: one datagram each, enclosed in an
 //! [`Envelope`](lockusher_distribution::message::Envelope).
 //!
-//! Encoded by `bitcode`, whose format depends on the order and types of fields and variants. These must not change, so that
-//! agents of different releases remain compatible (`tests/recorded_bytes.rs`).
+//! Encoded by `bitcode`, whose format depends on the order and types of fields and variants. These must not change, so
+//! that agents of different releases remain compatible (`tests/recorded_bytes.rs`).
 
 use std::net::SocketAddrV4;
 
--- a/crates/lockusher-agent/src/peers/socket.rs
+++ b/crates/lockusher-agent/src/peers/socket.rs
@@ -1,8 +1,8 @@
 //! Drives the gossip over UDP.
 //!
 //! The agent's tasks share one socket: one task receives, another starts exchanges. Both run on the agent's thread; no
-//! borrow of the [`Gossip`] is held across an `.await`. Lost and malformed datagrams aren't retransmitted, since the next
-//! exchange makes up for them.
+//! borrow of the [`Gossip`] is held across an `.await`. Lost and malformed datagrams aren't retransmitted, since the
+//! next exchange makes up for them.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Starts exchanges when they are due; `is_partitioned` returns whether the agent is partitioned from the control plane.
-    /// Never returns.
+    /// Starts exchanges when they are due; `is_partitioned` returns whether the agent is partitioned from the control
+    /// plane. Never returns.
     pub async fn run_gossip(self: Rc<Self>, is_partitioned: impl Fn() -> bool) {
         loop {
             let now_ms = self.clock.millis();
--- a/crates/lockusher-agent/src/peers/view.rs
+++ b/crates/lockusher-agent/src/peers/view.rs
@@ -1,10 +1,11 @@
 //! The partial view of a peer sampling service: of bounded size, and shuffled with the views of other agents.
 //!
-//! An exchange is started with the peer that has the oldest entry. The entry is removed for the duration of the exchange and
-//! added again with the response, so that agents that have terminated disappear from the view.
+//! An exchange is started with the peer that has the oldest entry. The entry is removed for the duration of the
+//! exchange and added again with the response, so that agents that have terminated disappear from the view.
 //!
-//! Owned by [`Gossip`](super::gossip::Gossip). Invariants: at most [`VIEW_SIZE`] entries, no duplicate addresses, no entry of
-//! the agent itself. Source: the enhanced shuffle of CYCLON (Voulgaris, Gavidia and van Steen, 2005, section 2.2).
+//! Owned by [`Gossip`](super::gossip::Gossip). Invariants: at most [`VIEW_SIZE`] entries, no duplicate addresses, no
+//! entry of the agent itself. Source: the enhanced shuffle of CYCLON (Voulgaris, Gavidia and van Steen, 2005, section
+//! 2.2).
 
 use std::net::SocketAddrV4;
 
--- a/crates/lockusher-agent/src/redirect.rs
+++ b/crates/lockusher-agent/src/redirect.rs
@@ -1,9 +1,9 @@
 //! Redirects operators' requests from a machine without a control node to a control node.
 //!
-//! A task of the agent, spawned by [`serve::run`](crate::serve::run) if the settings contain an address for operators but
-//! the machine runs no control node. The response is a temporary redirect (RFC 9110, section 15.4.8), so that the client
-//! repeats its request with the same method and body. Its target is the control node that the agent is connected to, which
-//! is known to be alive.
+//! A task of the agent, spawned by [`serve::run`](crate::serve::run) if the settings contain an address for operators
+//! but the machine runs no control node. The response is a temporary redirect (RFC 9110, section 15.4.8), so that the
+//! client repeats its request with the same method and body. Its target is the control node that the agent is connected
+//! to, which is known to be alive.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
--- a/crates/lockusher-agent/src/revision_assignment.rs
+++ b/crates/lockusher-agent/src/revision_assignment.rs
@@ -1,9 +1,10 @@
 //! Assigns the revisions under which lists are published to the proxy.
 //!
-//! A revision of the control plane is kept if it is above the last one assigned. Otherwise the next revision after the last
-//! one is used, from the gap that poller revisions leave for agents ([`lockusher_distribution::revision`]). After a restart
-//! of the agent, the proxy may have applied a higher revision than the agent knows; only a list that was confirmed after
-//! the proxy's report gets a revision above it, since that list is definitely newer.
+//! A revision of the control plane is kept if it is higher than all known ones. Otherwise the next revision after the
+//! highest known one is used, from the gap that poller revisions leave for agents
+//! ([`lockusher_distribution::revision`]). After a restart of the agent, the proxy may have applied a higher revision
+//! than the agent has assigned; then only a list that was confirmed after the proxy's report gets a higher one, since
+//! that list is definitely newer.
 //!
 //! Owned by [`ListSelection`](crate::list_selection::ListSelection). Invariant: assigned revisions increase.
 
@@ -37,8 +38,8 @@
         }
     }
 
-    /// The revision under which to publish a list; `None` if the list may be older than the one that a proxy has applied,
-    /// or if `is_published` returns true. `is_published` is expensive and therefore evaluated last.
+    /// The revision under which to publish a list; `None` if the list may be older than the one that a proxy has
+    /// applied, or if `is_published` returns true. `is_published` is expensive and therefore evaluated last.
     ///
     /// `control_revision` is the list's revision in the control plane, for a list received from there.
     pub fn assign(
--- a/crates/lockusher-agent/src/seed_reload.rs
+++ b/crates/lockusher-agent/src/seed_reload.rs
@@ -1,7 +1,7 @@
 //! Reloads the seeds from the settings file when no known control node is reachable.
 //!
-//! Called by the agent's main task ([`serve::run`](crate::serve::run)) after each change of the subscription, such as a lost
-//! connection.
+//! Called by the agent's main task ([`serve::run`](crate::serve::run)) after each change of the subscription, such as a
+//! lost connection.
 
 use lockusher_config::settings_file::SeedFile;
 
--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -1,8 +1,8 @@
 //! Runs the agent's listeners and tasks.
 //!
 //! Called by the node's program for the role `agent`, alone or beside a control node. All tasks are cancelled when the
-//! future of [`run`] completes or is dropped. The proxy's connection is then closed immediately, so that the proxy connects
-//! to the next agent without waiting for a timeout.
+//! future of [`run`] completes or is dropped. The proxy's connection is then closed immediately, so that the proxy
+//! connects to the next agent without waiting for a timeout.
 
 use std::convert::Infallible;
 use std::future::Future;
--- a/crates/lockusher-agent/src/state.rs
+++ b/crates/lockusher-agent/src/state.rs
@@ -82,7 +82,8 @@
         })
     }
 
-    /// Whether the agent is partitioned from the control plane, which is the case while the control plane's list is stale.
+    /// Whether the agent is partitioned from the control plane, which is the case while the control plane's list is
+    /// stale.
     pub fn is_partitioned(&self) -> bool {
         self.clock.millis() >= self.lists.borrow().control_stale_at_ms()
     }
--- a/crates/lockusher-agent/tests/list_selection.rs
+++ b/crates/lockusher-agent/tests/list_selection.rs
@@ -173,8 +173,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// With lagging control nodes, polls of the agent and restarts of the agent, the proxy's revisions increase, no departed
-    /// searcher returns, and an up-to-date control node delivers the newest list.
+    /// With lagging control nodes, polls of the agent and restarts of the agent, the proxy's revisions increase, no
+    /// departed searcher returns, and an up-to-date control node delivers the newest list.
     #[test]
     fn no_departed_searcher_returns_and_the_newest_list_wins(seed in any::<u64>()) {
         let mut simulation = ListSimulation::new(seed);
--- a/crates/lockusher-agent/tests/loopback.rs
+++ b/crates/lockusher-agent/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! The agent between a control node's publisher and a proxy's feed, with a fake platform, all on loopback. The tests wait
-//! for states, never for a fixed time.
+//! The agent between a control node's publisher and a proxy's feed, with a fake platform, all on loopback. The tests
+//! wait for states, never for a fixed time.
 
 mod support;
 
--- a/crates/lockusher-agent/tests/support/list_history.rs
+++ b/crates/lockusher-agent/tests/support/list_history.rs
@@ -105,8 +105,8 @@
     instances: Rc<Vec<Instance>>,
     /// The most advanced presence of each searcher that was shown while it was also true.
     observed: HashMap<String, Presence>,
-    /// Searchers missing from the list although alive, because the list was older than its confirmation time. Changes of
-    /// their state since then weren't observed.
+    /// Searchers missing from the list although alive, because the list was older than its confirmation time. Changes
+    /// of their state since then weren't observed.
     wrongly_missing: HashSet<String>,
 }
 
@@ -120,8 +120,8 @@
 }
 
 impl Proxy {
-    /// Applies an update. A searcher whose departure was observed must not return within one agent's lifetime. One that is
-    /// alive may be missing temporarily, if a list is older than its confirmation time.
+    /// Applies an update. A searcher whose departure was observed must not return within one agent's lifetime. One that
+    /// is alive may be missing temporarily, if a list is older than its confirmation time.
     fn apply(&mut self, update: &InstanceList, platform: &[Instance]) {
         if update.revision <= self.revision {
             return;
@@ -264,8 +264,8 @@
         }
     }
 
-    /// The agent receives a control node's list. As in a subscription, older lists are ignored, and a confirmation applies
-    /// only to the list it comes with.
+    /// The agent receives a control node's list. As in a subscription, older lists are ignored, and a confirmation
+    /// applies only to the list it comes with.
     fn agent_receives_from_a_control_node(&mut self) {
         let node = &self.nodes[self.random.random_range(0..self.nodes.len())];
         let has_polled = node.list.revision != InstanceListRevision::default();
--- a/crates/lockusher-storage/src/format.rs
+++ b/crates/lockusher-storage/src/format.rs
@@ -40,8 +40,8 @@
 //!
 //! # Torn tail or damage
 //!
-//! A frame is written only after the preceding frame was synced, so a power loss can tear only the last frame of a file.
-//! An unreadable frame that is followed by a readable frame with a higher number is therefore [`Damage`].
+//! A frame is written only after the preceding frame was synced, so a power loss can tear only the last frame of a
+//! file. An unreadable frame that is followed by a readable frame with a higher number is therefore [`Damage`].
 
 use crate::error::Damage;
 use crate::file_names::FileKind;
--- a/crates/lockusher-storage/src/job.rs
+++ b/crates/lockusher-storage/src/job.rs
@@ -19,7 +19,8 @@
     Snapshot {
         /// Identifies the job in its completion; assigned by the caller.
         ticket: u64,
-        /// The snapshot, which must contain the effects of all appends that completed without an error, and of no others.
+        /// The snapshot, which must contain the effects of all appends that completed without an error, and of no
+        /// others.
         bytes: Vec<u8>,
     },
     /// [`Store::scrub`](crate::Store::scrub).
--- a/crates/lockusher-storage/src/lib.rs
+++ b/crates/lockusher-storage/src/lib.rs
@@ -17,11 +17,11 @@
 //! 1. *Append*: write the frame at the end of the last segment; sync the file.
 //! 2. *Next segment*: create it with its header; sync the file, then the directory; then seal the preceding segment and
 //!    sync it.
-//! 3. *Snapshot*: start a new segment, write the snapshot; sync the file, then the directory; then remove the older files
-//!    and sync the directory.
+//! 3. *Snapshot*: start a new segment, write the snapshot; sync the file, then the directory; then remove the older
+//!    files and sync the directory.
 //!
-//! Recovery relies on nothing else. The format is described in the `format` module, the design decisions and the tests of
-//! each guarantee in `docs/design/storage.md`.
+//! Recovery relies on nothing else. The format is described in the `format` module, the design decisions and the tests
+//! of each guarantee in `docs/design/storage.md`.
 //!
 //! # Modules
 //!
--- a/crates/lockusher-storage/src/reserve.rs
+++ b/crates/lockusher-storage/src/reserve.rs
@@ -1,8 +1,8 @@
 //! Disk space reserved for the next snapshot by a file of zeros.
 //!
-//! Appends leave a part of the disk free ([`StoreOptions`](crate::StoreOptions)); the reserve file guarantees space for a
-//! snapshot even if another process fills the disk. It is removed when a snapshot runs out of space, and written again
-//! after the snapshot.
+//! Appends leave a part of the disk free ([`StoreOptions`](crate::StoreOptions)); the reserve file guarantees space for
+//! a snapshot even if another process fills the disk. It is removed when a snapshot runs out of space, and written
+//! again after the snapshot.
 
 use crate::error::FileError;
 use crate::file_names::RESERVE_FILE;
--- a/crates/lockusher-storage/src/reset.rs
+++ b/crates/lockusher-storage/src/reset.rs
@@ -1,14 +1,15 @@
 //! Empties the directory of a damaged store, durably.
 //!
-//! A store with only some of its files removed would look damaged or, worse, like an intact store of an earlier state. A
-//! marker file prevents this: it is durable before the first file is removed, and is removed only once all removals are
-//! durable. A directory with a marker is emptied when it is opened.
+//! A store with only some of its files removed would look damaged or, worse, like an intact store of an earlier state.
+//! A marker file prevents this: it is durable before the first file is removed, and is removed only once all removals
+//! are durable. A directory with a marker is emptied when it is opened.
 
 use crate::error::StoreError;
 use crate::file_names::{FileKind, RESERVE_FILE, RESET_MARKER_FILE};
 use crate::file_system::FileSystem;
 
-/// Removes all files of the store. A power loss meanwhile leaves a directory that is unchanged or is emptied when opened.
+/// Removes all files of the store. A power loss meanwhile leaves a directory that is unchanged or is emptied when
+/// opened.
 pub(crate) fn reset<F: FileSystem>(files: &mut F) -> Result<(), StoreError> {
     files.create(RESET_MARKER_FILE)?;
     files.sync_file(RESET_MARKER_FILE)?;
--- a/crates/lockusher-storage/src/segment_sequence.rs
+++ b/crates/lockusher-storage/src/segment_sequence.rs
@@ -1,9 +1,9 @@
 //! Checks that the segments found at recovery form one log without gaps. Does no I/O.
 //!
-//! The log begins at the newest snapshot, or at frame 0 without one. Each segment but the last ends with a seal, and the
-//! next segment begins right after it. Two irregularities are accepted, since a power loss during the creation of a
-//! segment explains them: a last segment without a durable header, and an empty last segment after one that isn't sealed
-//! yet. Everything else is [`Damage`].
+//! The log begins at the newest snapshot, or at frame 0 without one. Each segment but the last ends with a seal, and
+//! the next segment begins right after it. Two irregularities are accepted, since a power loss during the creation of a
+//! segment explains them: a last segment without a durable header, and an empty last segment after one that isn't
+//! sealed yet. Everything else is [`Damage`].
 
 use crate::error::Damage;
 use crate::file_names::FileKind;
--- a/crates/lockusher-storage/src/store.rs
+++ b/crates/lockusher-storage/src/store.rs
@@ -52,8 +52,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if acknowledged data is unreadable or missing (no file is changed then), and the errors of
-    /// the file system.
+    /// [`StoreError::Damaged`] if acknowledged data is unreadable or missing (no file is changed then), and the errors
+    /// of the file system.
     pub fn open(mut files: F, options: StoreOptions) -> Result<(Store<F>, Recovered), StoreError> {
         let (layout, recovered) = recovery::read(&mut files)?;
         let tail = match &layout.tail {
@@ -109,8 +109,8 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Damaged`] if acknowledged data is unreadable, missing or altered; [`Store::snapshot`] then replaces
-    /// every file. Other errors don't imply that acknowledged data is damaged.
+    /// [`StoreError::Damaged`] if acknowledged data is unreadable, missing or altered; [`Store::snapshot`] then
+    /// replaces every file. Other errors don't imply that acknowledged data is damaged.
     pub fn scrub(&mut self) -> Result<Recovered, StoreError> {
         self.repair()?;
         let (layout, recovered) = recovery::read(&mut self.files)?;
--- a/crates/lockusher-storage/src/store/repair.rs
+++ b/crates/lockusher-storage/src/store/repair.rs
@@ -10,8 +10,8 @@
 use crate::store::Store;
 
 impl<F: FileSystem> Store<F> {
-    /// Performs the pending repairs: removes an abandoned segment, writes a missing seal and cuts off a torn append, all of
-    /// which must precede the next append.
+    /// Performs the pending repairs: removes an abandoned segment, writes a missing seal and cuts off a torn append,
+    /// all of which must precede the next append.
     pub(super) fn repair(&mut self) -> Result<(), FileError> {
         self.remove_abandoned_segment()?;
         self.write_missing_seal()?;
--- a/crates/lockusher-storage/src/store/snapshots.rs
+++ b/crates/lockusher-storage/src/store/snapshots.rs
@@ -1,8 +1,8 @@
 //! Snapshots: replace the log by the state that results from it.
 //!
 //! Order of the writes: a new segment N (if the tail holds frames), the snapshot N with its content and then its name,
-//! and only then the removal of the older files. A power loss at any point leaves either the old log or the new snapshot,
-//! and possibly obsolete files.
+//! and only then the removal of the older files. A power loss at any point leaves either the old log or the new
+//! snapshot, and possibly obsolete files.
 
 use crate::error::StoreError;
 use crate::file_names::FileKind;
@@ -33,8 +33,8 @@
             Err(StoreError::NoSpace) if !self.reserve.is_empty() => {
                 self.reserve.release(&mut self.files)?;
                 self.write_snapshot(snapshot)?;
-                // On a disk that was full, the reserve gets only a quarter more than the snapshot: appends need the freed
-                // space.
+                // On a disk that was full, the reserve gets only a quarter more than the snapshot: appends need the
+                // freed space.
                 bytes + bytes / 4
             }
             Err(error) => return Err(error),
--- a/crates/lockusher-storage/tests/crash_points.rs
+++ b/crates/lockusher-storage/tests/crash_points.rs
@@ -23,8 +23,8 @@
 
 use Step::{Append, Open, Snapshot};
 
-/// Opening and reopening, appends of one and of several records, segment rolls, and snapshots with and without preceding
-/// records.
+/// Opening and reopening, appends of one and of several records, segment rolls, and snapshots with and without
+/// preceding records.
 const SCRIPT: &[Step] = &[
     Open,
     Append(&[20]),
--- a/crates/lockusher-storage/tests/damage.rs
+++ b/crates/lockusher-storage/tests/damage.rs
@@ -73,7 +73,8 @@
     );
 }
 
-/// Asserts that opening reports damage, or that only the last append is missing and the report counts the bytes cut off.
+/// Asserts that opening reports damage, or that only the last append is missing and the report counts the bytes cut
+/// off.
 fn assert_damage_is_reported(files: &SimulatedFileSystem, model: &Model, context: &str) {
     match Store::open(files.clone(), SMALL_DISK) {
         Err(StoreError::Damaged { .. }) => {}
--- a/crates/lockusher-storage/tests/recorded_bytes.rs
+++ b/crates/lockusher-storage/tests/recorded_bytes.rs
@@ -1,5 +1,6 @@
-//! Compatibility of the on-disk format: segments and snapshots are encoded exactly as in the recorded files of an earlier
-//! release, and the recorded files are recovered completely. A release reads the disks that earlier releases wrote.
+//! Compatibility of the on-disk format: segments and snapshots are encoded exactly as in the recorded files of an
+//! earlier release, and the recorded files are recovered completely. A release reads the disks that earlier releases
+//! wrote.
 
 #[path = "../../../tests/support/recorded_bytes.rs"]
 mod recorded_bytes;
--- a/crates/lockusher-storage/tests/support/mod.rs
+++ b/crates/lockusher-storage/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers shared by the tests: a reference model of the acknowledged records, and strategies that choose the outcome of a
-//! power loss.
+//! Helpers shared by the tests: a reference model of the acknowledged records, and strategies that choose the outcome
+//! of a power loss.
 #![allow(dead_code)]
 
 pub mod simulated_disk;
--- a/crates/lockusher-storage/tests/support/simulated_file_system.rs
+++ b/crates/lockusher-storage/tests/support/simulated_file_system.rs
@@ -42,8 +42,8 @@
         self.disk().used_bytes()
     }
 
-    /// After this number of operations, every operation fails without effect; `None` for never. A process that is killed
-    /// and restarted finds the files unchanged, including unsynced changes.
+    /// After this number of operations, every operation fails without effect; `None` for never. A process that is
+    /// killed and restarted finds the files unchanged, including unsynced changes.
     pub fn set_power_off_after(&self, operations: Option<u64>) {
         self.disk().power_off_after = operations;
     }
@@ -73,8 +73,8 @@
         self.disk().injected_bug = Some(injected_bug);
     }
 
-    /// Simulates a power loss: the choices decide for each unsynced change whether it survives, is lost or torn. Power is
-    /// on again afterwards.
+    /// Simulates a power loss: the choices decide for each unsynced change whether it survives, is lost or torn. Power
+    /// is on again afterwards.
     pub fn lose_power(&self, choices: &mut dyn Choices) {
         self.disk().lose_power(choices);
     }
