--- a/crates/lockusher-distribution/src/change_notifier.rs
+++ b/crates/lockusher-distribution/src/change_notifier.rs
@@ -1,13 +1,13 @@
-//! Wakes the tasks of one thread when shared state has changed.
+//! Wakes the tasks of one thread when shared state changes.
 //!
-//! A [`ChangeNotifier`] belongs to the owner of the state, who notifies it after each change. A task reads the
-//! generation, looks at the state, and then waits for another generation: no change is missed in between.
+//! The owner of the state has a [`ChangeNotifier`] and notifies it after each change. A task reads the generation,
+//! reads the state, and then waits until the generation differs: it misses no change between the two.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
-/// Counts changes; tasks wait until the count differs from the one that they saw.
+/// Counts changes; tasks wait until the count differs from the one that they read last.
 #[derive(Debug, Default)]
 pub struct ChangeNotifier {
     generation: Cell<u64>,
@@ -15,12 +15,12 @@
 }
 
 impl ChangeNotifier {
-    /// Number of changes so far.
+    /// Returns the number of changes so far.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Counts a change and wakes all tasks that wait.
+    /// Counts a change and wakes all waiting tasks.
     pub fn notify(&self) {
         self.generation.set(self.generation.get() + 1);
         for waker in self.waiting.take() {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Waits until the generation differs from `seen`; returns it.
+    /// Waits until the generation differs from `seen` and returns it.
     pub async fn changed_since(&self, seen: u64) -> u64 {
         poll_fn(|context| {
             if self.generation.get() != seen {
--- a/crates/lockusher-distribution/src/departures.rs
+++ b/crates/lockusher-distribution/src/departures.rs
@@ -1,38 +1,40 @@
-//! Searchers that were seen draining or gone stay so.
+//! Records of departed searchers, so that an older list doesn't bring one back.
 //!
-//! A [`DepartedInstances`] is owned by whoever puts lists of several sources in force: an agent, and each proxy's
-//! [`Feed`](crate::subscribe::Feed). An identifier names one incarnation of a searcher, and draining is final; lists of
-//! two sources can't be ordered exactly. Invariant: a list that is a little older than the one before it doesn't bring
-//! a searcher back.
+//! A [`DepartedInstances`] holds a tombstone for each searcher that was listed as draining or is missing from a newer
+//! list. It belongs to a process that receives lists from several sources: an agent, or a proxy by its
+//! [`Feed`](crate::subscribe::Feed). The lists of two sources have no exact order in time. An identifier belongs to one
+//! incarnation of a searcher, and a searcher that drains never becomes ready again.
+//!
+//! Invariant: a list that is slightly older than the one before it doesn't bring a searcher back.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
 use lockusher_config::instances::{Instance, InstanceState};
 
-/// A list that shows a searcher is believed if it is newer by so many milliseconds than the record that the searcher is
-/// gone.
+/// A list that contains a searcher overrides the record that the searcher is gone if the list was confirmed at least
+/// this many milliseconds after the record.
 ///
-/// It exceeds the errors in the dates of lists. It is short, because a list that is older than it seems may lack a
-/// searcher that has just started: that one isn't gone.
-const GONE_VALIDITY_MS: u64 = 5_000;
-/// A list that shows a searcher as ready is believed if it is newer by so many milliseconds than the record that the
-/// searcher is draining.
-const DRAINING_VALIDITY_MS: u64 = 600_000;
-/// How many identifiers are recorded at most; beyond, the quarter that was seen the longest time ago is forgotten.
+/// It exceeds the errors in the times at which lists are confirmed. It is short because a list that is older than its
+/// time suggests may lack a searcher that has just started, which then isn't gone.
+const GONE_RECORD_TTL_MS: u64 = 5_000;
+/// A list that contains a searcher as ready overrides the record that the searcher is draining if the list was
+/// confirmed at least this many milliseconds after the record.
+const DRAINING_RECORD_TTL_MS: u64 = 600_000;
+/// Maximum number of recorded identifiers; above it, the least recently seen quarter is removed.
 const MAX_RECORDED_INSTANCES: usize = 4_096;
 
-/// How a searcher has departed; the later variant is the more final one.
+/// How a searcher has departed. The variants are ordered: the later one is more final.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, bitcode::Encode, bitcode::Decode)]
 pub enum Departure {
-    /// It takes no further requests.
+    /// The searcher accepts no further requests.
     Draining,
-    /// The platform doesn't list it any more.
+    /// The platform no longer lists the searcher.
     Gone,
 }
 
-/// When a searcher was seen to have departed. Both times are recorded: a list that is believed about one may not be
-/// about the other.
+/// When a searcher was last recorded as departed. Both times are stored because a list may be new enough to override
+/// one record and not the other.
 #[derive(Clone, Copy, Debug, Default)]
 struct DepartureTimes {
     draining_at_ms: Option<u64>,
@@ -40,15 +42,15 @@
 }
 
 impl DepartureTimes {
-    /// What is to be believed rather than a list confirmed at `confirmed_at_ms`.
+    /// Returns the record that overrides a list confirmed at `confirmed_at_ms`, if any.
     fn departure(&self, confirmed_at_ms: u64) -> Option<Departure> {
-        let is_valid = |seen_at_ms: Option<u64>, validity_ms: u64| {
-            seen_at_ms.is_some_and(|seen| confirmed_at_ms.saturating_sub(seen) < validity_ms)
+        let overrides_list = |seen_at_ms: Option<u64>, ttl_ms: u64| {
+            seen_at_ms.is_some_and(|seen| confirmed_at_ms.saturating_sub(seen) < ttl_ms)
         };
-        if is_valid(self.gone_at_ms, GONE_VALIDITY_MS) {
+        if overrides_list(self.gone_at_ms, GONE_RECORD_TTL_MS) {
             return Some(Departure::Gone);
         }
-        is_valid(self.draining_at_ms, DRAINING_VALIDITY_MS).then_some(Departure::Draining)
+        overrides_list(self.draining_at_ms, DRAINING_RECORD_TTL_MS).then_some(Departure::Draining)
     }
 
     fn last_seen_at_ms(&self) -> u64 {
@@ -56,15 +58,15 @@
     }
 }
 
-/// Records the searchers that have departed.
+/// Records of departed searchers.
 #[derive(Debug, Default)]
 pub struct DepartedInstances {
-    /// By identifier.
+    /// Keyed by identifier.
     instances: HashMap<String, DepartureTimes>,
 }
 
 impl DepartedInstances {
-    /// Records that a searcher has departed; true if that is new.
+    /// Records that a searcher has departed; returns true if that wasn't known.
     pub fn record(&mut self, now_ms: u64, identifier: &str, departure: Departure) -> bool {
         let is_new = self
             .departure_of(now_ms, identifier)
@@ -75,13 +77,13 @@
             Departure::Gone if is_new => times.gone_at_ms = Some(now_ms),
             Departure::Gone => {}
         }
-        self.forget_oldest();
+        self.remove_oldest();
         is_new
     }
 
-    /// Records all that the list `newer` shows as departed, `older` being the list in force before it. `newer` is as it
-    /// was received, not as [`DepartedInstances::apply`] left it. Returns the searchers that are missing and weren't
-    /// known to be gone.
+    /// Records all departures that the list `newer` shows relative to `older`, the list that is replaced by it. `newer`
+    /// is the list as received, not as returned by [`DepartedInstances::apply`]. Returns the searchers that are missing
+    /// and weren't known to be gone.
     pub fn record_list(
         &mut self,
         now_ms: u64,
@@ -110,8 +112,8 @@
         newly_missing
     }
 
-    /// Records the searchers that a list shows as draining; that is final, however old the list is. Returns those that
-    /// weren't known to have departed.
+    /// Records the searchers that a list shows as draining, however old the list is: draining is final. Returns those
+    /// that weren't known to have departed.
     pub fn record_draining(&mut self, now_ms: u64, instances: &[Instance]) -> Vec<String> {
         let draining = instances
             .iter()
@@ -122,8 +124,8 @@
             .collect()
     }
 
-    /// The list with the searchers that have departed shown as draining, or left out; the very same allocation if it
-    /// shows them so already. `confirmed_at_ms` is when the list was last known to be what the platform shows.
+    /// Returns the list with departed searchers marked as draining or removed; the same allocation if nothing differs.
+    /// `confirmed_at_ms` is when the list was last confirmed to match the platform's list.
     pub fn apply(&self, confirmed_at_ms: u64, instances: &Rc<Vec<Instance>>) -> Rc<Vec<Instance>> {
         let differs =
             |instance: &Instance| match self.departure_of(confirmed_at_ms, &instance.identifier) {
@@ -140,7 +142,7 @@
         Rc::new(applied.collect())
     }
 
-    /// How a searcher is known to have departed, rather than what a list confirmed at `confirmed_at_ms` shows.
+    /// Returns how a searcher has departed if that overrides a list confirmed at `confirmed_at_ms`.
     pub fn departure_of(&self, confirmed_at_ms: u64, identifier: &str) -> Option<Departure> {
         self.instances.get(identifier)?.departure(confirmed_at_ms)
     }
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Frees space for many identifiers at once, so that the search for the oldest is rare.
-    fn forget_oldest(&mut self) {
+    /// Removes many records at once, so that the search for the oldest ones is rare.
+    fn remove_oldest(&mut self) {
         if self.instances.len() <= MAX_RECORDED_INSTANCES {
             return;
         }
@@ -166,9 +168,9 @@
             .values()
             .map(DepartureTimes::last_seen_at_ms)
             .collect();
-        let (_, forget_until_ms, _) = seen_at_ms.select_nth_unstable(MAX_RECORDED_INSTANCES / 4);
-        let forget_until_ms = *forget_until_ms;
+        let (_, remove_until_ms, _) = seen_at_ms.select_nth_unstable(MAX_RECORDED_INSTANCES / 4);
+        let remove_until_ms = *remove_until_ms;
         self.instances
-            .retain(|_, times| times.last_seen_at_ms() > forget_until_ms);
+            .retain(|_, times| times.last_seen_at_ms() > remove_until_ms);
     }
 }
--- a/crates/lockusher-distribution/src/difference.rs
+++ b/crates/lockusher-distribution/src/difference.rs
@@ -1,8 +1,10 @@
 //! Differences between two versions of a configuration or of an instance list.
 //!
-//! Made by the publisher's version history, applied by the [`Subscriber`](crate::subscriber::Subscriber). The newer
-//! sequence is described by runs copied from the older one, the base, and by elements that are new. Invariant: applying
-//! a difference to its base gives exactly the newer version, order included.
+//! The publisher's version history computes them, the [`Subscriber`](crate::subscriber::Subscriber) applies them. A
+//! difference describes the newer sequence by runs that are copied from the older one, the base, and by elements that
+//! are inserted.
+//!
+//! Invariant: applying a difference to its base gives exactly the newer version, order included.
 
 use std::collections::HashMap;
 
@@ -11,20 +13,20 @@
 use lockusher_config::configuration::{Configuration, Limits, Route, Service};
 use lockusher_config::instances::{Instance, InstanceListRevision};
 
-/// A difference can't be applied; a full snapshot can.
+/// A difference can't be applied; a full snapshot is needed instead.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum DifferenceError {
-    /// Its base is another version than the one applied.
-    #[display("the difference is against another version than the one applied")]
+    /// The base of the difference isn't the applied version.
+    #[display("the base of the difference isn't the applied version")]
     BaseMismatch,
-    /// A segment lies outside of the base: the sender is at fault.
-    #[display("the difference takes over elements that the base doesn't have")]
+    /// A segment refers to elements outside of the base: the sender is faulty.
+    #[display("the difference copies elements outside of its base")]
     SegmentOutOfRange,
 }
 
 /// Elements that are matched by name when two sequences are compared.
 pub trait Named {
-    /// The name; unique within one sequence.
+    /// Returns the name, which is unique within one sequence.
     fn name(&self) -> &str;
 }
 
@@ -49,76 +51,76 @@
 /// A run of the newer sequence.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Segment<T> {
-    /// Elements that are the same in the base.
+    /// Elements that are copied unchanged from the base.
     CopyFromBase {
-        /// Position in the base of the first one.
+        /// Index of the first element in the base.
         from: u32,
         /// Number of elements.
         count: u32,
     },
-    /// Elements that are new or changed.
+    /// New or changed elements.
     Insert(Vec<T>),
 }
 
-/// A configuration as a difference.
+/// A difference between two versions of the configuration.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct ConfigurationDifference {
     /// Version of the base.
     pub base_version: u64,
-    /// The newer version.
+    /// Version of the newer configuration.
     pub version: u64,
-    /// The newer version's routes.
+    /// Routes of the newer configuration.
     pub routes: Vec<Segment<Route>>,
-    /// The newer version's services.
+    /// Services of the newer configuration.
     pub services: Vec<Segment<Service>>,
-    /// The newer version's limits.
+    /// Limits of the newer configuration.
     pub limits: Limits,
 }
 
 impl ConfigurationDifference {
-    /// The difference that leads from `base` to `target`.
+    /// Computes the difference from `base` to `target`.
     pub fn between(base: &Configuration, target: &Configuration) -> Self {
         ConfigurationDifference {
             base_version: base.version,
             version: target.version,
-            routes: segments(&base.routes, &target.routes),
-            services: segments(&base.services, &target.services),
+            routes: diff_segments(&base.routes, &target.routes),
+            services: diff_segments(&base.services, &target.services),
             limits: target.limits,
         }
     }
 
-    /// The newer configuration.
+    /// Applies the difference to `base` and returns the newer configuration.
     ///
     /// # Errors
     ///
-    /// [`DifferenceError::BaseMismatch`] if `base` is of another version than the difference's base,
-    /// [`DifferenceError::SegmentOutOfRange`] if it lacks what the difference copies.
+    /// [`DifferenceError::BaseMismatch`] if the version of `base` isn't the difference's base version,
+    /// [`DifferenceError::SegmentOutOfRange`] if `base` lacks elements that the difference copies.
     pub fn apply(self, base: &Configuration) -> Result<Configuration, DifferenceError> {
         if base.version != self.base_version {
             return Err(DifferenceError::BaseMismatch);
         }
         Ok(Configuration {
             version: self.version,
-            routes: join(&base.routes, self.routes)?,
-            services: join(&base.services, self.services)?,
+            routes: apply_segments(&base.routes, self.routes)?,
+            services: apply_segments(&base.services, self.services)?,
             limits: self.limits,
         })
     }
 }
 
-/// An instance list as a difference.
+/// A difference between two revisions of the instance list.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct InstanceListDifference {
     /// Revision of the base.
     pub base: InstanceListRevision,
-    /// The newer revision.
+    /// Revision of the newer list.
     pub revision: InstanceListRevision,
-    /// The newer list.
+    /// Instances of the newer list.
     pub instances: Vec<Segment<Instance>>,
 }
 
 impl InstanceListDifference {
-    /// The difference that leads from `base_instances` to `instances`.
+    /// Computes the difference from `base_instances` to `instances`.
     pub fn between(
         base: InstanceListRevision,
         base_instances: &[Instance],
@@ -128,16 +130,16 @@
         InstanceListDifference {
             base,
             revision,
-            instances: segments(base_instances, instances),
+            instances: diff_segments(base_instances, instances),
         }
     }
 
-    /// The newer list.
+    /// Applies the difference to `base_instances` and returns the newer list.
     ///
     /// # Errors
     ///
-    /// [`DifferenceError::BaseMismatch`] if `base` is another revision than the difference's base,
-    /// [`DifferenceError::SegmentOutOfRange`] if `base_instances` lacks what the difference copies.
+    /// [`DifferenceError::BaseMismatch`] if `base` isn't the difference's base revision,
+    /// [`DifferenceError::SegmentOutOfRange`] if `base_instances` lacks elements that the difference copies.
     pub fn apply(
         self,
         base: InstanceListRevision,
@@ -146,12 +148,12 @@
         if base != self.base {
             return Err(DifferenceError::BaseMismatch);
         }
-        join(base_instances, self.instances)
+        apply_segments(base_instances, self.instances)
     }
 }
 
-/// Describes `target` by what it has in common with `base`.
-pub fn segments<T: Named + Clone + PartialEq>(base: &[T], target: &[T]) -> Vec<Segment<T>> {
+/// Computes the segments that build `target` from `base`.
+pub fn diff_segments<T: Named + Clone + PartialEq>(base: &[T], target: &[T]) -> Vec<Segment<T>> {
     let positions: HashMap<&str, usize> = base
         .iter()
         .enumerate()
@@ -191,13 +193,16 @@
     }
 }
 
-/// Builds the newer sequence out of the base.
+/// Builds the newer sequence from the base and the segments.
 ///
 /// # Errors
 ///
-/// [`DifferenceError::SegmentOutOfRange`] if a segment lies outside of the base.
-pub fn join<T: Clone>(base: &[T], segments: Vec<Segment<T>>) -> Result<Vec<T>, DifferenceError> {
-    let mut joined = Vec::new();
+/// [`DifferenceError::SegmentOutOfRange`] if a segment refers to elements outside of the base.
+pub fn apply_segments<T: Clone>(
+    base: &[T],
+    segments: Vec<Segment<T>>,
+) -> Result<Vec<T>, DifferenceError> {
+    let mut target = Vec::new();
     for segment in segments {
         match segment {
             Segment::CopyFromBase { from, count } => {
@@ -207,10 +212,10 @@
                 let copied = base
                     .get(from as usize..end as usize)
                     .ok_or(DifferenceError::SegmentOutOfRange)?;
-                joined.extend_from_slice(copied);
+                target.extend_from_slice(copied);
             }
-            Segment::Insert(elements) => joined.extend(elements),
+            Segment::Insert(elements) => target.extend(elements),
         }
     }
-    Ok(joined)
+    Ok(target)
 }
--- a/crates/lockusher-distribution/src/frame.rs
+++ b/crates/lockusher-distribution/src/frame.rs
@@ -1,10 +1,10 @@
-//! Encoded frames of publishers, shared between the subscribers that they are due to.
+//! Encoded frames, which a publisher shares between all subscribers that receive the same message.
 
 use std::rc::Rc;
 
 use crate::message::{Envelope, ToSubscriber};
 
-/// An encoded frame: a length, then the envelope.
+/// An encoded frame: the length, then the envelope.
 pub type Frame = Rc<[u8]>;
 
 /// Encodes a message as a frame.
--- a/crates/lockusher-distribution/src/revision.rs
+++ b/crates/lockusher-distribution/src/revision.rs
@@ -1,14 +1,16 @@
-//! Numbers for revisions of the instance list.
+//! Numbering of the instance list's revisions.
 //!
-//! The control plane's poller counts in large steps. An agent that has to poll the platform itself numbers its own
-//! lists in the gap above the last revision that it knows. Invariant: the poller's next revision is above them all.
+//! The control plane's poller increments the sequence by a large step. An agent that polls the platform itself numbers
+//! its lists in the gap above the last revision that it has received. Invariant: the poller's next revision is greater
+//! than all of those.
 
 use lockusher_config::instances::InstanceListRevision;
 
-/// Distance between two revisions of the control plane's poller: room for an agent's poll each second for twelve days.
+/// Distance between two revisions of the control plane's poller: enough for one poll of an agent per second over twelve
+/// days.
 pub const POLLER_REVISION_STEP: u64 = 1 << 20;
 
-/// The poller's revision after `last`, `epoch` being that of the control view in which it was appointed.
+/// Returns the poller's revision after `last`; `epoch` is that of the control view in which the poller started.
 pub fn next_poller_revision(last: InstanceListRevision, epoch: u64) -> InstanceListRevision {
     if epoch != last.epoch {
         return InstanceListRevision {
@@ -22,7 +24,7 @@
     }
 }
 
-/// The revision just above `last`, for a list that an agent polled.
+/// Returns the revision directly after `last`, for a list that an agent polled.
 pub fn next_agent_revision(last: InstanceListRevision) -> InstanceListRevision {
     InstanceListRevision {
         epoch: last.epoch,
@@ -30,7 +32,7 @@
     }
 }
 
-/// Whether the control plane's poller made this revision.
+/// Whether a revision was made by the control plane's poller.
 pub fn is_poller_revision(revision: InstanceListRevision) -> bool {
     revision.sequence.is_multiple_of(POLLER_REVISION_STEP)
 }
--- a/crates/lockusher-distribution/src/version_history.rs
+++ b/crates/lockusher-distribution/src/version_history.rs
@@ -1,6 +1,6 @@
-//! The newest version of a value, a few older ones, and the frames that bring subscribers from these to the newest.
+//! The newest version of a value, some older ones, and the frames that update subscribers from these to the newest.
 //!
-//! Owned by the [`Publisher`](crate::publisher::Publisher), one for each kind of value. Invariants: versions rise, and a
+//! A [`Publisher`](crate::publisher::Publisher) has one for each kind of value. Invariants: versions increase, and a
 //! frame is encoded once for all subscribers that have applied the same version.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -9,16 +9,16 @@
 use crate::frame::{Frame, encode_frame};
 use crate::versioned::Versioned;
 
-/// Number of versions that are retained, the newest included. A subscriber whose version isn't among them is sent a full
+/// Number of retained versions, the newest included. A subscriber that has applied another version is sent a full
 /// snapshot.
 const MAX_RETAINED_VERSIONS: usize = 8;
 
-/// Versions of one value.
+/// The retained versions of one value.
 #[derive(Debug)]
 pub struct VersionHistory<T: Versioned> {
-    /// In order, newest last.
+    /// In ascending order.
     versions: VecDeque<Rc<T>>,
-    /// Frames that lead to the newest version, by the version that they differ from; by none the full snapshot.
+    /// Frames that lead to the newest version, by their base version; the full snapshot has none.
     frames: BTreeMap<Option<T::Version>, Frame>,
 }
 
@@ -32,19 +32,19 @@
 }
 
 impl<T: Versioned> VersionHistory<T> {
-    /// The newest value.
+    /// Returns the newest value.
     pub fn newest(&self) -> Option<&Rc<T>> {
         self.versions.back()
     }
 
-    /// The newest version; the default if there is none.
+    /// Returns the newest version; the default if there is none.
     pub fn newest_version(&self) -> T::Version {
         self.newest()
             .map(|newest| newest.version())
             .unwrap_or_default()
     }
 
-    /// Adds a value; false, and without effect, if it isn't newer.
+    /// Adds a value; returns false, without effect, if it isn't newer.
     pub fn push(&mut self, value: Rc<T>) -> bool {
         if value.version() <= self.newest_version() {
             return false;
@@ -57,7 +57,8 @@
         true
     }
 
-    /// The frame that brings a subscriber from `applied` to the newest version; none if that is what it has applied.
+    /// Returns the frame that updates a subscriber from `applied` to the newest version; none if it has applied the
+    /// newest.
     pub fn update_frame(&mut self, applied: T::Version) -> Option<Frame> {
         let newest = self.versions.back()?;
         if applied >= newest.version() {
--- a/crates/lockusher-distribution/src/versioned.rs
+++ b/crates/lockusher-distribution/src/versioned.rs
@@ -1,4 +1,4 @@
-//! The interface of values of which versions are published: configurations and instance lists.
+//! The interface of values that are published in versions: configurations and instance lists.
 //!
 //! Used by [`VersionHistory`](crate::version_history::VersionHistory).
 
@@ -9,18 +9,18 @@
 use crate::instance_list::InstanceList;
 use crate::message::{ConfigurationUpdate, InstanceListUpdate, ToSubscriber};
 
-/// A value of which versions are published.
+/// A value that is published in versions.
 pub trait Versioned {
-    /// Type of the versions, the newest being the greatest; the default stands for "none".
+    /// Type of the versions: a newer one is greater, and the default means "none".
     type Version: Copy + Ord + Default;
 
-    /// The version of this value.
+    /// Returns the version of this value.
     fn version(&self) -> Self::Version;
 
-    /// The message that brings a subscriber without a usable base to this value.
+    /// Returns the message that brings any subscriber to this value.
     fn full_snapshot(&self) -> ToSubscriber;
 
-    /// The message that brings a subscriber from `base` to this value.
+    /// Returns the message that brings a subscriber from `base` to this value.
     fn difference(&self, base: &Self) -> ToSubscriber;
 }
 
--- a/crates/lockusher-distribution/tests/difference.rs
+++ b/crates/lockusher-distribution/tests/difference.rs
@@ -4,7 +4,8 @@
 
 use lockusher_config::instances::Instance;
 use lockusher_distribution::difference::{
-    ConfigurationDifference, DifferenceError, InstanceListDifference, Segment, join, segments,
+    ConfigurationDifference, DifferenceError, InstanceListDifference, Segment, apply_segments,
+    diff_segments,
 };
 use proptest::prelude::*;
 use proptest::sample::subsequence;
@@ -62,10 +63,10 @@
 
     #[test]
     fn an_unchanged_list_inserts_nothing(base in instances()) {
-        let carried = segments(&base, &base);
+        let segments = diff_segments(&base, &base);
 
-        prop_assert!(carried.len() <= 1);
-        let inserted = carried.iter().any(|segment| matches!(segment, Segment::Insert(_)));
+        prop_assert!(segments.len() <= 1);
+        let inserted = segments.iter().any(|segment| matches!(segment, Segment::Insert(_)));
         prop_assert!(!inserted);
     }
 }
@@ -98,7 +99,7 @@
     let base = [instance("a"), instance("b")];
 
     assert_eq!(
-        join(&base, vec![Segment::CopyFromBase { from, count }]),
+        apply_segments(&base, vec![Segment::CopyFromBase { from, count }]),
         Err(DifferenceError::SegmentOutOfRange)
     );
 }
