--- a/crates/lockusher-distribution/src/instance_list_client.rs
+++ b/crates/lockusher-distribution/src/instance_list_client.rs
@@ -1,6 +1,6 @@
-//! Makes an [`InstanceListPoller`]'s calls to the platform.
+//! HTTP calls to the platform for an [`InstanceListPoller`].
 //!
-//! Called by the task that polls: at the head of the control plane, and at an agent whose lists are stale.
+//! Used by the polling task at the head of the control plane, and by that of an agent whose lists are stale.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,10 +15,11 @@
 
 /// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest wait before the poller is asked again, in milliseconds, so that a change of its pace takes effect.
+/// Maximum wait before the poller's next step is read again, in milliseconds, so that a change of its pace takes
+/// effect.
 const MAX_WAIT_MS: u64 = 500;
 
-/// Makes one step: a wait or a call. Returns the list when a call completed it.
+/// Executes the poller's next step, a wait or a call. Returns the list if the call completed it.
 pub async fn step(
     poller: &mut InstanceListPoller,
     platform: SocketAddrV4,
@@ -34,7 +35,7 @@
     }
 }
 
-/// Polls until the next full list. The poller must have been started.
+/// Polls until the next full list. The poller must be started.
 pub async fn next_poll(
     poller: &mut InstanceListPoller,
     platform: SocketAddrV4,
@@ -57,19 +58,19 @@
     let now_ms = clock.millis();
     match answer {
         Ok(answer) if answer.status == StatusCode::OK => receive_body(poller, now_ms, &answer.body),
-        Ok(answer) if is_passing(answer.status) => {
-            let status = format!("answered {}", answer.status);
-            log_failure(poller, now_ms, platform, &status);
+        Ok(answer) if is_transient(answer.status) => {
+            let outcome = format!("answered {}", answer.status);
+            log_failure(poller, now_ms, platform, &outcome);
             poller.back_off(now_ms);
             None
         }
         Ok(answer) => {
-            log::warn!("platform's list: {path} answered {}", answer.status);
+            log::warn!("platform's list: GET {path} answered {}", answer.status);
             poller.restart(now_ms);
             None
         }
         Err(error) => {
-            log::debug!("platform's list: {error}");
+            log::debug!("platform's list: call failed: {error}");
             log_failure(poller, now_ms, platform, &error.to_string());
             poller.back_off(now_ms);
             None
@@ -77,10 +78,15 @@
     }
 }
 
-/// Logs calls that go on failing.
-fn log_failure(poller: &mut InstanceListPoller, now_ms: u64, platform: SocketAddrV4, end: &str) {
+/// Logs repeated failures, at most once in each report interval.
+fn log_failure(
+    poller: &mut InstanceListPoller,
+    now_ms: u64,
+    platform: SocketAddrV4,
+    outcome: &str,
+) {
     if let Some(Recurrence { for_ms, count }) = poller.record_failure(now_ms) {
-        log::warn!("platform's list at {platform}: {count} calls failed in {for_ms} ms: {end}");
+        log::warn!("platform's list at {platform}: {count} calls failed in {for_ms} ms: {outcome}");
     }
 }
 
@@ -92,19 +98,19 @@
     match InstancePage::parse(body) {
         Ok(page) => {
             for fault in &page.skipped {
-                log::warn!("platform's list: {fault}");
+                log::warn!("platform's list: invalid entry skipped: {fault}");
             }
             poller.receive_page(now_ms, page)
         }
         Err(faults) => {
-            log::warn!("platform's list: {faults}");
+            log::warn!("platform's list: invalid page: {faults}");
             poller.restart(now_ms);
             None
         }
     }
 }
 
-/// Whether the same call may succeed later.
-fn is_passing(status: StatusCode) -> bool {
+/// Whether the failure is transient, so that the same call may succeed later.
+fn is_transient(status: StatusCode) -> bool {
     status == StatusCode::TOO_MANY_REQUESTS || status.is_server_error()
 }
--- a/crates/lockusher-distribution/src/instance_list_poller.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller.rs
@@ -1,11 +1,12 @@
-//! Polls the platform's instance list page by page, at a pace that stays within the platform's rate.
+//! Polls the platform's instance list page by page, within the platform's rate limit.
 //!
-//! The control plane has one poller, owned by the head of the chain; while its lists don't arrive, each agent polls for
-//! itself. A poller therefore assumes a number of concurrent pollers and takes its part of the rate, with jitter and
-//! back-off. It decides only: [`instance_list_client`](crate::instance_list_client) makes the calls and passes the time.
+//! The control plane has one poller, at the head of the chain; while an agent receives no fresh lists, it polls by
+//! itself. A poller therefore assumes a number of concurrent pollers and uses its share of the rate limit, with jitter
+//! and back-off. It does no I/O: [`instance_list_client`](crate::instance_list_client) makes the calls and passes the
+//! time.
 //!
-//! Invariant: a list is returned only when its last page has arrived, and a searcher that vanishes from a list of
-//! several pages without having been seen draining stays in it until a second poll confirms that it is gone.
+//! Invariants: a list is returned only once its last page has arrived. A ready searcher that disappears from a list of
+//! several pages stays in it until a second poll confirms the removal.
 
 mod pacing;
 mod page_assembly;
@@ -23,68 +24,69 @@
 use page_assembly::PageAssembly;
 use removal_confirmation::RemovalConfirmation;
 
-/// A poll that would resume later than this after its start begins anew instead, in milliseconds.
+/// A poll that would resume later than this after its start is restarted instead, in milliseconds.
 const MAX_POLL_DURATION_MS: u64 = 5_000;
 
-/// Calls fail for this long before it is reported, in milliseconds.
+/// Time for which calls must have failed before this is reported, in milliseconds.
 const FAILURE_REPORT_DELAY_MS: u64 = 1_000;
-/// Time between two reports while calls fail, in milliseconds.
+/// Minimum time between two reports while calls fail, in milliseconds.
 const FAILURE_REPORT_INTERVAL_MS: u64 = 2_000;
 
-/// What a poller does next.
+/// The next action of a poller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollerStep {
-    /// Nothing before a time.
+    /// Wait until a time.
     Wait {
-        /// The time, in milliseconds on the process's steady clock.
+        /// The time, in milliseconds on the process's monotonic clock.
         until_ms: u64,
     },
-    /// A call to the platform.
+    /// Call the platform.
     Call {
         /// Path and query of the `GET` request.
         path: String,
     },
 }
 
-/// The full list as one poll found it.
+/// The full list as read by one poll.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceListPoll {
-    /// Sorted by identifier; the very same allocation as before if nothing changed.
+    /// Sorted by identifier; the same allocation as in the previous poll if nothing changed.
     pub instances: Rc<Vec<Instance>>,
-    /// Whether this list differs from that of the poll before.
+    /// Whether this list differs from that of the previous poll.
     pub changed: bool,
-    /// When the first page was requested, in milliseconds on the process's steady clock: the list is at least as new
-    /// as that.
+    /// When the first page was requested, in milliseconds on the process's monotonic clock. The list is at least as
+    /// recent as that.
     pub started_at_ms: u64,
-    /// Calls that the poll took.
+    /// Number of calls that the poll took.
     pub calls: u32,
 }
 
-/// Paces the calls, and puts the pages together.
+/// Paces the calls and assembles the pages.
 #[derive(Debug)]
 pub struct InstanceListPoller {
     pacing: PollPacing,
-    /// When the next poll starts; absent unless started.
+    /// When the next poll starts; absent while stopped.
     next_poll_at_ms: Option<u64>,
     /// The poll in progress.
     assembly: Option<PageAssembly>,
     /// Failed calls since the last page.
     failures: u32,
     /// The list of the last poll.
-    last: Option<Rc<Vec<Instance>>>,
+    last_list: Option<Rc<Vec<Instance>>>,
     removals: RemovalConfirmation,
     failure_log: RecurrenceLog,
     random: ChaCha8Rng,
 }
 
 impl InstanceListPoller {
-    /// The one poller of the fleet. `rate_per_s`: calls per second that the platform takes; `drain_ms`: the time within
-    /// which a searcher that begins to drain must not be sent requests any more.
+    /// Creates the only poller of the fleet. `rate_per_s` is the platform's rate limit in calls per second; `drain_ms`
+    /// is the time after which a searcher that starts draining must receive no more requests.
     pub fn sole(rate_per_s: f64, drain_ms: u64, random_seed: u64) -> Self {
         Self::paced(PollPacing::sole(rate_per_s, drain_ms), random_seed)
     }
 
-    /// One of several concurrent pollers, of unknown number at first; arguments as of [`InstanceListPoller::sole`].
+    /// Creates one of several concurrent pollers, whose number is unknown at first; the arguments are those of
+    /// [`InstanceListPoller::sole`].
     pub fn concurrent(rate_per_s: f64, drain_ms: u64, random_seed: u64) -> Self {
         Self::paced(PollPacing::concurrent(rate_per_s, drain_ms), random_seed)
     }
@@ -95,31 +97,31 @@
             next_poll_at_ms: None,
             assembly: None,
             failures: 0,
-            last: None,
+            last_list: None,
             removals: RemovalConfirmation::default(),
             failure_log: RecurrenceLog::new(FAILURE_REPORT_DELAY_MS, FAILURE_REPORT_INTERVAL_MS),
             random: ChaCha8Rng::seed_from_u64(random_seed),
         }
     }
 
-    /// Sets how many pollers may be at work at once; 0 if unknown.
+    /// Sets the number of pollers that may run concurrently; 0 if unknown.
     pub fn set_pollers(&mut self, pollers: u32) {
         self.pacing.set_concurrent_pollers(pollers);
     }
 
-    /// Sets how many calls a poll takes, as learned elsewhere; without effect if 0, for unknown.
+    /// Sets the number of calls that a poll takes, as reported by another process; no effect if 0, for unknown.
     pub fn set_calls(&mut self, calls: u32) {
         if calls > 0 {
             self.pacing.set_calls_per_poll(calls);
         }
     }
 
-    /// Calls of the last poll, or as set; 0 if unknown.
+    /// Returns the number of calls of the last poll, or the one that was set; 0 if unknown.
     pub fn calls(&self) -> u32 {
         self.pacing.calls_per_poll()
     }
 
-    /// Starts to poll: at once if alone, else at a random time within an interval. Without effect once started.
+    /// Starts polling: immediately if sole, else after a random part of an interval. No effect if already started.
     pub fn start(&mut self, now_ms: u64) {
         if self.next_poll_at_ms.is_some() {
             return;
@@ -128,7 +130,7 @@
         self.next_poll_at_ms = Some(now_ms + delay_ms);
     }
 
-    /// Ceases to poll, and drops the pages of a poll in progress.
+    /// Stops polling and discards the pages of a poll in progress.
     pub fn stop(&mut self) {
         self.next_poll_at_ms = None;
         self.assembly = None;
@@ -139,17 +141,19 @@
         self.next_poll_at_ms.is_some()
     }
 
-    /// What to do now; waits for ever if the poller isn't started.
+    /// Returns the next action; an unlimited wait if the poller isn't started.
     pub fn next_step(&mut self, now_ms: u64) -> PollerStep {
-        let Some(start_ms) = self.next_poll_at_ms else {
+        let Some(start_at_ms) = self.next_poll_at_ms else {
             return PollerStep::Wait { until_ms: u64::MAX };
         };
-        let due_ms = self
+        let due_at_ms = self
             .assembly
             .as_ref()
-            .map_or(start_ms, |assembly| assembly.next_call_at_ms);
-        if now_ms < due_ms {
-            return PollerStep::Wait { until_ms: due_ms };
+            .map_or(start_at_ms, |assembly| assembly.next_call_at_ms);
+        if now_ms < due_at_ms {
+            return PollerStep::Wait {
+                until_ms: due_at_ms,
+            };
         }
         let assembly = self
             .assembly
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Takes the page that was requested; returns the list if that was the last one.
+    /// Adds the page that was requested; returns the list if it was the last page.
     pub fn receive_page(&mut self, now_ms: u64, page: InstancePage) -> Option<InstanceListPoll> {
         let assembly = self.assembly.as_mut()?;
         self.failures = 0;
@@ -172,8 +176,8 @@
         Some(self.finish(now_ms, assembly))
     }
 
-    /// The platform rejected the call because of its rate, or the call failed for another passing reason: the same page
-    /// is requested again after a back-off.
+    /// The platform rejected the call by its rate limit, or the call failed for another transient reason: requests the
+    /// same page again after a back-off.
     pub fn back_off(&mut self, now_ms: u64) {
         self.failures = self.failures.saturating_add(1);
         let resume_at_ms = now_ms + pacing::back_off_ms(self.failures, &mut self.random);
@@ -187,12 +191,12 @@
         }
     }
 
-    /// Counts a failed call; returns for how long calls have failed, if that is to be reported now.
+    /// Records a failed call; returns for how long calls have failed if a report is due.
     pub fn record_failure(&mut self, now_ms: u64) -> Option<Recurrence> {
         self.failure_log.observe(now_ms)
     }
 
-    /// The platform doesn't know the page, or its answer can't be read: the poll begins anew after a back-off.
+    /// The platform no longer knows the page token, or its answer is invalid: restarts the poll after a back-off.
     pub fn restart(&mut self, now_ms: u64) {
         self.back_off(now_ms);
         let resume_at_ms = self
@@ -217,17 +221,17 @@
             ..
         } = assembly;
         self.pacing.set_calls_per_poll(pages);
-        match &self.last {
+        match &self.last_list {
             Some(last) if pages > 1 => self.removals.retain_unconfirmed(last, &mut found),
             _ => self.removals.accept_all(),
         }
         self.next_poll_at_ms = Some(self.next_start_ms(now_ms, started_at_ms));
-        let instances = reuse_unchanged(self.last.as_ref(), found.into_values().collect());
+        let instances = reuse_unchanged(self.last_list.as_ref(), found.into_values().collect());
         let changed = !self
-            .last
+            .last_list
             .as_ref()
             .is_some_and(|last| Rc::ptr_eq(last, &instances));
-        self.last = Some(Rc::clone(&instances));
+        self.last_list = Some(Rc::clone(&instances));
         InstanceListPoll {
             instances,
             changed,
@@ -245,8 +249,8 @@
     }
 }
 
-/// The last list itself if the new one is the same; entries that differ by their countdown only are taken from the
-/// last.
+/// Returns the last list itself if the new one is equal. A searcher whose remaining warm-up time alone has decreased
+/// counts as unchanged and takes the value of the last list.
 fn reuse_unchanged(
     last: Option<&Rc<Vec<Instance>>>,
     mut found: Vec<Instance>,
@@ -269,7 +273,7 @@
     }
 }
 
-/// Whether a searcher is warming up in both entries, with less time left in the newer.
+/// Whether a searcher is warming up in the newer entry, with no more time remaining than in the older.
 fn only_counts_down(older: &Instance, newer: &Instance) -> bool {
     newer.cold_remaining_ms > 0 && newer.cold_remaining_ms <= older.cold_remaining_ms
 }
--- a/crates/lockusher-distribution/src/instance_list_poller/pacing.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller/pacing.rs
@@ -1,38 +1,38 @@
-//! How often the platform may be polled: decisions without state of a poll, and without a clock.
+//! Pace of the polls within the platform's rate limit, without I/O or clock.
 //!
 //! Owned by the [`InstanceListPoller`](crate::instance_list_poller::InstanceListPoller), which passes its random
-//! generator. Invariant: the pollers that are assumed to be at work stay within their fraction of the platform's rate
-//! on average.
+//! generator. Invariant: on average, the assumed number of pollers together stays within its fraction of the platform's
+//! rate limit.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Fraction of the platform's rate that a sole poller uses.
+/// Fraction of the platform's rate limit that a sole poller uses.
 const SOLE_POLLER_RATE_FRACTION: f64 = 0.7;
-/// Fraction of the platform's rate that concurrent pollers use together; the rest absorbs chance.
+/// Fraction of the platform's rate limit that concurrent pollers use together; the rest absorbs random variation.
 const CONCURRENT_POLLERS_RATE_FRACTION: f64 = 0.5;
-/// How many polls by different pollers may overlap at the full rate.
+/// Number of polls of different pollers that may overlap while they use the full rate together.
 const MAX_OVERLAPPING_POLLS: u32 = 8;
-/// Concurrent pollers assumed while the size of the fleet is unknown.
+/// Number of concurrent pollers assumed while the size of the fleet is unknown.
 const ASSUMED_CONCURRENT_POLLERS: u32 = 256;
-/// Calls assumed for a poll before one was made.
+/// Number of calls assumed for a poll before the first one is complete.
 const ASSUMED_CALLS_PER_POLL: u32 = 4;
-/// Lower bound on the least interval between the starts of two polls, in milliseconds.
+/// Lower bound of the minimum interval between the starts of two polls, in milliseconds.
 const MIN_POLL_INTERVAL_MS: u64 = 250;
-/// Upper bound on the least interval between the starts of two polls, in milliseconds.
+/// Upper bound of the minimum interval between the starts of two polls, in milliseconds.
 const MAX_POLL_INTERVAL_MS: u64 = 1_000;
-/// A searcher that begins to drain is seen in so many polls within the time that it allows for that.
+/// Number of polls within the time that a searcher allows for draining; the minimum interval follows from it.
 const POLLS_PER_DRAIN: u64 = 3;
-/// Half of the upper end of the first back-off after a rejected or failed call, in milliseconds; doubles with each
-/// further one.
+/// Half of the limit of the first back-off after a rejected or failed call, in milliseconds; doubles with each further
+/// failure.
 const INITIAL_BACK_OFF_MS: u64 = 250;
-/// Upper end of the back-off after many failures, in milliseconds.
+/// Maximum back-off, in milliseconds.
 const MAX_BACK_OFF_MS: u64 = 8_000;
-/// Doublings after which [`MAX_BACK_OFF_MS`] is reached for certain.
+/// Maximum number of doublings; [`MAX_BACK_OFF_MS`] is reached by then.
 const MAX_BACK_OFF_DOUBLINGS: u32 = 6;
 const MS_PER_S: f64 = 1_000.0;
 
-/// What the pace of one poller depends on.
+/// Parameters of one poller's pace.
 #[derive(Clone, Copy, Debug)]
 pub struct PollPacing {
     rate_per_s: f64,
@@ -43,8 +43,8 @@
 }
 
 impl PollPacing {
-    /// The pace of the only poller: `rate_per_s` calls are what the platform takes, and a draining searcher must be
-    /// seen within `drain_ms`.
+    /// Creates the pace of a sole poller. `rate_per_s` is the platform's rate limit in calls per second; a draining
+    /// searcher must be seen within `drain_ms`.
     pub fn sole(rate_per_s: f64, drain_ms: u64) -> Self {
         let min_interval_ms =
             (drain_ms / POLLS_PER_DRAIN).clamp(MIN_POLL_INTERVAL_MS, MAX_POLL_INTERVAL_MS);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The pace of one of several pollers, of unknown number at first.
+    /// Creates the pace of one of several pollers, whose number is unknown at first.
     pub fn concurrent(rate_per_s: f64, drain_ms: u64) -> Self {
         let concurrent_pollers = ASSUMED_CONCURRENT_POLLERS;
         PollPacing {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sets how many pollers may be at work at once; 0 if unknown.
+    /// Sets the number of pollers that may run concurrently; 0 if unknown.
     pub fn set_concurrent_pollers(&mut self, pollers: u32) {
         self.concurrent_pollers = if pollers == 0 {
             ASSUMED_CONCURRENT_POLLERS
@@ -74,27 +74,28 @@
         };
     }
 
-    /// Sets how many calls a poll takes.
+    /// Sets the number of calls that a poll takes.
     pub fn set_calls_per_poll(&mut self, calls: u32) {
         self.calls_per_poll = calls;
     }
 
-    /// Calls that a poll takes; 0 if unknown.
+    /// Returns the number of calls that a poll takes; 0 if unknown.
     pub fn calls_per_poll(&self) -> u32 {
         self.calls_per_poll
     }
 
-    /// Delay of the first poll: none if alone, else a random part of an interval.
+    /// Returns the delay of the first poll: none if sole, else a random part of the interval.
     pub fn first_delay_ms(&self, random: &mut ChaCha8Rng) -> u64 {
-        let latest_ms = if self.is_sole() {
+        let max_delay_ms = if self.is_sole() {
             0
         } else {
             self.interval_ms()
         };
-        random.random_range(0..=latest_ms)
+        random.random_range(0..=max_delay_ms)
     }
 
-    /// Time from the start of a poll to that of the next one: the interval if alone, else with a jitter of half of it.
+    /// Returns the time between the starts of two polls: the interval if sole, else with a jitter of half of it in
+    /// either direction.
     pub fn next_interval_ms(&self, random: &mut ChaCha8Rng) -> u64 {
         let interval_ms = self.interval_ms();
         if self.is_sole() {
@@ -103,7 +104,8 @@
         random.random_range(interval_ms / 2..=interval_ms + interval_ms / 2)
     }
 
-    /// Time between two calls of one poll: as many polls as may overlap make the full rate together.
+    /// Returns the time between two calls of one poll: the maximum number of overlapping polls together uses the full
+    /// rate.
     pub fn call_spacing_ms(&self) -> u64 {
         let overlapping = self.concurrent_pollers.min(MAX_OVERLAPPING_POLLS);
         (f64::from(overlapping) * MS_PER_S / self.rate_per_s).ceil() as u64
@@ -113,7 +115,7 @@
         self.concurrent_pollers == 1
     }
 
-    /// Mean time between the starts of two polls of this poller.
+    /// Returns the mean time between the starts of two polls of this poller.
     fn interval_ms(&self) -> u64 {
         let calls = if self.calls_per_poll == 0 {
             ASSUMED_CALLS_PER_POLL
@@ -125,13 +127,13 @@
         } else {
             CONCURRENT_POLLERS_RATE_FRACTION
         };
-        let calls_of_all = f64::from(calls) * f64::from(self.concurrent_pollers);
-        let paced_ms = calls_of_all * MS_PER_S / (self.rate_per_s * fraction);
-        (paced_ms.ceil() as u64).max(self.min_interval_ms)
+        let calls_of_all_pollers = f64::from(calls) * f64::from(self.concurrent_pollers);
+        let rate_limited_ms = calls_of_all_pollers * MS_PER_S / (self.rate_per_s * fraction);
+        (rate_limited_ms.ceil() as u64).max(self.min_interval_ms)
     }
 }
 
-/// Back-off after so many failures in a row: random, between half of a limit and the limit, which doubles each time.
+/// Returns a random back-off between half of the limit and the limit, which doubles with each consecutive failure.
 pub fn back_off_ms(failures: u32, random: &mut ChaCha8Rng) -> u64 {
     let doublings = failures.min(MAX_BACK_OFF_DOUBLINGS);
     let limit_ms = (INITIAL_BACK_OFF_MS << doublings).min(MAX_BACK_OFF_MS);
--- a/crates/lockusher-distribution/src/instance_list_poller/page_assembly.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller/page_assembly.rs
@@ -1,7 +1,7 @@
-//! The pages of one poll, put together.
+//! Assembly of the pages of one poll.
 //!
 //! Owned by the [`InstanceListPoller`](crate::instance_list_poller::InstanceListPoller) while a poll is in progress.
-//! Invariant: an identifier occurs once; of two entries that share one, a draining entry wins.
+//! Invariant: each identifier occurs once; of two entries with the same identifier, a draining one takes precedence.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +13,18 @@
 pub struct PageAssembly {
     /// When the first page was requested.
     pub started_at_ms: u64,
-    /// When the next page is to be requested.
+    /// When the next page is due to be requested.
     pub next_call_at_ms: u64,
-    /// Names the next page; absent for the first.
+    /// Token of the next page; absent for the first.
     token: Option<String>,
-    /// Pages received.
+    /// Number of pages received.
     pub pages: u32,
-    /// The entries of those pages by identifier.
+    /// Entries of those pages, by identifier.
     pub instances: BTreeMap<String, Instance>,
 }
 
 impl PageAssembly {
-    /// A poll of which the first page is requested now.
+    /// Starts a poll whose first page is requested now.
     pub fn start(now_ms: u64) -> Self {
         PageAssembly {
             started_at_ms: now_ms,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Adds the page that was requested; returns whether it was the last one.
+    /// Adds the requested page; returns whether it was the last one.
     pub fn add_page(&mut self, page: InstancePage) -> bool {
         self.pages += 1;
         for instance in page.instances {
@@ -53,7 +53,7 @@
         self.instances.insert(instance.identifier.clone(), instance);
     }
 
-    /// Path and query of the next page.
+    /// Returns path and query of the next page.
     pub fn next_path(&self) -> String {
         match &self.token {
             None => "/instances".to_owned(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Encodes all but the unreserved characters of RFC 3986, section 2.3.
+/// Percent-encodes all but the unreserved characters of RFC 3986, section 2.3.
 fn percent_encoded(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/lockusher-distribution/src/instance_list_poller/removal_confirmation.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller/removal_confirmation.rs
@@ -1,31 +1,31 @@
-//! Removals that a second poll has to confirm.
+//! Confirmation of removals by a second poll.
 //!
-//! The platform cuts its pages while the list changes, so that an entry may be on neither of two pages. Invariant: a
-//! ready searcher that is missing from a poll of several pages stays in the list until the next poll misses it too.
+//! The platform's list may change between two page requests, so that an entry is on neither page. Invariant: a ready
+//! searcher that is missing from a poll of several pages stays in the list until the next poll lacks it too.
 
 use std::collections::{BTreeMap, HashSet};
 
 use lockusher_config::instances::{Instance, InstanceState};
 
-/// The searchers that the last poll missed for the first time.
+/// The searchers that were missing from the last poll for the first time.
 #[derive(Debug, Default)]
 pub struct RemovalConfirmation {
     unconfirmed: HashSet<String>,
 }
 
 impl RemovalConfirmation {
-    /// Whether a poll is needed soon.
+    /// Whether removals await confirmation, so that the next poll should start soon.
     pub fn is_needed(&self) -> bool {
         !self.unconfirmed.is_empty()
     }
 
-    /// Takes a poll of a single page: what it misses is removed.
+    /// Accepts all removals of a poll with a single page.
     pub fn accept_all(&mut self) {
         self.unconfirmed.clear();
     }
 
-    /// Takes a poll of several pages, `last` being the list before it: adds to `found` what was ready and is missing for
-    /// the first time.
+    /// Handles a poll of several pages, where `last` is the previous list: adds to `found` the searchers of `last` that
+    /// were ready and are missing for the first time.
     pub fn retain_unconfirmed(
         &mut self,
         last: &[Instance],
