--- a/crates/lockusher-distribution/src/lib.rs
+++ b/crates/lockusher-distribution/src/lib.rs
@@ -1,28 +1,28 @@
-//! Streams of versioned updates from the control plane to agents and proxies, like a small xDS.
+//! Streams of versioned updates from the control plane to agents and proxies, similar to a small xDS.
 //!
-//! What is distributed are the routing configuration and the list of searchers, each as full snapshots and differences.
-//! A [`publisher::Publisher`] has the newest versions and decides what each of its subscribers is sent; a
-//! [`subscriber::Subscriber`] applies what arrives. A control node publishes to agents, an agent to the proxy beside it:
-//! an agent is a subscriber and a publisher. The list is made by an [`instance_list_poller::InstanceListPoller`], which
-//! polls the platform.
+//! The routing configuration and the list of searchers are distributed, both as full snapshots and as differences. A
+//! [`publisher::Publisher`] has the newest versions and decides which messages each subscriber is sent; a
+//! [`subscriber::Subscriber`] applies them. A control node publishes to agents, and an agent, which is both a subscriber
+//! and a publisher, to the proxy on the same machine. An [`instance_list_poller::InstanceListPoller`] reads the list from
+//! the platform.
 //!
-//! Invariants: a subscriber never goes back to an older version, whoever sends it, and at most one unacknowledged update
-//! of each kind is in flight to a subscriber.
+//! Invariants: a subscriber never returns to an older version, whichever publisher sends it, and at most one
+//! unacknowledged update of each kind is in flight to a subscriber.
 //!
 //! # Reading order
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`message`], [`frame`] | what is sent, and how it is encoded |
-//! | [`difference`], [`versioned`], [`version_history`] | versions, and what leads from one to the next |
-//! | [`publisher`], [`subscriber`] | the two ends, without I/O or clock |
+//! | [`message`], [`frame`] | the messages and their encoding |
+//! | [`difference`], [`versioned`], [`version_history`] | versions and the differences between them |
+//! | [`publisher`], [`subscriber`] | the two ends of a stream, without I/O or clock |
 //! | [`reconnect`] | which publisher a subscriber connects to, and when |
 //! | [`serve`], [`subscribe`] | the two ends over TCP |
-//! | [`instance_list_poller`], [`instance_list_client`], [`revision`] | polling the platform |
-//! | [`departures`] | searchers that must not come back by an older list |
-//! | [`load`] | loads on their way from proxies to the head |
+//! | [`instance_list_poller`], [`instance_list_client`], [`revision`] | polling the platform's instance list |
+//! | [`departures`] | tombstones of departed searchers |
+//! | [`load`] | load reports from proxies to the head |
 //!
-//! Times are milliseconds on the process's own steady clock unless a name says otherwise.
+//! Times are milliseconds on the process's monotonic clock unless a name says otherwise.
 
 pub mod change_notifier;
 pub mod departures;
--- a/crates/lockusher-distribution/src/message.rs
+++ b/crates/lockusher-distribution/src/message.rs
@@ -1,11 +1,11 @@
-//! The messages between publishers and subscribers, and their envelope.
+//! Messages between publishers and subscribers, and their envelope.
 //!
-//! A frame holds an [`Envelope`]: a protocol number beside the encoded message, so that a process of another release
-//! recognizes what it can't read before it tries to. Written and read by [`serve`](crate::serve) and
-//! [`subscribe`](crate::subscribe); agents use the envelope for their gossip too.
+//! A frame holds an [`Envelope`]: a protocol number and the encoded message, so that a process of another release
+//! detects an unsupported message before it decodes it. [`serve`](crate::serve) and [`subscribe`](crate::subscribe)
+//! read and write them; agents also use the envelope for gossip.
 //!
-//! Invariant: the encoding, bitcode, goes by the order and the types of fields and variants. A change of either is a new
-//! [`PROTOCOL`]; the test `recorded_bytes` compares with what earlier releases sent.
+//! Invariant: the encoding, bitcode, depends on the order and the types of fields and variants. A change of either
+//! requires a new [`PROTOCOL`]; the test `recorded_bytes` compares with the bytes of earlier releases.
 
 use std::net::SocketAddrV4;
 
@@ -17,20 +17,20 @@
 use crate::difference::{ConfigurationDifference, InstanceListDifference};
 use crate::load::ServiceLoad;
 
-/// Number of the messages' layout; rises with every change of it.
+/// Version of the message layout; increases with each change of it.
 pub const PROTOCOL: u16 = 2;
 
-/// Stands for "never" in [`Heartbeat::list_age_ms`].
-pub const NEVER_MS: u64 = u64::MAX;
+/// Value of [`Heartbeat::list_age_ms`] for a list that was never confirmed.
+pub const NEVER_CONFIRMED_MS: u64 = u64::MAX;
 
-/// A message can't be read. Reading it again fails again.
+/// A message can't be read. This is permanent: reading it again fails again.
 #[derive(Debug, Display, Error, From)]
 pub enum MessageError {
-    /// The message is of the peer's protocol, given here, and not of [`PROTOCOL`].
+    /// The peer's protocol, given here, isn't [`PROTOCOL`].
     #[from(ignore)]
     #[display("the peer speaks protocol {_0}, this process {PROTOCOL}")]
     ProtocolMismatch(#[error(not(source))] u16),
-    /// The bytes aren't a message.
+    /// The bytes aren't a valid message.
     #[display("message: {_0}")]
     Decode(bitcode::Error),
 }
@@ -40,12 +40,12 @@
 pub struct Envelope {
     /// [`PROTOCOL`] of the sender.
     pub protocol: u16,
-    /// The message in bitcode.
+    /// The message, encoded by bitcode.
     pub body: Vec<u8>,
 }
 
 impl Envelope {
-    /// Encodes a message.
+    /// Encodes a message with this process's [`PROTOCOL`].
     pub fn encode<T: Encode>(message: &T) -> Self {
         Envelope {
             protocol: PROTOCOL,
@@ -57,8 +57,8 @@
     ///
     /// # Errors
     ///
-    /// [`MessageError::ProtocolMismatch`] if the sender is of another protocol, [`MessageError::Decode`] if the body
-    /// isn't a message of type `T`.
+    /// [`MessageError::ProtocolMismatch`] if the sender's protocol isn't [`PROTOCOL`], [`MessageError::Decode`] if the
+    /// body isn't a message of type `T`.
     pub fn decode<T: DecodeOwned>(&self) -> Result<T, MessageError> {
         if self.protocol != PROTOCOL {
             return Err(MessageError::ProtocolMismatch(self.protocol));
@@ -67,7 +67,7 @@
     }
 }
 
-/// The versions that a process has applied: a subscriber's, or those that a publisher sends as the newest.
+/// The versions that a subscriber has applied, or the newest ones of a publisher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct AppliedVersions {
     /// Version of the configuration; 0 for none.
@@ -76,30 +76,30 @@
     pub list_revision: InstanceListRevision,
 }
 
-/// Who subscribes.
+/// Identity of a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct SubscriberIdentity {
-    /// Name of the node; an agent and the proxy beside it share it.
+    /// Name of the node, which an agent and the proxy on the same machine share.
     pub node: String,
-    /// Zone that the node is in.
+    /// Zone of the node.
     pub zone: String,
-    /// Where other agents reach this one; absent for a proxy.
+    /// Address at which other agents reach this agent; absent for a proxy.
     pub agent_address: Option<SocketAddrV4>,
 }
 
-/// What is fed by way of a subscriber.
+/// State of the proxies that receive updates through a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Downstream {
-    /// Configuration version in force at the proxies downstream; 0 if none is known.
+    /// Configuration version in force at the proxies downstream; 0 if unknown.
     pub in_force_version: u64,
     /// Number of proxies downstream; a proxy counts itself.
     pub proxies: u32,
-    /// The load that those proxies see, summed by service; services without an inference engine are left out.
+    /// Load of those proxies, summed by service; services without an inference engine are left out.
     pub loads: Vec<ServiceLoad>,
 }
 
 impl Downstream {
-    /// A proxy that has nothing in force yet.
+    /// A proxy that hasn't put a configuration in force yet.
     pub const PROXY: Downstream = Downstream {
         in_force_version: 0,
         proxies: 1,
@@ -107,45 +107,46 @@
     };
 }
 
-/// From a subscriber to its publisher.
+/// Messages from a subscriber to its publisher.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum FromSubscriber {
     /// The first message of a connection.
     Subscribe {
-        /// Who subscribes.
+        /// Identity of the subscriber.
         identity: SubscriberIdentity,
-        /// What it has applied, by way of earlier connections.
+        /// The versions that it has applied from earlier connections.
         applied: AppliedVersions,
     },
-    /// The answer to each update, and now and then to a heartbeat, as a keep-alive.
+    /// The answer to each update; also sent as a keep-alive, in answer to some heartbeats.
     Acknowledge {
-        /// What the subscriber has applied.
+        /// The versions that the subscriber has applied.
         applied: AppliedVersions,
-        /// What it feeds.
+        /// State of the proxies downstream.
         downstream: Downstream,
     },
-    /// The answer to a difference against a base that the subscriber hasn't applied: it asks for full snapshots.
+    /// The answer to a difference whose base the subscriber hasn't applied: requests full snapshots.
     RequestFullSnapshot {
         /// Whether the configuration is requested.
         configuration: bool,
         /// Whether the instance list is requested.
         list: bool,
     },
-    /// From a control node to an agent, as the only message of a connection: the internal listeners of the control nodes
-    /// that it knows, none if it isn't in contact with a majority. The answer is [`ToSubscriber::ControlNodes`].
+    /// From a control node to an agent, as the only message of a connection: the internal listeners of the control
+    /// nodes that the sender knows, or none if the sender isn't in contact with a majority. The answer is
+    /// [`ToSubscriber::ControlNodes`].
     AnnounceControlNodes(Vec<SocketAddrV4>),
 }
 
-/// From a publisher to a subscriber.
+/// Messages from a publisher to a subscriber.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ToSubscriber {
     /// A newer configuration.
     Configuration(ConfigurationUpdate),
     /// A newer instance list.
     Instances(InstanceListUpdate),
-    /// What is newest.
+    /// The newest versions, and the age of the list.
     Heartbeat(Heartbeat),
-    /// Internal listeners of the control nodes that exist.
+    /// Internal listeners of the control nodes.
     ControlNodes(Vec<SocketAddrV4>),
     /// A random sample of other agents.
     Peers(Vec<SocketAddrV4>),
@@ -154,37 +155,37 @@
 /// A newer configuration.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ConfigurationUpdate {
-    /// All of it.
+    /// The complete configuration.
     FullSnapshot(Configuration),
-    /// What differs from a version that the subscriber has applied.
+    /// The difference from a version that the subscriber has applied.
     Difference(ConfigurationDifference),
 }
 
 /// A newer instance list.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum InstanceListUpdate {
-    /// All of it.
+    /// The complete list.
     FullSnapshot {
-        /// The list's revision.
+        /// Revision of the list.
         revision: InstanceListRevision,
-        /// The list.
+        /// Instances of the list.
         instances: Vec<Instance>,
     },
-    /// What differs from a revision that the subscriber has applied.
+    /// The difference from a revision that the subscriber has applied.
     Difference(InstanceListDifference),
 }
 
-/// Sent regularly: what is newest, and how fresh it is.
+/// Sent at a regular interval: the publisher's newest versions and the age of its list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
     /// The publisher's newest versions.
     pub newest: AppliedVersions,
-    /// Time since a poll confirmed the newest list against the platform, in milliseconds; [`NEVER_MS`] if none has.
+    /// Time since a poll confirmed the newest list against the platform, in milliseconds; [`NEVER_CONFIRMED_MS`] if none has.
     pub list_age_ms: u64,
-    /// Calls to the platform that one poll of the full list takes; 0 if unknown.
+    /// Number of calls to the platform that one poll of the full list takes; 0 if unknown.
     pub calls_per_poll: u32,
-    /// Subscribed proxies in the fleet; 0 if unknown.
+    /// Number of subscribed proxies in the fleet; 0 if unknown.
     pub proxies: u32,
-    /// Whether the publisher takes part in the control plane's current view.
+    /// Whether the publisher is a member of the control plane's current view.
     pub in_view: bool,
 }
--- a/crates/lockusher-distribution/src/publisher/delivery_progress.rs
+++ b/crates/lockusher-distribution/src/publisher/delivery_progress.rs
@@ -1,13 +1,13 @@
 //! Flow control of one kind of update to one subscriber.
 //!
-//! Owned by a [`Subscription`](crate::publisher::subscription::Subscription), one for configurations and one for
-//! instance lists. Invariant: at most one update is in flight, that is sent and not acknowledged.
+//! A [`Subscription`](crate::publisher::subscription::Subscription) has one for configurations and one for instance
+//! lists. Invariant: at most one update is in flight, that is sent and not acknowledged.
 
 use crate::frame::Frame;
 use crate::version_history::VersionHistory;
 use crate::versioned::Versioned;
 
-/// What a subscriber was sent of one kind of update, and what it has applied.
+/// The version that is in flight to a subscriber and the one that it has applied, of one kind of update.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DeliveryProgress<V> {
     applied: V,
@@ -15,12 +15,12 @@
 }
 
 impl<V: Copy + Ord + Default> DeliveryProgress<V> {
-    /// The version that the subscriber last said it has applied.
+    /// Returns the version that the subscriber last reported as applied.
     pub fn applied(&self) -> V {
         self.applied
     }
 
-    /// Takes an acknowledgement: the subscriber has applied this version.
+    /// Handles an acknowledgement: the subscriber has applied this version.
     pub fn acknowledge(&mut self, applied: V) {
         self.applied = applied;
         if self.in_flight.is_some_and(|version| applied >= version) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Starts over from this version; what is in flight won't be acknowledged.
+    /// Restarts from this version; an update in flight won't be acknowledged.
     pub fn restart(&mut self, applied: V) {
         *self = DeliveryProgress {
             applied,
@@ -36,8 +36,8 @@
         };
     }
 
-    /// The frame that brings the subscriber to the newest version; none if it has applied that, or if an update is in
-    /// flight already.
+    /// Returns the frame that updates the subscriber to the newest version; none if it has applied that, or if an
+    /// update is in flight.
     pub fn next_update<T>(&mut self, history: &mut VersionHistory<T>) -> Option<Frame>
     where
         T: Versioned<Version = V>,
--- a/crates/lockusher-distribution/src/publisher/peer_sampler.rs
+++ b/crates/lockusher-distribution/src/publisher/peer_sampler.rs
@@ -1,4 +1,4 @@
-//! Random samples of agents, by which an agent finds others to gossip with.
+//! Random samples of agents, by which an agent discovers others for gossip.
 
 use std::net::SocketAddrV4;
 
@@ -6,24 +6,24 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// Agents in a sample, if there are as many.
+/// Maximum number of agents in a sample.
 const PEER_SAMPLE_SIZE: usize = 8;
 
-/// Draws samples; the same seed gives the same samples.
+/// Draws random samples; the same seed gives the same samples.
 #[derive(Debug)]
 pub struct PeerSampler {
     random: ChaCha8Rng,
 }
 
 impl PeerSampler {
-    /// Draws by a random generator with this seed.
+    /// Creates a sampler whose random generator has this seed.
     pub fn new(seed: u64) -> Self {
         PeerSampler {
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Some of the candidates, none of them twice.
+    /// Returns a random sample of the candidates without repetition.
     pub fn sample(&mut self, candidates: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
         candidates
             .sample(&mut self.random, PEER_SAMPLE_SIZE)
--- a/crates/lockusher-distribution/src/publisher/subscription.rs
+++ b/crates/lockusher-distribution/src/publisher/subscription.rs
@@ -1,6 +1,6 @@
-//! The state of one subscriber's connection.
+//! State of one subscriber's connection.
 //!
-//! Owned by the [`SubscriptionTable`](crate::publisher::subscription_table::SubscriptionTable), changed by the
+//! Owned by the [`SubscriptionTable`](crate::publisher::subscription_table::SubscriptionTable), updated by the
 //! publisher. Invariant: nothing is due to a subscriber that hasn't identified itself.
 
 use std::net::SocketAddrV4;
@@ -13,64 +13,64 @@
 
 /// Interval of the heartbeats to one subscriber, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
-/// Without a message from a subscriber for this long, in milliseconds, its connection is closed. The subscriber's own
+/// A connection without a message of its subscriber for this long, in milliseconds, is closed. The subscriber's
 /// keep-alive interval is a fraction of it.
 pub const SUBSCRIBER_INACTIVITY_TIMEOUT_MS: u64 = 5_000;
 /// Interval of the peer samples to one agent, in milliseconds.
 const PEER_SAMPLE_INTERVAL_MS: u64 = 30_000;
 
-/// Names one connection of a subscriber; never used twice by one publisher.
+/// Identifier of one connection of a subscriber; a publisher never uses it twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubscriberId(pub(super) u64);
 
-/// What a publisher knows of one subscriber, for the status page.
+/// State of one subscriber, for the status page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubscriberStatus {
-    /// Who it is.
+    /// Identity of the subscriber.
     pub identity: SubscriberIdentity,
-    /// The versions that it acknowledged last.
+    /// The versions that it last acknowledged.
     pub acknowledged: AppliedVersions,
-    /// What it feeds, by its last acknowledgement.
+    /// State of the proxies downstream, by its last acknowledgement.
     pub downstream: Downstream,
 }
 
-/// One connection: who is at its other end, what it has applied, and what is due to it.
+/// One connection: the identity of the subscriber, what it has applied, and which messages are due to it.
 #[derive(Debug)]
 pub struct Subscription {
     /// Absent before the first message.
     identity: Option<SubscriberIdentity>,
-    last_contact_ms: u64,
-    /// Progress of the configurations.
+    last_activity_ms: u64,
+    /// Delivery of configurations.
     pub configuration: DeliveryProgress<u64>,
-    /// Progress of the instance lists.
+    /// Delivery of instance lists.
     pub list: DeliveryProgress<InstanceListRevision>,
     downstream: Downstream,
     heartbeat_due_ms: u64,
-    peers_due_ms: u64,
+    peer_sample_due_ms: u64,
     control_nodes_sent: bool,
-    /// It isn't a subscriber, but a control node that announces others.
+    /// The peer isn't a subscriber, but a control node that announces control nodes.
     is_announcer: bool,
 }
 
 impl Subscription {
-    /// A connection that has just come up; all is due to it once it has identified itself.
+    /// Creates the state of a new connection; all messages are due once the subscriber has identified itself.
     pub fn new(now_ms: u64) -> Self {
         Subscription {
             identity: None,
-            last_contact_ms: now_ms,
+            last_activity_ms: now_ms,
             configuration: DeliveryProgress::default(),
             list: DeliveryProgress::default(),
             downstream: Downstream::PROXY,
             heartbeat_due_ms: now_ms,
-            peers_due_ms: now_ms,
+            peer_sample_due_ms: now_ms,
             control_nodes_sent: false,
             is_announcer: false,
         }
     }
 
-    /// Takes a message of the subscriber.
+    /// Handles a message of the subscriber.
     pub fn receive(&mut self, now_ms: u64, message: FromSubscriber) {
-        self.last_contact_ms = now_ms;
+        self.last_activity_ms = now_ms;
         match message {
             FromSubscriber::Subscribe { identity, applied } => {
                 self.identity = Some(identity);
@@ -101,32 +101,32 @@
         }
     }
 
-    /// Whether a control node announces others on this connection.
+    /// Whether the peer is a control node that announces control nodes.
     pub fn is_announcer(&self) -> bool {
         self.is_announcer
     }
 
-    /// The subscriber is there.
-    pub fn record_contact(&mut self, now_ms: u64) {
-        self.last_contact_ms = now_ms;
+    /// Records that the subscriber is active.
+    pub fn record_activity(&mut self, now_ms: u64) {
+        self.last_activity_ms = now_ms;
     }
 
-    /// Who subscribes; absent before the first message.
+    /// Returns the subscriber's identity; absent before the first message.
     pub fn identity(&self) -> Option<&SubscriberIdentity> {
         self.identity.as_ref()
     }
 
-    /// Where other agents reach this one; absent for a proxy, and before the first message.
+    /// Returns the address at which other agents reach this one; absent for a proxy, and before the first message.
     pub fn agent_address(&self) -> Option<SocketAddrV4> {
         self.identity()?.agent_address
     }
 
-    /// What the subscriber feeds, by its last acknowledgement.
+    /// Returns the state of the proxies downstream, by the last acknowledgement.
     pub fn downstream(&self) -> &Downstream {
         &self.downstream
     }
 
-    /// For the status page; absent before the first message.
+    /// Returns the status for the status page; absent before the first message.
     pub fn status(&self) -> Option<SubscriberStatus> {
         let acknowledged = AppliedVersions {
             configuration_version: self.configuration.applied(),
@@ -140,17 +140,17 @@
         })
     }
 
-    /// Whether there was no message for [`SUBSCRIBER_INACTIVITY_TIMEOUT_MS`].
+    /// Whether the subscriber sent no message for [`SUBSCRIBER_INACTIVITY_TIMEOUT_MS`].
     pub fn is_inactive(&self, now_ms: u64) -> bool {
-        now_ms.saturating_sub(self.last_contact_ms) >= SUBSCRIBER_INACTIVITY_TIMEOUT_MS
+        now_ms.saturating_sub(self.last_activity_ms) >= SUBSCRIBER_INACTIVITY_TIMEOUT_MS
     }
 
-    /// When the next heartbeat is due.
+    /// Returns when the next heartbeat is due.
     pub fn heartbeat_due_ms(&self) -> u64 {
         self.heartbeat_due_ms
     }
 
-    /// Whether a heartbeat is due; if so, the next one is due an interval later.
+    /// Returns whether a heartbeat is due; if so, schedules the next one an interval later.
     pub fn take_due_heartbeat(&mut self, now_ms: u64) -> bool {
         let is_due = now_ms >= self.heartbeat_due_ms;
         if is_due {
@@ -159,16 +159,16 @@
         is_due
     }
 
-    /// Whether a peer sample is due; if so, the next one is due an interval later.
+    /// Returns whether a peer sample is due; if so, schedules the next one an interval later.
     pub fn take_due_peer_sample(&mut self, now_ms: u64) -> bool {
-        let is_due = now_ms >= self.peers_due_ms;
+        let is_due = now_ms >= self.peer_sample_due_ms;
         if is_due {
-            self.peers_due_ms = now_ms + PEER_SAMPLE_INTERVAL_MS;
+            self.peer_sample_due_ms = now_ms + PEER_SAMPLE_INTERVAL_MS;
         }
         is_due
     }
 
-    /// The frame with the control nodes' addresses, unless it was sent since they changed.
+    /// Returns the frame with the control nodes' addresses if it wasn't sent since their last change.
     pub fn take_due_control_nodes(&mut self, frame: Option<&Frame>) -> Option<Frame> {
         if self.control_nodes_sent {
             return None;
@@ -177,8 +177,8 @@
         frame.cloned()
     }
 
-    /// The control nodes' addresses have changed: they are due again.
-    pub fn control_nodes_changed(&mut self) {
+    /// Schedules the control nodes' addresses, which have changed, to be sent.
+    pub fn schedule_control_nodes(&mut self) {
         self.control_nodes_sent = false;
     }
 }
--- a/crates/lockusher-distribution/src/publisher/subscription_table.rs
+++ b/crates/lockusher-distribution/src/publisher/subscription_table.rs
@@ -1,8 +1,8 @@
-//! All connections of a publisher's subscribers, and what they add up to.
+//! All connections of a publisher's subscribers, and totals over them.
 //!
-//! Owned by the publisher. A subscriber that reconnects may have two connections until the older one ends; sums over
-//! nodes count it once. Publishers that subscribe to each other form a tree, and each reports the sums of its
-//! subscribers upward: those of the root are the fleet's.
+//! Owned by the publisher. A subscriber that reconnects may have two connections until the older one ends; totals count
+//! its node once. Publishers that subscribe to each other form a tree, and each reports the totals of its subscribers
+//! to its own publisher: the totals at the root are those of the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -13,19 +13,19 @@
 use crate::message::SubscriberIdentity;
 use crate::publisher::subscription::{SubscriberId, SubscriberStatus, Subscription};
 
-/// The connections by their identifiers, in the order in which they came up.
+/// The connections by their identifiers, in the order in which they were accepted.
 #[derive(Debug, Default)]
 pub struct SubscriptionTable {
     subscriptions: BTreeMap<SubscriberId, Subscription>,
-    /// Connections that came up so far; the next one's identifier.
-    connections_made: u64,
+    /// Number of connections accepted so far, which is the next one's identifier.
+    connections_accepted: u64,
 }
 
 impl SubscriptionTable {
     /// Adds a connection.
     pub fn add(&mut self, subscription: Subscription) -> SubscriberId {
-        let id = SubscriberId(self.connections_made);
-        self.connections_made += 1;
+        let id = SubscriberId(self.connections_accepted);
+        self.connections_accepted += 1;
         self.subscriptions.insert(id, subscription);
         id
     }
@@ -35,39 +35,39 @@
         self.subscriptions.remove(&id);
     }
 
-    /// One connection; absent if it has ended.
+    /// Returns a connection; absent if it has ended.
     pub fn get(&self, id: SubscriberId) -> Option<&Subscription> {
         self.subscriptions.get(&id)
     }
 
-    /// One connection; absent if it has ended.
+    /// Returns a connection for modification; absent if it has ended.
     pub fn get_mut(&mut self, id: SubscriberId) -> Option<&mut Subscription> {
         self.subscriptions.get_mut(&id)
     }
 
-    /// All connections.
+    /// Returns all connections for modification.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Subscription> {
         self.subscriptions.values_mut()
     }
 
-    /// Connections that came up so far.
-    pub fn connections_made(&self) -> u64 {
-        self.connections_made
+    /// Returns the number of connections accepted so far.
+    pub fn connections_accepted(&self) -> u64 {
+        self.connections_accepted
     }
 
-    /// The status of each connection that has identified itself.
+    /// Returns the status of each subscriber that has identified itself.
     pub fn statuses(&self) -> impl Iterator<Item = SubscriberStatus> {
         self.subscriptions.values().filter_map(Subscription::status)
     }
 
-    /// Where agents reach each other.
+    /// Returns the addresses at which agents reach each other.
     pub fn agent_addresses(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.subscriptions
             .values()
             .filter_map(Subscription::agent_address)
     }
 
-    /// Number of subscribed nodes.
+    /// Returns the number of subscribed nodes.
     pub fn node_count(&self) -> usize {
         let nodes = self
             .identified()
@@ -75,7 +75,7 @@
         nodes.collect::<BTreeSet<_>>().len()
     }
 
-    /// Number of proxies downstream, by the higher count of a node with two connections.
+    /// Returns the number of proxies downstream; of a node with two connections, the higher count.
     pub fn downstream_proxies(&self) -> u32 {
         let mut by_node: BTreeMap<&str, u32> = BTreeMap::new();
         for (identity, subscription) in self.identified() {
@@ -87,7 +87,7 @@
             .fold(0, |sum, proxies| sum.saturating_add(*proxies))
     }
 
-    /// The loads downstream by service, by the newer connection of a node with two.
+    /// Returns the loads downstream, summed by service; of a node with two connections, those of the newer one.
     pub fn downstream_loads(&self) -> Vec<ServiceLoad> {
         let mut by_node: BTreeMap<&str, &[ServiceLoad]> = BTreeMap::new();
         for (identity, subscription) in self.identified() {
@@ -96,7 +96,7 @@
         load::sum(by_node.into_values().flatten())
     }
 
-    /// Number of connections by the configuration version that they acknowledged.
+    /// Returns the number of connections by the configuration version that they have acknowledged.
     pub fn acknowledged_versions(&self) -> BTreeMap<u64, usize> {
         let mut counts = BTreeMap::new();
         for (_, subscription) in self.identified() {
@@ -107,7 +107,7 @@
         counts
     }
 
-    /// The highest list revision that a subscriber has applied.
+    /// Returns the highest list revision that a subscriber has applied.
     pub fn highest_applied_revision(&self) -> InstanceListRevision {
         let revisions = self
             .subscriptions
--- a/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
+++ b/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
@@ -1,12 +1,13 @@
-//! An agent's way to the control nodes: many addresses.
+//! Connections of an agent to the control nodes, which have several addresses.
 //!
-//! Addresses are tried in passes: each address once, in an order that differs between agents. The first pass goes by
-//! highest-random-weight hash, so that a fleet that starts spreads evenly; later ones are shuffled. Since a seed's machine
-//! need not run a control node, each pass ends with the agents on the seeds' machines, which refer to the control nodes
-//! that they know.
+//! Addresses are tried in passes: each address once, in an order that differs between agents. The first pass is ordered
+//! by highest-random-weight hash, so that a fleet that starts spreads evenly; later ones are shuffled. A seed's machine
+//! need not run a control node, so each pass ends with the agents on the seeds' machines, which return the addresses of
+//! the control nodes that they know.
 //!
-//! Invariant: within a pass, no address is tried twice, addresses that control nodes sent come before seeds, the one
-//! that was just lost comes last of these, and referring agents come after all control nodes.
+//! Invariant: within a pass, no address is tried twice, addresses received from control nodes come before seeds, the
+//! one that was just lost comes last of these, and referrers, the agents on the seeds' machines, come after all control
+//! nodes.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddrV4;
@@ -15,47 +16,48 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::reconnect::policy::{Attempt, ConnectionPolicy};
+use crate::reconnect::policy::{ConnectionAttempt, ConnectionPolicy};
 
-/// Upper end of the back-off after the first failure, in milliseconds.
+/// Limit of the back-off after the first failure, in milliseconds.
 const INITIAL_BACK_OFF_MS: u64 = 250;
-/// The back-off's upper end doubles after so many further failures.
+/// Number of further failures after which the limit of the back-off doubles.
 const FAILURES_PER_DOUBLING: u32 = 2;
-/// Upper end of the back-off after many failures, in milliseconds.
+/// Maximum limit of the back-off, in milliseconds.
 const MAX_BACK_OFF_MS: u64 = 3_000;
-/// Upper end of all back-offs of a pass together, in milliseconds, so that many dead addresses don't delay a live one.
+/// Limit of the sum of all back-offs of a pass, in milliseconds, so that many dead addresses don't delay a live one.
 const MAX_PASS_BACK_OFF_MS: u64 = 12_000;
-/// Doublings after which [`MAX_BACK_OFF_MS`] is reached for certain.
+/// Maximum number of doublings; [`MAX_BACK_OFF_MS`] is reached by then.
 const MAX_BACK_OFF_DOUBLINGS: u32 = 8;
-/// The failures before a connection that lasted this long, in milliseconds, don't count any more.
+/// A connection that lasted this long, in milliseconds, resets the count of failures.
 const STABLE_CONNECTION_MS: u64 = 3_000;
 
-/// Chooses among control nodes, with jittered exponential back-off.
+/// Selects control nodes, with jittered exponential back-off.
 #[derive(Debug)]
 pub struct ControlNodePolicy {
     node_hash: u64,
-    /// Of the settings file.
+    /// From the settings file.
     seeds: Vec<SocketAddrV4>,
-    /// Sent by control nodes, or by agents that know them.
+    /// Received from control nodes, or from agents that know them.
     learned: Vec<SocketAddrV4>,
-    /// Agents on the seeds' machines.
+    /// Agents on the seeds' machines, which return the addresses of control nodes.
     referrers: Vec<SocketAddrV4>,
-    /// Addresses left in this pass; the next one last.
+    /// Addresses left in this pass, in reverse order.
     candidates: Vec<SocketAddrV4>,
-    /// Addresses of this pass at its start.
+    /// Number of addresses at the start of this pass.
     pass_length: usize,
     passes_started: u64,
     /// Failures since the last stable connection.
     failures: u32,
     /// Absent while not connected.
     established_at_ms: Option<u64>,
-    /// The address of the last attempt.
-    last: Option<SocketAddrV4>,
+    /// Address of the last attempt.
+    last_attempted: Option<SocketAddrV4>,
     random: ChaCha8Rng,
 }
 
 impl ControlNodePolicy {
-    /// `seeds` are addresses of internal listeners; `random_seed` differs between processes.
+    /// Creates the policy of `node`. `seeds` are addresses of internal listeners; `random_seed` differs between
+    /// processes.
     pub fn new(node: &str, seeds: Vec<SocketAddrV4>, random_seed: u64) -> Self {
         let mut hasher = DefaultHasher::new();
         node.hash(&mut hasher);
@@ -69,38 +71,38 @@
             passes_started: 0,
             failures: 0,
             established_at_ms: None,
-            last: None,
+            last_attempted: None,
             random: ChaCha8Rng::seed_from_u64(random_seed),
         }
     }
 
-    /// Replaces the seeds, when the settings file has changed.
+    /// Replaces the seeds after a change of the settings file.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.seeds = seeds;
     }
 
-    /// Replaces the agents that are asked for control nodes when no address leads to one.
+    /// Replaces the agents that are contacted in each pass after all control nodes.
     pub fn set_referrers(&mut self, referrers: Vec<SocketAddrV4>) {
         self.referrers = referrers;
     }
 
-    /// The control node that this node is connected to.
+    /// Returns the control node that this node is connected to.
     pub fn connected(&self) -> Option<SocketAddrV4> {
-        let last = self.last.filter(|_| !self.is_referrer())?;
+        let last = self.last_attempted.filter(|_| !self.is_referrer())?;
         self.established_at_ms.and(Some(last))
     }
 
-    /// Passes over all addresses that were begun so far.
+    /// Returns the number of passes started so far.
     pub fn passes_started(&self) -> u64 {
         self.passes_started
     }
 
-    /// Whether all known addresses have failed, so that the settings file is worth reading again.
+    /// Whether all known addresses have failed, so that the settings file should be read again.
     pub fn is_out_of_addresses(&self) -> bool {
         self.candidates.is_empty() && self.failures > 0
     }
 
-    /// Fills in the candidates of the next pass, the first to try last.
+    /// Collects the candidates of the next pass, in reverse order.
     fn start_pass(&mut self) {
         let mut candidates = if self.learned.is_empty() {
             self.seeds.clone()
@@ -108,53 +110,55 @@
             self.learned.clone()
         };
         if self.passes_started == 0 {
-            candidates.sort_by_key(|address| self.rank(address));
+            candidates.sort_by_key(|address| self.rendezvous_weight(address));
         } else {
             candidates.shuffle(&mut self.random);
-            self.put_other_seeds_at_the_end(&mut candidates);
+            self.put_other_seeds_last(&mut candidates);
         }
-        self.put_last_tried_at_the_end(&mut candidates);
-        self.put_referrers_at_the_end(&mut candidates);
+        self.put_last_attempted_last(&mut candidates);
+        self.put_referrers_last(&mut candidates);
         self.passes_started += 1;
         self.pass_length = candidates.len();
         self.candidates = candidates;
     }
 
-    /// Seeds that no control node sent are tried after the others.
-    fn put_other_seeds_at_the_end(&self, candidates: &mut Vec<SocketAddrV4>) {
-        let others = self
+    /// Puts the seeds that no control node sent after all other candidates.
+    fn put_other_seeds_last(&self, candidates: &mut Vec<SocketAddrV4>) {
+        let other_seeds = self
             .seeds
             .iter()
             .filter(|seed| !candidates.contains(seed))
             .copied();
-        let others: Vec<SocketAddrV4> = others.collect();
-        candidates.splice(0..0, others);
+        let other_seeds: Vec<SocketAddrV4> = other_seeds.collect();
+        candidates.splice(0..0, other_seeds);
     }
 
-    /// The node that was just lost is tried after all others.
-    fn put_last_tried_at_the_end(&self, candidates: &mut Vec<SocketAddrV4>) {
-        let Some(last) = self.last else { return };
+    /// Moves the address of the last attempt after all other candidates.
+    fn put_last_attempted_last(&self, candidates: &mut Vec<SocketAddrV4>) {
+        let Some(last) = self.last_attempted else {
+            return;
+        };
         if let Some(position) = candidates.iter().position(|address| *address == last) {
             let address = candidates.remove(position);
             candidates.insert(0, address);
         }
     }
 
-    /// Agents refer to control nodes after all addresses of control nodes have failed.
-    fn put_referrers_at_the_end(&mut self, candidates: &mut Vec<SocketAddrV4>) {
+    /// Puts the referrers after all other candidates, in random order.
+    fn put_referrers_last(&mut self, candidates: &mut Vec<SocketAddrV4>) {
         let mut referrers = self.referrers.clone();
         referrers.shuffle(&mut self.random);
         candidates.splice(0..0, referrers);
     }
 
-    /// Highest-random-weight hash of this node and an address.
-    fn rank(&self, address: &SocketAddrV4) -> u64 {
+    /// Returns the highest-random-weight hash of this node and an address.
+    fn rendezvous_weight(&self, address: &SocketAddrV4) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.node_hash, address).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Full jitter below a limit that doubles with failures.
+    /// Returns a back-off with full jitter, whose limit doubles with failures.
     fn back_off_ms(&mut self) -> u64 {
         if self.failures == 0 {
             return 0;
@@ -169,21 +173,21 @@
 }
 
 impl ConnectionPolicy for ControlNodePolicy {
-    fn next_attempt(&mut self, now_ms: u64) -> Option<Attempt> {
+    fn next_attempt(&mut self, now_ms: u64) -> Option<ConnectionAttempt> {
         if self.candidates.is_empty() {
             self.start_pass();
         }
         let address = self.candidates.pop()?;
-        self.last = Some(address);
+        self.last_attempted = Some(address);
         let at_ms = now_ms + self.back_off_ms();
-        Some(Attempt { address, at_ms })
+        Some(ConnectionAttempt { address, at_ms })
     }
 
-    fn established(&mut self, now_ms: u64) {
+    fn on_established(&mut self, now_ms: u64) {
         self.established_at_ms = Some(now_ms);
     }
 
-    fn lost(&mut self, now_ms: u64) {
+    fn on_lost(&mut self, now_ms: u64) {
         let was_stable = self
             .established_at_ms
             .take()
@@ -204,11 +208,12 @@
         self.failures = 0;
     }
 
-    fn leaves_out_of_view(&self) -> bool {
+    fn disconnects_out_of_view(&self) -> bool {
         true
     }
 
     fn is_referrer(&self) -> bool {
-        self.last.is_some_and(|last| self.referrers.contains(&last))
+        self.last_attempted
+            .is_some_and(|last| self.referrers.contains(&last))
     }
 }
--- a/crates/lockusher-distribution/src/reconnect/fixed_address_policy.rs
+++ b/crates/lockusher-distribution/src/reconnect/fixed_address_policy.rs
@@ -1,32 +1,32 @@
-//! A proxy's way to its agent: one address.
+//! Connection of a proxy to its agent, or of a control node to the head: a single address.
 //!
-//! The agent is on the same machine, so that the back-off is short and any answer resets it.
+//! A proxy's agent is on the same machine, so that the back-off is short and any answer resets it.
 
 use std::net::SocketAddrV4;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::reconnect::policy::{Attempt, ConnectionPolicy};
+use crate::reconnect::policy::{ConnectionAttempt, ConnectionPolicy};
 
-/// Tries the same address again soon.
+/// Retries a single address after a short back-off.
 #[derive(Debug)]
 pub struct FixedAddressPolicy {
     address: SocketAddrV4,
-    /// Failures since the publisher last answered.
+    /// Failures since the last answer of the publisher.
     failures: u32,
     random: ChaCha8Rng,
 }
 
 impl FixedAddressPolicy {
-    /// Half of the upper end of the back-off after the first failure, in milliseconds; doubles with the second.
+    /// Half of the limit of the back-off after the first failure, in milliseconds; the limit doubles with the second.
     const INITIAL_BACK_OFF_MS: u64 = 50;
-    /// Upper end of the back-off after some failures, in milliseconds.
+    /// Maximum back-off, in milliseconds.
     const MAX_BACK_OFF_MS: u64 = 200;
-    /// Doublings after which [`Self::MAX_BACK_OFF_MS`] is reached.
+    /// Number of doublings after which [`Self::MAX_BACK_OFF_MS`] is reached.
     const MAX_BACK_OFF_DOUBLINGS: u32 = 2;
 
-    /// `random_seed` differs between processes.
+    /// Creates a policy for `address`; `random_seed` differs between processes.
     pub fn new(address: SocketAddrV4, random_seed: u64) -> Self {
         FixedAddressPolicy {
             address,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Random, between half of a limit and the limit.
+    /// Returns a random back-off between half of the limit and the limit.
     fn back_off_ms(&mut self) -> u64 {
         if self.failures == 0 {
             return 0;
@@ -47,19 +47,19 @@
 }
 
 impl ConnectionPolicy for FixedAddressPolicy {
-    fn next_attempt(&mut self, now_ms: u64) -> Option<Attempt> {
+    fn next_attempt(&mut self, now_ms: u64) -> Option<ConnectionAttempt> {
         let at_ms = now_ms + self.back_off_ms();
-        Some(Attempt {
+        Some(ConnectionAttempt {
             address: self.address,
             at_ms,
         })
     }
 
-    fn established(&mut self, _now_ms: u64) {
+    fn on_established(&mut self, _now_ms: u64) {
         self.failures = 0;
     }
 
-    fn lost(&mut self, _now_ms: u64) {
+    fn on_lost(&mut self, _now_ms: u64) {
         self.failures = self.failures.saturating_add(1);
     }
 }
--- a/crates/lockusher-distribution/src/serve.rs
+++ b/crates/lockusher-distribution/src/serve.rs
@@ -1,10 +1,10 @@
-//! Subscriptions over TCP: the side that accepts.
+//! The accepting side of subscriptions over TCP.
 //!
-//! Each connection has a task that reads and writes; what is sent, and when, the
-//! [`Publisher`](crate::publisher::Publisher) decides. Called by agents and by control nodes.
+//! Each connection has a task that reads and writes; the [`Publisher`](crate::publisher::Publisher) decides which
+//! messages are sent, and when. Agents and control nodes call this module.
 //!
-//! Invariant: none of the cells of [`SharedPublisher`] is borrowed across an await, and a connection's subscription ends
-//! with its task.
+//! Invariant: no cell of [`SharedPublisher`] is borrowed across an await, and a connection's subscription is removed
+//! when its task ends.
 
 mod connection;
 mod error;
@@ -22,10 +22,10 @@
 pub use error::ServeError;
 pub use shared_publisher::SharedPublisher;
 
-/// Delay after a failed accept, so that a lack of descriptors doesn't spin.
+/// Delay after a failed accept, which avoids a busy loop while file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts subscribers for ever.
+/// Accepts subscribers until dropped.
 pub async fn accept(listener: TcpListener, shared: Rc<SharedPublisher>) {
     loop {
         match listener.accept().await {
@@ -33,7 +33,7 @@
                 compio::runtime::spawn(serve_and_log(stream, Rc::clone(&shared))).detach();
             }
             Err(error) => {
-                log::warn!("accept: {error}");
+                log::warn!("failed to accept a subscriber connection: {error}");
                 compio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -42,7 +42,7 @@
 
 async fn serve_and_log(stream: TcpStream, shared: Rc<SharedPublisher>) {
     let Err(error) = serve(stream, shared).await;
-    log::debug!("subscriber: {error}");
+    log::debug!("subscriber connection closed: {error}");
 }
 
 /// Serves one subscriber until its connection ends.
--- a/crates/lockusher-distribution/src/serve/connection.rs
+++ b/crates/lockusher-distribution/src/serve/connection.rs
@@ -1,6 +1,6 @@
 //! One subscriber's connection.
 //!
-//! Owned by the connection's task. Invariant: the publisher knows the subscription for as long as this value lives.
+//! Owned by the connection's task. Invariant: the publisher has the subscription for as long as this value exists.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -15,11 +15,11 @@
 use crate::serve::error::ServeError;
 use crate::serve::shared_publisher::SharedPublisher;
 
-/// A frame that is longer leaves this process only as the subscriber takes it: meanwhile that gets no heartbeat to answer,
-/// so that having taken the frame counts as a message.
+/// Size above which a frame isn't buffered completely, so that its write completes only as the subscriber reads it. The
+/// subscriber receives no heartbeat to answer meanwhile; having read the frame therefore counts as a message.
 const MAX_BUFFERED_FRAME_BYTES: usize = 256 * 1024;
 
-/// A subscription with the publisher; ends when dropped.
+/// A subscription at the publisher; removed when dropped.
 pub struct Connection {
     id: SubscriberId,
     shared: Rc<SharedPublisher>,
@@ -32,13 +32,13 @@
 }
 
 impl Connection {
-    /// Adds a subscription for a connection that has come up.
+    /// Adds a subscription for a new connection.
     pub fn open(shared: Rc<SharedPublisher>) -> Self {
         let id = shared.connect();
         Connection { id, shared }
     }
 
-    /// Sends what is due and takes what arrives until the connection ends.
+    /// Sends the messages that are due and handles those that arrive until the connection ends.
     pub async fn run(
         &self,
         mut reader: FrameReader<Envelope>,
@@ -49,12 +49,12 @@
             self.check_open()?;
             self.send_due(&mut writer).await?;
             self.check_activity()?;
-            let arrived = reader.read().fuse();
+            let received = reader.read().fuse();
             let changed = self.shared.changed().changed_since(seen).fuse();
             let due = compio::time::sleep(self.time_until_due()).fuse();
-            pin_mut!(arrived, changed, due);
+            pin_mut!(received, changed, due);
             select_biased! {
-                envelope = arrived => self.receive(&envelope?)?,
+                envelope = received => self.receive(&envelope?)?,
                 generation = changed => seen = generation,
                 () = due => {}
             }
@@ -86,7 +86,7 @@
         while let Some(frame) = self.next_frame() {
             writer.write_within(&frame, stall_timeout).await?;
             if frame.len() > MAX_BUFFERED_FRAME_BYTES {
-                self.shared.record_contact(self.id);
+                self.shared.record_activity(self.id);
             }
         }
         Ok(())
--- a/crates/lockusher-distribution/src/serve/shared_publisher.rs
+++ b/crates/lockusher-distribution/src/serve/shared_publisher.rs
@@ -1,6 +1,6 @@
 //! A publisher that the connections of one thread share.
 //!
-//! Owned by the program that publishes and by each connection's task. Invariant: whoever changes what is published by
+//! Owned by the program that publishes and by each connection's task. Invariant: each change by
 //! [`SharedPublisher::update`] wakes all connections.
 
 use std::cell::{Cell, RefCell};
@@ -12,7 +12,7 @@
 use crate::message::FromSubscriber;
 use crate::publisher::{Publisher, SubscriberId};
 
-/// A publisher with what wakes its connections, and those who watch its subscribers.
+/// A publisher, with notifiers for its connections and for the tasks that wait for its subscribers.
 #[derive(Debug)]
 pub struct SharedPublisher {
     publisher: RefCell<Publisher>,
@@ -23,7 +23,7 @@
 }
 
 impl SharedPublisher {
-    /// Shares a publisher; `clock` is the process's.
+    /// Shares a publisher; `clock` is that of the process.
     pub fn new(publisher: Publisher, clock: Clock) -> Rc<Self> {
         Rc::new(SharedPublisher {
             publisher: RefCell::new(publisher),
@@ -34,35 +34,35 @@
         })
     }
 
-    /// Changes the publisher and lets every connection send what became due.
-    pub fn update<R>(&self, change: impl FnOnce(&mut Publisher) -> R) -> R {
-        let result = change(&mut self.publisher.borrow_mut());
+    /// Modifies the publisher and wakes all connections, so that each sends what has become due.
+    pub fn update<R>(&self, f: impl FnOnce(&mut Publisher) -> R) -> R {
+        let result = f(&mut self.publisher.borrow_mut());
         self.changed.notify();
         result
     }
 
-    /// Changes the publisher without waking connections: for what can wait for the next heartbeat.
-    pub fn update_quietly<R>(&self, change: impl FnOnce(&mut Publisher) -> R) -> R {
-        change(&mut self.publisher.borrow_mut())
+    /// Modifies the publisher without waking connections, for changes that can wait until the next heartbeat.
+    pub fn update_quietly<R>(&self, f: impl FnOnce(&mut Publisher) -> R) -> R {
+        f(&mut self.publisher.borrow_mut())
     }
 
-    /// Looks at the publisher.
-    pub fn read<R>(&self, look: impl FnOnce(&Publisher) -> R) -> R {
-        look(&self.publisher.borrow())
+    /// Reads the publisher.
+    pub fn read<R>(&self, f: impl FnOnce(&Publisher) -> R) -> R {
+        f(&self.publisher.borrow())
     }
 
-    /// Ends every connection.
+    /// Closes all connections.
     pub fn close(&self) {
         self.closed.set(true);
         self.changed.notify();
     }
 
-    /// Notified of each message of a subscriber, and of each end of a connection.
+    /// Notified of each message of a subscriber, and of each connection that ends.
     pub fn subscriber_activity(&self) -> &ChangeNotifier {
         &self.subscriber_activity
     }
 
-    /// Notified of each change that connections may have to send.
+    /// Notified of each change after which messages may be due.
     pub(super) fn changed(&self) -> &ChangeNotifier {
         &self.changed
     }
@@ -72,12 +72,12 @@
         self.closed.get()
     }
 
-    /// The time on the process's steady clock, in milliseconds.
+    /// Returns the time on the process's monotonic clock, in milliseconds.
     pub(super) fn now_ms(&self) -> u64 {
         self.clock.millis()
     }
 
-    /// Adds a connection that has come up.
+    /// Adds a new connection.
     pub(super) fn connect(&self) -> SubscriberId {
         self.publisher.borrow_mut().connect(self.now_ms())
     }
@@ -88,13 +88,13 @@
         self.subscriber_activity.notify();
     }
 
-    /// A subscriber has shown that it is there without a message.
-    pub(super) fn record_contact(&self, id: SubscriberId) {
+    /// Records that a subscriber is active without a message.
+    pub(super) fn record_activity(&self, id: SubscriberId) {
         let now_ms = self.now_ms();
-        self.publisher.borrow_mut().record_contact(id, now_ms);
+        self.publisher.borrow_mut().record_activity(id, now_ms);
     }
 
-    /// Takes a message of a subscriber.
+    /// Handles a message of a subscriber.
     pub(super) fn receive(&self, id: SubscriberId, message: FromSubscriber) {
         self.publisher
             .borrow_mut()
--- a/crates/lockusher-distribution/src/subscribe.rs
+++ b/crates/lockusher-distribution/src/subscribe.rs
@@ -1,7 +1,7 @@
-//! Subscriptions over TCP: the side that connects.
+//! The connecting side of subscriptions over TCP.
 //!
-//! [`SharedSubscriber`] drives a [`Subscriber`](crate::subscriber::Subscriber); agents and control nodes use it as it
-//! is. A proxy uses [`Feed`], which turns its changes into a stream of updates.
+//! A [`SharedSubscriber`] drives a [`Subscriber`](crate::subscriber::Subscriber); agents and control nodes use it
+//! directly. A proxy uses a [`Feed`], which turns the subscriber's changes into a stream of updates.
 
 mod announcement;
 mod connection_log;
--- a/crates/lockusher-distribution/src/subscribe/announcement.rs
+++ b/crates/lockusher-distribution/src/subscribe/announcement.rs
@@ -1,7 +1,8 @@
-//! A control node's announcement to an agent: which control nodes there are.
+//! Announcement of the control nodes, by one of them to an agent.
 //!
-//! Agents find control nodes by their seeds, and a seed's machine may run an agent only. Such an agent is told of the control
-//! nodes by these, refers others to them, and tells a control node that has lost the others who they are.
+//! Agents find control nodes by their seeds, but a seed's machine may run only an agent. Such an agent learns the
+//! control nodes' addresses from these announcements, sends them to other agents that connect to it, and answers a
+//! control node that has lost contact with the others with their addresses.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -13,11 +14,11 @@
 use crate::reconnect::CONNECT_TIMEOUT_MS;
 use crate::subscribe::error::SubscribeError;
 
-/// How long the agent's answer is awaited. One that knows no control node sends none.
+/// Timeout of the agent's answer. An agent that knows no control node doesn't answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Announces control nodes to the agent at `agent`, none if the caller doesn't know them, and returns those that the agent
-/// knows. Addresses are of internal listeners for subscribers.
+/// Announces control nodes to an agent, or none if the caller doesn't know them, and returns those that the agent
+/// knows. Addresses are those of the internal listeners for subscribers.
 ///
 /// # Errors
 ///
--- a/crates/lockusher-distribution/src/subscribe/connection_log.rs
+++ b/crates/lockusher-distribution/src/subscribe/connection_log.rs
@@ -1,8 +1,8 @@
-//! The log lines of a subscription: which publisher serves it, why one was left, and while none is reached, how each
-//! attempt ended.
+//! Log lines of a subscription: which publisher it is connected to, why a connection ended and, while no publisher is
+//! reached, how each attempt failed.
 //!
-//! Owned by the [`SharedSubscriber`](super::SharedSubscriber). Attempts that fail in a row are collected into one line in
-//! each interval, so that a fleet whose publishers are gone says why without flooding its logs.
+//! Owned by the [`SharedSubscriber`](super::SharedSubscriber). Consecutive failed attempts are collected into one line
+//! per interval, so that a fleet without publishers reports the cause without flooding its logs.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,72 +12,74 @@
 
 use crate::subscribe::error::SubscribeError;
 
-/// No publisher was reached for this long, in milliseconds, before it is logged.
+/// Time without a reachable publisher before it is logged, in milliseconds.
 const UNREACHED_LOG_DELAY_MS: u64 = 500;
-/// Time between two lines while no publisher is reached, in milliseconds.
+/// Minimum time between two lines while no publisher is reached, in milliseconds.
 const UNREACHED_LOG_INTERVAL_MS: u64 = 2_000;
 
-/// What is logged of one subscription.
+/// State of the log lines of one subscription.
 #[derive(Debug)]
 pub struct ConnectionLog {
     unreached: RecurrenceLog,
-    /// How the last attempt at each address ended, since the last line.
-    ends: BTreeMap<SocketAddrV4, String>,
-    /// The publisher that serves now.
-    serving: Option<SocketAddrV4>,
+    /// Error of the last attempt at each address, since the last line.
+    last_errors: BTreeMap<SocketAddrV4, String>,
+    /// The publisher of the established connection.
+    connected: Option<SocketAddrV4>,
 }
 
 impl Default for ConnectionLog {
     fn default() -> Self {
         ConnectionLog {
             unreached: RecurrenceLog::new(UNREACHED_LOG_DELAY_MS, UNREACHED_LOG_INTERVAL_MS),
-            ends: BTreeMap::new(),
-            serving: None,
+            last_errors: BTreeMap::new(),
+            connected: None,
         }
     }
 }
 
 impl ConnectionLog {
-    /// A publisher has answered.
-    pub fn established(&mut self, now_ms: u64, publisher: SocketAddrV4) {
-        self.serving = Some(publisher);
-        self.ends.clear();
+    /// Logs that a publisher has answered.
+    pub fn log_established(&mut self, now_ms: u64, publisher: SocketAddrV4) {
+        self.connected = Some(publisher);
+        self.last_errors.clear();
         match self.unreached.end(now_ms) {
             Some(Recurrence { for_ms, count }) => {
-                log::info!("publisher {publisher} answers, after {count} attempts in {for_ms} ms");
+                log::info!(
+                    "connected to publisher {publisher} after {count} attempts in {for_ms} ms"
+                );
             }
-            None => log::info!("publisher {publisher} answers"),
+            None => log::info!("connected to publisher {publisher}"),
         }
     }
 
-    /// An attempt failed, or its connection ended; `version` is that of the configuration applied, 0 for none.
-    pub fn ended(
+    /// Logs that an attempt failed or its connection ended; `version` is that of the applied configuration, 0 for none.
+    pub fn log_ended(
         &mut self,
         now_ms: u64,
         publisher: SocketAddrV4,
         error: &SubscribeError,
         version: u64,
     ) {
-        if self.serving.take() == Some(publisher) {
-            log::warn!("publisher {publisher} is left: {error}");
+        if self.connected.take() == Some(publisher) {
+            log::warn!("disconnected from publisher {publisher}: {error}");
             return;
         }
-        log::debug!("publisher {publisher}: {error}");
-        self.ends.insert(publisher, error.to_string());
+        log::debug!("attempt to connect to publisher {publisher} failed: {error}");
+        self.last_errors.insert(publisher, error.to_string());
         if let Some(recurrence) = self.unreached.observe(now_ms) {
-            log::warn!("{}", self.describe(recurrence, version));
-            self.ends.clear();
+            log::warn!("{}", self.unreached_line(recurrence, version));
+            self.last_errors.clear();
         }
     }
 
-    /// There is no address to try.
-    pub fn no_address(&mut self, now_ms: u64) {
+    /// Records that no address is known.
+    pub fn log_no_address(&mut self, now_ms: u64) {
         if let Some(Recurrence { for_ms, .. }) = self.unreached.observe(now_ms) {
             log::warn!("no publisher for {for_ms} ms: no address is known");
         }
     }
 
-    fn describe(&self, recurrence: Recurrence, version: u64) -> String {
+    fn unreached_line(&self, recurrence: Recurrence, version: u64) -> String {
         let Recurrence { for_ms, count } = recurrence;
         let mut text = format!("no publisher for {for_ms} ms, {count} attempts");
         match version {
@@ -87,8 +89,8 @@
                 let _ = write!(text, ", configuration {version}");
             }
         }
-        for (publisher, end) in &self.ends {
-            let _ = write!(text, "; {publisher}: {end}");
+        for (publisher, error) in &self.last_errors {
+            let _ = write!(text, "; {publisher}: {error}");
         }
         text
     }
--- a/crates/lockusher-distribution/src/subscribe/feed.rs
+++ b/crates/lockusher-distribution/src/subscribe/feed.rs
@@ -1,8 +1,8 @@
-//! A proxy's subscription to the agent beside it.
+//! A proxy's subscription to the agent on the same machine.
 //!
 //! Owned by the proxy, which takes one [`FeedUpdate`] after the other. Invariant: only the newest version of each kind
-//! is delivered; a proxy that is slow skips versions and never sees an older one after a newer, and a searcher that was
-//! seen draining or gone doesn't come back, also when the agent was restarted meanwhile.
+//! is delivered, so that a slow proxy skips versions and never receives an older one after a newer, and a searcher that
+//! was listed as draining or gone doesn't come back, even if the agent restarts meanwhile.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -20,19 +20,19 @@
 use crate::subscribe::shared_subscriber::SharedSubscriber;
 use crate::subscriber::Subscriber;
 
-/// Something newer for a proxy.
+/// A change delivered to a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedUpdate {
     /// The newest configuration.
     Configuration(Rc<Configuration>),
-    /// The newest list, without what has departed.
+    /// The newest list, with departed searchers marked as draining or removed.
     Instances {
-        /// The list's revision.
+        /// Revision of the list.
         revision: InstanceListRevision,
-        /// Sorted as received.
+        /// Instances in the order received.
         instances: Rc<Vec<Instance>>,
     },
-    /// Number of proxies in the fleet that are subscribed, by which quotas of the fleet are divided.
+    /// Number of subscribed proxies in the fleet, by which fleet-wide quotas are divided.
     FleetSize(u32),
 }
 
@@ -48,7 +48,7 @@
     departed: DepartedInstances,
 }
 
-/// Subscribes to the publisher at `agent`; the connection is made, and made again, in a task of its own.
+/// Subscribes to the publisher at `agent`; a separate task connects and reconnects.
 pub fn subscribe(
     agent: SocketAddrV4,
     identity: SubscriberIdentity,
@@ -69,14 +69,14 @@
     }
 }
 
-/// Reports to the publisher of a [`Feed`] what the proxy sees of its services.
+/// Reports a proxy's load to the publisher of its [`Feed`].
 #[derive(Clone)]
 pub struct LoadReporter {
     shared: Rc<SharedSubscriber<FixedAddressPolicy>>,
 }
 
 impl LoadReporter {
-    /// The next acknowledgement carries these loads; it comes within about a second.
+    /// Sets the loads that the next acknowledgement reports; it is sent within about a second.
     pub fn report(&self, loads: Vec<ServiceLoad>) {
         self.shared
             .update_quietly(|subscriber| subscriber.set_loads(loads));
@@ -84,14 +84,14 @@
 }
 
 impl Feed {
-    /// Reports to the publisher of this feed.
+    /// Returns a reporter to the publisher of this feed.
     pub fn load_reporter(&self) -> LoadReporter {
         LoadReporter {
             shared: Rc::clone(&self.shared),
         }
     }
 
-    /// Waits for something newer than what was returned before. Dropping the future loses nothing.
+    /// Waits for a change since the last call. Cancel safe: dropping the future loses no update.
     pub async fn next(&mut self) -> FeedUpdate {
         loop {
             let seen = self.shared.changed().generation();
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The updates as a stream without end.
+    /// Returns the updates as an endless stream.
     pub fn into_stream(self) -> impl Stream<Item = FeedUpdate> {
         futures_util::stream::unfold(self, |mut feed| async move {
             let update = feed.next().await;
--- a/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
+++ b/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
@@ -1,11 +1,11 @@
-//! Keeps one subscription alive over TCP.
+//! Maintains one subscription over TCP.
 //!
 //! A [`SharedSubscriber`] is owned by the program that subscribes, and by the task of [`SharedSubscriber::run`], which
-//! connects, reads and acknowledges. It moves on to the publisher that its [`ConnectionPolicy`] chooses when a
-//! connection is lost, when the publisher is inactive and, if the policy says so, when the publisher is outside the
-//! current view.
+//! connects, reads and acknowledges. It connects to another publisher, selected by its [`ConnectionPolicy`], when a
+//! connection is lost, when the publisher is inactive and, depending on the policy, when the publisher isn't a member
+//! of the current view.
 //!
-//! Invariant: there is at most one connection at a time, and none of the cells is borrowed across an await.
+//! Invariant: there is at most one connection at a time, and no cell is borrowed across an await.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -22,26 +22,26 @@
 use crate::change_notifier::ChangeNotifier;
 use crate::message::{Envelope, ToSubscriber};
 use crate::reconnect::{
-    Attempt, CONNECT_TIMEOUT_MS, ConnectionPolicy, OUT_OF_VIEW_TIMEOUT_MS,
+    CONNECT_TIMEOUT_MS, ConnectionAttempt, ConnectionPolicy, OUT_OF_VIEW_TIMEOUT_MS,
     PUBLISHER_INACTIVITY_TIMEOUT_MS, REFERRAL_TIMEOUT_MS,
 };
 use crate::subscribe::connection_log::ConnectionLog;
 use crate::subscribe::error::SubscribeError;
 use crate::subscriber::Subscriber;
 
-/// Interval at which the policy is asked again while no publisher's address is known.
+/// Interval between calls of the policy while no publisher's address is known.
 const NO_ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a message was about, as far as its connection depends on it.
+/// Kind of a received message, as far as it matters for the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Received {
-    /// It named control nodes.
+enum ReceivedKind {
+    /// A message with control nodes.
     ControlNodes,
-    /// It was of another kind, or named none.
+    /// Any other message, or one without control nodes.
     Other,
 }
 
-impl Received {
+impl ReceivedKind {
     fn of(message: &ToSubscriber) -> Self {
         match message {
             ToSubscriber::ControlNodes(addresses) if !addresses.is_empty() => Self::ControlNodes,
@@ -50,19 +50,19 @@
     }
 }
 
-/// A subscriber that its connection's task shares with those who use what it has applied.
+/// A subscriber that the connection's task shares with the users of the applied versions.
 pub struct SharedSubscriber<P> {
     subscriber: RefCell<Subscriber>,
     policy: RefCell<P>,
     changed: ChangeNotifier,
-    /// Notified of addresses that are learned, so that no attempt at an older one is waited for.
+    /// Notified of newly learned addresses, so that a pending attempt at an older one is abandoned.
     addresses_learned: ChangeNotifier,
     clock: Clock,
     log: RefCell<ConnectionLog>,
 }
 
 impl<P: ConnectionPolicy + 'static> SharedSubscriber<P> {
-    /// Shares a subscriber; `clock` is the process's.
+    /// Shares a subscriber; `clock` is that of the process.
     pub fn new(subscriber: Subscriber, policy: P, clock: Clock) -> Rc<Self> {
         Rc::new(SharedSubscriber {
             subscriber: RefCell::new(subscriber),
@@ -74,65 +74,65 @@
         })
     }
 
-    /// Looks at the subscriber.
-    pub fn read<R>(&self, look: impl FnOnce(&Subscriber) -> R) -> R {
-        look(&self.subscriber.borrow())
+    /// Reads the subscriber.
+    pub fn read<R>(&self, f: impl FnOnce(&Subscriber) -> R) -> R {
+        f(&self.subscriber.borrow())
     }
 
-    /// Changes the subscriber and wakes those who wait for changes.
-    pub fn update<R>(&self, change: impl FnOnce(&mut Subscriber) -> R) -> R {
-        let result = change(&mut self.subscriber.borrow_mut());
+    /// Modifies the subscriber and wakes the tasks that wait for changes.
+    pub fn update<R>(&self, f: impl FnOnce(&mut Subscriber) -> R) -> R {
+        let result = f(&mut self.subscriber.borrow_mut());
         self.changed.notify();
         result
     }
 
-    /// Changes the subscriber without waking anyone.
-    pub fn update_quietly<R>(&self, change: impl FnOnce(&mut Subscriber) -> R) -> R {
-        change(&mut self.subscriber.borrow_mut())
+    /// Modifies the subscriber without waking any task.
+    pub fn update_quietly<R>(&self, f: impl FnOnce(&mut Subscriber) -> R) -> R {
+        f(&mut self.subscriber.borrow_mut())
     }
 
-    /// Changes the way that publishers are chosen.
-    pub fn update_policy<R>(&self, change: impl FnOnce(&mut P) -> R) -> R {
-        change(&mut self.policy.borrow_mut())
+    /// Modifies the connection policy.
+    pub fn update_policy<R>(&self, f: impl FnOnce(&mut P) -> R) -> R {
+        f(&mut self.policy.borrow_mut())
     }
 
-    /// Takes addresses of publishers that were learned elsewhere; an attempt that waits for its time is given up.
+    /// Passes on addresses of publishers learned from another source; a pending attempt is abandoned.
     pub fn learn(&self, addresses: &[SocketAddrV4]) {
         self.policy.borrow_mut().learn(addresses);
         self.addresses_learned.notify();
     }
 
-    /// Notified of each message that was received, and of each loss of a publisher.
+    /// Notified of each received message, and of each failed attempt or lost connection.
     pub fn changed(&self) -> &ChangeNotifier {
         &self.changed
     }
 
-    /// The time on the process's steady clock, in milliseconds.
+    /// Returns the time on the process's monotonic clock, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.clock.millis()
     }
 
-    /// Keeps the subscription alive for ever.
+    /// Maintains the subscription until dropped.
     pub async fn run(self: Rc<Self>) {
         loop {
             let attempt = self.policy.borrow_mut().next_attempt(self.clock.millis());
             let Some(attempt) = attempt else {
-                self.log.borrow_mut().no_address(self.clock.millis());
+                self.log.borrow_mut().log_no_address(self.clock.millis());
                 compio::time::sleep(NO_ADDRESS_RETRY_INTERVAL).await;
                 continue;
             };
-            if !self.is_due(attempt).await {
+            if !self.wait_until_due(attempt).await {
                 continue;
             }
-            let Err(error) = self.follow(attempt).await;
-            self.log_end(attempt, &error);
-            self.policy.borrow_mut().lost(self.clock.millis());
+            let Err(error) = self.run_connection(attempt).await;
+            self.log_connection_end(attempt, &error);
+            self.policy.borrow_mut().on_lost(self.clock.millis());
             self.changed.notify();
         }
     }
 
-    /// Waits until an attempt is due; false if newer addresses were learned meanwhile.
-    async fn is_due(&self, attempt: Attempt) -> bool {
+    /// Waits until an attempt is due; returns false if addresses were learned meanwhile.
+    async fn wait_until_due(&self, attempt: ConnectionAttempt) -> bool {
         let seen = self.addresses_learned.generation();
         let delay_ms = attempt.at_ms.saturating_sub(self.clock.millis());
         let due = compio::time::sleep(Duration::from_millis(delay_ms));
@@ -141,15 +141,18 @@
         matches!(select(due, learned).await, Either::Left(_))
     }
 
-    fn log_end(&self, attempt: Attempt, error: &SubscribeError) {
+    fn log_connection_end(&self, attempt: ConnectionAttempt, error: &SubscribeError) {
         let version = self.subscriber.borrow().applied().configuration_version;
         let now_ms = self.clock.millis();
         let mut log = self.log.borrow_mut();
-        log.ended(now_ms, attempt.address, error, version);
+        log.log_ended(now_ms, attempt.address, error, version);
     }
 
     /// Connects to one publisher and applies what it sends until the connection ends.
-    async fn follow(&self, attempt: Attempt) -> Result<Infallible, SubscribeError> {
+    async fn run_connection(
+        &self,
+        attempt: ConnectionAttempt,
+    ) -> Result<Infallible, SubscribeError> {
         let (mut reader, mut writer) = self.connect(attempt).await?;
         let subscribe = self.subscriber.borrow_mut().subscribe(self.clock.millis());
         writer.write(&Envelope::encode(&subscribe)).await?;
@@ -162,8 +165,10 @@
             self.check_referral(received, now_ms.saturating_sub(connected_at_ms))?;
             if !is_established {
                 is_established = true;
-                self.policy.borrow_mut().established(now_ms);
-                self.log.borrow_mut().established(now_ms, attempt.address);
+                self.policy.borrow_mut().on_established(now_ms);
+                self.log
+                    .borrow_mut()
+                    .log_established(now_ms, attempt.address);
             }
             if self.subscriber.borrow().publisher_in_view() {
                 in_view_at_ms = now_ms;
@@ -175,47 +180,53 @@
     /// Connects to one publisher.
     async fn connect(
         &self,
-        attempt: Attempt,
+        attempt: ConnectionAttempt,
     ) -> Result<(FrameReader<Envelope>, FrameWriter<Envelope>), SubscribeError> {
         let timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
         let stream = lockusher_transport::tcp::connect(attempt.address, timeout).await?;
         Ok(frame::split(stream)?)
     }
 
-    /// Fails once an agent has named control nodes, or knew none for too long.
-    fn check_referral(&self, received: Received, connected_ms: u64) -> Result<(), SubscribeError> {
+    /// Fails if the peer is a referrer that has returned control nodes, or none in time.
+    fn check_referral(
+        &self,
+        received: ReceivedKind,
+        connected_ms: u64,
+    ) -> Result<(), SubscribeError> {
         if !self.policy.borrow().is_referrer() {
             return Ok(());
         }
-        let named = received == Received::ControlNodes;
-        if named || connected_ms >= REFERRAL_TIMEOUT_MS {
-            return Err(SubscribeError::Referral { named });
+        let returned_control_nodes = received == ReceivedKind::ControlNodes;
+        if returned_control_nodes || connected_ms >= REFERRAL_TIMEOUT_MS {
+            return Err(SubscribeError::Referral {
+                returned_control_nodes,
+            });
         }
         Ok(())
     }
 
-    /// Fails if the publisher has been outside the current view for too long.
+    /// Fails if the publisher hasn't been a member of the current view for too long.
     fn check_view(&self, now_ms: u64, in_view_at_ms: u64) -> Result<(), SubscribeError> {
         let out_of_view = now_ms.saturating_sub(in_view_at_ms) >= OUT_OF_VIEW_TIMEOUT_MS;
-        if out_of_view && self.policy.borrow().leaves_out_of_view() {
+        if out_of_view && self.policy.borrow().disconnects_out_of_view() {
             return Err(SubscribeError::OutOfView);
         }
         Ok(())
     }
 
-    /// Takes the next message and answers it.
+    /// Reads the next message and answers it.
     async fn receive(
         &self,
         reader: &mut FrameReader<Envelope>,
         writer: &mut FrameWriter<Envelope>,
-    ) -> Result<Received, SubscribeError> {
+    ) -> Result<ReceivedKind, SubscribeError> {
         let inactivity_timeout = Duration::from_millis(PUBLISHER_INACTIVITY_TIMEOUT_MS);
         let envelope = match reader.read_within(inactivity_timeout).await {
             Err(TransportError::TimedOut { .. }) => return Err(SubscribeError::InactivityTimeout),
             received => received?,
         };
         let message: ToSubscriber = envelope.decode()?;
-        let received = Received::of(&message);
+        let received = ReceivedKind::of(&message);
         if let ToSubscriber::ControlNodes(addresses) = &message {
             self.policy.borrow_mut().learn(addresses);
         }
--- a/crates/lockusher-distribution/src/subscriber.rs
+++ b/crates/lockusher-distribution/src/subscriber.rs
@@ -1,11 +1,11 @@
-//! Applies what publishers send.
+//! Applies the messages of publishers.
 //!
-//! A [`Subscriber`] is owned by a [`SharedSubscriber`](crate::subscribe::SharedSubscriber), which passes it the messages
-//! of one connection after the other. It does no I/O and reads no clock.
+//! A [`Subscriber`] is owned by a [`SharedSubscriber`](crate::subscribe::SharedSubscriber), which passes it the
+//! messages of successive connections. It does no I/O and reads no clock.
 //!
-//! Invariant: within its process's life it never goes back to an older version, whichever publisher sends it, and what it
-//! has applied is exactly what was published under its version. It answers each update, by an acknowledgement or by a
-//! request for a full snapshot.
+//! Invariant: while its process runs, it never returns to an older version, whichever publisher sends it, and each
+//! version that it has applied is exactly what was published under that version. It answers each update by an
+//! acknowledgement or by a request for a full snapshot.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -17,37 +17,37 @@
 use crate::load::{self, ServiceLoad};
 use crate::message::{
     AppliedVersions, ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat,
-    InstanceListUpdate, NEVER_MS, SubscriberIdentity, ToSubscriber,
+    InstanceListUpdate, NEVER_CONFIRMED_MS, SubscriberIdentity, ToSubscriber,
 };
 
-/// Interval of the acknowledgements that answer no update, in milliseconds: keep-alives, which answer a heartbeat.
+/// Interval of keep-alives, in milliseconds: acknowledgements that answer a heartbeat instead of an update.
 const KEEP_ALIVE_INTERVAL_MS: u64 = 1_000;
 
-/// What a subscriber has applied and received, and what its acknowledgements report.
+/// The versions and messages that a subscriber has received, and what its acknowledgements report.
 #[derive(Debug)]
 pub struct Subscriber {
     identity: SubscriberIdentity,
     configuration: Option<Rc<Configuration>>,
     list: Option<InstanceList>,
-    /// On this process's clock; absent if no heartbeat confirmed the list applied.
+    /// On this process's monotonic clock; absent if no heartbeat has confirmed the applied list.
     list_confirmed_at_ms: Option<u64>,
-    /// 0 if unknown.
+    /// Of the platform's full list; 0 if unknown.
     calls_per_poll: u32,
-    /// In the fleet; 0 if unknown.
+    /// Number of subscribed proxies in the fleet; 0 if unknown.
     proxies: u32,
     publisher_in_view: bool,
     publisher_list_age_ms: u64,
     control_nodes: Vec<SocketAddrV4>,
     peers: Vec<SocketAddrV4>,
     downstream: Downstream,
-    /// The loads of the last acknowledgement.
+    /// Loads in the last acknowledgement.
     reported_loads: Vec<ServiceLoad>,
-    /// When the last acknowledgement was made, or the connection came up.
+    /// When the last acknowledgement was created, or the connection was established if that is later.
     acknowledged_at_ms: u64,
 }
 
 impl Subscriber {
-    /// A subscriber that has applied nothing yet.
+    /// Creates a subscriber that has applied nothing yet.
     pub fn new(identity: SubscriberIdentity) -> Self {
         Subscriber {
             identity,
@@ -57,7 +57,7 @@
             calls_per_poll: 0,
             proxies: 0,
             publisher_in_view: true,
-            publisher_list_age_ms: NEVER_MS,
+            publisher_list_age_ms: NEVER_CONFIRMED_MS,
             control_nodes: Vec::new(),
             peers: Vec::new(),
             downstream: Downstream::PROXY,
@@ -66,52 +66,52 @@
         }
     }
 
-    /// The configuration applied.
+    /// Returns the applied configuration.
     pub fn configuration(&self) -> Option<&Rc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// The list applied.
+    /// Returns the applied list.
     pub fn list(&self) -> Option<&InstanceList> {
         self.list.as_ref()
     }
 
-    /// When a poll last confirmed the list applied against the platform, as far as heartbeats reported it.
+    /// Returns when a poll last confirmed the applied list against the platform, according to heartbeats.
     pub fn list_confirmed_at_ms(&self) -> Option<u64> {
         self.list_confirmed_at_ms
     }
 
-    /// Calls to the platform that one poll of the full list takes; 0 if unknown.
+    /// Returns the number of calls to the platform that one poll of the full list takes; 0 if unknown.
     pub fn calls_per_poll(&self) -> u32 {
         self.calls_per_poll
     }
 
-    /// Subscribed proxies in the fleet, as last received; 0 if unknown.
+    /// Returns the last received number of subscribed proxies in the fleet; 0 if unknown.
     pub fn proxies(&self) -> u32 {
         self.proxies
     }
 
-    /// Whether the publisher takes part in the current view; true until a heartbeat reports otherwise.
+    /// Whether the publisher is a member of the current view; true until a heartbeat reports otherwise.
     pub fn publisher_in_view(&self) -> bool {
         self.publisher_in_view
     }
 
-    /// Age of the publisher's list by its last heartbeat, in milliseconds; [`NEVER_MS`] before the first.
+    /// Returns the age of the publisher's list by its last heartbeat, in milliseconds; [`NEVER_CONFIRMED_MS`] before the first.
     pub fn publisher_list_age_ms(&self) -> u64 {
         self.publisher_list_age_ms
     }
 
-    /// Internal listeners of the control nodes, as last received.
+    /// Returns the internal listeners of the control nodes, as last received.
     pub fn control_nodes(&self) -> &[SocketAddrV4] {
         &self.control_nodes
     }
 
-    /// The sample of other agents, as last received.
+    /// Returns the sample of other agents, as last received.
     pub fn peers(&self) -> &[SocketAddrV4] {
         &self.peers
     }
 
-    /// The versions applied.
+    /// Returns the applied versions.
     pub fn applied(&self) -> AppliedVersions {
         AppliedVersions {
             configuration_version: self
@@ -126,33 +126,33 @@
         }
     }
 
-    /// Takes the addresses of control nodes that one of them announced.
+    /// Sets the control nodes' addresses that one of them announced on another connection.
     pub fn set_control_nodes(&mut self, control_nodes: Vec<SocketAddrV4>) {
         self.control_nodes = control_nodes;
     }
 
-    /// Sets what is fed by way of this subscriber; the next acknowledgement carries it. A proxy needn't call this.
+    /// Sets the state of the proxies downstream, which the next acknowledgement reports; not needed by a proxy.
     pub fn set_downstream(&mut self, downstream: Downstream) {
         self.downstream = downstream;
     }
 
-    /// Sets the loads that acknowledgements report; those of a proxy are its own.
+    /// Sets the loads that acknowledgements report; a proxy reports its own.
     pub fn set_loads(&mut self, loads: Vec<ServiceLoad>) {
         self.downstream.loads = loads;
     }
 
-    /// The first message on a new connection.
+    /// Returns the first message of a new connection.
     pub fn subscribe(&mut self, now_ms: u64) -> FromSubscriber {
         self.acknowledged_at_ms = now_ms;
         self.publisher_in_view = true;
-        self.publisher_list_age_ms = NEVER_MS;
+        self.publisher_list_age_ms = NEVER_CONFIRMED_MS;
         FromSubscriber::Subscribe {
             identity: self.identity.clone(),
             applied: self.applied(),
         }
     }
 
-    /// Takes a message of the publisher; returns the answer that is due.
+    /// Handles a message of the publisher; returns the answer, if one is due.
     pub fn receive(&mut self, now_ms: u64, message: ToSubscriber) -> Option<FromSubscriber> {
         match message {
             ToSubscriber::Configuration(update) => Some(self.receive_configuration(now_ms, update)),
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Applies a configuration that was received from elsewhere; false, and without effect, if it isn't newer.
+    /// Applies a configuration received from another source; returns false, without effect, if it isn't newer.
     pub fn offer_configuration(&mut self, configuration: Rc<Configuration>) -> bool {
         if configuration.version <= self.applied().configuration_version {
             return false;
@@ -258,10 +258,10 @@
             .then(|| self.acknowledge(now_ms))
     }
 
-    /// The age of the publisher's list is that of the list applied if both are of the same revision.
+    /// Takes the age of the publisher's list as that of the applied list if both have the same revision.
     fn confirm_list(&mut self, now_ms: u64, heartbeat: &Heartbeat) {
         let is_same_list = heartbeat.newest.list_revision == self.applied().list_revision;
-        if heartbeat.list_age_ms != NEVER_MS && is_same_list {
+        if heartbeat.list_age_ms != NEVER_CONFIRMED_MS && is_same_list {
             let confirmed_at_ms = now_ms.saturating_sub(heartbeat.list_age_ms);
             self.list_confirmed_at_ms = self.list_confirmed_at_ms.max(Some(confirmed_at_ms));
         }
@@ -270,7 +270,7 @@
     fn is_acknowledgement_due(&self, now_ms: u64) -> bool {
         let since_acknowledged_ms = now_ms.saturating_sub(self.acknowledged_at_ms);
         since_acknowledged_ms >= KEEP_ALIVE_INTERVAL_MS
-            || load::is_noticeable(&self.downstream.loads, &self.reported_loads)
+            || load::is_significant_change(&self.downstream.loads, &self.reported_loads)
     }
 
     fn acknowledge(&mut self, now_ms: u64) -> FromSubscriber {
--- a/crates/lockusher-distribution/tests/load.rs
+++ b/crates/lockusher-distribution/tests/load.rs
@@ -6,8 +6,8 @@
 
 use lockusher_distribution::load::{self, ServiceLoad};
 use lockusher_distribution::message::{
-    AppliedVersions, Downstream, Envelope, FromSubscriber, Heartbeat, NEVER_MS, SubscriberIdentity,
-    ToSubscriber,
+    AppliedVersions, Downstream, Envelope, FromSubscriber, Heartbeat, NEVER_CONFIRMED_MS,
+    SubscriberIdentity, ToSubscriber,
 };
 use lockusher_distribution::publisher::Publisher;
 use lockusher_distribution::subscriber::Subscriber;
@@ -91,7 +91,7 @@
 fn heartbeat() -> ToSubscriber {
     ToSubscriber::Heartbeat(Heartbeat {
         newest: AppliedVersions::default(),
-        list_age_ms: NEVER_MS,
+        list_age_ms: NEVER_CONFIRMED_MS,
         calls_per_poll: 0,
         proxies: 1,
         in_view: true,
--- a/crates/lockusher-distribution/tests/loopback.rs
+++ b/crates/lockusher-distribution/tests/loopback.rs
@@ -201,7 +201,7 @@
     server.wait_for_acknowledgements(10, 40).await;
     assert_eq!(server.shared.read(Publisher::subscribed_nodes), 40);
     assert_eq!(
-        server.shared.read(Publisher::connections_made),
+        server.shared.read(Publisher::connections_accepted),
         40,
         "no connection was made anew"
     );
@@ -238,7 +238,7 @@
         .await
         .expect("a keep-alive");
     }
-    assert_eq!(server.shared.read(Publisher::connections_made), 1);
+    assert_eq!(server.shared.read(Publisher::connections_accepted), 1);
 }
 
 #[compio::test]
--- a/crates/lockusher-distribution/tests/publisher.rs
+++ b/crates/lockusher-distribution/tests/publisher.rs
@@ -165,7 +165,7 @@
     let id = publisher.connect(0);
     let timeout = SUBSCRIBER_INACTIVITY_TIMEOUT_MS;
 
-    publisher.record_contact(id, timeout + 1_400);
+    publisher.record_activity(id, timeout + 1_400);
 
     assert!(!publisher.is_inactive(id, 2 * timeout));
     assert!(publisher.is_inactive(id, 2 * timeout + 1_400));
--- a/crates/lockusher-distribution/tests/reconnect.rs
+++ b/crates/lockusher-distribution/tests/reconnect.rs
@@ -48,16 +48,16 @@
     let mut arrivals: BTreeMap<(SocketAddrV4, u64), usize> = BTreeMap::new();
     for mut agent in agents(&seeds(nodes)) {
         agent.next_attempt(0);
-        agent.established(10);
+        agent.on_established(10);
         let mut now_ms = 60_000;
-        agent.lost(now_ms);
+        agent.on_lost(now_ms);
         while now_ms < 70_000 {
             let attempt = agent.next_attempt(now_ms).expect("an attempt");
             *arrivals
                 .entry((attempt.address, attempt.at_ms / 100))
                 .or_default() += 1;
             now_ms = attempt.at_ms.max(now_ms + 1);
-            agent.lost(now_ms);
+            agent.on_lost(now_ms);
         }
     }
 
@@ -79,7 +79,7 @@
 fn fail_attempts(agent: &mut ControlNodePolicy, attempts: usize) -> Vec<SocketAddrV4> {
     let attempt = |_| {
         let address = agent.next_attempt(60_000).expect("an attempt").address;
-        agent.lost(60_000);
+        agent.on_lost(60_000);
         address
     };
     (0..attempts).map(attempt).collect()
@@ -89,8 +89,8 @@
 fn a_lost_node_is_tried_after_all_others() {
     let mut agent = ControlNodePolicy::new("edge", seeds(4), 9);
     let lost = agent.next_attempt(0).expect("an attempt").address;
-    agent.established(1);
-    agent.lost(60_000);
+    agent.on_established(1);
+    agent.on_lost(60_000);
 
     let tried = fail_attempts(&mut agent, 4);
 
@@ -102,9 +102,9 @@
 fn addresses_that_control_nodes_sent_are_tried_before_the_seeds() {
     let mut agent = ControlNodePolicy::new("edge", seeds(2), 9);
     agent.next_attempt(0);
-    agent.established(1);
+    agent.on_established(1);
     agent.learn(&[address(8), address(9)]);
-    agent.lost(60_000);
+    agent.on_lost(60_000);
 
     let tried = fail_attempts(&mut agent, 4);
 
@@ -134,8 +134,8 @@
 
     while now_ms < 60_000 {
         now_ms = agent.next_attempt(now_ms).expect("an attempt").at_ms;
-        agent.established(now_ms);
-        agent.lost(now_ms + 5);
+        agent.on_established(now_ms);
+        agent.on_lost(now_ms + 5);
         attempts += 1;
     }
 
@@ -148,7 +148,7 @@
 
     assert_eq!(proxy.next_attempt(0).expect("an attempt").at_ms, 0);
     for _ in 0..50 {
-        proxy.lost(0);
+        proxy.on_lost(0);
         let back_off_ms = proxy.next_attempt(0).expect("an attempt").at_ms;
         assert!((50..=200).contains(&back_off_ms), "{back_off_ms} ms");
     }
@@ -168,7 +168,7 @@
 fn after_an_attempt_that_hangs_the_next_one_comes_soon() {
     for mut agent in agents(&seeds(3)) {
         agent.next_attempt(0).expect("an attempt");
-        agent.lost(CONNECT_TIMEOUT_MS);
+        agent.on_lost(CONNECT_TIMEOUT_MS);
 
         let next = agent.next_attempt(CONNECT_TIMEOUT_MS).expect("an attempt");
 
@@ -197,14 +197,14 @@
     agent.set_referrers(vec![address(71)]);
 
     let referrer = agent.next_attempt(0).expect("an attempt").address;
-    agent.established(1);
+    agent.on_established(1);
 
     assert_eq!(referrer, address(71));
     assert!(agent.is_referrer());
     assert_eq!(agent.connected(), None);
 
     agent.learn(&[address(8)]);
-    agent.lost(2);
+    agent.on_lost(2);
     let next = agent.next_attempt(2).expect("an attempt");
     assert_eq!(next.address, address(8));
     assert!(next.at_ms <= 2 + 250, "{next:?}");
@@ -226,7 +226,7 @@
                 assert!(now_ms <= last_tried_ms + 20_000, "{number}: {now_ms}");
                 last_tried_ms = now_ms;
             }
-            agent.lost(now_ms);
+            agent.on_lost(now_ms);
         }
     }
 }
--- a/crates/lockusher-distribution/tests/recorded_bytes.rs
+++ b/crates/lockusher-distribution/tests/recorded_bytes.rs
@@ -20,7 +20,7 @@
 use lockusher_distribution::load::ServiceLoad;
 use lockusher_distribution::message::{
     AppliedVersions, ConfigurationUpdate, Downstream, Envelope, FromSubscriber, Heartbeat,
-    InstanceListUpdate, NEVER_MS, SubscriberIdentity, ToSubscriber,
+    InstanceListUpdate, NEVER_CONFIRMED_MS, SubscriberIdentity, ToSubscriber,
 };
 use lockusher_transport::frame;
 use recorded_bytes::{assert_encoded_as_recorded, assert_every_kind_is_sampled, kinds_of};
@@ -355,7 +355,7 @@
     };
     let out_of_view = Heartbeat {
         newest: AppliedVersions::default(),
-        list_age_ms: NEVER_MS,
+        list_age_ms: NEVER_CONFIRMED_MS,
         calls_per_poll: 0,
         proxies: 0,
         in_view: false,
