--- a/crates/lockusher-distribution/tests/capacity.rs
+++ b/crates/lockusher-distribution/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! What a control node sends its agents at the size that docs/CAPACITY.md plans for, in simulated time and without
+//! Traffic from a control node to its agents at the size planned in docs/CAPACITY.md, in simulated time and without
 //! sockets. `cargo test --release -p lockusher-distribution --test capacity -- --nocapture` prints the figures.
 
 mod support;
@@ -17,16 +17,18 @@
 const SEARCHERS: usize = 840;
 const TENANTS: usize = 1_200;
 const MODELS: usize = 25;
-/// 2,300 a day.
-const CONFIGURATION_CHANGES_AN_HOUR: u64 = 96;
-/// 8 failures and 310 replacements a day, each seen as draining, gone and new; 130 changes of stage a day.
-const LIST_CHANGES_AN_HOUR: u64 = 46;
+/// 2,300 changes a day.
+const CONFIGURATION_CHANGES_PER_HOUR: u64 = 96;
+/// 8 failures and 310 replacements a day, each of which changes the list three times (draining, gone, new), and 130
+/// changes of stage a day.
+const LIST_CHANGES_PER_HOUR: u64 = 46;
 const HOUR_MS: u64 = 3_600_000;
-const PLAYED_MS: u64 = HOUR_MS / 6;
+const SIMULATED_MS: u64 = HOUR_MS / 6;
 const STEP_MS: u64 = 100;
-/// What the operators allow for control at an aggregator.
+/// Operators' limit of the control-plane traffic at one aggregator.
 const MAX_BYTES_PER_S: f64 = 5_000.0;
-/// Header bytes of a TCP segment over IPv4; each frame is counted as one segment, and each segment as acknowledged.
+/// Header bytes of a TCP segment over IPv4, counted twice: each frame counts as one segment, and each segment as
+/// acknowledged by another one.
 const SEGMENT_BYTES: u64 = 2 * 40;
 
 fn tenant_route(number: usize, timeout_ms: u64) -> Route {
@@ -58,7 +60,7 @@
     }
 }
 
-/// The configuration of all tenants; each version changes one route.
+/// Returns the configuration of all tenants; each version changes one route.
 fn large_configuration(version: u64) -> Configuration {
     let timeout = |number: usize| {
         if number as u64 == version % TENANTS as u64 {
@@ -93,35 +95,35 @@
     }
 }
 
-/// All searchers; each revision shows another one as draining.
+/// Returns all searchers; each revision shows another one as draining.
 fn large_list(sequence: u64) -> Rc<Vec<Instance>> {
     let mut list: Vec<Instance> = (0..SEARCHERS).map(searcher).collect();
     list[sequence as usize % SEARCHERS].state = InstanceState::Draining;
     Rc::new(list)
 }
 
-/// Changes at the planned rate, since time 0.
+/// Publishes changes at the planned rate, starting at time 0.
 struct PlannedChanges {
-    /// Of the newest configuration.
+    /// Version of the newest configuration.
     version: u64,
-    /// Of the newest list's revision.
+    /// Sequence of the newest list's revision.
     sequence: u64,
 }
 
 impl PlannedChanges {
     fn publish_due(&mut self, publisher: &mut Publisher, now_ms: u64) {
-        if now_ms * CONFIGURATION_CHANGES_AN_HOUR / HOUR_MS >= self.version {
+        if now_ms * CONFIGURATION_CHANGES_PER_HOUR / HOUR_MS >= self.version {
             self.version += 1;
             publisher.publish_configuration(Rc::new(large_configuration(self.version)));
         }
-        if now_ms * LIST_CHANGES_AN_HOUR / HOUR_MS >= self.sequence {
+        if now_ms * LIST_CHANGES_PER_HOUR / HOUR_MS >= self.sequence {
             self.sequence += 1;
             publisher.publish_list(revision(1, self.sequence), large_list(self.sequence));
         }
     }
 }
 
-/// A control node with its agents, which answer at once.
+/// A control node and its agents, which answer immediately.
 struct Fleet {
     publisher: Publisher,
     agents: Vec<(SubscriberId, Subscriber)>,
@@ -183,7 +185,7 @@
         self.agents = agents;
     }
 
-    fn all_have_applied_the_newest(&self) -> bool {
+    fn all_have_applied_the_newest_versions(&self) -> bool {
         self.agents
             .iter()
             .all(|(_, agent)| agent.applied() == self.publisher.newest())
@@ -194,13 +196,13 @@
     with_nine_control_nodes = { 45 },
     with_six_control_nodes = { 67 },
 )]
-fn changes_at_the_planned_rate_stay_within_the_bytes_allowed(agents: usize) {
+fn changes_at_the_planned_rate_stay_within_the_traffic_limit(agents: usize) {
     let mut fleet = Fleet::start(agents);
     fleet.step(0);
     let (start_messages, start_bytes) = (fleet.messages, fleet.bytes);
     let agents = agents as f64;
     println!(
-        "{agents} agents: first state of all, {:.0} bytes an agent",
+        "{agents} agents: initial state, {:.0} bytes per agent",
         start_bytes as f64 / agents
     );
     let started = Instant::now();
@@ -209,19 +211,19 @@
         version: 1,
         sequence: 1,
     };
-    for now_ms in (STEP_MS..=PLAYED_MS).step_by(STEP_MS as usize) {
+    for now_ms in (STEP_MS..=SIMULATED_MS).step_by(STEP_MS as usize) {
         changes.publish_due(&mut fleet.publisher, now_ms);
         fleet.step(now_ms);
     }
 
-    let played_s = PLAYED_MS as f64 / 1_000.0;
-    let bytes_per_s = (fleet.bytes - start_bytes) as f64 / agents / played_s;
-    let messages_per_s = (fleet.messages - start_messages) as f64 / agents / played_s;
+    let simulated_s = SIMULATED_MS as f64 / 1_000.0;
+    let bytes_per_s = (fleet.bytes - start_bytes) as f64 / agents / simulated_s;
+    let messages_per_s = (fleet.messages - start_messages) as f64 / agents / simulated_s;
     println!(
-        "{agents} agents: {bytes_per_s:.0} bytes/s and {messages_per_s:.2} messages/s an agent; both sides took {:.2} s",
+        "{agents} agents: {bytes_per_s:.0} bytes/s and {messages_per_s:.2} messages/s per agent; computing took {:.2} s",
         started.elapsed().as_secs_f64()
     );
-    assert!(fleet.all_have_applied_the_newest());
+    assert!(fleet.all_have_applied_the_newest_versions());
     assert!(
         bytes_per_s < MAX_BYTES_PER_S,
         "{bytes_per_s} bytes a second"
@@ -229,7 +231,7 @@
 }
 
 #[test]
-fn a_burst_of_fifty_changes_costs_a_few_updates() {
+fn fifty_changes_at_once_are_applied_in_one_step() {
     let mut fleet = Fleet::start(1);
     fleet.step(0);
     let before = fleet.bytes;
@@ -245,11 +247,11 @@
         "fifty changes at once to one agent: {} bytes",
         fleet.bytes - before
     );
-    assert!(fleet.all_have_applied_the_newest());
+    assert!(fleet.all_have_applied_the_newest_versions());
 }
 
 #[test]
-fn the_first_state_is_sent_once_as_full_snapshots() {
+fn the_initial_state_is_sent_once_as_full_snapshots() {
     let mut publisher = Publisher::new(1);
     publisher.publish_configuration(Rc::new(large_configuration(1)));
     publisher.publish_list(revision(1, 1), large_list(1));
--- a/crates/lockusher-distribution/tests/departures.rs
+++ b/crates/lockusher-distribution/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Searchers that have departed don't come back by an older list.
+//! Departed searchers aren't brought back by an older list.
 
 mod support;
 
--- a/crates/lockusher-distribution/tests/difference.rs
+++ b/crates/lockusher-distribution/tests/difference.rs
@@ -1,4 +1,4 @@
-//! A difference gives exactly the newer version, whatever was added, removed, changed or moved.
+//! Applying a difference gives exactly the newer version, whether elements were added, removed, changed or moved.
 
 mod support;
 
--- a/crates/lockusher-distribution/tests/instance_list_poller.rs
+++ b/crates/lockusher-distribution/tests/instance_list_poller.rs
@@ -1,4 +1,4 @@
-//! Pacing, paging and back-off of the polls of the platform's list.
+//! Pacing, paging and back-off of polls of the platform's list.
 
 mod support;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Waits as the poller says and returns the time and path of its next call.
+/// Advances the time by the poller's waits and returns the time and path of its next call.
 fn next_call(poller: &mut InstanceListPoller, mut now_ms: u64) -> (u64, String) {
     loop {
         match poller.next_step(now_ms) {
@@ -30,7 +30,7 @@
     }
 }
 
-/// One poll that finds `pages`.
+/// Runs one poll that finds `pages`.
 fn poll(
     poller: &mut InstanceListPoller,
     now_ms: &mut u64,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_countdown_alone_is_no_change_but_its_end_is() {
+fn a_decreasing_warm_up_time_is_no_change_until_it_is_zero() {
     let mut poller = sole_poller();
     let mut now_ms = 0;
 
@@ -111,7 +111,7 @@
     assert_eq!(changed, [true, false, false, true, false, true]);
 }
 
-/// An entry that is on neither of two pages isn't taken for gone.
+/// The list may change between two page requests, so that an entry is on neither page.
 #[test]
 fn a_searcher_missing_from_one_poll_of_several_pages_is_retained_until_the_next() {
     let mut poller = sole_poller();
@@ -124,8 +124,8 @@
 
     let missing = poll(&mut poller, &mut now_ms, &[&[instance("b")], &[]]);
     assert_eq!(identifiers(&missing), ["a", "b", "c"]);
-    let again_at_ms = next_call(&mut poller, now_ms).0;
-    assert!(again_at_ms <= now_ms + 100, "confirmed soon");
+    let next_call_at_ms = next_call(&mut poller, now_ms).0;
+    assert!(next_call_at_ms <= now_ms + 100, "confirmed soon");
 
     let confirmed = poll(
         &mut poller,
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_draining_searcher_that_vanishes_is_gone_at_once() {
+fn a_draining_searcher_that_is_missing_is_removed_immediately() {
     let mut poller = sole_poller();
     let mut now_ms = 0;
     poll(
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_rejected_call_is_made_again_after_longer_and_longer_back_offs() {
+fn a_rejected_call_is_retried_after_growing_back_offs() {
     let mut poller = sole_poller();
     let mut now_ms = next_call(&mut poller, 0).0;
     poller.receive_page(now_ms, page(&[instance("a")], Some("p-1")));
@@ -173,9 +173,9 @@
     for _ in 0..8 {
         let (at_ms, _) = next_call(&mut poller, now_ms);
         poller.back_off(at_ms);
-        let (again_ms, _) = next_call(&mut poller, at_ms);
-        back_offs_ms.push(again_ms - at_ms);
-        now_ms = again_ms;
+        let (retry_at_ms, _) = next_call(&mut poller, at_ms);
+        back_offs_ms.push(retry_at_ms - at_ms);
+        now_ms = retry_at_ms;
     }
 
     assert!(back_offs_ms[0] <= 500, "{back_offs_ms:?}");
@@ -187,12 +187,12 @@
     assert_eq!(
         next_call(&mut poller, now_ms).1,
         "/instances",
-        "a poll that takes long begins anew"
+        "a poll that takes too long is restarted"
     );
 }
 
 #[test]
-fn a_page_that_is_not_known_any_more_restarts_the_poll() {
+fn a_page_token_that_has_expired_restarts_the_poll() {
     let mut poller = sole_poller();
     poller.next_step(0);
     poller.receive_page(0, page(&[instance("a")], Some("p-1")));
@@ -217,7 +217,7 @@
     assert_eq!(next_call(&mut poller, 1_000_000).0, 1_000_000);
 }
 
-/// Calls of so many concurrent pollers, by second.
+/// Returns the number of calls of all concurrent pollers in each second.
 fn calls_by_second(pollers: u32, pages: u32, rate_per_s: f64, seconds: u64) -> BTreeMap<u64, u32> {
     let mut calls = BTreeMap::new();
     for number in 0..pollers {
@@ -254,17 +254,17 @@
     let total: u32 = calls.values().sum();
     let mean = f64::from(total) / seconds as f64;
     assert!(mean <= 0.6 * rate_per_s, "{mean} calls a second on average");
-    let over = calls
+    let seconds_over_rate = calls
         .values()
         .filter(|count| f64::from(**count) > rate_per_s)
         .count();
     assert!(
-        over as f64 <= 0.03 * seconds as f64,
-        "{over} seconds over the rate"
+        seconds_over_rate as f64 <= 0.03 * seconds as f64,
+        "{seconds_over_rate} seconds over the rate"
     );
     assert!(
         mean >= 0.3 * rate_per_s || f64::from(pollers) * 0.9 <= mean,
-        "{mean}: the rate lies idle"
+        "{mean} calls a second leave the rate limit unused"
     );
 }
 
--- a/crates/lockusher-distribution/tests/load.rs
+++ b/crates/lockusher-distribution/tests/load.rs
@@ -1,4 +1,4 @@
-//! Loads on their way from the proxies to the head.
+//! Load reports from the proxies to the head.
 
 mod support;
 
@@ -104,12 +104,15 @@
     subscriber.subscribe(0);
 
     subscriber.set_loads(vec![service("x", 100)]);
-    assert!(subscriber.receive(300, heartbeat()).is_some(), "it is new");
+    assert!(
+        subscriber.receive(300, heartbeat()).is_some(),
+        "the load is new"
+    );
 
     subscriber.set_loads(vec![service("x", 130)]);
     assert!(
         subscriber.receive(600, heartbeat()).is_none(),
-        "it is much the same"
+        "the load has changed by less than a factor of two"
     );
     assert!(
         subscriber.receive(1_300, heartbeat()).is_some(),
@@ -119,21 +122,21 @@
     subscriber.set_loads(vec![service("x", 270)]);
     assert!(
         subscriber.receive(1_600, heartbeat()).is_some(),
-        "it has doubled"
+        "the load has doubled"
     );
 }
 
 #[test]
-fn a_load_takes_some_tens_of_bytes() {
+fn a_load_is_encoded_in_at_most_64_bytes() {
     let bytes = |loads| Envelope::encode(&acknowledgement(loads)).body.len();
 
-    let each = bytes(vec![service("huvo11a", 12_345)]) - bytes(Vec::new());
+    let bytes_per_load = bytes(vec![service("huvo11a", 12_345)]) - bytes(Vec::new());
 
-    assert!(each <= 64, "{each} bytes");
+    assert!(bytes_per_load <= 64, "{bytes_per_load} bytes");
 }
 
 proptest! {
-    /// However publishers are arranged, the sum is that over all proxies.
+    /// The sum is that over all proxies, whatever the shape of the tree of publishers.
     #[test]
     fn a_sum_of_sums_is_the_sum_over_all(groups in vec(vec((0usize..3, 0u32..100_000), 0..6), 0..6)) {
         let named = |(name, in_flight): &(usize, u32)| service(["x", "y", "z"][*name], *in_flight);
--- a/crates/lockusher-distribution/tests/loopback.rs
+++ b/crates/lockusher-distribution/tests/loopback.rs
@@ -1,7 +1,7 @@
-//! Publishers and feeds over TCP on loopback; waits for states, never for time.
+//! Publishers and feeds over TCP on loopback. Each test waits for states instead of fixed times.
 //!
-//! Heartbeats and timeouts run on the real clock here: keep-alives come each second, and an inactive publisher is left
-//! after its timeout.
+//! Heartbeats and timeouts run on the real clock: keep-alives are sent each second, and an inactive publisher is
+//! disconnected after its timeout.
 
 mod support;
 
@@ -21,10 +21,10 @@
 use lockusher_transport::clock::Clock;
 use support::{configuration, draining, identity, instance, revision};
 
-/// Timeout of each wait: no state takes this long to come about.
+/// Timeout of each wait, much longer than any state takes.
 const STATE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A publisher that serves on loopback until it is stopped.
+/// A publisher that accepts connections on loopback until it is stopped.
 struct Server {
     address: SocketAddrV4,
     shared: Rc<SharedPublisher>,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Waits until a state is reached that can be reached at a change only.
+/// Waits until a state is reached that changes only together with `changes`.
 async fn wait_for(changes: &ChangeNotifier, reached: impl Fn() -> bool) {
     let wait = async {
         loop {
@@ -80,7 +80,7 @@
     };
     timeout(STATE_TIMEOUT, wait)
         .await
-        .expect("the state comes about");
+        .expect("the state is reached in time");
 }
 
 fn any_loopback_port() -> SocketAddrV4 {
@@ -94,7 +94,7 @@
 }
 
 #[compio::test]
-async fn a_feed_follows_its_publisher_over_a_restart_and_never_goes_back() {
+async fn a_feed_survives_a_restart_of_its_publisher_and_never_returns_to_an_older_version() {
     let server = Server::start(any_loopback_port()).await;
     let address = server.address;
     let mut feed = subscribe::subscribe(address, identity("proxy"), Clock::start(), 1);
@@ -139,7 +139,7 @@
     );
 }
 
-/// A new agent that knows less brings a newer revision of an older list.
+/// A new agent, without the records of the old one, sends a newer revision of an older list.
 #[compio::test]
 async fn a_feed_does_not_bring_back_a_searcher_that_was_seen_draining_or_gone() {
     let server = Server::start(any_loopback_port()).await;
@@ -183,7 +183,7 @@
 }
 
 #[compio::test]
-async fn many_feeds_acknowledge_the_newest_version_in_the_end() {
+async fn many_feeds_eventually_acknowledge_the_newest_version() {
     let server = Server::start(any_loopback_port()).await;
     let feeds: Vec<subscribe::Feed> = (0..40)
         .map(|number| {
@@ -203,7 +203,7 @@
     assert_eq!(
         server.shared.read(Publisher::connections_accepted),
         40,
-        "no connection was made anew"
+        "no subscriber has reconnected"
     );
 
     drop(feeds);
@@ -212,7 +212,8 @@
         .await;
 }
 
-/// Acknowledgements, updates and heartbeats cross each other; none of them may cost the connection.
+/// Acknowledgements, updates and heartbeats are sent in both directions concurrently; none of them may end the
+/// connection.
 #[compio::test]
 async fn one_connection_carries_many_updates_and_heartbeats() {
     let server = Server::start(any_loopback_port()).await;
@@ -228,7 +229,7 @@
         }
         next(&mut feed).await;
     }
-    // Keep-alives come every second, in answer to heartbeats.
+    // Keep-alives are sent each second, in answer to heartbeats.
     for _ in 0..2 {
         let seen = server.shared.subscriber_activity().generation();
         timeout(
@@ -242,7 +243,7 @@
 }
 
 #[compio::test]
-async fn an_agent_leaves_a_control_node_that_is_lost_or_outside_the_view() {
+async fn an_agent_disconnects_from_a_control_node_that_is_lost_or_out_of_view() {
     let outside = Server::start(any_loopback_port()).await;
     let inside = Server::start(any_loopback_port()).await;
     let in_view = PublisherStatus {
@@ -260,8 +261,8 @@
     let _running = compio::runtime::spawn(Rc::clone(&agent).run());
     inside.wait_for_acknowledgements(4, 1).await;
 
-    // A control node of which the agent has received the address takes over when the first is lost and the other doesn't
-    // help.
+    // A control node whose address the agent has received takes over when the first one is lost and the other one isn't
+    // a member of the view.
     let successor = Server::start(any_loopback_port()).await;
     successor.shared.update(|publisher| {
         publisher.set_status(in_view);
@@ -278,7 +279,7 @@
 }
 
 #[compio::test]
-async fn a_publisher_that_accepts_and_sends_nothing_is_left_after_a_timeout() {
+async fn a_publisher_that_sends_nothing_is_disconnected_after_a_timeout() {
     let listener = TcpListener::bind(any_loopback_port())
         .await
         .expect("a listener");
@@ -294,6 +295,6 @@
         .expect("accepted");
     let (_second, _) = timeout(STATE_TIMEOUT, listener.accept())
         .await
-        .expect("another one")
+        .expect("a second connection")
         .expect("accepted");
 }
--- a/crates/lockusher-distribution/tests/modules.rs
+++ b/crates/lockusher-distribution/tests/modules.rs
@@ -1,4 +1,4 @@
-//! The modules of this package lie in layers.
+//! The modules of this package have no cyclic imports.
 
 #[path = "../../../tests/support/module_layers.rs"]
 mod module_layers;
--- a/crates/lockusher-distribution/tests/publisher.rs
+++ b/crates/lockusher-distribution/tests/publisher.rs
@@ -1,4 +1,4 @@
-//! What a publisher sends a subscriber, and what it makes of the answers.
+//! Messages from a publisher to a subscriber, and the handling of the answers.
 
 mod support;
 
@@ -15,32 +15,32 @@
 };
 use lockusher_distribution::subscriber::Subscriber;
 use support::{
-    acknowledgement, applied_configuration, configuration, deliver_due, identity, instance,
-    messages, revision, subscribed,
+    acknowledgement, applied_configuration, configuration, connect_subscriber, deliver_due,
+    due_messages, identity, instance, revision,
 };
 
 #[test]
 fn a_slow_subscriber_is_sent_the_newest_version_only() {
     let mut publisher = Publisher::new(1);
     publisher.publish_configuration(Rc::new(configuration(1, &[])));
-    let id = subscribed(&mut publisher, "slow");
+    let id = connect_subscriber(&mut publisher, "slow");
 
     assert_eq!(
-        messages(&mut publisher, id, 0).len(),
+        due_messages(&mut publisher, id, 0).len(),
         2,
         "the configuration and a heartbeat"
     );
     for version in 2..100 {
         publisher.publish_configuration(Rc::new(configuration(version, &[])));
         assert_eq!(
-            messages(&mut publisher, id, 0),
+            due_messages(&mut publisher, id, 0),
             [],
             "the first isn't acknowledged yet"
         );
     }
 
     publisher.receive(id, 0, acknowledgement(1));
-    assert_eq!(messages(&mut publisher, id, 0).len(), 1);
+    assert_eq!(due_messages(&mut publisher, id, 0).len(), 1);
     assert_eq!(publisher.acknowledged_versions(), BTreeMap::from([(1, 1)]));
 
     publisher.receive(id, 0, acknowledgement(99));
@@ -51,11 +51,11 @@
 fn one_encoding_serves_all_subscribers_with_the_same_base() {
     let mut publisher = Publisher::new(1);
     let ids = [
-        subscribed(&mut publisher, "a"),
-        subscribed(&mut publisher, "b"),
+        connect_subscriber(&mut publisher, "a"),
+        connect_subscriber(&mut publisher, "b"),
     ];
     for id in ids {
-        messages(&mut publisher, id, 0);
+        due_messages(&mut publisher, id, 0);
     }
     publisher.publish_configuration(Rc::new(configuration(1, &[(1, 1)])));
 
@@ -75,10 +75,10 @@
         in_view: true,
     };
     publisher.set_status(status);
-    let id = subscribed(&mut publisher, "a");
+    let id = connect_subscriber(&mut publisher, "a");
     let mut subscriber = Subscriber::new(identity("a"));
 
-    for message in messages(&mut publisher, id, 1_400) {
+    for message in due_messages(&mut publisher, id, 1_400) {
         subscriber.receive(1_450, message);
     }
 
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_heartbeat_for_another_list_than_the_one_applied_confirms_nothing() {
+fn a_heartbeat_for_another_revision_does_not_confirm_the_applied_list() {
     let mut ahead = Publisher::new(1);
     ahead.publish_list(revision(2, 5), Rc::new(vec![]));
     let mut behind = Publisher::new(2);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_difference_that_does_not_fit_is_answered_with_a_request_for_a_full_snapshot() {
+fn a_difference_against_an_unapplied_base_is_answered_with_a_request_for_a_full_snapshot() {
     let mut publisher = Publisher::new(1);
     publisher.publish_configuration(Rc::new(configuration(1, &[(1, 1)])));
     publisher.publish_configuration(Rc::new(configuration(2, &[(1, 2)])));
@@ -126,7 +126,7 @@
     publisher.receive(id, 0, subscribe);
     let mut subscriber = Subscriber::new(identity("a"));
 
-    let update = messages(&mut publisher, id, 0).remove(0);
+    let update = due_messages(&mut publisher, id, 0).remove(0);
     let answer = subscriber.receive(0, update).expect("an answer");
     assert_eq!(
         answer,
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn an_envelope_of_another_protocol_is_recognized() {
+fn an_envelope_of_another_protocol_is_rejected() {
     let mut envelope = Envelope::encode(&ToSubscriber::Peers(vec![]));
     assert!(envelope.decode::<ToSubscriber>().is_ok());
 
@@ -158,9 +158,9 @@
     assert_eq!(error, "the peer speaks protocol 3, this process 2");
 }
 
-/// While a long frame is on its way, the subscriber has no heartbeat to answer.
+/// While it reads a long frame, the subscriber has no heartbeat to answer.
 #[test]
-fn a_subscriber_that_takes_a_long_frame_is_not_inactive() {
+fn a_subscriber_that_reads_a_long_frame_is_not_inactive() {
     let mut publisher = Publisher::new(1);
     let id = publisher.connect(0);
     let timeout = SUBSCRIBER_INACTIVITY_TIMEOUT_MS;
@@ -175,7 +175,7 @@
     format!("10.0.0.{number}:7000").parse().expect("an address")
 }
 
-fn subscribed_agent(publisher: &mut Publisher, number: u8) -> SubscriberId {
+fn connect_agent(publisher: &mut Publisher, number: u8) -> SubscriberId {
     let mut agent = identity(&format!("node-{number}"));
     agent.agent_address = Some(agent_address(number));
     let id = publisher.connect(0);
@@ -183,8 +183,8 @@
     id
 }
 
-fn peers_due(publisher: &mut Publisher, id: SubscriberId) -> Option<Vec<SocketAddrV4>> {
-    messages(publisher, id, 0)
+fn due_peer_sample(publisher: &mut Publisher, id: SubscriberId) -> Option<Vec<SocketAddrV4>> {
+    due_messages(publisher, id, 0)
         .into_iter()
         .find_map(|message| match message {
             ToSubscriber::Peers(peers) => Some(peers),
@@ -196,11 +196,11 @@
 fn an_agent_is_sent_a_sample_of_other_agents() {
     let mut publisher = Publisher::new(1);
     let ids: Vec<SubscriberId> = (1..=20)
-        .map(|number| subscribed_agent(&mut publisher, number))
+        .map(|number| connect_agent(&mut publisher, number))
         .collect();
 
     for (number, id) in (1..=20).zip(ids) {
-        let peers = peers_due(&mut publisher, id).expect("a sample");
+        let peers = due_peer_sample(&mut publisher, id).expect("a sample");
 
         assert_eq!(peers.len(), 8);
         assert!(!peers.contains(&agent_address(number)));
@@ -208,22 +208,22 @@
     assert_eq!(publisher.subscribed_nodes(), 20);
 }
 
-/// A follower of the head with so many agents, of which the first has a second connection.
+/// Creates a follower of the head with agents, the first of which has a second connection.
 fn follower_with_agents(number: usize, agents: usize) -> Publisher {
     let mut follower = Publisher::new(1);
     for agent in 0..agents {
-        subscribed(&mut follower, &format!("agent-{number}-{agent}"));
+        connect_subscriber(&mut follower, &format!("agent-{number}-{agent}"));
     }
-    subscribed(&mut follower, &format!("agent-{number}-0"));
+    connect_subscriber(&mut follower, &format!("agent-{number}-0"));
     follower
 }
 
-/// Agents downstream of two followers, and one at the head itself: the head's count is that of the fleet, and is sent
-/// down again.
+/// Two followers with agents, and one agent directly at the head: the head's count is that of the fleet, and the head
+/// reports it to the followers.
 #[test]
 fn proxies_are_counted_over_a_tree_of_publishers() {
     let mut head = Publisher::new(0);
-    subscribed(&mut head, "agent-0");
+    connect_subscriber(&mut head, "agent-0");
     for (number, name) in ["follower-1", "follower-2"].into_iter().enumerate() {
         let follower = follower_with_agents(number, 3 + number);
         let downstream = Downstream {
@@ -236,7 +236,7 @@
             3 + number as u32,
             "a second connection of one agent doesn't count"
         );
-        let id = subscribed(&mut head, name);
+        let id = connect_subscriber(&mut head, name);
         head.receive(
             id,
             0,
@@ -252,20 +252,20 @@
         proxies: head.downstream_proxies(),
         ..head.status()
     });
-    let id = subscribed(&mut head, "follower-3");
+    let id = connect_subscriber(&mut head, "follower-3");
     let mut follower = Subscriber::new(identity("follower-3"));
     deliver_due(&mut head, id, &mut follower, 0);
 
     assert_eq!(follower.proxies(), 8);
 }
 
-/// They are sent to, and by, every agent several times a second.
+/// Each agent receives a heartbeat, and sends keep-alives, several times a second.
 #[test]
 fn a_heartbeat_and_the_keep_alive_that_answers_it_are_small() {
     let mut publisher = Publisher::new(1);
     publisher.publish_list(revision(u64::from(u32::MAX), u64::MAX / 2), Rc::new(vec![]));
     publisher.publish_configuration(Rc::new(configuration(1_000_000, &[])));
-    let id = subscribed(&mut publisher, "a");
+    let id = connect_subscriber(&mut publisher, "a");
 
     let frames: Vec<_> = std::iter::from_fn(|| publisher.next_frame(id, 0)).collect();
     let heartbeat = Heartbeat {
--- a/crates/lockusher-distribution/tests/reconnect.rs
+++ b/crates/lockusher-distribution/tests/reconnect.rs
@@ -1,4 +1,4 @@
-//! How agents spread over control nodes and in time.
+//! Distribution of agents' connection attempts over control nodes and over time.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddrV4;
@@ -40,8 +40,9 @@
     );
 }
 
-/// Four hundred agents lose a control node at once, and none of the others takes connections for ten seconds: at no
-/// control node do more arrive within any 100 ms than its share of the agents at the start, and far fewer in the end.
+/// Four hundred agents lose a control node at once, and none of the other control nodes accepts connections for ten
+/// seconds. Within any 100 ms, no control node receives more attempts than its share of the agents at the start, and on
+/// average far fewer after five seconds.
 #[test]
 fn agents_that_lose_a_control_node_at_once_do_not_overload_the_others() {
     let nodes = 5;
@@ -61,8 +62,11 @@
         }
     }
 
-    let most = arrivals.values().max().copied().unwrap_or_default();
-    assert!(most <= 80, "{most} within 100 ms at one control node");
+    let max_arrivals = arrivals.values().max().copied().unwrap_or_default();
+    assert!(
+        max_arrivals <= 80,
+        "{max_arrivals} within 100 ms at one control node"
+    );
     let late: Vec<usize> = arrivals
         .iter()
         .filter(|((_, tenth), _)| *tenth >= 650)
@@ -75,7 +79,7 @@
     );
 }
 
-/// The addresses of so many attempts at the same time, which all fail.
+/// Makes failing attempts at the same time and returns their addresses.
 fn fail_attempts(agent: &mut ControlNodePolicy, attempts: usize) -> Vec<SocketAddrV4> {
     let attempt = |_| {
         let address = agent.next_attempt(60_000).expect("an attempt").address;
@@ -125,7 +129,7 @@
     assert!(next.contains(&address(77)));
 }
 
-/// A control node that takes connections and drops them at once doesn't reset the back-off.
+/// Guards against a tight reconnect loop to a control node that accepts connections and closes them immediately.
 #[test]
 fn short_connections_do_not_reset_the_back_off() {
     let mut agent = ControlNodePolicy::new("edge", seeds(3), 9);
@@ -143,7 +147,7 @@
 }
 
 #[test]
-fn a_proxy_tries_its_agent_again_within_a_fifth_of_a_second() {
+fn a_proxy_retries_its_agent_within_200_ms() {
     let mut proxy = FixedAddressPolicy::new(address(1), 3);
 
     assert_eq!(proxy.next_attempt(0).expect("an attempt").at_ms, 0);
@@ -162,10 +166,10 @@
     );
 }
 
-/// After a loss of power everywhere the first attempt of an agent may go to a machine that is still down, and hangs. The
-/// next one begins before half of the time after which a control node that sends nothing is left.
+/// After a power failure of all machines, the first attempt of an agent may go to a machine that is still down, and
+/// hangs. The next attempt starts within half of the inactivity timeout of a publisher.
 #[test]
-fn after_an_attempt_that_hangs_the_next_one_comes_soon() {
+fn an_attempt_that_hangs_is_soon_followed_by_the_next() {
     for mut agent in agents(&seeds(3)) {
         agent.next_attempt(0).expect("an attempt");
         agent.on_lost(CONNECT_TIMEOUT_MS);
@@ -176,7 +180,7 @@
     }
 }
 
-/// Agents on the seeds' machines are asked after all control nodes that are known, in each pass.
+/// In each pass, the agents on the seeds' machines are tried after all known control nodes.
 #[test]
 fn referring_agents_are_tried_after_all_control_nodes() {
     let mut agent = ControlNodePolicy::new("edge", seeds(2), 9);
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn an_agent_that_refers_to_others_is_no_control_node() {
+fn a_referring_agent_is_not_a_control_node() {
     let mut agent = ControlNodePolicy::new("edge", vec![], 9);
     agent.set_referrers(vec![address(71)]);
 
@@ -211,7 +215,7 @@
     assert!(!agent.is_referrer());
 }
 
-/// However many addresses are dead, the live one is tried again within the time of one pass.
+/// An address is tried again within the time of one pass, however many other addresses are dead.
 #[test]
 fn many_dead_addresses_do_not_delay_a_live_one() {
     for number in 0..50 {
--- a/crates/lockusher-distribution/tests/recorded_bytes.rs
+++ b/crates/lockusher-distribution/tests/recorded_bytes.rs
@@ -1,5 +1,5 @@
-//! What publishers and subscribers send is encoded as the recorded bytes of an earlier release, so that processes of
-//! both releases understand each other.
+//! Messages of publishers and subscribers are encoded as the recorded bytes of an earlier release, so that processes of
+//! both releases can exchange them.
 
 #[path = "../../../tests/support/recorded_bytes.rs"]
 mod recorded_bytes;
@@ -189,7 +189,7 @@
     }
 }
 
-/// As a configuration is before the first route.
+/// The configuration before the first route is added.
 fn empty_configuration() -> Configuration {
     let limits = Limits {
         header_bytes: 1,
@@ -489,7 +489,7 @@
     ]
 }
 
-/// A message as a frame: a length, then the envelope around the message.
+/// Encodes a message as a frame: the length, then the envelope around the message.
 fn encode<T: Encode>(message: &T) -> Vec<u8> {
     frame::encode(&Envelope::encode(message))
 }
@@ -580,7 +580,7 @@
 }
 
 #[test]
-fn a_publisher_s_frames_are_the_recorded_ones() {
+fn frames_of_a_publisher_are_encoded_as_recorded() {
     for (name, message) in to_subscriber() {
         assert_eq!(encode_frame(&message)[..], encode(&message), "{name}");
     }
--- a/crates/lockusher-distribution/tests/streams.rs
+++ b/crates/lockusher-distribution/tests/streams.rs
@@ -1,6 +1,6 @@
-//! Publishers and subscribers against a plain model: several publishers that lag behind each other, connections that
-//! are lost with what was in flight, several connections of one subscriber at once, messages of different connections
-//! in any order.
+//! Publishers and subscribers checked against a simple model: several publishers of which some lag behind, connections
+//! that are lost together with the messages in flight, several concurrent connections of one subscriber, and messages
+//! of different connections in any order.
 
 mod support;
 
@@ -20,23 +20,23 @@
 const PUBLISHERS: usize = 3;
 const SUBSCRIBERS: usize = 4;
 
-/// One TCP connection: order is kept in each direction.
+/// One TCP connection, which keeps the order of messages in each direction.
 struct Connection {
     publisher: usize,
     subscriber: usize,
     id: SubscriberId,
-    upward: VecDeque<FromSubscriber>,
-    downward: VecDeque<ToSubscriber>,
+    to_publisher: VecDeque<FromSubscriber>,
+    to_subscriber: VecDeque<ToSubscriber>,
 }
 
-/// What was published, by version.
+/// All published values, by version.
 #[derive(Default)]
 struct Published {
     configurations: BTreeMap<u64, Rc<Configuration>>,
     lists: BTreeMap<InstanceListRevision, Rc<Vec<Instance>>>,
 }
 
-/// Publishers, subscribers and their connections, played in simulated time.
+/// Publishers, subscribers and their connections in simulated time.
 struct Simulation {
     random: ChaCha8Rng,
     now_ms: u64,
@@ -70,11 +70,11 @@
         match self.random.random_range(0..100) {
             0..4 => self.change_configuration(),
             4..10 => self.change_list(),
-            10..25 => self.catch_up_publisher(),
+            10..25 => self.publish_recent_version(),
             25..32 => self.connect(),
             32..36 => self.lose_connection(),
             36..38 => self.restart_publisher(),
-            _ => self.carry_message(),
+            _ => self.move_message(),
         }
     }
 
@@ -128,8 +128,8 @@
         self.published.lists.insert(next, Rc::new(instances));
     }
 
-    /// A publisher learns of some version, not always of the newest.
-    fn catch_up_publisher(&mut self) {
+    /// Publishes a recent version, not always the newest, at one publisher.
+    fn publish_recent_version(&mut self) {
         let number = self.random.random_range(0..PUBLISHERS);
         let skipped = self.random.random_range(0..3);
         let configuration = self
@@ -158,13 +158,13 @@
     fn connect_to(&mut self, publisher: usize, subscriber: usize) {
         let id = self.publishers[publisher].connect(self.now_ms);
         let first = self.subscribers[subscriber].subscribe(self.now_ms);
-        let upward = VecDeque::from([first]);
+        let to_publisher = VecDeque::from([first]);
         self.connections.push(Connection {
             publisher,
             subscriber,
             id,
-            upward,
-            downward: VecDeque::new(),
+            to_publisher,
+            to_subscriber: VecDeque::new(),
         });
     }
 
@@ -185,38 +185,38 @@
     }
 
     /// Moves one message of one connection.
-    fn carry_message(&mut self) {
+    fn move_message(&mut self) {
         if self.connections.is_empty() {
             return;
         }
         let position = self.random.random_range(0..self.connections.len());
         match self.random.random_range(0..3) {
-            0 => self.send_downward(position),
-            1 => self.deliver_upward(position),
-            _ => self.deliver_downward(position),
+            0 => self.send_to_subscriber(position),
+            1 => self.deliver_to_publisher(position),
+            _ => self.deliver_to_subscriber(position),
         }
     }
 
-    fn send_downward(&mut self, position: usize) {
+    fn send_to_subscriber(&mut self, position: usize) {
         let connection = &mut self.connections[position];
         let publisher = &mut self.publishers[connection.publisher];
         let Some(frame) = publisher.next_frame(connection.id, self.now_ms) else {
             return;
         };
-        connection.downward.push_back(decode_frame(&frame));
+        connection.to_subscriber.push_back(decode_frame(&frame));
     }
 
-    fn deliver_upward(&mut self, position: usize) {
+    fn deliver_to_publisher(&mut self, position: usize) {
         let connection = &mut self.connections[position];
-        let Some(message) = connection.upward.pop_front() else {
+        let Some(message) = connection.to_publisher.pop_front() else {
             return;
         };
         self.publishers[connection.publisher].receive(connection.id, self.now_ms, message);
     }
 
-    fn deliver_downward(&mut self, position: usize) {
+    fn deliver_to_subscriber(&mut self, position: usize) {
         let connection = &mut self.connections[position];
-        let Some(message) = connection.downward.pop_front() else {
+        let Some(message) = connection.to_subscriber.pop_front() else {
             return;
         };
         self.count_update(&message);
@@ -224,7 +224,7 @@
         let subscriber = &mut self.subscribers[connection.subscriber];
         let before = subscriber.applied();
         let answer = subscriber.receive(self.now_ms, message);
-        connection.upward.extend(answer);
+        connection.to_publisher.extend(answer);
         let subscriber = connection.subscriber;
         self.check_applied(subscriber, before);
     }
@@ -241,17 +241,17 @@
         }
     }
 
-    /// Nothing goes back, and what is applied is what was published under its version.
+    /// Checks that no version went back, and that each applied value is the one published under its version.
     fn check_applied(&self, subscriber: usize, before: AppliedVersions) {
         let subscriber = &self.subscribers[subscriber];
         let applied = subscriber.applied();
         assert!(
             applied.configuration_version >= before.configuration_version,
-            "configuration went back"
+            "the configuration version decreased"
         );
         assert!(
             applied.list_revision >= before.list_revision,
-            "list went back"
+            "the list revision decreased"
         );
         if let Some(configuration) = subscriber.configuration() {
             assert_eq!(
@@ -267,8 +267,9 @@
         }
     }
 
-    /// All publishers learn the newest, every subscriber has one connection, and messages flow.
-    fn bring_to_the_newest(&mut self) {
+    /// Publishes the newest versions at all publishers, gives each subscriber one connection, and delivers all
+    /// messages.
+    fn deliver_newest_to_all(&mut self) {
         while !self.connections.is_empty() {
             self.lose_connection();
         }
@@ -285,13 +286,13 @@
         }
         for _ in 0..10 {
             for position in 0..self.connections.len() {
-                self.deliver_upward(position);
-                self.send_downward(position);
-                self.send_downward(position);
-                self.deliver_downward(position);
-                self.deliver_downward(position);
-                self.deliver_upward(position);
-                self.deliver_upward(position);
+                self.deliver_to_publisher(position);
+                self.send_to_subscriber(position);
+                self.send_to_subscriber(position);
+                self.deliver_to_subscriber(position);
+                self.deliver_to_subscriber(position);
+                self.deliver_to_publisher(position);
+                self.deliver_to_publisher(position);
             }
         }
     }
@@ -320,13 +321,13 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn versions_never_go_back_and_reach_the_newest(seed in any::<u64>()) {
+    fn applied_versions_never_decrease_and_reach_the_newest(seed in any::<u64>()) {
         let mut simulation = Simulation::new(seed);
 
         for _ in 0..600 {
             simulation.step();
         }
-        simulation.bring_to_the_newest();
+        simulation.deliver_newest_to_all();
 
         for subscriber in &simulation.subscribers {
             prop_assert_eq!(subscriber.applied(), simulation.newest());
@@ -343,7 +344,7 @@
 }
 
 #[test]
-fn the_simulation_carries_full_snapshots_and_differences() {
+fn the_simulation_covers_full_snapshots_and_differences() {
     let mut simulation = Simulation::new(1);
 
     for _ in 0..20_000 {
--- a/crates/lockusher-distribution/tests/support/mod.rs
+++ b/crates/lockusher-distribution/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Values and steps that the tests of this package share.
+//! Values and helpers that the tests of this package share.
 #![allow(dead_code)]
 
 use lockusher_config::configuration::{
@@ -40,7 +40,7 @@
     }
 }
 
-/// A configuration with a route for each `(number, timeout)`.
+/// Returns a configuration with a route for each `(number, timeout)`.
 pub fn configuration(version: u64, routes: &[(u8, u64)]) -> Configuration {
     Configuration {
         version,
@@ -99,15 +99,15 @@
     }
 }
 
-/// The message of a publisher's frame.
+/// Decodes the message of a publisher's frame.
 pub fn decode_frame(frame: &[u8]) -> ToSubscriber {
-    // The length before the envelope belongs to the connection.
+    // The frame starts with the length of the envelope.
     let envelope: Envelope = bitcode::decode(&frame[4..]).expect("own encoding");
     envelope.decode().expect("own protocol")
 }
 
-/// All messages that are due to a subscriber.
-pub fn messages(publisher: &mut Publisher, id: SubscriberId, now_ms: u64) -> Vec<ToSubscriber> {
+/// Takes all messages that are due to a subscriber.
+pub fn due_messages(publisher: &mut Publisher, id: SubscriberId, now_ms: u64) -> Vec<ToSubscriber> {
     let mut messages = Vec::new();
     while let Some(frame) = publisher.next_frame(id, now_ms) {
         messages.push(decode_frame(&frame));
@@ -116,25 +116,25 @@
 }
 
 /// Connects a subscriber that has applied nothing.
-pub fn subscribed(publisher: &mut Publisher, node: &str) -> SubscriberId {
+pub fn connect_subscriber(publisher: &mut Publisher, node: &str) -> SubscriberId {
     let id = publisher.connect(0);
     publisher.receive(id, 0, Subscriber::new(identity(node)).subscribe(0));
     id
 }
 
-/// Passes on to a subscriber all messages that are due to it; its answers are dropped.
+/// Delivers all due messages to a subscriber and drops its answers.
 pub fn deliver_due(
     publisher: &mut Publisher,
     id: SubscriberId,
     subscriber: &mut Subscriber,
     now_ms: u64,
 ) {
-    for message in messages(publisher, id, now_ms) {
+    for message in due_messages(publisher, id, now_ms) {
         subscriber.receive(now_ms, message);
     }
 }
 
-/// A subscriber that has applied this configuration and no list.
+/// Returns the versions of a subscriber that has applied this configuration and no list.
 pub fn applied_configuration(configuration_version: u64) -> AppliedVersions {
     AppliedVersions {
         configuration_version,
@@ -142,7 +142,7 @@
     }
 }
 
-/// The acknowledgement of a proxy that has applied this configuration.
+/// Returns the acknowledgement of a proxy that has applied this configuration.
 pub fn acknowledgement(configuration_version: u64) -> FromSubscriber {
     let applied = applied_configuration(configuration_version);
     FromSubscriber::Acknowledge {
