--- a/crates/lockusher-distribution/src/instance_list_poller.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller.rs
@@ -241,7 +241,7 @@
     }
 
     fn next_start_ms(&mut self, now_ms: u64, started_at_ms: u64) -> u64 {
-        if self.removals.is_needed() {
+        if self.removals.has_unconfirmed() {
             return now_ms + self.pacing.call_spacing_ms();
         }
         let interval_ms = self.pacing.next_interval_ms(&mut self.random);
--- a/crates/lockusher-distribution/src/instance_list_poller/removal_confirmation.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller/removal_confirmation.rs
@@ -15,7 +15,7 @@
 
 impl RemovalConfirmation {
     /// Whether removals await confirmation, so that the next poll should start soon.
-    pub fn is_needed(&self) -> bool {
+    pub fn has_unconfirmed(&self) -> bool {
         !self.unconfirmed.is_empty()
     }
 
--- a/crates/lockusher-distribution/src/message.rs
+++ b/crates/lockusher-distribution/src/message.rs
@@ -31,7 +31,7 @@
     #[display("the peer speaks protocol {_0}, this process {PROTOCOL}")]
     ProtocolMismatch(#[error(not(source))] u16),
     /// The bytes aren't a valid message.
-    #[display("message: {_0}")]
+    #[display("invalid message: {_0}")]
     Decode(bitcode::Error),
 }
 
--- a/crates/lockusher-distribution/src/subscribe/connection_log.rs
+++ b/crates/lockusher-distribution/src/subscribe/connection_log.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Records that no address is known.
+    /// Logs that no address is known, at most once per interval.
     pub fn log_no_address(&mut self, now_ms: u64) {
         if let Some(Recurrence { for_ms, .. }) = self.unreached.observe(now_ms) {
             log::warn!("no publisher for {for_ms} ms: no address is known");
