--- a/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
+++ b/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
@@ -51,7 +51,7 @@
     /// Absent while not connected.
     established_at_ms: Option<u64>,
     /// Address of the last attempt.
-    last_attempted: Option<SocketAddrV4>,
+    last_tried: Option<SocketAddrV4>,
     random: ChaCha8Rng,
 }
 
@@ -71,7 +71,7 @@
             passes_started: 0,
             failures: 0,
             established_at_ms: None,
-            last_attempted: None,
+            last_tried: None,
             random: ChaCha8Rng::seed_from_u64(random_seed),
         }
     }
@@ -88,7 +88,7 @@
 
     /// Returns the control node that this node is connected to.
     pub fn connected(&self) -> Option<SocketAddrV4> {
-        let last = self.last_attempted.filter(|_| !self.is_referrer())?;
+        let last = self.last_tried.filter(|_| !self.is_referrer())?;
         self.established_at_ms.and(Some(last))
     }
 
@@ -115,7 +115,7 @@
             candidates.shuffle(&mut self.random);
             self.put_other_seeds_last(&mut candidates);
         }
-        self.put_last_attempted_last(&mut candidates);
+        self.put_last_tried_last(&mut candidates);
         self.put_referrers_last(&mut candidates);
         self.passes_started += 1;
         self.pass_length = candidates.len();
@@ -134,10 +134,8 @@
     }
 
     /// Moves the address of the last attempt after all other candidates.
-    fn put_last_attempted_last(&self, candidates: &mut Vec<SocketAddrV4>) {
-        let Some(last) = self.last_attempted else {
-            return;
-        };
+    fn put_last_tried_last(&self, candidates: &mut Vec<SocketAddrV4>) {
+        let Some(last) = self.last_tried else { return };
         if let Some(position) = candidates.iter().position(|address| *address == last) {
             let address = candidates.remove(position);
             candidates.insert(0, address);
@@ -178,7 +176,7 @@
             self.start_pass();
         }
         let address = self.candidates.pop()?;
-        self.last_attempted = Some(address);
+        self.last_tried = Some(address);
         let at_ms = now_ms + self.back_off_ms();
         Some(ConnectionAttempt { address, at_ms })
     }
@@ -213,7 +211,7 @@
     }
 
     fn is_referrer(&self) -> bool {
-        self.last_attempted
+        self.last_tried
             .is_some_and(|last| self.referrers.contains(&last))
     }
 }
