--- a/crates/lockusher-agent/src/forward.rs
+++ b/crates/lockusher-agent/src/forward.rs
@@ -4,7 +4,7 @@
 //! proxy, a departure received by gossip, a poll of the platform. Received state is compared with the published state,
 //! so that redundant calls have no effect.
 
-use lockusher_distribution::message::Downstream;
+use lockusher_distribution::message::DownstreamState;
 use lockusher_distribution::publisher::{Publisher, PublisherStatus};
 use lockusher_distribution::subscriber::Subscriber;
 
@@ -26,15 +26,15 @@
 fn forward_control_nodes(agent: &AgentState) {
     let announced = agent
         .publisher
-        .update_quietly(Publisher::take_announced_control_nodes);
+        .update_no_wake(Publisher::take_announced_control_nodes);
     let is_connected = agent
         .subscriber
-        .update_policy(|policy| policy.connected().is_some());
+        .update_policy(|policy| policy.connected_control_node().is_some());
     if let Some(announced) = announced.filter(|_| !is_connected) {
         agent.subscriber.learn(&announced);
         agent
             .subscriber
-            .update_quietly(|subscriber| subscriber.set_control_nodes(announced));
+            .update_no_wake(|subscriber| subscriber.set_control_nodes(announced));
     }
     let control_nodes = agent
         .subscriber
@@ -105,7 +105,7 @@
     };
     agent
         .publisher
-        .update_quietly(|publisher| publisher.set_status(status));
+        .update_no_wake(|publisher| publisher.set_status(status));
 }
 
 /// Updates the downstream status that acknowledgements to the control node carry.
@@ -117,7 +117,7 @@
             .filter(|subscriber| subscriber.identity.agent_address.is_none());
         let versions = proxies.map(|proxy| proxy.acknowledged.configuration_version);
         let in_force_version = versions.max().unwrap_or_default();
-        Downstream {
+        DownstreamState {
             in_force_version,
             proxies: 1,
             loads: publisher.downstream_loads(),
@@ -125,7 +125,7 @@
     });
     agent
         .subscriber
-        .update_quietly(|subscriber| subscriber.set_downstream(downstream));
+        .update_no_wake(|subscriber| subscriber.set_downstream(downstream));
 }
 
 /// Passes the known peers, the configuration version and the observed departures to the gossip.
--- a/crates/lockusher-agent/src/gossip_tasks.rs
+++ b/crates/lockusher-agent/src/gossip_tasks.rs
@@ -60,7 +60,7 @@
                 );
                 agent
                     .subscriber
-                    .update(|subscriber| subscriber.offer_configuration(configuration));
+                    .update(|subscriber| subscriber.apply_configuration_if_newer(configuration));
             }
             Err(error) => log::debug!("{error}"),
         }
--- a/crates/lockusher-agent/src/list_fallback.rs
+++ b/crates/lockusher-agent/src/list_fallback.rs
@@ -49,9 +49,9 @@
 
 /// Sets the poller's rate by the sizes of the fleet and of the list, and starts it if necessary.
 fn set_rate_and_start(agent: &AgentState, poller: &mut InstanceListPoller, now_ms: u64) {
-    poller.set_pollers(agent.fleet_size.borrow().proxies());
-    if poller.calls() == 0 {
-        poller.set_calls(agent.subscriber.read(Subscriber::calls_per_poll));
+    poller.set_concurrent_pollers(agent.fleet_size.borrow().proxies());
+    if poller.calls_per_poll() == 0 {
+        poller.set_calls_per_poll(agent.subscriber.read(Subscriber::calls_per_poll));
     }
     if !poller.is_started() {
         log::info!("the control plane's instance list is stale, polling the platform");
--- a/crates/lockusher-agent/src/peers/configuration_fetch.rs
+++ b/crates/lockusher-agent/src/peers/configuration_fetch.rs
@@ -36,7 +36,7 @@
     let local_version = local.as_ref().map_or(0, |local| local.version);
     let mut subscriber = Subscriber::new(identity);
     if let Some(local) = local {
-        subscriber.offer_configuration(local);
+        subscriber.apply_configuration_if_newer(local);
     }
     receive_newer(peer, subscriber, local_version, clock).await
 }
--- a/crates/lockusher-agent/src/redirect.rs
+++ b/crates/lockusher-agent/src/redirect.rs
@@ -52,7 +52,7 @@
         .to_owned();
     // Closing a connection with part of the body unread resets it, and the response may be lost.
     discard_body(request.into_body()).await;
-    let node = subscriber.update_policy(|policy| policy.connected());
+    let node = subscriber.update_policy(|policy| policy.connected_control_node());
     match node.and_then(|node| location(node, operator_port, &path)) {
         Some(location) => {
             let mut response = answer(
--- a/crates/lockusher-control/src/driver/instance_list_polling.rs
+++ b/crates/lockusher-control/src/driver/instance_list_polling.rs
@@ -10,7 +10,7 @@
 use lockusher_config::settings::NodeSettings;
 use lockusher_distribution::instance_list_client;
 use lockusher_distribution::instance_list_poller::InstanceListPoller;
-use lockusher_distribution::message::{Downstream, SubscriberIdentity};
+use lockusher_distribution::message::{DownstreamState, SubscriberIdentity};
 use lockusher_distribution::publisher::{Publisher, PublisherStatus};
 use lockusher_distribution::reconnect::FixedAddressPolicy;
 use lockusher_distribution::subscribe::SharedSubscriber;
@@ -100,11 +100,11 @@
             let seen_generation = subscriber.changed().generation();
             let downstream = self.downstream();
             let downstream_proxies = downstream.proxies;
-            subscriber.update_quietly(|subscriber| subscriber.set_downstream(downstream));
+            subscriber.update_no_wake(|subscriber| subscriber.set_downstream(downstream));
             let relay = |subscriber: &Subscriber| {
                 let publisher = &self.driver.publisher;
                 publisher
-                    .update_quietly(|publisher| relay(subscriber, publisher, downstream_proxies))
+                    .update_no_wake(|publisher| relay(subscriber, publisher, downstream_proxies))
             };
             if subscriber.read(relay) {
                 self.driver.publisher.update(|_| ());
@@ -114,8 +114,8 @@
     }
 
     /// The status of the proxies downstream of this node, reported to the head.
-    fn downstream(&self) -> Downstream {
-        self.driver.publisher.read(|publisher| Downstream {
+    fn downstream(&self) -> DownstreamState {
+        self.driver.publisher.read(|publisher| DownstreamState {
             in_force_version: 0,
             proxies: publisher.downstream_proxies(),
             loads: publisher.downstream_loads(),
--- a/crates/lockusher-control/src/driver/instance_list_publisher.rs
+++ b/crates/lockusher-control/src/driver/instance_list_publisher.rs
@@ -46,7 +46,7 @@
     /// Publishes a list polled as head in `epoch` if it differs from the newest one; always updates the time at which
     /// the list was last confirmed.
     pub fn publish_poll(&self, epoch: u64, poll: &InstanceListPoll) {
-        self.driver.publisher.update_quietly(|publisher| {
+        self.driver.publisher.update_no_wake(|publisher| {
             let status = PublisherStatus {
                 list_confirmed_at_ms: Some(poll.started_at_ms),
                 calls_per_poll: poll.calls,
@@ -87,7 +87,7 @@
     fn publish(&self, polled: &PolledList, has_changed: bool) {
         let epoch = polled.epoch;
         let instances = self.overlay.borrow().apply(&polled.instances);
-        let published = self.driver.publisher.update_quietly(|publisher| {
+        let published = self.driver.publisher.update_no_wake(|publisher| {
             let newest = publisher.newest().list_revision;
             let highest_applied = publisher.highest_applied_revision();
             if is_current(epoch, newest, highest_applied) && !has_changed {
--- a/crates/lockusher-control/src/driver/replica_driver.rs
+++ b/crates/lockusher-control/src/driver/replica_driver.rs
@@ -201,7 +201,7 @@
     pub fn refresh_status(&self) {
         let in_view = self.read(Replica::is_voter_with_quorum);
         let is_head = self.role().is_head;
-        self.publisher.update_quietly(|publisher| {
+        self.publisher.update_no_wake(|publisher| {
             let downstream = publisher.downstream_proxies();
             let proxies = if is_head {
                 downstream
--- a/crates/lockusher-control/src/stage_scheduler/demand.rs
+++ b/crates/lockusher-control/src/stage_scheduler/demand.rs
@@ -8,7 +8,7 @@
 
 use lockusher_config::configuration::Engine;
 use lockusher_config::instances::Stage;
-use lockusher_distribution::load::{HUNDREDTHS, ServiceLoad};
+use lockusher_distribution::load::{HUNDREDTHS_PER_UNIT, ServiceLoad};
 
 use super::stage_change::opposite;
 
@@ -152,5 +152,5 @@
 
 /// Converts a number that the proxies report in hundredths.
 fn from_hundredths(number: u32) -> f64 {
-    f64::from(number) / f64::from(HUNDREDTHS)
+    f64::from(number) / f64::from(HUNDREDTHS_PER_UNIT)
 }
--- a/crates/lockusher-distribution/src/instance_list_poller.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller.rs
@@ -105,19 +105,19 @@
     }
 
     /// Sets the number of pollers that may run concurrently; 0 if unknown.
-    pub fn set_pollers(&mut self, pollers: u32) {
+    pub fn set_concurrent_pollers(&mut self, pollers: u32) {
         self.pacing.set_concurrent_pollers(pollers);
     }
 
     /// Sets the number of calls that a poll takes, as reported by another process; no effect if 0, for unknown.
-    pub fn set_calls(&mut self, calls: u32) {
+    pub fn set_calls_per_poll(&mut self, calls: u32) {
         if calls > 0 {
             self.pacing.set_calls_per_poll(calls);
         }
     }
 
     /// Returns the number of calls of the last poll, or the one that was set; 0 if unknown.
-    pub fn calls(&self) -> u32 {
+    pub fn calls_per_poll(&self) -> u32 {
         self.pacing.calls_per_poll()
     }
 
--- a/crates/lockusher-distribution/src/load.rs
+++ b/crates/lockusher-distribution/src/load.rs
@@ -11,7 +11,7 @@
 use bitcode::{Decode, Encode};
 
 /// Averages are reported in hundredths, which keeps two decimal places of small ones.
-pub const HUNDREDTHS: u32 = 100;
+pub const HUNDREDTHS_PER_UNIT: u32 = 100;
 
 /// A load that has grown or shrunk by at least this factor is reported at the next heartbeat.
 const SIGNIFICANT_CHANGE_FACTOR: u32 = 2;
--- a/crates/lockusher-distribution/src/message.rs
+++ b/crates/lockusher-distribution/src/message.rs
@@ -89,7 +89,7 @@
 
 /// State of the proxies that receive updates through a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Downstream {
+pub struct DownstreamState {
     /// Configuration version in force at the proxies downstream; 0 if unknown.
     pub in_force_version: u64,
     /// Number of proxies downstream; a proxy counts itself.
@@ -98,9 +98,9 @@
     pub loads: Vec<ServiceLoad>,
 }
 
-impl Downstream {
+impl DownstreamState {
     /// A proxy that hasn't put a configuration in force yet.
-    pub const PROXY: Downstream = Downstream {
+    pub const PROXY: DownstreamState = DownstreamState {
         in_force_version: 0,
         proxies: 1,
         loads: Vec::new(),
@@ -122,7 +122,7 @@
         /// The versions that the subscriber has applied.
         applied: AppliedVersions,
         /// State of the proxies downstream.
-        downstream: Downstream,
+        downstream: DownstreamState,
     },
     /// The answer to a difference whose base the subscriber hasn't applied: requests full snapshots.
     RequestFullSnapshot {
--- a/crates/lockusher-distribution/src/publisher/subscription.rs
+++ b/crates/lockusher-distribution/src/publisher/subscription.rs
@@ -8,7 +8,7 @@
 use lockusher_config::instances::InstanceListRevision;
 
 use crate::frame::Frame;
-use crate::message::{AppliedVersions, Downstream, FromSubscriber, SubscriberIdentity};
+use crate::message::{AppliedVersions, DownstreamState, FromSubscriber, SubscriberIdentity};
 use crate::publisher::delivery_progress::DeliveryProgress;
 
 /// Interval of the heartbeats to one subscriber, in milliseconds.
@@ -31,7 +31,7 @@
     /// The versions that it last acknowledged.
     pub acknowledged: AppliedVersions,
     /// State of the proxies downstream, by its last acknowledgement.
-    pub downstream: Downstream,
+    pub downstream: DownstreamState,
 }
 
 /// One connection: the identity of the subscriber, what it has applied, and which messages are due to it.
@@ -44,7 +44,7 @@
     pub configuration: DeliveryProgress<u64>,
     /// Delivery of instance lists.
     pub list: DeliveryProgress<InstanceListRevision>,
-    downstream: Downstream,
+    downstream: DownstreamState,
     heartbeat_due_ms: u64,
     peer_sample_due_ms: u64,
     control_nodes_sent: bool,
@@ -60,7 +60,7 @@
             last_activity_ms: now_ms,
             configuration: DeliveryProgress::default(),
             list: DeliveryProgress::default(),
-            downstream: Downstream::PROXY,
+            downstream: DownstreamState::PROXY,
             heartbeat_due_ms: now_ms,
             peer_sample_due_ms: now_ms,
             control_nodes_sent: false,
@@ -122,7 +122,7 @@
     }
 
     /// Returns the state of the proxies downstream, by the last acknowledgement.
-    pub fn downstream(&self) -> &Downstream {
+    pub fn downstream(&self) -> &DownstreamState {
         &self.downstream
     }
 
--- a/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
+++ b/crates/lockusher-distribution/src/reconnect/control_node_policy.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns the control node that this node is connected to.
-    pub fn connected(&self) -> Option<SocketAddrV4> {
+    pub fn connected_control_node(&self) -> Option<SocketAddrV4> {
         let last = self.last_tried.filter(|_| !self.is_referrer())?;
         self.established_at_ms.and(Some(last))
     }
--- a/crates/lockusher-distribution/src/serve/connection.rs
+++ b/crates/lockusher-distribution/src/serve/connection.rs
@@ -95,7 +95,7 @@
     fn next_frame(&self) -> Option<Frame> {
         let now_ms = self.shared.now_ms();
         self.shared
-            .update_quietly(|publisher| publisher.next_frame(self.id, now_ms))
+            .update_no_wake(|publisher| publisher.next_frame(self.id, now_ms))
     }
 
     fn receive(&self, envelope: &Envelope) -> Result<(), ServeError> {
--- a/crates/lockusher-distribution/src/serve/shared_publisher.rs
+++ b/crates/lockusher-distribution/src/serve/shared_publisher.rs
@@ -42,7 +42,7 @@
     }
 
     /// Modifies the publisher without waking connections, for changes that can wait until the next heartbeat.
-    pub fn update_quietly<R>(&self, f: impl FnOnce(&mut Publisher) -> R) -> R {
+    pub fn update_no_wake<R>(&self, f: impl FnOnce(&mut Publisher) -> R) -> R {
         f(&mut self.publisher.borrow_mut())
     }
 
--- a/crates/lockusher-distribution/src/subscribe/feed.rs
+++ b/crates/lockusher-distribution/src/subscribe/feed.rs
@@ -79,7 +79,7 @@
     /// Sets the loads that the next acknowledgement reports; it is sent within about a second.
     pub fn report(&self, loads: Vec<ServiceLoad>) {
         self.shared
-            .update_quietly(|subscriber| subscriber.set_loads(loads));
+            .update_no_wake(|subscriber| subscriber.set_loads(loads));
     }
 }
 
--- a/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
+++ b/crates/lockusher-distribution/src/subscribe/shared_subscriber.rs
@@ -87,7 +87,7 @@
     }
 
     /// Modifies the subscriber without waking any task.
-    pub fn update_quietly<R>(&self, f: impl FnOnce(&mut Subscriber) -> R) -> R {
+    pub fn update_no_wake<R>(&self, f: impl FnOnce(&mut Subscriber) -> R) -> R {
         f(&mut self.subscriber.borrow_mut())
     }
 
--- a/crates/lockusher-distribution/src/subscriber.rs
+++ b/crates/lockusher-distribution/src/subscriber.rs
@@ -16,7 +16,7 @@
 use crate::instance_list::InstanceList;
 use crate::load::{self, ServiceLoad};
 use crate::message::{
-    AppliedVersions, ConfigurationUpdate, Downstream, FromSubscriber, Heartbeat,
+    AppliedVersions, ConfigurationUpdate, DownstreamState, FromSubscriber, Heartbeat,
     InstanceListUpdate, NEVER_CONFIRMED_MS, SubscriberIdentity, ToSubscriber,
 };
 
@@ -39,7 +39,7 @@
     publisher_list_age_ms: u64,
     control_nodes: Vec<SocketAddrV4>,
     peers: Vec<SocketAddrV4>,
-    downstream: Downstream,
+    downstream: DownstreamState,
     /// Loads in the last acknowledgement.
     reported_loads: Vec<ServiceLoad>,
     /// When the last acknowledgement was created, or the connection was established if that is later.
@@ -60,7 +60,7 @@
             publisher_list_age_ms: NEVER_CONFIRMED_MS,
             control_nodes: Vec::new(),
             peers: Vec::new(),
-            downstream: Downstream::PROXY,
+            downstream: DownstreamState::PROXY,
             reported_loads: Vec::new(),
             acknowledged_at_ms: 0,
         }
@@ -132,7 +132,7 @@
     }
 
     /// Sets the state of the proxies downstream, which the next acknowledgement reports; not needed by a proxy.
-    pub fn set_downstream(&mut self, downstream: Downstream) {
+    pub fn set_downstream(&mut self, downstream: DownstreamState) {
         self.downstream = downstream;
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Applies a configuration received from another source; returns false, without effect, if it isn't newer.
-    pub fn offer_configuration(&mut self, configuration: Rc<Configuration>) -> bool {
+    pub fn apply_configuration_if_newer(&mut self, configuration: Rc<Configuration>) -> bool {
         if configuration.version <= self.applied().configuration_version {
             return false;
         }
@@ -216,7 +216,7 @@
                 difference.apply(base)?
             }
         };
-        self.offer_configuration(Rc::new(newer));
+        self.apply_configuration_if_newer(Rc::new(newer));
         Ok(())
     }
 
--- a/crates/lockusher-distribution/tests/capacity.rs
+++ b/crates/lockusher-distribution/tests/capacity.rs
@@ -8,7 +8,7 @@
 
 use lockusher_config::configuration::{Configuration, Engine, Route, Service, WeightedService};
 use lockusher_config::instances::{Instance, InstanceState, ModelVersion, Stage};
-use lockusher_distribution::message::{Downstream, Envelope, FromSubscriber};
+use lockusher_distribution::message::{DownstreamState, Envelope, FromSubscriber};
 use lockusher_distribution::publisher::{Publisher, PublisherStatus, SubscriberId};
 use lockusher_distribution::subscriber::Subscriber;
 use support::{configuration, decode_frame, identity, instance, revision, route, service};
@@ -173,9 +173,9 @@
             while let Some(frame) = self.publisher.next_frame(*id, now_ms) {
                 self.count(frame.len());
                 let message = decode_frame(&frame);
-                agent.set_downstream(Downstream {
+                agent.set_downstream(DownstreamState {
                     in_force_version: agent.applied().configuration_version,
-                    ..Downstream::PROXY
+                    ..DownstreamState::PROXY
                 });
                 if let Some(answer) = agent.receive(now_ms, message) {
                     self.receive(*id, now_ms, answer);
--- a/crates/lockusher-distribution/tests/instance_list_poller.rs
+++ b/crates/lockusher-distribution/tests/instance_list_poller.rs
@@ -222,8 +222,8 @@
     let mut calls = BTreeMap::new();
     for number in 0..pollers {
         let mut poller = InstanceListPoller::concurrent(rate_per_s, 3_000, u64::from(number));
-        poller.set_pollers(pollers);
-        poller.set_calls(pages);
+        poller.set_concurrent_pollers(pollers);
+        poller.set_calls_per_poll(pages);
         poller.start(0);
         let mut now_ms = 0;
         let mut calls_made = 0;
--- a/crates/lockusher-distribution/tests/load.rs
+++ b/crates/lockusher-distribution/tests/load.rs
@@ -6,7 +6,7 @@
 
 use lockusher_distribution::load::{self, ServiceLoad};
 use lockusher_distribution::message::{
-    AppliedVersions, Downstream, Envelope, FromSubscriber, Heartbeat, NEVER_CONFIRMED_MS,
+    AppliedVersions, DownstreamState, Envelope, FromSubscriber, Heartbeat, NEVER_CONFIRMED_MS,
     SubscriberIdentity, ToSubscriber,
 };
 use lockusher_distribution::publisher::Publisher;
@@ -29,7 +29,7 @@
 }
 
 fn acknowledgement(loads: Vec<ServiceLoad>) -> FromSubscriber {
-    let downstream = Downstream {
+    let downstream = DownstreamState {
         in_force_version: 0,
         proxies: 1,
         loads,
--- a/crates/lockusher-distribution/tests/publisher.rs
+++ b/crates/lockusher-distribution/tests/publisher.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use lockusher_distribution::message::{
-    AppliedVersions, Downstream, Envelope, FromSubscriber, Heartbeat, ToSubscriber,
+    AppliedVersions, DownstreamState, Envelope, FromSubscriber, Heartbeat, ToSubscriber,
 };
 use lockusher_distribution::publisher::{
     HEARTBEAT_INTERVAL_MS, Publisher, PublisherStatus, SUBSCRIBER_INACTIVITY_TIMEOUT_MS,
@@ -226,7 +226,7 @@
     connect_subscriber(&mut head, "agent-0");
     for (number, name) in ["follower-1", "follower-2"].into_iter().enumerate() {
         let follower = follower_with_agents(number, 3 + number);
-        let downstream = Downstream {
+        let downstream = DownstreamState {
             in_force_version: 0,
             proxies: follower.downstream_proxies(),
             loads: Vec::new(),
--- a/crates/lockusher-distribution/tests/reconnect.rs
+++ b/crates/lockusher-distribution/tests/reconnect.rs
@@ -205,7 +205,7 @@
 
     assert_eq!(referrer, address(71));
     assert!(agent.is_referrer());
-    assert_eq!(agent.connected(), None);
+    assert_eq!(agent.connected_control_node(), None);
 
     agent.learn(&[address(8)]);
     agent.on_lost(2);
--- a/crates/lockusher-distribution/tests/recorded_bytes.rs
+++ b/crates/lockusher-distribution/tests/recorded_bytes.rs
@@ -19,7 +19,7 @@
 use lockusher_distribution::frame::encode_frame;
 use lockusher_distribution::load::ServiceLoad;
 use lockusher_distribution::message::{
-    AppliedVersions, ConfigurationUpdate, Downstream, Envelope, FromSubscriber, Heartbeat,
+    AppliedVersions, ConfigurationUpdate, DownstreamState, Envelope, FromSubscriber, Heartbeat,
     InstanceListUpdate, NEVER_CONFIRMED_MS, SubscriberIdentity, ToSubscriber,
 };
 use lockusher_transport::frame;
@@ -431,7 +431,7 @@
         zone: "b".to_owned(),
         agent_address: None,
     };
-    let downstream = Downstream {
+    let downstream = DownstreamState {
         in_force_version: 69_997,
         proxies: 12,
         loads: loads(),
@@ -462,7 +462,7 @@
             "acknowledge-proxy",
             FromSubscriber::Acknowledge {
                 applied,
-                downstream: Downstream::PROXY,
+                downstream: DownstreamState::PROXY,
             },
         ),
         (
--- a/crates/lockusher-distribution/tests/support/mod.rs
+++ b/crates/lockusher-distribution/tests/support/mod.rs
@@ -6,7 +6,7 @@
 };
 use lockusher_config::instances::{Instance, InstanceListRevision, InstanceState};
 use lockusher_distribution::message::{
-    AppliedVersions, Downstream, Envelope, FromSubscriber, SubscriberIdentity, ToSubscriber,
+    AppliedVersions, DownstreamState, Envelope, FromSubscriber, SubscriberIdentity, ToSubscriber,
 };
 use lockusher_distribution::publisher::{Publisher, SubscriberId};
 use lockusher_distribution::subscriber::Subscriber;
@@ -147,6 +147,6 @@
     let applied = applied_configuration(configuration_version);
     FromSubscriber::Acknowledge {
         applied,
-        downstream: Downstream::PROXY,
+        downstream: DownstreamState::PROXY,
     }
 }
--- a/crates/lockusher-proxy/src/decision/load.rs
+++ b/crates/lockusher-proxy/src/decision/load.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use lockusher_distribution::load::{HUNDREDTHS, ServiceLoad};
+use lockusher_distribution::load::{HUNDREDTHS_PER_UNIT, ServiceLoad};
 
 use super::plan::SendRecord;
 use super::types::{MICROS_PER_MS, Micros, Purpose};
@@ -46,7 +46,7 @@
     fn take_hundredths(&mut self, now: Micros, interval: Micros) -> u32 {
         self.accumulate(now);
         let integral = std::mem::take(&mut self.integral);
-        saturating_u32(integral.saturating_mul(u64::from(HUNDREDTHS)) / interval)
+        saturating_u32(integral.saturating_mul(u64::from(HUNDREDTHS_PER_UNIT)) / interval)
     }
 }
 
@@ -152,7 +152,7 @@
             prefill_in_flight: self.prefill.take_hundredths(now, interval),
             decode_in_flight: self.decode.take_hundredths(now, interval),
             decode_waiting: self.decode_waiting.take_hundredths(now, interval),
-            decode_tokens: self.decode_tokens.take_hundredths(now, interval) / HUNDREDTHS,
+            decode_tokens: self.decode_tokens.take_hundredths(now, interval) / HUNDREDTHS_PER_UNIT,
         }
     }
 }
