--- a/crates/lockusher-http2/src/connection.rs
+++ b/crates/lockusher-http2/src/connection.rs
@@ -1,4 +1,4 @@
-//! Calls on their way: connections, streams, and what became of each part. Nothing here decides but by [`crate::pool`]
+//! Runs calls over connections and streams, and reports the outcome of each part. Decisions are made in [`crate::pool`]
 //! and [`crate::outcome`].
 
 use std::cell::{Cell, RefCell};
@@ -15,41 +15,44 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 
-use crate::outcome::{ENHANCE_YOUR_CALM, End, Known, outcome};
-use crate::pool::{Act, CallId, ConnectionId, Ended, Limits, Pool};
-use crate::tap::{Seen, Tap};
-use crate::wire::{self, Ends, Part, PartEnd};
+use crate::outcome::{ENHANCE_YOUR_CALM, StreamEnd, StreamProgress, outcome};
+use crate::pool::{Action, CallEnd, CallId, ConnectionId, Limits, Pool};
+use crate::tap::{FrameObserver, Tap};
+use crate::wire::{self, Part, PartEnd, PartEndDecoder};
 
-/// Whether anyone still waits for a part.
+/// Returns whether a part's result is still wanted.
 pub type Wanted = Rc<dyn Fn() -> bool>;
 
-/// A part as it is handed over, with the number of its send.
+/// A part to send, with the number of the send.
 pub struct Sent {
     pub nth: usize,
     pub part: Part,
     pub wanted: Wanted,
 }
 
-/// How a send ended.
+/// The end of a send.
 pub struct Came {
     pub part: PartId,
     pub nth: usize,
     pub outcome: Outcome,
     pub at: Instant,
-    /// Score and value of what returned.
+    /// Score and value, if the part returned.
     pub answer: Option<(i64, String)>,
 }
 
-/// What all searchers' connections share.
+/// The state shared by the hosts of all searchers.
 pub struct Shared<T> {
     pub limits: Limits,
     pub connect_timeout: Span,
-    /// Descriptors in use for searchers, and how many there may be.
+    /// File descriptors in use for searchers.
     pub open: Rc<Cell<usize>>,
+    /// Limit on file descriptors in use for searchers.
     pub most_open: usize,
-    /// The router's queue, and what it takes.
+    /// The router's event queue.
     pub queue: mpsc::Sender<T>,
+    /// Converts the end of a send to a router event.
     pub came: fn(Came) -> T,
+    /// The origin of the pools' times.
     pub started: Instant,
 }
 
@@ -62,58 +65,62 @@
         Time::from_micros(at.saturating_duration_since(self.started).as_micros() as u64)
     }
 
-    async fn tell(&self, came: Came) {
-        // The router has ended: nobody waits any more.
+    async fn report(&self, came: Came) {
+        // Sending fails only after the router has ended; the result is then unused.
         let _ = self.queue.send((self.came)(came)).await;
     }
 }
 
-/// What windows are granted: more than a value may take, so that one slow reader here stops none.
-const STREAM_WINDOW: u32 = 256 * 1024;
-const CONNECTION_WINDOW: u32 = 1024 * 1024;
-/// The longest list of headers that is read.
-const MOST_HEADERS: u32 = 16 * 1024;
+/// Flow control windows: larger than any value, so that one response that is read slowly doesn't block others.
+const STREAM_WINDOW_BYTES: u32 = 256 * 1024;
+const CONNECTION_WINDOW_BYTES: u32 = 1024 * 1024;
+/// Limit on a response's header list.
+const MAX_HEADER_LIST_BYTES: u32 = 16 * 1024;
 
-struct Out {
+/// A part without a result yet.
+struct PendingPart {
     nth: usize,
     part: Part,
     wanted: Wanted,
 }
 
-/// A call in hand: its parts that have not ended, and where it is.
+/// A call that has not ended: its pending parts, and its connection and stream.
 struct Call {
-    parts: Vec<Out>,
-    on: Option<(ConnectionId, Rc<Link>)>,
+    parts: Vec<PendingPart>,
+    connection: Option<(ConnectionId, Rc<ConnectionHandle>)>,
     stream: Option<u32>,
+    /// At least one part end has been received.
     answered: bool,
     writer: Option<SendStream<Bytes>>,
 }
 
+/// One connection, shared with the task that drives it.
 #[derive(Default)]
-struct Link {
-    seen: Rc<Seen>,
-    requests: RefCell<Option<SendRequest<Bytes>>>,
+struct ConnectionHandle {
+    observer: Rc<FrameObserver>,
+    sender: RefCell<Option<SendRequest<Bytes>>>,
     ping: Notify,
     close: Notify,
-    /// It was given up, as it had fallen silent.
-    silent: Cell<bool>,
+    /// It was aborted because the searcher stopped responding.
+    unresponsive: Cell<bool>,
 }
 
-/// One searcher.
+/// The connections to one searcher, and the calls sent to it.
 pub struct Host<T> {
     shared: Rc<Shared<T>>,
     address: SocketAddr,
     pool: RefCell<Pool>,
     calls: RefCell<HashMap<CallId, Call>>,
-    /// Where each send that has not ended is.
+    /// The call of each pending send.
     sends: RefCell<HashMap<(PartId, usize), CallId>>,
-    links: RefCell<HashMap<ConnectionId, Rc<Link>>>,
-    next: Cell<u64>,
-    speaks: Cell<bool>,
+    connections: RefCell<HashMap<ConnectionId, Rc<ConnectionHandle>>>,
+    next_call: Cell<u64>,
+    speaks_http2: Cell<bool>,
     wake: Notify,
 }
 
 impl<T: 'static> Host<T> {
+    /// Creates a host without connections; starts the task that runs the pool's due actions.
     pub fn start(shared: Rc<Shared<T>>, address: SocketAddr) -> Rc<Self> {
         let host = Rc::new(Host {
             pool: RefCell::new(Pool::new(shared.limits)),
@@ -121,17 +128,19 @@
             address,
             calls: RefCell::default(),
             sends: RefCell::default(),
-            links: RefCell::default(),
-            next: Cell::new(0),
-            speaks: Cell::new(true),
+            connections: RefCell::default(),
+            next_call: Cell::new(0),
+            speaks_http2: Cell::new(true),
             wake: Notify::new(),
         });
-        let turns = Rc::downgrade(&host);
+        let weak_host = Rc::downgrade(&host);
         tokio::task::spawn_local(async move {
             loop {
-                let Some(host) = turns.upgrade() else { return };
-                host.turn();
-                let due = host.pool.borrow().due();
+                let Some(host) = weak_host.upgrade() else {
+                    return;
+                };
+                host.run_due_actions();
+                let due = host.pool.borrow().next_due();
                 let wait = due.map_or(Duration::from_secs(60), |due| {
                     Duration::from_micros(due.since(host.shared.now()).as_micros())
                 });
@@ -142,153 +151,167 @@
         host
     }
 
+    /// The searcher's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether a send is in hand here.
+    /// Whether a send is pending here.
     pub fn holds(&self, part: &PartId, nth: usize) -> bool {
-        self.find(part, nth).is_some()
+        self.call_of(part, nth).is_some()
     }
 
-    /// Whether nothing is left of it here.
+    /// Whether there are no calls and no connections.
     pub fn is_over(&self) -> bool {
-        self.calls.borrow().is_empty() && self.links.borrow().is_empty()
+        self.calls.borrow().is_empty() && self.connections.borrow().is_empty()
     }
 
-    /// Whether it speaks HTTP/2, as far as is known.
+    /// False once a connection has shown that the searcher does not speak HTTP/2.
     pub fn speaks(&self) -> bool {
-        self.speaks.get()
+        self.speaks_http2.get()
     }
 
-    /// Connections that are open or coming up.
+    /// The number of connections, including those that are connecting or closing.
     pub fn connections(&self) -> usize {
-        self.pool.borrow().connections()
+        self.pool.borrow().connection_count()
     }
 
-    /// Takes a call, or hands it back if too much waits.
+    /// Queues a call; returns it if the queue is full or the host is draining.
     pub fn send(self: &Rc<Self>, call: Vec<Sent>) -> Result<(), Vec<Sent>> {
-        let id = CallId(self.next.replace(self.next.get() + 1));
-        if !self.pool.borrow_mut().call(id) {
+        let id = CallId(self.next_call.replace(self.next_call.get() + 1));
+        if !self.pool.borrow_mut().enqueue(id) {
             return Err(call);
         }
-        let parts = call.into_iter().map(|sent| Out {
+        let parts = call.into_iter().map(|sent| PendingPart {
             nth: sent.nth,
             part: sent.part,
             wanted: sent.wanted,
         });
-        let parts: Vec<Out> = parts.collect();
+        let parts: Vec<PendingPart> = parts.collect();
         let mut sends = self.sends.borrow_mut();
-        sends.extend(parts.iter().map(|out| ((out.part.id.clone(), out.nth), id)));
+        sends.extend(
+            parts
+                .iter()
+                .map(|pending| ((pending.part.id.clone(), pending.nth), id)),
+        );
         drop(sends);
         let call = Call {
             parts,
-            on: None,
+            connection: None,
             stream: None,
             answered: false,
             writer: None,
         };
         self.calls.borrow_mut().insert(id, call);
-        self.kick();
+        self.run_and_wake_timer();
         Ok(())
     }
 
-    /// Nothing new goes there: hands back what has not left, lets the rest end.
+    /// Accepts no call from now on. Returns the sends that were not started; calls in flight may finish.
     pub fn leave(&self) -> Vec<(PartId, usize)> {
-        let waiting = self.pool.borrow_mut().leave();
-        let parts = waiting
+        let queued = self.pool.borrow_mut().drain_all();
+        let parts = queued
             .into_iter()
-            .filter_map(|id| self.take(id))
+            .filter_map(|id| self.remove_call(id))
             .flat_map(|call| call.parts);
-        let unsent = parts.map(|out| (out.part.id, out.nth)).collect();
+        let unsent = parts
+            .map(|pending| (pending.part.id, pending.nth))
+            .collect();
         self.wake.notify_one();
         unsent
     }
 
+    /// Drains the connections without calls in flight.
     pub fn retire_unused(&self) {
-        self.pool.borrow_mut().retire_unused();
+        self.pool.borrow_mut().drain_idle();
         self.wake.notify_one();
     }
 
-    fn find(&self, part: &PartId, nth: usize) -> Option<CallId> {
+    fn call_of(&self, part: &PartId, nth: usize) -> Option<CallId> {
         self.sends.borrow().get(&(part.clone(), nth)).copied()
     }
 
-    /// A send of a call has ended, or is not waited for any more; tells whether others of the call are.
-    fn drop_send(&self, id: CallId, part: &PartId, nth: usize) -> bool {
+    /// Removes a send that has ended or is no longer wanted; returns whether the call has other pending sends.
+    fn remove_send(&self, id: CallId, part: &PartId, nth: usize) -> bool {
         self.sends.borrow_mut().remove(&(part.clone(), nth));
         let mut calls = self.calls.borrow_mut();
         let Some(call) = calls.get_mut(&id) else {
             return false;
         };
         call.parts
-            .retain(|out| out.part.id != *part || out.nth != nth);
+            .retain(|pending| pending.part.id != *part || pending.nth != nth);
         !call.parts.is_empty()
     }
 
-    /// Takes a call out of hand, with all its sends.
-    fn take(&self, id: CallId) -> Option<Call> {
+    /// Removes a call with all its sends.
+    fn remove_call(&self, id: CallId) -> Option<Call> {
         let call = self.calls.borrow_mut().remove(&id)?;
         let mut sends = self.sends.borrow_mut();
-        for out in &call.parts {
-            sends.remove(&(out.part.id.clone(), out.nth));
+        for pending in &call.parts {
+            sends.remove(&(pending.part.id.clone(), pending.nth));
         }
         Some(call)
     }
 
-    fn seen(&self, id: CallId) -> Option<(Rc<Seen>, u32, ConnectionId)> {
+    /// The observer, stream and connection of a call whose stream is open.
+    fn stream_of(&self, id: CallId) -> Option<(Rc<FrameObserver>, u32, ConnectionId)> {
         let calls = self.calls.borrow();
         let call = calls.get(&id)?;
-        let (on, link) = call.on.as_ref()?;
-        Some((link.seen.clone(), call.stream?, *on))
+        let (connection, handle) = call.connection.as_ref()?;
+        Some((handle.observer.clone(), call.stream?, *connection))
     }
 
-    fn left(&self, id: CallId) -> Option<Instant> {
-        let (seen, stream, _) = self.seen(id)?;
-        seen.left(stream)
+    /// When the call was written to its last byte.
+    fn call_written_at(&self, id: CallId) -> Option<Instant> {
+        let (observer, stream, _) = self.stream_of(id)?;
+        observer.written_at(stream)
     }
 
-    /// Gives a send up. What has left may be reset; what has not must not leave after all.
+    /// Cancels a send. A call that has not been completely written is never completed; one that has may be reset, within
+    /// the rate limit.
     pub fn give_up(&self, part: &PartId, nth: usize) {
-        let Some(id) = self.find(part, nth) else {
+        let Some(id) = self.call_of(part, nth) else {
             return;
         };
         if !self.recall(part, nth) {
-            let others = self.drop_send(id, part, nth);
-            let on = self
+            let others_pending = self.remove_send(id, part, nth);
+            let connection = self
                 .calls
                 .borrow()
                 .get(&id)
-                .and_then(|call| Some(call.on.as_ref()?.0));
-            if let (false, Some(on)) = (others, on)
-                && self.pool.borrow_mut().may_reset(self.shared.now(), on)
+                .and_then(|call| Some(call.connection.as_ref()?.0));
+            if let (false, Some(connection)) = (others_pending, connection)
+                && self
+                    .pool
+                    .borrow_mut()
+                    .try_reset(self.shared.now(), connection)
             {
                 self.reset(id);
             }
         }
     }
 
-    /// Takes back a send that has not left whole; tells whether that was so.
+    /// Cancels a send unless its call has been completely written; returns whether it was cancelled.
     pub fn recall(&self, part: &PartId, nth: usize) -> bool {
-        let Some(id) = self.find(part, nth) else {
+        let Some(id) = self.call_of(part, nth) else {
             return false;
         };
-        if self.left(id).is_some() {
+        if self.call_written_at(id).is_some() {
             return false;
         }
-        let begun = self
+        let started = self
             .calls
             .borrow()
             .get(&id)
-            .is_some_and(|call| call.on.is_some());
-        let others = self.drop_send(id, part, nth);
-        if begun {
-            // Some of it may be on its way: without its end it never runs. Its neighbours are told that by the
-            // stream's end, as never having left.
+            .is_some_and(|call| call.connection.is_some());
+        let others_pending = self.remove_send(id, part, nth);
+        if started {
+            // Part of the call may have been written; without its end it never runs. The end of the stream reports the
+            // other parts of the call as never sent.
             self.reset(id);
-        } else if !others {
-            self.pool.borrow_mut().take_back(id);
-            self.take(id);
+        } else if !others_pending {
+            self.pool.borrow_mut().remove_queued(id);
+            self.remove_call(id);
         }
         true
     }
@@ -301,148 +324,165 @@
         }
     }
 
-    /// A send is late, or has waited in vain: if nothing has come on its connection since it left, that is asked
-    /// there; with `retire` nothing new goes there either.
+    /// Checks the liveness of the connection of a send that is late or has timed out: sends a PING if nothing has been
+    /// received since the call was written. With `retire`, drains that connection too.
     pub fn doubt(&self, part: &PartId, nth: usize, retire: bool) {
-        let Some((seen, stream, on)) = self.find(part, nth).and_then(|id| self.seen(id)) else {
+        let Some((observer, stream, connection)) =
+            self.call_of(part, nth).and_then(|id| self.stream_of(id))
+        else {
             return;
         };
-        let silent = seen
-            .left(stream)
-            .is_some_and(|left| seen.heard().is_none_or(|heard| heard < left));
-        if !silent {
+        let nothing_received = observer.written_at(stream).is_some_and(|written_at| {
+            observer
+                .last_received()
+                .is_none_or(|received_at| received_at < written_at)
+        });
+        if !nothing_received {
             return;
         }
         if retire {
-            self.pool.borrow_mut().retire(on);
+            self.pool.borrow_mut().drain(connection);
         }
-        self.pool.borrow_mut().doubt(self.shared.now(), on);
-        if let Some(link) = self.links.borrow().get(&on) {
-            link.ping.notify_one();
+        self.pool
+            .borrow_mut()
+            .ping_sent(self.shared.now(), connection);
+        if let Some(handle) = self.connections.borrow().get(&connection) {
+            handle.ping.notify_one();
         }
         self.wake.notify_one();
     }
 
-    /// When a send left whole.
+    /// When the send's call was written to its last byte.
     pub fn left_at(&self, part: &PartId, nth: usize) -> Option<Instant> {
-        self.left(self.find(part, nth)?)
+        self.call_written_at(self.call_of(part, nth)?)
     }
 
-    /// Does what is due, and has the timer look again at what is due next.
-    fn kick(self: &Rc<Self>) {
-        self.turn();
+    /// Runs the due actions, and wakes the timer task to compute the next due time.
+    fn run_and_wake_timer(self: &Rc<Self>) {
+        self.run_due_actions();
         self.wake.notify_one();
     }
 
-    fn turn(self: &Rc<Self>) {
+    /// Runs the actions that are due.
+    fn run_due_actions(self: &Rc<Self>) {
         loop {
-            let acts = self.pool.borrow_mut().acts(self.shared.now());
-            if acts.is_empty() {
+            let actions = self.pool.borrow_mut().due_actions(self.shared.now());
+            if actions.is_empty() {
                 return;
             }
-            for act in acts {
-                match act {
-                    Act::Open(id) => self.open(id),
-                    Act::Begin(id, call) => self.begin(id, call),
-                    Act::Ping(id) => self.with_link(id, |link| link.ping.notify_one()),
-                    Act::GiveUp(id) => self.with_link(id, |link| {
-                        link.silent.set(true);
-                        link.close.notify_one();
+            for action in actions {
+                match action {
+                    Action::Open(id) => self.open_connection(id),
+                    Action::StartCall(id, call) => self.start_call(id, call),
+                    Action::Ping(id) => self.with_handle(id, |handle| handle.ping.notify_one()),
+                    Action::Abort(id) => self.with_handle(id, |handle| {
+                        handle.unresponsive.set(true);
+                        handle.close.notify_one();
                     }),
-                    Act::Close(id) => self.with_link(id, |link| link.close.notify_one()),
+                    Action::Close(id) => self.with_handle(id, |handle| handle.close.notify_one()),
                 }
             }
-            // Closing takes a while; it is not asked for again and again meanwhile.
-            if !self.pool.borrow().has_room_for_waiting() {
+            // Closing is asynchronous: the loop ends here instead of spinning until the connections are closed.
+            if !self.pool.borrow().can_start_queued_call() {
                 return;
             }
         }
     }
 
-    fn with_link(&self, id: ConnectionId, act: impl FnOnce(&Link)) {
-        if let Some(link) = self.links.borrow().get(&id) {
-            act(link);
+    fn with_handle(&self, id: ConnectionId, action: impl FnOnce(&ConnectionHandle)) {
+        if let Some(handle) = self.connections.borrow().get(&id) {
+            action(handle);
         }
     }
 
-    fn open(self: &Rc<Self>, id: ConnectionId) {
-        let link = Rc::new(Link::default());
-        self.links.borrow_mut().insert(id, link.clone());
+    /// Starts the task of a connection.
+    fn open_connection(self: &Rc<Self>, id: ConnectionId) {
+        let handle = Rc::new(ConnectionHandle::default());
+        self.connections.borrow_mut().insert(id, handle.clone());
         let host = self.clone();
         tokio::task::spawn_local(async move {
             let open = host.shared.open.clone();
-            let why = if open.get() >= host.shared.most_open {
-                End::GivenUp
+            let end = if open.get() >= host.shared.most_open {
+                StreamEnd::Abandoned
             } else {
                 open.set(open.get() + 1);
-                let ended = host.run(id, &link).await;
+                let result = host.run_connection(id, &handle).await;
                 open.set(open.get() - 1);
-                if let Err(error) = ended {
+                if let Err(error) = result {
                     tracing::info!("http2 to {}: {error}", host.address);
                 }
-                End::ConnectionOver
+                StreamEnd::ConnectionClosed
             };
-            // What is out there ends by its own task, once it has read what had come before.
-            let (_, waited) = host.pool.borrow_mut().over(host.shared.now(), id);
-            for call in waited {
-                host.end(call, why).await;
+            // Calls in flight are ended by their own tasks, after these have read what was received before the close.
+            let (_, unplaced) = host
+                .pool
+                .borrow_mut()
+                .connection_closed(host.shared.now(), id);
+            for call in unplaced {
+                host.finish_call(call, end).await;
             }
-            host.links.borrow_mut().remove(&id);
-            host.kick();
+            host.connections.borrow_mut().remove(&id);
+            host.run_and_wake_timer();
         });
     }
 
-    /// One connection, to its end.
-    async fn run(self: &Rc<Self>, id: ConnectionId, link: &Link) -> Result<(), String> {
-        let seen = &link.seen;
-        let most = Duration::from_micros(self.shared.connect_timeout.as_micros());
-        let come_up = async {
+    /// Opens a connection and drives it until it is closed.
+    async fn run_connection(
+        self: &Rc<Self>,
+        id: ConnectionId,
+        handle: &ConnectionHandle,
+    ) -> Result<(), String> {
+        let observer = &handle.observer;
+        let timeout = Duration::from_micros(self.shared.connect_timeout.as_micros());
+        let connect = async {
             let socket = TcpStream::connect(self.address)
                 .await
                 .map_err(|e| e.to_string())?;
             socket.set_nodelay(true).map_err(|e| e.to_string())?;
-            let built = h2::client::Builder::new()
+            let handshake = h2::client::Builder::new()
                 .enable_push(false)
-                .initial_window_size(STREAM_WINDOW)
-                .initial_connection_window_size(CONNECTION_WINDOW)
-                .max_header_list_size(MOST_HEADERS)
-                .handshake::<_, Bytes>(Tap::new(socket, seen.clone()));
-            built.await.map_err(|e| e.to_string())
+                .initial_window_size(STREAM_WINDOW_BYTES)
+                .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
+                .max_header_list_size(MAX_HEADER_LIST_BYTES)
+                .handshake::<_, Bytes>(Tap::new(socket, observer.clone()));
+            handshake.await.map_err(|e| e.to_string())
         };
-        let (requests, mut connection) = tokio::time::timeout(most, come_up)
+        let (sender, mut connection) = tokio::time::timeout(timeout, connect)
             .await
-            .map_err(|_| "none came up in time")??;
+            .map_err(|_| "connection not established in time")??;
         let pings = connection.ping_pong();
-        let driven = connection;
-        tokio::pin!(driven);
-        // A searcher that speaks HTTP/2 sends its settings first: what speaks something else never gets a call.
-        let settled = async {
-            while !seen.settled() {
-                seen.changed.notified().await;
+        let driver = connection;
+        tokio::pin!(driver);
+        // An HTTP/2 server sends SETTINGS first; no call is sent to a peer before that, as it may speak another protocol.
+        let settings = async {
+            while !observer.settings_received() {
+                observer.changed.notified().await;
             }
         };
         tokio::select! {
-            ended = &mut driven => {
-                // What it said before any settings was no HTTP/2; a plain end may be anything.
+            ended = &mut driver => {
+                // Bytes that are not a SETTINGS frame are not HTTP/2; a close or an I/O error proves nothing.
                 return match ended {
-                    Err(error) if seen.heard().is_some() && !error.is_io() => Err(self.speaks_not(&error.to_string())),
+                    Err(error) if observer.last_received().is_some() && !error.is_io() => Err(self.not_http2(&error.to_string())),
                     Err(error) => Err(error.to_string()),
                     Ok(()) => Ok(()),
                 };
             }
-            waited = tokio::time::timeout(most, settled) => {
-                waited.map_err(|_| self.speaks_not("it sends no settings"))?;
+            received = tokio::time::timeout(timeout, settings) => {
+                received.map_err(|_| self.not_http2("no SETTINGS frame received"))?;
             }
         }
-        *link.requests.borrow_mut() = Some(requests);
-        self.pool.borrow_mut().opened(self.shared.now(), id);
-        self.look(id, seen);
-        self.kick();
-        let watch = async {
+        *handle.sender.borrow_mut() = Some(sender);
+        self.pool
+            .borrow_mut()
+            .connection_opened(self.shared.now(), id);
+        self.apply_observations(id, observer);
+        self.run_and_wake_timer();
+        let observing = async {
             loop {
-                seen.changed.notified().await;
-                self.look(id, seen);
-                self.kick();
+                observer.changed.notified().await;
+                self.apply_observations(id, observer);
+                self.run_and_wake_timer();
             }
         };
         let pinging = async {
@@ -450,105 +490,108 @@
                 return std::future::pending().await;
             };
             loop {
-                link.ping.notified().await;
-                // That something came back is seen on the socket.
+                handle.ping.notified().await;
+                // The observer sees any reply on the socket.
                 let _ = pings.ping(Ping::opaque()).await;
             }
         };
         tokio::select! {
-            ended = &mut driven => ended.map_err(|e| e.to_string()),
-            () = watch => Ok(()),
+            ended = &mut driver => ended.map_err(|e| e.to_string()),
+            () = observing => Ok(()),
             () = pinging => Ok(()),
-            () = link.close.notified() => Ok(()),
+            () = handle.close.notified() => Ok(()),
         }
     }
 
-    /// Said once a host.
-    fn speaks_not(&self, why: &str) -> String {
-        match self.speaks.replace(false) {
-            true => format!("it speaks no HTTP/2: {why}"),
-            false => why.to_owned(),
+    /// Marks the searcher as not speaking HTTP/2; the message says so only the first time.
+    fn not_http2(&self, reason: &str) -> String {
+        match self.speaks_http2.replace(false) {
+            true => format!("searcher does not speak HTTP/2: {reason}"),
+            false => reason.to_owned(),
         }
     }
 
-    /// What the searcher has said of the connection itself.
-    fn look(&self, id: ConnectionId, seen: &Seen) {
+    /// Applies what was observed on a connection to the pool: bytes received, stream limit, GOAWAY.
+    fn apply_observations(&self, id: ConnectionId, observer: &FrameObserver) {
         let mut pool = self.pool.borrow_mut();
-        if let Some(heard) = seen.heard() {
-            pool.hears(self.shared.at(heard), id);
+        if let Some(received_at) = observer.last_received() {
+            pool.bytes_received(self.shared.at(received_at), id);
         }
-        if let Some(allowed) = seen.allows() {
-            pool.allows(id, allowed as usize);
+        if let Some(max_streams) = observer.max_concurrent_streams() {
+            pool.set_max_streams(id, max_streams as usize);
         }
-        match seen.last() {
-            Some((_, ENHANCE_YOUR_CALM)) => pool.calm(self.shared.now(), id),
-            Some(_) => pool.retire(id),
+        match observer.goaway() {
+            Some((_, ENHANCE_YOUR_CALM)) => pool.back_off(self.shared.now(), id),
+            Some(_) => pool.drain(id),
             None => {}
         }
     }
 
-    fn begin(self: &Rc<Self>, id: ConnectionId, call: CallId) {
-        let Some(link) = self.links.borrow().get(&id).cloned() else {
+    /// Starts the task of a call on a connection.
+    fn start_call(self: &Rc<Self>, id: ConnectionId, call: CallId) {
+        let Some(handle) = self.connections.borrow().get(&id).cloned() else {
             return;
         };
-        let requests = link.requests.borrow().clone();
+        let sender = handle.sender.borrow().clone();
         if let Some(call) = self.calls.borrow_mut().get_mut(&call) {
-            call.on = Some((id, link));
+            call.connection = Some((id, handle));
         }
         let host = self.clone();
         tokio::task::spawn_local(async move {
-            let end = match requests {
-                Some(requests) => host.carry(call, requests).await,
-                None => End::ConnectionOver,
+            let end = match sender {
+                Some(sender) => host.run_call(call, sender).await,
+                None => StreamEnd::ConnectionClosed,
             };
-            let how = match end {
-                End::Whole => Ended::Well,
-                End::Reset(crate::outcome::REFUSED_STREAM) | End::Status(503) => Ended::Refused,
-                _ => Ended::Badly,
+            let call_end = match end {
+                StreamEnd::Complete => CallEnd::Succeeded,
+                StreamEnd::Reset(crate::outcome::REFUSED_STREAM) | StreamEnd::Status(503) => {
+                    CallEnd::Refused
+                }
+                _ => CallEnd::Failed,
             };
-            if end == End::Reset(ENHANCE_YOUR_CALM) {
-                host.pool.borrow_mut().calm(host.shared.now(), id);
+            if end == StreamEnd::Reset(ENHANCE_YOUR_CALM) {
+                host.pool.borrow_mut().back_off(host.shared.now(), id);
             }
-            let begun = host
+            let stream_opened = host
                 .calls
                 .borrow()
                 .get(&call)
                 .is_some_and(|call| call.stream.is_some());
-            if end == End::ConnectionOver && !begun {
-                // Nothing of it has left: the connection takes nothing more, and it waits for another.
-                if host.pool.borrow_mut().again(id, call) {
+            if end == StreamEnd::ConnectionClosed && !stream_opened {
+                // No stream was opened: the connection accepts no calls any more, and the call is queued for another.
+                if host.pool.borrow_mut().requeue(id, call) {
                     if let Some(call) = host.calls.borrow_mut().get_mut(&call) {
-                        call.on = None;
+                        call.connection = None;
                     }
                 } else {
-                    host.end(call, end).await;
+                    host.finish_call(call, end).await;
                 }
             } else {
                 host.pool
                     .borrow_mut()
-                    .ended(host.shared.now(), id, call, how);
-                host.end(call, end).await;
+                    .call_ended(host.shared.now(), id, call, call_end);
+                host.finish_call(call, end).await;
             }
-            host.kick();
+            host.run_and_wake_timer();
         });
     }
 
-    /// One call, to the end of its stream.
-    async fn carry(&self, call: CallId, requests: SendRequest<Bytes>) -> End {
-        let Ok(mut requests) = requests.ready().await else {
-            return self.ended_by(call, None);
+    /// Sends a call and reads the response to the end of its stream.
+    async fn run_call(&self, call: CallId, sender: SendRequest<Bytes>) -> StreamEnd {
+        let Ok(mut sender) = sender.ready().await else {
+            return self.stream_end(call, None);
         };
         let body = {
             let calls = self.calls.borrow();
             let Some(call) = calls.get(&call) else {
-                return End::GivenUp;
+                return StreamEnd::Abandoned;
             };
-            // What nobody waits for any more does not leave; the router gives it up.
+            // Parts that are no longer wanted are left out; the router cancels their sends.
             wire::encode(
                 call.parts
                     .iter()
-                    .filter(|out| (out.wanted)())
-                    .map(|out| &out.part),
+                    .filter(|pending| (pending.wanted)())
+                    .map(|pending| &pending.part),
             )
         };
         let request = Request::builder()
@@ -557,11 +600,11 @@
             .header(http::header::CONTENT_TYPE, wire::CONTENT_TYPE)
             .body(());
         let Ok(request) = request else {
-            return End::GivenUp;
+            return StreamEnd::Abandoned;
         };
-        let (response, mut writer) = match requests.send_request(request, false) {
-            Ok(begun) => begun,
-            Err(error) => return self.ended_by(call, Some(error)),
+        let (response, mut writer) = match sender.send_request(request, false) {
+            Ok(stream) => stream,
+            Err(error) => return self.stream_end(call, Some(error)),
         };
         let stream = writer.stream_id().as_u32();
         let sent = writer.send_data(body, true);
@@ -569,131 +612,138 @@
             (call.stream, call.writer) = (Some(stream), Some(writer));
         }
         if let Err(error) = sent {
-            return self.ended_by(call, Some(error));
+            return self.stream_end(call, Some(error));
         }
         let response = match response.await {
             Ok(response) => response,
-            Err(error) => return self.ended_by(call, Some(error)),
+            Err(error) => return self.stream_end(call, Some(error)),
         };
         if response.status() != http::StatusCode::OK {
-            return End::Status(response.status().as_u16());
+            return StreamEnd::Status(response.status().as_u16());
         }
-        let (mut body, mut ends) = (response.into_body(), Ends::default());
-        while let Some(some) = body.data().await {
-            let some = match some {
-                Ok(some) => some,
-                Err(error) => return self.ended_by(call, Some(error)),
+        let (mut body, mut decoder) = (response.into_body(), PartEndDecoder::default());
+        while let Some(chunk) = body.data().await {
+            let chunk = match chunk {
+                Ok(chunk) => chunk,
+                Err(error) => return self.stream_end(call, Some(error)),
             };
-            ends.push(&some);
+            decoder.push(&chunk);
             loop {
-                match ends.take() {
-                    Ok(Some(end)) => self.part(call, end).await,
+                match decoder.next_end() {
+                    Ok(Some(end)) => self.finish_part(call, end).await,
                     Ok(None) => break,
-                    Err(why) => {
-                        tracing::info!("http2 to {}: {why}", self.address);
+                    Err(error) => {
+                        tracing::info!("http2 to {}: {error}", self.address);
                         self.reset(call);
-                        return End::Spoilt;
+                        return StreamEnd::Malformed;
                     }
                 }
             }
-            let _ = body.flow_control().release_capacity(some.len());
+            let _ = body.flow_control().release_capacity(chunk.len());
         }
-        if ends.partial() {
-            End::Spoilt
+        if decoder.has_partial_message() {
+            StreamEnd::Malformed
         } else {
-            End::Whole
+            StreamEnd::Complete
         }
     }
 
-    /// What an error on a stream comes from: what was seen on the socket says it, not the library's words.
-    fn ended_by(&self, call: CallId, error: Option<h2::Error>) -> End {
-        let Some((seen, stream, _)) = self.seen(call) else {
-            return End::ConnectionOver;
+    /// Classifies an error on a stream. The frames observed on the socket take precedence over the library's error.
+    fn stream_end(&self, call: CallId, error: Option<h2::Error>) -> StreamEnd {
+        let Some((observer, stream, _)) = self.stream_of(call) else {
+            return StreamEnd::ConnectionClosed;
         };
-        if let Some(code) = seen.reset(stream) {
-            return End::Reset(code);
+        if let Some(code) = observer.reset_code(stream) {
+            return StreamEnd::Reset(code);
         }
-        let silent = self
+        let unresponsive = self
             .calls
             .borrow()
             .get(&call)
-            .and_then(|call| Some(call.on.as_ref()?.1.silent.get()));
-        if silent == Some(true) {
-            return End::Silent;
+            .and_then(|call| Some(call.connection.as_ref()?.1.unresponsive.get()));
+        if unresponsive == Some(true) {
+            return StreamEnd::Unresponsive;
         }
         let Some(error) = error else {
-            return End::ConnectionOver;
+            return StreamEnd::ConnectionClosed;
         };
-        if seen.last().is_some_and(|(last, _)| stream > last) {
-            return End::BeyondLast;
+        if observer.goaway().is_some_and(|(last, _)| stream > last) {
+            return StreamEnd::BeyondLastStream;
         }
         match (error.is_reset(), error.is_library()) {
-            // What the library will not have concerns this stream alone.
-            (true, true) => End::Spoilt,
-            // A reset of our own: its parts have been given up, or never left.
-            (true, false) => End::GivenUp,
-            _ if error.is_io() || error.is_go_away() => End::ConnectionOver,
-            _ => End::Spoilt,
+            // A stream error raised by the library concerns this stream alone.
+            (true, true) => StreamEnd::Malformed,
+            // Reset by this client: the call's parts were cancelled, or never completely written.
+            (true, false) => StreamEnd::Abandoned,
+            _ if error.is_io() || error.is_go_away() => StreamEnd::ConnectionClosed,
+            _ => StreamEnd::Malformed,
         }
     }
 
-    /// A part has ended; of one that was given up, or never asked in this call, nothing counts.
-    async fn part(&self, id: CallId, end: PartEnd) {
-        let out = {
+    /// Reports the end of a part; ignores one that was cancelled or is not in this call.
+    async fn finish_part(&self, id: CallId, end: PartEnd) {
+        let pending = {
             let mut calls = self.calls.borrow_mut();
             let Some(call) = calls.get_mut(&id) else {
                 return;
             };
             call.answered = true;
-            let place = call.parts.iter().position(|out| out.part.id == end.id);
-            place.map(|place| call.parts.swap_remove(place))
+            let index = call
+                .parts
+                .iter()
+                .position(|pending| pending.part.id == end.id);
+            index.map(|index| call.parts.swap_remove(index))
         };
-        let Some(out) = out else { return };
-        self.sends.borrow_mut().remove(&(end.id.clone(), out.nth));
+        let Some(pending) = pending else { return };
+        self.sends
+            .borrow_mut()
+            .remove(&(end.id.clone(), pending.nth));
         let answer = (end.outcome == Outcome::Returned).then_some((end.score, end.value));
         let came = Came {
             part: end.id,
-            nth: out.nth,
+            nth: pending.nth,
             outcome: end.outcome,
             at: Instant::now(),
             answer,
         };
-        self.shared.tell(came).await;
+        self.shared.report(came).await;
     }
 
-    /// A call is over: its parts that have not ended by themselves come to what its end means.
-    async fn end(&self, id: CallId, end: End) {
-        let seen = self.seen(id);
-        let Some(call) = self.take(id) else { return };
-        let left = seen
+    /// Removes a call whose stream has ended, and reports the outcome of its pending parts.
+    async fn finish_call(&self, id: CallId, end: StreamEnd) {
+        let stream_state = self.stream_of(id);
+        let Some(call) = self.remove_call(id) else {
+            return;
+        };
+        let written = stream_state
             .as_ref()
-            .is_some_and(|(seen, stream, _)| seen.left(*stream).is_some());
-        let last = seen
+            .is_some_and(|(observer, stream, _)| observer.written_at(*stream).is_some());
+        let within_last_stream = stream_state
             .as_ref()
-            .and_then(|(seen, stream, _)| Some(seen.last()?.0 >= *stream));
-        if let Some((seen, stream, _)) = seen {
-            seen.forget(stream);
+            .and_then(|(observer, stream, _)| Some(observer.goaway()?.0 >= *stream));
+        if let Some((observer, stream, _)) = stream_state {
+            observer.forget(stream);
         }
-        // A stream that GOAWAY left out never ran, though its connection ended before that was told.
-        let end = if end == End::ConnectionOver && last == Some(false) {
-            End::BeyondLast
+        // A stream beyond the last one of GOAWAY never ran, even if the connection was closed before that was processed.
+        let end = if end == StreamEnd::ConnectionClosed && within_last_stream == Some(false) {
+            StreamEnd::BeyondLastStream
         } else {
             end
         };
-        let known = Known {
-            left,
+        let progress = StreamProgress {
+            written,
             answered: call.answered,
         };
-        for out in call.parts {
-            let outcome = outcome(end, known);
+        for pending in call.parts {
+            let outcome = outcome(end, progress);
             let came = Came {
-                part: out.part.id,
-                nth: out.nth,
+                part: pending.part.id,
+                nth: pending.nth,
                 outcome,
                 at: Instant::now(),
                 answer: None,
             };
-            self.shared.tell(came).await;
+            self.shared.report(came).await;
         }
     }
 }
--- a/crates/lockusher-http2/src/lib.rs
+++ b/crates/lockusher-http2/src/lib.rs
@@ -1,6 +1,7 @@
-//! Parts to searchers over HTTP/2. [`pool`] decides (how many connections, which carries the next call, when one is
-//! retired, how fast a new one may fill, when to stop cancelling) and does no I/O; [`outcome`] says what an end means;
-//! [`wire`] is the mapping; [`tap`] sees what really crossed a socket; [`connection`] carries calls.
+//! Sends parts to searchers over HTTP/2. [`pool`] decides without I/O how many connections there are, which one carries
+//! the next call, how fast a new one ramps up, when one is drained and whether a call may be reset; [`outcome`] maps
+//! the end of a stream to outcomes; [`wire`] encodes calls and decodes part ends; [`tap`] observes the frames that cross
+//! a socket; [`connection`] runs the calls.
 
 // Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
 #![allow(missing_docs, clippy::missing_errors_doc)]
--- a/crates/lockusher-http2/src/pool.rs
+++ b/crates/lockusher-http2/src/pool.rs
@@ -1,424 +1,464 @@
-//! The connections to one searcher: how many there are, which carries the next call, how fast a new one may fill, when
-//! one is retired, when to stop cancelling. Pure: no I/O, and no clock but what it is told.
+//! The connections to one searcher: how many there are, which one carries the next call, how fast a new one ramps up,
+//! when one is drained, when calls may be reset. Pure: no I/O; the caller passes the time.
 //!
-//! What waits is first come, first served. A connection that has just come up takes a few calls, and twice as many
-//! with each round that ends well, up to what the searcher allows: what waited for it must not burst into a cold
-//! searcher. RFC 9113: sections 5.1.1 (stream ids), 5.1.2 (streams at once), 6.8 (GOAWAY), 7 (ENHANCE_YOUR_CALM).
+//! Queued calls are served in order. A new connection starts with a few calls at once and doubles that with each round
+//! that succeeds, up to the searcher's limit (slow start), so that calls queued while it was connecting don't burst
+//! into a searcher that is warming up. RFC 9113: sections 5.1.1 (stream ids), 5.1.2 (streams at once), 6.8 (GOAWAY), 7 (ENHANCE_YOUR_CALM).
 
 use std::collections::{BTreeMap, VecDeque};
 
 use lockusher_policy::interface::{Span, Time};
 
-/// A connection, by its number since the start.
+/// A connection, numbered from the start of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// A call, by its number since the start.
+/// A call, numbered by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What the operator sets.
+/// Limits on the connections to one searcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Connections to one searcher at once; more than one only where it allows few streams.
+    /// Connections to one searcher at once; a further one is opened only if the others have reached their stream limit.
     pub most_connections: usize,
-    /// Calls on one connection at once, whatever the searcher allows.
+    /// Calls in flight on one connection, even if the searcher allows more.
     pub most_streams: usize,
-    /// Calls that one connection carries in its life, [`MOST_CALLS`] at most.
+    /// Calls that one connection carries before it is replaced, [`MOST_CALLS`] at most.
     pub most_calls: u64,
-    /// Calls that may wait for a stream.
+    /// Calls that may be queued for a stream.
     pub most_waiting: usize,
-    /// A connection unused for so long is closed, one that has served for so long is retired.
+    /// A connection without calls for this long is closed.
     pub idle: Span,
+    /// A connection older than this is drained.
     pub age: Span,
-    /// A connection with calls out on which nothing came for so long is pinged, and given up after as long again.
+    /// A connection with calls in flight that receives nothing for this long is pinged, and aborted after as long again
+    /// without a reply.
     pub silent_after: Span,
-    /// Resets a second that a searcher bears, in the mean.
+    /// Average rate of stream resets sent to a searcher, per second.
     pub resets_per_s: f64,
 }
 
-/// Calls that a connection may take before any has ended well: as many as one mixer's share of a cold searcher's
-/// first window would be with a few mixers.
-const FIRST: usize = 4;
-/// Resets that may come at once.
-const RESETS_AT_ONCE: f64 = 20.0;
-/// Stream ids are 31 bits and odd; a connection is retired well before they are used up.
+/// Calls in flight on a new connection until the first round has succeeded: with a few mixers, about one mixer's share
+/// of the first window of a searcher that is warming up.
+const INITIAL_WINDOW_CALLS: usize = 4;
+/// Resets that may be sent in a burst.
+const RESET_BURST: f64 = 20.0;
+/// Stream ids have 31 bits and are odd; a connection is drained well before they are exhausted.
 pub const MOST_CALLS: u64 = 1 << 29;
-/// After a searcher's wish for calm, or a connection that did not come up, the first rest; it doubles each time.
-const FIRST_REST: Span = Span::from_millis(100);
-const LONGEST_REST: Span = Span::from_millis(5_000);
+/// First backoff after ENHANCE_YOUR_CALM or a failed connection attempt; it doubles each time.
+const INITIAL_BACKOFF: Span = Span::from_millis(100);
+/// The backoff grows no longer than this.
+const MAX_BACKOFF: Span = Span::from_millis(5_000);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Connecting,
     Open,
-    /// Takes nothing new; closes once nothing is out.
-    Retired,
-    /// It has been told to close.
+    /// Accepts no new calls; closed once none is in flight.
+    Draining,
+    /// [`Action::Close`] or [`Action::Abort`] was returned for it.
     Closing,
 }
 
 struct Connection {
     state: State,
 
-    opened: Time,
-    used: Time,
-    heard: Time,
-    pinged: Option<Time>,
-    /// What the searcher allows at once.
-    allowed: usize,
-    /// What it may carry for now, however much is allowed.
+    opened_at: Time,
+    last_used: Time,
+    last_received: Time,
+    ping_sent_at: Option<Time>,
+    /// Concurrent streams that the searcher allows.
+    max_streams: usize,
+    /// Current slow start limit on calls in flight.
     window: usize,
-    /// Calls that ended well since the window last grew.
-    good: usize,
-    begun: u64,
-    calls: Vec<CallId>,
-    resets: f64,
-    resets_at: Time,
+    /// Calls that succeeded since the window last changed.
+    completed_in_round: usize,
+    calls_started: u64,
+    in_flight: Vec<CallId>,
+    /// Resets sent, less those that the allowed rate has made up for since.
+    recent_resets: f64,
+    recent_resets_at: Time,
 }
 
 impl Connection {
-    /// Whether it takes calls, now or once it is up.
-    fn is_live(&self) -> bool {
+    /// Whether it accepts calls, now or once it is established.
+    fn accepts_calls(&self) -> bool {
         matches!(self.state, State::Connecting | State::Open)
     }
 
-    fn retire(&mut self) {
-        if self.is_live() {
-            self.state = State::Retired;
+    fn drain(&mut self) {
+        if self.accepts_calls() {
+            self.state = State::Draining;
         }
     }
 }
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
+    /// Open a connection.
     Open(ConnectionId),
-    Begin(ConnectionId, CallId),
+    /// Start a call on a connection.
+    StartCall(ConnectionId, CallId),
+    /// Send a PING.
     Ping(ConnectionId),
-    /// It has fallen silent: what is out on it is lost.
-    GiveUp(ConnectionId),
-    /// Nothing is out on it any more.
+    /// Close it as unresponsive; its calls in flight are lost.
+    Abort(ConnectionId),
+    /// Close it; no call is in flight.
     Close(ConnectionId),
 }
 
 /// How a call ended, as far as the pool is concerned.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
-    Well,
-    /// It was given up, or failed by itself.
-    Badly,
-    /// The searcher had no place for it.
+pub enum CallEnd {
+    /// The response was complete.
+    Succeeded,
+    /// It was cancelled or failed.
+    Failed,
+    /// The searcher had no capacity for it.
     Refused,
 }
 
+/// Decides about the connections to one searcher.
 pub struct Pool {
     limits: Limits,
     connections: BTreeMap<ConnectionId, Connection>,
-    waiting: VecDeque<CallId>,
-    next: u64,
-    /// No connection is opened before, and how often in a row that came to be.
-    not_before: Option<Time>,
-    rests: u32,
-    /// Nothing new at all: the searcher left.
-    left: bool,
+    queue: VecDeque<CallId>,
+    next_connection: u64,
+    /// No connection is opened before this time.
+    backoff_until: Option<Time>,
+    /// Backoffs in a row without a call that succeeded.
+    backoffs: u32,
+    /// No call is accepted any more: the searcher is being removed.
+    draining: bool,
 }
 
 impl Pool {
+    /// Creates a pool without connections.
     pub fn new(limits: Limits) -> Self {
         Pool {
             limits,
             connections: BTreeMap::new(),
-            waiting: VecDeque::new(),
-            next: 0,
-            not_before: None,
-            rests: 0,
-            left: false,
+            queue: VecDeque::new(),
+            next_connection: 0,
+            backoff_until: None,
+            backoffs: 0,
+            draining: false,
         }
     }
 
-    /// Takes a call, unless too many wait; whether it was taken.
-    pub fn call(&mut self, call: CallId) -> bool {
-        let takes = !self.left && self.waiting.len() < self.limits.most_waiting;
-        if takes {
-            self.waiting.push_back(call);
+    /// Queues a call; false if the queue is full or the pool is draining.
+    pub fn enqueue(&mut self, call: CallId) -> bool {
+        let accepts = !self.draining && self.queue.len() < self.limits.most_waiting;
+        if accepts {
+            self.queue.push_back(call);
         }
-        takes
+        accepts
     }
 
-    /// Takes a call back that has not begun; whether that was so.
-    pub fn take_back(&mut self, call: CallId) -> bool {
-        let before = self.waiting.len();
-        self.waiting.retain(|waiting| *waiting != call);
-        self.waiting.len() < before
+    /// Removes a call that has not been started; false if it is not queued.
+    pub fn remove_queued(&mut self, call: CallId) -> bool {
+        let before = self.queue.len();
+        self.queue.retain(|queued| *queued != call);
+        self.queue.len() < before
     }
 
-    /// A connection did not take a call that it was to carry: it takes nothing more, and the call waits again, before
-    /// all others; whether it may.
-    pub fn again(&mut self, id: ConnectionId, call: CallId) -> bool {
-        self.retire(id);
+    /// Returns a call that a connection did not accept to the head of the queue, and drains the connection; false if the
+    /// pool is draining and the call is not queued.
+    pub fn requeue(&mut self, id: ConnectionId, call: CallId) -> bool {
+        self.drain(id);
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.calls.retain(|out| *out != call);
+            connection.in_flight.retain(|pending| *pending != call);
         }
-        if !self.left {
-            self.waiting.push_front(call);
+        if !self.draining {
+            self.queue.push_front(call);
         }
-        !self.left
+        !self.draining
     }
 
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// The number of queued calls.
+    pub fn queued(&self) -> usize {
+        self.queue.len()
     }
 
-    pub fn connections(&self) -> usize {
+    /// The number of connections, including those that are connecting or closing.
+    pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Nothing new goes to the searcher from here on. Hands back what waits; what is out may end.
-    pub fn leave(&mut self) -> Vec<CallId> {
-        self.left = true;
-        self.connections.values_mut().for_each(Connection::retire);
-        self.waiting.drain(..).collect()
+    /// Accepts no call from now on and drains all connections. Returns the queued calls; those in flight may finish.
+    pub fn drain_all(&mut self) -> Vec<CallId> {
+        self.draining = true;
+        self.connections.values_mut().for_each(Connection::drain);
+        self.queue.drain(..).collect()
     }
 
-    /// Connections that nothing is out on take nothing more.
-    pub fn retire_unused(&mut self) {
-        let unused = self
+    /// Drains the connections without calls in flight.
+    pub fn drain_idle(&mut self) {
+        let idle = self
             .connections
             .values_mut()
-            .filter(|connection| connection.calls.is_empty());
-        unused.for_each(Connection::retire);
+            .filter(|connection| connection.in_flight.is_empty());
+        idle.for_each(Connection::drain);
     }
 
-    /// A connection has come up.
-    pub fn opened(&mut self, now: Time, id: ConnectionId) {
+    /// A connection has been established.
+    pub fn connection_opened(&mut self, now: Time, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             if connection.state == State::Connecting {
                 connection.state = State::Open;
             }
-            (connection.opened, connection.used, connection.heard) = (now, now, now);
+            (
+                connection.opened_at,
+                connection.last_used,
+                connection.last_received,
+            ) = (now, now, now);
         }
     }
 
-    /// A connection is over, or never came up; tells the calls that were out, and those that waited for it alone.
-    pub fn over(&mut self, now: Time, id: ConnectionId) -> (Vec<CallId>, Vec<CallId>) {
+    /// A connection has been closed, or was never established. Returns its calls in flight, and the queued calls that no
+    /// other connection can carry.
+    pub fn connection_closed(&mut self, now: Time, id: ConnectionId) -> (Vec<CallId>, Vec<CallId>) {
         let Some(connection) = self.connections.remove(&id) else {
             return Default::default();
         };
-        // One that is told to close before it came up is no fault of the searcher's.
+        // No backoff after a connection that was established, or that was drained before it could be.
         if connection.state != State::Connecting {
-            return (connection.calls, Vec::new());
+            return (connection.in_flight, Vec::new());
         }
-        self.rest(now);
-        let others = self.connections.values().any(Connection::is_live);
-        let waited = if others {
+        self.start_backoff(now);
+        let others_accept = self.connections.values().any(Connection::accepts_calls);
+        let unplaced = if others_accept {
             Vec::new()
         } else {
-            self.waiting.drain(..).collect()
+            self.queue.drain(..).collect()
         };
-        (connection.calls, waited)
+        (connection.in_flight, unplaced)
     }
 
-    /// The searcher asks for calm: it is left alone for a while that doubles each time.
-    pub fn calm(&mut self, now: Time, id: ConnectionId) {
-        self.retire(id);
-        self.rest(now);
+    /// The searcher sent ENHANCE_YOUR_CALM: drains the connection and opens none during a backoff that doubles each
+    /// time.
+    pub fn back_off(&mut self, now: Time, id: ConnectionId) {
+        self.drain(id);
+        self.start_backoff(now);
     }
 
-    fn rest(&mut self, now: Time) {
-        let rest = FIRST_REST
-            .times(2f64.powi(self.rests.min(16) as i32))
-            .min(LONGEST_REST);
-        self.rests += 1;
-        self.not_before = Some(now + rest);
+    fn start_backoff(&mut self, now: Time) {
+        let backoff = INITIAL_BACKOFF
+            .times(2f64.powi(self.backoffs.min(16) as i32))
+            .min(MAX_BACKOFF);
+        self.backoffs += 1;
+        self.backoff_until = Some(now + backoff);
     }
 
-    /// A connection takes nothing new: its searcher said that it goes.
-    pub fn retire(&mut self, id: ConnectionId) {
+    /// Drains a connection, for example after GOAWAY.
+    pub fn drain(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.retire();
+            connection.drain();
         }
     }
 
-    /// The searcher allows so many streams at once from now on; what is out beyond it may end.
-    pub fn allows(&mut self, id: ConnectionId, streams: usize) {
+    /// Sets the number of concurrent streams that the searcher allows; calls in flight beyond it may finish.
+    pub fn set_max_streams(&mut self, id: ConnectionId, streams: usize) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.allowed = streams;
+            connection.max_streams = streams;
         }
     }
 
-    /// Something came on a connection.
-    pub fn hears(&mut self, now: Time, id: ConnectionId) {
+    /// Bytes were received on a connection.
+    pub fn bytes_received(&mut self, now: Time, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            (connection.heard, connection.pinged) = (now, None);
+            (connection.last_received, connection.ping_sent_at) = (now, None);
         }
     }
 
-    /// It is asked whether a connection has fallen silent: it is pinged now.
-    pub fn doubt(&mut self, now: Time, id: ConnectionId) {
+    /// A PING was sent outside [`Pool::due_actions`], to check the connection's liveness.
+    pub fn ping_sent(&mut self, now: Time, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.pinged.get_or_insert(now);
+            connection.ping_sent_at.get_or_insert(now);
         }
     }
 
-    /// Whether something waits that could begin now.
-    pub fn has_room_for_waiting(&self) -> bool {
-        let room =
-            |c: &Connection| c.state == State::Open && c.calls.len() < c.window.min(c.allowed);
-        !self.waiting.is_empty() && self.connections.values().any(room)
+    /// Whether a queued call could be started now.
+    pub fn can_start_queued_call(&self) -> bool {
+        let has_capacity = |c: &Connection| {
+            c.state == State::Open && c.in_flight.len() < c.window.min(c.max_streams)
+        };
+        !self.queue.is_empty() && self.connections.values().any(has_capacity)
     }
 
-    /// A call that was out has ended.
-    pub fn ended(&mut self, now: Time, id: ConnectionId, call: CallId, how: Ended) {
+    /// A call in flight has ended.
+    pub fn call_ended(&mut self, now: Time, id: ConnectionId, call: CallId, end: CallEnd) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let Some(place) = connection.calls.iter().position(|out| *out == call) else {
+        let Some(index) = connection
+            .in_flight
+            .iter()
+            .position(|pending| *pending == call)
+        else {
             return;
         };
-        connection.calls.swap_remove(place);
-        connection.used = now;
-        match how {
-            Ended::Well => {
-                self.rests = 0;
-                connection.good += 1;
-                // A round is as many as the window; each that goes well doubles it.
-                if connection.good >= connection.window {
-                    connection.good = 0;
+        connection.in_flight.swap_remove(index);
+        connection.last_used = now;
+        match end {
+            CallEnd::Succeeded => {
+                self.backoffs = 0;
+                connection.completed_in_round += 1;
+                // A round is as many calls as the window; each round that succeeds doubles it.
+                if connection.completed_in_round >= connection.window {
+                    connection.completed_in_round = 0;
                     connection.window = (connection.window * 2).min(self.limits.most_streams);
                 }
             }
-            Ended::Badly => {}
-            // It has less room than was thought: as if the connection were half as far.
-            Ended::Refused => {
-                connection.good = 0;
+            CallEnd::Failed => {}
+            // The searcher has less capacity than the window: halve it.
+            CallEnd::Refused => {
+                connection.completed_in_round = 0;
                 connection.window = (connection.window / 2).max(1);
             }
         }
     }
 
-    /// Whether a call that is given up may be reset: searchers guard against many resets by ending the connection,
-    /// and all that is out there would be lost with it. Otherwise its answer is let come, and is not read.
-    pub fn may_reset(&mut self, now: Time, id: ConnectionId) -> bool {
+    /// Whether a cancelled call may be reset; counts the reset if so. Searchers protect themselves against many resets by
+    /// closing the connection, which loses all calls in flight on it. A call that may not be reset runs to its end, and
+    /// its response is ignored.
+    pub fn try_reset(&mut self, now: Time, id: ConnectionId) -> bool {
         let rate = self.limits.resets_per_s;
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
-        let since = now.since(connection.resets_at).as_secs();
-        connection.resets = (connection.resets - since * rate).max(0.0);
-        connection.resets_at = now;
-        let may = connection.resets + 1.0 <= RESETS_AT_ONCE;
-        connection.resets += f64::from(u8::from(may));
-        may
+        let elapsed_s = now.since(connection.recent_resets_at).as_secs();
+        connection.recent_resets = (connection.recent_resets - elapsed_s * rate).max(0.0);
+        connection.recent_resets_at = now;
+        let allowed = connection.recent_resets + 1.0 <= RESET_BURST;
+        connection.recent_resets += f64::from(u8::from(allowed));
+        allowed
     }
 
-    /// What is due now.
-    pub fn acts(&mut self, now: Time) -> Vec<Act> {
-        let mut acts = Vec::new();
+    /// The actions due now.
+    pub fn due_actions(&mut self, now: Time) -> Vec<Action> {
+        let mut actions = Vec::new();
         let limits = self.limits;
         for (id, connection) in &mut self.connections {
-            let old =
-                now.since(connection.opened) >= limits.age || connection.begun >= limits.most_calls;
+            let old = now.since(connection.opened_at) >= limits.age
+                || connection.calls_started >= limits.most_calls;
             if connection.state == State::Open && old {
-                connection.state = State::Retired;
+                connection.state = State::Draining;
             }
-            let idle = connection.calls.is_empty() && now.since(connection.used) >= limits.idle;
+            let idle =
+                connection.in_flight.is_empty() && now.since(connection.last_used) >= limits.idle;
             if connection.state == State::Open && idle {
-                connection.state = State::Retired;
+                connection.state = State::Draining;
             }
-            if connection.state == State::Retired && connection.calls.is_empty() {
+            if connection.state == State::Draining && connection.in_flight.is_empty() {
                 connection.state = State::Closing;
-                acts.push(Act::Close(*id));
+                actions.push(Action::Close(*id));
             }
-            if connection.calls.is_empty()
+            if connection.in_flight.is_empty()
                 || matches!(connection.state, State::Connecting | State::Closing)
             {
                 continue;
             }
-            match connection.pinged {
-                None if now.since(connection.heard.max(connection.used)) >= limits.silent_after => {
-                    connection.pinged = Some(now);
-                    acts.push(Act::Ping(*id));
+            match connection.ping_sent_at {
+                None if now.since(connection.last_received.max(connection.last_used))
+                    >= limits.silent_after =>
+                {
+                    connection.ping_sent_at = Some(now);
+                    actions.push(Action::Ping(*id));
                 }
                 Some(at) if now.since(at) >= limits.silent_after => {
                     connection.state = State::Closing;
-                    acts.push(Act::GiveUp(*id));
+                    actions.push(Action::Abort(*id));
                 }
                 _ => {}
             }
         }
-        self.begin(now, &mut acts);
-        acts
+        self.start_queued_calls(now, &mut actions);
+        actions
     }
 
-    /// Places what waits: on the oldest connection that has room, so that few are used; on a new one if all are full
-    /// and one more may be.
-    fn begin(&mut self, now: Time, acts: &mut Vec<Act>) {
-        while let Some(call) = self.waiting.front().copied() {
-            let roomy = self.connections.iter_mut().find(|(_, connection)| {
-                let room = connection.window.min(connection.allowed);
-                connection.state == State::Open && connection.calls.len() < room
+    /// Starts queued calls on the oldest connection with capacity, so that few connections are used; opens another one
+    /// if all have reached their stream limit and the limits allow it.
+    fn start_queued_calls(&mut self, now: Time, actions: &mut Vec<Action>) {
+        while let Some(call) = self.queue.front().copied() {
+            let free = self.connections.iter_mut().find(|(_, connection)| {
+                let capacity = connection.window.min(connection.max_streams);
+                connection.state == State::Open && connection.in_flight.len() < capacity
             });
-            if let Some((id, connection)) = roomy {
-                self.waiting.pop_front();
-                connection.calls.push(call);
-                connection.begun += 1;
-                connection.used = now;
-                acts.push(Act::Begin(*id, call));
+            if let Some((id, connection)) = free {
+                self.queue.pop_front();
+                connection.in_flight.push(call);
+                connection.calls_started += 1;
+                connection.last_used = now;
+                actions.push(Action::StartCall(*id, call));
                 continue;
             }
-            let mut live = self.connections.values().filter(|c| c.is_live());
-            // One that grows still is room enough: what waits for it must not open another instead.
-            let grows = live.any(|c| {
-                c.state == State::Connecting || c.window < c.allowed.min(self.limits.most_streams)
+            let mut accepting = self.connections.values().filter(|c| c.accepts_calls());
+            // A connection that is connecting or in slow start will get capacity: the calls queued for it open no other.
+            let ramping_up = accepting.any(|c| {
+                c.state == State::Connecting
+                    || c.window < c.max_streams.min(self.limits.most_streams)
             });
-            let count = self.connections.values().filter(|c| c.is_live()).count();
-            let rests = self.not_before.is_some_and(|at| at > now);
-            if grows || rests || self.left || count >= self.limits.most_connections {
+            let count = self
+                .connections
+                .values()
+                .filter(|c| c.accepts_calls())
+                .count();
+            let backing_off = self.backoff_until.is_some_and(|at| at > now);
+            if ramping_up || backing_off || self.draining || count >= self.limits.most_connections {
                 return;
             }
-            let id = ConnectionId(self.next);
-            self.next += 1;
+            let id = ConnectionId(self.next_connection);
+            self.next_connection += 1;
             self.connections.insert(
                 id,
                 Connection {
                     state: State::Connecting,
-                    opened: now,
-                    used: now,
-                    heard: now,
-                    pinged: None,
-                    allowed: self.limits.most_streams,
-                    window: FIRST.min(self.limits.most_streams),
-                    good: 0,
-                    begun: 0,
-                    calls: Vec::new(),
-                    resets: 0.0,
-                    resets_at: now,
+                    opened_at: now,
+                    last_used: now,
+                    last_received: now,
+                    ping_sent_at: None,
+                    max_streams: self.limits.most_streams,
+                    window: INITIAL_WINDOW_CALLS.min(self.limits.most_streams),
+                    completed_in_round: 0,
+                    calls_started: 0,
+                    in_flight: Vec::new(),
+                    recent_resets: 0.0,
+                    recent_resets_at: now,
                 },
             );
-            acts.push(Act::Open(id));
+            actions.push(Action::Open(id));
             return;
         }
     }
 
-    /// When to ask for acts again at the latest.
-    pub fn due(&self) -> Option<Time> {
-        let of = |connection: &Connection| {
+    /// When to call [`Pool::due_actions`] again at the latest.
+    pub fn next_due(&self) -> Option<Time> {
+        let connection_due = |connection: &Connection| {
             if matches!(connection.state, State::Connecting | State::Closing) {
-                return None; // Its time-out is the connection's own; one that is told to close needs no more.
+                return None; // The connection task has a connect timeout of its own; closing needs no further action.
             }
-            if connection.calls.is_empty() {
+            if connection.in_flight.is_empty() {
                 return Some(
-                    (connection.used + self.limits.idle).min(connection.opened + self.limits.age),
+                    (connection.last_used + self.limits.idle)
+                        .min(connection.opened_at + self.limits.age),
                 );
             }
-            let silent = match connection.pinged {
+            let ping_due = match connection.ping_sent_at {
                 Some(at) => at + self.limits.silent_after,
-                None => connection.heard.max(connection.used) + self.limits.silent_after,
+                None => {
+                    connection.last_received.max(connection.last_used) + self.limits.silent_after
+                }
             };
-            Some(silent)
+            Some(ping_due)
         };
-        let rested = self.not_before.filter(|_| !self.waiting.is_empty());
-        self.connections.values().filter_map(of).chain(rested).min()
+        let backoff_end = self.backoff_until.filter(|_| !self.queue.is_empty());
+        self.connections
+            .values()
+            .filter_map(connection_due)
+            .chain(backoff_end)
+            .min()
     }
 }
--- a/crates/lockusher-http2/src/tap.rs
+++ b/crates/lockusher-http2/src/tap.rs
@@ -1,5 +1,6 @@
-//! What really crossed a socket, by the frames' heads: which streams left whole, what the searcher last allowed, which
-//! streams it says it will never run. A library's queue hides whether a request has left; certainty needs that.
+//! Observes the frames that cross a socket by their headers: which requests were written to their end, how many streams
+//! the searcher allows, which streams it reports as never run. The library's send queue hides whether a request has
+//! been written, which decides whether its parts can have run.
 //! RFC 9113: section 4.1 (frames), 6.4 (RST_STREAM), 6.5 (SETTINGS), 6.8 (GOAWAY).
 
 use std::cell::{Cell, RefCell};
@@ -21,105 +22,111 @@
 const END_STREAM: u8 = 1;
 const ACK: u8 = 1;
 const MAX_CONCURRENT_STREAMS: u16 = 3;
-/// What a client says first.
-const PREFACE: usize = 24;
-/// Of a payload that is read here, so much is kept: settings are few.
-const MOST_KEPT: usize = 1_024;
+/// Length of the client connection preface.
+const PREFACE_BYTES: usize = 24;
+/// Bytes kept of a payload that is interpreted here; SETTINGS frames have few entries.
+const MAX_PAYLOAD_BYTES: usize = 1_024;
 
-/// What has been seen on a connection.
+/// What has been observed on a connection.
 #[derive(Default)]
-pub struct Seen {
-    /// Streams whose request has been written to its last byte, and when; until they are forgotten.
-    left: RefCell<HashMap<u32, Instant>>,
-    /// Streams that the searcher reset, with its code; until they are forgotten.
-    reset: RefCell<HashMap<u32, u32>>,
-    /// The lowest last stream that any GOAWAY named, and the code of the last one.
-    last: Cell<Option<(u32, u32)>>,
-    allows: Cell<Option<u32>>,
-    settled: Cell<bool>,
-    heard: Cell<Option<Instant>>,
-    /// Something has changed of what the searcher allows or says of its going, or something came.
+pub struct FrameObserver {
+    /// When the last byte of a stream's request was written; kept until [`FrameObserver::forget`].
+    written_at: RefCell<HashMap<u32, Instant>>,
+    /// The error code of each stream that the searcher reset; kept until [`FrameObserver::forget`].
+    reset_codes: RefCell<HashMap<u32, u32>>,
+    /// The lowest last stream of all GOAWAY frames, and the error code of the latest one.
+    goaway: Cell<Option<(u32, u32)>>,
+    max_concurrent_streams: Cell<Option<u32>>,
+    settings_received: Cell<bool>,
+    last_received: Cell<Option<Instant>>,
+    /// Notified when anything is received, including changes of the stream limit and GOAWAY.
     pub changed: Notify,
 }
 
-impl Seen {
-    pub fn left(&self, stream: u32) -> Option<Instant> {
-        self.left.borrow().get(&stream).copied()
+impl FrameObserver {
+    /// When the last byte of the request was written.
+    pub fn written_at(&self, stream: u32) -> Option<Instant> {
+        self.written_at.borrow().get(&stream).copied()
     }
 
-    pub fn reset(&self, stream: u32) -> Option<u32> {
-        self.reset.borrow().get(&stream).copied()
+    /// The error code with which the searcher reset the stream.
+    pub fn reset_code(&self, stream: u32) -> Option<u32> {
+        self.reset_codes.borrow().get(&stream).copied()
     }
 
-    /// The last stream that may run, and the code of GOAWAY.
-    pub fn last(&self) -> Option<(u32, u32)> {
-        self.last.get()
+    /// The last stream that may run, and the error code, if a GOAWAY was received.
+    pub fn goaway(&self) -> Option<(u32, u32)> {
+        self.goaway.get()
     }
 
-    /// Streams allowed at once; nothing before settings came that say so.
-    pub fn allows(&self) -> Option<u32> {
-        self.allows.get()
+    /// SETTINGS_MAX_CONCURRENT_STREAMS; none until the searcher has sent it.
+    pub fn max_concurrent_streams(&self) -> Option<u32> {
+        self.max_concurrent_streams.get()
     }
 
-    /// Whether the searcher's first settings have come.
-    pub fn settled(&self) -> bool {
-        self.settled.get()
+    /// Whether the searcher's first SETTINGS frame was received.
+    pub fn settings_received(&self) -> bool {
+        self.settings_received.get()
     }
 
-    pub fn heard(&self) -> Option<Instant> {
-        self.heard.get()
+    /// When bytes were last received.
+    pub fn last_received(&self) -> Option<Instant> {
+        self.last_received.get()
     }
 
-    /// Nothing more is asked of a stream.
+    /// Drops the state of a stream that has ended.
     pub fn forget(&self, stream: u32) {
-        self.left.borrow_mut().remove(&stream);
-        self.reset.borrow_mut().remove(&stream);
+        self.written_at.borrow_mut().remove(&stream);
+        self.reset_codes.borrow_mut().remove(&stream);
     }
 
-    fn came(&self, frame: &Frame) {
-        let number = |at: usize| {
-            let four = frame.kept.get(at..at + 4)?;
-            Some(u32::from_be_bytes([four[0], four[1], four[2], four[3]]))
+    fn on_received(&self, frame: &Frame) {
+        let be_u32 = |at: usize| {
+            let bytes = frame.payload.get(at..at + 4)?;
+            Some(u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
         };
         match frame.kind {
             RST_STREAM => {
-                if let Some(code) = number(0) {
-                    self.reset.borrow_mut().insert(frame.stream, code);
+                if let Some(code) = be_u32(0) {
+                    self.reset_codes.borrow_mut().insert(frame.stream, code);
                 }
             }
             SETTINGS if frame.flags & ACK == 0 => {
-                self.settled.set(true);
-                for setting in frame.kept.chunks_exact(6) {
+                self.settings_received.set(true);
+                for setting in frame.payload.chunks_exact(6) {
                     if u16::from_be_bytes([setting[0], setting[1]]) == MAX_CONCURRENT_STREAMS {
                         let value = [setting[2], setting[3], setting[4], setting[5]];
-                        self.allows.set(Some(u32::from_be_bytes(value)));
+                        self.max_concurrent_streams
+                            .set(Some(u32::from_be_bytes(value)));
                     }
                 }
             }
             GOAWAY => {
-                if let (Some(last), Some(code)) = (number(0), number(4)) {
+                if let (Some(last), Some(code)) = (be_u32(0), be_u32(4)) {
                     let last = last & 0x7fff_ffff;
-                    let before = self.last.get().map_or(u32::MAX, |(before, _)| before);
-                    self.last.set(Some((last.min(before), code)));
+                    let before = self.goaway.get().map_or(u32::MAX, |(before, _)| before);
+                    self.goaway.set(Some((last.min(before), code)));
                 }
             }
             _ => {}
         }
     }
 
-    fn went(&self, frame: &Frame) {
+    fn on_written(&self, frame: &Frame) {
         if matches!(frame.kind, DATA | HEADERS) && frame.flags & END_STREAM != 0 {
-            self.left.borrow_mut().insert(frame.stream, Instant::now());
+            self.written_at
+                .borrow_mut()
+                .insert(frame.stream, Instant::now());
         }
     }
 }
 
-/// Follows the frames of one direction.
+/// Parses the frames of one direction.
 #[derive(Default)]
-struct Frames {
-    skip: usize,
-    head: Vec<u8>,
-    rest: usize,
+struct FrameParser {
+    preface_bytes_left: usize,
+    header: Vec<u8>,
+    payload_bytes_left: usize,
     frame: Frame,
 }
 
@@ -128,69 +135,72 @@
     kind: u8,
     flags: u8,
     stream: u32,
-    kept: Vec<u8>,
+    payload: Vec<u8>,
 }
 
-impl Frames {
-    /// Takes what passes; each frame is told once its last byte has passed.
-    fn pass(&mut self, mut bytes: &[u8], mut whole: impl FnMut(&Frame)) {
-        let skipped = self.skip.min(bytes.len());
-        self.skip -= skipped;
-        bytes = &bytes[skipped..];
+impl FrameParser {
+    /// Parses further bytes; calls `on_frame` for each frame at its last byte.
+    fn advance(&mut self, mut bytes: &[u8], mut on_frame: impl FnMut(&Frame)) {
+        let preface_bytes = self.preface_bytes_left.min(bytes.len());
+        self.preface_bytes_left -= preface_bytes;
+        bytes = &bytes[preface_bytes..];
         while !bytes.is_empty() {
-            if self.head.len() < 9 {
-                let taken = (9 - self.head.len()).min(bytes.len());
-                self.head.extend_from_slice(&bytes[..taken]);
-                bytes = &bytes[taken..];
-                if self.head.len() < 9 {
+            if self.header.len() < 9 {
+                let consumed = (9 - self.header.len()).min(bytes.len());
+                self.header.extend_from_slice(&bytes[..consumed]);
+                bytes = &bytes[consumed..];
+                if self.header.len() < 9 {
                     return;
                 }
-                let head = &self.head;
-                self.rest =
-                    usize::from(head[0]) << 16 | usize::from(head[1]) << 8 | usize::from(head[2]);
-                let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]) & 0x7fff_ffff;
+                let header = &self.header;
+                self.payload_bytes_left = usize::from(header[0]) << 16
+                    | usize::from(header[1]) << 8
+                    | usize::from(header[2]);
+                let stream =
+                    u32::from_be_bytes([header[5], header[6], header[7], header[8]]) & 0x7fff_ffff;
                 self.frame = Frame {
-                    kind: head[3],
-                    flags: head[4],
+                    kind: header[3],
+                    flags: header[4],
                     stream,
-                    kept: Vec::new(),
+                    payload: Vec::new(),
                 };
             }
-            let taken = self.rest.min(bytes.len());
-            let reads = matches!(self.frame.kind, RST_STREAM | SETTINGS | GOAWAY);
-            if reads && self.frame.kept.len() < MOST_KEPT {
+            let consumed = self.payload_bytes_left.min(bytes.len());
+            let keeps_payload = matches!(self.frame.kind, RST_STREAM | SETTINGS | GOAWAY);
+            if keeps_payload && self.frame.payload.len() < MAX_PAYLOAD_BYTES {
                 self.frame
-                    .kept
-                    .extend_from_slice(&bytes[..taken.min(MOST_KEPT)]);
+                    .payload
+                    .extend_from_slice(&bytes[..consumed.min(MAX_PAYLOAD_BYTES)]);
             }
-            self.rest -= taken;
-            bytes = &bytes[taken..];
-            if self.rest == 0 {
-                whole(&self.frame);
-                self.head.clear();
+            self.payload_bytes_left -= consumed;
+            bytes = &bytes[consumed..];
+            if self.payload_bytes_left == 0 {
+                on_frame(&self.frame);
+                self.header.clear();
             }
         }
     }
 }
 
-/// A socket that is watched.
+/// A socket whose frames are observed.
 pub struct Tap<S> {
     socket: S,
-    seen: Rc<Seen>,
-    out: Frames,
-    into: Frames,
+    observer: Rc<FrameObserver>,
+    outbound: FrameParser,
+    inbound: FrameParser,
 }
 
 impl<S> Tap<S> {
-    pub fn new(socket: S, seen: Rc<Seen>) -> Self {
+    /// Wraps a client's socket before its connection preface is written.
+    pub fn new(socket: S, observer: Rc<FrameObserver>) -> Self {
         Tap {
             socket,
-            seen,
-            out: Frames {
-                skip: PREFACE,
-                ..Frames::default()
+            observer,
+            outbound: FrameParser {
+                preface_bytes_left: PREFACE_BYTES,
+                ..FrameParser::default()
             },
-            into: Frames::default(),
+            inbound: FrameParser::default(),
         }
     }
 }
@@ -204,11 +214,12 @@
         let this = self.get_mut();
         let before = buffer.filled().len();
         let polled = Pin::new(&mut this.socket).poll_read(cx, buffer);
-        let come = &buffer.filled()[before..];
-        if !come.is_empty() {
-            this.seen.heard.set(Some(Instant::now()));
-            this.into.pass(come, |frame| this.seen.came(frame));
-            this.seen.changed.notify_one();
+        let received = &buffer.filled()[before..];
+        if !received.is_empty() {
+            this.observer.last_received.set(Some(Instant::now()));
+            this.inbound
+                .advance(received, |frame| this.observer.on_received(frame));
+            this.observer.changed.notify_one();
         }
         polled
     }
@@ -219,8 +230,8 @@
         let this = self.get_mut();
         let polled = Pin::new(&mut this.socket).poll_write(cx, bytes);
         if let Poll::Ready(Ok(count)) = &polled {
-            this.out
-                .pass(&bytes[..*count], |frame| this.seen.went(frame));
+            this.outbound
+                .advance(&bytes[..*count], |frame| this.observer.on_written(frame));
         }
         polled
     }
@@ -244,11 +255,11 @@
         [&length[1..], &[kind, flags], &stream.to_be_bytes(), payload].concat()
     }
 
-    /// However the bytes are cut, a stream has left with its last byte and not before.
+    /// A stream counts as written at its last byte and not before, however the writes are split.
     #[rstest]
-    fn a_request_has_left_with_its_last_byte() {
+    fn a_request_is_written_with_its_last_byte() {
         let bytes = [
-            vec![b'P'; PREFACE],
+            vec![b'P'; PREFACE_BYTES],
             frame(SETTINGS, 0, 0, &[0; 12]),
             frame(HEADERS, 4, 1, b"head"),
             frame(DATA, 0, 1, b"some"),
@@ -256,33 +267,33 @@
             frame(DATA, END_STREAM, 3, b""),
         ]
         .concat();
-        let (seen, mut frames) = (
-            Seen::default(),
-            Frames {
-                skip: PREFACE,
-                ..Frames::default()
+        let (observer, mut frames) = (
+            FrameObserver::default(),
+            FrameParser {
+                preface_bytes_left: PREFACE_BYTES,
+                ..FrameParser::default()
             },
         );
         for (i, byte) in bytes.iter().enumerate() {
-            frames.pass(&[*byte], |frame| seen.went(frame));
+            frames.advance(&[*byte], |frame| observer.on_written(frame));
             assert_eq!(
-                seen.left(1).is_some(),
+                observer.written_at(1).is_some(),
                 i + 1 >= bytes.len() - 9,
                 "at byte {i}"
             );
         }
-        assert!(seen.left(3).is_some());
-        seen.forget(1);
-        assert!(seen.left(1).is_none());
+        assert!(observer.written_at(3).is_some());
+        observer.forget(1);
+        assert!(observer.written_at(1).is_none());
     }
 
     #[rstest]
     #[case::one_byte(1)]
     #[case::seven(7)]
     #[case::all(10_000)]
-    fn what_a_searcher_says(#[case] at_once: usize) {
-        let allows = |n: u8| frame(SETTINGS, 0, 0, &[0, 3, 0, 0, 0, n, 0, 4, 0, 0, 1, 0]);
-        let goes = |last: u8, code: u8| {
+    fn settings_resets_and_goaway_are_observed(#[case] chunk_bytes: usize) {
+        let settings_frame = |n: u8| frame(SETTINGS, 0, 0, &[0, 3, 0, 0, 0, n, 0, 4, 0, 0, 1, 0]);
+        let goaway_frame = |last: u8, code: u8| {
             frame(
                 GOAWAY,
                 0,
@@ -291,23 +302,27 @@
             )
         };
         let bytes = [
-            allows(9),
+            settings_frame(9),
             frame(SETTINGS, ACK, 0, &[]),
             frame(DATA, 0, 5, &[7; 300]),
             frame(RST_STREAM, 0, 5, &[0, 0, 0, 8]),
-            goes(11, 0),
-            goes(7, 0),
-            goes(9, 2),
-            allows(1),
+            goaway_frame(11, 0),
+            goaway_frame(7, 0),
+            goaway_frame(9, 2),
+            settings_frame(1),
         ]
         .concat();
-        let (seen, mut frames) = (Seen::default(), Frames::default());
-        for some in bytes.chunks(at_once) {
-            frames.pass(some, |frame| seen.came(frame));
+        let (observer, mut frames) = (FrameObserver::default(), FrameParser::default());
+        for chunk in bytes.chunks(chunk_bytes) {
+            frames.advance(chunk, |frame| observer.on_received(frame));
         }
-        // A notice that raises the last stream again takes no promise back.
+        // A later GOAWAY with a higher last stream does not raise it again.
         assert_eq!(
-            (seen.allows(), seen.reset(5), seen.last()),
+            (
+                observer.max_concurrent_streams(),
+                observer.reset_code(5),
+                observer.goaway()
+            ),
             (Some(1), Some(8), Some((7, 2)))
         );
     }
--- a/crates/lockusher-http2/src/wire.rs
+++ b/crates/lockusher-http2/src/wire.rs
@@ -1,4 +1,4 @@
-//! The mapping of `proto/parts.proto`: a call and its parts' ends as length-delimited messages.
+//! Encodes calls and decodes part ends as length-delimited messages of `proto/parts.proto`.
 
 use bytes::{Buf, Bytes, BytesMut};
 use lockusher_policy::interface::{Outcome, PartId, Shard, Span};
@@ -9,25 +9,27 @@
     include!(concat!(env!("OUT_DIR"), "/lockusher.v1.rs"));
 }
 
-/// Where calls are posted.
+/// The path that calls are posted to.
 pub const PATH: &str = "/lockusher.v1/parts";
+/// The content type of a call.
 pub const CONTENT_TYPE: &str = "application/x-lockusher-parts";
 
-/// The longest message that is read: a value as large as a body, twice over.
-pub const MOST_MESSAGE: usize = 128 * 1024;
+/// Limit on one message: twice the largest value, which is as large as a body.
+pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
 
-/// A part as it goes into a call.
+/// A part of a call.
 #[derive(Clone, Debug)]
 pub struct Part {
     pub id: PartId,
     pub shard: Shard,
+    /// How long the mixer waits for a result.
     pub wait: Span,
-    /// For a part of the second step: the shards that were in, and whether that was whole.
+    /// For a part of the second step: the shards that the first step covered, and whether it was complete.
     pub first_step: Option<(Vec<Shard>, bool)>,
     pub text: Bytes,
 }
 
-/// How a part ended, as its searcher says.
+/// The end of a part, as reported by its searcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartEnd {
     pub id: PartId,
@@ -36,6 +38,7 @@
     pub value: String,
 }
 
+/// Encodes one call.
 pub fn encode<'a>(parts: impl Iterator<Item = &'a Part>) -> Bytes {
     let part = |part: &Part| pb::Part {
         id: part.id.as_str().to_owned(),
@@ -57,47 +60,48 @@
     .into()
 }
 
-/// Takes messages off what comes.
+/// Decodes part ends from the chunks of a response body.
 #[derive(Default)]
-pub struct Ends {
+pub struct PartEndDecoder {
     buffer: BytesMut,
 }
 
-impl Ends {
-    pub fn push(&mut self, come: &[u8]) {
-        self.buffer.extend_from_slice(come);
+impl PartEndDecoder {
+    /// Appends a chunk.
+    pub fn push(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether some of a message has come, and not all.
-    pub fn partial(&self) -> bool {
+    /// Whether an incomplete message is buffered.
+    pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next whole message; an error once what has come can't become one.
-    pub fn take(&mut self) -> Result<Option<PartEnd>, &'static str> {
-        let mut peek = &self.buffer[..];
-        let length = match prost::decode_length_delimiter(&mut peek) {
+    /// The next complete message, if any; an error if the buffered bytes can't be the start of one.
+    pub fn next_end(&mut self) -> Result<Option<PartEnd>, &'static str> {
+        let mut after_prefix = &self.buffer[..];
+        let length = match prost::decode_length_delimiter(&mut after_prefix) {
             Ok(length) => length,
             Err(_) if self.buffer.len() < 10 => return Ok(None),
-            Err(_) => return Err("a length that does not end"),
+            Err(_) => return Err("message length prefix does not end"),
         };
-        if length > MOST_MESSAGE {
-            return Err("a message of absurd length");
+        if length > MAX_MESSAGE_BYTES {
+            return Err("message length exceeds the limit");
         }
-        if peek.len() < length {
+        if after_prefix.len() < length {
             return Ok(None);
         }
-        let head = self.buffer.len() - peek.len();
-        self.buffer.advance(head);
+        let prefix_bytes = self.buffer.len() - after_prefix.len();
+        self.buffer.advance(prefix_bytes);
         let message = self.buffer.split_to(length).freeze();
-        let end = pb::PartEnd::decode(message).map_err(|_| "a message that can't be read")?;
+        let end = pb::PartEnd::decode(message).map_err(|_| "malformed message")?;
         let outcome = match end.end() {
             pb::part_end::End::Good => Outcome::Returned,
             pb::part_end::End::Bad => Outcome::Error,
             pb::part_end::End::Later => Outcome::Full,
-            pb::part_end::End::Unset => return Err("an end that is none"),
+            pb::part_end::End::Unset => return Err("part end without an outcome"),
         };
-        let value = String::from_utf8(end.value).map_err(|_| "a value that is no text")?;
+        let value = String::from_utf8(end.value).map_err(|_| "value is not valid UTF-8")?;
         Ok(Some(PartEnd {
             id: PartId::new(&end.id),
             outcome,
@@ -123,31 +127,32 @@
         end.encode_length_delimited_to_vec()
     }
 
-    /// However it is cut, each message comes out once and whole.
+    /// Each message is decoded once, however the body is split.
     #[rstest]
-    fn messages_come_byte_by_byte() {
-        let (long, mut ends, mut got) = ("x".repeat(5_000), Ends::default(), Vec::new());
+    fn messages_split_into_bytes_are_decoded() {
+        let (long, mut decoder, mut received) =
+            ("x".repeat(5_000), PartEndDecoder::default(), Vec::new());
         for byte in [end("a"), end(&long), end("")].concat() {
-            ends.push(&[byte]);
-            got.extend(ends.take().expect("good"));
+            decoder.push(&[byte]);
+            received.extend(decoder.next_end().expect("valid messages"));
         }
-        let values: Vec<usize> = got.iter().map(|end| end.value.len()).collect();
+        let values: Vec<usize> = received.iter().map(|end| end.value.len()).collect();
         assert_eq!(
-            (values, got[0].score, ends.partial()),
+            (values, received[0].score, decoder.has_partial_message()),
             (vec![1, 5_000, 0], -7, false)
         );
     }
 
     #[rstest]
-    #[case::absurd(vec![0xff, 0xff, 0xff, 0xff, 0x0f], "absurd")]
-    #[case::endless(vec![0xff; 12], "does not end")]
-    #[case::noise(vec![3, 0xa5, 0xa5, 0xa5], "can't be read")]
-    #[case::no_end(vec![2, 0x18, 0x00], "an end that is none")]
-    #[case::no_text(vec![6, 0x10, 0x01, 0x2a, 0x02, 0xff, 0xfe], "no text")]
-    fn what_cannot_be_read(#[case] bytes: Vec<u8>, #[case] says: &str) {
-        let mut ends = Ends::default();
-        ends.push(&bytes);
-        let fault = ends.take().expect_err("a fault");
-        assert!(fault.contains(says), "{fault}");
+    #[case::too_long(vec![0xff, 0xff, 0xff, 0xff, 0x0f], "exceeds the limit")]
+    #[case::unterminated_length(vec![0xff; 12], "does not end")]
+    #[case::noise(vec![3, 0xa5, 0xa5, 0xa5], "malformed message")]
+    #[case::no_outcome(vec![2, 0x18, 0x00], "part end without an outcome")]
+    #[case::not_utf8(vec![6, 0x10, 0x01, 0x2a, 0x02, 0xff, 0xfe], "not valid UTF-8")]
+    fn malformed_messages_are_rejected(#[case] bytes: Vec<u8>, #[case] expected: &str) {
+        let mut decoder = PartEndDecoder::default();
+        decoder.push(&bytes);
+        let error = decoder.next_end().expect_err("an error");
+        assert!(error.contains(expected), "{error}");
     }
 }
