--- a/crates/lockusher-registry-client/src/core/follow/answers.rs
+++ b/crates/lockusher-registry-client/src/core/follow/answers.rs
@@ -7,7 +7,7 @@
     AWAY, Act, Draft, FEW_LEFT, Follower, Heard, LONGEST_REST, MOST_ENTRIES, MOST_PENDING, Notice,
     PAGES_GROW, POLL_APART, Stage, Why,
 };
-use crate::core::doubt::Doubt;
+use crate::core::contradictions::Doubt;
 use crate::core::entry::{Change, Entry, Revision};
 use crate::core::view::{Altered, Version};
 
--- a/crates/lockusher-registry-client/src/core/follow/mod.rs
+++ b/crates/lockusher-registry-client/src/core/follow/mod.rs
@@ -23,7 +23,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::doubt::Doubt;
+use super::contradictions::Doubt;
 use super::endpoints::Endpoints;
 use super::entry::{Change, Entry};
 use super::view::{Untold, Version, View};
--- a/crates/lockusher-registry-client/src/core/mod.rs
+++ b/crates/lockusher-registry-client/src/core/mod.rs
@@ -1,6 +1,6 @@
 //! What decides. Pure: no I/O, and no clock but what it is told.
 
-pub mod doubt;
+pub mod contradictions;
 pub mod endpoints;
 pub mod entry;
 pub mod follow;
