--- a/crates/lockusher-http2/src/connection.rs
+++ b/crates/lockusher-http2/src/connection.rs
@@ -133,12 +133,10 @@
             speaks_http2: Cell::new(true),
             wake: Notify::new(),
         });
-        let weak_host = Rc::downgrade(&host);
+        let weak = Rc::downgrade(&host);
         tokio::task::spawn_local(async move {
             loop {
-                let Some(host) = weak_host.upgrade() else {
-                    return;
-                };
+                let Some(host) = weak.upgrade() else { return };
                 host.run_due_actions();
                 let due = host.pool.borrow().next_due();
                 let wait = due.map_or(Duration::from_secs(60), |due| {
@@ -212,7 +210,7 @@
         let queued = self.pool.borrow_mut().drain_all();
         let parts = queued
             .into_iter()
-            .filter_map(|id| self.remove_call(id))
+            .filter_map(|id| self.remove(id))
             .flat_map(|call| call.parts);
         let unsent = parts
             .map(|pending| (pending.part.id, pending.nth))
@@ -244,7 +242,7 @@
     }
 
     /// Removes a call with all its sends.
-    fn remove_call(&self, id: CallId) -> Option<Call> {
+    fn remove(&self, id: CallId) -> Option<Call> {
         let call = self.calls.borrow_mut().remove(&id)?;
         let mut sends = self.sends.borrow_mut();
         for pending in &call.parts {
@@ -311,7 +309,7 @@
             self.reset(id);
         } else if !others_pending {
             self.pool.borrow_mut().remove_queued(id);
-            self.remove_call(id);
+            self.remove(id);
         }
         true
     }
@@ -712,9 +710,7 @@
     /// Removes a call whose stream has ended, and reports the outcome of its pending parts.
     async fn finish_call(&self, id: CallId, end: StreamEnd) {
         let stream_state = self.stream_of(id);
-        let Some(call) = self.remove_call(id) else {
-            return;
-        };
+        let Some(call) = self.remove(id) else { return };
         let written = stream_state
             .as_ref()
             .is_some_and(|(observer, stream, _)| observer.written_at(*stream).is_some());
