--- a/crates/lockusher-registry-client/src/core/endpoints.rs
+++ b/crates/lockusher-registry-client/src/core/endpoints.rs
@@ -1,4 +1,4 @@
-//! Which endpoint is asked next, and when.
+//! Selects the endpoint of the next request, and its time.
 
 use lockusher_policy::interface::{Span, Time};
 use rand::RngExt;
--- a/crates/lockusher-registry-client/src/core/follow/exchange.rs
+++ b/crates/lockusher-registry-client/src/core/follow/exchange.rs
@@ -30,8 +30,8 @@
     pub settle: Span,
     /// Maximum duration of a blocking read.
     pub wait: Span,
-    /// Allows reads from any server whose last contact with the leader is at most this long ago; none allows only
-    /// the leader.
+    /// Allows reads from any server whose last contact with the leader is at most this long ago; none requires reads
+    /// through the leader.
     pub stale: Option<Span>,
 }
 
--- a/crates/lockusher-registry-client/src/core/follow/mod.rs
+++ b/crates/lockusher-registry-client/src/core/follow/mod.rs
@@ -147,7 +147,7 @@
         actions
     }
 
-    /// When to call [`Follower::step`] at the latest, even without a response.
+    /// When [`Follower::step`] is due at the latest, even without a response.
     pub fn due(&self) -> Time {
         let stage_due = match &self.stage {
             Stage::Waiting { until } | Stage::Polling { until } => *until,
--- a/crates/lockusher-registry-client/src/core/view.rs
+++ b/crates/lockusher-registry-client/src/core/view.rs
@@ -42,7 +42,7 @@
     pub up_before: usize,
     /// Searchers that are up now.
     pub up: usize,
-    /// Entries that can't be read and why, once for each time they were written.
+    /// Entries that can't be read, with the reason, once for each time they were written.
     pub unreadable: Vec<(String, String)>,
 }
 
--- a/crates/lockusher-registry-client/src/io/mod.rs
+++ b/crates/lockusher-registry-client/src/io/mod.rs
@@ -30,8 +30,8 @@
 
 impl ResponseSender {
     /// Returns false if the follower has ended.
-    async fn send(&self, heard: Heard) -> bool {
-        self.responses.send((self.call, heard)).await.is_ok()
+    async fn send(&self, response: Heard) -> bool {
+        self.responses.send((self.call, response)).await.is_ok()
     }
 }
 
