--- a/crates/lockusher-aggregator-testbed/src/soak.rs
+++ b/crates/lockusher-aggregator-testbed/src/soak.rs
@@ -12,7 +12,7 @@
 use lockusher_multiget::settings::Names;
 use lockusher_policy::interface::{Span, Time};
 use lockusher_registry_client::core::entry::Revision;
-use lockusher_registry_client::core::follow::{Plan, Protocol};
+use lockusher_registry_client::core::follow::{Protocol, RegistrySettings};
 use lockusher_registry_client::io::follow;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -104,8 +104,8 @@
         / 1_000
 }
 
-fn plan(run: &Run, endpoints: &[Endpoint]) -> Plan {
-    Plan {
+fn plan(run: &Run, endpoints: &[Endpoint]) -> RegistrySettings {
+    RegistrySettings {
         protocol: run.protocol,
         endpoints: endpoints
             .iter()
@@ -122,10 +122,13 @@
 
 /// A follower in a thread of its own, with one runtime of one thread; ends when the sender of its plan goes.
 fn follower(
-    plan: Plan,
+    plan: RegistrySettings,
     seed: u64,
     timed: Arc<Timed>,
-) -> (watch::Sender<Plan>, std::thread::JoinHandle<u64>) {
+) -> (
+    watch::Sender<RegistrySettings>,
+    std::thread::JoinHandle<u64>,
+) {
     let (plans, planned) = watch::channel(plan);
     let thread = std::thread::spawn(move || {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
@@ -155,7 +158,10 @@
 }
 
 /// The baseline: reads the whole list each second.
-fn rereader(plan: Plan, timed: Arc<Timed>) -> (watch::Sender<bool>, std::thread::JoinHandle<u64>) {
+fn rereader(
+    plan: RegistrySettings,
+    timed: Arc<Timed>,
+) -> (watch::Sender<bool>, std::thread::JoinHandle<u64>) {
     let (goes, stop) = watch::channel(true);
     let thread = std::thread::spawn(move || {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
--- a/crates/lockusher-aggregator-testbed/tests/http2.rs
+++ b/crates/lockusher-aggregator-testbed/tests/http2.rs
@@ -10,9 +10,9 @@
 use lockusher_aggregator_testbed::registry::Registry;
 use lockusher_aggregator_testbed::stand_in::http2::{Does, Http2Searcher, Says};
 use lockusher_aggregator_testbed::stand_in::{LONG, Searcher, Setup, until};
-use lockusher_http2::connection::{Came, Host, Sent, Shared};
+use lockusher_http2::connection::{Host, HostContext, OutgoingPart, SendResult};
 use lockusher_http2::outcome::{CANCEL, REFUSED_STREAM};
-use lockusher_http2::pool::{Limits, MOST_CALLS};
+use lockusher_http2::pool::{Limits, MAX_CALLS_PER_CONNECTION};
 use lockusher_http2::wire::Part;
 use lockusher_policy::interface::{Outcome, PartId, Shard, Span};
 use lockusher_registry_client::core::follow::Protocol;
@@ -21,29 +21,29 @@
 
 fn limits() -> Limits {
     Limits {
-        most_connections: 2,
-        most_streams: 64,
-        most_calls: MOST_CALLS,
-        most_waiting: 500,
-        idle: Span::from_millis(10_000),
-        age: Span::from_millis(60_000),
+        max_connections: 2,
+        max_streams: 64,
+        max_calls_per_connection: MAX_CALLS_PER_CONNECTION,
+        max_queued_calls: 500,
+        idle_timeout: Span::from_millis(10_000),
+        max_connection_age: Span::from_millis(60_000),
         silent_after: Span::from_millis(200),
-        resets_per_s: 10.0,
+        max_resets_per_s: 10.0,
     }
 }
 
 /// A searcher, what carries to it, and what comes.
 struct Story {
     searcher: Arc<Http2Searcher>,
-    host: Rc<Host<Came>>,
-    came: mpsc::Receiver<Came>,
+    host: Rc<Host<SendResult>>,
+    came: mpsc::Receiver<SendResult>,
 }
 
 /// A part that is wanted to the end, with so many bytes of text.
-fn sent(id: &str, bytes: usize) -> Sent {
+fn sent(id: &str, bytes: usize) -> OutgoingPart {
     let text = vec![b'x'; bytes].into();
     let (id, wait) = (PartId::new(id), Span::from_millis(4_000));
-    Sent {
+    OutgoingPart {
         nth: 0,
         part: Part {
             id,
@@ -111,13 +111,13 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let searcher = Http2Searcher::start("h", allows).await.expect("a port");
         let (queue, came) = mpsc::channel(64);
-        let shared = Rc::new(Shared {
+        let shared = Rc::new(HostContext {
             limits,
             connect_timeout: Span::from_millis(500),
-            open: Rc::new(Cell::new(0)),
-            most_open: 16,
+            open_sockets: Rc::new(Cell::new(0)),
+            max_open_sockets: 16,
             queue,
-            came: |came| came,
+            to_event: |came| came,
             started: Instant::now(),
         });
         let host = Host::start(shared, searcher.address);
@@ -298,7 +298,7 @@
     story(
         Some(2),
         Limits {
-            most_connections: 1,
+            max_connections: 1,
             ..limits()
         },
         async |story| {
@@ -363,7 +363,7 @@
         }
         tokio::time::sleep(Duration::from_millis(30)).await;
         assert!(
-            story.host.recall(&PartId::new("l3.1"), 0),
+            story.host.cancel_unsent(&PartId::new("l3.1"), 0),
             "it has not left whole"
         );
         let ends = story.ends(3).await;
@@ -392,7 +392,7 @@
             assert!(story.host.send(vec![sent(id, 30_000)]).is_ok());
         }
         story.came(3).await;
-        let taken_back = |id: &str| story.host.recall(&PartId::new(id), 0);
+        let taken_back = |id: &str| story.host.cancel_unsent(&PartId::new(id), 0);
         assert_eq!((taken_back("b.1"), taken_back("d.1")), (false, true));
     });
 }
@@ -496,7 +496,7 @@
             ids.iter().for_each(|id| story.call(&[id]));
             story.came(6 * 64 + 50).await;
             ids.iter()
-                .for_each(|id| story.host.give_up(&PartId::new(id), 0));
+                .for_each(|id| story.host.cancel(&PartId::new(id), 0));
             story.until(|story| story.searcher.log().resets >= 20).await;
             story.call(&["z.1"]);
             assert_eq!(story.ends(1).await["z.1"], Outcome::Returned);
@@ -521,7 +521,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
         story.call(&["b.1"]);
         story.came(2).await;
-        story.host.doubt(&PartId::new("b.1"), 0, false);
+        story.host.check_liveness(&PartId::new("b.1"), 0, false);
         assert_eq!(story.ends(1).await["b.1"], Outcome::ConnectionStalled);
         story.call(&["c.1"]);
         assert_eq!(story.ends(1).await["c.1"], Outcome::Returned);
@@ -537,10 +537,10 @@
             .does(|_| Does::Slow(Duration::from_millis(50)));
         (0..9).for_each(|i| story.call(&[&format!("q{i}.1")]));
         story.came(2).await;
-        let unsent = story.host.leave();
+        let unsent = story.host.drain();
         let out = 9 - unsent.len();
         assert!(out <= 4 && all(&story.ends(out).await, Outcome::Returned));
-        story.until(|story| story.host.is_over()).await;
+        story.until(|story| story.host.is_closed()).await;
         assert_eq!(story.searcher.log().came.len(), out);
     });
 }
@@ -554,13 +554,13 @@
             .local_addr()
             .expect("one");
         let (queue, came) = mpsc::channel(64);
-        let shared = Rc::new(Shared {
+        let shared = Rc::new(HostContext {
             limits: limits(),
             connect_timeout: Span::from_millis(500),
-            open: Rc::new(Cell::new(0)),
-            most_open: 16,
+            open_sockets: Rc::new(Cell::new(0)),
+            max_open_sockets: 16,
             queue,
-            came: |came| came,
+            to_event: |came| came,
             started: Instant::now(),
         });
         (story.host, story.came) = (Host::start(shared, nobody), came);
--- a/crates/lockusher-aggregator-testbed/tests/model.rs
+++ b/crates/lockusher-aggregator-testbed/tests/model.rs
@@ -7,7 +7,9 @@
 use lockusher_multiget::settings::Names;
 use lockusher_policy::interface::{SearcherState, Span, Time};
 use lockusher_registry_client::core::entry::{Change, ClusterId, Entry, Revision};
-use lockusher_registry_client::core::follow::{Act, Call, Follower, Heard, Plan, Protocol};
+use lockusher_registry_client::core::follow::{
+    Action, Follower, Protocol, RegistrySettings, RequestId, Response,
+};
 use lockusher_registry_client::core::view::Version;
 use proptest::prelude::*;
 
@@ -56,9 +58,9 @@
     follower: Follower,
     now: Time,
     /// What is asked, until it is answered.
-    asked: Option<Act>,
-    /// A watch that stands: its call, the next revision it is told, and what of one telling is still to come.
-    watch: Option<(Call, u64, Vec<Heard>)>,
+    asked: Option<Action>,
+    /// A watch that stands: its request, the next revision it is told, and what of one telling is still to come.
+    watch: Option<(RequestId, u64, Vec<Response>)>,
     told: View,
     told_as: u64,
 }
@@ -85,7 +87,7 @@
 
 impl World {
     fn new(protocol: Protocol, seed: u64) -> Self {
-        let plan = Plan {
+        let plan = RegistrySettings {
             protocol,
             endpoints: vec!["a:1".to_owned(), "b:1".to_owned()],
             prefix: "hosts/".to_owned(),
@@ -113,11 +115,11 @@
         world
     }
 
-    fn step(&mut self, heard: Option<(Call, Heard)>) {
+    fn step(&mut self, heard: Option<(RequestId, Response)>) {
         for act in self.follower.step(self.now, heard) {
             match act {
-                Act::Close => (self.asked, self.watch) = (None, None),
-                Act::Say(_) => {}
+                Action::Close => (self.asked, self.watch) = (None, None),
+                Action::Notify(_) => {}
                 act => self.asked = Some(act),
             }
         }
@@ -165,8 +167,8 @@
     fn serve(&mut self, seen: u64, split: usize) {
         let version = self.version(seen);
         match self.asked.take() {
-            Some(Act::Read {
-                call,
+            Some(Action::Read {
+                request,
                 after,
                 limit,
                 at,
@@ -175,45 +177,45 @@
                 let at = at.map_or(seen, |at| at.0);
                 let key = after.map_or_else(|| PREFIX.to_vec(), |last| [&last[..], &[0]].concat());
                 let heard = match self.store.range(&key, b"hosts0", limit as usize, at) {
-                    Ok((keys, more)) => Heard::Page {
+                    Ok((keys, more)) => Response::Page {
                         version,
-                        more_after: keys.last().filter(|_| more).map(|(key, _)| key.clone()),
+                        continue_after: keys.last().filter(|_| more).map(|(key, _)| key.clone()),
                         entries: keys.into_iter().map(|(key, kv)| entry(key, kv)).collect(),
                     },
-                    Err(Refused::Compacted) => Heard::Compacted,
-                    Err(Refused::Future) => Heard::Failed {
-                        why: "future".to_owned(),
+                    Err(Refused::Compacted) => Response::Compacted,
+                    Err(Refused::Future) => Response::Failed {
+                        reason: "future".to_owned(),
                     },
                 };
-                self.step(Some((call, heard)));
+                self.step(Some((request, heard)));
             }
-            Some(Act::Watch { call, start, .. }) => {
-                self.watch = Some((call, start.0, Vec::new()));
-                self.step(Some((call, Heard::Opened { version })));
+            Some(Action::Watch { request, start, .. }) => {
+                self.watch = Some((request, start.0, Vec::new()));
+                self.step(Some((request, Response::WatchCreated { version })));
             }
-            Some(Act::AskProgress { call }) => {
+            Some(Action::RequestProgress { request }) => {
                 self.tell(seen, usize::MAX);
                 while self.tell(seen, usize::MAX) {}
                 if let Some((_, next, _)) = &self.watch {
                     let version = self.version(next - 1);
-                    self.step(Some((call, Heard::Progress { version })));
+                    self.step(Some((request, Response::Progress { version })));
                 }
             }
-            Some(Act::Poll { call, index, .. }) => {
+            Some(Action::Poll { request, index, .. }) => {
                 let touched = self.store.touched(PREFIX, seen);
                 let Ok((keys, _)) = self.store.range(PREFIX, b"hosts0", 0, seen) else {
                     return self.step(Some((
-                        call,
-                        Heard::Failed {
-                            why: "500".to_owned(),
+                        request,
+                        Response::Failed {
+                            reason: "500".to_owned(),
                         },
                     )));
                 };
                 if touched <= index.0 && index.0 > 0 && split == 1 {
                     // It holds the read on.
-                    self.asked = Some(Act::Poll {
-                        call,
-                        from: self.follower.status(self.now).endpoint,
+                    self.asked = Some(Action::Poll {
+                        request,
+                        endpoint: self.follower.status(self.now).endpoint,
                         index,
                         wait: Span::ZERO,
                         stale: false,
@@ -221,17 +223,17 @@
                     return;
                 }
                 let entries = keys.into_iter().map(|(key, kv)| entry(key, kv)).collect();
-                let (index, leader_heard) = (Revision(touched), Some(Span::ZERO));
+                let (index, leader_contact_age) = (Revision(touched), Some(Span::ZERO));
                 self.step(Some((
-                    call,
-                    Heard::Whole {
+                    request,
+                    Response::Snapshot {
                         index,
                         entries,
-                        leader_heard,
+                        leader_contact_age,
                     },
                 )));
             }
-            Some(Act::Close | Act::Say(_)) | None => {
+            Some(Action::Close | Action::Notify(_)) | None => {
                 self.tell(seen, split);
             }
         }
@@ -240,13 +242,13 @@
     /// Tells the watch the next that it is to hear; whether there was something.
     fn tell(&mut self, seen: u64, split: usize) -> bool {
         let version = self.version(seen);
-        let Some((call, next, rest)) = &mut self.watch else {
+        let Some((request, next, rest)) = &mut self.watch else {
             return false;
         };
-        let call = *call;
+        let request = *request;
         if rest.is_empty() {
             let heard = match self.store.events(PREFIX, *next, seen) {
-                Err(_) => vec![Heard::Compacted],
+                Err(_) => vec![Response::Compacted],
                 Ok(events) => {
                     *next = (*next).max(seen + 1);
                     let parts: Vec<Vec<Change>> = events
@@ -256,7 +258,7 @@
                     let count = parts.len();
                     let changes = parts.into_iter().enumerate();
                     changes
-                        .map(|(i, changes)| Heard::Changes {
+                        .map(|(i, changes)| Response::Changes {
                             version,
                             changes,
                             more: i + 1 < count,
@@ -270,13 +272,13 @@
             return false;
         }
         let heard = rest.remove(0);
-        self.step(Some((call, heard)));
+        self.step(Some((request, heard)));
         true
     }
 
     /// What is told is the state at the revision that it names.
     fn take_news(&mut self) {
-        let Some(list) = self.follower.news() else {
+        let Some(list) = self.follower.take_update() else {
             return;
         };
         assert!(
@@ -331,10 +333,10 @@
             Op::Serve(split) => self.serve(revision, split),
             Op::ServeLagging(by) => self.serve(revision.saturating_sub(by).max(1), 1),
             Op::Again(back) => {
-                let Some((call, next, rest)) = &self.watch else {
+                let Some((request, next, rest)) = &self.watch else {
                     return;
                 };
-                let (call, version) = (*call, self.version(revision));
+                let (request, version) = (*request, self.version(revision));
                 // Less the newest, so that taking it anew would show.
                 let (from, to) = (next.saturating_sub(back + 1), next.saturating_sub(2));
                 let again = if rest.is_empty() {
@@ -345,8 +347,8 @@
                 let changes: Vec<Change> = again.unwrap_or_default().iter().map(change).collect();
                 if !changes.is_empty() {
                     self.step(Some((
-                        call,
-                        Heard::Changes {
+                        request,
+                        Response::Changes {
                             version,
                             changes,
                             more: false,
@@ -355,29 +357,29 @@
                 }
             }
             Op::Break => {
-                let call = match (&self.asked, &self.watch) {
+                let request = match (&self.asked, &self.watch) {
                     (
                         Some(
-                            Act::Read { call, .. }
-                            | Act::Poll { call, .. }
-                            | Act::Watch { call, .. },
+                            Action::Read { request, .. }
+                            | Action::Poll { request, .. }
+                            | Action::Watch { request, .. },
                         ),
                         _,
-                    ) => *call,
-                    (_, Some((call, ..))) => *call,
+                    ) => *request,
+                    (_, Some((request, ..))) => *request,
                     _ => return,
                 };
                 self.step(Some((
-                    call,
-                    Heard::Failed {
-                        why: "cut".to_owned(),
+                    request,
+                    Response::Failed {
+                        reason: "cut".to_owned(),
                     },
                 )));
             }
             Op::Pass(ms) => {
                 let end = self.now + Span::from_millis(ms);
-                while self.follower.due() <= end {
-                    self.now = self.now.max(self.follower.due());
+                while self.follower.next_due() <= end {
+                    self.now = self.now.max(self.follower.next_due());
                     self.step(None);
                 }
                 self.now = end;
--- a/crates/lockusher-aggregator/src/operator.rs
+++ b/crates/lockusher-aggregator/src/operator.rs
@@ -9,7 +9,7 @@
 use lockusher_membership::core::shared_state::SharingConfig;
 use lockusher_membership::core::wire::MAX_NAME_BYTES;
 use lockusher_policy::interface::{Budget, Span};
-use lockusher_registry_client::core::follow::{Plan, Protocol};
+use lockusher_registry_client::core::follow::{Protocol, RegistrySettings};
 use miette::Diagnostic;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorSettings {
     /// The registry that lists the searchers in place of discovery.
-    pub registry: Option<Plan>,
+    pub registry: Option<RegistrySettings>,
     /// Hosts that are called over HTTP/2; `None` calls all over frames.
     pub http2: Option<Http2>,
     /// Membership in a fleet of mixers; `None` runs the mixer alone.
@@ -185,7 +185,7 @@
 }
 
 /// Validates the section `registry`.
-fn registry_plan(text: &str, registry: text::Registry) -> Result<Plan, SettingsError> {
+fn registry_plan(text: &str, registry: text::Registry) -> Result<RegistrySettings, SettingsError> {
     let key_error = |key: &str, nth: usize, message: String| {
         let line = line_of_key(text, &["registry", key], nth)
             .or_else(|| line_of_key(text, &["registry"], 0));
@@ -281,7 +281,7 @@
         return Err(key_error("page", 0, "must not be 0".to_owned()));
     }
     let (endpoints, prefix) = (registry.endpoints, registry.prefix);
-    Ok(Plan {
+    Ok(RegistrySettings {
         protocol,
         endpoints,
         prefix,
--- a/crates/lockusher-aggregator/src/protocol/registry.rs
+++ b/crates/lockusher-aggregator/src/protocol/registry.rs
@@ -2,12 +2,12 @@
 
 use lockusher_multiget::list::ListOutput;
 use lockusher_multiget::settings::Names;
-use lockusher_registry_client::io::Shown;
+use lockusher_registry_client::io::RegistryStatus;
 use serde_json::json;
 
 /// Encodes the status of the registry follower, with the view if one is given.
-pub fn encode(shown: &Shown, names: &Names) -> String {
-    let Shown {
+pub fn encode(shown: &RegistryStatus, names: &Names) -> String {
+    let RegistryStatus {
         status,
         endpoint,
         view,
@@ -24,13 +24,13 @@
         "unreadable": status.unreadable,
         "counts": {
             "failures": counts.failures,
-            "silences": counts.silences,
+            "silences": counts.timeouts,
             "compactions": counts.compactions,
             "rebuilds": counts.rebuilds,
             "contradictions": counts.contradictions,
             "unreadable": counts.unreadable,
             "requests": counts.requests,
-            "folded": status.folded,
+            "folded": status.coalesced,
         },
         "view": view.as_ref().map(|lines| ListOutput::new(revision.unwrap_or(0), lines, names)),
     })
--- a/crates/lockusher-aggregator/src/transport/clients.rs
+++ b/crates/lockusher-aggregator/src/transport/clients.rs
@@ -18,7 +18,7 @@
 use lockusher_membership::io as fleet;
 use lockusher_multiget::settings::Names;
 use lockusher_policy::interface::MultigetId;
-use lockusher_registry_client::io::{Ask, Asks};
+use lockusher_registry_client::io::{StatusRequest, StatusRequests};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, mpsc, oneshot, watch};
 
@@ -61,7 +61,7 @@
     /// Size in bytes of the request bodies being read or in flight.
     pub body_bytes: Cell<usize>,
     /// Queries to the registry follower, if a registry is followed.
-    pub registry: Option<Asks>,
+    pub registry: Option<StatusRequests>,
     /// Queries to the membership task, if membership is enabled.
     pub fleet: Option<fleet::FleetRequestSender>,
 }
@@ -207,9 +207,9 @@
     response
 }
 
-async fn registry(asks: &Asks, view: bool, names: &Names) -> Response<BoxBody> {
+async fn registry(asks: &StatusRequests, view: bool, names: &Names) -> Response<BoxBody> {
     let (reply, shown) = oneshot::channel();
-    let sent = asks.send(Ask { view, reply }).await;
+    let sent = asks.send(StatusRequest { view, reply }).await;
     match shown.await {
         Ok(shown) if sent.is_ok() => {
             let mut response = Response::build(StatusCode::OK);
--- a/crates/lockusher-aggregator/src/transport/protocol_selection.rs
+++ b/crates/lockusher-aggregator/src/transport/protocol_selection.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use lockusher_http2::connection::{Came, Host, Sent as Http2Part, Shared};
-use lockusher_http2::pool::{Limits, MOST_CALLS};
+use lockusher_http2::connection::{Host, HostContext, OutgoingPart as Http2Part, SendResult};
+use lockusher_http2::pool::{Limits, MAX_CALLS_PER_CONNECTION};
 use lockusher_http2::wire;
 use lockusher_multiget::list::SearcherEndpoint;
 use lockusher_multiget::settings::Names;
@@ -45,13 +45,13 @@
     http2: Http2,
     names: Names,
     connect_timeout: Span,
-    shared: Rc<Shared<RouterEvent>>,
+    shared: Rc<HostContext<RouterEvent>>,
     hosts: HashMap<SearcherId, Http2Hosts>,
 }
 
 /// Converts the end of an HTTP/2 call to a router event.
-fn send_ended_event(came: Came) -> RouterEvent {
-    let Came {
+fn send_ended_event(came: SendResult) -> RouterEvent {
+    let SendResult {
         part,
         nth,
         outcome,
@@ -122,32 +122,32 @@
 }
 
 impl ProtocolSelector {
-    /// Creates a selector without hosts; `open` counts the descriptors in use for searchers.
+    /// Creates a selector without hosts; `open_sockets` counts the descriptors in use for searchers.
     pub fn new(
         frames: FrameTransport,
         http2: Http2,
         sockets: SocketLimits,
         names: Names,
-        open: Rc<Cell<usize>>,
+        open_sockets: Rc<Cell<usize>>,
         queue: mpsc::Sender<RouterEvent>,
     ) -> Self {
         let limits = Limits {
-            most_connections: http2.max_connections,
-            most_streams: http2.max_streams,
-            most_calls: MOST_CALLS,
-            most_waiting: sockets.max_in_flight,
-            idle: sockets.idle_timeout,
-            age: http2.max_connection_age,
+            max_connections: http2.max_connections,
+            max_streams: http2.max_streams,
+            max_calls_per_connection: MAX_CALLS_PER_CONNECTION,
+            max_queued_calls: sockets.max_in_flight,
+            idle_timeout: sockets.idle_timeout,
+            max_connection_age: http2.max_connection_age,
             silent_after: http2.silent_after,
-            resets_per_s: http2.max_resets_per_s,
+            max_resets_per_s: http2.max_resets_per_s,
         };
-        let shared = Rc::new(Shared {
+        let shared = Rc::new(HostContext {
             limits,
             connect_timeout: sockets.connect_timeout,
-            open,
-            most_open: sockets.max_searcher_connections,
+            open_sockets,
+            max_open_sockets: sockets.max_searcher_connections,
             queue,
-            came: send_ended_event,
+            to_event: send_ended_event,
             started: Instant::now(),
         });
         let connect_timeout = sockets.connect_timeout;
@@ -186,14 +186,14 @@
             .host
             .iter()
             .chain(&hosts.retired)
-            .find(|host| host.holds(part, nth))
+            .find(|host| host.has_pending(part, nth))
     }
 
     /// The HTTP/2 host of a searcher, unless it turned out not to speak HTTP/2 and falling back to frames is
     /// allowed.
     fn http2_host(&self, to: &SearcherId) -> Option<&Rc<Host<RouterEvent>>> {
         let host = self.hosts.get(to)?.host.as_ref()?;
-        (!self.http2.fall_back_to_frames || host.speaks()).then_some(host)
+        (!self.http2.fall_back_to_frames || host.speaks_http2()).then_some(host)
     }
 
     /// Drains the HTTP/2 host of a searcher and returns its unwritten sends.
@@ -201,11 +201,11 @@
         let Some(hosts) = self.hosts.get_mut(id) else {
             return Vec::new();
         };
-        hosts.retired.retain(|host| !host.is_over());
+        hosts.retired.retain(|host| !host.is_closed());
         let Some(host) = hosts.host.take() else {
             return Vec::new();
         };
-        let unsent = host.leave();
+        let unsent = host.drain();
         hosts.retired.push(host);
         unsent
     }
@@ -242,7 +242,7 @@
         unsent.extend(self.retire_host(id));
         // Drops retired hosts without pending calls, so that state does not accumulate as hosts are replaced.
         self.hosts.retain(|_, hosts| {
-            hosts.retired.retain(|host| !host.is_over());
+            hosts.retired.retain(|host| !host.is_closed());
             hosts.host.is_some() || !hosts.retired.is_empty()
         });
         unsent
@@ -258,7 +258,7 @@
 
     fn close_idle(&mut self, to: &SearcherId) {
         match self.http2_host(to) {
-            Some(host) => host.retire_unused(),
+            Some(host) => host.drain_idle(),
             None => self.frames.close_idle(to),
         }
     }
@@ -276,7 +276,7 @@
     fn send_timed_out(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> Vec<UnsentPart> {
         match self.host_with_send(to, part, nth) {
             Some(host) => {
-                host.doubt(part, nth, true);
+                host.check_liveness(part, nth, true);
                 Vec::new()
             }
             None => self.frames.send_timed_out(to, part, nth),
@@ -285,21 +285,21 @@
 
     fn check_liveness(&mut self, to: &SearcherId, part: &PartId, nth: usize) {
         match self.host_with_send(to, part, nth) {
-            Some(host) => host.doubt(part, nth, false),
+            Some(host) => host.check_liveness(part, nth, false),
             None => self.frames.check_liveness(to, part, nth),
         }
     }
 
     fn cancel(&mut self, to: &SearcherId, part: &PartId, nth: usize) {
         match self.host_with_send(to, part, nth) {
-            Some(host) => host.give_up(part, nth),
+            Some(host) => host.cancel(part, nth),
             None => self.frames.cancel(to, part, nth),
         }
     }
 
     fn cancel_unsent(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> bool {
         match self.host_with_send(to, part, nth) {
-            Some(host) => host.recall(part, nth),
+            Some(host) => host.cancel_unsent(part, nth),
             None => self.frames.cancel_unsent(to, part, nth),
         }
     }
@@ -318,7 +318,7 @@
         let Some(host) = self.host_with_send(to, part, nth) else {
             return self.frames.in_transit_until(to, part, nth);
         };
-        let until = host.left_at(part, nth)? + duration(self.connect_timeout) / 50;
+        let until = host.written_at(part, nth)? + duration(self.connect_timeout) / 50;
         (until > Instant::now()).then_some(until)
     }
 }
--- a/crates/lockusher-http2/src/connection.rs
+++ b/crates/lockusher-http2/src/connection.rs
@@ -24,14 +24,14 @@
 pub type Wanted = Rc<dyn Fn() -> bool>;
 
 /// A part to send, with the number of the send.
-pub struct Sent {
+pub struct OutgoingPart {
     pub nth: usize,
     pub part: Part,
     pub wanted: Wanted,
 }
 
 /// The end of a send.
-pub struct Came {
+pub struct SendResult {
     pub part: PartId,
     pub nth: usize,
     pub outcome: Outcome,
@@ -41,22 +41,22 @@
 }
 
 /// The state shared by the hosts of all searchers.
-pub struct Shared<T> {
+pub struct HostContext<T> {
     pub limits: Limits,
     pub connect_timeout: Span,
     /// File descriptors in use for searchers.
-    pub open: Rc<Cell<usize>>,
+    pub open_sockets: Rc<Cell<usize>>,
     /// Limit on file descriptors in use for searchers.
-    pub most_open: usize,
+    pub max_open_sockets: usize,
     /// The router's event queue.
     pub queue: mpsc::Sender<T>,
     /// Converts the end of a send to a router event.
-    pub came: fn(Came) -> T,
+    pub to_event: fn(SendResult) -> T,
     /// The origin of the pools' times.
     pub started: Instant,
 }
 
-impl<T> Shared<T> {
+impl<T> HostContext<T> {
     fn now(&self) -> Time {
         self.at(Instant::now())
     }
@@ -65,9 +65,9 @@
         Time::from_micros(at.saturating_duration_since(self.started).as_micros() as u64)
     }
 
-    async fn report(&self, result: Came) {
+    async fn report(&self, result: SendResult) {
         // Sending fails only after the router has ended; the result is then unused.
-        let _ = self.queue.send((self.came)(result)).await;
+        let _ = self.queue.send((self.to_event)(result)).await;
     }
 }
 
@@ -107,7 +107,7 @@
 
 /// The connections to one searcher, and the calls sent to it.
 pub struct Host<T> {
-    context: Rc<Shared<T>>,
+    context: Rc<HostContext<T>>,
     address: SocketAddr,
     pool: RefCell<Pool>,
     calls: RefCell<HashMap<CallId, Call>>,
@@ -121,7 +121,7 @@
 
 impl<T: 'static> Host<T> {
     /// Creates a host without connections; starts the task that runs the pool's due actions.
-    pub fn start(context: Rc<Shared<T>>, address: SocketAddr) -> Rc<Self> {
+    pub fn start(context: Rc<HostContext<T>>, address: SocketAddr) -> Rc<Self> {
         let host = Rc::new(Host {
             pool: RefCell::new(Pool::new(context.limits)),
             context,
@@ -155,27 +155,27 @@
     }
 
     /// Whether a send is pending here.
-    pub fn holds(&self, part: &PartId, nth: usize) -> bool {
+    pub fn has_pending(&self, part: &PartId, nth: usize) -> bool {
         self.call_of(part, nth).is_some()
     }
 
     /// Whether there are no calls and no connections.
-    pub fn is_over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.calls.borrow().is_empty() && self.connections.borrow().is_empty()
     }
 
     /// False once a connection has shown that the searcher does not speak HTTP/2.
-    pub fn speaks(&self) -> bool {
+    pub fn speaks_http2(&self) -> bool {
         self.speaks_http2.get()
     }
 
     /// The number of connections, including those that are connecting or closing.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.pool.borrow().connection_count()
     }
 
     /// Queues a call; returns it if the queue is full or the host is draining.
-    pub fn send(self: &Rc<Self>, call: Vec<Sent>) -> Result<(), Vec<Sent>> {
+    pub fn send(self: &Rc<Self>, call: Vec<OutgoingPart>) -> Result<(), Vec<OutgoingPart>> {
         let id = CallId(self.next_call.replace(self.next_call.get() + 1));
         if !self.pool.borrow_mut().enqueue(id) {
             return Err(call);
@@ -206,7 +206,7 @@
     }
 
     /// Accepts no call from now on. Returns the sends that were not started; calls in flight may finish.
-    pub fn leave(&self) -> Vec<(PartId, usize)> {
+    pub fn drain(&self) -> Vec<(PartId, usize)> {
         let queued = self.pool.borrow_mut().drain_all();
         let parts = queued
             .into_iter()
@@ -220,7 +220,7 @@
     }
 
     /// Drains the connections without calls in flight.
-    pub fn retire_unused(&self) {
+    pub fn drain_idle(&self) {
         self.pool.borrow_mut().drain_idle();
         self.wake.notify_one();
     }
@@ -267,11 +267,11 @@
 
     /// Cancels a send. A call that has not been completely written is never completed; one that has may be reset,
     /// within the rate limit.
-    pub fn give_up(&self, part: &PartId, nth: usize) {
+    pub fn cancel(&self, part: &PartId, nth: usize) {
         let Some(id) = self.call_of(part, nth) else {
             return;
         };
-        if !self.recall(part, nth) {
+        if !self.cancel_unsent(part, nth) {
             let others_pending = self.remove_send(id, part, nth);
             let connection = self
                 .calls
@@ -290,7 +290,7 @@
     }
 
     /// Cancels a send unless its call has been completely written; returns whether it was cancelled.
-    pub fn recall(&self, part: &PartId, nth: usize) -> bool {
+    pub fn cancel_unsent(&self, part: &PartId, nth: usize) -> bool {
         let Some(id) = self.call_of(part, nth) else {
             return false;
         };
@@ -323,8 +323,8 @@
     }
 
     /// Checks the liveness of the connection of a send that is late or has timed out: sends a PING if nothing has been
-    /// received since the call was written. With `retire`, drains that connection too.
-    pub fn doubt(&self, part: &PartId, nth: usize, retire: bool) {
+    /// received since the call was written. With `drain`, drains that connection too.
+    pub fn check_liveness(&self, part: &PartId, nth: usize, drain: bool) {
         let Some((observer, stream, connection)) =
             self.call_of(part, nth).and_then(|id| self.stream_of(id))
         else {
@@ -338,7 +338,7 @@
         if !nothing_received {
             return;
         }
-        if retire {
+        if drain {
             self.pool.borrow_mut().drain(connection);
         }
         self.pool
@@ -351,7 +351,7 @@
     }
 
     /// When the send's call was written to its last byte.
-    pub fn left_at(&self, part: &PartId, nth: usize) -> Option<Instant> {
+    pub fn written_at(&self, part: &PartId, nth: usize) -> Option<Instant> {
         self.call_written_at(self.call_of(part, nth)?)
     }
 
@@ -399,8 +399,8 @@
         self.connections.borrow_mut().insert(id, handle.clone());
         let host = self.clone();
         tokio::task::spawn_local(async move {
-            let open = host.context.open.clone();
-            let end = if open.get() >= host.context.most_open {
+            let open = host.context.open_sockets.clone();
+            let end = if open.get() >= host.context.max_open_sockets {
                 StreamEnd::Abandoned
             } else {
                 open.set(open.get() + 1);
@@ -698,7 +698,7 @@
             .borrow_mut()
             .remove(&(end.id.clone(), pending.nth));
         let answer = (end.outcome == Outcome::Returned).then_some((end.score, end.value));
-        let result = Came {
+        let result = SendResult {
             part: end.id,
             nth: pending.nth,
             outcome: end.outcome,
@@ -734,7 +734,7 @@
         };
         for pending in call.parts {
             let outcome = outcome(end, progress);
-            let result = Came {
+            let result = SendResult {
                 part: pending.part.id,
                 nth: pending.nth,
                 outcome,
--- a/crates/lockusher-http2/src/pool.rs
+++ b/crates/lockusher-http2/src/pool.rs
@@ -22,22 +22,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Connections to one searcher at once; a further one is opened only if the others have reached their stream limit.
-    pub most_connections: usize,
+    pub max_connections: usize,
     /// Calls in flight on one connection, even if the searcher allows more.
-    pub most_streams: usize,
-    /// Calls that one connection carries before it is replaced, [`MOST_CALLS`] at most.
-    pub most_calls: u64,
+    pub max_streams: usize,
+    /// Calls that one connection carries before it is replaced, [`MAX_CALLS_PER_CONNECTION`] at most.
+    pub max_calls_per_connection: u64,
     /// Calls that may be queued for a stream.
-    pub most_waiting: usize,
+    pub max_queued_calls: usize,
     /// A connection without calls for this long is closed.
-    pub idle: Span,
+    pub idle_timeout: Span,
     /// A connection older than this is drained.
-    pub age: Span,
+    pub max_connection_age: Span,
     /// A connection with calls in flight that receives nothing for this long is pinged, and aborted after as long again
     /// without a reply.
     pub silent_after: Span,
     /// Average rate of stream resets sent to a searcher, per second.
-    pub resets_per_s: f64,
+    pub max_resets_per_s: f64,
 }
 
 /// Calls in flight on a new connection until the first round has succeeded: with a few mixers, about one mixer's share
@@ -46,7 +46,7 @@
 /// Resets that may be sent in a burst.
 const RESET_BURST: f64 = 20.0;
 /// Stream ids have 31 bits and are odd; a connection is drained well before they are exhausted.
-pub const MOST_CALLS: u64 = 1 << 29;
+pub const MAX_CALLS_PER_CONNECTION: u64 = 1 << 29;
 /// First backoff after ENHANCE_YOUR_CALM or a failed connection attempt; it doubles each time.
 const INITIAL_BACKOFF: Span = Span::from_millis(100);
 /// The backoff grows no longer than this.
@@ -151,7 +151,7 @@
 
     /// Queues a call; false if the queue is full or the pool is draining.
     pub fn enqueue(&mut self, call: CallId) -> bool {
-        let accepts = !self.draining && self.queue.len() < self.limits.most_waiting;
+        let accepts = !self.draining && self.queue.len() < self.limits.max_queued_calls;
         if accepts {
             self.queue.push_back(call);
         }
@@ -310,7 +310,7 @@
                 // A round is as many calls as the window; each round that succeeds doubles it.
                 if connection.completed_in_round >= connection.window {
                     connection.completed_in_round = 0;
-                    connection.window = (connection.window * 2).min(self.limits.most_streams);
+                    connection.window = (connection.window * 2).min(self.limits.max_streams);
                 }
             }
             CallEnd::Failed => {}
@@ -326,7 +326,7 @@
     /// by closing the connection, which loses all calls in flight on it. A call that may not be reset runs to its end,
     /// and its response is ignored.
     pub fn try_reset(&mut self, now: Time, id: ConnectionId) -> bool {
-        let rate = self.limits.resets_per_s;
+        let rate = self.limits.max_resets_per_s;
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
         };
@@ -343,13 +343,13 @@
         let mut actions = Vec::new();
         let limits = self.limits;
         for (id, connection) in &mut self.connections {
-            let old = now.since(connection.opened_at) >= limits.age
-                || connection.calls_started >= limits.most_calls;
+            let old = now.since(connection.opened_at) >= limits.max_connection_age
+                || connection.calls_started >= limits.max_calls_per_connection;
             if connection.state == State::Open && old {
                 connection.state = State::Draining;
             }
-            let idle =
-                connection.in_flight.is_empty() && now.since(connection.last_used) >= limits.idle;
+            let idle = connection.in_flight.is_empty()
+                && now.since(connection.last_used) >= limits.idle_timeout;
             if connection.state == State::Open && idle {
                 connection.state = State::Draining;
             }
@@ -401,7 +401,7 @@
             // other.
             let ramping_up = accepting.any(|c| {
                 c.state == State::Connecting
-                    || c.window < c.max_streams.min(self.limits.most_streams)
+                    || c.window < c.max_streams.min(self.limits.max_streams)
             });
             let count = self
                 .connections
@@ -409,7 +409,7 @@
                 .filter(|c| c.accepts_calls())
                 .count();
             let backing_off = self.backoff_until.is_some_and(|at| at > now);
-            if ramping_up || backing_off || self.draining || count >= self.limits.most_connections {
+            if ramping_up || backing_off || self.draining || count >= self.limits.max_connections {
                 return;
             }
             let id = ConnectionId(self.next_connection);
@@ -422,8 +422,8 @@
                     last_used: now,
                     last_received: now,
                     ping_sent_at: None,
-                    max_streams: self.limits.most_streams,
-                    window: INITIAL_WINDOW_CALLS.min(self.limits.most_streams),
+                    max_streams: self.limits.max_streams,
+                    window: INITIAL_WINDOW_CALLS.min(self.limits.max_streams),
                     completed_in_round: 0,
                     calls_started: 0,
                     in_flight: Vec::new(),
@@ -444,8 +444,8 @@
             }
             if connection.in_flight.is_empty() {
                 return Some(
-                    (connection.last_used + self.limits.idle)
-                        .min(connection.opened_at + self.limits.age),
+                    (connection.last_used + self.limits.idle_timeout)
+                        .min(connection.opened_at + self.limits.max_connection_age),
                 );
             }
             let ping_due = match connection.ping_sent_at {
--- a/crates/lockusher-http2/tests/pool.rs
+++ b/crates/lockusher-http2/tests/pool.rs
@@ -6,21 +6,23 @@
 use lockusher_http2::outcome::{
     CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, StreamEnd, StreamProgress, outcome,
 };
-use lockusher_http2::pool::{Action, CallEnd, CallId, ConnectionId, Limits, MOST_CALLS, Pool};
+use lockusher_http2::pool::{
+    Action, CallEnd, CallId, ConnectionId, Limits, MAX_CALLS_PER_CONNECTION, Pool,
+};
 use lockusher_policy::interface::{Outcome, Span, Time};
 use proptest::prelude::*;
 use rstest::rstest;
 
 fn limits() -> Limits {
     Limits {
-        most_connections: 2,
-        most_streams: 64,
-        most_calls: MOST_CALLS,
-        most_waiting: 500,
-        idle: Span::from_millis(10_000),
-        age: Span::from_millis(60_000),
+        max_connections: 2,
+        max_streams: 64,
+        max_calls_per_connection: MAX_CALLS_PER_CONNECTION,
+        max_queued_calls: 500,
+        idle_timeout: Span::from_millis(10_000),
+        max_connection_age: Span::from_millis(60_000),
         silent_after: Span::from_millis(500),
-        resets_per_s: 10.0,
+        max_resets_per_s: 10.0,
     }
 }
 
@@ -117,7 +119,7 @@
 #[rstest]
 fn a_lowered_stream_limit_applies_to_new_calls() {
     let mut test = PoolTest::new(Limits {
-        most_connections: 1,
+        max_connections: 1,
         ..limits()
     });
     test.enqueue_calls(10);
@@ -213,7 +215,7 @@
 #[rstest]
 fn a_connection_is_replaced_before_its_stream_ids_run_out() {
     let mut test = PoolTest::new(Limits {
-        most_calls: 6,
+        max_calls_per_connection: 6,
         ..limits()
     });
     let mut opened = Vec::new();
--- a/crates/lockusher-registry-client/src/core/follow/answers.rs
+++ b/crates/lockusher-registry-client/src/core/follow/answers.rs
@@ -4,9 +4,9 @@
 use rand::RngExt;
 
 use super::{
-    AWAY_NOTICE_AGE, Act, Follower, Heard, MAX_COMPACTION_BACKOFF, MAX_ENTRIES,
-    MAX_PENDING_CHANGES, MIN_POLL_INTERVAL, MIN_UP_RATIO, Notice, PAGE_GROWTH_FACTOR, PartialRead,
-    RebuildReason, Stage,
+    AWAY_NOTICE_AGE, Action, Follower, MAX_COMPACTION_BACKOFF, MAX_ENTRIES, MAX_PENDING_CHANGES,
+    MIN_POLL_INTERVAL, MIN_UP_RATIO, Notice, PAGE_GROWTH_FACTOR, PartialRead, RebuildReason,
+    Response, Stage,
 };
 use crate::core::contradictions::Contradictions;
 use crate::core::entry::{Change, Entry, Revision};
@@ -14,18 +14,23 @@
 
 impl Follower {
     /// The registry has confirmed that the view is current.
-    fn confirm(&mut self, now: Time, actions: &mut Vec<Act>) {
+    fn confirm(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.next_away_notice_age > AWAY_NOTICE_AGE
             && let Some(at) = self.confirmed_at
         {
-            actions.push(Act::Say(Notice::Back { age: now.since(at) }));
+            actions.push(Action::Notify(Notice::Back { age: now.since(at) }));
         }
         (self.confirmed_at, self.next_away_notice_age) = (Some(now), AWAY_NOTICE_AGE);
     }
 
     /// Whether the reported version contradicts the view. If so, switches to another endpoint, or, once the
     /// contradiction is accepted, starts reading the whole view.
-    fn contradicts_view(&mut self, now: Time, reported: Version, actions: &mut Vec<Act>) -> bool {
+    fn contradicts_view(
+        &mut self,
+        now: Time,
+        reported: Version,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         let Some(current) = self.current_version().filter(|current| {
             !self.accept_any_version && Contradictions::contradicts(*current, reported)
         }) else {
@@ -41,7 +46,7 @@
             self.endpoints.count(),
             self.settings.settle,
         ) {
-            actions.push(Act::Say(Notice::Contradicts {
+            actions.push(Action::Notify(Notice::Contradicts {
                 endpoint,
                 current,
                 reported,
@@ -59,44 +64,49 @@
             true,
         );
         self.contradictions.clear();
-        actions.push(Act::Close);
+        actions.push(Action::Close);
         self.start(now, actions);
         true
     }
 
-    pub(super) fn handle_response(&mut self, now: Time, response: Heard, actions: &mut Vec<Act>) {
+    pub(super) fn handle_response(
+        &mut self,
+        now: Time,
+        response: Response,
+        actions: &mut Vec<Action>,
+    ) {
         match response {
-            Heard::Failed { why } => self.failed(now, why, actions),
-            Heard::Compacted => self.compacted(now, actions),
-            Heard::Page {
+            Response::Failed { reason } => self.failed(now, reason, actions),
+            Response::Compacted => self.compacted(now, actions),
+            Response::Page {
                 version,
                 entries,
-                more_after,
+                continue_after,
             } => {
-                self.page(now, version, entries, more_after, actions);
+                self.page(now, version, entries, continue_after, actions);
             }
-            Heard::Opened { version } => self.watch_created(now, version, actions),
-            Heard::Changes {
+            Response::WatchCreated { version } => self.watch_created(now, version, actions),
+            Response::Changes {
                 version,
                 changes,
                 more,
             } => self.changes(now, version, changes, more, actions),
-            Heard::Progress { version } => self.progress(now, version, actions),
-            Heard::Whole {
+            Response::Progress { version } => self.progress(now, version, actions),
+            Response::Snapshot {
                 index,
                 entries,
-                leader_heard,
+                leader_contact_age,
             } => {
-                self.snapshot(now, index, entries, leader_heard, actions);
+                self.snapshot(now, index, entries, leader_contact_age, actions);
             }
         }
     }
 
     /// Schedules a read of the whole view, or a repeated one, after a backoff with jitter. Backoff and pages grow, so
     /// that a read succeeds even if the registry compacts all the time.
-    fn compacted(&mut self, now: Time, actions: &mut Vec<Act>) {
+    fn compacted(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.counts.compactions += 1;
-        actions.push(Act::Close);
+        actions.push(Action::Close);
         self.request.0 += 1;
         self.rebuild_reason = Some(RebuildReason::Compacted);
         let backoff = Span::from_millis(50)
@@ -114,8 +124,8 @@
         now: Time,
         version: Version,
         entries: Vec<Entry>,
-        more_after: Option<Vec<u8>>,
-        actions: &mut Vec<Act>,
+        continue_after: Option<Vec<u8>>,
+        actions: &mut Vec<Action>,
     ) {
         let Stage::Reading { partial, .. } = &mut self.stage else {
             return;
@@ -145,17 +155,17 @@
         if partial.entries.len() > MAX_ENTRIES {
             return self.failed(now, format!("more than {MAX_ENTRIES} entries"), actions);
         }
-        if let Some(last) = more_after {
+        if let Some(last) = continue_after {
             *requested_at = now;
             let at = Some(partial.version.revision);
             let growth = PAGE_GROWTH_FACTOR
                 .checked_pow(self.compacted_reads)
                 .unwrap_or(u32::MAX);
             let limit = self.settings.page.saturating_mul(growth);
-            let call = self.next_request();
-            actions.push(Act::Read {
-                call,
-                from: self.endpoints.current(),
+            let request = self.next_request();
+            actions.push(Action::Read {
+                request,
+                endpoint: self.endpoints.current(),
                 after: Some(last),
                 limit,
                 at,
@@ -171,7 +181,7 @@
     }
 
     /// Replaces the view after a complete read.
-    fn replace_view(&mut self, version: Version, entries: Vec<Entry>, actions: &mut Vec<Act>) {
+    fn replace_view(&mut self, version: Version, entries: Vec<Entry>, actions: &mut Vec<Action>) {
         let ignore_revisions = self.accept_any_version;
         let view = self.view.get_or_insert_default();
         let change = view.replace(
@@ -186,7 +196,7 @@
         if reason.is_some() {
             self.counts.rebuilds += 1;
             let (written, removed) = (change.written, change.removed);
-            actions.push(Act::Say(Notice::Rebuilt {
+            actions.push(Action::Notify(Notice::Rebuilt {
                 version,
                 entries,
                 written,
@@ -197,7 +207,7 @@
     }
 
     /// Logs what operators should know about a change.
-    fn report_change(&mut self, change: ViewChange, actions: &mut Vec<Act>) {
+    fn report_change(&mut self, change: ViewChange, actions: &mut Vec<Action>) {
         let ViewChange {
             up_before,
             up,
@@ -205,22 +215,22 @@
             ..
         } = change;
         if (up as f64) < up_before as f64 * MIN_UP_RATIO {
-            actions.push(Act::Say(Notice::MostVanished { up_before, up }));
+            actions.push(Action::Notify(Notice::MostVanished { up_before, up }));
         }
         for (name, reason) in unreadable {
             self.counts.unreadable += 1;
-            actions.push(Act::Say(Notice::Unreadable { name, reason }));
+            actions.push(Action::Notify(Notice::Unreadable { name, reason }));
         }
     }
 
-    fn watch_created(&mut self, now: Time, version: Version, actions: &mut Vec<Act>) {
+    fn watch_created(&mut self, now: Time, version: Version, actions: &mut Vec<Action>) {
         if !matches!(self.stage, Stage::Opening { .. })
             || self.contradicts_view(now, version, actions)
         {
             return;
         }
         let revision = self.current_version().unwrap_or_default().revision;
-        actions.push(Act::Say(Notice::Following {
+        actions.push(Action::Notify(Notice::Following {
             endpoint: self.endpoints.current(),
             revision,
         }));
@@ -238,7 +248,7 @@
         version: Version,
         changes: Vec<Change>,
         more: bool,
-        actions: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) {
         if self.rejects_other_cluster(now, version, actions) {
             return;
@@ -272,7 +282,7 @@
 
     /// Advances the view's revision although no entry has changed: otherwise the watch of a quiet prefix in a busy
     /// registry could not be resumed, as its old revision would have been compacted.
-    fn progress(&mut self, now: Time, version: Version, actions: &mut Vec<Act>) {
+    fn progress(&mut self, now: Time, version: Version, actions: &mut Vec<Action>) {
         if self.rejects_other_cluster(now, version, actions) {
             return;
         }
@@ -299,7 +309,7 @@
         &mut self,
         now: Time,
         version: Version,
-        actions: &mut Vec<Act>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         let other = self
             .current_version()
@@ -319,14 +329,14 @@
         now: Time,
         index: Revision,
         entries: Vec<Entry>,
-        leader_heard: Option<Span>,
-        actions: &mut Vec<Act>,
+        leader_contact_age: Option<Span>,
+        actions: &mut Vec<Action>,
     ) {
         if !matches!(self.stage, Stage::Polling { .. }) {
             return;
         }
         let max_age = self.settings.stale.unwrap_or(Span::MAX);
-        if leader_heard.is_none_or(|ago| ago > max_age) {
+        if leader_contact_age.is_none_or(|ago| ago > max_age) {
             return self.failed(
                 now,
                 "it has no leader, or its last contact with the leader is too old".to_owned(),
--- a/crates/lockusher-registry-client/src/core/follow/exchange.rs
+++ b/crates/lockusher-registry-client/src/core/follow/exchange.rs
@@ -16,7 +16,7 @@
 
 /// The operator's settings of the registry.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct RegistrySettings {
     pub protocol: Protocol,
     /// Addresses with ports; at least one.
     pub endpoints: Vec<String>,
@@ -37,31 +37,31 @@
 
 /// Identifies a request; responses to earlier requests are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Call(pub u64);
+pub struct RequestId(pub u64);
 
 /// What the transport is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Read a page of the prefix, after a key and at a revision if given.
     Read {
-        call: Call,
-        from: EndpointId,
+        request: RequestId,
+        endpoint: EndpointId,
         after: Option<Vec<u8>>,
         limit: u32,
         at: Option<Revision>,
     },
     /// Watch the prefix from a revision on.
     Watch {
-        call: Call,
-        from: EndpointId,
+        request: RequestId,
+        endpoint: EndpointId,
         start: Revision,
     },
     /// Request a progress notification on the open watch.
-    AskProgress { call: Call },
+    RequestProgress { request: RequestId },
     /// Read the whole prefix once its index exceeds the given one.
     Poll {
-        call: Call,
-        from: EndpointId,
+        request: RequestId,
+        endpoint: EndpointId,
         index: Revision,
         wait: Span,
         stale: bool,
@@ -69,22 +69,22 @@
     /// Close the session; its responses are ignored from now on.
     Close,
     /// Log a notice.
-    Say(Notice),
+    Notify(Notice),
 }
 
 /// A response to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum Response {
     /// A page, and its last key if there are more pages.
     Page {
         version: Version,
         entries: Vec<Entry>,
-        more_after: Option<Vec<u8>>,
+        continue_after: Option<Vec<u8>>,
     },
     /// The requested revision has been compacted.
     Compacted,
     /// The watch has been created.
-    Opened { version: Version },
+    WatchCreated { version: Version },
     /// Changes; with `more`, further changes of the same revisions follow.
     Changes {
         version: Version,
@@ -94,11 +94,11 @@
     /// All changes up to this version have been sent.
     Progress { version: Version },
     /// The whole prefix, and the time since the server's last contact with the leader, if it has one.
-    Whole {
+    Snapshot {
         index: Revision,
         entries: Vec<Entry>,
-        leader_heard: Option<Span>,
+        leader_contact_age: Option<Span>,
     },
     /// The request failed.
-    Failed { why: String },
+    Failed { reason: String },
 }
--- a/crates/lockusher-registry-client/src/core/follow/mod.rs
+++ b/crates/lockusher-registry-client/src/core/follow/mod.rs
@@ -11,7 +11,7 @@
 mod requests;
 mod status;
 
-pub use exchange::{Act, Call, Heard, Plan, Protocol};
+pub use exchange::{Action, Protocol, RegistrySettings, RequestId, Response};
 pub use notice::{Notice, RebuildReason};
 pub use status::{Counts, Status};
 
@@ -82,7 +82,7 @@
 
 /// Follows one registry. Owns the view; yields its updates.
 pub struct Follower {
-    settings: Plan,
+    settings: RegistrySettings,
     names: Names,
     rng: ChaCha8Rng,
     endpoints: Endpoints,
@@ -91,7 +91,7 @@
     pending_updates: PendingUpdates,
     full_view_sent: bool,
     stage: Stage,
-    request: Call,
+    request: RequestId,
     /// Why the next attempt must read the whole view; none if it may resume the watch.
     rebuild_reason: Option<RebuildReason>,
     /// Accept the next read even if its version contradicts the view.
@@ -107,7 +107,7 @@
 
 impl Follower {
     /// Creates a follower without a view; `settings` must have at least one endpoint.
-    pub fn new(now: Time, settings: Plan, names: Names, seed: u64) -> Self {
+    pub fn new(now: Time, settings: RegistrySettings, names: Names, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let endpoints = Endpoints::new(now, settings.endpoints.len(), &mut rng);
         Follower {
@@ -120,7 +120,7 @@
             pending_updates: PendingUpdates::default(),
             full_view_sent: false,
             stage: Stage::Waiting { until: now },
-            request: Call(0),
+            request: RequestId(0),
             rebuild_reason: Some(RebuildReason::Initial),
             accept_any_version: true,
             compacted_reads: 0,
@@ -131,15 +131,15 @@
     }
 
     /// The settings in force.
-    pub fn settings(&self) -> &Plan {
+    pub fn settings(&self) -> &RegistrySettings {
         &self.settings
     }
 
     /// Handles a response, then runs what is due.
-    pub fn step(&mut self, now: Time, response: Option<(Call, Heard)>) -> Vec<Act> {
+    pub fn step(&mut self, now: Time, response: Option<(RequestId, Response)>) -> Vec<Action> {
         let mut actions = Vec::new();
-        if let Some((call, response)) = response
-            && call == self.request
+        if let Some((request, response)) = response
+            && request == self.request
         {
             self.handle_response(now, response, &mut actions);
         }
@@ -148,7 +148,7 @@
     }
 
     /// When [`Follower::step`] is due at the latest, even without a response.
-    pub fn due(&self) -> Time {
+    pub fn next_due(&self) -> Time {
         let stage_due = match &self.stage {
             Stage::Waiting { until } | Stage::Polling { until } => *until,
             Stage::Reading { requested_at, .. } | Stage::Opening { requested_at } => {
@@ -187,7 +187,7 @@
 
     /// Takes the next update: first the whole view, then each searcher that has changed, once. Updates cover whole
     /// revisions only.
-    pub fn news(&mut self) -> Option<List> {
+    pub fn take_update(&mut self) -> Option<List> {
         let view = self.view.as_ref().filter(|_| self.has_update())?;
         let complete = !std::mem::replace(&mut self.full_view_sent, true);
         let changes = self.pending_updates.take();
@@ -204,7 +204,7 @@
     }
 
     /// Applies new settings. The view is kept until the new registry or prefix has been read.
-    pub fn apply_settings(&mut self, now: Time, settings: Plan) -> Vec<Act> {
+    pub fn apply_settings(&mut self, now: Time, settings: RegistrySettings) -> Vec<Action> {
         if settings == self.settings {
             return Vec::new();
         }
@@ -225,7 +225,7 @@
         self.settings = settings;
         self.stage = Stage::Waiting { until: now };
         self.request.0 += 1;
-        let mut actions = vec![Act::Close];
+        let mut actions = vec![Action::Close];
         self.run_due(now, &mut actions);
         actions
     }
@@ -249,7 +249,7 @@
             entries: self.view.as_ref().map_or(0, View::entries),
             unreadable: self.view.as_ref().map_or(0, View::unreadable),
             age: self.confirmed_at.map(|at| now.since(at)),
-            folded: self.pending_updates.coalesced,
+            coalesced: self.pending_updates.coalesced,
             counts: self.counts,
         }
     }
@@ -258,18 +258,18 @@
         self.view.as_ref().map(|view| view.version)
     }
 
-    fn run_due(&mut self, now: Time, actions: &mut Vec<Act>) {
+    fn run_due(&mut self, now: Time, actions: &mut Vec<Action>) {
         if let Some(at) = self.confirmed_at
             && now.since(at) >= self.next_away_notice_age
         {
             let hosts = self.view.as_ref().map_or(0, |view| view.lines().count());
-            actions.push(Act::Say(Notice::Away {
+            actions.push(Action::Notify(Notice::Away {
                 age: now.since(at),
                 hosts,
             }));
             self.next_away_notice_age = self.next_away_notice_age.times(2.0);
         }
-        if now < self.due() {
+        if now < self.next_due() {
             return;
         }
         let silent_after = self.settings.silent_after;
@@ -282,7 +282,9 @@
             } if !*progress_requested && now.since(*last_received) >= silent_after.times(0.5) => {
                 *progress_requested = true;
                 self.counts.requests += 1;
-                actions.push(Act::AskProgress { call: self.request });
+                actions.push(Action::RequestProgress {
+                    request: self.request,
+                });
             }
             Stage::Reading {
                 requested_at: since,
--- a/crates/lockusher-registry-client/src/core/follow/requests.rs
+++ b/crates/lockusher-registry-client/src/core/follow/requests.rs
@@ -3,24 +3,25 @@
 use lockusher_policy::interface::Time;
 
 use super::{
-    Act, Call, Follower, MAX_ENTRIES, Notice, PAGE_GROWTH_FACTOR, PartialRead, Protocol, Stage,
+    Action, Follower, MAX_ENTRIES, Notice, PAGE_GROWTH_FACTOR, PartialRead, Protocol, RequestId,
+    Stage,
 };
 use crate::core::entry::Revision;
 
 impl Follower {
     /// The current endpoint did not respond in time.
-    pub(super) fn timed_out(&mut self, now: Time, actions: &mut Vec<Act>) {
-        self.counts.silences += 1;
-        actions.push(Act::Say(Notice::Silent {
+    pub(super) fn timed_out(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.counts.timeouts += 1;
+        actions.push(Action::Notify(Notice::Silent {
             endpoint: self.endpoints.current(),
         }));
         self.switch_endpoint(now, actions);
     }
 
     /// The current endpoint failed a request.
-    pub(super) fn failed(&mut self, now: Time, reason: String, actions: &mut Vec<Act>) {
+    pub(super) fn failed(&mut self, now: Time, reason: String, actions: &mut Vec<Action>) {
         self.counts.failures += 1;
-        actions.push(Act::Say(Notice::Failed {
+        actions.push(Action::Notify(Notice::Failed {
             endpoint: self.endpoints.current(),
             reason,
         }));
@@ -28,24 +29,24 @@
     }
 
     /// Switches to another endpoint. Pages of an incomplete read and changes of an incomplete revision are dropped.
-    pub(super) fn switch_endpoint(&mut self, now: Time, actions: &mut Vec<Act>) {
-        actions.push(Act::Close);
+    pub(super) fn switch_endpoint(&mut self, now: Time, actions: &mut Vec<Action>) {
+        actions.push(Action::Close);
         self.request.0 += 1;
         let until = self.endpoints.record_failure(now, &mut self.rng);
         self.stage = Stage::Waiting { until };
     }
 
     /// The id of the next request.
-    pub(super) fn next_request(&mut self) -> Call {
+    pub(super) fn next_request(&mut self) -> RequestId {
         self.request.0 += 1;
         self.counts.requests += 1;
         self.request
     }
 
     /// Sends the request that the state calls for: a full read, a watch or a poll.
-    pub(super) fn start(&mut self, now: Time, actions: &mut Vec<Act>) {
+    pub(super) fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
         if let Some(reason) = self.rebuild_reason {
-            actions.push(Act::Say(Notice::Rebuilding { reason }));
+            actions.push(Action::Notify(Notice::Rebuilding { reason }));
         }
         match self.settings.protocol {
             Protocol::Consul => self.start_poll(now, actions),
@@ -55,7 +56,7 @@
     }
 
     /// Starts a read of the whole view.
-    fn start_read(&mut self, now: Time, actions: &mut Vec<Act>) {
+    fn start_read(&mut self, now: Time, actions: &mut Vec<Action>) {
         let growth = PAGE_GROWTH_FACTOR
             .checked_pow(self.compacted_reads)
             .unwrap_or(u32::MAX);
@@ -65,10 +66,10 @@
         } else {
             page
         };
-        let call = self.next_request();
-        actions.push(Act::Read {
-            call,
-            from: self.endpoints.current(),
+        let request = self.next_request();
+        actions.push(Action::Read {
+            request,
+            endpoint: self.endpoints.current(),
             after: None,
             limit,
             at: None,
@@ -80,20 +81,20 @@
     }
 
     /// Starts a watch from the revision after the view's.
-    pub(super) fn start_watch(&mut self, now: Time, actions: &mut Vec<Act>) {
+    pub(super) fn start_watch(&mut self, now: Time, actions: &mut Vec<Action>) {
         let current = self.current_version().unwrap_or_default();
         let start = Revision(current.revision.0 + 1);
-        let call = self.next_request();
-        actions.push(Act::Watch {
-            call,
-            from: self.endpoints.current(),
+        let request = self.next_request();
+        actions.push(Action::Watch {
+            request,
+            endpoint: self.endpoints.current(),
             start,
         });
         self.stage = Stage::Opening { requested_at: now };
     }
 
     /// Starts a blocking read.
-    fn start_poll(&mut self, now: Time, actions: &mut Vec<Act>) {
+    fn start_poll(&mut self, now: Time, actions: &mut Vec<Action>) {
         // A read with index 0 returns the current state at once.
         let returns_at_once = self.rebuild_reason.is_some() || self.contradictions.any();
         let index = if returns_at_once {
@@ -101,11 +102,11 @@
         } else {
             self.current_version().unwrap_or_default().revision
         };
-        let call = self.next_request();
+        let request = self.next_request();
         let (wait, stale) = (self.settings.wait, self.settings.stale.is_some());
-        actions.push(Act::Poll {
-            call,
-            from: self.endpoints.current(),
+        actions.push(Action::Poll {
+            request,
+            endpoint: self.endpoints.current(),
             index,
             wait,
             stale,
--- a/crates/lockusher-registry-client/src/core/follow/status.rs
+++ b/crates/lockusher-registry-client/src/core/follow/status.rs
@@ -11,7 +11,7 @@
     /// Requests that an endpoint failed.
     pub failures: u64,
     /// Requests and watches that received nothing for too long.
-    pub silences: u64,
+    pub timeouts: u64,
     /// Requests for a revision that had been compacted.
     pub compactions: u64,
     /// Full reads of the view that completed, including the first.
@@ -37,6 +37,6 @@
     /// Time since the registry last confirmed that the view is current.
     pub age: Option<Span>,
     /// Updates that were replaced by a later one of the same searcher before they were taken.
-    pub folded: u64,
+    pub coalesced: u64,
     pub counts: Counts,
 }
--- a/crates/lockusher-registry-client/src/io/consul.rs
+++ b/crates/lockusher-registry-client/src/io/consul.rs
@@ -11,7 +11,7 @@
 
 use super::{MAX_RESPONSE_BYTES, ResponseSender};
 use crate::core::entry::{Entry, Revision};
-use crate::core::follow::Heard;
+use crate::core::follow::Response;
 
 /// A client of one endpoint.
 pub struct Session {
@@ -89,7 +89,7 @@
             );
             let response = match response.await {
                 Ok(Ok(response)) => response,
-                Ok(Err(why)) => Heard::Failed { why },
+                Ok(Err(reason)) => Response::Failed { reason },
                 // The follower has already recorded the timeout.
                 Err(_) => return,
             };
@@ -99,7 +99,7 @@
 }
 
 /// Sends the request and decodes the response.
-async fn get(client: &Client, url: &str, prefix: &str) -> Result<Heard, String> {
+async fn get(client: &Client, url: &str, prefix: &str) -> Result<Response, String> {
     let mut response = client.get(url).send().await.map_err(|e| e.to_string())?;
     let header = |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok());
     let number = |name: &str| header(name).and_then(|v| v.parse::<u64>().ok());
@@ -112,12 +112,12 @@
         return Err(format!("status {status}"));
     }
     let index = Revision(index.ok_or("response without X-Consul-Index")?);
-    let leader_heard = has_leader.then_some(contact_age);
+    let leader_contact_age = has_leader.then_some(contact_age);
     if status.as_u16() == 404 {
-        return Ok(Heard::Whole {
+        return Ok(Response::Snapshot {
             index,
             entries: Vec::new(),
-            leader_heard,
+            leader_contact_age,
         });
     }
     let body = response
@@ -144,9 +144,9 @@
         }
     };
     let entries = pairs.into_iter().map(entry).collect();
-    Ok(Heard::Whole {
+    Ok(Response::Snapshot {
         index,
         entries,
-        leader_heard,
+        leader_contact_age,
     })
 }
--- a/crates/lockusher-registry-client/src/io/etcd.rs
+++ b/crates/lockusher-registry-client/src/io/etcd.rs
@@ -8,7 +8,7 @@
 
 use super::{MAX_RESPONSE_BYTES, ResponseSender};
 use crate::core::entry::{Change, ClusterId, Entry, Revision};
-use crate::core::follow::Heard;
+use crate::core::follow::Response;
 use crate::core::view::Version;
 use crate::etcdserverpb as pb;
 
@@ -47,13 +47,13 @@
     String::from_utf8_lossy(key.strip_prefix(prefix).unwrap_or(key)).into_owned()
 }
 
-fn read_error(status: &Status) -> Heard {
+fn read_error(status: &Status) -> Response {
     // The published error of a read at a compacted revision.
     if status.code() == Code::OutOfRange && status.message().contains("compacted") {
-        return Heard::Compacted;
+        return Response::Compacted;
     }
-    Heard::Failed {
-        why: format!("{}: {}", status.code(), status.message()),
+    Response::Failed {
+        reason: format!("{}: {}", status.code(), status.message()),
     }
 }
 
@@ -100,8 +100,8 @@
         async move {
             let channel = match channel {
                 Ok(channel) => channel,
-                Err(why) => {
-                    responses.send(Heard::Failed { why }).await;
+                Err(reason) => {
+                    responses.send(Response::Failed { reason }).await;
                     return;
                 }
             };
@@ -125,10 +125,10 @@
                         modified: Revision(kv.mod_revision.max(0) as u64),
                         value: kv.value,
                     };
-                    Heard::Page {
+                    Response::Page {
                         version: version(response.header),
                         entries: response.kvs.into_iter().map(entry).collect(),
-                        more_after: last.filter(|_| response.more),
+                        continue_after: last.filter(|_| response.more),
                     }
                 }
                 Err(status) => read_error(&status),
@@ -158,17 +158,17 @@
         });
         let outgoing = self.outgoing.take();
         async move {
-            let why = match (channel, outgoing) {
+            let reason = match (channel, outgoing) {
                 (Ok(channel), Some(outgoing)) => {
                     match run_watch(channel, outgoing, &prefix, &responses).await {
                         Ok(()) => return,
-                        Err(why) => why,
+                        Err(reason) => reason,
                     }
                 }
-                (Err(why), _) => why,
+                (Err(reason), _) => reason,
                 (_, None) => "second watch on one connection".to_owned(),
             };
-            responses.send(Heard::Failed { why }).await;
+            responses.send(Response::Failed { reason }).await;
         }
     }
 }
@@ -190,7 +190,7 @@
     let mut stream = client.watch(requests).await.map_err(describe)?.into_inner();
     while let Some(response) = stream.message().await.map_err(describe)? {
         let response = watch_response(response, prefix);
-        let ended = matches!(response, Heard::Compacted | Heard::Failed { .. });
+        let ended = matches!(response, Response::Compacted | Response::Failed { .. });
         if !responses.send(response).await || ended {
             return Ok(());
         }
@@ -199,22 +199,22 @@
 }
 
 /// Converts a response of the watch.
-fn watch_response(response: pb::WatchResponse, prefix: &[u8]) -> Heard {
+fn watch_response(response: pb::WatchResponse, prefix: &[u8]) -> Response {
     let version = version(response.header);
     if response.canceled {
         // A compacted start revision is reported in a field, any other cause in the text only.
         return match response.compact_revision {
-            0 => Heard::Failed {
-                why: format!("the watch was cancelled: {}", response.cancel_reason),
+            0 => Response::Failed {
+                reason: format!("the watch was cancelled: {}", response.cancel_reason),
             },
-            _ => Heard::Compacted,
+            _ => Response::Compacted,
         };
     }
     if response.created {
-        return Heard::Opened { version };
+        return Response::WatchCreated { version };
     }
     if response.events.is_empty() && !response.fragment {
-        return Heard::Progress { version };
+        return Response::Progress { version };
     }
     let change = |event: pb::Event| {
         let (deleted, kv) = (
@@ -228,7 +228,7 @@
         }
     };
     let changes = response.events.into_iter().map(change).collect();
-    Heard::Changes {
+    Response::Changes {
         version,
         changes,
         more: response.fragment,
--- a/crates/lockusher-registry-client/src/io/mod.rs
+++ b/crates/lockusher-registry-client/src/io/mod.rs
@@ -14,7 +14,9 @@
 use tokio::task::JoinHandle;
 
 use crate::core::entry::Revision;
-use crate::core::follow::{Act, Call, Follower, Heard, Plan, Protocol, Status};
+use crate::core::follow::{
+    Action, Follower, Protocol, RegistrySettings, RequestId, Response, Status,
+};
 
 /// Responses queued for the follower; beyond that, streams are not read any further.
 const RESPONSE_QUEUE_CAPACITY: usize = 16;
@@ -24,14 +26,14 @@
 /// Sends the responses of one request to the follower.
 #[derive(Clone)]
 struct ResponseSender {
-    call: Call,
-    responses: mpsc::Sender<(Call, Heard)>,
+    request: RequestId,
+    responses: mpsc::Sender<(RequestId, Response)>,
 }
 
 impl ResponseSender {
     /// Returns false if the follower has ended.
-    async fn send(&self, response: Heard) -> bool {
-        self.responses.send((self.call, response)).await.is_ok()
+    async fn send(&self, response: Response) -> bool {
+        self.responses.send((self.request, response)).await.is_ok()
     }
 }
 
@@ -42,7 +44,7 @@
 }
 
 /// The status of the registry follower.
-pub struct Shown {
+pub struct RegistryStatus {
     pub status: Status,
     /// The address of the current endpoint.
     pub endpoint: String,
@@ -51,25 +53,25 @@
 }
 
 /// A request for the status.
-pub struct Ask {
+pub struct StatusRequest {
     /// Whether to include the view.
     pub view: bool,
-    pub reply: oneshot::Sender<Shown>,
+    pub reply: oneshot::Sender<RegistryStatus>,
 }
 
 /// The queue of status requests.
-pub type Asks = mpsc::Sender<Ask>;
+pub type StatusRequests = mpsc::Sender<StatusRequest>;
 
 /// Follows the registry with the latest of `settings_updates`. Sends each update, converted by `to_event`, to `queue`,
 /// and answers status requests. Ends when the queue or the sender of settings is closed.
 pub async fn follow<T>(
-    mut settings_updates: watch::Receiver<Plan>,
+    mut settings_updates: watch::Receiver<RegistrySettings>,
     names: Names,
     seed: u64,
     clock: impl Fn() -> Time,
     queue: mpsc::Sender<T>,
     to_event: impl Fn(List) -> T,
-    mut status_requests: mpsc::Receiver<Ask>,
+    mut status_requests: mpsc::Receiver<StatusRequest>,
 ) {
     let (responses, mut received) = mpsc::channel(RESPONSE_QUEUE_CAPACITY);
     let mut follower = Follower::new(
@@ -90,12 +92,12 @@
         let now = clock();
         let can_send_update = follower.has_update() && now >= next_update;
         let wake = if follower.has_update() {
-            follower.due().min(next_update.max(now))
+            follower.next_due().min(next_update.max(now))
         } else {
-            follower.due()
+            follower.next_due()
         };
         let wait = if can_send_update {
-            follower.due().since(now)
+            follower.next_due().since(now)
         } else {
             wake.since(now)
         };
@@ -104,7 +106,7 @@
                 let status = follower.status(now);
                 let endpoint = follower.settings().endpoints[status.endpoint.0].clone();
                 let view = request.view.then(|| follower.lines());
-                let _ = request.reply.send(Shown { status, endpoint, view });
+                let _ = request.reply.send(RegistryStatus { status, endpoint, view });
                 Vec::new()
             }
             response = received.recv() => follower.step(clock(), response),
@@ -118,7 +120,7 @@
             }
             permit = queue.reserve(), if can_send_update => {
                 let Ok(permit) = permit else { return };
-                if let Some(list) = follower.news() {
+                if let Some(list) = follower.take_update() {
                     permit.send(to_event(list));
                 }
                 next_update = clock() + follower.update_interval();
@@ -141,22 +143,22 @@
 
 /// Executes actions, with at most one session at a time.
 struct Transport {
-    responses: mpsc::Sender<(Call, Heard)>,
+    responses: mpsc::Sender<(RequestId, Response)>,
     session: Option<Session>,
     requests: Vec<RequestTask>,
 }
 
 impl Transport {
-    fn execute(&mut self, follower: &Follower, actions: Vec<Act>) {
+    fn execute(&mut self, follower: &Follower, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Act::Say(notice) if notice.is_warning() => {
+                Action::Notify(notice) if notice.is_warning() => {
                     tracing::warn!(target: "registry", kind = notice.kind(), "{notice}");
                 }
-                Act::Say(notice) => {
+                Action::Notify(notice) => {
                     tracing::info!(target: "registry", kind = notice.kind(), "{notice}");
                 }
-                Act::Close => {
+                Action::Close => {
                     self.requests.clear();
                     self.session = None;
                 }
@@ -166,16 +168,18 @@
     }
 
     /// Starts the task of a request, and opens a session if there is none.
-    fn start_request(&mut self, settings: &Plan, action: Act) {
+    fn start_request(&mut self, settings: &RegistrySettings, action: Action) {
         let endpoint = match &action {
-            Act::Read { from, .. } | Act::Watch { from, .. } | Act::Poll { from, .. } => *from,
-            Act::AskProgress { .. } => {
+            Action::Read { endpoint, .. }
+            | Action::Watch { endpoint, .. }
+            | Action::Poll { endpoint, .. } => *endpoint,
+            Action::RequestProgress { .. } => {
                 if let Some(Session::Etcd(session)) = &self.session {
                     session.ask_progress();
                 }
                 return;
             }
-            Act::Close | Act::Say(_) => return,
+            Action::Close | Action::Notify(_) => return,
         };
         let (endpoint, prefix) = (&settings.endpoints[endpoint.0], &settings.prefix);
         let session = self.session.get_or_insert_with(|| match settings.protocol {
@@ -184,28 +188,28 @@
             }
             Protocol::Consul => Session::Consul(consul::Session::new(endpoint, prefix)),
         });
-        let responses = |call| ResponseSender {
-            call,
+        let responses = |request| ResponseSender {
+            request,
             responses: self.responses.clone(),
         };
         let task = match (session, action) {
             (
                 Session::Etcd(session),
-                Act::Read {
-                    call,
+                Action::Read {
+                    request,
                     after,
                     limit,
                     at,
                     ..
                 },
-            ) => tokio::task::spawn_local(session.read(responses(call), after, limit, at)),
-            (Session::Etcd(session), Act::Watch { call, start, .. }) => {
-                tokio::task::spawn_local(session.watch(responses(call), start))
+            ) => tokio::task::spawn_local(session.read(responses(request), after, limit, at)),
+            (Session::Etcd(session), Action::Watch { request, start, .. }) => {
+                tokio::task::spawn_local(session.watch(responses(request), start))
             }
             (
                 Session::Consul(session),
-                Act::Poll {
-                    call,
+                Action::Poll {
+                    request,
                     index,
                     wait,
                     stale,
@@ -213,7 +217,13 @@
                 },
             ) => {
                 let timeout = wait.times(17.0 / 16.0) + settings.silent_after;
-                tokio::task::spawn_local(session.poll(responses(call), index, wait, stale, timeout))
+                tokio::task::spawn_local(session.poll(
+                    responses(request),
+                    index,
+                    wait,
+                    stale,
+                    timeout,
+                ))
             }
             _ => return,
         };
@@ -224,10 +234,10 @@
 
 /// Reads the whole prefix once from the first endpoint, as a client without watches would. Returns its revision if the
 /// read succeeded. For comparison only.
-pub async fn read_whole(settings: &Plan) -> Option<Revision> {
+pub async fn read_whole(settings: &RegistrySettings) -> Option<Revision> {
     let (sender, mut received) = mpsc::channel(1);
     let responses = ResponseSender {
-        call: Call(0),
+        request: RequestId(0),
         responses: sender,
     };
     let endpoint = settings.endpoints.first()?;
@@ -258,8 +268,8 @@
     .await
     .ok()?;
     match received.recv().await?.1 {
-        Heard::Page { version, .. } => Some(version.revision),
-        Heard::Whole { index, .. } => Some(index),
+        Response::Page { version, .. } => Some(version.revision),
+        Response::Snapshot { index, .. } => Some(index),
         _ => None,
     }
 }
--- a/crates/lockusher-registry-client/tests/follow.rs
+++ b/crates/lockusher-registry-client/tests/follow.rs
@@ -6,13 +6,13 @@
 use lockusher_registry_client::core::endpoints::EndpointId;
 use lockusher_registry_client::core::entry::{Change, ClusterId, Entry, Revision};
 use lockusher_registry_client::core::follow::{
-    Act, Call, Follower, Heard, Notice, Plan, Protocol, RebuildReason,
+    Action, Follower, Notice, Protocol, RebuildReason, RegistrySettings, RequestId, Response,
 };
 use lockusher_registry_client::core::view::Version;
 use rstest::rstest;
 
-fn settings(protocol: Protocol, endpoints: usize) -> Plan {
-    Plan {
+fn settings(protocol: Protocol, endpoints: usize) -> RegistrySettings {
+    RegistrySettings {
         protocol,
         endpoints: (0..endpoints)
             .map(|i| format!("127.0.0.1:{}", 1_000 + i))
@@ -69,13 +69,13 @@
 struct FollowerTest {
     now: Time,
     follower: Follower,
-    actions: Vec<Act>,
+    actions: Vec<Action>,
     /// The latest request that was responded to.
-    answered: Option<Call>,
+    answered: Option<RequestId>,
 }
 
 impl FollowerTest {
-    fn new(settings: Plan) -> Self {
+    fn new(settings: RegistrySettings) -> Self {
         let now = Time::from_micros(1_000_000);
         let mut follower = Follower::new(now, settings, Names::default(), 5);
         let actions = follower.step(now, None);
@@ -88,32 +88,34 @@
     }
 
     /// The latest request.
-    fn last_request(&self) -> &Act {
-        let is_request = |action: &&Act| !matches!(action, Act::Close | Act::Say(_));
+    fn last_request(&self) -> &Action {
+        let is_request = |action: &&Action| !matches!(action, Action::Close | Action::Notify(_));
         self.actions.iter().rfind(is_request).expect("a request")
     }
 
-    fn call(&self) -> Call {
+    fn request(&self) -> RequestId {
         match self.last_request() {
-            Act::Read { call, .. }
-            | Act::Watch { call, .. }
-            | Act::Poll { call, .. }
-            | Act::AskProgress { call } => *call,
-            Act::Close | Act::Say(_) => unreachable!("no request"),
+            Action::Read { request, .. }
+            | Action::Watch { request, .. }
+            | Action::Poll { request, .. }
+            | Action::RequestProgress { request } => *request,
+            Action::Close | Action::Notify(_) => unreachable!("no request"),
         }
     }
 
     fn endpoint(&self) -> EndpointId {
         match self.last_request() {
-            Act::Read { from, .. } | Act::Watch { from, .. } | Act::Poll { from, .. } => *from,
+            Action::Read { endpoint, .. }
+            | Action::Watch { endpoint, .. }
+            | Action::Poll { endpoint, .. } => *endpoint,
             other => panic!("no endpoint: {other:?}"),
         }
     }
 
-    fn respond(&mut self, response: Heard) -> &mut Self {
-        let call = self.call();
-        self.answered = Some(call);
-        let actions = self.follower.step(self.now, Some((call, response)));
+    fn respond(&mut self, response: Response) -> &mut Self {
+        let request = self.request();
+        self.answered = Some(request);
+        let actions = self.follower.step(self.now, Some((request, response)));
         self.actions.extend(actions);
         self
     }
@@ -121,8 +123,8 @@
     /// Advances the time, in the steps that the follower requires.
     fn advance(&mut self, ms: u64) -> &mut Self {
         let end = self.now + Span::from_millis(ms);
-        while self.follower.due() <= end {
-            self.now = self.now.max(self.follower.due());
+        while self.follower.next_due() <= end {
+            self.now = self.now.max(self.follower.next_due());
             let actions = self.follower.step(self.now, None);
             self.actions.extend(actions);
         }
@@ -133,7 +135,7 @@
     /// Advances the time until there is a request without a response.
     fn until_next_request(&mut self) -> &mut Self {
         for _ in 0..100_000 {
-            if Some(self.call()) != self.answered {
+            if Some(self.request()) != self.answered {
                 return self;
             }
             self.advance(10);
@@ -141,18 +143,23 @@
         panic!("no further request");
     }
 
-    fn page(&mut self, revision: u64, entries: &[Entry], more_after: Option<&str>) -> &mut Self {
-        let more_after = more_after.map(|key| key.as_bytes().to_vec());
-        self.respond(Heard::Page {
+    fn page(
+        &mut self,
+        revision: u64,
+        entries: &[Entry],
+        continue_after: Option<&str>,
+    ) -> &mut Self {
+        let continue_after = continue_after.map(|key| key.as_bytes().to_vec());
+        self.respond(Response::Page {
             version: at(revision),
             entries: entries.to_vec(),
-            more_after,
+            continue_after,
         })
     }
 
     fn changes(&mut self, changes: &[Change], more: bool) -> &mut Self {
         let version = at(changes.last().map_or(0, |change| change.modified.0));
-        self.respond(Heard::Changes {
+        self.respond(Response::Changes {
             version,
             changes: changes.to_vec(),
             more,
@@ -160,7 +167,7 @@
     }
 
     fn opened(&mut self, revision: u64) -> &mut Self {
-        self.respond(Heard::Opened {
+        self.respond(Response::WatchCreated {
             version: at(revision),
         })
     }
@@ -168,7 +175,7 @@
     fn count_notices(&self, wanted: impl Fn(&Notice) -> bool) -> usize {
         self.actions
             .iter()
-            .filter(|action| matches!(action, Act::Say(notice) if wanted(notice)))
+            .filter(|action| matches!(action, Action::Notify(notice) if wanted(notice)))
             .count()
     }
 
@@ -176,7 +183,7 @@
     fn updates(&mut self) -> Vec<String> {
         let Some(List {
             complete, lines, ..
-        }) = self.follower.news()
+        }) = self.follower.take_update()
         else {
             return Vec::new();
         };
@@ -214,7 +221,7 @@
     let mut test = FollowerTest::new(settings(Protocol::Etcd, 1));
     assert!(matches!(
         test.last_request(),
-        Act::Read {
+        Action::Read {
             after: None,
             limit: 2,
             at: None,
@@ -226,7 +233,7 @@
         &[entry("a", 3, "active"), entry("b", 4, "active")],
         Some("hosts/b"),
     );
-    let Act::Read { after, at, .. } = test.last_request() else {
+    let Action::Read { after, at, .. } = test.last_request() else {
         panic!("{:?}", test.last_request())
     };
     assert_eq!(
@@ -242,7 +249,7 @@
     test.page(15, &[entry("c", 9, "active")], None);
     assert!(matches!(
         test.last_request(),
-        Act::Watch {
+        Action::Watch {
             start: Revision(11),
             ..
         }
@@ -257,22 +264,22 @@
 #[rstest]
 fn after_a_compaction_the_view_is_read_again_and_only_differences_are_yielded() {
     let mut test = following(2);
-    test.respond(Heard::Failed {
-        why: "cut".to_owned(),
+    test.respond(Response::Failed {
+        reason: "cut".to_owned(),
     })
     .until_next_request();
     assert!(
         matches!(
             test.last_request(),
-            Act::Watch {
+            Action::Watch {
                 start: Revision(11),
                 ..
             }
         ),
         "the watch is resumed first"
     );
-    test.respond(Heard::Compacted).until_next_request();
-    assert!(matches!(test.last_request(), Act::Read { .. }));
+    test.respond(Response::Compacted).until_next_request();
+    assert!(matches!(test.last_request(), Action::Read { .. }));
     assert_eq!(
         test.updates(),
         [""; 0],
@@ -306,11 +313,11 @@
 #[case::in_the_middle_of_pages(false)]
 fn reads_that_compactions_interrupt_back_off_with_larger_pages(#[case] reads_complete: bool) {
     let mut test = following(1);
-    test.respond(Heard::Compacted);
+    test.respond(Response::Compacted);
     let (start, mut reads, mut limits) = (test.now, 0, Vec::new());
     while test.now.since(start) < Span::from_millis(20_000) {
         test.until_next_request();
-        let Act::Read { limit, .. } = test.last_request() else {
+        let Action::Read { limit, .. } = test.last_request() else {
             panic!("{:?}", test.last_request())
         };
         limits.push(*limit);
@@ -318,11 +325,11 @@
         let revision = 100 + reads;
         if reads_complete {
             test.page(revision, &[entry("a", revision, "active")], None);
-            assert!(matches!(test.last_request(), Act::Watch { .. }));
+            assert!(matches!(test.last_request(), Action::Watch { .. }));
         } else {
             test.page(revision, &[entry("a", 3, "active")], Some("hosts/a"));
         }
-        test.respond(Heard::Compacted);
+        test.respond(Response::Compacted);
     }
     assert!((8..40).contains(&reads), "{reads} reads in 20 s");
     assert!(
@@ -340,13 +347,13 @@
     let mut test = following(2);
     test.changes(&[put("a", 12, "leaving")], false);
     assert_eq!(test.updates(), ["a draining"]);
-    test.respond(Heard::Failed {
-        why: "cut".to_owned(),
+    test.respond(Response::Failed {
+        reason: "cut".to_owned(),
     })
     .until_next_request();
     assert!(matches!(
         test.last_request(),
-        Act::Watch {
+        Action::Watch {
             start: Revision(13),
             ..
         }
@@ -367,8 +374,8 @@
 fn a_lagging_member_is_skipped() {
     let mut test = following(3);
     test.changes(&[put("a", 20, "leaving")], false);
-    test.respond(Heard::Failed {
-        why: "cut".to_owned(),
+    test.respond(Response::Failed {
+        reason: "cut".to_owned(),
     })
     .until_next_request();
     let lagging = test.endpoint();
@@ -381,7 +388,7 @@
     assert_ne!(test.endpoint(), lagging);
     assert!(matches!(
         test.last_request(),
-        Act::Watch {
+        Action::Watch {
             start: Revision(21),
             ..
         }
@@ -407,34 +414,34 @@
     #[case] accepted: Option<RebuildReason>,
 ) {
     let mut test = following(3);
-    test.respond(Heard::Failed {
-        why: "cut".to_owned(),
+    test.respond(Response::Failed {
+        reason: "cut".to_owned(),
     });
     let start = test.now;
     let mut updates = Vec::new();
     while test.now.since(start) < Span::from_millis(60_000) {
         test.until_next_request();
-        if matches!(test.last_request(), Act::Read { .. }) {
+        if matches!(test.last_request(), Action::Read { .. }) {
             assert!(
                 test.now.since(start) >= Span::from_millis(5_000),
                 "not before the settle time has passed"
             );
-            test.respond(Heard::Page {
+            test.respond(Response::Page {
                 version: reported,
                 entries: vec![entry("z", 4, "active")],
-                more_after: None,
+                continue_after: None,
             });
-            test.respond(Heard::Opened { version: reported });
+            test.respond(Response::WatchCreated { version: reported });
             updates = test.updates();
             break;
         }
         let contradicts = test.endpoint().0 < contradicting;
         // The other members are down, so that none agrees with the view either.
         test.respond(if contradicts {
-            Heard::Opened { version: reported }
+            Response::WatchCreated { version: reported }
         } else {
-            Heard::Failed {
-                why: "refused".to_owned(),
+            Response::Failed {
+                reason: "refused".to_owned(),
             }
         });
     }
@@ -457,14 +464,14 @@
     test.changes(&[put("a", 12, "leaving")], true)
         .changes(&[put("b", 12, "leaving")], true);
     assert_eq!(test.updates(), [""; 0]);
-    test.respond(Heard::Failed {
-        why: "cut".to_owned(),
+    test.respond(Response::Failed {
+        reason: "cut".to_owned(),
     })
     .until_next_request();
     assert!(
         matches!(
             test.last_request(),
-            Act::Watch {
+            Action::Watch {
                 start: Revision(11),
                 ..
             }
@@ -485,14 +492,17 @@
         .actions
         .iter()
         .rev()
-        .find(|action| matches!(action, Act::Watch { .. }))
+        .find(|action| matches!(action, Action::Watch { .. }))
     {
-        Some(Act::Watch { from, .. }) => *from,
+        Some(Action::Watch { endpoint, .. }) => *endpoint,
         _ => panic!("a watch"),
     };
     test.advance(600);
-    assert!(matches!(test.last_request(), Act::AskProgress { .. }));
-    test.respond(Heard::Progress { version: at(40) })
+    assert!(matches!(
+        test.last_request(),
+        Action::RequestProgress { .. }
+    ));
+    test.respond(Response::Progress { version: at(40) })
         .advance(900);
     assert_eq!(
         test.count_notices(|n| matches!(n, Notice::Silent { .. })),
@@ -512,7 +522,7 @@
     // Progress advances the revision of a quiet prefix, so that the watch can be resumed.
     assert!(matches!(
         test.last_request(),
-        Act::Watch {
+        Action::Watch {
             start: Revision(41),
             ..
         }
@@ -567,7 +577,7 @@
     };
     assert_eq!((notices_for(&test, "a"), notices_for(&test, "new")), (1, 1));
     // Read again without a change, it is not logged again.
-    test.respond(Heard::Compacted).until_next_request();
+    test.respond(Response::Compacted).until_next_request();
     let entries = [entry("b", 12, "leaving"), entry("c", 9, "active")];
     let unreadable = |name: &str| Entry {
         name: name.into(),
@@ -602,12 +612,12 @@
         };
         test.changes(&[put(&name, revision, status)], false);
         test.actions.clear();
-        test.actions.push(Act::AskProgress {
-            call: Call(test.follower.status(test.now).counts.requests),
+        test.actions.push(Action::RequestProgress {
+            request: RequestId(test.follower.status(test.now).counts.requests),
         });
     }
     assert_eq!(test.updates().len(), 100);
-    assert!(test.follower.status(test.now).folded > 30_000);
+    assert!(test.follower.status(test.now).coalesced > 30_000);
 }
 
 /// Hard case 10: while the registry is away for long, the last view is kept, and its age is logged at growing
@@ -617,14 +627,14 @@
     let mut test = following(3);
     test.changes(&[put("a", 12, "active")], false);
     let start = test.now;
-    test.respond(Heard::Failed {
-        why: "cut".to_owned(),
+    test.respond(Response::Failed {
+        reason: "cut".to_owned(),
     });
     let mut attempts = 0;
     while test.now.since(start) < Span::from_millis(600_000) {
         test.until_next_request();
-        test.respond(Heard::Failed {
-            why: "refused".to_owned(),
+        test.respond(Response::Failed {
+            reason: "refused".to_owned(),
         });
         attempts += 1;
     }
@@ -647,7 +657,7 @@
     );
     test.until_next_request()
         .opened(13)
-        .respond(Heard::Progress { version: at(13) });
+        .respond(Response::Progress { version: at(13) });
     assert_eq!(test.count_notices(|n| matches!(n, Notice::Back { .. })), 1);
 }
 
@@ -655,25 +665,25 @@
 #[rstest]
 fn settings_change_during_a_read() {
     let mut test = following(2);
-    test.respond(Heard::Compacted).until_next_request();
+    test.respond(Response::Compacted).until_next_request();
     test.page(50, &[entry("a", 3, "leaving")], Some("hosts/a"));
-    let late_request = test.call();
-    let other_settings = Plan {
+    let late_request = test.request();
+    let other_settings = RegistrySettings {
         prefix: "others/".to_owned(),
         ..settings(Protocol::Etcd, 2)
     };
     let actions = test.follower.apply_settings(test.now, other_settings);
     test.actions.extend(actions);
-    let response = Heard::Page {
+    let response = Response::Page {
         version: at(50),
         entries: vec![],
-        more_after: None,
+        continue_after: None,
     };
     let actions = test.follower.step(test.now, Some((late_request, response)));
     assert!(actions.is_empty(), "{actions:?}");
     assert!(matches!(
         test.last_request(),
-        Act::Read {
+        Action::Read {
             after: None,
             at: None,
             ..
@@ -693,15 +703,15 @@
 #[rstest]
 fn blocking_reads_yield_differences_and_accept_a_lower_index_in_time() {
     let mut test = FollowerTest::new(settings(Protocol::Consul, 1));
-    let snapshot = |index: u64, entries: &[Entry]| Heard::Whole {
+    let snapshot = |index: u64, entries: &[Entry]| Response::Snapshot {
         index: Revision(index),
         entries: entries.to_vec(),
-        leader_heard: Some(Span::ZERO),
+        leader_contact_age: Some(Span::ZERO),
     };
     let entries = [entry("a", 3, "active"), entry("b", 4, "active")];
     assert!(matches!(
         test.last_request(),
-        Act::Poll {
+        Action::Poll {
             index: Revision(0),
             ..
         }
@@ -710,7 +720,7 @@
     assert_eq!(test.updates(), ["all", "a up", "b up"]);
     assert!(matches!(
         test.last_request(),
-        Act::Poll {
+        Action::Poll {
             index: Revision(4),
             ..
         }
@@ -733,7 +743,7 @@
         assert!(
             matches!(
                 test.last_request(),
-                Act::Poll {
+                Action::Poll {
                     index: Revision(0),
                     ..
                 }
@@ -755,20 +765,20 @@
 #[case::last_contact_too_old(Some(Span::from_millis(700)), 20)]
 #[case::index_zero(Some(Span::ZERO), 0)]
 fn stale_reads_are_rejected_without_a_busy_loop(
-    #[case] leader_heard: Option<Span>,
+    #[case] leader_contact_age: Option<Span>,
     #[case] index: u64,
 ) {
-    let stale = Plan {
+    let stale = RegistrySettings {
         stale: Some(Span::from_millis(500)),
         ..settings(Protocol::Consul, 2)
     };
     let mut test = FollowerTest::new(stale);
     let (start, mut reads) = (test.now, 0);
     while test.now.since(start) < Span::from_millis(10_000) {
-        test.respond(Heard::Whole {
+        test.respond(Response::Snapshot {
             index: Revision(index),
             entries: vec![entry("a", 1, "active")],
-            leader_heard,
+            leader_contact_age,
         });
         test.until_next_request();
         reads += 1;
