--- a/crates/lockusher-control-simulation/src/disk_losses.rs
+++ b/crates/lockusher-control-simulation/src/disk_losses.rs
@@ -2,7 +2,7 @@
 //!
 //! Only lost disks are counted: machines may be down, frozen or isolated beside them in any number. A lost disk counts until
 //! its successor has been healthy for the time to catch up, with a majority of the voters there to update it. Votes of removed
-//! machines that may be left (see [`displaced_votes`](crate::displaced_votes)) count where a majority would be lost with them.
+//! machines that may be left (see [`stale_votes`](crate::stale_votes)) count where a majority would be lost with them.
 
 use std::{collections::BTreeSet, ops::Range};
 
--- a/crates/lockusher-control-simulation/src/lib.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -16,16 +16,15 @@
 
 mod calls;
 mod cluster;
-mod crossings;
 mod disk;
 mod disk_contents;
 mod disk_losses;
-mod displaced_votes;
 mod fault_actions;
 mod fault_injection;
 mod fault_schedule;
 mod invariant_checks;
 mod invariants;
+mod message_races;
 mod network;
 mod node;
 mod observation;
@@ -38,6 +37,7 @@
 mod replacement;
 mod run;
 mod shrink;
+mod stale_votes;
 mod targeted_faults;
 mod view_succession;
 mod violation;
