--- a/crates/lockusher-control-simulation/src/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -26,46 +26,51 @@
     }
 
     pub(crate) fn step_operator(&mut self, number: usize, may_read: bool) {
-        self.expire_call(number);
+        self.abandon_expired_call(number);
         let operator = &mut self.operators[number];
         if operator.call.is_some() || self.now < operator.idle_until {
             return;
         }
         if may_read && operator.change.is_none() && self.random.random_ratio(1, 3) {
-            self.call(number, Request::Read, None);
+            self.call_any_node(number, Request::Read, None);
             return;
         }
         let change = operator.next_change(&mut self.random);
         self.model.record_sent(&change);
-        self.call(number, change.request(), Some(change));
+        self.call_any_node(number, change.request(), Some(change));
     }
 
     /// An operator gives up its call, if it has one, and sends its next change to this machine.
     pub(crate) fn send_change_to(&mut self, node: usize, number: usize) {
-        self.expire_call_now(number);
+        self.abandon_call(number);
         let change = self.operators[number].next_change(&mut self.random);
         self.model.record_sent(&change);
-        self.call_at(node, number, change.request(), Some(change));
+        self.call_node(node, number, change.request(), Some(change));
     }
 
     /// An operator gives its call up if no reply has come in time.
-    pub(crate) fn expire_call(&mut self, number: usize) {
+    pub(crate) fn abandon_expired_call(&mut self, number: usize) {
         let call = self.operators[number].call.as_ref();
         if call.is_some_and(|call| call.deadline <= self.now) {
-            self.expire_call_now(number);
+            self.abandon_call(number);
         }
     }
 
     /// An operator gives its call up, if it has one.
-    pub(crate) fn expire_call_now(&mut self, number: usize) {
+    pub(crate) fn abandon_call(&mut self, number: usize) {
         let operator = &mut self.operators[number];
         if operator.call.take().is_some() {
-            operator.restart_patch();
+            operator.discard_patch_base();
             self.outcome.unanswered += 1;
         }
     }
 
-    pub(crate) fn call(&mut self, number: usize, request: Request, change: Option<Change>) {
+    pub(crate) fn call_any_node(
+        &mut self,
+        number: usize,
+        request: Request,
+        change: Option<Change>,
+    ) {
         let mut running: Vec<usize> = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].runs(self.now))
             .collect();
@@ -76,11 +81,11 @@
             return;
         }
         let node = running[self.random.random_range(0..running.len())];
-        self.call_at(node, number, request, change);
+        self.call_node(node, number, request, change);
     }
 
     /// An operator calls this machine.
-    pub(crate) fn call_at(
+    pub(crate) fn call_node(
         &mut self,
         node: usize,
         number: usize,
@@ -101,7 +106,7 @@
         if change.is_some() && self.random.random_ratio(1, DUPLICATE_ONE_CALL_IN) {
             self.delay_call(request.clone());
         }
-        self.event(node, Event::Request { ticket, request });
+        self.handle_event(node, Event::Request { ticket, request });
     }
 
     /// A duplicate of the call reaches some machine later, also one that doesn't run now.
@@ -129,7 +134,7 @@
             } else if node.runs(now) {
                 self.next_request += 1;
                 let ticket = RequestTicket(self.next_request);
-                self.event(
+                self.handle_event(
                     call.node,
                     Event::Request {
                         ticket,
@@ -155,7 +160,7 @@
         self.next_request += 1;
         let ticket = RequestTicket(self.next_request);
         self.pending_request = Some((ticket, None));
-        self.event(number, Event::Request { ticket, request });
+        self.handle_event(number, Event::Request { ticket, request });
         self.await_reply(timeout)
     }
 
@@ -219,7 +224,7 @@
                 );
             }
             Reply::Unavailable => {
-                operator.restart_patch();
+                operator.discard_patch_base();
                 self.outcome.unanswered += 1;
             }
             Reply::Document(document) => {
--- a/crates/lockusher-control-simulation/src/cluster.rs
+++ b/crates/lockusher-control-simulation/src/cluster.rs
@@ -88,7 +88,7 @@
             now: 0,
             fault_random: ChaCha8Rng::seed_from_u64(options.seed),
             random,
-            network: Network::with_links_of(options.link_bytes_per_ms),
+            network: Network::with_link_bandwidth(options.link_bytes_per_ms),
             nodes,
             operators: (0..OPERATOR_COUNT).map(Operator::new).collect(),
             violations: ViolationLog::default(),
@@ -138,7 +138,7 @@
     pub fn advance(&mut self, until: Millis) {
         while let Some(next) = self.next_time().filter(|next| *next <= until) {
             self.now = self.now.max(next);
-            self.deliver();
+            self.deliver_messages();
             self.deliver_delayed_calls();
             for node in 0..self.nodes.len() {
                 self.run_node(node);
@@ -159,23 +159,24 @@
                 .into_iter()
                 .flatten()
         });
-        let late = self.delayed_calls.iter().map(|call| call.due);
-        nodes.chain(late).chain(self.network.next_due()).min()
+        let delayed = self.delayed_calls.iter().map(|call| call.due);
+        nodes.chain(delayed).chain(self.network.next_due()).min()
     }
 
-    fn deliver(&mut self) {
-        while let Some(arrival) = self.network.arrive(self.now) {
+    fn deliver_messages(&mut self) {
+        while let Some(arrival) = self.network.take_due(self.now) {
             let Some(Delivery { from, to, message }) = arrival else {
                 continue;
             };
             let Some(node) = self.nodes.iter().position(|node| node.address == to) else {
                 continue;
             };
-            let thaws_at = self.nodes[node].frozen_until;
+            let resumes_at = self.nodes[node].frozen_until;
             if self.nodes[node].runs(self.now) {
-                self.event(node, Event::Message { from, message });
-            } else if thaws_at > self.now {
-                self.network.hold(Delivery { from, to, message }, thaws_at);
+                self.handle_event(node, Event::Message { from, message });
+            } else if resumes_at > self.now {
+                self.network
+                    .schedule(Delivery { from, to, message }, resumes_at);
             }
         }
     }
--- a/crates/lockusher-control-simulation/src/disk.rs
+++ b/crates/lockusher-control-simulation/src/disk.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::{disk_contents::DiskContents, options::DiskOrder};
+use crate::{disk_contents::DiskContents, options::SurvivingWrites};
 
 /// The log and the writes in flight.
 #[derive(Debug, Default)]
@@ -49,7 +49,7 @@
 
 /// A write that has ended.
 #[derive(Clone, Debug)]
-pub struct Finished {
+pub struct CompletedWrite {
     pub ticket: PersistTicket,
     /// The records, if they are durable now; the disk refused them otherwise.
     pub durable: Option<Vec<DurableRecord>>,
@@ -70,10 +70,10 @@
 
     /// Ends slowness, stalls and the lack of space; writes in flight go on at the normal pace.
     pub fn recover(&mut self, now: Millis) {
-        let mut usual_due = now;
+        let mut normal_due = now;
         for write in &mut self.writes {
-            usual_due += self.normal_max_sync;
-            write.due = write.due.min(usual_due);
+            normal_due += self.normal_max_sync;
+            write.due = write.due.min(normal_due);
         }
         self.max_sync = self.normal_max_sync;
         self.stalled_until = self.stalled_until.min(now);
@@ -88,8 +88,8 @@
         now: Millis,
         random: &mut ChaCha8Rng,
     ) {
-        let after_last = self.writes.back().map_or(now, |write| write.due).max(now);
-        let due = after_last + random.random_range(1..=self.max_sync.max(1));
+        let last_due = self.writes.back().map_or(now, |write| write.due).max(now);
+        let due = last_due + random.random_range(1..=self.max_sync.max(1));
         self.writes.push_back(Write {
             ticket,
             records,
@@ -112,7 +112,7 @@
     }
 
     /// Ends the next write if it is due.
-    pub fn finish(&mut self, now: Millis) -> Option<Finished> {
+    pub fn complete_next_write(&mut self, now: Millis) -> Option<CompletedWrite> {
         if self.next_due()? > now {
             return None;
         }
@@ -121,24 +121,26 @@
         if !refused {
             self.append(&write.records);
         }
-        Some(Finished {
+        Some(CompletedWrite {
             ticket: write.ticket,
             durable: (!refused).then_some(write.records),
         })
     }
 
     fn append(&mut self, records: &[DurableRecord]) {
-        records.iter().for_each(|record| self.contents.add(record));
+        records
+            .iter()
+            .for_each(|record| self.contents.apply(record));
         self.log.extend_from_slice(records);
     }
 
     /// The process ends or power is lost: some of the writes in flight may be durable.
-    pub fn interrupt(&mut self, order: DiskOrder, random: &mut ChaCha8Rng) {
+    pub fn interrupt(&mut self, surviving_writes: SurvivingWrites, random: &mut ChaCha8Rng) {
         let completed = random.random_range(0..=self.writes.len());
         for (position, write) in std::mem::take(&mut self.writes).into_iter().enumerate() {
-            let is_durable = match order {
-                DiskOrder::Kept => position < completed,
-                DiskOrder::Any => random.random_ratio(1, 2),
+            let is_durable = match surviving_writes {
+                SurvivingWrites::Prefix => position < completed,
+                SurvivingWrites::AnySubset => random.random_ratio(1, 2),
             };
             if is_durable && !refuses(self.space, &write.records) {
                 self.append(&write.records);
@@ -147,7 +149,7 @@
     }
 
     /// Loses everything.
-    pub fn wipe(&mut self) {
+    pub fn erase(&mut self) {
         *self = Self::new(self.normal_max_sync);
     }
 
@@ -167,7 +169,7 @@
                 }
                 _ => continue,
             }
-            self.contents = DiskContents::of(&self.log);
+            self.contents = DiskContents::from_records(&self.log);
             self.corrupted = true;
             return true;
         }
@@ -185,13 +187,13 @@
     }
 
     /// Whether the log is long enough to be replaced by a snapshot.
-    pub fn wants_snapshot(&self) -> bool {
+    pub fn needs_snapshot(&self) -> bool {
         self.log.len() > SNAPSHOT_AFTER_RECORDS && self.writes.is_empty()
     }
 
     /// Replaces the log.
-    pub fn replace(&mut self, records: Vec<DurableRecord>) {
-        self.contents = DiskContents::of(&records);
+    pub fn replace_log(&mut self, records: Vec<DurableRecord>) {
+        self.contents = DiskContents::from_records(&records);
         self.log = records;
     }
 }
@@ -199,12 +201,12 @@
 fn refuses(space: DiskSpace, records: &[DurableRecord]) -> bool {
     match space {
         DiskSpace::Sufficient => false,
-        DiskSpace::VotesOnly => records.iter().any(is_large),
+        DiskSpace::VotesOnly => records.iter().any(is_entry_or_state),
         DiskSpace::Full => true,
     }
 }
 
-fn is_large(record: &DurableRecord) -> bool {
+fn is_entry_or_state(record: &DurableRecord) -> bool {
     matches!(
         record,
         DurableRecord::Entry { .. } | DurableRecord::State { .. }
--- a/crates/lockusher-control-simulation/src/disk_contents.rs
+++ b/crates/lockusher-control-simulation/src/disk_contents.rs
@@ -20,14 +20,14 @@
 
 impl DiskContents {
     /// The sum of these records, in their order.
-    pub fn of(records: &[DurableRecord]) -> Self {
+    pub fn from_records(records: &[DurableRecord]) -> Self {
         let mut contents = Self::default();
-        records.iter().for_each(|record| contents.add(record));
+        records.iter().for_each(|record| contents.apply(record));
         contents
     }
 
     /// A further record has become durable.
-    pub fn add(&mut self, record: &DurableRecord) {
+    pub fn apply(&mut self, record: &DurableRecord) {
         match record {
             DurableRecord::Identity { identity, .. } => self.identity = Some(*identity),
             DurableRecord::View(view) => {
@@ -87,7 +87,7 @@
     }
 
     /// Whether the state contains this configuration or was built on it.
-    pub fn has_taken(&self, digest: Digest) -> bool {
+    pub fn has_applied(&self, digest: Digest) -> bool {
         self.durable_state.state.has_applied(digest)
     }
 
--- a/crates/lockusher-control-simulation/src/disk_losses.rs
+++ b/crates/lockusher-control-simulation/src/disk_losses.rs
@@ -25,7 +25,7 @@
 /// How long a minority is partitioned from the others.
 const PARTITION_MS: Range<Millis> = 500..4000;
 /// From the first fault in a zone until all of it is lost.
-const ZONE_FAILS_MS: Range<Millis> = 0..1500;
+const ZONE_FAILURE_DELAY_MS: Range<Millis> = 0..1500;
 /// How long the others are down after that.
 const LONG_DOWNTIME_MS: Range<Millis> = 1000..8000;
 
@@ -68,7 +68,7 @@
                 self.nodes[number].disk_lost = false;
             }
         }
-        self.update_mistakable(&unhealthy);
+        self.update_looks_removed(&unhealthy);
     }
 
     /// Whether a majority of the newest view's voters, with their disks, are healthy.
@@ -90,10 +90,10 @@
             .present()
             .into_iter()
             .filter(|number| self.nodes[*number].disk_lost);
-        let bearable = (self.options.replicas.saturating_sub(1) / 2)
-            .saturating_sub(self.displaced_votes())
+        let tolerable_losses = (self.options.replicas.saturating_sub(1) / 2)
+            .saturating_sub(self.stale_votes())
             .min(self.tolerated_losses());
-        bearable.saturating_sub(lost.count())
+        tolerable_losses.saturating_sub(lost.count())
     }
 
     /// Ends the faults and waits until a disk may be lost again; the operators go on. Whether one may.
@@ -135,13 +135,13 @@
             _ => Target::Any,
         };
         let present = self.present();
-        let disk_age = |number: &usize| self.nodes[*number].disk_born;
+        let created_at = |number: &usize| self.nodes[*number].disk_created_at;
         let machine = match target {
             Target::Any => None,
             Target::Head => self.head(),
             Target::Tail => self.chain().last().copied(),
-            Target::NewestDisk => present.iter().copied().max_by_key(disk_age),
-            Target::OldestDisk => present.iter().copied().min_by_key(disk_age),
+            Target::NewestDisk => present.iter().copied().max_by_key(created_at),
+            Target::OldestDisk => present.iter().copied().min_by_key(created_at),
         };
         machine
             .filter(|number| present.contains(number))
@@ -192,13 +192,13 @@
         }
     }
 
-    fn replace_after_loss(&mut self, number: usize, is_announced: bool) {
-        if is_announced {
+    fn replace_after_loss(&mut self, number: usize, is_graceful: bool) {
+        if is_graceful {
             self.stop(number);
         }
-        self.remove(number);
+        self.remove_machine(number);
         let after = self.fault_random.random_range(SHORT_DOWNTIME_MS);
-        let successor = self.add(after);
+        let successor = self.add_machine(after);
         self.nodes[successor].zone = self.nodes[number].zone;
         self.nodes[successor].disk_lost = true;
         self.record_replacement(number, successor);
@@ -210,7 +210,7 @@
             return self.replace_after_loss(number, true);
         }
         self.end_faults();
-        let successor = self.add(1);
+        let successor = self.add_machine(1);
         self.nodes[successor].zone = self.nodes[number].zone;
         self.nodes[successor].disk_lost = true;
         let deadline = self.now + 3 * CATCH_UP_MS;
@@ -219,7 +219,7 @@
         }
         let joined = !self.nodes[successor].disk_lost;
         self.stop(number);
-        self.remove(number);
+        self.remove_machine(number);
         self.nodes[successor].disk_lost = !joined;
         self.record_replacement(number, successor);
     }
@@ -232,19 +232,21 @@
             return;
         }
         self.end_faults();
-        let zone = self.fault_random.random_range(0..self.options.zones.len());
+        let zone = self
+            .fault_random
+            .random_range(0..self.options.zone_sizes.len());
         let deadline = self.now + 3 * CATCH_UP_MS;
-        while !self.may_lose_zone(zone) && self.now < deadline {
+        while !self.is_zone_loss_allowed(zone) && self.now < deadline {
             self.step_during_fault(STEP_MS);
         }
         let machines: Vec<usize> = self.machines_of(zone);
         let Some(first) = machines.first().copied() else {
             return;
         };
-        if !self.may_lose_zone(zone) {
+        if !self.is_zone_loss_allowed(zone) {
             return;
         }
-        let until = self.now + self.fault_random.random_range(ZONE_FAILS_MS);
+        let until = self.now + self.fault_random.random_range(ZONE_FAILURE_DELAY_MS);
         match self.fault_random.random_range(0..3) {
             0 => self.crash(first, LONG_DOWNTIME_MS.end),
             1 => self.stop(first),
@@ -267,7 +269,7 @@
     }
 
     /// Whether no disk elsewhere is lost, every machine elsewhere has caught up, and no vote of a removed machine is left.
-    fn may_lose_zone(&self, zone: usize) -> bool {
+    fn is_zone_loss_allowed(&self, zone: usize) -> bool {
         let elsewhere = self.present().into_iter();
         let mut elsewhere = elsewhere.filter(|number| self.nodes[*number].zone != zone);
         let has_caught_up = |number: usize| {
@@ -297,14 +299,14 @@
         }
         let present = self.present();
         let skip = self.fault_random.random_range(0..present.len());
-        let in_turn: Vec<usize> = present
+        let rotated: Vec<usize> = present
             .iter()
             .cycle()
             .skip(skip)
             .take(present.len())
             .copied()
             .collect();
-        let (minority, others) = in_turn.split_at((present.len() - 1) / 2);
+        let (minority, others) = rotated.split_at((present.len() - 1) / 2);
         self.partition_groups(minority, others);
         let until = self.now + self.fault_random.random_range(PARTITION_MS);
         while self.now < until {
--- a/crates/lockusher-control-simulation/src/fault_actions.rs
+++ b/crates/lockusher-control-simulation/src/fault_actions.rs
@@ -12,7 +12,7 @@
 const STOP_MS: Millis = 300;
 
 /// The most that a process waits until it has handed over.
-const LONG_STOP_MS: Millis = 2000;
+const MAX_HANDOVER_MS: Millis = 2000;
 
 impl Cluster {
     /// Kills a process, which starts again after `downtime`. A loss of power is the same here: of what wasn't synced,
@@ -21,7 +21,7 @@
         log::debug!("{}: crash of machine {number} for {downtime} ms", self.now);
         let node = &mut self.nodes[number];
         node.disk
-            .interrupt(self.options.disk_order, &mut self.random);
+            .interrupt(self.options.surviving_writes, &mut self.random);
         node.replica = None;
         node.adopted_epoch = 0;
         node.frozen_until = 0;
@@ -35,10 +35,10 @@
         self.outcome.wipes += 1;
         let now = self.now;
         let node = &mut self.nodes[number];
-        node.disk.wipe();
+        node.disk.erase();
         node.first_start = false;
         node.disk_lost = true;
-        node.disk_born = now;
+        node.disk_created_at = now;
     }
 
     /// Replaces the configuration on this machine's disk by another one, which no checksum shows. Whether it held one.
@@ -48,7 +48,7 @@
     }
 
     /// Removes a machine for good.
-    pub fn remove(&mut self, number: usize) {
+    pub fn remove_machine(&mut self, number: usize) {
         log::debug!("{}: machine {number} removed", self.now);
         self.crash(number, 0);
         self.outcome.wipes += 1;
@@ -57,7 +57,7 @@
     }
 
     /// Adds an empty machine at a new address, which starts after this time. Its number.
-    pub fn add(&mut self, delay: Millis) -> usize {
+    pub fn add_machine(&mut self, delay: Millis) -> usize {
         log::debug!(
             "{}: machine {} added in {delay} ms",
             self.now,
@@ -71,11 +71,11 @@
 
     /// Announces the end of a process and gives it time to hand over.
     pub fn stop(&mut self, number: usize) {
-        self.event(number, Event::Stop);
+        self.handle_event(number, Event::Stop);
         self.advance(self.now + STOP_MS);
         if self.options.loses_zones() {
             // The process waits until a node of its zone has taken its place.
-            self.run_until(LONG_STOP_MS - STOP_MS, |cluster| {
+            self.run_until(MAX_HANDOVER_MS - STOP_MS, |cluster| {
                 let replica = cluster.replica(number);
                 replica.is_none_or(Replica::has_handed_over)
             });
--- a/crates/lockusher-control-simulation/src/fault_injection.rs
+++ b/crates/lockusher-control-simulation/src/fault_injection.rs
@@ -40,12 +40,12 @@
 
 impl Cluster {
     /// Steps under faults and calls; the faults of some steps are left out.
-    pub fn run_under_faults(&mut self, steps: usize, left_out: &BTreeSet<usize>) {
+    pub fn run_under_faults(&mut self, steps: usize, omitted_steps: &BTreeSet<usize>) {
         for step in 0..steps {
             if !self.violations.is_empty() {
                 return;
             }
-            self.step_faults(step, left_out);
+            self.step_faults(step, omitted_steps);
             self.step_operators();
             let interval = self.random.random_range(STEP_MS);
             self.advance(self.now + interval);
@@ -53,21 +53,21 @@
     }
 
     /// Begins or ends the fault of a step, if it has one.
-    fn step_faults(&mut self, step: usize, left_out: &BTreeSet<usize>) {
+    fn step_faults(&mut self, step: usize, omitted_steps: &BTreeSet<usize>) {
         self.update_node_health();
         if self.now < FIRST_FAULT_AT_MS {
             return;
         }
         let drawn = self.fault_schedule.draw(step);
         self.fault_random = drawn.random;
-        let Some(kind) = drawn.kind.filter(|_| !left_out.contains(&step)) else {
+        let Some(kind) = drawn.kind.filter(|_| !omitted_steps.contains(&step)) else {
             return;
         };
         self.outcome.faults.push(FaultStep { step, kind });
-        self.begin_fault(kind);
+        self.apply_fault(kind);
     }
 
-    fn begin_fault(&mut self, kind: FaultKind) {
+    fn apply_fault(&mut self, kind: FaultKind) {
         match kind {
             FaultKind::Crash => self.crash_one(),
             FaultKind::CrashAll => self.crash_all(),
@@ -89,7 +89,7 @@
             FaultKind::LoseDisksInSequence => self.lose_disks_in_sequence(),
             FaultKind::LoseDiskBehindPartition => self.lose_disk_behind_partition(),
             FaultKind::TargetedFault => self.arm_targeted_fault(),
-            FaultKind::EntryCrossesSeal => self.let_entry_cross_seal(),
+            FaultKind::EntryAfterSeal => self.deliver_entry_after_seal(),
             FaultKind::RestartForwarder => self.restart_forwarder(),
             FaultKind::LoseZone => self.lose_zone(),
         }
--- a/crates/lockusher-control-simulation/src/fault_schedule.rs
+++ b/crates/lockusher-control-simulation/src/fault_schedule.rs
@@ -115,7 +115,7 @@
     TargetedFault,
     /// An entry of a head that seems unreachable arrives at a member right after that has sealed the epoch.
     #[display("an entry crosses a seal")]
-    EntryCrossesSeal,
+    EntryAfterSeal,
     /// A process is restarted while a request that it forwarded waits at the head.
     #[display("a process is restarted while its request waits")]
     RestartForwarder,
@@ -148,7 +148,7 @@
             182..184 => FaultKind::LoseDisksInSequence,
             184..186 => FaultKind::LoseDiskBehindPartition,
             186..198 => FaultKind::TargetedFault,
-            200..206 => FaultKind::EntryCrossesSeal,
+            200..206 => FaultKind::EntryAfterSeal,
             206..212 => FaultKind::RestartForwarder,
             212..218 => FaultKind::LoseZone,
             _ => return None,
--- a/crates/lockusher-control-simulation/src/invariant_checks.rs
+++ b/crates/lockusher-control-simulation/src/invariant_checks.rs
@@ -11,8 +11,8 @@
         self.options.checks == Checks::All
     }
 
-    fn report(&mut self, checked: Result<(), InvariantViolation>) {
-        if let Err(violation) = checked {
+    fn report(&mut self, result: Result<(), InvariantViolation>) {
+        if let Err(violation) = result {
             self.violations.report(self.now, violation);
         }
     }
@@ -25,8 +25,8 @@
         let Some(disk) = self.nodes[number].disk.contents() else {
             return;
         };
-        let checked = self.invariants.sent(message, disk);
-        self.report(checked);
+        let result = self.invariants.check_message(message, disk);
+        self.report(result);
     }
 
     /// Checks records of a node that have become durable.
@@ -40,8 +40,8 @@
         let Some(identity) = disk.identity() else {
             return;
         };
-        let checked = self.invariants.written(identity, records, disk);
-        self.report(checked);
+        let result = self.invariants.check_records(identity, records, disk);
+        self.report(result);
     }
 
     /// Checks the view of a node, if it has adopted a new one.
@@ -54,8 +54,8 @@
         }
         let view = view.clone();
         self.nodes[number].adopted_epoch = view.epoch;
-        let minimum = 2 * self.tolerated_losses() + 1;
-        let adopted = self.invariants.adopted(&view, minimum);
+        let minimum_voters = 2 * self.tolerated_losses() + 1;
+        let adopted = self.invariants.check_adopted_view(&view, minimum_voters);
         if !self.checks_invariants() {
             return;
         }
@@ -79,10 +79,10 @@
         };
         let lacks = |member: &Identity| {
             self.disk_of(*member)
-                .is_some_and(|disk| !disk.has_taken(digest))
+                .is_some_and(|disk| !disk.has_applied(digest))
         };
-        let lacking = view.chain.iter().copied().find(lacks);
-        if let Some(member) = lacking {
+        let lagging_member = view.chain.iter().copied().find(lacks);
+        if let Some(member) = lagging_member {
             let epoch = view.epoch;
             self.violations.report(
                 self.now,
@@ -98,8 +98,8 @@
     /// What the disk with this identity holds; none if it is lost.
     fn disk_of(&self, identity: Identity) -> Option<&DiskContents> {
         let disks = self.nodes.iter().filter_map(|node| node.disk.contents());
-        let mut of_identity = disks.filter(|disk| disk.identity() == Some(identity));
-        of_identity.next()
+        let mut matching = disks.filter(|disk| disk.identity() == Some(identity));
+        matching.next()
     }
 
     /// Checks that a process that has started recovered all that its disk holds.
@@ -111,7 +111,7 @@
         if !self.checks_invariants() || disk.identity().is_none() {
             return;
         }
-        let missing = disk.first_missing_in(&DiskContents::of(&replica.snapshot()));
+        let missing = disk.first_missing_in(&DiskContents::from_records(&replica.snapshot()));
         let node = node.address;
         if let Some(missing) = missing {
             self.violations
@@ -125,7 +125,7 @@
         let Some(disk) = node.disk.contents().filter(|_| self.checks_invariants()) else {
             return;
         };
-        let missing = disk.first_missing_in(&DiskContents::of(records));
+        let missing = disk.first_missing_in(&DiskContents::from_records(records));
         let node = node.address;
         if let Some(missing) = missing {
             self.violations.report(
--- a/crates/lockusher-control-simulation/src/invariants.rs
+++ b/crates/lockusher-control-simulation/src/invariants.rs
@@ -3,7 +3,7 @@
 //! A violation is a bug even in a run in which another guard prevents the harm. It shows long before the rare sequence of
 //! faults in which an operator would observe something wrong. The rules of the agreement are those of an acceptor of
 //! single-decree Paxos (Lamport, "Paxos Made Simple", 2001), those of the chain are chain replication's (van Renesse and
-//! Schneider, OSDI 2004), with reconfiguration by sealing the former chain.
+//! Schneider, OSDI 2004), with reconfiguration by sealing the previous chain.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -49,7 +49,7 @@
     /// # Errors
     ///
     /// The invariant that the message violates.
-    pub fn sent(
+    pub fn check_message(
         &mut self,
         message: &Message,
         disk: &DiskContents,
@@ -78,8 +78,8 @@
             MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Join => {
                 self.check_join_transfer(sender, epoch, transfer.history_digest, disk)
             }
-            MessageBody::TransferResponse(answer)
-                if answer.stored && answer.history_digest != disk.history_digest() =>
+            MessageBody::TransferResponse(response)
+                if response.stored && response.history_digest != disk.history_digest() =>
             {
                 Err(InvariantViolation::TransferResponseNotDurable { member: sender })
             }
@@ -111,7 +111,7 @@
         sent.promises.insert(proposal_number, reported);
         let accepted_below = sent.accepted.range(..proposal_number).next_back().copied();
         if accepted_below > reported {
-            return Err(InvariantViolation::AcceptanceConcealed {
+            return Err(InvariantViolation::AcceptanceNotReported {
                 voter: sender,
                 epoch,
                 accepted: accepted_below,
@@ -140,12 +140,12 @@
         let sent = self.sent_in_epoch(sender, epoch);
         sent.accepted.insert(proposal_number);
         let higher = (Bound::Excluded(proposal_number), Bound::Unbounded);
-        let broken = sent
+        let violated_promise = sent
             .promises
             .range(higher)
             .find(|(_, reported)| **reported < Some(proposal_number));
-        if let Some((promised, _)) = broken {
-            return Err(InvariantViolation::PromiseBroken {
+        if let Some((promised, _)) = violated_promise {
+            return Err(InvariantViolation::AcceptedBelowPromise {
                 voter: sender,
                 epoch,
                 accepted: proposal_number,
@@ -184,7 +184,7 @@
         disk: &DiskContents,
     ) -> Result<(), InvariantViolation> {
         if !disk.is_sealed(epoch) {
-            return Err(InvariantViolation::TransferUnsealed {
+            return Err(InvariantViolation::TransferBeforeSeal {
                 member: sender,
                 epoch,
             });
@@ -197,10 +197,12 @@
             .handed_over
             .replace(history_digest)
         {
-            Some(former) if former != history_digest => Err(InvariantViolation::TwoSealedStates {
-                member: sender,
-                epoch,
-            }),
+            Some(previous) if previous != history_digest => {
+                Err(InvariantViolation::TwoSealedStates {
+                    member: sender,
+                    epoch,
+                })
+            }
             _ => Ok(()),
         }
     }
@@ -213,11 +215,11 @@
         digest: Digest,
         disk: &DiskContents,
     ) -> Result<(), InvariantViolation> {
-        let former = *self.entries.entry((epoch, index)).or_insert(digest);
-        if former != digest {
+        let previous = *self.entries.entry((epoch, index)).or_insert(digest);
+        if previous != digest {
             return Err(InvariantViolation::TwoEntries { index, epoch });
         }
-        if !disk.has_taken(digest) {
+        if !disk.has_applied(digest) {
             return Err(InvariantViolation::EntrySentBeforeDurable { index, epoch });
         }
         Ok(())
@@ -231,7 +233,7 @@
         disk: &DiskContents,
     ) -> Result<(), InvariantViolation> {
         match self.entries.get(&(epoch, index)) {
-            Some(digest) if !disk.has_taken(*digest) => {
+            Some(digest) if !disk.has_applied(*digest) => {
                 Err(InvariantViolation::AcknowledgedEntryNotDurable {
                     member: sender,
                     index,
@@ -247,7 +249,7 @@
     /// # Errors
     ///
     /// The invariant that a record violates.
-    pub fn written(
+    pub fn check_records(
         &mut self,
         identity: Identity,
         records: &[DurableRecord],
@@ -300,39 +302,39 @@
     /// # Errors
     ///
     /// What is wrong with the view.
-    pub fn adopted(
+    pub fn check_adopted_view(
         &mut self,
         view: &View,
         minimum_voters: usize,
     ) -> Result<bool, InvariantViolation> {
-        if let Some(known) = self.views.get(&view.epoch) {
-            return if known == view {
+        if let Some(recorded) = self.views.get(&view.epoch) {
+            return if recorded == view {
                 Ok(false)
             } else {
                 Err(InvariantViolation::TwoViews { epoch: view.epoch })
             };
         }
         self.views.insert(view.epoch, view.clone());
-        if let Some(former) = self.views.get(&(view.epoch - 1)) {
-            check_succession(former, view, minimum_voters)?;
-            self.check_majority(former, view)?;
+        if let Some(previous) = self.views.get(&(view.epoch - 1)) {
+            check_succession(previous, view, minimum_voters)?;
+            self.check_majority(previous, view)?;
         }
         Ok(true)
     }
 
-    fn check_majority(&self, former: &View, view: &View) -> Result<(), InvariantViolation> {
+    fn check_majority(&self, previous: &View, view: &View) -> Result<(), InvariantViolation> {
         let proposals = self
             .proposed_views
             .iter()
-            .filter(|((epoch, _), proposed)| *epoch == former.epoch && *proposed == view);
+            .filter(|((epoch, _), proposed)| *epoch == previous.epoch && *proposed == view);
         let is_accepted = proposals
             .map(|(key, _)| self.acceptances.get(key))
             .any(|accepted_by| {
                 let voters = accepted_by
                     .into_iter()
                     .flatten()
-                    .filter(|identity| former.is_voter(**identity));
-                voters.count() >= former.majority()
+                    .filter(|identity| previous.is_voter(**identity));
+                voters.count() >= previous.majority()
             });
         if is_accepted {
             Ok(())
--- a/crates/lockusher-control-simulation/src/lib.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -45,9 +45,9 @@
 pub use cluster::Cluster;
 pub use disk::DiskSpace;
 pub use fault_schedule::{FaultKind, FaultStep};
-pub use options::{Checks, DiskOrder, SimulationOptions};
+pub use options::{Checks, SimulationOptions, SurvivingWrites};
 pub use outcome::Outcome;
-pub use run::{simulate, simulate_with, simulate_without};
+pub use run::{simulate, simulate_omitting_faults, simulate_with};
 pub use shrink::{Shrunk, shrink};
 pub use violation::{
     DurablePart, InvariantViolation, ModelViolation, RecoveryViolation, Violation, ViolationKind,
--- a/crates/lockusher-control-simulation/src/message_races.rs
+++ b/crates/lockusher-control-simulation/src/message_races.rs
@@ -10,26 +10,26 @@
 use crate::cluster::Cluster;
 
 /// How long members are down that leave the chain: long enough to be suspected and left out.
-const LEFT_OUT_MS: Millis = 1600;
+const EXCLUSION_DOWNTIME_MS: Millis = 1600;
 /// From their return until the head's messages are kept back: not long enough to join again.
-const RETURNED_MS: Range<Millis> = 50..250;
+const RETURN_DELAY_MS: Range<Millis> = 50..250;
 /// How long the head's messages are kept back at most.
 const CONGESTION_LIMIT_MS: Millis = 4000;
 /// How long after the seal they arrive.
-const AFTER_SEAL_MS: Range<Millis> = 0..20;
+const DELAY_AFTER_SEAL_MS: Range<Millis> = 0..20;
 /// How long a process is down that is restarted at once.
 const RESTART_MS: Millis = 1;
 /// From the start of a process until it has found the head.
-const STARTED_MS: Range<Millis> = 30..150;
+const START_DELAY_MS: Range<Millis> = 30..150;
 /// How long a forwarded request takes to the head.
-const FORWARDED_MS: Range<Millis> = 13..40;
+const FORWARD_DELAY_MS: Range<Millis> = 13..40;
 /// How long the disk of another member keeps a write waiting.
-const WRITE_WAITS_MS: Millis = 400;
+const STALL_DURATION_MS: Millis = 400;
 
 impl Cluster {
     /// The chain is left with a bare majority, and those outside of it come back. Then all that the head sends is kept back,
     /// also an entry, until a member that suspects it has sealed the epoch and handed over its state to joiners.
-    pub(crate) fn let_entry_cross_seal(&mut self) {
+    pub(crate) fn deliver_entry_after_seal(&mut self) {
         let (chain, majority) = (self.chain(), self.voters() / 2 + 1);
         let Some(head) = self.head() else { return };
         if chain.len() < 2 || chain.len() < majority || self.present().len() <= majority {
@@ -37,27 +37,27 @@
         }
         for number in &chain[majority.max(2)..] {
             if !self.nodes[*number].removed {
-                self.crash(*number, LEFT_OUT_MS);
+                self.crash(*number, EXCLUSION_DOWNTIME_MS);
             }
         }
-        let returned = self.fault_random.random_range(RETURNED_MS);
-        self.wait(LEFT_OUT_MS + returned);
+        let return_delay = self.fault_random.random_range(RETURN_DELAY_MS);
+        self.wait(EXCLUSION_DOWNTIME_MS + return_delay);
         if self.head() != Some(head) {
             return;
         }
-        self.network.congest(self.nodes[head].address);
+        self.network.hold_messages_of(self.nodes[head].address);
         self.send_change_to(head, 0);
         let until = self.now + CONGESTION_LIMIT_MS;
-        while !self.has_other_member_handed_over(head) && self.now < until {
+        while !self.has_other_member_transferred_seal(head) && self.now < until {
             self.wait(1);
         }
-        let after_seal = self.fault_random.random_range(AFTER_SEAL_MS);
-        self.wait(after_seal);
-        self.network.end_congestion(self.now);
+        let delay_after_seal = self.fault_random.random_range(DELAY_AFTER_SEAL_MS);
+        self.wait(delay_after_seal);
+        self.network.release_held_messages(self.now);
     }
 
     /// Whether another machine than the head has handed over its sealed state in the newest epoch.
-    fn has_other_member_handed_over(&self, head: usize) -> bool {
+    fn has_other_member_transferred_seal(&self, head: usize) -> bool {
         let Some(view) = self.invariants.newest_view() else {
             return false;
         };
@@ -80,22 +80,22 @@
             return;
         }
         self.crash(forwarder, RESTART_MS);
-        let started = self.fault_random.random_range(STARTED_MS);
-        self.wait(started);
-        self.stall_disk(slow_member, WRITE_WAITS_MS);
+        let start_delay = self.fault_random.random_range(START_DELAY_MS);
+        self.wait(start_delay);
+        self.stall_disk(slow_member, STALL_DURATION_MS);
         if !self.nodes[forwarder].runs(self.now) {
             return;
         }
         self.send_change_to(forwarder, 0);
-        let forwarded = self.fault_random.random_range(FORWARDED_MS);
-        self.wait(forwarded);
+        let forward_delay = self.fault_random.random_range(FORWARD_DELAY_MS);
+        self.wait(forward_delay);
         self.crash(forwarder, RESTART_MS);
         self.wait(2 * RESTART_MS);
         if !self.nodes[forwarder].runs(self.now) {
             return;
         }
-        self.expire_call_now(1);
-        self.call_at(forwarder, 1, Request::Read, None);
-        self.wait(WRITE_WAITS_MS);
+        self.abandon_call(1);
+        self.call_node(forwarder, 1, Request::Read, None);
+        self.wait(STALL_DURATION_MS);
     }
 }
--- a/crates/lockusher-control-simulation/src/network.rs
+++ b/crates/lockusher-control-simulation/src/network.rs
@@ -16,11 +16,11 @@
 pub struct Network {
     arrivals: BinaryHeap<Reverse<(Millis, u64)>>,
     in_flight: BTreeMap<u64, Delivery>,
-    next: u64,
+    last_number: u64,
     partitioned_links: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
     /// A sender whose messages are kept back, and those that are.
-    congested_sender: Option<SocketAddrV4>,
-    congested: Vec<Delivery>,
+    held_sender: Option<SocketAddrV4>,
+    held_messages: Vec<Delivery>,
     /// Bytes that each machine's link carries in a millisecond, in one direction; none if it is never the limit.
     bytes_per_ms: Option<u64>,
     /// Until when a machine's link carries the long messages that it has sent.
@@ -48,7 +48,7 @@
 /// One message in so many is encoded and decoded on its way.
 const ENCODE_ONE_MESSAGE_IN: u64 = 16;
 /// A message with a longer configuration takes the connection for long messages.
-const MAX_SHORT_BYTES: u64 = 32 * 1024;
+const MAX_SHORT_MESSAGE_BYTES: u64 = 32 * 1024;
 /// Normal time in flight.
 const NORMAL_DELAY_MS: std::ops::RangeInclusive<Millis> = 1..=12;
 /// Time in flight of a delayed message.
@@ -56,7 +56,7 @@
 
 impl Network {
     /// A network whose machines have links of this bandwidth, in bytes per millisecond.
-    pub fn with_links_of(bytes_per_ms: Option<u64>) -> Self {
+    pub fn with_link_bandwidth(bytes_per_ms: Option<u64>) -> Self {
         Self {
             bytes_per_ms,
             ..Self::default()
@@ -68,7 +68,7 @@
         self.sent += 1;
         let deliveries = 1 + u32::from(random.random_ratio(self.duplicated, 100));
         for _ in 0..deliveries {
-            let carried_at = self.carried_at(&delivery, now);
+            let transmitted_at = self.transmitted_at(&delivery, now);
             let lost = random.random_ratio(self.loss, 100);
             let delayed = random.random_ratio(self.delayed, 100);
             let delay = random.random_range(if delayed {
@@ -77,19 +77,19 @@
                 NORMAL_DELAY_MS
             });
             if !lost {
-                self.hold(delivery.clone(), carried_at + delay);
+                self.schedule(delivery.clone(), transmitted_at + delay);
             }
         }
     }
 
     /// When the sender's link has carried a message. Long ones wait for each other; short ones pass them, on a connection of
     /// their own.
-    fn carried_at(&mut self, delivery: &Delivery, now: Millis) -> Millis {
+    fn transmitted_at(&mut self, delivery: &Delivery, now: Millis) -> Millis {
         let Some(bytes_per_ms) = self.bytes_per_ms else {
             return now;
         };
         let document_bytes = document_bytes(&delivery.message);
-        if document_bytes <= MAX_SHORT_BYTES {
+        if document_bytes <= MAX_SHORT_MESSAGE_BYTES {
             return now;
         }
         let busy_until = self.busy_until.entry(delivery.from).or_default();
@@ -98,10 +98,10 @@
     }
 
     /// Lets a message arrive at this time.
-    pub fn hold(&mut self, delivery: Delivery, until: Millis) {
-        self.next += 1;
-        self.arrivals.push(Reverse((until, self.next)));
-        self.in_flight.insert(self.next, delivery);
+    pub fn schedule(&mut self, delivery: Delivery, arrives_at: Millis) {
+        self.last_number += 1;
+        self.arrivals.push(Reverse((arrives_at, self.last_number)));
+        self.in_flight.insert(self.last_number, delivery);
     }
 
     /// When the next message arrives.
@@ -110,7 +110,7 @@
     }
 
     /// Takes the next message if it is due. A sample takes its form on the wire. Messages on a partitioned link are lost.
-    pub fn arrive(&mut self, now: Millis) -> Option<Option<Delivery>> {
+    pub fn take_due(&mut self, now: Millis) -> Option<Option<Delivery>> {
         if self.next_due()? > now {
             return None;
         }
@@ -122,8 +122,8 @@
         {
             return Some(None);
         }
-        if self.congested_sender == Some(delivery.from) {
-            self.congested.push(delivery);
+        if self.held_sender == Some(delivery.from) {
+            self.held_messages.push(delivery);
             return Some(None);
         }
         if number % ENCODE_ONE_MESSAGE_IN != 0 {
@@ -140,16 +140,16 @@
         }))
     }
 
-    /// Keeps back all messages of this sender until [`Network::end_congestion`].
-    pub fn congest(&mut self, sender: SocketAddrV4) {
-        self.congested_sender = Some(sender);
+    /// Keeps back all messages of this sender until [`Network::release_held_messages`].
+    pub fn hold_messages_of(&mut self, sender: SocketAddrV4) {
+        self.held_sender = Some(sender);
     }
 
     /// Lets the messages arrive that were kept back, in their order.
-    pub fn end_congestion(&mut self, now: Millis) {
-        self.congested_sender = None;
-        for delivery in std::mem::take(&mut self.congested) {
-            self.hold(delivery, now);
+    pub fn release_held_messages(&mut self, now: Millis) {
+        self.held_sender = None;
+        for delivery in std::mem::take(&mut self.held_messages) {
+            self.schedule(delivery, now);
         }
     }
 
@@ -161,7 +161,7 @@
     /// Ends all partitions, losses, duplicates and delays.
     pub fn heal(&mut self) {
         self.partitioned_links.clear();
-        self.congested_sender = None;
+        self.held_sender = None;
         self.loss = 0;
         self.duplicated = 0;
         self.delayed = 0;
@@ -169,9 +169,9 @@
 
     /// Whether any link of a node is partitioned, or its messages are kept back.
     pub fn is_disturbed(&self, address: SocketAddrV4) -> bool {
-        let is_congested = self.congested_sender == Some(address);
+        let is_held = self.held_sender == Some(address);
         let mut partitioned = self.partitioned_links.iter();
-        is_congested || partitioned.any(|(from, to)| *from == address || *to == address)
+        is_held || partitioned.any(|(from, to)| *from == address || *to == address)
     }
 }
 
--- a/crates/lockusher-control-simulation/src/node.rs
+++ b/crates/lockusher-control-simulation/src/node.rs
@@ -35,9 +35,9 @@
     /// Its disk was lost, or it is new, and it hasn't had the time to catch up.
     pub disk_lost: bool,
     /// Nodes couldn't tell it from a removed machine, so that a successor may have taken its place, and it isn't back.
-    pub mistakable: bool,
+    pub looks_removed: bool,
     /// When its disk was new.
-    pub disk_born: Millis,
+    pub disk_created_at: Millis,
 }
 
 impl Node {
@@ -57,8 +57,8 @@
             committed_version: 0,
             adopted_epoch: 0,
             disk_lost: true,
-            mistakable: false,
-            disk_born: start_at,
+            looks_removed: false,
+            disk_created_at: start_at,
         }
     }
 
--- a/crates/lockusher-control-simulation/src/operator.rs
+++ b/crates/lockusher-control-simulation/src/operator.rs
@@ -27,7 +27,7 @@
     pub call: Option<Call>,
     /// Nothing is sent before then.
     pub idle_until: Millis,
-    written: u64,
+    changes_created: u64,
     /// The machine called last; another one is called next, if there is one.
     pub last_node: Option<usize>,
     /// Changes acknowledged to it, some of which it resends.
@@ -83,7 +83,7 @@
             change: None,
             call: None,
             idle_until: 0,
-            written: 0,
+            changes_created: 0,
             last_node: None,
             acknowledged: Vec::new(),
         }
@@ -140,17 +140,17 @@
 
     /// The version of the next change, and a body that no other change has.
     fn next_body(&mut self, random: &mut ChaCha8Rng) -> (u64, String) {
-        self.written += 1;
+        self.changes_created += 1;
         let version = self.known_version + random.random_range(1..=3);
         let body = format!(
             "{{\"version\":{version},\"operator\":{},\"number\":{}}}",
-            self.number, self.written
+            self.number, self.changes_created
         );
         (version, body)
     }
 
     /// A patch without a clear reply is retried from its first step, the request for its base.
-    pub fn restart_patch(&mut self) {
+    pub fn discard_patch_base(&mut self) {
         if let Some(Change {
             content: Content::Patch { base },
             ..
--- a/crates/lockusher-control-simulation/src/options.rs
+++ b/crates/lockusher-control-simulation/src/options.rs
@@ -13,15 +13,15 @@
     pub steps: usize,
     /// Machines of each zone at the start, in the order of their numbers, so that the seeds, the first three, may share one.
     /// One zone may be lost as a whole. Empty: no zone is lost.
-    pub zones: &'static [usize],
+    pub zone_sizes: &'static [usize],
     /// Bytes that each machine's link carries in a millisecond; none if links are never the limit.
     pub link_bytes_per_ms: Option<u64>,
     /// A bug that is injected into all nodes, to show that it is found.
     pub injected_bug: Option<InjectedBug>,
     /// A second bug, to show that one guard covers another.
-    pub covering_bug: Option<InjectedBug>,
+    pub second_injected_bug: Option<InjectedBug>,
     /// Which writes in flight a loss of power leaves on a disk.
-    pub disk_order: DiskOrder,
+    pub surviving_writes: SurvivingWrites,
     /// What is checked.
     pub checks: Checks,
 }
@@ -29,12 +29,12 @@
 impl SimulationOptions {
     /// Whether whole zones are lost.
     pub(crate) fn loses_zones(&self) -> bool {
-        !self.zones.is_empty()
+        !self.zone_sizes.is_empty()
     }
 
     /// The zone of a machine of the start.
     pub(crate) fn zone_of(&self, number: usize) -> usize {
-        let ends = self.zones.iter().scan(0, |end, machines| {
+        let ends = self.zone_sizes.iter().scan(0, |end, machines| {
             *end += machines;
             Some(*end)
         });
@@ -44,12 +44,12 @@
 
 /// Which writes in flight a loss of power leaves on a disk.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum DiskOrder {
+pub enum SurvivingWrites {
     /// The first few, as a log does whose records are read up to the first that is missing.
     #[default]
-    Kept,
+    Prefix,
     /// Any of them. No storage of the product does so; it shows which guards don't rest on the order.
-    Any,
+    AnySubset,
 }
 
 /// What is checked in a run.
--- a/crates/lockusher-control-simulation/src/processes.rs
+++ b/crates/lockusher-control-simulation/src/processes.rs
@@ -14,7 +14,7 @@
 };
 
 /// Throughput between machines that the replicas count on, in bytes per millisecond.
-const BYTES_PER_MS: u64 = 4096;
+const ASSUMED_BYTES_PER_MS: u64 = 4096;
 /// Interval of [`Event::Tick`].
 const TICK_MS: Millis = 50;
 /// Seeds that each process is given.
@@ -25,27 +25,27 @@
         let now = self.now;
         let node = &mut self.nodes[number];
         if node.replica.is_none() && node.start_at.is_some_and(|at| at <= now) {
-            self.start(number);
+            self.start_process(number);
             return;
         }
         if !node.runs(now) {
             return;
         }
-        while let Some(finished) = self.nodes[number].disk.finish(now) {
-            let ticket = finished.ticket;
-            let event = match &finished.durable {
+        while let Some(completed_write) = self.nodes[number].disk.complete_next_write(now) {
+            let ticket = completed_write.ticket;
+            let event = match &completed_write.durable {
                 Some(records) => {
                     self.check_written(number, records);
                     Event::Persisted { ticket }
                 }
                 None => Event::PersistFailed { ticket },
             };
-            self.event(number, event);
+            self.handle_event(number, event);
         }
         let node = &mut self.nodes[number];
         if node.next_tick <= now {
             node.next_tick = now + TICK_MS;
-            self.event(number, Event::Tick);
+            self.handle_event(number, Event::Tick);
             self.take_snapshot(number);
         }
     }
@@ -53,17 +53,17 @@
     /// As a storage does: the snapshot takes the place of the log while no write is under way.
     fn take_snapshot(&mut self, number: usize) {
         let node = &self.nodes[number];
-        if !node.disk.wants_snapshot() || node.disk.space != DiskSpace::Sufficient {
+        if !node.disk.needs_snapshot() || node.disk.space != DiskSpace::Sufficient {
             return;
         }
         let Some(records) = node.replica.as_ref().map(Replica::snapshot) else {
             return;
         };
         self.check_snapshot(number, &records);
-        self.nodes[number].disk.replace(records);
+        self.nodes[number].disk.replace_log(records);
     }
 
-    fn start(&mut self, number: usize) {
+    fn start_process(&mut self, number: usize) {
         let tolerated_losses = self.tolerated_losses() as u32;
         let tolerated_domains = self.tolerated_domains();
         let random_seed = self.random.random();
@@ -84,17 +84,17 @@
             bytes_per_ms: self
                 .options
                 .link_bytes_per_ms
-                .map_or(BYTES_PER_MS, |link| link / 2),
+                .map_or(ASSUMED_BYTES_PER_MS, |link| link / 2),
             catch_up_ms: CATCH_UP_MS,
             random_seed,
         };
         let setup = ReplicaSetup {
-            seeds: self.seeds_for(number, setup.seeds),
+            seeds: self.draw_seeds(number, setup.seeds),
             ..setup
         };
         let records = self.nodes[number].disk.records();
         log::trace!("{}: start of machine {number} with {records:?}", self.now);
-        let bugs = [self.options.injected_bug, self.options.covering_bug];
+        let bugs = [self.options.injected_bug, self.options.second_injected_bug];
         let (replica, effects) = Replica::with_injected_bugs(setup, records, self.now, bugs);
         let node = &mut self.nodes[number];
         node.replica = Some(replica);
@@ -102,14 +102,18 @@
         node.next_tick = self.now + TICK_MS;
         node.committed_version = 0;
         self.check_recovered(number);
-        self.carry_out(number, effects);
+        self.execute_effects(number, effects);
     }
 
     /// At the first start the fixed seeds, later any three machines.
-    fn seeds_for(&mut self, number: usize, first: Vec<SocketAddrV4>) -> Vec<SocketAddrV4> {
+    fn draw_seeds(
+        &mut self,
+        number: usize,
+        first_start_seeds: Vec<SocketAddrV4>,
+    ) -> Vec<SocketAddrV4> {
         let node = &mut self.nodes[number];
         if std::mem::replace(&mut node.first_start, false) {
-            return first;
+            return first_start_seeds;
         }
         let present: Vec<SocketAddrV4> = self
             .nodes
@@ -127,7 +131,7 @@
             .collect()
     }
 
-    pub(crate) fn event(&mut self, number: usize, event: Event) {
+    pub(crate) fn handle_event(&mut self, number: usize, event: Event) {
         let now = self.now;
         let Some(replica) = &mut self.nodes[number].replica else {
             return;
@@ -135,14 +139,14 @@
         let effects = replica.handle(now, event);
         let fault_action = self.trigger_targeted_fault(&effects);
         if !matches!(fault_action, Some(FaultAction::CrashBeforeSend { .. })) {
-            self.carry_out(number, effects);
+            self.execute_effects(number, effects);
         }
         if let Some(fault_action) = fault_action {
             self.apply_fault_action(number, fault_action);
         }
     }
 
-    fn carry_out(&mut self, number: usize, effects: Vec<Effect>) {
+    fn execute_effects(&mut self, number: usize, effects: Vec<Effect>) {
         self.check_adopted(number);
         let now = self.now;
         let from = self.nodes[number].address;
--- a/crates/lockusher-control-simulation/src/recovery.rs
+++ b/crates/lockusher-control-simulation/src/recovery.rs
@@ -26,19 +26,19 @@
         self.outcome.recovery_ms = self.now - faults_ended_at;
         let rest = CATCH_UP_MS.saturating_sub(self.outcome.recovery_ms);
         if self.options.loses_zones() {
-            self.check_spread(rest);
+            self.check_voter_spread(rest);
         } else if self.run_until_all_members(rest).is_none() {
             self.violations
                 .report(self.now, RecoveryViolation::NotAllMembers);
         }
         self.outcome.settle_ms = self.now - faults_ended_at;
-        self.check_all_know(version);
-        self.check_last_read();
+        self.check_dissemination(version);
+        self.check_final_read();
         self.model.check_order(self.now, &mut self.violations);
     }
 
     /// Every voter is a member of the chain, and the loss of any zone would leave a majority; other machines stay outside.
-    fn check_spread(&mut self, limit: Millis) {
+    fn check_voter_spread(&mut self, limit: Millis) {
         let spread = self.run_until(limit, |cluster| {
             let present = cluster.present().into_iter();
             let mut replicas = present.map(|number| (number, cluster.replica(number)));
@@ -79,7 +79,7 @@
         None
     }
 
-    fn check_all_know(&mut self, version: u64) {
+    fn check_dissemination(&mut self, version: u64) {
         self.advance(self.now + DISSEMINATION_MS);
         for node in self.nodes.iter().filter(|node| !node.removed) {
             let known = node
@@ -96,15 +96,15 @@
         }
     }
 
-    fn check_last_read(&mut self) {
+    fn check_final_read(&mut self) {
         let reads = self.outcome.reads;
         let deadline = self.now + ACKNOWLEDGE_MS;
         while self.outcome.reads == reads && self.now < deadline {
             if self.operators[0].call.is_none() {
-                self.call(0, Request::Read, None);
+                self.call_any_node(0, Request::Read, None);
             }
             self.advance(self.now + 10);
-            self.expire_call(0);
+            self.abandon_expired_call(0);
         }
         if self.outcome.reads == reads {
             self.violations
--- a/crates/lockusher-control-simulation/src/reference_model.rs
+++ b/crates/lockusher-control-simulation/src/reference_model.rs
@@ -73,10 +73,10 @@
             self.acknowledged += 1;
         }
         self.floor = self.floor.max(version);
-        let rivals = self.sent.iter().filter(|(other, sent)| {
+        let conflicting = self.sent.iter().filter(|(other, sent)| {
             **other != digest && sent.if_match == if_match && sent.acknowledged
         });
-        if rivals.count() > 0 {
+        if conflicting.count() > 0 {
             violations.report(
                 now,
                 ModelViolation::TwoChangesAcknowledged { base: if_match },
@@ -84,11 +84,11 @@
         }
     }
 
-    /// A configuration was rejected by a call that began when `in_place` was the newest version.
+    /// A configuration was rejected by a call that began when `floor` was the newest version.
     pub fn record_rejected(
         &mut self,
         digest: Digest,
-        in_place: u64,
+        floor: u64,
         now: Millis,
         violations: &mut ViolationLog,
     ) {
@@ -100,7 +100,7 @@
         let (version, if_match) = (sent.version, sent.if_match);
         if sent.acknowledged || sent.committed {
             violations.report(now, ModelViolation::RejectedAfterCommit { version });
-        } else if version > if_match && in_place == if_match && newest == if_match {
+        } else if version > if_match && floor == if_match && newest == if_match {
             violations.report(
                 now,
                 ModelViolation::RejectedWithoutConflict {
@@ -156,8 +156,8 @@
         let version = document.version;
         let is_first = !self.committed.contains_key(&version);
         let identity = (document.request, document.digest);
-        let former = *self.committed.entry(version).or_insert(identity);
-        if former != identity {
+        let previous = *self.committed.entry(version).or_insert(identity);
+        if previous != identity {
             violations.report(now, ModelViolation::TwoConfigurationsCommitted { version });
         }
         self.check_patched(document, now, violations);
@@ -202,12 +202,12 @@
         now: Millis,
         violations: &mut ViolationLog,
     ) {
-        let former = *self.heads.entry(epoch).or_insert(address);
-        if former != address {
+        let previous = *self.heads.entry(epoch).or_insert(address);
+        if previous != address {
             violations.report(
                 now,
                 ModelViolation::TwoHeads {
-                    first: former,
+                    first: previous,
                     second: address,
                     epoch,
                 },
@@ -222,15 +222,15 @@
             .values()
             .filter(|sent| sent.committed || sent.acknowledged)
         {
-            let (low, high) = (sent.if_match, sent.version);
-            let mut between = self.committed.range(low + 1..high);
-            if let Some((version, _)) = between.next() {
+            let (base_version, new_version) = (sent.if_match, sent.version);
+            let mut committed_between = self.committed.range(base_version + 1..new_version);
+            if let Some((intermediate, _)) = committed_between.next() {
                 violations.report(
                     now,
                     ModelViolation::NotBuiltOnPredecessor {
-                        version: high,
-                        base: low,
-                        between: *version,
+                        version: new_version,
+                        base: base_version,
+                        intermediate: *intermediate,
                     },
                 );
             }
--- a/crates/lockusher-control-simulation/src/replacement.rs
+++ b/crates/lockusher-control-simulation/src/replacement.rs
@@ -10,5 +10,5 @@
     /// Number of the machine that was added for it.
     pub successor: usize,
     /// Machines that were seen in a chain that the removed one had left.
-    pub left_later: BTreeSet<usize>,
+    pub seen_after_departure: BTreeSet<usize>,
 }
--- a/crates/lockusher-control-simulation/src/run.rs
+++ b/crates/lockusher-control-simulation/src/run.rs
@@ -16,13 +16,16 @@
 
 /// Plays one run.
 pub fn simulate_with(options: SimulationOptions) -> Outcome {
-    simulate_without(options, &BTreeSet::new())
+    simulate_omitting_faults(options, &BTreeSet::new())
 }
 
 /// Plays one run in which the faults of some steps are left out.
-pub fn simulate_without(options: SimulationOptions, left_out: &BTreeSet<usize>) -> Outcome {
+pub fn simulate_omitting_faults(
+    options: SimulationOptions,
+    omitted_steps: &BTreeSet<usize>,
+) -> Outcome {
     let mut cluster = Cluster::new(options);
-    cluster.run_under_faults(options.steps, left_out);
+    cluster.run_under_faults(options.steps, omitted_steps);
     cluster.run_recovery();
     cluster.into_outcome()
 }
--- a/crates/lockusher-control-simulation/src/shrink.rs
+++ b/crates/lockusher-control-simulation/src/shrink.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 
 use crate::{
-    fault_schedule::FaultStep, options::SimulationOptions, outcome::Outcome, run::simulate_without,
-    violation::Violation,
+    fault_schedule::FaultStep, options::SimulationOptions, outcome::Outcome,
+    run::simulate_omitting_faults, violation::Violation,
 };
 
 /// Runs that one shrinking takes at most.
@@ -28,15 +28,15 @@
 pub fn shrink(options: SimulationOptions) -> Option<Shrunk> {
     let mut search = Search {
         options,
-        left_out: BTreeSet::new(),
+        omitted_steps: BTreeSet::new(),
         failing: Outcome::default(),
         runs: 0,
     };
     if !search.try_run(options.steps, BTreeSet::new()) {
         return None;
     }
-    search.drop_last_steps();
-    search.drop_faults();
+    search.truncate_steps();
+    search.omit_faults();
     let Search {
         options,
         failing,
@@ -54,14 +54,14 @@
 /// The shortest failing run found so far.
 struct Search {
     options: SimulationOptions,
-    left_out: BTreeSet<usize>,
+    omitted_steps: BTreeSet<usize>,
     failing: Outcome,
     runs: usize,
 }
 
 impl Search {
     /// Takes the run over if it fails, too.
-    fn try_run(&mut self, steps: usize, left_out: BTreeSet<usize>) -> bool {
+    fn try_run(&mut self, steps: usize, omitted_steps: BTreeSet<usize>) -> bool {
         if self.runs >= MAX_RUNS {
             return false;
         }
@@ -70,36 +70,36 @@
             steps,
             ..self.options
         };
-        let outcome = simulate_without(options, &left_out);
+        let outcome = simulate_omitting_faults(options, &omitted_steps);
         let fails = !outcome.violations.is_empty();
         if fails {
             self.options = options;
-            self.left_out = left_out;
+            self.omitted_steps = omitted_steps;
             self.failing = outcome;
         }
         fails
     }
 
     /// Takes steps off the end, in ever smaller chunks.
-    fn drop_last_steps(&mut self) {
+    fn truncate_steps(&mut self) {
         let mut chunk_size = self.options.steps / 2;
         while chunk_size > 0 {
             let shorter = self.options.steps.checked_sub(chunk_size);
-            if !shorter.is_some_and(|steps| self.try_run(steps, self.left_out.clone())) {
+            if !shorter.is_some_and(|steps| self.try_run(steps, self.omitted_steps.clone())) {
                 chunk_size /= 2;
             }
         }
     }
 
     /// Leaves faults out, in ever smaller chunks, until each one that is left is needed.
-    fn drop_faults(&mut self) {
+    fn omit_faults(&mut self) {
         let mut chunk_size = self.failing.faults.len().div_ceil(2);
         while chunk_size > 0 {
-            let dropped = self.drop_chunks(chunk_size);
-            if chunk_size == 1 && !dropped {
+            let omitted = self.omit_chunks(chunk_size);
+            if chunk_size == 1 && !omitted {
                 return;
             }
-            chunk_size = if dropped {
+            chunk_size = if omitted {
                 chunk_size.min(self.failing.faults.len())
             } else {
                 chunk_size / 2
@@ -108,13 +108,13 @@
     }
 
     /// Whether any chunk of this many faults could be left out.
-    fn drop_chunks(&mut self, chunk_size: usize) -> bool {
+    fn omit_chunks(&mut self, chunk_size: usize) -> bool {
         let steps: Vec<usize> = self.failing.faults.iter().map(|fault| fault.step).collect();
-        let mut dropped = false;
+        let mut omitted = false;
         for steps in steps.chunks(chunk_size) {
-            let left_out = self.left_out.iter().chain(steps).copied().collect();
-            dropped |= self.try_run(self.options.steps, left_out);
+            let omitted_steps = self.omitted_steps.iter().chain(steps).copied().collect();
+            omitted |= self.try_run(self.options.steps, omitted_steps);
         }
-        dropped
+        omitted
     }
 }
--- a/crates/lockusher-control-simulation/src/stale_votes.rs
+++ b/crates/lockusher-control-simulation/src/stale_votes.rs
@@ -24,12 +24,12 @@
         self.replacements.push(Replacement {
             removed,
             successor,
-            left_later: BTreeSet::new(),
+            seen_after_departure: BTreeSet::new(),
         });
     }
 
     /// Updates which machines can't be told from removed ones, given those that are unhealthy now.
-    pub(crate) fn update_mistakable(&mut self, unhealthy: &BTreeSet<usize>) {
+    pub(crate) fn update_looks_removed(&mut self, unhealthy: &BTreeSet<usize>) {
         if self.replacements.is_empty() {
             return;
         }
@@ -38,10 +38,10 @@
         replacements.retain(|replacement| !self.is_complete(replacement));
         for replacement in &mut replacements {
             if !in_chain.contains(&replacement.removed) {
-                replacement.left_later.extend(&in_chain);
+                replacement.seen_after_departure.extend(&in_chain);
             }
-            for number in unhealthy.difference(&replacement.left_later) {
-                self.nodes[*number].mistakable = true;
+            for number in unhealthy.difference(&replacement.seen_after_departure) {
+                self.nodes[*number].looks_removed = true;
             }
         }
         // Once a machine is back in a chain, a vote of a removed one may be left only in its own successor's place.
@@ -50,7 +50,7 @@
         };
         if replacements.iter().all(is_pending) {
             for number in in_chain.difference(unhealthy) {
-                self.nodes[*number].mistakable = false;
+                self.nodes[*number].looks_removed = false;
             }
         }
         self.replacements = replacements;
@@ -58,14 +58,14 @@
 
     /// How many votes of removed machines may be left in the place of machines that were mistaken for them. Until its
     /// successor has caught up, a removed machine counts as lost already.
-    pub(crate) fn displaced_votes(&self) -> usize {
-        let mistakable = self.present().into_iter();
-        let mistakable = mistakable.filter(|number| self.nodes[*number].mistakable);
+    pub(crate) fn stale_votes(&self) -> usize {
+        let candidates = self.present().into_iter();
+        let candidates = candidates.filter(|number| self.nodes[*number].looks_removed);
         let replaced = self
             .replacements
             .iter()
             .filter(|replacement| !self.nodes[replacement.successor].disk_lost);
-        mistakable.count().min(replaced.count())
+        candidates.count().min(replaced.count())
     }
 
     /// Whether the removed machine is back, or its successor has caught up and its vote is gone.
--- a/crates/lockusher-control-simulation/src/targeted_faults.rs
+++ b/crates/lockusher-control-simulation/src/targeted_faults.rs
@@ -120,7 +120,7 @@
 
     /// Counts an occurrence if a node takes the step by these effects: what happens to it, once no occurrence is let pass.
     pub fn trigger(&mut self, effects: &[Effect]) -> Option<FaultAction> {
-        if !is_taken(self.step, effects) {
+        if !matches_step(self.step, effects) {
             return None;
         }
         if self.remaining_skips > 0 {
@@ -132,7 +132,7 @@
 }
 
 /// Whether a node takes the step by these effects.
-fn is_taken(step: ProtocolStep, effects: &[Effect]) -> bool {
+fn matches_step(step: ProtocolStep, effects: &[Effect]) -> bool {
     let count = |step| {
         effects
             .iter()
@@ -157,7 +157,7 @@
         MessageBody::Transfer(transfer) if transfer.purpose == TransferPurpose::Synchronise => {
             Some(ProtocolStep::SynchroniseTransfer)
         }
-        MessageBody::TransferResponse(answer) if answer.purpose == TransferPurpose::Join => {
+        MessageBody::TransferResponse(response) if response.purpose == TransferPurpose::Join => {
             Some(ProtocolStep::JoinTransferResponse)
         }
         MessageBody::Prepare { .. } => Some(ProtocolStep::Prepare),
--- a/crates/lockusher-control-simulation/src/view_succession.rs
+++ b/crates/lockusher-control-simulation/src/view_succession.rs
@@ -4,28 +4,28 @@
 
 use crate::violation::InvariantViolation;
 
-/// Checks the view that follows `former`; voters may be removed only down to `minimum_voters`.
+/// Checks the view that follows `previous`; voters may be removed only down to `minimum_voters`.
 ///
 /// # Errors
 ///
 /// The first rule that the view violates.
 pub fn check_succession(
-    former: &View,
+    previous: &View,
     view: &View,
     minimum_voters: usize,
 ) -> Result<(), InvariantViolation> {
     let epoch = view.epoch;
-    if changes_several_voters(former, view) {
+    if changes_several_voters(previous, view) {
         Err(InvariantViolation::SeveralVotersChanged { epoch })
     } else if view.chain.len() < view.majority() {
         Err(InvariantViolation::ChainBelowMajority { epoch })
-    } else if !view.chain.iter().any(|member| former.in_chain(*member)) {
+    } else if !view.chain.iter().any(|member| previous.in_chain(*member)) {
         Err(InvariantViolation::NoMemberRetained { epoch })
-    } else if !keeps_order_of_chain(former, view) {
+    } else if !retains_chain_order(previous, view) {
         Err(InvariantViolation::ChainReordered { epoch })
     } else if !view.chain.iter().all(|member| view.is_voter(*member)) {
-        Err(InvariantViolation::MemberWithoutVote { epoch })
-    } else if view.voters.len() < former.voters.len().min(minimum_voters) {
+        Err(InvariantViolation::MemberNotVoter { epoch })
+    } else if view.voters.len() < previous.voters.len().min(minimum_voters) {
         Err(InvariantViolation::TooFewVoters {
             epoch,
             voters: view.voters.len(),
@@ -35,21 +35,21 @@
     }
 }
 
-fn changes_several_voters(former: &View, view: &View) -> bool {
+fn changes_several_voters(previous: &View, view: &View) -> bool {
     let added = view
         .voters
         .iter()
-        .filter(|voter| !former.is_voter(voter.identity));
-    let removed = former
+        .filter(|voter| !previous.is_voter(voter.identity));
+    let removed = previous
         .voters
         .iter()
         .filter(|voter| !view.is_voter(voter.identity));
     added.count() > 1 || removed.count() > 1
 }
 
-/// Whether the members that stay are at the front of the chain, in their former order.
-fn keeps_order_of_chain(former: &View, view: &View) -> bool {
-    let in_former_order: Vec<Identity> = former
+/// Whether the members that stay are at the front of the chain, in their previous order.
+fn retains_chain_order(previous: &View, view: &View) -> bool {
+    let in_former_order: Vec<Identity> = previous
         .chain
         .iter()
         .copied()
--- a/crates/lockusher-control-simulation/src/violation.rs
+++ b/crates/lockusher-control-simulation/src/violation.rs
@@ -71,11 +71,11 @@
         epoch: u64,
     },
     /// Another version was committed between a configuration and the one that it builds on.
-    #[display("version {version} was built on {base}, but {between} is between them")]
+    #[display("version {version} was built on {base}, but {intermediate} is between them")]
     NotBuiltOnPredecessor {
         version: u64,
         base: u64,
-        between: u64,
+        intermediate: u64,
     },
     /// A node reported an older configuration as committed than before.
     #[display("{node} went back to version {version}")]
@@ -97,7 +97,7 @@
 pub enum InvariantViolation {
     /// A prepare response that leaves out what the voter accepted.
     #[display("{voter} conceals in epoch {epoch} that it accepted {accepted:?}")]
-    AcceptanceConcealed {
+    AcceptanceNotReported {
         voter: Identity,
         epoch: u64,
         accepted: Option<ProposalNumber>,
@@ -107,7 +107,7 @@
     PromiseNotDurable { voter: Identity, epoch: u64 },
     /// An acceptance under a proposal number below a promised one.
     #[display("{voter} accepts {accepted:?} in epoch {epoch} after it promised {promised:?}")]
-    PromiseBroken {
+    AcceptedBelowPromise {
         voter: Identity,
         epoch: u64,
         accepted: ProposalNumber,
@@ -121,7 +121,7 @@
     ConfirmedAfterAcceptance { voter: Identity, epoch: u64 },
     /// A transfer to a joiner before the seal was durable.
     #[display("{member} hands over its state in epoch {epoch}; no seal is on its disk")]
-    TransferUnsealed { member: Identity, epoch: u64 },
+    TransferBeforeSeal { member: Identity, epoch: u64 },
     /// A transfer of a state that wasn't durable.
     #[display("{member} hands over a state that isn't on its disk")]
     TransferNotDurable { member: Identity },
@@ -169,7 +169,7 @@
     ChainReordered { epoch: u64 },
     /// A member of the chain is no voter.
     #[display("view {epoch} has a member of the chain that is no voter")]
-    MemberWithoutVote { epoch: u64 },
+    MemberNotVoter { epoch: u64 },
     /// Voters were removed below the minimum.
     #[display("view {epoch} has {voters} voters only")]
     TooFewVoters { epoch: u64, voters: usize },
--- a/crates/lockusher-control-simulation/tests/injected_bugs.rs
+++ b/crates/lockusher-control-simulation/tests/injected_bugs.rs
@@ -1,7 +1,7 @@
 //! Every bug that can be injected is found: by the simulation within a stated number of runs, or by a named test.
 
 use lockusher_control::{ConfigurationDocument, InjectedBug, Reply, Request};
-use lockusher_control_simulation::{Checks, DiskOrder, SimulationOptions, simulate_with};
+use lockusher_control_simulation::{Checks, SimulationOptions, SurvivingWrites, simulate_with};
 use yare::parameterized;
 
 use support::{CATCH_UP_MS, started_cluster};
@@ -55,11 +55,11 @@
         // With 9 voters a majority is left after two lost disks and a departure.
         InjectedBug::DepartedVoterRetained => Within([200, 200, HARMLESS]),
         InjectedBug::LatestDepartureReplaced => {
-            ByTest("scenarios::a_successor_takes_the_place_of_the_voter_that_left_first")
+            ByTest("scenarios::a_new_node_replaces_the_voter_that_left_the_chain_first")
         }
-        // Found where zones may be lost, by `simulation::a_lost_zone_is_survived_only_by_spread_voters`.
+        // Found where zones may be lost, by `simulation::the_loss_of_a_zone_needs_voters_spread_over_zones`.
         InjectedBug::DomainsIgnored => {
-            ByTest("simulation::a_lost_zone_is_survived_only_by_spread_voters")
+            ByTest("simulation::the_loss_of_a_zone_needs_voters_spread_over_zones")
         }
         InjectedBug::LowerProposalAccepted | InjectedBug::AcceptedViewNotReported => {
             Within([100, 60, 60])
@@ -139,9 +139,9 @@
 /// new incarnation. The reply to the former request mustn't answer this one, also if both have the same number.
 #[parameterized(
     guarded = { None, false },
-    left_out = { Some(InjectedBug::RequestNumbersRestart), true },
+    guard_disabled = { Some(InjectedBug::RequestNumbersRestart), true },
 )]
-fn a_reply_to_a_former_incarnation_is_ignored(
+fn a_reply_to_a_previous_incarnation_is_ignored(
     injected_bug: Option<InjectedBug>,
     answers_another: bool,
 ) {
@@ -178,25 +178,29 @@
 }
 
 /// A guard, and the one that covers it.
-struct Cover {
+struct CoveredGuard {
     guard: InjectedBug,
     /// The other guard; none if it is the order in which a disk keeps its writes.
-    other_guard: Option<InjectedBug>,
+    covering_guard: Option<InjectedBug>,
     checks: Checks,
 }
 
-impl Cover {
+impl CoveredGuard {
     /// Whether any run shows a violation with these bugs.
-    fn is_seen(&self, bugs: [Option<InjectedBug>; 2], disk_order: DiskOrder) -> bool {
-        let [injected_bug, covering_bug] = bugs;
+    fn is_detected(
+        &self,
+        bugs: [Option<InjectedBug>; 2],
+        surviving_writes: SurvivingWrites,
+    ) -> bool {
+        let [injected_bug, second_injected_bug] = bugs;
         (51_500..51_750).any(|seed| {
             let options = SimulationOptions {
                 replicas: 3,
                 seed,
                 steps: STEPS_PER_RUN,
                 injected_bug,
-                covering_bug,
-                disk_order,
+                second_injected_bug,
+                surviving_writes,
                 checks: self.checks,
                 ..SimulationOptions::default()
             };
@@ -207,24 +211,24 @@
 
 /// Left out alone each of two guards does no harm that is checked for; left out together they do.
 #[parameterized(
-    an_entry_of_an_older_epoch = { Cover {
+    an_entry_of_an_older_epoch = { CoveredGuard {
         guard: InjectedBug::EntryWithoutPredecessor,
-        other_guard: Some(InjectedBug::OlderEpochsCount),
+        covering_guard: Some(InjectedBug::OlderEpochsCount),
         checks: Checks::ExternallyVisible,
     } },
-    a_view_that_is_forgotten = { Cover {
+    a_view_that_is_not_durable = { CoveredGuard {
         guard: InjectedBug::ActBeforeViewDurable,
-        other_guard: None,
+        covering_guard: None,
         checks: Checks::All,
     } },
 )]
-fn a_covered_guard_is_needed_once_its_cover_is_left_out(cover: Cover) {
-    let guard = Some(cover.guard);
-    let disk_order = match cover.other_guard {
-        Some(_) => DiskOrder::Kept,
-        None => DiskOrder::Any,
+fn a_covered_guard_is_needed_once_the_covering_guard_is_disabled(covered: CoveredGuard) {
+    let guard = Some(covered.guard);
+    let surviving_writes = match covered.covering_guard {
+        Some(_) => SurvivingWrites::Prefix,
+        None => SurvivingWrites::AnySubset,
     };
-    assert!(cover.is_seen([guard, cover.other_guard], disk_order));
-    assert!(!cover.is_seen([guard, None], DiskOrder::Kept));
-    assert!(!cover.is_seen([cover.other_guard, None], disk_order));
+    assert!(covered.is_detected([guard, covered.covering_guard], surviving_writes));
+    assert!(!covered.is_detected([guard, None], SurvivingWrites::Prefix));
+    assert!(!covered.is_detected([covered.covering_guard, None], surviving_writes));
 }
--- a/crates/lockusher-control-simulation/tests/scenarios.rs
+++ b/crates/lockusher-control-simulation/tests/scenarios.rs
@@ -31,18 +31,18 @@
 }
 
 fn assert_writes(cluster: &mut Cluster, limit: u64) {
-    let taken = cluster.write();
+    let elapsed = cluster.write();
     assert!(
-        taken.is_some_and(|taken| taken <= limit),
-        "write took {taken:?}:\n{}",
+        elapsed.is_some_and(|elapsed| elapsed <= limit),
+        "write took {elapsed:?}:\n{}",
         cluster.describe()
     );
 }
 
 fn assert_all_members(cluster: &mut Cluster, limit: u64) {
-    let taken = cluster.run_until_all_members(limit);
+    let elapsed = cluster.run_until_all_members(limit);
     assert!(
-        taken.is_some(),
+        elapsed.is_some(),
         "not all are members after {limit} ms:\n{}",
         cluster.describe()
     );
@@ -58,7 +58,7 @@
     tail_of_5 = { 5, 4 },
     head_of_9 = { 9, 0 },
 )]
-fn a_crashed_member_is_removed_and_taken_back(replicas: usize, position: usize) {
+fn a_crashed_member_is_removed_and_rejoins(replicas: usize, position: usize) {
     for seed in 0..10 {
         let mut cluster = cluster_of(replicas, seed);
         let target = cluster.chain()[position];
@@ -76,7 +76,7 @@
     head_of_5 = { 5, 0 },
     middle_of_5 = { 5, 2 },
 )]
-fn a_lost_disk_is_restored_in_time(replicas: usize, position: usize) {
+fn a_member_with_a_lost_disk_rejoins_within_the_bound(replicas: usize, position: usize) {
     for seed in 0..10 {
         let mut cluster = cluster_of(replicas, seed);
         let target = cluster.chain()[position];
@@ -96,19 +96,19 @@
     tail_unannounced = { 3, 2, false },
     of_5 = { 5, 1, false },
 )]
-fn a_replacement_at_a_new_address_takes_the_place(
+fn a_removed_machine_is_replaced_at_a_new_address(
     replicas: usize,
     position: usize,
-    is_announced: bool,
+    is_graceful: bool,
 ) {
     for seed in 0..10 {
         let mut cluster = cluster_of(replicas, seed);
         let target = cluster.chain()[position];
-        if is_announced {
+        if is_graceful {
             cluster.stop(target);
         }
-        cluster.remove(target);
-        cluster.add(300);
+        cluster.remove_machine(target);
+        cluster.add_machine(300);
         assert_writes(&mut cluster, FAILOVER_MS);
         assert_all_members(&mut cluster, CATCH_UP_MS);
         assert!(
@@ -123,8 +123,8 @@
 fn all_seeds_can_be_replaced_one_after_another() {
     let mut cluster = cluster_of(5, 3);
     for seed in 0..3 {
-        cluster.remove(seed);
-        cluster.add(100);
+        cluster.remove_machine(seed);
+        cluster.add_machine(100);
         assert_writes(&mut cluster, FAILOVER_MS);
         assert_all_members(&mut cluster, CATCH_UP_MS);
     }
@@ -139,7 +139,10 @@
     three = { 3, 1 },
     five = { 5, 2 },
 )]
-fn what_was_acknowledged_survives_a_crash_of_all_with_lost_disks(replicas: usize, wiped: usize) {
+fn acknowledged_changes_survive_a_crash_of_all_nodes_and_lost_disks(
+    replicas: usize,
+    lost_disks: usize,
+) {
     for seed in 0..20 {
         let mut cluster = cluster_of(replicas, seed);
         let chain = cluster.chain();
@@ -147,7 +150,7 @@
             cluster.crash(*number, 100 + 100 * position as u64);
         }
         let first = seed as usize % replicas;
-        for position in 0..wiped {
+        for position in 0..lost_disks {
             cluster.lose_disk(chain[(first + position) % replicas]);
         }
         assert_writes(&mut cluster, ACKNOWLEDGE_MS);
@@ -193,7 +196,7 @@
 }
 
 #[parameterized(head = { 0 }, middle = { 1 }, tail = { 2 })]
-fn a_frozen_member_comes_back(position: usize) {
+fn a_frozen_member_rejoins(position: usize) {
     for seed in 0..10 {
         let mut cluster = cluster_of(3, seed);
         let target = cluster.chain()[position];
@@ -224,7 +227,7 @@
     head_without_votes = { 0, DiskSpace::Full },
     tail_without_votes = { 2, DiskSpace::Full },
 )]
-fn a_member_with_a_full_disk_is_removed_and_taken_back(position: usize, space: DiskSpace) {
+fn a_member_with_a_full_disk_is_removed_and_rejoins(position: usize, space: DiskSpace) {
     for seed in 0..10 {
         let mut cluster = cluster_of(3, seed);
         let target = cluster.chain()[position];
@@ -266,10 +269,10 @@
 }
 
 #[test]
-fn two_nodes_can_join_at_once() {
+fn two_nodes_can_join_at_the_same_time() {
     let mut cluster = cluster_of(3, 9);
-    cluster.add(10);
-    cluster.add(20);
+    cluster.add_machine(10);
+    cluster.add_machine(20);
     assert_writes(&mut cluster, 500);
     assert_all_members(&mut cluster, CONVERGENCE_MS);
     assert_eq!(cluster.voters(), 5);
@@ -346,12 +349,12 @@
 fn disks_are_lost_right_after_a_planned_departure(replicas: usize, position: usize, lost: usize) {
     for seed in 0..10 {
         let mut cluster = cluster_of(replicas, seed);
-        let leaver = cluster.chain()[position];
-        cluster.add(10);
+        let leaving = cluster.chain()[position];
+        cluster.add_machine(10);
         assert_all_members(&mut cluster, CATCH_UP_MS);
         assert_eq!(cluster.voters(), replicas + 1);
-        cluster.stop(leaver);
-        cluster.remove(leaver);
+        cluster.stop(leaving);
+        cluster.remove_machine(leaving);
         for target in cluster.chain().into_iter().rev().take(lost) {
             cluster.crash(target, 200);
             cluster.lose_disk(target);
@@ -370,7 +373,7 @@
     of_5_latest_departure_replaced = { 5, Some(InjectedBug::LatestDepartureReplaced), false },
     of_7 = { 7, None, true },
 )]
-fn a_successor_takes_the_place_of_the_voter_that_left_first(
+fn a_new_node_replaces_the_voter_that_left_the_chain_first(
     replicas: usize,
     injected_bug: Option<InjectedBug>,
     recovers: bool,
@@ -384,14 +387,14 @@
         });
         assert!(cluster.write().is_some(), "{}", cluster.describe());
         let [removed, unreachable] = [cluster.chain()[1], cluster.chain()[replicas - 1]];
-        cluster.remove(removed);
+        cluster.remove_machine(removed);
         let has_left = |cluster: &Cluster| !cluster.chain().contains(&removed);
         assert!(cluster.run_until(FAILOVER_MS, has_left).is_some());
         for number in (0..replicas).filter(|number| *number != removed) {
             cluster.crash(number, 200);
         }
         cluster.freeze(unreachable, 3 * CATCH_UP_MS);
-        cluster.add(3000);
+        cluster.add_machine(3000);
         cluster.run_until(2 * CATCH_UP_MS, |_| false);
         let running = cluster.chain();
         assert_eq!(running.len(), replicas - 1, "{}", cluster.describe());
@@ -413,7 +416,10 @@
 /// A member restarts before any peer suspects it, in an epoch in which nothing was written: it is notified of what is
 /// committed, so that it goes on serving its subscribers.
 #[parameterized(middle_of_3 = { 3, 1 }, tail_of_3 = { 3, 2 }, middle_of_5 = { 5, 2 })]
-fn a_member_restarted_at_once_knows_what_is_committed(replicas: usize, position: usize) {
+fn a_member_restarted_before_it_is_suspected_learns_the_committed_version(
+    replicas: usize,
+    position: usize,
+) {
     for seed in 0..10 {
         let mut cluster = cluster_of(replicas, seed);
         let other = cluster.chain()[0];
@@ -445,7 +451,7 @@
     tail_both_ways = { 4, true, true },
     tail_sends_nothing = { 4, false, true },
 )]
-fn a_node_isolated_for_twenty_seconds_answers_by_the_newest_or_not_at_all(
+fn an_isolated_node_never_answers_from_outdated_state(
     position: usize,
     receives_nothing: bool,
     sends_nothing: bool,
@@ -494,7 +500,7 @@
 /// Three hundred changes; then all are killed: one restarts without its disk, one was down for half of the changes, and one is
 /// replaced. Every change that was acknowledged is acknowledged again when it is resent.
 #[parameterized(three = { 3 }, five = { 5 })]
-fn hundreds_of_changes_outlast_a_restart(replicas: usize) {
+fn acknowledged_changes_survive_a_restart_of_all_nodes(replicas: usize) {
     let mut cluster = cluster_of(replicas, 1);
     let absent = cluster.chain()[1];
     for number in 0..300 {
@@ -521,8 +527,8 @@
         cluster.describe()
     );
     assert_eq!(cluster.version(), newest);
-    cluster.remove(chain[1]);
-    let successor = cluster.add(300);
+    cluster.remove_machine(chain[1]);
+    let successor = cluster.add_machine(300);
     assert_writes(&mut cluster, FAILOVER_MS);
     assert_all_members(&mut cluster, CATCH_UP_MS);
     for change in changes.into_iter().step_by(30) {
@@ -533,13 +539,13 @@
     }
 }
 
-fn views_of(cluster: &Cluster) -> u64 {
+fn views_installed(cluster: &Cluster) -> u64 {
     let replica = cluster.replica(0).expect("it runs");
     replica.counters().views_installed
 }
 
 /// Bytes that a link of 10 Mbit/s carries in a millisecond.
-const THIN_LINK_BYTES_PER_MS: u64 = 1250;
+const SLOW_LINK_BYTES_PER_MS: u64 = 1250;
 
 /// A large configuration reaches all control nodes over thin links, and a machine that joins, in hardly more time than copies
 /// of it take: one to the head and two down the chain, one to the newcomer. No view changes meanwhile.
@@ -549,20 +555,20 @@
     large = { 4_000_000 },
     largest = { 8_000_000 },
 )]
-fn a_large_configuration_gets_through_thin_links(bytes: usize) {
-    let one_link = bytes as u64 / THIN_LINK_BYTES_PER_MS;
+fn a_large_configuration_is_replicated_over_slow_links(bytes: usize) {
+    let one_link = bytes as u64 / SLOW_LINK_BYTES_PER_MS;
     let mut cluster = started_cluster(SimulationOptions {
         replicas: 3,
         seed: 1,
-        link_bytes_per_ms: Some(THIN_LINK_BYTES_PER_MS),
+        link_bytes_per_ms: Some(SLOW_LINK_BYTES_PER_MS),
         ..SimulationOptions::default()
     });
-    let epochs_before = views_of(&cluster);
+    let epochs_before = views_installed(&cluster);
     let caller = cluster.chain()[1];
     let limit = 3 * one_link + 100;
     let acknowledged = cluster.write_document(caller, 1, bytes, limit);
-    let epochs = views_of(&cluster) - epochs_before;
-    let newcomer = cluster.add(1);
+    let epochs = views_installed(&cluster) - epochs_before;
+    let newcomer = cluster.add_machine(1);
     let joined = cluster.run_until(one_link + 700, |cluster| cluster.is_member(newcomer));
     println!(
         "{bytes} bytes: {one_link} ms over one link, acknowledged after {acknowledged:?} ms, joined after {joined:?} ms"
--- a/crates/lockusher-control-simulation/tests/simulation.rs
+++ b/crates/lockusher-control-simulation/tests/simulation.rs
@@ -4,8 +4,8 @@
 
 use lockusher_control::InjectedBug;
 use lockusher_control_simulation::{
-    Cluster, Outcome, SimulationOptions, Violation, shrink, simulate, simulate_with,
-    simulate_without,
+    Cluster, Outcome, SimulationOptions, Violation, shrink, simulate, simulate_omitting_faults,
+    simulate_with,
 };
 use yare::parameterized;
 
@@ -35,7 +35,7 @@
     five = { 5 },
     nine = { 9 },
 )]
-fn a_first_start_without_faults_serves(replicas: usize) {
+fn a_first_start_without_faults_acknowledges_a_write(replicas: usize) {
     let mut cluster = Cluster::new(SimulationOptions {
         replicas,
         seed: 1,
@@ -74,14 +74,14 @@
 
 #[parameterized(
     acknowledge_before_tail = { InjectedBug::AcknowledgeBeforeTail },
-    vote_after_wipe = { InjectedBug::VoteAfterDiskLoss },
+    vote_after_disk_loss = { InjectedBug::VoteAfterDiskLoss },
 )]
 fn an_injected_bug_is_found(injected_bug: InjectedBug) {
     assert!(first_violation(3, Some(injected_bug), 1000, 500).is_some());
 }
 
 #[test]
-fn a_failing_run_is_shrunk_to_faults_that_are_all_needed() {
+fn a_failing_run_is_shrunk_to_necessary_faults() {
     let injected_bug = Some(InjectedBug::VoteAfterDiskLoss);
     let (seed, full) =
         first_violation(3, injected_bug, 1000, 500).expect("the injected bug is found");
@@ -111,11 +111,17 @@
     let others: BTreeSet<usize> = (0..shrunk.steps)
         .filter(|step| !needed.contains(step))
         .collect();
-    assert!(!simulate_without(options, &others).violations.is_empty());
+    assert!(
+        !simulate_omitting_faults(options, &others)
+            .violations
+            .is_empty()
+    );
     for step in needed {
-        let left_out = others.iter().copied().chain([step]).collect();
+        let omitted_steps = others.iter().copied().chain([step]).collect();
         assert!(
-            simulate_without(options, &left_out).violations.is_empty(),
+            simulate_omitting_faults(options, &omitted_steps)
+                .violations
+                .is_empty(),
             "step {step} isn't needed"
         );
     }
@@ -136,15 +142,15 @@
 
 /// Machines are spread over zones of these sizes; the seeds are the first three.
 fn with_zones(
-    zones: &'static [usize],
+    zone_sizes: &'static [usize],
     seed: u64,
     injected_bug: Option<InjectedBug>,
 ) -> SimulationOptions {
     SimulationOptions {
-        replicas: zones.iter().sum(),
+        replicas: zone_sizes.iter().sum(),
         seed,
         steps: 500,
-        zones,
+        zone_sizes,
         injected_bug,
         ..SimulationOptions::default()
     }
@@ -158,18 +164,18 @@
     nine = { &[5, 2, 2], 30 },
     nine_in_four = { &[4, 3, 1, 1], 30 },
 )]
-fn no_invariant_is_violated_when_zones_are_lost(zones: &'static [usize], seeds: u64) {
+fn no_invariant_is_violated_when_zones_are_lost(zone_sizes: &'static [usize], seeds: u64) {
     for seed in 0..seeds {
-        let outcome = simulate_with(with_zones(zones, seed, None));
+        let outcome = simulate_with(with_zones(zone_sizes, seed, None));
         assert_eq!(outcome.violations, Vec::<Violation>::new(), "seed {seed}");
     }
 }
 
 /// One zone has so many machines that their votes would be a majority.
 #[parameterized(six = { &[3, 2, 1] }, nine = { &[5, 2, 2] })]
-fn a_lost_zone_is_survived_only_by_spread_voters(zones: &'static [usize]) {
+fn the_loss_of_a_zone_needs_voters_spread_over_zones(zone_sizes: &'static [usize]) {
     let found = (0..60).any(|seed| {
-        let options = with_zones(zones, seed, Some(InjectedBug::DomainsIgnored));
+        let options = with_zones(zone_sizes, seed, Some(InjectedBug::DomainsIgnored));
         !simulate_with(options).violations.is_empty()
     });
     assert!(found);
