--- a/crates/lockusher-control-simulation/src/lib.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -1,18 +1,18 @@
 //! Deterministic simulation of a group of control nodes in virtual time, under faults drawn from a seed.
 //!
-//! A run plays the replicas of `lockusher-control`, which have no I/O and no clock, against a simulated network, simulated
+//! A run drives the replicas of `lockusher-control`, which have no I/O and no clock, with a simulated network, simulated
 //! disks and operators that write and read. Messages are lost, duplicated, reordered and delayed; processes are killed,
-//! frozen and partitioned, one way and both; disks stall, fill up and are lost; machines are replaced; calls arrive late and
-//! twice. Targeted faults hit a node in the middle of a step of the protocol.
+//! frozen and partitioned, in one direction or both; disks stall, fill up and are lost; machines are replaced; calls are
+//! delayed and duplicated. Targeted faults hit a node in the middle of a protocol step.
 //!
-//! Two things are checked: what operators and agents observe is compared with a reference model of the configuration, and
-//! what each node sends and stores with the invariants of the protocol. See [`ViolationKind`].
+//! Two things are checked: the observations of operators and agents against a reference model of the configuration, and the
+//! messages and records of each node against the invariants of the protocol. See [`ViolationKind`].
 //!
-//! The same [`SimulationOptions`] play the same run, event by event. [`shrink()`] reduces a run with a violation to few steps
-//! and few faults. [`Cluster`] is for scenarios that name their faults.
+//! The same [`SimulationOptions`] reproduce the same run, event by event. [`shrink()`] reduces a run with a violation to few
+//! steps and few faults. [`Cluster`] serves scenarios with explicit faults.
 //!
-//! Called by this package's tests and by `lockusher-aggregator-testbed chain` and `chain-injected-bugs`; never part of the
-//! product.
+//! Used by this package's tests and by `lockusher-aggregator-testbed chain` and `chain-injected-bugs`; not part of production
+//! builds.
 
 mod calls;
 mod cluster;
--- a/crates/lockusher-control-simulation/src/options.rs
+++ b/crates/lockusher-control-simulation/src/options.rs
@@ -1,38 +1,39 @@
-//! What a run of the simulation is made of.
+//! Options of a simulation run.
 
 use lockusher_control::InjectedBug;
 
-/// What is simulated; the same options play the same run.
+/// Options of a run; the same options reproduce the same run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SimulationOptions {
-    /// Control nodes at the start.
+    /// Number of control nodes at the start.
     pub replicas: usize,
-    /// Seed of everything random.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Steps under faults; each is a fault, its end or an operator's call, and some tens of milliseconds.
+    /// Number of steps under faults. Each may begin or end a fault, lets idle operators call, and lasts some tens of
+    /// milliseconds.
     pub steps: usize,
-    /// Machines of each zone at the start, in the order of their numbers, so that the seeds, the first three, may share one.
-    /// One zone may be lost as a whole. Empty: no zone is lost.
+    /// Number of machines in each zone at the start, in the order of machine numbers. The seeds are the first three machines,
+    /// so that they may share a zone. One whole zone at a time may be lost. Empty: no zone is lost.
     pub zone_sizes: &'static [usize],
-    /// Bytes that each machine's link carries in a millisecond; none if links are never the limit.
+    /// Bandwidth of each machine's link, in bytes per millisecond; `None` if unlimited.
     pub link_bytes_per_ms: Option<u64>,
-    /// A bug that is injected into all nodes, to show that it is found.
+    /// A bug that is injected into all nodes, to verify that it is detected.
     pub injected_bug: Option<InjectedBug>,
-    /// A second bug, to show that one guard covers another.
+    /// A second bug, to verify that one guard covers for another.
     pub second_injected_bug: Option<InjectedBug>,
-    /// Which writes in flight a loss of power leaves on a disk.
+    /// Which writes in flight survive a power loss.
     pub surviving_writes: SurvivingWrites,
     /// What is checked.
     pub checks: Checks,
 }
 
 impl SimulationOptions {
-    /// Whether whole zones are lost.
+    /// Whether whole zones may be lost.
     pub(crate) fn loses_zones(&self) -> bool {
         !self.zone_sizes.is_empty()
     }
 
-    /// The zone of a machine of the start.
+    /// Zone of a machine that is present at the start.
     pub(crate) fn zone_of(&self, number: usize) -> usize {
         let ends = self.zone_sizes.iter().scan(0, |end, machines| {
             *end += machines;
@@ -42,22 +43,22 @@
     }
 }
 
-/// Which writes in flight a loss of power leaves on a disk.
+/// Which writes in flight survive a power loss.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum SurvivingWrites {
-    /// The first few, as a log does whose records are read up to the first that is missing.
+    /// A prefix of them, as with a log that is read up to the first missing record.
     #[default]
     Prefix,
-    /// Any of them. No storage of the product does so; it shows which guards don't rest on the order.
+    /// Any subset of them. The production storage never does this; it shows which guards don't depend on the order of writes.
     AnySubset,
 }
 
-/// What is checked in a run.
+/// Checks of a run.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Checks {
-    /// What operators and agents observe, and the invariants between nodes.
+    /// The observations of operators and agents, and the invariants of the protocol.
     #[default]
     All,
-    /// Only what operators and agents observe.
+    /// Only the observations of operators and agents.
     ExternallyVisible,
 }
--- a/crates/lockusher-control-simulation/src/outcome.rs
+++ b/crates/lockusher-control-simulation/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Result of a run.
+//! Result of a run: violations found, totals and recovery times.
 
 use lockusher_control::Millis;
 
@@ -7,23 +7,23 @@
 /// Result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Violations of guarantees and invariants; empty if none was found.
+    /// Violations of guarantees and invariants, in the order in which they were found.
     pub violations: Vec<Violation>,
-    /// Configurations acknowledged.
+    /// Number of configurations acknowledged.
     pub acknowledged: usize,
-    /// Requests answered as undecided or not at all.
+    /// Number of requests that timed out or were answered as unavailable.
     pub unanswered: usize,
-    /// Reads answered.
+    /// Number of reads answered with a configuration.
     pub reads: usize,
-    /// Disks lost, with or without their machines.
+    /// Number of disks lost, with or without their machines.
     pub wipes: usize,
-    /// Newest epoch at the end.
+    /// Highest epoch at the end of the run.
     pub epochs: u64,
-    /// Virtual time from the end of the faults until a write was acknowledged, in milliseconds.
+    /// Virtual time from the end of the faults to the first acknowledged write, in milliseconds.
     pub recovery_ms: Millis,
     /// Virtual time from the end of the faults until all machines were members of the chain, in milliseconds.
     pub settle_ms: Millis,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages: u64,
     /// Faults that began or ended, in order.
     pub faults: Vec<FaultStep>,
--- a/crates/lockusher-control-simulation/src/run.rs
+++ b/crates/lockusher-control-simulation/src/run.rs
@@ -1,10 +1,10 @@
-//! Runs of the simulation: faults first, then the recovery from them.
+//! Entry points: a run consists of steps under faults and the recovery from them.
 
 use std::collections::BTreeSet;
 
 use crate::{cluster::Cluster, options::SimulationOptions, outcome::Outcome};
 
-/// Plays one run without an injected bug.
+/// Simulates one run without an injected bug.
 pub fn simulate(replicas: usize, seed: u64, steps: usize) -> Outcome {
     simulate_with(SimulationOptions {
         replicas,
@@ -14,12 +14,12 @@
     })
 }
 
-/// Plays one run.
+/// Simulates one run.
 pub fn simulate_with(options: SimulationOptions) -> Outcome {
     simulate_omitting_faults(options, &BTreeSet::new())
 }
 
-/// Plays one run in which the faults of some steps are left out.
+/// Simulates one run in which the faults of `omitted_steps` are omitted.
 pub fn simulate_omitting_faults(
     options: SimulationOptions,
     omitted_steps: &BTreeSet<usize>,
--- a/crates/lockusher-control-simulation/src/shrink.rs
+++ b/crates/lockusher-control-simulation/src/shrink.rs
@@ -1,5 +1,5 @@
-//! Reduces a run with a violation to few steps and few faults, in the manner of delta debugging (Zeller and Hildebrandt,
-//! 2002): ever smaller chunks are left out as long as some violation remains.
+//! Reduces a run with a violation to few steps and few faults by delta debugging (Zeller and Hildebrandt, 2002): smaller and
+//! smaller chunks are omitted as long as a violation remains.
 
 use std::collections::BTreeSet;
 
@@ -8,23 +8,23 @@
     run::simulate_omitting_faults, violation::Violation,
 };
 
-/// Runs that one shrinking takes at most.
+/// Limit of the runs for one reduction.
 const MAX_RUNS: usize = 600;
 
-/// A short run with a violation.
+/// A reduced run with a violation.
 #[derive(Clone, Debug)]
 pub struct Shrunk {
-    /// Its steps under faults.
+    /// Number of steps under faults.
     pub steps: usize,
-    /// The faults that are left; without all others the run still has a violation.
+    /// The remaining faults: the run has a violation although all others are omitted.
     pub faults: Vec<FaultStep>,
-    /// The violations that it shows.
+    /// The violations of the reduced run.
     pub violations: Vec<Violation>,
-    /// Runs that were tried.
+    /// Number of runs simulated.
     pub runs: usize,
 }
 
-/// Shrinks this run; `None` if it has no violation.
+/// Reduces this run; `None` if it has no violation.
 pub fn shrink(options: SimulationOptions) -> Option<Shrunk> {
     let mut search = Search {
         options,
@@ -51,7 +51,7 @@
     })
 }
 
-/// The shortest failing run found so far.
+/// The smallest failing run found so far.
 struct Search {
     options: SimulationOptions,
     omitted_steps: BTreeSet<usize>,
@@ -60,7 +60,7 @@
 }
 
 impl Search {
-    /// Takes the run over if it fails, too.
+    /// Simulates a run and keeps it if it fails, too. Returns whether it does.
     fn try_run(&mut self, steps: usize, omitted_steps: BTreeSet<usize>) -> bool {
         if self.runs >= MAX_RUNS {
             return false;
@@ -80,7 +80,7 @@
         fails
     }
 
-    /// Takes steps off the end, in ever smaller chunks.
+    /// Removes steps from the end in smaller and smaller chunks.
     fn truncate_steps(&mut self) {
         let mut chunk_size = self.options.steps / 2;
         while chunk_size > 0 {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Leaves faults out, in ever smaller chunks, until each one that is left is needed.
+    /// Omits faults in smaller and smaller chunks until each remaining one is necessary.
     fn omit_faults(&mut self) {
         let mut chunk_size = self.failing.faults.len().div_ceil(2);
         while chunk_size > 0 {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Whether any chunk of this many faults could be left out.
+    /// Tries to omit each chunk of this many faults. Returns whether any was omitted.
     fn omit_chunks(&mut self, chunk_size: usize) -> bool {
         let steps: Vec<usize> = self.failing.faults.iter().map(|fault| fault.step).collect();
         let mut omitted = false;
