--- a/crates/lockusher-control-simulation/src/disk.rs
+++ b/crates/lockusher-control-simulation/src/disk.rs
@@ -1,4 +1,4 @@
-//! A simulated disk: a log of records, of which the newest may not be synced yet.
+//! Simulated disk: a log of durable records, and writes in flight.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -10,36 +10,40 @@
 
 use crate::{disk_contents::DiskContents, options::SurvivingWrites};
 
-/// The log and the writes in flight.
+/// The durable log and the writes in flight.
 #[derive(Debug, Default)]
 pub struct Disk {
+    /// Durable records, in the order of their writes.
     log: Vec<DurableRecord>,
-    /// What the log adds up to.
+    /// State that results from the log.
     contents: DiskContents,
-    /// It was corrupted in a way that its owner can't notice.
+    /// Whether it was corrupted without a checksum error.
     corrupted: bool,
+    /// Writes in flight, oldest first.
     writes: VecDeque<Write>,
-    /// Nothing is synced until then.
+    /// No write completes until then.
     pub stalled_until: Millis,
-    /// Free space: what is refused.
+    /// Free space, which decides which writes are refused.
     pub space: DiskSpace,
+    /// Longest sync while the disk is healthy.
     normal_max_sync: Millis,
-    /// Longest time that a sync takes now.
+    /// Longest sync at present.
     pub max_sync: Millis,
 }
 
 /// Free space on a disk.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum DiskSpace {
-    /// Nothing is refused.
+    /// No write is refused.
     #[default]
     Sufficient,
-    /// Enough for the acceptor's records: entries and states are refused.
+    /// Only the acceptor's records and other short records fit: entries and states are refused.
     VotesOnly,
     /// Every write is refused.
     Full,
 }
 
+/// A write in flight.
 #[derive(Debug)]
 struct Write {
     ticket: PersistTicket,
@@ -47,19 +51,19 @@
     due: Millis,
 }
 
-/// A write that has ended.
+/// A write that was synced or refused.
 #[derive(Clone, Debug)]
 pub struct CompletedWrite {
     pub ticket: PersistTicket,
-    /// The records, if they are durable now; the disk refused them otherwise.
+    /// The records, if they are durable; `None` if the disk refused them.
     pub durable: Option<Vec<DurableRecord>>,
 }
 
-/// Log records after which the simulated storage asks for a snapshot.
+/// A log with more records is replaced by a snapshot.
 const SNAPSHOT_AFTER_RECORDS: usize = 60;
 
 impl Disk {
-    /// An empty disk whose syncs normally take up to this time.
+    /// Creates an empty disk whose syncs take up to this time while it is healthy.
     pub fn new(normal_max_sync: Millis) -> Self {
         Self {
             normal_max_sync,
@@ -68,7 +72,7 @@
         }
     }
 
-    /// Ends slowness, stalls and the lack of space; writes in flight go on at the normal pace.
+    /// Ends slow syncs, stalls and the lack of space. Writes in flight complete at the normal rate.
     pub fn recover(&mut self, now: Millis) {
         let mut normal_due = now;
         for write in &mut self.writes {
@@ -80,7 +84,7 @@
         self.space = DiskSpace::Sufficient;
     }
 
-    /// Starts a write.
+    /// Starts a write, which completes after those in flight.
     pub fn write(
         &mut self,
         ticket: PersistTicket,
@@ -97,21 +101,21 @@
         });
     }
 
-    /// Whether it works as normal.
+    /// Whether it has no fault now.
     pub fn is_healthy(&self, now: Millis) -> bool {
         self.stalled_until <= now
             && self.space == DiskSpace::Sufficient
             && self.max_sync == self.normal_max_sync
     }
 
-    /// When the next write ends.
+    /// When the next write completes.
     pub fn next_due(&self) -> Option<Millis> {
         self.writes
             .front()
             .map(|write| write.due.max(self.stalled_until))
     }
 
-    /// Ends the next write if it is due.
+    /// Completes the next write if it is due.
     pub fn complete_next_write(&mut self, now: Millis) -> Option<CompletedWrite> {
         if self.next_due()? > now {
             return None;
@@ -134,7 +138,7 @@
         self.log.extend_from_slice(records);
     }
 
-    /// The process ends or power is lost: some of the writes in flight may be durable.
+    /// Ends the writes in flight when the process is killed or power is lost: some of them become durable.
     pub fn interrupt(&mut self, surviving_writes: SurvivingWrites, random: &mut ChaCha8Rng) {
         let completed = random.random_range(0..=self.writes.len());
         for (position, write) in std::mem::take(&mut self.writes).into_iter().enumerate() {
@@ -148,12 +152,12 @@
         }
     }
 
-    /// Loses everything.
+    /// Loses all records and writes in flight.
     pub fn erase(&mut self) {
         *self = Self::new(self.normal_max_sync);
     }
 
-    /// The newest configuration on it becomes another one, in a way that no checksum shows. Whether there was one.
+    /// Replaces the newest configuration by another one without a checksum error. Returns whether there was one.
     pub fn corrupt(&mut self) -> bool {
         let corrupted_document = |document: &ConfigurationDocument| {
             ConfigurationDocument::new(document.version, Arc::from(b"false".as_slice()))
@@ -176,28 +180,29 @@
         false
     }
 
-    /// What it durably holds; none if it was corrupted.
+    /// State that results from the durable records; `None` if it was corrupted.
     pub fn contents(&self) -> Option<&DiskContents> {
         (!self.corrupted).then_some(&self.contents)
     }
 
-    /// What a start finds.
+    /// Durable records, which a process recovers at its start.
     pub fn records(&self) -> Vec<DurableRecord> {
         self.log.clone()
     }
 
-    /// Whether the log is long enough to be replaced by a snapshot.
+    /// Whether the log is long enough for a snapshot and no write is in flight.
     pub fn needs_snapshot(&self) -> bool {
         self.log.len() > SNAPSHOT_AFTER_RECORDS && self.writes.is_empty()
     }
 
-    /// Replaces the log.
+    /// Replaces the log by the records of a snapshot.
     pub fn replace_log(&mut self, records: Vec<DurableRecord>) {
         self.contents = DiskContents::from_records(&records);
         self.log = records;
     }
 }
 
+/// Whether a disk with this free space refuses a write of these records.
 fn refuses(space: DiskSpace, records: &[DurableRecord]) -> bool {
     match space {
         DiskSpace::Sufficient => false,
@@ -206,6 +211,7 @@
     }
 }
 
+/// Whether a record contains a configuration, which takes more space than the acceptor's records.
 fn is_entry_or_state(record: &DurableRecord) -> bool {
     matches!(
         record,
--- a/crates/lockusher-control-simulation/src/disk_contents.rs
+++ b/crates/lockusher-control-simulation/src/disk_contents.rs
@@ -1,4 +1,4 @@
-//! What a simulated disk durably holds, added up from its records.
+//! State that results from the durable records of a simulated disk.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,25 @@
 
 use crate::violation::DurablePart;
 
-/// The sum of the records on one disk.
+/// State that results from the records of one disk.
 #[derive(Clone, Debug, Default)]
 pub struct DiskContents {
     identity: Option<Identity>,
     view: Option<View>,
+    /// Acceptor state by epoch.
     acceptor: BTreeMap<u64, AcceptorState>,
     durable_state: DurableState,
 }
 
 impl DiskContents {
-    /// The sum of these records, in their order.
+    /// Applies these records in order to an empty state.
     pub fn from_records(records: &[DurableRecord]) -> Self {
         let mut contents = Self::default();
         records.iter().for_each(|record| contents.apply(record));
         contents
     }
 
-    /// A further record has become durable.
+    /// Applies a record that has become durable.
     pub fn apply(&mut self, record: &DurableRecord) {
         match record {
             DurableRecord::Identity { identity, .. } => self.identity = Some(*identity),
@@ -48,12 +49,12 @@
         }
     }
 
-    /// Whose disk it is; none before the first record.
+    /// Identity of the replica; `None` before the first record.
     pub fn identity(&self) -> Option<Identity> {
         self.identity
     }
 
-    /// Epoch of the newest view; 0 if it holds none.
+    /// Epoch of the newest view; 0 without a view.
     pub fn epoch(&self) -> u64 {
         self.view.as_ref().map_or(0, |view| view.epoch)
     }
@@ -65,7 +66,7 @@
             .map_or_else(ProposalNumber::default, |acceptor| acceptor.promised)
     }
 
-    /// The proposal number of the newest acceptance for the successor of an epoch.
+    /// The highest proposal number accepted for the successor of an epoch.
     pub fn accepted(&self, epoch: u64) -> Option<ProposalNumber> {
         self.acceptor
             .get(&epoch)?
@@ -74,24 +75,24 @@
             .map(|accepted| accepted.proposal_number)
     }
 
-    /// Whether no further entry of the epoch is taken.
+    /// Whether the epoch is sealed: no further entry of it may be appended.
     pub fn is_sealed(&self, epoch: u64) -> bool {
         self.acceptor
             .get(&epoch)
             .is_some_and(|acceptor| acceptor.sealed)
     }
 
-    /// Identifies the state.
+    /// Digest of the replicated state and its history.
     pub fn history_digest(&self) -> HistoryDigest {
         self.durable_state.state.history_digest()
     }
 
-    /// Whether the state contains this configuration or was built on it.
+    /// Whether the request with this digest has been applied to the state.
     pub fn has_applied(&self, digest: Digest) -> bool {
         self.durable_state.state.has_applied(digest)
     }
 
-    /// The first part that is missing or older in another sum, which should be the same; none if there is none.
+    /// The first part that is missing or older in `other`, which should have the same contents.
     pub fn first_missing_in(&self, other: &DiskContents) -> Option<DurablePart> {
         let epoch = self.epoch();
         if self.identity != other.identity {
--- a/crates/lockusher-control-simulation/src/network.rs
+++ b/crates/lockusher-control-simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! A simulated network: messages in flight, and partitioned links.
+//! Simulated network: messages in flight, link bandwidth, partitions and degradation.
 
 use std::{
     cmp::Reverse,
@@ -11,33 +11,38 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// The network between all machines. Messages in flight are ordered by their time of arrival.
+/// The network between all machines.
 #[derive(Debug, Default)]
 pub struct Network {
+    /// Arrival times and numbers of the messages in flight, earliest first.
     arrivals: BinaryHeap<Reverse<(Millis, u64)>>,
+    /// Messages in flight, by their number.
     in_flight: BTreeMap<u64, Delivery>,
+    /// Number of the message scheduled last.
     last_number: u64,
+    /// Sender and receiver of each partitioned direction of a link.
     partitioned_links: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
-    /// A sender whose messages are kept back, and those that are.
+    /// A sender whose messages are held on arrival.
     held_sender: Option<SocketAddrV4>,
+    /// The messages that are held.
     held_messages: Vec<Delivery>,
-    /// Bytes that each machine's link carries in a millisecond, in one direction; none if it is never the limit.
+    /// Bandwidth of each machine's link in one direction, in bytes per millisecond; `None` if unlimited.
     bytes_per_ms: Option<u64>,
-    /// Until when a machine's link carries the long messages that it has sent.
+    /// When each machine's link has transmitted the long messages sent so far.
     busy_until: BTreeMap<SocketAddrV4, Millis>,
-    /// Messages lost, in percent.
+    /// Share of messages lost, in percent.
     pub loss: u32,
-    /// Messages duplicated, in percent.
+    /// Share of messages duplicated, in percent.
     pub duplicated: u32,
-    /// Messages delayed for long, in percent.
+    /// Share of messages with a long delay, in percent.
     pub delayed: u32,
-    /// Messages sent.
+    /// Number of messages sent.
     pub sent: u64,
-    /// Bytes of the messages that arrived, estimated from a sample.
+    /// Bytes of the messages that arrived, extrapolated from the sample that is encoded.
     pub bytes: u64,
 }
 
-/// A message that arrives.
+/// A message with its sender and receiver.
 #[derive(Clone, Debug)]
 pub struct Delivery {
     pub from: SocketAddrV4,
@@ -45,17 +50,17 @@
     pub message: Message,
 }
 
-/// One message in so many is encoded and decoded on its way.
+/// One in this many messages is encoded and decoded on arrival.
 const ENCODE_ONE_MESSAGE_IN: u64 = 16;
-/// A message with a longer configuration takes the connection for long messages.
+/// A message with a longer configuration is sent on the connection for long messages.
 const MAX_SHORT_MESSAGE_BYTES: u64 = 32 * 1024;
-/// Normal time in flight.
+/// Latency of a message.
 const NORMAL_DELAY_MS: std::ops::RangeInclusive<Millis> = 1..=12;
-/// Time in flight of a delayed message.
+/// Latency of a delayed message.
 const LONG_DELAY_MS: std::ops::RangeInclusive<Millis> = 20..=1500;
 
 impl Network {
-    /// A network whose machines have links of this bandwidth, in bytes per millisecond.
+    /// Creates a network whose links have this bandwidth, in bytes per millisecond.
     pub fn with_link_bandwidth(bytes_per_ms: Option<u64>) -> Self {
         Self {
             bytes_per_ms,
@@ -63,7 +68,7 @@
         }
     }
 
-    /// Sends a message; it goes through its form on the wire.
+    /// Sends a message, which may be lost, duplicated or delayed.
     pub fn send(&mut self, delivery: Delivery, now: Millis, random: &mut ChaCha8Rng) {
         self.sent += 1;
         let deliveries = 1 + u32::from(random.random_ratio(self.duplicated, 100));
@@ -82,8 +87,8 @@
         }
     }
 
-    /// When the sender's link has carried a message. Long ones wait for each other; short ones pass them, on a connection of
-    /// their own.
+    /// When the sender's link has transmitted a message. Long messages queue behind each other; short ones overtake them on a
+    /// separate connection.
     fn transmitted_at(&mut self, delivery: &Delivery, now: Millis) -> Millis {
         let Some(bytes_per_ms) = self.bytes_per_ms else {
             return now;
@@ -97,19 +102,20 @@
         *busy_until
     }
 
-    /// Lets a message arrive at this time.
+    /// Schedules the arrival of a message.
     pub fn schedule(&mut self, delivery: Delivery, arrives_at: Millis) {
         self.last_number += 1;
         self.arrivals.push(Reverse((arrives_at, self.last_number)));
         self.in_flight.insert(self.last_number, delivery);
     }
 
-    /// When the next message arrives.
+    /// Arrival time of the next message.
     pub fn next_due(&self) -> Option<Millis> {
         self.arrivals.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Takes the next message if it is due. A sample takes its form on the wire. Messages on a partitioned link are lost.
+    /// Removes the next message if it is due. The inner option is `None` if the message is lost on a partitioned link, held,
+    /// or can't be decoded. A sample of the messages is encoded and decoded.
     pub fn take_due(&mut self, now: Millis) -> Option<Option<Delivery>> {
         if self.next_due()? > now {
             return None;
@@ -140,12 +146,12 @@
         }))
     }
 
-    /// Keeps back all messages of this sender until [`Network::release_held_messages`].
+    /// Holds all messages of this sender on arrival until [`Network::release_held_messages`].
     pub fn hold_messages_of(&mut self, sender: SocketAddrV4) {
         self.held_sender = Some(sender);
     }
 
-    /// Lets the messages arrive that were kept back, in their order.
+    /// Schedules the held messages in the order of their arrival.
     pub fn release_held_messages(&mut self, now: Millis) {
         self.held_sender = None;
         for delivery in std::mem::take(&mut self.held_messages) {
@@ -153,12 +159,12 @@
         }
     }
 
-    /// Partitions one direction of a link.
+    /// Loses all messages in one direction of a link until [`Network::heal`].
     pub fn partition_link(&mut self, from: SocketAddrV4, to: SocketAddrV4) {
         self.partitioned_links.insert((from, to));
     }
 
-    /// Ends all partitions, losses, duplicates and delays.
+    /// Ends all partitions, losses, duplicates and delays, and holds no further messages.
     pub fn heal(&mut self) {
         self.partitioned_links.clear();
         self.held_sender = None;
@@ -167,7 +173,7 @@
         self.delayed = 0;
     }
 
-    /// Whether any link of a node is partitioned, or its messages are kept back.
+    /// Whether any link of a node is partitioned, or its messages are held.
     pub fn is_disturbed(&self, address: SocketAddrV4) -> bool {
         let is_held = self.held_sender == Some(address);
         let mut partitioned = self.partitioned_links.iter();
@@ -175,7 +181,7 @@
     }
 }
 
-/// Length of the configuration that a message carries.
+/// Length in bytes of the configuration that a message carries; 0 if it carries none.
 fn document_bytes(message: &Message) -> u64 {
     let document = match &message.body {
         MessageBody::Append { document, .. }
--- a/crates/lockusher-control-simulation/src/node.rs
+++ b/crates/lockusher-control-simulation/src/node.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: its disk, and the process if it runs.
+//! State of a simulated machine: its disk and, while it is up, its process.
 
 use std::net::SocketAddrV4;
 
@@ -6,42 +6,46 @@
 
 use crate::disk::Disk;
 
-/// Longest time that a sync of a healthy disk takes.
+/// Longest sync of a healthy disk.
 const MAX_SYNC_MS: Millis = 6;
 
-/// One machine.
+/// A simulated machine.
 #[derive(Debug)]
 pub struct Node {
+    /// Address of its internal listener.
     pub address: SocketAddrV4,
     /// Number of its zone.
     pub zone: usize,
     pub disk: Disk,
+    /// State machine of the process; `None` while it is down.
     pub replica: Option<Replica>,
-    /// The process doesn't run until then, though it isn't dead.
+    /// The process is alive but takes no events until then.
     pub frozen_until: Millis,
-    /// When a process that is down starts again; `None` for a removed machine.
+    /// When a process that is down starts; `None` while it is up, and for a removed machine.
     pub start_at: Option<Millis>,
+    /// When the next tick is due.
     pub next_tick: Millis,
-    /// When this machine was last unhealthy.
+    /// When this machine was last seen unhealthy.
     pub unhealthy_at: Millis,
-    /// Removed for good.
+    /// Whether it was removed permanently.
     pub removed: bool,
-    /// Starts as part of the first start.
+    /// Whether its next start is the first start of the deployment.
     pub first_start: bool,
-    /// Version last reported as committed by this incarnation of the process.
+    /// Version that this incarnation of the process last reported as committed.
     pub committed_version: u64,
-    /// Epoch of the newest view that it was seen to adopt.
+    /// Epoch of the newest view that this incarnation has adopted.
     pub adopted_epoch: u64,
-    /// Its disk was lost, or it is new, and it hasn't had the time to catch up.
+    /// Whether its disk was lost, or it is new, and it hasn't had the time to catch up since.
     pub disk_lost: bool,
-    /// Nodes couldn't tell it from a removed machine, so that a successor may have taken its place, and it isn't back.
+    /// Whether nodes couldn't distinguish it from a removed machine, so that a successor may have replaced it as a voter, and
+    /// it hasn't returned to a chain since.
     pub looks_removed: bool,
-    /// When its disk was new.
+    /// When its disk was last empty.
     pub disk_created_at: Millis,
 }
 
 impl Node {
-    /// A machine whose process starts at this time.
+    /// Creates a machine whose process starts at `start_at`.
     pub fn new(address: SocketAddrV4, first_start: bool, start_at: Millis) -> Self {
         Self {
             address,
@@ -62,7 +66,7 @@
         }
     }
 
-    /// Whether the process runs now.
+    /// Whether the process is up and not frozen.
     pub fn runs(&self, now: Millis) -> bool {
         self.replica.is_some() && now >= self.frozen_until
     }
