--- a/crates/lockusher-control-simulation/src/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -1,4 +1,4 @@
-//! The operators' calls: which node they reach and when, and what the operator and the reference model make of the replies.
+//! Calls of the operators: target node, duplicates and timeouts, and the handling of replies.
 
 use std::ops::Range;
 
@@ -11,20 +11,22 @@
     violation::ModelViolation,
 };
 
-/// An operator gives a call up if no reply has come after this time.
+/// Timeout after which an operator abandons a call.
 const OPERATOR_TIMEOUT_MS: Millis = 1000;
-/// One call with a change in so many is duplicated; the duplicate reaches some machine later.
+/// One in this many calls with a change is duplicated; the duplicate reaches a random machine later.
 const DUPLICATE_ONE_CALL_IN: u32 = 8;
-/// How late a duplicated call arrives.
+/// Delay of a duplicated call.
 const CALL_DELAY_MS: Range<Millis> = 1..12_000;
 
 impl Cluster {
+    /// Lets each idle operator make its next call.
     pub(crate) fn step_operators(&mut self) {
         for number in 0..self.operators.len() {
             self.step_operator(number, true);
         }
     }
 
+    /// Lets an operator make its next call if it is idle: a read, if `may_read`, or a change.
     pub(crate) fn step_operator(&mut self, number: usize, may_read: bool) {
         self.abandon_expired_call(number);
         let operator = &mut self.operators[number];
@@ -40,7 +42,7 @@
         self.call_any_node(number, change.request(), Some(change));
     }
 
-    /// An operator gives up its call, if it has one, and sends its next change to this machine.
+    /// Makes an operator abandon its call, if it has one, and send its next change to this machine.
     pub(crate) fn send_change_to(&mut self, node: usize, number: usize) {
         self.abandon_call(number);
         let change = self.operators[number].next_change(&mut self.random);
@@ -48,7 +50,7 @@
         self.call_node(node, number, change.request(), Some(change));
     }
 
-    /// An operator gives its call up if no reply has come in time.
+    /// Abandons an operator's call if it has timed out.
     pub(crate) fn abandon_expired_call(&mut self, number: usize) {
         let call = self.operators[number].call.as_ref();
         if call.is_some_and(|call| call.deadline <= self.now) {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// An operator gives its call up, if it has one.
+    /// Abandons an operator's call, if it has one.
     pub(crate) fn abandon_call(&mut self, number: usize) {
         let operator = &mut self.operators[number];
         if operator.call.take().is_some() {
@@ -65,6 +67,7 @@
         }
     }
 
+    /// Sends an operator's request to a random running machine, preferably another one than the last.
     pub(crate) fn call_any_node(
         &mut self,
         number: usize,
@@ -84,7 +87,7 @@
         self.call_node(node, number, request, change);
     }
 
-    /// An operator calls this machine.
+    /// Sends an operator's request to this machine. A change may be duplicated.
     pub(crate) fn call_node(
         &mut self,
         node: usize,
@@ -109,7 +112,7 @@
         self.handle_event(node, Event::Request { ticket, request });
     }
 
-    /// A duplicate of the call reaches some machine later, also one that doesn't run now.
+    /// Schedules a duplicate of the call for a random machine, which need not be running now.
     fn delay_call(&mut self, request: Request) {
         let node = self.random.random_range(0..self.nodes.len());
         let due = self.now + self.random.random_range(CALL_DELAY_MS);
@@ -145,12 +148,12 @@
         }
     }
 
-    /// Calls one machine and waits for its reply.
+    /// Sends a request to one machine and waits for the reply for up to 1 s.
     pub(crate) fn request(&mut self, number: usize, request: Request) -> Option<Reply> {
         self.request_within(number, request, OPERATOR_TIMEOUT_MS)
     }
 
-    /// Calls one machine and waits for its reply for this time. It may still come, see [`Cluster::await_reply`].
+    /// Sends a request to one machine and waits for the reply for up to `timeout`; see [`Cluster::await_reply`] for a later one.
     pub fn request_within(
         &mut self,
         number: usize,
@@ -164,7 +167,7 @@
         self.await_reply(timeout)
     }
 
-    /// Waits for the reply to the last call of [`Cluster::request_within`].
+    /// Waits for the reply to the latest request of [`Cluster::request_within`].
     pub fn await_reply(&mut self, timeout: Millis) -> Option<Reply> {
         let deadline = self.now + timeout;
         while self.now < deadline {
@@ -176,6 +179,7 @@
         None
     }
 
+    /// Handles a reply and checks it against the reference model. Replies to abandoned and duplicated calls are ignored.
     pub(crate) fn on_reply(&mut self, ticket: RequestTicket, reply: Reply) {
         if let Some((pending, pending_reply)) = &mut self.pending_request
             && *pending == ticket
@@ -236,6 +240,7 @@
         }
     }
 
+    /// Checks the reply to a read that began when `floor` was the highest version acknowledged or read.
     pub(crate) fn on_read_reply(&mut self, ticket: RequestTicket, floor: u64, reply: Reply) {
         match reply {
             Reply::Document(document) => {
--- a/crates/lockusher-control-simulation/src/cluster.rs
+++ b/crates/lockusher-control-simulation/src/cluster.rs
@@ -1,11 +1,11 @@
-//! A simulated deployment: all machines, the network and the operators, in virtual time.
+//! Simulated deployment: all machines, the network and the operators, in virtual time.
 //!
-//! [`Cluster`] owns everything that is simulated. This module has its state and its clock; other modules add to it what
-//! processes do (`processes`), calls of operators (`calls`), faults (`fault_actions`, `fault_injection`, `disk_losses`),
-//! checks (`invariant_checks`, `recovery`) and what a test reads of it (`observation`).
+//! [`Cluster`] owns the whole simulated state. This module contains its fields and the event loop; other modules implement
+//! the processes (`processes`), calls of operators (`calls`), faults (`fault_actions`, `fault_injection`, `disk_losses`,
+//! `message_races`), checks (`invariant_checks`, `recovery`) and accessors for tests (`observation`).
 //!
-//! Everything random comes from two generators seeded by the run's seed: one for the faults of the present step, one for all
-//! else. The same options therefore play the same run.
+//! All random draws come from two generators seeded with the run's seed: one for the fault of the present step, one for all
+//! else. The same options therefore reproduce the same run.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -30,13 +30,13 @@
     violation::ViolationLog,
 };
 
-/// The operator's bound for an acknowledgement, as given to the replicas.
+/// Bound for an acknowledgement, as configured in the replicas.
 pub(crate) const ACKNOWLEDGE_MS: Millis = 4000;
-/// The bound for a new node to become a full member, as given to the replicas.
+/// Bound for a new node to become a full member, as configured in the replicas.
 pub(crate) const CATCH_UP_MS: Millis = 4000;
-/// When the processes of a first start begin, each at a time of its own.
+/// Range of the processes' start times at the first start of the deployment.
 const FIRST_START_MS: Range<Millis> = 1..300;
-/// Operators that call at the same time.
+/// Number of concurrent operators.
 const OPERATOR_COUNT: usize = 3;
 
 /// A simulated deployment.
@@ -45,35 +45,36 @@
     pub(crate) options: SimulationOptions,
     /// Virtual time.
     pub(crate) now: Millis,
-    /// Draws everything but faults.
+    /// Generator of all draws except those of faults.
     pub(crate) random: ChaCha8Rng,
-    /// Draws the fault of the present step.
+    /// Generator of the draws for the fault of the present step.
     pub(crate) fault_random: ChaCha8Rng,
     pub(crate) network: Network,
-    /// All machines that ever were, by their number.
+    /// All machines, indexed by their number, including removed ones.
     pub(crate) nodes: Vec<Node>,
     pub(crate) operators: Vec<Operator>,
     pub(crate) violations: ViolationLog,
     pub(crate) model: ReferenceModel,
     pub(crate) invariants: ProtocolInvariants,
-    /// An armed fault that waits for a step of the protocol.
+    /// An armed fault that waits for its protocol step.
     pub(crate) targeted_fault: Option<TargetedFault>,
-    /// Calls that are delayed on their way.
+    /// Duplicates of calls that have not been delivered yet.
     pub(crate) delayed_calls: Vec<DelayedCall>,
-    /// When a majority of the voters last wasn't healthy.
+    /// When the voters last had no healthy majority.
     pub(crate) majority_unhealthy_at: Millis,
-    /// Removed machines whose votes may be left.
+    /// Removed machines that may still be voters, with their successors.
     pub(crate) replacements: Vec<Replacement>,
+    /// Number of the latest request.
     pub(crate) next_request: u64,
-    /// The single request of [`Cluster::request_within`], and its reply.
+    /// The latest request of [`Cluster::request_within`], and its reply once that has arrived.
     pub(crate) pending_request: Option<(RequestTicket, Option<Reply>)>,
-    /// Draws the faults of the steps.
+    /// Draws the fault of each step.
     pub(crate) fault_schedule: FaultSchedule,
     pub(crate) outcome: Outcome,
 }
 
 impl Cluster {
-    /// A first start of all nodes within 0.3 s.
+    /// Creates a cluster whose nodes all start for the first time within 0.3 s.
     pub fn new(options: SimulationOptions) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(options.seed);
         let fault_schedule = FaultSchedule::new(options.seed, &mut random);
@@ -105,12 +106,12 @@
         }
     }
 
-    /// Voters that may be lost at once.
+    /// Number of voters that may be lost at the same time.
     pub fn tolerated_losses(&self) -> usize {
         (self.options.replicas.saturating_sub(1) / 2).min(2)
     }
 
-    /// What may be lost as a whole in place of single voters.
+    /// Zones and regions that may be lost at the same time, instead of single voters.
     pub fn tolerated_domains(&self) -> ToleratedDomains {
         ToleratedDomains {
             zones: usize::from(self.options.loses_zones()),
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The result.
+    /// Ends the run and returns its result.
     pub fn into_outcome(self) -> Outcome {
         let epochs = self
             .nodes
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Runs until this virtual time.
+    /// Processes all events up to this virtual time.
     pub fn advance(&mut self, until: Millis) {
         while let Some(next) = self.next_time().filter(|next| *next <= until) {
             self.now = self.now.max(next);
@@ -147,6 +148,7 @@
         self.now = until;
     }
 
+    /// Time of the next event: a start, a tick, a completed write, a delayed call or the arrival of a message.
     fn next_time(&self) -> Option<Millis> {
         let nodes = self.nodes.iter().flat_map(|node| {
             let start = node.start_at.filter(|_| node.replica.is_none());
@@ -163,6 +165,7 @@
         nodes.chain(delayed).chain(self.network.next_due()).min()
     }
 
+    /// Delivers the messages that are due: to a frozen process once it runs again, and not at all to one that is down.
     fn deliver_messages(&mut self) {
         while let Some(arrival) = self.network.take_due(self.now) {
             let Some(Delivery { from, to, message }) = arrival else {
--- a/crates/lockusher-control-simulation/src/observation.rs
+++ b/crates/lockusher-control-simulation/src/observation.rs
@@ -1,4 +1,4 @@
-//! What a scenario reads of the cluster, and requests that it makes.
+//! Accessors and requests for scenarios.
 
 use std::sync::Arc;
 
@@ -11,17 +11,17 @@
 };
 
 impl Cluster {
-    /// Virtual time.
+    /// Virtual time, in milliseconds.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// The replica of a machine, if it runs.
+    /// The replica of a machine; `None` while its process is down.
     pub fn replica(&self, number: usize) -> Option<&Replica> {
         self.nodes[number].replica.as_ref()
     }
 
-    /// The machine that is head, if exactly one calls itself so in the newest epoch.
+    /// The machine whose replica acts as head; with several, the one of the newest epoch.
     pub fn head(&self) -> Option<usize> {
         let heads = (0..self.nodes.len()).filter(|number| {
             self.nodes[*number]
@@ -37,7 +37,7 @@
         view.map_or(0, |view| view.epoch)
     }
 
-    /// The machines of the newest view's chain, head first.
+    /// The machines in the newest view's chain, head first.
     pub fn chain(&self) -> Vec<usize> {
         let newest = (0..self.nodes.len()).max_by_key(|number| self.epoch_of(*number));
         let view = newest.and_then(|number| self.nodes[number].replica.as_ref()?.view());
@@ -51,7 +51,7 @@
             .collect()
     }
 
-    /// Number of voters of the newest view.
+    /// Number of voters in the newest view.
     pub fn voters(&self) -> usize {
         let views = self
             .nodes
@@ -62,7 +62,7 @@
             .map_or(0, |view| view.voters.len())
     }
 
-    /// Whether this machine is in the newest view's chain and knows that it is up to date.
+    /// Whether this machine has adopted the newest view and its replica considers itself an up-to-date member of the chain.
     pub fn is_member(&self, number: usize) -> bool {
         let newest = (0..self.nodes.len())
             .map(|number| self.epoch_of(number))
@@ -74,7 +74,7 @@
                 .is_some_and(Replica::is_clean)
     }
 
-    /// Runs until the condition holds; the time it took, or `None` after `limit`.
+    /// Runs until the condition holds. Returns the time taken, or `None` after `limit`.
     pub fn run_until(
         &mut self,
         limit: Millis,
@@ -98,14 +98,14 @@
         })
     }
 
-    /// One operator writes, with retries at any machine; the time until it was acknowledged.
+    /// Lets one operator write, with retries at any machine. Returns the time until the acknowledgement.
     pub fn write(&mut self) -> Option<Millis> {
         let since = self.now;
         self.write_until_acknowledged(ACKNOWLEDGE_MS)
             .map(|_| self.now - since)
     }
 
-    /// One operator sends a configuration of this size to a machine; the time until it was acknowledged.
+    /// Sends a configuration of about this size to a machine, without retries. Returns the time until the acknowledgement.
     pub fn write_document(
         &mut self,
         number: usize,
@@ -124,17 +124,17 @@
         (reply == Some(Reply::Accepted)).then(|| self.now - since)
     }
 
-    /// Asks one machine to read; its answer within a second, if any.
+    /// Sends a read to one machine. Returns its reply if it arrives within a second.
     pub fn read_at(&mut self, number: usize) -> Option<Reply> {
         self.request(number, Request::Read)
     }
 
-    /// The newest version that was committed; 0 before the first.
+    /// The newest committed version; 0 before the first.
     pub fn version(&self) -> u64 {
         self.model.newest_version()
     }
 
-    /// The changes acknowledged to the one operator of [`Cluster::write`], as they would be sent again.
+    /// The changes acknowledged to the operator of [`Cluster::write`], as requests that resend them.
     pub fn acknowledged_changes(&self) -> Vec<Request> {
         self.operators[0]
             .acknowledged
@@ -143,22 +143,22 @@
             .collect()
     }
 
-    /// Violations found so far.
+    /// Violations found so far, in the order in which they were found.
     pub fn violations(&self) -> &[Violation] {
         self.violations.as_slice()
     }
 
-    /// Messages sent so far.
+    /// Number of messages sent so far.
     pub fn messages(&self) -> u64 {
         self.network.sent
     }
 
-    /// Bytes sent so far.
+    /// Bytes of the messages that arrived so far, extrapolated from a sample.
     pub fn bytes(&self) -> u64 {
         self.network.bytes
     }
 
-    /// The nodes' present state, one line each.
+    /// Present state of the nodes, one line each.
     pub fn describe(&self) -> String {
         let lines = self.nodes.iter().map(|node| {
             let Some(replica) = &node.replica else {
--- a/crates/lockusher-control-simulation/src/operator.rs
+++ b/crates/lockusher-control-simulation/src/operator.rs
@@ -1,4 +1,4 @@
-//! A simulated operator: sends configurations, whole ones and patches, reads them, and retries what wasn't answered.
+//! Simulated operator: sends full configurations and patches, reads, and retries unanswered changes.
 
 use std::sync::Arc;
 
@@ -7,50 +7,53 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// One change in so many is a patch.
+/// One in this many changes is a patch.
 const PATCH_ONE_CHANGE_IN: u32 = 3;
 
-/// The configuration that a patch makes of another one: it depends on both.
+/// The configuration that results from a patch. Its body depends on the patch and on the base.
 pub fn patched(version: u64, patch: Digest, base: Digest) -> ConfigurationDocument {
     let body = format!("{{\"version\":{version},\"patch\":\"{patch}\",\"base\":\"{base}\"}}");
     ConfigurationDocument::patched(version, patch, Arc::from(body.into_bytes()))
 }
 
-/// An operator with one call at a time.
+/// An operator, which has at most one call in flight.
 #[derive(Debug)]
 pub struct Operator {
     pub number: usize,
-    /// The newest version that it knows.
+    /// The newest version known to it.
     pub known_version: u64,
-    /// The change that it wants committed, until that is decided.
+    /// The change that it retries until it is accepted or rejected.
     pub change: Option<Change>,
+    /// The call in flight.
     pub call: Option<Call>,
-    /// Nothing is sent before then.
+    /// No call is made before then.
     pub idle_until: Millis,
+    /// Number of changes created, which makes their bodies distinct.
     changes_created: u64,
-    /// The machine called last; another one is called next, if there is one.
+    /// The machine called last; the next call goes to another one, if one is running.
     pub last_node: Option<usize>,
-    /// Changes acknowledged to it, some of which it resends.
+    /// Changes that were acknowledged; some are resent.
     pub acknowledged: Vec<Change>,
 }
 
 /// A change of the configuration.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Identifies the call.
+    /// Identity of the request.
     pub identity: Digest,
     pub version: u64,
+    /// The version that it builds on.
     pub if_match: u64,
     pub content: Content,
-    /// It was acknowledged before, and is resent.
+    /// Whether it was acknowledged before and is resent.
     pub is_resent: bool,
 }
 
-/// What a change consists of.
+/// Content of a change.
 #[derive(Clone, Debug)]
 pub enum Content {
     FullDocument(ConfigurationDocument),
-    /// A patch, with the configuration to apply it to once that is known.
+    /// A patch, with the configuration that it applies to once that is known.
     Patch {
         base: Option<ConfigurationDocument>,
     },
@@ -61,12 +64,12 @@
 pub struct Call {
     pub ticket: RequestTicket,
     pub deadline: Millis,
-    /// Highest version acknowledged or read when the call started: a later read must not be below.
+    /// Highest version acknowledged or read when the call started: the lower bound for a read.
     pub floor: u64,
     pub is_read: bool,
 }
 
-/// A duplicated call that is delayed on its way; nobody waits for its reply.
+/// A delayed duplicate of a call; its reply is ignored.
 #[derive(Clone, Debug)]
 pub struct DelayedCall {
     pub due: Millis,
@@ -75,7 +78,7 @@
 }
 
 impl Operator {
-    /// An operator that knows of no configuration.
+    /// Creates an operator that knows no configuration.
     pub fn new(number: usize) -> Self {
         Self {
             number,
@@ -89,7 +92,7 @@
         }
     }
 
-    /// The next change to be sent: the present one if it isn't decided yet.
+    /// The next change to send: the undecided one if there is one, otherwise a new or an acknowledged one.
     pub fn next_change(&mut self, random: &mut ChaCha8Rng) -> Change {
         if let Some(change) = &self.change {
             return change.clone();
@@ -107,7 +110,7 @@
         change
     }
 
-    /// A change that builds on the newest version it knows.
+    /// Creates a change that builds on the newest known version.
     fn new_change(&mut self, random: &mut ChaCha8Rng) -> Change {
         if self.known_version == 0 || !random.random_ratio(1, PATCH_ONE_CHANGE_IN) {
             return self.new_full_document(random);
@@ -124,7 +127,7 @@
         }
     }
 
-    /// A full configuration that builds on the newest version it knows.
+    /// Creates a full configuration that builds on the newest known version.
     pub fn new_full_document(&mut self, random: &mut ChaCha8Rng) -> Change {
         let (version, body) = self.next_body(random);
         let document = ConfigurationDocument::new(version, Arc::from(body.into_bytes()));
@@ -138,7 +141,7 @@
         }
     }
 
-    /// The version of the next change, and a body that no other change has.
+    /// Draws the version of the next change and returns it with a unique body.
     fn next_body(&mut self, random: &mut ChaCha8Rng) -> (u64, String) {
         self.changes_created += 1;
         let version = self.known_version + random.random_range(1..=3);
@@ -149,7 +152,7 @@
         (version, body)
     }
 
-    /// A patch without a clear reply is retried from its first step, the request for its base.
+    /// Discards the base of an undecided patch, so that a retry requests the base again.
     pub fn discard_patch_base(&mut self) {
         if let Some(Change {
             content: Content::Patch { base },
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Applies the patch to the configuration that it builds on. Whether there is a patch that waits for one.
+    /// Stores the base of the undecided patch. Returns whether there is a base and a patch that waits for it.
     pub fn receive_base(&mut self, document: Option<ConfigurationDocument>) -> bool {
         match (&mut self.change, document) {
             (
@@ -179,7 +182,7 @@
 }
 
 impl Change {
-    /// The request that asks for it.
+    /// The request to send: for a patch without a base, the request for the base.
     pub fn request(&self) -> Request {
         let (if_match, version, request) = (self.if_match, self.version, self.identity);
         match &self.content {
@@ -199,7 +202,7 @@
         }
     }
 
-    /// The same change before its base is known.
+    /// The same change with the base of a patch removed.
     pub fn without_base(mut self) -> Self {
         if let Content::Patch { base } = &mut self.content {
             *base = None;
@@ -207,6 +210,7 @@
         self
     }
 
+    /// Whether it is a patch.
     pub fn is_patch(&self) -> bool {
         matches!(self.content, Content::Patch { .. })
     }
