--- a/crates/lockusher-control-simulation/src/processes.rs
+++ b/crates/lockusher-control-simulation/src/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of the simulated machines: their start, the events they take and the effects they ask for.
+//! Processes of the simulated machines: starts, events for the replica and execution of its effects.
 
 use std::net::SocketAddrV4;
 
@@ -13,14 +13,15 @@
     violation::ModelViolation,
 };
 
-/// Throughput between machines that the replicas count on, in bytes per millisecond.
+/// Throughput that the replicas assume if links are unlimited, in bytes per millisecond.
 const ASSUMED_BYTES_PER_MS: u64 = 4096;
 /// Interval of [`Event::Tick`].
 const TICK_MS: Millis = 50;
-/// Seeds that each process is given.
+/// Number of seeds in the setup of each process.
 const SEED_COUNT: usize = 3;
 
 impl Cluster {
+    /// Starts the process if that is due; otherwise completes its writes and sends its tick if they are due.
     pub(crate) fn run_node(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
@@ -50,7 +51,7 @@
         }
     }
 
-    /// As a storage does: the snapshot takes the place of the log while no write is under way.
+    /// Replaces a long log by a snapshot while no write is in flight, as the production storage does.
     fn take_snapshot(&mut self, number: usize) {
         let node = &self.nodes[number];
         if !node.disk.needs_snapshot() || node.disk.space != DiskSpace::Sufficient {
@@ -63,6 +64,7 @@
         self.nodes[number].disk.replace_log(records);
     }
 
+    /// Starts the process with the records on its disk.
     fn start_process(&mut self, number: usize) {
         let tolerated_losses = self.tolerated_losses() as u32;
         let tolerated_domains = self.tolerated_domains();
@@ -93,7 +95,10 @@
             ..setup
         };
         let records = self.nodes[number].disk.records();
-        log::trace!("{}: start of machine {number} with {records:?}", self.now);
+        log::trace!(
+            "{}: machine {number} starts with the records {records:?}",
+            self.now
+        );
         let bugs = [self.options.injected_bug, self.options.second_injected_bug];
         let (replica, effects) = Replica::with_injected_bugs(setup, records, self.now, bugs);
         let node = &mut self.nodes[number];
@@ -105,7 +110,7 @@
         self.execute_effects(number, effects);
     }
 
-    /// At the first start the fixed seeds, later any three machines.
+    /// Seeds of a process: the fixed ones at the first start, later any three consecutive machines that are present.
     fn draw_seeds(
         &mut self,
         number: usize,
@@ -131,6 +136,7 @@
             .collect()
     }
 
+    /// Passes an event to a replica and executes the effects, unless a targeted fault kills the process before.
     pub(crate) fn handle_event(&mut self, number: usize, event: Event) {
         let now = self.now;
         let Some(replica) = &mut self.nodes[number].replica else {
@@ -146,6 +152,7 @@
         }
     }
 
+    /// Executes the effects of a replica and checks them against the reference model and the invariants.
     fn execute_effects(&mut self, number: usize, effects: Vec<Effect>) {
         self.check_adopted(number);
         let now = self.now;
@@ -173,7 +180,7 @@
                     let node = &mut self.nodes[number];
                     if document.version <= node.committed_version {
                         let version = document.version;
-                        let violation = ModelViolation::CommittedVersionDecreased {
+                        let violation = ModelViolation::CommittedVersionNotIncreased {
                             node: from,
                             version,
                         };
