--- a/crates/lockusher-control-simulation/src/invariant_checks.rs
+++ b/crates/lockusher-control-simulation/src/invariant_checks.rs
@@ -1,4 +1,5 @@
-//! Where a run checks the invariants of the protocol: at each message sent, record stored, view adopted, start and snapshot.
+//! Points at which a run checks the invariants of the protocol: each message sent, record stored, view adopted, start and
+//! snapshot.
 
 use lockusher_control::{DurableRecord, Identity, Message, Replica};
 
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Checks that every member of the newest chain whose disk isn't lost has stored the newest committed configuration.
+    /// Checks that every member of the newest chain whose disk isn't lost has applied the newest committed change.
     pub(crate) fn check_committed_is_stored(&mut self) {
         if !self.checks_invariants() {
             return;
@@ -95,14 +96,14 @@
         }
     }
 
-    /// What the disk with this identity holds; none if it is lost.
+    /// Contents of the disk with this identity; `None` if it is lost or corrupted.
     fn disk_of(&self, identity: Identity) -> Option<&DiskContents> {
         let disks = self.nodes.iter().filter_map(|node| node.disk.contents());
         let mut matching = disks.filter(|disk| disk.identity() == Some(identity));
         matching.next()
     }
 
-    /// Checks that a process that has started recovered all that its disk holds.
+    /// Checks that a process recovered all contents of its disk at the start.
     pub(crate) fn check_recovered(&mut self, number: usize) {
         let node = &self.nodes[number];
         let (Some(replica), Some(disk)) = (&node.replica, node.disk.contents()) else {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Checks that a snapshot that is about to replace the log holds the same.
+    /// Checks that a snapshot has the same contents as the log that it is about to replace.
     pub(crate) fn check_snapshot(&mut self, number: usize, records: &[DurableRecord]) {
         let node = &self.nodes[number];
         let Some(disk) = node.disk.contents().filter(|_| self.checks_invariants()) else {
--- a/crates/lockusher-control-simulation/src/invariants.rs
+++ b/crates/lockusher-control-simulation/src/invariants.rs
@@ -1,7 +1,7 @@
-//! Invariants of the protocol: what a node may send and store, given what it sent and stored before.
+//! Invariants of the protocol: which messages a node may send and which records it may store, given its earlier ones.
 //!
-//! A violation is a bug even in a run in which another guard prevents the harm. It shows long before the rare sequence of
-//! faults in which an operator would observe something wrong. The rules of the agreement are those of an acceptor of
+//! A violation is a bug even in a run in which another guard prevents its consequences. It is detected long before the rare
+//! sequence of faults in which an operator would observe it. The rules of the agreement are those of an acceptor of
 //! single-decree Paxos (Lamport, "Paxos Made Simple", 2001), those of the chain are chain replication's (van Renesse and
 //! Schneider, OSDI 2004), with reconfiguration by sealing the previous chain.
 
@@ -18,33 +18,35 @@
     disk_contents::DiskContents, view_succession::check_succession, violation::InvariantViolation,
 };
 
-/// All that nodes have sent and decided, as far as invariants depend on it.
+/// History of messages, votes and views, as far as the invariants depend on it.
 #[derive(Debug, Default)]
 pub struct ProtocolInvariants {
+    /// Votes and transfers sent, by the identity on the disk and the epoch.
     sent_by_disk: BTreeMap<(Identity, u64), SentInEpoch>,
     /// Views that nodes have adopted, by epoch.
     views: BTreeMap<u64, View>,
-    /// Views that voters were asked to accept, by the epoch that they follow.
+    /// Views proposed to voters, by the epoch that they follow and the proposal number.
     proposed_views: BTreeMap<(u64, ProposalNumber), View>,
-    /// Disks that hold an acceptance, likewise.
+    /// Voters that accepted a proposal, by the same key.
     acceptances: BTreeMap<(u64, ProposalNumber), BTreeSet<Identity>>,
-    /// Entries, by epoch and index.
+    /// Digests of the entries sent, by epoch and index.
     entries: BTreeMap<(u64, u64), Digest>,
 }
 
-/// What the owner of a disk has sent in an epoch. A promise or acceptance that is durable and wasn't sent binds nobody: a
-/// disk that refuses writes may hold one of an epoch whose view it lacks.
+/// Votes and transfers that a replica has sent in an epoch. A promise or acceptance that is durable but wasn't sent has no
+/// effect: a disk that refuses writes may contain one of an epoch whose view it lacks.
 #[derive(Debug, Default)]
 struct SentInEpoch {
-    /// Proposal numbers promised, each with that of the accepted view which the response reported.
+    /// Proposal numbers promised, each with the proposal number of the accepted view that the response reported.
     promises: BTreeMap<ProposalNumber, Option<ProposalNumber>>,
+    /// Proposal numbers accepted.
     accepted: BTreeSet<ProposalNumber>,
-    /// History digest of the sealed state that it handed over.
+    /// History digest of the sealed state that it transferred.
     handed_over: Option<HistoryDigest>,
 }
 
 impl ProtocolInvariants {
-    /// Checks a message that a node sends while its disk holds this.
+    /// Checks a message that a node sends, given the contents of its disk.
     ///
     /// # Errors
     ///
@@ -97,8 +99,8 @@
         self.sent_by_disk.entry((sender, epoch)).or_default()
     }
 
-    /// A promise reports whatever was accepted under lower proposal numbers. Messages may be late, so that it doesn't matter which
-    /// of the two was sent first.
+    /// A promise must report the highest acceptance under a lower proposal number, whichever of the two was sent first, since
+    /// messages may be delayed.
     fn check_promise(
         &mut self,
         sender: Identity,
@@ -126,6 +128,7 @@
         Ok(())
     }
 
+    /// An acceptance must be durable, and no promise of a higher proposal number may have omitted it.
     fn check_acceptance(
         &mut self,
         sender: Identity,
@@ -161,6 +164,7 @@
         Ok(())
     }
 
+    /// A voter may confirm an epoch only before it accepts a successor view.
     fn check_confirmation(
         &mut self,
         sender: Identity,
@@ -176,6 +180,7 @@
         }
     }
 
+    /// A state is transferred to joiners after its seal is durable, and only one state per epoch.
     fn check_join_transfer(
         &mut self,
         sender: Identity,
@@ -207,7 +212,7 @@
         }
     }
 
-    /// An entry that is sent down the chain has been stored by the sender.
+    /// An entry must be durable at the sender before it is sent down the chain.
     fn check_entry_sent(
         &mut self,
         epoch: u64,
@@ -225,6 +230,7 @@
         Ok(())
     }
 
+    /// An entry must be durable before it is reported as stored or acknowledged.
     fn check_entry_stored(
         &mut self,
         sender: Identity,
@@ -244,7 +250,7 @@
         }
     }
 
-    /// Checks records of this disk that have become durable.
+    /// Checks records of a node that have become durable, given the contents of its disk.
     ///
     /// # Errors
     ///
@@ -279,6 +285,7 @@
         Ok(())
     }
 
+    /// The state must not change after it was transferred as the sealed state of the epoch.
     fn check_seal(
         &mut self,
         identity: Identity,
@@ -297,11 +304,11 @@
         }
     }
 
-    /// Checks a view that a node adopts. Whether it is the first to do so.
+    /// Checks a view that a node adopts. Returns whether it is the first node to adopt it.
     ///
     /// # Errors
     ///
-    /// What is wrong with the view.
+    /// The invariant that the view violates.
     pub fn check_adopted_view(
         &mut self,
         view: &View,
@@ -322,6 +329,7 @@
         Ok(true)
     }
 
+    /// A view must have been accepted by a majority of the previous view's voters under one proposal number.
     fn check_majority(&self, previous: &View, view: &View) -> Result<(), InvariantViolation> {
         let proposals = self
             .proposed_views
@@ -343,13 +351,13 @@
         }
     }
 
-    /// Whether the owner of this disk has handed over its sealed state of an epoch.
+    /// Whether this replica has transferred its sealed state of an epoch.
     pub fn has_handed_over(&self, identity: Identity, epoch: u64) -> bool {
         let sent = self.sent_by_disk.get(&(identity, epoch));
         sent.is_some_and(|sent| sent.handed_over.is_some())
     }
 
-    /// The newest view that was adopted.
+    /// The newest view that any node has adopted.
     pub fn newest_view(&self) -> Option<&View> {
         self.views.values().next_back()
     }
--- a/crates/lockusher-control-simulation/src/recovery.rs
+++ b/crates/lockusher-control-simulation/src/recovery.rs
@@ -1,4 +1,5 @@
-//! The recovery after the faults of a run: writes go on, all machines become members, and everything acknowledged is there.
+//! Recovery after the faults of a run: writes are acknowledged again, all machines become members, and no acknowledged change
+//! is lost.
 
 use lockusher_control::{Millis, Request};
 
@@ -7,11 +8,11 @@
     violation::RecoveryViolation,
 };
 
-/// Within this time every node knows the newest configuration.
+/// Bound for all nodes to learn the newest configuration.
 const DISSEMINATION_MS: Millis = 2000;
 
 impl Cluster {
-    /// Ends all faults, and checks that the cluster recovers in time and holds what it acknowledged.
+    /// Ends all faults and checks that the cluster recovers in time and retains all acknowledged changes.
     pub fn run_recovery(&mut self) {
         if !self.violations.is_empty() {
             return;
@@ -24,10 +25,10 @@
             return;
         };
         self.outcome.recovery_ms = self.now - faults_ended_at;
-        let rest = CATCH_UP_MS.saturating_sub(self.outcome.recovery_ms);
+        let remaining = CATCH_UP_MS.saturating_sub(self.outcome.recovery_ms);
         if self.options.loses_zones() {
-            self.check_voter_spread(rest);
-        } else if self.run_until_all_members(rest).is_none() {
+            self.check_voter_spread(remaining);
+        } else if self.run_until_all_members(remaining).is_none() {
             self.violations
                 .report(self.now, RecoveryViolation::NotAllMembers);
         }
@@ -37,7 +38,8 @@
         self.model.check_order(self.now, &mut self.violations);
     }
 
-    /// Every voter is a member of the chain, and the loss of any zone would leave a majority; other machines stay outside.
+    /// Checks that every voter becomes a member of the chain and that the loss of any zone would leave a majority. Machines that
+    /// aren't voters need not be members.
     fn check_voter_spread(&mut self, limit: Millis) {
         let spread = self.run_until(limit, |cluster| {
             let present = cluster.present().into_iter();
@@ -56,7 +58,7 @@
         }
     }
 
-    /// One operator writes, with retries; the version acknowledged.
+    /// Lets one operator write, with retries. Returns the version acknowledged, or `None` after `limit`.
     pub(crate) fn write_until_acknowledged(&mut self, limit: Millis) -> Option<u64> {
         let deadline = self.now + limit;
         self.operators.truncate(1);
@@ -79,6 +81,7 @@
         None
     }
 
+    /// Checks that all nodes that aren't removed learn this version in time.
     fn check_dissemination(&mut self, version: u64) {
         self.advance(self.now + DISSEMINATION_MS);
         for node in self.nodes.iter().filter(|node| !node.removed) {
@@ -96,6 +99,7 @@
         }
     }
 
+    /// Checks that a read is answered in time.
     fn check_final_read(&mut self) {
         let reads = self.outcome.reads;
         let deadline = self.now + ACKNOWLEDGE_MS;
--- a/crates/lockusher-control-simulation/src/reference_model.rs
+++ b/crates/lockusher-control-simulation/src/reference_model.rs
@@ -1,8 +1,8 @@
-//! The reference model: a register of one configuration with compare-and-swap, to which everything that operators and agents
-//! observe is compared.
+//! Reference model: a register of one configuration with compare-and-swap. All observations of operators and agents are
+//! checked against it.
 //!
-//! What was acknowledged is never lost and never rejected later; of two changes that build on one version at most one is
-//! acknowledged; reads don't go back; an epoch has one head.
+//! An acknowledged change is never lost and never rejected later; of several changes that build on the same version at most
+//! one is acknowledged; reads are monotonic; an epoch has one head.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     violation::{ModelViolation, ViolationLog},
 };
 
-/// A configuration that an operator sent.
+/// A change that an operator sent, and its outcome.
 #[derive(Clone, Debug)]
 struct SentChange {
     if_match: u64,
@@ -24,21 +24,23 @@
     is_patch: bool,
 }
 
-/// All changes that were sent, and what became of them.
+/// All changes that were sent, with their outcomes.
 #[derive(Debug, Default)]
 pub struct ReferenceModel {
+    /// Changes sent, by the identity of the request.
     sent: BTreeMap<Digest, SentChange>,
-    /// Identities of the requests that were committed, and the configurations that they made, by version.
+    /// Identity of the committed request and digest of the resulting configuration, by version.
     committed: BTreeMap<u64, (Digest, Digest)>,
-    /// Highest version that was acknowledged or read so far.
+    /// Highest version acknowledged or read so far.
     floor: u64,
+    /// Address of the head, by epoch.
     heads: BTreeMap<u64, std::net::SocketAddrV4>,
-    /// Configurations acknowledged.
+    /// Number of changes acknowledged.
     pub acknowledged: usize,
 }
 
 impl ReferenceModel {
-    /// An operator sends a configuration, perhaps again.
+    /// Records that an operator sends a change for the first time or again.
     pub fn record_sent(&mut self, change: &Change) {
         let sent = SentChange {
             if_match: change.if_match,
@@ -51,7 +53,7 @@
         self.sent.entry(change.identity).or_insert(sent);
     }
 
-    /// A configuration was acknowledged.
+    /// Records that a change was acknowledged.
     pub fn record_acknowledged(
         &mut self,
         digest: Digest,
@@ -84,7 +86,7 @@
         }
     }
 
-    /// A configuration was rejected by a call that began when `floor` was the newest version.
+    /// Records that a change was rejected in a call that began when `floor` was the highest version acknowledged or read.
     pub fn record_rejected(
         &mut self,
         digest: Digest,
@@ -111,7 +113,7 @@
         }
     }
 
-    /// The newest version that was committed; 0 before the first.
+    /// The newest committed version; 0 before the first.
     pub fn newest_version(&self) -> u64 {
         self.newest_committed().map_or(0, |(version, _)| version)
     }
@@ -123,12 +125,12 @@
             .map(|(version, (request, _))| (*version, *request))
     }
 
-    /// Highest version that any later read must reach.
+    /// Lower bound for the version that a read started now may return.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// A read was answered that began when `floor` was the highest version acknowledged or read.
+    /// Records the result of a read that began when `floor` was the highest version acknowledged or read.
     pub fn record_read(
         &mut self,
         document: Option<&ConfigurationDocument>,
@@ -146,7 +148,7 @@
         self.floor = self.floor.max(version);
     }
 
-    /// A node reports this configuration as committed. Whether it is the first to do so.
+    /// Records that a configuration is reported as committed. Returns whether it is the first report of its version.
     pub fn record_committed(
         &mut self,
         document: &ConfigurationDocument,
@@ -171,7 +173,7 @@
         is_first
     }
 
-    /// What a patch made is what it makes of the configuration that it builds on.
+    /// Checks that a patched configuration is the result of applying the patch to its base.
     fn check_patched(
         &self,
         document: &ConfigurationDocument,
@@ -194,7 +196,7 @@
         }
     }
 
-    /// A node acts as head of an epoch.
+    /// Records that a node acts as head of an epoch.
     pub fn record_head(
         &mut self,
         epoch: u64,
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Checks what shows at the end only: each configuration was built on the one before it.
+    /// Checks, at the end of a run, that each configuration was built on the preceding one.
     pub fn check_order(&mut self, now: Millis, violations: &mut ViolationLog) {
         for sent in self
             .sent
--- a/crates/lockusher-control-simulation/src/view_succession.rs
+++ b/crates/lockusher-control-simulation/src/view_succession.rs
@@ -1,10 +1,10 @@
-//! The rules that each view keeps towards the one before it, so that the two always share enough disks.
+//! Rules that each view must satisfy relative to the previous one, so that their quorums always share enough disks.
 
 use lockusher_control::{Identity, View};
 
 use crate::violation::InvariantViolation;
 
-/// Checks the view that follows `previous`; voters may be removed only down to `minimum_voters`.
+/// Checks the view that follows `previous`. Voters may be removed only down to `minimum_voters`.
 ///
 /// # Errors
 ///
@@ -35,6 +35,7 @@
     }
 }
 
+/// Whether more than one voter is added or more than one is removed.
 fn changes_several_voters(previous: &View, view: &View) -> bool {
     let added = view
         .voters
@@ -47,7 +48,7 @@
     added.count() > 1 || removed.count() > 1
 }
 
-/// Whether the members that stay are at the front of the chain, in their previous order.
+/// Whether the remaining members are at the front of the chain, in their previous order.
 fn retains_chain_order(previous: &View, view: &View) -> bool {
     let in_former_order: Vec<Identity> = previous
         .chain
