--- a/crates/lockusher-control-simulation/src/stale_votes.rs
+++ b/crates/lockusher-control-simulation/src/stale_votes.rs
@@ -1,16 +1,17 @@
-//! Machines that were removed for good, and those that nodes can't tell from them.
+//! Stale votes: removed machines that remain voters because nodes can't distinguish them from unreachable ones.
 //!
-//! A removed voter and one that is only unreachable look alike. If both are, the successor of the removed one may take the
-//! place of the other, and no rule prevents that. Let `2 f + 1` machines vote, `f` losses be borne, one voter be removed and
-//! another unreachable, so that `2 f` nodes run, the successor included. Whatever voters are agreed on, they are the same
-//! whichever of the two was removed. With `r` of the running nodes and both unreachable ones as voters, `f` more lost disks
-//! leave `r - f + 1` of `r + 2` voters; with one of the two, and that one removed, `r - f` of `r + 1`; with none, `r - f` of
-//! `r`. A majority would take `r >= 2 f + 1`, `2 f + 2` and `2 f + 1`, but `2 f` run. The deployment's rules say so, too: an
-//! unreachable machine counts as lost, and for `catchUpS` after its return. With more machines than `2 f + 1` votes are to
-//! spare: the removed machine's vote is dropped as soon as it has been unreachable for long.
+//! Nodes see no difference between a removed voter and one that is only unreachable. With one of each, the successor of the
+//! removed voter may replace the unreachable one, and no rule can prevent that. Let there be `2 f + 1` voters, of which `f`
+//! losses are tolerated, one voter removed and another unreachable, so that `2 f` nodes run, including the successor. The
+//! voters agreed on are the same whichever of the two was removed. With `r` of the running nodes and both unreachable ones as
+//! voters, `f` more lost disks leave `r - f + 1` of `r + 2` voters; with one of the two, which is the removed one, `r - f` of
+//! `r + 1`; with neither, `r - f` of `r`. A majority would require `r >= 2 f + 1`, `2 f + 2` and `2 f + 1`, but only `2 f` run.
+//! The rules for operating a deployment agree: an unreachable machine counts as lost, and so it does for `catchUpS` after its
+//! return. With more than `2 f + 1` machines there are spare votes: the removed machine stops being a voter once it has been
+//! unreachable for long enough.
 //!
-//! The order in which the two left the chain tells them apart. So a machine counts as mistakable only if it was unhealthy
-//! while a removed one's departure from the chain wasn't agreed on yet with that machine in the chain.
+//! The order of departure from the chain distinguishes the two. A machine therefore counts as `looks_removed` only if it was
+//! unhealthy before a view had been agreed on that contains it in the chain but not the removed machine.
 
 use std::collections::BTreeSet;
 
@@ -19,7 +20,7 @@
 use crate::{cluster::Cluster, replacement::Replacement};
 
 impl Cluster {
-    /// Remembers that one machine was removed for good and that another is to take its place.
+    /// Records that a machine was removed permanently and that another one is to replace it.
     pub(crate) fn record_replacement(&mut self, removed: usize, successor: usize) {
         self.replacements.push(Replacement {
             removed,
@@ -28,7 +29,7 @@
         });
     }
 
-    /// Updates which machines can't be told from removed ones, given those that are unhealthy now.
+    /// Updates which machines can't be distinguished from removed ones, given those that are unhealthy now.
     pub(crate) fn update_looks_removed(&mut self, unhealthy: &BTreeSet<usize>) {
         if self.replacements.is_empty() {
             return;
@@ -44,7 +45,7 @@
                 self.nodes[*number].looks_removed = true;
             }
         }
-        // Once a machine is back in a chain, a vote of a removed one may be left only in its own successor's place.
+        // After a machine's return to the chain, a removed one can remain a voter only in place of its own successor.
         let is_pending = |replacement: &Replacement| {
             !in_chain.contains(&replacement.removed) && self.nodes[replacement.successor].disk_lost
         };
@@ -56,8 +57,8 @@
         self.replacements = replacements;
     }
 
-    /// How many votes of removed machines may be left in the place of machines that were mistaken for them. Until its
-    /// successor has caught up, a removed machine counts as lost already.
+    /// Upper bound for the removed machines that remain voters while an unreachable machine was replaced instead. A removed
+    /// machine whose successor hasn't caught up isn't included: it counts as a lost disk already.
     pub(crate) fn stale_votes(&self) -> usize {
         let candidates = self.present().into_iter();
         let candidates = candidates.filter(|number| self.nodes[*number].looks_removed);
@@ -68,7 +69,7 @@
         candidates.count().min(replaced.count())
     }
 
-    /// Whether the removed machine is back, or its successor has caught up and its vote is gone.
+    /// Whether the removed machine has returned, or its successor has caught up and it is no longer a voter.
     fn is_complete(&self, replacement: &Replacement) -> bool {
         let is_voter = |identity: Identity| {
             let view = self.invariants.newest_view();
@@ -79,7 +80,7 @@
         is_back || (!votes && !self.nodes[replacement.successor].disk_lost)
     }
 
-    /// Machines of the newest view's chain, also those that were removed.
+    /// Machines in the newest view's chain, including removed ones.
     fn machines_in_chain(&self) -> BTreeSet<usize> {
         let Some(view) = self.invariants.newest_view() else {
             return BTreeSet::new();
@@ -91,6 +92,7 @@
         (0..self.nodes.len()).filter(is_member).collect()
     }
 
+    /// Identity on a machine's disk.
     fn identity_of(&self, number: usize) -> Option<Identity> {
         self.nodes[number].disk.contents()?.identity()
     }
