--- a/crates/lockusher-control-simulation/src/disk_losses.rs
+++ b/crates/lockusher-control-simulation/src/disk_losses.rs
@@ -1,8 +1,8 @@
-//! Losses of disks, and how many of them a deployment has to bear at once.
+//! Losses of disks, limited to as many as a deployment must tolerate at the same time.
 //!
-//! Only lost disks are counted: machines may be down, frozen or isolated beside them in any number. A lost disk counts until
-//! its successor has been healthy for the time to catch up, with a majority of the voters there to update it. Votes of removed
-//! machines that may be left (see [`stale_votes`](crate::stale_votes)) count where a majority would be lost with them.
+//! Only lost disks are counted; any number of machines may be down, frozen or isolated in addition. A lost disk counts until
+//! its machine or successor has been healthy for the time to catch up while a healthy majority of the voters could update it.
+//! Stale votes of removed machines (see [`stale_votes`](crate::stale_votes)) count where they would cost the majority.
 
 use std::{collections::BTreeSet, ops::Range};
 
@@ -11,25 +11,25 @@
 
 use crate::cluster::{CATCH_UP_MS, Cluster};
 
-/// How long a machine that lost its disk is down, and a replacement takes to come.
+/// Downtime of a machine that loses its disk, and delay until a replacement starts.
 const SHORT_DOWNTIME_MS: Range<Millis> = 20..1000;
-/// Most machines ever added, so that addresses stay apart.
+/// Limit of the machines in a run, so that their addresses stay distinct.
 const MAX_MACHINES: usize = 60;
 
-/// How long the operators go on between two looks at the cluster.
+/// Interval at which health is checked and operators call during a fault.
 const STEP_MS: Range<Millis> = 5..60;
-/// Between two looks at the machines' health while nothing else happens.
+/// Interval at which health is checked while operators make no calls.
 const HEALTH_INTERVAL_MS: Millis = 10;
-/// The same while most processes are down.
+/// Interval at which health is checked and operators call while most processes are down.
 const ALL_DOWN_STEP_MS: Range<Millis> = 20..120;
-/// How long a minority is partitioned from the others.
+/// How long a minority is partitioned from the other machines.
 const PARTITION_MS: Range<Millis> = 500..4000;
-/// From the first fault in a zone until all of it is lost.
+/// Time from the first fault in a zone until the whole zone is lost.
 const ZONE_FAILURE_DELAY_MS: Range<Millis> = 0..1500;
-/// How long the others are down after that.
+/// Downtime of the machines of a lost zone, and of the majority after the partition of a minority.
 const LONG_DOWNTIME_MS: Range<Millis> = 1000..8000;
 
-/// Which machine a loss hits.
+/// Criterion by which the machine that loses its disk is picked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Target {
     Any,
@@ -40,7 +40,7 @@
 }
 
 impl Cluster {
-    /// Records which machines are unhealthy now, and which have been healthy for long enough to have caught up.
+    /// Records which machines are unhealthy now, and which have been healthy for the time to catch up.
     pub(crate) fn update_node_health(&mut self) {
         let now = self.now;
         let lossy = self.network.loss > 0 || self.network.delayed > 0;
@@ -71,7 +71,7 @@
         self.update_looks_removed(&unhealthy);
     }
 
-    /// Whether a majority of the newest view's voters, with their disks, are healthy.
+    /// Whether a majority of the newest view's voters are healthy and have their disks.
     fn has_healthy_majority(&self) -> bool {
         let Some(view) = self.invariants.newest_view() else {
             return false;
@@ -84,7 +84,7 @@
         voters.filter(|identity| view.is_voter(*identity)).count() >= view.majority()
     }
 
-    /// How many machines may lose their disks now.
+    /// Number of machines that may lose their disks now.
     pub(crate) fn disk_losses_allowed(&self) -> usize {
         let lost = self
             .present()
@@ -96,7 +96,8 @@
         tolerable_losses.saturating_sub(lost.count())
     }
 
-    /// Ends the faults and waits until a disk may be lost again; the operators go on. Whether one may.
+    /// Unless a disk may be lost now, ends the faults and waits until one may be, while the operators continue. Returns whether
+    /// one may be lost.
     pub(crate) fn wait_until_disk_loss_allowed(&mut self) -> bool {
         if self.disk_losses_allowed() > 0 {
             return true;
@@ -109,7 +110,7 @@
         self.disk_losses_allowed() > 0
     }
 
-    /// The operators go on for a moment while a fault lasts.
+    /// Lets the operators call and time pass while a fault lasts.
     pub(crate) fn step_during_fault(&mut self, interval: Range<Millis>) {
         self.update_node_health();
         self.step_operators();
@@ -117,7 +118,7 @@
         self.advance(self.now + interval);
     }
 
-    /// Time passes without calls of the operators, while the machines' health is watched.
+    /// Lets time pass without calls of the operators, but with health checks.
     pub(crate) fn wait(&mut self, duration: Millis) {
         let until = self.now + duration;
         while self.now < until {
@@ -126,6 +127,7 @@
         }
     }
 
+    /// Draws the machine that loses its disk.
     fn pick_target(&mut self) -> usize {
         let target = match self.fault_random.random_range(0..6) {
             0 => Target::Head,
@@ -148,7 +150,7 @@
             .unwrap_or_else(|| self.pick_machine())
     }
 
-    /// Machines lose their disks; with `crash_others`, while all processes are killed.
+    /// Lets one machine or more, up to the number allowed, lose their disks; with `crash_others` all processes are killed first.
     pub(crate) fn lose_disks(&mut self, crash_others: bool) {
         if !self.wait_until_disk_loss_allowed() {
             return;
@@ -174,15 +176,15 @@
         self.lose_disk(number);
     }
 
-    /// A machine is removed for good and another one is added at a new address: after it, or before it and then the former
-    /// one is stopped as planned.
+    /// Removes a machine permanently and adds another one at a new address: after the removal, or before it with a graceful
+    /// shutdown of the removed machine.
     pub(crate) fn replace_machine(&mut self) {
         if !self.wait_until_disk_loss_allowed() || self.nodes.len() >= MAX_MACHINES {
             return;
         }
         let number = self.pick_target();
         if self.nodes[number].disk_lost {
-            // It stands for a loss already; with it gone there would be two.
+            // It counts as one loss already; its removal would be a second one.
             return;
         }
         match self.fault_random.random_range(0..3) {
@@ -192,6 +194,7 @@
         }
     }
 
+    /// Removes the machine first, with a graceful shutdown if `is_graceful`, and then adds its successor.
     fn replace_after_loss(&mut self, number: usize, is_graceful: bool) {
         if is_graceful {
             self.stop(number);
@@ -204,7 +207,7 @@
         self.record_replacement(number, successor);
     }
 
-    /// The new machine comes first and has its time to catch up; then the former one leaves.
+    /// Adds the new machine and gives it the time to catch up; then removes the old one after a graceful shutdown.
     fn replace_as_planned(&mut self, number: usize) {
         if self.present().len() >= MAX_VOTERS {
             return self.replace_after_loss(number, true);
@@ -224,9 +227,8 @@
         self.record_replacement(number, successor);
     }
 
-    /// A zone is lost with all its machines, which come back with empty disks; before, one of them may be killed or stopped, so
-    /// that the loss falls into a change of the view. Nothing happens unless every machine elsewhere has been healthy for the
-    /// time to catch up.
+    /// Loses a zone: all its machines restart with empty disks. One of them may be killed or shut down shortly before, so that
+    /// the loss coincides with a view change. Has no effect unless all machines in other zones become healthy and catch up.
     pub(crate) fn lose_zone(&mut self) {
         if !self.options.loses_zones() {
             return;
@@ -262,13 +264,14 @@
         }
     }
 
+    /// Machines of a zone that aren't removed.
     fn machines_of(&self, zone: usize) -> Vec<usize> {
         let mut present = self.present();
         present.retain(|number| self.nodes[*number].zone == zone);
         present
     }
 
-    /// Whether no disk elsewhere is lost, every machine elsewhere has caught up, and no vote of a removed machine is left.
+    /// Whether all machines in other zones have their disks and have caught up, and no removed machine may still be a voter.
     fn is_zone_loss_allowed(&self, zone: usize) -> bool {
         let elsewhere = self.present().into_iter();
         let mut elsewhere = elsewhere.filter(|number| self.nodes[*number].zone != zone);
@@ -280,7 +283,7 @@
         elsewhere.all(has_caught_up) && self.replacements.is_empty()
     }
 
-    /// One loss after another, each as soon as the one before is over.
+    /// Loses disks one after another, each as soon as another loss is allowed.
     pub(crate) fn lose_disks_in_sequence(&mut self) {
         let count = self.fault_random.random_range(2..=3);
         for _ in 0..count {
@@ -292,7 +295,8 @@
         }
     }
 
-    /// A minority misses changes; one of the others loses its disk, the rest go down, and the partition heals.
+    /// Partitions a minority, which misses changes; then one of the others loses its disk, the rest are killed, and the partition
+    /// heals.
     pub(crate) fn lose_disk_behind_partition(&mut self) {
         if !self.wait_until_disk_loss_allowed() {
             return;
--- a/crates/lockusher-control-simulation/src/fault_actions.rs
+++ b/crates/lockusher-control-simulation/src/fault_actions.rs
@@ -1,4 +1,4 @@
-//! Faults by name, and the end of them: for scenarios, and for what a run's schedule draws.
+//! Individual faults and their ends, as used by scenarios and by the schedule of a run.
 
 use lockusher_control::{Event, Millis, Replica};
 
@@ -8,15 +8,15 @@
     node::Node,
 };
 
-/// Time that a process has to hand over after it was announced that it stops.
+/// Time for a process to hand over its role after a graceful shutdown begins.
 const STOP_MS: Millis = 300;
 
-/// The most that a process waits until it has handed over.
+/// Longest time that a process waits for the handover to complete.
 const MAX_HANDOVER_MS: Millis = 2000;
 
 impl Cluster {
-    /// Kills a process, which starts again after `downtime`. A loss of power is the same here: of what wasn't synced,
-    /// any number of writes may remain.
+    /// Kills a process, which restarts after `downtime`. This also models a power loss: some of the writes in flight may
+    /// survive, see [`SurvivingWrites`](crate::SurvivingWrites).
     pub fn crash(&mut self, number: usize, downtime: Millis) {
         log::debug!("{}: crash of machine {number} for {downtime} ms", self.now);
         let node = &mut self.nodes[number];
@@ -29,7 +29,7 @@
         node.unhealthy_at = self.now;
     }
 
-    /// The disk of a process that was killed is lost.
+    /// Loses the disk of a machine whose process was killed.
     pub fn lose_disk(&mut self, number: usize) {
         log::debug!("{}: disk of machine {number} lost", self.now);
         self.outcome.wipes += 1;
@@ -41,13 +41,13 @@
         node.disk_created_at = now;
     }
 
-    /// Replaces the configuration on this machine's disk by another one, which no checksum shows. Whether it held one.
+    /// Replaces the configuration on this machine's disk by another one without a checksum error. Returns whether there was one.
     pub fn corrupt_disk(&mut self, number: usize) -> bool {
         log::debug!("{}: disk of machine {number} corrupted", self.now);
         self.nodes[number].disk.corrupt()
     }
 
-    /// Removes a machine for good.
+    /// Removes a machine permanently.
     pub fn remove_machine(&mut self, number: usize) {
         log::debug!("{}: machine {number} removed", self.now);
         self.crash(number, 0);
@@ -56,7 +56,7 @@
         self.nodes[number].start_at = None;
     }
 
-    /// Adds an empty machine at a new address, which starts after this time. Its number.
+    /// Adds a machine with an empty disk at a new address, which starts after `delay`. Returns its number.
     pub fn add_machine(&mut self, delay: Millis) -> usize {
         log::debug!(
             "{}: machine {} added in {delay} ms",
@@ -69,12 +69,12 @@
         number
     }
 
-    /// Announces the end of a process and gives it time to hand over.
+    /// Begins the graceful shutdown of a process and gives it time to hand over its role.
     pub fn stop(&mut self, number: usize) {
         self.handle_event(number, Event::Stop);
         self.advance(self.now + STOP_MS);
         if self.options.loses_zones() {
-            // The process waits until a node of its zone has taken its place.
+            // The process waits until it has left the chain and a spare node, if there is one, has replaced it as a voter.
             self.run_until(MAX_HANDOVER_MS - STOP_MS, |cluster| {
                 let replica = cluster.replica(number);
                 replica.is_none_or(Replica::has_handed_over)
@@ -82,13 +82,13 @@
         }
     }
 
-    /// A process doesn't run for a while.
+    /// Freezes a process: it takes no events for this time.
     pub fn freeze(&mut self, number: usize, duration: Millis) {
         log::debug!("{}: machine {number} frozen for {duration} ms", self.now);
         self.nodes[number].frozen_until = self.now + duration;
     }
 
-    /// Loses the messages of one machine to another from now on.
+    /// Loses all messages from one machine to another until the network heals.
     pub fn partition_link(&mut self, from: usize, to: usize) {
         let (from, to) = (self.nodes[from].address, self.nodes[to].address);
         log::debug!("{}: link partitioned from {from} to {to}", self.now);
@@ -101,7 +101,7 @@
         self.network.heal();
     }
 
-    /// Nothing is synced for a while.
+    /// Stalls a disk: no write completes for this time.
     pub fn stall_disk(&mut self, number: usize, duration: Millis) {
         log::debug!(
             "{}: disk of machine {number} stalled for {duration} ms",
@@ -110,13 +110,13 @@
         self.nodes[number].disk.stalled_until = self.now + duration;
     }
 
-    /// Lets a disk refuse writes from now on, according to its free space.
+    /// Reduces the free space of a disk until it recovers.
     pub fn fill_disk(&mut self, number: usize, space: DiskSpace) {
-        log::debug!("{}: disk of machine {number} full", self.now);
+        log::debug!("{}: disk of machine {number} refuses writes", self.now);
         self.nodes[number].disk.space = space;
     }
 
-    /// Each sync takes up to this time from now on.
+    /// Slows a disk down until it recovers: each sync takes up to this time.
     pub fn slow_disk(&mut self, number: usize, max_sync: Millis) {
         log::debug!(
             "{}: syncs of machine {number} take up to {max_sync} ms",
@@ -125,7 +125,7 @@
         self.nodes[number].disk.max_sync = max_sync;
     }
 
-    /// Lets all disks work as normal again.
+    /// Ends stalls, slow syncs and lack of space of all disks.
     pub fn recover_disks(&mut self) {
         let now = self.now;
         self.nodes
@@ -133,7 +133,7 @@
             .for_each(|node| node.disk.recover(now));
     }
 
-    /// Ends all faults: every machine works, and all that are down start.
+    /// Ends all faults and starts all processes that are down, except those of removed machines.
     pub fn end_faults(&mut self) {
         log::debug!("{}: all faults end", self.now);
         self.network.heal();
--- a/crates/lockusher-control-simulation/src/fault_injection.rs
+++ b/crates/lockusher-control-simulation/src/fault_injection.rs
@@ -1,7 +1,7 @@
-//! Carries out the faults that a run's schedule draws, on machines and with durations drawn at random.
+//! Applies the faults of a run's schedule to machines and with durations that are drawn at random.
 //!
-//! Losses of disks are the business of `disk_losses`, since a deployment bears only so many of them at once. Every other
-//! fault may come in any number.
+//! `disk_losses` handles losses of disks, of which a deployment tolerates only a limited number at the same time. All other
+//! faults may occur in any number.
 
 use std::{collections::BTreeSet, ops::Range};
 
@@ -15,31 +15,31 @@
     targeted_faults::{FaultAction, TargetedFault},
 };
 
-/// The first start is left in peace until all have found each other: before, an empty disk is a lost one.
+/// No fault occurs during the first start, until the nodes have found each other: until then an empty disk counts as lost.
 const FIRST_FAULT_AT_MS: Millis = 1000;
-/// How long the operators and the network go on between two steps.
+/// Virtual time between two steps.
 const STEP_MS: Range<Millis> = 5..60;
 /// The same during a long outage.
 const LONG_OUTAGE_STEP_MS: Range<Millis> = 20..200;
-/// How long a killed process is down.
+/// Downtime of a killed process.
 const DOWNTIME_MS: Range<Millis> = 50..3000;
-/// The same after all were killed, or after a planned stop.
+/// The same after all processes were killed or after a graceful shutdown.
 const SHORT_DOWNTIME_MS: Range<Millis> = 20..1000;
-/// How long a process is frozen.
+/// Duration of a freeze.
 const FREEZE_MS: Range<Millis> = 100..3000;
-/// How long a disk syncs nothing.
+/// Duration of a disk stall.
 const DISK_STALL_MS: Range<Millis> = 100..4000;
-/// Longest sync of a slow disk.
+/// Range of the longest sync of a slow disk.
 const SLOW_SYNC_MS: Range<Millis> = 20..900;
-/// How long a machine is away in a long outage; it comes back with what it knew.
+/// Duration of a long outage, after which the machine returns with its state.
 const LONG_OUTAGE_MS: Range<Millis> = 5_000..30_000;
-/// Messages that a degraded network loses, in percent; and as many that it duplicates.
+/// Share of messages that a degraded network loses, in percent; also the range of the share that it duplicates.
 const DEGRADED_LOSS_PERCENT: Range<u32> = 0..20;
-/// Messages that a degraded network delays for long, in percent.
+/// Share of messages that a degraded network delays for long, in percent.
 const DEGRADED_DELAY_PERCENT: Range<u32> = 0..15;
 
 impl Cluster {
-    /// Steps under faults and calls; the faults of some steps are left out.
+    /// Simulates steps under faults and calls until the first violation. The faults of `omitted_steps` are omitted.
     pub fn run_under_faults(&mut self, steps: usize, omitted_steps: &BTreeSet<usize>) {
         for step in 0..steps {
             if !self.violations.is_empty() {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Begins or ends the fault of a step, if it has one.
+    /// Applies the fault of a step, if it has one.
     fn step_faults(&mut self, step: usize, omitted_steps: &BTreeSet<usize>) {
         self.update_node_health();
         if self.now < FIRST_FAULT_AT_MS {
@@ -95,12 +95,14 @@
         }
     }
 
+    /// Numbers of the machines that aren't removed.
     pub(crate) fn present(&self) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|number| !self.nodes[*number].removed)
             .collect()
     }
 
+    /// Draws a machine that isn't removed.
     pub(crate) fn pick_machine(&mut self) -> usize {
         let present = self.present();
         present[self.fault_random.random_range(0..present.len())]
@@ -122,7 +124,7 @@
         }
     }
 
-    /// A machine that was removed and replaced comes back with its disk, and stays.
+    /// Returns a removed machine with its disk, in addition to its successor.
     fn restore_removed_machine(&mut self) {
         if self.present().len() >= MAX_VOTERS {
             return;
@@ -176,9 +178,9 @@
     }
 
     /// Partitions two groups of machines from each other.
-    pub(crate) fn partition_groups(&mut self, some: &[usize], others: &[usize]) {
-        for first in some {
-            for second in others {
+    pub(crate) fn partition_groups(&mut self, first_group: &[usize], second_group: &[usize]) {
+        for first in first_group {
+            for second in second_group {
                 self.partition_link(*first, *second);
                 self.partition_link(*second, *first);
             }
@@ -193,8 +195,8 @@
         self.partition_groups(&[number], &others);
     }
 
-    /// A machine receives nothing, or sends nothing, or both; or it is frozen, or its disk stalls; for many seconds, while
-    /// the operators go on and reach it.
+    /// Isolates a machine in one direction or both, freezes it or stalls its disk for many seconds, while the operators continue
+    /// to call all machines, including this one.
     fn cause_long_outage(&mut self) {
         let number = if self.fault_random.random_ratio(1, 2) {
             self.head()
@@ -252,20 +254,20 @@
         self.network.delayed = self.fault_random.random_range(DEGRADED_DELAY_PERCENT);
     }
 
-    /// Arms a targeted fault in place of the one that may be armed.
+    /// Arms a targeted fault, which replaces one that is already armed.
     fn arm_targeted_fault(&mut self) {
         self.targeted_fault = Some(TargetedFault::draw(&mut self.fault_random));
     }
 
-    /// What the armed fault does to the node that is about to carry these effects out, if it is triggered by them.
+    /// Returns the action of the armed fault if these effects trigger it; the fault is then no longer armed.
     pub(crate) fn trigger_targeted_fault(&mut self, effects: &[Effect]) -> Option<FaultAction> {
         let action = self.targeted_fault.as_mut()?.trigger(effects)?;
         self.targeted_fault = None;
         Some(action)
     }
 
-    /// Carries a targeted fault out on the node that triggered it. Its effects have been carried out, unless it crashes
-    /// before.
+    /// Applies a targeted fault to the node that triggered it, after its effects were executed or, for a crash before sending,
+    /// instead of that.
     pub(crate) fn apply_fault_action(&mut self, number: usize, fault_action: FaultAction) {
         match fault_action {
             FaultAction::CrashBeforeSend { downtime }
--- a/crates/lockusher-control-simulation/src/fault_schedule.rs
+++ b/crates/lockusher-control-simulation/src/fault_schedule.rs
@@ -1,33 +1,34 @@
-//! Which fault a step of a run begins or ends: drawn from the seed, without a look at the cluster.
+//! Schedule of faults: drawn from the seed alone, independently of the state of the cluster.
 
 use derive_more::Display;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How often steps are faults, in percent; each run draws one.
+/// Share of steps that begin or end a fault, in percent; each run draws one of these.
 const FAULT_PERCENTS: [u32; 4] = [1, 3, 6, 12];
-/// Faults are drawn by a number below this one, see [`FaultKind::from_draw`].
+/// Exclusive upper bound of the number that selects a fault, see [`FaultKind::from_draw`].
 const FAULT_DRAWS: u32 = 218;
 
 /// Draws the faults of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultSchedule {
+    /// Seed of the run.
     seed: u64,
-    /// How often a step is a fault or its end.
+    /// Share of steps that begin or end a fault, in percent.
     fault_percent: u32,
 }
 
-/// What is drawn for one step.
+/// The draw of one step.
 #[derive(Debug)]
 pub struct DrawnFault {
-    /// The fault that begins or ends; none if the step is without.
+    /// The fault that begins or ends; `None` if the step has none.
     pub kind: Option<FaultKind>,
-    /// Draws everything else about the fault.
+    /// Generator of all further draws for the fault.
     pub random: ChaCha8Rng,
 }
 
 impl FaultSchedule {
-    /// The schedule of the run with this seed; its frequency of faults is drawn from the run's own generator.
+    /// Creates the schedule of the run with this seed. The share of faults is drawn from the run's generator.
     pub fn new(seed: u64, random: &mut ChaCha8Rng) -> Self {
         let fault_percent = FAULT_PERCENTS[random.random_range(0..FAULT_PERCENTS.len())];
         Self {
@@ -36,8 +37,7 @@
         }
     }
 
-    /// The fault of a step. It depends on the seed and the step alone, so that a fault that is left out of a run doesn't
-    /// change the others.
+    /// Draws the fault of a step. It depends only on the seed and the step, so that omitting a fault doesn't change the others.
     pub fn draw(&self, step: usize) -> DrawnFault {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         random.set_stream(step as u64 + 1);
@@ -50,26 +50,26 @@
     }
 }
 
-/// A fault, or the end of some.
+/// A fault, or the end of a kind of faults.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 pub enum FaultKind {
-    /// One process is killed and starts again.
+    /// One process is killed and restarts.
     #[display("a process is killed")]
     Crash,
-    /// All processes are killed at once and start again soon.
+    /// All processes are killed at the same time and restart soon.
     #[display("all processes are killed")]
     CrashAll,
-    /// One process doesn't run for a while.
+    /// One process takes no events for a while.
     #[display("a process freezes")]
     Freeze,
-    /// One link is partitioned, one way or both.
-    #[display("a link is cut")]
+    /// One link is partitioned in one direction or both.
+    #[display("a link is partitioned")]
     PartitionLink,
-    /// The machines are partitioned in two groups, one way or both.
-    #[display("the machines are cut in two")]
+    /// The machines are partitioned into two groups, in one direction or both.
+    #[display("the machines are partitioned into two groups")]
     Partition,
     /// All partitions and all degradation of the network end.
-    #[display("all links are joined")]
+    #[display("the network heals")]
     HealNetwork,
     /// One disk syncs nothing for a while.
     #[display("a disk stalls")]
@@ -78,13 +78,13 @@
     #[display("a disk fills up")]
     FillDisk,
     /// One disk syncs slowly.
-    #[display("a disk turns slow")]
+    #[display("a disk becomes slow")]
     SlowDisk,
-    /// All disks work as usual.
-    #[display("all disks work as usual")]
+    /// All disks recover from stalls, slow syncs and lack of space.
+    #[display("all disks recover")]
     RecoverDisks,
     /// Messages are lost, duplicated and delayed.
-    #[display("messages are lost, doubled and held up")]
+    #[display("messages are lost, duplicated and delayed")]
     DegradeNetwork,
     /// Some machines lose their disks.
     #[display("disks are lost")]
@@ -95,37 +95,39 @@
     /// One machine is replaced by another one at a new address.
     #[display("a machine is replaced")]
     ReplaceMachine,
-    /// One process is stopped as planned and starts again.
-    #[display("a process is stopped")]
+    /// One process shuts down gracefully and restarts.
+    #[display("a process shuts down gracefully")]
     StopGracefully,
     /// A machine that was removed returns with its disk.
-    #[display("a machine that was replaced returns")]
+    #[display("a removed machine returns with its disk")]
     RestoreRemovedMachine,
     /// One machine is isolated, frozen or stalled for many seconds.
-    #[display("a machine is away for long")]
+    #[display("a machine has a long outage")]
     LongOutage,
-    /// Disks are lost one after another, each as soon as the loss before is over.
+    /// Disks are lost one after another, each as soon as another loss is tolerable.
     #[display("disks are lost one after another")]
     LoseDisksInSequence,
     /// A minority misses changes; then one of the others loses its disk and the rest are killed.
-    #[display("a minority misses changes, then the others are lost or go dark")]
+    #[display(
+        "a minority misses changes, then one of the others loses its disk and the rest are killed"
+    )]
     LoseDiskBehindPartition,
     /// A targeted fault is armed.
-    #[display("a node is struck in the middle of a step of the protocol")]
+    #[display("a fault is armed for a protocol step")]
     TargetedFault,
-    /// An entry of a head that seems unreachable arrives at a member right after that has sealed the epoch.
-    #[display("an entry crosses a seal")]
+    /// An entry of a head that seems unreachable arrives at a member that has just sealed the epoch.
+    #[display("an entry arrives after a seal")]
     EntryAfterSeal,
-    /// A process is restarted while a request that it forwarded waits at the head.
-    #[display("a process is restarted while its request waits")]
+    /// A process is restarted while a request that it forwarded is pending at the head.
+    #[display("a process is restarted while its forwarded request is pending")]
     RestartForwarder,
-    /// A zone is lost with all its machines. Nothing in a run without zones.
+    /// All machines of a zone lose their disks. No effect in a run without zones.
     #[display("a zone is lost")]
     LoseZone,
 }
 
 impl FaultKind {
-    /// The kind that a number below [`FAULT_DRAWS`] stands for, by frequency; none for some.
+    /// Maps a number below [`FAULT_DRAWS`] to a kind; the width of a range is its weight. A few numbers map to no fault.
     fn from_draw(number: u32) -> Option<FaultKind> {
         let kind = match number {
             0..24 => FaultKind::Crash,
@@ -157,12 +159,12 @@
     }
 }
 
-/// A fault of a run, by the step at which it began.
+/// A fault of a run, with the step at which it began or ended.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[display("step {step}: {kind}")]
 pub struct FaultStep {
-    /// Number of the step, from 0 on.
+    /// Number of the step, from 0.
     pub step: usize,
-    /// What began or ended.
+    /// The fault that began or ended.
     pub kind: FaultKind,
 }
--- a/crates/lockusher-control-simulation/src/message_races.rs
+++ b/crates/lockusher-control-simulation/src/message_races.rs
@@ -1,6 +1,6 @@
-//! Faults that bring about a crossing of two messages, or of a message and a restart, which random faults seldom do.
+//! Faults that cause a race between two messages, or between a message and a restart, which random faults rarely do.
 //!
-//! Each one takes some seconds of a run, in which it sets the scene, and leaves the cluster to the next steps.
+//! Each one takes some seconds of virtual time.
 
 use std::ops::Range;
 
@@ -9,26 +9,26 @@
 
 use crate::cluster::Cluster;
 
-/// How long members are down that leave the chain: long enough to be suspected and left out.
+/// Downtime of members that are to leave the chain: long enough to be suspected and excluded.
 const EXCLUSION_DOWNTIME_MS: Millis = 1600;
-/// From their return until the head's messages are kept back: not long enough to join again.
+/// Time from their restart until the head's messages are held: too short to join again.
 const RETURN_DELAY_MS: Range<Millis> = 50..250;
-/// How long the head's messages are kept back at most.
+/// Longest time for which the head's messages are held.
 const CONGESTION_LIMIT_MS: Millis = 4000;
-/// How long after the seal they arrive.
+/// Time from the seal until they arrive.
 const DELAY_AFTER_SEAL_MS: Range<Millis> = 0..20;
-/// How long a process is down that is restarted at once.
+/// Downtime of a process that is restarted immediately.
 const RESTART_MS: Millis = 1;
-/// From the start of a process until it has found the head.
+/// Time in which a started process finds the head.
 const START_DELAY_MS: Range<Millis> = 30..150;
-/// How long a forwarded request takes to the head.
+/// Time in which a forwarded request reaches the head.
 const FORWARD_DELAY_MS: Range<Millis> = 13..40;
-/// How long the disk of another member keeps a write waiting.
+/// How long the disk of another member stalls, so that the change stays pending at the head.
 const STALL_DURATION_MS: Millis = 400;
 
 impl Cluster {
-    /// The chain is left with a bare majority, and those outside of it come back. Then all that the head sends is kept back,
-    /// also an entry, until a member that suspects it has sealed the epoch and handed over its state to joiners.
+    /// Reduces the chain to a bare majority and restarts the excluded members. Then holds all messages of the head, including an
+    /// entry, until a member that suspects the head has sealed the epoch and transferred its state to joiners.
     pub(crate) fn deliver_entry_after_seal(&mut self) {
         let (chain, majority) = (self.chain(), self.voters() / 2 + 1);
         let Some(head) = self.head() else { return };
@@ -56,7 +56,7 @@
         self.network.release_held_messages(self.now);
     }
 
-    /// Whether another machine than the head has handed over its sealed state in the newest epoch.
+    /// Whether a member other than the head has transferred its sealed state of the newest epoch.
     fn has_other_member_transferred_seal(&self, head: usize) -> bool {
         let Some(view) = self.invariants.newest_view() else {
             return false;
@@ -67,8 +67,8 @@
         others.any(|member: &Identity| self.invariants.has_handed_over(*member, view.epoch))
     }
 
-    /// A process is restarted, forwards a change as its first request, is restarted again while the change waits at the
-    /// head, and forwards a read as the first request of its next incarnation.
+    /// Restarts a process, lets it forward a change as its first request, restarts it again while the change is pending at the
+    /// head, and lets it forward a read as the first request of its next incarnation.
     pub(crate) fn restart_forwarder(&mut self) {
         let Some(head) = self.head() else { return };
         let forwarder = self.pick_machine();
--- a/crates/lockusher-control-simulation/src/targeted_faults.rs
+++ b/crates/lockusher-control-simulation/src/targeted_faults.rs
@@ -1,7 +1,7 @@
-//! Faults that hit a node in the middle of a step of the protocol, whenever that step comes.
+//! Faults that hit a node in the middle of a protocol step.
 //!
-//! A fault at a random time seldom hits the few moments that matter. A targeted fault is armed once and is triggered by the
-//! messages that a node is about to send. It is drawn here; [`Cluster`](crate::Cluster) carries it out.
+//! A fault at a random time rarely hits the few critical moments. A targeted fault is armed once and is triggered by the
+//! messages that a node is about to send. It is drawn here and applied by [`Cluster`](crate::Cluster).
 
 use lockusher_control::{
     Effect, Millis,
@@ -10,35 +10,36 @@
 use rand::{RngExt, seq::IndexedRandom};
 use rand_chacha::ChaCha8Rng;
 
-/// A step of the protocol, as seen by what a node does.
+/// A protocol step, recognised by the messages that a node sends.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProtocolStep {
-    /// A sealed member hands over its state to a joiner.
+    /// A sealed member transfers its state to a joiner.
     JoinTransfer,
-    /// A joiner says that it holds the sealed state.
+    /// A joiner responds that it has stored the sealed state.
     JoinTransferResponse,
-    /// A proposer asks for promises.
+    /// A proposer sends prepare requests.
     Prepare,
-    /// A voter promises.
+    /// A voter sends a promise.
     PrepareResponse,
-    /// A proposer asks voters to accept a view.
+    /// A proposer sends accept requests for a view.
     Accept,
-    /// A voter accepts.
+    /// A voter sends an acceptance.
     AcceptResponse,
     /// A node sends a view that was agreed on.
     NewView,
-    /// A proposer sends the view that was agreed on to all.
+    /// A node sends a view that was agreed on to several nodes, as its proposer does.
     ViewAnnouncement,
-    /// A new head brings members to its state.
+    /// A new head transfers its state to a member.
     SynchroniseTransfer,
-    /// An entry goes down the chain.
+    /// An entry is sent down the chain.
     Append,
-    /// The tail's acknowledgement goes up.
+    /// An acknowledgement of the tail is sent up the chain.
     AppendAcknowledged,
-    /// A head tells what is committed.
+    /// The head announces the committed entry.
     Committed,
 }
 
+/// All steps, from which a targeted fault is drawn.
 const PROTOCOL_STEPS: [ProtocolStep; 12] = [
     ProtocolStep::JoinTransfer,
     ProtocolStep::JoinTransferResponse,
@@ -54,46 +55,47 @@
     ProtocolStep::Committed,
 ];
 
-/// What happens to the node that takes the step.
+/// Effect of a targeted fault on the node that takes the step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FaultAction {
-    /// It is killed before it sends anything; what was durable stays.
+    /// It is killed before its effects are executed: nothing is sent or written.
     CrashBeforeSend {
         /// How long the process is down.
         downtime: Millis,
     },
-    /// It is killed right after it has sent all.
+    /// It is killed right after its effects were executed.
     CrashAfterSend {
         /// How long the process is down.
         downtime: Millis,
     },
-    /// It is partitioned from all others right after.
+    /// It is partitioned from all others right after its effects were executed.
     Isolate,
-    /// It doesn't run for a while.
+    /// It is frozen right after its effects were executed.
     Freeze {
-        /// For how long.
+        /// Duration of the freeze.
         duration: Millis,
     },
 }
 
-/// An armed fault that waits for its step.
+/// A fault that waits for its protocol step.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetedFault {
     step: ProtocolStep,
     action: FaultAction,
-    /// How many more occurrences of the step are let pass.
+    /// How many more occurrences of the step are skipped.
     remaining_skips: u32,
 }
 
-/// How long a node is down or frozen.
+/// Duration of a downtime or a freeze.
 const DOWNTIME_MS: std::ops::Range<Millis> = 50..6000;
-/// Below this many occurrences of a step are let pass.
+/// Exclusive upper bound of the number of occurrences that are skipped.
 const MAX_SKIPPED_OCCURRENCES: u32 = 4;
-/// One targeted fault in so many isolates the proposer of a view that is agreed on, so that it alone knows.
+/// One in this many targeted faults isolates a proposer right after it announces a view that was agreed on. The announcement is
+/// lost with the links, so that only the proposer knows the view.
 const ISOLATED_PROPOSER_ONE_IN: u32 = 4;
 
 impl TargetedFault {
-    /// Draws a step, what happens at it, and how many of its occurrences are let pass before.
+    /// Draws the step, the action and the number of occurrences to skip.
     pub fn draw(random: &mut ChaCha8Rng) -> Self {
         if random.random_ratio(1, ISOLATED_PROPOSER_ONE_IN) {
             return Self {
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Counts an occurrence if a node takes the step by these effects: what happens to it, once no occurrence is let pass.
+    /// Checks whether these effects are an occurrence of the step. Returns the action once no further occurrence is skipped.
     pub fn trigger(&mut self, effects: &[Effect]) -> Option<FaultAction> {
         if !matches_step(self.step, effects) {
             return None;
@@ -131,7 +133,7 @@
     }
 }
 
-/// Whether a node takes the step by these effects.
+/// Whether these effects are an occurrence of the step.
 fn matches_step(step: ProtocolStep, effects: &[Effect]) -> bool {
     let count = |step| {
         effects
@@ -145,7 +147,7 @@
     }
 }
 
-/// The step that a node takes by this effect, if it is one of those.
+/// The protocol step of an effect, if it sends a message that belongs to one.
 fn step_of(effect: &Effect) -> Option<ProtocolStep> {
     let Effect::Send { message, .. } = effect else {
         return None;
