--- a/crates/lockusher-control-simulation/src/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -153,7 +153,8 @@
         self.request_within(number, request, OPERATOR_TIMEOUT_MS)
     }
 
-    /// Sends a request to one machine and waits for the reply for up to `timeout`; see [`Cluster::await_reply`] for a later one.
+    /// Sends a request to one machine and waits for the reply for up to `timeout`; see [`Cluster::await_reply`] for a later
+    /// one.
     pub fn request_within(
         &mut self,
         number: usize,
--- a/crates/lockusher-control-simulation/src/disk_losses.rs
+++ b/crates/lockusher-control-simulation/src/disk_losses.rs
@@ -1,8 +1,8 @@
 //! Losses of disks, limited to as many as a deployment must tolerate at the same time.
 //!
 //! Only lost disks are counted; any number of machines may be down, frozen or isolated in addition. A lost disk counts until
-//! its machine or successor has been healthy for the time to catch up while a healthy majority of the voters could update it.
-//! Stale votes of removed machines (see [`stale_votes`](crate::stale_votes)) count where they would cost the majority.
+//! its machine or successor has been healthy for the time to catch up while a healthy majority of the voters could update
+//! it. Stale votes of removed machines (see [`stale_votes`](crate::stale_votes)) count where they would cost the majority.
 
 use std::{collections::BTreeSet, ops::Range};
 
@@ -96,8 +96,8 @@
         tolerable_losses.saturating_sub(lost.count())
     }
 
-    /// Unless a disk may be lost now, ends the faults and waits until one may be, while the operators continue. Returns whether
-    /// one may be lost.
+    /// Unless a disk may be lost now, ends the faults and waits until one may be, while the operators continue. Returns
+    /// whether one may be lost.
     pub(crate) fn wait_until_disk_loss_allowed(&mut self) -> bool {
         if self.disk_losses_allowed() > 0 {
             return true;
@@ -150,7 +150,8 @@
             .unwrap_or_else(|| self.pick_machine())
     }
 
-    /// Lets one machine or more, up to the number allowed, lose their disks; with `crash_others` all processes are killed first.
+    /// Lets one machine or more, up to the number allowed, lose their disks; with `crash_others` all processes are killed
+    /// first.
     pub(crate) fn lose_disks(&mut self, crash_others: bool) {
         if !self.wait_until_disk_loss_allowed() {
             return;
@@ -227,8 +228,9 @@
         self.record_replacement(number, successor);
     }
 
-    /// Loses a zone: all its machines restart with empty disks. One of them may be killed or shut down shortly before, so that
-    /// the loss coincides with a view change. Has no effect unless all machines in other zones become healthy and catch up.
+    /// Loses a zone: all its machines restart with empty disks. One of them may be killed or shut down shortly before, so
+    /// that the loss coincides with a view change. Has no effect unless all machines in other zones become healthy and catch
+    /// up.
     pub(crate) fn lose_zone(&mut self) {
         if !self.options.loses_zones() {
             return;
@@ -295,8 +297,8 @@
         }
     }
 
-    /// Partitions a minority, which misses changes; then one of the others loses its disk, the rest are killed, and the partition
-    /// heals.
+    /// Partitions a minority, which misses changes; then one of the others loses its disk, the rest are killed, and the
+    /// partition heals.
     pub(crate) fn lose_disk_behind_partition(&mut self) {
         if !self.wait_until_disk_loss_allowed() {
             return;
--- a/crates/lockusher-control-simulation/src/fault_actions.rs
+++ b/crates/lockusher-control-simulation/src/fault_actions.rs
@@ -41,7 +41,8 @@
         node.disk_created_at = now;
     }
 
-    /// Replaces the configuration on this machine's disk by another one without a checksum error. Returns whether there was one.
+    /// Replaces the configuration on this machine's disk by another one without a checksum error. Returns whether there was
+    /// one.
     pub fn corrupt_disk(&mut self, number: usize) -> bool {
         log::debug!("{}: disk of machine {number} corrupted", self.now);
         self.nodes[number].disk.corrupt()
--- a/crates/lockusher-control-simulation/src/fault_injection.rs
+++ b/crates/lockusher-control-simulation/src/fault_injection.rs
@@ -195,8 +195,8 @@
         self.partition_groups(&[number], &others);
     }
 
-    /// Isolates a machine in one direction or both, freezes it or stalls its disk for many seconds, while the operators continue
-    /// to call all machines, including this one.
+    /// Isolates a machine in one direction or both, freezes it or stalls its disk for many seconds, while the operators
+    /// continue to call all machines, including this one.
     fn cause_long_outage(&mut self) {
         let number = if self.fault_random.random_ratio(1, 2) {
             self.head()
@@ -266,8 +266,8 @@
         Some(action)
     }
 
-    /// Applies a targeted fault to the node that triggered it, after its effects were executed or, for a crash before sending,
-    /// instead of that.
+    /// Applies a targeted fault to the node that triggered it, after its effects were executed or, for a crash before
+    /// sending, instead of that.
     pub(crate) fn apply_fault_action(&mut self, number: usize, fault_action: FaultAction) {
         match fault_action {
             FaultAction::CrashBeforeSend { downtime }
--- a/crates/lockusher-control-simulation/src/fault_schedule.rs
+++ b/crates/lockusher-control-simulation/src/fault_schedule.rs
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Draws the fault of a step. It depends only on the seed and the step, so that omitting a fault doesn't change the others.
+    /// Draws the fault of a step. It depends only on the seed and the step, so that omitting a fault doesn't change the
+    /// others.
     pub fn draw(&self, step: usize) -> DrawnFault {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         random.set_stream(step as u64 + 1);
--- a/crates/lockusher-control-simulation/src/invariants.rs
+++ b/crates/lockusher-control-simulation/src/invariants.rs
@@ -42,7 +42,7 @@
     /// Proposal numbers accepted.
     accepted: BTreeSet<ProposalNumber>,
     /// History digest of the sealed state that it transferred.
-    handed_over: Option<HistoryDigest>,
+    transferred_state: Option<HistoryDigest>,
 }
 
 impl ProtocolInvariants {
@@ -99,8 +99,8 @@
         self.sent_by_disk.entry((sender, epoch)).or_default()
     }
 
-    /// A promise must report the highest acceptance under a lower proposal number, whichever of the two was sent first, since
-    /// messages may be delayed.
+    /// A promise must report the highest acceptance under a lower proposal number, whichever of the two was sent first,
+    /// since messages may be delayed.
     fn check_promise(
         &mut self,
         sender: Identity,
@@ -199,15 +199,13 @@
         }
         match self
             .sent_in_epoch(sender, epoch)
-            .handed_over
+            .transferred_state
             .replace(history_digest)
         {
-            Some(previous) if previous != history_digest => {
-                Err(InvariantViolation::TwoSealedStates {
-                    member: sender,
-                    epoch,
-                })
-            }
+            Some(digest) if digest != history_digest => Err(InvariantViolation::TwoSealedStates {
+                member: sender,
+                epoch,
+            }),
             _ => Ok(()),
         }
     }
@@ -293,7 +291,7 @@
         disk: &DiskContents,
     ) -> Result<(), InvariantViolation> {
         let epoch = position.epoch;
-        match self.sent_in_epoch(identity, epoch).handed_over {
+        match self.sent_in_epoch(identity, epoch).transferred_state {
             Some(history_digest) if history_digest != disk.history_digest() => {
                 Err(InvariantViolation::WrittenAfterTransfer {
                     member: identity,
@@ -352,9 +350,9 @@
     }
 
     /// Whether this replica has transferred its sealed state of an epoch.
-    pub fn has_handed_over(&self, identity: Identity, epoch: u64) -> bool {
+    pub fn has_transferred_state(&self, identity: Identity, epoch: u64) -> bool {
         let sent = self.sent_by_disk.get(&(identity, epoch));
-        sent.is_some_and(|sent| sent.handed_over.is_some())
+        sent.is_some_and(|sent| sent.transferred_state.is_some())
     }
 
     /// The newest view that any node has adopted.
--- a/crates/lockusher-control-simulation/src/lib.rs
+++ b/crates/lockusher-control-simulation/src/lib.rs
@@ -11,8 +11,8 @@
 //! The same [`SimulationOptions`] reproduce the same run, event by event. [`shrink()`] reduces a run with a violation to few
 //! steps and few faults. [`Cluster`] serves scenarios with explicit faults.
 //!
-//! Used by this package's tests and by `lockusher-aggregator-testbed chain` and `chain-injected-bugs`; not part of production
-//! builds.
+//! Used by this package's tests and by `lockusher-aggregator-testbed chain` and `chain-injected-bugs`; not part of
+//! production builds.
 
 mod calls;
 mod cluster;
--- a/crates/lockusher-control-simulation/src/message_races.rs
+++ b/crates/lockusher-control-simulation/src/message_races.rs
@@ -14,7 +14,7 @@
 /// Time from their restart until the head's messages are held: too short to join again.
 const RETURN_DELAY_MS: Range<Millis> = 50..250;
 /// Longest time for which the head's messages are held.
-const CONGESTION_LIMIT_MS: Millis = 4000;
+const MAX_HOLD_MS: Millis = 4000;
 /// Time from the seal until they arrive.
 const DELAY_AFTER_SEAL_MS: Range<Millis> = 0..20;
 /// Downtime of a process that is restarted immediately.
@@ -27,8 +27,8 @@
 const STALL_DURATION_MS: Millis = 400;
 
 impl Cluster {
-    /// Reduces the chain to a bare majority and restarts the excluded members. Then holds all messages of the head, including an
-    /// entry, until a member that suspects the head has sealed the epoch and transferred its state to joiners.
+    /// Reduces the chain to a bare majority and restarts the excluded members. Then holds all messages of the head,
+    /// including an entry, until a member that suspects the head has sealed the epoch and transferred its state to joiners.
     pub(crate) fn deliver_entry_after_seal(&mut self) {
         let (chain, majority) = (self.chain(), self.voters() / 2 + 1);
         let Some(head) = self.head() else { return };
@@ -47,8 +47,8 @@
         }
         self.network.hold_messages_of(self.nodes[head].address);
         self.send_change_to(head, 0);
-        let until = self.now + CONGESTION_LIMIT_MS;
-        while !self.has_other_member_transferred_seal(head) && self.now < until {
+        let until = self.now + MAX_HOLD_MS;
+        while !self.has_other_member_transferred_state(head) && self.now < until {
             self.wait(1);
         }
         let delay_after_seal = self.fault_random.random_range(DELAY_AFTER_SEAL_MS);
@@ -57,18 +57,18 @@
     }
 
     /// Whether a member other than the head has transferred its sealed state of the newest epoch.
-    fn has_other_member_transferred_seal(&self, head: usize) -> bool {
+    fn has_other_member_transferred_state(&self, head: usize) -> bool {
         let Some(view) = self.invariants.newest_view() else {
             return false;
         };
         let head = self.nodes[head].replica.as_ref();
         let head = head.map(lockusher_control::Replica::identity);
         let mut others = view.chain.iter().filter(|member| Some(**member) != head);
-        others.any(|member: &Identity| self.invariants.has_handed_over(*member, view.epoch))
+        others.any(|member: &Identity| self.invariants.has_transferred_state(*member, view.epoch))
     }
 
-    /// Restarts a process, lets it forward a change as its first request, restarts it again while the change is pending at the
-    /// head, and lets it forward a read as the first request of its next incarnation.
+    /// Restarts a process, lets it forward a change as its first request, restarts it again while the change is pending at
+    /// the head, and lets it forward a read as the first request of its next incarnation.
     pub(crate) fn restart_forwarder(&mut self) {
         let Some(head) = self.head() else { return };
         let forwarder = self.pick_machine();
--- a/crates/lockusher-control-simulation/src/network.rs
+++ b/crates/lockusher-control-simulation/src/network.rs
@@ -87,8 +87,8 @@
         }
     }
 
-    /// When the sender's link has transmitted a message. Long messages queue behind each other; short ones overtake them on a
-    /// separate connection.
+    /// When the sender's link has transmitted a message. Long messages queue behind each other; short ones overtake them on
+    /// a separate connection.
     fn transmitted_at(&mut self, delivery: &Delivery, now: Millis) -> Millis {
         let Some(bytes_per_ms) = self.bytes_per_ms else {
             return now;
--- a/crates/lockusher-control-simulation/src/node.rs
+++ b/crates/lockusher-control-simulation/src/node.rs
@@ -37,8 +37,8 @@
     pub adopted_epoch: u64,
     /// Whether its disk was lost, or it is new, and it hasn't had the time to catch up since.
     pub disk_lost: bool,
-    /// Whether nodes couldn't distinguish it from a removed machine, so that a successor may have replaced it as a voter, and
-    /// it hasn't returned to a chain since.
+    /// Whether nodes couldn't distinguish it from a removed machine, so that a successor may have replaced it as a voter,
+    /// and it hasn't returned to a chain since.
     pub looks_removed: bool,
     /// When its disk was last empty.
     pub disk_created_at: Millis,
--- a/crates/lockusher-control-simulation/src/options.rs
+++ b/crates/lockusher-control-simulation/src/options.rs
@@ -12,8 +12,8 @@
     /// Number of steps under faults. Each may begin or end a fault, lets idle operators call, and lasts some tens of
     /// milliseconds.
     pub steps: usize,
-    /// Number of machines in each zone at the start, in the order of machine numbers. The seeds are the first three machines,
-    /// so that they may share a zone. One whole zone at a time may be lost. Empty: no zone is lost.
+    /// Number of machines in each zone at the start, in the order of machine numbers. The seeds are the first three
+    /// machines, so that they may share a zone. One whole zone at a time may be lost. Empty: no zone is lost.
     pub zone_sizes: &'static [usize],
     /// Bandwidth of each machine's link, in bytes per millisecond; `None` if unlimited.
     pub link_bytes_per_ms: Option<u64>,
@@ -49,7 +49,8 @@
     /// A prefix of them, as with a log that is read up to the first missing record.
     #[default]
     Prefix,
-    /// Any subset of them. The production storage never does this; it shows which guards don't depend on the order of writes.
+    /// Any subset of them. The production storage never does this; it shows which guards don't depend on the order of
+    /// writes.
     AnySubset,
 }
 
--- a/crates/lockusher-control-simulation/src/outcome.rs
+++ b/crates/lockusher-control-simulation/src/outcome.rs
@@ -13,7 +13,7 @@
     pub acknowledged: usize,
     /// Number of requests that timed out or were answered as unavailable.
     pub unanswered: usize,
-    /// Number of reads answered with a configuration.
+    /// Number of reads answered.
     pub reads: usize,
     /// Number of disks lost, with or without their machines.
     pub wipes: usize,
--- a/crates/lockusher-control-simulation/src/recovery.rs
+++ b/crates/lockusher-control-simulation/src/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery after the faults of a run: writes are acknowledged again, all machines become members, and no acknowledged change
-//! is lost.
+//! Recovery after the faults of a run: writes are acknowledged again, all machines become members, and no acknowledged
+//! change is lost.
 
 use lockusher_control::{Millis, Request};
 
@@ -38,8 +38,8 @@
         self.model.check_order(self.now, &mut self.violations);
     }
 
-    /// Checks that every voter becomes a member of the chain and that the loss of any zone would leave a majority. Machines that
-    /// aren't voters need not be members.
+    /// Checks that every voter becomes a member of the chain and that the loss of any zone would leave a majority. Machines
+    /// that aren't voters need not be members.
     fn check_voter_spread(&mut self, limit: Millis) {
         let spread = self.run_until(limit, |cluster| {
             let present = cluster.present().into_iter();
--- a/crates/lockusher-control-simulation/src/stale_votes.rs
+++ b/crates/lockusher-control-simulation/src/stale_votes.rs
@@ -3,12 +3,12 @@
 //! Nodes see no difference between a removed voter and one that is only unreachable. With one of each, the successor of the
 //! removed voter may replace the unreachable one, and no rule can prevent that. Let there be `2 f + 1` voters, of which `f`
 //! losses are tolerated, one voter removed and another unreachable, so that `2 f` nodes run, including the successor. The
-//! voters agreed on are the same whichever of the two was removed. With `r` of the running nodes and both unreachable ones as
-//! voters, `f` more lost disks leave `r - f + 1` of `r + 2` voters; with one of the two, which is the removed one, `r - f` of
-//! `r + 1`; with neither, `r - f` of `r`. A majority would require `r >= 2 f + 1`, `2 f + 2` and `2 f + 1`, but only `2 f` run.
-//! The rules for operating a deployment agree: an unreachable machine counts as lost, and so it does for `catchUpS` after its
-//! return. With more than `2 f + 1` machines there are spare votes: the removed machine stops being a voter once it has been
-//! unreachable for long enough.
+//! voters agreed on are the same whichever of the two was removed. With `r` of the running nodes and both unreachable ones
+//! as voters, `f` more lost disks leave `r - f + 1` of `r + 2` voters; with one of the two, which is the removed one,
+//! `r - f` of `r + 1`; with neither, `r - f` of `r`. A majority would require `r >= 2 f + 1`, `2 f + 2` and `2 f + 1`, but
+//! only `2 f` run. The rules for operating a deployment agree: an unreachable machine counts as lost, and so it does for
+//! `catchUpS` after its return. With more than `2 f + 1` machines there are spare votes: the removed machine stops being a
+//! voter once it has been unreachable for long enough.
 //!
 //! The order of departure from the chain distinguishes the two. A machine therefore counts as `looks_removed` only if it was
 //! unhealthy before a view had been agreed on that contains it in the chain but not the removed machine.
--- a/crates/lockusher-control-simulation/src/targeted_faults.rs
+++ b/crates/lockusher-control-simulation/src/targeted_faults.rs
@@ -90,8 +90,8 @@
 const DOWNTIME_MS: std::ops::Range<Millis> = 50..6000;
 /// Exclusive upper bound of the number of occurrences that are skipped.
 const MAX_SKIPPED_OCCURRENCES: u32 = 4;
-/// One in this many targeted faults isolates a proposer right after it announces a view that was agreed on. The announcement is
-/// lost with the links, so that only the proposer knows the view.
+/// One in this many targeted faults isolates a proposer right after it announces a view that was agreed on. The announcement
+/// is lost with the links, so that only the proposer knows the view.
 const ISOLATED_PROPOSER_ONE_IN: u32 = 4;
 
 impl TargetedFault {
