--- a/crates/lockusher-control-simulation/tests/injected_bugs.rs
+++ b/crates/lockusher-control-simulation/tests/injected_bugs.rs
@@ -1,4 +1,5 @@
-//! Every bug that can be injected is found: by the simulation within a stated number of runs, or by a named test.
+//! Every injected bug is detected by the simulation within a stated number of runs or by a named test, or is covered by
+//! another guard.
 
 use lockusher_control::{ConfigurationDocument, InjectedBug, Reply, Request};
 use lockusher_control_simulation::{Checks, SimulationOptions, SurvivingWrites, simulate_with};
@@ -12,25 +13,25 @@
 
 /// How an injected bug is detected.
 enum Detection {
-    /// By the simulation, in one of so many runs from seed 1 on, with 3, 5 and 9 replicas.
+    /// By the simulation within this number of runs, from seed 1, with 3, 5 and 9 replicas.
     Within([u64; 3]),
-    /// By a test of its own; the simulation shows it too rarely.
+    /// By a dedicated test, since the simulation detects it too rarely.
     ByTest(#[expect(dead_code, reason = "names a test for the reader")] &'static str),
-    /// By none, since another guard covers it.
+    /// Not detected, since another guard covers for the disabled one.
     CoveredBy(#[expect(dead_code, reason = "names the guard for the reader")] &'static str),
 }
 
 use Detection::{ByTest, CoveredBy, Within};
 
-/// Stands for a number of replicas with which the bug does no harm.
-const HARMLESS: u64 = 0;
+/// Limit for a number of replicas with which the bug has no effect.
+const NO_EFFECT: u64 = 0;
 
 fn detection(injected_bug: InjectedBug) -> Detection {
     match injected_bug {
         InjectedBug::ReadUnconfirmed | InjectedBug::StaleConfirmationUsed => Within([30, 30, 30]),
         InjectedBug::ConflictUnconfirmed => Within([200, 200, 200]),
         InjectedBug::NotNewerUnconfirmed => CoveredBy(
-            "what is refused has a version at most its If-Match, and a change is taken only above its If-Match",
+            "a change that is rejected as not newer has a version at most its If-Match, and only a version above the If-Match is accepted",
         ),
         InjectedBug::ConfirmAfterAccepting => Within([40, 40, 40]),
         InjectedBug::IfMatchIgnored | InjectedBug::AppliedChangeNotRecognized => Within([5, 5, 5]),
@@ -38,7 +39,7 @@
         InjectedBug::RequestNumbersRestart => Within([120, 120, 120]),
         InjectedBug::AcknowledgeBeforeTail | InjectedBug::ForwardBeforeDurable => Within([5, 5, 5]),
         InjectedBug::EntryWithoutPredecessor => CoveredBy(
-            "a head sends entries only to members that hold its state, one at a time, and those of older epochs don't count",
+            "a head sends entries only to members that have its state, one at a time, and entries of older epochs are ignored",
         ),
         InjectedBug::ServeBeforeSynchronised | InjectedBug::ServeAfterSeal => Within([20, 20, 20]),
         InjectedBug::RestartedHeadServes => Within([30, 30, 30]),
@@ -52,12 +53,12 @@
         InjectedBug::ShortChain => Within([30, 30, 60]),
         InjectedBug::SeveralVotersChanged => Within([10, 10, 20]),
         InjectedBug::VotersBelowMinimum => Within([10, 10, 200]),
-        // With 9 voters a majority is left after two lost disks and a departure.
-        InjectedBug::DepartedVoterRetained => Within([200, 200, HARMLESS]),
+        // With 9 voters a majority remains after two lost disks and a departure.
+        InjectedBug::DepartedVoterRetained => Within([200, 200, NO_EFFECT]),
         InjectedBug::LatestDepartureReplaced => {
             ByTest("scenarios::a_new_node_replaces_the_voter_that_left_the_chain_first")
         }
-        // Found where zones may be lost, by `simulation::the_loss_of_a_zone_needs_voters_spread_over_zones`.
+        // Detected in runs with zones, by `simulation::the_loss_of_a_zone_needs_voters_spread_over_zones`.
         InjectedBug::DomainsIgnored => {
             ByTest("simulation::the_loss_of_a_zone_needs_voters_spread_over_zones")
         }
@@ -70,7 +71,7 @@
         }
         InjectedBug::NonVotersCount => Within([20, 20, 60]),
         InjectedBug::ActBeforeViewDurable => CoveredBy(
-            "a disk keeps the order of writes, votes wait for the view, and no entry is appended without its predecessor",
+            "a disk preserves the order of writes, votes wait for the view, and no entry is appended without its predecessor",
         ),
         InjectedBug::OlderEpochsCount => Within([120, 120, 120]),
         InjectedBug::VoteAfterDiskLoss | InjectedBug::FirstStartAssumed => Within([20, 20, 60]),
@@ -82,7 +83,8 @@
     }
 }
 
-fn runs_until_found(injected_bug: InjectedBug, replicas: usize, limit: u64) -> Option<u64> {
+/// The first run that detects the bug, counted from 1; the seed is the same number.
+fn first_detecting_run(injected_bug: InjectedBug, replicas: usize, limit: u64) -> Option<u64> {
     (1..=limit).find(|seed| {
         let options = SimulationOptions {
             replicas,
@@ -97,17 +99,17 @@
 }
 
 #[parameterized(three = { 0, 3 }, five = { 1, 5 }, nine = { 2, 9 })]
-fn injected_bugs_are_found_within_the_stated_runs(column: usize, replicas: usize) {
+fn injected_bugs_are_detected_within_the_stated_runs(column: usize, replicas: usize) {
     let mut missed = Vec::new();
     for injected_bug in InjectedBug::ALL {
         let limit = match detection(injected_bug) {
             Within(limits) => limits[column],
             ByTest(_) | CoveredBy(_) => continue,
         };
-        if limit == HARMLESS {
+        if limit == NO_EFFECT {
             continue;
         }
-        match runs_until_found(injected_bug, replicas, limit) {
+        match first_detecting_run(injected_bug, replicas, limit) {
             Some(run) => {
                 println!("{injected_bug:?} with {replicas} replicas: run {run} of {limit}");
             }
@@ -116,7 +118,7 @@
     }
     assert!(
         missed.is_empty(),
-        "not found with {replicas} replicas: {missed:?}"
+        "not detected with {replicas} replicas: {missed:?}"
     );
 }
 
@@ -135,15 +137,16 @@
     assert_eq!(InjectedBug::named("None"), None);
 }
 
-/// A node is killed while a request that it forwarded waits at the head, and forwards another one as the first request of its
-/// new incarnation. The reply to the former request mustn't answer this one, also if both have the same number.
+/// A node is killed while a request that it forwarded is pending at the head, and forwards another one as the first request
+/// of its new incarnation. The reply to the earlier request must not answer the later one, even if both have the same
+/// number.
 #[parameterized(
-    guarded = { None, false },
+    guard_enabled = { None, false },
     guard_disabled = { Some(InjectedBug::RequestNumbersRestart), true },
 )]
 fn a_reply_to_a_previous_incarnation_is_ignored(
     injected_bug: Option<InjectedBug>,
-    answers_another: bool,
+    wrong_reply_expected: bool,
 ) {
     let options = SimulationOptions {
         replicas: 3,
@@ -154,14 +157,14 @@
     let mut cluster = started_cluster(options);
     let chain = cluster.chain();
     let (forwarder, tail) = (chain[1], chain[2]);
-    // The first incarnation of the node ends, so that its numbers start anew; the next one forwards for the first time.
+    // A restart, so that request numbers start anew and the request below is the first one that this incarnation forwards.
     cluster.crash(forwarder, 20);
     assert!(
         cluster.run_until_all_members(CATCH_UP_MS).is_some(),
         "{}",
         cluster.describe()
     );
-    // The tail's disk stalls, so that a change waits at the head.
+    // The tail's disk stalls, so that a change stays pending at the head.
     cluster.stall_disk(tail, 400);
     let change = Request::Put {
         if_match: 0,
@@ -170,23 +173,23 @@
     assert_eq!(cluster.request_within(forwarder, change, 60), None);
     cluster.crash(forwarder, 1);
     cluster.run_until(5, |_| false);
-    let at_once = cluster.request_within(forwarder, Request::Read, 30);
+    let early_reply = cluster.request_within(forwarder, Request::Read, 30);
     cluster.recover_disks();
-    let answer = at_once.or_else(|| cluster.await_reply(1000));
-    let answers_the_read = matches!(answer, None | Some(Reply::Document(_) | Reply::Unavailable));
-    assert_eq!(!answers_the_read, answers_another, "{answer:?}");
+    let reply = early_reply.or_else(|| cluster.await_reply(1000));
+    let is_reply_to_read = matches!(reply, None | Some(Reply::Document(_) | Reply::Unavailable));
+    assert_eq!(!is_reply_to_read, wrong_reply_expected, "{reply:?}");
 }
 
-/// A guard, and the one that covers it.
+/// A guard and the one that covers for it.
 struct CoveredGuard {
     guard: InjectedBug,
-    /// The other guard; none if it is the order in which a disk keeps its writes.
+    /// The other guard; `None` if it is the order in which a disk makes writes durable.
     covering_guard: Option<InjectedBug>,
     checks: Checks,
 }
 
 impl CoveredGuard {
-    /// Whether any run shows a violation with these bugs.
+    /// Whether any run with these bugs has a violation.
     fn is_detected(
         &self,
         bugs: [Option<InjectedBug>; 2],
@@ -209,7 +212,7 @@
     }
 }
 
-/// Left out alone each of two guards does no harm that is checked for; left out together they do.
+/// Disabling one of the two guards causes no violation that is checked for; disabling both does.
 #[parameterized(
     an_entry_of_an_older_epoch = { CoveredGuard {
         guard: InjectedBug::EntryWithoutPredecessor,
--- a/crates/lockusher-control-simulation/tests/scenarios.rs
+++ b/crates/lockusher-control-simulation/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single faults by name, and the time in which the cluster recovers from them.
+//! Scenarios with explicit faults, and bounds for the time of recovery from them.
 
 use lockusher_control::{ConfigurationDocument, InjectedBug, Reply, Request};
 use lockusher_control_simulation::{Cluster, DiskSpace, SimulationOptions, Violation};
@@ -8,14 +8,14 @@
 
 mod support;
 
-/// Bound in which a write is acknowledged whatever happens, in milliseconds.
+/// Bound for the acknowledgement of a write after any tolerated fault, in milliseconds.
 const ACKNOWLEDGE_MS: u64 = 4000;
-/// Within this time after a loss, a write is acknowledged, in milliseconds.
+/// Bound for the acknowledgement of a write after the loss of a member, in milliseconds.
 const FAILOVER_MS: u64 = 2000;
-/// Within this time after the end of a fault, all nodes are members again, in milliseconds.
+/// Bound for all nodes to be members again after the end of a fault, in milliseconds.
 const CONVERGENCE_MS: u64 = 2000;
 
-/// All nodes are in the chain, and something has been written.
+/// A cluster whose nodes are all members of the chain and which has acknowledged a write.
 fn cluster_of(replicas: usize, seed: u64) -> Cluster {
     let mut cluster = started_cluster(SimulationOptions {
         replicas,
@@ -298,8 +298,8 @@
     );
 }
 
-/// A member whose disk came back with another configuration is compared with the head by digests and is sent the
-/// committed state, without a write; until then it reports to nobody what it has stored.
+/// A member that restarts with another configuration on its disk is detected by a comparison of digests with the head, and
+/// is sent the committed state without a write. Until then it doesn't report its stored configuration as committed.
 #[parameterized(middle_of_3 = { 3, 1 }, tail_of_3 = { 3, 2 }, tail_of_5 = { 5, 4 })]
 fn a_member_with_a_corrupted_state_is_repaired(replicas: usize, position: usize) {
     for seed in 0..10 {
@@ -338,15 +338,19 @@
     }
 }
 
-/// The new machine is added first, then the former one leaves as planned. The new one has had its time to catch up by then, so
-/// that as many disks as are tolerated may be lost right after the departure.
+/// A machine is added, then another one shuts down gracefully. The new one has had the time to catch up by then, so that the
+/// tolerated number of disks may be lost right after the departure.
 #[parameterized(
     head_of_3 = { 3, 0, 1 },
     tail_of_3 = { 3, 2, 1 },
     head_of_5 = { 5, 0, 2 },
     middle_of_5 = { 5, 2, 2 },
 )]
-fn disks_are_lost_right_after_a_planned_departure(replicas: usize, position: usize, lost: usize) {
+fn disks_lost_right_after_a_planned_departure_are_tolerated(
+    replicas: usize,
+    position: usize,
+    lost: usize,
+) {
     for seed in 0..10 {
         let mut cluster = cluster_of(replicas, seed);
         let leaving = cluster.chain()[position];
@@ -365,9 +369,9 @@
     }
 }
 
-/// A machine is removed and leaves the chain; all are killed, so that nobody knows any more how long it has been gone; and
-/// another one becomes unreachable before the successor joins. Seed 106470 of `chain --replicas 5` ended without a majority
-/// when the successor took the place of the latter.
+/// A removed machine leaves the chain; all processes are killed, so that no node knows for how long it has been unreachable;
+/// and another machine becomes unreachable before the successor joins. If the successor replaces the latter, lost disks
+/// leave no majority, as in seed 106470 of `chain --replicas 5`.
 #[parameterized(
     of_5 = { 5, None, true },
     of_5_latest_departure_replaced = { 5, Some(InjectedBug::LatestDepartureReplaced), false },
@@ -413,8 +417,8 @@
     }
 }
 
-/// A member restarts before any peer suspects it, in an epoch in which nothing was written: it is notified of what is
-/// committed, so that it goes on serving its subscribers.
+/// A member restarts before any peer suspects it, in an epoch without a write. It must learn the committed configuration, so
+/// that it continues to serve its subscribers.
 #[parameterized(middle_of_3 = { 3, 1 }, tail_of_3 = { 3, 2 }, middle_of_5 = { 5, 2 })]
 fn a_member_restarted_before_it_is_suspected_learns_the_committed_version(
     replicas: usize,
@@ -442,8 +446,8 @@
     }
 }
 
-/// Isolated for twenty seconds, while the others go on with changes: it answers nothing by its old state, and once the links
-/// are back nothing that it had in flight takes effect.
+/// A node is isolated for twenty seconds while the others continue with changes. It must not answer from its outdated state,
+/// and a change in flight from it must not take effect after the network has healed.
 #[parameterized(
     head_both_ways = { 0, true, true },
     head_receives_nothing = { 0, true, false },
@@ -474,7 +478,7 @@
         assert_eq!(
             cluster.request_within(target, outdated, 1),
             None,
-            "a refusal needs a majority"
+            "a rejection needs a majority"
         );
         let until = cluster.now() + 20_000;
         while cluster.now() < until {
@@ -492,13 +496,13 @@
         assert_eq!(
             cluster.version(),
             newest,
-            "the change sent to the isolated node is in force nowhere"
+            "the change sent to the isolated node was committed"
         );
     }
 }
 
-/// Three hundred changes; then all are killed: one restarts without its disk, one was down for half of the changes, and one is
-/// replaced. Every change that was acknowledged is acknowledged again when it is resent.
+/// After three hundred changes all nodes are killed: one was down for half of the changes, one restarts without its disk,
+/// and one is replaced later. Every acknowledged change must be acknowledged again when it is resent.
 #[parameterized(three = { 3 }, five = { 5 })]
 fn acknowledged_changes_survive_a_restart_of_all_nodes(replicas: usize) {
     let mut cluster = cluster_of(replicas, 1);
@@ -544,11 +548,11 @@
     replica.counters().views_installed
 }
 
-/// Bytes that a link of 10 Mbit/s carries in a millisecond.
+/// Bandwidth of a link of 10 Mbit/s, in bytes per millisecond.
 const SLOW_LINK_BYTES_PER_MS: u64 = 1250;
 
-/// A large configuration reaches all control nodes over thin links, and a machine that joins, in hardly more time than copies
-/// of it take: one to the head and two down the chain, one to the newcomer. No view changes meanwhile.
+/// A large configuration is replicated over slow links, and transferred to a joining machine, in little more time than its
+/// copies take: one to the head, two down the chain and one to the joiner. The view must not change during the replication.
 #[parameterized(
     small = { 100_000 },
     medium = { 1_000_000 },
@@ -568,8 +572,8 @@
     let limit = 3 * one_link + 100;
     let acknowledged = cluster.write_document(caller, 1, bytes, limit);
     let epochs = views_installed(&cluster) - epochs_before;
-    let newcomer = cluster.add_machine(1);
-    let joined = cluster.run_until(one_link + 700, |cluster| cluster.is_member(newcomer));
+    let joiner = cluster.add_machine(1);
+    let joined = cluster.run_until(one_link + 700, |cluster| cluster.is_member(joiner));
     println!(
         "{bytes} bytes: {one_link} ms over one link, acknowledged after {acknowledged:?} ms, joined after {joined:?} ms"
     );
--- a/crates/lockusher-control-simulation/tests/simulation.rs
+++ b/crates/lockusher-control-simulation/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! The replicated control state under random faults: no guarantee and no invariant is violated, and injected bugs are found.
+//! The replicated control state under random faults: no guarantee or invariant is violated, and injected bugs are detected.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 };
 use yare::parameterized;
 
-/// Runs seeds until one shows a violation.
+/// Simulates seeds from 0 until one has a violation.
 fn first_violation(
     replicas: usize,
     injected_bug: Option<InjectedBug>,
@@ -76,7 +76,7 @@
     acknowledge_before_tail = { InjectedBug::AcknowledgeBeforeTail },
     vote_after_disk_loss = { InjectedBug::VoteAfterDiskLoss },
 )]
-fn an_injected_bug_is_found(injected_bug: InjectedBug) {
+fn an_injected_bug_is_detected(injected_bug: InjectedBug) {
     assert!(first_violation(3, Some(injected_bug), 1000, 500).is_some());
 }
 
@@ -84,7 +84,7 @@
 fn a_failing_run_is_shrunk_to_necessary_faults() {
     let injected_bug = Some(InjectedBug::VoteAfterDiskLoss);
     let (seed, full) =
-        first_violation(3, injected_bug, 1000, 500).expect("the injected bug is found");
+        first_violation(3, injected_bug, 1000, 500).expect("the injected bug is detected");
     let shrunk = shrink(SimulationOptions {
         replicas: 3,
         seed,
@@ -92,14 +92,14 @@
         injected_bug,
         ..SimulationOptions::default()
     })
-    .expect("it fails");
+    .expect("the run has a violation");
     assert!(!shrunk.violations.is_empty());
     assert!(
         shrunk.faults.len() < full.faults.len(),
         "{shrunk:?} of {} faults",
         full.faults.len()
     );
-    // Without any one of them the run has no violation.
+    // Each remaining fault is necessary: without it the run has no violation.
     let options = SimulationOptions {
         replicas: 3,
         seed,
@@ -107,22 +107,22 @@
         injected_bug,
         ..SimulationOptions::default()
     };
-    let needed: BTreeSet<usize> = shrunk.faults.iter().map(|fault| fault.step).collect();
+    let necessary: BTreeSet<usize> = shrunk.faults.iter().map(|fault| fault.step).collect();
     let others: BTreeSet<usize> = (0..shrunk.steps)
-        .filter(|step| !needed.contains(step))
+        .filter(|step| !necessary.contains(step))
         .collect();
     assert!(
         !simulate_omitting_faults(options, &others)
             .violations
             .is_empty()
     );
-    for step in needed {
+    for step in necessary {
         let omitted_steps = others.iter().copied().chain([step]).collect();
         assert!(
             simulate_omitting_faults(options, &omitted_steps)
                 .violations
                 .is_empty(),
-            "step {step} isn't needed"
+            "the fault of step {step} isn't necessary"
         );
     }
 }
@@ -140,7 +140,7 @@
     );
 }
 
-/// Machines are spread over zones of these sizes; the seeds are the first three.
+/// Options of a run with zones of these sizes; the seeds are the first three machines.
 fn with_zones(
     zone_sizes: &'static [usize],
     seed: u64,
@@ -171,12 +171,13 @@
     }
 }
 
-/// One zone has so many machines that their votes would be a majority.
+/// One zone has enough machines for a majority of the voters: with an injected bug that ignores the spread of voters over
+/// the zones, the loss of that zone is the loss of the majority.
 #[parameterized(six = { &[3, 2, 1] }, nine = { &[5, 2, 2] })]
 fn the_loss_of_a_zone_needs_voters_spread_over_zones(zone_sizes: &'static [usize]) {
-    let found = (0..60).any(|seed| {
+    let detected = (0..60).any(|seed| {
         let options = with_zones(zone_sizes, seed, Some(InjectedBug::DomainsIgnored));
         !simulate_with(options).violations.is_empty()
     });
-    assert!(found);
+    assert!(detected);
 }
--- a/crates/lockusher-control-simulation/tests/support/mod.rs
+++ b/crates/lockusher-control-simulation/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! Set-up shared by the tests.
+//! Setup shared by the tests.
 
 use lockusher_control_simulation::{Cluster, SimulationOptions};
 
-/// Bound in which a new node becomes a member, in milliseconds.
+/// Bound for a new node to become a member, in milliseconds.
 pub const CATCH_UP_MS: u64 = 4000;
 
-/// A cluster after its first start: all nodes are members of the chain.
+/// Creates a cluster and runs its first start until all nodes are members of the chain.
 pub fn started_cluster(options: SimulationOptions) -> Cluster {
     let mut cluster = Cluster::new(options);
     assert!(
