--- a/crates/lockusher-control-simulation/tests/injected_bugs.rs
+++ b/crates/lockusher-control-simulation/tests/injected_bugs.rs
@@ -58,9 +58,9 @@
         InjectedBug::LatestDepartureReplaced => {
             ByTest("scenarios::a_new_node_replaces_the_voter_that_left_the_chain_first")
         }
-        // Detected in runs with zones, by `simulation::the_loss_of_a_zone_needs_voters_spread_over_zones`.
+        // Detected in runs with zones, by `simulation::the_loss_of_a_zone_is_tolerated_only_with_spread_voters`.
         InjectedBug::DomainsIgnored => {
-            ByTest("simulation::the_loss_of_a_zone_needs_voters_spread_over_zones")
+            ByTest("simulation::the_loss_of_a_zone_is_tolerated_only_with_spread_voters")
         }
         InjectedBug::LowerProposalAccepted | InjectedBug::AcceptedViewNotReported => {
             Within([100, 60, 60])
--- a/crates/lockusher-control-simulation/tests/simulation.rs
+++ b/crates/lockusher-control-simulation/tests/simulation.rs
@@ -174,7 +174,7 @@
 /// One zone has enough machines for a majority of the voters: with an injected bug that ignores the spread of voters over
 /// the zones, the loss of that zone is the loss of the majority.
 #[parameterized(six = { &[3, 2, 1] }, nine = { &[5, 2, 2] })]
-fn the_loss_of_a_zone_needs_voters_spread_over_zones(zone_sizes: &'static [usize]) {
+fn the_loss_of_a_zone_is_tolerated_only_with_spread_voters(zone_sizes: &'static [usize]) {
     let detected = (0..60).any(|seed| {
         let options = with_zones(zone_sizes, seed, Some(InjectedBug::DomainsIgnored));
         !simulate_with(options).violations.is_empty()
