--- a/crates/lockusher-control-simulation/src/view_succession.rs
+++ b/crates/lockusher-control-simulation/src/view_succession.rs
@@ -50,11 +50,11 @@
 
 /// Whether the remaining members are at the front of the chain, in their previous order.
 fn retains_chain_order(previous: &View, view: &View) -> bool {
-    let in_former_order: Vec<Identity> = previous
+    let in_previous_order: Vec<Identity> = previous
         .chain
         .iter()
         .copied()
         .filter(|member| view.in_chain(*member))
         .collect();
-    view.chain.starts_with(&in_former_order)
+    view.chain.starts_with(&in_previous_order)
 }
