--- a/crates/lockusher-aggregator-testbed/src/chain.rs
+++ b/crates/lockusher-aggregator-testbed/src/chain.rs
@@ -103,8 +103,8 @@
         self.acknowledged += outcome.acknowledged as u64;
         self.unanswered += outcome.unanswered as u64;
         self.reads += outcome.reads as u64;
-        self.wipes += outcome.wipes as u64;
-        self.epochs += outcome.epochs;
+        self.wipes += outcome.disk_losses as u64;
+        self.epochs += outcome.highest_epoch;
         self.messages += outcome.messages;
         self.longest_recovery_ms = self.longest_recovery_ms.max(outcome.recovery_ms);
         self.longest_settle_ms = self.longest_settle_ms.max(outcome.settle_ms);
--- a/crates/lockusher-control-simulation/src/cluster.rs
+++ b/crates/lockusher-control-simulation/src/cluster.rs
@@ -127,7 +127,7 @@
             .filter_map(|node| node.replica.as_ref()?.view())
             .map(|view| view.epoch);
         Outcome {
-            epochs: epochs.max().unwrap_or(0),
+            highest_epoch: epochs.max().unwrap_or(0),
             acknowledged: self.model.acknowledged,
             violations: self.violations.into_vec(),
             messages: self.network.sent,
--- a/crates/lockusher-control-simulation/src/fault_actions.rs
+++ b/crates/lockusher-control-simulation/src/fault_actions.rs
@@ -32,7 +32,7 @@
     /// Loses the disk of a machine whose process was killed.
     pub fn lose_disk(&mut self, number: usize) {
         log::debug!("{}: disk of machine {number} lost", self.now);
-        self.outcome.wipes += 1;
+        self.outcome.disk_losses += 1;
         let now = self.now;
         let node = &mut self.nodes[number];
         node.disk.erase();
@@ -52,7 +52,7 @@
     pub fn remove_machine(&mut self, number: usize) {
         log::debug!("{}: machine {number} removed", self.now);
         self.crash(number, 0);
-        self.outcome.wipes += 1;
+        self.outcome.disk_losses += 1;
         self.nodes[number].removed = true;
         self.nodes[number].start_at = None;
     }
--- a/crates/lockusher-control-simulation/src/outcome.rs
+++ b/crates/lockusher-control-simulation/src/outcome.rs
@@ -16,9 +16,9 @@
     /// Number of reads answered.
     pub reads: usize,
     /// Number of disks lost, with or without their machines.
-    pub wipes: usize,
+    pub disk_losses: usize,
     /// Highest epoch at the end of the run.
-    pub epochs: u64,
+    pub highest_epoch: u64,
     /// Virtual time from the end of the faults to the first acknowledged write, in milliseconds.
     pub recovery_ms: Millis,
     /// Virtual time from the end of the faults until all machines were members of the chain, in milliseconds.
