--- a/crates/lockusher-control-simulation/src/calls.rs
+++ b/crates/lockusher-control-simulation/src/calls.rs
@@ -1,4 +1,4 @@
-//! The operators' calls: which node they reach and when, and what the operator and the reference model make of the replies.
+//! Calls of the operators: target node, duplicates and timeouts, and the handling of replies.
 
 use std::ops::Range;
 
@@ -11,61 +11,69 @@
     violation::ModelViolation,
 };
 
-/// An operator gives a call up if no reply has come after this time.
+/// Timeout after which an operator abandons a call.
 const OPERATOR_TIMEOUT_MS: Millis = 1000;
-/// One call with a change in so many is duplicated; the duplicate reaches some machine later.
+/// One in this many calls with a change is duplicated; the duplicate reaches a random machine later.
 const DUPLICATE_ONE_CALL_IN: u32 = 8;
-/// How late a duplicated call arrives.
+/// Delay of a duplicated call.
 const CALL_DELAY_MS: Range<Millis> = 1..12_000;
 
 impl Cluster {
+    /// Lets each idle operator make its next call.
     pub(crate) fn step_operators(&mut self) {
         for number in 0..self.operators.len() {
             self.step_operator(number, true);
         }
     }
 
+    /// Lets an operator make its next call if it is idle: a read, if `may_read`, or a change.
     pub(crate) fn step_operator(&mut self, number: usize, may_read: bool) {
-        self.expire_call(number);
+        self.abandon_expired_call(number);
         let operator = &mut self.operators[number];
         if operator.call.is_some() || self.now < operator.idle_until {
             return;
         }
         if may_read && operator.change.is_none() && self.random.random_ratio(1, 3) {
-            self.call(number, Request::Read, None);
+            self.call_any_node(number, Request::Read, None);
             return;
         }
         let change = operator.next_change(&mut self.random);
         self.model.record_sent(&change);
-        self.call(number, change.request(), Some(change));
+        self.call_any_node(number, change.request(), Some(change));
     }
 
-    /// An operator gives up its call, if it has one, and sends its next change to this machine.
+    /// Makes an operator abandon its call, if it has one, and send its next change to this machine.
     pub(crate) fn send_change_to(&mut self, node: usize, number: usize) {
-        self.expire_call_now(number);
+        self.abandon_call(number);
         let change = self.operators[number].next_change(&mut self.random);
         self.model.record_sent(&change);
-        self.call_at(node, number, change.request(), Some(change));
+        self.call_node(node, number, change.request(), Some(change));
     }
 
-    /// An operator gives its call up if no reply has come in time.
-    pub(crate) fn expire_call(&mut self, number: usize) {
+    /// Abandons an operator's call if it has timed out.
+    pub(crate) fn abandon_expired_call(&mut self, number: usize) {
         let call = self.operators[number].call.as_ref();
         if call.is_some_and(|call| call.deadline <= self.now) {
-            self.expire_call_now(number);
+            self.abandon_call(number);
         }
     }
 
-    /// An operator gives its call up, if it has one.
-    pub(crate) fn expire_call_now(&mut self, number: usize) {
+    /// Abandons an operator's call, if it has one.
+    pub(crate) fn abandon_call(&mut self, number: usize) {
         let operator = &mut self.operators[number];
         if operator.call.take().is_some() {
-            operator.restart_patch();
+            operator.discard_patch_base();
             self.outcome.unanswered += 1;
         }
     }
 
-    pub(crate) fn call(&mut self, number: usize, request: Request, change: Option<Change>) {
+    /// Sends an operator's request to a random running machine, preferably another one than the last.
+    pub(crate) fn call_any_node(
+        &mut self,
+        number: usize,
+        request: Request,
+        change: Option<Change>,
+    ) {
         let mut running: Vec<usize> = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].runs(self.now))
             .collect();
@@ -76,11 +84,11 @@
             return;
         }
         let node = running[self.random.random_range(0..running.len())];
-        self.call_at(node, number, request, change);
+        self.call_node(node, number, request, change);
     }
 
-    /// An operator calls this machine.
-    pub(crate) fn call_at(
+    /// Sends an operator's request to this machine. A change may be duplicated.
+    pub(crate) fn call_node(
         &mut self,
         node: usize,
         number: usize,
@@ -101,10 +109,10 @@
         if change.is_some() && self.random.random_ratio(1, DUPLICATE_ONE_CALL_IN) {
             self.delay_call(request.clone());
         }
-        self.event(node, Event::Request { ticket, request });
+        self.handle_event(node, Event::Request { ticket, request });
     }
 
-    /// A duplicate of the call reaches some machine later, also one that doesn't run now.
+    /// Schedules a duplicate of the call for a random machine, which need not be running now.
     fn delay_call(&mut self, request: Request) {
         let node = self.random.random_range(0..self.nodes.len());
         let due = self.now + self.random.random_range(CALL_DELAY_MS);
@@ -129,7 +137,7 @@
             } else if node.runs(now) {
                 self.next_request += 1;
                 let ticket = RequestTicket(self.next_request);
-                self.event(
+                self.handle_event(
                     call.node,
                     Event::Request {
                         ticket,
@@ -140,12 +148,13 @@
         }
     }
 
-    /// Calls one machine and waits for its reply.
+    /// Sends a request to one machine and waits for the reply for up to 1 s.
     pub(crate) fn request(&mut self, number: usize, request: Request) -> Option<Reply> {
         self.request_within(number, request, OPERATOR_TIMEOUT_MS)
     }
 
-    /// Calls one machine and waits for its reply for this time. It may still come, see [`Cluster::await_reply`].
+    /// Sends a request to one machine and waits for the reply for up to `timeout`; see [`Cluster::await_reply`] for a later
+    /// one.
     pub fn request_within(
         &mut self,
         number: usize,
@@ -155,11 +164,11 @@
         self.next_request += 1;
         let ticket = RequestTicket(self.next_request);
         self.pending_request = Some((ticket, None));
-        self.event(number, Event::Request { ticket, request });
+        self.handle_event(number, Event::Request { ticket, request });
         self.await_reply(timeout)
     }
 
-    /// Waits for the reply to the last call of [`Cluster::request_within`].
+    /// Waits for the reply to the latest request of [`Cluster::request_within`].
     pub fn await_reply(&mut self, timeout: Millis) -> Option<Reply> {
         let deadline = self.now + timeout;
         while self.now < deadline {
@@ -171,6 +180,7 @@
         None
     }
 
+    /// Handles a reply and checks it against the reference model. Replies to abandoned and duplicated calls are ignored.
     pub(crate) fn on_reply(&mut self, ticket: RequestTicket, reply: Reply) {
         if let Some((pending, pending_reply)) = &mut self.pending_request
             && *pending == ticket
@@ -219,7 +229,7 @@
                 );
             }
             Reply::Unavailable => {
-                operator.restart_patch();
+                operator.discard_patch_base();
                 self.outcome.unanswered += 1;
             }
             Reply::Document(document) => {
@@ -231,6 +241,7 @@
         }
     }
 
+    /// Checks the reply to a read that began when `floor` was the highest version acknowledged or read.
     pub(crate) fn on_read_reply(&mut self, ticket: RequestTicket, floor: u64, reply: Reply) {
         match reply {
             Reply::Document(document) => {
--- a/crates/lockusher-control-simulation/src/invariant_checks.rs
+++ b/crates/lockusher-control-simulation/src/invariant_checks.rs
@@ -1,4 +1,5 @@
-//! Where a run checks the invariants of the protocol: at each message sent, record stored, view adopted, start and snapshot.
+//! Points at which a run checks the invariants of the protocol: each message sent, record stored, view adopted, start and
+//! snapshot.
 
 use lockusher_control::{DurableRecord, Identity, Message, Replica};
 
@@ -11,8 +12,8 @@
         self.options.checks == Checks::All
     }
 
-    fn report(&mut self, checked: Result<(), InvariantViolation>) {
-        if let Err(violation) = checked {
+    fn report(&mut self, result: Result<(), InvariantViolation>) {
+        if let Err(violation) = result {
             self.violations.report(self.now, violation);
         }
     }
@@ -25,8 +26,8 @@
         let Some(disk) = self.nodes[number].disk.contents() else {
             return;
         };
-        let checked = self.invariants.sent(message, disk);
-        self.report(checked);
+        let result = self.invariants.check_message(message, disk);
+        self.report(result);
     }
 
     /// Checks records of a node that have become durable.
@@ -40,8 +41,8 @@
         let Some(identity) = disk.identity() else {
             return;
         };
-        let checked = self.invariants.written(identity, records, disk);
-        self.report(checked);
+        let result = self.invariants.check_records(identity, records, disk);
+        self.report(result);
     }
 
     /// Checks the view of a node, if it has adopted a new one.
@@ -54,8 +55,8 @@
         }
         let view = view.clone();
         self.nodes[number].adopted_epoch = view.epoch;
-        let minimum = 2 * self.tolerated_losses() + 1;
-        let adopted = self.invariants.adopted(&view, minimum);
+        let minimum_voters = 2 * self.tolerated_losses() + 1;
+        let adopted = self.invariants.check_adopted_view(&view, minimum_voters);
         if !self.checks_invariants() {
             return;
         }
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Checks that every member of the newest chain whose disk isn't lost has stored the newest committed configuration.
+    /// Checks that every member of the newest chain whose disk isn't lost has applied the newest committed change.
     pub(crate) fn check_committed_is_stored(&mut self) {
         if !self.checks_invariants() {
             return;
@@ -79,10 +80,10 @@
         };
         let lacks = |member: &Identity| {
             self.disk_of(*member)
-                .is_some_and(|disk| !disk.has_taken(digest))
+                .is_some_and(|disk| !disk.has_applied(digest))
         };
-        let lacking = view.chain.iter().copied().find(lacks);
-        if let Some(member) = lacking {
+        let lagging_member = view.chain.iter().copied().find(lacks);
+        if let Some(member) = lagging_member {
             let epoch = view.epoch;
             self.violations.report(
                 self.now,
@@ -95,14 +96,14 @@
         }
     }
 
-    /// What the disk with this identity holds; none if it is lost.
+    /// Contents of the disk with this identity; `None` if it is lost or corrupted.
     fn disk_of(&self, identity: Identity) -> Option<&DiskContents> {
         let disks = self.nodes.iter().filter_map(|node| node.disk.contents());
-        let mut of_identity = disks.filter(|disk| disk.identity() == Some(identity));
-        of_identity.next()
+        let mut matching = disks.filter(|disk| disk.identity() == Some(identity));
+        matching.next()
     }
 
-    /// Checks that a process that has started recovered all that its disk holds.
+    /// Checks that a process recovered all contents of its disk at the start.
     pub(crate) fn check_recovered(&mut self, number: usize) {
         let node = &self.nodes[number];
         let (Some(replica), Some(disk)) = (&node.replica, node.disk.contents()) else {
@@ -111,7 +112,7 @@
         if !self.checks_invariants() || disk.identity().is_none() {
             return;
         }
-        let missing = disk.first_missing_in(&DiskContents::of(&replica.snapshot()));
+        let missing = disk.first_missing_in(&DiskContents::from_records(&replica.snapshot()));
         let node = node.address;
         if let Some(missing) = missing {
             self.violations
@@ -119,13 +120,13 @@
         }
     }
 
-    /// Checks that a snapshot that is about to replace the log holds the same.
+    /// Checks that a snapshot has the same contents as the log that it is about to replace.
     pub(crate) fn check_snapshot(&mut self, number: usize, records: &[DurableRecord]) {
         let node = &self.nodes[number];
         let Some(disk) = node.disk.contents().filter(|_| self.checks_invariants()) else {
             return;
         };
-        let missing = disk.first_missing_in(&DiskContents::of(records));
+        let missing = disk.first_missing_in(&DiskContents::from_records(records));
         let node = node.address;
         if let Some(missing) = missing {
             self.violations.report(
--- a/crates/lockusher-control-simulation/src/processes.rs
+++ b/crates/lockusher-control-simulation/src/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of the simulated machines: their start, the events they take and the effects they ask for.
+//! Processes of the simulated machines: starts, events for the replica and execution of its effects.
 
 use std::net::SocketAddrV4;
 
@@ -13,57 +13,59 @@
     violation::ModelViolation,
 };
 
-/// Throughput between machines that the replicas count on, in bytes per millisecond.
-const BYTES_PER_MS: u64 = 4096;
+/// Throughput that the replicas assume if links are unlimited, in bytes per millisecond.
+const ASSUMED_BYTES_PER_MS: u64 = 4096;
 /// Interval of [`Event::Tick`].
 const TICK_MS: Millis = 50;
-/// Seeds that each process is given.
+/// Number of seeds in the setup of each process.
 const SEED_COUNT: usize = 3;
 
 impl Cluster {
+    /// Starts the process if that is due; otherwise completes its writes and sends its tick if they are due.
     pub(crate) fn run_node(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
         if node.replica.is_none() && node.start_at.is_some_and(|at| at <= now) {
-            self.start(number);
+            self.start_process(number);
             return;
         }
         if !node.runs(now) {
             return;
         }
-        while let Some(finished) = self.nodes[number].disk.finish(now) {
-            let ticket = finished.ticket;
-            let event = match &finished.durable {
+        while let Some(completed_write) = self.nodes[number].disk.complete_next_write(now) {
+            let ticket = completed_write.ticket;
+            let event = match &completed_write.durable {
                 Some(records) => {
                     self.check_written(number, records);
                     Event::Persisted { ticket }
                 }
                 None => Event::PersistFailed { ticket },
             };
-            self.event(number, event);
+            self.handle_event(number, event);
         }
         let node = &mut self.nodes[number];
         if node.next_tick <= now {
             node.next_tick = now + TICK_MS;
-            self.event(number, Event::Tick);
+            self.handle_event(number, Event::Tick);
             self.take_snapshot(number);
         }
     }
 
-    /// As a storage does: the snapshot takes the place of the log while no write is under way.
+    /// Replaces a long log by a snapshot while no write is in flight, as the production storage does.
     fn take_snapshot(&mut self, number: usize) {
         let node = &self.nodes[number];
-        if !node.disk.wants_snapshot() || node.disk.space != DiskSpace::Sufficient {
+        if !node.disk.needs_snapshot() || node.disk.space != DiskSpace::Sufficient {
             return;
         }
         let Some(records) = node.replica.as_ref().map(Replica::snapshot) else {
             return;
         };
         self.check_snapshot(number, &records);
-        self.nodes[number].disk.replace(records);
+        self.nodes[number].disk.replace_log(records);
     }
 
-    fn start(&mut self, number: usize) {
+    /// Starts the process with the records on its disk.
+    fn start_process(&mut self, number: usize) {
         let tolerated_losses = self.tolerated_losses() as u32;
         let tolerated_domains = self.tolerated_domains();
         let random_seed = self.random.random();
@@ -84,17 +86,20 @@
             bytes_per_ms: self
                 .options
                 .link_bytes_per_ms
-                .map_or(BYTES_PER_MS, |link| link / 2),
+                .map_or(ASSUMED_BYTES_PER_MS, |link| link / 2),
             catch_up_ms: CATCH_UP_MS,
             random_seed,
         };
         let setup = ReplicaSetup {
-            seeds: self.seeds_for(number, setup.seeds),
+            seeds: self.draw_seeds(number, setup.seeds),
             ..setup
         };
         let records = self.nodes[number].disk.records();
-        log::trace!("{}: start of machine {number} with {records:?}", self.now);
-        let bugs = [self.options.injected_bug, self.options.covering_bug];
+        log::trace!(
+            "{}: machine {number} starts with the records {records:?}",
+            self.now
+        );
+        let bugs = [self.options.injected_bug, self.options.second_injected_bug];
         let (replica, effects) = Replica::with_injected_bugs(setup, records, self.now, bugs);
         let node = &mut self.nodes[number];
         node.replica = Some(replica);
@@ -102,14 +107,18 @@
         node.next_tick = self.now + TICK_MS;
         node.committed_version = 0;
         self.check_recovered(number);
-        self.carry_out(number, effects);
+        self.execute_effects(number, effects);
     }
 
-    /// At the first start the fixed seeds, later any three machines.
-    fn seeds_for(&mut self, number: usize, first: Vec<SocketAddrV4>) -> Vec<SocketAddrV4> {
+    /// Seeds of a process: the fixed ones at the first start, later any three consecutive machines that are present.
+    fn draw_seeds(
+        &mut self,
+        number: usize,
+        first_start_seeds: Vec<SocketAddrV4>,
+    ) -> Vec<SocketAddrV4> {
         let node = &mut self.nodes[number];
         if std::mem::replace(&mut node.first_start, false) {
-            return first;
+            return first_start_seeds;
         }
         let present: Vec<SocketAddrV4> = self
             .nodes
@@ -127,7 +136,8 @@
             .collect()
     }
 
-    pub(crate) fn event(&mut self, number: usize, event: Event) {
+    /// Passes an event to a replica and executes the effects, unless a targeted fault kills the process before.
+    pub(crate) fn handle_event(&mut self, number: usize, event: Event) {
         let now = self.now;
         let Some(replica) = &mut self.nodes[number].replica else {
             return;
@@ -135,14 +145,15 @@
         let effects = replica.handle(now, event);
         let fault_action = self.trigger_targeted_fault(&effects);
         if !matches!(fault_action, Some(FaultAction::CrashBeforeSend { .. })) {
-            self.carry_out(number, effects);
+            self.execute_effects(number, effects);
         }
         if let Some(fault_action) = fault_action {
             self.apply_fault_action(number, fault_action);
         }
     }
 
-    fn carry_out(&mut self, number: usize, effects: Vec<Effect>) {
+    /// Executes the effects of a replica and checks them against the reference model and the invariants.
+    fn execute_effects(&mut self, number: usize, effects: Vec<Effect>) {
         self.check_adopted(number);
         let now = self.now;
         let from = self.nodes[number].address;
@@ -169,7 +180,7 @@
                     let node = &mut self.nodes[number];
                     if document.version <= node.committed_version {
                         let version = document.version;
-                        let violation = ModelViolation::CommittedVersionDecreased {
+                        let violation = ModelViolation::CommittedVersionNotIncreased {
                             node: from,
                             version,
                         };
--- a/crates/lockusher-control-simulation/src/run.rs
+++ b/crates/lockusher-control-simulation/src/run.rs
@@ -1,10 +1,10 @@
-//! Runs of the simulation: faults first, then the recovery from them.
+//! Entry points: a run consists of steps under faults and the recovery from them.
 
 use std::collections::BTreeSet;
 
 use crate::{cluster::Cluster, options::SimulationOptions, outcome::Outcome};
 
-/// Plays one run without an injected bug.
+/// Simulates one run without an injected bug.
 pub fn simulate(replicas: usize, seed: u64, steps: usize) -> Outcome {
     simulate_with(SimulationOptions {
         replicas,
@@ -14,15 +14,18 @@
     })
 }
 
-/// Plays one run.
+/// Simulates one run.
 pub fn simulate_with(options: SimulationOptions) -> Outcome {
-    simulate_without(options, &BTreeSet::new())
+    simulate_omitting_faults(options, &BTreeSet::new())
 }
 
-/// Plays one run in which the faults of some steps are left out.
-pub fn simulate_without(options: SimulationOptions, left_out: &BTreeSet<usize>) -> Outcome {
+/// Simulates one run in which the faults of `omitted_steps` are omitted.
+pub fn simulate_omitting_faults(
+    options: SimulationOptions,
+    omitted_steps: &BTreeSet<usize>,
+) -> Outcome {
     let mut cluster = Cluster::new(options);
-    cluster.run_under_faults(options.steps, left_out);
+    cluster.run_under_faults(options.steps, omitted_steps);
     cluster.run_recovery();
     cluster.into_outcome()
 }
