--- a/crates/lockusher-router-testbed/src/configuration.rs
+++ b/crates/lockusher-router-testbed/src/configuration.rs
@@ -1,11 +1,11 @@
-//! Configurations as the operator writes them.
+//! The JSON form of configurations, as the operator sends them.
 
 use lockusher_config::configuration::{Configuration, Engine, Limits, Route, RouteKind, Service};
 use serde_json::{Value, json};
 
-const MS_PER_S: f64 = 1000.0;
+const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// The body of `PUT /api/configuration`.
+/// Converts a configuration to the body of `PUT /api/configuration`.
 pub fn to_json(configuration: &Configuration) -> Value {
     json!({
         "version": configuration.version,
@@ -29,11 +29,11 @@
         "resumable": route.resumable,
     });
     match route.split.as_slice() {
-        [only] => json["service"] = json!(only.service),
-        several => {
-            json["trafficSplit"] = several
+        [single] => json["service"] = json!(single.service),
+        weighted_services => {
+            json["trafficSplit"] = weighted_services
                 .iter()
-                .map(|one| json!({"service": one.service, "weight": one.weight}))
+                .map(|weighted| json!({"service": weighted.service, "weight": weighted.weight}))
                 .collect();
         }
     }
@@ -72,8 +72,8 @@
         "cacheTokenBytes": engine.cache_token_bytes,
         "linkMbps": engine.link_mbps,
         "stride": engine.stride,
-        "handleHoldS": engine.handle_hold_ms as f64 / MS_PER_S,
-        "roleSwitchS": engine.role_switch_ms as f64 / MS_PER_S,
+        "handleHoldS": engine.handle_hold_ms as f64 / MILLIS_PER_SECOND,
+        "roleSwitchS": engine.role_switch_ms as f64 / MILLIS_PER_SECOND,
         "models": engine.models.iter().map(|name| json!({"name": name})).collect::<Vec<Value>>(),
     })
 }
--- a/crates/lockusher-router-testbed/src/decisions.rs
+++ b/crates/lockusher-router-testbed/src/decisions.rs
@@ -1,61 +1,65 @@
-//! Makes a table of the decision trace that proxies log at the level `debug`: where sends wait, by purpose and size.
+//! Builds a table from the decision trace that proxies log at level `debug`: latency of sends by target, purpose and
+//! size.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use derive_more::{Display, Error};
 
-/// What a line of the trace contains before its fields.
-const MARK: &str = " decision ";
+/// Marker before the fields in a line of the trace.
+const TRACE_MARKER: &str = " decision ";
 
-/// Prompts of up to so many tokens make the first class; each further class is twice as wide.
-const FIRST_CLASS_TOKENS: u64 = 1_024;
+/// Upper bound of the smallest size class in tokens; the bound doubles with each further class.
+const SMALLEST_CLASS_TOKENS: u64 = 1_024;
 
-/// One send, as a proxy logged it.
+/// One send to a searcher, as logged by a proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TracedSend {
     /// `Prefill`, `Decode` or `Whole`.
     pub purpose: String,
-    /// Its first event, or how it ended without one.
+    /// `FirstEvent`, or how it ended without one.
     pub outcome: String,
-    /// Tokens expected to be read or moved.
+    /// Tokens expected to be prefilled or transferred.
     pub tokens: u64,
     /// Time between the request's admission and the send, in milliseconds.
     pub waited_ms: u64,
+    /// Predicted time from the send to the outcome, in milliseconds.
     pub expected_ms: u64,
+    /// Time from the send to the outcome, in milliseconds.
     pub took_ms: u64,
+    /// Latency target of the request, in milliseconds.
     pub target_ms: u64,
 }
 
-/// A line that has the mark of the trace but can't be read.
+/// A line that has the marker of the trace but can't be parsed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("line {line}: {field} is missing or no number")]
+#[display("line {line}: field {field} is missing or invalid")]
 pub struct TraceError {
     pub line: usize,
     pub field: &'static str,
 }
 
 impl TracedSend {
-    /// Reads one line; nothing if it isn't of the trace.
+    /// Parses one line; `None` if it doesn't belong to the trace.
     pub fn parse(line: &str, number: usize) -> Option<Result<Self, TraceError>> {
-        let (_, fields) = line.split_once(MARK)?;
+        let (_, fields) = line.split_once(TRACE_MARKER)?;
         Some(parse_fields(fields).map_err(|field| TraceError {
             line: number,
             field,
         }))
     }
 
-    fn is_good(&self) -> bool {
+    fn is_successful(&self) -> bool {
         matches!(self.outcome.as_str(), "FirstEvent" | "Answered")
     }
 
-    /// Whether the request's time to its first event was over with this send.
+    /// Whether the request's latency target had passed when this send ended.
     fn is_late(&self) -> bool {
         self.waited_ms + self.took_ms > self.target_ms
     }
 
     fn size_class(&self) -> u64 {
-        let mut class = FIRST_CLASS_TOKENS;
+        let mut class = SMALLEST_CLASS_TOKENS;
         while self.tokens > class {
             class *= 2;
         }
@@ -85,7 +89,7 @@
     })
 }
 
-/// All sends of a log, in its order.
+/// Parses all sends of a log, in order.
 pub fn read_trace(log: &str) -> Result<Vec<TracedSend>, TraceError> {
     let lines = log.lines().enumerate();
     lines
@@ -93,7 +97,7 @@
         .collect()
 }
 
-/// The table: a row for each target latency, purpose and size class.
+/// Formats the table, with a row for each latency target, purpose and size class.
 pub fn table(sends: &[TracedSend]) -> String {
     let mut rows: BTreeMap<(u64, &str, u64), Vec<&TracedSend>> = BTreeMap::new();
     for send in sends {
@@ -114,31 +118,31 @@
         "p99_ms",
         "expect_ms"
     );
-    for ((target, purpose, class), of_row) in rows {
-        let share = |is: fn(&TracedSend) -> bool| {
-            100.0 * of_row.iter().filter(|send| is(send)).count() as f64 / of_row.len() as f64
+    for ((target, purpose, class), row) in rows {
+        let percentage = |predicate: fn(&TracedSend) -> bool| {
+            100.0 * row.iter().filter(|send| predicate(send)).count() as f64 / row.len() as f64
         };
-        let took = |part: f64| quantile(of_row.iter().map(|send| send.took_ms).collect(), part);
-        let expected = quantile(of_row.iter().map(|send| send.expected_ms).collect(), 0.5);
-        // Writing to a string doesn't fail.
+        let took_quantile = |p: f64| quantile(row.iter().map(|send| send.took_ms).collect(), p);
+        let expected_median = quantile(row.iter().map(|send| send.expected_ms).collect(), 0.5);
+        // Writing to a string can't fail.
         let _ = writeln!(
             text,
-            "{target:>9} {purpose:8} {class:>9} {:>7} {:>6.1} {:>6.1} {:>7} {:>7} {:>7} {expected:>9}",
-            of_row.len(),
-            share(TracedSend::is_good),
-            share(TracedSend::is_late),
-            took(0.5),
-            took(0.9),
-            took(0.99),
+            "{target:>9} {purpose:8} {class:>9} {:>7} {:>6.1} {:>6.1} {:>7} {:>7} {:>7} {expected_median:>9}",
+            row.len(),
+            percentage(TracedSend::is_successful),
+            percentage(TracedSend::is_late),
+            took_quantile(0.5),
+            took_quantile(0.9),
+            took_quantile(0.99),
         );
     }
     text
 }
 
-/// The smallest value that this part of all values doesn't exceed; 0 of none.
-fn quantile(mut values: Vec<u64>, part: f64) -> u64 {
+/// Returns the smallest value that is not exceeded by `fraction` of the values; 0 without values.
+fn quantile(mut values: Vec<u64>, fraction: f64) -> u64 {
     values.sort_unstable();
-    let rank = (values.len() as f64 * part).ceil() as usize;
+    let rank = (values.len() as f64 * fraction).ceil() as usize;
     values
         .get(rank.saturating_sub(1))
         .copied()
--- a/crates/lockusher-router-testbed/tests/decisions.rs
+++ b/crates/lockusher-router-testbed/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The table of the decision trace.
+//! Parsing of the decision trace and its table.
 
 use lockusher_router_testbed::decisions::{TraceError, read_trace, table};
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_line_that_cannot_be_read_is_named() {
+fn an_invalid_line_is_reported_with_its_number_and_field() {
     let log = "x\n0.1 a DEBUG proxy e decision Whole Failed tokens=7 waited_ms=0 expected_ms=1 took_ms=- target_ms=3\n";
     assert_eq!(
         read_trace(log),
