--- a/crates/lockusher-router-testbed/src/checker/answers.rs
+++ b/crates/lockusher-router-testbed/src/checker/answers.rs
@@ -1,88 +1,116 @@
-//! MIXED, REFUSED and LOST: what clients were answered.
+//! MIXED, REFUSED and LOST: compares the responses that clients received with the runs at searchers.
 
 use super::{Evidence, Index, Rule, Verdict};
 use crate::record::{ArrivalOutcome, RunBody};
 use crate::request::{AnswerSeen, BodySeen, Break, TryOutcome, TryRecord};
 
+/// Checks the response of every try.
 pub(super) fn check(evidence: &Evidence, index: &Index<'_>, verdict: &mut Verdict) {
-    for one in &evidence.tries {
-        if one.surplus_before {
+    for record in &evidence.tries {
+        if record.surplus_before {
             verdict.add(
                 Rule::Mixed,
-                &one.request_id,
-                "bytes came while no request was waiting",
+                &record.request_id,
+                "received unsolicited bytes on an idle connection",
             );
         }
         if let TryOutcome::Broken {
             why: Break::NotHttp { reason },
             ..
-        } = &one.outcome
+        } = &record.outcome
         {
-            verdict.add(Rule::Mixed, &one.request_id, format!("not HTTP: {reason}"));
+            verdict.add(
+                Rule::Mixed,
+                &record.request_id,
+                format!("response is not HTTP: {reason}"),
+            );
         }
-        if let Some(seen) = one.seen() {
-            check_answer(one, seen, index, verdict);
+        if let Some(seen) = record.seen() {
+            check_answer(record, seen, index, verdict);
         }
-        check_refused(one, index, verdict);
-        check_lost(one, index, evidence.bounds.loss_slack, verdict);
+        check_refused(record, index, verdict);
+        check_lost(record, index, evidence.bounds.loss_slack, verdict);
     }
 }
 
-fn check_answer(one: &TryRecord, seen: &AnswerSeen, index: &Index<'_>, verdict: &mut Verdict) {
+fn check_answer(record: &TryRecord, seen: &AnswerSeen, index: &Index<'_>, verdict: &mut Verdict) {
     let is_success = (200..300).contains(&seen.status);
-    let id = one.request_id.as_str();
-    if seen.request_id.as_ref().is_some_and(|named| named != id) {
+    let request_id = record.request_id.as_str();
+    if seen
+        .request_id
+        .as_ref()
+        .is_some_and(|answered_id| answered_id != request_id)
+    {
         verdict.add(
             Rule::Mixed,
-            id,
-            format!("the answer names {:?}", seen.request_id),
+            request_id,
+            format!("response carries Request-Identifier {:?}", seen.request_id),
         );
     }
     if is_success && seen.encoded {
-        verdict.add(Rule::Mixed, id, "the body is encoded");
+        verdict.add(
+            Rule::Mixed,
+            request_id,
+            "successful response has a Content-Encoding",
+        );
     }
     let Some(signature) = seen.signature.as_deref() else {
         if is_success {
-            verdict.add(Rule::Mixed, id, "a success without a signature");
+            verdict.add(
+                Rule::Mixed,
+                request_id,
+                "successful response has no Server-Signature",
+            );
         }
         return;
     };
     let Some((arrival, run)) = index.runs_by_signature.get(signature) else {
-        verdict.add(Rule::Mixed, id, format!("no searcher signed {signature}"));
+        verdict.add(
+            Rule::Mixed,
+            request_id,
+            format!("no run has Server-Signature {signature}"),
+        );
         return;
     };
-    if arrival.request_id != id {
+    if arrival.request_id != request_id {
         verdict.add(
             Rule::Mixed,
-            id,
-            format!("the answer belongs to {}", arrival.request_id),
+            request_id,
+            format!("response belongs to request {}", arrival.request_id),
         );
     }
     if run.status != seen.status {
         verdict.add(
             Rule::Mixed,
-            id,
-            format!("status {} of a run that ended {}", seen.status, run.status),
+            request_id,
+            format!(
+                "response has status {}, the run ended with {}",
+                seen.status, run.status
+            ),
         );
     }
     if is_success {
-        check_body(one, seen, &run.body, index, verdict);
+        check_body(record, seen, &run.body, index, verdict);
     }
 }
 
 fn check_body(
-    one: &TryRecord,
+    record: &TryRecord,
     seen: &AnswerSeen,
-    made: &RunBody,
+    produced: &RunBody,
     index: &Index<'_>,
     verdict: &mut Verdict,
 ) {
-    let is_whole = matches!(one.outcome, TryOutcome::Whole(_));
-    let id = one.request_id.as_str();
-    match (&seen.body, made) {
-        (BodySeen::Plain { digest }, RunBody::Plain { digest: made }) => {
-            if is_whole && digest != made {
-                verdict.add(Rule::Mixed, id, "the body is not the searcher's");
+    let is_complete = matches!(record.outcome, TryOutcome::Whole(_));
+    let request_id = record.request_id.as_str();
+    match (&seen.body, produced) {
+        (BodySeen::Plain { digest }, RunBody::Plain { digest: produced }) => {
+            if is_complete && digest != produced {
+                verdict.add(
+                    Rule::Mixed,
+                    request_id,
+                    "response body differs from the searcher's",
+                );
             }
         }
         (
@@ -92,59 +120,63 @@
             },
             RunBody::Stream { .. },
         ) => {
-            let foreign = events
+            let unknown = events
                 .iter()
-                .find(|event| !was_made(id, event.digest, index));
-            if let Some(foreign) = foreign {
+                .find(|event| !was_produced(request_id, event.digest, index));
+            if let Some(unknown) = unknown {
                 verdict.add(
                     Rule::Mixed,
-                    id,
-                    format!("event {} was made by no searcher", foreign.id),
+                    request_id,
+                    format!("event {} was produced by no searcher", unknown.id),
                 );
             }
-            if is_whole && *loose_bytes {
+            if is_complete && *loose_bytes {
                 verdict.add(
                     Rule::Mixed,
-                    id,
-                    "the answer ends inside an event and appears complete",
+                    request_id,
+                    "complete response ends inside an event",
                 );
             }
         }
-        // A stream that broke off before its head was read in full has no events to compare.
-        _ if !is_whole => {}
+        // A stream that failed before its head was read has no events to compare.
+        _ if !is_complete => {}
         _ => verdict.add(
             Rule::Mixed,
-            id,
-            "a stream in place of a plain body, or the other way round",
+            request_id,
+            "one side has a stream and the other a plain body",
         ),
     }
 }
 
-fn was_made(request_id: &str, digest: u64, index: &Index<'_>) -> bool {
+fn was_produced(request_id: &str, digest: u64, index: &Index<'_>) -> bool {
     index.runs_of(request_id).any(|(_, run)| match &run.body {
         RunBody::Stream { events } => events.iter().any(|event| event.digest == digest),
         RunBody::Plain { .. } => false,
     })
 }
 
-fn check_refused(one: &TryRecord, index: &Index<'_>, verdict: &mut Verdict) {
-    if one.spec.is_idempotent || !one.is_promise() {
+/// Reports a request that ran although its response promised that it never runs.
+fn check_refused(record: &TryRecord, index: &Index<'_>, verdict: &mut Verdict) {
+    if record.spec.is_idempotent || !record.is_promise() {
         return;
     }
-    if let Some((arrival, _)) = index.runs_of(&one.request_id).next() {
-        let status = one.seen().map(|seen| seen.status).unwrap_or_default();
+    if let Some((arrival, _)) = index.runs_of(&record.request_id).next() {
+        let status = record.seen().map(|seen| seen.status).unwrap_or_default();
         verdict.add(
             Rule::Refused,
-            &one.request_id,
-            format!("answered {status} but ran on {}", arrival.instance),
+            &record.request_id,
+            format!(
+                "status {status} promises that the request never runs, but it ran on {}",
+                arrival.instance
+            ),
         );
     }
 }
 
-/// A connection that ends without a complete answer although no searcher broke off.
-fn check_lost(one: &TryRecord, index: &Index<'_>, slack: u64, verdict: &mut Verdict) {
+/// Reports a connection that closed without a complete response although no searcher failed.
+fn check_lost(record: &TryRecord, index: &Index<'_>, loss_slack: u64, verdict: &mut Verdict) {
     if !matches!(
-        one.outcome,
+        record.outcome,
         TryOutcome::Broken {
             why: Break::Closed,
             ..
@@ -152,18 +184,21 @@
     ) {
         return;
     }
-    let arrivals = index.arrivals_of(&one.request_id);
-    let broke_off = arrivals.iter().any(|arrival| match &arrival.outcome {
+    let arrivals = index.arrivals_of(&record.request_id);
+    let searcher_failed = arrivals.iter().any(|arrival| match &arrival.outcome {
         ArrivalOutcome::Broken => true,
         ArrivalOutcome::Ran(run) => run.faulty,
         _ => false,
     });
-    let was_read = !arrivals.is_empty() || one.ended - one.sent > slack;
-    if was_read && !broke_off {
+    let was_received = !arrivals.is_empty() || record.ended - record.sent > loss_slack;
+    if was_received && !searcher_failed {
         verdict.add(
             Rule::Lost,
-            &one.request_id,
-            format!("{} ended without a complete answer", one.front),
+            &record.request_id,
+            format!(
+                "{} closed the connection without a complete response",
+                record.front
+            ),
         );
     }
 }
--- a/crates/lockusher-router-testbed/src/checker/changes.rs
+++ b/crates/lockusher-router-testbed/src/checker/changes.rs
@@ -1,4 +1,4 @@
-//! ROUTE, DRAIN and CONFIG: where requests went, against the configurations and the platform's list.
+//! ROUTE, DRAIN and CONFIG: compares where requests ran with the configurations and the platform's list.
 
 use std::collections::BTreeSet;
 
@@ -10,127 +10,159 @@
 use crate::record::{Arrival, ArrivalOutcome};
 use crate::request::{TryOutcome, TryRecord};
 
+/// Checks every arrival, every 404 and the acknowledged changes.
 pub(super) fn check(evidence: &Evidence, index: &Index<'_>, verdict: &mut Verdict) {
     for arrival in &evidence.arrivals {
         check_drain(evidence, arrival, verdict);
-        if let Some(one) = index.tries.get(arrival.request_id.as_str()) {
-            check_route(evidence, arrival, one, verdict);
+        if let Some(record) = index.tries.get(arrival.request_id.as_str()) {
+            check_route(evidence, arrival, record, verdict);
         }
     }
-    for one in &evidence.tries {
-        check_not_found(evidence, one, verdict);
+    for record in &evidence.tries {
+        check_not_found(evidence, record, verdict);
     }
     check_writes(evidence, verdict);
 }
 
-/// The services that a configuration allows for a host and path; none where it has no route.
+/// Returns the services that a configuration routes a host and path to, empty without a matching route.
 pub(super) fn services_for(
     configuration: &Configuration,
     host: &str,
     target: &str,
 ) -> BTreeSet<String> {
     let path = target.split('?').next().unwrap_or_default();
-    let fits = |route: &&Route| route.host == host && path.starts_with(&route.path_prefix);
+    let matches = |route: &&Route| route.host == host && path.starts_with(&route.path_prefix);
     let route = configuration
         .routes
         .iter()
-        .filter(fits)
+        .filter(matches)
         .max_by_key(|route| route.path_prefix.len());
     let split = route
         .map(|route| route.split.as_slice())
         .unwrap_or_default();
     split
         .iter()
-        .filter(|share| share.weight > 0)
-        .map(|share| share.service.clone())
+        .filter(|weighted| weighted.weight > 0)
+        .map(|weighted| weighted.service.clone())
         .collect()
 }
 
+/// Reports a request sent to a searcher later than the drain bound after it left the list.
 fn check_drain(evidence: &Evidence, arrival: &Arrival, verdict: &mut Verdict) {
-    let Some(shown) = evidence.drained.get(&arrival.instance) else {
+    let Some(drained_at) = evidence.drained.get(&arrival.instance) else {
         return;
     };
-    let late = arrival.at.saturating_sub(shown + evidence.bounds.drain);
-    if late > 0 && arrival.outcome != (ArrivalOutcome::Rejected { status: 421 }) {
+    let overrun = arrival
+        .at
+        .saturating_sub(drained_at + evidence.bounds.drain);
+    if overrun > 0 && arrival.outcome != (ArrivalOutcome::Rejected { status: 421 }) {
         verdict.add(
             Rule::Drain,
             &arrival.request_id,
-            format!("{} was gone for {late} us too long", arrival.instance),
+            format!(
+                "sent to {} {overrun} us after the drain bound",
+                arrival.instance
+            ),
         );
     }
 }
 
-fn check_route(evidence: &Evidence, arrival: &Arrival, one: &TryRecord, verdict: &mut Verdict) {
+fn check_route(evidence: &Evidence, arrival: &Arrival, record: &TryRecord, verdict: &mut Verdict) {
     if matches!(
         arrival.outcome,
         ArrivalOutcome::Rejected { .. } | ArrivalOutcome::Broken
     ) {
         return;
     }
-    let allows = |change: &&Change| {
-        services_for(&change.configuration, &one.spec.host, &one.spec.target)
-            .contains(&arrival.service)
+    let allows_service = |change: &&Change| {
+        services_for(
+            &change.configuration,
+            &record.spec.host,
+            &record.spec.target,
+        )
+        .contains(&arrival.service)
     };
-    if !evidence.changes.iter().any(|change| allows(&change)) {
+    if !evidence
+        .changes
+        .iter()
+        .any(|change| allows_service(&change))
+    {
         verdict.add(
             Rule::Route,
-            &one.request_id,
-            format!("ran at {} against every configuration", arrival.service),
+            &record.request_id,
+            format!(
+                "ran at service {}, which no configuration allows",
+                arrival.service
+            ),
         );
-    } else if !in_force(evidence, one).iter().any(allows) {
+    } else if !versions_in_force(evidence, record)
+        .iter()
+        .any(allows_service)
+    {
         verdict.add(
             Rule::Config,
-            &one.request_id,
-            format!("ran at {} as no version in force allows", arrival.service),
+            &record.request_id,
+            format!(
+                "ran at service {}, which no version in force allows",
+                arrival.service
+            ),
         );
     }
 }
 
-fn check_not_found(evidence: &Evidence, one: &TryRecord, verdict: &mut Verdict) {
-    let not_found = matches!(&one.outcome, TryOutcome::Whole(seen) if seen.status == 404);
-    if !not_found || oldest_in_force(evidence, one).is_none() {
+fn check_not_found(evidence: &Evidence, record: &TryRecord, verdict: &mut Verdict) {
+    let not_found = matches!(&record.outcome, TryOutcome::Whole(seen) if seen.status == 404);
+    if !not_found || oldest_version_in_force(evidence, record).is_none() {
         return;
     }
-    let versions = in_force(evidence, one);
+    let versions = versions_in_force(evidence, record);
     let is_routed = |change: &&Change| {
-        !services_for(&change.configuration, &one.spec.host, &one.spec.target).is_empty()
+        !services_for(
+            &change.configuration,
+            &record.spec.host,
+            &record.spec.target,
+        )
+        .is_empty()
     };
     if versions.iter().all(is_routed) {
         verdict.add(
             Rule::Config,
-            &one.request_id,
-            format!("404 at {} though the route is there", one.front),
+            &record.request_id,
+            format!(
+                "404 from {} although every version in force has a route",
+                record.front
+            ),
         );
     }
 }
 
-/// The changes that may be in force for a try: from the newest whose time to spread is over, to the newest sent
-/// before the try ended. Changes without a clear answer may be in force, refused ones may not.
-fn in_force<'a>(evidence: &'a Evidence, one: &TryRecord) -> Vec<&'a Change> {
-    let oldest = oldest_in_force(evidence, one).unwrap_or(0);
-    let may_hold = |change: &&Change| {
+/// Returns the changes that may be in force for a try: from the newest version whose propagation time is over, to
+/// the newest sent before the try ended. Changes with an unknown outcome may be in force, refused ones may not.
+fn versions_in_force<'a>(evidence: &'a Evidence, record: &TryRecord) -> Vec<&'a Change> {
+    let oldest = oldest_version_in_force(evidence, record).unwrap_or(0);
+    let may_be_in_force = |change: &&Change| {
         change.configuration.version >= oldest
-            && change.sent <= one.ended
+            && change.sent <= record.ended
             && !matches!(change.outcome, ChangeOutcome::Refused { .. })
     };
-    evidence.changes.iter().filter(may_hold).collect()
+    evidence.changes.iter().filter(may_be_in_force).collect()
 }
 
-/// The newest version whose time to spread is over; none while a machine may still have no configuration.
-fn oldest_in_force(evidence: &Evidence, one: &TryRecord) -> Option<u64> {
-    let spread = evidence.bounds.configuration;
+/// Returns the newest version whose propagation time is over; none while a machine may have no configuration.
+fn oldest_version_in_force(evidence: &Evidence, record: &TryRecord) -> Option<u64> {
+    let propagation_time = evidence.bounds.configuration;
     let changes = evidence
         .changes
         .iter()
-        .filter(|change| is_spread(change, one.sent, spread));
+        .filter(|change| has_propagated(change, record.sent, propagation_time));
     changes.map(|change| change.configuration.version).max()
 }
 
-fn is_spread(change: &Change, at: Micros, spread: Micros) -> bool {
-    change.outcome == ChangeOutcome::Acknowledged && change.ended + spread < at
+fn has_propagated(change: &Change, at: Micros, propagation_time: Micros) -> bool {
+    change.outcome == ChangeOutcome::Acknowledged && change.ended + propagation_time < at
 }
 
-/// Two changes on top of the same version must not both be acknowledged.
+/// Reports two different changes to the same base version that were both acknowledged.
 fn check_writes(evidence: &Evidence, verdict: &mut Verdict) {
     let acknowledged: Vec<&Change> = evidence
         .changes
@@ -138,16 +170,19 @@
         .filter(|change| change.outcome == ChangeOutcome::Acknowledged)
         .collect();
     for (position, change) in acknowledged.iter().enumerate() {
-        let rival = acknowledged[..position].iter().find(|earlier| {
+        let conflicting = acknowledged[..position].iter().find(|earlier| {
             earlier.base == change.base && earlier.configuration != change.configuration
         });
-        if let Some(rival) = rival {
-            let (one, other) = (rival.configuration.version, change.configuration.version);
+        if let Some(conflicting) = conflicting {
+            let (first, second) = (
+                conflicting.configuration.version,
+                change.configuration.version,
+            );
             verdict.add(
                 Rule::Config,
                 "",
                 format!(
-                    "versions {one} and {other} both acknowledged on {}",
+                    "versions {first} and {second} were both acknowledged on base version {}",
                     change.base
                 ),
             );
--- a/crates/lockusher-router-testbed/src/checker/mod.rs
+++ b/crates/lockusher-router-testbed/src/checker/mod.rs
@@ -1,5 +1,6 @@
-//! The checker: which rules of the rules page were broken, from what clients, searchers, platform and operator
-//! saw. It is strict: machines count as in touch throughout, and a single case counts.
+//! Checks the rules of the rules page against what clients, searchers, platform and operator recorded.
+//!
+//! The checker is strict: it treats all machines as connected throughout, and a single case is a violation.
 
 mod answers;
 mod changes;
@@ -18,29 +19,39 @@
 /// A rule of the rules page.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// A client received anything but the response to its own request.
     #[display("MIXED")]
     Mixed,
+    /// A request that is not idempotent ran more than once.
     #[display("TWICE")]
     Twice,
+    /// A request ran although its response promised that it never runs.
     #[display("REFUSED")]
     Refused,
+    /// A searcher received a request that no client sent, or a changed one.
     #[display("UNASKED")]
     Unasked,
+    /// A request ran at a service that no configuration allows.
     #[display("ROUTE")]
     Route,
+    /// A request reached more searchers than allowed, or a service received more retries than its budget allows.
     #[display("BUDGET")]
     Budget,
+    /// A searcher received requests for too long after the list showed it as draining or removed.
     #[display("DRAIN")]
     Drain,
+    /// A stream has a missing, duplicated or wrongly joined event.
     #[display("ORDER")]
     Order,
+    /// A version outside those in force was applied, or conflicting changes were acknowledged.
     #[display("CONFIG")]
     Config,
+    /// A connection closed without a complete response although no searcher failed.
     #[display("LOST")]
     Lost,
 }
 
-/// One case of a broken rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{rule}: {detail} (request {request_id})")]
 pub struct Violation {
@@ -49,18 +60,24 @@
     pub detail: String,
 }
 
-/// The figures of the rules, in microseconds where they are times.
+/// Limits that the rules are checked against; times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleBounds {
+    /// How long a searcher may still receive requests after the list shows it as draining or removed.
     pub drain: Micros,
+    /// How long an acknowledged configuration may take to reach every machine.
     pub configuration: Micros,
+    /// How long a connection lasts at least if its request counts as received without an arrival.
     pub loss_slack: Micros,
+    /// Length of the window over which retries are counted.
     pub budget_window: Micros,
+    /// Retries allowed in a window for each request in it.
     pub retry_budget_ratio: f64,
+    /// Retries allowed in a window on top of the ratio.
     pub retry_budget_slack: f64,
 }
 
-/// Everything that was seen.
+/// Everything that was recorded in a run.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     pub tries: Vec<TryRecord>,
@@ -70,19 +87,19 @@
     pub bounds: RuleBounds,
 }
 
-/// What the checker found.
+/// The violations that the checker found.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub violations: Vec<Violation>,
 }
 
 impl Verdict {
-    /// Whether no rule was broken.
+    /// Whether no rule was violated.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 
-    /// Cases by rule.
+    /// Number of violations by rule.
     pub fn counts(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
         for violation in &self.violations {
@@ -91,7 +108,7 @@
         counts
     }
 
-    /// The violations but for those of one rule.
+    /// The violations of all rules except one.
     pub fn without(&self, rule: Rule) -> Vec<&Violation> {
         self.violations
             .iter()
@@ -100,7 +117,7 @@
     }
 }
 
-/// Checks all rules.
+/// Checks all rules against the evidence.
 pub fn check(evidence: &Evidence) -> Verdict {
     let index = Index::new(evidence);
     let mut verdict = Verdict::default();
@@ -121,7 +138,7 @@
     }
 }
 
-/// The evidence by request id and by signature.
+/// Indexes the evidence by request id and by signature.
 struct Index<'a> {
     tries: HashMap<&'a str, &'a TryRecord>,
     arrivals: HashMap<&'a str, Vec<&'a Arrival>>,
@@ -133,7 +150,7 @@
         let tries = evidence
             .tries
             .iter()
-            .map(|one| (one.request_id.as_str(), one))
+            .map(|record| (record.request_id.as_str(), record))
             .collect();
         let mut arrivals: HashMap<&str, Vec<&Arrival>> = HashMap::new();
         let mut runs_by_signature = HashMap::new();
--- a/crates/lockusher-router-testbed/src/checker/runs.rs
+++ b/crates/lockusher-router-testbed/src/checker/runs.rs
@@ -1,4 +1,4 @@
-//! UNASKED, TWICE and BUDGET, and handles of other requests (MIXED): what searchers were asked.
+//! UNASKED, TWICE and BUDGET, and KV handles of other requests (MIXED): checks what searchers received.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -7,89 +7,99 @@
 use crate::record::{Arrival, ArrivalOutcome};
 use crate::request::TryRecord;
 
+/// Checks every arrival, every try and the retry budgets.
 pub(super) fn check(evidence: &Evidence, index: &Index<'_>, verdict: &mut Verdict) {
     for arrival in &evidence.arrivals {
-        check_asked(arrival, index, verdict);
-        let continues_another = arrival
+        check_unasked(arrival, index, verdict);
+        let uses_foreign_handle = arrival
             .continues
             .as_ref()
             .is_some_and(|owner| *owner != arrival.request_id);
-        if continues_another {
+        if uses_foreign_handle {
             verdict.add(
                 Rule::Mixed,
                 &arrival.request_id,
-                format!("continues from the handle of {:?}", arrival.continues),
+                format!(
+                    "Kv-From names the prompt of request {:?}",
+                    arrival.continues
+                ),
             );
         }
     }
-    for one in &evidence.tries {
-        check_try(one, index, verdict);
+    for record in &evidence.tries {
+        check_try(record, index, verdict);
     }
-    check_windows(evidence, verdict);
+    check_retry_budgets(evidence, verdict);
 }
 
-fn check_asked(arrival: &Arrival, index: &Index<'_>, verdict: &mut Verdict) {
+fn check_unasked(arrival: &Arrival, index: &Index<'_>, verdict: &mut Verdict) {
     let id = arrival.request_id.as_str();
-    let Some(one) = index.tries.get(id) else {
+    let Some(record) = index.tries.get(id) else {
         verdict.add(
             Rule::Unasked,
             id,
-            format!("{} got a request that no client sent", arrival.instance),
+            format!(
+                "{} received a request that no client sent",
+                arrival.instance
+            ),
         );
         return;
     };
-    let unchanged = one.spec.method == arrival.method
-        && one.spec.target == arrival.target
-        && one.body_digest == arrival.body_digest;
+    let unchanged = record.spec.method == arrival.method
+        && record.spec.target == arrival.target
+        && record.body_digest == arrival.body_digest;
     if !unchanged {
         verdict.add(
             Rule::Unasked,
             id,
-            format!("changed on its way to {}", arrival.instance),
+            format!(
+                "method, target or body changed on the way to {}",
+                arrival.instance
+            ),
         );
     }
 }
 
-fn check_try(one: &TryRecord, index: &Index<'_>, verdict: &mut Verdict) {
-    let runs = index.runs_of(&one.request_id).count();
-    if runs > 1 && !one.spec.is_idempotent {
-        verdict.add(Rule::Twice, &one.request_id, format!("ran {runs} times"));
+fn check_try(record: &TryRecord, index: &Index<'_>, verdict: &mut Verdict) {
+    let runs = index.runs_of(&record.request_id).count();
+    if runs > 1 && !record.spec.is_idempotent {
+        verdict.add(Rule::Twice, &record.request_id, format!("ran {runs} times"));
     }
     let searchers: BTreeSet<&str> = index
-        .runs_of(&one.request_id)
+        .runs_of(&record.request_id)
         .map(|(arrival, _)| arrival.instance.as_str())
         .collect();
-    if searchers.len() > one.spec.attempts as usize {
+    if searchers.len() > record.spec.attempts as usize {
         let detail = format!(
             "ran on {} searchers, {} allowed",
             searchers.len(),
-            one.spec.attempts
+            record.spec.attempts
         );
-        verdict.add(Rule::Budget, &one.request_id, detail);
+        verdict.add(Rule::Budget, &record.request_id, detail);
     }
 }
 
-/// Times at which a service got arrivals beyond the first of each request, and requests for it.
+/// When a service received arrivals after the first of each request (retries), and when clients sent requests for it.
 #[derive(Default)]
 struct ServiceLoad {
-    extra: Vec<Micros>,
+    retries: Vec<Micros>,
     requests: Vec<Micros>,
 }
 
-/// The retry budget over all machines in every window.
-fn check_windows(evidence: &Evidence, verdict: &mut Verdict) {
-    for (service, load) in loads(evidence) {
-        for end in &load.extra {
+/// Checks the retry budget of each service, summed over all machines, in every window.
+fn check_retry_budgets(evidence: &Evidence, verdict: &mut Verdict) {
+    for (service, load) in service_loads(evidence) {
+        for end in &load.retries {
             let bounds = &evidence.bounds;
             let window = bounds.budget_window;
-            let extra = count_within(&load.extra, end.saturating_sub(window), *end);
-            let requests = most_requests(&load.requests, *end, window);
+            let retries = count_within(&load.retries, end.saturating_sub(window), *end);
+            let requests = max_requests(&load.requests, *end, window);
             let allowed = bounds.retry_budget_ratio * requests as f64 + bounds.retry_budget_slack;
-            if extra as f64 > allowed {
+            if retries as f64 > allowed {
                 verdict.add(
                     Rule::Budget,
                     "",
-                    format!("{service} got {extra} further arrivals, {allowed:.1} allowed"),
+                    format!("service {service} received {retries} retries in a window, {allowed:.1} allowed"),
                 );
                 break;
             }
@@ -97,48 +107,53 @@
     }
 }
 
-fn loads(evidence: &Evidence) -> BTreeMap<String, ServiceLoad> {
-    let mut loads: BTreeMap<String, ServiceLoad> = BTreeMap::new();
-    let mut seen = HashSet::new();
+fn service_loads(evidence: &Evidence) -> BTreeMap<String, ServiceLoad> {
+    let mut service_loads: BTreeMap<String, ServiceLoad> = BTreeMap::new();
+    let mut counted = HashSet::new();
     let mut prefilled = HashSet::new();
     let mut arrivals: Vec<&Arrival> = evidence.arrivals.iter().collect();
     arrivals.sort_by_key(|arrival| arrival.at);
     for arrival in arrivals {
         let key = (arrival.service.as_str(), arrival.request_id.as_str());
         let is_first_prefill =
-            arrival.prefill_only && is_taken_up(arrival) && prefilled.insert(key);
-        if !is_first_prefill && !seen.insert(key) {
-            loads
+            arrival.prefill_only && is_accepted(arrival) && prefilled.insert(key);
+        if !is_first_prefill && !counted.insert(key) {
+            service_loads
                 .entry(arrival.service.clone())
                 .or_default()
-                .extra
+                .retries
                 .push(arrival.at);
         }
     }
-    for one in &evidence.tries {
-        for service in services_of(evidence, &one.spec.host, &one.spec.target) {
-            loads.entry(service).or_default().requests.push(one.sent);
+    for record in &evidence.tries {
+        for service in services_of(evidence, &record.spec.host, &record.spec.target) {
+            service_loads
+                .entry(service)
+                .or_default()
+                .requests
+                .push(record.sent);
         }
     }
-    for load in loads.values_mut() {
+    for load in service_loads.values_mut() {
         load.requests.sort_unstable();
     }
-    loads
+    service_loads
 }
 
-fn is_taken_up(arrival: &Arrival) -> bool {
+fn is_accepted(arrival: &Arrival) -> bool {
     !matches!(arrival.outcome, ArrivalOutcome::Rejected { .. })
 }
 
-/// Every service that some configuration allows for a host and path.
+/// Returns every service that some configuration routes a host and path to.
 fn services_of(evidence: &Evidence, host: &str, target: &str) -> BTreeSet<String> {
     let sent = evidence.changes.iter().map(|change| &change.configuration);
     sent.flat_map(|configuration| super::changes::services_for(configuration, host, target))
         .collect()
 }
 
-/// Requests in the window that ends at `end`, in the one before it or the one half a window before it.
-fn most_requests(requests: &[Micros], end: Micros, window: Micros) -> usize {
+/// Returns the highest count of requests in the window that ends at `end`, the one before it and the one that ends
+/// half a window earlier.
+fn max_requests(requests: &[Micros], end: Micros, window: Micros) -> usize {
     let ends = [
         end,
         end.saturating_sub(window),
@@ -150,7 +165,7 @@
         .unwrap_or(0)
 }
 
-/// How many of the sorted times lie within a span, its ends included.
+/// Counts the sorted times within a span, its ends included.
 fn count_within(times: &[Micros], from: Micros, to: Micros) -> usize {
     times.partition_point(|at| *at <= to) - times.partition_point(|at| *at < from)
 }
--- a/crates/lockusher-router-testbed/src/checker/streams.rs
+++ b/crates/lockusher-router-testbed/src/checker/streams.rs
@@ -1,56 +1,64 @@
-//! ORDER: streams without a piece missing, coming twice or joined from runs that may not be joined.
+//! ORDER: checks that streams have no missing or duplicated events and join runs only where a resume is allowed.
 
 use super::{Evidence, Index, Rule, Verdict};
 use crate::record::{Arrival, EventRecord, RunBody};
 use crate::request::{BodySeen, TryOutcome, TryRecord};
 
+/// Checks the events of every stream.
 pub(super) fn check(evidence: &Evidence, index: &Index<'_>, verdict: &mut Verdict) {
-    for one in &evidence.tries {
-        let Some(seen) = one.seen() else { continue };
+    for record in &evidence.tries {
+        let Some(seen) = record.seen() else { continue };
         let BodySeen::Stream { events, .. } = &seen.body else {
             continue;
         };
-        if let Err(detail) = check_stream(one, events, index) {
-            verdict.add(Rule::Order, &one.request_id, detail);
+        if let Err(detail) = check_stream(record, events, index) {
+            verdict.add(Rule::Order, &record.request_id, detail);
         }
     }
 }
 
-fn check_stream(one: &TryRecord, events: &[EventRecord], index: &Index<'_>) -> Result<(), String> {
-    let mut last = one.last_event_id.unwrap_or(0);
+fn check_stream(
+    record: &TryRecord,
+    events: &[EventRecord],
+    index: &Index<'_>,
+) -> Result<(), String> {
+    let mut last_id = record.last_event_id.unwrap_or(0);
     let mut runs: Vec<&str> = Vec::new();
     for event in events {
-        let Some(made) = find_event(&one.request_id, event, index) else {
+        let Some(produced) = find_event(&record.request_id, event, index) else {
             continue;
         };
-        if made.after != last {
+        if produced.after != last_id {
             return Err(format!(
-                "event {} follows {last} in place of {}",
-                event.id, made.after
+                "event {} follows event {last_id} instead of {}",
+                event.id, produced.after
             ));
         }
-        last = event.id;
-        if runs.last() != Some(&made.signature) {
-            runs.push(made.signature);
+        last_id = event.id;
+        if runs.last() != Some(&produced.signature) {
+            runs.push(produced.signature);
         }
     }
-    if runs.len() > 1 && !one.spec.resumable {
-        return Err(format!("joins pieces of {} runs", runs.len()));
+    if runs.len() > 1 && !record.spec.resumable {
+        return Err(format!(
+            "joins events of {} runs, but the request is not resumable",
+            runs.len()
+        ));
     }
-    let is_whole = matches!(one.outcome, TryOutcome::Whole(_));
-    if is_whole && last != one.spec.tokens_out {
+    let is_complete = matches!(record.outcome, TryOutcome::Whole(_));
+    if is_complete && last_id != record.spec.tokens_out {
         return Err(format!(
-            "ends as complete after {last} of {} tokens",
-            one.spec.tokens_out
+            "complete response has {last_id} of {} tokens",
+            record.spec.tokens_out
         ));
     }
     Ok(())
 }
 
-/// An event as a searcher made it.
-struct MadeEvent<'a> {
+/// An event as a searcher produced it.
+struct ProducedEvent<'a> {
     signature: &'a str,
-    /// The event that it follows.
+    /// Id of the event before it.
     after: u64,
 }
 
@@ -58,20 +66,22 @@
     request_id: &str,
     event: &EventRecord,
     index: &Index<'a>,
-) -> Option<MadeEvent<'a>> {
+) -> Option<ProducedEvent<'a>> {
     index.runs_of(request_id).find_map(|(arrival, run)| {
         let RunBody::Stream { events } = &run.body else {
             return None;
         };
-        let position = events.iter().position(|made| made.digest == event.digest)?;
-        Some(MadeEvent {
+        let position = events
+            .iter()
+            .position(|produced| produced.digest == event.digest)?;
+        Some(ProducedEvent {
             signature: &run.signature,
-            after: event_before(arrival, events, position),
+            after: id_before(arrival, events, position),
         })
     })
 }
 
-fn event_before(arrival: &Arrival, events: &[EventRecord], position: usize) -> u64 {
+fn id_before(arrival: &Arrival, events: &[EventRecord], position: usize) -> u64 {
     match position.checked_sub(1) {
         Some(before) => events[before].id,
         None => arrival.last_event_id,
--- a/crates/lockusher-router-testbed/tests/checker.rs
+++ b/crates/lockusher-router-testbed/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker finds each broken rule in made-up evidence, and finds nothing in sound evidence.
+//! The checker finds each kind of violation in constructed evidence, and none in valid evidence.
 
 mod specs;
 
@@ -16,14 +16,14 @@
 use specs::{acknowledged, bounds, configuration, model_spec, plain_spec};
 
 const SECOND: Micros = 1_000 * MICROS_PER_MS;
-/// After everything acknowledged at the beginning has spread.
-const LATER: Micros = 10 * SECOND;
+/// A time at which every change acknowledged at the beginning has propagated.
+const AFTER_PROPAGATION: Micros = 10 * SECOND;
 
 fn front() -> std::net::SocketAddr {
     "127.0.0.1:1".parse().expect("an address")
 }
 
-fn plain_answer(status: u16, signature: Option<&str>) -> AnswerSeen {
+fn plain_response(status: u16, signature: Option<&str>) -> AnswerSeen {
     AnswerSeen {
         status,
         request_id: None,
@@ -34,15 +34,15 @@
     }
 }
 
-fn one_try(spec: RequestSpec, outcome: TryOutcome) -> TryRecord {
+fn try_with(spec: RequestSpec, outcome: TryOutcome) -> TryRecord {
     TryRecord {
         request_id: "r1".to_owned(),
         body_digest: digest(&spec.body),
         spec: Arc::new(spec),
         front: front(),
         last_event_id: None,
-        sent: LATER,
-        ended: LATER + SECOND,
+        sent: AFTER_PROPAGATION,
+        ended: AFTER_PROPAGATION + SECOND,
         surplus_before: false,
         outcome,
     }
@@ -50,18 +50,18 @@
 
 fn run(signature: &str, body: RunBody) -> Run {
     Run {
-        began: LATER,
+        started_at: AFTER_PROPAGATION,
         signature: signature.to_owned(),
         status: 200,
         body,
-        whole: true,
+        complete: true,
         faulty: false,
     }
 }
 
 fn arrival(spec: &RequestSpec, instance: &str, service: &str, outcome: ArrivalOutcome) -> Arrival {
     Arrival {
-        at: LATER,
+        at: AFTER_PROPAGATION,
         instance: instance.to_owned(),
         service: service.to_owned(),
         request_id: "r1".to_owned(),
@@ -75,22 +75,22 @@
     }
 }
 
-/// A plain request that was served.
-fn sound() -> Evidence {
+/// Evidence of a plain request that was served.
+fn valid_evidence() -> Evidence {
     let spec = plain_spec();
     let ran = ArrivalOutcome::Ran(run("s1", RunBody::Plain { digest: 7 }));
-    let served = TryOutcome::Whole(plain_answer(200, Some("s1")));
+    let served = TryOutcome::Whole(plain_response(200, Some("s1")));
     Evidence {
         arrivals: vec![arrival(&spec, "i-1", "records", ran)],
-        tries: vec![one_try(spec, served)],
+        tries: vec![try_with(spec, served)],
         changes: vec![acknowledged(configuration())],
         drained: DrainTimes::new(),
         bounds: bounds(),
     }
 }
 
-/// A stream of two events that was served.
-fn sound_stream() -> Evidence {
+/// Evidence of a stream of two events that was served.
+fn valid_stream_evidence() -> Evidence {
     let spec = model_spec(11);
     let events = vec![event(1), event(11)];
     let body = RunBody::Stream {
@@ -101,7 +101,7 @@
             events,
             loose_bytes: false,
         },
-        ..plain_answer(200, Some("s1"))
+        ..plain_response(200, Some("s1"))
     };
     Evidence {
         arrivals: vec![arrival(
@@ -110,8 +110,8 @@
             "chat",
             ArrivalOutcome::Ran(run("s1", body)),
         )],
-        tries: vec![one_try(spec, TryOutcome::Whole(seen))],
-        ..sound()
+        tries: vec![try_with(spec, TryOutcome::Whole(seen))],
+        ..valid_evidence()
     }
 }
 
@@ -119,29 +119,29 @@
     EventRecord {
         id,
         digest: id * 1_000,
-        at: LATER,
+        at: AFTER_PROPAGATION,
     }
 }
 
-fn broken_rules(evidence: &Evidence) -> Vec<Rule> {
+fn violated_rules(evidence: &Evidence) -> Vec<Rule> {
     check(evidence).counts().into_keys().collect()
 }
 
 fn seen(evidence: &mut Evidence) -> &mut AnswerSeen {
     match &mut evidence.tries[0].outcome {
         TryOutcome::Whole(seen) => seen,
-        other => panic!("not whole: {other:?}"),
+        other => panic!("response is not complete: {other:?}"),
     }
 }
 
 #[test]
-fn sound_evidence_breaks_nothing() {
-    assert_eq!(broken_rules(&sound()), []);
-    assert_eq!(broken_rules(&sound_stream()), []);
+fn valid_evidence_has_no_violations() {
+    assert_eq!(violated_rules(&valid_evidence()), []);
+    assert_eq!(violated_rules(&valid_stream_evidence()), []);
 }
 
 #[test]
-fn mixed_answers_are_found() {
+fn mixed_up_responses_violate_mixed() {
     let changes: [fn(&mut Evidence); 7] = [
         |evidence| seen(evidence).signature = None,
         |evidence| seen(evidence).signature = Some("unknown".to_owned()),
@@ -152,43 +152,43 @@
         |evidence| evidence.tries[0].surplus_before = true,
     ];
     for (number, change) in changes.into_iter().enumerate() {
-        let mut evidence = sound();
+        let mut evidence = valid_evidence();
         change(&mut evidence);
-        assert_eq!(broken_rules(&evidence), [Rule::Mixed], "change {number}");
+        assert_eq!(violated_rules(&evidence), [Rule::Mixed], "change {number}");
     }
 }
 
 #[test]
-fn the_handle_of_another_request_is_mixed() {
-    let mut evidence = sound_stream();
+fn the_handle_of_another_request_violates_mixed() {
+    let mut evidence = valid_stream_evidence();
     evidence.arrivals[0].continues = Some("r2".to_owned());
-    assert_eq!(broken_rules(&evidence), [Rule::Mixed]);
+    assert_eq!(violated_rules(&evidence), [Rule::Mixed]);
 }
 
 #[test]
-fn a_second_run_is_twice_unless_it_may_repeat() {
-    let mut evidence = sound();
+fn a_second_run_violates_twice_unless_the_request_is_idempotent() {
+    let mut evidence = valid_evidence();
     let mut second = evidence.arrivals[0].clone();
     second.instance = "i-2".to_owned();
     evidence.arrivals.push(second);
-    assert_eq!(broken_rules(&evidence), [Rule::Twice]);
+    assert_eq!(violated_rules(&evidence), [Rule::Twice]);
     let mut spec = plain_spec();
     spec.is_idempotent = true;
     evidence.tries[0].spec = Arc::new(spec);
-    assert_eq!(broken_rules(&evidence), []);
+    assert_eq!(violated_rules(&evidence), []);
 }
 
 #[test]
-fn a_promise_after_a_run_is_refused() {
+fn a_not_executed_status_after_a_run_violates_refused() {
     for status in [408, 421, 429, 503] {
-        let mut evidence = sound();
-        evidence.tries[0].outcome = TryOutcome::Whole(plain_answer(status, None));
-        assert_eq!(broken_rules(&evidence), [Rule::Refused], "{status}");
+        let mut evidence = valid_evidence();
+        evidence.tries[0].outcome = TryOutcome::Whole(plain_response(status, None));
+        assert_eq!(violated_rules(&evidence), [Rule::Refused], "{status}");
     }
 }
 
 #[test]
-fn what_no_client_sent_is_unasked() {
+fn a_request_that_no_client_sent_violates_unasked() {
     let changes: [fn(&mut Arrival); 4] = [
         |arrival| arrival.request_id = "r9".to_owned(),
         |arrival| arrival.method = "GET".to_owned(),
@@ -196,109 +196,109 @@
         |arrival| arrival.body_digest += 1,
     ];
     for (number, change) in changes.into_iter().enumerate() {
-        let mut evidence = sound();
+        let mut evidence = valid_evidence();
         change(&mut evidence.arrivals[0]);
         assert!(
-            broken_rules(&evidence).contains(&Rule::Unasked),
+            violated_rules(&evidence).contains(&Rule::Unasked),
             "change {number}"
         );
     }
 }
 
 #[test]
-fn a_run_at_a_service_that_was_never_allowed_breaks_route() {
-    let mut evidence = sound();
+fn a_run_at_a_service_without_a_route_violates_route() {
+    let mut evidence = valid_evidence();
     evidence.arrivals[0].service = "chat".to_owned();
-    assert_eq!(broken_rules(&evidence), [Rule::Route]);
+    assert_eq!(violated_rules(&evidence), [Rule::Route]);
 }
 
 #[test]
-fn more_searchers_than_attempts_break_the_budget() {
-    let mut evidence = sound();
+fn more_searchers_than_attempts_violate_budget() {
+    let mut evidence = valid_evidence();
     let mut spec = plain_spec();
     spec.is_idempotent = true;
     evidence.tries[0].spec = Arc::new(spec);
     for instance in ["i-2", "i-3"] {
-        let mut further = evidence.arrivals[0].clone();
-        further.instance = instance.to_owned();
-        evidence.arrivals.push(further);
+        let mut retry = evidence.arrivals[0].clone();
+        retry.instance = instance.to_owned();
+        evidence.arrivals.push(retry);
     }
-    assert_eq!(broken_rules(&evidence), [Rule::Budget]);
+    assert_eq!(violated_rules(&evidence), [Rule::Budget]);
 }
 
 #[test]
-fn further_arrivals_beyond_the_windows_budget_are_found() {
-    let mut evidence = sound();
+fn retries_beyond_the_budget_of_a_window_violate_budget() {
+    let mut evidence = valid_evidence();
     let rejected = |number: u64| Arrival {
         instance: format!("i-{number}"),
-        at: LATER + number,
+        at: AFTER_PROPAGATION + number,
         outcome: ArrivalOutcome::Rejected { status: 503 },
         ..evidence.arrivals[0].clone()
     };
-    // The budget of one request is 0.2 + 52.
+    // The retry budget of one request is 0.2 + 52.
     let within: Vec<Arrival> = (1..=52).map(rejected).collect();
     let beyond = rejected(53);
     evidence.arrivals.extend(within);
-    assert_eq!(broken_rules(&evidence), []);
+    assert_eq!(violated_rules(&evidence), []);
     evidence.arrivals.push(beyond);
-    assert_eq!(broken_rules(&evidence), [Rule::Budget]);
+    assert_eq!(violated_rules(&evidence), [Rule::Budget]);
 }
 
 #[test]
-fn the_first_reading_of_a_prompt_is_no_further_arrival() {
-    let mut evidence = sound_stream();
+fn the_first_prefill_of_a_request_is_not_a_retry() {
+    let mut evidence = valid_stream_evidence();
     evidence.bounds.retry_budget_slack = 0.0;
     let prefill = Arrival {
         prefill_only: true,
         instance: "i-0".to_owned(),
-        at: LATER - 1,
+        at: AFTER_PROPAGATION - 1,
         outcome: ArrivalOutcome::Prefilled,
         ..evidence.arrivals[0].clone()
     };
     evidence.arrivals.push(prefill.clone());
-    assert_eq!(broken_rules(&evidence), []);
+    assert_eq!(violated_rules(&evidence), []);
     evidence.arrivals.push(Arrival {
         instance: "i-9".to_owned(),
         ..prefill
     });
-    assert_eq!(broken_rules(&evidence), [Rule::Budget]);
+    assert_eq!(violated_rules(&evidence), [Rule::Budget]);
 }
 
 #[test]
-fn a_searcher_that_is_gone_for_too_long_breaks_drain() {
-    let mut evidence = sound();
+fn a_request_too_long_after_a_drain_violates_drain() {
+    let mut evidence = valid_evidence();
     evidence
         .drained
-        .insert("i-1".to_owned(), LATER - 3 * SECOND);
-    assert_eq!(broken_rules(&evidence), []);
+        .insert("i-1".to_owned(), AFTER_PROPAGATION - 3 * SECOND);
+    assert_eq!(violated_rules(&evidence), []);
     evidence
         .drained
-        .insert("i-1".to_owned(), LATER - 3 * SECOND - 1);
-    assert_eq!(broken_rules(&evidence), [Rule::Drain]);
+        .insert("i-1".to_owned(), AFTER_PROPAGATION - 3 * SECOND - 1);
+    assert_eq!(violated_rules(&evidence), [Rule::Drain]);
     evidence.arrivals[0].outcome = ArrivalOutcome::Rejected { status: 421 };
-    evidence.tries[0].outcome = TryOutcome::Whole(plain_answer(503, None));
-    assert_eq!(broken_rules(&evidence), []);
+    evidence.tries[0].outcome = TryOutcome::Whole(plain_response(503, None));
+    assert_eq!(violated_rules(&evidence), []);
 }
 
 #[test]
-fn a_stream_with_a_piece_missing_or_twice_breaks_order() {
+fn a_missing_or_duplicated_event_violates_order() {
     for events in [
         vec![event(11)],
         vec![event(1), event(1), event(11)],
         vec![event(1)],
     ] {
-        let mut evidence = sound_stream();
+        let mut evidence = valid_stream_evidence();
         seen(&mut evidence).body = BodySeen::Stream {
             events,
             loose_bytes: false,
         };
-        assert_eq!(broken_rules(&evidence), [Rule::Order]);
+        assert_eq!(violated_rules(&evidence), [Rule::Order]);
     }
 }
 
 #[test]
-fn two_runs_are_joined_only_where_a_stream_may_be_resumed() {
-    let mut evidence = sound_stream();
+fn runs_are_joined_only_if_the_request_is_resumable() {
+    let mut evidence = valid_stream_evidence();
     let resumed = RunBody::Stream {
         events: vec![event(11)],
     };
@@ -314,32 +314,32 @@
         };
     }
     evidence.arrivals.push(second);
-    assert_eq!(broken_rules(&evidence), [Rule::Twice, Rule::Order]);
+    assert_eq!(violated_rules(&evidence), [Rule::Twice, Rule::Order]);
     let mut spec = model_spec(11);
     spec.resumable = true;
     spec.is_idempotent = true;
     evidence.tries[0].spec = Arc::new(spec);
-    assert_eq!(broken_rules(&evidence), []);
+    assert_eq!(violated_rules(&evidence), []);
 }
 
 #[test]
-fn a_404_on_a_route_that_is_there_breaks_config() {
-    let mut evidence = sound();
+fn a_404_on_an_existing_route_violates_config() {
+    let mut evidence = valid_evidence();
     evidence.arrivals.clear();
-    evidence.tries[0].outcome = TryOutcome::Whole(plain_answer(404, None));
-    assert_eq!(broken_rules(&evidence), [Rule::Config]);
+    evidence.tries[0].outcome = TryOutcome::Whole(plain_response(404, None));
+    assert_eq!(violated_rules(&evidence), [Rule::Config]);
     evidence.tries[0].sent = SECOND;
     evidence.tries[0].ended = SECOND;
     assert_eq!(
-        broken_rules(&evidence),
+        violated_rules(&evidence),
         [],
-        "within the time that a version takes to spread"
+        "within the propagation time of a version"
     );
 }
 
 #[test]
-fn an_old_service_after_the_time_to_spread_breaks_config() {
-    let mut evidence = sound();
+fn an_outdated_service_after_the_propagation_time_violates_config() {
+    let mut evidence = valid_evidence();
     let mut next = configuration();
     next.version = 3;
     next.routes[1].split[0].service = "records-2".to_owned();
@@ -348,37 +348,37 @@
     change.sent = SECOND;
     change.ended = SECOND;
     evidence.changes.push(change);
-    assert_eq!(broken_rules(&evidence), [Rule::Config]);
-    evidence.changes[1].ended = LATER - SECOND;
-    assert_eq!(broken_rules(&evidence), []);
+    assert_eq!(violated_rules(&evidence), [Rule::Config]);
+    evidence.changes[1].ended = AFTER_PROPAGATION - SECOND;
+    assert_eq!(violated_rules(&evidence), []);
     evidence.changes[1].outcome = ChangeOutcome::Unclear;
     evidence.changes[1].ended = SECOND;
-    assert_eq!(broken_rules(&evidence), []);
+    assert_eq!(violated_rules(&evidence), []);
 }
 
 #[test]
-fn two_changes_on_one_version_must_not_both_be_acknowledged() {
-    let mut evidence = sound();
+fn two_acknowledged_changes_to_one_base_version_violate_config() {
+    let mut evidence = valid_evidence();
     for version in [3, 4] {
         let mut next = configuration();
         next.version = version;
         let mut change = acknowledged(next);
         change.base = 1;
-        change.sent = LATER;
-        change.ended = LATER;
+        change.sent = AFTER_PROPAGATION;
+        change.ended = AFTER_PROPAGATION;
         evidence.changes.push(change);
     }
-    assert_eq!(broken_rules(&evidence), [Rule::Config]);
+    assert_eq!(violated_rules(&evidence), [Rule::Config]);
 }
 
 #[test]
-fn a_connection_that_ends_without_an_answer_is_lost_unless_the_searcher_broke_off() {
-    let mut evidence = sound();
+fn a_closed_connection_without_a_response_violates_lost_unless_the_searcher_failed() {
+    let mut evidence = valid_evidence();
     evidence.tries[0].outcome = TryOutcome::Broken {
         seen: None,
         why: Break::Closed,
     };
-    assert_eq!(broken_rules(&evidence), [Rule::Lost]);
+    assert_eq!(violated_rules(&evidence), [Rule::Lost]);
     evidence.arrivals[0].outcome = ArrivalOutcome::Broken;
-    assert_eq!(broken_rules(&evidence), []);
+    assert_eq!(violated_rules(&evidence), []);
 }
