--- a/crates/lockusher-router-testbed/src/entry.rs
+++ b/crates/lockusher-router-testbed/src/entry.rs
@@ -1,4 +1,4 @@
-//! The platform's entry: which mixer takes a client's new connection.
+//! Stand-in for the platform's load balancer, which assigns new client connections to mixers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,22 +9,24 @@
 use crate::http::{Connection, HttpError, Request};
 use crate::server::lock;
 
-/// How often readiness is asked.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Misses in a row after which a mixer receives no new connections.
-const MOST_MISSES: u32 = 2;
+/// Interval of the readiness probes, and the timeout of each.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Consecutive failed probes after which a mixer receives no new connections.
+const UNHEALTHY_THRESHOLD: u32 = 2;
 
-/// A mixer as the entry knows it.
+/// The addresses of a mixer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MixerAddress {
+    /// Address for client connections.
     pub front: SocketAddr,
+    /// Address of `GET /api/readiness`.
     pub readiness: SocketAddr,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Health {
-    misses: u32,
-    /// Periods in which it was not ready.
+    consecutive_failures: u32,
+    /// Probes in which it was not ready.
     not_ready: u32,
 }
 
@@ -35,18 +37,18 @@
     wake: Condvar,
 }
 
-/// Asks every mixer for its readiness until it is dropped.
+/// Probes the readiness of every mixer until it is dropped, and picks mixers for clients.
 pub struct Entry {
     shared: Arc<Shared>,
-    watcher: Option<JoinHandle<()>>,
+    prober: Option<JoinHandle<()>>,
 }
 
 impl Entry {
-    /// All mixers count as out until they have answered.
+    /// Starts to probe; every mixer counts as unhealthy until its first successful probe.
     pub fn start(mixers: Vec<MixerAddress>) -> Entry {
         let health = vec![
             Health {
-                misses: MOST_MISSES,
+                consecutive_failures: UNHEALTHY_THRESHOLD,
                 not_ready: 0
             };
             mixers.len()
@@ -57,27 +59,29 @@
             stopped: AtomicBool::new(false),
             wake: Condvar::new(),
         });
-        let for_watcher = Arc::clone(&shared);
-        let watcher = std::thread::spawn(move || for_watcher.watch());
+        let prober_shared = Arc::clone(&shared);
+        let prober = std::thread::spawn(move || prober_shared.probe_all());
         Entry {
             shared,
-            watcher: Some(watcher),
+            prober: Some(prober),
         }
     }
 
-    /// The front that takes a client's connection, by a hash of the client.
+    /// Picks the mixer for a client's connection by a hash of the client.
+    ///
+    /// If less than half of the mixers are healthy, all of them are candidates.
     pub fn choose(&self, client_hash: u64) -> SocketAddr {
         let health = lock(&self.shared.health);
-        let all = &self.shared.mixers;
-        let is_in = |at: &usize| health[*at].misses < MOST_MISSES;
-        let mut open: Vec<usize> = (0..all.len()).filter(is_in).collect();
-        if open.len() * 2 < all.len() {
-            open = (0..all.len()).collect();
+        let mixers = &self.shared.mixers;
+        let is_healthy = |index: &usize| health[*index].consecutive_failures < UNHEALTHY_THRESHOLD;
+        let mut candidates: Vec<usize> = (0..mixers.len()).filter(is_healthy).collect();
+        if candidates.len() * 2 < mixers.len() {
+            candidates = (0..mixers.len()).collect();
         }
-        all[open[client_hash as usize % open.len()]].front
+        mixers[candidates[client_hash as usize % candidates.len()]].front
     }
 
-    /// Periods in which each mixer was not ready.
+    /// Number of probes in which each mixer was not ready.
     pub fn not_ready(&self) -> Vec<u32> {
         lock(&self.shared.health)
             .iter()
@@ -90,40 +94,44 @@
     fn drop(&mut self) {
         self.shared.stopped.store(true, Ordering::SeqCst);
         self.shared.wake.notify_all();
-        if let Some(watcher) = self.watcher.take() {
-            // A panic of the watcher shows in the test's own output.
-            let _ = watcher.join();
+        if let Some(prober) = self.prober.take() {
+            // A panic of the prober appears in the test output.
+            let _ = prober.join();
         }
     }
 }
 
 impl Shared {
-    fn watch(&self) {
+    fn probe_all(&self) {
         while !self.stopped.load(Ordering::SeqCst) {
-            for (at, mixer) in self.mixers.iter().enumerate() {
-                let ready = is_ready(mixer.readiness, PERIOD);
-                let health = &mut lock(&self.health)[at];
-                health.misses = if ready { 0 } else { health.misses + 1 };
+            for (index, mixer) in self.mixers.iter().enumerate() {
+                let ready = is_ready(mixer.readiness, PROBE_INTERVAL);
+                let health = &mut lock(&self.health)[index];
+                health.consecutive_failures = if ready {
+                    0
+                } else {
+                    health.consecutive_failures + 1
+                };
                 health.not_ready += u32::from(!ready);
             }
             let health = lock(&self.health);
             drop(
                 self.wake
-                    .wait_timeout(health, PERIOD)
+                    .wait_timeout(health, PROBE_INTERVAL)
                     .unwrap_or_else(PoisonError::into_inner),
             );
         }
     }
 }
 
-/// Whether a mixer calls itself ready.
-pub fn is_ready(readiness: SocketAddr, wait: Duration) -> bool {
-    readiness_status(readiness, wait).is_ok_and(|status| status == 200)
+/// Whether a mixer reports itself ready.
+pub fn is_ready(readiness: SocketAddr, timeout: Duration) -> bool {
+    readiness_status(readiness, timeout).is_ok_and(|status| status == 200)
 }
 
-fn readiness_status(readiness: SocketAddr, wait: Duration) -> Result<u16, HttpError> {
-    let mut connection = Connection::open(readiness, wait)?;
-    connection.set_give_up(Some(Instant::now() + wait));
+fn readiness_status(readiness: SocketAddr, timeout: Duration) -> Result<u16, HttpError> {
+    let mut connection = Connection::open(readiness, timeout)?;
+    connection.set_give_up(Some(Instant::now() + timeout));
     let request = Request::new("GET", "/api/readiness").header("Host", readiness.to_string());
     connection.write(&request.header("Connection", "close").to_bytes())?;
     Ok(connection.read_answer_head()?.status)
--- a/crates/lockusher-router-testbed/src/link.rs
+++ b/crates/lockusher-router-testbed/src/link.rs
@@ -1,9 +1,9 @@
-//! Links: TCP forwarders that can be cut.
+//! TCP forwarders that can simulate a network partition.
 //!
-//! The program takes a control node's internal address from a seed's IP address and its own internal ports,
-//! which on real machines are the same everywhere. On one loopback every edge machine needs ports of its own,
-//! since its agent listens at 127.0.0.1; a link leads from the address that it works out to the real one. That
-//! also gives tests a place to cut machines off.
+//! The program computes a control node's internal address from a seed's IP address and its own internal ports,
+//! which on real machines are the same everywhere. On a single loopback every edge machine needs its own ports,
+//! because its agent listens on 127.0.0.1. A link forwards from the computed address to the actual one, and lets
+//! tests partition machines.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,98 +12,100 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How often a forwarder looks whether it is cut or stopped.
-const LOOK: Duration = Duration::from_millis(50);
-const BUFFER: usize = 64 * 1024;
+/// How often a forwarder checks whether it is partitioned or stopped.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Size of the buffer of one direction.
+const BUFFER_BYTES: usize = 64 * 1024;
 
 #[derive(Default)]
-struct Switches {
-    cut: AtomicBool,
+struct LinkState {
+    partitioned: AtomicBool,
     stopped: AtomicBool,
 }
 
-/// A link that forwards until it is dropped.
+/// A TCP forwarder that runs until it is dropped.
 pub struct Link {
     from: SocketAddr,
-    switches: Arc<Switches>,
+    state: Arc<LinkState>,
     acceptor: Option<JoinHandle<()>>,
 }
 
 impl Link {
-    /// Listens at `from` and forwards to `to`.
+    /// Listens on `from` and forwards to `to`.
     pub fn start(from: SocketAddr, to: SocketAddr) -> std::io::Result<Link> {
         let listener = TcpListener::bind(from)?;
-        let switches = Arc::new(Switches::default());
-        let for_acceptor = Arc::clone(&switches);
-        let acceptor = std::thread::spawn(move || accept_all(&listener, to, &for_acceptor));
+        let state = Arc::new(LinkState::default());
+        let acceptor_state = Arc::clone(&state);
+        let acceptor = std::thread::spawn(move || accept_all(&listener, to, &acceptor_state));
         Ok(Link {
             from,
-            switches,
+            state,
             acceptor: Some(acceptor),
         })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn from(&self) -> SocketAddr {
         self.from
     }
 
-    /// While it is cut nothing passes in either direction; connections hang.
-    pub fn set_cut(&self, cut: bool) {
-        self.switches.cut.store(cut, Ordering::SeqCst);
+    /// While the link is partitioned, no bytes pass in either direction and connections hang.
+    pub fn set_cut(&self, partitioned: bool) {
+        self.state.partitioned.store(partitioned, Ordering::SeqCst);
     }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.switches.stopped.store(true, Ordering::SeqCst);
-        // Wakes the acceptor; it may have ended by itself.
+        self.state.stopped.store(true, Ordering::SeqCst);
+        // Wakes the acceptor; a failure means that it has already ended.
         let _ = TcpStream::connect(self.from);
         if let Some(acceptor) = self.acceptor.take() {
-            // A panic of the acceptor shows in the test's own output.
+            // A panic of the acceptor appears in the test output.
             let _ = acceptor.join();
         }
     }
 }
 
-fn accept_all(listener: &TcpListener, to: SocketAddr, switches: &Arc<Switches>) {
-    for near in listener.incoming() {
-        if switches.stopped.load(Ordering::SeqCst) {
+fn accept_all(listener: &TcpListener, to: SocketAddr, state: &Arc<LinkState>) {
+    for client in listener.incoming() {
+        if state.stopped.load(Ordering::SeqCst) {
             return;
         }
-        let Ok(near) = near else { continue };
-        let switches = Arc::clone(switches);
+        let Ok(client) = client else { continue };
+        let state = Arc::clone(state);
         std::thread::spawn(move || {
-            // A far end that can't be reached ends the near one, as a dead port does.
-            let _ = join(&near, to, &switches);
+            // If the target is unreachable, the client's connection closes, as at a port without a listener.
+            let _ = forward(&client, to, &state);
         });
     }
 }
 
-fn join(near: &TcpStream, to: SocketAddr, switches: &Arc<Switches>) -> std::io::Result<()> {
-    while switches.cut.load(Ordering::SeqCst) && !switches.stopped.load(Ordering::SeqCst) {
-        std::thread::park_timeout(LOOK);
+/// Connects to the target and forwards both directions of one connection.
+fn forward(client: &TcpStream, to: SocketAddr, state: &Arc<LinkState>) -> std::io::Result<()> {
+    while state.partitioned.load(Ordering::SeqCst) && !state.stopped.load(Ordering::SeqCst) {
+        std::thread::park_timeout(POLL_INTERVAL);
     }
-    let far = TcpStream::connect(to)?;
-    for stream in [near, &far] {
+    let target = TcpStream::connect(to)?;
+    for stream in [client, &target] {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(LOOK))?;
+        stream.set_read_timeout(Some(POLL_INTERVAL))?;
     }
-    let (near_in, far_out) = (near.try_clone()?, far.try_clone()?);
-    let for_other = Arc::clone(switches);
-    let other = std::thread::spawn(move || copy(near_in, far_out, &for_other));
-    copy(far, near.try_clone()?, switches);
-    // A panic of the other direction shows in the test's own output.
-    let _ = other.join();
+    let (client_in, target_out) = (client.try_clone()?, target.try_clone()?);
+    let thread_state = Arc::clone(state);
+    let forward_thread = std::thread::spawn(move || copy(client_in, target_out, &thread_state));
+    copy(target, client.try_clone()?, state);
+    // A panic of the other direction appears in the test output.
+    let _ = forward_thread.join();
     Ok(())
 }
 
-/// Copies one direction until its end, then ends both streams.
-fn copy(mut from: TcpStream, mut to: TcpStream, switches: &Switches) {
-    let mut buffer = vec![0; BUFFER];
-    while !switches.stopped.load(Ordering::SeqCst) {
-        if switches.cut.load(Ordering::SeqCst) {
-            std::thread::park_timeout(LOOK);
+/// Copies one direction until its end, then shuts both streams down.
+fn copy(mut from: TcpStream, mut to: TcpStream, state: &LinkState) {
+    let mut buffer = vec![0; BUFFER_BYTES];
+    while !state.stopped.load(Ordering::SeqCst) {
+        if state.partitioned.load(Ordering::SeqCst) {
+            std::thread::park_timeout(POLL_INTERVAL);
             continue;
         }
         match from.read(&mut buffer) {
@@ -115,7 +117,7 @@
         }
     }
     for stream in [&from, &to] {
-        // A stream that has ended already is what is wanted.
+        // Fails only if the stream is already closed.
         let _ = stream.shutdown(Shutdown::Both);
     }
 }
