--- a/crates/lockusher-router-testbed/src/request.rs
+++ b/crates/lockusher-router-testbed/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, and what clients saw of them.
+//! Client requests, and the records of what clients received for them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,41 +7,42 @@
 use crate::http::Request;
 use crate::record::EventRecord;
 
-/// What a client asks for; every try of it has its own id.
+/// A client request. Each of its tries has its own request id.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    /// Name of the kind of request, for figures.
+    /// Name of the kind of request, for statistics.
     pub kind: String,
+    /// Name of the route that it uses.
     pub route: String,
     pub host: String,
     pub method: String,
     pub target: String,
     pub body: Vec<u8>,
-    /// Whether the answer is a series of events.
+    /// Whether the response is an event stream.
     pub streaming: bool,
-    /// Whether a request may run more than once.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
-    /// Whether a stream may be taken up with `Last-Event-Id`.
+    /// Whether a stream can be resumed with `Last-Event-Id`.
     pub resumable: bool,
-    /// Searchers that one try may be sent to.
+    /// Maximum number of searchers that the router may send one try to.
     pub attempts: u32,
-    /// How long the client says that it waits in all.
+    /// Total time limit that the client announces (`Deadline-Remaining`).
     pub deadline: Duration,
-    /// A client that leaves at another time than it said does so after this time.
+    /// When the client disconnects, if not at the announced deadline.
     pub leaves_after: Option<Duration>,
-    /// Objective to the end of the answer, or to the first event of a stream.
+    /// Latency target to the end of the response, or to the first event of a stream.
     pub aim: Duration,
-    /// Longest pause between events of a stream that is in time.
+    /// Target for the longest gap between events of a stream.
     pub gap_aim: Duration,
-    /// Tries after the first.
+    /// Maximum number of retries by the client.
     pub retries: u32,
     pub prompt: Vec<Part>,
-    /// Tokens to make; 0 for plain services.
+    /// Tokens to generate; 0 for plain services.
     pub tokens_out: u64,
 }
 
 impl RequestSpec {
-    /// The request of one try.
+    /// Builds the HTTP request of one try.
     pub fn to_request(
         &self,
         request_id: &str,
@@ -71,85 +72,86 @@
         request
     }
 
-    /// How long the client really waits.
+    /// How long the client actually waits.
     pub fn patience(&self) -> Duration {
         self.leaves_after.unwrap_or(self.deadline)
     }
 
-    /// The silence after which a client gives a stream up.
+    /// The gap between events after which a client gives up on a stream.
     pub fn longest_silence(&self) -> Duration {
-        const SHORTEST: Duration = Duration::from_secs(2);
-        SHORTEST.max(self.aim * 4).max(self.gap_aim * 8)
+        const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+        MIN_IDLE_TIMEOUT.max(self.aim * 4).max(self.gap_aim * 8)
     }
 }
 
-/// The body of an answer as it came.
+/// The body of a response, as far as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodySeen {
     Plain {
         digest: u64,
     },
-    /// `loose_bytes` when the body ended inside an event.
+    /// `loose_bytes` is true when the body ended inside an event.
     Stream {
         events: Vec<EventRecord>,
         loose_bytes: bool,
     },
 }
 
-/// An answer as far as it came.
+/// A response, as far as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerSeen {
     pub status: u16,
-    /// Its `Request-Identifier`.
+    /// The value of `Request-Identifier`.
     pub request_id: Option<String>,
     pub signature: Option<String>,
     pub retry_after: Option<Duration>,
-    /// Whether it carried a `Content-Encoding`.
+    /// Whether it has a `Content-Encoding`.
     pub encoded: bool,
     pub body: BodySeen,
 }
 
-/// Why a try has no whole answer.
+/// Why a try has no complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Break {
-    /// The connection ended or was reset.
+    /// The connection was closed or reset.
     Closed,
-    /// The client gave up.
+    /// The client gave up at a timeout.
     GaveUp,
-    /// Bytes came that are not HTTP.
+    /// The client received bytes that are not valid HTTP.
     NotHttp { reason: String },
 }
 
-/// How a try ended.
+/// The outcome of a try.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// The connection never came up.
+    /// No connection was established.
     NoConnection,
     Whole(AnswerSeen),
-    /// `seen` holds what came before the break.
+    /// The response is incomplete; `seen` holds what was received.
     Broken {
         seen: Option<AnswerSeen>,
         why: Break,
     },
 }
 
-/// One try of a request.
+/// One try of a client request: the first, or a retry by the client.
 #[derive(Clone, Debug)]
 pub struct TryRecord {
     pub request_id: String,
     pub spec: std::sync::Arc<RequestSpec>,
     pub body_digest: u64,
+    /// Address of the mixer that it was sent to.
     pub front: SocketAddr,
     pub last_event_id: Option<u64>,
     pub sent: Micros,
     pub ended: Micros,
-    /// Whether bytes came on the connection while no request was waiting.
+    /// Whether unsolicited bytes were received on the connection before the request was sent.
     pub surplus_before: bool,
     pub outcome: TryOutcome,
 }
 
 impl TryRecord {
-    /// The answer, whole or not.
+    /// The response, complete or not.
     pub fn seen(&self) -> Option<&AnswerSeen> {
         match &self.outcome {
             TryOutcome::NoConnection => None,
@@ -158,17 +160,17 @@
         }
     }
 
-    /// Whether it ended with a whole success.
+    /// Whether it ended with a complete 2xx response.
     pub fn is_success(&self) -> bool {
         matches!(&self.outcome, TryOutcome::Whole(seen) if (200..300).contains(&seen.status))
     }
 
-    /// Whether the answer promises that the request has not run and never will.
+    /// Whether the response promises that the request has not run and never will.
     pub fn is_promise(&self) -> bool {
         matches!(&self.outcome, TryOutcome::Whole(seen) if matches!(seen.status, 408 | 421 | 429 | 503))
     }
 
-    /// The last event that came whole.
+    /// Id of the last event received completely.
     pub fn last_event(&self) -> Option<u64> {
         match &self.seen()?.body {
             BodySeen::Stream { events, .. } => events.last().map(|event| event.id),
@@ -176,7 +178,7 @@
         }
     }
 
-    /// When the first event came.
+    /// When the first event was received.
     pub fn first_event_at(&self) -> Option<Micros> {
         match &self.seen()?.body {
             BodySeen::Stream { events, .. } => events.first().map(|event| event.at),
@@ -189,19 +191,19 @@
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     pub spec: std::sync::Arc<RequestSpec>,
-    /// When it was due; later than that it is late, whatever kept the client.
+    /// When it was scheduled. Latency counts from here, including delays in the client.
     pub due: Micros,
     pub ended: Micros,
     pub tries: Vec<TryRecord>,
 }
 
 impl RequestRecord {
-    /// Whether the last try was a whole success.
+    /// Whether the last try succeeded.
     pub fn is_served(&self) -> bool {
         self.tries.last().is_some_and(TryRecord::is_success)
     }
 
-    /// From when it was due to the first event, or to the end of a plain answer; of served requests only.
+    /// Time from the scheduled start to the first event, or to the end of a plain response; `None` unless served.
     pub fn latency(&self) -> Option<Micros> {
         let served = self.tries.last().filter(|last| last.is_success())?;
         let first_event = self.tries.iter().find_map(TryRecord::first_event_at);
