--- a/crates/lockusher-router-testbed/src/engine/admission.rs
+++ b/crates/lockusher-router-testbed/src/engine/admission.rs
@@ -1,13 +1,15 @@
-//! Admission: what is taken, in which order it gets a slot and memory, and what gives way for it.
+//! Admission control: which requests are accepted, in which order they get a slot and memory, and which running
+//! requests are preempted for them.
 
 use super::batch::Engine;
 use super::job::Phase;
 use super::types::{JobKey, KvTransfer, Micros, Output, Rejection, Stage, Submission};
 
-/// Bits in a byte: with rates in megabits a second, bits over the rate are microseconds.
+/// Bits in a byte; bits divided by a rate in megabits per second give microseconds.
 const BITS_PER_BYTE: u64 = 8;
 
 impl Engine {
+    /// Returns why a request can't be accepted now, if so.
     pub(crate) fn check_admissible(
         &self,
         now: Micros,
@@ -22,44 +24,47 @@
         if submission.deadline <= now {
             return Err(Rejection::DeadlineInQueue);
         }
-        let places = self.parameters.slots + self.parameters.queue_limit;
-        let private = if submission.prefill_only {
+        let capacity = self.parameters.slots + self.parameters.queue_limit;
+        let private_tokens = if submission.prefill_only {
             0
         } else {
             submission.tokens_out
         };
-        if self.jobs.len() >= places || !self.memory.could_hold(&submission.prompt, private) {
+        if self.jobs.len() >= capacity || !self.memory.can_fit(&submission.prompt, private_tokens) {
             return Err(Rejection::Full);
         }
         Ok(())
     }
 
-    /// Puts a fetch behind those before it on the link and returns when it ends.
+    /// Queues a KV transfer on the link behind earlier ones and returns when it ends.
     pub(super) fn reserve_link(
         &mut self,
         now: Micros,
         transfer: &KvTransfer,
     ) -> Result<Micros, Rejection> {
-        let begins = self.link_free.max(now);
-        if begins - now > self.parameters.longest_link_wait {
+        let starts_at = self.link_free_at.max(now);
+        if starts_at - now > self.parameters.longest_link_wait {
             return Err(Rejection::LinkBusy);
         }
         let tokens: u64 = transfer.parts.iter().map(|part| part.tokens).sum();
         let bits = tokens * self.parameters.cache_token_bytes * BITS_PER_BYTE;
-        let micros = (bits as f64 / self.parameters.link_mbps).ceil() as Micros;
-        self.link_free = begins + micros * transfer.distance.factor() * self.link_slow_down;
-        Ok(self.link_free)
+        let duration = (bits as f64 / self.parameters.link_mbps).ceil() as Micros;
+        self.link_free_at = starts_at + duration * transfer.distance.factor() * self.link_slow_down;
+        Ok(self.link_free_at)
     }
 
-    /// Gives slots and memory to waiting requests, the most urgent first.
+    /// Admits waiting requests in order of priority, then of arrival, and preempts less urgent ones for them.
     pub(super) fn admit(&mut self, now: Micros) {
         loop {
             let waiting = self.jobs.values().filter(|job| job.phase == Phase::Waiting);
-            let Some(next) = waiting.min_by_key(|job| job.rank()).map(|job| job.key) else {
+            let Some(next) = waiting
+                .min_by_key(|job| job.scheduling_key())
+                .map(|job| job.key)
+            else {
                 return;
             };
             while !self.try_admit(next) {
-                let Some(victim) = self.victim_for(next) else {
+                let Some(victim) = self.preemptible_for(next) else {
                     return;
                 };
                 self.preempt(victim, now);
@@ -67,13 +72,14 @@
         }
     }
 
-    /// A running request that is less urgent than `key` and may be preempted for it.
-    pub(super) fn victim_for(&self, key: JobKey) -> Option<JobKey> {
-        let urgent = self.jobs.get(&key)?.submission.priority;
-        let victim = self.newest_of_least_urgent()?;
-        (self.jobs[&victim].submission.priority > urgent).then_some(victim)
+    /// Returns the running request to preempt for `key`; `None` unless it is less urgent than `key`.
+    pub(super) fn preemptible_for(&self, key: JobKey) -> Option<JobKey> {
+        let priority = self.jobs.get(&key)?.submission.priority;
+        let victim = self.preemption_candidate()?;
+        (self.jobs[&victim].submission.priority > priority).then_some(victim)
     }
 
+    /// Gives a request a slot and memory; `false` when either is lacking.
     pub(super) fn try_admit(&mut self, key: JobKey) -> bool {
         let running = self.jobs.values().filter(|job| job.is_running()).count();
         let Some(job) = self.jobs.get_mut(&key) else {
@@ -83,40 +89,40 @@
             return false;
         }
         let prompt = job.submission.prompt.clone();
-        let kept = self.memory.kept_tokens(&prompt);
-        let private_blocks = self.memory.blocks_of(job.made);
-        if self.memory.take(&prompt).is_err() {
+        let cached_tokens = self.memory.cached_prefix_tokens(&prompt);
+        let private_blocks = self.memory.blocks_for(job.tokens_generated);
+        if self.memory.acquire(&prompt).is_err() {
             return false;
         }
-        if self.memory.take_private(private_blocks).is_err() {
+        if self.memory.allocate_private(private_blocks).is_err() {
             self.memory.release(&prompt);
             return false;
         }
         job.private_blocks = private_blocks;
-        job.admitted = self.next_admission;
+        job.admission_order = self.next_admission;
         self.next_admission += 1;
-        let left = if job.fetched {
-            job.made
+        let remaining = if job.prompt_fetched {
+            job.tokens_generated
         } else {
-            job.prompt_tokens() - kept + job.made
+            job.prompt_tokens() - cached_tokens + job.tokens_generated
         };
-        job.phase = Phase::Reading { left };
-        if job.fetched && left == 0 {
-            self.memory.mark_read(&prompt);
+        job.phase = Phase::Prefilling { remaining };
+        if job.prompt_fetched && remaining == 0 {
+            self.memory.mark_prefilled(&prompt);
             job.phase = Phase::Decoding;
         }
         true
     }
 
-    /// The running request that gives way when memory runs out.
-    pub(super) fn newest_of_least_urgent(&self) -> Option<JobKey> {
+    /// Returns the running request that is preempted first: the newest of the least urgent.
+    pub(super) fn preemption_candidate(&self) -> Option<JobKey> {
         let running = self.jobs.values().filter(|job| job.is_running());
         running
-            .max_by_key(|job| (job.submission.priority, job.admitted))
+            .max_by_key(|job| (job.submission.priority, job.admission_order))
             .map(|job| job.key)
     }
 
-    /// Takes slot and memory from a running request; it waits again and is read anew.
+    /// Takes slot and memory from a running request, which waits again and repeats its prefill.
     pub(super) fn preempt(&mut self, key: JobKey, at: Micros) {
         let Some(job) = self.jobs.get(&key).cloned() else {
             return;
@@ -125,7 +131,7 @@
         if let Some(job) = self.jobs.get_mut(&key) {
             job.phase = Phase::Waiting;
             job.private_blocks = 0;
-            job.fetched = false;
+            job.prompt_fetched = false;
         }
         self.outputs.push_back(Output::Preempted { job: key, at });
     }
--- a/crates/lockusher-router-testbed/src/engine/batch.rs
+++ b/crates/lockusher-router-testbed/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The engine: steps of the batch, handles and deadlines. Admission and changes of stage have modules of
+//! The engine: steps of the batch, prompt handles and deadlines. Admission and stage changes are in modules of
 //! their own.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -10,36 +10,37 @@
     Stage, Submission,
 };
 
-/// How many times slower, and in how many times smaller pieces, a decode searcher reads prompts.
-const DECODE_READS_SLOWER: u64 = 2;
-const DECODE_PIECES_SMALLER: u64 = 4;
+/// How many times longer a decode searcher takes to prefill than a prefill searcher.
+const DECODE_PREFILL_SLOWDOWN: u64 = 2;
+/// How many times smaller the prefill chunks of a decode searcher are.
+const DECODE_CHUNK_DIVISOR: u64 = 4;
 
-/// A step of the batch under way.
+/// The step of the batch in progress.
 #[derive(Clone, Debug)]
 struct Step {
-    ends: Micros,
-    /// Prompt tokens read in this step, by request.
-    reading: Vec<(JobKey, u64)>,
-    /// Requests that make a token in this step.
+    ends_at: Micros,
+    /// Prompt tokens prefilled in this step, by request.
+    prefill: Vec<(JobKey, u64)>,
+    /// Requests that generate a token in this step.
     decoding: Vec<JobKey>,
 }
 
-/// KV cache held for a decode searcher.
+/// KV cache of a prompt, held until a decode searcher fetches it or it expires.
 #[derive(Clone, Debug)]
 pub(super) struct Handle {
     parts: Vec<Part>,
-    lapses: Micros,
+    expires_at: Micros,
 }
 
-/// A change of stage under way.
+/// A stage change in progress.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Switch {
-    pub(super) to: Stage,
-    /// Known once the running requests have ended.
-    pub(super) done: Option<Micros>,
+pub(super) struct StageSwitch {
+    pub(super) target: Stage,
+    /// `None` while requests are still running.
+    pub(super) completes_at: Option<Micros>,
 }
 
-/// One searcher's engine.
+/// The inference engine of one searcher.
 #[derive(Clone, Debug)]
 pub struct Engine {
     pub(super) parameters: EngineParameters,
@@ -48,22 +49,22 @@
     pub(super) jobs: BTreeMap<JobKey, Job>,
     pub(super) handles: BTreeMap<HandleId, Handle>,
     step: Option<Step>,
-    pub(super) switch: Option<Switch>,
-    pub(super) link_free: Micros,
-    pub(super) orders_taken: u64,
+    pub(super) switch: Option<StageSwitch>,
+    pub(super) link_free_at: Micros,
+    pub(super) accepted_orders: u64,
     next_key: u64,
     pub(super) next_admission: u64,
     next_handle: u64,
-    /// Transfers take this many times as long; for faults.
+    /// Factor on the duration of KV transfers, for fault injection.
     pub(super) link_slow_down: u64,
-    /// Steps take this many times as long; for faults.
+    /// Factor on the duration of steps, for fault injection.
     slow_down: u64,
-    /// Times at which something happened since the last call of `advance`.
+    /// Outputs since the last call of `advance`.
     pub(super) outputs: VecDeque<Output>,
 }
 
 impl Engine {
-    /// An idle engine that plays `stage`.
+    /// Creates an idle engine in `stage`.
     pub fn new(parameters: EngineParameters, stage: Stage) -> Engine {
         let memory = KvMemory::new(parameters.cache_tokens, parameters.block_tokens);
         Engine {
@@ -74,8 +75,8 @@
             handles: BTreeMap::new(),
             step: None,
             switch: None,
-            link_free: 0,
-            orders_taken: 0,
+            link_free_at: 0,
+            accepted_orders: 0,
             next_key: 0,
             next_admission: 0,
             next_handle: 0,
@@ -85,9 +86,9 @@
         }
     }
 
-    /// Takes a request at time `now`, or says why it doesn't.
+    /// Accepts a request at time `now`, or returns why it is rejected.
     pub fn submit(&mut self, now: Micros, submission: Submission) -> Result<JobKey, Rejection> {
-        self.play_until(now);
+        self.run_until(now);
         self.check_admissible(now, &submission)?;
         let phase = match &submission.transfer {
             Some(transfer) => Phase::Fetching {
@@ -102,67 +103,67 @@
         Ok(key)
     }
 
-    /// Drops a request whose caller has gone.
+    /// Drops a request whose caller has disconnected.
     pub fn cancel(&mut self, key: JobKey) {
         if let Some(job) = self.jobs.remove(&key) {
             self.release_memory(&job);
         }
     }
 
-    /// Takes held KV cache away; `None` when it lapsed, was freed or was taken before.
+    /// Removes a handle and returns its parts; `None` when it has expired, was freed or was taken before.
     pub fn take_handle(&mut self, now: Micros, handle: HandleId) -> Option<Vec<Part>> {
-        self.play_until(now);
-        let held = self.handles.remove(&handle)?;
-        self.memory.release(&held.parts);
-        Some(held.parts)
+        self.run_until(now);
+        let handle = self.handles.remove(&handle)?;
+        self.memory.release(&handle.parts);
+        Some(handle.parts)
     }
 
-    /// Lets all handles lapse at once; for faults.
+    /// Expires all handles at once, for fault injection.
     pub fn lapse_all_handles(&mut self) {
-        for (_, held) in std::mem::take(&mut self.handles) {
-            self.memory.release(&held.parts);
+        for (_, handle) in std::mem::take(&mut self.handles) {
+            self.memory.release(&handle.parts);
         }
     }
 
-    /// Makes every later transfer `factor` times as long; for faults.
+    /// Makes every later KV transfer `factor` times as long, for fault injection.
     pub fn set_link_slow_down(&mut self, factor: u64) {
         self.link_slow_down = factor.max(1);
     }
 
-    /// Makes every later step `factor` times as long.
+    /// Makes every later step `factor` times as long, for fault injection.
     pub fn set_slow_down(&mut self, factor: u64) {
         self.slow_down = factor.max(1);
     }
 
-    /// When [`Engine::advance`] has something to do next; `None` while it is idle.
+    /// When [`Engine::advance`] next has an event to process; `None` while the engine is idle.
     pub fn next_event_at(&self) -> Option<Micros> {
-        let step = self.step.as_ref().map(|step| step.ends);
-        let switch = self.switch.and_then(|switch| switch.done);
-        let lapse = self.handles.values().map(|handle| handle.lapses).min();
-        let fetch = self.jobs.values().filter_map(|job| match job.phase {
+        let step = self.step.as_ref().map(|step| step.ends_at);
+        let switch = self.switch.and_then(|switch| switch.completes_at);
+        let handle_expiry = self.handles.values().map(|handle| handle.expires_at).min();
+        let transfer_end = self.jobs.values().filter_map(|job| match job.phase {
             Phase::Fetching { until } => Some(until),
             _ => None,
         });
         let deadline = self.jobs.values().map(|job| job.submission.deadline).min();
-        [step, switch, lapse, fetch.min(), deadline]
+        [step, switch, handle_expiry, transfer_end.min(), deadline]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// Plays everything up to `now` and returns what happened, in order.
+    /// Processes all events up to `now` and returns the outputs in order.
     pub fn advance(&mut self, now: Micros) -> Vec<Output> {
-        self.play_until(now);
+        self.run_until(now);
         self.outputs.drain(..).collect()
     }
 
-    /// The engine's state as a report tells it.
+    /// The engine's state for `GET /api/report`.
     pub fn report(&self) -> Report {
         let running = self.jobs.values().filter(|job| job.is_running()).count();
         Report {
             stage: self.stage,
             busy: self.switch.is_some(),
-            sequence: self.orders_taken,
+            sequence: self.accepted_orders,
             waiting: self.jobs.len() - running,
             running,
             cache_used: self.memory.used_tokens(),
@@ -171,25 +172,25 @@
         }
     }
 
-    /// Whether a part's KV cache is kept here.
-    pub fn holds_part(&self, id: u64) -> bool {
-        self.memory.holds(id)
+    /// Whether the KV cache holds a prefilled prompt part.
+    pub fn caches_part(&self, id: u64) -> bool {
+        self.memory.contains(id)
     }
 
-    pub(super) fn play_until(&mut self, now: Micros) {
+    pub(super) fn run_until(&mut self, now: Micros) {
         while let Some(at) = self.next_event_at().filter(|at| *at <= now) {
-            self.play(at);
+            self.process_events_at(at);
         }
     }
 
-    fn play(&mut self, at: Micros) {
-        self.lapse_handles(at);
+    fn process_events_at(&mut self, at: Micros) {
+        self.expire_handles(at);
         self.end_fetches(at);
-        if self.step.as_ref().is_some_and(|step| step.ends <= at) {
+        if self.step.as_ref().is_some_and(|step| step.ends_at <= at) {
             self.end_step(at);
         }
-        self.cease_at_deadline(at);
-        self.settle_switch(at);
+        self.expire_deadlines(at);
+        self.advance_stage_switch(at);
         self.begin_step(at);
     }
 
@@ -201,142 +202,142 @@
         }
     }
 
-    fn lapse_handles(&mut self, at: Micros) {
-        let lapsed: Vec<HandleId> = self
+    fn expire_handles(&mut self, at: Micros) {
+        let expired: Vec<HandleId> = self
             .handles
             .iter()
-            .filter(|(_, held)| held.lapses <= at)
+            .filter(|(_, handle)| handle.expires_at <= at)
             .map(|(handle, _)| *handle)
             .collect();
-        for handle in lapsed {
-            if let Some(held) = self.handles.remove(&handle) {
-                self.memory.release(&held.parts);
+        for handle in expired {
+            if let Some(handle) = self.handles.remove(&handle) {
+                self.memory.release(&handle.parts);
             }
         }
     }
 
-    fn cease_at_deadline(&mut self, at: Micros) {
-        let due: Vec<JobKey> = self
+    fn expire_deadlines(&mut self, at: Micros) {
+        let expired: Vec<JobKey> = self
             .jobs
             .values()
             .filter(|job| job.submission.deadline <= at)
             .map(|job| job.key)
             .collect();
-        for key in due {
+        for key in expired {
             let Some(job) = self.jobs.remove(&key) else {
                 continue;
             };
             self.release_memory(&job);
-            self.outputs.push_back(match job.begun {
-                true => Output::Abandoned { job: key, at },
+            self.outputs.push_back(match job.has_started {
+                true => Output::DeadlineExceeded { job: key, at },
                 false => Output::Rejected {
                     job: key,
-                    why: Rejection::DeadlineInQueue,
+                    reason: Rejection::DeadlineInQueue,
                     at,
                 },
             });
         }
     }
 
-    /// Starts the next step, if there is work and none is under way.
+    /// Starts the next step, if there is work and no step is in progress.
     fn begin_step(&mut self, now: Micros) {
         if self.step.is_some() {
             return;
         }
         self.admit(now);
-        let reading = self.plan_reading();
+        let prefill = self.plan_prefill();
         let decoding: Vec<JobKey> = self
             .jobs
             .values()
             .filter(|job| job.phase == Phase::Decoding)
             .map(|job| job.key)
             .collect();
-        if reading.is_empty() && decoding.is_empty() {
+        if prefill.is_empty() && decoding.is_empty() {
             return;
         }
-        let read_tokens: u64 = reading.iter().map(|(_, tokens)| tokens).sum();
-        let read = read_tokens * MICROS_PER_MS * self.reads_slower()
+        let prefill_tokens: u64 = prefill.iter().map(|(_, tokens)| tokens).sum();
+        let prefill_time = prefill_tokens * MICROS_PER_MS * self.prefill_slowdown()
             / self.parameters.prefill_tokens_per_ms;
-        let decode = self.parameters.step_per_request * decoding.len() as u64;
-        let length = (self.parameters.step + read + decode) * self.slow_down;
+        let decode_time = self.parameters.step_per_request * decoding.len() as u64;
+        let duration = (self.parameters.step + prefill_time + decode_time) * self.slow_down;
         self.step = Some(Step {
-            ends: now + length,
-            reading,
+            ends_at: now + duration,
+            prefill,
             decoding,
         });
     }
 
-    fn reads_slower(&self) -> u64 {
+    fn prefill_slowdown(&self) -> u64 {
         match self.stage {
             Stage::Prefill => 1,
-            Stage::Decode => DECODE_READS_SLOWER,
+            Stage::Decode => DECODE_PREFILL_SLOWDOWN,
         }
     }
 
     fn piece_tokens(&self) -> u64 {
         match self.stage {
             Stage::Prefill => self.parameters.piece_tokens,
-            Stage::Decode => self.parameters.piece_tokens / DECODE_PIECES_SMALLER,
+            Stage::Decode => self.parameters.piece_tokens / DECODE_CHUNK_DIVISOR,
         }
     }
 
-    /// Shares one piece among the requests whose prompts are being read, the most urgent first.
-    fn plan_reading(&self) -> Vec<(JobKey, u64)> {
-        let mut readers: Vec<&Job> = self
+    /// Divides one prefill chunk among the requests in prefill, the most urgent first.
+    fn plan_prefill(&self) -> Vec<(JobKey, u64)> {
+        let mut prefilling: Vec<&Job> = self
             .jobs
             .values()
-            .filter(|job| matches!(job.phase, Phase::Reading { .. }))
+            .filter(|job| matches!(job.phase, Phase::Prefilling { .. }))
             .collect();
-        readers.sort_by_key(|job| job.rank());
+        prefilling.sort_by_key(|job| job.scheduling_key());
         let mut budget = self.piece_tokens();
-        let mut reading = Vec::new();
-        for job in readers {
-            let Phase::Reading { left } = job.phase else {
+        let mut prefill = Vec::new();
+        for job in prefilling {
+            let Phase::Prefilling { remaining } = job.phase else {
                 continue;
             };
-            let tokens = left.min(budget);
-            if tokens > 0 || left == 0 {
-                reading.push((job.key, tokens));
+            let tokens = remaining.min(budget);
+            if tokens > 0 || remaining == 0 {
+                prefill.push((job.key, tokens));
             }
             budget -= tokens;
         }
-        reading
+        prefill
     }
 
     fn end_step(&mut self, at: Micros) {
         let Some(step) = self.step.take() else { return };
         for key in step.decoding {
-            self.make_token(key, at);
+            self.generate_token(key, at);
         }
-        for (key, tokens) in step.reading {
-            self.read_tokens(key, tokens, at);
+        for (key, tokens) in step.prefill {
+            self.prefill_tokens(key, tokens, at);
         }
     }
 
-    fn read_tokens(&mut self, key: JobKey, tokens: u64, at: Micros) {
+    fn prefill_tokens(&mut self, key: JobKey, tokens: u64, at: Micros) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
         };
-        let Phase::Reading { left } = job.phase else {
+        let Phase::Prefilling { remaining } = job.phase else {
             return;
         };
-        job.phase = Phase::Reading {
-            left: left - tokens,
+        job.phase = Phase::Prefilling {
+            remaining: remaining - tokens,
         };
-        if left > tokens {
+        if remaining > tokens {
             return;
         }
         let prompt = job.submission.prompt.clone();
-        self.memory.mark_read(&prompt);
+        self.memory.mark_prefilled(&prompt);
         if self.stage == Stage::Prefill {
             self.hold_prompt(key, prompt, at);
             return;
         }
         job.phase = Phase::Decoding;
-        self.make_token(key, at);
+        self.generate_token(key, at);
     }
 
-    /// The prompt was read: its parts go from the request to a handle.
+    /// Ends a prefill: the prompt's parts move from the request to a handle.
     fn hold_prompt(&mut self, key: JobKey, parts: Vec<Part>, at: Micros) {
         let Some(job) = self.jobs.remove(&key) else {
             return;
@@ -348,7 +349,7 @@
             handle,
             Handle {
                 parts,
-                lapses: at + self.parameters.handle_hold,
+                expires_at: at + self.parameters.handle_hold,
             },
         );
         self.outputs.push_back(Output::Prefilled {
@@ -359,17 +360,21 @@
         });
     }
 
-    fn make_token(&mut self, key: JobKey, at: Micros) {
-        if !self.make_room_for_token(key, at) {
+    fn generate_token(&mut self, key: JobKey, at: Micros) {
+        if !self.allocate_token_block(key, at) {
             return;
         }
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
         };
-        job.begun = true;
-        job.made += 1;
-        let made = job.made;
-        self.outputs.push_back(Output::Token { job: key, made, at });
+        job.has_started = true;
+        job.tokens_generated += 1;
+        let tokens_generated = job.tokens_generated;
+        self.outputs.push_back(Output::Token {
+            job: key,
+            tokens_generated,
+            at,
+        });
         if job.is_complete() {
             self.finish(key, at);
         }
@@ -383,8 +388,8 @@
         self.outputs.push_back(Output::Finished { job: key, at });
     }
 
-    /// Gets the block that one more token needs; others are preempted for it, or the request itself is.
-    fn make_room_for_token(&mut self, key: JobKey, at: Micros) -> bool {
+    /// Allocates the block that one more token needs, preempting other requests or, as the last resort, this one.
+    fn allocate_token_block(&mut self, key: JobKey, at: Micros) -> bool {
         loop {
             let Some(job) = self.jobs.get_mut(&key) else {
                 return false;
@@ -392,15 +397,15 @@
             if job.phase != Phase::Decoding {
                 return false;
             }
-            let wanted = self
+            let missing_blocks = self
                 .memory
-                .blocks_of(job.made + 1)
+                .blocks_for(job.tokens_generated + 1)
                 .saturating_sub(job.private_blocks);
-            if self.memory.take_private(wanted).is_ok() {
-                job.private_blocks += wanted;
+            if self.memory.allocate_private(missing_blocks).is_ok() {
+                job.private_blocks += missing_blocks;
                 return true;
             }
-            let Some(victim) = self.newest_of_least_urgent() else {
+            let Some(victim) = self.preemption_candidate() else {
                 return false;
             };
             self.preempt(victim, at);
--- a/crates/lockusher-router-testbed/src/engine/memory.rs
+++ b/crates/lockusher-router-testbed/src/engine/memory.rs
@@ -1,177 +1,181 @@
-//! The KV cache of one engine: blocks shared by running requests and kept parts of prompts.
+//! The KV cache of one engine: blocks of running requests and of cached prompt parts.
 //!
-//! A part stays after its last user has gone, until its blocks are wanted: the least recently used give way.
+//! A part stays cached after its last reference is released. When blocks are needed, the least recently used
+//! unreferenced parts are evicted.
 
 use std::collections::HashMap;
 
 use super::types::Part;
 
-/// Not enough memory even after every part that may give way has given way.
+/// Not enough blocks even if every unreferenced part were evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutOfMemory;
 
-/// One part that the memory holds.
+/// A prompt part in the cache.
 #[derive(Clone, Copy, Debug)]
-struct KeptPart {
+struct CachedPart {
     blocks: u64,
-    /// Requests and handles that use it; such a part doesn't give way.
-    users: u32,
-    /// Whether its tokens have been read; until then it saves nobody the reading.
-    read: bool,
+    /// Requests and handles that use it; a referenced part is never evicted.
+    reference_count: u32,
+    /// Whether its prefill is complete; only then can other requests skip it.
+    prefilled: bool,
     last_use: u64,
 }
 
-/// Memory by blocks.
+/// KV cache memory, allocated in blocks.
 #[derive(Clone, Debug)]
 pub struct KvMemory {
     block_tokens: u64,
     total_blocks: u64,
-    /// Blocks of tokens that belong to one running request alone.
+    /// Blocks that are private to a running request.
     private_blocks: u64,
-    parts: HashMap<u64, KeptPart>,
-    uses: u64,
+    parts: HashMap<u64, CachedPart>,
+    use_counter: u64,
 }
 
 impl KvMemory {
-    /// A memory of `cache_tokens` tokens in blocks of `block_tokens`.
+    /// Creates a memory for `cache_tokens` tokens in blocks of `block_tokens`.
     pub fn new(cache_tokens: u64, block_tokens: u64) -> KvMemory {
         KvMemory {
             block_tokens,
             total_blocks: cache_tokens / block_tokens,
             private_blocks: 0,
             parts: HashMap::new(),
-            uses: 0,
+            use_counter: 0,
         }
     }
 
-    /// Blocks that `tokens` tokens take.
-    pub fn blocks_of(&self, tokens: u64) -> u64 {
+    /// Number of blocks that `tokens` tokens occupy.
+    pub fn blocks_for(&self, tokens: u64) -> u64 {
         tokens.div_ceil(self.block_tokens)
     }
 
-    /// Whether a request of this size could ever be held.
-    pub fn could_hold(&self, prompt: &[Part], private_tokens: u64) -> bool {
-        let prompt_blocks: u64 = prompt.iter().map(|part| self.blocks_of(part.tokens)).sum();
-        prompt_blocks + self.blocks_of(private_tokens) <= self.total_blocks
+    /// Whether a request of this size fits into an empty cache.
+    pub fn can_fit(&self, prompt: &[Part], private_tokens: u64) -> bool {
+        let prompt_blocks: u64 = prompt.iter().map(|part| self.blocks_for(part.tokens)).sum();
+        prompt_blocks + self.blocks_for(private_tokens) <= self.total_blocks
     }
 
-    /// Tokens of the prompt that needn't be read: those of the leading parts that were read and kept.
-    pub fn kept_tokens(&self, prompt: &[Part]) -> u64 {
-        let kept = prompt
+    /// Tokens of the prompt that need no prefill: those of its longest prefix of cached, prefilled parts.
+    pub fn cached_prefix_tokens(&self, prompt: &[Part]) -> u64 {
+        let cached = prompt
             .iter()
-            .take_while(|part| self.parts.get(&part.id).is_some_and(|kept| kept.read));
-        kept.map(|part| part.tokens).sum()
+            .take_while(|part| self.parts.get(&part.id).is_some_and(|hit| hit.prefilled));
+        cached.map(|part| part.tokens).sum()
     }
 
-    /// Takes the prompt's parts into use; parts not yet held get blocks. All of them or none.
-    pub fn take(&mut self, prompt: &[Part]) -> Result<(), OutOfMemory> {
-        for (taken, part) in prompt.iter().enumerate() {
-            if self.take_part(part).is_err() {
-                self.release(&prompt[..taken]);
+    /// References all parts of the prompt and allocates blocks for those not cached; all or nothing.
+    pub fn acquire(&mut self, prompt: &[Part]) -> Result<(), OutOfMemory> {
+        for (acquired, part) in prompt.iter().enumerate() {
+            if self.acquire_part(part).is_err() {
+                self.release(&prompt[..acquired]);
                 return Err(OutOfMemory);
             }
         }
         Ok(())
     }
 
-    /// Ends one use of each part. A part that was never read is dropped with its last user.
+    /// Releases one reference to each part. A part whose prefill is incomplete is dropped with its last reference.
     pub fn release(&mut self, prompt: &[Part]) {
         for part in prompt {
-            let Some(kept) = self.parts.get_mut(&part.id) else {
+            let Some(cached) = self.parts.get_mut(&part.id) else {
                 continue;
             };
-            kept.users = kept.users.saturating_sub(1);
-            if kept.users == 0 && !kept.read {
+            cached.reference_count = cached.reference_count.saturating_sub(1);
+            if cached.reference_count == 0 && !cached.prefilled {
                 self.parts.remove(&part.id);
             }
         }
     }
 
-    /// The parts have been read: others may now build on them.
-    pub fn mark_read(&mut self, prompt: &[Part]) {
+    /// Marks the parts as prefilled, so that other requests can skip them.
+    pub fn mark_prefilled(&mut self, prompt: &[Part]) {
         for part in prompt {
-            if let Some(kept) = self.parts.get_mut(&part.id) {
-                kept.read = true;
+            if let Some(cached) = self.parts.get_mut(&part.id) {
+                cached.prefilled = true;
             }
         }
     }
 
-    /// Gives `blocks` private blocks to a running request.
-    pub fn take_private(&mut self, blocks: u64) -> Result<(), OutOfMemory> {
-        self.make_room(blocks)?;
+    /// Allocates `blocks` private blocks for a running request.
+    pub fn allocate_private(&mut self, blocks: u64) -> Result<(), OutOfMemory> {
+        self.evict_until_free(blocks)?;
         self.private_blocks += blocks;
         Ok(())
     }
 
-    /// Returns private blocks.
+    /// Frees private blocks.
     pub fn release_private(&mut self, blocks: u64) {
         self.private_blocks -= blocks;
     }
 
-    /// Tokens of memory that cannot give way.
+    /// Size in tokens of all blocks that can't be evicted.
     pub fn used_tokens(&self) -> u64 {
         let in_use: u64 = self
             .parts
             .values()
-            .filter(|kept| kept.users > 0)
-            .map(|kept| kept.blocks)
+            .filter(|cached| cached.reference_count > 0)
+            .map(|cached| cached.blocks)
             .sum();
         (in_use + self.private_blocks) * self.block_tokens
     }
 
-    /// Tokens of memory in all.
+    /// Total size in tokens.
     pub fn total_tokens(&self) -> u64 {
         self.total_blocks * self.block_tokens
     }
 
-    /// Whether a part is held and was read.
-    pub fn holds(&self, id: u64) -> bool {
-        self.parts.get(&id).is_some_and(|kept| kept.read)
+    /// Whether a part is cached and prefilled.
+    pub fn contains(&self, id: u64) -> bool {
+        self.parts.get(&id).is_some_and(|hit| hit.prefilled)
     }
 
-    fn take_part(&mut self, part: &Part) -> Result<(), OutOfMemory> {
-        self.uses += 1;
-        if let Some(kept) = self.parts.get_mut(&part.id) {
-            kept.users += 1;
-            kept.last_use = self.uses;
+    fn acquire_part(&mut self, part: &Part) -> Result<(), OutOfMemory> {
+        self.use_counter += 1;
+        if let Some(cached) = self.parts.get_mut(&part.id) {
+            cached.reference_count += 1;
+            cached.last_use = self.use_counter;
             return Ok(());
         }
-        let blocks = self.blocks_of(part.tokens);
-        self.make_room(blocks)?;
+        let blocks = self.blocks_for(part.tokens);
+        self.evict_until_free(blocks)?;
         self.parts.insert(
             part.id,
-            KeptPart {
+            CachedPart {
                 blocks,
-                users: 1,
-                read: false,
-                last_use: self.uses,
+                reference_count: 1,
+                prefilled: false,
+                last_use: self.use_counter,
             },
         );
         Ok(())
     }
 
     fn free_blocks(&self) -> u64 {
-        let held: u64 = self.parts.values().map(|kept| kept.blocks).sum();
-        self.total_blocks - held - self.private_blocks
+        let cached_blocks: u64 = self.parts.values().map(|cached| cached.blocks).sum();
+        self.total_blocks - cached_blocks - self.private_blocks
     }
 
-    /// Lets the least recently used parts give way until `blocks` are free.
-    fn make_room(&mut self, blocks: u64) -> Result<(), OutOfMemory> {
-        let may_give_way: u64 = self
+    /// Evicts the least recently used unreferenced parts until `blocks` are free.
+    fn evict_until_free(&mut self, blocks: u64) -> Result<(), OutOfMemory> {
+        let evictable: u64 = self
             .parts
             .values()
-            .filter(|kept| kept.users == 0)
-            .map(|kept| kept.blocks)
+            .filter(|cached| cached.reference_count == 0)
+            .map(|cached| cached.blocks)
             .sum();
-        if self.free_blocks() + may_give_way < blocks {
+        if self.free_blocks() + evictable < blocks {
             return Err(OutOfMemory);
         }
         while self.free_blocks() < blocks {
-            let unused = self.parts.iter().filter(|(_, kept)| kept.users == 0);
-            let oldest = unused
-                .min_by_key(|(_, kept)| kept.last_use)
+            let unreferenced = self
+                .parts
+                .iter()
+                .filter(|(_, cached)| cached.reference_count == 0);
+            let least_recent = unreferenced
+                .min_by_key(|(_, cached)| cached.last_use)
                 .map(|(id, _)| *id);
-            self.parts.remove(&oldest.ok_or(OutOfMemory)?);
+            self.parts.remove(&least_recent.ok_or(OutOfMemory)?);
         }
         Ok(())
     }
--- a/crates/lockusher-router-testbed/src/engine/mod.rs
+++ b/crates/lockusher-router-testbed/src/engine/mod.rs
@@ -1,10 +1,10 @@
-//! A plain model of a searcher's inference engine: batch, steps, prefill in pieces, KV cache with least
-//! recently used parts, prompt handles, preemption and changes of stage.
+//! A simple model of a searcher's inference engine: batch steps, chunked prefill, an LRU prefix cache, prompt
+//! handles, preemption and stage changes.
 //!
-//! Time is virtual, in microseconds, and passed in by the caller; there is no I/O. Drive it so: call
-//! [`Engine::advance`] with the present time, act on its [`Output`]s, then call again no later than
-//! [`Engine::next_event_at`]. The model follows the word of the protocol page: "Requests" and
-//! "Prefill and decode".
+//! The model has no I/O and no clock: time is virtual, in microseconds, and passed in by the caller. The caller
+//! calls [`Engine::advance`] with the current time, handles the [`Output`]s and calls again no later than
+//! [`Engine::next_event_at`]. The model follows the sections "Requests" and "Prefill and decode" of the protocol
+//! page.
 
 mod admission;
 mod batch;
@@ -17,5 +17,5 @@
 pub use memory::{KvMemory, OutOfMemory};
 pub use types::{
     Distance, EngineParameters, HandleId, JobKey, KvTransfer, MICROS_PER_MS, Micros, NO_DEADLINE,
-    OrderAnswer, Output, Part, Rejection, Report, Stage, Submission,
+    OrderResponse, Output, Part, Rejection, Report, Stage, Submission,
 };
--- a/crates/lockusher-router-testbed/src/engine/stages.rs
+++ b/crates/lockusher-router-testbed/src/engine/stages.rs
@@ -1,61 +1,75 @@
-//! Changes of stage.
+//! Stage changes between prefill and decode.
 
-use super::batch::{Engine, Switch};
-use super::types::{JobKey, Micros, OrderAnswer, Output, Rejection, Stage};
+use super::batch::{Engine, StageSwitch};
+use super::types::{JobKey, Micros, OrderResponse, Output, Rejection, Stage};
 
 impl Engine {
-    /// Changes the stage: what runs may finish, what has not begun is rejected.
-    pub fn order_stage(&mut self, now: Micros, to: Stage, if_sequence: Option<u64>) -> OrderAnswer {
-        self.play_until(now);
-        if if_sequence.is_some_and(|expected| expected != self.orders_taken) {
-            return OrderAnswer::Conflict;
+    /// Starts a stage change: started requests finish, all others are rejected.
+    ///
+    /// `if_sequence` makes the order conditional on the number of orders accepted so far.
+    pub fn order_stage(
+        &mut self,
+        now: Micros,
+        target: Stage,
+        if_sequence: Option<u64>,
+    ) -> OrderResponse {
+        self.run_until(now);
+        if if_sequence.is_some_and(|expected| expected != self.accepted_orders) {
+            return OrderResponse::Conflict;
         }
         if let Some(switch) = self.switch {
-            return if switch.to == to {
-                OrderAnswer::AlreadyHolds
+            return if switch.target == target {
+                OrderResponse::AlreadyInStage
             } else {
-                OrderAnswer::Conflict
+                OrderResponse::Conflict
             };
         }
-        if self.stage == to {
-            return OrderAnswer::AlreadyHolds;
+        if self.stage == target {
+            return OrderResponse::AlreadyInStage;
         }
-        self.orders_taken += 1;
-        self.switch = Some(Switch { to, done: None });
-        self.reject_not_begun(now);
-        self.settle_switch(now);
-        OrderAnswer::Accepted
+        self.accepted_orders += 1;
+        self.switch = Some(StageSwitch {
+            target,
+            completes_at: None,
+        });
+        self.reject_not_started(now);
+        self.advance_stage_switch(now);
+        OrderResponse::Accepted
     }
 
-    fn reject_not_begun(&mut self, at: Micros) {
-        let rejected: Vec<JobKey> = self
+    /// Rejects every request that has not generated a token.
+    fn reject_not_started(&mut self, at: Micros) {
+        let not_started: Vec<JobKey> = self
             .jobs
             .values()
-            .filter(|job| !job.begun)
+            .filter(|job| !job.has_started)
             .map(|job| job.key)
             .collect();
-        for key in rejected {
+        for key in not_started {
             if let Some(job) = self.jobs.remove(&key) {
                 self.release_memory(&job);
                 self.outputs.push_back(Output::Rejected {
                     job: key,
-                    why: Rejection::Busy,
+                    reason: Rejection::Busy,
                     at,
                 });
             }
         }
     }
 
-    /// Starts the change of stage once nothing runs, and ends it when its time is over.
-    pub(super) fn settle_switch(&mut self, at: Micros) {
+    /// Starts the timer of a stage change once no request is left, and completes the change when it expires.
+    pub(super) fn advance_stage_switch(&mut self, at: Micros) {
         let Some(switch) = self.switch else { return };
-        match switch.done {
+        match switch.completes_at {
             None if self.jobs.is_empty() => {
-                let done = Some(at + self.parameters.role_switch);
-                self.switch = Some(Switch { done, ..switch });
+                let completes_at = Some(at + self.parameters.role_switch);
+                self.switch = Some(StageSwitch {
+                    completes_at,
+                    ..switch
+                });
             }
-            Some(done) if done <= at => {
-                self.stage = switch.to;
+            Some(completes_at) if completes_at <= at => {
+                self.stage = switch.target;
                 self.switch = None;
             }
             _ => {}
--- a/crates/lockusher-router-testbed/src/engine/types.rs
+++ b/crates/lockusher-router-testbed/src/engine/types.rs
@@ -1,25 +1,25 @@
-//! Values that go into and come out of the engine model.
+//! Inputs and outputs of the engine model.
 
-/// Virtual time or a span of it, in microseconds.
+/// A virtual time or duration, in microseconds.
 pub type Micros = u64;
 
 /// Microseconds in a millisecond.
 pub const MICROS_PER_MS: Micros = 1000;
 
-/// The deadline of a request that never gives up.
+/// Deadline of a request without a time limit.
 pub const NO_DEADLINE: Micros = Micros::MAX;
 
-/// What a searcher does for a request.
+/// The stage of inference that a searcher serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Reads prompts and holds their KV cache for a decode searcher.
+    /// Prefills prompts and holds their KV cache for a decode searcher.
     Prefill,
-    /// Makes tokens; reads prompts too, at half the pace and in pieces a quarter as large.
+    /// Generates tokens; also prefills prompts, at half the speed and in chunks a quarter as large.
     Decode,
 }
 
 impl Stage {
-    /// The word on the wire.
+    /// The name on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             Stage::Prefill => "prefill",
@@ -28,45 +28,45 @@
     }
 }
 
-/// One part of a prompt: requests that name the same part share its KV cache.
+/// A part of a prompt; requests whose prompts start with the same parts share their KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Part {
     pub id: u64,
     pub tokens: u64,
 }
 
-/// The figures of one engine.
+/// Parameters of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineParameters {
-    /// Requests that run at once in the batch.
+    /// Maximum number of requests in the batch.
     pub slots: usize,
-    /// Requests that wait for a slot before more are rejected.
+    /// Maximum number of requests waiting for a slot; more are rejected.
     pub queue_limit: usize,
-    /// Tokens that the KV cache holds.
+    /// Capacity of the KV cache in tokens.
     pub cache_tokens: u64,
-    /// Tokens in one block of memory; memory is given by whole blocks.
+    /// Tokens in one block, the unit in which KV cache is allocated.
     pub block_tokens: u64,
-    /// Bytes of one token in the KV cache.
+    /// Size of one token in the KV cache, in bytes.
     pub cache_token_bytes: u64,
-    /// Shortest step of the batch.
+    /// Base duration of a step of the batch.
     pub step: Micros,
-    /// What each request that makes a token adds to a step.
+    /// Duration that each decoding request adds to a step.
     pub step_per_request: Micros,
-    /// Prompt tokens that a prefill searcher reads in a millisecond.
+    /// Prefill speed of a prefill searcher, in tokens per millisecond.
     pub prefill_tokens_per_ms: u64,
-    /// Prompt tokens that a prefill searcher reads in one step at most.
+    /// Maximum number of prompt tokens that a prefill searcher processes in one step.
     pub piece_tokens: u64,
-    /// Rate of the link over which KV cache is fetched, in megabits a second.
+    /// Bandwidth of the link for KV transfers, in megabits per second.
     pub link_mbps: f64,
-    /// How long the KV cache of a prefilled prompt is held.
+    /// How long the KV cache of a prefilled prompt is held for a decode searcher.
     pub handle_hold: Micros,
-    /// How long a change of stage takes once the running requests have ended.
+    /// How long a stage change takes once the running requests have ended.
     pub role_switch: Micros,
-    /// The longest that a fetch may wait for the link before it is refused.
+    /// Longest wait of a KV transfer for the link; requests that would wait longer are rejected.
     pub longest_link_wait: Micros,
 }
 
-/// The link between the searcher that read a prompt and the one that fetches it.
+/// Network distance between the searcher that prefilled a prompt and the one that fetches its KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
     SameZone,
@@ -75,7 +75,7 @@
 }
 
 impl Distance {
-    /// How many times longer a fetch takes than within a zone.
+    /// Factor on the duration of a KV transfer, relative to one within a zone.
     pub fn factor(self) -> u64 {
         match self {
             Distance::SameZone => 1,
@@ -85,102 +85,107 @@
     }
 }
 
-/// KV cache taken from another engine by its handle.
+/// KV cache to transfer from another engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KvTransfer {
     pub parts: Vec<Part>,
     pub distance: Distance,
 }
 
-/// A request as the engine takes it.
+/// A request as submitted to the engine.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// `None` means: make tokens. `Some(Prefill)` means: read the prompt and hold its KV cache.
+    /// If true, only prefill the prompt and hold its KV cache; if false, generate tokens.
     pub prefill_only: bool,
     /// The parts of the prompt, in order.
     pub prompt: Vec<Part>,
-    /// Tokens to make, those already made elsewhere included.
+    /// Tokens to generate, including those already generated elsewhere.
     pub tokens_out: u64,
-    /// Tokens that the client already has (`Last-Event-Id`): they are read like a prompt, not made.
-    pub tokens_already_made: u64,
+    /// Tokens that the client already has (`Last-Event-Id`): they are prefilled like a prompt, not generated.
+    pub tokens_already_generated: u64,
     /// 0 is the most urgent.
     pub priority: u8,
-    /// When the engine ceases work on it.
+    /// When the engine stops working on it.
     pub deadline: Micros,
-    /// KV cache to fetch before the request waits for a slot.
+    /// KV cache to transfer before the request waits for a slot.
     pub transfer: Option<KvTransfer>,
 }
 
-/// Names a request within one engine.
+/// Identifies a request within one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobKey(pub u64);
 
-/// Names held KV cache within one engine.
+/// Identifies the held KV cache of a prompt within one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct HandleId(pub u64);
 
-/// Why a request doesn't run here; each stands for an answer with `Not-Executed`.
+/// Why a request is not executed here; the response carries `Not-Executed`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The queue is full, or the request is larger than the memory.
+    /// The queue is full, or the request exceeds the KV cache.
     Full,
-    /// The searcher plays the other stage.
+    /// The searcher serves the other stage.
     WrongStage,
-    /// A change of stage is in progress.
+    /// A stage change is in progress.
     Busy,
-    /// The link is taken for too long.
+    /// The KV transfer would wait too long for the link.
     LinkBusy,
-    /// The deadline passed before it began.
+    /// The deadline passed before the request started.
     DeadlineInQueue,
 }
 
-/// What happened to a request.
+/// An event of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Tokens up to and including `made` now exist; with the first one the request has begun to run.
-    Token { job: JobKey, made: u64, at: Micros },
-    /// All tokens were made.
+    /// Tokens up to and including number `tokens_generated` exist; from the first one on the request counts as
+    /// executed.
+    Token {
+        job: JobKey,
+        tokens_generated: u64,
+        at: Micros,
+    },
+    /// All tokens are generated.
     Finished { job: JobKey, at: Micros },
-    /// The prompt was read and is held.
+    /// The prompt is prefilled, and its KV cache is held under `handle`.
     Prefilled {
         job: JobKey,
         handle: HandleId,
         tokens: u64,
         at: Micros,
     },
-    /// It gave way to a more urgent request and will be read anew.
+    /// It lost its slot and memory to another request and will repeat its prefill.
     Preempted { job: JobKey, at: Micros },
-    /// It did not run and never will.
+    /// It was not executed and never will be.
     Rejected {
         job: JobKey,
-        why: Rejection,
+        reason: Rejection,
         at: Micros,
     },
-    /// The deadline passed after it had begun; work ceased.
-    Abandoned { job: JobKey, at: Micros },
+    /// The deadline passed after it had started; it was dropped.
+    DeadlineExceeded { job: JobKey, at: Micros },
 }
 
-/// The answer to an order that changes the stage.
+/// The response to an order that changes the stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
-    /// 202: it is being done.
+pub enum OrderResponse {
+    /// 202: the stage change has started.
     Accepted,
-    /// 200: it already holds.
-    AlreadyHolds,
-    /// 409: another order is in progress, or the sequence differs.
+    /// 200: the stage is already current or being changed to.
+    AlreadyInStage,
+    /// 409: another stage change is in progress, or the sequence differs.
     Conflict,
 }
 
-/// What the engine tells of itself.
+/// The engine's state, as in `GET /api/report`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     pub stage: Stage,
     pub busy: bool,
-    /// Orders taken.
+    /// Number of orders accepted.
     pub sequence: u64,
     pub waiting: usize,
     pub running: usize,
-    /// Tokens of memory that cannot give way.
+    /// Size in tokens of the KV cache that can't be evicted.
     pub cache_used: u64,
     pub cache_total: u64,
     pub prompt_handles: usize,
--- a/crates/lockusher-router-testbed/src/http/connection.rs
+++ b/crates/lockusher-router-testbed/src/http/connection.rs
@@ -1,32 +1,32 @@
-//! One end of a connection: reads and writes whole messages, and bodies as they come.
+//! One end of an HTTP/1.1 connection: reads and writes messages, and streams bodies.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use super::{Answer, AnswerHead, Headers, HttpError, Request, malformed};
+use super::{AnswerHead, Headers, HttpError, Request, Response, malformed};
 
-/// The largest head that is read.
-const LONGEST_HEAD: usize = 64 * 1024;
-/// Bytes that are read from the socket at once.
-const READ_SIZE: usize = 16 * 1024;
-/// The shortest wait that a socket takes; zero would mean forever.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+/// Maximum size of a message head.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Size of the buffer for one read from the socket.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// The shortest socket timeout; the system takes zero for no timeout.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// How much of a body is still to come.
+/// How the rest of a body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length(u64),
-    /// Bytes left in the present chunk.
+    /// Bytes left in the current chunk.
     Chunked(u64),
     UntilClose,
     Ended,
 }
 
-/// What a look at a socket found.
-enum Peeked {
-    Nothing,
-    Bytes,
+/// State of a socket without reading from it.
+enum SocketState {
+    Idle,
+    Readable,
     Closed,
 }
 
@@ -41,7 +41,7 @@
 impl Connection {
     /// Wraps a connected socket.
     pub fn new(stream: TcpStream) -> Connection {
-        // Without it small events would wait for acknowledgements; a failure only makes them late.
+        // Nagle's algorithm would delay small events until earlier ones are acknowledged. A failure only delays them.
         let _ = stream.set_nodelay(true);
         Connection {
             stream,
@@ -51,74 +51,74 @@
         }
     }
 
-    /// Connects, giving up after `wait`.
-    pub fn open(address: SocketAddr, wait: Duration) -> Result<Connection, HttpError> {
-        let stream = TcpStream::connect_timeout(&address, wait.max(SHORTEST_WAIT))?;
+    /// Connects within `timeout`.
+    pub fn open(address: SocketAddr, timeout: Duration) -> Result<Connection, HttpError> {
+        let stream = TcpStream::connect_timeout(&address, timeout.max(MIN_TIMEOUT))?;
         Ok(Connection::new(stream))
     }
 
-    /// The moment at which reads give up; `None` waits for as long as it takes.
-    pub fn set_give_up(&mut self, moment: Option<Instant>) {
-        self.give_up = moment;
+    /// Sets the deadline of reads and writes; `None` means no timeout.
+    pub fn set_give_up(&mut self, deadline: Option<Instant>) {
+        self.give_up = deadline;
     }
 
-    /// The socket itself, for faults.
+    /// The underlying socket, for fault injection.
     pub fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Whether bytes came that nobody asked for.
+    /// Whether bytes were received that belong to no expected message.
     pub fn has_surplus(&mut self) -> bool {
-        !self.unread.is_empty() || matches!(self.peek(), Peeked::Bytes)
+        !self.unread.is_empty() || matches!(self.state(), SocketState::Readable)
     }
 
     /// Whether the peer has closed or reset the connection.
     pub fn peer_has_closed(&mut self) -> bool {
-        matches!(self.peek(), Peeked::Closed)
+        matches!(self.state(), SocketState::Closed)
     }
 
-    /// Looks at the socket without waiting.
-    fn peek(&mut self) -> Peeked {
+    /// Checks the socket without blocking.
+    fn state(&mut self) -> SocketState {
         if self.stream.set_nonblocking(true).is_err() {
-            return Peeked::Closed;
+            return SocketState::Closed;
         }
         let peeked = self.stream.peek(&mut [0]);
         if self.stream.set_nonblocking(false).is_err() {
-            return Peeked::Closed;
+            return SocketState::Closed;
         }
         match peeked {
-            Ok(0) => Peeked::Closed,
-            Ok(_) => Peeked::Bytes,
-            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => Peeked::Nothing,
-            Err(_) => Peeked::Closed,
+            Ok(0) => SocketState::Closed,
+            Ok(_) => SocketState::Readable,
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => SocketState::Idle,
+            Err(_) => SocketState::Closed,
         }
     }
 
-    /// Writes bytes.
+    /// Writes all bytes before the deadline.
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), HttpError> {
         self.stream.set_write_timeout(self.time_left()?)?;
         self.stream.write_all(bytes)?;
         Ok(())
     }
 
-    /// Ends the connection with a reset in place of an orderly close.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.stream);
-        // A socket that is gone already needs no reset.
+        // A socket that is already closed needs no reset.
         let _ = socket.set_linger(Some(Duration::ZERO));
     }
 
-    /// Reads a whole request; `None` when the peer closed before its first byte.
+    /// Reads a request with its body; `None` when the peer closed before its first byte.
     pub fn read_request(&mut self) -> Result<Option<Request>, HttpError> {
         let Some(head) = self.read_head()? else {
             return Ok(None);
         };
         let (start, headers) = parse_head(&head)?;
-        let mut words = start.split(' ');
+        let mut fields = start.split(' ');
         let (Some(method), Some(target), Some("HTTP/1.1"), None) =
-            (words.next(), words.next(), words.next(), words.next())
+            (fields.next(), fields.next(), fields.next(), fields.next())
         else {
-            return Err(malformed(format!("request line {start:?}")));
+            return Err(malformed(format!("invalid request line {start:?}")));
         };
         self.framing = framing_of(&headers, Framing::Ended)?;
         let body = self.read_body()?;
@@ -130,7 +130,7 @@
         }))
     }
 
-    /// Reads the head of an answer; its body follows by [`Connection::read_piece`].
+    /// Reads the head of a response; [`Connection::read_piece`] reads its body.
     pub fn read_answer_head(&mut self) -> Result<AnswerHead, HttpError> {
         let head = self.read_head()?.ok_or(HttpError::ClosedEarly)?;
         let (start, headers) = parse_head(&head)?;
@@ -139,58 +139,58 @@
             .and_then(|rest| rest.get(..3))
             .and_then(|code| code.parse().ok());
         let Some(status) = status else {
-            return Err(malformed(format!("status line {start:?}")));
+            return Err(malformed(format!("invalid status line {start:?}")));
         };
         self.framing = framing_of(&headers, Framing::UntilClose)?;
         Ok(AnswerHead { status, headers })
     }
 
-    /// Reads a whole answer.
-    pub fn read_answer(&mut self) -> Result<Answer, HttpError> {
+    /// Reads a response with its body.
+    pub fn read_response(&mut self) -> Result<Response, HttpError> {
         let head = self.read_answer_head()?;
         let body = self.read_body()?;
-        Ok(Answer {
+        Ok(Response {
             status: head.status,
             headers: head.headers,
             body,
         })
     }
 
-    /// Whether the connection may carry another message after this one.
+    /// Whether the connection can be reused after the message with these headers.
     pub fn may_be_reused(&self, headers: &Headers) -> bool {
-        self.framing == Framing::Ended && !headers.has_word("Connection", "close")
+        self.framing == Framing::Ended && !headers.has_token("Connection", "close")
     }
 
-    /// The next bytes of the body as they come; `None` at its end.
+    /// Reads the next bytes of the body; `None` at its end.
     pub fn read_piece(&mut self) -> Result<Option<Vec<u8>>, HttpError> {
         match self.framing {
             Framing::Ended | Framing::Length(0) => {
                 self.framing = Framing::Ended;
                 Ok(None)
             }
-            Framing::Length(left) => {
-                let piece = self.take_some(left)?;
-                self.framing = Framing::Length(left - piece.len() as u64);
-                Ok(Some(piece))
+            Framing::Length(remaining) => {
+                let bytes = self.take_up_to(remaining)?;
+                self.framing = Framing::Length(remaining - bytes.len() as u64);
+                Ok(Some(bytes))
             }
             Framing::UntilClose => self.read_until_close(),
             Framing::Chunked(0) => self.read_chunk_line(),
-            Framing::Chunked(left) => {
-                let piece = self.take_some(left)?;
-                let left = left - piece.len() as u64;
-                if left == 0 {
-                    self.expect_line_end()?;
+            Framing::Chunked(remaining) => {
+                let bytes = self.take_up_to(remaining)?;
+                let remaining = remaining - bytes.len() as u64;
+                if remaining == 0 {
+                    self.expect_chunk_end()?;
                 }
-                self.framing = Framing::Chunked(left);
-                Ok(Some(piece))
+                self.framing = Framing::Chunked(remaining);
+                Ok(Some(bytes))
             }
         }
     }
 
     fn read_body(&mut self) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
-        while let Some(piece) = self.read_piece()? {
-            body.extend_from_slice(&piece);
+        while let Some(bytes) = self.read_piece()? {
+            body.extend_from_slice(&bytes);
         }
         Ok(body)
     }
@@ -207,7 +207,7 @@
         let line = self.read_line()?;
         let digits = line.split(';').next().unwrap_or_default().trim();
         let size = u64::from_str_radix(digits, 16)
-            .map_err(|_| malformed(format!("chunk size {line:?}")))?;
+            .map_err(|_| malformed(format!("invalid chunk size {line:?}")))?;
         if size > 0 {
             self.framing = Framing::Chunked(size);
             return self.read_piece();
@@ -217,16 +217,18 @@
         Ok(None)
     }
 
-    fn expect_line_end(&mut self) -> Result<(), HttpError> {
+    fn expect_chunk_end(&mut self) -> Result<(), HttpError> {
         match self.read_line()?.as_str() {
             "" => Ok(()),
-            rest => Err(malformed(format!("{rest:?} after a chunk"))),
+            rest => Err(malformed(format!(
+                "expected CRLF after a chunk, got {rest:?}"
+            ))),
         }
     }
 
     fn read_line(&mut self) -> Result<String, HttpError> {
         let line = self.read_until(b"\r\n")?.ok_or(HttpError::ClosedEarly)?;
-        String::from_utf8(line).map_err(|_| malformed("a line that is no text"))
+        String::from_utf8(line).map_err(|_| malformed("line is not valid UTF-8"))
     }
 
     fn read_head(&mut self) -> Result<Option<String>, HttpError> {
@@ -235,24 +237,24 @@
         };
         String::from_utf8(head)
             .map(Some)
-            .map_err(|_| malformed("a head that is no text"))
+            .map_err(|_| malformed("head is not valid UTF-8"))
     }
 
-    /// Bytes up to an end mark, which is dropped; `None` when the peer closed before any byte.
-    fn read_until(&mut self, mark: &[u8]) -> Result<Option<Vec<u8>>, HttpError> {
+    /// Reads up to a delimiter, which is dropped; `None` when the peer closed before any byte.
+    fn read_until(&mut self, delimiter: &[u8]) -> Result<Option<Vec<u8>>, HttpError> {
         loop {
             if let Some(at) = self
                 .unread
-                .windows(mark.len())
-                .position(|window| window == mark)
+                .windows(delimiter.len())
+                .position(|window| window == delimiter)
             {
-                let rest = self.unread.split_off(at + mark.len());
+                let rest = self.unread.split_off(at + delimiter.len());
                 let mut found = std::mem::replace(&mut self.unread, rest);
                 found.truncate(at);
                 return Ok(Some(found));
             }
-            if self.unread.len() > LONGEST_HEAD {
-                return Err(malformed("a head without end"));
+            if self.unread.len() > MAX_HEAD_BYTES {
+                return Err(malformed("head exceeds the size limit"));
             }
             if self.fill()? == 0 {
                 return if self.unread.is_empty() {
@@ -264,24 +266,26 @@
         }
     }
 
-    fn take_some(&mut self, most: u64) -> Result<Vec<u8>, HttpError> {
+    /// Takes at most `limit` unread bytes, reading from the socket when there are none.
+    fn take_up_to(&mut self, limit: u64) -> Result<Vec<u8>, HttpError> {
         if self.unread.is_empty() && self.fill()? == 0 {
             return Err(HttpError::ClosedEarly);
         }
         let size = self
             .unread
             .len()
-            .min(usize::try_from(most).unwrap_or(usize::MAX));
+            .min(usize::try_from(limit).unwrap_or(usize::MAX));
         let rest = self.unread.split_off(size);
         Ok(std::mem::replace(&mut self.unread, rest))
     }
 
+    /// Reads once from the socket into `unread`; 0 when the peer has closed.
     fn fill(&mut self) -> Result<usize, HttpError> {
         self.stream.set_read_timeout(self.time_left()?)?;
-        let mut bytes = [0; READ_SIZE];
-        match self.stream.read(&mut bytes) {
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        match self.stream.read(&mut buffer) {
             Ok(size) => {
-                self.unread.extend_from_slice(&bytes[..size]);
+                self.unread.extend_from_slice(&buffer[..size]);
                 Ok(size)
             }
             Err(error) if is_timeout(&error) => Err(HttpError::TimedOut),
@@ -289,12 +293,13 @@
         }
     }
 
+    /// Time until the deadline; `None` without a deadline.
     fn time_left(&self) -> Result<Option<Duration>, HttpError> {
-        let Some(moment) = self.give_up else {
+        let Some(deadline) = self.give_up else {
             return Ok(None);
         };
-        match moment.checked_duration_since(Instant::now()) {
-            Some(left) if left >= SHORTEST_WAIT => Ok(Some(left)),
+        match deadline.checked_duration_since(Instant::now()) {
+            Some(remaining) if remaining >= MIN_TIMEOUT => Ok(Some(remaining)),
             _ => Err(HttpError::TimedOut),
         }
     }
@@ -313,22 +318,22 @@
     let mut headers = Headers::default();
     for line in lines {
         let Some((name, value)) = line.split_once(':') else {
-            return Err(malformed(format!("header line {line:?}")));
+            return Err(malformed(format!("invalid header line {line:?}")));
         };
         headers.push(name, value.trim());
     }
     Ok((start, headers))
 }
 
-fn framing_of(headers: &Headers, otherwise: Framing) -> Result<Framing, HttpError> {
-    if headers.has_word("Transfer-Encoding", "chunked") {
+fn framing_of(headers: &Headers, default: Framing) -> Result<Framing, HttpError> {
+    if headers.has_token("Transfer-Encoding", "chunked") {
         return Ok(Framing::Chunked(0));
     }
     match headers.get("Content-Length") {
-        None => Ok(otherwise),
+        None => Ok(default),
         Some(value) => value
             .parse()
             .map(Framing::Length)
-            .map_err(|_| malformed(format!("length {value:?}"))),
+            .map_err(|_| malformed(format!("invalid Content-Length {value:?}"))),
     }
 }
--- a/crates/lockusher-router-testbed/src/http/mod.rs
+++ b/crates/lockusher-router-testbed/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! A small, strict HTTP/1.1 over blocking sockets.
+//! A small, strict HTTP/1.1 implementation over blocking sockets.
 //!
-//! The stand-ins use it in place of a library because they must see every byte (an answer too many, a body cut
-//! short) and must be able to misbehave on purpose. Each side reads with a moment at which it gives up.
+//! The stand-ins use it instead of a library because they must detect every protocol error (a surplus response, a
+//! truncated body) and must be able to misbehave on purpose. Each side sets a deadline for its reads and writes.
 
 mod connection;
 
@@ -11,18 +11,18 @@
 /// Why a message could not be read or written.
 #[derive(Debug, Display, Error, From)]
 pub enum HttpError {
-    /// The socket failed.
+    /// An operation on the socket failed.
     #[display("socket: {_0}")]
     Io(std::io::Error),
-    /// The moment to give up has come.
-    #[display("gave up waiting")]
+    /// The deadline passed.
+    #[display("timed out")]
     #[from(ignore)]
     TimedOut,
-    /// The peer closed before the message was whole.
-    #[display("closed before the end of the message")]
+    /// The peer closed the connection before the message was complete.
+    #[display("connection closed before the end of the message")]
     #[from(ignore)]
     ClosedEarly,
-    /// The bytes are not HTTP.
+    /// The bytes received are not valid HTTP.
     #[display("not HTTP: {reason}")]
     #[from(ignore)]
     Malformed { reason: String },
@@ -34,14 +34,14 @@
     }
 }
 
-/// Header lines in their order.
+/// Header lines in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     lines: Vec<(String, String)>,
 }
 
 impl Headers {
-    /// Adds a line.
+    /// Appends a header line.
     pub fn push(&mut self, name: &str, value: impl Into<String>) {
         self.lines.push((name.to_owned(), value.into()));
     }
@@ -51,7 +51,7 @@
         let mut found = self
             .lines
             .iter()
-            .filter(|(known, _)| known.eq_ignore_ascii_case(name));
+            .filter(|(line_name, _)| line_name.eq_ignore_ascii_case(name));
         found.next().map(|(_, value)| value.as_str())
     }
 
@@ -60,16 +60,16 @@
         self.get(name)?.trim().parse().ok()
     }
 
-    /// Whether a header names `word` among its comma-separated values.
-    pub fn has_word(&self, name: &str, word: &str) -> bool {
+    /// Whether the comma-separated values of a header contain `token`, ignoring case.
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
         let mut values = self
             .lines
             .iter()
-            .filter(|(known, _)| known.eq_ignore_ascii_case(name));
+            .filter(|(line_name, _)| line_name.eq_ignore_ascii_case(name));
         values.any(|(_, value)| {
             value
                 .split(',')
-                .any(|one| one.trim().eq_ignore_ascii_case(word))
+                .any(|value| value.trim().eq_ignore_ascii_case(token))
         })
     }
 
@@ -79,18 +79,18 @@
     }
 }
 
-/// A whole request.
+/// A request with its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     pub method: String,
-    /// Path with its query.
+    /// Path and query.
     pub target: String,
     pub headers: Headers,
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// A request without headers and body.
+    /// Creates a request without headers and body.
     pub fn new(method: &str, target: &str) -> Request {
         Request {
             method: method.to_owned(),
@@ -100,22 +100,22 @@
         }
     }
 
-    /// Adds a header.
+    /// Appends a header.
     pub fn header(mut self, name: &str, value: impl Into<String>) -> Request {
         self.headers.push(name, value);
         self
     }
 
-    /// Sets the body; its length is added when the request is written.
+    /// Sets the body; `Content-Length` is added when the request is encoded.
     pub fn body(mut self, body: impl Into<Vec<u8>>) -> Request {
         self.body = body.into();
         self
     }
 
-    /// The bytes on the wire.
+    /// Encodes the request.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut head = format!("{} {} HTTP/1.1\r\n", self.method, self.target);
-        push_lines(&mut head, &self.headers);
+        push_headers(&mut head, &self.headers);
         if !self.body.is_empty() || self.method != "GET" {
             head.push_str(&format!("Content-Length: {}\r\n", self.body.len()));
         }
@@ -126,50 +126,50 @@
     }
 }
 
-/// An answer with its whole body.
+/// A response with its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: Headers,
     pub body: Vec<u8>,
 }
 
-impl Answer {
-    /// An answer without headers and body.
-    pub fn new(status: u16) -> Answer {
-        Answer {
+impl Response {
+    /// Creates a response without headers and body.
+    pub fn new(status: u16) -> Response {
+        Response {
             status,
             headers: Headers::default(),
             body: Vec::new(),
         }
     }
 
-    /// Adds a header.
-    pub fn header(mut self, name: &str, value: impl Into<String>) -> Answer {
+    /// Appends a header.
+    pub fn header(mut self, name: &str, value: impl Into<String>) -> Response {
         self.headers.push(name, value);
         self
     }
 
     /// Sets the body.
-    pub fn body(mut self, body: impl Into<Vec<u8>>) -> Answer {
+    pub fn body(mut self, body: impl Into<Vec<u8>>) -> Response {
         self.body = body.into();
         self
     }
 
     /// Sets a JSON body.
-    pub fn json(self, value: &serde_json::Value) -> Answer {
+    pub fn json(self, value: &serde_json::Value) -> Response {
         self.header("Content-Type", "application/json")
             .body(value.to_string())
     }
 
-    /// The bytes on the wire, with the body's length.
+    /// Encodes the response with its `Content-Length`.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = self.head_bytes(&format!("Content-Length: {}\r\n", self.body.len()));
         bytes.extend_from_slice(&self.body);
         bytes
     }
 
-    /// The head alone, of an answer whose body follows in chunks.
+    /// Encodes the head of a response whose body follows in chunks.
     pub fn chunked_head(&self) -> Vec<u8> {
         self.head_bytes("Transfer-Encoding: chunked\r\n")
     }
@@ -180,14 +180,14 @@
             self.status,
             reason_phrase(self.status)
         );
-        push_lines(&mut head, &self.headers);
+        push_headers(&mut head, &self.headers);
         head.push_str(framing);
         head.push_str("\r\n");
         head.into_bytes()
     }
 }
 
-/// One chunk of a chunked body.
+/// Encodes one chunk of a chunked body.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
     chunk.extend_from_slice(bytes);
@@ -195,10 +195,10 @@
     chunk
 }
 
-/// The end of a chunked body.
+/// The last chunk, which ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-fn push_lines(head: &mut String, headers: &Headers) {
+fn push_headers(head: &mut String, headers: &Headers) {
     for (name, value) in headers.lines() {
         head.push_str(&format!("{name}: {value}\r\n"));
     }
@@ -221,7 +221,7 @@
     }
 }
 
-/// The head of an answer whose body is still to be read.
+/// The head of a response whose body is not yet read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
     pub status: u16,
--- a/crates/lockusher-router-testbed/src/kv_network.rs
+++ b/crates/lockusher-router-testbed/src/kv_network.rs
@@ -1,7 +1,7 @@
-//! How model searchers reach each other's held prompts.
+//! Transfers of held prompts between model searchers.
 //!
-//! What searchers say to one another is not part of the protocol: inside this process they share memory. The
-//! time that a transfer takes is the engine model's.
+//! The protocol does not specify how searchers transfer KV cache. Here they run in one process and access each
+//! other directly; the engine model computes how long a transfer takes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,46 +13,46 @@
 use crate::searcher::Identity;
 use crate::server::lock;
 
-/// The searchers of one process, by address.
+/// The model searchers of one process, by address.
 #[derive(Clone, Default)]
 pub struct KvNetwork {
     searchers: Arc<Mutex<HashMap<SocketAddr, Weak<ModelCore>>>>,
-    cut: Arc<AtomicBool>,
+    partitioned: Arc<AtomicBool>,
 }
 
 impl KvNetwork {
-    pub(crate) fn join(&self, address: SocketAddr, core: &Arc<ModelCore>) {
+    pub(crate) fn register(&self, address: SocketAddr, core: &Arc<ModelCore>) {
         lock(&self.searchers).insert(address, Arc::downgrade(core));
     }
 
-    pub(crate) fn leave(&self, address: SocketAddr) {
+    pub(crate) fn unregister(&self, address: SocketAddr) {
         lock(&self.searchers).remove(&address);
     }
 
-    /// While it is cut no prompt can be had.
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::SeqCst);
+    /// While the network is partitioned, no prompt can be transferred.
+    pub fn set_cut(&self, partitioned: bool) {
+        self.partitioned.store(partitioned, Ordering::SeqCst);
     }
 
-    /// Takes the prompt that `IP:PORT/HANDLE` names, with the id of the request that it was read for.
-    pub(crate) fn take(&self, kv_from: &str, taker: &Identity) -> Option<(KvTransfer, String)> {
-        if self.cut.load(Ordering::SeqCst) {
+    /// Takes the prompt that `IP:PORT/HANDLE` names and returns it with the id of the request that prefilled it.
+    pub(crate) fn take(&self, kv_from: &str, target: &Identity) -> Option<(KvTransfer, String)> {
+        if self.partitioned.load(Ordering::SeqCst) {
             return None;
         }
         let (address, handle) = kv_from.split_once('/')?;
         let source = lock(&self.searchers)
             .get(&address.parse().ok()?)?
             .upgrade()?;
-        let (parts, request_id) = source.take_held(handle)?;
-        let distance = distance(&source.identity, taker);
+        let (parts, request_id) = source.take_held_prompt(handle)?;
+        let distance = distance(&source.identity, target);
         Some((KvTransfer { parts, distance }, request_id))
     }
 }
 
-fn distance(one: &Identity, other: &Identity) -> Distance {
-    if one.region != other.region {
+fn distance(source: &Identity, target: &Identity) -> Distance {
+    if source.region != target.region {
         Distance::OtherRegion
-    } else if one.zone != other.zone {
+    } else if source.zone != target.zone {
         Distance::OtherZone
     } else {
         Distance::SameZone
--- a/crates/lockusher-router-testbed/src/model_http.rs
+++ b/crates/lockusher-router-testbed/src/model_http.rs
@@ -1,4 +1,4 @@
-//! The HTTP side of a model searcher: requests, streams, handles, reports and orders.
+//! HTTP handler of a model searcher: requests, event streams, prompt handles, reports and stage orders.
 
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -7,49 +7,57 @@
 use serde_json::{Value, json};
 
 use crate::engine::{
-    JobKey, MICROS_PER_MS, Micros, NO_DEADLINE, OrderAnswer, Output, Part, Rejection, Stage,
+    JobKey, MICROS_PER_MS, Micros, NO_DEADLINE, OrderResponse, Output, Part, Rejection, Stage,
     Submission,
 };
-use crate::http::{Answer, Connection, HttpError, LAST_CHUNK, Request, chunk};
+use crate::http::{Connection, HttpError, LAST_CHUNK, Request, Response, chunk};
 use crate::model_searcher::ModelCore;
 use crate::record::{ArrivalKey, ArrivalOutcome, EventRecord, Run, RunBody, digest};
-use crate::searcher::{CALLER_POLL, Fault, arrival_of, health, keep_silent, not_executed, screen};
+use crate::searcher::{
+    DISCONNECT_POLL_INTERVAL, Fault, check_preconditions, hang_until_disconnect, health_response,
+    new_arrival, not_executed,
+};
 use crate::server::{Handler, Next, lock};
 
-/// Urgency of a request that doesn't say.
-const ORDINARY_PRIORITY: u8 = 5;
-/// Where held prompts are freed.
+/// Priority of a request without a `Priority` header.
+const DEFAULT_PRIORITY: u8 = 5;
+/// Path prefix under which held prompts are deleted.
 const HANDLE_PREFIX: &str = "/api/kv-handle/";
 
+/// Serves the requests to one model searcher.
 pub(crate) struct ModelHandler {
     core: Arc<ModelCore>,
+    /// Highest fencing token of the orders so far.
     highest_fence: Mutex<u64>,
 }
 
-/// A stream that is being written.
+/// The state of a response stream.
 struct Stream<'a> {
     request_id: &'a str,
     arrival: ArrivalKey,
     signature: String,
     tokens_out: u64,
-    /// The last token of the event before.
-    sent_tokens: u64,
-    events: usize,
+    /// Number of the last token sent.
+    tokens_sent: u64,
+    events_sent: usize,
     fault: Option<Fault>,
 }
 
 impl Handler for ModelHandler {
     fn handle(&self, request: Request, connection: &mut Connection) -> Next {
-        let well = !self.core.draining.load(Ordering::SeqCst);
+        let is_healthy = !self.core.draining.load(Ordering::SeqCst);
         match (request.method.as_str(), request.target.as_str()) {
             ("GET", path) if path == self.core.parameters.health_path => {
-                self.answer(connection, health(&self.core.identity, well))
+                self.send(connection, health_response(&self.core.identity, is_healthy))
             }
-            ("GET", "/api/report") => self.answer(connection, self.report()),
-            ("POST", "/api/order") => self.answer(connection, self.order(&request)),
+            ("GET", "/api/report") => self.send(connection, self.report()),
+            ("POST", "/api/order") => self.send(connection, self.handle_order(&request)),
             ("DELETE", path) if path.starts_with(HANDLE_PREFIX) => {
-                let freed = self.core.take_held(&path[HANDLE_PREFIX.len()..]).is_some();
-                self.answer(connection, Answer::new(if freed { 200 } else { 404 }))
+                let freed = self
+                    .core
+                    .take_held_prompt(&path[HANDLE_PREFIX.len()..])
+                    .is_some();
+                self.send(connection, Response::new(if freed { 200 } else { 404 }))
             }
             _ => self.serve(&request, connection),
         }
@@ -57,6 +65,7 @@
 }
 
 impl ModelHandler {
+    /// Creates the handler of a searcher.
     pub fn new(core: Arc<ModelCore>) -> ModelHandler {
         ModelHandler {
             core,
@@ -65,20 +74,22 @@
     }
 
     fn serve(&self, request: &Request, connection: &mut Connection) -> Next {
-        let record = arrival_of(request, &self.core.identity, self.core.clock.now());
-        let arrival = self.core.ledger.arrive(record);
-        if let Some(answer) = screen(request, &self.core.identity) {
-            return self.reject(connection, arrival, answer);
+        let record = new_arrival(request, &self.core.identity, self.core.clock.now());
+        let arrival = self.core.ledger.record(record);
+        if let Some(response) = check_preconditions(request, &self.core.identity) {
+            return self.reject(connection, arrival, response);
         }
         let request_id = request
             .headers
             .get("Request-Identifier")
             .unwrap_or_default();
-        let mut submission = submission_of(request, self.core.clock.now());
-        let fault = self.core.faults.next(submission.prefill_only);
+        let mut submission = parse_submission(request, self.core.clock.now());
+        let fault = self.core.faults.take_next(submission.prefill_only);
         match fault {
             Some(Fault::ResetAfterRequest) => {
-                self.core.ledger.settle(arrival, ArrivalOutcome::Broken);
+                self.core
+                    .ledger
+                    .set_outcome(arrival, ArrivalOutcome::Broken);
                 return Next::Reset;
             }
             Some(Fault::Reject { status }) => {
@@ -86,13 +97,14 @@
             }
             _ => {}
         }
-        if let Err(answer) = self.fetch(request, request_id, arrival, &mut submission) {
-            return self.reject(connection, arrival, answer);
+        if let Err(response) = self.prepare_transfer(request, request_id, arrival, &mut submission)
+        {
+            return self.reject(connection, arrival, response);
         }
         let tokens_out = submission.tokens_out;
-        let sent_tokens = submission.tokens_already_made;
+        let tokens_sent = submission.tokens_already_generated;
         match self.core.submit(submission) {
-            Err(why) => self.reject(connection, arrival, rejection(why, request_id)),
+            Err(reason) => self.reject(connection, arrival, rejection_response(reason, request_id)),
             Ok((job, outputs)) => {
                 let signature = self.core.new_signature();
                 let stream = Stream {
@@ -100,29 +112,29 @@
                     arrival,
                     signature,
                     tokens_out,
-                    sent_tokens,
-                    events: 0,
+                    tokens_sent,
+                    events_sent: 0,
                     fault,
                 };
-                self.follow(connection, job, &outputs, stream)
+                self.stream_outputs(connection, job, &outputs, stream)
             }
         }
     }
 
-    /// Takes the KV cache that the request names; the error is the answer.
-    fn fetch(
+    /// Takes the KV cache that `Kv-From` names, if any; the error is the response to send.
+    fn prepare_transfer(
         &self,
         request: &Request,
         request_id: &str,
         arrival: ArrivalKey,
         submission: &mut Submission,
-    ) -> Result<(), Answer> {
+    ) -> Result<(), Response> {
         let Some(kv_from) = request.headers.get("Kv-From") else {
             return Ok(());
         };
         self.core
-            .would_take(submission)
-            .map_err(|why| rejection(why, request_id))?;
+            .check_admissible(submission)
+            .map_err(|reason| rejection_response(reason, request_id))?;
         let Some((transfer, owner)) = self.core.network.take(kv_from, &self.core.identity) else {
             return Err(not_executed(503, request_id));
         };
@@ -133,8 +145,8 @@
         Ok(())
     }
 
-    /// Serves one request from the engine's outputs until it ends or its caller goes.
-    fn follow(
+    /// Serves one request from the engine's outputs until it ends or the caller disconnects.
+    fn stream_outputs(
         &self,
         connection: &mut Connection,
         job: JobKey,
@@ -142,7 +154,7 @@
         mut stream: Stream<'_>,
     ) -> Next {
         loop {
-            let output = match outputs.recv_timeout(CALLER_POLL) {
+            let output = match outputs.recv_timeout(DISCONNECT_POLL_INTERVAL) {
                 Ok(output) => output,
                 Err(RecvTimeoutError::Timeout) if !connection.peer_has_closed() => continue,
                 Err(_) => {
@@ -150,15 +162,15 @@
                     return Next::Close;
                 }
             };
-            if let Some(next) = self.play_output(connection, output, &mut stream) {
+            if let Some(next) = self.handle_output(connection, output, &mut stream) {
                 self.core.cancel(job);
                 return next;
             }
         }
     }
 
-    /// Acts on one output; says what becomes of the connection once the answer has ended.
-    fn play_output(
+    /// Handles one output; returns what to do with the connection once the response has ended.
+    fn handle_output(
         &self,
         connection: &mut Connection,
         output: Output,
@@ -166,29 +178,33 @@
     ) -> Option<Next> {
         match output {
             Output::Preempted { .. } => None,
-            Output::Rejected { why, .. } => Some(self.reject(
+            Output::Rejected { reason, .. } => Some(self.reject(
                 connection,
                 stream.arrival,
-                rejection(why, stream.request_id),
+                rejection_response(reason, stream.request_id),
             )),
             Output::Prefilled { handle, tokens, .. } => {
                 self.core
                     .ledger
-                    .settle(stream.arrival, ArrivalOutcome::Prefilled);
-                Some(self.answer_prefill(
+                    .set_outcome(stream.arrival, ArrivalOutcome::Prefilled);
+                Some(self.send_prefill_response(
                     connection,
-                    self.core.hold(handle, stream.request_id),
+                    self.core.register_handle(handle, stream.request_id),
                     tokens,
                     stream,
                 ))
             }
-            Output::Abandoned { .. } => Some(Next::Close),
-            Output::Token { made, at, .. } => self.token(connection, made, at, stream),
+            Output::DeadlineExceeded { .. } => Some(Next::Close),
+            Output::Token {
+                tokens_generated,
+                at,
+                ..
+            } => self.handle_token(connection, tokens_generated, at, stream),
             Output::Finished { .. } => Some(self.end_stream(connection, stream)),
         }
     }
 
-    fn answer_prefill(
+    fn send_prefill_response(
         &self,
         connection: &mut Connection,
         handle: String,
@@ -198,39 +214,40 @@
         match stream.fault {
             Some(Fault::ResetBeforeFirstEvent | Fault::ResetMidEvent { .. }) => return Next::Reset,
             Some(Fault::Silence) => {
-                keep_silent(connection);
+                hang_until_disconnect(connection);
                 return Next::Close;
             }
             _ => {}
         }
-        let named = if stream.fault == Some(Fault::WrongIdentifier) {
+        let answered_id = if stream.fault == Some(Fault::WrongIdentifier) {
             "another"
         } else {
             stream.request_id
         };
         let body = json!({"promptHandle": handle, "tokens": tokens, "version": 1});
-        let answer = Answer::new(200)
-            .header("Request-Identifier", named)
+        let response = Response::new(200)
+            .header("Request-Identifier", answered_id)
             .header("Versions", "1")
             .json(&body);
-        self.answer(connection, answer)
+        self.send(connection, response)
     }
 
-    /// The first token begins the run and the answer; an event goes out when it holds a stride of tokens.
-    fn token(
+    /// Handles a token: the first one starts the run and the response. An event is sent with the first token, after
+    /// every `stride` tokens and with the last token.
+    fn handle_token(
         &self,
         connection: &mut Connection,
-        made: u64,
+        tokens_generated: u64,
         at: Micros,
         stream: &mut Stream<'_>,
     ) -> Option<Next> {
-        let is_first = stream.events == 0;
+        let is_first = stream.events_sent == 0;
         if is_first {
             self.begin_run(stream, at);
             match stream.fault {
                 Some(Fault::ResetBeforeFirstEvent) => return Some(Next::Reset),
                 Some(Fault::Silence) => {
-                    keep_silent(connection);
+                    hang_until_disconnect(connection);
                     return Some(Next::Close);
                 }
                 _ => {}
@@ -239,36 +256,36 @@
                 return Some(Next::Close);
             }
         }
-        let is_due =
-            made - stream.sent_tokens >= self.core.parameters.stride || made >= stream.tokens_out;
-        if !is_first && !is_due {
+        let is_event_due = tokens_generated - stream.tokens_sent >= self.core.parameters.stride
+            || tokens_generated >= stream.tokens_out;
+        if !is_first && !is_event_due {
             return None;
         }
-        self.send_event(connection, made, at, stream)
+        self.send_event(connection, tokens_generated, at, stream)
     }
 
     fn begin_run(&self, stream: &Stream<'_>, at: Micros) {
         let run = Run {
-            began: at,
+            started_at: at,
             signature: stream.signature.clone(),
             status: 200,
             body: RunBody::Stream { events: Vec::new() },
-            whole: false,
+            complete: false,
             faulty: stream.fault.is_some(),
         };
         self.core
             .ledger
-            .settle(stream.arrival, ArrivalOutcome::Ran(run));
+            .set_outcome(stream.arrival, ArrivalOutcome::Ran(run));
     }
 
     fn stream_head(&self, stream: &Stream<'_>) -> Vec<u8> {
-        let named = if stream.fault == Some(Fault::WrongIdentifier) {
+        let answered_id = if stream.fault == Some(Fault::WrongIdentifier) {
             "another"
         } else {
             stream.request_id
         };
-        let head = Answer::new(200)
-            .header("Request-Identifier", named)
+        let head = Response::new(200)
+            .header("Request-Identifier", answered_id)
             .header("Server-Signature", stream.signature.as_str())
             .header("Versions", "1")
             .header("Content-Type", "text/event-stream");
@@ -281,13 +298,13 @@
     fn send_event(
         &self,
         connection: &mut Connection,
-        made: u64,
+        tokens_generated: u64,
         at: Micros,
         stream: &mut Stream<'_>,
     ) -> Option<Next> {
-        let text = event_text(stream, made, &self.core.identity.instance);
+        let text = format_event(stream, tokens_generated, &self.core.identity.instance);
         let event = EventRecord {
-            id: made,
+            id: tokens_generated,
             digest: digest(text.as_bytes()),
             at,
         };
@@ -296,16 +313,16 @@
         });
         if stream.fault
             == Some(Fault::ResetMidEvent {
-                whole_events: stream.events,
+                whole_events: stream.events_sent,
             })
         {
-            // The reset follows whether or not these bytes went out.
+            // The reset follows whether or not these bytes are sent.
             let _ = connection.write(&chunk(&text.as_bytes()[..text.len() / 2]));
             return Some(Next::Reset);
         }
         let sent: Result<(), HttpError> = connection.write(&chunk(text.as_bytes()));
-        stream.events += 1;
-        stream.sent_tokens = made;
+        stream.events_sent += 1;
+        stream.tokens_sent = tokens_generated;
         sent.is_err().then_some(Next::Close)
     }
 
@@ -318,44 +335,45 @@
         if written.is_ok() {
             self.core
                 .ledger
-                .update(stream.arrival, |arrival| mark_whole(&mut arrival.outcome));
+                .update(stream.arrival, |arrival| set_complete(&mut arrival.outcome));
         }
-        let leaving = self.core.draining.load(Ordering::SeqCst);
-        if written.is_err() || leaving {
+        let is_draining = self.core.draining.load(Ordering::SeqCst);
+        if written.is_err() || is_draining {
             Next::Close
         } else {
             Next::Keep
         }
     }
 
-    fn reject(&self, connection: &mut Connection, arrival: ArrivalKey, answer: Answer) -> Next {
-        self.core.ledger.settle(
+    fn reject(&self, connection: &mut Connection, arrival: ArrivalKey, response: Response) -> Next {
+        self.core.ledger.set_outcome(
             arrival,
             ArrivalOutcome::Rejected {
-                status: answer.status,
+                status: response.status,
             },
         );
-        self.answer(connection, answer)
+        self.send(connection, response)
     }
 
-    fn answer(&self, connection: &mut Connection, answer: Answer) -> Next {
-        let leaving = self.core.draining.load(Ordering::SeqCst);
-        let answer = if leaving {
-            answer.header("Connection", "close")
+    fn send(&self, connection: &mut Connection, response: Response) -> Next {
+        let is_draining = self.core.draining.load(Ordering::SeqCst);
+        let response = if is_draining {
+            response.header("Connection", "close")
         } else {
-            answer
+            response
         };
-        let written = connection.write(&answer.to_bytes());
-        if written.is_err() || leaving {
+        let written = connection.write(&response.to_bytes());
+        if written.is_err() || is_draining {
             Next::Close
         } else {
             Next::Keep
         }
     }
 
-    fn report(&self) -> Answer {
+    /// Builds the response to `GET /api/report`.
+    fn report(&self) -> Response {
         let report = self.core.with_engine(|engine, _| engine.report());
-        Answer::new(200).json(&json!({
+        Response::new(200).json(&json!({
             "stage": report.stage.as_str(),
             "models": [{"name": "m", "version": 1, "adapters": []}],
             "busy": report.busy,
@@ -368,23 +386,24 @@
         }))
     }
 
-    fn order(&self, request: &Request) -> Answer {
+    /// Handles `POST /api/order`, which changes the stage.
+    fn handle_order(&self, request: &Request) -> Response {
         let expected = request.headers.get("Expected-Instance");
         if expected.is_some_and(|expected| expected != self.core.identity.instance) {
-            return Answer::new(421)
+            return Response::new(421)
                 .header("Instance-Identifier", self.core.identity.instance.as_str());
         }
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let (Some(stage), Some(fence), true) = (
-            stage_of(&body),
+            parse_stage_order(&body),
             body["fence"].as_u64(),
             body["holder"].is_string(),
         ) else {
-            return Answer::new(400);
+            return Response::new(400);
         };
         let mut highest_fence = lock(&self.highest_fence);
         if self.core.parameters.fenced && fence < *highest_fence {
-            return Answer::new(412);
+            return Response::new(412);
         }
         *highest_fence = fence.max(*highest_fence);
         let if_sequence = body["ifRevision"].as_u64();
@@ -392,14 +411,15 @@
             .core
             .with_engine(|engine, now| engine.order_stage(now, stage, if_sequence))
         {
-            OrderAnswer::Accepted => Answer::new(202),
-            OrderAnswer::AlreadyHolds => Answer::new(200),
-            OrderAnswer::Conflict => Answer::new(409),
+            OrderResponse::Accepted => Response::new(202),
+            OrderResponse::AlreadyInStage => Response::new(200),
+            OrderResponse::Conflict => Response::new(409),
         }
     }
 }
 
-fn stage_of(order: &Value) -> Option<Stage> {
+/// Parses the stage of an order; `None` for any other operation.
+fn parse_stage_order(order: &Value) -> Option<Stage> {
     match (order["operation"].as_str(), order["stage"].as_str()) {
         (Some("stage"), Some("prefill")) => Some(Stage::Prefill),
         (Some("stage"), Some("decode")) => Some(Stage::Decode),
@@ -407,9 +427,11 @@
     }
 }
 
-fn event_text(stream: &Stream<'_>, made: u64, instance: &str) -> String {
-    let (request_id, after, total) = (stream.request_id, stream.sent_tokens, stream.tokens_out);
-    format!("id: {made}\ndata: {request_id} {after} {made} {total} {instance}\n\n")
+fn format_event(stream: &Stream<'_>, tokens_generated: u64, instance: &str) -> String {
+    let (request_id, previous, total) = (stream.request_id, stream.tokens_sent, stream.tokens_out);
+    format!(
+        "id: {tokens_generated}\ndata: {request_id} {previous} {tokens_generated} {total} {instance}\n\n"
+    )
 }
 
 fn record_event(outcome: &mut ArrivalOutcome, event: EventRecord) {
@@ -422,14 +444,15 @@
     }
 }
 
-fn mark_whole(outcome: &mut ArrivalOutcome) {
+fn set_complete(outcome: &mut ArrivalOutcome) {
     if let ArrivalOutcome::Ran(run) = outcome {
-        run.whole = true;
+        run.complete = true;
     }
 }
 
-fn rejection(why: Rejection, request_id: &str) -> Answer {
-    match why {
+/// Builds the response to a rejected request.
+fn rejection_response(reason: Rejection, request_id: &str) -> Response {
+    match reason {
         Rejection::WrongStage => not_executed(421, request_id),
         Rejection::Full | Rejection::Busy | Rejection::LinkBusy | Rejection::DeadlineInQueue => {
             not_executed(503, request_id)
@@ -437,28 +460,29 @@
     }
 }
 
-/// The request as the engine takes it.
-fn submission_of(request: &Request, now: Micros) -> Submission {
+/// Parses the headers of a request into a submission to the engine.
+fn parse_submission(request: &Request, now: Micros) -> Submission {
     let headers = &request.headers;
-    let (tokens_in, tokens_out) = token_counts(headers.get("Token-Counts").unwrap_or_default());
+    let (tokens_in, tokens_out) =
+        parse_token_counts(headers.get("Token-Counts").unwrap_or_default());
     let request_id = headers.get("Request-Identifier").unwrap_or_default();
     let remaining = headers.number("Deadline-Remaining");
     Submission {
         prefill_only: headers.get("Stage") == Some("prefill"),
-        prompt: prompt_of(
+        prompt: parse_prompt(
             headers.get("Prompt-Prefix").unwrap_or_default(),
             tokens_in,
             request_id,
         ),
         tokens_out,
-        tokens_already_made: headers
+        tokens_already_generated: headers
             .number("Last-Event-Id")
             .unwrap_or(0)
             .min(tokens_out - 1),
         priority: headers
             .number("Priority")
             .and_then(|value| u8::try_from(value).ok())
-            .unwrap_or(ORDINARY_PRIORITY),
+            .unwrap_or(DEFAULT_PRIORITY),
         deadline: remaining.map_or(NO_DEADLINE, |milliseconds| {
             now + milliseconds * MICROS_PER_MS
         }),
@@ -466,8 +490,8 @@
     }
 }
 
-/// Tokens in and most tokens out; a request makes at least one.
-fn token_counts(text: &str) -> (u64, u64) {
+/// Parses the number of prompt tokens and of tokens to generate, of which there is at least one.
+fn parse_token_counts(text: &str) -> (u64, u64) {
     let mut counts = text
         .split(',')
         .map(|count| count.trim().parse().unwrap_or(0));
@@ -475,20 +499,21 @@
     (tokens_in, counts.next().unwrap_or(0).max(1))
 }
 
-/// The parts of a prompt; tokens that no part names belong to the request alone.
-fn prompt_of(prefix: &str, tokens_in: u64, request_id: &str) -> Vec<Part> {
-    let mut prompt: Vec<Part> = prefix.split(',').filter_map(part_of).collect();
-    let named: u64 = prompt.iter().map(|part| part.tokens).sum();
-    if tokens_in > named {
+/// Parses the parts of a prompt; tokens that no part covers become a part private to the request.
+fn parse_prompt(prefix: &str, tokens_in: u64, request_id: &str) -> Vec<Part> {
+    let mut prompt: Vec<Part> = prefix.split(',').filter_map(parse_part).collect();
+    let named_tokens: u64 = prompt.iter().map(|part| part.tokens).sum();
+    if tokens_in > named_tokens {
         prompt.push(Part {
             id: digest(request_id.as_bytes()),
-            tokens: tokens_in - named,
+            tokens: tokens_in - named_tokens,
         });
     }
     prompt
 }
 
-fn part_of(text: &str) -> Option<Part> {
+/// Parses `ID:TOKENS` with a hexadecimal id.
+fn parse_part(text: &str) -> Option<Part> {
     let (id, tokens) = text.trim().split_once(':')?;
     Some(Part {
         id: u64::from_str_radix(id, 16).ok()?,
--- a/crates/lockusher-router-testbed/src/model_searcher.rs
+++ b/crates/lockusher-router-testbed/src/model_searcher.rs
@@ -1,4 +1,4 @@
-//! A searcher of a language-model service: the engine model behind sockets, in real time.
+//! A searcher of a language-model service: runs the engine model in real time behind an HTTP server.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
@@ -20,34 +20,34 @@
 use crate::searcher::{FaultPlan, Identity, list_entry};
 use crate::server::{Handler, Server, lock};
 
-/// The figures of a model searcher beyond those of its engine.
+/// Parameters of a model searcher.
 #[derive(Clone, Debug)]
 pub struct ModelParameters {
     pub engine: EngineParameters,
-    /// Tokens between two events of a stream.
+    /// Tokens per event of a stream.
     pub stride: u64,
     pub connection_limit: usize,
     /// Path of the health check.
     pub health_path: String,
-    /// Whether orders with a fence lower than one seen are refused.
+    /// Whether orders with a lower fencing token than an earlier order's are refused.
     pub fenced: bool,
 }
 
-/// A prompt that is held, and for whom it was read.
+/// A held prompt and the request that prefilled it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct HeldPrompt {
     pub handle: HandleId,
     pub request_id: String,
 }
 
-/// The engine with those who wait for its outputs.
-struct Core {
+/// The engine with the channels for its outputs and the names of its handles.
+struct EngineState {
     engine: Engine,
-    waiting: HashMap<JobKey, Sender<Output>>,
-    held: HashMap<String, HeldPrompt>,
+    output_senders: HashMap<JobKey, Sender<Output>>,
+    held_prompts: HashMap<String, HeldPrompt>,
 }
 
-/// What the threads of one searcher share.
+/// State shared by the threads of one searcher.
 pub(crate) struct ModelCore {
     pub parameters: ModelParameters,
     pub identity: Identity,
@@ -56,86 +56,88 @@
     pub faults: FaultPlan,
     pub network: KvNetwork,
     pub draining: AtomicBool,
-    runs: AtomicU64,
-    core: Mutex<Core>,
-    changed: Condvar,
+    next_run: AtomicU64,
+    core: Mutex<EngineState>,
+    engine_changed: Condvar,
     stopped: AtomicBool,
 }
 
 impl ModelCore {
-    /// Hands a request to the engine; its outputs come through the receiver.
+    /// Submits a request to the engine; its outputs arrive on the receiver.
     pub fn submit(&self, submission: Submission) -> Result<(JobKey, Receiver<Output>), Rejection> {
         let mut core = lock(&self.core);
         let key = core.engine.submit(self.clock.now(), submission)?;
         let (sender, receiver) = channel();
-        core.waiting.insert(key, sender);
-        self.changed.notify_one();
+        core.output_senders.insert(key, sender);
+        self.engine_changed.notify_one();
         Ok((key, receiver))
     }
 
-    /// Whether a request would be taken now.
-    pub fn would_take(&self, submission: &Submission) -> Result<(), Rejection> {
+    /// Returns why the engine would reject a request now, if so.
+    pub fn check_admissible(&self, submission: &Submission) -> Result<(), Rejection> {
         lock(&self.core)
             .engine
             .check_admissible(self.clock.now(), submission)
     }
 
-    /// Drops a request whose caller has gone.
+    /// Drops a request whose caller has disconnected.
     pub fn cancel(&self, key: JobKey) {
         let mut core = lock(&self.core);
         core.engine.cancel(key);
-        core.waiting.remove(&key);
+        core.output_senders.remove(&key);
     }
 
-    /// Runs `act` on the engine and wakes the thread that plays it.
-    pub fn with_engine<T>(&self, act: impl FnOnce(&mut Engine, Micros) -> T) -> T {
+    /// Runs `operation` on the engine and wakes the engine thread.
+    pub fn with_engine<T>(&self, operation: impl FnOnce(&mut Engine, Micros) -> T) -> T {
         let mut core = lock(&self.core);
-        let result = act(&mut core.engine, self.clock.now());
-        self.changed.notify_one();
+        let result = operation(&mut core.engine, self.clock.now());
+        self.engine_changed.notify_one();
         result
     }
 
-    /// Names a prompt that was read for a request.
-    pub fn hold(&self, handle: HandleId, request_id: &str) -> String {
+    /// Registers the handle of a prefilled prompt and returns its name on the wire.
+    pub fn register_handle(&self, handle: HandleId, request_id: &str) -> String {
         let name = format!(
             "{:06x}{:06x}",
             crate::record::digest(self.identity.instance.as_bytes()) >> 40,
             handle.0
         );
-        let held = HeldPrompt {
+        let held_prompt = HeldPrompt {
             handle,
             request_id: request_id.to_owned(),
         };
-        lock(&self.core).held.insert(name.clone(), held);
+        lock(&self.core)
+            .held_prompts
+            .insert(name.clone(), held_prompt);
         name
     }
 
-    /// Takes a held prompt away, with the id of the request that it was read for.
-    pub fn take_held(&self, name: &str) -> Option<(Vec<Part>, String)> {
+    /// Removes a held prompt and returns it with the id of the request that prefilled it.
+    pub fn take_held_prompt(&self, name: &str) -> Option<(Vec<Part>, String)> {
         let now = self.clock.now();
         let mut core = lock(&self.core);
-        let held = core.held.remove(name)?;
-        let parts = core.engine.take_handle(now, held.handle)?;
-        self.changed.notify_one();
-        Some((parts, held.request_id))
+        let held_prompt = core.held_prompts.remove(name)?;
+        let parts = core.engine.take_handle(now, held_prompt.handle)?;
+        self.engine_changed.notify_one();
+        Some((parts, held_prompt.request_id))
     }
 
-    /// A signature that no other run has.
+    /// Creates a signature that is unique to a run.
     pub fn new_signature(&self) -> String {
         format!(
             "{}.{:x}",
             self.identity.instance,
-            self.runs.fetch_add(1, Ordering::SeqCst)
+            self.next_run.fetch_add(1, Ordering::SeqCst)
         )
     }
 
-    /// Plays the engine in real time until the searcher ends.
-    fn play(&self) {
+    /// Advances the engine in real time until the searcher is stopped.
+    fn run_engine(&self) {
         let mut core = lock(&self.core);
         while !self.stopped.load(Ordering::SeqCst) {
             let outputs = core.engine.advance(self.clock.now());
             for output in outputs {
-                deliver(&mut core.waiting, output);
+                deliver(&mut core.output_senders, output);
             }
             let now = self.clock.now();
             let wait = core
@@ -144,13 +146,13 @@
                 .map(|at| Duration::from_micros(at.saturating_sub(now)));
             core = match wait {
                 Some(wait) => {
-                    self.changed
+                    self.engine_changed
                         .wait_timeout(core, wait)
                         .unwrap_or_else(PoisonError::into_inner)
                         .0
                 }
                 None => self
-                    .changed
+                    .engine_changed
                     .wait(core)
                     .unwrap_or_else(PoisonError::into_inner),
             };
@@ -158,21 +160,21 @@
     }
 }
 
-/// Passes an output to the thread that serves its request; the last one ends the channel.
-fn deliver(waiting: &mut HashMap<JobKey, Sender<Output>>, output: Output) {
+/// Sends an output to the thread that serves its request; the last output closes the channel.
+fn deliver(output_senders: &mut HashMap<JobKey, Sender<Output>>, output: Output) {
     let (job, is_last) = match output {
         Output::Token { job, .. } | Output::Preempted { job, .. } => (job, false),
         Output::Finished { job, .. }
         | Output::Prefilled { job, .. }
         | Output::Rejected { job, .. }
-        | Output::Abandoned { job, .. } => (job, true),
+        | Output::DeadlineExceeded { job, .. } => (job, true),
     };
-    if let Some(sender) = waiting.get(&job) {
-        // A receiver that is gone has cancelled its request.
+    if let Some(sender) = output_senders.get(&job) {
+        // Without a receiver the request is already cancelled.
         let _ = sender.send(output);
     }
     if is_last {
-        waiting.remove(&job);
+        output_senders.remove(&job);
     }
 }
 
@@ -180,11 +182,11 @@
 pub struct ModelSearcher {
     core: Arc<ModelCore>,
     server: Server,
-    player: Option<JoinHandle<()>>,
+    engine_thread: Option<JoinHandle<()>>,
 }
 
 impl ModelSearcher {
-    /// Listens at the identity's address and plays `stage`.
+    /// Listens on the identity's address and serves `stage`.
     pub fn start(
         mut identity: Identity,
         stage: Stage,
@@ -205,33 +207,33 @@
             faults: FaultPlan::default(),
             network,
             draining: AtomicBool::new(false),
-            runs: AtomicU64::new(0),
-            core: Mutex::new(Core {
+            next_run: AtomicU64::new(0),
+            core: Mutex::new(EngineState {
                 engine,
-                waiting: HashMap::new(),
-                held: HashMap::new(),
+                output_senders: HashMap::new(),
+                held_prompts: HashMap::new(),
             }),
-            changed: Condvar::new(),
+            engine_changed: Condvar::new(),
             stopped: AtomicBool::new(false),
         });
         let handler: Arc<dyn Handler> = Arc::new(ModelHandler::new(Arc::clone(&core)));
         let server = Server::start(listener, limit, handler)?;
-        core.network.join(address, &core);
-        let for_player = Arc::clone(&core);
-        let player = std::thread::spawn(move || for_player.play());
+        core.network.register(address, &core);
+        let engine_core = Arc::clone(&core);
+        let engine_thread = std::thread::spawn(move || engine_core.run_engine());
         Ok(ModelSearcher {
             core,
             server,
-            player: Some(player),
+            engine_thread: Some(engine_thread),
         })
     }
 
-    /// Who it is.
+    /// The identity, with the bound address.
     pub fn identity(&self) -> &Identity {
         &self.core.identity
     }
 
-    /// Its entry on the platform's list, without its state.
+    /// The entry for the platform's list, without `state`.
     pub fn entry(&self) -> Value {
         let stage = self.report().stage.as_str();
         list_entry(
@@ -241,17 +243,17 @@
         )
     }
 
-    /// The engine's own report, without lag.
+    /// The current state of the engine.
     pub fn report(&self) -> Report {
         self.core.with_engine(|engine, _| engine.report())
     }
 
-    /// Switches for faults.
+    /// The faults to inject.
     pub fn faults(&self) -> &FaultPlan {
         &self.core.faults
     }
 
-    /// Makes every later transfer of held prompts to it `factor` times as long.
+    /// Makes every later KV transfer to this searcher `factor` times as long.
     pub fn set_link_slow_down(&self, factor: u64) {
         self.core
             .with_engine(|engine, _| engine.set_link_slow_down(factor));
@@ -263,41 +265,44 @@
             .with_engine(|engine, _| engine.set_slow_down(factor));
     }
 
-    /// Lets all held prompts lapse at once.
+    /// Expires all held prompts at once.
     pub fn lapse_all_handles(&self) {
         self.core
             .with_engine(|engine, _| engine.lapse_all_handles());
     }
 
-    /// From now on it says that it leaves; it serves on.
+    /// Fails health checks and closes connections from now on, but continues to serve requests.
     pub fn drain(&self) {
         self.core.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Ends it at once, like a crash. Another searcher may stand at its address afterwards.
+    /// Stops abruptly, like a crash. Afterwards another searcher can use the address.
     pub fn stop(&mut self) {
         if self.core.stopped.swap(true, Ordering::SeqCst) {
             return;
         }
-        self.core.network.leave(self.server.address());
-        self.core.ledger.break_off(&self.core.identity.instance);
+        self.core.network.unregister(self.server.address());
+        self.core
+            .ledger
+            .fail_unfinished(&self.core.identity.instance);
         self.server.stop();
-        // The player looks whether it is stopped and begins to wait under one lock: a wake-up between the two is lost.
+        // The engine thread checks `stopped` and starts to wait under this lock. Without taking it, the notification
+        // could come between the two and be lost.
         drop(
             self.core
                 .core
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner),
         );
-        self.core.changed.notify_all();
-        if let Some(player) = self.player.take() {
-            // A panic of the player shows in the test's own output.
-            let _ = player.join();
+        self.core.engine_changed.notify_all();
+        if let Some(engine_thread) = self.engine_thread.take() {
+            // A panic of the engine thread appears in the test output.
+            let _ = engine_thread.join();
         }
     }
 }
--- a/crates/lockusher-router-testbed/src/operator.rs
+++ b/crates/lockusher-router-testbed/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends configurations to the control plane and reads them back.
+//! Stand-in for the operator: sends configurations to the control plane and reads them back.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -9,28 +9,28 @@
 
 use crate::configuration::to_json;
 use crate::engine::Micros;
-use crate::http::{Answer, Connection, HttpError, Request};
+use crate::http::{Connection, HttpError, Request, Response};
 use crate::record::LabClock;
 use crate::server::lock;
 
-/// How often a caller follows `Location`.
-const MOST_REDIRECTS: usize = 2;
-/// Silence after which the operator moves to another node.
-const SILENCE: Duration = Duration::from_secs(1);
-/// The pause after the first try without a clear answer; it doubles up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Tries after which any other 4xx is final.
-const MOST_ODD_REFUSALS: u32 = 3;
-
-/// How a change ended.
+/// Maximum number of redirects (`Location`) followed in one call.
+const MAX_REDIRECTS: usize = 2;
+/// How long the operator waits for a response before it tries another node.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Backoff after the first call without a final response; it doubles up to `MAX_BACKOFF`.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// Number of other 4xx responses after which the change counts as refused.
+const MAX_UNEXPECTED_REFUSALS: u32 = 3;
+
+/// The outcome of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
     Acknowledged,
     Refused {
         status: u16,
     },
-    /// No clear answer within the time given: it may or may not be in force.
+    /// No final response before the timeout: the change may or may not be in force.
     Unclear,
 }
 
@@ -38,58 +38,58 @@
 #[derive(Clone, Debug)]
 pub struct Change {
     pub configuration: Configuration,
-    /// The version that it builds on.
+    /// The version that it replaces (`If-Match`).
     pub base: u64,
     pub sent: Micros,
     pub ended: Micros,
-    /// Calls that were made for it.
+    /// Number of calls made for it.
     pub calls: u32,
     pub outcome: ChangeOutcome,
 }
 
-/// The operator with everything that it sent.
+/// The operator and the changes that it sent.
 pub struct Operator {
     control: Mutex<Vec<SocketAddr>>,
     clock: LabClock,
     changes: Mutex<Vec<Change>>,
-    /// Answers that are thrown away before they count, for the trouble of lost acknowledgements.
-    answers_to_lose: Mutex<u32>,
+    /// Number of responses still to be dropped, to simulate lost acknowledgements.
+    responses_to_drop: Mutex<u32>,
 }
 
 impl Operator {
-    /// An operator that knows these `control` addresses.
+    /// Creates an operator that calls the control nodes at these addresses.
     pub fn new(control: Vec<SocketAddr>, clock: LabClock) -> Arc<Operator> {
         Arc::new(Operator {
             control: Mutex::new(control),
             clock,
             changes: Mutex::new(Vec::new()),
-            answers_to_lose: Mutex::new(0),
+            responses_to_drop: Mutex::new(0),
         })
     }
 
-    /// Replaces the list of control nodes.
+    /// Replaces the addresses of the control nodes.
     pub fn set_control(&self, control: Vec<SocketAddr>) {
         *lock(&self.control) = control;
     }
 
-    /// The next `count` answers are lost on their way.
+    /// Drops the next `count` responses.
     pub fn lose_answers(&self, count: u32) {
-        *lock(&self.answers_to_lose) = count;
+        *lock(&self.responses_to_drop) = count;
     }
 
-    /// Everything that was sent so far.
+    /// All changes sent so far.
     pub fn changes(&self) -> Vec<Change> {
         lock(&self.changes).clone()
     }
 
-    /// Sends a configuration until there is a clear answer or `patience` has passed. `first` is the position
-    /// of the control node that is tried first.
+    /// Sends a configuration until a final response or the timeout. `first_node` is the index of the control node
+    /// that is called first.
     pub fn put(
         &self,
         configuration: &Configuration,
         base: u64,
-        first: usize,
-        patience: Duration,
+        first_node: usize,
+        timeout: Duration,
     ) -> ChangeOutcome {
         let sent = self.clock.now();
         let body = to_json(configuration).to_string();
@@ -97,7 +97,7 @@
             .header("If-Match", base.to_string())
             .header("Content-Type", "application/json")
             .body(body);
-        let (outcome, calls) = self.resend(&request, first, patience);
+        let (outcome, calls) = self.send_until_final(&request, first_node, timeout);
         lock(&self.changes).push(Change {
             configuration: configuration.clone(),
             base,
@@ -109,111 +109,119 @@
         outcome
     }
 
-    /// Reads the newest configuration; `None` when it doesn't come within `patience`.
-    pub fn get(&self, patience: Duration) -> Option<Value> {
+    /// Reads the newest configuration; `None` without a successful response before the timeout.
+    pub fn get(&self, timeout: Duration) -> Option<Value> {
         let request = Request::new("GET", "/api/configuration");
-        let give_up = Instant::now() + patience;
-        let mut pauses = Pauses::new();
-        for turn in 0.. {
-            if let Ok(answer) = self.call(&request, turn)
-                && answer.status == 200
+        let deadline = Instant::now() + timeout;
+        let mut backoff = Backoff::new();
+        for attempt in 0.. {
+            if let Ok(response) = self.call(&request, attempt)
+                && response.status == 200
             {
-                return serde_json::from_slice(&answer.body).ok();
+                return serde_json::from_slice(&response.body).ok();
             }
-            if !pauses.pause(give_up) {
+            if !backoff.wait(deadline) {
                 break;
             }
         }
         None
     }
 
-    fn resend(&self, request: &Request, first: usize, patience: Duration) -> (ChangeOutcome, u32) {
-        let give_up = Instant::now() + patience;
-        let mut pauses = Pauses::new();
+    /// Repeats a request on the control nodes in turn; returns the outcome and the number of calls.
+    fn send_until_final(
+        &self,
+        request: &Request,
+        first_node: usize,
+        timeout: Duration,
+    ) -> (ChangeOutcome, u32) {
+        let deadline = Instant::now() + timeout;
+        let mut backoff = Backoff::new();
         let mut calls = 0;
-        let mut odd_refusals = 0;
+        let mut unexpected_refusals = 0;
         loop {
-            let answer = self.call(request, first + calls as usize);
+            let response = self.call(request, first_node + calls as usize);
             calls += 1;
-            let status = answer.map(|answer| answer.status).unwrap_or(0);
+            let status = response.map(|response| response.status).unwrap_or(0);
             match status {
                 200 => return (ChangeOutcome::Acknowledged, calls),
                 400 | 409 | 412 | 413 | 422 => return (ChangeOutcome::Refused { status }, calls),
                 408 | 429 => {}
                 401..=499 => {
-                    odd_refusals += 1;
-                    if odd_refusals >= MOST_ODD_REFUSALS {
+                    unexpected_refusals += 1;
+                    if unexpected_refusals >= MAX_UNEXPECTED_REFUSALS {
                         return (ChangeOutcome::Refused { status }, calls);
                     }
                 }
                 _ => {}
             }
-            if !pauses.pause(give_up) {
+            if !backoff.wait(deadline) {
                 return (ChangeOutcome::Unclear, calls);
             }
         }
     }
 
-    /// One call to the control node at a turn's place, redirects followed.
-    fn call(&self, request: &Request, turn: usize) -> Result<Answer, HttpError> {
+    /// Calls the control node of an attempt and follows redirects.
+    fn call(&self, request: &Request, attempt: usize) -> Result<Response, HttpError> {
         let control = lock(&self.control).clone();
-        let mut address = control[turn % control.len()];
-        for _ in 0..=MOST_REDIRECTS {
-            let answer = call_once(address, request)?;
-            if answer.status != 307 {
-                return self.lose_or_keep(answer);
+        let mut address = control[attempt % control.len()];
+        for _ in 0..=MAX_REDIRECTS {
+            let response = send_once(address, request)?;
+            if response.status != 307 {
+                return self.drop_or_return(response);
             }
-            let location = answer.headers.get("Location").and_then(address_of);
+            let location = response.headers.get("Location").and_then(parse_location);
             address = location.ok_or(HttpError::Malformed {
-                reason: "307 without a place".to_owned(),
+                reason: "307 without a valid Location".to_owned(),
             })?;
         }
         Err(HttpError::Malformed {
-            reason: "redirected too often".to_owned(),
+            reason: "too many redirects".to_owned(),
         })
     }
 
-    fn lose_or_keep(&self, answer: Answer) -> Result<Answer, HttpError> {
-        let mut left = lock(&self.answers_to_lose);
-        if *left == 0 {
-            return Ok(answer);
+    fn drop_or_return(&self, response: Response) -> Result<Response, HttpError> {
+        let mut remaining = lock(&self.responses_to_drop);
+        if *remaining == 0 {
+            return Ok(response);
         }
-        *left -= 1;
+        *remaining -= 1;
         Err(HttpError::ClosedEarly)
     }
 }
 
-fn call_once(address: SocketAddr, request: &Request) -> Result<Answer, HttpError> {
-    let mut connection = Connection::open(address, SILENCE)?;
-    connection.set_give_up(Some(Instant::now() + SILENCE));
+fn send_once(address: SocketAddr, request: &Request) -> Result<Response, HttpError> {
+    let mut connection = Connection::open(address, RESPONSE_TIMEOUT)?;
+    connection.set_give_up(Some(Instant::now() + RESPONSE_TIMEOUT));
     let request = request.clone().header("Host", address.to_string());
     connection.write(&request.to_bytes())?;
-    connection.read_answer()
+    connection.read_response()
 }
 
-/// The address in `http://IP:PORT/path`.
-fn address_of(location: &str) -> Option<SocketAddr> {
-    let rest = location.strip_prefix("http://")?;
-    rest.split('/').next()?.parse().ok()
+/// Parses the address in `http://IP:PORT/path`.
+fn parse_location(location: &str) -> Option<SocketAddr> {
+    let authority_and_path = location.strip_prefix("http://")?;
+    authority_and_path.split('/').next()?.parse().ok()
 }
 
-/// Pauses that grow.
-struct Pauses {
+/// Exponential backoff.
+struct Backoff {
     next: Duration,
 }
 
-impl Pauses {
-    fn new() -> Pauses {
-        Pauses { next: FIRST_PAUSE }
+impl Backoff {
+    fn new() -> Backoff {
+        Backoff {
+            next: INITIAL_BACKOFF,
+        }
     }
 
-    /// Pauses; `false` when the time to give up comes first.
-    fn pause(&mut self, give_up: Instant) -> bool {
-        if Instant::now() + self.next >= give_up {
+    /// Waits for the next backoff; `false` without waiting if it would end after the deadline.
+    fn wait(&mut self, deadline: Instant) -> bool {
+        if Instant::now() + self.next >= deadline {
             return false;
         }
         std::thread::park_timeout(self.next);
-        self.next = (self.next * 2).min(LONGEST_PAUSE);
+        self.next = (self.next * 2).min(MAX_BACKOFF);
         true
     }
 }
--- a/crates/lockusher-router-testbed/src/plain_searcher.rs
+++ b/crates/lockusher-router-testbed/src/plain_searcher.rs
@@ -1,4 +1,4 @@
-//! A searcher of a plain service: slots, a queue and a time that each request takes.
+//! A searcher of a plain service: slots, a queue and a fixed service time.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -7,24 +7,24 @@
 
 use serde_json::Value;
 
-use crate::http::{Answer, Connection, Request};
+use crate::http::{Connection, Request, Response};
 use crate::record::{ArrivalKey, ArrivalOutcome, LabClock, Ledger, Run, RunBody, digest};
 use crate::searcher::{
-    CALLER_POLL, Fault, FaultPlan, Identity, arrival_of, health, keep_silent, list_entry,
-    not_executed, screen,
+    DISCONNECT_POLL_INTERVAL, Fault, FaultPlan, Identity, check_preconditions,
+    hang_until_disconnect, health_response, list_entry, new_arrival, not_executed,
 };
 use crate::server::{Handler, Next, Server, lock};
 
-/// The figures of a plain searcher.
+/// Parameters of a plain searcher.
 #[derive(Clone, Debug)]
 pub struct PlainParameters {
-    /// Requests that are worked on at once.
+    /// Maximum number of requests processed at once.
     pub slots: usize,
-    /// Requests that wait for a slot before more are rejected.
+    /// Maximum number of requests waiting for a slot; more are rejected.
     pub queue_limit: usize,
-    /// How long a request takes.
+    /// Service time of a request.
     pub work: Duration,
-    /// Size of an answer's body.
+    /// Size of a response body.
     pub answer_bytes: usize,
     pub connection_limit: usize,
     /// Path of the health check.
@@ -46,9 +46,9 @@
     load: Mutex<Load>,
     slot_freed: Condvar,
     draining: AtomicBool,
-    /// How many times longer the work takes.
+    /// Factor on the service time, for fault injection.
     slow_down: AtomicU64,
-    runs: AtomicU64,
+    next_run: AtomicU64,
 }
 
 /// A plain searcher that serves until it is stopped or dropped.
@@ -58,7 +58,7 @@
 }
 
 impl PlainSearcher {
-    /// Listens at the identity's address.
+    /// Listens on the identity's address.
     pub fn start(
         mut identity: Identity,
         parameters: PlainParameters,
@@ -78,45 +78,47 @@
             slot_freed: Condvar::new(),
             draining: AtomicBool::new(false),
             slow_down: AtomicU64::new(1),
-            runs: AtomicU64::new(0),
+            next_run: AtomicU64::new(0),
         });
         let server = Server::start(listener, limit, Arc::clone(&shared) as Arc<dyn Handler>)?;
         Ok(PlainSearcher { shared, server })
     }
 
-    /// Who it is.
+    /// The identity, with the bound address.
     pub fn identity(&self) -> &Identity {
         &self.shared.identity
     }
 
-    /// Its entry on the platform's list, without its state.
+    /// The entry for the platform's list, without `state`.
     pub fn entry(&self) -> Value {
         list_entry(&self.shared.identity, self.shared.parameters.slots, None)
     }
 
-    /// Switches for faults.
+    /// The faults to inject.
     pub fn faults(&self) -> &FaultPlan {
         &self.shared.faults
     }
 
-    /// Makes all later work `factor` times as long.
+    /// Makes the service time of later requests `factor` times as long.
     pub fn set_slow_down(&self, factor: u64) {
         self.shared.slow_down.store(factor.max(1), Ordering::SeqCst);
     }
 
-    /// From now on it says that it leaves; it serves on.
+    /// Fails health checks and closes connections from now on, but continues to serve requests.
     pub fn drain(&self) {
         self.shared.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Ends it at once, like a crash.
+    /// Stops abruptly, like a crash.
     pub fn stop(&mut self) {
-        self.shared.ledger.break_off(&self.shared.identity.instance);
+        self.shared
+            .ledger
+            .fail_unfinished(&self.shared.identity.instance);
         self.server.stop();
     }
 }
@@ -124,25 +126,25 @@
 impl Handler for Shared {
     fn handle(&self, request: Request, connection: &mut Connection) -> Next {
         if request.method == "GET" && request.target == self.parameters.health_path {
-            return self.answer(
+            return self.send(
                 connection,
-                health(&self.identity, !self.draining.load(Ordering::SeqCst)),
+                health_response(&self.identity, !self.draining.load(Ordering::SeqCst)),
             );
         }
         let arrival = self
             .ledger
-            .arrive(arrival_of(&request, &self.identity, self.clock.now()));
-        if let Some(answer) = screen(&request, &self.identity) {
-            return self.reject(connection, arrival, answer);
+            .record(new_arrival(&request, &self.identity, self.clock.now()));
+        if let Some(response) = check_preconditions(&request, &self.identity) {
+            return self.reject(connection, arrival, response);
         }
         let request_id = request
             .headers
             .get("Request-Identifier")
             .unwrap_or_default();
-        let fault = self.faults.next(false);
+        let fault = self.faults.take_next(false);
         match fault {
             Some(Fault::ResetAfterRequest) => {
-                self.ledger.settle(arrival, ArrivalOutcome::Broken);
+                self.ledger.set_outcome(arrival, ArrivalOutcome::Broken);
                 return Next::Reset;
             }
             Some(Fault::Reject { status }) => {
@@ -175,14 +177,16 @@
         }
         load.waiting += 1;
         while load.running >= self.parameters.slots {
-            let left = deadline.map_or(CALLER_POLL, |at| {
+            let remaining = deadline.map_or(DISCONNECT_POLL_INTERVAL, |at| {
                 at.saturating_duration_since(Instant::now())
             });
-            if left.is_zero() {
+            if remaining.is_zero() {
                 load.waiting -= 1;
                 return false;
             }
-            let waited = self.slot_freed.wait_timeout(load, left.min(CALLER_POLL));
+            let waited = self
+                .slot_freed
+                .wait_timeout(load, remaining.min(DISCONNECT_POLL_INTERVAL));
             load = waited.unwrap_or_else(std::sync::PoisonError::into_inner).0;
         }
         load.waiting -= 1;
@@ -190,6 +194,7 @@
         true
     }
 
+    /// Runs a request that has a slot and sends the response.
     fn run(
         &self,
         connection: &mut Connection,
@@ -198,52 +203,56 @@
         deadline: Option<Instant>,
         fault: Option<Fault>,
     ) -> Next {
-        let body = body_of(request_id, self.parameters.answer_bytes);
-        let run = self.begin(&body, fault.is_some());
+        let body = response_body(request_id, self.parameters.answer_bytes);
+        let run = self.new_run(&body, fault.is_some());
         let signature = run.signature.clone();
-        self.ledger.settle(arrival, ArrivalOutcome::Ran(run));
+        self.ledger.set_outcome(arrival, ArrivalOutcome::Ran(run));
         if fault == Some(Fault::ResetBeforeFirstEvent) {
             return Next::Reset;
         }
         if fault == Some(Fault::Silence) {
-            keep_silent(connection);
+            hang_until_disconnect(connection);
             return Next::Close;
         }
         if !self.work(connection, deadline) {
-            self.mark_failed(arrival);
-            let late = Answer::new(504).header("Request-Identifier", request_id);
-            return self.answer(connection, late.header("Server-Signature", signature));
+            self.mark_deadline_exceeded(arrival);
+            let timeout_response = Response::new(504).header("Request-Identifier", request_id);
+            return self.send(
+                connection,
+                timeout_response.header("Server-Signature", signature),
+            );
         }
-        let named = if fault == Some(Fault::WrongIdentifier) {
+        let answered_id = if fault == Some(Fault::WrongIdentifier) {
             "another"
         } else {
             request_id
         };
-        let answer = Answer::new(200)
-            .header("Request-Identifier", named)
+        let response = Response::new(200)
+            .header("Request-Identifier", answered_id)
             .header("Server-Signature", signature)
             .body(body);
-        let next = self.answer_with(connection, answer, fault);
+        let next = self.send_with_fault(connection, response, fault);
         self.ledger
-            .update(arrival, |arrival| mark_whole(&mut arrival.outcome, next));
+            .update(arrival, |arrival| set_complete(&mut arrival.outcome, next));
         next
     }
 
-    fn begin(&self, body: &[u8], faulty: bool) -> Run {
-        let number = self.runs.fetch_add(1, Ordering::SeqCst);
+    fn new_run(&self, body: &[u8], faulty: bool) -> Run {
+        let number = self.next_run.fetch_add(1, Ordering::SeqCst);
         Run {
-            began: self.clock.now(),
+            started_at: self.clock.now(),
             signature: format!("{}.{number:x}", self.identity.instance),
             status: 200,
             body: RunBody::Plain {
                 digest: digest(body),
             },
-            whole: false,
+            complete: false,
             faulty,
         }
     }
 
-    fn mark_failed(&self, arrival: ArrivalKey) {
+    /// Records that a run ended with 504.
+    fn mark_deadline_exceeded(&self, arrival: ArrivalKey) {
         self.ledger.update(arrival, |arrival| {
             if let ArrivalOutcome::Ran(run) = &mut arrival.outcome {
                 run.status = 504;
@@ -254,7 +263,7 @@
         });
     }
 
-    /// Works for the time that a request takes; `false` when the deadline comes first or the caller has gone.
+    /// Waits for the service time; `false` when the deadline passes first or the caller disconnects.
     fn work(&self, connection: &mut Connection, deadline: Option<Instant>) -> bool {
         let factor = u32::try_from(self.slow_down.load(Ordering::SeqCst)).unwrap_or(u32::MAX);
         let done = Instant::now() + self.parameters.work * factor;
@@ -266,39 +275,39 @@
             if deadline.is_some_and(|at| at <= now) || connection.peer_has_closed() {
                 return false;
             }
-            std::thread::park_timeout((done - now).min(CALLER_POLL));
+            std::thread::park_timeout((done - now).min(DISCONNECT_POLL_INTERVAL));
         }
     }
 
-    fn reject(&self, connection: &mut Connection, arrival: ArrivalKey, answer: Answer) -> Next {
-        self.ledger.settle(
+    fn reject(&self, connection: &mut Connection, arrival: ArrivalKey, response: Response) -> Next {
+        self.ledger.set_outcome(
             arrival,
             ArrivalOutcome::Rejected {
-                status: answer.status,
+                status: response.status,
             },
         );
-        self.answer(connection, answer)
+        self.send(connection, response)
     }
 
-    fn answer(&self, connection: &mut Connection, answer: Answer) -> Next {
-        self.answer_with(connection, answer, None)
+    fn send(&self, connection: &mut Connection, response: Response) -> Next {
+        self.send_with_fault(connection, response, None)
     }
 
-    fn answer_with(
+    fn send_with_fault(
         &self,
         connection: &mut Connection,
-        answer: Answer,
+        response: Response,
         fault: Option<Fault>,
     ) -> Next {
-        let leaving = self.draining.load(Ordering::SeqCst);
-        let answer = if leaving {
-            answer.header("Connection", "close")
+        let is_draining = self.draining.load(Ordering::SeqCst);
+        let response = if is_draining {
+            response.header("Connection", "close")
         } else {
-            answer
+            response
         };
-        let mut bytes = answer.to_bytes();
+        let mut bytes = response.to_bytes();
         if let Some(Fault::ResetMidEvent { .. }) = fault {
-            bytes.truncate(bytes.len() - answer.body.len() / 2 - 1);
+            bytes.truncate(bytes.len() - response.body.len() / 2 - 1);
         }
         if fault == Some(Fault::ExtraBytes) {
             bytes.extend_from_slice(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmore");
@@ -306,20 +315,20 @@
         let written = connection.write(&bytes);
         match fault {
             Some(Fault::ResetMidEvent { .. }) => Next::Reset,
-            _ if leaving || written.is_err() => Next::Close,
+            _ if is_draining || written.is_err() => Next::Close,
             _ => Next::Keep,
         }
     }
 }
 
-/// An answer was written in full unless the connection is reset.
-fn mark_whole(outcome: &mut ArrivalOutcome, next: Next) {
+/// Marks a run as complete unless its connection is reset.
+fn set_complete(outcome: &mut ArrivalOutcome, next: Next) {
     if let ArrivalOutcome::Ran(run) = outcome {
-        run.whole = next != Next::Reset;
+        run.complete = next != Next::Reset;
     }
 }
 
-/// The body of an answer: it follows from the request, so that a mix-up shows.
-fn body_of(request_id: &str, size: usize) -> Vec<u8> {
+/// The body of a response. It is derived from the request id, so that mixed-up responses are detected.
+fn response_body(request_id: &str, size: usize) -> Vec<u8> {
     request_id.bytes().cycle().take(size).collect()
 }
--- a/crates/lockusher-router-testbed/src/record.rs
+++ b/crates/lockusher-router-testbed/src/record.rs
@@ -1,5 +1,4 @@
-//! What the stand-ins saw, for the checker: one clock, requests at searchers, tries of clients, changes of the
-//! operator.
+//! Records for the checker: a common clock, the requests that reach searchers, and what searchers do with them.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,7 +8,7 @@
 use crate::engine::Micros;
 use crate::server::lock;
 
-/// The one clock of all stand-ins of a process: microseconds since it was made.
+/// The common clock of all stand-ins of a process: microseconds since its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct LabClock {
     started: Instant,
@@ -23,29 +22,29 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Micros {
         Micros::try_from(self.started.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    /// A time as a moment of the steady clock.
+    /// Converts a time to an `Instant`.
     pub fn moment(&self, at: Micros) -> Instant {
         self.started + Duration::from_micros(at)
     }
 }
 
-/// A short fingerprint of bytes; equal bytes give equal figures.
+/// A hash of bytes, for comparisons within a process.
 pub fn digest(bytes: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     bytes.hash(&mut hasher);
     hasher.finish()
 }
 
-/// One event of a stream, as made or as received.
+/// One event of a stream, as produced or as received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventRecord {
     pub id: u64,
-    /// Fingerprint of the event's text.
+    /// Hash of the event's text.
     pub digest: u64,
     pub at: Micros,
 }
@@ -57,33 +56,32 @@
     Stream { events: Vec<EventRecord> },
 }
 
-/// A request that a searcher has begun to work on.
+/// The execution of a request by a searcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    pub began: Micros,
-    /// The value of `Server-Signature`; every run has its own.
+    pub started_at: Micros,
+    /// The value of `Server-Signature`, unique to the run.
     pub signature: String,
     pub status: u16,
     pub body: RunBody,
-    /// Whether the whole answer was written.
-    pub whole: bool,
-    /// Whether the searcher broke off or misbehaved on purpose.
+    /// Whether the complete response was written.
+    pub complete: bool,
+    /// Whether the searcher crashed or a fault was injected.
     pub faulty: bool,
 }
 
 /// What a searcher did with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ArrivalOutcome {
-    /// Nothing yet.
+    /// No outcome yet.
     Waiting,
     /// It has not run and never will.
-    Rejected {
-        status: u16,
-    },
-    /// Its prompt was read and held.
+    Rejected { status: u16 },
+    /// Its prompt was prefilled and is held.
     Prefilled,
-    /// Its prompt was asked for, and the searcher broke off.
+    /// The searcher crashed or reset the connection before the run started.
     Broken,
+    /// It was executed, completely or not.
     Ran(Run),
 }
 
@@ -97,17 +95,17 @@
     pub method: String,
     pub target: String,
     pub body_digest: u64,
-    /// Whether only the prompt was to be read.
+    /// Whether only a prefill was requested.
     pub prefill_only: bool,
-    /// Whose handle it named (`Kv-From`), where that is known.
+    /// Id of the request that prefilled the prompt named by `Kv-From`, if known.
     pub continues: Option<String>,
-    /// The first event id that it was to make, less one.
+    /// The value of `Last-Event-Id`; the first event to produce follows it.
     pub last_event_id: u64,
     pub outcome: ArrivalOutcome,
 }
 
 impl Arrival {
-    /// The run, if it ran.
+    /// The run, if there was one.
     pub fn run(&self) -> Option<&Run> {
         match &self.outcome {
             ArrivalOutcome::Ran(run) => Some(run),
@@ -116,11 +114,11 @@
     }
 }
 
-/// Names an arrival in the ledger.
+/// Identifies an arrival in a [`Ledger`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalKey(usize);
 
-/// All arrivals at all searchers of a process.
+/// Log of the arrivals at all searchers of a process.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     arrivals: Arc<Mutex<Vec<Arrival>>>,
@@ -128,51 +126,51 @@
 
 impl Ledger {
     /// Records an arrival.
-    pub fn arrive(&self, arrival: Arrival) -> ArrivalKey {
+    pub fn record(&self, arrival: Arrival) -> ArrivalKey {
         let mut arrivals = lock(&self.arrivals);
         arrivals.push(arrival);
         ArrivalKey(arrivals.len() - 1)
     }
 
-    /// Changes what is known of an arrival.
+    /// Updates the record of an arrival.
     pub fn update(&self, key: ArrivalKey, change: impl FnOnce(&mut Arrival)) {
         if let Some(arrival) = lock(&self.arrivals).get_mut(key.0) {
             change(arrival);
         }
     }
 
-    /// Records the end of an arrival.
-    pub fn settle(&self, key: ArrivalKey, outcome: ArrivalOutcome) {
+    /// Sets the outcome of an arrival.
+    pub fn set_outcome(&self, key: ArrivalKey, outcome: ArrivalOutcome) {
         self.update(key, |arrival| arrival.outcome = outcome);
     }
 
-    /// A searcher crashes: what it had not answered in full is broken off.
-    pub fn break_off(&self, instance: &str) {
+    /// Marks all arrivals without a complete response as failed, because their searcher crashes.
+    pub fn fail_unfinished(&self, instance: &str) {
         for arrival in lock(&self.arrivals)
             .iter_mut()
             .filter(|arrival| arrival.instance == instance)
         {
             match &mut arrival.outcome {
                 ArrivalOutcome::Waiting => arrival.outcome = ArrivalOutcome::Broken,
-                ArrivalOutcome::Ran(run) if !run.whole => run.faulty = true,
+                ArrivalOutcome::Ran(run) if !run.complete => run.faulty = true,
                 _ => {}
             }
         }
     }
 
-    /// A copy of all arrivals so far.
+    /// Copies all arrivals so far.
     pub fn snapshot(&self) -> Vec<Arrival> {
         lock(&self.arrivals).clone()
     }
 
-    /// How many arrivals satisfy a condition.
-    pub fn count(&self, condition: impl Fn(&Arrival) -> bool) -> usize {
+    /// Counts the arrivals that satisfy a predicate.
+    pub fn count(&self, predicate: impl Fn(&Arrival) -> bool) -> usize {
         lock(&self.arrivals)
             .iter()
-            .filter(|arrival| condition(arrival))
+            .filter(|arrival| predicate(arrival))
             .count()
     }
 }
 
-/// When the platform's list first showed each searcher as draining or gone.
+/// When the platform's list first showed each searcher as draining or removed.
 pub type DrainTimes = BTreeMap<String, Micros>;
--- a/crates/lockusher-router-testbed/src/searcher.rs
+++ b/crates/lockusher-router-testbed/src/searcher.rs
@@ -1,5 +1,4 @@
-//! What plain searchers and searchers of language-model services have in common: identity, screening of
-//! requests, faults on demand.
+//! Common parts of plain searchers and model searchers: identity, preconditions of requests, fault injection.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,14 +9,14 @@
 use serde_json::json;
 
 use crate::engine::Micros;
-use crate::http::{Answer, Connection, Request};
+use crate::http::{Connection, Request, Response};
 use crate::record::{Arrival, ArrivalOutcome, digest};
 use crate::server::lock;
 
-/// How often a searcher looks whether its caller has gone.
-pub(crate) const CALLER_POLL: Duration = Duration::from_millis(20);
+/// How often a searcher checks whether its caller has disconnected.
+pub(crate) const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Who a searcher is. Every start is a new incarnation with a new `instance`.
+/// The identity of a searcher. Every start is a new incarnation with a new `instance`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     pub instance: String,
@@ -27,26 +26,26 @@
     pub region: String,
 }
 
-/// A way to misbehave with one request.
+/// A fault to inject into one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Reset once the whole request was read; it has not begun to run.
+    /// Resets the connection after reading the request, before the run starts.
     ResetAfterRequest,
-    /// The run begins, then the connection is reset without a byte of the answer.
+    /// Starts the run, then resets the connection before the first byte of the response.
     ResetBeforeFirstEvent,
-    /// Reset in the middle of the event after so many whole ones.
+    /// Resets the connection in the middle of the event that follows `whole_events` complete ones.
     ResetMidEvent { whole_events: usize },
-    /// The answer names another request.
+    /// Sends a response with the `Request-Identifier` of another request.
     WrongIdentifier,
-    /// Bytes follow the whole answer.
+    /// Sends surplus bytes after the complete response.
     ExtraBytes,
-    /// The run begins, then nothing is ever answered.
+    /// Starts the run, then never responds.
     Silence,
-    /// It is rejected with this status and `Not-Executed`.
+    /// Rejects the request with this status and `Not-Executed`.
     Reject { status: u16 },
 }
 
-/// The faults that the next requests meet, in order.
+/// The faults to inject into the next requests, in order.
 #[derive(Debug, Default)]
 pub struct FaultPlan {
     runs: Mutex<VecDeque<Fault>>,
@@ -55,28 +54,29 @@
 }
 
 impl FaultPlan {
-    /// The next `times` requests that are to run meet `fault`.
+    /// Injects `fault` into the next `times` requests that generate a response.
     pub fn on_runs(&self, fault: Fault, times: usize) {
         lock(&self.runs).extend(std::iter::repeat_n(fault, times));
     }
 
-    /// The next `times` prompts that are to be read meet `fault`.
+    /// Injects `fault` into the next `times` prefill requests.
     pub fn on_prefills(&self, fault: Fault, times: usize) {
         lock(&self.prefills).extend(std::iter::repeat_n(fault, times));
     }
 
-    /// Faults that requests have met so far.
+    /// Number of faults injected so far.
     pub fn met(&self) -> usize {
         self.met.load(Ordering::SeqCst)
     }
 
-    /// Drops the faults that no request has met.
+    /// Drops the faults not yet injected.
     pub fn clear(&self) {
         lock(&self.runs).clear();
         lock(&self.prefills).clear();
     }
 
-    pub(crate) fn next(&self, prefill_only: bool) -> Option<Fault> {
+    /// Takes the fault for the next request, if any.
+    pub(crate) fn take_next(&self, prefill_only: bool) -> Option<Fault> {
         let plan = if prefill_only {
             &self.prefills
         } else {
@@ -89,15 +89,15 @@
     }
 }
 
-/// A request that did not run and never will.
-pub(crate) fn not_executed(status: u16, request_id: &str) -> Answer {
-    Answer::new(status)
+/// Builds a response which promises that the request has not run and never will.
+pub(crate) fn not_executed(status: u16, request_id: &str) -> Response {
+    Response::new(status)
         .header("Request-Identifier", request_id)
         .header("Not-Executed", "1")
 }
 
-/// The answer of a searcher to a request that it must not run, if so.
-pub(crate) fn screen(request: &Request, identity: &Identity) -> Option<Answer> {
+/// Returns the rejection of a request without an id or for another incarnation.
+pub(crate) fn check_preconditions(request: &Request, identity: &Identity) -> Option<Response> {
     let Some(request_id) = request.headers.get("Request-Identifier") else {
         return Some(not_executed(400, ""));
     };
@@ -109,8 +109,8 @@
     }
 }
 
-/// The record of a request as it comes in.
-pub(crate) fn arrival_of(request: &Request, identity: &Identity, at: Micros) -> Arrival {
+/// Creates the record of an incoming request.
+pub(crate) fn new_arrival(request: &Request, identity: &Identity, at: Micros) -> Arrival {
     Arrival {
         at,
         instance: identity.instance.clone(),
@@ -130,23 +130,23 @@
     }
 }
 
-/// The answer to a health check.
-pub(crate) fn health(identity: &Identity, well: bool) -> Answer {
-    let status = if well { 200 } else { 503 };
-    Answer::new(status).header("Instance-Identifier", identity.instance.as_str())
+/// Builds the response to a health check.
+pub(crate) fn health_response(identity: &Identity, is_healthy: bool) -> Response {
+    let status = if is_healthy { 200 } else { 503 };
+    Response::new(status).header("Instance-Identifier", identity.instance.as_str())
 }
 
-/// Holds a connection without a word until its caller goes.
-pub(crate) fn keep_silent(connection: &mut Connection) {
-    let pause = std::sync::Condvar::new();
-    let held = Mutex::new(());
+/// Keeps a connection open without sending anything until the caller disconnects.
+pub(crate) fn hang_until_disconnect(connection: &mut Connection) {
+    let never_notified = std::sync::Condvar::new();
+    let mutex = Mutex::new(());
     while !connection.peer_has_closed() {
-        // Nobody notifies: this is a wait between two looks at the socket.
-        let _ = pause.wait_timeout(lock(&held), CALLER_POLL);
+        // Nothing notifies the condition variable: this only waits between two checks of the socket.
+        let _ = never_notified.wait_timeout(lock(&mutex), DISCONNECT_POLL_INTERVAL);
     }
 }
 
-/// A searcher's entry on the platform's list, without its state.
+/// Builds a searcher's entry for the platform's list, without `state`.
 pub(crate) fn list_entry(
     identity: &Identity,
     slots: usize,
--- a/crates/lockusher-router-testbed/src/server.rs
+++ b/crates/lockusher-router-testbed/src/server.rs
@@ -1,4 +1,4 @@
-//! A blocking HTTP server for the stand-ins: one thread accepts, one thread serves each connection.
+//! A blocking HTTP server for the stand-ins, with one thread that accepts and one thread per connection.
 
 use std::collections::HashMap;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,24 +8,24 @@
 
 use crate::http::{Connection, Request};
 
-/// What becomes of a connection after a request.
+/// What to do with a connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// It serves another request.
+    /// Wait for another request.
     Keep,
-    /// It is closed in order.
+    /// Close it gracefully.
     Close,
-    /// It is reset.
+    /// Close it with a TCP reset.
     Reset,
 }
 
-/// Answers requests. It writes its answer itself, so that it may also misbehave.
+/// Handles requests. A handler writes the response itself, so that it can misbehave on purpose.
 pub trait Handler: Send + Sync + 'static {
-    /// Serves one request of a connection.
+    /// Handles one request and writes its response to the connection.
     fn handle(&self, request: Request, connection: &mut Connection) -> Next;
 }
 
-/// Locks a mutex; a panic elsewhere doesn't hide what was recorded before it.
+/// Locks a mutex and ignores poisoning, so that records made before a panic stay accessible.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -34,11 +34,11 @@
     handler: Arc<dyn Handler>,
     connection_limit: usize,
     stopped: AtomicBool,
-    next_id: AtomicU64,
-    open: Mutex<HashMap<u64, TcpStream>>,
+    next_connection_id: AtomicU64,
+    open_streams: Mutex<HashMap<u64, TcpStream>>,
 }
 
-/// A server that listens until it is stopped or dropped.
+/// An HTTP server that listens until it is stopped or dropped.
 pub struct Server {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -46,7 +46,7 @@
 }
 
 impl Server {
-    /// Serves a bound socket; connections beyond the limit are reset.
+    /// Serves a bound listener; connections beyond the limit are reset.
     pub fn start(
         listener: TcpListener,
         connection_limit: usize,
@@ -57,11 +57,11 @@
             handler,
             connection_limit,
             stopped: AtomicBool::new(false),
-            next_id: AtomicU64::new(0),
-            open: Mutex::new(HashMap::new()),
+            next_connection_id: AtomicU64::new(0),
+            open_streams: Mutex::new(HashMap::new()),
         });
-        let for_acceptor = Arc::clone(&shared);
-        let acceptor = std::thread::spawn(move || accept_all(&listener, &for_acceptor));
+        let acceptor_shared = Arc::clone(&shared);
+        let acceptor = std::thread::spawn(move || accept_all(&listener, &acceptor_shared));
         Ok(Server {
             address,
             shared,
@@ -69,29 +69,29 @@
         })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
-        lock(&self.shared.open).len()
+        lock(&self.shared.open_streams).len()
     }
 
-    /// Stops listening and ends all connections at once.
+    /// Stops listening and closes all connections at once.
     pub fn stop(&mut self) {
         if self.shared.stopped.swap(true, Ordering::SeqCst) {
             return;
         }
-        // Wakes the acceptor; it may have ended by itself.
+        // Wakes the acceptor; a failure means that it has already ended.
         let _ = TcpStream::connect(self.address);
-        for stream in lock(&self.shared.open).values() {
-            // A connection that has just ended is what is wanted.
+        for stream in lock(&self.shared.open_streams).values() {
+            // Fails only if the connection is already closed.
             let _ = stream.shutdown(Shutdown::Both);
         }
         if let Some(acceptor) = self.acceptor.take() {
-            // A panic of the acceptor shows in the test's own output.
+            // A panic of the acceptor appears in the test output.
             let _ = acceptor.join();
         }
     }
@@ -109,15 +109,15 @@
             return;
         }
         let Ok(stream) = stream else { continue };
-        if lock(&shared.open).len() >= shared.connection_limit {
+        if lock(&shared.open_streams).len() >= shared.connection_limit {
             Connection::new(stream).reset();
             continue;
         }
-        let Ok(for_stop) = stream.try_clone() else {
+        let Ok(stream_for_stop) = stream.try_clone() else {
             continue;
         };
-        let id = shared.next_id.fetch_add(1, Ordering::SeqCst);
-        lock(&shared.open).insert(id, for_stop);
+        let id = shared.next_connection_id.fetch_add(1, Ordering::SeqCst);
+        lock(&shared.open_streams).insert(id, stream_for_stop);
         let shared = Arc::clone(shared);
         std::thread::spawn(move || {
             serve(Connection::new(stream), &shared, id);
@@ -133,11 +133,11 @@
         };
         next = shared.handler.handle(request, &mut connection);
     }
-    lock(&shared.open).remove(&id);
+    lock(&shared.open_streams).remove(&id);
     match next {
         Next::Reset => connection.reset(),
         _ => {
-            // The clone for stopping is gone: dropping the last socket closes it.
+            // The clone in `open_streams` is removed, so that dropping this last handle closes the socket.
             drop(connection);
         }
     }
--- a/crates/lockusher-router-testbed/tests/engine.rs
+++ b/crates/lockusher-router-testbed/tests/engine.rs
@@ -1,15 +1,15 @@
-//! The engine model against the words of the protocol page, in virtual time.
+//! The engine model behaves as the protocol page specifies, in virtual time.
 
 use lockusher_router_testbed::engine::{
     Distance, Engine, EngineParameters, HandleId, JobKey, KvTransfer, MICROS_PER_MS, Micros,
-    NO_DEADLINE, OrderAnswer, Output, Part, Rejection, Stage, Submission,
+    NO_DEADLINE, OrderResponse, Output, Part, Rejection, Stage, Submission,
 };
 use yare::parameterized;
 
 const STEP: Micros = 4 * MICROS_PER_MS;
-const HOLD: Micros = 5_000 * MICROS_PER_MS;
-const SWITCH: Micros = 2_000 * MICROS_PER_MS;
-const LONG: Micros = 60_000 * MICROS_PER_MS;
+const HANDLE_HOLD: Micros = 5_000 * MICROS_PER_MS;
+const STAGE_SWITCH: Micros = 2_000 * MICROS_PER_MS;
+const LONG_AFTER: Micros = 60_000 * MICROS_PER_MS;
 
 fn parameters() -> EngineParameters {
     EngineParameters {
@@ -23,8 +23,8 @@
         prefill_tokens_per_ms: 100,
         piece_tokens: 2_000,
         link_mbps: 8_000.0,
-        handle_hold: HOLD,
-        role_switch: SWITCH,
+        handle_hold: HANDLE_HOLD,
+        role_switch: STAGE_SWITCH,
         longest_link_wait: 2_000 * MICROS_PER_MS,
     }
 }
@@ -38,7 +38,7 @@
         prefill_only: false,
         prompt: prompt.to_vec(),
         tokens_out,
-        tokens_already_made: 0,
+        tokens_already_generated: 0,
         priority: 5,
         deadline: NO_DEADLINE,
         transfer: None,
@@ -59,18 +59,22 @@
     })
 }
 
-fn finished(outputs: &[Output], wanted: JobKey) -> bool {
+fn is_finished(outputs: &[Output], wanted: JobKey) -> bool {
     outputs
         .iter()
         .any(|output| matches!(output, Output::Finished { job, .. } if *job == wanted))
 }
 
 fn tokens_of(outputs: &[Output], wanted: JobKey) -> Vec<u64> {
-    let made = outputs.iter().filter_map(|output| match output {
-        Output::Token { job, made, .. } if *job == wanted => Some(*made),
+    let tokens_generated = outputs.iter().filter_map(|output| match output {
+        Output::Token {
+            job,
+            tokens_generated,
+            ..
+        } if *job == wanted => Some(*tokens_generated),
         _ => None,
     });
-    made.collect()
+    tokens_generated.collect()
 }
 
 fn handle_of(outputs: &[Output]) -> HandleId {
@@ -78,37 +82,40 @@
         Output::Prefilled { handle, .. } => Some(*handle),
         _ => None,
     });
-    found.expect("a prompt was read")
+    found.expect("a prompt is prefilled")
 }
 
 #[test]
-fn every_token_is_made_once_and_in_order() {
+fn every_token_is_generated_once_and_in_order() {
     let mut engine = Engine::new(parameters(), Stage::Decode);
     let job = engine
         .submit(0, request(&[part(1, 100)], 7))
-        .expect("taken");
-    let outputs = engine.advance(LONG);
+        .expect("accepted");
+    let outputs = engine.advance(LONG_AFTER);
     assert_eq!(tokens_of(&outputs, job), [1, 2, 3, 4, 5, 6, 7]);
-    assert!(finished(&outputs, job));
+    assert!(is_finished(&outputs, job));
     assert_eq!(engine.report().cache_used, 0);
     assert_eq!(engine.next_event_at(), None);
 }
 
 #[test]
 fn a_token_takes_longer_the_more_requests_run() {
-    let alone = duration_of_batch(1);
-    let together = duration_of_batch(4);
-    assert!(together > alone, "{together} us against {alone} us");
+    let single = batch_duration(1);
+    let four = batch_duration(4);
+    assert!(
+        four > single,
+        "four requests took {four} us, one took {single} us"
+    );
 }
 
-fn duration_of_batch(requests: u64) -> Micros {
+fn batch_duration(requests: u64) -> Micros {
     let mut engine = Engine::new(parameters(), Stage::Decode);
     for id in 0..requests {
         engine
             .submit(0, request(&[part(id, 16)], 50))
-            .expect("taken");
+            .expect("accepted");
     }
-    let outputs = engine.advance(LONG);
+    let outputs = engine.advance(LONG_AFTER);
     outputs
         .iter()
         .map(|output| {
@@ -123,73 +130,81 @@
 }
 
 #[test]
-fn prompts_are_read_between_the_tokens_of_others() {
+fn prefill_is_interleaved_with_decoding() {
     let mut engine = Engine::new(parameters(), Stage::Decode);
     let running = engine
         .submit(0, request(&[part(1, 16)], 1_000))
-        .expect("taken");
+        .expect("accepted");
     engine.advance(10 * STEP);
     let before = 10 * STEP;
     let long = engine
         .submit(before, request(&[part(2, 8_000)], 1))
-        .expect("taken");
-    let outputs = engine.advance(LONG);
-    let begun = first_token_at(&outputs, long).expect("it began");
+        .expect("accepted");
+    let outputs = engine.advance(LONG_AFTER);
+    let first_token = first_token_at(&outputs, long).expect("a first token");
     let between = outputs.iter().filter(|output| {
-        matches!(output, Output::Token { job, at, .. } if *job == running && *at > before && *at < begun)
+        matches!(output, Output::Token { job, at, .. } if *job == running && *at > before && *at < first_token)
     });
-    // 8,000 tokens in pieces of a quarter of 2,000 are 16 pieces: others make a token between any two.
+    // 8,000 tokens in chunks of a quarter of 2,000 are 16 chunks; the running request gets a token between any two.
     assert!(between.count() >= 15);
 }
 
 #[test]
-fn decode_reads_at_half_the_pace() {
-    let mut reader = Engine::new(parameters(), Stage::Prefill);
-    reader.submit(0, prefill(&[part(1, 500)])).expect("taken");
-    let read_at = reader.next_event_at().expect("a step");
-    let mut maker = Engine::new(parameters(), Stage::Decode);
-    maker.submit(0, request(&[part(1, 500)], 1)).expect("taken");
-    let made_at = maker.next_event_at().expect("a step");
-    assert_eq!(made_at - STEP, 2 * (read_at - STEP));
+fn a_decode_searcher_prefills_at_half_the_speed() {
+    let mut prefill_engine = Engine::new(parameters(), Stage::Prefill);
+    prefill_engine
+        .submit(0, prefill(&[part(1, 500)]))
+        .expect("accepted");
+    let prefill_step_end = prefill_engine.next_event_at().expect("a step");
+    let mut decode_engine = Engine::new(parameters(), Stage::Decode);
+    decode_engine
+        .submit(0, request(&[part(1, 500)], 1))
+        .expect("accepted");
+    let decode_step_end = decode_engine.next_event_at().expect("a step");
+    assert_eq!(decode_step_end - STEP, 2 * (prefill_step_end - STEP));
 }
 
 #[test]
-fn a_kept_part_is_not_read_again_if_all_before_it_are_kept() {
+fn a_cached_part_needs_no_prefill_if_all_parts_before_it_are_cached() {
     let mut engine = Engine::new(parameters(), Stage::Decode);
     let shared = [part(1, 4_000), part(2, 4_000)];
-    let first = engine.submit(0, request(&shared, 1)).expect("taken");
-    let cold = first_token_at(&engine.advance(LONG), first).expect("began");
-    let second = engine.submit(LONG, request(&shared, 1)).expect("taken");
-    let warm = first_token_at(&engine.advance(2 * LONG), second).expect("began") - LONG;
-    assert_eq!(warm, STEP);
-    assert!(cold > 10 * warm);
+    let first = engine.submit(0, request(&shared, 1)).expect("accepted");
+    let uncached = first_token_at(&engine.advance(LONG_AFTER), first).expect("a first token");
+    let second = engine
+        .submit(LONG_AFTER, request(&shared, 1))
+        .expect("accepted");
+    let cached = first_token_at(&engine.advance(2 * LONG_AFTER), second).expect("a first token")
+        - LONG_AFTER;
+    assert_eq!(cached, STEP);
+    assert!(uncached > 10 * cached);
     let reordered = [part(3, 16), part(1, 4_000)];
     let third = engine
-        .submit(2 * LONG, request(&reordered, 1))
-        .expect("taken");
-    let unshared = first_token_at(&engine.advance(3 * LONG), third).expect("began") - 2 * LONG;
+        .submit(2 * LONG_AFTER, request(&reordered, 1))
+        .expect("accepted");
+    let unshared = first_token_at(&engine.advance(3 * LONG_AFTER), third).expect("a first token")
+        - 2 * LONG_AFTER;
     assert!(
-        unshared > 10 * warm,
-        "part 1 stands behind a part that isn't kept"
+        unshared > 10 * cached,
+        "part 1 follows a part that is not cached"
     );
 }
 
 #[test]
-fn the_least_recently_used_part_gives_way() {
+fn the_least_recently_used_part_is_evicted() {
     let mut engine = Engine::new(parameters(), Stage::Decode);
     for (turn, id) in [1, 2, 3, 1, 4].into_iter().enumerate() {
-        let now = turn as Micros * LONG;
+        let now = turn as Micros * LONG_AFTER;
         engine
             .submit(now, request(&[part(id, 5_000)], 1))
-            .expect("taken");
-        engine.advance(now + LONG);
+            .expect("accepted");
+        engine.advance(now + LONG_AFTER);
     }
-    let kept: Vec<bool> = (1..=4).map(|id| engine.holds_part(id)).collect();
-    assert_eq!(kept, [true, false, true, true]);
+    let cached_parts: Vec<bool> = (1..=4).map(|id| engine.caches_part(id)).collect();
+    assert_eq!(cached_parts, [true, false, true, true]);
 }
 
 #[test]
-fn a_full_queue_and_a_request_beyond_the_memory_are_rejected_alike() {
+fn a_full_queue_and_a_request_beyond_the_cache_size_are_rejected_as_full() {
     let mut engine = Engine::new(parameters(), Stage::Decode);
     let too_large = request(&[part(1, 16_001)], 1);
     assert_eq!(engine.submit(0, too_large), Err(Rejection::Full));
@@ -218,30 +233,34 @@
 }
 
 #[test]
-fn a_prompt_that_was_read_is_held_until_it_lapses() {
+fn a_prefilled_prompt_is_held_until_its_handle_expires() {
     let mut engine = Engine::new(parameters(), Stage::Prefill);
-    engine.submit(0, prefill(&[part(1, 1_000)])).expect("taken");
+    engine
+        .submit(0, prefill(&[part(1, 1_000)]))
+        .expect("accepted");
     engine.advance(1_000 * MICROS_PER_MS);
     assert_eq!(engine.report().prompt_handles, 1);
     assert!(engine.report().cache_used >= 1_000);
-    engine.advance(LONG);
+    engine.advance(LONG_AFTER);
     assert_eq!(engine.report().prompt_handles, 0);
     assert_eq!(engine.report().cache_used, 0);
 }
 
 #[test]
-fn a_handle_is_taken_once() {
+fn a_handle_can_be_taken_once() {
     let mut engine = Engine::new(parameters(), Stage::Prefill);
-    engine.submit(0, prefill(&[part(1, 1_000)])).expect("taken");
+    engine
+        .submit(0, prefill(&[part(1, 1_000)]))
+        .expect("accepted");
     let now = 1_000 * MICROS_PER_MS;
     let handle = handle_of(&engine.advance(now));
     assert_eq!(engine.take_handle(now, handle), Some(vec![part(1, 1_000)]));
     assert_eq!(engine.take_handle(now, handle), None);
     assert_eq!(engine.report().cache_used, 0);
-    assert!(engine.holds_part(1), "it stays as a kept part");
+    assert!(engine.caches_part(1), "the part stays cached");
 }
 
-fn fetched(parts: &[Part], distance: Distance) -> Submission {
+fn request_with_transfer(parts: &[Part], distance: Distance) -> Submission {
     let transfer = Some(KvTransfer {
         parts: parts.to_vec(),
         distance,
@@ -252,54 +271,63 @@
     }
 }
 
-/// 1,000 tokens of 1,000 bytes over 8,000 Mbit/s: one millisecond.
+/// 1,000 tokens of 1,000 bytes take one millisecond at 8,000 Mbit/s.
 #[parameterized(
     same_zone = { Distance::SameZone, 1 },
     other_zone = { Distance::OtherZone, 2 },
     other_region = { Distance::OtherRegion, 10 },
 )]
-fn a_fetch_takes_the_link_for_its_bytes(distance: Distance, milliseconds: u64) {
+fn a_transfer_takes_as_long_as_its_bytes_on_the_link(distance: Distance, milliseconds: u64) {
     let mut engine = Engine::new(parameters(), Stage::Decode);
     let job = engine
-        .submit(0, fetched(&[part(1, 1_000)], distance))
-        .expect("taken");
-    let outputs = engine.advance(LONG);
-    let begun = first_token_at(&outputs, job).expect("began");
-    assert_eq!(begun, milliseconds * MICROS_PER_MS + STEP + 100);
-    assert!(engine.holds_part(1), "fetched parts are kept like its own");
+        .submit(0, request_with_transfer(&[part(1, 1_000)], distance))
+        .expect("accepted");
+    let outputs = engine.advance(LONG_AFTER);
+    let first_token = first_token_at(&outputs, job).expect("a first token");
+    assert_eq!(first_token, milliseconds * MICROS_PER_MS + STEP + 100);
+    assert!(
+        engine.caches_part(1),
+        "transferred parts are cached like prefilled ones"
+    );
 }
 
 #[test]
-fn fetches_go_one_after_another_and_none_waits_over_two_seconds() {
+fn transfers_are_sequential_and_rejected_if_they_would_wait_over_two_seconds() {
     let slow = EngineParameters {
         link_mbps: 8.0,
         ..parameters()
     };
     let mut engine = Engine::new(slow, Stage::Decode);
     let first = engine
-        .submit(0, fetched(&[part(1, 1_000)], Distance::SameZone))
-        .expect("taken");
+        .submit(
+            0,
+            request_with_transfer(&[part(1, 1_000)], Distance::SameZone),
+        )
+        .expect("accepted");
     let second = engine
-        .submit(0, fetched(&[part(2, 1_500)], Distance::SameZone))
+        .submit(
+            0,
+            request_with_transfer(&[part(2, 1_500)], Distance::SameZone),
+        )
         .expect("waits one second");
     assert_eq!(
-        engine.submit(0, fetched(&[part(3, 16)], Distance::SameZone)),
+        engine.submit(0, request_with_transfer(&[part(3, 16)], Distance::SameZone)),
         Err(Rejection::LinkBusy)
     );
-    let outputs = engine.advance(LONG);
-    let begun = |job| first_token_at(&outputs, job).expect("began");
-    assert!(begun(first) >= 1_000 * MICROS_PER_MS);
-    assert!(begun(second) >= 2_500 * MICROS_PER_MS);
+    let outputs = engine.advance(LONG_AFTER);
+    let first_token = |job| first_token_at(&outputs, job).expect("a first token");
+    assert!(first_token(first) >= 1_000 * MICROS_PER_MS);
+    assert!(first_token(second) >= 2_500 * MICROS_PER_MS);
 }
 
 #[test]
-fn the_newest_of_the_least_urgent_is_preempted_and_read_anew() {
-    let tight = EngineParameters {
+fn the_newest_of_the_least_urgent_is_preempted_and_prefilled_again() {
+    let small_cache = EngineParameters {
         cache_tokens: 3_200,
         ..parameters()
     };
-    let mut engine = Engine::new(tight, Stage::Decode);
-    let keep = engine
+    let mut engine = Engine::new(small_cache, Stage::Decode);
+    let urgent = engine
         .submit(
             0,
             Submission {
@@ -307,14 +335,14 @@
                 ..request(&[part(1, 1_000)], 600)
             },
         )
-        .expect("taken");
+        .expect("accepted");
     let older = engine
         .submit(0, request(&[part(2, 800)], 500))
-        .expect("taken");
+        .expect("accepted");
     let newest = engine
         .submit(0, request(&[part(3, 800)], 500))
-        .expect("taken");
-    let outputs = engine.advance(LONG);
+        .expect("accepted");
+    let outputs = engine.advance(LONG_AFTER);
     let preempted: Vec<JobKey> = outputs
         .iter()
         .filter_map(|output| {
@@ -326,9 +354,9 @@
         })
         .collect();
     assert_eq!(preempted.first(), Some(&newest));
-    assert!(!preempted.contains(&keep));
-    for job in [keep, older, newest] {
-        assert!(finished(&outputs, job));
+    assert!(!preempted.contains(&urgent));
+    for job in [urgent, older, newest] {
+        assert!(is_finished(&outputs, job));
     }
     assert_eq!(tokens_of(&outputs, newest), (1..=500).collect::<Vec<u64>>());
 }
@@ -342,17 +370,17 @@
     let mut engine = Engine::new(single, Stage::Decode);
     let ordinary = engine
         .submit(0, request(&[part(1, 16)], 100))
-        .expect("taken");
+        .expect("accepted");
     engine.advance(10 * STEP);
     let waiting = engine
         .submit(10 * STEP, request(&[part(2, 16)], 10))
-        .expect("taken");
+        .expect("accepted");
     let urgent = Submission {
         priority: 0,
         ..request(&[part(3, 16)], 10)
     };
-    let urgent = engine.submit(10 * STEP, urgent).expect("taken");
-    let outputs = engine.advance(LONG);
+    let urgent = engine.submit(10 * STEP, urgent).expect("accepted");
+    let outputs = engine.advance(LONG_AFTER);
     assert!(
         outputs
             .iter()
@@ -362,18 +390,18 @@
 }
 
 #[test]
-fn a_stream_is_taken_up_after_the_tokens_made_elsewhere() {
+fn a_stream_resumes_after_the_tokens_generated_elsewhere() {
     let mut engine = Engine::new(parameters(), Stage::Decode);
     let resumed = Submission {
-        tokens_already_made: 5,
+        tokens_already_generated: 5,
         ..request(&[part(1, 100)], 8)
     };
-    let job = engine.submit(0, resumed).expect("taken");
-    assert_eq!(tokens_of(&engine.advance(LONG), job), [6, 7, 8]);
+    let job = engine.submit(0, resumed).expect("accepted");
+    assert_eq!(tokens_of(&engine.advance(LONG_AFTER), job), [6, 7, 8]);
 }
 
 #[test]
-fn a_deadline_in_the_queue_is_a_rejection_and_later_it_is_not() {
+fn a_deadline_is_a_rejection_in_the_queue_and_drops_a_started_request() {
     let single = EngineParameters {
         slots: 1,
         ..parameters()
@@ -388,7 +416,7 @@
                 ..request(&[part(1, 16)], 999)
             },
         )
-        .expect("taken");
+        .expect("accepted");
     let queued = engine
         .submit(
             0,
@@ -397,22 +425,22 @@
                 ..request(&[part(2, 16)], 9)
             },
         )
-        .expect("taken");
-    let outputs = engine.advance(LONG);
-    assert!(outputs.contains(&Output::Abandoned {
+        .expect("accepted");
+    let outputs = engine.advance(LONG_AFTER);
+    assert!(outputs.contains(&Output::DeadlineExceeded {
         job: running,
         at: short
     }));
-    let why = Rejection::DeadlineInQueue;
+    let reason = Rejection::DeadlineInQueue;
     assert!(outputs.contains(&Output::Rejected {
         job: queued,
-        why,
+        reason,
         at: short
     }));
 }
 
 #[test]
-fn a_change_of_stage_lets_the_running_finish_and_rejects_the_rest() {
+fn a_stage_change_finishes_started_requests_and_rejects_the_rest() {
     let single = EngineParameters {
         slots: 1,
         ..parameters()
@@ -420,32 +448,32 @@
     let mut engine = Engine::new(single, Stage::Decode);
     let running = engine
         .submit(0, request(&[part(1, 16)], 20))
-        .expect("taken");
+        .expect("accepted");
     let queued = engine
         .submit(0, request(&[part(2, 16)], 20))
-        .expect("taken");
+        .expect("accepted");
     let now = 5 * STEP;
     assert_eq!(
         engine.order_stage(now, Stage::Prefill, Some(0)),
-        OrderAnswer::Accepted
+        OrderResponse::Accepted
     );
     assert_eq!(
         engine.order_stage(now, Stage::Prefill, None),
-        OrderAnswer::AlreadyHolds
+        OrderResponse::AlreadyInStage
     );
     assert_eq!(
         engine.order_stage(now, Stage::Decode, None),
-        OrderAnswer::Conflict
+        OrderResponse::Conflict
     );
     assert_eq!(
         engine.submit(now, request(&[part(3, 16)], 1)),
         Err(Rejection::Busy)
     );
-    let outputs = engine.advance(LONG);
-    assert!(finished(&outputs, running));
+    let outputs = engine.advance(LONG_AFTER);
+    assert!(is_finished(&outputs, running));
     assert!(outputs.contains(&Output::Rejected {
         job: queued,
-        why: Rejection::Busy,
+        reason: Rejection::Busy,
         at: now
     }));
     assert_eq!(engine.report().stage, Stage::Prefill);
@@ -458,36 +486,38 @@
     let mut engine = Engine::new(parameters(), Stage::Decode);
     assert_eq!(
         engine.order_stage(0, Stage::Prefill, Some(3)),
-        OrderAnswer::Conflict
+        OrderResponse::Conflict
     );
     assert!(!engine.report().busy);
 }
 
 #[test]
-fn handles_survive_a_change_of_stage() {
+fn handles_survive_a_stage_change() {
     let mut engine = Engine::new(parameters(), Stage::Prefill);
-    engine.submit(0, prefill(&[part(1, 100)])).expect("taken");
+    engine
+        .submit(0, prefill(&[part(1, 100)]))
+        .expect("accepted");
     let now = 100 * MICROS_PER_MS;
     let handle = handle_of(&engine.advance(now));
     assert_eq!(
         engine.order_stage(now, Stage::Decode, None),
-        OrderAnswer::Accepted
+        OrderResponse::Accepted
     );
-    let later = now + SWITCH + 1;
+    let later = now + STAGE_SWITCH + 1;
     engine.advance(later);
     assert_eq!(engine.report().stage, Stage::Decode);
     assert!(engine.take_handle(later, handle).is_some());
 }
 
 #[test]
-fn a_cancelled_request_gives_its_slot_and_memory_back() {
+fn a_cancelled_request_frees_its_slot_and_memory() {
     let mut engine = Engine::new(parameters(), Stage::Decode);
     let job = engine
         .submit(0, request(&[part(1, 1_000)], 500))
-        .expect("taken");
+        .expect("accepted");
     engine.advance(100 * STEP);
     engine.cancel(job);
-    engine.advance(LONG);
+    engine.advance(LONG_AFTER);
     assert_eq!(engine.report().running, 0);
     assert_eq!(engine.report().cache_used, 0);
 }
--- a/crates/lockusher-router-testbed/tests/specs/mod.rs
+++ b/crates/lockusher-router-testbed/tests/specs/mod.rs
@@ -1,4 +1,4 @@
-//! Requests, a configuration and bounds that several tests share.
+//! Requests, a configuration and rule bounds shared by several tests.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use lockusher_router_testbed::operator::{Change, ChangeOutcome};
 use lockusher_router_testbed::request::RequestSpec;
 
-/// A short prompt with a shared part.
+/// A streaming request with a short prompt of two parts.
 pub fn model_spec(tokens_out: u64) -> RequestSpec {
     RequestSpec {
         kind: "chat".to_owned(),
@@ -40,7 +40,7 @@
     }
 }
 
-/// A request that may run once only.
+/// A plain request that is not idempotent.
 pub fn plain_spec() -> RequestSpec {
     RequestSpec {
         kind: "record".to_owned(),
@@ -72,6 +72,7 @@
     }
 }
 
+/// A configuration with a streaming route and a plain route.
 pub fn configuration() -> Configuration {
     Configuration {
         version: 1,
@@ -89,7 +90,7 @@
     }
 }
 
-/// A change that was acknowledged before anything else happened.
+/// A change that was acknowledged at time 0.
 pub fn acknowledged(configuration: Configuration) -> Change {
     Change {
         configuration,
@@ -101,6 +102,7 @@
     }
 }
 
+/// Bounds of the rules.
 pub fn bounds() -> RuleBounds {
     RuleBounds {
         drain: 3_000 * MICROS_PER_MS,
--- a/crates/lockusher-router-testbed/tests/stand_ins.rs
+++ b/crates/lockusher-router-testbed/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins against each other on sockets, without the fleet: what a searcher does, a client sees.
+//! The stand-ins tested against each other over sockets, without a fleet: clients connect directly to searchers.
 
 mod bench;
 mod specs;
@@ -7,23 +7,23 @@
 
 use bench::Bench;
 use lockusher_router_testbed::checker::Rule;
-use lockusher_router_testbed::http::{Answer, Connection, Request};
+use lockusher_router_testbed::http::{Connection, Request, Response};
 use lockusher_router_testbed::request::{Break, TryOutcome};
 use lockusher_router_testbed::searcher::Fault;
 use specs::{model_spec, plain_spec};
 use yare::parameterized;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-fn call(address: std::net::SocketAddr, request: &Request) -> Answer {
-    let mut connection = Connection::open(address, PATIENCE).expect("connects");
-    connection.set_give_up(Some(Instant::now() + PATIENCE));
+fn call(address: std::net::SocketAddr, request: &Request) -> Response {
+    let mut connection = Connection::open(address, TIMEOUT).expect("connects");
+    connection.set_give_up(Some(Instant::now() + TIMEOUT));
     connection.write(&request.to_bytes()).expect("written");
-    connection.read_answer().expect("answered")
+    connection.read_response().expect("a response")
 }
 
 #[test]
-fn a_stream_comes_whole_and_in_order() {
+fn a_stream_arrives_completely_and_in_order() {
     let bench = Bench::start();
     let record = bench.request(bench.decode.address(), model_spec(25));
     assert!(record.is_served(), "{record:?}");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_plain_answer_comes_whole() {
+fn a_plain_response_arrives_completely() {
     let bench = Bench::start();
     let record = bench.request(bench.plain.address(), plain_spec());
     assert!(record.is_served(), "{record:?}");
@@ -41,18 +41,18 @@
 }
 
 #[test]
-fn a_prompt_is_handed_over_once() {
+fn a_held_prompt_is_transferred_once() {
     let bench = Bench::start();
     let prefill = Request::new("POST", "/chat/1")
         .header("Request-Identifier", "a1")
         .header("Token-Counts", "200,5")
         .header("Prompt-Prefix", "a:150,b:50")
         .header("Stage", "prefill");
-    let answer = call(bench.prefill.address(), &prefill);
-    assert_eq!(answer.status, 200);
-    let body: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
+    let response = call(bench.prefill.address(), &prefill);
+    assert_eq!(response.status, 200);
+    let body: serde_json::Value = serde_json::from_slice(&response.body).expect("JSON");
     assert_eq!(body["tokens"], 200);
-    let place = format!(
+    let kv_from = format!(
         "{}/{}",
         bench.prefill.address(),
         body["promptHandle"].as_str().expect("a handle")
@@ -61,15 +61,15 @@
         .header("Request-Identifier", "a1")
         .header("Token-Counts", "200,5")
         .header("Prompt-Prefix", "a:150,b:50")
-        .header("Kv-From", place);
+        .header("Kv-From", kv_from);
     assert_eq!(call(bench.decode.address(), &decode).status, 200);
-    let again = call(bench.decode.address(), &decode);
-    assert_eq!(again.status, 503);
-    assert!(again.headers.get("Not-Executed").is_some());
+    let second_response = call(bench.decode.address(), &decode);
+    assert_eq!(second_response.status, 503);
+    assert!(second_response.headers.get("Not-Executed").is_some());
 }
 
 #[test]
-fn a_freed_handle_is_gone() {
+fn a_deleted_handle_no_longer_exists() {
     let bench = Bench::start();
     let prefill = Request::new("POST", "/chat/1")
         .header("Request-Identifier", "a1")
@@ -100,34 +100,34 @@
     wrong_stage = { "Stage", "prefill", 421 },
     unknown_handle = { "Kv-From", "127.0.0.1:9/00", 503 },
 )]
-fn what_must_not_run_is_rejected_with_a_promise(name: &str, value: &str, status: u16) {
+fn a_request_that_must_not_run_is_rejected_as_not_executed(name: &str, value: &str, status: u16) {
     let bench = Bench::start();
     let request = Request::new("POST", "/chat/1")
         .header("Request-Identifier", "a1")
         .header(name, value);
-    let answer = call(bench.decode.address(), &request);
-    assert_eq!(answer.status, status);
-    assert!(answer.headers.get("Not-Executed").is_some());
-    assert_eq!(answer.headers.get("Request-Identifier"), Some("a1"));
+    let response = call(bench.decode.address(), &request);
+    assert_eq!(response.status, status);
+    assert!(response.headers.get("Not-Executed").is_some());
+    assert_eq!(response.headers.get("Request-Identifier"), Some("a1"));
 }
 
 #[test]
 fn a_request_without_an_id_is_rejected() {
     let bench = Bench::start();
-    let answer = call(bench.plain.address(), &Request::new("POST", "/record/1"));
-    assert_eq!(answer.status, 400);
-    assert!(answer.headers.get("Not-Executed").is_some());
+    let response = call(bench.plain.address(), &Request::new("POST", "/record/1"));
+    assert_eq!(response.status, 400);
+    assert!(response.headers.get("Not-Executed").is_some());
 }
 
 #[test]
-fn an_order_changes_the_stage_that_the_report_tells() {
+fn an_order_starts_a_stage_change_shown_in_the_report() {
     let bench = Bench::start();
     let order = r#"{"operation":"stage","stage":"prefill","holder":"node-7","fence":41}"#;
-    let answer = call(
+    let response = call(
         bench.decode.address(),
         &Request::new("POST", "/api/order").body(order),
     );
-    assert_eq!(answer.status, 202);
+    assert_eq!(response.status, 202);
     let report = call(bench.decode.address(), &Request::new("GET", "/api/report"));
     let report: serde_json::Value = serde_json::from_slice(&report.body).expect("JSON");
     assert_eq!(report["busy"], true);
@@ -139,7 +139,7 @@
     before_the_first_event = { Fault::ResetBeforeFirstEvent },
     inside_an_event = { Fault::ResetMidEvent { whole_events: 1 } },
 )]
-fn a_reset_is_seen_as_a_break_and_not_as_loss(fault: Fault) {
+fn a_reset_by_a_searcher_fails_the_try_without_a_violation(fault: Fault) {
     let bench = Bench::start();
     bench.decode.faults().on_runs(fault, 1);
     let mut spec = model_spec(25);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_wrong_identifier_breaks_a_rule_where_it_is_passed_on() {
+fn a_wrong_identifier_that_is_passed_on_violates_mixed() {
     let bench = Bench::start();
     bench.decode.faults().on_runs(Fault::WrongIdentifier, 1);
     let record = bench.request(bench.decode.address(), model_spec(5));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn extra_bytes_break_a_rule_where_they_are_passed_on() {
+fn extra_bytes_that_are_passed_on_violate_mixed() {
     let bench = Bench::start();
     bench.plain.faults().on_runs(Fault::ExtraBytes, 1);
     let mut client = bench.keeping_client();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_broken_stream_is_taken_up_by_the_client() {
+fn the_client_resumes_a_broken_stream() {
     let bench = Bench::start();
     bench
         .decode
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn the_list_comes_by_pages_and_within_its_rate() {
+fn the_list_is_paged_and_rate_limited() {
     let bench = Bench::start();
     let first = call(bench.platform.address(), &Request::new("GET", "/instances"));
     let page: serde_json::Value = serde_json::from_slice(&first.body).expect("JSON");
@@ -226,30 +226,30 @@
     let bench = Bench::start();
     bench.platform.drain(&bench.plain.identity().instance);
     let request = Request::new("GET", "/instances?zone=zone-b");
-    let answer = call(bench.platform.address(), &request);
-    let page: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
+    let response = call(bench.platform.address(), &request);
+    let page: serde_json::Value = serde_json::from_slice(&response.body).expect("JSON");
     assert_eq!(page["instances"][0]["state"], "draining");
 }
 
 #[test]
-fn a_searcher_at_the_address_of_one_that_ended_hands_its_prompts_over() {
+fn a_restarted_searcher_at_the_same_address_transfers_its_prompts() {
     let mut bench = Bench::start();
     bench.restart_prefill();
     let request = Request::new("POST", "/chat/1")
         .header("Request-Identifier", "a1")
         .header("Token-Counts", "20,5");
-    let answer = call(
+    let response = call(
         bench.prefill.address(),
         &request.clone().header("Stage", "prefill"),
     );
-    let body: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
-    let place = format!(
+    let body: serde_json::Value = serde_json::from_slice(&response.body).expect("JSON");
+    let kv_from = format!(
         "{}/{}",
         bench.prefill.address(),
         body["promptHandle"].as_str().expect("a handle")
     );
     assert_eq!(
-        call(bench.decode.address(), &request.header("Kv-From", place)).status,
+        call(bench.decode.address(), &request.header("Kv-From", kv_from)).status,
         200
     );
 }
