--- a/crates/lockusher-router-testbed/src/http/connection.rs
+++ b/crates/lockusher-router-testbed/src/http/connection.rs
@@ -35,7 +35,7 @@
     stream: TcpStream,
     unread: Vec<u8>,
     framing: Framing,
-    give_up: Option<Instant>,
+    deadline: Option<Instant>,
 }
 
 impl Connection {
@@ -47,7 +47,7 @@
             stream,
             unread: Vec::new(),
             framing: Framing::Ended,
-            give_up: None,
+            deadline: None,
         }
     }
 
@@ -59,7 +59,7 @@
 
     /// Sets the deadline of reads and writes; `None` means no timeout.
     pub fn set_give_up(&mut self, deadline: Option<Instant>) {
-        self.give_up = deadline;
+        self.deadline = deadline;
     }
 
     /// The underlying socket, for fault injection.
@@ -295,7 +295,7 @@
 
     /// Time until the deadline; `None` without a deadline.
     fn time_left(&self) -> Result<Option<Duration>, HttpError> {
-        let Some(deadline) = self.give_up else {
+        let Some(deadline) = self.deadline else {
             return Ok(None);
         };
         match deadline.checked_duration_since(Instant::now()) {
