--- a/crates/lockusher-router-testbed/src/checker/answers.rs
+++ b/crates/lockusher-router-testbed/src/checker/answers.rs
@@ -2,20 +2,20 @@
 
 use super::{Evidence, Index, Rule, Verdict};
 use crate::record::{ArrivalOutcome, RunBody};
-use crate::request::{AnswerSeen, BodySeen, Break, TryOutcome, TryRecord};
+use crate::request::{FailureCause, ReceivedBody, ReceivedResponse, TryOutcome, TryRecord};
 
 /// Checks the response of every try.
 pub(super) fn check(evidence: &Evidence, index: &Index<'_>, verdict: &mut Verdict) {
     for record in &evidence.tries {
-        if record.surplus_before {
+        if record.unsolicited_bytes {
             verdict.add(
                 Rule::Mixed,
                 &record.request_id,
                 "received unsolicited bytes on an idle connection",
             );
         }
-        if let TryOutcome::Broken {
-            why: Break::NotHttp { reason },
+        if let TryOutcome::Failed {
+            cause: FailureCause::NotHttp { reason },
             ..
         } = &record.outcome
         {
@@ -33,7 +33,12 @@
     }
 }
 
-fn check_answer(record: &TryRecord, seen: &AnswerSeen, index: &Index<'_>, verdict: &mut Verdict) {
+fn check_answer(
+    record: &TryRecord,
+    seen: &ReceivedResponse,
+    index: &Index<'_>,
+    verdict: &mut Verdict,
+) {
     let is_success = (200..300).contains(&seen.status);
     let request_id = record.request_id.as_str();
     if seen
@@ -96,15 +101,15 @@
 
 fn check_body(
     record: &TryRecord,
-    seen: &AnswerSeen,
+    seen: &ReceivedResponse,
     produced: &RunBody,
     index: &Index<'_>,
     verdict: &mut Verdict,
 ) {
-    let is_complete = matches!(record.outcome, TryOutcome::Whole(_));
+    let is_complete = matches!(record.outcome, TryOutcome::Complete(_));
     let request_id = record.request_id.as_str();
     match (&seen.body, produced) {
-        (BodySeen::Plain { digest }, RunBody::Plain { digest: produced }) => {
+        (ReceivedBody::Plain { digest }, RunBody::Plain { digest: produced }) => {
             if is_complete && digest != produced {
                 verdict.add(
                     Rule::Mixed,
@@ -114,9 +119,9 @@
             }
         }
         (
-            BodySeen::Stream {
+            ReceivedBody::Stream {
                 events,
-                loose_bytes,
+                ends_mid_event,
             },
             RunBody::Stream { .. },
         ) => {
@@ -130,7 +135,7 @@
                     format!("event {} was produced by no searcher", unknown.id),
                 );
             }
-            if is_complete && *loose_bytes {
+            if is_complete && *ends_mid_event {
                 verdict.add(
                     Rule::Mixed,
                     request_id,
@@ -157,7 +162,7 @@
 
 /// Reports a request that ran although its response promised that it never runs.
 fn check_refused(record: &TryRecord, index: &Index<'_>, verdict: &mut Verdict) {
-    if record.spec.is_idempotent || !record.is_promise() {
+    if record.spec.is_idempotent || !record.promises_not_executed() {
         return;
     }
     if let Some((arrival, _)) = index.runs_of(&record.request_id).next() {
@@ -177,8 +182,8 @@
 fn check_lost(record: &TryRecord, index: &Index<'_>, loss_slack: u64, verdict: &mut Verdict) {
     if !matches!(
         record.outcome,
-        TryOutcome::Broken {
-            why: Break::Closed,
+        TryOutcome::Failed {
+            cause: FailureCause::Closed,
             ..
         }
     ) {
@@ -186,7 +191,7 @@
     }
     let arrivals = index.arrivals_of(&record.request_id);
     let searcher_failed = arrivals.iter().any(|arrival| match &arrival.outcome {
-        ArrivalOutcome::Broken => true,
+        ArrivalOutcome::Failed => true,
         ArrivalOutcome::Ran(run) => run.faulty,
         _ => false,
     });
--- a/crates/lockusher-router-testbed/src/checker/changes.rs
+++ b/crates/lockusher-router-testbed/src/checker/changes.rs
@@ -70,7 +70,7 @@
 fn check_route(evidence: &Evidence, arrival: &Arrival, record: &TryRecord, verdict: &mut Verdict) {
     if matches!(
         arrival.outcome,
-        ArrivalOutcome::Rejected { .. } | ArrivalOutcome::Broken
+        ArrivalOutcome::Rejected { .. } | ArrivalOutcome::Failed
     ) {
         return;
     }
@@ -111,7 +111,7 @@
 }
 
 fn check_not_found(evidence: &Evidence, record: &TryRecord, verdict: &mut Verdict) {
-    let not_found = matches!(&record.outcome, TryOutcome::Whole(seen) if seen.status == 404);
+    let not_found = matches!(&record.outcome, TryOutcome::Complete(seen) if seen.status == 404);
     if !not_found || oldest_version_in_force(evidence, record).is_none() {
         return;
     }
--- a/crates/lockusher-router-testbed/src/checker/runs.rs
+++ b/crates/lockusher-router-testbed/src/checker/runs.rs
@@ -12,7 +12,7 @@
     for arrival in &evidence.arrivals {
         check_unasked(arrival, index, verdict);
         let uses_foreign_handle = arrival
-            .continues
+            .prompt_owner
             .as_ref()
             .is_some_and(|owner| *owner != arrival.request_id);
         if uses_foreign_handle {
@@ -21,7 +21,7 @@
                 &arrival.request_id,
                 format!(
                     "Kv-From names the prompt of request {:?}",
-                    arrival.continues
+                    arrival.prompt_owner
                 ),
             );
         }
--- a/crates/lockusher-router-testbed/src/checker/streams.rs
+++ b/crates/lockusher-router-testbed/src/checker/streams.rs
@@ -2,13 +2,13 @@
 
 use super::{Evidence, Index, Rule, Verdict};
 use crate::record::{Arrival, EventRecord, RunBody};
-use crate::request::{BodySeen, TryOutcome, TryRecord};
+use crate::request::{ReceivedBody, TryOutcome, TryRecord};
 
 /// Checks the events of every stream.
 pub(super) fn check(evidence: &Evidence, index: &Index<'_>, verdict: &mut Verdict) {
     for record in &evidence.tries {
         let Some(seen) = record.seen() else { continue };
-        let BodySeen::Stream { events, .. } = &seen.body else {
+        let ReceivedBody::Stream { events, .. } = &seen.body else {
             continue;
         };
         if let Err(detail) = check_stream(record, events, index) {
@@ -45,7 +45,7 @@
             runs.len()
         ));
     }
-    let is_complete = matches!(record.outcome, TryOutcome::Whole(_));
+    let is_complete = matches!(record.outcome, TryOutcome::Complete(_));
     if is_complete && last_id != record.spec.tokens_out {
         return Err(format!(
             "complete response has {last_id} of {} tokens",
--- a/crates/lockusher-router-testbed/src/client.rs
+++ b/crates/lockusher-router-testbed/src/client.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use crate::engine::Micros;
-use crate::http::{AnswerHead, Connection, HttpError, Request};
-use crate::record::{EventRecord, LabClock, digest};
+use crate::http::{Connection, HttpError, Request, ResponseHead};
+use crate::record::{EventRecord, TestClock, digest};
 use crate::request::{
-    AnswerSeen, BodySeen, Break, RequestRecord, RequestSpec, TryOutcome, TryRecord,
+    FailureCause, ReceivedBody, ReceivedResponse, RequestRecord, RequestSpec, TryOutcome, TryRecord,
 };
 
 /// How long a new connection is given to come up.
@@ -27,7 +27,7 @@
 
 /// A client; it may keep its connections.
 pub struct Client {
-    clock: LabClock,
+    clock: TestClock,
     /// How long a connection may rest before it is used again; `None`: each try opens a new one.
     reuse_within: Option<Duration>,
     /// Doesn't wait as told, and retries at once and more often.
@@ -37,7 +37,7 @@
 
 impl Client {
     /// A client that opens a connection for each try.
-    pub fn new(clock: LabClock) -> Client {
+    pub fn new(clock: TestClock) -> Client {
         Client {
             clock,
             reuse_within: None,
@@ -47,7 +47,7 @@
     }
 
     /// A client that uses connections again that have rested for no longer than `reuse_within`.
-    pub fn keeping_connections(clock: LabClock, reuse_within: Duration) -> Client {
+    pub fn keeping_connections(clock: TestClock, reuse_within: Duration) -> Client {
         Client {
             reuse_within: Some(reuse_within),
             ..Client::new(clock)
@@ -55,7 +55,7 @@
     }
 
     /// A client that doesn't wait as told, and retries at once and more often.
-    pub fn hasty(clock: LabClock) -> Client {
+    pub fn hasty(clock: TestClock) -> Client {
         Client {
             hasty: true,
             ..Client::new(clock)
@@ -89,7 +89,7 @@
         for number in 0..=retries {
             let last_event_id = resume_after(spec, &tries);
             let one = self.try_once(spec, front_of(number), begun, last_event_id);
-            let pause = pause_before_retry(spec, &one, begun + spec.patience());
+            let pause = pause_before_retry(spec, &one, begun + spec.client_timeout());
             tries.push(one);
             let Some(pause) = pause else { break };
             if !self.hasty {
@@ -116,11 +116,11 @@
             "{:016x}",
             NEXT_ID.fetch_add(1, Ordering::Relaxed) ^ (u64::from(std::process::id()) << 32)
         );
-        let give_up = begun + spec.patience();
+        let give_up = begun + spec.client_timeout();
         let remaining = (begun + spec.deadline).saturating_duration_since(Instant::now());
         let sent = self.clock.now();
-        let mut surplus_before = false;
-        let outcome = match self.connect(front, give_up, &mut surplus_before) {
+        let mut unsolicited_bytes = false;
+        let outcome = match self.connect(front, give_up, &mut unsolicited_bytes) {
             Err(_) => TryOutcome::NoConnection,
             Ok(connection) => {
                 let request = spec.to_request(&request_id, remaining, last_event_id);
@@ -135,7 +135,7 @@
             last_event_id,
             sent,
             ended: self.clock.now(),
-            surplus_before,
+            unsolicited_bytes,
             outcome,
         }
     }
@@ -148,7 +148,7 @@
         surplus: &mut bool,
     ) -> Result<Connection, HttpError> {
         if let Some((mut resting, since)) = self.resting.remove(&front) {
-            *surplus = resting.has_surplus();
+            *surplus = resting.has_unsolicited_bytes();
             let is_young = self
                 .reuse_within
                 .is_some_and(|most| since.elapsed() <= most);
@@ -168,33 +168,33 @@
         request: &Request,
         give_up: Instant,
     ) -> TryOutcome {
-        connection.set_give_up(Some(give_up));
+        connection.set_deadline(Some(give_up));
         if let Err(error) = connection.write(&request.to_bytes()) {
-            return TryOutcome::Broken {
+            return TryOutcome::Failed {
                 seen: None,
-                why: break_of(error),
+                cause: break_of(error),
             };
         }
         let head = match self.read_head(&mut connection, spec, give_up) {
             Ok(head) => head,
             Err(error) => {
-                return TryOutcome::Broken {
+                return TryOutcome::Failed {
                     seen: None,
-                    why: break_of(error),
+                    cause: break_of(error),
                 };
             }
         };
         let mut seen = seen_of(&head);
         match self.read_body(&mut connection, spec, give_up, &mut seen) {
-            Err(error) => TryOutcome::Broken {
+            Err(error) => TryOutcome::Failed {
                 seen: Some(seen),
-                why: break_of(error),
+                cause: break_of(error),
             },
             Ok(()) => {
                 if self.reuse_within.is_some() && connection.may_be_reused(&head.headers) {
                     self.resting.insert(front, (connection, Instant::now()));
                 }
-                TryOutcome::Whole(seen)
+                TryOutcome::Complete(seen)
             }
         }
     }
@@ -204,9 +204,9 @@
         connection: &mut Connection,
         spec: &RequestSpec,
         give_up: Instant,
-    ) -> Result<AnswerHead, HttpError> {
-        connection.set_give_up(Some(patience(spec, give_up)));
-        connection.read_answer_head()
+    ) -> Result<ResponseHead, HttpError> {
+        connection.set_deadline(Some(patience(spec, give_up)));
+        connection.read_response_head()
     }
 
     fn read_body(
@@ -214,27 +214,27 @@
         connection: &mut Connection,
         spec: &RequestSpec,
         give_up: Instant,
-        seen: &mut AnswerSeen,
+        seen: &mut ReceivedResponse,
     ) -> Result<(), HttpError> {
-        let is_stream = matches!(seen.body, BodySeen::Stream { .. });
+        let is_stream = matches!(seen.body, ReceivedBody::Stream { .. });
         let mut unread = Vec::new();
         loop {
-            connection.set_give_up(Some(patience(spec, give_up)));
-            match connection.read_piece()? {
+            connection.set_deadline(Some(patience(spec, give_up)));
+            match connection.read_body_bytes()? {
                 Some(piece) => unread.extend_from_slice(&piece),
                 None => break,
             }
-            if let BodySeen::Stream {
+            if let ReceivedBody::Stream {
                 events,
-                loose_bytes,
+                ends_mid_event,
             } = &mut seen.body
             {
                 self.take_events(&mut unread, events);
-                *loose_bytes = !unread.is_empty();
+                *ends_mid_event = !unread.is_empty();
             }
         }
         if !is_stream {
-            seen.body = BodySeen::Plain {
+            seen.body = ReceivedBody::Plain {
                 digest: digest(&unread),
             };
         }
@@ -261,7 +261,7 @@
 /// When a read gives up: at the deadline, or for streams after the longest silence.
 fn patience(spec: &RequestSpec, give_up: Instant) -> Instant {
     if spec.streaming {
-        give_up.min(Instant::now() + spec.longest_silence())
+        give_up.min(Instant::now() + spec.idle_timeout())
     } else {
         give_up
     }
@@ -273,7 +273,7 @@
     line.and_then(|id| id.trim().parse().ok()).unwrap_or(0)
 }
 
-fn seen_of(head: &AnswerHead) -> AnswerSeen {
+fn seen_of(head: &ResponseHead) -> ReceivedResponse {
     let headers = &head.headers;
     let is_stream = headers
         .get("Content-Type")
@@ -281,29 +281,29 @@
     let retry_after = headers
         .get("Retry-After")
         .and_then(|value| value.trim().parse::<f64>().ok());
-    AnswerSeen {
+    ReceivedResponse {
         status: head.status,
         request_id: headers.get("Request-Identifier").map(str::to_owned),
         signature: headers.get("Server-Signature").map(str::to_owned),
         retry_after: retry_after.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()),
         encoded: headers.get("Content-Encoding").is_some(),
         body: match is_stream {
-            true => BodySeen::Stream {
+            true => ReceivedBody::Stream {
                 events: Vec::new(),
-                loose_bytes: false,
+                ends_mid_event: false,
             },
-            false => BodySeen::Plain {
+            false => ReceivedBody::Plain {
                 digest: digest(b""),
             },
         },
     }
 }
 
-fn break_of(error: HttpError) -> Break {
+fn break_of(error: HttpError) -> FailureCause {
     match error {
-        HttpError::TimedOut => Break::GaveUp,
-        HttpError::Malformed { reason } => Break::NotHttp { reason },
-        HttpError::Io(_) | HttpError::ClosedEarly => Break::Closed,
+        HttpError::TimedOut => FailureCause::GaveUp,
+        HttpError::Malformed { reason } => FailureCause::NotHttp { reason },
+        HttpError::Io(_) | HttpError::ClosedEarly => FailureCause::Closed,
     }
 }
 
@@ -332,10 +332,11 @@
 fn may_retry(spec: &RequestSpec, last: &TryRecord) -> bool {
     match &last.outcome {
         TryOutcome::NoConnection => true,
-        TryOutcome::Whole(seen) if matches!(seen.status, 400 | 401 | 404 | 413 | 431) => false,
-        _ if last.is_promise() => true,
-        TryOutcome::Broken {
-            why: Break::GaveUp, ..
+        TryOutcome::Complete(seen) if matches!(seen.status, 400 | 401 | 404 | 413 | 431) => false,
+        _ if last.promises_not_executed() => true,
+        TryOutcome::Failed {
+            cause: FailureCause::GaveUp,
+            ..
         } => spec.is_idempotent && spec.resumable,
         _ => spec.is_idempotent,
     }
--- a/crates/lockusher-router-testbed/src/engine/admission.rs
+++ b/crates/lockusher-router-testbed/src/engine/admission.rs
@@ -43,7 +43,7 @@
         transfer: &KvTransfer,
     ) -> Result<Micros, Rejection> {
         let starts_at = self.link_free_at.max(now);
-        if starts_at - now > self.parameters.longest_link_wait {
+        if starts_at - now > self.parameters.max_link_wait {
             return Err(Rejection::LinkBusy);
         }
         let tokens: u64 = transfer.parts.iter().map(|part| part.tokens).sum();
--- a/crates/lockusher-router-testbed/src/engine/batch.rs
+++ b/crates/lockusher-router-testbed/src/engine/batch.rs
@@ -119,7 +119,7 @@
     }
 
     /// Expires all handles at once, for fault injection.
-    pub fn lapse_all_handles(&mut self) {
+    pub fn expire_all_handles(&mut self) {
         for (_, handle) in std::mem::take(&mut self.handles) {
             self.memory.release(&handle.parts);
         }
@@ -274,10 +274,10 @@
         }
     }
 
-    fn piece_tokens(&self) -> u64 {
+    fn prefill_chunk_tokens(&self) -> u64 {
         match self.stage {
-            Stage::Prefill => self.parameters.piece_tokens,
-            Stage::Decode => self.parameters.piece_tokens / DECODE_CHUNK_DIVISOR,
+            Stage::Prefill => self.parameters.prefill_chunk_tokens,
+            Stage::Decode => self.parameters.prefill_chunk_tokens / DECODE_CHUNK_DIVISOR,
         }
     }
 
@@ -289,7 +289,7 @@
             .filter(|job| matches!(job.phase, Phase::Prefilling { .. }))
             .collect();
         prefilling.sort_by_key(|job| job.scheduling_key());
-        let mut budget = self.piece_tokens();
+        let mut budget = self.prefill_chunk_tokens();
         let mut prefill = Vec::new();
         for job in prefilling {
             let Phase::Prefilling { remaining } = job.phase else {
@@ -349,7 +349,7 @@
             handle,
             Handle {
                 parts,
-                expires_at: at + self.parameters.handle_hold,
+                expires_at: at + self.parameters.handle_ttl,
             },
         );
         self.outputs.push_back(Output::Prefilled {
--- a/crates/lockusher-router-testbed/src/engine/stages.rs
+++ b/crates/lockusher-router-testbed/src/engine/stages.rs
@@ -62,7 +62,7 @@
         let Some(switch) = self.switch else { return };
         match switch.completes_at {
             None if self.jobs.is_empty() => {
-                let completes_at = Some(at + self.parameters.role_switch);
+                let completes_at = Some(at + self.parameters.stage_switch_duration);
                 self.switch = Some(StageSwitch {
                     completes_at,
                     ..switch
--- a/crates/lockusher-router-testbed/src/engine/types.rs
+++ b/crates/lockusher-router-testbed/src/engine/types.rs
@@ -55,15 +55,15 @@
     /// Prefill speed of a prefill searcher, in tokens per millisecond.
     pub prefill_tokens_per_ms: u64,
     /// Maximum number of prompt tokens that a prefill searcher processes in one step.
-    pub piece_tokens: u64,
+    pub prefill_chunk_tokens: u64,
     /// Bandwidth of the link for KV transfers, in megabits per second.
     pub link_mbps: f64,
     /// How long the KV cache of a prefilled prompt is held for a decode searcher.
-    pub handle_hold: Micros,
+    pub handle_ttl: Micros,
     /// How long a stage change takes once the running requests have ended.
-    pub role_switch: Micros,
+    pub stage_switch_duration: Micros,
     /// Longest wait of a KV transfer for the link; requests that would wait longer are rejected.
-    pub longest_link_wait: Micros,
+    pub max_link_wait: Micros,
 }
 
 /// Network distance between the searcher that prefilled a prompt and the one that fetches its KV cache.
--- a/crates/lockusher-router-testbed/src/entry.rs
+++ b/crates/lockusher-router-testbed/src/entry.rs
@@ -38,14 +38,14 @@
 }
 
 /// Probes the readiness of every mixer until it is dropped, and picks mixers for clients.
-pub struct Entry {
+pub struct ConnectionBalancer {
     shared: Arc<Shared>,
     prober: Option<JoinHandle<()>>,
 }
 
-impl Entry {
+impl ConnectionBalancer {
     /// Starts to probe; every mixer counts as unhealthy until its first successful probe.
-    pub fn start(mixers: Vec<MixerAddress>) -> Entry {
+    pub fn start(mixers: Vec<MixerAddress>) -> ConnectionBalancer {
         let health = vec![
             Health {
                 consecutive_failures: UNHEALTHY_THRESHOLD,
@@ -61,7 +61,7 @@
         });
         let prober_shared = Arc::clone(&shared);
         let prober = std::thread::spawn(move || prober_shared.probe_all());
-        Entry {
+        ConnectionBalancer {
             shared,
             prober: Some(prober),
         }
@@ -90,7 +90,7 @@
     }
 }
 
-impl Drop for Entry {
+impl Drop for ConnectionBalancer {
     fn drop(&mut self) {
         self.shared.stopped.store(true, Ordering::SeqCst);
         self.shared.wake.notify_all();
@@ -131,8 +131,8 @@
 
 fn readiness_status(readiness: SocketAddr, timeout: Duration) -> Result<u16, HttpError> {
     let mut connection = Connection::open(readiness, timeout)?;
-    connection.set_give_up(Some(Instant::now() + timeout));
+    connection.set_deadline(Some(Instant::now() + timeout));
     let request = Request::new("GET", "/api/readiness").header("Host", readiness.to_string());
     connection.write(&request.header("Connection", "close").to_bytes())?;
-    Ok(connection.read_answer_head()?.status)
+    Ok(connection.read_response_head()?.status)
 }
--- a/crates/lockusher-router-testbed/src/figures.rs
+++ b/crates/lockusher-router-testbed/src/figures.rs
@@ -68,12 +68,13 @@
         self.tries += record.tries.len() as u64;
         if let Some(latency) = record.latency() {
             self.served += 1;
-            self.in_time += u64::from(u128::from(latency) <= record.spec.aim.as_micros());
+            self.in_time +=
+                u64::from(u128::from(latency) <= record.spec.latency_target.as_micros());
             self.latencies.add(latency);
         } else if record
             .tries
             .last()
-            .is_some_and(super::request::TryRecord::is_promise)
+            .is_some_and(super::request::TryRecord::promises_not_executed)
         {
             self.refused += 1;
         }
--- a/crates/lockusher-router-testbed/src/fleet/mod.rs
+++ b/crates/lockusher-router-testbed/src/fleet/mod.rs
@@ -301,14 +301,14 @@
     /// Cuts an edge machine off from the control plane, or joins it again.
     pub fn set_edge_cut(&self, edge: usize, cut: bool) {
         for link in self.links.iter().filter(|link| link.edge == edge) {
-            link.link.set_cut(cut);
+            link.link.set_partitioned(cut);
         }
     }
 
     /// Cuts a core machine off from all edge machines, or joins it again.
     pub fn set_core_cut_from_edges(&self, core: usize, cut: bool) {
         for link in self.links.iter().filter(|link| link.core == core) {
-            link.link.set_cut(cut);
+            link.link.set_partitioned(cut);
         }
     }
 
--- a/crates/lockusher-router-testbed/src/http/connection.rs
+++ b/crates/lockusher-router-testbed/src/http/connection.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use super::{AnswerHead, Headers, HttpError, Request, Response, malformed};
+use super::{Headers, HttpError, Request, Response, ResponseHead, malformed};
 
 /// Maximum size of a message head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
@@ -58,7 +58,7 @@
     }
 
     /// Sets the deadline of reads and writes; `None` means no timeout.
-    pub fn set_give_up(&mut self, deadline: Option<Instant>) {
+    pub fn set_deadline(&mut self, deadline: Option<Instant>) {
         self.deadline = deadline;
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Whether bytes were received that belong to no expected message.
-    pub fn has_surplus(&mut self) -> bool {
+    pub fn has_unsolicited_bytes(&mut self) -> bool {
         !self.unread.is_empty() || matches!(self.state(), SocketState::Readable)
     }
 
@@ -130,8 +130,8 @@
         }))
     }
 
-    /// Reads the head of a response; [`Connection::read_piece`] reads its body.
-    pub fn read_answer_head(&mut self) -> Result<AnswerHead, HttpError> {
+    /// Reads the head of a response; [`Connection::read_body_bytes`] reads its body.
+    pub fn read_response_head(&mut self) -> Result<ResponseHead, HttpError> {
         let head = self.read_head()?.ok_or(HttpError::ClosedEarly)?;
         let (start, headers) = parse_head(&head)?;
         let status = start
@@ -142,12 +142,12 @@
             return Err(malformed(format!("invalid status line {start:?}")));
         };
         self.framing = framing_of(&headers, Framing::UntilClose)?;
-        Ok(AnswerHead { status, headers })
+        Ok(ResponseHead { status, headers })
     }
 
     /// Reads a response with its body.
     pub fn read_response(&mut self) -> Result<Response, HttpError> {
-        let head = self.read_answer_head()?;
+        let head = self.read_response_head()?;
         let body = self.read_body()?;
         Ok(Response {
             status: head.status,
@@ -162,7 +162,7 @@
     }
 
     /// Reads the next bytes of the body; `None` at its end.
-    pub fn read_piece(&mut self) -> Result<Option<Vec<u8>>, HttpError> {
+    pub fn read_body_bytes(&mut self) -> Result<Option<Vec<u8>>, HttpError> {
         match self.framing {
             Framing::Ended | Framing::Length(0) => {
                 self.framing = Framing::Ended;
@@ -189,7 +189,7 @@
 
     fn read_body(&mut self) -> Result<Vec<u8>, HttpError> {
         let mut body = Vec::new();
-        while let Some(bytes) = self.read_piece()? {
+        while let Some(bytes) = self.read_body_bytes()? {
             body.extend_from_slice(&bytes);
         }
         Ok(body)
@@ -210,7 +210,7 @@
             .map_err(|_| malformed(format!("invalid chunk size {line:?}")))?;
         if size > 0 {
             self.framing = Framing::Chunked(size);
-            return self.read_piece();
+            return self.read_body_bytes();
         }
         while !self.read_line()?.is_empty() {}
         self.framing = Framing::Ended;
--- a/crates/lockusher-router-testbed/src/http/mod.rs
+++ b/crates/lockusher-router-testbed/src/http/mod.rs
@@ -223,7 +223,7 @@
 
 /// The head of a response whose body is not yet read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     pub status: u16,
     pub headers: Headers,
 }
--- a/crates/lockusher-router-testbed/src/kv_network.rs
+++ b/crates/lockusher-router-testbed/src/kv_network.rs
@@ -30,7 +30,7 @@
     }
 
     /// While the network is partitioned, no prompt can be transferred.
-    pub fn set_cut(&self, partitioned: bool) {
+    pub fn set_partitioned(&self, partitioned: bool) {
         self.partitioned.store(partitioned, Ordering::SeqCst);
     }
 
--- a/crates/lockusher-router-testbed/src/link.rs
+++ b/crates/lockusher-router-testbed/src/link.rs
@@ -50,7 +50,7 @@
     }
 
     /// While the link is partitioned, no bytes pass in either direction and connections hang.
-    pub fn set_cut(&self, partitioned: bool) {
+    pub fn set_partitioned(&self, partitioned: bool) {
         self.state.partitioned.store(partitioned, Ordering::SeqCst);
     }
 }
--- a/crates/lockusher-router-testbed/src/load.rs
+++ b/crates/lockusher-router-testbed/src/load.rs
@@ -11,8 +11,8 @@
 
 use crate::client::Client;
 use crate::engine::{Micros, Part};
-use crate::entry::Entry;
-use crate::record::LabClock;
+use crate::entry::ConnectionBalancer;
+use crate::record::TestClock;
 use crate::request::{RequestRecord, RequestSpec};
 use crate::server::lock;
 
@@ -53,8 +53,8 @@
 }
 
 struct Shared {
-    clock: LabClock,
-    entry: Arc<Entry>,
+    clock: TestClock,
+    entry: Arc<ConnectionBalancer>,
     due: Vec<Due>,
     next: AtomicUsize,
     stopped: AtomicBool,
@@ -70,7 +70,7 @@
 
 impl Load {
     /// Begins to send; the first request is due at once.
-    pub fn start(plan: &LoadPlan, clock: LabClock, entry: Arc<Entry>) -> Load {
+    pub fn start(plan: &LoadPlan, clock: TestClock, entry: Arc<ConnectionBalancer>) -> Load {
         let due = draw(plan, clock.now());
         let shared = Arc::new(Shared {
             clock,
@@ -155,7 +155,7 @@
     }
 
     fn wait_until(&self, at: Micros) {
-        let moment = self.clock.moment(at);
+        let moment = self.clock.instant_at(at);
         while !self.stopped.load(Ordering::SeqCst) {
             let left = moment.saturating_duration_since(Instant::now());
             if left.is_zero() {
--- a/crates/lockusher-router-testbed/src/model_http.rs
+++ b/crates/lockusher-router-testbed/src/model_http.rs
@@ -75,7 +75,7 @@
 
     fn serve(&self, request: &Request, connection: &mut Connection) -> Next {
         let record = new_arrival(request, &self.core.identity, self.core.clock.now());
-        let arrival = self.core.ledger.record(record);
+        let arrival = self.core.arrival_log.record(record);
         if let Some(response) = check_preconditions(request, &self.core.identity) {
             return self.reject(connection, arrival, response);
         }
@@ -88,8 +88,8 @@
         match fault {
             Some(Fault::ResetAfterRequest) => {
                 self.core
-                    .ledger
-                    .set_outcome(arrival, ArrivalOutcome::Broken);
+                    .arrival_log
+                    .set_outcome(arrival, ArrivalOutcome::Failed);
                 return Next::Reset;
             }
             Some(Fault::Reject { status }) => {
@@ -139,8 +139,8 @@
             return Err(not_executed(503, request_id));
         };
         self.core
-            .ledger
-            .update(arrival, |arrival| arrival.continues = Some(owner));
+            .arrival_log
+            .update(arrival, |arrival| arrival.prompt_owner = Some(owner));
         submission.transfer = Some(transfer);
         Ok(())
     }
@@ -185,7 +185,7 @@
             )),
             Output::Prefilled { handle, tokens, .. } => {
                 self.core
-                    .ledger
+                    .arrival_log
                     .set_outcome(stream.arrival, ArrivalOutcome::Prefilled);
                 Some(self.send_prefill_response(
                     connection,
@@ -213,7 +213,7 @@
     ) -> Next {
         match stream.fault {
             Some(Fault::ResetBeforeFirstEvent | Fault::ResetMidEvent { .. }) => return Next::Reset,
-            Some(Fault::Silence) => {
+            Some(Fault::NoResponse) => {
                 hang_until_disconnect(connection);
                 return Next::Close;
             }
@@ -246,7 +246,7 @@
             self.begin_run(stream, at);
             match stream.fault {
                 Some(Fault::ResetBeforeFirstEvent) => return Some(Next::Reset),
-                Some(Fault::Silence) => {
+                Some(Fault::NoResponse) => {
                     hang_until_disconnect(connection);
                     return Some(Next::Close);
                 }
@@ -274,7 +274,7 @@
             faulty: stream.fault.is_some(),
         };
         self.core
-            .ledger
+            .arrival_log
             .set_outcome(stream.arrival, ArrivalOutcome::Ran(run));
     }
 
@@ -308,12 +308,12 @@
             digest: digest(text.as_bytes()),
             at,
         };
-        self.core.ledger.update(stream.arrival, |arrival| {
+        self.core.arrival_log.update(stream.arrival, |arrival| {
             record_event(&mut arrival.outcome, event);
         });
         if stream.fault
             == Some(Fault::ResetMidEvent {
-                whole_events: stream.events_sent,
+                complete_events: stream.events_sent,
             })
         {
             // The reset follows whether or not these bytes are sent.
@@ -334,7 +334,7 @@
         let written = connection.write(&bytes);
         if written.is_ok() {
             self.core
-                .ledger
+                .arrival_log
                 .update(stream.arrival, |arrival| set_complete(&mut arrival.outcome));
         }
         let is_draining = self.core.draining.load(Ordering::SeqCst);
@@ -346,7 +346,7 @@
     }
 
     fn reject(&self, connection: &mut Connection, arrival: ArrivalKey, response: Response) -> Next {
-        self.core.ledger.set_outcome(
+        self.core.arrival_log.set_outcome(
             arrival,
             ArrivalOutcome::Rejected {
                 status: response.status,
--- a/crates/lockusher-router-testbed/src/model_searcher.rs
+++ b/crates/lockusher-router-testbed/src/model_searcher.rs
@@ -16,7 +16,7 @@
 };
 use crate::kv_network::KvNetwork;
 use crate::model_http::ModelHandler;
-use crate::record::{LabClock, Ledger};
+use crate::record::{ArrivalLog, TestClock};
 use crate::searcher::{FaultPlan, Identity, list_entry};
 use crate::server::{Handler, Server, lock};
 
@@ -51,8 +51,8 @@
 pub(crate) struct ModelCore {
     pub parameters: ModelParameters,
     pub identity: Identity,
-    pub clock: LabClock,
-    pub ledger: Ledger,
+    pub clock: TestClock,
+    pub arrival_log: ArrivalLog,
     pub faults: FaultPlan,
     pub network: KvNetwork,
     pub draining: AtomicBool,
@@ -191,8 +191,8 @@
         mut identity: Identity,
         stage: Stage,
         parameters: ModelParameters,
-        clock: LabClock,
-        ledger: Ledger,
+        clock: TestClock,
+        arrival_log: ArrivalLog,
         network: KvNetwork,
     ) -> std::io::Result<ModelSearcher> {
         let listener = TcpListener::bind(identity.address)?;
@@ -203,7 +203,7 @@
             parameters,
             identity,
             clock,
-            ledger,
+            arrival_log,
             faults: FaultPlan::default(),
             network,
             draining: AtomicBool::new(false),
@@ -266,9 +266,9 @@
     }
 
     /// Expires all held prompts at once.
-    pub fn lapse_all_handles(&self) {
+    pub fn expire_all_handles(&self) {
         self.core
-            .with_engine(|engine, _| engine.lapse_all_handles());
+            .with_engine(|engine, _| engine.expire_all_handles());
     }
 
     /// Fails health checks and closes connections from now on, but continues to serve requests.
@@ -288,7 +288,7 @@
         }
         self.core.network.unregister(self.server.address());
         self.core
-            .ledger
+            .arrival_log
             .fail_unfinished(&self.core.identity.instance);
         self.server.stop();
         // The engine thread checks `stopped` and starts to wait under this lock. Without taking it, the notification
--- a/crates/lockusher-router-testbed/src/operator.rs
+++ b/crates/lockusher-router-testbed/src/operator.rs
@@ -10,7 +10,7 @@
 use crate::configuration::to_json;
 use crate::engine::Micros;
 use crate::http::{Connection, HttpError, Request, Response};
-use crate::record::LabClock;
+use crate::record::TestClock;
 use crate::server::lock;
 
 /// Maximum number of redirects (`Location`) followed in one call.
@@ -31,7 +31,7 @@
         status: u16,
     },
     /// No final response before the timeout: the change may or may not be in force.
-    Unclear,
+    Unknown,
 }
 
 /// A change that the operator sent.
@@ -50,7 +50,7 @@
 /// The operator and the changes that it sent.
 pub struct Operator {
     control: Mutex<Vec<SocketAddr>>,
-    clock: LabClock,
+    clock: TestClock,
     changes: Mutex<Vec<Change>>,
     /// Number of responses still to be dropped, to simulate lost acknowledgements.
     responses_to_drop: Mutex<u32>,
@@ -58,7 +58,7 @@
 
 impl Operator {
     /// Creates an operator that calls the control nodes at these addresses.
-    pub fn new(control: Vec<SocketAddr>, clock: LabClock) -> Arc<Operator> {
+    pub fn new(control: Vec<SocketAddr>, clock: TestClock) -> Arc<Operator> {
         Arc::new(Operator {
             control: Mutex::new(control),
             clock,
@@ -73,7 +73,7 @@
     }
 
     /// Drops the next `count` responses.
-    pub fn lose_answers(&self, count: u32) {
+    pub fn drop_responses(&self, count: u32) {
         *lock(&self.responses_to_drop) = count;
     }
 
@@ -155,7 +155,7 @@
                 _ => {}
             }
             if !backoff.wait(deadline) {
-                return (ChangeOutcome::Unclear, calls);
+                return (ChangeOutcome::Unknown, calls);
             }
         }
     }
@@ -191,7 +191,7 @@
 
 fn send_once(address: SocketAddr, request: &Request) -> Result<Response, HttpError> {
     let mut connection = Connection::open(address, RESPONSE_TIMEOUT)?;
-    connection.set_give_up(Some(Instant::now() + RESPONSE_TIMEOUT));
+    connection.set_deadline(Some(Instant::now() + RESPONSE_TIMEOUT));
     let request = request.clone().header("Host", address.to_string());
     connection.write(&request.to_bytes())?;
     connection.read_response()
--- a/crates/lockusher-router-testbed/src/plain_searcher.rs
+++ b/crates/lockusher-router-testbed/src/plain_searcher.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use crate::http::{Connection, Request, Response};
-use crate::record::{ArrivalKey, ArrivalOutcome, LabClock, Ledger, Run, RunBody, digest};
+use crate::record::{ArrivalKey, ArrivalLog, ArrivalOutcome, Run, RunBody, TestClock, digest};
 use crate::searcher::{
     DISCONNECT_POLL_INTERVAL, Fault, FaultPlan, Identity, check_preconditions,
     hang_until_disconnect, health_response, list_entry, new_arrival, not_executed,
@@ -40,8 +40,8 @@
 struct Shared {
     parameters: PlainParameters,
     identity: Identity,
-    clock: LabClock,
-    ledger: Ledger,
+    clock: TestClock,
+    arrival_log: ArrivalLog,
     faults: FaultPlan,
     load: Mutex<Load>,
     slot_freed: Condvar,
@@ -62,8 +62,8 @@
     pub fn start(
         mut identity: Identity,
         parameters: PlainParameters,
-        clock: LabClock,
-        ledger: Ledger,
+        clock: TestClock,
+        arrival_log: ArrivalLog,
     ) -> std::io::Result<PlainSearcher> {
         let listener = TcpListener::bind(identity.address)?;
         identity.address = listener.local_addr()?;
@@ -72,7 +72,7 @@
             parameters,
             identity,
             clock,
-            ledger,
+            arrival_log,
             faults: FaultPlan::default(),
             load: Mutex::new(Load::default()),
             slot_freed: Condvar::new(),
@@ -117,7 +117,7 @@
     /// Stops abruptly, like a crash.
     pub fn stop(&mut self) {
         self.shared
-            .ledger
+            .arrival_log
             .fail_unfinished(&self.shared.identity.instance);
         self.server.stop();
     }
@@ -131,9 +131,9 @@
                 health_response(&self.identity, !self.draining.load(Ordering::SeqCst)),
             );
         }
-        let arrival = self
-            .ledger
-            .record(new_arrival(&request, &self.identity, self.clock.now()));
+        let arrival =
+            self.arrival_log
+                .record(new_arrival(&request, &self.identity, self.clock.now()));
         if let Some(response) = check_preconditions(&request, &self.identity) {
             return self.reject(connection, arrival, response);
         }
@@ -144,7 +144,8 @@
         let fault = self.faults.take_next(false);
         match fault {
             Some(Fault::ResetAfterRequest) => {
-                self.ledger.set_outcome(arrival, ArrivalOutcome::Broken);
+                self.arrival_log
+                    .set_outcome(arrival, ArrivalOutcome::Failed);
                 return Next::Reset;
             }
             Some(Fault::Reject { status }) => {
@@ -206,11 +207,12 @@
         let body = response_body(request_id, self.parameters.answer_bytes);
         let run = self.new_run(&body, fault.is_some());
         let signature = run.signature.clone();
-        self.ledger.set_outcome(arrival, ArrivalOutcome::Ran(run));
+        self.arrival_log
+            .set_outcome(arrival, ArrivalOutcome::Ran(run));
         if fault == Some(Fault::ResetBeforeFirstEvent) {
             return Next::Reset;
         }
-        if fault == Some(Fault::Silence) {
+        if fault == Some(Fault::NoResponse) {
             hang_until_disconnect(connection);
             return Next::Close;
         }
@@ -232,7 +234,7 @@
             .header("Server-Signature", signature)
             .body(body);
         let next = self.send_with_fault(connection, response, fault);
-        self.ledger
+        self.arrival_log
             .update(arrival, |arrival| set_complete(&mut arrival.outcome, next));
         next
     }
@@ -253,7 +255,7 @@
 
     /// Records that a run ended with 504.
     fn mark_deadline_exceeded(&self, arrival: ArrivalKey) {
-        self.ledger.update(arrival, |arrival| {
+        self.arrival_log.update(arrival, |arrival| {
             if let ArrivalOutcome::Ran(run) = &mut arrival.outcome {
                 run.status = 504;
                 run.body = RunBody::Plain {
@@ -280,7 +282,7 @@
     }
 
     fn reject(&self, connection: &mut Connection, arrival: ArrivalKey, response: Response) -> Next {
-        self.ledger.set_outcome(
+        self.arrival_log.set_outcome(
             arrival,
             ArrivalOutcome::Rejected {
                 status: response.status,
--- a/crates/lockusher-router-testbed/src/platform.rs
+++ b/crates/lockusher-router-testbed/src/platform.rs
@@ -8,7 +8,7 @@
 
 use crate::engine::{MICROS_PER_MS, Micros};
 use crate::http::{Connection, Request, Response};
-use crate::record::{DrainTimes, LabClock};
+use crate::record::{DrainTimes, TestClock};
 use crate::server::{Handler, Next, Server, lock};
 
 /// Maximum number of open connections.
@@ -54,7 +54,7 @@
 
 struct Shared {
     parameters: PlatformParameters,
-    clock: LabClock,
+    clock: TestClock,
     state: Mutex<State>,
 }
 
@@ -70,7 +70,7 @@
         address: SocketAddr,
         parameters: PlatformParameters,
         entries: Vec<Value>,
-        clock: LabClock,
+        clock: TestClock,
     ) -> std::io::Result<Platform> {
         let entries = entries.into_iter().map(ready_entry).collect();
         let state = State {
--- a/crates/lockusher-router-testbed/src/record.rs
+++ b/crates/lockusher-router-testbed/src/record.rs
@@ -10,14 +10,14 @@
 
 /// The common clock of all stand-ins of a process: microseconds since its creation.
 #[derive(Clone, Copy, Debug)]
-pub struct LabClock {
+pub struct TestClock {
     started: Instant,
 }
 
-impl LabClock {
+impl TestClock {
     /// Starts at zero.
-    pub fn start() -> LabClock {
-        LabClock {
+    pub fn start() -> TestClock {
+        TestClock {
             started: Instant::now(),
         }
     }
@@ -28,7 +28,7 @@
     }
 
     /// Converts a time to an `Instant`.
-    pub fn moment(&self, at: Micros) -> Instant {
+    pub fn instant_at(&self, at: Micros) -> Instant {
         self.started + Duration::from_micros(at)
     }
 }
@@ -80,7 +80,7 @@
     /// Its prompt was prefilled and is held.
     Prefilled,
     /// The searcher crashed or reset the connection before the run started.
-    Broken,
+    Failed,
     /// It was executed, completely or not.
     Ran(Run),
 }
@@ -98,7 +98,7 @@
     /// Whether only a prefill was requested.
     pub prefill_only: bool,
     /// Id of the request that prefilled the prompt named by `Kv-From`, if known.
-    pub continues: Option<String>,
+    pub prompt_owner: Option<String>,
     /// The value of `Last-Event-Id`; the first event to produce follows it.
     pub last_event_id: u64,
     pub outcome: ArrivalOutcome,
@@ -114,17 +114,17 @@
     }
 }
 
-/// Identifies an arrival in a [`Ledger`].
+/// Identifies an arrival in a [`ArrivalLog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalKey(usize);
 
 /// Log of the arrivals at all searchers of a process.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct ArrivalLog {
     arrivals: Arc<Mutex<Vec<Arrival>>>,
 }
 
-impl Ledger {
+impl ArrivalLog {
     /// Records an arrival.
     pub fn record(&self, arrival: Arrival) -> ArrivalKey {
         let mut arrivals = lock(&self.arrivals);
@@ -151,7 +151,7 @@
             .filter(|arrival| arrival.instance == instance)
         {
             match &mut arrival.outcome {
-                ArrivalOutcome::Waiting => arrival.outcome = ArrivalOutcome::Broken,
+                ArrivalOutcome::Waiting => arrival.outcome = ArrivalOutcome::Failed,
                 ArrivalOutcome::Ran(run) if !run.complete => run.faulty = true,
                 _ => {}
             }
--- a/crates/lockusher-router-testbed/src/request.rs
+++ b/crates/lockusher-router-testbed/src/request.rs
@@ -29,11 +29,11 @@
     /// Total time limit that the client announces (`Deadline-Remaining`).
     pub deadline: Duration,
     /// When the client disconnects, if not at the announced deadline.
-    pub leaves_after: Option<Duration>,
+    pub disconnects_after: Option<Duration>,
     /// Latency target to the end of the response, or to the first event of a stream.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Target for the longest gap between events of a stream.
-    pub gap_aim: Duration,
+    pub gap_target: Duration,
     /// Maximum number of retries by the client.
     pub retries: u32,
     pub prompt: Vec<Part>,
@@ -73,33 +73,35 @@
     }
 
     /// How long the client actually waits.
-    pub fn patience(&self) -> Duration {
-        self.leaves_after.unwrap_or(self.deadline)
+    pub fn client_timeout(&self) -> Duration {
+        self.disconnects_after.unwrap_or(self.deadline)
     }
 
     /// The gap between events after which a client gives up on a stream.
-    pub fn longest_silence(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-        MIN_IDLE_TIMEOUT.max(self.aim * 4).max(self.gap_aim * 8)
+        MIN_IDLE_TIMEOUT
+            .max(self.latency_target * 4)
+            .max(self.gap_target * 8)
     }
 }
 
 /// The body of a response, as far as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BodySeen {
+pub enum ReceivedBody {
     Plain {
         digest: u64,
     },
-    /// `loose_bytes` is true when the body ended inside an event.
+    /// `ends_mid_event` is true when the body ended inside an event.
     Stream {
         events: Vec<EventRecord>,
-        loose_bytes: bool,
+        ends_mid_event: bool,
     },
 }
 
 /// A response, as far as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerSeen {
+pub struct ReceivedResponse {
     pub status: u16,
     /// The value of `Request-Identifier`.
     pub request_id: Option<String>,
@@ -107,12 +109,12 @@
     pub retry_after: Option<Duration>,
     /// Whether it has a `Content-Encoding`.
     pub encoded: bool,
-    pub body: BodySeen,
+    pub body: ReceivedBody,
 }
 
 /// Why a try has no complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Break {
+pub enum FailureCause {
     /// The connection was closed or reset.
     Closed,
     /// The client gave up at a timeout.
@@ -126,11 +128,11 @@
 pub enum TryOutcome {
     /// No connection was established.
     NoConnection,
-    Whole(AnswerSeen),
+    Complete(ReceivedResponse),
     /// The response is incomplete; `seen` holds what was received.
-    Broken {
-        seen: Option<AnswerSeen>,
-        why: Break,
+    Failed {
+        seen: Option<ReceivedResponse>,
+        cause: FailureCause,
     },
 }
 
@@ -146,43 +148,43 @@
     pub sent: Micros,
     pub ended: Micros,
     /// Whether unsolicited bytes were received on the connection before the request was sent.
-    pub surplus_before: bool,
+    pub unsolicited_bytes: bool,
     pub outcome: TryOutcome,
 }
 
 impl TryRecord {
     /// The response, complete or not.
-    pub fn seen(&self) -> Option<&AnswerSeen> {
+    pub fn seen(&self) -> Option<&ReceivedResponse> {
         match &self.outcome {
             TryOutcome::NoConnection => None,
-            TryOutcome::Whole(seen) => Some(seen),
-            TryOutcome::Broken { seen, .. } => seen.as_ref(),
+            TryOutcome::Complete(seen) => Some(seen),
+            TryOutcome::Failed { seen, .. } => seen.as_ref(),
         }
     }
 
     /// Whether it ended with a complete 2xx response.
     pub fn is_success(&self) -> bool {
-        matches!(&self.outcome, TryOutcome::Whole(seen) if (200..300).contains(&seen.status))
+        matches!(&self.outcome, TryOutcome::Complete(seen) if (200..300).contains(&seen.status))
     }
 
     /// Whether the response promises that the request has not run and never will.
-    pub fn is_promise(&self) -> bool {
-        matches!(&self.outcome, TryOutcome::Whole(seen) if matches!(seen.status, 408 | 421 | 429 | 503))
+    pub fn promises_not_executed(&self) -> bool {
+        matches!(&self.outcome, TryOutcome::Complete(seen) if matches!(seen.status, 408 | 421 | 429 | 503))
     }
 
     /// Id of the last event received completely.
     pub fn last_event(&self) -> Option<u64> {
         match &self.seen()?.body {
-            BodySeen::Stream { events, .. } => events.last().map(|event| event.id),
-            BodySeen::Plain { .. } => None,
+            ReceivedBody::Stream { events, .. } => events.last().map(|event| event.id),
+            ReceivedBody::Plain { .. } => None,
         }
     }
 
     /// When the first event was received.
     pub fn first_event_at(&self) -> Option<Micros> {
         match &self.seen()?.body {
-            BodySeen::Stream { events, .. } => events.first().map(|event| event.at),
-            BodySeen::Plain { .. } => None,
+            ReceivedBody::Stream { events, .. } => events.first().map(|event| event.at),
+            ReceivedBody::Plain { .. } => None,
         }
     }
 }
--- a/crates/lockusher-router-testbed/src/searcher.rs
+++ b/crates/lockusher-router-testbed/src/searcher.rs
@@ -33,14 +33,14 @@
     ResetAfterRequest,
     /// Starts the run, then resets the connection before the first byte of the response.
     ResetBeforeFirstEvent,
-    /// Resets the connection in the middle of the event that follows `whole_events` complete ones.
-    ResetMidEvent { whole_events: usize },
+    /// Resets the connection in the middle of the event that follows `complete_events` complete ones.
+    ResetMidEvent { complete_events: usize },
     /// Sends a response with the `Request-Identifier` of another request.
     WrongIdentifier,
     /// Sends surplus bytes after the complete response.
     ExtraBytes,
     /// Starts the run, then never responds.
-    Silence,
+    NoResponse,
     /// Rejects the request with this status and `Not-Executed`.
     Reject { status: u16 },
 }
@@ -50,7 +50,7 @@
 pub struct FaultPlan {
     runs: Mutex<VecDeque<Fault>>,
     prefills: Mutex<VecDeque<Fault>>,
-    met: AtomicUsize,
+    injected: AtomicUsize,
 }
 
 impl FaultPlan {
@@ -65,8 +65,8 @@
     }
 
     /// Number of faults injected so far.
-    pub fn met(&self) -> usize {
-        self.met.load(Ordering::SeqCst)
+    pub fn injected(&self) -> usize {
+        self.injected.load(Ordering::SeqCst)
     }
 
     /// Drops the faults not yet injected.
@@ -83,7 +83,7 @@
             &self.runs
         };
         let fault = lock(plan).pop_front();
-        self.met
+        self.injected
             .fetch_add(usize::from(fault.is_some()), Ordering::SeqCst);
         fault
     }
@@ -124,7 +124,7 @@
         target: request.target.clone(),
         body_digest: digest(&request.body),
         prefill_only: request.headers.get("Stage") == Some("prefill"),
-        continues: None,
+        prompt_owner: None,
         last_event_id: request.headers.number("Last-Event-Id").unwrap_or(0),
         outcome: ArrivalOutcome::Waiting,
     }
--- a/crates/lockusher-router-testbed/src/soak/mod.rs
+++ b/crates/lockusher-router-testbed/src/soak/mod.rs
@@ -178,7 +178,7 @@
 fn rejections_since(world: &World, from: Micros) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for arrival in world
-        .ledger()
+        .arrival_log()
         .snapshot()
         .iter()
         .filter(|arrival| arrival.at >= from)
@@ -205,9 +205,9 @@
             continue;
         };
         let end = match &last.outcome {
-            TryOutcome::Whole(seen) => seen.status.to_string(),
+            TryOutcome::Complete(seen) => seen.status.to_string(),
             TryOutcome::NoConnection => "no connection".to_owned(),
-            TryOutcome::Broken { why, .. } => format!("{why:?}"),
+            TryOutcome::Failed { cause, .. } => format!("{cause:?}"),
         };
         *counts
             .entry(format!("{} {end} at {}", record.spec.kind, last.front.ip()))
--- a/crates/lockusher-router-testbed/src/soak/player/searchers.rs
+++ b/crates/lockusher-router-testbed/src/soak/player/searchers.rs
@@ -62,7 +62,7 @@
 
     pub(super) fn lapse(&mut self, until: Duration) {
         for model in &self.world.models {
-            model.lapse_all_handles();
+            model.expire_all_handles();
         }
         if self.begun.elapsed() < until {
             self.plan_in(LAPSE_PERIOD, Action::Lapse { until });
--- a/crates/lockusher-router-testbed/src/soak/schedule.rs
+++ b/crates/lockusher-router-testbed/src/soak/schedule.rs
@@ -224,11 +224,11 @@
         Fault::ResetAfterRequest,
         Fault::ResetBeforeFirstEvent,
         Fault::ResetMidEvent {
-            whole_events: random.random_range(0..3),
+            complete_events: random.random_range(0..3),
         },
         Fault::WrongIdentifier,
         Fault::ExtraBytes,
-        Fault::Silence,
+        Fault::NoResponse,
         Fault::Reject { status: 503 },
         Fault::Reject { status: 429 },
         Fault::Reject { status: 421 },
--- a/crates/lockusher-router-testbed/src/soak/writer.rs
+++ b/crates/lockusher-router-testbed/src/soak/writer.rs
@@ -120,7 +120,7 @@
             Order::Change => change(operator, state),
             Order::Storm => (0..STORM).for_each(|_| change(operator, state)),
             Order::LostAcknowledgements => {
-                operator.lose_answers(LOST_ANSWERS);
+                operator.drop_responses(LOST_ANSWERS);
                 change(operator, state);
             }
             Order::Invalid => send_invalid(operator, state),
@@ -159,7 +159,7 @@
             ));
             learn_newest(operator, state);
         }
-        ChangeOutcome::Unclear => learn_newest(operator, state),
+        ChangeOutcome::Unknown => learn_newest(operator, state),
     }
 }
 
@@ -212,7 +212,7 @@
     let outcomes = std::thread::scope(|scope| {
         let racer = scope.spawn(|| send(operator, state, &other, present.version, 1));
         let first = send(operator, state, &one, present.version, 0);
-        [first, racer.join().unwrap_or(ChangeOutcome::Unclear)]
+        [first, racer.join().unwrap_or(ChangeOutcome::Unknown)]
     });
     match outcomes {
         [ChangeOutcome::Acknowledged, _] => lock(state).newest = one,
--- a/crates/lockusher-router-testbed/src/world.rs
+++ b/crates/lockusher-router-testbed/src/world.rs
@@ -14,7 +14,7 @@
     MODEL_SERVICE, PLAIN_SERVICE, first_configuration, model_parameters, plain_parameters,
 };
 use crate::engine::{MICROS_PER_MS, Stage};
-use crate::entry::Entry;
+use crate::entry::ConnectionBalancer;
 use crate::fleet::{Fleet, FleetBounds, FleetError, FleetPlan};
 use crate::kv_network::KvNetwork;
 use crate::load::{Load, LoadPlan};
@@ -22,7 +22,7 @@
 use crate::operator::{ChangeOutcome, Operator};
 use crate::plain_searcher::PlainSearcher;
 use crate::platform::{Platform, PlatformParameters};
-use crate::record::{LabClock, Ledger};
+use crate::record::{ArrivalLog, TestClock};
 use crate::request::RequestRecord;
 use crate::searcher::{FaultPlan, Identity};
 use crate::wait::NeverCame;
@@ -83,13 +83,13 @@
 
 /// Everything that runs.
 pub struct World {
-    pub clock: LabClock,
+    pub clock: TestClock,
     pub platform: Platform,
     pub models: Vec<ModelSearcher>,
     pub plains: Vec<PlainSearcher>,
     pub fleet: Fleet,
     pub operator: Arc<Operator>,
-    pub entry: Arc<Entry>,
+    pub entry: Arc<ConnectionBalancer>,
     pub configuration: Configuration,
     bounds: FleetBounds,
     searchers: Searchers,
@@ -100,10 +100,10 @@
 impl World {
     /// Starts everything, places the first configuration and waits until all proxies are ready.
     pub fn start(plan: &WorldPlan) -> Result<World, WorldError> {
-        let clock = LabClock::start();
+        let clock = TestClock::start();
         let fleet_plan = fleet_plan(plan);
         let fleet = Fleet::lay_out(&fleet_plan)?;
-        let mut searchers = Searchers::new(clock, Ledger::default(), KvNetwork::default());
+        let mut searchers = Searchers::new(clock, ArrivalLog::default(), KvNetwork::default());
         let (models, plains) = searchers.start_all(plan, &fleet)?;
         let parameters = PlatformParameters {
             lag: plan.cloud_lag_ms * MICROS_PER_MS,
@@ -126,7 +126,7 @@
             models,
             plains,
             operator: Operator::new(fleet.operator_addresses(), clock),
-            entry: Arc::new(Entry::start(fleet.mixers())),
+            entry: Arc::new(ConnectionBalancer::start(fleet.mixers())),
             fleet,
             configuration: first_configuration(),
             bounds: plan.bounds.clone(),
@@ -140,8 +140,8 @@
     }
 
     /// What reached the searchers.
-    pub fn ledger(&self) -> &Ledger {
-        &self.searchers.ledger
+    pub fn arrival_log(&self) -> &ArrivalLog {
+        &self.searchers.arrival_log
     }
 
     /// How searchers reach each other's held prompts.
@@ -189,7 +189,7 @@
                 .iter()
                 .flat_map(|record| record.tries.clone())
                 .collect(),
-            arrivals: self.ledger().snapshot(),
+            arrivals: self.arrival_log().snapshot(),
             changes: self.operator.changes(),
             drained: self.platform.drain_times(),
             bounds: rule_bounds(&self.bounds),
@@ -256,18 +256,18 @@
 
 /// Starts searchers, each with a new identity.
 struct Searchers {
-    clock: LabClock,
-    ledger: Ledger,
+    clock: TestClock,
+    arrival_log: ArrivalLog,
     network: KvNetwork,
     /// Incarnations so far.
     incarnations: u32,
 }
 
 impl Searchers {
-    fn new(clock: LabClock, ledger: Ledger, network: KvNetwork) -> Searchers {
+    fn new(clock: TestClock, arrival_log: ArrivalLog, network: KvNetwork) -> Searchers {
         Searchers {
             clock,
-            ledger,
+            arrival_log,
             network,
             incarnations: 0,
         }
@@ -302,13 +302,13 @@
         stage: Stage,
     ) -> std::io::Result<ModelSearcher> {
         let identity = self.new_identity(MODEL_SERVICE, address, zone);
-        let (ledger, network) = (self.ledger.clone(), self.network.clone());
+        let (arrival_log, network) = (self.arrival_log.clone(), self.network.clone());
         ModelSearcher::start(
             identity,
             stage,
             model_parameters(),
             self.clock,
-            ledger,
+            arrival_log,
             network,
         )
     }
@@ -319,7 +319,7 @@
             identity,
             plain_parameters(),
             self.clock,
-            self.ledger.clone(),
+            self.arrival_log.clone(),
         )
     }
 
--- a/crates/lockusher-router-testbed/tests/bench/mod.rs
+++ b/crates/lockusher-router-testbed/tests/bench/mod.rs
@@ -11,7 +11,7 @@
 use lockusher_router_testbed::model_searcher::{ModelParameters, ModelSearcher};
 use lockusher_router_testbed::plain_searcher::{PlainParameters, PlainSearcher};
 use lockusher_router_testbed::platform::{Platform, PlatformParameters};
-use lockusher_router_testbed::record::{LabClock, Ledger};
+use lockusher_router_testbed::record::{ArrivalLog, TestClock};
 use lockusher_router_testbed::request::{RequestRecord, RequestSpec};
 use lockusher_router_testbed::searcher::Identity;
 
@@ -21,8 +21,8 @@
 
 /// Searchers and the platform on ports of their own.
 pub struct Bench {
-    pub clock: LabClock,
-    pub ledger: Ledger,
+    pub clock: TestClock,
+    pub arrival_log: ArrivalLog,
     pub prefill: ModelSearcher,
     pub decode: ModelSearcher,
     pub plain: PlainSearcher,
@@ -32,8 +32,8 @@
 
 impl Bench {
     pub fn start() -> Bench {
-        let clock = LabClock::start();
-        let ledger = Ledger::default();
+        let clock = TestClock::start();
+        let arrival_log = ArrivalLog::default();
         let network = KvNetwork::default();
         let model = |name: &str, stage| {
             let identity = identity(name, "chat", "zone-a");
@@ -42,7 +42,7 @@
                 stage,
                 model_parameters(),
                 clock,
-                ledger.clone(),
+                arrival_log.clone(),
                 network.clone(),
             )
             .expect("starts")
@@ -51,7 +51,7 @@
             identity("i-plain", "records", "zone-b"),
             plain_parameters(),
             clock,
-            ledger.clone(),
+            arrival_log.clone(),
         );
         let plain = plain.expect("starts");
         let (prefill, decode) = (
@@ -67,7 +67,7 @@
         let platform = Platform::start(any_port(), parameters, entries, clock).expect("starts");
         Bench {
             clock,
-            ledger: ledger.clone(),
+            arrival_log: arrival_log.clone(),
             prefill,
             decode,
             plain,
@@ -81,13 +81,13 @@
         self.prefill.stop();
         let mut identity = self.prefill.identity().clone();
         identity.instance.push_str("-2");
-        let (ledger, network) = (self.ledger.clone(), self.network.clone());
+        let (arrival_log, network) = (self.arrival_log.clone(), self.network.clone());
         let next = ModelSearcher::start(
             identity,
             Stage::Prefill,
             model_parameters(),
             self.clock,
-            ledger,
+            arrival_log,
             network,
         );
         self.prefill = next.expect("starts");
@@ -110,7 +110,7 @@
                 .iter()
                 .flat_map(|record| record.tries.clone())
                 .collect(),
-            arrivals: self.ledger.snapshot(),
+            arrivals: self.arrival_log.snapshot(),
             changes: vec![acknowledged(configuration())],
             drained: self.platform.drain_times(),
             bounds: bounds(),
@@ -143,11 +143,11 @@
             step: MICROS_PER_MS,
             step_per_request: 20,
             prefill_tokens_per_ms: 1_000,
-            piece_tokens: 2_000,
+            prefill_chunk_tokens: 2_000,
             link_mbps: 100_000.0,
-            handle_hold: 5_000 * MICROS_PER_MS,
-            role_switch: 60_000 * MICROS_PER_MS,
-            longest_link_wait: 2_000 * MICROS_PER_MS,
+            handle_ttl: 5_000 * MICROS_PER_MS,
+            stage_switch_duration: 60_000 * MICROS_PER_MS,
+            max_link_wait: 2_000 * MICROS_PER_MS,
         },
         stride: 10,
         connection_limit: 50,
--- a/crates/lockusher-router-testbed/tests/checker.rs
+++ b/crates/lockusher-router-testbed/tests/checker.rs
@@ -11,7 +11,7 @@
     Arrival, ArrivalOutcome, DrainTimes, EventRecord, Run, RunBody, digest,
 };
 use lockusher_router_testbed::request::{
-    AnswerSeen, BodySeen, Break, RequestSpec, TryOutcome, TryRecord,
+    FailureCause, ReceivedBody, ReceivedResponse, RequestSpec, TryOutcome, TryRecord,
 };
 use specs::{acknowledged, bounds, configuration, model_spec, plain_spec};
 
@@ -23,14 +23,14 @@
     "127.0.0.1:1".parse().expect("an address")
 }
 
-fn plain_response(status: u16, signature: Option<&str>) -> AnswerSeen {
-    AnswerSeen {
+fn plain_response(status: u16, signature: Option<&str>) -> ReceivedResponse {
+    ReceivedResponse {
         status,
         request_id: None,
         signature: signature.map(str::to_owned),
         retry_after: None,
         encoded: false,
-        body: BodySeen::Plain { digest: 7 },
+        body: ReceivedBody::Plain { digest: 7 },
     }
 }
 
@@ -43,7 +43,7 @@
         last_event_id: None,
         sent: AFTER_PROPAGATION,
         ended: AFTER_PROPAGATION + SECOND,
-        surplus_before: false,
+        unsolicited_bytes: false,
         outcome,
     }
 }
@@ -69,7 +69,7 @@
         target: spec.target.clone(),
         body_digest: digest(&spec.body),
         prefill_only: false,
-        continues: None,
+        prompt_owner: None,
         last_event_id: 0,
         outcome,
     }
@@ -79,7 +79,7 @@
 fn valid_evidence() -> Evidence {
     let spec = plain_spec();
     let ran = ArrivalOutcome::Ran(run("s1", RunBody::Plain { digest: 7 }));
-    let served = TryOutcome::Whole(plain_response(200, Some("s1")));
+    let served = TryOutcome::Complete(plain_response(200, Some("s1")));
     Evidence {
         arrivals: vec![arrival(&spec, "i-1", "records", ran)],
         tries: vec![try_with(spec, served)],
@@ -96,10 +96,10 @@
     let body = RunBody::Stream {
         events: events.clone(),
     };
-    let seen = AnswerSeen {
-        body: BodySeen::Stream {
+    let seen = ReceivedResponse {
+        body: ReceivedBody::Stream {
             events,
-            loose_bytes: false,
+            ends_mid_event: false,
         },
         ..plain_response(200, Some("s1"))
     };
@@ -110,7 +110,7 @@
             "chat",
             ArrivalOutcome::Ran(run("s1", body)),
         )],
-        tries: vec![try_with(spec, TryOutcome::Whole(seen))],
+        tries: vec![try_with(spec, TryOutcome::Complete(seen))],
         ..valid_evidence()
     }
 }
@@ -127,9 +127,9 @@
     check(evidence).counts().into_keys().collect()
 }
 
-fn seen(evidence: &mut Evidence) -> &mut AnswerSeen {
+fn seen(evidence: &mut Evidence) -> &mut ReceivedResponse {
     match &mut evidence.tries[0].outcome {
-        TryOutcome::Whole(seen) => seen,
+        TryOutcome::Complete(seen) => seen,
         other => panic!("response is not complete: {other:?}"),
     }
 }
@@ -145,11 +145,11 @@
     let changes: [fn(&mut Evidence); 7] = [
         |evidence| seen(evidence).signature = None,
         |evidence| seen(evidence).signature = Some("unknown".to_owned()),
-        |evidence| seen(evidence).body = BodySeen::Plain { digest: 8 },
+        |evidence| seen(evidence).body = ReceivedBody::Plain { digest: 8 },
         |evidence| seen(evidence).request_id = Some("r2".to_owned()),
         |evidence| seen(evidence).encoded = true,
         |evidence| seen(evidence).status = 500,
-        |evidence| evidence.tries[0].surplus_before = true,
+        |evidence| evidence.tries[0].unsolicited_bytes = true,
     ];
     for (number, change) in changes.into_iter().enumerate() {
         let mut evidence = valid_evidence();
@@ -161,7 +161,7 @@
 #[test]
 fn the_handle_of_another_request_violates_mixed() {
     let mut evidence = valid_stream_evidence();
-    evidence.arrivals[0].continues = Some("r2".to_owned());
+    evidence.arrivals[0].prompt_owner = Some("r2".to_owned());
     assert_eq!(violated_rules(&evidence), [Rule::Mixed]);
 }
 
@@ -182,7 +182,7 @@
 fn a_not_executed_status_after_a_run_violates_refused() {
     for status in [408, 421, 429, 503] {
         let mut evidence = valid_evidence();
-        evidence.tries[0].outcome = TryOutcome::Whole(plain_response(status, None));
+        evidence.tries[0].outcome = TryOutcome::Complete(plain_response(status, None));
         assert_eq!(violated_rules(&evidence), [Rule::Refused], "{status}");
     }
 }
@@ -276,7 +276,7 @@
         .insert("i-1".to_owned(), AFTER_PROPAGATION - 3 * SECOND - 1);
     assert_eq!(violated_rules(&evidence), [Rule::Drain]);
     evidence.arrivals[0].outcome = ArrivalOutcome::Rejected { status: 421 };
-    evidence.tries[0].outcome = TryOutcome::Whole(plain_response(503, None));
+    evidence.tries[0].outcome = TryOutcome::Complete(plain_response(503, None));
     assert_eq!(violated_rules(&evidence), []);
 }
 
@@ -288,9 +288,9 @@
         vec![event(1)],
     ] {
         let mut evidence = valid_stream_evidence();
-        seen(&mut evidence).body = BodySeen::Stream {
+        seen(&mut evidence).body = ReceivedBody::Stream {
             events,
-            loose_bytes: false,
+            ends_mid_event: false,
         };
         assert_eq!(violated_rules(&evidence), [Rule::Order]);
     }
@@ -326,7 +326,7 @@
 fn a_404_on_an_existing_route_violates_config() {
     let mut evidence = valid_evidence();
     evidence.arrivals.clear();
-    evidence.tries[0].outcome = TryOutcome::Whole(plain_response(404, None));
+    evidence.tries[0].outcome = TryOutcome::Complete(plain_response(404, None));
     assert_eq!(violated_rules(&evidence), [Rule::Config]);
     evidence.tries[0].sent = SECOND;
     evidence.tries[0].ended = SECOND;
@@ -351,7 +351,7 @@
     assert_eq!(violated_rules(&evidence), [Rule::Config]);
     evidence.changes[1].ended = AFTER_PROPAGATION - SECOND;
     assert_eq!(violated_rules(&evidence), []);
-    evidence.changes[1].outcome = ChangeOutcome::Unclear;
+    evidence.changes[1].outcome = ChangeOutcome::Unknown;
     evidence.changes[1].ended = SECOND;
     assert_eq!(violated_rules(&evidence), []);
 }
@@ -374,11 +374,11 @@
 #[test]
 fn a_closed_connection_without_a_response_violates_lost_unless_the_searcher_failed() {
     let mut evidence = valid_evidence();
-    evidence.tries[0].outcome = TryOutcome::Broken {
+    evidence.tries[0].outcome = TryOutcome::Failed {
         seen: None,
-        why: Break::Closed,
+        cause: FailureCause::Closed,
     };
     assert_eq!(violated_rules(&evidence), [Rule::Lost]);
-    evidence.arrivals[0].outcome = ArrivalOutcome::Broken;
+    evidence.arrivals[0].outcome = ArrivalOutcome::Failed;
     assert_eq!(violated_rules(&evidence), []);
 }
--- a/crates/lockusher-router-testbed/tests/crossings.rs
+++ b/crates/lockusher-router-testbed/tests/crossings.rs
@@ -59,8 +59,8 @@
 const RUN_FAULTS: [Fault; 9] = [
     Fault::ResetAfterRequest,
     Fault::ResetBeforeFirstEvent,
-    Fault::ResetMidEvent { whole_events: 0 },
-    Fault::ResetMidEvent { whole_events: 2 },
+    Fault::ResetMidEvent { complete_events: 0 },
+    Fault::ResetMidEvent { complete_events: 2 },
     Fault::WrongIdentifier,
     Fault::ExtraBytes,
     Fault::Reject { status: 503 },
@@ -114,7 +114,7 @@
 }
 
 fn faults_met(world: &World) -> usize {
-    world.faults().map(FaultPlan::met).sum()
+    world.faults().map(FaultPlan::injected).sum()
 }
 
 fn send_until_served(world: &World, spec: &RequestSpec) -> Vec<RequestRecord> {
@@ -181,17 +181,17 @@
     spec.deadline = Duration::from_secs(2);
     // On a busy machine the answer may come late to a thread. `a_searchers_time_leaves_time_for_the_way_back` of
     // the proxy's tests shows that it is begun in time; here the client waits on and must be given one.
-    spec.leaves_after = Some(3 * spec.deadline);
+    spec.disconnects_after = Some(3 * spec.deadline);
     world
         .faults()
-        .for_each(|faults| faults.on_runs(Fault::Silence, 1));
+        .for_each(|faults| faults.on_runs(Fault::NoResponse, 1));
     let records = send(&world, &spec, 4);
     assert!(faults_met(&world) > 0, "no request met a silent searcher");
     assert_clean("silence", &world.check(&records));
     for record in &records {
         let last = &record.tries[record.tries.len() - 1];
         assert!(
-            matches!(last.outcome, TryOutcome::Whole(_)),
+            matches!(last.outcome, TryOutcome::Complete(_)),
             "answered though the searcher is silent: {last:?}"
         );
     }
@@ -208,7 +208,7 @@
         scope.spawn(|| {
             while lapsing.load(std::sync::atomic::Ordering::SeqCst) {
                 world.models.iter().for_each(
-                    lockusher_router_testbed::model_searcher::ModelSearcher::lapse_all_handles,
+                    lockusher_router_testbed::model_searcher::ModelSearcher::expire_all_handles,
                 );
                 std::thread::yield_now();
             }
@@ -216,7 +216,7 @@
         records.extend(send(&world, &spec, REQUESTS));
         lapsing.store(false, std::sync::atomic::Ordering::SeqCst);
     });
-    let gone = world.ledger().count(|arrival| {
+    let gone = world.arrival_log().count(|arrival| {
         !arrival.prefill_only && arrival.outcome == ArrivalOutcome::Rejected { status: 503 }
     });
     assert!(gone > 0, "no request met a handle that was gone");
@@ -235,7 +235,7 @@
         records.extend(send(&world, &spec, REQUESTS));
     }
     let misdirected = world
-        .ledger()
+        .arrival_log()
         .count(|arrival| arrival.outcome == ArrivalOutcome::Rejected { status: 421 });
     assert!(
         misdirected > 0,
@@ -254,7 +254,7 @@
         .iter()
         .for_each(|model| model.set_slow_down(20));
     let mut spec = spec(&world, "answer");
-    spec.leaves_after = Some(Duration::from_millis(900));
+    spec.disconnects_after = Some(Duration::from_millis(900));
     spec.retries = 0;
     let records = send(&world, &spec, REQUESTS);
     let is_idle = || {
--- a/crates/lockusher-router-testbed/tests/engine.rs
+++ b/crates/lockusher-router-testbed/tests/engine.rs
@@ -21,11 +21,11 @@
         step: STEP,
         step_per_request: 100,
         prefill_tokens_per_ms: 100,
-        piece_tokens: 2_000,
+        prefill_chunk_tokens: 2_000,
         link_mbps: 8_000.0,
-        handle_hold: HANDLE_HOLD,
-        role_switch: STAGE_SWITCH,
-        longest_link_wait: 2_000 * MICROS_PER_MS,
+        handle_ttl: HANDLE_HOLD,
+        stage_switch_duration: STAGE_SWITCH,
+        max_link_wait: 2_000 * MICROS_PER_MS,
     }
 }
 
--- a/crates/lockusher-router-testbed/tests/fleet.rs
+++ b/crates/lockusher-router-testbed/tests/fleet.rs
@@ -87,8 +87,8 @@
     let mut world = world();
     let records = world.load(&load_plan(&world, 4)).finish();
     let handed_over = world
-        .ledger()
-        .count(|arrival| arrival.continues.is_some() && arrival.run().is_some());
+        .arrival_log()
+        .count(|arrival| arrival.prompt_owner.is_some() && arrival.run().is_some());
     assert!(
         handed_over > 0,
         "no stream continued from a prompt that another searcher had read"
@@ -123,7 +123,7 @@
             wait_until("the change is in force", TRIES, || {
                 let record = client.request(spec, world.clock.now(), |_| mixer.front);
                 let status = match &record.tries[record.tries.len() - 1].outcome {
-                    TryOutcome::Whole(seen) => seen.status,
+                    TryOutcome::Complete(seen) => seen.status,
                     _ => 0,
                 };
                 records.push(record);
@@ -351,7 +351,7 @@
 fn requests_are_served_while_no_prompt_can_be_handed_over() {
     let _alone = alone();
     let mut world = world();
-    world.kv_network().set_cut(true);
+    world.kv_network().set_partitioned(true);
     let records = world.load(&load_plan(&world, 8)).finish();
     let half = records.iter().map(|record| record.due).max().unwrap_or(0) / 2;
     let later: Vec<RequestRecord> = records
--- a/crates/lockusher-router-testbed/tests/soak.rs
+++ b/crates/lockusher-router-testbed/tests/soak.rs
@@ -6,7 +6,7 @@
 use lockusher_router_testbed::deployment::{first_configuration, mix};
 use lockusher_router_testbed::engine::Micros;
 use lockusher_router_testbed::request::{
-    AnswerSeen, BodySeen, RequestRecord, TryOutcome, TryRecord,
+    ReceivedBody, ReceivedResponse, RequestRecord, TryOutcome, TryRecord,
 };
 use lockusher_router_testbed::soak::{
     ClosingFault, Disturbance, Recovery, RecoveryTimes, draw_schedule,
@@ -24,13 +24,13 @@
 fn record(due: Micros, status: u16) -> RequestRecord {
     let kind = mix(&first_configuration(), 1.0).remove(0);
     let spec = Arc::new(kind.spec);
-    let seen = AnswerSeen {
+    let seen = ReceivedResponse {
         status,
         request_id: None,
         signature: None,
         retry_after: None,
         encoded: false,
-        body: BodySeen::Plain { digest: 0 },
+        body: ReceivedBody::Plain { digest: 0 },
     };
     let one = TryRecord {
         request_id: "1".to_owned(),
@@ -40,8 +40,8 @@
         last_event_id: None,
         sent: due,
         ended: due,
-        surplus_before: false,
-        outcome: TryOutcome::Whole(seen),
+        unsolicited_bytes: false,
+        outcome: TryOutcome::Complete(seen),
     };
     RequestRecord {
         spec,
--- a/crates/lockusher-router-testbed/tests/specs/mod.rs
+++ b/crates/lockusher-router-testbed/tests/specs/mod.rs
@@ -22,9 +22,9 @@
         resumable: false,
         attempts: 2,
         deadline: Duration::from_secs(5),
-        leaves_after: None,
-        aim: Duration::from_millis(500),
-        gap_aim: Duration::from_millis(250),
+        disconnects_after: None,
+        latency_target: Duration::from_millis(500),
+        gap_target: Duration::from_millis(250),
         retries: 1,
         prompt: vec![
             Part {
--- a/crates/lockusher-router-testbed/tests/stand_ins.rs
+++ b/crates/lockusher-router-testbed/tests/stand_ins.rs
@@ -8,7 +8,7 @@
 use bench::Bench;
 use lockusher_router_testbed::checker::Rule;
 use lockusher_router_testbed::http::{Connection, Request, Response};
-use lockusher_router_testbed::request::{Break, TryOutcome};
+use lockusher_router_testbed::request::{FailureCause, TryOutcome};
 use lockusher_router_testbed::searcher::Fault;
 use specs::{model_spec, plain_spec};
 use yare::parameterized;
@@ -17,7 +17,7 @@
 
 fn call(address: std::net::SocketAddr, request: &Request) -> Response {
     let mut connection = Connection::open(address, TIMEOUT).expect("connects");
-    connection.set_give_up(Some(Instant::now() + TIMEOUT));
+    connection.set_deadline(Some(Instant::now() + TIMEOUT));
     connection.write(&request.to_bytes()).expect("written");
     connection.read_response().expect("a response")
 }
@@ -137,7 +137,7 @@
 #[parameterized(
     after_the_request = { Fault::ResetAfterRequest },
     before_the_first_event = { Fault::ResetBeforeFirstEvent },
-    inside_an_event = { Fault::ResetMidEvent { whole_events: 1 } },
+    inside_an_event = { Fault::ResetMidEvent { complete_events: 1 } },
 )]
 fn a_reset_by_a_searcher_fails_the_try_without_a_violation(fault: Fault) {
     let bench = Bench::start();
@@ -148,8 +148,8 @@
     assert!(
         matches!(
             record.tries[0].outcome,
-            TryOutcome::Broken {
-                why: Break::Closed,
+            TryOutcome::Failed {
+                cause: FailureCause::Closed,
                 ..
             }
         ),
@@ -191,7 +191,7 @@
     bench
         .decode
         .faults()
-        .on_runs(Fault::ResetMidEvent { whole_events: 2 }, 1);
+        .on_runs(Fault::ResetMidEvent { complete_events: 2 }, 1);
     let mut spec = model_spec(25);
     spec.resumable = true;
     spec.is_idempotent = true;
