--- a/crates/lockusher-router-testbed/src/checker/mod.rs
+++ b/crates/lockusher-router-testbed/src/checker/mod.rs
@@ -43,7 +43,7 @@
     /// A stream has a missing, duplicated or wrongly joined event.
     #[display("ORDER")]
     Order,
-    /// A version outside those in force was applied, or conflicting changes were acknowledged.
+    /// A request ran or got 404 against every version in force, or conflicting changes were acknowledged.
     #[display("CONFIG")]
     Config,
     /// A connection closed without a complete response although no searcher failed.
@@ -67,7 +67,7 @@
     pub drain: Micros,
     /// How long an acknowledged configuration may take to reach every machine.
     pub configuration: Micros,
-    /// How long a connection lasts at least if its request counts as received without an arrival.
+    /// Without an arrival, a request counts as received only if its try lasted longer than this.
     pub loss_slack: Micros,
     /// Length of the window over which retries are counted.
     pub budget_window: Micros,
--- a/crates/lockusher-router-testbed/src/checker/runs.rs
+++ b/crates/lockusher-router-testbed/src/checker/runs.rs
@@ -99,7 +99,7 @@
                 verdict.add(
                     Rule::Budget,
                     "",
-                    format!("service {service} received {retries} retries in a window, {allowed:.1} allowed"),
+                    format!("{service} received {retries} retries, {allowed:.1} allowed"),
                 );
                 break;
             }
@@ -107,6 +107,7 @@
     }
 }
 
+/// Collects the load of each service. The first accepted prefill of a request is not a retry.
 fn service_loads(evidence: &Evidence) -> BTreeMap<String, ServiceLoad> {
     let mut service_loads: BTreeMap<String, ServiceLoad> = BTreeMap::new();
     let mut counted = HashSet::new();
--- a/crates/lockusher-router-testbed/src/engine/admission.rs
+++ b/crates/lockusher-router-testbed/src/engine/admission.rs
@@ -9,7 +9,7 @@
 const BITS_PER_BYTE: u64 = 8;
 
 impl Engine {
-    /// Returns why a request can't be accepted now, if so.
+    /// Checks whether a request can be accepted now; the error is the reason for its rejection.
     pub(crate) fn check_admissible(
         &self,
         now: Micros,
--- a/crates/lockusher-router-testbed/src/engine/batch.rs
+++ b/crates/lockusher-router-testbed/src/engine/batch.rs
@@ -388,7 +388,8 @@
         self.outputs.push_back(Output::Finished { job: key, at });
     }
 
-    /// Allocates the block that one more token needs, preempting other requests or, as the last resort, this one.
+    /// Allocates the block that one more token needs. Preempts requests until it is free; `false` if this one is
+    /// preempted itself.
     fn allocate_token_block(&mut self, key: JobKey, at: Micros) -> bool {
         loop {
             let Some(job) = self.jobs.get_mut(&key) else {
--- a/crates/lockusher-router-testbed/src/model_searcher.rs
+++ b/crates/lockusher-router-testbed/src/model_searcher.rs
@@ -73,7 +73,7 @@
         Ok((key, receiver))
     }
 
-    /// Returns why the engine would reject a request now, if so.
+    /// Checks whether the engine would accept a request now; the error is the reason for its rejection.
     pub fn check_admissible(&self, submission: &Submission) -> Result<(), Rejection> {
         lock(&self.core)
             .engine
@@ -271,7 +271,7 @@
             .with_engine(|engine, _| engine.expire_all_handles());
     }
 
-    /// Fails health checks and closes connections from now on, but continues to serve requests.
+    /// Starts to drain: health checks fail and responses carry `Connection: close`, but requests are still served.
     pub fn drain(&self) {
         self.core.draining.store(true, Ordering::SeqCst);
     }
--- a/crates/lockusher-router-testbed/src/plain_searcher.rs
+++ b/crates/lockusher-router-testbed/src/plain_searcher.rs
@@ -104,7 +104,7 @@
         self.shared.slow_down.store(factor.max(1), Ordering::SeqCst);
     }
 
-    /// Fails health checks and closes connections from now on, but continues to serve requests.
+    /// Starts to drain: health checks fail and responses carry `Connection: close`, but requests are still served.
     pub fn drain(&self) {
         self.shared.draining.store(true, Ordering::SeqCst);
     }
--- a/crates/lockusher-router-testbed/src/record.rs
+++ b/crates/lockusher-router-testbed/src/record.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Identifies an arrival in a [`ArrivalLog`].
+/// Identifies an arrival in the [`ArrivalLog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalKey(usize);
 
