--- a/crates/lockusher-control/src/driver/change_request.rs
+++ b/crates/lockusher-control/src/driver/change_request.rs
@@ -40,7 +40,7 @@
     #[display("configuration too large")]
     TooLarge,
     /// The connection failed before the end of the body.
-    #[display("the body could not be read completely")]
+    #[display("the body could not be read whole")]
     BodyIncomplete,
 }
 
