--- a/crates/lockusher-config/src/configuration.rs
+++ b/crates/lockusher-config/src/configuration.rs
@@ -1,74 +1,75 @@
 //! The operator's routing configuration: which requests go to which service, and how.
 //!
-//! [`configuration_reader`](crate::configuration_reader) makes it from the operator's document; the control plane
-//! replicates the document, and agents hand it to the proxies. The readers guarantee that every service that a route
-//! names exists, that no two routes share host and prefix, and that the weights of a split don't sum to 0. These types are
-//! sent in `bitcode`'s form, which goes by the order and types of fields and variants: neither may change. Source: the
-//! operators' pages (PROTOCOL, "Requests" and "The operator's API"). Fields are named after their keys; a duration is in
-//! milliseconds, whatever the key's unit.
+//! [`configuration_reader`](crate::configuration_reader) parses it from the operator's document; the control plane
+//! replicates the document, and agents distribute it to the proxies. The reader guarantees that every service that a
+//! route names exists, that no two routes share host and prefix, and that the weights of a traffic split don't sum to
+//! 0. These types are encoded with `bitcode`, which identifies fields and variants by order and type: neither may
+//! change. Source: the operators' pages (PROTOCOL, "Requests" and "The operator's API"). Durations are in milliseconds,
+//! whatever the unit of the key.
 
 use bitcode::{Decode, Encode};
 
-/// One version of the routing configuration, checked.
+/// One validated version of the routing configuration.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Configuration {
-    /// Rises with each change, by uneven steps; key `version`, required, above 0.
+    /// Increases with every change, not necessarily by 1; key `version`, required, above 0.
     pub version: u64,
-    /// The routes; key `routes`, required.
+    /// The routes, in the order of the document; key `routes`, required.
     pub routes: Vec<Route>,
-    /// The services to which routes lead; key `services`, required. Names are unique.
+    /// The services that routes refer to; key `services`, required. Names are unique.
     pub services: Vec<Service>,
-    /// Limits on clients; key `limits`.
+    /// Limits on clients' requests and connections; key `limits`.
     pub limits: Limits,
 }
 
-/// How often a request of a route may run.
+/// Whether a request of a route may be executed more than once, and whether it is answered with a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum RouteKind {
-    /// May run more than once: it may be retried and hedged.
+    /// May be executed more than once: it may be retried and hedged.
     Idempotent,
-    /// Must run at most once for each request of a client.
+    /// Is executed at most once for each request of a client.
     NonIdempotent,
-    /// Answered with a series of events (`text/event-stream`); runs at most once unless the route is `resumable`.
+    /// Answered with a stream of events (`text/event-stream`); executed at most once unless the route is `resumable`.
     Streaming,
 }
 
-/// A route: requests of one host whose path begins with a prefix.
+/// A route: matches the requests for one host whose path begins with a prefix.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Route {
     /// Name of the route, by which a patch refers to it; key `name`, by default empty.
     pub name: String,
-    /// The host that requests name in `Host`, compared without letter case and port; key `host`, required.
+    /// Host that requests name in `Host`, compared regardless of letter case and port; key `host`, required.
     pub host: String,
-    /// Beginning of the paths, which starts and ends with a slash; key `pathPrefix`, required.
+    /// Prefix of the paths, which starts and ends with a slash; key `pathPrefix`, required.
     pub path_prefix: String,
-    /// How often a request may run; key `kind`, required.
+    /// Whether requests may be executed more than once, and whether they are answered with a stream; key `kind`,
+    /// required.
     pub kind: RouteKind,
     /// Timeout of a request, in milliseconds; key `timeoutMs`, required, above 0.
     pub timeout_ms: u64,
-    /// Latency target: the time within which an answer has its full value, to the first event of a stream, in milliseconds;
+    /// Latency target of a response, or of the first event of a stream, in milliseconds: a later one has less value;
     /// key `targetLatencyMs`, by default (and if 0) `timeout_ms`.
     pub target_latency_ms: u64,
-    /// Priority of the route's requests, of which 0 is the highest; key `priority`, by default 5, at most 255. Load shedding
-    /// and searchers go by it.
+    /// Priority of the route's requests, of which 0 is the highest; key `priority`, by default 5, at most 255. Used for
+    /// load shedding, and by the searchers.
     pub priority: u8,
-    /// The services that take the route's requests, by weight; key `trafficSplit`, or `service` for one alone. Never empty;
-    /// weights never sum to 0.
+    /// The services that serve the route's requests, by weight; key `trafficSplit`, or `service` for a single one.
+    /// Never empty; the weights never sum to 0.
     pub split: Vec<WeightedService>,
-    /// The greatest number of searchers that one request of a client may be sent to; key `attempts`, by default 1, above 0.
+    /// Maximum number of attempts, each at a searcher, for one request of a client; key `attempts`, by default 1, above
+    /// 0.
     pub attempts: u32,
-    /// Whether requests name the shared prefixes of their prompts (`Prompt-Prefix`), for affinity to prefix caches; key
-    /// `sticky`, by default `false`. The proxy goes by the requests themselves.
+    /// Whether requests name the shared prefixes of their prompts (`Prompt-Prefix`), for prefix-cache affinity; key
+    /// `sticky`, by default `false`. The proxy relies on the header of each request instead.
     pub sticky: bool,
     /// Whether a stream may be resumed at another searcher with `Last-Event-Id`; key `resumable`, by default `false`.
     pub resumable: bool,
-    /// Latency target between events: the longest gap with which a stream is in time, in milliseconds; key `gap_aim_ms`, by
-    /// default (and if 0) none.
+    /// Latency target between the events of a stream, in milliseconds; key `gap_aim_ms`, by default (and if 0) none.
     pub gap_aim_ms: Option<u64>,
 }
 
 impl Route {
-    /// Whether a request of this route may run more than once.
+    /// Whether a request of this route may be executed more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -83,55 +84,57 @@
 pub struct WeightedService {
     /// Name of the service; key `service`, required.
     pub service: String,
-    /// Its weight among those of the split, which may be 0; key `weight`, required.
+    /// Its weight relative to the others of the split, which may be 0; key `weight`, required.
     pub weight: u32,
 }
 
-/// A service: searchers that give the same answers.
+/// A service: a set of interchangeable searchers.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Service {
     /// Name of the service, by which routes and instances refer to it; key `name`, required.
     pub name: String,
-    /// Path of the health check; key `healthCheck`, by default `/health`. No program acts on it.
+    /// Path of the health check; key `healthCheck`, by default `/health`. Not used by any program.
     pub health_check: String,
-    /// Connections that one searcher accepts from all callers together; key `connectionLimit`, by default without limit.
+    /// Maximum number of connections that a searcher accepts, from all clients together; key `connectionLimit`, by
+    /// default unlimited.
     pub connection_limit: u32,
-    /// The inference engine of a service of language models; key `engine`, absent for other services.
+    /// The inference engine of a service that serves language models; key `engine`, absent for other services.
     pub engine: Option<Engine>,
 }
 
 /// The inference engine of a service's searchers.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Engine {
-    /// Requests that run at once in a batch; key `slots`, by default 1.
+    /// Maximum number of requests in a batch; key `slots`, by default 1.
     pub slots: u32,
     /// Capacity of one searcher's KV cache, in tokens; key `cacheTokens`, by default 0.
     pub cache_tokens: u64,
     /// Size of one token in the KV cache, in bytes; key `cacheTokenBytes`, by default 0.
     pub cache_token_bytes: u64,
-    /// Bandwidth with which a searcher fetches KV cache from another, in megabits a second; key `linkMbps`, by default
-    /// 10,000.
+    /// Bandwidth at which a searcher transfers KV cache from another, in megabits per second; key `linkMbps`, by
+    /// default 10,000.
     pub link_mbps: f64,
-    /// Tokens from one event of a stream to the next; key `stride`, by default 1. No program acts on it.
+    /// Tokens per event of a stream; key `stride`, by default 1. Not used by any program.
     pub stride: u32,
-    /// How long a prefill searcher reserves the KV cache of a prompt for the decode searcher that is to fetch it, in
+    /// How long a prefill searcher reserves the KV cache of a prompt for transfer to the decode searcher, in
     /// milliseconds; key `handleHoldS`, by default 1 s.
     pub handle_hold_ms: u64,
-    /// How long a searcher takes to change its stage, in milliseconds; key `roleSwitchS`, by default 5 s.
+    /// How long a searcher takes to switch between prefill and decode, in milliseconds; key `roleSwitchS`, by default 5
+    /// s.
     pub role_switch_ms: u64,
-    /// Names of the models that are served; key `models`, by default none.
+    /// Names of the models that the searchers serve; key `models`, by default none.
     pub models: Vec<String>,
 }
 
-/// Limits on what a client may send, and on how long it may take or be idle.
+/// Limits on the size of a client's requests, and timeouts of its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Limits {
-    /// Largest head of a request, in bytes; key `headerBytes`, by default 16 KiB, above 0.
+    /// Maximum size of a request's head, in bytes; key `headerBytes`, by default 16 KiB, above 0.
     pub header_bytes: u64,
-    /// Largest body of a request, in bytes; key `bodyBytes`, by default 4 MiB.
+    /// Maximum size of a request's body, in bytes; key `bodyBytes`, by default 4 MiB.
     pub body_bytes: u64,
-    /// Within what time a client sends the head of a request, in milliseconds; key `headerTimeoutMs`, by default 3 s.
+    /// Timeout for receiving the head of a request, in milliseconds; key `headerTimeoutMs`, by default 3 s.
     pub header_timeout_ms: u64,
-    /// How long a client's connection may be idle, in milliseconds; key `idleTimeoutMs`, by default 15 s.
+    /// Idle timeout of a client's connection, in milliseconds; key `idleTimeoutMs`, by default 15 s.
     pub idle_timeout_ms: u64,
 }
--- a/crates/lockusher-config/src/configuration_patch/item_list.rs
+++ b/crates/lockusher-config/src/configuration_patch/item_list.rs
@@ -1,4 +1,4 @@
-//! The lists of a configuration whose items have names, and a value for each of them.
+//! The lists of named items in a configuration, and a container with one value for each list.
 
 /// A list of named items in a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,7 +10,7 @@
 }
 
 impl ItemList {
-    /// All of them, in the order in which they are read and changed.
+    /// All lists, in the order in which they are read and changed.
     pub const ALL: [Self; 2] = [Self::Routes, Self::Services];
 
     /// The list's field in a configuration, and in the `upsert` and `remove` of a patch.
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Whether a list stands in a field of this name.
+    /// Whether this is the field name of a list.
     pub fn is_field_name(name: &str) -> bool {
         Self::ALL.iter().any(|list| list.field_name() == name)
     }
@@ -35,11 +35,11 @@
 }
 
 impl<T> PerList<T> {
-    /// Makes the values in the order of [`ItemList::ALL`].
-    pub fn from_fn(mut make: impl FnMut(ItemList) -> T) -> Self {
+    /// Creates the values with `create`, in the order of [`ItemList::ALL`].
+    pub fn from_fn(mut create: impl FnMut(ItemList) -> T) -> Self {
         Self {
-            routes: make(ItemList::Routes),
-            services: make(ItemList::Services),
+            routes: create(ItemList::Routes),
+            services: create(ItemList::Services),
         }
     }
 
@@ -65,7 +65,7 @@
 }
 
 impl<T> PerList<Option<T>> {
-    /// The values, if there is one for each list.
+    /// The values, or `None` if one is absent.
     pub fn all_present(self) -> Option<PerList<T>> {
         Some(PerList {
             routes: self.routes?,
--- a/crates/lockusher-config/src/configuration_patch/list_changes.rs
+++ b/crates/lockusher-config/src/configuration_patch/list_changes.rs
@@ -4,30 +4,30 @@
 
 use serde_json::Value;
 
-/// An item of a patch, with its name.
+/// An upserted item of a patch, with its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedItem {
     /// The item's `name`.
     pub name: String,
-    /// The item as the patch holds it, unknown fields included.
+    /// The item as given in the patch, including unknown fields.
     pub value: Value,
 }
 
 /// Changes to one list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListChanges {
-    /// Items that replace those of the same name or are appended, in the order of the patch.
+    /// Items that replace the item of the same name or are appended, in the order of the patch.
     pub upsert: Vec<NamedItem>,
-    /// Names of items that are removed.
+    /// Names of the items to remove.
     pub remove: HashSet<String>,
 }
 
 /// Where an item of a changed list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemOrigin {
-    /// It stood in the list before.
+    /// The list before the patch.
     Base,
-    /// The patch upserts it.
+    /// The upserted items of the patch.
     Upserted {
         /// Its index among the upserted items.
         index: usize,
@@ -38,14 +38,14 @@
 pub struct ChangedItem {
     /// The item.
     pub value: Value,
-    /// Where it comes from.
+    /// Origin of the item.
     pub origin: ItemOrigin,
 }
 
 impl ListChanges {
-    /// The list that these items become.
+    /// Applies the changes to the items of `base`.
     pub fn apply(&self, base: Vec<Value>) -> Vec<ChangedItem> {
-        let upserted_indexes = self.upserted_indexes();
+        let index_by_name = self.upserted_index_by_name();
         let mut is_placed = vec![false; self.upsert.len()];
         let mut changed = Vec::with_capacity(base.len() + self.upsert.len());
         for value in base {
@@ -56,7 +56,7 @@
             if self.remove.contains(name) {
                 continue;
             }
-            match upserted_indexes.get(name) {
+            match index_by_name.get(name) {
                 None => changed.push(ChangedItem {
                     value,
                     origin: ItemOrigin::Base,
@@ -65,7 +65,7 @@
                     is_placed[index] = true;
                     changed.push(self.upserted(index));
                 }
-                // The list held the name twice; the upserted item replaces both.
+                // The base list has the name twice; the upserted item replaces both.
                 Some(_) => {}
             }
         }
@@ -74,7 +74,7 @@
         changed
     }
 
-    fn upserted_indexes(&self) -> HashMap<&str, usize> {
+    fn upserted_index_by_name(&self) -> HashMap<&str, usize> {
         self.upsert
             .iter()
             .enumerate()
--- a/crates/lockusher-config/src/configuration_patch/mod.rs
+++ b/crates/lockusher-config/src/configuration_patch/mod.rs
@@ -1,12 +1,12 @@
-//! Changes to a configuration by name: the body of `PATCH /api/configuration`, read and applied.
+//! Parses and applies the body of `PATCH /api/configuration`: changes to named items of a configuration.
 //!
-//! A patch names items by `name` in the lists `routes` and `services`. An upserted item replaces the complete item of its
-//! name and keeps its position, or is appended to its list. To remove a name that isn't there changes nothing, so that a
-//! removal may be repeated. A name that is both upserted and removed is a fault, as is a list that doesn't exist: what
-//! the operator wanted is unknown. What the patch doesn't name stays as it is, fields unknown here included.
+//! A patch refers to items of the lists `routes` and `services` by `name`. An upserted item replaces the complete item
+//! of the same name at its position, or is appended to its list. Removing a name that doesn't exist changes nothing, so
+//! that removals are idempotent. A name that is both upserted and removed is a fault, as is an unknown list: the
+//! operator's intent is ambiguous. Everything that the patch doesn't name stays unchanged, including unknown fields.
 //!
-//! Called by the control node that takes the operator's request. What [`ConfigurationPatch::apply`] returns is a valid
-//! configuration: it has been read by [`Configuration::parse`].
+//! Called by the control node that serves the operator's request. [`ConfigurationPatch::apply`] returns a valid
+//! configuration: it was validated by [`Configuration::parse`].
 
 mod item_list;
 mod list_changes;
@@ -32,11 +32,11 @@
 }
 
 impl ConfigurationPatch {
-    /// Reads a patch.
+    /// Parses a patch.
     ///
     /// # Errors
     ///
-    /// All faults that show without the configuration that the patch changes.
+    /// All faults that can be detected without the configuration that the patch changes.
     pub fn parse(body: &[u8]) -> Result<Self, Faults> {
         let document = read_document(body, patch_document)?;
         Ok(Self {
@@ -45,12 +45,12 @@
         })
     }
 
-    /// The complete configuration that `base` becomes by this patch.
+    /// Applies the patch to `base`; returns the complete changed configuration.
     ///
     /// # Errors
     ///
-    /// If `base` can't be read, or if the changed configuration is invalid: then all of its faults, each at its path in
-    /// the patch if the patch upserts the item.
+    /// If `base` can't be parsed, or if the changed configuration is invalid: then all of its faults, with their paths
+    /// in the patch for items that the patch upserts.
     pub fn apply(&self, base: &[u8]) -> Result<Vec<u8>, Faults> {
         let mut fields = base_fields(base)?;
         let origins = self.change_lists(&mut fields);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Changes the lists; returns the origin of each item.
+    /// Applies the changes to the lists in `fields`; returns the origin of each item.
     fn change_lists(&self, fields: &mut Map<String, Value>) -> PerList<Vec<ItemOrigin>> {
         PerList::from_fn(|list| {
             let items = match fields.remove(list.field_name()) {
@@ -78,7 +78,7 @@
     }
 }
 
-/// The fields of the configuration that is changed.
+/// Parses the configuration that is to be changed.
 fn base_fields(base: &[u8]) -> Result<Map<String, Value>, Faults> {
     match parse_unique(base) {
         Ok(Value::Object(fields)) => Ok(fields),
@@ -91,7 +91,8 @@
     }
 }
 
-/// A path in the changed configuration, such as `routes[7].kind`, as a path in the patch if the item was upserted.
+/// Translates a path in the changed configuration, such as `routes[7].kind`, to a path in the patch if the item was
+/// upserted.
 fn path_in_patch(path: &str, origins: &PerList<Vec<ItemOrigin>>) -> String {
     let relocated = ItemList::ALL
         .into_iter()
@@ -99,7 +100,7 @@
     relocated.unwrap_or_else(|| format!("{path} of the configuration in place, as changed"))
 }
 
-/// The path in the patch, if the path leads into an upserted item of this list.
+/// The path in the patch, if `path` is within an upserted item of this list.
 fn upserted_path(path: &str, list: ItemList, origins: &[ItemOrigin]) -> Option<String> {
     let field_name = list.field_name();
     let (index, rest) = path
--- a/crates/lockusher-config/src/configuration_patch/reader.rs
+++ b/crates/lockusher-config/src/configuration_patch/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the document of a patch.
+//! Reads and validates the document of a patch.
 
 use std::collections::{HashMap, HashSet};
 
@@ -11,10 +11,10 @@
 use crate::json::field_path::FieldPath;
 use crate::json::object_reader::ObjectReader;
 
-/// Fields of a complete configuration that a patch can't set; to ignore them would lose what the operator asks for.
+/// Fields of a complete configuration that a patch can't set. Ignoring them would silently drop a requested change.
 const NOT_PATCHABLE: [&str; 3] = ["routes", "services", "limits"];
 
-/// What a patch asks for.
+/// The content of a patch.
 pub struct PatchDocument {
     /// The version that the changed configuration gets.
     pub version: u64,
@@ -22,7 +22,7 @@
     pub changes: PerList<ListChanges>,
 }
 
-/// Reads a patch and checks what shows without the configuration that it changes.
+/// Reads a patch and validates it as far as possible without the configuration that it changes.
 pub fn patch_document(reader: &ObjectReader<'_>) -> Option<PatchDocument> {
     let version = reader.positive_integer("version");
     for field in NOT_PATCHABLE
@@ -48,7 +48,7 @@
     })
 }
 
-/// Adds a fault for each name that is upserted twice, or removed as well.
+/// Adds a fault for each name that is upserted twice, or both upserted and removed.
 fn check_names(
     reader: &ObjectReader<'_>,
     list: ItemList,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Reads the lists in an object, and adds a fault for each field that is none.
+/// Reads the lists in `upsert` or `remove`, and adds a fault for each field that isn't the name of a list.
 fn lists<T>(
     reader: &ObjectReader<'_>,
     read_item: impl Fn(&Value, FieldPath<'_>, &ObjectReader<'_>) -> Option<T>,
@@ -99,7 +99,7 @@
     path: FieldPath<'_>,
     reader: &ObjectReader<'_>,
 ) -> Option<NamedItem> {
-    let name = ObjectReader::of(value, path, reader.faults())?.text("name")?;
+    let name = ObjectReader::from_value(value, path, reader.faults())?.text("name")?;
     Some(NamedItem {
         name,
         value: value.clone(),
--- a/crates/lockusher-config/src/configuration_reader/limits.rs
+++ b/crates/lockusher-config/src/configuration_reader/limits.rs
@@ -1,9 +1,9 @@
-//! Reads the limits on clients.
+//! Reads the limits on clients' requests and connections.
 
 use crate::configuration::Limits;
 use crate::json::object_reader::ObjectReader;
 
-/// Limits of a configuration that names none.
+/// Limits of a configuration that sets none.
 pub const DEFAULT_LIMITS: Limits = Limits {
     header_bytes: 16 << 10,
     body_bytes: 4 << 20,
@@ -11,7 +11,7 @@
     idle_timeout_ms: 15_000,
 };
 
-/// Reads the limits.
+/// Reads the object `limits`.
 pub fn limits(reader: &ObjectReader<'_>) -> Option<Limits> {
     let header_bytes = reader.positive_integer_or("headerBytes", DEFAULT_LIMITS.header_bytes);
     let body_bytes = reader.integer_or("bodyBytes", DEFAULT_LIMITS.body_bytes);
--- a/crates/lockusher-config/src/configuration_reader/mod.rs
+++ b/crates/lockusher-config/src/configuration_reader/mod.rs
@@ -1,12 +1,12 @@
-//! Reads and checks the operator's configuration.
+//! Reads and validates the operator's configuration.
 //!
-//! Called by the control node, for the operator's request and for the newest replicated document, and by the program's
-//! `check`. A configuration that is read without a fault can be routed by.
+//! Called by the control node, for the operator's request and for the newest replicated document, and by the command
+//! `check`. A configuration without faults can be used for routing.
 //!
-//! Faults: a document that can't be read to its end, a required field that is absent or wrong, a route to an unknown
-//! service, two routes with the same host and prefix, two services with the same name, weights that sum to 0, a `timeoutMs`
-//! of 0. A field that isn't required has a default, said at its field. Whether the version is above the current one is
-//! decided by the control plane. Source: the operators' pages (PROTOCOL, "The operator's API").
+//! Faults: an unparsable document, a required field that is absent or invalid, a route to an unknown service, two
+//! routes with the same host and prefix, two services with the same name, weights that sum to 0, a `timeoutMs` of 0. An
+//! optional field has a default, documented at the field. The control plane checks that the version is above the
+//! current one. Source: the operators' pages (PROTOCOL, "The operator's API").
 
 mod limits;
 mod route;
@@ -24,7 +24,7 @@
 use service::{UniqueNames, service};
 
 impl Configuration {
-    /// Reads the body of `PUT /api/configuration`.
+    /// Parses the body of `PUT /api/configuration`.
     ///
     /// # Errors
     ///
--- a/crates/lockusher-config/src/configuration_reader/route.rs
+++ b/crates/lockusher-config/src/configuration_reader/route.rs
@@ -8,13 +8,13 @@
 use crate::json::conversion::unexpected;
 use crate::json::object_reader::ObjectReader;
 
-/// Rank of a route that names none: that of a request without `Priority`.
+/// Priority of a route that sets none: that of a request without `Priority`.
 const DEFAULT_PRIORITY: u64 = 5;
 
-/// A route that names no number of attempts is not repeated.
+/// Attempts of a route that sets none: its requests are not retried.
 const DEFAULT_ATTEMPTS: u32 = 1;
 
-/// Reads a route and checks it against the rest of its configuration.
+/// Reads a route and validates it against the rest of its configuration.
 pub fn route(reader: &ObjectReader<'_>, checks: &mut RouteChecks<'_>) -> Option<Route> {
     let name = reader.text_or("name", "");
     let host = reader.text("host");
@@ -26,7 +26,7 @@
     let timeout_ms = reader.positive_ms("timeoutMs");
     let target_latency_ms = reader.ms_or("targetLatencyMs", 0);
     let priority = reader.integer_or("priority", DEFAULT_PRIORITY);
-    let split = split(reader, checks);
+    let split = traffic_split(reader, checks);
     let attempts = reader.positive_u32_or("attempts", DEFAULT_ATTEMPTS);
     let sticky = reader.flag_or("sticky", false);
     let resumable = reader.flag_or("resumable", false);
@@ -37,7 +37,7 @@
         path_prefix: path_prefix?,
         kind: kind?,
         timeout_ms: timeout_ms?,
-        // A route without an objective has all of its time.
+        // Without a latency target, a response is in time until the timeout.
         target_latency_ms: non_zero(target_latency_ms?).or(timeout_ms)?,
         priority: u8::try_from(priority?).unwrap_or(u8::MAX),
         split: split?,
@@ -82,11 +82,14 @@
     }
 }
 
-/// The services of a route: one under `service`, or several under `trafficSplit`.
-fn split(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<Vec<WeightedService>> {
+/// The services of a route: a single one under `service`, or several under `trafficSplit`.
+fn traffic_split(
+    reader: &ObjectReader<'_>,
+    checks: &RouteChecks<'_>,
+) -> Option<Vec<WeightedService>> {
     match (reader.value("service"), reader.value("trafficSplit")) {
         (Some(_), None) => Some(vec![WeightedService {
-            service: target(reader, checks)?,
+            service: target_service(reader, checks)?,
             weight: 1,
         }]),
         (None, Some(_)) => weighted_services(reader, checks),
@@ -97,8 +100,8 @@
     }
 }
 
-/// The service that a route or one entry of its traffic split names.
-fn target(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<String> {
+/// The service that a route, or an entry of its traffic split, names.
+fn target_service(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<String> {
     let service = reader.text("service")?;
     checks.check_service(&service, reader);
     Some(service)
@@ -108,13 +111,13 @@
     reader: &ObjectReader<'_>,
     checks: &RouteChecks<'_>,
 ) -> Option<Vec<WeightedService>> {
-    let mut unreadable = false;
+    let mut has_invalid_entry = false;
     let split = reader.objects("trafficSplit", |reader| {
         let weighted = weighted_service(reader, checks);
-        unreadable |= weighted.is_none();
+        has_invalid_entry |= weighted.is_none();
         weighted
     })?;
-    if !unreadable && split.iter().all(|weighted| weighted.weight == 0) {
+    if !has_invalid_entry && split.iter().all(|weighted| weighted.weight == 0) {
         reader.add_field_fault("trafficSplit", Problem::ZeroWeights);
     }
     Some(split)
@@ -124,7 +127,7 @@
     reader: &ObjectReader<'_>,
     checks: &RouteChecks<'_>,
 ) -> Option<WeightedService> {
-    let service = target(reader, checks);
+    let service = target_service(reader, checks);
     let weight = reader.integer_u32("weight");
     Some(WeightedService {
         service: service?,
--- a/crates/lockusher-config/src/configuration_reader/route_checks.rs
+++ b/crates/lockusher-config/src/configuration_reader/route_checks.rs
@@ -1,4 +1,4 @@
-//! Checks of a route against the rest of its configuration.
+//! Validates a route against the services and the other routes of its configuration.
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, HashSet};
@@ -7,15 +7,16 @@
 use crate::json::object_reader::ObjectReader;
 use crate::route_table::normalized_host;
 
-/// What a route is checked against besides itself.
+/// The services and the preceding routes that a route is validated against.
 pub struct RouteChecks<'a> {
+    /// `None` if the document has no list of services.
     services: Option<HashSet<&'a str>>,
-    /// Path of the route that has a host and prefix.
+    /// Path of the first route with each pair of host and prefix.
     routes_by_host_and_prefix: HashMap<(String, String), String>,
 }
 
 impl<'a> RouteChecks<'a> {
-    /// The checks for the routes of a configuration, given as its document.
+    /// Creates the checks for the routes of a document.
     pub fn for_configuration(document: &ObjectReader<'a>) -> Self {
         Self {
             services: known_services(document),
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Adds a fault if a route names a service that the configuration doesn't have.
+    /// Adds a fault if the configuration has no service of this name.
     pub fn check_service(&self, name: &str, reader: &ObjectReader<'_>) {
         let unknown = self
             .services
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Adds a fault if an earlier route has the same host and prefix.
+    /// Adds a fault if a preceding route has the same host and prefix.
     pub fn check_host_and_prefix(
         &mut self,
         host: &str,
@@ -55,8 +56,8 @@
     }
 }
 
-/// The names under `services`, also of services with other faults, so that their routes are not faulted too.
-/// `None` if there is no list of services: that is one fault, not one for each route.
+/// The names under `services`, also of services with other faults, so that their routes are not reported as well.
+/// `None` if there is no list of services: this is reported once, not for each route.
 fn known_services<'a>(reader: &ObjectReader<'a>) -> Option<HashSet<&'a str>> {
     let services = reader.value("services")?.as_array()?;
     Some(
--- a/crates/lockusher-config/src/configuration_reader/service.rs
+++ b/crates/lockusher-config/src/configuration_reader/service.rs
@@ -1,4 +1,4 @@
-//! Reads one service with its inference engine.
+//! Reads one service and its inference engine.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -11,33 +11,33 @@
 use crate::json::field_path::FieldPath;
 use crate::json::object_reader::ObjectReader;
 
-/// Path of the health check of a service that names none.
+/// Health-check path of a service that sets none.
 const DEFAULT_HEALTH_CHECK: &str = "/health";
 
-/// A service that names no limit of connections sets none.
+/// Connection limit of a service that sets none: unlimited.
 const DEFAULT_CONNECTION_LIMIT: u32 = u32::MAX;
 
-/// An engine that names no slots runs one request at a time.
+/// Batch size of an engine that sets none: one request at a time.
 const DEFAULT_SLOTS: u32 = 1;
 
-/// Bandwidth for KV cache of an engine that names none, in megabits a second.
+/// Bandwidth for KV-cache transfers of an engine that sets none, in megabits per second.
 const DEFAULT_LINK_MBPS: f64 = 10_000.0;
 
-/// Tokens from one event to the next of an engine that names no stride.
+/// Tokens per event of an engine that sets none.
 const DEFAULT_STRIDE: u32 = 1;
 
-/// How long an engine that doesn't say reserves the KV cache of a prefilled prompt.
+/// How long the KV cache of a prefilled prompt is reserved by an engine that sets no time.
 const DEFAULT_HANDLE_HOLD_MS: u64 = 1_000;
 
-/// How long a searcher takes to change its stage if the engine doesn't say.
+/// How long a searcher takes to change its stage, for an engine that sets no time.
 const DEFAULT_ROLE_SWITCH_MS: u64 = 5_000;
 
-/// Names seen so far, with the path of each.
+/// Names read so far, with the path of each.
 #[derive(Default)]
 pub struct UniqueNames(HashMap<String, String>);
 
 impl UniqueNames {
-    /// Adds a fault if the name was seen before.
+    /// Adds a fault if the name was read before.
     fn check(&mut self, name: &str, reader: &ObjectReader<'_>) {
         match self.0.entry(name.to_owned()) {
             Entry::Occupied(other) => reader.add_fault(Problem::DuplicateName {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Reads a service; `names` are those of the services before it.
+/// Reads a service; `names` holds the names of the preceding services.
 pub fn service(reader: &ObjectReader<'_>, names: &mut UniqueNames) -> Option<Service> {
     let name = reader.text("name");
     if let Some(name) = &name {
@@ -89,10 +89,10 @@
     })
 }
 
-/// A model stands as an object with a `name`, or as the name alone.
+/// The name of a model, which is given as an object with a `name` or as a plain string.
 fn model_name(value: &Value, path: FieldPath<'_>, faults: &FaultCollector) -> Option<String> {
     match value {
         Value::String(name) => Some(name.clone()),
-        _ => ObjectReader::of(value, path, faults)?.text("name"),
+        _ => ObjectReader::from_value(value, path, faults)?.text("name"),
     }
 }
--- a/crates/lockusher-config/src/fault.rs
+++ b/crates/lockusher-config/src/fault.rs
@@ -1,32 +1,34 @@
-//! The faults of a document or a settings file: each with its location, all of them in one run.
+//! The faults of a document or a settings file, each with its location.
 //!
-//! [`Faults`] is the error of every reader of this package. An operator reads its text, one fault a line; a caller that
-//! tries the same input again gets the same faults. The number of faults that are retained is bounded.
+//! [`Faults`] is the error type of all readers of this package. Its text is shown to operators, with one fault per
+//! line. The same input always has the same faults, so that a retry is of no use. The number of retained faults is
+//! bounded.
 
 use std::fmt;
 
 use derive_more::{Display, Error};
 
-/// At most this many faults of one document are retained, so that a hostile one takes no memory; more are counted.
+/// Maximum number of retained faults of one document, so that a malicious document can't exhaust memory; further faults
+/// are only counted.
 pub const MAX_FAULTS: usize = 1_000;
 
-/// At most this many characters of a wrong value stand in a message.
+/// Maximum number of characters of an invalid value in a message.
 const MAX_VALUE_CHARACTERS: usize = 40;
 
 /// One fault of a document.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 #[display("{location}: {problem}")]
 pub struct Fault {
-    /// Where it is: a path such as `routes[3].timeoutMs`, or a line and key of a settings file.
+    /// Location: a path such as `routes[3].timeoutMs`, or a line and key of a settings file.
     pub location: String,
-    /// What is wrong there.
+    /// The problem at this location.
     pub problem: Problem,
 }
 
-/// What is wrong at a location.
+/// The problem at a location.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum Problem {
-    /// The document could not be read at all; the reader's message names line and column.
+    /// The document could not be parsed; the parser's message has line and column.
     #[display("unreadable: {_0}")]
     Unreadable(String),
     /// A required field or key is absent.
@@ -35,30 +37,30 @@
     /// A value of the wrong type or outside its range.
     #[display("expected {expected}, found {found}")]
     Unexpected {
-        /// What is valid here.
+        /// Description of the valid values.
         expected: &'static str,
-        /// The beginning of the wrong value.
+        /// The beginning of the invalid value.
         found: String,
     },
-    /// A settings key that stands on several lines.
+    /// A settings key that occurs on several lines.
     #[display("given twice, first on line {first_line}")]
     DuplicateKey {
-        /// The number of the first of these lines, from 1.
+        /// The first of these lines, numbered from 1.
         first_line: usize,
     },
-    /// A name that another entry of the same list has.
+    /// A name that another entry of the same list already has.
     #[display("has the same name as {other}")]
     DuplicateName {
         /// The path of the other entry.
         other: String,
     },
-    /// A route with the host and prefix of another.
+    /// A route with the same host and prefix as another.
     #[display("has the same host and prefix as {other}")]
     DuplicateHostAndPrefix {
         /// The path of the other route.
         other: String,
     },
-    /// A route to a service that the configuration doesn't have.
+    /// A route refers to a service that the configuration doesn't have.
     #[display("names the unknown service {_0:?}")]
     UnknownService(String),
     /// A route whose weights sum to 0.
@@ -67,7 +69,7 @@
     /// A route with both `service` and `trafficSplit`, or with neither.
     #[display("expected either service or trafficSplit")]
     ServiceOrSplit,
-    /// A field that stands in a complete configuration only, in a patch.
+    /// A field in a patch that only a complete configuration can have.
     #[display(
         "can't be set by a patch; items go under upsert and remove, all else needs the whole configuration"
     )]
@@ -75,15 +77,15 @@
     /// A list in a patch that a configuration doesn't have.
     #[display("unknown list, expected routes or services")]
     UnknownList,
-    /// An item that a patch both sets and removes.
+    /// An item that a patch both upserts and removes.
     #[display("{_0:?} is removed as well")]
     UpsertedAndRemoved(String),
     /// A range whose first port is above its last.
     #[display("first port {first} is above the last, {last}")]
     PortOrder {
-        /// The first port as given.
+        /// The given first port.
         first: u16,
-        /// The last port as given.
+        /// The given last port.
         last: u16,
     },
 }
@@ -96,14 +98,14 @@
 }
 
 impl Faults {
-    /// The faults of a document that could not be read at all.
+    /// The single fault of a document that could not be parsed.
     pub fn unreadable(message: impl fmt::Display) -> Self {
         let mut faults = Self::default();
         faults.add("document", Problem::Unreadable(message.to_string()));
         faults
     }
 
-    /// Adds a fault; it is only counted once there are [`MAX_FAULTS`].
+    /// Adds a fault; it is only counted if [`MAX_FAULTS`] are retained already.
     pub fn add(&mut self, location: impl fmt::Display, problem: Problem) {
         if self.faults.len() < MAX_FAULTS {
             self.faults.push(Fault {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// The same faults at other locations, those that a problem names included.
+    /// Translates all locations with `relocate`, including those within problems.
     pub fn relocated(mut self, relocate: impl Fn(&str) -> String) -> Self {
         for fault in &mut self.faults {
             fault.location = relocate(&fault.location);
@@ -133,7 +135,7 @@
         self.faults.is_empty()
     }
 
-    /// How many faults were found, also those that are not retained.
+    /// The number of faults that were found, including those that are not retained.
     pub fn count(&self) -> usize {
         self.faults.len() + self.omitted
     }
@@ -145,7 +147,7 @@
 }
 
 impl fmt::Display for Faults {
-    /// One fault a line.
+    /// One fault per line.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, fault) in self.faults.iter().enumerate() {
             if index > 0 {
@@ -160,7 +162,7 @@
     }
 }
 
-/// The beginning of a wrong value, for an error message.
+/// The beginning of an invalid value, for an error message.
 pub(crate) fn truncated_for_message(value: &str) -> String {
     if value.chars().count() <= MAX_VALUE_CHARACTERS {
         return value.to_owned();
--- a/crates/lockusher-config/src/instances.rs
+++ b/crates/lockusher-config/src/instances.rs
@@ -1,16 +1,16 @@
-//! The platform's instance list: the searchers that there are.
+//! The platform's instance list: the searchers of a deployment.
 //!
-//! [`instances_reader`](crate::instances_reader) makes the instances from the platform's answer. The instance-list poller
-//! in the control plane or the agents owns the newest list; agents and proxies apply its updates. These types are sent
-//! between nodes in `bitcode`'s form, which goes by the order and types of fields and variants: neither may change. Source:
-//! the operators' pages (PROTOCOL, "Service discovery").
+//! [`instances_reader`](crate::instances_reader) parses the instances from the platform's response. The instance-list
+//! poller in the control plane or the agents owns the newest list; agents and proxies apply its updates. These types
+//! are sent between nodes, encoded with `bitcode`, which identifies fields and variants by order and type: neither may
+//! change. Source: the operators' pages (PROTOCOL, "Service discovery").
 
 use bitcode::{Decode, Encode};
 
-/// One searcher as listed. Fields are named after their keys.
+/// One searcher of the list.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Instance {
-    /// Names one incarnation of the searcher: new with every start; key `identifier`, required.
+    /// Identifies one incarnation of the searcher: different after every start; key `identifier`, required.
     pub identifier: String,
     /// Name of the service that it belongs to; key `service`, required.
     pub service: String,
@@ -20,14 +20,14 @@
     pub zone: String,
     /// Version of its software; key `version`, by default empty.
     pub version: String,
-    /// Requests that it works on at a time; key `slots`, by default 1.
+    /// Maximum number of requests that it processes concurrently; key `slots`, by default 1.
     pub slots: u32,
     /// Whether it accepts new requests; key `state`, required.
     pub state: InstanceState,
-    /// How much longer it is warming up after its start, in milliseconds; key `coldRemainingMs`, by default 0. The proxy's
-    /// slow start lasts for that long at least.
+    /// Remaining time for which it is warming up after its start, in milliseconds; key `coldRemainingMs`, by default 0.
+    /// The proxy's slow start lasts at least as long.
     pub cold_remaining_ms: u64,
-    /// Which stage of inference it serves; key `stage`, absent for searchers without an inference engine.
+    /// The inference stage that it serves; key `stage`, absent for searchers without an inference engine.
     pub stage: Option<Stage>,
     /// The models that it has loaded; key `models`, by default none.
     pub models: Vec<ModelVersion>,
@@ -36,21 +36,21 @@
 /// Whether a searcher accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum InstanceState {
-    /// It accepts them.
+    /// It accepts new requests.
     Ready,
-    /// Its stage is being changed by order of the control plane: no new requests until that is done. The platform's list
-    /// doesn't show this state; the control plane adds it.
+    /// The control plane is changing its stage: no new requests until the change is complete. The platform's list
+    /// doesn't have this state; the control plane adds it.
     Changing,
-    /// It is about to end: no new requests.
+    /// It is shutting down: no new requests.
     Draining,
 }
 
 /// A stage of inference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Stage {
-    /// Reads prompts, and hands over their KV cache.
+    /// Processes prompts and transfers their KV cache to a decode searcher.
     Prefill,
-    /// Generates tokens.
+    /// Generates the tokens of the response.
     Decode,
 }
 
@@ -63,12 +63,12 @@
     pub version: u64,
 }
 
-/// Orders revisions of the list, first by epoch, then by sequence: a poller that is appointed later has a higher epoch, and
-/// counts up from there.
+/// Revision of the instance list, ordered by epoch, then by sequence: a poller that is appointed later has a higher
+/// epoch and starts its own sequence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct InstanceListRevision {
     /// Epoch of the control view in which the poller was appointed.
     pub epoch: u64,
-    /// Number of the poller's changes within its epoch.
+    /// Sequence number of the change within the epoch.
     pub sequence: u64,
 }
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -1,7 +1,7 @@
 //! Reads one page of the platform's instance list.
 //!
-//! Called by the instance-list poller. A page is never dropped for one bad entry: that entry alone is skipped. Source: the
-//! operators' pages (PROTOCOL, "Service discovery").
+//! Called by the instance-list poller. An invalid entry doesn't invalidate its page: only that entry is skipped.
+//! Source: the operators' pages (PROTOCOL, "Service discovery").
 
 use std::net::SocketAddrV4;
 
@@ -15,29 +15,29 @@
 use crate::json::object_reader::ObjectReader;
 use crate::json::unique_keys::parse_unique;
 
-/// One page of the instance list, as `GET /instances` answers it.
+/// One page of the instance list, the response to `GET /instances`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstancePage {
     /// The instances of this page; key `instances`, required.
     pub instances: Vec<Instance>,
-    /// Asks for the page that follows; key `nextToken`, `None` on the last page.
+    /// Token with which the next page is requested; key `nextToken`, `None` on the last page.
     pub next_token: Option<String>,
-    /// Faults of the entries that were left out.
+    /// Faults of the entries that were skipped.
     pub skipped: Vec<Fault>,
 }
 
 impl InstancePage {
-    /// Reads the answer of `GET /instances`. An entry with a fault is left out and reported under `skipped`: one
-    /// bad entry must not hide the others.
+    /// Parses the response to `GET /instances`. An entry with a fault is skipped and its faults are added to `skipped`:
+    /// one invalid entry must not hide the others.
     ///
     /// # Errors
     ///
-    /// If the page can't be read to its end, or has no list of instances.
+    /// If the page can't be parsed, or has no list of instances.
     pub fn parse(body: &[u8]) -> Result<Self, Faults> {
         let value = parse_unique(body).map_err(Faults::unreadable)?;
         let faults = FaultCollector::default();
-        let page =
-            ObjectReader::of(&value, FieldPath::Root, &faults).and_then(|reader| page(&reader));
+        let page = ObjectReader::from_value(&value, FieldPath::Root, &faults)
+            .and_then(|reader| page(&reader));
         page.ok_or_else(|| faults.into_faults())
     }
 }
@@ -46,7 +46,8 @@
     let next_token = reader.text_or("nextToken", "")?;
     let entries = reader.list("instances", |value, path| {
         let faults = FaultCollector::default();
-        let instance = ObjectReader::of(value, path, &faults).and_then(|entry| instance(&entry));
+        let instance =
+            ObjectReader::from_value(value, path, &faults).and_then(|entry| instance(&entry));
         Some((instance, faults.into_faults()))
     })?;
     let mut page = InstancePage {
@@ -98,8 +99,8 @@
     None
 }
 
-/// A state other than `ready` counts as draining, also one that is unknown: a searcher that is wrongly left out
-/// costs some capacity, whereas sending to one that must not be sent to breaks a promise.
+/// Reads the state. Any state other than `ready`, including an unknown one, is taken as draining: wrongly excluding a
+/// searcher only costs capacity, whereas a request to a draining searcher violates a guarantee.
 fn state(reader: &ObjectReader<'_>) -> Option<InstanceState> {
     let state = reader.text("state")?;
     Some(if state == "ready" {
@@ -109,7 +110,7 @@
     })
 }
 
-/// Absent for plain services.
+/// Reads the stage; `Some(None)` for a searcher without an inference engine.
 fn stage(reader: &ObjectReader<'_>) -> Option<Option<Stage>> {
     let stage = reader.text_or("stage", "")?;
     match stage.as_str() {
@@ -127,7 +128,7 @@
 }
 
 fn model(value: &Value, path: FieldPath<'_>, faults: &FaultCollector) -> Option<ModelVersion> {
-    let reader = ObjectReader::of(value, path, faults)?;
+    let reader = ObjectReader::from_value(value, path, faults)?;
     let name = reader.text("name");
     let version = reader.integer_or("version", 0);
     Some(ModelVersion {
--- a/crates/lockusher-config/src/internal_ports.rs
+++ b/crates/lockusher-config/src/internal_ports.rs
@@ -1,7 +1,7 @@
-//! The ports of a machine for traffic between the nodes of the fleet.
+//! The ports of a machine for internal traffic between the nodes of the fleet.
 //!
-//! Each internal listener has a fixed position in the machine's range, so that a node knows the port of its peers'
-//! listeners: the range is the same on all machines (operators' pages: DEPLOY, "Settings of a process").
+//! Each internal listener has a fixed position in the port range, and the range is the same on all machines, so that a
+//! node can derive the ports of its peers' listeners (operators' pages: DEPLOY, "Settings of a process").
 
 use derive_more::{Display, Error};
 
@@ -10,7 +10,7 @@
 pub struct PortRange {
     /// The first port.
     pub first: u16,
-    /// The last port; not below the first.
+    /// The last port; at least `first`.
     pub last: u16,
 }
 
@@ -32,8 +32,8 @@
 /// A listener for internal traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InternalListener {
-    /// Serves subscribers of configuration and instance list: proxies at the loopback address (the agent), agents at the
-    /// machine's address (the control node).
+    /// Serves subscribers of configuration and instance list: the agent serves proxies at the loopback address, the
+    /// control node serves agents at the machine's address.
     Subscriptions,
     /// Serves other control nodes: consensus and replication.
     Replicas,
@@ -52,10 +52,10 @@
     }
 }
 
-/// The range of internal ports has none for this listener.
+/// The range of internal ports is too short for a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 #[display("settings: internalPorts: expected {} ports at least", listener.position() + 1)]
 pub struct TooFewPorts {
-    /// The listener without a port.
+    /// The listener that has no port.
     pub listener: InternalListener,
 }
--- a/crates/lockusher-config/src/json/conversion.rs
+++ b/crates/lockusher-config/src/json/conversion.rs
@@ -1,13 +1,13 @@
-//! Conversions of one JSON value to the type that a field needs. Each fails with what was expected and what was found.
+//! Conversions of a JSON value to the type of a field. The error holds what was expected and what was found.
 
 use serde_json::Value;
 
 use crate::fault::{Problem, truncated_for_message};
 
-/// Above this, neighbouring integers are the same 64-bit float (2^53).
+/// Every integer up to this (2^53) is exactly representable as a 64-bit float.
 const MAX_EXACT_FLOAT: f64 = 9_007_199_254_740_992.0;
 
-/// The problem of a value that is not what was expected.
+/// The problem of a value of the wrong type or outside its range.
 pub fn unexpected(expected: &'static str, value: &Value) -> Problem {
     Problem::Unexpected {
         expected,
--- a/crates/lockusher-config/src/json/document.rs
+++ b/crates/lockusher-config/src/json/document.rs
@@ -6,7 +6,7 @@
 use crate::json::object_reader::ObjectReader;
 use crate::json::unique_keys::parse_unique;
 
-/// Reads the body as one JSON object and hands it to `read`; the result counts only if no fault was found.
+/// Parses the body as one JSON object and converts it with `read`. Returns the faults, if any were found.
 pub fn read_document<T>(
     body: &[u8],
     read: impl FnOnce(&ObjectReader<'_>) -> Option<T>,
@@ -14,7 +14,7 @@
     let value = parse_unique(body).map_err(Faults::unreadable)?;
     let faults = FaultCollector::default();
     let result =
-        ObjectReader::of(&value, FieldPath::Root, &faults).and_then(|reader| read(&reader));
+        ObjectReader::from_value(&value, FieldPath::Root, &faults).and_then(|reader| read(&reader));
     let faults = faults.into_faults();
     match result {
         Some(result) if faults.is_empty() => Ok(result),
--- a/crates/lockusher-config/src/json/fault_collector.rs
+++ b/crates/lockusher-config/src/json/fault_collector.rs
@@ -5,7 +5,7 @@
 
 use crate::fault::{Faults, Problem};
 
-/// Where faults are collected while a document is read.
+/// Shared collector of the faults of one document.
 #[derive(Debug, Default)]
 pub struct FaultCollector {
     faults: RefCell<Faults>,
@@ -17,7 +17,7 @@
         self.faults.borrow_mut().add(location, problem);
     }
 
-    /// All faults that were added.
+    /// Returns all faults that were added.
     pub fn into_faults(self) -> Faults {
         self.faults.into_inner()
     }
--- a/crates/lockusher-config/src/json/field_path.rs
+++ b/crates/lockusher-config/src/json/field_path.rs
@@ -1,8 +1,8 @@
-//! Paths of values in a document.
+//! Paths of values in a JSON document.
 
 use std::fmt;
 
-/// Path of a value in the document; only spelled out for an error.
+/// Path of a value in the document, as a list linked to its parents; formatted only for a fault.
 #[derive(Clone, Copy, Debug)]
 pub enum FieldPath<'a> {
     /// The document itself.
--- a/crates/lockusher-config/src/json/mod.rs
+++ b/crates/lockusher-config/src/json/mod.rs
@@ -1,6 +1,6 @@
 //! Typed access to JSON documents.
 //!
-//! Every fault is collected with its path, and reading goes on, so that one run finds them all.
+//! A fault is collected with its path and reading continues, so that all faults are reported at once.
 
 pub mod conversion;
 pub mod document;
--- a/crates/lockusher-config/src/json/object_reader.rs
+++ b/crates/lockusher-config/src/json/object_reader.rs
@@ -1,7 +1,7 @@
 //! Typed access to the fields of one JSON object.
 //!
-//! A required field that is absent or wrong yields `None` (its fault is collected); an optional one that is absent or
-//! `null` yields the caller's default. Unknown fields are never looked at.
+//! A required field that is absent or invalid yields `None` and adds a fault; an optional one that is absent or `null`
+//! yields the caller's default. Unknown fields are ignored.
 
 use serde_json::{Map, Value};
 
@@ -14,7 +14,7 @@
 use crate::json::fault_collector::FaultCollector;
 use crate::json::field_path::FieldPath;
 
-/// One object of the document. Its methods read a field each; `*_or` yields a default for a field that is absent.
+/// One object of the document. Each method reads one field; the methods `*_or` have a default for an absent field.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectReader<'a> {
     fields: &'a Map<String, Value>,
@@ -23,8 +23,12 @@
 }
 
 impl<'a> ObjectReader<'a> {
-    /// Reads `value` as an object.
-    pub fn of(value: &'a Value, path: FieldPath<'a>, faults: &'a FaultCollector) -> Option<Self> {
+    /// Creates a reader of `value`; adds a fault if it isn't an object.
+    pub fn from_value(
+        value: &'a Value,
+        path: FieldPath<'a>,
+        faults: &'a FaultCollector,
+    ) -> Option<Self> {
         let Some(fields) = value.as_object() else {
             faults.add(path, unexpected("an object", value));
             return None;
@@ -36,7 +40,7 @@
         })
     }
 
-    /// Where faults of this document are collected.
+    /// The collector of the document's faults.
     pub fn faults(&self) -> &'a FaultCollector {
         self.faults
     }
@@ -51,7 +55,7 @@
         self.faults.add(self.path, problem);
     }
 
-    /// Adds a fault of one of its fields.
+    /// Adds a fault of one field of the object.
     pub fn add_field_fault(&self, name: &str, problem: Problem) {
         self.faults.add(FieldPath::Field(&self.path, name), problem);
     }
@@ -61,7 +65,7 @@
         self.fields.get(name).filter(|value| !value.is_null())
     }
 
-    /// Names of all fields, also of those that are `null`.
+    /// The names of all fields, including those that are `null`.
     pub fn field_names(&self) -> impl Iterator<Item = &'a str> {
         self.fields.keys().map(String::as_str)
     }
@@ -132,7 +136,7 @@
         self.required(name, integer_u32)
     }
 
-    /// A duration in milliseconds, not 0; rounded up.
+    /// A duration in milliseconds, above 0; rounded up.
     pub fn positive_ms(&self, name: &str) -> Option<u64> {
         self.required(name, |value| positive_number(value).map(rounded_up_ms))
     }
@@ -142,7 +146,7 @@
         self.optional(name, default, |value| number(value).map(rounded_up_ms))
     }
 
-    /// A duration given in seconds, in milliseconds.
+    /// A duration that is given in seconds, converted to milliseconds.
     pub fn seconds_as_ms_or(&self, name: &str, default_ms: u64) -> Option<u64> {
         self.optional(name, default_ms, |value| number(value).map(seconds_to_ms))
     }
@@ -161,7 +165,7 @@
         })
     }
 
-    /// Reads the object in a field, or yields the default if the field is absent.
+    /// Reads the object in a field, or returns the default if the field is absent.
     pub fn object_or<T>(
         &self,
         name: &str,
@@ -170,15 +174,18 @@
     ) -> Option<T> {
         match self.value(name) {
             Some(value) => {
-                let reader =
-                    ObjectReader::of(value, FieldPath::Field(&self.path, name), self.faults)?;
+                let reader = ObjectReader::from_value(
+                    value,
+                    FieldPath::Field(&self.path, name),
+                    self.faults,
+                )?;
                 read(&reader)
             }
             None => Some(default),
         }
     }
 
-    /// Reads each item of the list in a field; items that can't be read are left out, and their faults collected.
+    /// Reads each item of the list in a field. Invalid items are skipped, and their faults collected.
     pub fn list<T>(
         &self,
         name: &str,
@@ -210,7 +217,7 @@
         mut read: impl FnMut(&ObjectReader<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
         self.list(name, |value, path| {
-            read(&ObjectReader::of(value, path, self.faults)?)
+            read(&ObjectReader::from_value(value, path, self.faults)?)
         })
     }
 
--- a/crates/lockusher-config/src/json/unique_keys.rs
+++ b/crates/lockusher-config/src/json/unique_keys.rs
@@ -1,5 +1,5 @@
-//! JSON whose objects have unique names. `serde_json::Value` alone keeps the last of two fields with the same
-//! name: part of the document would be dropped without a word.
+//! Parses JSON and rejects objects with duplicate names. `serde_json::Value` alone keeps the last of two fields with
+//! the same name: part of the document would be dropped silently.
 
 use std::fmt;
 
@@ -7,11 +7,16 @@
 use serde::de::{Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
 
-/// Reads the body as one JSON value; fails on anything after it and on repeated names.
+/// Parses the body as one JSON value; fails on trailing data and on duplicate names.
+///
+/// # Errors
+///
+/// The parser's error, with line and column.
 pub fn parse_unique(body: &[u8]) -> Result<Value, serde_json::Error> {
     serde_json::from_slice::<UniqueKeys>(body).map(|document| document.0)
 }
 
+/// A JSON value whose objects have unique names.
 struct UniqueKeys(Value);
 
 impl<'de> Deserialize<'de> for UniqueKeys {
--- a/crates/lockusher-config/src/lib.rs
+++ b/crates/lockusher-config/src/lib.rs
@@ -1,14 +1,14 @@
-//! The values that a deployment gives to the programs of the router fleet, with the readers that check them.
+//! Settings, routing configuration and instance list of the router fleet, with the readers that validate them.
 //!
 //! | value | read from | reader |
 //! | --- | --- | --- |
 //! | [`settings::NodeSettings`] | a node's settings file | [`settings_reader`] |
 //! | [`configuration::Configuration`] | the operator's routing configuration | [`configuration_reader`] |
-//! | [`configuration_patch::ConfigurationPatch`] | the operator's changes to it by name | [`configuration_patch`] |
+//! | [`configuration_patch::ConfigurationPatch`] | the operator's changes to named items of it | [`configuration_patch`] |
 //! | [`instances::Instance`] | the platform's instance list | [`instances_reader`] |
 //!
-//! The readers find all faults of their input in one run ([`fault::Faults`]). [`route_table`] finds the route of a request.
-//! Only [`settings_file`] does I/O, and nothing reads a clock.
+//! A reader reports all faults of its input at once ([`fault::Faults`]). [`route_table`] finds the route of a request.
+//! Only [`settings_file`] does I/O, and no module reads a clock.
 
 pub mod configuration;
 pub mod configuration_patch;
--- a/crates/lockusher-config/src/route_table.rs
+++ b/crates/lockusher-config/src/route_table.rs
@@ -1,9 +1,9 @@
-//! Finds the route of a request by host and longest path prefix.
+//! Finds the route of a request by its host and the longest matching path prefix.
 //!
-//! The proxy makes a table from each configuration that it receives, and looks up every request. A table never changes.
+//! The proxy builds a table from each configuration that it receives, and looks up every request in it.
 //!
-//! Prefixes start and end with a slash, so a route's prefix is a series of whole path segments. Each host has a
-//! tree of segments: a lookup costs time in the length of the path, however many routes there are.
+//! Prefixes start and end with a slash, so that a route's prefix consists of complete path segments. Each host has a
+//! trie of segments: the time of a lookup depends on the length of the path, not on the number of routes.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -11,36 +11,36 @@
 
 use crate::configuration::{Configuration, Route};
 
-/// Index of a node in the nodes of a [`HostTree`].
+/// Index of a node in the nodes of a [`HostTrie`].
 type NodeIndex = usize;
 
 const ROOT: NodeIndex = 0;
 
-/// The routes of one configuration, ready for lookups; immutable.
+/// The routes of one configuration, indexed for lookups; immutable.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     configuration: Rc<Configuration>,
-    hosts: HashMap<String, HostTree>,
+    hosts: HashMap<String, HostTrie>,
 }
 
-/// The routes of one host.
+/// Trie of the routes of one host.
 #[derive(Clone, Debug)]
-struct HostTree {
+struct HostTrie {
     nodes: Vec<Node>,
 }
 
-/// The position in a tree after a series of segments, each with the slash that ends it.
+/// A node of the trie: reached by a sequence of segments, each of which a slash terminates.
 #[derive(Clone, Debug, Default)]
 struct Node {
     children: HashMap<Box<str>, NodeIndex>,
-    /// Index into the configuration's routes.
+    /// Index into the configuration's routes, if a prefix ends here.
     route: Option<usize>,
 }
 
 impl RouteTable {
     /// Builds the table of a configuration.
     pub fn new(configuration: Rc<Configuration>) -> Self {
-        let mut hosts: HashMap<String, HostTree> = HashMap::new();
+        let mut hosts: HashMap<String, HostTrie> = HashMap::new();
         for (index, route) in configuration.routes.iter().enumerate() {
             let host = normalized_host(&route.host).into_owned();
             hosts
@@ -54,26 +54,26 @@
         }
     }
 
-    /// The configuration whose routes these are.
+    /// The configuration that the table was built from.
     pub fn configuration(&self) -> &Rc<Configuration> {
         &self.configuration
     }
 
-    /// The route of that host whose prefix begins the path and is longest. `host` is as in the `Host` header:
-    /// letter case and a port don't matter. A query behind the path is ignored.
+    /// The route of the host with the longest prefix of `path`. `host` is the value of the `Host` header: its letter
+    /// case and port are ignored, as is the query of the path.
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Route> {
         self.lookup_index(host, path)
             .map(|index| &self.configuration.routes[index])
     }
 
-    /// As [`lookup`](Self::lookup), as an index into the configuration's routes.
+    /// As [`lookup`](Self::lookup), but returns the index into the configuration's routes.
     pub fn lookup_index(&self, host: &str, path: &str) -> Option<usize> {
-        let tree = self.hosts.get(normalized_host(host).as_ref())?;
-        tree.longest_match(without_query(path))
+        let trie = self.hosts.get(normalized_host(host).as_ref())?;
+        trie.longest_match(without_query(path))
     }
 }
 
-impl Default for HostTree {
+impl Default for HostTrie {
     fn default() -> Self {
         Self {
             nodes: vec![Node::default()],
@@ -81,14 +81,14 @@
     }
 }
 
-impl HostTree {
+impl HostTrie {
     fn insert(&mut self, path_prefix: &str, route: usize) {
-        let mut at = ROOT;
-        for segment in ended_segments(path_prefix) {
-            at = self.child_or_new(at, segment);
+        let mut node = ROOT;
+        for segment in terminated_segments(path_prefix) {
+            node = self.child_or_new(node, segment);
         }
-        // The first of two equal prefixes stays; a checked configuration has none.
-        self.nodes[at].route.get_or_insert(route);
+        // Of two equal prefixes the first is kept; a validated configuration has none.
+        self.nodes[node].route.get_or_insert(route);
     }
 
     fn child_or_new(&mut self, parent: NodeIndex, segment: &str) -> NodeIndex {
@@ -105,23 +105,23 @@
         if !path.starts_with('/') {
             return None;
         }
-        let mut at = &self.nodes[ROOT];
-        let mut found = at.route;
-        for segment in ended_segments(path) {
-            let Some(child) = at.children.get(segment) else {
+        let mut node = &self.nodes[ROOT];
+        let mut longest = node.route;
+        for segment in terminated_segments(path) {
+            let Some(child) = node.children.get(segment) else {
                 break;
             };
-            at = &self.nodes[*child];
-            found = at.route.or(found);
+            node = &self.nodes[*child];
+            longest = node.route.or(longest);
         }
-        found
+        longest
     }
 }
 
-/// The segments of a path that a slash ends: of `/a/b/c` these are `a` and `b`.
-fn ended_segments(path: &str) -> impl Iterator<Item = &str> {
-    let behind_first_slash = path.strip_prefix('/').unwrap_or(path);
-    behind_first_slash
+/// The segments of a path that are followed by a slash: `a` and `b` of `/a/b/c`.
+fn terminated_segments(path: &str) -> impl Iterator<Item = &str> {
+    let after_first_slash = path.strip_prefix('/').unwrap_or(path);
+    after_first_slash
         .split_inclusive('/')
         .filter_map(|segment| segment.strip_suffix('/'))
 }
@@ -130,7 +130,7 @@
     path.split_once('?').map_or(path, |(path, _)| path)
 }
 
-/// The host in lower case and without its port; allocates only if there are upper-case letters.
+/// The host in lower case and without its port; allocates only if it has upper-case letters.
 pub fn normalized_host(host: &str) -> Cow<'_, str> {
     let name = without_port(host.trim());
     if name.bytes().any(|byte| byte.is_ascii_uppercase()) {
--- a/crates/lockusher-config/src/settings_file.rs
+++ b/crates/lockusher-config/src/settings_file.rs
@@ -1,7 +1,7 @@
-//! The settings file of a node: which one it is, and loading it.
+//! Locates and loads the settings file of a node.
 //!
-//! Called at the start, on each signal that the file has changed, and by whoever looks for newer seeds: the file may change
-//! without a signal.
+//! Called at the start, on SIGHUP, and periodically for the current seeds ([`SeedFile`]): the file may change without a
+//! signal.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -14,46 +14,46 @@
 /// The environment variable that names the settings file.
 pub const SETTINGS_VARIABLE: &str = "LOCKUSHER_NODE_FILE";
 
-/// Why there are no settings. Trying again helps once the environment or the file has changed.
+/// Why the settings can't be loaded. A retry can succeed only after the environment or the file has changed.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
-    /// The environment names no file.
+    /// The environment variable isn't set.
     #[display("LOCKUSHER_NODE_FILE does not name the settings file")]
     NoFile,
-    /// The file can't be read.
+    /// Reading the file failed.
     #[display("{}: cannot be read: {source}", file.display())]
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file was read, and isn't valid.
+    /// The file was read, but isn't valid.
     #[display("{}: faulty settings\n{source}", file.display())]
     Faulty {
         /// The file.
         file: PathBuf,
-        /// All of its faults.
+        /// All faults of the file.
         source: Faults,
     },
 }
 
-/// The file that the environment names.
+/// The path of the settings file, from the environment.
 ///
 /// # Errors
 ///
-/// [`SettingsError::NoFile`].
+/// [`SettingsError::NoFile`] if the environment variable isn't set.
 pub fn settings_file() -> Result<PathBuf, SettingsError> {
     std::env::var_os(SETTINGS_VARIABLE)
         .map(PathBuf::from)
         .ok_or(SettingsError::NoFile)
 }
 
-/// Reads and checks a settings file.
+/// Loads and validates a settings file.
 ///
 /// # Errors
 ///
-/// [`SettingsError`] if the file can't be read or has faults; all of them are named.
+/// [`SettingsError`] if the file can't be read or has faults.
 pub fn load(file: &Path) -> Result<NodeSettings, SettingsError> {
     let text = std::fs::read_to_string(file).map_err(|source| SettingsError::Unreadable {
         file: file.to_owned(),
@@ -65,22 +65,22 @@
     })
 }
 
-/// The seeds as the settings file names them now. It is read again on request, and parsed only if its text has changed.
+/// The current seeds of the settings file. The file is read again on request, and parsed only if its text has changed.
 #[derive(Debug)]
 pub struct SeedFile {
-    /// Absent if the environment names no file: the seeds of the start are used for ever.
+    /// `None` if the environment names no file: the initial seeds are then kept.
     file: Option<PathBuf>,
     text: String,
     seeds: Vec<SocketAddrV4>,
 }
 
 impl SeedFile {
-    /// Begins with the seeds that the process was started with.
+    /// Creates the value with the initial seeds, for the file that the environment names.
     pub fn new(seeds: Vec<SocketAddrV4>) -> Self {
         Self::of(settings_file().ok(), seeds)
     }
 
-    /// The same with a file that the environment doesn't name.
+    /// As [`new`](Self::new), but with an explicit file.
     pub fn of(file: Option<PathBuf>, seeds: Vec<SocketAddrV4>) -> Self {
         SeedFile {
             file,
@@ -89,16 +89,16 @@
         }
     }
 
-    /// The seeds that were read last.
+    /// The seeds that were read most recently.
     pub fn seeds(&self) -> &[SocketAddrV4] {
         &self.seeds
     }
 
-    /// Reads the file again; true if the seeds differ from those before.
+    /// Reads the file again; returns whether the seeds have changed.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] if the file can't be read or has faults; the seeds stay as they were.
+    /// [`SettingsError`] if the file can't be read or has faults; the seeds are then unchanged.
     pub fn refresh(&mut self) -> Result<bool, SettingsError> {
         let Some(file) = &self.file else {
             return Ok(false);
@@ -116,8 +116,8 @@
             source,
         })?;
         self.text = text;
-        let differs = settings.seeds != self.seeds;
+        let changed = settings.seeds != self.seeds;
         self.seeds = settings.seeds;
-        Ok(differs)
+        Ok(changed)
     }
 }
--- a/crates/lockusher-config/src/settings_lines.rs
+++ b/crates/lockusher-config/src/settings_lines.rs
@@ -1,6 +1,6 @@
 //! The lines of a settings file, with typed access to their values.
 //!
-//! Every fault is collected with its line, and reading goes on, so that one run finds them all.
+//! A fault is collected with its line and reading continues, so that all faults are reported at once.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,15 +12,15 @@
 use crate::fault::{Faults, Problem, truncated_for_message};
 use crate::internal_ports::PortRange;
 
-/// Begins a line that is ignored.
-const COMMENT: char = '#';
+/// A line that starts with this is ignored.
+const COMMENT_MARKER: char = '#';
 
-/// The value of a key, and where it stands.
+/// The value of a key, and its line.
 #[derive(Clone, Copy, Debug)]
 struct Entry<'a> {
     value: &'a str,
     line: usize,
-    /// A later line with the same key.
+    /// The first of the later lines with the same key.
     repeated_on: Option<usize>,
 }
 
@@ -40,8 +40,8 @@
 }
 
 impl<'a> SettingsLines<'a> {
-    /// Splits the text into lines. Collects a fault for each line that is not of the form `key=value`.
-    pub fn split(text: &'a str) -> Self {
+    /// Parses the text into lines. Collects a fault for each line that is not of the form `key=value`.
+    pub fn parse(text: &'a str) -> Self {
         let mut lines = Self {
             entries: BTreeMap::new(),
             faults: Faults::default(),
@@ -53,7 +53,7 @@
     }
 
     fn add(&mut self, number: usize, line: &'a str) {
-        if line.is_empty() || line.starts_with(COMMENT) {
+        if line.is_empty() || line.starts_with(COMMENT_MARKER) {
             return;
         }
         let Some((key, value)) = line.split_once('=') else {
@@ -75,12 +75,12 @@
             .or_insert(entry);
     }
 
-    /// All faults that were found.
+    /// Returns all faults that were found.
     pub fn into_faults(self) -> Faults {
         self.faults
     }
 
-    /// The entry of a key that has a value. Collects a fault if the key stands on two lines.
+    /// The entry of a key, if it has a value. Collects a fault if several lines have this key.
     fn entry(&mut self, key: &str) -> Option<Entry<'a>> {
         let entry = *self.entries.get(key)?;
         if let Some(line) = entry.repeated_on {
@@ -121,7 +121,7 @@
         parsed
     }
 
-    /// The value of a key that must be there.
+    /// The value of a required key.
     pub fn required<T: FromStr>(&mut self, key: &str, expected: &'static str) -> Option<T> {
         let Some(entry) = self.entry(key) else {
             self.missing(key);
@@ -130,7 +130,7 @@
         self.parsed(key, entry, expected)
     }
 
-    /// The value of a key that may be absent: `Some(None)` then, `None` for a fault.
+    /// The value of an optional key: `Some(None)` if it is absent, `None` if its value is invalid.
     pub fn optional<T: FromStr>(&mut self, key: &str, expected: &'static str) -> Option<Option<T>> {
         match self.entry(key) {
             Some(entry) => self.parsed(key, entry, expected).map(Some),
@@ -189,13 +189,13 @@
         self.positive_number(key, default as f64).map(rounded_up_ms)
     }
 
-    /// A duration given in seconds, in milliseconds.
+    /// A duration that is given in seconds, converted to milliseconds.
     pub fn seconds_as_ms(&mut self, key: &str, default_ms: u64) -> Option<u64> {
         self.number(key, default_ms as f64 / 1_000.0)
             .map(seconds_to_ms)
     }
 
-    /// A list, separated by commas; empty if the key is absent. Each wrong item is a fault.
+    /// A comma-separated list; empty if the key is absent. Each invalid item is a fault.
     pub fn list<T: FromStr>(&mut self, key: &str, expected: &'static str) -> Option<Vec<T>> {
         let Some(entry) = self.entry(key) else {
             return Some(Vec::new());
@@ -217,7 +217,7 @@
         parsed.into_iter().collect()
     }
 
-    /// A range of ports, `FIRST,LAST`, that must be there.
+    /// A required range of ports, `FIRST,LAST`.
     pub fn port_range(&mut self, key: &str) -> Option<PortRange> {
         const EXPECTED: &str = "FIRST,LAST port";
         let Some(entry) = self.entry(key) else {
@@ -247,7 +247,7 @@
         Some(PortRange { first, last })
     }
 
-    /// All keys that begin with `prefix` and have a value, without the prefix.
+    /// The values of all keys that begin with `prefix`, by the rest of the key.
     pub fn with_prefix(&mut self, prefix: &str) -> BTreeMap<String, String> {
         let keys: Vec<&str> = self
             .entries
--- a/crates/lockusher-config/src/settings_reader/bounds.rs
+++ b/crates/lockusher-config/src/settings_reader/bounds.rs
@@ -1,9 +1,9 @@
-//! Reads the bounds: the guarantees that the deployment's rules put figures on.
+//! Reads the keys below `bounds`: the limits of the deployment's guarantees.
 
 use crate::settings::Bounds;
 use crate::settings_lines::SettingsLines;
 
-/// Bounds of a file that names none: on the strict side, so that the guarantees of usual figures hold as well.
+/// Default of each bound. The defaults are strict, so that the guarantees also hold for the usual, looser values.
 const DEFAULT_BOUNDS: Bounds = Bounds {
     seed_lag_ms: 3_000,
     reuse_after_ms: 1_000,
@@ -27,7 +27,7 @@
     thaw_ms: 300,
 };
 
-/// The keys below `bounds`.
+/// Reads the keys below `bounds`.
 pub fn bounds(lines: &mut SettingsLines<'_>) -> Option<Bounds> {
     let default = DEFAULT_BOUNDS;
     let seed_lag_ms = lines.seconds_as_ms("bounds.seedLagS", default.seed_lag_ms);
--- a/crates/lockusher-config/src/settings_reader/limits.rs
+++ b/crates/lockusher-config/src/settings_reader/limits.rs
@@ -1,11 +1,11 @@
-//! Reads the limits of a process: what it may use of its machine.
+//! Reads the keys below `limits`: the resource limits of a process.
 
 use std::str::FromStr;
 
 use crate::settings::NodeLimits;
 use crate::settings_lines::SettingsLines;
 
-/// Limits of a file that names none.
+/// Default of each limit.
 const DEFAULT_LIMITS: NodeLimits = NodeLimits {
     cpu_share: 1.0,
     cores: 1,
@@ -15,7 +15,7 @@
     disk_mb: 64,
 };
 
-/// The keys below `limits`.
+/// Reads the keys below `limits`.
 pub fn node_limits(lines: &mut SettingsLines<'_>) -> Option<NodeLimits> {
     let default = DEFAULT_LIMITS;
     let cpu_share = lines.positive_number("limits.cpuShare", default.cpu_share);
--- a/crates/lockusher-config/src/settings_reader/mod.rs
+++ b/crates/lockusher-config/src/settings_reader/mod.rs
@@ -1,10 +1,10 @@
 //! Reads a node's settings file: `a.b=value` lines.
 //!
-//! Called at the start of each program, on SIGHUP, and by the program's `check`.
+//! Called at the start of each program, on SIGHUP, and by the command `check`.
 //!
-//! Unknown keys are ignored, and so are empty lines and those that start with `#`. A key with an empty value
-//! counts as absent. Required are `node`, `zone`, `ipAddress`, `internalPorts` and `cloud.address`; any other key
-//! has a default. Source: the operators' pages (DEPLOY, "Settings of a process").
+//! Unknown keys, empty lines and lines that start with `#` are ignored. A key with an empty value is treated as absent.
+//! The keys `node`, `zone`, `ipAddress`, `internalPorts` and `cloud.address` are required; all others have defaults.
+//! Source: the operators' pages (DEPLOY, "Settings of a process").
 
 mod bounds;
 mod limits;
@@ -19,26 +19,26 @@
 use bounds::bounds;
 use limits::node_limits;
 
-/// Counted machines that may be lost at once.
+/// Machines that may fail at the same time, of those that count for the quorum.
 const DEFAULT_FAULT_TOLERANCE_MACHINES: u32 = 1;
 
-/// The deployment's interval of heartbeats.
+/// Heartbeat interval of the deployment.
 const DEFAULT_HEARTBEAT_MS: u64 = 1_000;
 
-/// Calls a second to the instance list, by all nodes together.
+/// Rate limit of the instance list in calls per second, for all nodes together.
 const DEFAULT_CLOUD_RATE_PER_S: f64 = 1.0;
 
-/// How old the instance list is when it is served.
+/// Age of the instance list when it is served.
 const DEFAULT_CLOUD_LAG_MS: u64 = 1_000;
 
 impl NodeSettings {
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
     ///
     /// All faults of the file.
     pub fn parse(text: &str) -> Result<Self, Faults> {
-        let mut lines = SettingsLines::split(text);
+        let mut lines = SettingsLines::parse(text);
         let settings = settings(&mut lines);
         let faults = lines.into_faults();
         match settings {
@@ -98,7 +98,7 @@
     })
 }
 
-/// Where the node is, in the deployment's terms.
+/// Name of the node, and its failure domains.
 struct Location {
     node: String,
     zone: String,
@@ -145,7 +145,7 @@
     })
 }
 
-/// The platform's instance list, as the settings describe it.
+/// How the platform's instance list is reached.
 struct Platform {
     address: SocketAddrV4,
     rate_per_s: f64,
