--- a/crates/lockusher-config/tests/arbitrary_input.rs
+++ b/crates/lockusher-config/tests/arbitrary_input.rs
@@ -1,4 +1,4 @@
-//! No input makes a reader panic.
+//! The readers don't panic, whatever their input.
 
 use lockusher_config::configuration::Configuration;
 use lockusher_config::instances_reader::InstancePage;
--- a/crates/lockusher-config/tests/configuration.rs
+++ b/crates/lockusher-config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The reader of configurations: what is accepted, what is refused, and how faults are reported.
+//! The reader of configurations: which documents are valid, and how faults are reported.
 
 #[path = "support/configuration_document.rs"]
 mod configuration_document;
@@ -42,7 +42,7 @@
     let split: Vec<_> = chat
         .split
         .iter()
-        .map(|part| (part.service.as_str(), part.weight))
+        .map(|weighted| (weighted.service.as_str(), weighted.weight))
         .collect();
     assert_eq!(split, [("large", 7), ("small", 0)]);
     assert_eq!(
@@ -90,9 +90,9 @@
     model_as_name = { "/services/0/engine/models/0", json!("big-9") },
     no_models = { "/services/0/engine/models", json!([]) },
     engine_null = { "/services/0/engine", json!(null) },
-    gap_aim_null = { "/routes/0/gap_aim_ms", json!(null) },
+    target_gap_null = { "/routes/0/gap_aim_ms", json!(null) },
     no_routes = { "/routes", json!([]) },
-    rank_beyond_nine = { "/routes/0/priority", json!(1000) },
+    priority_above_nine = { "/routes/0/priority", json!(1000) },
     two_routes_with_one_name = { "/routes/1/name", json!("chat") },
     same_prefix_on_another_host = { "/routes/1/host", json!("third.rhine.test") },
     service_null_beside_split = { "/routes/0/service", json!(null) },
@@ -104,7 +104,7 @@
 
 #[parameterized(
     limits = { "/limits" }, header_bytes = { "/limits/headerBytes" }, idle = { "/limits/idleTimeoutMs" },
-    gap_aim = { "/routes/0/gap_aim_ms" }, sticky = { "/routes/0/sticky" },
+    target_gap = { "/routes/0/gap_aim_ms" }, sticky = { "/routes/0/sticky" },
     resumable = { "/routes/0/resumable" }, attempts = { "/routes/0/attempts" },
     priority = { "/routes/0/priority" }, latency_target = { "/routes/0/targetLatencyMs" },
     name_of_route = { "/routes/0/name" }, engine = { "/services/0/engine" },
@@ -194,7 +194,7 @@
     limits_list = { "/limits", json!([]), "limits: expected an object, found []" },
     sticky_text = { "/routes/0/sticky", json!("yes"), "routes[0].sticky: expected true or false, found \"yes\"" },
 )]
-fn an_invalid_change_is_refused_with_its_path(pointer: &str, value: Value, message: &str) {
+fn an_invalid_change_is_reported_with_its_path(pointer: &str, value: Value, message: &str) {
     let faults = parse(&with(pointer, value)).unwrap_err();
 
     assert_eq!(faults.lines().next(), Some(message));
@@ -219,14 +219,14 @@
 }
 
 #[test]
-fn a_service_with_a_fault_is_not_unknown_to_its_routes() {
+fn a_route_to_a_service_with_a_fault_is_not_reported() {
     let faults = parse(&with("/services/1/connectionLimit", json!("many"))).unwrap_err();
 
     assert_eq!(faults.lines().count(), 1, "{faults}");
 }
 
 #[test]
-fn a_document_that_is_cut_short_is_refused_at_every_length() {
+fn a_truncated_document_is_refused_at_every_length() {
     let body = full().to_string();
 
     for length in 0..body.len() {
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn long_durations_stay_small_enough_to_be_added() {
+fn a_duration_is_limited_so_that_sums_do_not_overflow() {
     let configuration = parse(&with("/routes/0/timeoutMs", json!(1e300))).unwrap();
 
     assert!(configuration.routes[0].timeout_ms < u64::MAX / 1_000);
--- a/crates/lockusher-config/tests/configuration_patch.rs
+++ b/crates/lockusher-config/tests/configuration_patch.rs
@@ -1,4 +1,4 @@
-//! Patches of a configuration: what they change, what stays, and every fault at its path in the patch.
+//! Patches of a configuration: what they change, what they leave unchanged, and the paths of faults.
 
 use lockusher_config::configuration::Configuration;
 use lockusher_config::configuration_patch::ConfigurationPatch;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_name_that_moves_to_the_prefix_of_a_removed_one_is_valid() {
+fn a_new_route_may_have_the_prefix_of_a_removed_one() {
     let patch = json!({
         "version": 8, "upsert": {"routes": [route("n", "/a/", 10)]}, "remove": {"routes": ["a"]}
     });
@@ -109,6 +109,6 @@
         ]
     },
 )]
-fn faults_are_reported_at_their_paths_in_the_patch(patch: Value, expected: &[&str]) {
+fn faults_are_reported_with_their_paths_in_the_patch(patch: Value, expected: &[&str]) {
     assert_eq!(applied(&patch).expect_err("faulty"), expected);
 }
--- a/crates/lockusher-config/tests/instances.rs
+++ b/crates/lockusher-config/tests/instances.rs
@@ -61,7 +61,7 @@
     draining = { "draining", InstanceState::Draining },
     unknown = { "resting", InstanceState::Draining },
 )]
-fn only_a_ready_searcher_is_ready(state: &str, expected: InstanceState) {
+fn a_state_other_than_ready_is_taken_as_draining(state: &str, expected: InstanceState) {
     let mut searcher = entry("s-1");
     searcher["state"] = json!(state);
 
@@ -71,7 +71,7 @@
 }
 
 #[parameterized(null = { Some(json!(null)) }, absent = { None })]
-fn a_plain_searcher_has_no_stage(stage: Option<Value>) {
+fn a_searcher_without_an_engine_has_no_stage(stage: Option<Value>) {
     let mut searcher = entry("s-1");
     searcher.as_object_mut().unwrap().remove("stage");
     searcher.as_object_mut().unwrap().remove("models");
@@ -99,10 +99,11 @@
     value: Value,
     message: &str,
 ) {
-    let mut bad = entry("s-2");
-    bad[field] = value;
+    let mut invalid = entry("s-2");
+    invalid[field] = value;
 
-    let page = parse(&json!({"instances": [entry("s-1"), bad, entry("s-3")], "nextToken": "t"}));
+    let page =
+        parse(&json!({"instances": [entry("s-1"), invalid, entry("s-3")], "nextToken": "t"}));
 
     let read: Vec<_> = page
         .instances
@@ -115,7 +116,7 @@
 }
 
 #[parameterized(
-    cut_short = { r#"{"instances":[],"next"# },
+    truncated = { r#"{"instances":[],"next"# },
     no_list = { r#"{"nextToken":null}"# },
     wrong_list = { r#"{"instances":7}"# },
     wrong_token = { r#"{"instances":[],"nextToken":7}"# },
--- a/crates/lockusher-config/tests/internal_ports.rs
+++ b/crates/lockusher-config/tests/internal_ports.rs
@@ -21,7 +21,7 @@
     one_port = { PortRange { first: 7_660, last: 7_660 } },
     at_the_end_of_all_ports = { PortRange { first: u16::MAX, last: u16::MAX } },
 )]
-fn a_range_with_too_few_ports_is_an_error_that_says_how_many_are_needed(range: PortRange) {
+fn the_error_for_a_short_range_states_how_many_ports_are_needed(range: PortRange) {
     let error = range.port_of(InternalListener::Replicas).unwrap_err();
 
     assert_eq!(error.listener, InternalListener::Replicas);
--- a/crates/lockusher-config/tests/modules.rs
+++ b/crates/lockusher-config/tests/modules.rs
@@ -1,4 +1,4 @@
-//! The modules of this package lie in layers; and the search for import cycles finds them.
+//! The modules of this package have no import cycles, and import cycles are detected.
 
 #[path = "../../../tests/support/module_layers.rs"]
 mod module_layers;
--- a/crates/lockusher-config/tests/route_table.rs
+++ b/crates/lockusher-config/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! The route table, against a search through all routes.
+//! The route table, compared with a linear scan of all routes.
 
 use std::rc::Rc;
 
@@ -56,8 +56,8 @@
     prefix_itself = { "one.test", "/a/", Some("one.test/a/") },
     below_prefix = { "one.test", "/a/z", Some("one.test/a/") },
     longest = { "one.test", "/a/b/z", Some("one.test/a/b/") },
-    passes_a_gap = { "one.test", "/a/b/c/z", Some("one.test/a/b/") },
-    behind_the_gap = { "one.test", "/a/b/c/d/z/", Some("one.test/a/b/c/d/") },
+    within_a_gap_between_prefixes = { "one.test", "/a/b/c/z", Some("one.test/a/b/") },
+    beyond_the_gap = { "one.test", "/a/b/c/d/z/", Some("one.test/a/b/c/d/") },
     without_the_slash = { "one.test", "/a", None },
     last_segment_without_slash = { "one.test", "/a/b", Some("one.test/a/") },
     other_segment = { "one.test", "/ab/", None },
@@ -95,7 +95,7 @@
     assert_eq!(table.configuration().routes[index].path_prefix, "/a/b/");
 }
 
-/// What the table stands for: a search through all routes.
+/// Reference implementation of a lookup.
 fn linear_scan<'a>(routes: &'a [Route], host: &str, path: &str) -> Option<&'a Route> {
     let host = host.split(':').next().unwrap();
     let path = path.split('?').next().unwrap();
--- a/crates/lockusher-config/tests/seed_file.rs
+++ b/crates/lockusher-config/tests/seed_file.rs
@@ -1,4 +1,4 @@
-//! The seeds follow the settings file, which may change without a signal.
+//! The seeds are reloaded from the settings file, which may change without a signal.
 
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -24,22 +24,22 @@
 }
 
 #[test]
-fn seeds_are_those_of_the_file_once_it_has_changed() {
+fn seeds_follow_the_file_when_it_changes() {
     let path = file("changes");
     write(&path, &seeds(&[1, 2]));
     let mut seed_file = SeedFile::of(Some(path.clone()), seeds(&[1, 2]));
 
-    assert!(!seed_file.refresh().expect("a good file"));
+    assert!(!seed_file.refresh().expect("a valid file"));
     write(&path, &seeds(&[7, 8, 9]));
-    assert!(seed_file.refresh().expect("a good file"));
-    assert!(!seed_file.refresh().expect("a good file"));
+    assert!(seed_file.refresh().expect("a valid file"));
+    assert!(!seed_file.refresh().expect("a valid file"));
 
     assert_eq!(seed_file.seeds(), seeds(&[7, 8, 9]));
     std::fs::remove_file(path).expect("the file is removed");
 }
 
 #[test]
-fn a_faulty_or_missing_file_leaves_the_seeds_as_they_were() {
+fn a_faulty_or_missing_file_leaves_the_seeds_unchanged() {
     let path = file("faulty");
     std::fs::write(&path, "node=\n").expect("the file is written");
     let mut seed_file = SeedFile::of(Some(path.clone()), seeds(&[1]));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn without_a_file_the_seeds_of_the_start_are_used() {
+fn without_a_file_the_initial_seeds_are_kept() {
     let mut seed_file = SeedFile::of(None, seeds(&[1, 2]));
 
     assert!(!seed_file.refresh().expect("nothing to read"));
--- a/crates/lockusher-config/tests/settings.rs
+++ b/crates/lockusher-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The reader of settings files.
+//! The reader of settings files: which lines are valid, and how faults are reported.
 
 use std::path::PathBuf;
 
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_required_keys_suffice() {
+fn a_file_with_only_the_required_keys_is_valid() {
     let settings = parse(REQUIRED).unwrap();
 
     assert!(settings.seeds.is_empty() && settings.zones.is_empty());
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_absent_region_follows_from_the_zone() {
+fn an_absent_region_is_that_of_the_zone() {
     let settings = parse(&format!("{REQUIRED}zones.west-9=mosel\n")).unwrap();
 
     assert_eq!(settings.region, "mosel");
@@ -153,8 +153,8 @@
     negative = { "bounds.drainMs=-1", "line 6, bounds.drainMs: expected a number of at least 0, found -1" },
     not_a_number = { "bounds.drainMs=NaN", "line 6, bounds.drainMs: expected a number of at least 0, found NaN" },
     infinite = { "limits.cpuShare=inf", "line 6, limits.cpuShare: expected a positive number, found inf" },
-    no_share = { "limits.cpuShare=0", "line 6, limits.cpuShare: expected a positive number, found 0" },
-    no_rate = { "cloud.ratePerS=0", "line 6, cloud.ratePerS: expected a positive number, found 0" },
+    zero_share = { "limits.cpuShare=0", "line 6, limits.cpuShare: expected a positive number, found 0" },
+    zero_rate = { "cloud.ratePerS=0", "line 6, cloud.ratePerS: expected a positive number, found 0" },
     flag = { "firstStart=1", "line 6, firstStart: expected true or false, found 1" },
     listener = { "listenAddresses.front=:80", "line 6, listenAddresses.front: expected IP:PORT, found :80" },
     seed = { "seeds=1.2.3.4:5,host:6", "line 6, seeds: expected IP:PORT, found host:6" },
--- a/crates/lockusher-config/tests/support/configuration_document.rs
+++ b/crates/lockusher-config/tests/support/configuration_document.rs
@@ -1,9 +1,9 @@
-//! A configuration that uses every field, as a document, and changes to it.
+//! A configuration document with every field, and changes to it.
 
 use lockusher_config::configuration::Configuration;
 use serde_json::{Value, json};
 
-/// A configuration that uses every field.
+/// A configuration with every field.
 pub fn full() -> Value {
     json!({
         "version": 31,
@@ -63,6 +63,7 @@
     document
 }
 
+/// Parses the document; the error is the text of the faults.
 pub fn parse(document: &Value) -> Result<Configuration, String> {
     Configuration::parse(document.to_string().as_bytes()).map_err(|faults| faults.to_string())
 }
--- a/crates/lockusher-config/tests/support/settings_text.rs
+++ b/crates/lockusher-config/tests/support/settings_text.rs
@@ -1,6 +1,6 @@
 //! Texts of settings files.
 
-/// A file that uses every key.
+/// A file with every key.
 pub const FULL: &str = "\
 node=c-7
 role=keeper
@@ -55,7 +55,7 @@
 cloud.duties=
 ";
 
-/// The required lines only.
+/// A file with only the required keys.
 pub const REQUIRED: &str = "\
 node=e-1
 zone=west-9
