--- a/crates/lockusher-transport/src/clock.rs
+++ b/crates/lockusher-transport/src/clock.rs
@@ -1,31 +1,31 @@
 //! The monotonic clock of a process.
 //!
-//! Decision modules take time as milliseconds or microseconds since the process started and never read a clock; the
-//! code that drives them reads this one. It never goes backwards and says nothing about the time of day.
+//! Decision logic takes the time as an argument, in milliseconds or microseconds since the process started, and never
+//! reads a clock; its drivers read this one. It is monotonic and unrelated to the time of day.
 
 use std::time::Instant;
 
-/// Time since the process started. Copies share the start, so that their readings can be compared.
+/// Measures the time since the process started. Copies share the start, so that their readings are comparable.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    started: Instant,
+    started_at: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         Clock {
-            started: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
     /// Milliseconds since the start.
     pub fn millis(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     /// Microseconds since the start.
     pub fn micros(&self) -> u64 {
-        self.started.elapsed().as_micros() as u64
+        self.started_at.elapsed().as_micros() as u64
     }
 }
--- a/crates/lockusher-transport/src/error.rs
+++ b/crates/lockusher-transport/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors of the socket layer.
+//! Errors of the transport layer.
 
 use std::io;
 use std::net::SocketAddrV4;
 
 use derive_more::{Display, Error, From};
 
-/// What was tried on a socket.
+/// The operation on a socket that failed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Operation {
     /// Listen for connections.
@@ -14,7 +14,7 @@
     /// Connect to a peer.
     #[display("connect")]
     Connect,
-    /// Prepare a connection: its options, or its registration with the runtime.
+    /// Set up a connection: set its options, or register it with the runtime.
     #[display("set up the connection")]
     SetUp,
     /// Read a frame.
@@ -30,42 +30,42 @@
 
 /// Why an operation on a connection failed.
 ///
-/// After `Io`, `Http`, `Closed` and `TimedOut` a retry on a new connection may help, if the request is idempotent. The
-/// other errors mean that one of both sides breaks the protocol, or a limit: a retry fails likewise.
+/// After `Io`, `Http`, `Closed` and `TimedOut`, a retry on a new connection may succeed; it is safe if the request is
+/// idempotent. The other errors mean that a side violates the protocol or exceeds a limit: a retry fails as well.
 #[derive(Debug, Display, Error, From)]
 pub enum TransportError {
-    /// The operating system refused.
+    /// The operating system returned an error.
     #[from(ignore)]
-    #[display("{operation}{}: {source}", on(*address))]
+    #[display("{operation}{}: {source}", suffix(*address))]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         operation: Operation,
-        /// The peer, or the own address when listening; `None` where only the caller knows it.
+        /// The peer's address, or the local address for [`Operation::Listen`]; `None` where only the caller knows it.
         address: Option<SocketAddrV4>,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// An HTTP exchange failed on an open connection.
     #[display("HTTP: {_0}")]
     Http(hyper::Error),
-    /// The request can't be expressed in HTTP.
-    #[display("HTTP request: {_0}")]
+    /// The request isn't valid HTTP.
+    #[display("invalid HTTP request: {_0}")]
     Request(hyper::http::Error),
-    /// The bytes of a frame aren't a message of the expected type.
-    #[display("message: {_0}")]
+    /// The content of a frame can't be decoded as the expected type.
+    #[display("cannot decode message: {_0}")]
     Decode(bitcode::Error),
-    /// The peer announced a frame that is too long.
+    /// The peer announced a frame that exceeds the limit.
     #[from(ignore)]
-    #[display("frame of {bytes} bytes is over the limit of {max_bytes}")]
+    #[display("frame of {bytes} bytes exceeds the limit of {max_bytes}")]
     FrameTooLong {
-        /// Length as announced.
+        /// The announced length of the message.
         bytes: usize,
         /// The limit, [`MAX_FRAME_BYTES`](crate::frame::MAX_FRAME_BYTES).
         max_bytes: usize,
     },
-    /// A body is too long, or ended early.
+    /// The body of an HTTP message exceeds the limit.
     #[from(ignore)]
-    #[display("body is over the limit of {max_bytes} bytes")]
+    #[display("body exceeds the limit of {max_bytes} bytes")]
     BodyTooLong {
         /// The limit.
         max_bytes: usize,
@@ -73,19 +73,19 @@
     /// The peer closed the connection.
     #[display("the peer closed the connection")]
     Closed,
-    /// The operation took too long.
+    /// The operation exceeded its time limit.
     #[from(ignore)]
-    #[display("{operation}{}: no answer in time", on(*address))]
+    #[display("{operation}{}: timed out", suffix(*address))]
     TimedOut {
-        /// What was tried.
+        /// The operation that failed.
         operation: Operation,
-        /// The peer; `None` where only the caller knows it.
+        /// The peer's address; `None` where only the caller knows it.
         address: Option<SocketAddrV4>,
     },
 }
 
 impl TransportError {
-    /// Makes an error of `operation` on a connection whose peer only the caller knows.
+    /// Converts an error of `operation` on a connection whose peer only the caller knows.
     pub(crate) fn io(operation: Operation) -> impl FnOnce(io::Error) -> TransportError {
         move |source| TransportError::Io {
             operation,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Makes an error of `operation` on `address`.
+    /// Converts an error of `operation` on `address`.
     pub(crate) fn io_on(
         operation: Operation,
         address: SocketAddrV4,
@@ -107,6 +107,7 @@
     }
 }
 
-fn on(address: Option<SocketAddrV4>) -> String {
+/// The address as a suffix of the operation in a message; empty if it is unknown.
+fn suffix(address: Option<SocketAddrV4>) -> String {
     address.map_or_else(String::new, |address| format!(" {address}"))
 }
--- a/crates/lockusher-transport/src/frame.rs
+++ b/crates/lockusher-transport/src/frame.rs
@@ -1,20 +1,21 @@
-//! Messages between processes of the fleet, as frames on a TCP connection.
+//! Length-prefixed messages between processes of the fleet, on a TCP connection.
 //!
 //! | offset | size | field |
 //! | --- | --- | --- |
 //! | 0 | 4 | length of the message in bytes, little-endian, at most [`MAX_FRAME_BYTES`] |
-//! | 4 | – | the message in bitcode |
+//! | 4 | – | the message, encoded with bitcode |
 //!
 //! [`split`] turns a connection into a [`FrameReader`] and a [`FrameWriter`], which are used independently.
 //!
-//! A long message takes seconds on a thin link, so that its arrival, and not only its end, counts as a sign of life: see
-//! [`FrameReader::read_within`] and [`FrameWriter::write_within`].
+//! A long message takes seconds on a link with low bandwidth. The time limits of [`FrameReader::read_within`] and
+//! [`FrameWriter::write_within`] therefore apply to the progress of a message, not only to its end.
 //!
 //! # Cancel safety
 //!
-//! - [`FrameReader::read`] and [`FrameReader::read_within`] can be dropped at any time, for example by a `select!`: what was read stays in the reader.
-//! - [`FrameWriter::write`] can't: a dropped write may have sent a part of its frame, and what is written after it isn't
-//!   readable. Close the connection then.
+//! - [`FrameReader::read`] and [`FrameReader::read_within`] are cancel safe, for example in a `select!`: the bytes that
+//!   were received stay in the reader.
+//! - [`FrameWriter::write`] is not: a dropped write may have sent a part of its frame, and the peer can't decode what
+//!   follows. The connection must then be closed.
 
 use std::future::poll_fn;
 use std::io;
@@ -30,29 +31,31 @@
 
 use crate::error::{Operation, TransportError};
 
-/// The longest message that is accepted, in bytes; the prefix isn't counted.
+/// Maximum length of an accepted message in bytes, without the length prefix.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// A message may take a millisecond more for each so many bytes (1 Mbit/s); a peer that sends it slower is given up.
+/// Minimum rate of a message's arrival, in bytes per millisecond (1 Mbit/s): a slower read fails.
 pub const MIN_BYTES_PER_MS: u64 = 125;
 
-/// Bytes of the length before each message.
+/// Size of the length prefix of each message, in bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// Bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_CHUNK_BYTES: usize = 4 * 1024;
-/// A read buffer larger than this is freed once it is empty, so that one long message doesn't hold memory for ever.
+/// A read buffer of more than this many bytes is freed once it is empty, so that its memory isn't retained after a long
+/// message.
 const MAX_IDLE_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Within what time further bytes of a message must arrive that has been awaited for `elapsed`: within the inactivity timeout,
-/// and before all of it has taken longer than that and the time for its length at [`MIN_BYTES_PER_MS`].
+/// Time limit for the arrival of further bytes of a message that has been awaited for `elapsed`: the inactivity
+/// timeout, or what is left of the total limit for the message if that is less. The total limit is the inactivity
+/// timeout plus the time for the message's length at [`MIN_BYTES_PER_MS`].
 pub fn arrival_limit(
     inactivity_timeout: Duration,
     announced_bytes: u32,
     elapsed: Duration,
 ) -> Duration {
-    let allowance = Duration::from_millis(u64::from(announced_bytes) / MIN_BYTES_PER_MS);
-    let left = (inactivity_timeout + allowance).saturating_sub(elapsed);
-    left.min(inactivity_timeout)
+    let transfer_time = Duration::from_millis(u64::from(announced_bytes) / MIN_BYTES_PER_MS);
+    let remaining = (inactivity_timeout + transfer_time).saturating_sub(elapsed);
+    remaining.min(inactivity_timeout)
 }
 
 /// Splits a connection into a reader of `In` and a writer of `Out`. The connection is closed once both are dropped.
@@ -90,12 +93,12 @@
 }
 
 impl<T: DecodeOwned> FrameReader<T> {
-    /// The next message. Cancel safe: dropping the future loses nothing that was read.
+    /// Reads the next message. Cancel safe: no received bytes are lost when the future is dropped.
     ///
     /// # Errors
     ///
     /// [`TransportError::Closed`] at the end of the stream, also within a frame; [`TransportError::FrameTooLong`] and
-    /// [`TransportError::Decode`] for a peer that breaks the protocol, whose connection is of no use any more; and
+    /// [`TransportError::Decode`] if the peer violates the protocol: the connection must then be closed; and
     /// [`TransportError::Io`].
     pub async fn read(&mut self) -> Result<T, TransportError> {
         loop {
@@ -106,24 +109,24 @@
         }
     }
 
-    /// The next message, as long as bytes keep arriving. Cancel safe, as [`read`](Self::read) is.
+    /// Reads the next message, with a time limit on its progress. Cancel safe, as [`read`](Self::read) is.
     ///
     /// # Errors
     ///
-    /// As for [`read`](Self::read); and [`TransportError::TimedOut`] if nothing arrived for `inactivity_timeout`, or if a
-    /// message takes longer than that and the time for its length at [`MIN_BYTES_PER_MS`].
+    /// As for [`read`](Self::read); and [`TransportError::TimedOut`] if nothing arrives for `inactivity_timeout`, or if
+    /// a message takes longer than this timeout plus the time for its length at [`MIN_BYTES_PER_MS`].
     pub async fn read_within(&mut self, inactivity_timeout: Duration) -> Result<T, TransportError> {
         let started = Instant::now();
         loop {
             if let Some(message) = self.take_message()? {
                 return Ok(message);
             }
-            let next_bytes_within = arrival_limit(
+            let time_limit = arrival_limit(
                 inactivity_timeout,
                 self.announced_bytes(),
                 started.elapsed(),
             );
-            let filled = timeout(next_bytes_within, self.fill()).await;
+            let filled = timeout(time_limit, self.fill()).await;
             filled.map_err(|_| TransportError::TimedOut {
                 operation: Operation::Read,
                 address: None,
@@ -131,13 +134,13 @@
         }
     }
 
-    /// Length of the message that is arriving; 0 before its length has arrived.
+    /// Length of the message that is being received; 0 until its length prefix is complete.
     fn announced_bytes(&self) -> u32 {
         let prefix = self.buffer.first_chunk::<LENGTH_PREFIX_BYTES>();
         prefix.map_or(0, |prefix| u32::from_le_bytes(*prefix))
     }
 
-    /// Decodes the next message if the buffer holds it completely.
+    /// Decodes the next message if it is completely in the buffer.
     fn take_message(&mut self) -> Result<Option<T>, TransportError> {
         let Some(prefix) = self.buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
@@ -161,7 +164,7 @@
         Ok(Some(message))
     }
 
-    /// Waits until more bytes are in the buffer.
+    /// Waits until more bytes were received into the buffer.
     async fn fill(&mut self) -> Result<(), TransportError> {
         let received = poll_fn(|context| self.poll_fill(context)).await;
         match received.map_err(TransportError::io(Operation::Read))? {
@@ -170,16 +173,16 @@
         }
     }
 
-    /// Appends what has arrived to the buffer, and restores its length whatever the outcome.
+    /// Appends received bytes to the buffer. On return the buffer has only received bytes, whatever the outcome.
     fn poll_fill(&mut self, context: &mut Context<'_>) -> Poll<io::Result<usize>> {
-        let filled = self.buffer.len();
-        self.buffer.resize(filled + READ_CHUNK_BYTES, 0);
-        let polled = self.socket.poll_read(context, &mut self.buffer[filled..]);
+        let buffered = self.buffer.len();
+        self.buffer.resize(buffered + READ_CHUNK_BYTES, 0);
+        let polled = self.socket.poll_read(context, &mut self.buffer[buffered..]);
         let read = match &polled {
             Poll::Ready(Ok(read)) => *read,
             Poll::Ready(Err(_)) | Poll::Pending => 0,
         };
-        self.buffer.truncate(filled + read);
+        self.buffer.truncate(buffered + read);
         polled
     }
 }
@@ -191,7 +194,7 @@
 }
 
 impl<T: Encode> FrameWriter<T> {
-    /// Writes one message; the kernel has it when this returns, the peer perhaps not. Not cancel safe.
+    /// Writes one message to the socket's send buffer; the peer may not have received it yet. Not cancel safe.
     ///
     /// # Errors
     ///
@@ -202,42 +205,42 @@
 }
 
 impl<T> FrameWriter<T> {
-    /// Writes a frame made by [`encode`], so that one encoding serves many connections. Not cancel safe.
+    /// Writes a frame from [`encode`], so that a message can be encoded once for many connections. Not cancel safe.
     ///
     /// # Errors
     ///
     /// As for [`write`](Self::write).
     pub async fn write_encoded(&mut self, frame: &[u8]) -> Result<(), TransportError> {
-        let mut rest = frame;
-        while !rest.is_empty() {
-            rest = &rest[self.write_some(rest).await?..];
+        let mut remaining = frame;
+        while !remaining.is_empty() {
+            remaining = &remaining[self.write_some(remaining).await?..];
         }
         Ok(())
     }
 
-    /// The same, as long as the peer takes bytes. Not cancel safe.
+    /// As [`write_encoded`](Self::write_encoded), with a time limit on progress. Not cancel safe.
     ///
     /// # Errors
     ///
-    /// As for [`write`](Self::write); and [`TransportError::TimedOut`] if the peer took nothing for `stall_timeout`.
+    /// As for [`write`](Self::write); and [`TransportError::TimedOut`] if no bytes can be written for `stall_timeout`.
     pub async fn write_within(
         &mut self,
         frame: &[u8],
         stall_timeout: Duration,
     ) -> Result<(), TransportError> {
-        let mut rest = frame;
-        while !rest.is_empty() {
-            let written = timeout(stall_timeout, self.write_some(rest)).await;
+        let mut remaining = frame;
+        while !remaining.is_empty() {
+            let written = timeout(stall_timeout, self.write_some(remaining)).await;
             let written = written.map_err(|_| TransportError::TimedOut {
                 operation: Operation::Write,
                 address: None,
             })??;
-            rest = &rest[written..];
+            remaining = &remaining[written..];
         }
         Ok(())
     }
 
-    /// Writes as many of these bytes as the kernel takes now, at least one; their number.
+    /// Writes as many of these bytes as the send buffer has space for, at least one; returns their number.
     async fn write_some(&mut self, bytes: &[u8]) -> Result<usize, TransportError> {
         let written = poll_fn(|context| self.socket.poll_write(context, bytes))
             .await
@@ -249,7 +252,7 @@
     }
 }
 
-/// A message as a complete frame.
+/// Encodes a message as a complete frame.
 pub fn encode<T: Encode>(message: &T) -> Vec<u8> {
     let body = bitcode::encode(message);
     let mut frame = Vec::with_capacity(LENGTH_PREFIX_BYTES + body.len());
--- a/crates/lockusher-transport/src/http.rs
+++ b/crates/lockusher-transport/src/http.rs
@@ -1,7 +1,7 @@
-//! Small HTTP/1.1 servers and clients for the fleet's own interfaces: the operators' API and the agent's redirect to it,
-//! the platform's instance list, stage assignments to searchers. The data plane has its own.
+//! Small HTTP/1.1 servers and clients for the control plane: the operators' API and the agent's redirect to it, the
+//! platform's instance list, stage assignments to searchers. The data plane has its own implementation.
 //!
-//! Requests and responses have complete bodies ([`FullBody`]) of bounded size. A client uses a new connection for each
+//! Bodies are sent in one piece ([`FullBody`]) and are limited in size. A client uses a new connection for each
 //! request; a server keeps connections open.
 
 use std::convert::Infallible;
@@ -22,31 +22,31 @@
 use crate::error::{Operation, TransportError};
 use crate::tcp;
 
-/// How long a client may take to send a request's head.
+/// Timeout for receiving the head of a request.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// The largest body of a response that [`get`] and [`exchange`] accept, in bytes.
+/// Maximum size of the body of a response that [`get`] and [`exchange`] accept, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
-/// Delay after a failed accept, so that a lack of file descriptors doesn't spin.
+/// Delay after a failed accept, to avoid a busy loop when file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A body that is complete from the start, not streamed.
+/// A body that is sent in one piece, not streamed.
 pub type FullBody = Full<Bytes>;
 
-/// A response with its complete body.
+/// A received response with its complete body.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Status of the response.
+    /// Status code of the response.
     pub status: StatusCode,
     /// Complete body of the response.
     pub body: Bytes,
 }
 
-/// Sends a GET request on a connection of its own and receives the response, all within `time_limit`.
+/// Sends a GET request on a new connection and receives the response, within `time_limit` in total.
 ///
 /// # Errors
 ///
-/// [`TransportError::TimedOut`]; [`TransportError::Request`] if `path` isn't one; and those of [`tcp::connect`] and
-/// [`exchange`].
+/// [`TransportError::TimedOut`]; [`TransportError::Request`] if `path` isn't valid; and the errors of [`tcp::connect`]
+/// and [`exchange`].
 pub async fn get(
     address: SocketAddrV4,
     path: &str,
@@ -67,13 +67,13 @@
         })?
 }
 
-/// Sends one request on an open connection and receives the response. The connection is closed after it, or when the
+/// Sends one request on an open connection and receives the response. The connection is closed afterwards, or when the
 /// future is dropped.
 ///
 /// # Errors
 ///
-/// [`TransportError::Http`] if the connection fails or the response ends early, [`TransportError::BodyTooLong`] if it is too
-/// long, and [`TransportError::Io`] if the socket can't be registered with the runtime.
+/// [`TransportError::Http`] if the connection fails or the response is incomplete, [`TransportError::BodyTooLong`] if
+/// its body is too long, and [`TransportError::Io`] if the socket can't be registered with the runtime.
 pub async fn exchange(
     stream: TcpStream,
     request: Request<FullBody>,
@@ -96,7 +96,7 @@
     Ok(Answer { status, body })
 }
 
-/// Serves every connection of a listener with `handler`; never returns. A connection that fails is logged and dropped.
+/// Serves all connections of a listener with `handler`; never returns. A failed connection is logged and closed.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -130,29 +130,29 @@
         let response = handler(request);
         async move { Ok::<_, Infallible>(response.await) }
     });
-    let served = hyper::server::conn::http1::Builder::new()
+    let result = hyper::server::conn::http1::Builder::new()
         .timer(CompioTimer)
         .header_read_timeout(REQUEST_HEAD_TIMEOUT)
         .serve_connection(HyperStream::new_plain(stream), service)
         .await;
-    if let Err(error) = served {
-        log::debug!("connection: {error}");
+    if let Err(error) = result {
+        log::debug!("HTTP connection failed: {error}");
     }
 }
 
-/// Reads a request's body of at most `max_bytes`.
+/// Reads the body of a request, of at most `max_bytes`.
 ///
 /// # Errors
 ///
-/// [`TransportError::BodyTooLong`] if it is longer; [`TransportError::Http`] or [`TransportError::Closed`] if the connection
-/// fails before its end.
+/// [`TransportError::BodyTooLong`] if it is longer; [`TransportError::Http`] or [`TransportError::Closed`] if the
+/// connection fails before the end of the body.
 pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, TransportError> {
-    let read = Limited::new(body, max_bytes).collect().await;
-    let read = read.map_err(|error| body_error(error, max_bytes))?;
-    Ok(read.to_bytes())
+    let collected = Limited::new(body, max_bytes).collect().await;
+    let collected = collected.map_err(|error| body_error(error, max_bytes))?;
+    Ok(collected.to_bytes())
 }
 
-/// Why a body with a limit can't be read.
+/// Converts the error of reading a size-limited body.
 fn body_error(error: Box<dyn Error + Send + Sync>, max_bytes: usize) -> TransportError {
     if error.is::<LengthLimitError>() {
         return TransportError::BodyTooLong { max_bytes };
@@ -163,7 +163,7 @@
     }
 }
 
-/// A response with this status, content type and body.
+/// Creates a response with this status, content type and body.
 pub fn answer(
     status: StatusCode,
     content_type: &'static str,
--- a/crates/lockusher-transport/src/lib.rs
+++ b/crates/lockusher-transport/src/lib.rs
@@ -1,16 +1,16 @@
-//! Sockets of the fleet: TCP options, framed internal messages, and small HTTP/1.1 servers and clients.
+//! Transport layer of the fleet: TCP connections, framed internal messages, and small HTTP/1.1 servers and clients.
 //!
-//! The lowest layer of the fleet's I/O, called by the control, distribution, agent, proxy and node packages. Everything runs
-//! on one compio runtime per process, on one thread; nothing here makes decisions or keeps state beyond a connection.
+//! Used by the control, distribution, agent, proxy and node packages. Everything runs on one single-threaded compio
+//! runtime per process. The package makes no decisions and keeps no state beyond a connection.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
-//! | [`tcp`] | connections and their options |
-//! | [`frame`] | messages between the fleet's processes |
+//! | [`tcp`] | connections, listeners and their options |
+//! | [`frame`] | length-prefixed messages between the fleet's processes |
 //! | [`http`] | servers and clients of the fleet's own interfaces |
-//! | [`clock`] | the monotonic clock that drives the decision modules |
-//! | [`recurrence`] | how often a condition that lasts is logged |
-//! | [`error`] | what fails in all of these |
+//! | [`clock`] | the monotonic clock of a process |
+//! | [`recurrence`] | rate limit for log lines about a persistent condition |
+//! | [`error`] | the errors of these modules |
 
 pub mod clock;
 pub mod error;
--- a/crates/lockusher-transport/src/recurrence.rs
+++ b/crates/lockusher-transport/src/recurrence.rs
@@ -1,73 +1,77 @@
-//! How often a condition that lasts is logged: when it begins, then once in each interval, and when it is over.
+//! Rate limit for log lines about a persistent condition: one after an initial delay, then one per interval,
+//! and one when it ends.
 //!
-//! Owned by whoever observes the condition. It decides only; callers pass the time and write the line.
+//! [`RecurrenceLog`] only decides when a line is due; callers pass the time and write the line.
 
-/// A condition that was observed, such as a failure that recurs.
+/// Duration and number of observations of a condition, such as a recurring failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Recurrence {
-    /// For how long it has lasted, in milliseconds.
+    /// How long the condition has lasted, in milliseconds.
     pub for_ms: u64,
-    /// How many times it was observed.
+    /// Number of times that it was observed.
     pub count: u64,
 }
 
-/// The present run of observations of one condition.
+/// One occurrence of the condition, from its first observation to its end.
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct Occurrence {
     since_ms: u64,
     reported_at_ms: Option<u64>,
     count: u64,
 }
 
-/// Observations of one condition.
+/// Decides when a condition is reported.
 #[derive(Clone, Copy, Debug)]
 pub struct RecurrenceLog {
-    /// How long a condition must have lasted before it is reported, in milliseconds.
+    /// Minimum duration of the condition before it is reported, in milliseconds.
     delay_ms: u64,
-    /// Time between two reports, in milliseconds.
+    /// Minimum time between two reports, in milliseconds.
     interval_ms: u64,
-    run: Option<Run>,
+    current: Option<Occurrence>,
 }
 
 impl RecurrenceLog {
-    /// Reports a condition once it has lasted for `delay_ms`, then every `interval_ms` at most.
+    /// Creates the log of a condition that is reported once it has lasted for `delay_ms`, then at most every
+    /// `interval_ms`.
     pub const fn new(delay_ms: u64, interval_ms: u64) -> Self {
         RecurrenceLog {
             delay_ms,
             interval_ms,
-            run: None,
+            current: None,
         }
     }
 
-    /// The condition was observed; returns what to report, if a report is due.
+    /// Records an observation of the condition; returns the report if one is due.
     pub fn observe(&mut self, now_ms: u64) -> Option<Recurrence> {
-        let run = self.run.get_or_insert(Run {
+        let occurrence = self.current.get_or_insert(Occurrence {
             since_ms: now_ms,
             reported_at_ms: None,
             count: 0,
         });
-        run.count += 1;
-        let due_at_ms = match run.reported_at_ms {
+        occurrence.count += 1;
+        let due_at_ms = match occurrence.reported_at_ms {
             Some(reported_at_ms) => reported_at_ms + self.interval_ms,
-            None => run.since_ms + self.delay_ms,
+            None => occurrence.since_ms + self.delay_ms,
         };
         if now_ms < due_at_ms {
             return None;
         }
-        run.reported_at_ms = Some(now_ms);
-        Some(recurrence(run, now_ms))
+        occurrence.reported_at_ms = Some(now_ms);
+        Some(recurrence(occurrence, now_ms))
     }
 
-    /// The condition is over; returns what to report, if it was reported before.
+    /// Records the end of the condition; returns the report if the condition was reported before.
     pub fn end(&mut self, now_ms: u64) -> Option<Recurrence> {
-        let run = self.run.take()?;
-        run.reported_at_ms.map(|_| recurrence(&run, now_ms))
+        let occurrence = self.current.take()?;
+        occurrence
+            .reported_at_ms
+            .map(|_| recurrence(&occurrence, now_ms))
     }
 }
 
-fn recurrence(run: &Run, now_ms: u64) -> Recurrence {
+fn recurrence(occurrence: &Occurrence, now_ms: u64) -> Recurrence {
     Recurrence {
-        for_ms: now_ms.saturating_sub(run.since_ms),
-        count: run.count,
+        for_ms: now_ms.saturating_sub(occurrence.since_ms),
+        count: occurrence.count,
     }
 }
--- a/crates/lockusher-transport/src/tcp.rs
+++ b/crates/lockusher-transport/src/tcp.rs
@@ -1,4 +1,4 @@
-//! TCP connections with the options that every connection of the fleet needs.
+//! TCP connections and listeners with the socket options that all connections of the fleet use.
 
 use std::future::Future;
 use std::io;
@@ -15,22 +15,22 @@
 use crate::error::{Operation, TransportError};
 use crate::recurrence::{Recurrence, RecurrenceLog};
 
-/// How long sent bytes may stay unacknowledged before the connection is given up (`TCP_USER_TIMEOUT`): a machine
-/// without power, or behind a partition, sends nothing.
+/// How long sent bytes may stay unacknowledged before the connection is closed (`TCP_USER_TIMEOUT`): a machine that has
+/// lost power, or is unreachable behind a network partition, doesn't close its connections.
 pub const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long an address that is in use is waited for.
-pub const ADDRESS_TIMEOUT: Duration = Duration::from_secs(30);
-/// Delay before an address that is in use is tried again.
+/// How long to retry while an address is in use.
+pub const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Delay between two attempts while an address is in use.
 const ADDRESS_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two log lines while an address is in use, in milliseconds.
+/// Interval of log lines while an address is in use, in milliseconds.
 const ADDRESS_LOG_INTERVAL_MS: u64 = 2_000;
 
-/// Connects within `time_limit`.
+/// Connects within `time_limit`, and sets the options of the connection.
 ///
 /// # Errors
 ///
-/// [`TransportError::TimedOut`], or [`TransportError::Io`] if the connection is refused or can't be set up.
+/// [`TransportError::TimedOut`]; [`TransportError::Io`] if the connection is refused or its options can't be set.
 pub async fn connect(
     address: SocketAddrV4,
     time_limit: Duration,
@@ -47,46 +47,48 @@
     Ok(stream)
 }
 
-/// Listens at `address`. One that is in use is waited for ([`wait_for_address`]).
+/// Listens at `address`, with retries while it is in use ([`wait_for_address`]).
 ///
 /// # Errors
 ///
-/// [`TransportError::Io`] if the address stays in use or isn't the machine's.
+/// [`TransportError::Io`] if the address stays in use or isn't an address of the machine.
 pub async fn listen(address: SocketAddrV4) -> Result<TcpListener, TransportError> {
     wait_for_address(address, async || TcpListener::bind(address).await)
         .await
         .map_err(TransportError::io_on(Operation::Listen, address))
 }
 
-/// Opens a socket at `address`, again and again while the address is in use, for [`ADDRESS_TIMEOUT`] at most: the process
-/// before may not have ended yet, or an outgoing connection may have been given the port.
+/// Opens a socket at `address` and retries while the address is in use, for [`ADDRESS_IN_USE_TIMEOUT`] at most: the
+/// preceding process may not have ended yet, or an outgoing connection may use the port.
 ///
 /// # Errors
 ///
-/// What the operating system says: at once if trying again doesn't help, else that the address is in use.
+/// The error of the operating system: immediately, unless the address is in use; that error is returned after
+/// [`ADDRESS_IN_USE_TIMEOUT`].
 pub async fn wait_for_address<T>(
     address: SocketAddrV4,
     open: impl AsyncFn() -> io::Result<T>,
 ) -> io::Result<T> {
     let clock = Clock::start();
-    let mut in_use = RecurrenceLog::new(0, ADDRESS_LOG_INTERVAL_MS);
+    let mut in_use_log = RecurrenceLog::new(0, ADDRESS_LOG_INTERVAL_MS);
     loop {
         let error = match open().await {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => error,
             opened => return opened,
         };
         let now_ms = clock.millis();
-        if now_ms >= ADDRESS_TIMEOUT.as_millis() as u64 {
+        if now_ms >= ADDRESS_IN_USE_TIMEOUT.as_millis() as u64 {
             return Err(error);
         }
-        if let Some(Recurrence { for_ms, .. }) = in_use.observe(now_ms) {
-            log::warn!("the address {address} is in use, for {for_ms} ms so far; it is waited for");
+        if let Some(Recurrence { for_ms, .. }) = in_use_log.observe(now_ms) {
+            log::warn!("the address {address} is in use, for {for_ms} ms so far; retrying");
         }
         sleep(ADDRESS_RETRY_INTERVAL).await;
     }
 }
 
-/// What `open` brings, or nothing if `stop` is ready first: a process that waits for its addresses can be told to end.
+/// The output of `open`, or `None` if `stop` completes first: a process can be stopped while it waits for its
+/// addresses.
 pub async fn unless_stopped<T>(
     open: impl Future<Output = T>,
     stop: Pin<&mut impl Future<Output = ()>>,
@@ -97,7 +99,7 @@
     }
 }
 
-/// Lets the connection be reset when it is closed: bytes that haven't reached the peer by then never do.
+/// Makes the connection be reset when it is closed: bytes that the peer hasn't received are discarded.
 ///
 /// # Errors
 ///
@@ -108,7 +110,7 @@
         .map_err(TransportError::io(Operation::SetUp))
 }
 
-/// Sets the options of a connection, made or accepted: no delay, and a bound on unacknowledged bytes.
+/// Sets the options of a connection: `TCP_NODELAY`, and the timeout for unacknowledged bytes.
 ///
 /// # Errors
 ///
