--- a/crates/lockusher-transport/tests/recurrence.rs
+++ b/crates/lockusher-transport/tests/recurrence.rs
@@ -1,4 +1,4 @@
-//! When a condition that lasts is reported.
+//! Rate limit for reports of a persistent condition.
 
 use lockusher_transport::recurrence::{Recurrence, RecurrenceLog};
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_condition_that_passes_before_the_delay_is_not_reported() {
+fn a_condition_that_ends_before_the_delay_is_not_reported() {
     let mut log = RecurrenceLog::new(500, 2_000);
     assert_eq!(log.observe(0), None);
     assert_eq!(log.observe(499), None);
--- a/crates/lockusher-transport/tests/sockets.rs
+++ b/crates/lockusher-transport/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Frames and the small HTTP server and client, over loopback.
+//! Frames, HTTP servers and clients, and listeners, over loopback.
 
 mod support;
 
@@ -36,7 +36,7 @@
     });
 }
 
-/// What a reader of strings says of these bytes from its peer.
+/// The error with which a reader of strings rejects these bytes.
 async fn read_error(sent: &[u8]) -> TransportError {
     let (client, server) = connected_pair().await;
     let (reader, mut writer) = frame::split::<(), ()>(client).expect("splits");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_are_an_error() {
+fn undecodable_bytes_are_an_error() {
     let error = run(read_error(&[3, 0, 0, 0, 255, 255, 255]));
     assert!(matches!(error, TransportError::Decode(_)));
 }
@@ -80,7 +80,7 @@
         let (mut reader, _writer) = frame::split::<String, ()>(server).expect("splits");
         let encoded = frame::encode(&"a message in several pieces".to_owned());
         for piece in encoded.chunks(3) {
-            // Polled once before the piece is there, then dropped.
+            // Polled once before the piece has arrived, then dropped.
             assert!(reader.read().now_or_never().is_none());
             writer.write_encoded(piece).await.expect("writes");
         }
@@ -92,14 +92,14 @@
 }
 
 #[parameterized(
-    nothing_has_come = { 0, 0, 1_200 },
-    nothing_came_in_time = { 0, 1_200, 0 },
-    a_long_message_has_just_begun = { 8_000_000, 0, 1_200 },
-    a_long_message_takes_its_time = { 8_000_000, 6_400, 1_200 },
-    a_long_message_comes_too_slowly = { 8_000_000, 65_000, 200 },
+    nothing_received = { 0, 0, 1_200 },
+    nothing_received_in_time = { 0, 1_200, 0 },
+    a_long_message_begins = { 8_000_000, 0, 1_200 },
+    a_long_message_continues = { 8_000_000, 6_400, 1_200 },
+    a_long_message_is_too_slow = { 8_000_000, 65_000, 200 },
     a_short_message_is_late = { 1_250, 1_200, 10 },
 )]
-fn bytes_are_awaited_for_as_long_as_the_message_may_take(
+fn the_time_limit_depends_on_the_length_of_the_message(
     announced_bytes: u32,
     elapsed_ms: u64,
     expected_ms: u64,
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_peer_that_sends_nothing_is_given_up() {
+fn a_read_from_a_silent_peer_times_out() {
     run(async {
         let (_client, server) = connected_pair().await;
         let (mut reader, _writer) = frame::split::<Vec<u8>, ()>(server).expect("splits");
@@ -121,13 +121,13 @@
 }
 
 #[test]
-fn a_peer_that_takes_nothing_is_given_up() {
+fn a_write_to_a_stalled_peer_times_out() {
     run(async {
         let (client, _server) = connected_pair().await;
         let (_reader, mut writer) = frame::split::<(), Vec<u8>>(client).expect("splits");
         let frame = frame::encode(&vec![7u8; 1_000_000]);
         let error = loop {
-            // The kernel's buffers take the first ones.
+            // The first frames fit into the kernel's socket buffers.
             if let Err(error) = writer.write_within(&frame, Duration::from_millis(50)).await {
                 break error;
             }
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_long_message_is_written_and_read_under_limits() {
+fn a_long_message_is_written_and_read_within_time_limits() {
     run(async {
         let (client, server) = connected_pair().await;
         let write = async {
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_body_that_is_broken_off_is_not_taken_for_one_that_is_too_long() {
+fn an_incomplete_body_is_not_reported_as_too_long() {
     run(async {
         let (sender, mut results) = futures_channel::mpsc::unbounded();
         let address = serve(move |request| {
@@ -179,11 +179,11 @@
 }
 
 #[test]
-fn an_error_of_a_connection_names_operation_and_address() {
+fn a_connection_error_names_the_operation_and_the_address() {
     run(async {
         let error = tcp::connect(UNUSED_ADDRESS, TIME_LIMIT)
             .await
-            .expect_err("nobody listens");
+            .expect_err("no listener");
         assert!(
             error
                 .to_string()
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_request_is_answered() {
+fn a_request_receives_its_response() {
     run(async {
         let address = serve(|request: Request<_>| async move {
             http::answer(
@@ -212,23 +212,23 @@
             )
         })
         .await;
-        let answer = http::get(address, "/some/path", TIME_LIMIT)
+        let response = http::get(address, "/some/path", TIME_LIMIT)
             .await
-            .expect("an answer");
+            .expect("a response");
         assert_eq!(
-            (answer.status, &answer.body[..]),
+            (response.status, &response.body[..]),
             (StatusCode::OK, &b"/some/path"[..])
         );
     });
 }
 
 #[test]
-fn a_request_without_an_answer_times_out() {
+fn a_request_without_a_response_times_out() {
     run(async {
         let (_listener, address) = listener().await;
         let error = http::get(address, "/", Duration::from_millis(500))
             .await
-            .expect_err("nobody answers");
+            .expect_err("no response");
         assert!(matches!(
             error,
             TransportError::TimedOut { operation: Operation::HttpRequest, address: Some(named) }
@@ -237,7 +237,7 @@
     });
 }
 
-/// A body of four bytes, read by a server that accepts as many as `max_bytes`.
+/// A body of four bytes, read by a server that accepts at most `max_bytes`.
 #[parameterized(
     at_the_limit = { 4, StatusCode::OK },
     over_the_limit = { 3, StatusCode::PAYLOAD_TOO_LARGE },
@@ -256,14 +256,14 @@
             .body(http::FullBody::new(Bytes::from_static(b"body")))
             .expect("a request");
         let stream = tcp::connect(address, TIME_LIMIT).await.expect("connects");
-        let answer = http::exchange(stream, request).await.expect("an answer");
-        assert_eq!(answer.status, expected);
+        let response = http::exchange(stream, request).await.expect("a response");
+        assert_eq!(response.status, expected);
     });
 }
 
-/// The process before is still there, and ends a moment later.
+/// The preceding process still uses the address and ends shortly after.
 #[test]
-fn an_address_in_use_is_taken_once_it_is_free() {
+fn listening_at_an_address_in_use_succeeds_once_it_is_free() {
     run(async {
         let (first, address) = listener().await;
         let mut second = Box::pin(tcp::listen(address));
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn an_address_of_another_machine_is_an_error_at_once() {
+fn listening_at_an_address_of_another_machine_fails_immediately() {
     run(async {
         let address = "192.0.2.1:7660".parse().expect("an address");
 
--- a/crates/lockusher-transport/tests/support/mod.rs
+++ b/crates/lockusher-transport/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Connections over loopback for the tests.
+//! Runtime, connections and servers over loopback for the tests.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use lockusher_transport::http::{self, FullBody};
 use lockusher_transport::tcp;
 
-/// Ample time for anything over loopback.
+/// Generous time limit for any operation over loopback.
 pub const TIME_LIMIT: Duration = Duration::from_secs(5);
 
-/// Runs a test on a runtime of its own.
+/// Runs a test on a new runtime.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     Runtime::new().expect("a runtime").block_on(test)
 }
 
-/// A listener at a free port, and its address.
+/// Listens at a free port; returns the listener and its address.
 pub async fn listener() -> (TcpListener, SocketAddrV4) {
     let any_port = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
     let listener = tcp::listen(any_port).await.expect("listens");
@@ -28,10 +28,10 @@
     (listener, address)
 }
 
-/// An address at which nobody listens: a reserved port that no process is given for itself.
+/// An address without a listener: a reserved port that is never assigned as an ephemeral port.
 pub const UNUSED_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
 
-/// Both ends of a connection: the one that connected, and the one that was accepted.
+/// Both ends of a connection: the client's and the server's.
 pub async fn connected_pair() -> (TcpStream, TcpStream) {
     let (listener, address) = listener().await;
     let client = tcp::connect(address, TIME_LIMIT).await.expect("connects");
@@ -39,7 +39,7 @@
     (client, server)
 }
 
-/// Serves requests with `handler` for the rest of the test; the address of the server.
+/// Serves requests with `handler` until the end of the test; returns the server's address.
 pub async fn serve<H, F>(handler: H) -> SocketAddrV4
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
