--- a/crates/lockusher-node/src/check.rs
+++ b/crates/lockusher-node/src/check.rs
@@ -1,7 +1,6 @@
-//! `check`: reads files as the roles would, and prints all of their faults.
+//! The command `check`: validates files and prints all of their faults.
 //!
-//! Called by the program for the command of this name. It parses with the parsers of the roles, so that what it calls good
-//! is what they accept.
+//! It uses the parsers of the roles, so that a file that it reports as good is one that they accept.
 
 use std::fmt::Display;
 use std::fs;
@@ -14,62 +13,62 @@
 
 use crate::command_line::FilesToCheck;
 
-/// Where the outcome is written: good files on `good`, one line for each fault on `faults`.
+/// The outputs of the report: one line per valid file on `valid`, one line per fault on `faults`.
 #[derive(Debug)]
-pub struct Report<G, F> {
-    /// For files that are good.
-    pub good: G,
-    /// For faults.
+pub struct Report<V, F> {
+    /// Output for valid files.
+    pub valid: V,
+    /// Output for faults.
     pub faults: F,
 }
 
-/// Checks all files; returns whether all are good.
+/// Validates all files; returns whether all are valid.
 ///
 /// # Errors
 ///
-/// If the report can't be written. A file that can't be read is a fault of the file.
-pub fn check<G: Write, F: Write>(
+/// If the report can't be written. A file that can't be read is reported as a fault.
+pub fn check<V: Write, F: Write>(
     files: &FilesToCheck,
-    report: &mut Report<G, F>,
+    report: &mut Report<V, F>,
 ) -> io::Result<bool> {
-    let mut all_good = true;
+    let mut all_valid = true;
     for file in &files.settings {
-        all_good &= report.write_finding(file, check_settings(file))?;
+        all_valid &= report.write_outcome(file, check_settings(file))?;
     }
     for file in &files.configurations {
-        all_good &= report.write_finding(file, check_configuration(file))?;
+        all_valid &= report.write_outcome(file, check_configuration(file))?;
     }
-    Ok(all_good)
+    Ok(all_valid)
 }
 
-/// What a file is found to be.
-enum Finding {
-    /// With a short description of what it holds.
-    Good(String),
+/// Result of the validation of a file.
+enum Outcome {
+    /// Valid, with a short description of the content.
+    Valid(String),
     Unreadable(io::Error),
     Faulty(Faults),
 }
 
-fn check_settings(file: &Path) -> Finding {
+fn check_settings(file: &Path) -> Outcome {
     let text = match fs::read_to_string(file) {
         Ok(text) => text,
-        Err(error) => return Finding::Unreadable(error),
+        Err(error) => return Outcome::Unreadable(error),
     };
     match NodeSettings::parse(&text) {
-        Ok(settings) => Finding::Good(describe_settings(&settings)),
-        Err(faults) => Finding::Faulty(faults),
+        Ok(settings) => Outcome::Valid(describe_settings(&settings)),
+        Err(faults) => Outcome::Faulty(faults),
     }
 }
 
-/// What the settings make of the machine.
+/// Describes what the settings imply for the machine.
 fn describe_settings(settings: &NodeSettings) -> String {
     let node = &settings.node;
-    let with_agent = match settings.edge_control() {
-        EdgeControl::ControlNode => ", a control node: in the role agent beside the agent",
-        EdgeControl::Redirect => ", the role agent sends operators on to a control node",
+    let control_plane = match settings.edge_control() {
+        EdgeControl::ControlNode => ", the role agent also runs a control node",
+        EdgeControl::Redirect => ", the role agent redirects operators to a control node",
         EdgeControl::None => "",
     };
-    let mut description = format!("settings of node {node}{with_agent}");
+    let mut description = format!("settings of node {node}{control_plane}");
     if settings.counts_for_quorum && settings.data_directory.is_none() {
         description.push_str(", counts for the quorum but has no dataDirectory");
     }
@@ -79,50 +78,50 @@
     description
 }
 
-fn check_configuration(file: &Path) -> Finding {
+fn check_configuration(file: &Path) -> Outcome {
     let body = match fs::read(file) {
         Ok(body) => body,
-        Err(error) => return Finding::Unreadable(error),
+        Err(error) => return Outcome::Unreadable(error),
     };
     match Configuration::parse(&body) {
-        Ok(configuration) => Finding::Good(format!(
+        Ok(configuration) => Outcome::Valid(format!(
             "configuration {} with {} routes and {} services",
             configuration.version,
             configuration.routes.len(),
             configuration.services.len()
         )),
-        Err(faults) => Finding::Faulty(faults),
+        Err(faults) => Outcome::Faulty(faults),
     }
 }
 
-impl<G: Write, F: Write> Report<G, F> {
-    /// Writes what was found of one file; returns whether it is good.
-    fn write_finding(&mut self, file: &Path, finding: Finding) -> io::Result<bool> {
-        match finding {
-            Finding::Good(description) => {
-                writeln!(self.good, "{}: good: {description}", file.display())?;
+impl<V: Write, F: Write> Report<V, F> {
+    /// Writes the outcome of one file; returns whether the file is valid.
+    fn write_outcome(&mut self, file: &Path, outcome: Outcome) -> io::Result<bool> {
+        match outcome {
+            Outcome::Valid(description) => {
+                writeln!(self.valid, "{}: good: {description}", file.display())?;
                 return Ok(true);
             }
-            Finding::Unreadable(error) => {
-                self.fault(file, format_args!("cannot be read: {error}"))?;
+            Outcome::Unreadable(error) => {
+                self.write_fault(file, format_args!("cannot be read: {error}"))?;
             }
-            Finding::Faulty(faults) => self.faults(file, &faults)?,
+            Outcome::Faulty(faults) => self.write_faults(file, &faults)?,
         }
         Ok(false)
     }
 
-    fn faults(&mut self, file: &Path, faults: &Faults) -> io::Result<()> {
+    fn write_faults(&mut self, file: &Path, faults: &Faults) -> io::Result<()> {
         for fault in faults.iter() {
-            self.fault(file, fault)?;
+            self.write_fault(file, fault)?;
         }
         let omitted = faults.count() - faults.iter().count();
         if omitted > 0 {
-            self.fault(file, format_args!("and {omitted} more faults"))?;
+            self.write_fault(file, format_args!("and {omitted} more faults"))?;
         }
         Ok(())
     }
 
-    fn fault(&mut self, file: &Path, fault: impl Display) -> io::Result<()> {
+    fn write_fault(&mut self, file: &Path, fault: impl Display) -> io::Result<()> {
         writeln!(self.faults, "{}: {fault}", file.display())
     }
 }
--- a/crates/lockusher-node/src/command_line.rs
+++ b/crates/lockusher-node/src/command_line.rs
@@ -1,6 +1,4 @@
-//! The command line: what is to be done, and the help.
-//!
-//! Called by the program with its arguments; pure, without I/O.
+//! Parses the command line, and renders the help. Does no I/O.
 
 use std::path::PathBuf;
 
@@ -10,19 +8,21 @@
 
 use crate::role::{Role, RoleOptions};
 
-/// The program's name, as help and messages show it.
+/// The program's name in the help and in messages.
 pub const PROGRAM: &str = "lockusher-node";
 
-/// The command that checks files.
+/// The command that validates files.
 pub const CHECK: &str = "check";
 
-/// The roles that take [`STAGE_ORDERS`]: a control node may run in both.
+/// The roles that accept [`STAGE_ORDERS`]: both may run a control node.
 const ROLES_WITH_CONTROL_NODE: [&str; 2] = ["control", "agent"];
+/// The option that enables or disables stage changes.
 const STAGE_ORDERS: &str = "stage-orders";
 
+/// Log level without `--log`.
 const DEFAULT_LEVEL: LevelFilter = LevelFilter::Info;
 
-/// What the command line asks for.
+/// The command that the command line specifies.
 #[derive(Debug)]
 pub enum Command {
     /// Print this text.
@@ -31,16 +31,16 @@
     Run {
         /// The role.
         role: Role,
-        /// Up to which level it logs.
+        /// Maximum level of log lines.
         level: LevelFilter,
         /// Options of the role.
         options: RoleOptions,
     },
-    /// Check files.
+    /// Validate files.
     Check(FilesToCheck),
 }
 
-/// The files that `check` is to read.
+/// The files that `check` validates.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct FilesToCheck {
     /// Settings files of nodes.
@@ -50,31 +50,31 @@
 }
 
 impl FilesToCheck {
-    /// Whether no file is named.
+    /// Whether there are no files.
     pub fn is_empty(&self) -> bool {
         self.settings.is_empty() && self.configurations.is_empty()
     }
 }
 
-/// What is wrong with a command line. The same again is as wrong.
+/// Why a command line is invalid. A retry with the same arguments fails as well.
 #[derive(Debug, Display, Error, From)]
 pub enum CommandLineError {
-    /// Nothing says what to do.
+    /// There is no command.
     #[display("no command")]
     NoCommand,
-    /// No role and no other command has this name.
+    /// There is no role and no other command of this name.
     #[display("unknown command {_0:?}")]
     #[from(ignore)]
     UnknownCommand(#[error(not(source))] String),
-    /// An argument that isn't an option.
+    /// An argument that isn't an option; commands take only options.
     #[display("unexpected argument {_0:?}")]
     #[from(ignore)]
     UnexpectedArgument(#[error(not(source))] String),
-    /// The value of `--log`.
+    /// The value of `--log` isn't a log level.
     #[display("unknown log level {_0:?}: expected off, error, warn, info, debug or trace")]
     #[from(ignore)]
     UnknownLevel(#[error(not(source))] String),
-    /// The value of `--stage-orders`.
+    /// The value of `--stage-orders` is neither `on` nor `off`.
     #[display("unknown value {_0:?} of --stage-orders: expected on or off")]
     #[from(ignore)]
     UnknownStageOrders(#[error(not(source))] String),
@@ -83,11 +83,11 @@
     Options(getopts::Fail),
 }
 
-/// Parses the arguments, without the program's name.
+/// Parses the arguments, which don't include the program's name.
 ///
 /// # Errors
 ///
-/// [`CommandLineError`] with the first fault.
+/// [`CommandLineError`] for the first invalid argument.
 pub fn parse(roles: &[Role], arguments: &[String]) -> Result<Command, CommandLineError> {
     let Some((first, rest)) = arguments.split_first() else {
         return Err(CommandLineError::NoCommand);
@@ -105,7 +105,7 @@
 }
 
 fn parse_program(roles: &[Role], arguments: &[String]) -> Result<Command, CommandLineError> {
-    let mut options = with_help();
+    let mut options = help_option();
     options.optflag("V", "version", "print the version and exit");
     let matches = options.parse(arguments)?;
     if matches.opt_present("help") {
@@ -121,7 +121,7 @@
 }
 
 fn parse_role(role: Role, arguments: &[String]) -> Result<Command, CommandLineError> {
-    let mut options = with_help();
+    let mut options = help_option();
     options.optopt(
         "",
         "log",
@@ -133,7 +133,7 @@
         options.optopt(
             "",
             STAGE_ORDERS,
-            "let searchers change their stage with the load: on (default), off",
+            "change the stages of searchers according to the load: on (default), off",
             "WHETHER",
         );
     }
@@ -142,13 +142,13 @@
         let brief = format!(
             "{summary}.\n\nUsage: {PROGRAM} {name} [OPTION]...\n\n\
              The settings are read from the file that LOCKUSHER_NODE_FILE names.\n\
-             SIGTERM stops the role in order; SIGHUP says that the settings file has changed.",
+             SIGTERM shuts the role down gracefully; SIGHUP reloads the settings file.",
             summary = role.summary,
             name = role.name,
         );
         return Ok(Command::Print(options.usage(&brief)));
     }
-    refuse_arguments(&matches)?;
+    reject_arguments(&matches)?;
     let mut role_options = RoleOptions::default();
     if has_stage_orders {
         role_options.stage_orders = stage_orders(&matches)?;
@@ -178,7 +178,7 @@
 }
 
 fn parse_check(arguments: &[String]) -> Result<Command, CommandLineError> {
-    let mut options = with_help();
+    let mut options = help_option();
     options.optmulti(
         "",
         "settings",
@@ -194,14 +194,14 @@
     let matches = options.parse(arguments)?;
     if matches.opt_present("help") {
         let brief = format!(
-            "Read files as the roles would, and print all of their faults.\n\n\
+            "Validate files as the roles would, and print all of their faults.\n\n\
              Usage: {PROGRAM} {CHECK} [--settings FILE]... [--configuration FILE]...\n\n\
              Without files, the settings file that LOCKUSHER_NODE_FILE names is checked.\n\
-             Exits with 0 if all files are good, and with 2 if there is a fault."
+             Exits with 0 if all files are valid, and with 2 if there is a fault."
         );
         return Ok(Command::Print(options.usage(&brief)));
     }
-    refuse_arguments(&matches)?;
+    reject_arguments(&matches)?;
     Ok(Command::Check(FilesToCheck {
         settings: paths(&matches, "settings"),
         configurations: paths(&matches, "configuration"),
@@ -216,14 +216,14 @@
         .collect()
 }
 
-fn refuse_arguments(matches: &Matches) -> Result<(), CommandLineError> {
+fn reject_arguments(matches: &Matches) -> Result<(), CommandLineError> {
     match matches.free.first() {
         Some(argument) => Err(CommandLineError::UnexpectedArgument(argument.clone())),
         None => Ok(()),
     }
 }
 
-fn with_help() -> Options {
+fn help_option() -> Options {
     let mut options = Options::new();
     options.optflag("h", "help", "print this help and exit");
     options
@@ -236,7 +236,7 @@
     for role in roles {
         brief += &format!("    {:<10}{}\n", role.name, role.summary);
     }
-    brief += &format!("    {CHECK:<10}Read files and print all of their faults\n");
+    brief += &format!("    {CHECK:<10}Validate files and print all of their faults\n");
     brief += &format!("\n'{PROGRAM} COMMAND --help' describes a command.");
     options.usage(&brief)
 }
--- a/crates/lockusher-node/src/composition.rs
+++ b/crates/lockusher-node/src/composition.rs
@@ -1,7 +1,7 @@
-//! Two roles of the fleet in one process: one that the process is about, and one that accompanies it to its end.
+//! Runs two roles in one process: a primary one, and a secondary one that is stopped after it.
 //!
-//! Called by the role `agent` on machines that run a control node, too. Invariant: neither goes on without the other: half
-//! a process would look alive.
+//! Used by the role `agent` on machines that also run a control node. Invariant: if one role fails, so does the
+//! process: a process with only one of its roles would still look healthy.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -12,21 +12,21 @@
 use futures_util::future::{Either, select};
 use futures_util::pin_mut;
 
-/// Why two roles of a process have ended otherwise than in order.
+/// Why two roles of a process ended other than by a graceful shutdown.
 #[derive(Debug, Display, Error)]
-pub enum CompositionError<L, A> {
-    /// The leading role failed.
+pub enum CompositionError<P, S> {
+    /// The primary role failed.
     #[display("{_0}")]
-    Leading(L),
-    /// The accompanying role failed.
+    Primary(P),
+    /// The secondary role failed.
     #[display("{_0}")]
-    Accompanying(A),
-    /// The accompanying role ended in order while the leading one was at work.
-    #[display("a part of the process has ended before it was told to")]
+    Secondary(S),
+    /// The secondary role ended without an error while the primary one was running.
+    #[display("the secondary role ended before it was stopped")]
     EndedEarly,
 }
 
-/// Ready once the accompanying role is to stop.
+/// Completes when the secondary role is to stop.
 #[derive(Debug)]
 pub struct StopSignal(oneshot::Receiver<()>);
 
@@ -38,33 +38,33 @@
     }
 }
 
-/// Runs two roles side by side. `leading` ends by itself when the process is to stop; `accompany` makes the role that goes
-/// on until then, and is notified to stop once `leading` has ended in order. When one ends otherwise, the other is
-/// dropped.
+/// Runs two roles concurrently. `primary` completes by itself when the process is to stop; `start_secondary` creates
+/// the secondary role, which is notified to stop once `primary` has completed without an error. If either role fails,
+/// the other one is dropped.
 ///
 /// # Errors
 ///
-/// [`CompositionError`] with the error of the role that failed first, or if the accompanying one ended first.
-pub async fn run_accompanied<L, A, S, E, F>(
-    leading: L,
-    accompany: A,
+/// [`CompositionError`] with the error of the role that failed first, or if the secondary role ended first.
+pub async fn run_with_secondary<P, N, S, E, F>(
+    primary: P,
+    start_secondary: N,
 ) -> Result<(), CompositionError<E, F>>
 where
-    L: Future<Output = Result<(), E>>,
-    A: FnOnce(StopSignal) -> S,
+    P: Future<Output = Result<(), E>>,
+    N: FnOnce(StopSignal) -> S,
     S: Future<Output = Result<(), F>>,
 {
     let (stop, stopped) = oneshot::channel();
-    let accompanying = accompany(StopSignal(stopped));
-    pin_mut!(leading, accompanying);
-    match select(leading, accompanying).await {
-        Either::Left((Ok(()), accompanying)) => {
-            // It has ended by itself if it no longer listens.
+    let secondary = start_secondary(StopSignal(stopped));
+    pin_mut!(primary, secondary);
+    match select(primary, secondary).await {
+        Either::Left((Ok(()), secondary)) => {
+            // Fails only if the secondary role has dropped its stop signal and ends by itself.
             let _ = stop.send(());
-            accompanying.await.map_err(CompositionError::Accompanying)
+            secondary.await.map_err(CompositionError::Secondary)
         }
-        Either::Left((Err(error), _)) => Err(CompositionError::Leading(error)),
+        Either::Left((Err(error), _)) => Err(CompositionError::Primary(error)),
         Either::Right((Ok(()), _)) => Err(CompositionError::EndedEarly),
-        Either::Right((Err(error), _)) => Err(CompositionError::Accompanying(error)),
+        Either::Right((Err(error), _)) => Err(CompositionError::Secondary(error)),
     }
 }
--- a/crates/lockusher-node/src/logging.rs
+++ b/crates/lockusher-node/src/logging.rs
@@ -1,24 +1,24 @@
-//! Log lines on standard error: `SECONDS LEVEL ROLE NODE MESSAGE`, with the time since the start.
+//! Log lines on standard error: `SECONDS LEVEL ROLE NODE MESSAGE`, where SECONDS is the time since the start.
 //!
-//! Started once by the program, before its role runs. The first line gives the time of day of the start, so that the
-//! lines of several processes can be put in order.
+//! Started once by the program, before its role runs. The first line has the time of day of the start, so that the
+//! lines of several processes can be ordered.
 
 use std::time::{Instant, SystemTime};
 
 use lockusher_config::settings::NodeSettings;
 use log::{LevelFilter, Metadata, SetLoggerError};
 
-/// Of other packages than the project's, only lines up to this level are logged.
-const LEVEL_OF_LIBRARIES: LevelFilter = LevelFilter::Warn;
+/// Maximum level of log lines from other projects' packages.
+const DEPENDENCY_LEVEL: LevelFilter = LevelFilter::Warn;
 
-/// Targets of the project's log lines start with this.
-const PROJECT: &str = "lockusher";
+/// Prefix of the targets of the project's log lines.
+const PROJECT_TARGET_PREFIX: &str = "lockusher";
 
-/// Starts logging. To be called once.
+/// Installs the logger. To be called once.
 ///
 /// # Errors
 ///
-/// If the process logs already.
+/// If the process already has a logger.
 pub fn start(level: LevelFilter, role: &str, node: &str) -> Result<(), SetLoggerError> {
     let start = Instant::now();
     let origin = format!("{role} {node}");
@@ -37,10 +37,10 @@
 }
 
 fn is_logged(metadata: &Metadata<'_>) -> bool {
-    metadata.target().starts_with(PROJECT) || metadata.level() <= LEVEL_OF_LIBRARIES
+    metadata.target().starts_with(PROJECT_TARGET_PREFIX) || metadata.level() <= DEPENDENCY_LEVEL
 }
 
-/// The first line of a process: when it was started, and with which settings it looks for the others.
+/// The first log line of a process: time of the start, process identifier, release, and the settings of discovery.
 pub fn start_line(settings: &NodeSettings, now: SystemTime) -> String {
     let seeds: Vec<String> = settings.seeds.iter().map(ToString::to_string).collect();
     format!(
--- a/crates/lockusher-node/src/main.rs
+++ b/crates/lockusher-node/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry point of `lockusher-node`.
+//! Entry point of the program `lockusher-node`.
 
 use std::process::ExitCode;
 
--- a/crates/lockusher-node/src/program.rs
+++ b/crates/lockusher-node/src/program.rs
@@ -1,6 +1,7 @@
-//! Does what the command line asks for.
+//! Executes the command line.
 //!
-//! Called by `main`. Exit codes: 0 in order, 1 if a role can't start or fails, 2 for a wrong command line or faulty files.
+//! Called by `main`. Exit codes: 0 for success, 1 if a role can't start or fails, 2 for an invalid command line or
+//! invalid files.
 
 use std::io::{self, Write};
 use std::process::ExitCode;
@@ -16,19 +17,19 @@
 use crate::role::{Role, RoleContext, RoleError, RoleOptions};
 use crate::signals::Signals;
 
-/// Exit code for a wrong command line or faulty files.
-const FAULTY: u8 = 2;
+/// Exit code for an invalid command line or invalid files.
+const INVALID_INPUT_EXIT_CODE: u8 = 2;
 
-/// Why a role could not be run, or has ended otherwise than by a planned stop.
+/// Why a role could not be started, or ended other than by a graceful shutdown.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// There are no settings, or faulty ones.
+    /// The settings can't be loaded.
     #[display("{_0}")]
     Settings(SettingsError),
-    /// Signals can't be handled, or there is no runtime: the machine is out of descriptors or memory.
+    /// The signal handlers or the runtime can't be set up: file descriptors or memory are exhausted.
     #[display("cannot start: {_0}")]
     System(io::Error),
-    /// The process logs already.
+    /// The process already has a logger.
     #[display("cannot log: {_0}")]
     Logging(SetLoggerError),
     /// The role failed.
@@ -36,7 +37,7 @@
     Role(RoleError),
 }
 
-/// Runs the program with its arguments, without the program's name.
+/// Runs the program; `arguments` don't include the program's name.
 pub fn run(roles: &[Role], arguments: Vec<String>) -> ExitCode {
     match command_line::parse(roles, &arguments) {
         Ok(Command::Print(text)) => print(&text),
@@ -48,12 +49,12 @@
         }) => run_role(role, level, options),
         Err(error) => {
             eprintln!("{PROGRAM}: {error}\nTry '{PROGRAM} --help'.");
-            ExitCode::from(FAULTY)
+            ExitCode::from(INVALID_INPUT_EXIT_CODE)
         }
     }
 }
 
-/// Prints a text. If nobody reads it any more, that is no reason to fail.
+/// Prints a text. Errors are ignored: the reader of a pipe may have closed it.
 fn print(text: &str) -> ExitCode {
     let _ = io::stdout().write_all(text.as_bytes());
     ExitCode::SUCCESS
@@ -65,17 +66,17 @@
             Ok(file) => files.settings.push(file),
             Err(error) => {
                 eprintln!("{PROGRAM}: nothing to check: no file is given, and {error}");
-                return ExitCode::from(FAULTY);
+                return ExitCode::from(INVALID_INPUT_EXIT_CODE);
             }
         }
     }
     let mut report = Report {
-        good: io::stdout(),
+        valid: io::stdout(),
         faults: io::stderr(),
     };
     match check(&files, &mut report) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(FAULTY),
+        Ok(false) => ExitCode::from(INVALID_INPUT_EXIT_CODE),
         Err(error) => {
             eprintln!("{PROGRAM}: {error}");
             ExitCode::FAILURE
@@ -88,9 +89,9 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             report_error(role, &error);
-            let faulty = matches!(error, StartError::Settings(SettingsError::Faulty { .. }));
-            if faulty {
-                ExitCode::from(FAULTY)
+            let has_faults = matches!(error, StartError::Settings(SettingsError::Faulty { .. }));
+            if has_faults {
+                ExitCode::from(INVALID_INPUT_EXIT_CODE)
             } else {
                 ExitCode::FAILURE
             }
@@ -98,7 +99,7 @@
     }
 }
 
-/// Reports an error in the log, or on standard error while there is no log.
+/// Reports an error in the log, or on standard error if logging isn't started.
 fn report_error(role: Role, error: &StartError) {
     if log::log_enabled!(log::Level::Error) {
         log::error!("{error}");
@@ -107,7 +108,7 @@
     }
 }
 
-/// Runs a role until it ends. Signals are handled first: one may come at any time.
+/// Runs a role until it ends. The signal handlers are installed first: a signal may arrive at any time.
 fn start_role(role: Role, level: LevelFilter, options: RoleOptions) -> Result<(), StartError> {
     let signals = Signals::install()?;
     let settings_file = settings_file::settings_file()?;
--- a/crates/lockusher-node/src/role.rs
+++ b/crates/lockusher-node/src/role.rs
@@ -1,6 +1,6 @@
-//! A role of the program: what it is, what it is started with, and why it fails.
+//! The interface between the program and its roles: definition, context and errors of a role.
 //!
-//! The roles themselves are listed in [`crate::roles`]; the program runs one of them.
+//! The roles are defined in [`crate::roles`]; the program runs one of them.
 
 use std::future::Future;
 use std::io;
@@ -17,23 +17,23 @@
 use crate::composition::CompositionError;
 use crate::signals::Signals;
 
-/// What a role is started with.
+/// The inputs of a role.
 #[derive(Debug)]
 pub struct RoleContext {
-    /// The node's settings as they were at the start.
+    /// The node's settings at the start.
     pub settings: NodeSettings,
-    /// The file that the settings were read from; it may change.
+    /// The file of the settings, which may change.
     pub settings_file: PathBuf,
-    /// Signals to the process.
+    /// Signals that the process receives.
     pub signals: Signals,
-    /// What the command line says.
+    /// Options of the command line.
     pub options: RoleOptions,
 }
 
-/// What the command line says beside the role; options that don't concern the role are refused.
+/// Options of a role on the command line. Options that don't apply to the role are rejected by the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoleOptions {
-    /// Control: whether searchers are ordered to change their stage.
+    /// Whether a control node changes the stages of searchers; `--stage-orders`.
     pub stage_orders: bool,
 }
 
@@ -44,9 +44,9 @@
 }
 
 impl RoleContext {
-    /// The settings, and a future that ends when the process is to stop. Until then a signal that the settings
-    /// file has changed has it read again, and `settings_changed` is called with what it says; a faulty file is
-    /// logged and changes nothing.
+    /// Returns the settings, and a future that completes on the signal to stop. Until then the future reloads the
+    /// settings file on SIGHUP and calls `settings_changed` with the new settings; a file with faults is logged and
+    /// otherwise ignored.
     ///
     /// # Errors
     ///
@@ -60,43 +60,45 @@
         let stop = async move {
             let reload = || match settings_file::load(&file) {
                 Ok(settings) => settings_changed(settings),
-                Err(error) => log::error!("the changed settings are not used: {error}"),
+                Err(error) => {
+                    log::error!("settings not reloaded, the previous ones stay in force: {error}")
+                }
             };
             if let Err(error) = signals.until_stop(reload).await {
-                log::error!("stopping, signals can't be read: {error}");
+                log::error!("stopping, cannot read signals: {error}");
             }
         };
         Ok((self.settings, stop))
     }
 }
 
-/// Why a role has ended otherwise than by a planned stop. Each of its errors says whether another start may help.
+/// Why a role ended other than by a graceful shutdown. The wrapped errors document whether a restart can succeed.
 #[derive(Debug, Display, Error, From)]
 #[display("{_0}")]
 pub enum RoleError {
     /// The runtime can't poll for signals.
     Signals(io::Error),
-    /// The settings name too few internal ports.
+    /// The range of internal ports is too short.
     Ports(TooFewPorts),
-    /// The control node failed.
+    /// The role `control` failed.
     Control(ControlError),
-    /// The agent failed.
+    /// The role `agent` failed.
     Agent(AgentError),
-    /// The proxy failed.
+    /// The role `proxy` failed.
     Proxy(ProxyError),
-    /// The control node or the agent beside it failed.
+    /// The control node or the agent failed, in a process that runs both.
     ControlAndAgent(CompositionError<ControlError, AgentError>),
 }
 
-/// A running role; it ends on [`Signal::Stop`](crate::signals::Signal::Stop).
+/// A running role; it completes after [`Signal::Stop`](crate::signals::Signal::Stop).
 pub type RunningRole = Pin<Box<dyn Future<Output = Result<(), RoleError>>>>;
 
-/// One role of the program. Its name is also its command.
+/// A role of the program.
 #[derive(Clone, Copy, Debug)]
 pub struct Role {
-    /// Its name, which is its command.
+    /// Name of the role, which is also its command.
     pub name: &'static str,
-    /// One line for the help.
+    /// One-line description for the help.
     pub summary: &'static str,
     /// Starts the role; called inside the runtime.
     pub run: fn(RoleContext) -> RunningRole,
--- a/crates/lockusher-node/src/roles.rs
+++ b/crates/lockusher-node/src/roles.rs
@@ -1,6 +1,6 @@
-//! The roles that are built into the program, and how each is started from its settings.
+//! The roles of the program, and how each is started from the settings.
 //!
-//! Passed to [`crate::program::run`] by `main`.
+//! `main` passes them to [`crate::program::run`].
 
 use std::hash::{BuildHasher, RandomState};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -11,19 +11,19 @@
 use lockusher_distribution::subscribe::subscribe;
 use lockusher_transport::clock::Clock;
 
-use crate::composition::run_accompanied;
+use crate::composition::run_with_secondary;
 use crate::role::{Role, RoleContext, RoleError, RunningRole};
 
-/// The roles, by their commands.
+/// All roles.
 pub const ROLES: &[Role] = &[
     Role {
         name: "control",
-        summary: "Keep the control state; take the operator's calls",
+        summary: "Replicate the control state; serve the operators' API",
         run: control,
     },
     Role {
         name: "agent",
-        summary: "Feed this machine's proxy from the control nodes; run one, where the settings say so",
+        summary: "Relay configuration and instance list to this machine's proxy; run a control node, if the settings say so",
         run: agent,
     },
     Role {
@@ -54,7 +54,7 @@
         }
         log::info!("a control node runs beside the agent");
         let control = lockusher_control::serve::run(settings.clone(), options, stop);
-        Ok(run_accompanied(control, |stop| lockusher_agent::serve::run(settings, stop)).await?)
+        Ok(run_with_secondary(control, |stop| lockusher_agent::serve::run(settings, stop)).await?)
     })
 }
 
@@ -69,10 +69,10 @@
             agent_address: None,
         };
         let random_seed = RandomState::new().hash_one(&settings.node);
-        let feed = subscribe(agent, identity, Clock::start(), random_seed);
-        let reporter = feed.load_reporter();
+        let subscription = subscribe(agent, identity, Clock::start(), random_seed);
+        let reporter = subscription.load_reporter();
         let report = move |loads| reporter.report(loads);
-        lockusher_proxy::serve::run_and_report(settings, feed.into_stream(), report, stop)
+        lockusher_proxy::serve::run_and_report(settings, subscription.into_stream(), report, stop)
             .await
             .map_err(RoleError::from)
     })
--- a/crates/lockusher-node/src/signals.rs
+++ b/crates/lockusher-node/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals to the process, as events of the runtime.
+//! Delivers signals of the process to the runtime, with the self-pipe trick.
 //!
-//! The handler only writes one byte to a non-blocking pipe; the runtime polls the other end. A full pipe drops
-//! the byte: as many are waiting already, and signals don't count.
+//! The signal handler only writes one byte to a non-blocking pipe; the runtime polls the read end. The byte is dropped
+//! if the pipe is full: enough signals are pending then, and like signals themselves they may be coalesced.
 
 use std::fs::File;
 use std::future::poll_fn;
@@ -12,60 +12,60 @@
 use compio::runtime::fd::PollFd;
 use libc::c_int;
 
-/// What a signal asks of the process.
+/// A signal by its meaning for the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM or SIGINT: end in order, within the grace.
+    /// SIGTERM or SIGINT: shut down gracefully, within the grace period.
     Stop,
-    /// SIGHUP: the settings file has changed.
+    /// SIGHUP: reload the settings file.
     SettingsChanged,
 }
 
-/// Written by the handler of SIGTERM and SIGINT.
+/// Byte that the handler writes for SIGTERM and SIGINT.
 const STOP_BYTE: u8 = b's';
 
-/// Written by the handler of SIGHUP.
+/// Byte that the handler writes for SIGHUP.
 const SETTINGS_CHANGED_BYTE: u8 = b'c';
 
-/// In place of a descriptor while there is no pipe.
-const NO_PIPE: c_int = -1;
+/// Placeholder for a file descriptor before the pipe exists.
+const NO_DESCRIPTOR: c_int = -1;
 
-/// The pipe's write end, for the handler. It is never closed: a signal may come at any time.
-static WRITE_END: AtomicI32 = AtomicI32::new(NO_PIPE);
+/// The pipe's write end, for the handler. It is never closed: a signal may arrive at any time.
+static WRITE_END: AtomicI32 = AtomicI32::new(NO_DESCRIPTOR);
 
-/// Whether the handlers are in place.
+/// Whether the handlers are installed.
 static INSTALLED: AtomicBool = AtomicBool::new(false);
 
-/// The signals that the process has received, in their order.
+/// The signals that the process receives, in order.
 #[derive(Debug)]
 pub struct Signals {
     read_end: File,
 }
 
-/// The same, polled by the runtime.
+/// As [`Signals`], registered with the runtime.
 #[derive(Debug)]
 pub struct PolledSignals {
     read_end: PollFd<File>,
 }
 
 impl Signals {
-    /// Handles SIGTERM, SIGINT and SIGHUP from now on, and ignores SIGPIPE. To be called once, early: an
-    /// unhandled SIGHUP ends the process.
+    /// Installs handlers for SIGTERM, SIGINT and SIGHUP, and ignores SIGPIPE. To be called once, early: an unhandled
+    /// SIGHUP terminates the process.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::AlreadyExists`] on another call; or if the system refuses the pipe or a handler.
+    /// [`ErrorKind::AlreadyExists`] on a second call; or the error of the operating system.
     pub fn install() -> io::Result<Self> {
         if INSTALLED.swap(true, Ordering::SeqCst) {
             return Err(io::Error::new(
                 ErrorKind::AlreadyExists,
-                "signals are handled already",
+                "signal handlers are already installed",
             ));
         }
         let (read_end, write_end) = non_blocking_pipe()?;
         WRITE_END.store(write_end.into_raw_fd(), Ordering::SeqCst);
         for signal in [libc::SIGTERM, libc::SIGINT, libc::SIGHUP] {
-            set_handler(signal, handle as *const () as libc::sighandler_t)?;
+            set_handler(signal, handle_signal as *const () as libc::sighandler_t)?;
         }
         set_handler(libc::SIGPIPE, libc::SIG_IGN)?;
         Ok(Self {
@@ -73,11 +73,11 @@
         })
     }
 
-    /// Has the runtime poll for signals.
+    /// Registers the pipe with the runtime.
     ///
     /// # Errors
     ///
-    /// If the runtime can't watch the pipe.
+    /// If the runtime can't poll the pipe.
     pub fn polled(self) -> io::Result<PolledSignals> {
         Ok(PolledSignals {
             read_end: PollFd::new(self.read_end)?,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Waits for a signal to stop; calls `settings_changed` for each that comes before and says so.
+    /// Waits for [`Signal::Stop`]; calls `settings_changed` for each preceding [`Signal::SettingsChanged`].
     ///
     /// # Errors
     ///
@@ -121,15 +121,15 @@
     Ok(byte[0])
 }
 
-/// The signal handler. It may run between any two instructions: it calls nothing but `write`, and keeps `errno`.
-extern "C" fn handle(signal: c_int) {
+/// The signal handler. It may interrupt any code, so it calls only the async-signal-safe `write` and restores `errno`.
+extern "C" fn handle_signal(signal: c_int) {
     let byte = if signal == libc::SIGHUP {
         SETTINGS_CHANGED_BYTE
     } else {
         STOP_BYTE
     };
     let write_end = WRITE_END.load(Ordering::SeqCst);
-    // SAFETY: `write` may be called in a handler, and the byte outlives the call; the pipe is never closed.
+    // SAFETY: `write` is async-signal-safe, and the byte outlives the call; the pipe is never closed.
     unsafe {
         let errno = libc::__errno_location();
         let saved_errno = *errno;
@@ -143,7 +143,7 @@
     let mut action: libc::sigaction = unsafe { std::mem::zeroed() };
     action.sa_sigaction = handler;
     action.sa_flags = libc::SA_RESTART;
-    // SAFETY: the action is initialized, and its handler does only what handlers may.
+    // SAFETY: the action is initialized, and its handler is async-signal-safe.
     let result = unsafe { libc::sigaction(signal, &raw const action, std::ptr::null_mut()) };
     if result == 0 {
         Ok(())
@@ -152,14 +152,14 @@
     }
 }
 
-/// The read and the write end of a new pipe.
+/// Creates a non-blocking pipe; returns its read and write end.
 fn non_blocking_pipe() -> io::Result<(OwnedFd, OwnedFd)> {
-    let mut ends = [NO_PIPE; 2];
-    // SAFETY: there is room for both descriptors.
+    let mut ends = [NO_DESCRIPTOR; 2];
+    // SAFETY: the array has space for both descriptors.
     let result = unsafe { libc::pipe2(ends.as_mut_ptr(), libc::O_NONBLOCK | libc::O_CLOEXEC) };
     if result != 0 {
         return Err(io::Error::last_os_error());
     }
-    // SAFETY: both descriptors are new and owned by nobody else.
+    // SAFETY: both descriptors are new and have no other owner.
     Ok(unsafe { (OwnedFd::from_raw_fd(ends[0]), OwnedFd::from_raw_fd(ends[1])) })
 }
--- a/crates/lockusher-node/tests/check.rs
+++ b/crates/lockusher-node/tests/check.rs
@@ -1,4 +1,4 @@
-//! `check` as a process: it reads all files, prints all faults, and its exit code says whether there are any.
+//! The command `check`, run as a process: printed faults, descriptions of valid files, and exit codes.
 
 mod support;
 
@@ -9,12 +9,12 @@
 
 use support::{program, program_with_settings, text, write_file};
 
-const GOOD_SETTINGS: &str = "node=n-4\nzone=z\nipAddress=172.20.1.2\ninternalPorts=4400,4410\ncloud.address=172.20.9.9:81\n";
+const VALID_SETTINGS: &str = "node=n-4\nzone=z\nipAddress=172.20.1.2\ninternalPorts=4400,4410\ncloud.address=172.20.9.9:81\n";
 
 const FAULTY_SETTINGS: &str =
     "node=n-5\nzone=z\nipAddress=172.20.1\ncloud.address=172.20.9.9:81\nbounds.graceS=x\n";
 
-const GOOD_CONFIGURATION: &str = r#"{
+const VALID_CONFIGURATION: &str = r#"{
     "version": 12,
     "routes": [
         {"name": "r", "host": "h.test", "pathPrefix": "/q/", "kind": "idempotent", "timeoutMs": 70, "service": "s"}
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn good_files_are_named() {
-    let settings = write_file("good.conf", GOOD_SETTINGS);
-    let configuration = write_file("good.json", GOOD_CONFIGURATION);
+fn valid_files_are_described() {
+    let settings = write_file("good.conf", VALID_SETTINGS);
+    let configuration = write_file("good.json", VALID_CONFIGURATION);
     let output = check(&[&settings], &[&configuration]);
     assert_eq!(output.status.code(), Some(0));
     assert!(output.stderr.is_empty());
@@ -67,13 +67,13 @@
 fn all_faults_of_all_files_are_printed() {
     let settings = write_file("faulty.conf", FAULTY_SETTINGS);
     let configuration = write_file("faulty.json", FAULTY_CONFIGURATION);
-    let good = write_file("good-among-faulty.conf", GOOD_SETTINGS);
+    let valid = write_file("good-among-faulty.conf", VALID_SETTINGS);
     let absent = Path::new("does/not/exist.json");
-    let output = check(&[&settings, &good], &[absent, &configuration]);
+    let output = check(&[&settings, &valid], &[absent, &configuration]);
     assert_eq!(output.status.code(), Some(2));
     assert_eq!(
         text(&output.stdout),
-        format!("{}: good: settings of node n-4\n", good.display())
+        format!("{}: good: settings of node n-4\n", valid.display())
     );
     let (settings, configuration) = (settings.display(), configuration.display());
     let expected = [
@@ -90,7 +90,7 @@
 
 #[test]
 fn without_files_the_nodes_own_settings_are_checked() {
-    let settings = write_file("own.conf", GOOD_SETTINGS);
+    let settings = write_file("own.conf", VALID_SETTINGS);
     let output = program_with_settings(&settings)
         .arg("check")
         .output()
@@ -103,27 +103,31 @@
 }
 
 #[parameterized(
-    control_node_beside_the_agent = {
+    control_node = {
         "control-node-beside",
         &[OPERATOR_ADDRESS, COUNTS_FOR_QUORUM, DATA_DIRECTORY],
-        ", a control node: in the role agent beside the agent",
+        ", the role agent also runs a control node",
     },
     operators_are_redirected = {
         "operators-redirected",
         &[OPERATOR_ADDRESS],
-        ", the role agent sends operators on to a control node",
+        ", the role agent redirects operators to a control node",
     },
     no_disk = {
         "no-disk",
         &[OPERATOR_ADDRESS, COUNTS_FOR_QUORUM],
-        ", the role agent sends operators on to a control node, counts for the quorum but has no dataDirectory",
+        ", the role agent redirects operators to a control node, counts for the quorum but has no dataDirectory",
     },
     no_operator_address = { "no-operator-address", &[COUNTS_FOR_QUORUM, DATA_DIRECTORY], "" },
 )]
-fn settings_say_what_they_make_of_a_machine(name: &str, lines: &[&str], expected: &str) {
+fn the_description_of_settings_states_what_the_agent_does_for_the_control_plane(
+    name: &str,
+    lines: &[&str],
+    expected: &str,
+) {
     let settings = write_file(
         &format!("machine-{name}.conf"),
-        &format!("{GOOD_SETTINGS}{}", lines.concat()),
+        &format!("{VALID_SETTINGS}{}", lines.concat()),
     );
 
     let output = check(&[&settings], &[]);
@@ -136,9 +140,9 @@
 }
 
 #[test]
-fn a_layout_that_cannot_give_its_fault_tolerance_is_named() {
+fn a_fault_tolerance_that_the_layout_cannot_provide_is_reported() {
     let zones = "faultTolerance.zones=1\nzones.east=r\nzones.west=r\n";
-    let settings = write_file("two-zones.conf", &format!("{GOOD_SETTINGS}{zones}"));
+    let settings = write_file("two-zones.conf", &format!("{VALID_SETTINGS}{zones}"));
     let output = check(&[&settings], &[]);
     assert_eq!(output.status.code(), Some(0));
     let expected = "but faultTolerance.zones=1 requires 3 zones with a control node, there are 2\n";
--- a/crates/lockusher-node/tests/command_line.rs
+++ b/crates/lockusher-node/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program as a process: help, version, wrong command lines, roles that can't start.
+//! The program, run as a process: help, version, invalid command lines, and roles that can't start.
 
 mod support;
 
@@ -71,7 +71,7 @@
     no_level = { &["proxy", "--log"], "Argument to option 'log' missing" },
     nothing_to_check = { &["check"], "nothing to check" },
 )]
-fn a_wrong_command_line_is_rejected(arguments: &[&str], message: &str) {
+fn an_invalid_command_line_is_rejected(arguments: &[&str], message: &str) {
     let output = node(arguments);
     assert_eq!(output.status.code(), Some(2));
     assert!(output.stdout.is_empty());
@@ -83,7 +83,7 @@
 }
 
 #[parameterized(control = { "control" }, agent = { "agent" }, proxy = { "proxy" })]
-fn a_role_needs_settings(role: &str) {
+fn a_role_requires_a_settings_file(role: &str) {
     let output = node(&[role]);
     assert_eq!(output.status.code(), Some(1));
     let expected =
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_role_names_the_faults_of_its_settings() {
+fn a_role_reports_the_faults_of_its_settings() {
     let text_of_settings =
         "node=x\nzone=y\nipAddress=1.2.3\ninternalPorts=1,2\ncloud.address=1.2.3.4:5\n";
     let settings = write_file("faulty-role.conf", text_of_settings);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_role_that_cannot_start_says_so_in_the_log() {
+fn a_role_that_cannot_start_logs_the_error() {
     let text_of_settings =
         "node=n-6\nzone=y\nipAddress=1.2.3.9\ninternalPorts=1,2\ncloud.address=1.2.3.4:5\n";
     let settings = write_file("no-listener.conf", text_of_settings);
--- a/crates/lockusher-node/tests/composition.rs
+++ b/crates/lockusher-node/tests/composition.rs
@@ -1,46 +1,44 @@
-//! Two roles in one process: how they end.
+//! Two roles in one process: shutdown and errors.
 
 use std::cell::Cell;
 use std::future::{pending, ready};
 
 use futures_util::FutureExt;
-use lockusher_node::composition::{StopSignal, run_accompanied};
+use lockusher_node::composition::{StopSignal, run_with_secondary};
 
 type Outcome = Result<(), String>;
 
 #[test]
-fn the_accompanying_role_runs_until_the_leading_one_has_ended_and_then_ends_in_order() {
-    let (end_leading, leading_ends) = futures_channel::oneshot::channel::<()>();
-    let (end_accompanying, accompanying_ends) = futures_channel::oneshot::channel::<()>();
+fn the_secondary_role_is_stopped_after_the_primary_one_has_ended() {
+    let (end_primary, primary_ends) = futures_channel::oneshot::channel::<()>();
+    let (end_secondary, secondary_ends) = futures_channel::oneshot::channel::<()>();
     let notified_to_stop = Cell::new(false);
-    let leading = async { leading_ends.await.map_err(|_| "never ended".to_owned()) };
-    let accompany = |stop: StopSignal| async {
+    let primary = async { primary_ends.await.map_err(|_| "never ended".to_owned()) };
+    let start_secondary = |stop: StopSignal| async {
         stop.await;
         notified_to_stop.set(true);
-        accompanying_ends
-            .await
-            .map_err(|_| "never ended".to_owned())
+        secondary_ends.await.map_err(|_| "never ended".to_owned())
     };
-    let mut both = Box::pin(run_accompanied(leading, accompany));
+    let mut both = Box::pin(run_with_secondary(primary, start_secondary));
     assert!(both.as_mut().now_or_never().is_none());
-    assert!(!notified_to_stop.get(), "the leading role is still at work");
-    end_leading.send(()).expect("it listens");
+    assert!(!notified_to_stop.get(), "the primary role is still running");
+    end_primary.send(()).expect("the receiver is alive");
     assert!(
         both.as_mut().now_or_never().is_none(),
-        "the accompanying role isn't over yet"
+        "the secondary role is still running"
     );
     assert!(notified_to_stop.get());
-    end_accompanying.send(()).expect("it listens");
-    assert!(both.now_or_never().expect("both are over").is_ok());
+    end_secondary.send(()).expect("the receiver is alive");
+    assert!(both.now_or_never().expect("both have ended").is_ok());
 }
 
-fn outcome<S>(leading: Outcome, accompany: impl FnOnce(StopSignal) -> S) -> Option<String>
+fn outcome<S>(primary: Outcome, start_secondary: impl FnOnce(StopSignal) -> S) -> Option<String>
 where
     S: Future<Output = Outcome>,
 {
-    let ended = run_accompanied(ready(leading), accompany)
+    let ended = run_with_secondary(ready(primary), start_secondary)
         .now_or_never()
-        .expect("over");
+        .expect("ended");
     ended.err().map(|error| error.to_string())
 }
 
@@ -52,20 +50,20 @@
         outcome(Ok(()), |_| ready(failed())),
         Some("no disk".to_owned())
     );
-    let ended = run_accompanied(pending::<Outcome>(), |_| ready(failed()))
+    let ended = run_with_secondary(pending::<Outcome>(), |_| ready(failed()))
         .now_or_never()
-        .expect("over");
+        .expect("ended");
     assert_eq!(ended.expect_err("an error").to_string(), "no disk");
 }
 
 #[test]
-fn a_role_that_ends_before_it_is_notified_to_stop_is_an_error() {
-    let ended = run_accompanied(pending::<Outcome>(), |_| ready(Outcome::Ok(())))
+fn a_secondary_role_that_ends_before_it_is_stopped_is_an_error() {
+    let ended = run_with_secondary(pending::<Outcome>(), |_| ready(Outcome::Ok(())))
         .now_or_never()
-        .expect("over");
-    let error = ended.expect_err("half a process would look alive");
+        .expect("ended");
+    let error = ended.expect_err("one role alone would look like a healthy process");
     assert_eq!(
         error.to_string(),
-        "a part of the process has ended before it was told to"
+        "the secondary role ended before it was stopped"
     );
 }
--- a/crates/lockusher-node/tests/logging.rs
+++ b/crates/lockusher-node/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The first line of a process's log.
+//! The first log line of a process.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -6,7 +6,7 @@
 use lockusher_node::logging::start_line;
 
 #[test]
-fn the_first_line_gives_the_time_of_day_and_the_seeds() {
+fn the_first_line_has_the_time_of_day_and_the_seeds() {
     let settings = NodeSettings::parse(
         "node=edge-1\nzone=north\nipAddress=10.0.0.9\ninternalPorts=7660,7675\nseeds=10.0.0.1:8146,10.0.0.2:8146\ncloud.address=10.0.0.4:8142\n",
     )
--- a/crates/lockusher-node/tests/modules.rs
+++ b/crates/lockusher-node/tests/modules.rs
@@ -1,4 +1,4 @@
-//! No module of this package imports from one that imports from it.
+//! The modules of this package have no import cycles.
 
 #[path = "../../../tests/support/module_layers.rs"]
 mod module_layers;
--- a/crates/lockusher-node/tests/role.rs
+++ b/crates/lockusher-node/tests/role.rs
@@ -1,5 +1,5 @@
-//! A role from its start to a planned stop, with a change of the settings file in between. One test: signals, log
-//! and environment belong to the whole process.
+//! A role from its start to its graceful shutdown, with a reload of the settings file in between. A single test: signal
+//! handlers, logger and environment are global to the process.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -10,11 +10,11 @@
 use lockusher_node::program;
 use lockusher_node::role::{Role, RoleContext, RoleError, RunningRole};
 
-/// What the role has seen, in order.
-static SEEN: Mutex<Vec<String>> = Mutex::new(Vec::new());
+/// The events of the role, in order.
+static EVENTS: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-fn see(what: impl Into<String>) {
-    SEEN.lock().unwrap().push(what.into());
+fn record(event: impl Into<String>) {
+    EVENTS.lock().unwrap().push(event.into());
 }
 
 fn write_settings(file: &Path, zone: &str) {
@@ -33,27 +33,27 @@
     Box::pin(follow_settings(context))
 }
 
-/// Changes the file and signals; once that was seen, breaks the file, signals and has the process stopped.
+/// Changes the settings file and sends SIGHUP; after the reload, makes the file invalid and sends SIGHUP and SIGTERM.
 async fn follow_settings(context: RoleContext) -> Result<(), RoleError> {
     let file = context.settings_file.clone();
     let changed_file = file.clone();
     let settings_changed = move |settings: NodeSettings| {
-        see(format!("changed: {}", settings.zone));
+        record(format!("changed: {}", settings.zone));
         std::fs::write(&changed_file, "faulty").unwrap();
         raise(libc::SIGHUP);
         raise(libc::SIGTERM);
     };
     let (settings, stop) = context.start(settings_changed)?;
-    see(format!("started: {}", settings.zone));
+    record(format!("started: {}", settings.zone));
     write_settings(&file, "second");
     raise(libc::SIGHUP);
     stop.await;
-    see("stopped");
+    record("stopped");
     Ok(())
 }
 
 #[test]
-fn a_role_sees_changed_settings_and_stops_in_order() {
+fn a_role_reloads_changed_settings_and_shuts_down_gracefully() {
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join("role.conf");
     write_settings(&file, "first");
     // SAFETY: this file has one test, and no other thread reads the environment.
@@ -66,7 +66,7 @@
     let exit = program::run(&roles, vec!["watch".to_owned()]);
     assert_eq!(format!("{exit:?}"), format!("{:?}", ExitCode::SUCCESS));
     assert_eq!(
-        *SEEN.lock().unwrap(),
+        *EVENTS.lock().unwrap(),
         ["started: first", "changed: second", "stopped"]
     );
 }
--- a/crates/lockusher-node/tests/signals.rs
+++ b/crates/lockusher-node/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals reach the runtime. One test: the handlers belong to the whole process.
+//! Delivery of signals to the runtime. A single test: the handlers are global to the process.
 
 use std::io::ErrorKind;
 
@@ -10,7 +10,7 @@
     assert_eq!(unsafe { libc::raise(signal) }, 0);
 }
 
-/// Sends a signal from another thread, so that it may interrupt the runtime's wait.
+/// Sends a signal from another thread, so that it can interrupt the runtime while it waits.
 fn send_from_another_thread(signal: i32) -> std::thread::JoinHandle<()> {
     std::thread::spawn(move || {
         // SAFETY: the signal is handled by the process.
