--- a/crates/lockusher-config/src/configuration_patch/reader.rs
+++ b/crates/lockusher-config/src/configuration_patch/reader.rs
@@ -99,7 +99,7 @@
     path: FieldPath<'_>,
     reader: &ObjectReader<'_>,
 ) -> Option<NamedItem> {
-    let name = ObjectReader::from_value(value, path, reader.faults())?.text("name")?;
+    let name = ObjectReader::new(value, path, reader.faults())?.text("name")?;
     Some(NamedItem {
         name,
         value: value.clone(),
--- a/crates/lockusher-config/src/configuration_reader/route.rs
+++ b/crates/lockusher-config/src/configuration_reader/route.rs
@@ -26,7 +26,7 @@
     let timeout_ms = reader.positive_ms("timeoutMs");
     let target_latency_ms = reader.ms_or("targetLatencyMs", 0);
     let priority = reader.integer_or("priority", DEFAULT_PRIORITY);
-    let split = traffic_split(reader, checks);
+    let split = services(reader, checks);
     let attempts = reader.positive_u32_or("attempts", DEFAULT_ATTEMPTS);
     let sticky = reader.flag_or("sticky", false);
     let resumable = reader.flag_or("resumable", false);
@@ -83,10 +83,7 @@
 }
 
 /// The services of a route: a single one under `service`, or several under `trafficSplit`.
-fn traffic_split(
-    reader: &ObjectReader<'_>,
-    checks: &RouteChecks<'_>,
-) -> Option<Vec<WeightedService>> {
+fn services(reader: &ObjectReader<'_>, checks: &RouteChecks<'_>) -> Option<Vec<WeightedService>> {
     match (reader.value("service"), reader.value("trafficSplit")) {
         (Some(_), None) => Some(vec![WeightedService {
             service: target_service(reader, checks)?,
--- a/crates/lockusher-config/src/configuration_reader/service.rs
+++ b/crates/lockusher-config/src/configuration_reader/service.rs
@@ -93,6 +93,6 @@
 fn model_name(value: &Value, path: FieldPath<'_>, faults: &FaultCollector) -> Option<String> {
     match value {
         Value::String(name) => Some(name.clone()),
-        _ => ObjectReader::from_value(value, path, faults)?.text("name"),
+        _ => ObjectReader::new(value, path, faults)?.text("name"),
     }
 }
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -36,8 +36,8 @@
     pub fn parse(body: &[u8]) -> Result<Self, Faults> {
         let value = parse_unique(body).map_err(Faults::unreadable)?;
         let faults = FaultCollector::default();
-        let page = ObjectReader::from_value(&value, FieldPath::Root, &faults)
-            .and_then(|reader| page(&reader));
+        let page =
+            ObjectReader::new(&value, FieldPath::Root, &faults).and_then(|reader| page(&reader));
         page.ok_or_else(|| faults.into_faults())
     }
 }
@@ -46,8 +46,7 @@
     let next_token = reader.text_or("nextToken", "")?;
     let entries = reader.list("instances", |value, path| {
         let faults = FaultCollector::default();
-        let instance =
-            ObjectReader::from_value(value, path, &faults).and_then(|entry| instance(&entry));
+        let instance = ObjectReader::new(value, path, &faults).and_then(|entry| instance(&entry));
         Some((instance, faults.into_faults()))
     })?;
     let mut page = InstancePage {
@@ -128,7 +127,7 @@
 }
 
 fn model(value: &Value, path: FieldPath<'_>, faults: &FaultCollector) -> Option<ModelVersion> {
-    let reader = ObjectReader::from_value(value, path, faults)?;
+    let reader = ObjectReader::new(value, path, faults)?;
     let name = reader.text("name");
     let version = reader.integer_or("version", 0);
     Some(ModelVersion {
--- a/crates/lockusher-config/src/json/document.rs
+++ b/crates/lockusher-config/src/json/document.rs
@@ -14,7 +14,7 @@
     let value = parse_unique(body).map_err(Faults::unreadable)?;
     let faults = FaultCollector::default();
     let result =
-        ObjectReader::from_value(&value, FieldPath::Root, &faults).and_then(|reader| read(&reader));
+        ObjectReader::new(&value, FieldPath::Root, &faults).and_then(|reader| read(&reader));
     let faults = faults.into_faults();
     match result {
         Some(result) if faults.is_empty() => Ok(result),
--- a/crates/lockusher-config/src/json/object_reader.rs
+++ b/crates/lockusher-config/src/json/object_reader.rs
@@ -24,11 +24,7 @@
 
 impl<'a> ObjectReader<'a> {
     /// Creates a reader of `value`; adds a fault if it isn't an object.
-    pub fn from_value(
-        value: &'a Value,
-        path: FieldPath<'a>,
-        faults: &'a FaultCollector,
-    ) -> Option<Self> {
+    pub fn new(value: &'a Value, path: FieldPath<'a>, faults: &'a FaultCollector) -> Option<Self> {
         let Some(fields) = value.as_object() else {
             faults.add(path, unexpected("an object", value));
             return None;
@@ -174,11 +170,8 @@
     ) -> Option<T> {
         match self.value(name) {
             Some(value) => {
-                let reader = ObjectReader::from_value(
-                    value,
-                    FieldPath::Field(&self.path, name),
-                    self.faults,
-                )?;
+                let reader =
+                    ObjectReader::new(value, FieldPath::Field(&self.path, name), self.faults)?;
                 read(&reader)
             }
             None => Some(default),
@@ -217,7 +210,7 @@
         mut read: impl FnMut(&ObjectReader<'_>) -> Option<T>,
     ) -> Option<Vec<T>> {
         self.list(name, |value, path| {
-            read(&ObjectReader::from_value(value, path, self.faults)?)
+            read(&ObjectReader::new(value, path, self.faults)?)
         })
     }
 
--- a/crates/lockusher-node/src/role.rs
+++ b/crates/lockusher-node/src/role.rs
@@ -60,9 +60,7 @@
         let stop = async move {
             let reload = || match settings_file::load(&file) {
                 Ok(settings) => settings_changed(settings),
-                Err(error) => {
-                    log::error!("settings not reloaded, the previous ones stay in force: {error}")
-                }
+                Err(error) => log::error!("settings not reloaded: {error}"),
             };
             if let Err(error) = signals.until_stop(reload).await {
                 log::error!("stopping, cannot read signals: {error}");
--- a/crates/lockusher-node/src/roles.rs
+++ b/crates/lockusher-node/src/roles.rs
@@ -23,7 +23,7 @@
     },
     Role {
         name: "agent",
-        summary: "Relay configuration and instance list to this machine's proxy; run a control node, if the settings say so",
+        summary: "Relay control-plane state to this machine's proxy; run a control node, if configured",
         run: agent,
     },
     Role {
--- a/crates/lockusher-node/tests/check.rs
+++ b/crates/lockusher-node/tests/check.rs
@@ -120,11 +120,7 @@
     },
     no_operator_address = { "no-operator-address", &[COUNTS_FOR_QUORUM, DATA_DIRECTORY], "" },
 )]
-fn the_description_of_settings_states_what_the_agent_does_for_the_control_plane(
-    name: &str,
-    lines: &[&str],
-    expected: &str,
-) {
+fn the_agents_control_mode_is_described(name: &str, lines: &[&str], expected: &str) {
     let settings = write_file(
         &format!("machine-{name}.conf"),
         &format!("{VALID_SETTINGS}{}", lines.concat()),
