--- a/crates/lockusher-config/src/configuration.rs
+++ b/crates/lockusher-config/src/configuration.rs
@@ -2,8 +2,8 @@
 //!
 //! [`configuration_reader`](crate::configuration_reader) parses it from the operator's document; the control plane
 //! replicates the document, and agents distribute it to the proxies. The reader guarantees that every service that a
-//! route names exists, that no two routes share host and prefix, and that the weights of a traffic split don't sum to
-//! 0. These types are encoded with `bitcode`, which identifies fields and variants by order and type: neither may
+//! route names exists, that no two routes share host and prefix, and that the weights of a traffic split don't sum
+//! to 0. These types are encoded with `bitcode`, which identifies fields and variants by order and type: neither may
 //! change. Source: the operators' pages (PROTOCOL, "Requests" and "The operator's API"). Durations are in milliseconds,
 //! whatever the unit of the key.
 
@@ -56,8 +56,7 @@
     /// The services that serve the route's requests, by weight; key `trafficSplit`, or `service` for a single one.
     /// Never empty; the weights never sum to 0.
     pub split: Vec<WeightedService>,
-    /// Maximum number of attempts, each at a searcher, for one request of a client; key `attempts`, by default 1, above
-    /// 0.
+    /// Maximum number of searchers to which one request of a client is sent; key `attempts`, by default 1, above 0.
     pub attempts: u32,
     /// Whether requests name the shared prefixes of their prompts (`Prompt-Prefix`), for prefix-cache affinity; key
     /// `sticky`, by default `false`. The proxy relies on the header of each request instead.
@@ -119,8 +118,7 @@
     /// How long a prefill searcher reserves the KV cache of a prompt for transfer to the decode searcher, in
     /// milliseconds; key `handleHoldS`, by default 1 s.
     pub handle_hold_ms: u64,
-    /// How long a searcher takes to switch between prefill and decode, in milliseconds; key `roleSwitchS`, by default 5
-    /// s.
+    /// How long a searcher takes to change its stage, in milliseconds; key `roleSwitchS`, by default 5 s.
     pub role_switch_ms: u64,
     /// Names of the models that the searchers serve; key `models`, by default none.
     pub models: Vec<String>,
--- a/crates/lockusher-config/src/settings.rs
+++ b/crates/lockusher-config/src/settings.rs
@@ -59,8 +59,8 @@
     pub bounds: Bounds,
     /// Address of the platform's instance list; key `cloud.address`, required.
     pub cloud_address: SocketAddrV4,
-    /// Rate limit of the instance list, in calls per second from all nodes together; key `cloud.ratePerS`, by default
-    /// 1. The poller stays below it.
+    /// Rate limit of the instance list, in calls per second from all nodes together; key `cloud.ratePerS`, by
+    /// default 1. The poller stays below it.
     pub cloud_rate_per_s: f64,
     /// Age of the instance list when it is served, in milliseconds; key `cloud.lagMs`, by default 1 s. The stage
     /// scheduler waits for that long for its assignments to appear in the list.
