--- a/crates/lockusher-config/src/settings.rs
+++ b/crates/lockusher-config/src/settings.rs
@@ -128,8 +128,8 @@
 }
 
 /// Limits of the guarantees that the deployment's rules define. The defaults are strict. The programs use
-/// `acknowledge_ms`, `catch_up_ms`, `drain_ms`, `grace_ms`, the retry budget with its window, `again_ms` and
-/// `lease_ms`; they meet the other guarantees whatever the values.
+/// `acknowledge_ms`, `catch_up_ms`, `drain_ms`, `grace_ms`, the retry budget with its window, `lease_ms` and
+/// `again_ms`; they meet the other guarantees whatever the values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Maximum age of the operator's list of control nodes, in milliseconds; key `bounds.seedLagS`, by default 3 s.
