--- a/crates/lockusher-agent/src/serve.rs
+++ b/crates/lockusher-agent/src/serve.rs
@@ -13,7 +13,7 @@
 use compio::runtime::{JoinHandle, spawn};
 use futures_util::future::{Either, select};
 use futures_util::pin_mut;
-use lockusher_config::settings::{EdgeControl, NodeSettings};
+use lockusher_config::settings::{AgentControlMode, NodeSettings};
 use lockusher_distribution::serve::{self, SharedPublisher};
 use lockusher_transport::tcp::unless_stopped;
 
@@ -99,7 +99,7 @@
     );
     let agent = Rc::new(AgentState::create(settings, ports).await?);
     let settings = &agent.settings;
-    let redirects = settings.edge_control() == EdgeControl::Redirect;
+    let redirects = settings.agent_control_mode() == AgentControlMode::Redirect;
     let peer_listener = listen(ports.peer_address(settings)).await?;
     let operator_listener = match settings.control.filter(|_| redirects) {
         Some(address) => Some(listen(address).await?),
--- a/crates/lockusher-config/src/configuration.rs
+++ b/crates/lockusher-config/src/configuration.rs
@@ -64,7 +64,7 @@
     /// Whether a stream may be resumed at another searcher with `Last-Event-Id`; key `resumable`, by default `false`.
     pub resumable: bool,
     /// Latency target between the events of a stream, in milliseconds; key `gap_aim_ms`, by default (and if 0) none.
-    pub gap_aim_ms: Option<u64>,
+    pub target_gap_ms: Option<u64>,
 }
 
 impl Route {
--- a/crates/lockusher-config/src/configuration_reader/route.rs
+++ b/crates/lockusher-config/src/configuration_reader/route.rs
@@ -30,7 +30,7 @@
     let attempts = reader.positive_u32_or("attempts", DEFAULT_ATTEMPTS);
     let sticky = reader.flag_or("sticky", false);
     let resumable = reader.flag_or("resumable", false);
-    let gap_aim_ms = reader.ms_or("gap_aim_ms", 0);
+    let target_gap_ms = reader.ms_or("gap_aim_ms", 0);
     Some(Route {
         name: name?,
         host: host?,
@@ -44,7 +44,7 @@
         attempts: attempts?,
         sticky: sticky?,
         resumable: resumable?,
-        gap_aim_ms: non_zero(gap_aim_ms?),
+        target_gap_ms: non_zero(target_gap_ms?),
     })
 }
 
--- a/crates/lockusher-config/src/instances.rs
+++ b/crates/lockusher-config/src/instances.rs
@@ -26,7 +26,7 @@
     pub state: InstanceState,
     /// Remaining time for which it is warming up after its start, in milliseconds; key `coldRemainingMs`, by default 0.
     /// The proxy's slow start lasts at least as long.
-    pub cold_remaining_ms: u64,
+    pub warm_up_remaining_ms: u64,
     /// The inference stage that it serves; key `stage`, absent for searchers without an inference engine.
     pub stage: Option<Stage>,
     /// The models that it has loaded; key `models`, by default none.
--- a/crates/lockusher-config/src/instances_reader.rs
+++ b/crates/lockusher-config/src/instances_reader.rs
@@ -72,7 +72,7 @@
     let version = reader.text_or("version", "");
     let slots = reader.positive_u32_or("slots", 1);
     let state = state(reader);
-    let cold_remaining_ms = reader.ms_or("coldRemainingMs", 0);
+    let warm_up_remaining_ms = reader.ms_or("coldRemainingMs", 0);
     let stage = stage(reader);
     let models = reader.list_or_empty("models", |value, path| model(value, path, reader.faults()));
     Some(Instance {
@@ -83,7 +83,7 @@
         version: version?,
         slots: slots?,
         state: state?,
-        cold_remaining_ms: cold_remaining_ms?,
+        warm_up_remaining_ms: warm_up_remaining_ms?,
         stage: stage?,
         models: models?,
     })
--- a/crates/lockusher-config/src/settings.rs
+++ b/crates/lockusher-config/src/settings.rs
@@ -129,7 +129,7 @@
 
 /// Limits of the guarantees that the deployment's rules define. The defaults are strict. The programs use
 /// `acknowledge_ms`, `catch_up_ms`, `drain_ms`, `grace_ms`, the retry budget with its window, `lease_ms` and
-/// `again_ms`; they meet the other guarantees whatever the values.
+/// `repeated_prefill_window_ms`; they meet the other guarantees whatever the values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Maximum age of the operator's list of control nodes, in milliseconds; key `bounds.seedLagS`, by default 3 s.
@@ -179,7 +179,7 @@
     pub transit_ms: u64,
     /// Time after the last use of a shared prefix within which another prefill of it has a cost, in milliseconds; key
     /// `bounds.again_s`, by default 10 s. The proxy's prefix-cache affinity lasts for a multiple of it.
-    pub again_ms: u64,
+    pub repeated_prefill_window_ms: u64,
     /// Whether searchers reject orders with a stale fencing token; key `bounds.fenced`, by default `false`.
     pub fenced: bool,
     /// Time within which two holders of a lease must not both send orders, in milliseconds; key `bounds.leaseMs`, by
@@ -192,7 +192,7 @@
 
 /// What the role `agent` does for the control plane on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EdgeControl {
+pub enum AgentControlMode {
     /// Runs a control node in the agent's process: the machine counts for the quorum and has a disk.
     ControlNode,
     /// Redirects the operator's requests to a control node.
@@ -238,12 +238,12 @@
 
     /// What the agent's process does for the control plane. A machine that doesn't count for the quorum, or has no
     /// disk, only redirects operators.
-    pub fn edge_control(&self) -> EdgeControl {
+    pub fn agent_control_mode(&self) -> AgentControlMode {
         let can_be_control_node = self.counts_for_quorum && self.data_directory.is_some();
         match self.control {
-            None => EdgeControl::None,
-            Some(_) if can_be_control_node => EdgeControl::ControlNode,
-            Some(_) => EdgeControl::Redirect,
+            None => AgentControlMode::None,
+            Some(_) if can_be_control_node => AgentControlMode::ControlNode,
+            Some(_) => AgentControlMode::Redirect,
         }
     }
 }
--- a/crates/lockusher-config/src/settings_reader/bounds.rs
+++ b/crates/lockusher-config/src/settings_reader/bounds.rs
@@ -21,7 +21,7 @@
     retry_budget_slack: 10.0,
     recovery_ms: 10_000,
     transit_ms: 100,
-    again_ms: 10_000,
+    repeated_prefill_window_ms: 10_000,
     fenced: false,
     lease_ms: 3_000,
     thaw_ms: 300,
@@ -46,7 +46,8 @@
     let retry_budget_slack = lines.number("bounds.retryBudgetSlack", default.retry_budget_slack);
     let recovery_ms = lines.seconds_as_ms("bounds.recoveryS", default.recovery_ms);
     let transit_ms = lines.ms("bounds.transitMs", default.transit_ms);
-    let again_ms = lines.seconds_as_ms("bounds.again_s", default.again_ms);
+    let repeated_prefill_window_ms =
+        lines.seconds_as_ms("bounds.again_s", default.repeated_prefill_window_ms);
     let fenced = lines.value_or("bounds.fenced", "true or false", default.fenced);
     let lease_ms = lines.ms("bounds.leaseMs", default.lease_ms);
     let thaw_ms = lines.ms("bounds.thawMs", default.thaw_ms);
@@ -67,7 +68,7 @@
         retry_budget_slack: retry_budget_slack?,
         recovery_ms: recovery_ms?,
         transit_ms: transit_ms?,
-        again_ms: again_ms?,
+        repeated_prefill_window_ms: repeated_prefill_window_ms?,
         fenced: fenced?,
         lease_ms: lease_ms?,
         thaw_ms: thaw_ms?,
--- a/crates/lockusher-config/tests/configuration.rs
+++ b/crates/lockusher-config/tests/configuration.rs
@@ -35,7 +35,7 @@
     );
     assert_eq!((chat.timeout_ms, chat.target_latency_ms), (8_100, 910));
     assert_eq!(
-        (chat.priority, chat.attempts, chat.gap_aim_ms),
+        (chat.priority, chat.attempts, chat.target_gap_ms),
         (2, 3, Some(135))
     );
     assert!(chat.sticky && chat.resumable && chat.is_idempotent());
@@ -50,7 +50,7 @@
         (RouteKind::Idempotent, true, false)
     );
     assert_eq!(
-        (pay.kind, pay.is_idempotent(), pay.gap_aim_ms),
+        (pay.kind, pay.is_idempotent(), pay.target_gap_ms),
         (RouteKind::NonIdempotent, false, None)
     );
     assert_eq!(pay.split.len(), 1);
--- a/crates/lockusher-config/tests/instances.rs
+++ b/crates/lockusher-config/tests/instances.rs
@@ -33,7 +33,11 @@
         ("172.20.3.4:9911", "east-2")
     );
     assert_eq!(
-        (first.version.as_str(), first.slots, first.cold_remaining_ms),
+        (
+            first.version.as_str(),
+            first.slots,
+            first.warm_up_remaining_ms
+        ),
         ("r17", 21, 650)
     );
     assert_eq!(
--- a/crates/lockusher-config/tests/route_table.rs
+++ b/crates/lockusher-config/tests/route_table.rs
@@ -23,7 +23,7 @@
         attempts: 1,
         sticky: false,
         resumable: false,
-        gap_aim_ms: None,
+        target_gap_ms: None,
     }
 }
 
--- a/crates/lockusher-config/tests/settings.rs
+++ b/crates/lockusher-config/tests/settings.rs
@@ -108,7 +108,10 @@
         ),
         (34.0, 17_000, 190)
     );
-    assert_eq!((bounds.again_ms, bounds.fenced), (8_400, true));
+    assert_eq!(
+        (bounds.repeated_prefill_window_ms, bounds.fenced),
+        (8_400, true)
+    );
     assert_eq!((bounds.lease_ms, bounds.thaw_ms), (2_300, 410));
 }
 
--- a/crates/lockusher-control/src/stage_scheduler/searcher_selection.rs
+++ b/crates/lockusher-control/src/stage_scheduler/searcher_selection.rs
@@ -51,7 +51,7 @@
         (
             Reverse(zone.in_stage),
             zone.in_other_stage,
-            searcher.cold_remaining_ms,
+            searcher.warm_up_remaining_ms,
             searcher.identifier.as_str(),
         )
     };
--- a/crates/lockusher-control/tests/stage_switch_overlay.rs
+++ b/crates/lockusher-control/tests/stage_switch_overlay.rs
@@ -15,7 +15,7 @@
         version: "v1".to_owned(),
         slots: 8,
         state,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         stage: Some(stage),
         models: Vec::new(),
     }
--- a/crates/lockusher-control/tests/support/staged_fleet.rs
+++ b/crates/lockusher-control/tests/support/staged_fleet.rs
@@ -58,7 +58,7 @@
         version: "v1".to_owned(),
         slots: 100,
         state: InstanceState::Ready,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         stage: Some(stage),
         models: vec![ModelVersion {
             name: "m".to_owned(),
--- a/crates/lockusher-distribution/src/instance_list_poller.rs
+++ b/crates/lockusher-distribution/src/instance_list_poller.rs
@@ -263,7 +263,7 @@
         if let Ok(position) = known
             && only_counts_down(&last[position], instance)
         {
-            instance.cold_remaining_ms = last[position].cold_remaining_ms;
+            instance.warm_up_remaining_ms = last[position].warm_up_remaining_ms;
         }
     }
     if **last == found {
@@ -275,5 +275,5 @@
 
 /// Whether a searcher is warming up in the newer entry, with no more time remaining than in the older.
 fn only_counts_down(older: &Instance, newer: &Instance) -> bool {
-    newer.cold_remaining_ms > 0 && newer.cold_remaining_ms <= older.cold_remaining_ms
+    newer.warm_up_remaining_ms > 0 && newer.warm_up_remaining_ms <= older.warm_up_remaining_ms
 }
--- a/crates/lockusher-distribution/tests/recorded_bytes.rs
+++ b/crates/lockusher-distribution/tests/recorded_bytes.rs
@@ -113,7 +113,7 @@
         attempts: 3,
         sticky: true,
         resumable: false,
-        gap_aim_ms: None,
+        target_gap_ms: None,
     };
     let orders = Route {
         name: "orders".to_owned(),
@@ -143,7 +143,7 @@
         attempts: 2,
         sticky: false,
         resumable: true,
-        gap_aim_ms: Some(250),
+        target_gap_ms: Some(250),
     };
     vec![search, orders, chat]
 }
@@ -239,7 +239,7 @@
         version: "1.4.2".to_owned(),
         slots: 32,
         state: InstanceState::Ready,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         stage: None,
         models: Vec::new(),
     };
@@ -250,7 +250,7 @@
         zone: "b".to_owned(),
         slots: 48,
         state: InstanceState::Changing,
-        cold_remaining_ms: 70_000,
+        warm_up_remaining_ms: 70_000,
         stage: Some(Stage::Prefill),
         models: vec![
             ModelVersion {
--- a/crates/lockusher-distribution/tests/support/mod.rs
+++ b/crates/lockusher-distribution/tests/support/mod.rs
@@ -27,7 +27,7 @@
         attempts: 2,
         sticky: false,
         resumable: false,
-        gap_aim_ms: None,
+        target_gap_ms: None,
     }
 }
 
@@ -67,7 +67,7 @@
         version: "v1".to_owned(),
         slots: 4,
         state: InstanceState::Ready,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         stage: None,
         models: vec![],
     }
@@ -80,9 +80,9 @@
     }
 }
 
-pub fn warming_up(identifier: &str, cold_remaining_ms: u64) -> Instance {
+pub fn warming_up(identifier: &str, warm_up_remaining_ms: u64) -> Instance {
     Instance {
-        cold_remaining_ms,
+        warm_up_remaining_ms,
         ..instance(identifier)
     }
 }
--- a/crates/lockusher-node/src/check.rs
+++ b/crates/lockusher-node/src/check.rs
@@ -9,7 +9,7 @@
 
 use lockusher_config::configuration::Configuration;
 use lockusher_config::fault::Faults;
-use lockusher_config::settings::{EdgeControl, NodeSettings};
+use lockusher_config::settings::{AgentControlMode, NodeSettings};
 
 use crate::command_line::FilesToCheck;
 
@@ -63,10 +63,10 @@
 /// Describes what the settings imply for the machine.
 fn describe_settings(settings: &NodeSettings) -> String {
     let node = &settings.node;
-    let control_plane = match settings.edge_control() {
-        EdgeControl::ControlNode => ", the role agent also runs a control node",
-        EdgeControl::Redirect => ", the role agent redirects operators to a control node",
-        EdgeControl::None => "",
+    let control_plane = match settings.agent_control_mode() {
+        AgentControlMode::ControlNode => ", the role agent also runs a control node",
+        AgentControlMode::Redirect => ", the role agent redirects operators to a control node",
+        AgentControlMode::None => "",
     };
     let mut description = format!("settings of node {node}{control_plane}");
     if settings.counts_for_quorum && settings.data_directory.is_none() {
--- a/crates/lockusher-node/src/roles.rs
+++ b/crates/lockusher-node/src/roles.rs
@@ -5,7 +5,7 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use lockusher_config::settings::{EdgeControl, InternalListener};
+use lockusher_config::settings::{AgentControlMode, InternalListener};
 use lockusher_control::serve::ControlOptions;
 use lockusher_distribution::message::SubscriberIdentity;
 use lockusher_distribution::subscribe::subscribe;
@@ -49,7 +49,7 @@
             stage_assignment: context.options.stage_orders,
         };
         let (settings, stop) = context.start(|_| ())?;
-        if settings.edge_control() != EdgeControl::ControlNode {
+        if settings.agent_control_mode() != AgentControlMode::ControlNode {
             return Ok(lockusher_agent::serve::run(settings, stop).await?);
         }
         log::info!("a control node runs beside the agent");
--- a/crates/lockusher-proxy/src/attempt_policy.rs
+++ b/crates/lockusher-proxy/src/attempt_policy.rs
@@ -41,6 +41,6 @@
 /// How long a stream may be inactive, also before its first event, until clients give up (PROTOCOL, "Requests").
 fn client_inactivity_timeout(route: &Route) -> Duration {
     let by_latency = Duration::from_millis(INACTIVITY_TARGET_LATENCIES * route.target_latency_ms);
-    let by_gap = Duration::from_millis(INACTIVITY_GAP_TARGETS * route.gap_aim_ms.unwrap_or(0));
+    let by_gap = Duration::from_millis(INACTIVITY_GAP_TARGETS * route.target_gap_ms.unwrap_or(0));
     MIN_CLIENT_INACTIVITY_TIMEOUT.max(by_latency).max(by_gap)
 }
--- a/crates/lockusher-proxy/src/decision/interface.rs
+++ b/crates/lockusher-proxy/src/decision/interface.rs
@@ -37,7 +37,7 @@
             retry_budget_ratio: node.bounds.retry_budget_ratio,
             retry_budget_slack: node.bounds.retry_budget_slack,
             budget_window_ms: node.bounds.budget_window_ms,
-            repeated_prefill_window_ms: node.bounds.again_ms,
+            repeated_prefill_window_ms: node.bounds.repeated_prefill_window_ms,
             drain_ms: node.bounds.drain_ms,
         }
     }
--- a/crates/lockusher-proxy/src/decision/searcher.rs
+++ b/crates/lockusher-proxy/src/decision/searcher.rs
@@ -145,7 +145,7 @@
             .bytes()
             .fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
         let slow_start_duration = if starts_slowly {
-            SLOW_START.max(instance.cold_remaining_ms * 1_000)
+            SLOW_START.max(instance.warm_up_remaining_ms * 1_000)
         } else {
             0
         };
--- a/crates/lockusher-proxy/tests/decision_support/mod.rs
+++ b/crates/lockusher-proxy/tests/decision_support/mod.rs
@@ -83,7 +83,7 @@
         version: "v1".into(),
         slots: 32,
         state: InstanceState::Ready,
-        cold_remaining_ms: 0,
+        warm_up_remaining_ms: 0,
         stage,
         models: vec![ModelVersion {
             name: "m".into(),
--- a/crates/lockusher-proxy/tests/support/deployment.rs
+++ b/crates/lockusher-proxy/tests/support/deployment.rs
@@ -47,7 +47,7 @@
         attempts,
         sticky: false,
         resumable,
-        gap_aim_ms: Some(250),
+        target_gap_ms: Some(250),
     }
 }
 
@@ -130,7 +130,7 @@
         retry_budget_slack: 52.0,
         recovery_ms: 12_000,
         transit_ms: 120,
-        again_ms: 7_500,
+        repeated_prefill_window_ms: 7_500,
         fenced: false,
         lease_ms: 3_000,
         thaw_ms: 300,
--- a/crates/lockusher-proxy/tests/support/mod.rs
+++ b/crates/lockusher-proxy/tests/support/mod.rs
@@ -224,7 +224,7 @@
             version: "v1".to_owned(),
             slots: 8,
             state: InstanceState::Ready,
-            cold_remaining_ms: 0,
+            warm_up_remaining_ms: 0,
             stage,
             models: Vec::new(),
         };
--- a/crates/lockusher-router-testbed/src/configuration.rs
+++ b/crates/lockusher-router-testbed/src/configuration.rs
@@ -37,7 +37,7 @@
                 .collect();
         }
     }
-    if let Some(gap) = route.gap_aim_ms {
+    if let Some(gap) = route.target_gap_ms {
         json["gap_aim_ms"] = json!(gap);
     }
     json
--- a/crates/lockusher-router-testbed/src/deployment.rs
+++ b/crates/lockusher-router-testbed/src/deployment.rs
@@ -74,7 +74,7 @@
         attempts: 2,
         sticky: kind == RouteKind::Streaming,
         resumable: false,
-        gap_aim_ms: (kind == RouteKind::Streaming).then_some(400),
+        target_gap_ms: (kind == RouteKind::Streaming).then_some(400),
     }
 }
 
@@ -147,7 +147,7 @@
         deadline: Duration::from_millis(route.timeout_ms),
         disconnects_after: None,
         latency_target: Duration::from_millis(route.target_latency_ms),
-        gap_target: Duration::from_millis(route.gap_aim_ms.unwrap_or(0)),
+        gap_target: Duration::from_millis(route.target_gap_ms.unwrap_or(0)),
         retries: 1,
         prompt: Vec::new(),
         tokens_out: if streaming { 24 } else { 0 },
--- a/crates/lockusher-router-testbed/tests/specs/mod.rs
+++ b/crates/lockusher-router-testbed/tests/specs/mod.rs
@@ -68,7 +68,7 @@
         attempts: 2,
         sticky: false,
         resumable: false,
-        gap_aim_ms: None,
+        target_gap_ms: None,
     }
 }
 
