--- a/crates/lockusher-policy/src/policy.rs
+++ b/crates/lockusher-policy/src/policy.rs
@@ -6,17 +6,17 @@
 //! [`Policy::schedule`] for the multigets that are due. The host keeps the timers and the multigets and
 //! carries out each [`Decision`]. The types are in `interface.rs`; `docs/design.md` gives the reasons.
 
-mod budgets;
-mod gate;
+mod admission;
+mod latency_target;
 mod retries;
 mod searcher;
-mod sender;
+mod selector;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use self::searcher::Searcher;
-pub use self::{gate::Admission, retries::Retries, sender::Selector};
+pub use self::{admission::Admission, retries::Retries, selector::Selector};
 use crate::interface::*;
 use crate::scoring::blend;
 
--- a/crates/lockusher-policy/src/policy/searcher.rs
+++ b/crates/lockusher-policy/src/policy/searcher.rs
@@ -1,6 +1,6 @@
 //! State of one searcher: its attempts in flight, its averages, and its slow start.
 
-use super::gate::RECENT_S;
+use super::admission::RECENT_S;
 use crate::interface::*;
 use crate::scoring::{NEWEST, blend};
 
