--- a/crates/lockusher-policy/src/policy/selector.rs
+++ b/crates/lockusher-policy/src/policy/selector.rs
@@ -26,7 +26,8 @@
     pub(super) budgets: TokenBuckets,
 }
 
-/// Over the last thirty attempts, as a few prove little; remembered as long as a searcher's averages.
+/// The newest attempt weighs 1/15, so the ratio reaches back about thirty attempts, as a few prove little. It
+/// decays with the half-life of a searcher's averages.
 type LossRatio = FailureRatio<15, 1, HALF_LIFE_S>;
 
 /// Statistics of the whole fleet, updated once per outcome, so that selection only visits a part's holders.
