--- a/crates/lockusher-membership/src/lib.rs
+++ b/crates/lockusher-membership/src/lib.rs
@@ -1,8 +1,8 @@
 //! The view of the fleet that mixers keep among themselves, based on SWIM and Lifeguard. `core` makes all decisions,
 //! without I/O, clock or hidden randomness: the same inputs produce the same bytes. `io` runs it over one UDP socket in
-//! the mixer's own thread.
+//! the mixer's own thread. `docs/design/membership.md` names the publications and describes the differences from them.
 
-// Some public items have no doc comments yet.
+// Lints of the workspace that this package does not satisfy yet; docs/ROADMAP.md lists what remains.
 #![allow(missing_docs, clippy::missing_errors_doc)]
 
 pub mod core;
