--- a/crates/lockusher-membership/src/shared/consensus.rs
+++ b/crates/lockusher-membership/src/shared/consensus.rs
@@ -9,8 +9,8 @@
 use super::records::{Fault, Verdict};
 use crate::core::table::{MixerName, StableHasher};
 
-/// Older observations of a searcher are not published, as other mixers may have newer ones.
-const OBSERVATION_MAX_AGE: Span = Span::from_millis(5_000);
+/// Time to live of a local observation: an older one is not published, as other mixers may have newer ones.
+const TTL: Span = Span::from_millis(5_000);
 /// A searcher is silent when a send has been unanswered for this multiple of its peers' latency, and for at least
 /// `MIN_SILENCE`.
 const SILENCE_FACTOR: f64 = 4.0;
@@ -21,7 +21,7 @@
 /// A success ratio below this is published: two failures in a row, or half of many sends.
 const ERRS_BELOW: f64 = 0.5;
 /// A success ratio above this is fine; one failure in a row is within it.
-const FINE_ABOVE: f64 = 0.6;
+const FINE: f64 = 0.6;
 /// A searcher that answered within this time after others first found it faulty may have died in between: an answer in
 /// flight when the process ends arrives a little later, and ages have a resolution of a millisecond.
 const TRANSIT_TOLERANCE: Span = Span::from_millis(50);
@@ -64,7 +64,7 @@
         // Before that, it may still have answered other mixers.
         return verdict(Fault::Down, DOWN_SUCCESS_RATIO, since + timeout, now);
     }
-    if now.since(seen.heard) > OBSERVATION_MAX_AGE {
+    if now.since(seen.heard) > TTL {
         return None;
     }
     if let Some(since) = seen.down_since {
@@ -91,9 +91,8 @@
     seen: &[SearcherObservation],
     accused: &Accusations,
 ) -> Vec<(SearcherId, Verdict)> {
-    let is_recent = |s: &&SearcherObservation| {
-        now.since(s.heard) <= OBSERVATION_MAX_AGE || s.silent_since.is_some()
-    };
+    let is_recent =
+        |s: &&SearcherObservation| now.since(s.heard) <= TTL || s.silent_since.is_some();
     let peer_latency = median(seen.iter().filter_map(|s| s.latency));
     let (mut tried, mut verdicts) = (0, Vec::new());
     for seen in seen.iter().filter(is_recent) {
@@ -112,13 +111,13 @@
         |s: &&SearcherObservation| s.latency.is_some_and(|l| l < peer_latency * SLOW_FACTOR);
     let fine = seen
         .iter()
-        .filter(|s| s.good > FINE_ABOVE && s.down_since.is_none() && s.silent_since.is_none());
+        .filter(|s| s.good > FINE && s.down_since.is_none() && s.silent_since.is_none());
     let fine = fine.filter(is_quick);
-    for seen in fine.filter(|s| now.since(s.heard) <= OBSERVATION_MAX_AGE) {
+    for seen in fine.filter(|s| now.since(s.heard) <= TTL) {
         let accusation = accused
             .get(&seen.id)
             .filter(|accusation| accusation.defenders < MAX_WITNESSES);
-        if accusation.is_some_and(|accusation| seen.heard > accusation.since + TRANSIT_TOLERANCE)
+        if accusation.is_some_and(|a| seen.heard > a.since + TRANSIT_TOLERANCE)
             && verdicts.iter().all(|(id, _)| *id != seen.id)
         {
             let (searcher_start, at) = (seen.life, seen.heard);
--- a/crates/lockusher-membership/src/shared/warm_start.rs
+++ b/crates/lockusher-membership/src/shared/warm_start.rs
@@ -92,7 +92,7 @@
 ) -> impl Iterator<Item = proto::KnownSearcher> {
     let recent = seen
         .iter()
-        .filter(move |seen| now.since(seen.heard) <= MAX_AGE && seen.silent_since.is_none());
+        .filter(move |s| now.since(s.heard) <= MAX_AGE && s.silent_since.is_none());
     recent.filter_map(move |seen| {
         let latency_us = (seen.latency? * 1e6).round() as u32;
         Some(proto::KnownSearcher {
