--- a/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
@@ -21,7 +21,7 @@
 /// What a member may spend on an average.
 const EACH: f64 = 3.0;
 
-fn glimpse(searcher: usize, now: Time, down_since: Option<Time>) -> SearcherObservation {
+fn observation(searcher: usize, now: Time, down_since: Option<Time>) -> SearcherObservation {
     let good = if down_since.is_some() { 0.1 } else { 1.0 };
     SearcherObservation {
         id: SearcherId::new(&format!("s{searcher}")),
@@ -66,9 +66,9 @@
         for (nth, mixer) in up.into_iter().enumerate() {
             let seen = (0..SEARCHERS).filter_map(|searcher| match self.down {
                 Some((of, since)) if of == searcher => {
-                    (nth % every == 0).then(|| glimpse(of, now, Some(since)))
+                    (nth % every == 0).then(|| observation(of, now, Some(since)))
                 }
-                _ => Some(glimpse(searcher, now, None)),
+                _ => Some(observation(searcher, now, None)),
             });
             let own = LocalReport {
                 seen: seen.collect(),
--- a/crates/lockusher-aggregator/src/program/serve.rs
+++ b/crates/lockusher-aggregator/src/program/serve.rs
@@ -114,12 +114,12 @@
     // Queries are rare, and each is answered at once.
     let (ask, ask_receiver) = mpsc::channel(4);
     let router_queue = queue.clone();
-    let forward_news = move |news| router_queue.try_send(RouterEvent::Fleet(news)).is_ok();
+    let forward_update = move |update| router_queue.try_send(RouterEvent::Fleet(update)).is_ok();
     actix_rt::spawn(io::run(
         socket,
         core,
         move || clock.now(),
-        forward_news,
+        forward_update,
         ask_receiver,
     ));
     if set.shares.is_some() {
--- a/crates/lockusher-aggregator/src/protocol/fleet.rs
+++ b/crates/lockusher-aggregator/src/protocol/fleet.rs
@@ -7,17 +7,17 @@
 
 /// Encodes the state shared between mixers.
 fn encode_shared(now: Time, shared: &shared_state::SharedStatus) -> Value {
-    let judgements: Vec<Value> = shared
+    let verdicts: Vec<Value> = shared
         .standing
         .iter()
-        .map(|judgement| {
+        .map(|verdict| {
             json!({
-                "searcher": judgement.judged.id.as_str(),
-                "fault": judgement.fault.as_str(),
-                "good": judgement.judged.good,
-                "slower": judgement.judged.slower,
-                "seen_ms_ago": now.since(judgement.judged.at).as_micros() / 1_000,
-                "witnesses": judgement.witnesses.iter().map(lockusher_membership::core::table::MixerName::as_str).collect::<Vec<_>>(),
+                "searcher": verdict.judged.id.as_str(),
+                "fault": verdict.fault.as_str(),
+                "good": verdict.judged.good,
+                "slower": verdict.judged.slower,
+                "seen_ms_ago": now.since(verdict.judged.at).as_micros() / 1_000,
+                "witnesses": verdict.witnesses.iter().map(lockusher_membership::core::table::MixerName::as_str).collect::<Vec<_>>(),
             })
         })
         .collect();
@@ -29,19 +29,19 @@
         Budget::Probes => "probes".to_owned(),
         Budget::Tenant(TenantId(nth)) => format!("tenant {nth}"),
     };
-    let portions: Vec<Value> = shared
+    let shares: Vec<Value> = shared
         .portions
         .iter()
-        .map(|(budget, portion)| {
-            let lapses_in_ms = portion.until.since(now).as_micros() / 1_000;
-            json!({ "budget": budget_name(budget), "own": portion.own, "lent": portion.lent, "lapses_in_ms": lapses_in_ms })
+        .map(|(budget, share)| {
+            let lapses_in_ms = share.until.since(now).as_micros() / 1_000;
+            json!({ "budget": budget_name(budget), "own": share.own, "lent": share.lent, "lapses_in_ms": lapses_in_ms })
         })
         .collect();
     json!({
         "in_contact": shared.in_contact,
-        "portions": portions,
+        "portions": shares,
         "lends": shared.lends,
-        "judged": judgements,
+        "judged": verdicts,
         "records": shared.records,
         "entries": shared.entries,
         "own_entries": shared.own,
--- a/crates/lockusher-aggregator/src/routing/dispatcher.rs
+++ b/crates/lockusher-aggregator/src/routing/dispatcher.rs
@@ -142,8 +142,8 @@
     }
 
     /// Sets this mixer's shares of the fleet-wide budgets for connections and probes.
-    pub fn set_portions(&mut self, portions: &[(Budget, QuotaShare)]) {
-        self.transport.set_portions(self.now, portions);
+    pub fn set_shares(&mut self, shares: &[(Budget, QuotaShare)]) {
+        self.transport.set_shares(self.now, shares);
     }
 
     /// Current rates per second at which these budgets are spent.
@@ -514,27 +514,27 @@
     }
 
     fn wants_admission_trace(&self) -> bool {
-        self.stats.should_log_estimate()
+        self.stats.should_log_admission_trace()
     }
 
-    fn record_admission_trace(&mut self, multiget: &Multiget, estimate: AdmissionTrace) {
+    fn record_admission_trace(&mut self, multiget: &Multiget, admission_trace: AdmissionTrace) {
         /// Maximum number of picks to log; a few suffice, and a wide multiget would flood the log.
         const MAX_PICKS: usize = 6;
-        self.stats.set_estimate_logged();
+        self.stats.set_admission_trace_logged();
         let ms = |secs: f64| (secs * 1_000.0).round() as i64;
         let format_pick = |candidate: &Option<ReplicaEstimate>| match candidate {
-            Some((id, expected, idle, last_heard, good)) => {
+            Some((id, expected, idle, outcome_age, success_ratio)) => {
                 let idle = if *idle { " idle" } else { "" };
                 format!(
-                    "{}:{}ms{idle} heard {}ms ago good {good:.2}",
+                    "{}:{}ms{idle} last outcome {}ms ago success {success_ratio:.2}",
                     id.as_str(),
                     ms(*expected),
-                    ms(*last_heard)
+                    ms(*outcome_age)
                 )
             }
             None => "none".to_owned(),
         };
-        let picks: Vec<String> = estimate
+        let picks: Vec<String> = admission_trace
             .picks
             .iter()
             .take(MAX_PICKS)
@@ -542,11 +542,11 @@
             .collect();
         tracing::info!(
             multiget = multiget.id.as_str(),
-            parts = estimate.picks.len(),
-            pass = format!("{:.2}", estimate.pass),
-            left_ms = ms(estimate.left),
-            unserved = format!("{:.2}", estimate.unserved),
-            peers_ms = ms(estimate.peers),
+            parts = admission_trace.picks.len(),
+            pass = format!("{:.2}", admission_trace.pass),
+            left_ms = ms(admission_trace.left),
+            unserved = format!("{:.2}", admission_trace.unserved),
+            peers_ms = ms(admission_trace.peers),
             picks = picks.join("; "),
             "pushed back unsent"
         );
--- a/crates/lockusher-aggregator/src/routing/mod.rs
+++ b/crates/lockusher-aggregator/src/routing/mod.rs
@@ -204,11 +204,11 @@
                 self.stopped = true;
                 self.host.expire_all(now);
             }
-            RouterEvent::Fleet(news) => {
-                if let PolicyUpdate::QuotaShares(portions) = &news {
-                    self.dispatcher.set_portions(portions);
+            RouterEvent::Fleet(update) => {
+                if let PolicyUpdate::QuotaShares(shares) = &update {
+                    self.dispatcher.set_shares(shares);
                 }
-                self.host.apply_update(now, news);
+                self.host.apply_update(now, update);
             }
             RouterEvent::Report(reply) => {
                 // The receiver may be gone.
--- a/crates/lockusher-aggregator/src/routing/outcome_stats.rs
+++ b/crates/lockusher-aggregator/src/routing/outcome_stats.rs
@@ -34,8 +34,8 @@
 pub struct OutcomeStats {
     period_start: Option<Time>,
     counts: OutcomeCounts,
-    /// Whether the gate's estimate was logged in this period; once a period is enough.
-    estimate_logged: bool,
+    /// Whether an admission trace was logged in this period; one per period is enough.
+    admission_trace_logged: bool,
     totals: Totals,
 }
 
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Whether the gate's estimate at a push-back should be logged; true once a period.
-    pub fn should_log_estimate(&self) -> bool {
-        !self.estimate_logged
+    /// Whether the admission trace of a rejected multiget should be logged; true once a period.
+    pub fn should_log_admission_trace(&self) -> bool {
+        !self.admission_trace_logged
     }
 
-    /// Records that the gate's estimate was logged in this period.
-    pub fn set_estimate_logged(&mut self) {
-        self.estimate_logged = true;
+    /// Records that an admission trace was logged in this period.
+    pub fn set_admission_trace_logged(&mut self) {
+        self.admission_trace_logged = true;
     }
 
     /// Counts a send of a part by its index; sends after the first count as additional.
@@ -88,7 +88,7 @@
             return None;
         }
         let counts = std::mem::take(&mut self.counts);
-        (self.period_start, self.estimate_logged) = (Some(now), false);
+        (self.period_start, self.admission_trace_logged) = (Some(now), false);
         counts
             .has_failures()
             .then_some((counts, now.since(period_start)))
@@ -137,10 +137,10 @@
             None,
             "counts are logged once"
         );
-        assert!(stats.should_log_estimate());
-        stats.set_estimate_logged();
-        assert!(!stats.should_log_estimate(), "one estimate a period");
+        assert!(stats.should_log_admission_trace());
+        stats.set_admission_trace_logged();
+        assert!(!stats.should_log_admission_trace(), "one trace per period");
         stats.finish_period(at_ms(4_300));
-        assert!(stats.should_log_estimate());
+        assert!(stats.should_log_admission_trace());
     }
 }
--- a/crates/lockusher-aggregator/src/routing/searcher_transport.rs
+++ b/crates/lockusher-aggregator/src/routing/searcher_transport.rs
@@ -99,7 +99,7 @@
     fn cancel_unsent(&mut self, to: &SearcherId, part: &PartId, nth: usize) -> bool;
 
     /// Sets this mixer's shares of the fleet-wide budgets for connections and probes.
-    fn set_portions(&mut self, now: Time, portions: &[(Budget, QuotaShare)]);
+    fn set_shares(&mut self, now: Time, shares: &[(Budget, QuotaShare)]);
 
     /// Current rates per second at which these budgets are spent.
     fn spending_rates(&self, now: Time) -> Vec<(Budget, f64)>;
--- a/crates/lockusher-aggregator/src/transport/frame_transport.rs
+++ b/crates/lockusher-aggregator/src/transport/frame_transport.rs
@@ -34,7 +34,7 @@
 
 /// This mixer's shares of the fleet-wide budgets for connections and probes, measured by the router's clock.
 struct SharedBudgets {
-    purses: TokenBuckets,
+    token_buckets: TokenBuckets,
     /// The same moment on both clocks.
     updated_at: (Time, Instant),
 }
@@ -48,9 +48,11 @@
     /// Spends one unit of each budget if every one of them has a unit left; returns whether it did.
     fn try_spend(&mut self, budgets: &[Budget]) -> bool {
         let now = self.now();
-        let has = budgets.iter().all(|budget| self.purses.has(now, *budget));
+        let has = budgets
+            .iter()
+            .all(|budget| self.token_buckets.has(now, *budget));
         for budget in budgets.iter().filter(|_| has) {
-            self.purses.spend(now, *budget);
+            self.token_buckets.spend(now, *budget);
         }
         has
     }
@@ -65,7 +67,7 @@
     ) -> Self {
         let (addresses, connections) = (HashMap::new(), HashMap::new());
         let shared_budgets = SharedBudgets {
-            purses: TokenBuckets::default(),
+            token_buckets: TokenBuckets::default(),
             updated_at: (Time::default(), Instant::now()),
         };
         FrameTransport {
@@ -282,18 +284,18 @@
         unsent
     }
 
-    fn set_portions(&mut self, now: Time, portions: &[(Budget, QuotaShare)]) {
+    fn set_shares(&mut self, now: Time, shares: &[(Budget, QuotaShare)]) {
         self.shared_budgets.updated_at = (now, Instant::now());
-        let own = portions
+        let own = shares
             .iter()
             .filter(|(of, _)| matches!(of, Budget::Connections | Budget::Probes));
         self.shared_budgets
-            .purses
+            .token_buckets
             .set(now, &own.copied().collect::<Vec<_>>());
     }
 
     fn spending_rates(&self, now: Time) -> Vec<(Budget, f64)> {
-        self.shared_budgets.purses.spent(now)
+        self.shared_budgets.token_buckets.spent(now)
     }
 
     /// A frame written just now may reach its searcher later than data that is written to a client next. The
--- a/crates/lockusher-aggregator/src/transport/protocol_selection.rs
+++ b/crates/lockusher-aggregator/src/transport/protocol_selection.rs
@@ -306,8 +306,8 @@
 
     /// Only frames count against the shared budgets: HTTP/2 keeps few connections to a host, with limits of its
     /// own.
-    fn set_portions(&mut self, now: Time, portions: &[(Budget, QuotaShare)]) {
-        self.frames.set_portions(now, portions);
+    fn set_shares(&mut self, now: Time, shares: &[(Budget, QuotaShare)]) {
+        self.frames.set_shares(now, shares);
     }
 
     fn spending_rates(&self, now: Time) -> Vec<(Budget, f64)> {
--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -65,8 +65,8 @@
     deliver: impl Fn(PolicyUpdate) -> bool,
     mut requests: mpsc::Receiver<FleetRequest>,
 ) {
-    let (mut counted, mut judged, mut warm_start) = (None, Vec::new(), None);
-    let (mut portions, mut had_quorum) = (Vec::new(), None);
+    let (mut counted, mut health, mut warm_start) = (None, Vec::new(), None);
+    let (mut shares, mut had_quorum) = (Vec::new(), None);
     let mut buffer = [0; 2 * crate::core::wire::MAX_DATAGRAM_BYTES];
     let mut paused_until: Option<tokio::time::Instant> = None;
     loop {
@@ -82,13 +82,13 @@
             .iter()
             .map(|verdict| verdict.judged.clone())
             .collect();
-        if judged != agreed && deliver(PolicyUpdate::Health(agreed.clone())) {
-            log_agreed_verdicts(&judged, core.agreed_verdicts());
-            judged = agreed;
+        if health != agreed && deliver(PolicyUpdate::Health(agreed.clone())) {
+            log_agreed_verdicts(&health, core.agreed_verdicts());
+            health = agreed;
         }
-        let new_portions = core.portions(clock());
-        if portions != new_portions && deliver(PolicyUpdate::QuotaShares(new_portions.clone())) {
-            portions = new_portions;
+        let new_shares = core.portions(clock());
+        if shares != new_shares && deliver(PolicyUpdate::QuotaShares(new_shares.clone())) {
+            shares = new_shares;
         }
         log_quorum(&mut had_quorum, core.has_quorum());
         warm_start = core.take_warm_start().or(warm_start);
