--- a/crates/lockusher-membership/src/shared/warm_start.rs
+++ b/crates/lockusher-membership/src/shared/warm_start.rs
@@ -99,7 +99,7 @@
             searcher: seen.id.as_str().to_owned(),
             life: seen
                 .life
-                .map_or(0, |life| life.since(Time::from_micros(0)).as_micros()),
+                .map_or(0, |at| at.since(Time::from_micros(0)).as_micros()),
             latency_us: latency_us.clamp(1, MAX_LATENCY_US),
             good: seen.good.clamp(0.0, 1.0) as f32,
             age_ms: (now.since(seen.heard).as_micros() / 1_000) as u32,
