--- a/crates/lockusher-policy/src/policy.rs
+++ b/crates/lockusher-policy/src/policy.rs
@@ -46,7 +46,6 @@
 /// Over the last hundred samples: stable while a single searcher is slow, yet it follows daily load changes.
 type Average = Mean<100>;
 
-/// An operation type and its statistics.
 struct OpTypeState {
     op: OpType,
     /// Latency and work hint of the parts of each step, so that unequal parts can share one average.
@@ -106,9 +105,9 @@
 
     /// Observations on searchers, for other mixers.
     pub fn observations(&self) -> Vec<SearcherObservation> {
-        let observations = self.selector.active().map(|s| {
+        let observations = self.selector.all_up().map(|s| {
             let &Searcher { latency, good, heard, down_since, cold_since, ref entry, ref in_flight, .. } = s;
-            let silent_since = in_flight.iter().map(|attempt| attempt.0).min().filter(|since| *since > heard);
+            let silent_since = in_flight.iter().map(|a| a.0).min().filter(|since| *since > heard);
             let (id, life) = (entry.id.clone(), entry.up_since);
             SearcherObservation { id, life, latency, good, heard, silent_since, down_since, cold_since }
         });
@@ -131,19 +130,19 @@
         if mg.ended {
             return Decision::default();
         }
-        let fresh = mg.parts.iter().all(|p| p.attempts.is_empty());
-        if fresh && mg.arrived == now {
+        let unsent = mg.parts.iter().all(|p| p.attempts.is_empty());
+        if unsent && mg.arrived == now {
             self.record_arrival(now, mg);
         }
         let mut reply = self.final_reply(now, mg);
-        if reply.is_none() && fresh && self.must_reject(now, mg) {
+        if reply.is_none() && unsent && self.must_reject(now, mg) {
             reply = Some(self.give_up(mg));
         }
         let Some(answer) = reply else { return self.send_due_parts(now, mg) };
         let in_time = matches!(answer, Reply::Answered { .. }) && now <= self.target_end(mg);
         let first_try = self.is_first_try(mg);
         let tracked = [
-            (!fresh).then_some(&mut self.admission.missed),
+            (!unsent).then_some(&mut self.admission.missed),
             first_try.then_some(&mut self.admission.missed_first),
         ];
         tracked.into_iter().flatten().for_each(|ratio| ratio.record(now, !in_time));
@@ -153,20 +152,20 @@
     /// Records an attempt's outcome, which the host has stored in `mg`, and decides what to do next.
     pub fn outcome(&mut self, now: Time, mg: &Multiget, part: usize, nth: usize, elapsed: Span) -> Decision {
         let (op, p) = (mg.op_type, &mg.parts[part]);
-        let attempt = &p.attempts[nth];
-        let outcome = attempt.outcome.unwrap_or(Outcome::NotSent);
+        let sent = &p.attempts[nth];
+        let outcome = sent.outcome.unwrap_or(Outcome::NotSent);
         let peers = self
             .selector
             .searchers
-            .get(&attempt.to)
+            .get(&sent.to)
             .map(|s| self.selector.zone_latency(s, self.op(mg).latency_target));
-        if let Some((searcher, peers)) = self.selector.searchers.get_mut(&attempt.to).zip(peers)
-            && let Some((idle, sample)) = searcher.end(now, attempt, elapsed, peers)
+        if let Some((searcher, peers)) = self.selector.searchers.get_mut(&sent.to).zip(peers)
+            && let Some((idle, sample)) = searcher.end(now, sent, elapsed, peers)
         {
             let losses = if idle { &mut self.selector.idle_lost } else { &mut self.selector.lost };
             losses.record(now, outcome.is_unanswered() || outcome == Outcome::NoConnection);
             if outcome == Outcome::Returned {
-                self.selector.record_answer(now, &attempt.to, self.part_work(op, p));
+                self.selector.record_answer(now, &sent.to, self.part_work(op, p));
                 self.record_latency(op, p, elapsed, sample);
             }
         }
@@ -174,7 +173,7 @@
         if nth > 0 && outcome != Outcome::NotSent {
             let sole = p.attempts.iter().filter(|s| s.outcome == Some(Outcome::Returned)).count() == 1;
             // Averages about the last ten retries.
-            blend(&mut self.retries.success, f64::from(outcome == Outcome::Returned && sole), 0.1);
+            blend(&mut self.retries.success_ratio, f64::from(outcome == Outcome::Returned && sole), 0.1);
         }
         self.decide(now, mg)
     }
@@ -210,7 +209,6 @@
         self.mean.record(sample);
     }
 
-    /// Records a new multiget.
     fn record_arrival(&mut self, now: Time, mg: &Multiget) {
         const MAX_VOTES: i32 = 20; // A change in client timeouts takes effect within this many multigets.
         self.retries.record_parts(now, mg.parts.len());
--- a/crates/lockusher-policy/src/policy/admission.rs
+++ b/crates/lockusher-policy/src/policy/admission.rs
@@ -7,6 +7,7 @@
 pub struct Admission {
     /// For each tenant: its quota per second over all mixers, its tokens here, and when these were updated.
     quotas: Vec<(f64, f64, Time)>,
+    /// Factor on the priority of tenants over their quota.
     over_quota: f64,
     /// `OpType::value` is per unit of work instead of per multiget.
     per_work: bool,
@@ -39,13 +40,13 @@
         mg: &Multiget,
         priority: f64,
         mixers: usize,
-        budgets: &mut TokenBuckets,
+        fleet: &mut TokenBuckets,
     ) {
         self.mean.record(priority);
         let Some(tenant) = mg.tenant else { return };
         let Some((quota, tokens, updated_at)) = self.quotas.get_mut(tenant.0) else { return };
         // The bucket holds several seconds (5) of the quota.
-        let share = budgets.record_arrival(now, Budget::Tenant(tenant));
+        let share = fleet.record_arrival(now, Budget::Tenant(tenant));
         let quota = share.unwrap_or(*quota / mixers.max(1) as f64);
         let (gained, max_tokens) = (now.since(*updated_at).as_secs() * quota, (quota * 5.0).max(MIN_TOKENS));
         (*tokens, *updated_at) = (((*tokens + gained).min(max_tokens) - 1.0).max(-max_tokens), now);
@@ -75,27 +76,27 @@
         // The slowest of four takes about 1.5 times as long as one; the ratio grows with the logarithm.
         let slowest_ratio = 1.0 + 0.36 * (mg.current_step().count().max(1) as f64).ln();
         let (pass, left) = self.limits(now, mg);
-        let (target, mut in_time) = (self.op(mg).latency_target, 1e-6);
+        let (target, mut weight_in_time) = (self.op(mg).latency_target, 1e-6);
         for (_, p) in mg.current_step() {
-            let picked = self.selector.pick(now, p, target, &mut self.rng);
-            let time = picked.map_or(0.0, |(id, expected)| {
+            let pick = self.selector.pick(now, p, target, &mut self.rng);
+            let time = pick.map_or(0.0, |(id, expected)| {
                 // Old latencies of idle replicas count less: else nothing would be sent, and nothing learned.
                 let s = &self.selector.searchers[&id];
                 let weight =
                     if s.in_flight.is_empty() { pass * decay(RECENT_S, now.since(s.heard)) } else { 1.0 };
                 (expected + self.extra_work(mg.op_type, p)) * weight
             });
-            in_time += if time * slowest_ratio > left { 0.0 } else { p.weight };
+            weight_in_time += if time * slowest_ratio > left { 0.0 } else { p.weight };
         }
-        in_time < self.op(mg).min_share.min(self.op(mg).complete_share)
+        weight_in_time < self.op(mg).min_share.min(self.op(mg).complete_share)
     }
 
     /// Inputs of `must_reject`, for a trace. Draws from a copy of the random generator: no side effects.
     pub fn admission_trace(&self, now: Time, mg: &Multiget) -> AdmissionTrace {
         let (target, rng) = (self.op(mg).latency_target, &mut self.rng.clone());
-        let seen = |(id, expected): (SearcherId, f64)| {
+        let seen = |(id, est): (SearcherId, f64)| {
             let s = &self.selector.searchers[&id];
-            (id, expected, s.in_flight.is_empty(), now.since(s.heard).as_secs(), s.averages(now, expected).1)
+            (id, est, s.in_flight.is_empty(), now.since(s.heard).as_secs(), s.averages(now, est).1)
         };
         let picks =
             mg.current_step().map(|(_, p)| self.selector.pick(now, p, target, rng).ok().map(seen)).collect();
--- a/crates/lockusher-policy/src/policy/latency_target.rs
+++ b/crates/lockusher-policy/src/policy/latency_target.rs
@@ -21,11 +21,11 @@
     /// is taken for a first try with a short timeout. Misjudges retries if other mixers reject many.
     pub(super) fn target_end(&self, mg: &Multiget) -> Time {
         let op = self.op(mg);
-        let extra = mg.hint.map_or(Span::ZERO, |h| h.times(op.target_stretch));
-        let target = (op.latency_target + extra).min(op.route_timeout);
-        let retry =
+        let extra_time = mg.hint.map_or(Span::ZERO, |h| h.times(op.target_stretch));
+        let target = (op.latency_target + extra_time).min(op.route_timeout);
+        let p_retry =
             if self.is_first_try(mg) { 0.0 } else { self.admission.missed_first.value(mg.arrived) * 3.0 };
-        let elapsed = op.route_timeout.saturating_sub(mg.deadline.since(mg.arrived)).times(retry.min(1.0));
+        let elapsed = op.route_timeout.saturating_sub(mg.deadline.since(mg.arrived)).times(p_retry.min(1.0));
         (mg.arrived + target - elapsed).min(mg.deadline) - self.reply_margin()
     }
 
@@ -41,8 +41,7 @@
         if op.second_step == 0 || mg.first_answer.is_some() {
             return end;
         }
-        // The slowest of a few parts takes about this multiple of the mean. Answered second-step parts are
-        // the fast ones; under long queues, others wait like any part.
+        // Multiple of the mean. Answered parts are the fast ones; in long queues, others wait like any part.
         const SLOWEST_OF_FEW: f64 = 2.5;
         let usual = self.ops[mg.op_type.0].averages[1].0.get().unwrap_or(op.latency_target.as_secs() / 8.0);
         let needed = Span::from_secs(usual.max(self.mean.value) * SLOWEST_OF_FEW);
--- a/crates/lockusher-policy/src/policy/retries.rs
+++ b/crates/lockusher-policy/src/policy/retries.rs
@@ -9,7 +9,7 @@
     window: Option<RetryLimit>,
     tokens: f64,
     /// EWMA of the fraction of retries that brought their part's answer.
-    pub(super) success: f64,
+    pub(super) success_ratio: f64,
     arrivals: Vec<Time>,
     sent: Vec<Time>,
 }
@@ -17,16 +17,15 @@
 impl Retries {
     pub fn new(limits: AttemptLimits, window: Option<RetryLimit>) -> Self {
         // Initial tokens, so that a mixer that has just started can handle a failure.
-        Retries { limits, window, tokens: 5.0, success: 0.5, arrivals: Vec::new(), sent: Vec::new() }
+        Retries { limits, window, tokens: 5.0, success_ratio: 0.5, arrivals: Vec::new(), sent: Vec::new() }
     }
 
-    /// Records a new multiget with this many parts.
     pub(super) fn record_parts(&mut self, now: Time, parts: usize) {
         // Even if no retry succeeds, a few are made to detect when they help again. The bucket holds at least
         // half of the parts of a multiget, so that the failure of several searchers is handled at once.
         const MIN_RATE: f64 = 0.03;
         let max_tokens = (parts as f64 / 2.0).max(20.0);
-        self.tokens = (self.tokens + parts as f64 * (MIN_RATE + self.success)).min(max_tokens);
+        self.tokens = (self.tokens + parts as f64 * (MIN_RATE + self.success_ratio)).min(max_tokens);
         let counted = if self.window.is_some() { parts + 1 } else { 0 };
         self.arrivals.extend(std::iter::repeat_n(now, counted));
     }
@@ -53,16 +52,16 @@
     /// Whether the part may still be answered: an attempt is in flight, or a replica can answer in time.
     pub(super) fn may_be_answered(&self, now: Time, mg: &Multiget, part: &Part) -> bool {
         let in_flight = part.attempts.iter().any(|s| s.outcome.is_none());
-        let holders = || self.selector.holders(part.shard).next().is_some();
+        let has_holder = || self.selector.holders(part.shard).next().is_some();
         !part.closed
-            && (in_flight || (self.may_send(now, mg, part) && holders() && self.in_time(now, mg, part)))
+            && (in_flight || (self.may_send(now, mg, part) && has_holder() && self.in_time(now, mg, part)))
     }
 
     /// Whether an attempt sent now may be answered before the answer loses its value.
     fn in_time(&self, now: Time, mg: &Multiget, part: &Part) -> bool {
-        let min_time =
+        let min_s =
             self.selector.median(self.op(mg).latency_target) * 0.5 + self.extra_work(mg.op_type, part);
-        self.usable_until(mg).since(now) >= Span::from_secs(min_time)
+        self.usable_until(mg).since(now) >= Span::from_secs(min_s)
     }
 
     /// Whether the limits and the idempotency of the part allow another attempt.
@@ -81,10 +80,10 @@
     /// Seconds after which a part of usual work is retried. Duplicating a part that is only slightly late
     /// costs more than it gains, so the threshold is high; it is lower if the searcher has been silent since.
     fn retry_delay(&self, peers: f64, last: Option<&Attempt>) -> f64 {
-        let heard = last.and_then(|s| self.selector.searchers.get(&s.to).map(|to| to.heard > s.sent_at));
+        let alive = last.and_then(|s| self.selector.searchers.get(&s.to).map(|to| to.heard > s.sent_at));
         // Higher if the first attempt has to be given up for the second.
         let deviations = if self.retries.limits.may_hedge { 10.0 } else { 15.0 };
-        let margin = deviations * self.deviation.value * if heard == Some(true) { 1.0 } else { 2.0 / 3.0 };
+        let margin = deviations * self.deviation.value * if alive == Some(true) { 1.0 } else { 2.0 / 3.0 };
         if self.mean.count < 10.0 { peers * 3.0 } else { self.mean.value + margin }
     }
 
@@ -97,7 +96,7 @@
         let (partial_from, end) = (self.partial_from(mg), self.usable_until(mg));
         // Detects middleboxes that drop idle connections: attempts on these fail far more often than others,
         // so the searchers are not at fault. A false positive costs handshakes.
-        let reaped = self.selector.idle_lost.value(now) > (2.0 * self.selector.lost.value(now)).max(0.2);
+        let no_idle = self.selector.idle_lost.value(now) > (2.0 * self.selector.lost.value(now)).max(0.2);
         let mut wake_at = if now < partial_from { partial_from } else { end };
         for (index, p) in mg.current_step().filter(|(_, p)| !p.returned && !p.closed) {
             let extra = self.extra_work(op, p);
@@ -140,7 +139,7 @@
                 self.selector.budgets.spend(now, Budget::Cold);
             }
             let fresh_connection =
-                self.selector.searchers.get_mut(to).is_some_and(|s| s.begin(now, extra, is_retry || reaped));
+                self.selector.searchers.get_mut(to).is_some_and(|s| s.begin(now, extra, is_retry || no_idle));
             let time_left = end.since(now);
             let timeout = if may_hedge || may_cancel { time_left } else { delay.min(time_left) };
             wake_at = wake_at.min(now + delay);
--- a/crates/lockusher-policy/src/policy/searcher.rs
+++ b/crates/lockusher-policy/src/policy/searcher.rs
@@ -4,7 +4,6 @@
 use crate::interface::*;
 use crate::scoring::{NEWEST, blend};
 
-/// Everything that this mixer knows about one searcher.
 pub(super) struct Searcher {
     pub(super) entry: SearcherEntry,
     /// When this mixer learned of its current incarnation.
@@ -74,13 +73,7 @@
 
     /// Records an outcome. Returns whether the attempt used an idle connection, and its normalized latency. A
     /// failure never makes a searcher look faster than its peers.
-    pub(super) fn end(
-        &mut self,
-        now: Time,
-        sent: &Attempt,
-        elapsed: Span,
-        peers: f64,
-    ) -> Option<(bool, f64)> {
+    pub(super) fn end(&mut self, now: Time, sent: &Attempt, took: Span, peers: f64) -> Option<(bool, f64)> {
         let outcome = sent.outcome.unwrap_or(Outcome::NotSent);
         let index = self.in_flight.iter().position(|(at, ..)| *at == sent.sent_at)?;
         let (_, extra, idle) = self.in_flight.swap_remove(index);
@@ -89,7 +82,7 @@
             return None;
         }
         // Queueing affects all parts alike, work does not: time for more than the usual work is subtracted.
-        let sample = (elapsed.as_secs() - extra).max(elapsed.as_secs() * 0.2);
+        let sample = (took.as_secs() - extra).max(took.as_secs() * 0.2);
         let returned = outcome == Outcome::Returned;
         let value = if returned { sample } else { sample.max(peers).max(self.latency.unwrap_or(0.0)) };
         let averages = self.averages(now, peers);
@@ -126,13 +119,13 @@
         let latency = self.latency.unwrap_or(peers);
         // Newer reports from other mixers replace own observations, and fade unless they are repeated.
         let agreed = self.agreed.as_ref().filter(|a| a.at > self.heard);
-        let (agreed_weight, good, slower) =
+        let (agreed_weight, success, slowdown) =
             agreed.map_or((0.0, 1.0, 1.0), |a| (decay(RECENT_S, now.since(a.at)), a.good, a.slower));
-        let combine = |peers: f64, own: f64, agreed: f64| {
+        let merge = |peers: f64, own: f64, agreed: f64| {
             let faded = peers + (own - peers) * kept;
             faded + (agreed - faded) * agreed_weight
         };
-        (combine(peers, latency, peers * slower), combine(1.0, self.good, good), self.queue * kept)
+        (merge(peers, latency, peers * slowdown), merge(1.0, self.good, success), self.queue * kept)
     }
 
     /// Expected latency in seconds of a part of usual work.
--- a/crates/lockusher-policy/src/policy/selector.rs
+++ b/crates/lockusher-policy/src/policy/selector.rs
@@ -13,7 +13,7 @@
 pub struct Selector {
     layout: Layout,
     pub(super) warmup: SlowStart,
-    home: Option<Zone>,
+    zone: Option<Zone>,
     price: f64,
     rank: usize,
     pub(super) mixers: usize,
@@ -26,8 +26,7 @@
     pub(super) budgets: TokenBuckets,
 }
 
-/// The newest attempt weighs 1/15, so the ratio reaches back about thirty attempts, as a few prove little. It
-/// decays with the half-life of a searcher's averages.
+/// The newest attempt weighs 1/15, so the ratio reaches back about thirty attempts, as a few prove little.
 type LossRatio = FailureRatio<15, 1, HALF_LIFE_S>;
 
 /// Statistics of the whole fleet, updated once per outcome, so that selection only visits a part's holders.
@@ -36,13 +35,13 @@
     /// By shard modulo cells: the searchers that hold it and are up.
     holders: Vec<Vec<SearcherId>>,
     /// Median of the searchers' latency averages, and the number of searchers that are warmed up.
-    median: Option<f64>,
-    warm: usize,
+    median_latency: Option<f64>,
+    warmed: usize,
     /// By zone with enough recent samples: the median latency and the lower quartile, or with fewer than
     /// eight the minimum: one fast searcher proves that the path is fast. Misjudges zones of mixed machines.
     zones: BTreeMap<Option<Zone>, (f64, f64)>,
     /// The lowest quartile of all zones.
-    lowest: f64,
+    lowest_quartile: f64,
     /// Approximate minimum time of a part of usual work: its work without queueing.
     pub(super) min_work: f64,
     /// Rate at which a warmed-up searcher answers parts of usual work, and its last known value.
@@ -54,15 +53,14 @@
 pub(super) type Pick = Result<(SearcherId, f64), Option<Span>>;
 
 impl Selector {
-    pub fn new(now: Time, layout: Layout, warmup: SlowStart, (home, price): Locality, of: MixerRank) -> Self {
+    pub fn new(now: Time, layout: Layout, warmup: SlowStart, (zone, price): Locality, of: MixerRank) -> Self {
         let (rank, mixers) = (of.0, of.1.max(1));
         let (searchers, stats, budgets) = Default::default();
         let (idle_lost, lost) = (FailureRatio::new(now), FailureRatio::new(now));
-        Selector { layout, warmup, home, price, rank, mixers, searchers, stats, idle_lost, lost, budgets }
+        Selector { layout, warmup, zone, price, rank, mixers, searchers, stats, idle_lost, lost, budgets }
     }
 
-    /// The searchers that are up.
-    pub(super) fn active(&self) -> impl Iterator<Item = &Searcher> {
+    pub(super) fn all_up(&self) -> impl Iterator<Item = &Searcher> {
         self.searchers.values().filter(|s| s.is_up())
     }
 
@@ -85,7 +83,7 @@
         }
         self.searchers.retain(|_, s| s.entry.state != SearcherState::Gone || !s.in_flight.is_empty());
         let mut holders = vec![Vec::new(); self.layout.cells];
-        for SearcherEntry { id, cell, .. } in self.active().map(|s| &s.entry) {
+        for SearcherEntry { id, cell, .. } in self.all_up().map(|s| &s.entry) {
             self.layout.shards_of(*cell).for_each(|shard| holders[shard].push(id.clone()));
         }
         self.stats.holders = holders;
@@ -93,13 +91,12 @@
     }
 
     /// Reports agreed by the fleet's mixers apply where this mixer has no newer outcome: never to a shard's
-    /// last healthy holder, and not at all if over half of the searchers are reported: reporters are then
-    /// suspect.
+    /// last healthy holder, and not at all if over half of the searchers are reported, as that is suspect.
     pub(super) fn apply_agreed_health(&mut self, mut reports: Vec<AgreedHealth>) {
         self.searchers.values_mut().for_each(|s| s.agreed = None);
         let same_start = |s: &Searcher, life| s.is_up() && s.entry.up_since == life;
         reports.retain(|r| self.searchers.get(&r.id).is_some_and(|s| same_start(s, r.life)));
-        if reports.iter().filter(|r| r.is_degraded()).count() * 2 > self.active().count() {
+        if reports.iter().filter(|r| r.is_degraded()).count() * 2 > self.all_up().count() {
             return;
         }
         reports.sort_by(|a, b| a.good.total_cmp(&b.good).then(b.slower.total_cmp(&a.slower)));
@@ -119,35 +116,34 @@
     /// Applies observations of other mixers to searchers without an outcome here in the same incarnation.
     pub(super) fn apply_warm_start(&mut self, now: Time, known: Vec<WarmStartEntry>) {
         for WarmStartEntry { id, life, latency, good, at } in known {
-            let unheard = |s: &&mut Searcher| s.latency.is_none() && s.entry.up_since == life;
-            if let Some(s) = self.searchers.get_mut(&id).filter(unheard) {
+            let has_no_outcome = |s: &&mut Searcher| s.latency.is_none() && s.entry.up_since == life;
+            if let Some(s) = self.searchers.get_mut(&id).filter(has_no_outcome) {
                 (s.latency, s.good, s.heard) = (Some(latency), good, at);
             }
         }
         self.refresh_stats(now);
     }
 
-    /// Recomputes the fleet's statistics.
     pub(super) fn refresh_stats(&mut self, now: Time) {
         const MIN_SAMPLES: usize = 3; // Fewer say little about a zone.
-        self.stats.warm = self.active().filter(|s| s.capacity(now, &self.warmup) >= 1.0).count();
+        self.stats.warmed = self.all_up().filter(|s| s.capacity(now, &self.warmup) >= 1.0).count();
         // After the whole fleet is replaced there are no samples: the old median is better than a target.
-        let median = quantile(2, &mut self.active().filter_map(|s| s.latency).collect::<Vec<_>>());
-        self.stats.median = median.or(self.stats.median);
+        let median = quantile(2, &mut self.all_up().filter_map(|s| s.latency).collect::<Vec<_>>());
+        self.stats.median_latency = median.or(self.stats.median_latency);
         let mut zones = BTreeMap::<_, Vec<f64>>::new();
-        for s in self.active().filter(|s| now.since(s.heard).as_secs() < f64::from(HALF_LIFE_S)) {
+        for s in self.all_up().filter(|s| now.since(s.heard).as_secs() < f64::from(HALF_LIFE_S)) {
             zones.entry(s.entry.zone).or_default().extend(s.latency);
         }
         let sampled = zones.iter_mut().filter(|(_, values)| values.len() >= MIN_SAMPLES);
         let low = |values: &mut Vec<f64>| quantile(if values.len() < 8 { 8 } else { 4 }, values);
         self.stats.zones = sampled.filter_map(|(z, l)| Some((*z, (quantile(2, l)?, low(l)?)))).collect();
-        self.stats.lowest = self.stats.zones.values().map(|zone| zone.1).fold(f64::MAX, f64::min);
+        self.stats.lowest_quartile = self.stats.zones.values().map(|zone| zone.1).fold(f64::MAX, f64::min);
     }
 
     /// Median of the latency averages, or half the latency target without any. A mean, as in the design,
     /// would let the timeouts of one dead searcher make the others look slow and cause rejections.
     pub(super) fn median(&self, target: Span) -> f64 {
-        self.stats.median.unwrap_or(target.as_secs() / 2.0)
+        self.stats.median_latency.unwrap_or(target.as_secs() / 2.0)
     }
 
     /// Expected latency of a searcher without outcomes: the median of its zone, else of the fleet.
@@ -161,18 +157,17 @@
     fn ramp_gap(&self, now: Time, searcher: &Searcher, target: Span) -> Span {
         let capacity = searcher.capacity(now, &self.warmup);
         // If all are warming up, as after a release, the last known rate is the best estimate.
-        let rate = if self.stats.warm > 0 { self.stats.rate.per_second(now) } else { self.stats.last_rate };
+        let rate = if self.stats.warmed > 0 { self.stats.rate.per_second(now) } else { self.stats.last_rate };
         let one_at_a_time = 1.0 / (self.median(target) * self.mixers as f64).max(1e-6);
         let allowed = self.warmup.overload_multiple * capacity * rate.max(one_at_a_time);
         if capacity < 1.0 { Span::from_secs(1.0 / allowed) } else { Span::ZERO }
     }
 
-    /// Records an answer, divided by the searchers warmed up at that time: many may leave at once, and the
-    /// total of all is not what the remaining few can serve.
+    /// Records an answer per searcher that is warmed up now: if many leave, the rest can't serve their total.
     pub(super) fn record_answer(&mut self, now: Time, from: &SearcherId, weight: f64) {
-        let warm = |s: &Searcher| s.is_up() && s.capacity(now, &self.warmup) >= 1.0;
-        if self.stats.warm > 0 && self.searchers.get(from).is_some_and(warm) {
-            self.stats.rate.add(now, weight / self.stats.warm as f64);
+        let is_warmed_up = |s: &Searcher| s.is_up() && s.capacity(now, &self.warmup) >= 1.0;
+        if self.stats.warmed > 0 && self.searchers.get(from).is_some_and(is_warmed_up) {
+            self.stats.rate.add(now, weight / self.stats.warmed as f64);
             self.stats.last_rate = self.stats.rate.per_second(now);
         }
     }
@@ -185,8 +180,8 @@
             let fnv = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(16_777_619);
             let hash = searcher.entry.id.as_str().bytes().fold(2_166_136_261, fnv);
             let offset = f64::from(hash) / f64::from(u32::MAX);
-            let turn = (offset + (self.rank as f64 + 0.5) / self.mixers as f64).fract();
-            return gap.times(turn).saturating_sub(now.since(searcher.listed_at));
+            let slot = (offset + (self.rank as f64 + 0.5) / self.mixers as f64).fract();
+            return gap.times(slot).saturating_sub(now.since(searcher.listed_at));
         };
         gap.saturating_sub(now.since(last_sent))
     }
@@ -198,17 +193,17 @@
 
     /// The replica with the lowest [`score`]; replicas that were sent this part before come last.
     pub(super) fn pick(&self, now: Time, part: &Part, target: Span, rng: &mut ChaCha8Rng) -> Pick {
-        /// Cross-zone cost in latency targets per unit of price: idle replicas in the own zone are preferred,
-        /// but a healthy remote one beats a slow local one.
+        /// Latency targets per unit of price: an idle local replica goes first, a slow one after remote ones.
         const ZONE_FACTOR: f64 = 20.0;
+        /// Already sent this part, score, tie-break, searcher, and expected latency with failures counted.
         type Entry<'a> = (bool, f64, u32, &'a SearcherId, f64);
         let mut best: Option<Entry> = None;
-        let mut soonest: Option<Span> = None;
+        let mut shortest_wait: Option<Span> = None;
         for s in self.holders(part.shard) {
             let gap = self.ramp_gap(now, s, target);
             let ramp_wait = self.ramp_wait(now, s, gap);
             if ramp_wait > Span::ZERO || (gap > Span::ZERO && !self.budgets.has(now, Budget::Cold)) {
-                soonest = soonest.into_iter().chain([ramp_wait]).min();
+                shortest_wait = shortest_wait.into_iter().chain([ramp_wait]).min();
                 continue;
             }
             let peers = self.zone_latency(s, target);
@@ -218,11 +213,11 @@
             // elsewhere, the path is slow, and counts like eight more own parts. A second own part elsewhere
             // weighs eight times, so some parts still take this path. Misjudges a zone that is merely weak.
             let zone = self.stats.zones.get(&s.entry.zone);
-            let slow_path = zone.is_some_and(|zone| zone.1 > 3.0 * self.stats.lowest);
+            let slow_path = zone.is_some_and(|zone| zone.1 > 3.0 * self.stats.lowest_quartile);
             let own = s.in_flight.len() as f64;
             // `score` adds one for the part itself; subtracting it here keeps the rounding of the sum.
             let (own, queue) = if slow_path { (own + queue + 1.0 + 8.0 - 1.0, 0.0) } else { (own, queue) };
-            let cross_zone = s.entry.zone.is_some() && s.entry.zone != self.home;
+            let cross_zone = s.entry.zone.is_some() && s.entry.zone != self.zone;
             let zone_cost = if cross_zone { ZONE_FACTOR * self.price * target.as_secs() } else { 0.0 };
             // A searcher that fails fast looks fast and idle; attempts are few, so failures count squared.
             let success = good.max(0.05).powi(2);
@@ -232,6 +227,6 @@
             let order = |a: &Entry, b: &Entry| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2));
             best = best.into_iter().chain([entry]).min_by(order);
         }
-        best.map(|(_, _, _, id, expected)| (id.clone(), expected)).ok_or(soonest)
+        best.map(|(_, _, _, id, expected)| (id.clone(), expected)).ok_or(shortest_wait)
     }
 }
--- a/crates/lockusher-policy/src/scoring.rs
+++ b/crates/lockusher-policy/src/scoring.rs
@@ -6,8 +6,7 @@
 /// Weight of the newest sample in a replica's moving averages.
 pub const NEWEST: f64 = 1.0 / 3.0;
 
-/// Score of a replica, of which the lowest is selected: (in flight + queue average + 1)^[`EXPONENT`] x
-/// latency. It has the unit of `latency`.
+/// Score of a replica, the lowest wins: (in flight + queue average + 1)^[`EXPONENT`] x latency, in its unit.
 pub fn score(in_flight: f64, queue_average: f64, latency: f64) -> f64 {
     (in_flight + queue_average + 1.0).powi(EXPONENT as i32) * latency
 }
