--- a/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
@@ -22,13 +22,13 @@
 const EACH: f64 = 3.0;
 
 fn observation(searcher: usize, now: Time, down_since: Option<Time>) -> SearcherObservation {
-    let good = if down_since.is_some() { 0.1 } else { 1.0 };
+    let success_ratio = if down_since.is_some() { 0.1 } else { 1.0 };
     SearcherObservation {
         id: SearcherId::new(&format!("s{searcher}")),
-        life: None,
+        started_at: None,
         latency: Some(0.01),
-        good,
-        heard: now,
+        success_ratio,
+        last_outcome_at: now,
         silent_since: None,
         down_since,
         cold_since: None,
@@ -85,7 +85,7 @@
             .core(mixer)
             .agreed_verdicts()
             .iter()
-            .any(|of| of.judged.id == id && of.judged.is_degraded())
+            .any(|of| of.health.id == id && of.health.is_degraded())
     }
 
     fn bytes_s(&mut self, span: Span) -> f64 {
--- a/crates/lockusher-aggregator-testbed/src/mixers/virtual_time.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/virtual_time.rs
@@ -265,7 +265,7 @@
 
     /// What all that run may spend of a budget, a second, by its place in the plan.
     pub fn may_spend(&self, nth: usize) -> f64 {
-        let of = |mixer: usize| self.core(mixer).portions(self.now)[nth].1.rate(self.now);
+        let of = |mixer: usize| self.core(mixer).shares(self.now)[nth].1.rate(self.now);
         self.up().map(of).sum()
     }
 
--- a/crates/lockusher-aggregator/src/protocol/fleet.rs
+++ b/crates/lockusher-aggregator/src/protocol/fleet.rs
@@ -12,11 +12,11 @@
         .iter()
         .map(|verdict| {
             json!({
-                "searcher": verdict.judged.id.as_str(),
+                "searcher": verdict.health.id.as_str(),
                 "fault": verdict.fault.as_str(),
-                "good": verdict.judged.good,
-                "slower": verdict.judged.slower,
-                "seen_ms_ago": now.since(verdict.judged.at).as_micros() / 1_000,
+                "good": verdict.health.success_ratio,
+                "slower": verdict.health.latency_ratio,
+                "seen_ms_ago": now.since(verdict.health.at).as_micros() / 1_000,
                 "witnesses": verdict.witnesses.iter().map(lockusher_membership::core::table::MixerName::as_str).collect::<Vec<_>>(),
             })
         })
--- a/crates/lockusher-aggregator/src/routing/dispatcher.rs
+++ b/crates/lockusher-aggregator/src/routing/dispatcher.rs
@@ -543,8 +543,8 @@
         tracing::info!(
             multiget = multiget.id.as_str(),
             parts = admission_trace.picks.len(),
-            pass = format!("{:.2}", admission_trace.pass),
-            left_ms = ms(admission_trace.left),
+            pass = format!("{:.2}", admission_trace.idle_weight),
+            left_ms = ms(admission_trace.time_left),
             unserved = format!("{:.2}", admission_trace.unserved),
             peers_ms = ms(admission_trace.peers),
             picks = picks.join("; "),
--- a/crates/lockusher-membership/src/core/shared_state.rs
+++ b/crates/lockusher-membership/src/core/shared_state.rs
@@ -367,7 +367,7 @@
             own: shared.records.own().fresh(now).count(),
             crowded: shared.records.crowded,
             remembered: shared.warm_start_count,
-            portions: self.portions(now),
+            portions: self.shares(now),
             in_contact: shared.has_quorum,
             lends: shared
                 .lending
@@ -377,7 +377,7 @@
     }
 
     /// What this mixer may spend of each budget as of `now`.
-    pub fn portions(&self, now: Time) -> Vec<(Budget, QuotaShare)> {
+    pub fn shares(&self, now: Time) -> Vec<(Budget, QuotaShare)> {
         let Some(shared) = &self.shared else {
             return Vec::new();
         };
@@ -385,7 +385,7 @@
             return Vec::new();
         };
         let budgets = shared.config.budgets.iter().map(|(budget, _)| *budget);
-        budgets.zip(lending.portions(now)).collect()
+        budgets.zip(lending.shares(now)).collect()
     }
 
     /// Whether more than half of the fleet is live as far as this mixer knows; `None` if no budget is leased.
--- a/crates/lockusher-membership/src/io.rs
+++ b/crates/lockusher-membership/src/io.rs
@@ -80,13 +80,13 @@
         let agreed: Vec<AgreedHealth> = core
             .agreed_verdicts()
             .iter()
-            .map(|verdict| verdict.judged.clone())
+            .map(|verdict| verdict.health.clone())
             .collect();
         if health != agreed && deliver(PolicyUpdate::Health(agreed.clone())) {
             log_agreed_verdicts(&health, core.agreed_verdicts());
             health = agreed;
         }
-        let new_shares = core.portions(clock());
+        let new_shares = core.shares(clock());
         if shares != new_shares && deliver(PolicyUpdate::QuotaShares(new_shares.clone())) {
             shares = new_shares;
         }
@@ -165,7 +165,7 @@
 fn log_agreed_verdicts(before: &[AgreedHealth], now: &[AgreedVerdict]) {
     for verdict in now
         .iter()
-        .filter(|verdict| before.iter().all(|before| before.id != verdict.judged.id))
+        .filter(|verdict| before.iter().all(|before| before.id != verdict.health.id))
     {
         let witnesses: Vec<&str> = verdict
             .witnesses
@@ -173,7 +173,7 @@
             .map(super::core::table::MixerName::as_str)
             .collect();
         let (id, fault, witnesses) = (
-            verdict.judged.id.as_str(),
+            verdict.health.id.as_str(),
             verdict.fault.as_str(),
             witnesses.join(", "),
         );
@@ -182,7 +182,7 @@
     for id in before
         .iter()
         .map(|of| &of.id)
-        .filter(|id| now.iter().all(|verdict| verdict.judged.id != **id))
+        .filter(|id| now.iter().all(|verdict| verdict.health.id != **id))
     {
         tracing::info!(target: "lockusher::fleet", "fleet: no verdict on searcher {} is agreed any more", id.as_str());
     }
--- a/crates/lockusher-membership/src/shared/consensus.rs
+++ b/crates/lockusher-membership/src/shared/consensus.rs
@@ -49,7 +49,7 @@
 fn detect_fault(now: Time, seen: &SearcherObservation, peer_latency: f64) -> Option<Verdict> {
     let verdict = |fault, weight, since, at| {
         Some(Verdict {
-            searcher_start: seen.life,
+            searcher_start: seen.started_at,
             fault,
             weight,
             since,
@@ -64,24 +64,36 @@
         // Before that, it may still have answered other mixers.
         return verdict(Fault::Down, DOWN_SUCCESS_RATIO, since + timeout, now);
     }
-    if now.since(seen.heard) > TTL {
+    if now.since(seen.last_outcome_at) > TTL {
         return None;
     }
     if let Some(since) = seen.down_since {
-        return verdict(Fault::Down, DOWN_SUCCESS_RATIO, since, seen.heard);
+        return verdict(Fault::Down, DOWN_SUCCESS_RATIO, since, seen.last_outcome_at);
     }
-    if seen.good < ERRS_BELOW {
-        return verdict(Fault::Errs, seen.good.max(0.0), seen.heard, seen.heard);
+    if seen.success_ratio < ERRS_BELOW {
+        return verdict(
+            Fault::Errs,
+            seen.success_ratio.max(0.0),
+            seen.last_outcome_at,
+            seen.last_outcome_at,
+        );
     }
     if let Some(since) = seen
         .cold_since
-        .filter(|since| seen.life.is_none_or(|life| *since > life))
+        .filter(|since| seen.started_at.is_none_or(|started_at| *since > started_at))
     {
-        return verdict(Fault::Cold, 0.0, since, seen.heard);
+        return verdict(Fault::Cold, 0.0, since, seen.last_outcome_at);
     }
     let slowdown = seen.latency.unwrap_or(peer_latency) / peer_latency.max(1e-6);
     (slowdown > SLOW_FACTOR)
-        .then(|| verdict(Fault::Slow, slowdown.min(1e3), seen.heard, seen.heard))
+        .then(|| {
+            verdict(
+                Fault::Slow,
+                slowdown.min(1e3),
+                seen.last_outcome_at,
+                seen.last_outcome_at,
+            )
+        })
         .flatten()
 }
 
@@ -92,7 +104,7 @@
     accused: &Accusations,
 ) -> Vec<(SearcherId, Verdict)> {
     let is_recent =
-        |s: &&SearcherObservation| now.since(s.heard) <= TTL || s.silent_since.is_some();
+        |s: &&SearcherObservation| now.since(s.last_outcome_at) <= TTL || s.silent_since.is_some();
     let peer_latency = median(seen.iter().filter_map(|s| s.latency));
     let (mut tried, mut verdicts) = (0, Vec::new());
     for seen in seen.iter().filter(is_recent) {
@@ -111,16 +123,16 @@
         |s: &&SearcherObservation| s.latency.is_some_and(|l| l < peer_latency * SLOW_FACTOR);
     let fine = seen
         .iter()
-        .filter(|s| s.good > FINE && s.down_since.is_none() && s.silent_since.is_none());
+        .filter(|s| s.success_ratio > FINE && s.down_since.is_none() && s.silent_since.is_none());
     let fine = fine.filter(is_quick);
-    for seen in fine.filter(|s| now.since(s.heard) <= TTL) {
+    for seen in fine.filter(|s| now.since(s.last_outcome_at) <= TTL) {
         let accusation = accused
             .get(&seen.id)
             .filter(|accusation| accusation.defenders < MAX_WITNESSES);
-        if accusation.is_some_and(|a| seen.heard > a.since + TRANSIT_TOLERANCE)
+        if accusation.is_some_and(|a| seen.last_outcome_at > a.since + TRANSIT_TOLERANCE)
             && verdicts.iter().all(|(id, _)| *id != seen.id)
         {
-            let (searcher_start, at) = (seen.life, seen.heard);
+            let (searcher_start, at) = (seen.started_at, seen.last_outcome_at);
             verdicts.push((
                 seen.id.clone(),
                 Verdict {
@@ -153,7 +165,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgreedVerdict {
     /// The verdict as the policy uses it.
-    pub judged: AgreedHealth,
+    pub health: AgreedHealth,
     /// The fault that most witnesses report.
     pub fault: Fault,
     /// The mixers that agree, in the order of their names.
@@ -324,15 +336,15 @@
                 .filter(|vote| vote.verdict.fault == fault)
                 .map(|vote| vote.verdict.weight)
         };
-        let judged = AgreedHealth {
+        let health = AgreedHealth {
             id: (*id).clone(),
-            life: *searcher_start,
-            good: match fault {
+            started_at: *searcher_start,
+            success_ratio: match fault {
                 Fault::Down => DOWN_SUCCESS_RATIO,
                 Fault::Errs => median(weights()).clamp(DOWN_SUCCESS_RATIO, 1.0),
                 _ => 1.0,
             },
-            slower: if fault == Fault::Slow {
+            latency_ratio: if fault == Fault::Slow {
                 median(weights()).max(1.0)
             } else {
                 1.0
@@ -343,7 +355,7 @@
         let mut names: Vec<MixerName> = witnesses.iter().map(|vote| vote.by.clone()).collect();
         names.sort();
         Some(AgreedVerdict {
-            judged,
+            health,
             fault,
             witnesses: names,
         })
--- a/crates/lockusher-membership/src/shared/leasing.rs
+++ b/crates/lockusher-membership/src/shared/leasing.rs
@@ -215,7 +215,7 @@
     }
 
     /// What this mixer may spend of each budget.
-    pub fn portions(&self, now: Time) -> Vec<QuotaShare> {
+    pub fn shares(&self, now: Time) -> Vec<QuotaShare> {
         let loan = self
             .current_loan
             .as_ref()
--- a/crates/lockusher-membership/src/shared/warm_start.rs
+++ b/crates/lockusher-membership/src/shared/warm_start.rs
@@ -67,17 +67,18 @@
             BTreeMap::new();
         for known in std::mem::take(&mut self.answers).into_values().flatten() {
             by_process
-                .entry((known.id.clone(), known.life))
+                .entry((known.id.clone(), known.started_at))
                 .or_default()
                 .push(known);
         }
         let median = |mut values: Vec<WarmStartEntry>| {
             values.sort_by(|a, b| a.latency.total_cmp(&b.latency));
-            let mut success_ratios: Vec<f64> = values.iter().map(|known| known.good).collect();
+            let mut success_ratios: Vec<f64> =
+                values.iter().map(|known| known.success_ratio).collect();
             success_ratios.sort_by(f64::total_cmp);
             let known = values.swap_remove(values.len() / 2);
             WarmStartEntry {
-                good: success_ratios[success_ratios.len() / 2],
+                success_ratio: success_ratios[success_ratios.len() / 2],
                 ..known
             }
         };
@@ -92,17 +93,17 @@
 ) -> impl Iterator<Item = proto::KnownSearcher> {
     let recent = seen
         .iter()
-        .filter(move |s| now.since(s.heard) <= MAX_AGE && s.silent_since.is_none());
+        .filter(move |s| now.since(s.last_outcome_at) <= MAX_AGE && s.silent_since.is_none());
     recent.filter_map(move |seen| {
         let latency_us = (seen.latency? * 1e6).round() as u32;
         Some(proto::KnownSearcher {
             searcher: seen.id.as_str().to_owned(),
             life: seen
-                .life
+                .started_at
                 .map_or(0, |at| at.since(Time::from_micros(0)).as_micros()),
             latency_us: latency_us.clamp(1, MAX_LATENCY_US),
-            good: seen.good.clamp(0.0, 1.0) as f32,
-            age_ms: (now.since(seen.heard).as_micros() / 1_000) as u32,
+            good: seen.success_ratio.clamp(0.0, 1.0) as f32,
+            age_ms: (now.since(seen.last_outcome_at).as_micros() / 1_000) as u32,
         })
     })
 }
@@ -117,9 +118,9 @@
             && Span::from_millis(known.age_ms.into()) <= MAX_AGE;
         valid.then(|| WarmStartEntry {
             id: SearcherId::new(&known.searcher),
-            life: (known.life > 0).then(|| Time::from_micros(known.life)),
+            started_at: (known.life > 0).then(|| Time::from_micros(known.life)),
             latency: f64::from(known.latency_us) / 1e6,
-            good: known.good.into(),
+            success_ratio: known.good.into(),
             at: now - Span::from_millis(known.age_ms.into()),
         })
     };
--- a/crates/lockusher-membership/tests/lending.rs
+++ b/crates/lockusher-membership/tests/lending.rs
@@ -184,7 +184,7 @@
         for (nth, budget) in BUDGETS.iter().enumerate() {
             let spends = |of: usize| {
                 let now = self.clock(of);
-                let QuotaShare { own, lent, until } = self.nodes[of].lending.portions(now)[nth];
+                let QuotaShare { own, lent, until } = self.nodes[of].lending.shares(now)[nth];
                 (own, if now < until { lent } else { 0.0 })
             };
             let all: Vec<(f64, f64)> = (0..self.nodes.len()).map(spends).collect();
@@ -280,7 +280,7 @@
     };
     (0..200).for_each(|_| turn_without_faults(&mut world));
     let now = world.clock(2);
-    let QuotaShare { own, lent, .. } = world.nodes[2].lending.portions(now)[0];
+    let QuotaShare { own, lent, .. } = world.nodes[2].lending.shares(now)[0];
     assert_eq!(
         (own, lent),
         (10.0, 30.0),
@@ -302,7 +302,7 @@
         );
     }
     let now = world.clock(2);
-    let partitioned = world.nodes[2].lending.portions(now)[0];
+    let partitioned = world.nodes[2].lending.shares(now)[0];
     assert_eq!((partitioned.own, partitioned.lent), (10.0, 0.0));
 }
 
--- a/crates/lockusher-membership/tests/shared.rs
+++ b/crates/lockusher-membership/tests/shared.rs
@@ -39,10 +39,10 @@
 fn healthy(number: usize) -> SearcherObservation {
     SearcherObservation {
         id: id(number),
-        life: SEARCHER_START,
+        started_at: SEARCHER_START,
         latency: Some(0.01),
-        good: 1.0,
-        heard: ago(100),
+        success_ratio: 1.0,
+        last_outcome_at: ago(100),
         silent_since: None,
         down_since: None,
         cold_since: None,
@@ -51,7 +51,7 @@
 
 fn down(number: usize) -> SearcherObservation {
     SearcherObservation {
-        good: 0.1,
+        success_ratio: 0.1,
         down_since: Some(ago(300)),
         ..healthy(number)
     }
@@ -177,7 +177,7 @@
         NOW,
         &[
             SearcherObservation {
-                heard: ago(heard_ms),
+                last_outcome_at: ago(heard_ms),
                 ..healthy(0)
             },
             healthy(1),
@@ -216,7 +216,7 @@
     let accusations = accusations(now, &me, "z", std::iter::empty(), &mut formerly_accused);
     let seen: Vec<SearcherObservation> = (0..2)
         .map(|nth| SearcherObservation {
-            heard: now,
+            last_outcome_at: now,
             ..healthy(nth)
         })
         .collect();
@@ -261,7 +261,7 @@
         0,
         "one witness for each process"
     );
-    assert_eq!(agreed([&old, &old])[0].judged.life, SEARCHER_START);
+    assert_eq!(agreed([&old, &old])[0].health.started_at, SEARCHER_START);
 }
 
 fn delta(from: u32, upto: u32, verdicts: Vec<proto::Verdict>) -> proto::Delta {
@@ -381,9 +381,9 @@
     let known = |latency| {
         vec![WarmStartEntry {
             id: id(0),
-            life: SEARCHER_START,
+            started_at: SEARCHER_START,
             latency,
-            good: 1.0,
+            success_ratio: 1.0,
             at: ago(100),
         }]
     };
--- a/crates/lockusher-policy/src/interface.rs
+++ b/crates/lockusher-policy/src/interface.rs
@@ -283,11 +283,11 @@
 pub struct SearcherObservation {
     pub id: SearcherId,
     /// The searcher's start time as listed; it identifies the incarnation that was observed.
-    pub life: Option<Time>,
+    pub started_at: Option<Time>,
     pub latency: Option<f64>,
     /// EWMA of the fraction of attempts that succeeded.
-    pub good: f64,
-    pub heard: Time,
+    pub success_ratio: f64,
+    pub last_outcome_at: Time,
     /// Send time of the oldest attempt in flight, if there was no outcome after it was sent.
     pub silent_since: Option<Time>,
     /// Since when every outcome has suggested a dead process.
@@ -299,7 +299,7 @@
 impl AgreedHealth {
     /// Whether the searcher is reported as worse than its peers.
     pub fn is_degraded(&self) -> bool {
-        self.good < 1.0 || self.slower > 1.0
+        self.success_ratio < 1.0 || self.latency_ratio > 1.0
     }
 }
 
@@ -308,10 +308,10 @@
 pub struct AgreedHealth {
     pub id: SearcherId,
     /// Start time of the incarnation that the report is about.
-    pub life: Option<Time>,
+    pub started_at: Option<Time>,
     /// Expected fraction of successful attempts, and latency as a multiple of its peers' latency.
-    pub good: f64,
-    pub slower: f64,
+    pub success_ratio: f64,
+    pub latency_ratio: f64,
     pub cold_since: Option<Time>,
     /// Time of the latest observation behind the report.
     pub at: Time,
@@ -322,9 +322,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WarmStartEntry {
     pub id: SearcherId,
-    pub life: Option<Time>,
+    pub started_at: Option<Time>,
     pub latency: f64,
-    pub good: f64,
+    pub success_ratio: f64,
     pub at: Time,
 }
 
@@ -444,9 +444,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AdmissionTrace {
     /// How far an idle replica's expected latency counts, from 0 (not at all) to 1 (fully).
-    pub pass: f64,
+    pub idle_weight: f64,
     /// Time that the multiget may plan to use.
-    pub left: f64,
+    pub time_left: f64,
     /// Fraction of first tries not answered in time, which shortens the latency targets of retries.
     pub unserved: f64,
     /// This mixer's estimate of the fleet's median latency.
--- a/crates/lockusher-policy/src/policy.rs
+++ b/crates/lockusher-policy/src/policy.rs
@@ -106,10 +106,28 @@
     /// Observations on searchers, for other mixers.
     pub fn observations(&self) -> Vec<SearcherObservation> {
         let observations = self.selector.all_up().map(|s| {
-            let &Searcher { latency, good, heard, down_since, cold_since, ref entry, ref in_flight, .. } = s;
-            let silent_since = in_flight.iter().map(|a| a.0).min().filter(|since| *since > heard);
-            let (id, life) = (entry.id.clone(), entry.up_since);
-            SearcherObservation { id, life, latency, good, heard, silent_since, down_since, cold_since }
+            let &Searcher {
+                latency,
+                success_ratio,
+                last_outcome_at,
+                down_since,
+                cold_since,
+                ref entry,
+                ref in_flight,
+                ..
+            } = s;
+            let silent_since = in_flight.iter().map(|a| a.0).min().filter(|since| *since > last_outcome_at);
+            let (id, started_at) = (entry.id.clone(), entry.up_since);
+            SearcherObservation {
+                id,
+                started_at,
+                latency,
+                success_ratio,
+                last_outcome_at,
+                silent_since,
+                down_since,
+                cold_since,
+            }
         });
         observations.filter(|o| o.latency.is_some() || o.silent_since.is_some()).collect()
     }
--- a/crates/lockusher-policy/src/policy/admission.rs
+++ b/crates/lockusher-policy/src/policy/admission.rs
@@ -75,18 +75,21 @@
     pub(super) fn must_reject(&mut self, now: Time, mg: &Multiget) -> bool {
         // The slowest of four takes about 1.5 times as long as one; the ratio grows with the logarithm.
         let slowest_ratio = 1.0 + 0.36 * (mg.current_step().count().max(1) as f64).ln();
-        let (pass, left) = self.limits(now, mg);
+        let (idle_weight, time_left) = self.limits(now, mg);
         let (target, mut weight_in_time) = (self.op(mg).latency_target, 1e-6);
         for (_, p) in mg.current_step() {
             let pick = self.selector.pick(now, p, target, &mut self.rng);
             let time = pick.map_or(0.0, |(id, expected)| {
                 // Old latencies of idle replicas count less: else nothing would be sent, and nothing learned.
                 let s = &self.selector.searchers[&id];
-                let weight =
-                    if s.in_flight.is_empty() { pass * decay(RECENT_S, now.since(s.heard)) } else { 1.0 };
+                let weight = if s.in_flight.is_empty() {
+                    idle_weight * decay(RECENT_S, now.since(s.last_outcome_at))
+                } else {
+                    1.0
+                };
                 (expected + self.extra_work(mg.op_type, p)) * weight
             });
-            weight_in_time += if time * slowest_ratio > left { 0.0 } else { p.weight };
+            weight_in_time += if time * slowest_ratio > time_left { 0.0 } else { p.weight };
         }
         weight_in_time < self.op(mg).min_share.min(self.op(mg).complete_share)
     }
@@ -96,18 +99,19 @@
         let (target, rng) = (self.op(mg).latency_target, &mut self.rng.clone());
         let seen = |(id, est): (SearcherId, f64)| {
             let s = &self.selector.searchers[&id];
-            (id, est, s.in_flight.is_empty(), now.since(s.heard).as_secs(), s.averages(now, est).1)
+            (id, est, s.in_flight.is_empty(), now.since(s.last_outcome_at).as_secs(), s.averages(now, est).1)
         };
         let picks =
             mg.current_step().map(|(_, p)| self.selector.pick(now, p, target, rng).ok().map(seen)).collect();
-        let ((pass, left), unserved) = (self.limits(now, mg), self.admission.missed_first.value(now));
-        AdmissionTrace { pass, left, unserved, peers: self.selector.median(target), picks }
+        let ((idle_weight, time_left), unserved) =
+            (self.limits(now, mg), self.admission.missed_first.value(now));
+        AdmissionTrace { idle_weight, time_left, unserved, peers: self.selector.median(target), picks }
     }
 
     /// Weight of an idle replica's latency in admission, and the seconds that this multiget may plan to use.
     fn limits(&self, now: Time, mg: &Multiget) -> (f64, f64) {
         // Once a third of the admitted multigets miss their target, idle replicas count like any other.
-        let pass = (self.admission.missed.value(now) * 3.0).min(1.0);
-        (pass, self.target_end(mg).since(now).as_secs() * self.admission.time_share(self.priority(mg)))
+        let idle_weight = (self.admission.missed.value(now) * 3.0).min(1.0);
+        (idle_weight, self.target_end(mg).since(now).as_secs() * self.admission.time_share(self.priority(mg)))
     }
 }
--- a/crates/lockusher-policy/src/policy/retries.rs
+++ b/crates/lockusher-policy/src/policy/retries.rs
@@ -80,7 +80,8 @@
     /// Seconds after which a part of usual work is retried. Duplicating a part that is only slightly late
     /// costs more than it gains, so the threshold is high; it is lower if the searcher has been silent since.
     fn retry_delay(&self, peers: f64, last: Option<&Attempt>) -> f64 {
-        let alive = last.and_then(|s| self.selector.searchers.get(&s.to).map(|to| to.heard > s.sent_at));
+        let alive =
+            last.and_then(|s| self.selector.searchers.get(&s.to).map(|to| to.last_outcome_at > s.sent_at));
         // Higher if the first attempt has to be given up for the second.
         let deviations = if self.retries.limits.may_hedge { 10.0 } else { 15.0 };
         let margin = deviations * self.deviation.value * if alive == Some(true) { 1.0 } else { 2.0 / 3.0 };
--- a/crates/lockusher-policy/src/policy/searcher.rs
+++ b/crates/lockusher-policy/src/policy/searcher.rs
@@ -17,8 +17,8 @@
     /// EWMA of latency in seconds, normalized to a part of usual work.
     pub(super) latency: Option<f64>,
     /// EWMA of the fraction of attempts that succeeded.
-    pub(super) good: f64,
-    pub(super) heard: Time,
+    pub(super) success_ratio: f64,
+    pub(super) last_outcome_at: Time,
     pub(super) sent_at: Option<Time>,
     /// Since when all outcomes have been failures that suggest a dead process.
     pub(super) down_since: Option<Time>,
@@ -31,7 +31,7 @@
 
 impl Searcher {
     pub(super) fn new(now: Time, entry: SearcherEntry) -> Self {
-        let (listed_at, cold_since, heard, good) = (now, entry.up_since, now, 1.0);
+        let (listed_at, cold_since, last_outcome_at, success_ratio) = (now, entry.up_since, now, 1.0);
         let (in_flight, queue, latency, sent_at, down_since, agreed) = Default::default();
         Searcher {
             entry,
@@ -40,8 +40,8 @@
             in_flight,
             queue,
             latency,
-            good,
-            heard,
+            success_ratio,
+            last_outcome_at,
             sent_at,
             down_since,
             agreed,
@@ -63,7 +63,7 @@
     pub(super) fn begin(&mut self, now: Time, extra: f64, avoid_idle: bool) -> bool {
         // Far shorter than connection idle timeouts, longer than the gaps between sends under steady traffic.
         const IDLE_AFTER: Span = Span::from_millis(250);
-        let last_used = self.sent_at.map(|at| at.max(self.heard));
+        let last_used = self.sent_at.map(|at| at.max(self.last_outcome_at));
         let idle = self.in_flight.is_empty() && last_used.is_some_and(|at| now.since(at) > IDLE_AFTER);
         self.in_flight.push((now, extra, idle && !avoid_idle));
         blend(&mut self.queue, self.in_flight.len() as f64, NEWEST);
@@ -87,16 +87,16 @@
         let value = if returned { sample } else { sample.max(peers).max(self.latency.unwrap_or(0.0)) };
         let averages = self.averages(now, peers);
         // The queue changes within seconds: the older the last sample, the more the new one weighs.
-        let newest = 1.0 - (1.0 - NEWEST).powf(1.0 + now.since(self.heard).as_secs());
+        let newest = 1.0 - (1.0 - NEWEST).powf(1.0 + now.since(self.last_outcome_at).as_secs());
         self.latency = Some(self.latency.map_or(value, |_| averages.0 + (value - averages.0) * newest));
-        self.good = averages.1;
+        self.success_ratio = averages.1;
         // A loss on an idle connection is not the searcher's fault: a middlebox may have dropped it.
         if outcome != Outcome::Cancelled && !(idle && outcome.is_unanswered()) {
             // A refused connection is nearly proof that the searcher is down; an error or a lost part is not.
             let weight = if outcome == Outcome::NoConnection { 0.9 } else { NEWEST };
-            blend(&mut self.good, f64::from(returned), weight);
+            blend(&mut self.success_ratio, f64::from(returned), weight);
         }
-        self.heard = now;
+        self.last_outcome_at = now;
         // Detects a restart that no list has reported yet: outcomes of a dead process, then an answer. Pauses
         // and queues are shorter; a longer hang is mistaken for a restart, which costs some traffic.
         const MIN_OUTAGE: Span = Span::from_millis(2_000);
@@ -115,17 +115,19 @@
     /// Current averages of latency, success and queue. A replica that was slow once gets few parts to correct
     /// them, so without attempts in flight or outcomes they drift toward those of its peers.
     pub(super) fn averages(&self, now: Time, peers: f64) -> (f64, f64, f64) {
-        let kept = if self.in_flight.is_empty() { decay(HALF_LIFE_S, now.since(self.heard)) } else { 1.0 };
+        let kept =
+            if self.in_flight.is_empty() { decay(HALF_LIFE_S, now.since(self.last_outcome_at)) } else { 1.0 };
         let latency = self.latency.unwrap_or(peers);
         // Newer reports from other mixers replace own observations, and fade unless they are repeated.
-        let agreed = self.agreed.as_ref().filter(|a| a.at > self.heard);
-        let (agreed_weight, success, slowdown) =
-            agreed.map_or((0.0, 1.0, 1.0), |a| (decay(RECENT_S, now.since(a.at)), a.good, a.slower));
+        let agreed = self.agreed.as_ref().filter(|a| a.at > self.last_outcome_at);
+        let (agreed_weight, success, slowdown) = agreed.map_or((0.0, 1.0, 1.0), |a| {
+            (decay(RECENT_S, now.since(a.at)), a.success_ratio, a.latency_ratio)
+        });
         let merge = |peers: f64, own: f64, agreed: f64| {
             let faded = peers + (own - peers) * kept;
             faded + (agreed - faded) * agreed_weight
         };
-        (merge(peers, latency, peers * slowdown), merge(1.0, self.good, success), self.queue * kept)
+        (merge(peers, latency, peers * slowdown), merge(1.0, self.success_ratio, success), self.queue * kept)
     }
 
     /// Expected latency in seconds of a part of usual work.
--- a/crates/lockusher-policy/src/policy/selector.rs
+++ b/crates/lockusher-policy/src/policy/selector.rs
@@ -76,7 +76,7 @@
             if started_at > searcher.entry.up_since {
                 // Restarted under the same id: earlier observations are of another process.
                 (searcher.cold_since, searcher.down_since, searcher.agreed) = (started_at, None, None);
-                (searcher.latency, searcher.good) = (None, 1.0);
+                (searcher.latency, searcher.success_ratio) = (None, 1.0);
                 (searcher.listed_at, searcher.sent_at) = (now, None);
             }
             searcher.entry = SearcherEntry { up_since: started_at, ..listed };
@@ -94,12 +94,14 @@
     /// last healthy holder, and not at all if over half of the searchers are reported, as that is suspect.
     pub(super) fn apply_agreed_health(&mut self, mut reports: Vec<AgreedHealth>) {
         self.searchers.values_mut().for_each(|s| s.agreed = None);
-        let same_start = |s: &Searcher, life| s.is_up() && s.entry.up_since == life;
-        reports.retain(|r| self.searchers.get(&r.id).is_some_and(|s| same_start(s, r.life)));
+        let same_start = |s: &Searcher, started_at| s.is_up() && s.entry.up_since == started_at;
+        reports.retain(|r| self.searchers.get(&r.id).is_some_and(|s| same_start(s, r.started_at)));
         if reports.iter().filter(|r| r.is_degraded()).count() * 2 > self.all_up().count() {
             return;
         }
-        reports.sort_by(|a, b| a.good.total_cmp(&b.good).then(b.slower.total_cmp(&a.slower)));
+        reports.sort_by(|a, b| {
+            a.success_ratio.total_cmp(&b.success_ratio).then(b.latency_ratio.total_cmp(&a.latency_ratio))
+        });
         for r in reports {
             let mut shards = self.layout.shards_of(self.searchers[&r.id].entry.cell);
             let down =
@@ -107,7 +109,7 @@
             let last_holder = r.is_degraded() && shards.any(|shard| self.holders(Shard(shard)).all(down));
             if let Some(s) = self.searchers.get_mut(&r.id).filter(|_| !last_holder) {
                 // Slow start begins when other mixers saw it return, unless an outcome here is newer.
-                s.cold_since = s.cold_since.max(r.cold_since.filter(|since| *since > s.heard));
+                s.cold_since = s.cold_since.max(r.cold_since.filter(|since| *since > s.last_outcome_at));
                 s.agreed = Some(r);
             }
         }
@@ -115,10 +117,10 @@
 
     /// Applies observations of other mixers to searchers without an outcome here in the same incarnation.
     pub(super) fn apply_warm_start(&mut self, now: Time, known: Vec<WarmStartEntry>) {
-        for WarmStartEntry { id, life, latency, good, at } in known {
-            let has_no_outcome = |s: &&mut Searcher| s.latency.is_none() && s.entry.up_since == life;
+        for WarmStartEntry { id, started_at, latency, success_ratio, at } in known {
+            let has_no_outcome = |s: &&mut Searcher| s.latency.is_none() && s.entry.up_since == started_at;
             if let Some(s) = self.searchers.get_mut(&id).filter(has_no_outcome) {
-                (s.latency, s.good, s.heard) = (Some(latency), good, at);
+                (s.latency, s.success_ratio, s.last_outcome_at) = (Some(latency), success_ratio, at);
             }
         }
         self.refresh_stats(now);
@@ -131,7 +133,7 @@
         let median = quantile(2, &mut self.all_up().filter_map(|s| s.latency).collect::<Vec<_>>());
         self.stats.median_latency = median.or(self.stats.median_latency);
         let mut zones = BTreeMap::<_, Vec<f64>>::new();
-        for s in self.all_up().filter(|s| now.since(s.heard).as_secs() < f64::from(HALF_LIFE_S)) {
+        for s in self.all_up().filter(|s| now.since(s.last_outcome_at).as_secs() < f64::from(HALF_LIFE_S)) {
             zones.entry(s.entry.zone).or_default().extend(s.latency);
         }
         let sampled = zones.iter_mut().filter(|(_, values)| values.len() >= MIN_SAMPLES);
@@ -207,7 +209,7 @@
                 continue;
             }
             let peers = self.zone_latency(s, target);
-            let (_, good, queue) = s.averages(now, peers);
+            let (_, success_ratio, queue) = s.averages(now, peers);
             let expected = s.expected(now, peers, self.stats.min_work, &self.warmup);
             // With full queues some searchers are still fast: if even these take three times as long as
             // elsewhere, the path is slow, and counts like eight more own parts. A second own part elsewhere
@@ -220,7 +222,7 @@
             let cross_zone = s.entry.zone.is_some() && s.entry.zone != self.zone;
             let zone_cost = if cross_zone { ZONE_FACTOR * self.price * target.as_secs() } else { 0.0 };
             // A searcher that fails fast looks fast and idle; attempts are few, so failures count squared.
-            let success = good.max(0.05).powi(2);
+            let success = success_ratio.max(0.05).powi(2);
             let score = score(own, queue, expected + zone_cost) / success;
             let already_tried = part.attempts.iter().any(|attempt| attempt.to == s.entry.id);
             let entry = (already_tried, score, rng.random::<u32>(), &s.entry.id, expected / success);
--- a/crates/lockusher-policy/tests/host/mod.rs
+++ b/crates/lockusher-policy/tests/host/mod.rs
@@ -246,11 +246,11 @@
     /// The fleet's mixers report the health of these searchers: (id, fraction of successful attempts, latency
     /// as a multiple of its peers', age of the report).
     pub fn report_health(&mut self, judged: &[(&str, f64, f64, Span)]) {
-        let judged = judged.iter().map(|(id, good, slower, ago)| AgreedHealth {
+        let judged = judged.iter().map(|(id, success_ratio, latency_ratio, ago)| AgreedHealth {
             id: SearcherId::new(id),
-            life: None,
-            good: *good,
-            slower: *slower,
+            started_at: None,
+            success_ratio: *success_ratio,
+            latency_ratio: *latency_ratio,
             cold_since: None,
             at: self.now - *ago,
         });
@@ -261,9 +261,9 @@
     pub fn warm_start(&mut self, known: &[(&str, f64)]) {
         let known = known.iter().map(|(id, latency)| WarmStartEntry {
             id: SearcherId::new(id),
-            life: None,
+            started_at: None,
             latency: *latency,
-            good: 1.0,
+            success_ratio: 1.0,
             at: self.now,
         });
         self.policy.apply_update(self.now, PolicyUpdate::WarmStart(known.collect()));
