--- a/crates/lockusher-aggregator/tests/endings.rs
+++ b/crates/lockusher-aggregator/tests/endings.rs
@@ -278,7 +278,7 @@
         }
         disconnected.push(format!("q{i}.3"));
     }
-    // A part whose client remains is sent after it, unless the gate rejects it.
+    // A part whose client remains is sent after it, unless admission control rejects it.
     let disconnected_at = Instant::now();
     let answer = remaining.expect("a client").read().expect("an answer");
     assert!(matches!(answer.status, 200 | 503), "{answer:?}");
--- a/crates/lockusher-policy/src/interface.rs
+++ b/crates/lockusher-policy/src/interface.rs
@@ -518,9 +518,9 @@
     }
 }
 
-/// Fraction of events that failed, with `PRIOR_SUCCESSES` successes assumed beforehand: a plain mean at first,
-/// then a moving average in which the newest event weighs about 1 / `SAMPLES`, so that it reaches back about
-/// twice as many events. It decays with a half-life of `HALF_LIFE_S` seconds, independently of the event rate.
+/// Fraction of events that failed, with `PRIOR_SUCCESSES` successes assumed beforehand: a plain mean at
+/// first, then a moving average in which the newest event weighs about 1 / `SAMPLES`, so that it reaches
+/// back about twice as many events. Decays with a half-life of `HALF_LIFE_S` seconds at any event rate.
 pub struct FailureRatio<const SAMPLES: u32, const PRIOR_SUCCESSES: u32, const HALF_LIFE_S: u32> {
     failures: f64,
     total: f64,
--- a/crates/lockusher-policy/src/policy/latency_target.rs
+++ b/crates/lockusher-policy/src/policy/latency_target.rs
@@ -41,7 +41,7 @@
         if op.second_step == 0 || mg.first_answer.is_some() {
             return end;
         }
-        // Multiple of the mean. Answered parts are the fast ones; in long queues, others wait like any part.
+        // Multiple of the mean. Second-step answers are the fast ones; in long queues, the rest also wait.
         const SLOWEST_OF_FEW: f64 = 2.5;
         let usual = self.ops[mg.op_type.0].averages[1].0.get().unwrap_or(op.latency_target.as_secs() / 8.0);
         let needed = Span::from_secs(usual.max(self.mean.value) * SLOWEST_OF_FEW);
