--- a/crates/lockusher-membership/src/shared/consensus.rs
+++ b/crates/lockusher-membership/src/shared/consensus.rs
@@ -9,8 +9,8 @@
 use super::records::{Fault, Verdict};
 use crate::core::table::{MixerName, StableHasher};
 
-/// Older observations of a searcher are not published, as other mixers may have newer ones.
-const OBSERVATION_MAX_AGE: Span = Span::from_millis(5_000);
+/// Time to live of a local observation: an older one is not published, as other mixers may have newer ones.
+const TTL: Span = Span::from_millis(5_000);
 /// A searcher is silent when a send has been unanswered for this multiple of its peers' latency, and for at least
 /// `MIN_SILENCE`.
 const SILENCE_FACTOR: f64 = 4.0;
@@ -21,7 +21,7 @@
 /// A success ratio below this is published: two failures in a row, or half of many sends.
 const ERRS_BELOW: f64 = 0.5;
 /// A success ratio above this is fine; one failure in a row is within it.
-const FINE_ABOVE: f64 = 0.6;
+const FINE: f64 = 0.6;
 /// A searcher that answered within this time after others first found it faulty may have died in between: an answer in
 /// flight when the process ends arrives a little later, and ages have a resolution of a millisecond.
 const TRANSIT_TOLERANCE: Span = Span::from_millis(50);
@@ -49,7 +49,7 @@
 fn detect_fault(now: Time, seen: &SearcherObservation, peer_latency: f64) -> Option<Verdict> {
     let verdict = |fault, weight, since, at| {
         Some(Verdict {
-            searcher_start: seen.life,
+            searcher_start: seen.started_at,
             fault,
             weight,
             since,
@@ -64,24 +64,36 @@
         // Before that, it may still have answered other mixers.
         return verdict(Fault::Down, DOWN_SUCCESS_RATIO, since + timeout, now);
     }
-    if now.since(seen.heard) > OBSERVATION_MAX_AGE {
+    if now.since(seen.last_outcome_at) > TTL {
         return None;
     }
     if let Some(since) = seen.down_since {
-        return verdict(Fault::Down, DOWN_SUCCESS_RATIO, since, seen.heard);
+        return verdict(Fault::Down, DOWN_SUCCESS_RATIO, since, seen.last_outcome_at);
     }
-    if seen.good < ERRS_BELOW {
-        return verdict(Fault::Errs, seen.good.max(0.0), seen.heard, seen.heard);
+    if seen.success_ratio < ERRS_BELOW {
+        return verdict(
+            Fault::Errs,
+            seen.success_ratio.max(0.0),
+            seen.last_outcome_at,
+            seen.last_outcome_at,
+        );
     }
     if let Some(since) = seen
         .cold_since
-        .filter(|since| seen.life.is_none_or(|life| *since > life))
+        .filter(|since| seen.started_at.is_none_or(|started_at| *since > started_at))
     {
-        return verdict(Fault::Cold, 0.0, since, seen.heard);
+        return verdict(Fault::Cold, 0.0, since, seen.last_outcome_at);
     }
     let slowdown = seen.latency.unwrap_or(peer_latency) / peer_latency.max(1e-6);
     (slowdown > SLOW_FACTOR)
-        .then(|| verdict(Fault::Slow, slowdown.min(1e3), seen.heard, seen.heard))
+        .then(|| {
+            verdict(
+                Fault::Slow,
+                slowdown.min(1e3),
+                seen.last_outcome_at,
+                seen.last_outcome_at,
+            )
+        })
         .flatten()
 }
 
@@ -91,9 +103,8 @@
     seen: &[SearcherObservation],
     accused: &Accusations,
 ) -> Vec<(SearcherId, Verdict)> {
-    let is_recent = |s: &&SearcherObservation| {
-        now.since(s.heard) <= OBSERVATION_MAX_AGE || s.silent_since.is_some()
-    };
+    let is_recent =
+        |s: &&SearcherObservation| now.since(s.last_outcome_at) <= TTL || s.silent_since.is_some();
     let peer_latency = median(seen.iter().filter_map(|s| s.latency));
     let (mut tried, mut verdicts) = (0, Vec::new());
     for seen in seen.iter().filter(is_recent) {
@@ -112,16 +123,16 @@
         |s: &&SearcherObservation| s.latency.is_some_and(|l| l < peer_latency * SLOW_FACTOR);
     let fine = seen
         .iter()
-        .filter(|s| s.good > FINE_ABOVE && s.down_since.is_none() && s.silent_since.is_none());
+        .filter(|s| s.success_ratio > FINE && s.down_since.is_none() && s.silent_since.is_none());
     let fine = fine.filter(is_quick);
-    for seen in fine.filter(|s| now.since(s.heard) <= OBSERVATION_MAX_AGE) {
+    for seen in fine.filter(|s| now.since(s.last_outcome_at) <= TTL) {
         let accusation = accused
             .get(&seen.id)
             .filter(|accusation| accusation.defenders < MAX_WITNESSES);
-        if accusation.is_some_and(|accusation| seen.heard > accusation.since + TRANSIT_TOLERANCE)
+        if accusation.is_some_and(|a| seen.last_outcome_at > a.since + TRANSIT_TOLERANCE)
             && verdicts.iter().all(|(id, _)| *id != seen.id)
         {
-            let (searcher_start, at) = (seen.life, seen.heard);
+            let (searcher_start, at) = (seen.started_at, seen.last_outcome_at);
             verdicts.push((
                 seen.id.clone(),
                 Verdict {
@@ -154,7 +165,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgreedVerdict {
     /// The verdict as the policy uses it.
-    pub judged: AgreedHealth,
+    pub health: AgreedHealth,
     /// The fault that most witnesses report.
     pub fault: Fault,
     /// The mixers that agree, in the order of their names.
@@ -325,15 +336,15 @@
                 .filter(|vote| vote.verdict.fault == fault)
                 .map(|vote| vote.verdict.weight)
         };
-        let judged = AgreedHealth {
+        let health = AgreedHealth {
             id: (*id).clone(),
-            life: *searcher_start,
-            good: match fault {
+            started_at: *searcher_start,
+            success_ratio: match fault {
                 Fault::Down => DOWN_SUCCESS_RATIO,
                 Fault::Errs => median(weights()).clamp(DOWN_SUCCESS_RATIO, 1.0),
                 _ => 1.0,
             },
-            slower: if fault == Fault::Slow {
+            latency_ratio: if fault == Fault::Slow {
                 median(weights()).max(1.0)
             } else {
                 1.0
@@ -344,7 +355,7 @@
         let mut names: Vec<MixerName> = witnesses.iter().map(|vote| vote.by.clone()).collect();
         names.sort();
         Some(AgreedVerdict {
-            judged,
+            health,
             fault,
             witnesses: names,
         })
