--- a/crates/lockusher-policy/src/policy.rs
+++ b/crates/lockusher-policy/src/policy.rs
@@ -46,6 +46,7 @@
 /// Over the last hundred samples: stable while a single searcher is slow, yet it follows daily load changes.
 type Average = Mean<100>;
 
+/// An operation type, and this mixer's statistics of its multigets.
 struct OpTypeState {
     op: OpType,
     /// Latency and work hint of the parts of each step, so that unequal parts can share one average.
--- a/crates/lockusher-policy/src/policy/latency_target.rs
+++ b/crates/lockusher-policy/src/policy/latency_target.rs
@@ -41,7 +41,9 @@
         if op.second_step == 0 || mg.first_answer.is_some() {
             return end;
         }
-        // Multiple of the mean. Second-step answers are the fast ones; in long queues, the rest also wait.
+        // The slowest of a few parts takes about this multiple of the mean latency. The second-step parts
+        // answered so far are the fast ones, so their mean may be too low: under long queues, the others wait
+        // like any part. The mean of all parts is therefore the least that is assumed.
         const SLOWEST_OF_FEW: f64 = 2.5;
         let usual = self.ops[mg.op_type.0].averages[1].0.get().unwrap_or(op.latency_target.as_secs() / 8.0);
         let needed = Span::from_secs(usual.max(self.mean.value) * SLOWEST_OF_FEW);
--- a/crates/lockusher-policy/src/policy/searcher.rs
+++ b/crates/lockusher-policy/src/policy/searcher.rs
@@ -4,6 +4,8 @@
 use crate::interface::*;
 use crate::scoring::{NEWEST, blend};
 
+/// The state of one searcher in this mixer's own view: its list entry, this mixer's attempts and averages,
+/// and what other mixers reported of it.
 pub(super) struct Searcher {
     pub(super) entry: SearcherEntry,
     /// When this mixer learned of its current incarnation.
--- a/crates/lockusher-policy/src/policy/selector.rs
+++ b/crates/lockusher-policy/src/policy/selector.rs
@@ -26,7 +26,8 @@
     pub(super) budgets: TokenBuckets,
 }
 
-/// The newest attempt weighs 1/15, so the ratio reaches back about thirty attempts, as a few prove little.
+/// The newest attempt weighs about 1/15, so the ratio reaches back about thirty attempts, as a few prove
+/// little. It decays with the same half-life as a searcher's averages, [`HALF_LIFE_S`].
 type LossRatio = FailureRatio<15, 1, HALF_LIFE_S>;
 
 /// Statistics of the whole fleet, updated once per outcome, so that selection only visits a part's holders.
@@ -44,7 +45,8 @@
     lowest_quartile: f64,
     /// Approximate minimum time of a part of usual work: its work without queueing.
     pub(super) min_work: f64,
-    /// Rate at which a warmed-up searcher answers parts of usual work, and its last known value.
+    /// Rate at which a warmed-up searcher answers this mixer's parts, in parts of usual work and averaged
+    /// over bursts, and its last known value.
     rate: Rate<3>,
     last_rate: f64,
 }
@@ -90,8 +92,9 @@
         self.refresh_stats(now);
     }
 
-    /// Reports agreed by the fleet's mixers apply where this mixer has no newer outcome: never to a shard's
-    /// last healthy holder, and not at all if over half of the searchers are reported, as that is suspect.
+    /// Reports agreed by the fleet's mixers apply where this mixer has no newer outcome: never against a
+    /// shard's last healthy holder, and not at all if they are against over half of the searchers, as then
+    /// the fault is more likely to be with the mixers that report than with so many searchers.
     pub(super) fn apply_agreed_health(&mut self, mut reports: Vec<AgreedHealth>) {
         self.searchers.values_mut().for_each(|s| s.agreed = None);
         let same_start = |s: &Searcher, started_at| s.is_up() && s.entry.up_since == started_at;
@@ -165,7 +168,8 @@
         if capacity < 1.0 { Span::from_secs(1.0 / allowed) } else { Span::ZERO }
     }
 
-    /// Records an answer per searcher that is warmed up now: if many leave, the rest can't serve their total.
+    /// Records an answer of a warmed-up searcher, divided by the number of searchers that are warmed up at
+    /// that time: many may leave at once, and the remaining few cannot serve the total rate of all.
     pub(super) fn record_answer(&mut self, now: Time, from: &SearcherId, weight: f64) {
         let is_warmed_up = |s: &Searcher| s.is_up() && s.capacity(now, &self.warmup) >= 1.0;
         if self.stats.warmed > 0 && self.searchers.get(from).is_some_and(is_warmed_up) {
@@ -195,7 +199,8 @@
 
     /// The replica with the lowest [`score`]; replicas that were sent this part before come last.
     pub(super) fn pick(&self, now: Time, part: &Part, target: Span, rng: &mut ChaCha8Rng) -> Pick {
-        /// Latency targets per unit of price: an idle local replica goes first, a slow one after remote ones.
+        /// Cross-zone cost in latency targets per unit of price: idle replicas in the own zone are preferred,
+        /// but a healthy remote replica beats a slow local one.
         const ZONE_FACTOR: f64 = 20.0;
         /// Already sent this part, score, tie-break, searcher, and expected latency with failures counted.
         type Entry<'a> = (bool, f64, u32, &'a SearcherId, f64);
@@ -211,9 +216,9 @@
             let peers = self.zone_latency(s, target);
             let (_, success_ratio, queue) = s.averages(now, peers);
             let expected = s.expected(now, peers, self.stats.min_work, &self.warmup);
-            // With full queues some searchers are still fast: if even these take three times as long as
-            // elsewhere, the path is slow, and counts like eight more own parts. A second own part elsewhere
-            // weighs eight times, so some parts still take this path. Misjudges a zone that is merely weak.
+            // With full queues some searchers are fast: if even these take three times as long as elsewhere,
+            // the path is slow, and counts like eight more own parts. Otherwise some parts would still take
+            // it, as a second own part elsewhere has eight times the score. Misjudges a merely weak zone.
             let zone = self.stats.zones.get(&s.entry.zone);
             let slow_path = zone.is_some_and(|zone| zone.1 > 3.0 * self.stats.lowest_quartile);
             let own = s.in_flight.len() as f64;
--- a/crates/lockusher-policy/src/scoring.rs
+++ b/crates/lockusher-policy/src/scoring.rs
@@ -6,7 +6,8 @@
 /// Weight of the newest sample in a replica's moving averages.
 pub const NEWEST: f64 = 1.0 / 3.0;
 
-/// Score of a replica, the lowest wins: (in flight + queue average + 1)^[`EXPONENT`] x latency, in its unit.
+/// The score by which a replica is selected, where the lowest wins:
+/// (in flight + queue average + 1)^[`EXPONENT`] x latency, in the unit of `latency`.
 pub fn score(in_flight: f64, queue_average: f64, latency: f64) -> f64 {
     (in_flight + queue_average + 1.0).powi(EXPONENT as i32) * latency
 }
