--- a/crates/lockusher-aggregator-testbed/src/mixers/mod.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/mod.rs
@@ -1,13 +1,13 @@
 //! The proving ground of many mixers: the same core in virtual time, and real processes with faults between them.
 
+pub mod budget_usage;
 pub mod clients;
-pub mod ground;
+pub mod harness;
 pub mod rules;
 pub mod run;
 pub mod shared;
 pub mod shared_sim;
 pub mod simulate;
-pub mod spent;
 pub mod switch;
 pub mod virtual_time;
 pub mod worker;
--- a/crates/lockusher-aggregator-testbed/src/mixers/run.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/run.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::ground::{Ground, Plan, View, name};
+use super::harness::{Ground, Plan, View, name};
 use super::percentiles;
 use super::rules::{Excused, Logs, check};
 use super::switch::{End, Way};
--- a/crates/lockusher-aggregator-testbed/src/mixers/shared.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared.rs
@@ -9,11 +9,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use super::budget_usage::{further_sends, slack, worst_second};
 use super::clients::{Done, End as Ended, LOST_AFTER, PATIENCE};
-use super::ground::{Ground, Plan, View, name};
+use super::harness::{Ground, Plan, View, name};
 use super::percentiles;
 use super::rules::{Broken, Excused, Logs, check};
-use super::spent::{further_sends, slack, worst_second};
 use super::switch::{End, Way};
 use super::worker::Did;
 
--- a/crates/lockusher-aggregator-testbed/tests/fleet_processes.rs
+++ b/crates/lockusher-aggregator-testbed/tests/fleet_processes.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use lockusher_aggregator_testbed::mixers::ground::{Ground, Plan, View, name};
+use lockusher_aggregator_testbed::mixers::harness::{Ground, Plan, View, name};
 use lockusher_aggregator_testbed::mixers::switch::{End, Way};
 use rstest::rstest;
 
--- a/crates/lockusher-aggregator-testbed/tests/shared_processes.rs
+++ b/crates/lockusher-aggregator-testbed/tests/shared_processes.rs
@@ -4,9 +4,9 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
+use lockusher_aggregator_testbed::mixers::budget_usage::{further_sends, slack, worst_second};
 use lockusher_aggregator_testbed::mixers::clients::End as Came;
-use lockusher_aggregator_testbed::mixers::ground::{Ground, Plan, View, name};
-use lockusher_aggregator_testbed::mixers::spent::{further_sends, slack, worst_second};
+use lockusher_aggregator_testbed::mixers::harness::{Ground, Plan, View, name};
 use lockusher_aggregator_testbed::mixers::switch::{End, Way};
 use lockusher_membership::proto;
 use prost::Message;
