--- a/crates/lockusher-aggregator-testbed/src/mixers/budget_usage.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/budget_usage.rs
@@ -1,32 +1,35 @@
-//! What a fleet spent of its budgets, counted from outside, at the searchers.
+//! The budget usage of a fleet, counted from the searchers' logs.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use super::worker::Came;
+use super::worker::ReceivedPart;
 
-/// When further sends of parts came, in all searchers' logs: each but the first of its part.
-pub fn further_sends(logs: &[Vec<Came>]) -> Vec<Instant> {
+/// The times at which retries of parts arrived, from the logs of all searchers: each send of a part but the first.
+pub fn retry_times(logs: &[Vec<ReceivedPart>]) -> Vec<Instant> {
     let mut by_part: HashMap<&str, Vec<Instant>> = HashMap::new();
-    for came in logs.iter().flatten() {
-        by_part.entry(&came.part).or_default().push(came.at);
+    for received in logs.iter().flatten() {
+        by_part
+            .entry(&received.part)
+            .or_default()
+            .push(received.received_at);
     }
-    let mut further: Vec<Instant> = by_part
+    let mut retries: Vec<Instant> = by_part
         .into_values()
         .flat_map(|mut at| {
             at.sort();
             at.into_iter().skip(1)
         })
         .collect();
-    further.sort();
-    further
+    retries.sort();
+    retries
 }
 
-/// The most that came within any one second.
-pub fn worst_second(at: &[Instant]) -> usize {
+/// The most events within any window of one second. The times are sorted.
+pub fn max_per_second(at: &[Instant]) -> usize {
     let mut first = 0;
-    let within = |(last, until): (usize, &Instant)| {
-        while until.duration_since(at[first]) >= Duration::from_secs(1) {
+    let within = |(last, end): (usize, &Instant)| {
+        while end.duration_since(at[first]) >= Duration::from_secs(1) {
             first += 1;
         }
         last + 1 - first
@@ -34,25 +37,25 @@
     at.iter().enumerate().map(within).max().unwrap_or_default()
 }
 
-/// What the fleet may spend beyond a budget in one second: a fifth of it and one a mixer, as the meters save that; and
-/// what a part of a second more carries, since sends take unlike times to where they are counted.
-pub fn slack(budget: f64, mixers: usize) -> f64 {
-    /// Half of the time in which a busy machine brings what left in one second.
-    const JITTER: f64 = 0.1;
-    budget * (0.2 + JITTER) + mixers as f64
+/// How far the sends counted in one second may exceed a budget: the meters' burst of a fifth of the budget and one send
+/// a mixer, and the sends of `JITTER_SECONDS` more, since sends take different times to reach the searchers.
+pub fn budget_slack(budget: f64, mixers: usize) -> f64 {
+    /// On a busy machine, sends of one second arrive within a time that varies by this much.
+    const JITTER_SECONDS: f64 = 0.1;
+    budget * (0.2 + JITTER_SECONDS) + mixers as f64
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::mixers::worker::Did;
+    use crate::mixers::worker::PartOutcome;
 
     #[test]
-    fn the_worst_second_is_found_wherever_it_lies() {
+    fn max_per_second_considers_every_window() {
         let start = Instant::now();
         let at = |ms: &u64| start + Duration::from_millis(*ms);
         assert_eq!(
-            worst_second(
+            max_per_second(
                 &[0, 900, 1_500, 1_800, 1_899, 3_000]
                     .iter()
                     .map(at)
@@ -60,18 +63,18 @@
             ),
             4
         );
-        assert_eq!(worst_second(&[]), 0);
-        let came = |part: &str, ms: u64| Came {
+        assert_eq!(max_per_second(&[]), 0);
+        let received = |part: &str, ms: u64| ReceivedPart {
             part: part.into(),
-            at: at(&ms),
-            did: Did::Ran,
+            received_at: at(&ms),
+            outcome: PartOutcome::Executed,
             value: None,
             cold: false,
         };
         let logs = [
-            vec![came("a", 5), came("b", 9)],
-            vec![came("a", 2), came("a", 7)],
+            vec![received("a", 5), received("b", 9)],
+            vec![received("a", 2), received("a", 7)],
         ];
-        assert_eq!(further_sends(&logs), [at(&5), at(&7)]);
+        assert_eq!(retry_times(&logs), [at(&5), at(&7)]);
     }
 }
--- a/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
@@ -1,4 +1,4 @@
-//! `shared-sim`: state that mixers share in virtual time, at sizes that processes do not reach.
+//! `shared-sim`: simulates shared state in virtual time, for fleets larger than processes on one machine allow.
 
 use anyhow::Result;
 use lockusher_membership::core::shared_state::{LocalReport, SharingConfig};
@@ -9,19 +9,24 @@
 use super::percentiles;
 use super::virtual_time::World;
 
-const SETTLES: Span = Span::from_millis(10_000);
-/// Between two reports of a mixer; in truth a fifth of that, of which most change nothing.
-const REPORTS: Span = Span::from_millis(1_000);
+/// The limit on convergence of the views, and on the spread of a verdict.
+const CONVERGENCE_LIMIT: Span = Span::from_millis(10_000);
+/// The interval of reports of a mixer. Real mixers report five times as often, but most of those reports change nothing.
+const REPORT_INTERVAL: Span = Span::from_millis(1_000);
+/// The time step between checks.
 const STEP: Span = Span::from_millis(50);
 const SEARCHERS: usize = 12;
-/// Witnesses of a death in a fleet at thin traffic: one in twenty, four at least.
-const WITNESSES: usize = 20;
-const KNOWN_MS: u64 = 3_000;
-const MOST_BYTES_S: f64 = 10_000.0;
-/// What a member may spend on an average.
-const EACH: f64 = 3.0;
+/// One mixer in this many, and four at least, observes the failure of a searcher, as under light traffic.
+const WITNESS_STRIDE: usize = 20;
+/// The limit on the 99th percentile of the spread of a verdict.
+const VERDICT_LIMIT_MS: u64 = 3_000;
+/// The limit on bytes sent by one mixer.
+const MAX_BYTES_PER_S: f64 = 10_000.0;
+/// The budget for each member, in retries a second.
+const BUDGET_PER_MEMBER: f64 = 3.0;
 
-fn glimpse(searcher: usize, now: Time, down_since: Option<Time>) -> SearcherObservation {
+/// A mixer's observation of a searcher.
+fn observation(searcher: usize, now: Time, down_since: Option<Time>) -> SearcherObservation {
     let good = if down_since.is_some() { 0.1 } else { 1.0 };
     SearcherObservation {
         id: SearcherId::new(&format!("s{searcher}")),
@@ -35,51 +40,57 @@
     }
 }
 
-/// A fleet that reports: `down` is a searcher and since when the witnesses see it so.
+/// A fleet whose mixers report observations and demand.
 struct Fleet {
     world: World,
-    down: Option<(usize, Time)>,
-    next: Time,
-    wants: Vec<f64>,
+    /// The failed searcher, and since when its witnesses observe the failure.
+    failed: Option<(usize, Time)>,
+    /// The time of the next reports.
+    next_report: Time,
+    /// The demand of each mixer, in retries a second.
+    demands: Vec<f64>,
 }
 
 impl Fleet {
-    fn play(&mut self, span: Span) {
+    /// Runs the simulation for this long, with reports.
+    fn run_for(&mut self, span: Span) {
         let end = self.world.now + span;
         while self.world.now < end {
-            if self.next <= self.world.now {
-                self.next = self.next + REPORTS;
+            if self.next_report <= self.world.now {
+                self.next_report = self.next_report + REPORT_INTERVAL;
                 self.report();
             }
-            self.world.play(STEP);
+            self.world.run_for(STEP);
         }
     }
 
+    /// Reports the observations and demand of all running mixers.
     fn report(&mut self) {
-        let up: Vec<usize> = self.world.up().collect();
+        let running: Vec<usize> = self.world.running().collect();
         let now = self.world.now;
-        let every = if up.len() >= 4 * WITNESSES {
-            WITNESSES
+        let stride = if running.len() >= 4 * WITNESS_STRIDE {
+            WITNESS_STRIDE
         } else {
-            up.len().div_ceil(4)
+            running.len().div_ceil(4)
         };
-        for (nth, mixer) in up.into_iter().enumerate() {
-            let seen = (0..SEARCHERS).filter_map(|searcher| match self.down {
+        for (index, mixer) in running.into_iter().enumerate() {
+            let seen = (0..SEARCHERS).filter_map(|searcher| match self.failed {
                 Some((of, since)) if of == searcher => {
-                    (nth % every == 0).then(|| glimpse(of, now, Some(since)))
+                    (index % stride == 0).then(|| observation(of, now, Some(since)))
                 }
-                _ => Some(glimpse(searcher, now, None)),
+                _ => Some(observation(searcher, now, None)),
             });
-            let own = LocalReport {
+            let report = LocalReport {
                 seen: seen.collect(),
-                wants: vec![(Budget::Retries, self.wants[mixer])],
+                wants: vec![(Budget::Retries, self.demands[mixer])],
                 ..LocalReport::default()
             };
-            self.world.tell(mixer, own);
+            self.world.report(mixer, report);
         }
     }
 
-    fn knows(&self, mixer: usize, searcher: usize) -> bool {
+    /// Whether a mixer holds a verdict that a searcher is degraded.
+    fn holds_verdict(&self, mixer: usize, searcher: usize) -> bool {
         let id = SearcherId::new(&format!("s{searcher}"));
         self.world
             .core(mixer)
@@ -88,15 +99,16 @@
             .any(|of| of.judged.id == id && of.judged.is_degraded())
     }
 
+    /// Runs for this long and returns the bytes that one mixer sends a second.
     fn bytes_s(&mut self, span: Span) -> f64 {
-        let (before, began) = (self.world.counts().bytes_out, self.world.now);
-        self.play(span);
-        let each = self.world.mixers() as f64 * self.world.now.since(began).as_secs();
-        (self.world.counts().bytes_out - before) as f64 / each
+        let (before, start) = (self.world.total_counts().bytes_out, self.world.now);
+        self.run_for(span);
+        let member_seconds = self.world.mixers() as f64 * self.world.now.since(start).as_secs();
+        (self.world.total_counts().bytes_out - before) as f64 / member_seconds
     }
 }
 
-/// Plays it; tells whether all promises were kept. The last line it prints has its figures.
+/// Runs the simulation and returns whether all guarantees held. The last line printed has the figures.
 pub fn run(members: usize, seed: u64, span: Span) -> Result<bool> {
     anyhow::ensure!(
         (4..=10_000).contains(&members),
@@ -104,9 +116,9 @@
     );
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5a5a);
     let mut world = World::new(members, seed);
-    let budget = EACH * members as f64;
+    let budget = BUDGET_PER_MEMBER * members as f64;
     world.zones = 3;
-    world.plan.sharing = Some(SharingConfig {
+    world.config.sharing = Some(SharingConfig {
         judgements: true,
         budgets: vec![(Budget::Retries, budget)],
         mixers: members,
@@ -114,83 +126,93 @@
     });
     for member in 0..members {
         world.start(member);
-        world.play(Span::from_micros(1_000_000 / members as u64));
+        world.run_for(Span::from_micros(1_000_000 / members as u64));
     }
-    anyhow::ensure!(world.settle(SETTLES).is_some(), "the fleet does not settle");
-    // Traffic is uneven: some want several times the mean, most little.
-    let want = |rng: &mut ChaCha8Rng| EACH * rng.random_range(0.0..1.0_f64).powi(4) * 10.0;
-    let wants = (0..members).map(|_| want(&mut rng)).collect();
-    let next = world.now;
+    anyhow::ensure!(
+        world.converge(CONVERGENCE_LIMIT).is_some(),
+        "the views of the fleet do not converge"
+    );
+    // Uneven traffic: some mixers demand several times the mean, most little.
+    let demand =
+        |rng: &mut ChaCha8Rng| BUDGET_PER_MEMBER * rng.random_range(0.0..1.0_f64).powi(4) * 10.0;
+    let demands = (0..members).map(|_| demand(&mut rng)).collect();
+    let next_report = world.now;
     let mut fleet = Fleet {
         world,
-        down: None,
-        next,
-        wants,
+        failed: None,
+        next_report,
+        demands,
     };
-    fleet.play(Span::from_millis(5_000));
-    let calm = fleet.bytes_s(Span::from_millis(5_000));
-    // A searcher dies; its witnesses go on seeing it.
-    let died = fleet.world.now;
-    fleet.down = Some((3, died));
-    let (mut known, mut unknown) = (Vec::new(), (0..members).collect::<Vec<usize>>());
-    let before = fleet.world.counts().bytes_out;
-    while !unknown.is_empty() && fleet.world.now.since(died) < SETTLES {
-        fleet.play(STEP);
+    fleet.run_for(Span::from_millis(5_000));
+    let bytes_s_calm = fleet.bytes_s(Span::from_millis(5_000));
+    // A searcher fails; its witnesses continue to report it.
+    let failed_at = fleet.world.now;
+    fleet.failed = Some((3, failed_at));
+    let (mut verdict_delays, mut undetected) = (Vec::new(), (0..members).collect::<Vec<usize>>());
+    let before = fleet.world.total_counts().bytes_out;
+    while !undetected.is_empty() && fleet.world.now.since(failed_at) < CONVERGENCE_LIMIT {
+        fleet.run_for(STEP);
         let now = fleet.world.now;
-        let (learnt, still): (Vec<usize>, Vec<usize>) = unknown
+        let (detected, remaining): (Vec<usize>, Vec<usize>) = undetected
             .into_iter()
-            .partition(|mixer| fleet.knows(*mixer, 3));
-        known.extend(learnt.iter().map(|_| now.since(died)));
-        unknown = still;
+            .partition(|mixer| fleet.holds_verdict(*mixer, 3));
+        verdict_delays.extend(detected.iter().map(|_| now.since(failed_at)));
+        undetected = remaining;
     }
-    let took = fleet.world.now.since(died);
-    known.extend(unknown.iter().map(|_| SETTLES));
-    let bad = fleet.bytes_s(Span::from_millis(5_000));
-    let spread =
-        (fleet.world.counts().bytes_out - before) as f64 / members as f64 / (took.as_secs() + 5.0);
-    fleet.down = None;
-    // What may be spent under cuts, kills and standstills, of which no view knows all.
-    let (mut worst, mut least_lent, end) = (0.0_f64, f64::MAX, fleet.world.now + span);
-    fleet.world.judges = false;
+    let elapsed = fleet.world.now.since(failed_at);
+    verdict_delays.extend(undetected.iter().map(|_| CONVERGENCE_LIMIT));
+    let bytes_s_after = fleet.bytes_s(Span::from_millis(5_000));
+    let bytes_s_spreading = (fleet.world.total_counts().bytes_out - before) as f64
+        / members as f64
+        / (elapsed.as_secs() + 5.0);
+    fleet.failed = None;
+    // The rate that the fleet may spend under partitions, kills and pauses, of which no single view is complete.
+    let (mut most_of_budget, mut least_of_budget, end) =
+        (0.0_f64, f64::MAX, fleet.world.now + span);
+    fleet.world.records_false_deaths = false;
     while fleet.world.now < end {
         match rng.random_range(0..4) {
             0 => {
                 let share: f64 = rng.random_range(0.1..0.6);
-                fleet.world.net.group = (0..members)
+                fleet.world.network.partition = (0..members)
                     .map(|_| u8::from(rng.random::<f64>() < share))
                     .collect();
             }
             1 => {
-                let part: Vec<usize> = fleet
+                let group: Vec<usize> = fleet
                     .world
-                    .up()
+                    .running()
                     .filter(|_| rng.random::<f64>() < 0.2)
                     .collect();
-                part.iter().for_each(|member| fleet.world.kill(*member));
-                part.iter().for_each(|member| fleet.world.start(*member));
+                group.iter().for_each(|member| fleet.world.kill(*member));
+                group.iter().for_each(|member| fleet.world.start(*member));
             }
             2 => {
-                let one = rng.random_range(0..members);
+                let member = rng.random_range(0..members);
                 fleet
                     .world
-                    .stop(one, Span::from_millis(rng.random_range(500..9_000)));
+                    .pause(member, Span::from_millis(rng.random_range(500..9_000)));
             }
-            _ => fleet.world.net.group = vec![0; members],
+            _ => fleet.world.network.partition = vec![0; members],
         }
         for _ in 0..rng.random_range(10..80) {
-            fleet.play(STEP);
-            let may = fleet.world.may_spend(0);
-            (worst, least_lent) = (worst.max(may / budget), least_lent.min(may / budget));
+            fleet.run_for(STEP);
+            let allowance = fleet.world.total_allowance(0);
+            (most_of_budget, least_of_budget) = (
+                most_of_budget.max(allowance / budget),
+                least_of_budget.min(allowance / budget),
+            );
         }
     }
-    let [p50, p99, most] = percentiles(&mut known);
-    let bytes = calm.max(bad).max(spread);
-    let kept = p99 <= KNOWN_MS && worst <= 1.0 + 1e-9 && bytes < MOST_BYTES_S;
+    let [p50, p99, max] = percentiles(&mut verdict_delays);
+    let max_bytes_s = bytes_s_calm.max(bytes_s_after).max(bytes_s_spreading);
+    let passed =
+        p99 <= VERDICT_LIMIT_MS && most_of_budget <= 1.0 + 1e-9 && max_bytes_s < MAX_BYTES_PER_S;
     println!(
-        "members={members} seed={seed} seconds={} known_p50_ms={p50} known_p99_ms={p99} known_worst_ms={most} \
-         bytes_s_calm={calm:.0} bytes_s_spreading={spread:.0} bytes_s_after={bad:.0} most_of_budget={worst:.3} \
-         least_of_budget={least_lent:.3} kept={kept}",
+        "members={members} seed={seed} seconds={} known_p50_ms={p50} known_p99_ms={p99} known_worst_ms={max} \
+         bytes_s_calm={bytes_s_calm:.0} bytes_s_spreading={bytes_s_spreading:.0} bytes_s_after={bytes_s_after:.0} most_of_budget={most_of_budget:.3} \
+         least_of_budget={least_of_budget:.3} kept={passed}",
         span.as_secs(),
     );
-    Ok(kept)
+    Ok(passed)
 }
--- a/crates/lockusher-aggregator-testbed/src/mixers/switch.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/switch.rs
@@ -1,6 +1,6 @@
-//! What lies between processes: a switch that all datagrams of the mixers pass, one socket for each mixer, and relays of
-//! the same kind for frames to searchers. Each pair and direction can be cut, delayed, lossy, doubled, damaged or
-//! put out of order.
+//! The network between processes: a switch that forwards all datagrams between mixers, with one socket for each mixer,
+//! and TCP relays for frames to searchers. Each direction of each pair can be blocked, delayed, lossy, or duplicate,
+//! corrupt and reorder datagrams.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -13,132 +13,160 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-/// One end of a way: mixers and searchers by their numbers.
+/// One end of a link: a mixer or a searcher, by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum Endpoint {
     Mixer(usize),
     Searcher(usize),
 }
 
-/// How it is from one end to another. What is lost, doubled or damaged are datagrams; frames are cut and delayed, as
-/// TCP makes up for the rest.
+/// The conditions of one direction of a link. Loss, duplication and corruption apply to datagrams only; frames are
+/// blocked and delayed, since TCP repairs the rest.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
-    pub cut: bool,
+pub struct LinkConditions {
+    /// Nothing passes.
+    pub blocked: bool,
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    pub doubled: f64,
-    pub damaged: f64,
-    /// Each waits for a time between these, so that later ones overtake it.
-    pub least: Duration,
-    pub most: Duration,
+    /// The share of datagrams that are delivered twice.
+    pub duplicated: f64,
+    /// The share of datagrams of which one bit is flipped.
+    pub corrupted: f64,
+    /// The least delay; each datagram is delayed at random up to `max_delay`, which reorders datagrams.
+    pub min_delay: Duration,
+    /// The greatest delay.
+    pub max_delay: Duration,
 }
 
-struct Ways {
-    all: Way,
-    some: HashMap<(End, End), Way>,
+/// The conditions of all links: a default, and overrides for single directions.
+struct Links {
+    default: LinkConditions,
+    overrides: HashMap<(Endpoint, Endpoint), LinkConditions>,
     rng: ChaCha8Rng,
 }
 
+/// Forwards datagrams and frames under the conditions of each link.
 pub struct Switch {
-    ways: Mutex<Ways>,
-    /// Where each mixer listens in truth.
-    real: Vec<SocketAddrV4>,
-    pub passed: AtomicU64,
-    pub lost: AtomicU64,
-    /// When mixers opened connections to searchers.
-    pub opened: Mutex<Vec<Instant>>,
+    links: Mutex<Links>,
+    /// The address at which each mixer listens.
+    mixer_addresses: Vec<SocketAddrV4>,
+    /// Datagrams forwarded.
+    pub forwarded: AtomicU64,
+    /// Datagrams dropped.
+    pub dropped: AtomicU64,
+    /// The times at which mixers opened connections to searchers.
+    pub connections_opened: Mutex<Vec<Instant>>,
 }
 
 impl Switch {
-    /// A switch before mixers that listen at these addresses, and the addresses at which others reach them.
+    /// Starts a switch in front of mixers that listen at these addresses; returns it with the addresses that the mixers
+    /// advertise.
     pub async fn start(
-        real: Vec<SocketAddrV4>,
+        mixer_addresses: Vec<SocketAddrV4>,
         seed: u64,
     ) -> std::io::Result<(Arc<Self>, Vec<SocketAddrV4>)> {
-        let (mut sockets, mut shown) = (Vec::new(), Vec::new());
-        for _ in &real {
+        let (mut sockets, mut switch_addresses) = (Vec::new(), Vec::new());
+        for _ in &mixer_addresses {
             let socket = UdpSocket::bind("127.0.0.1:0").await?;
             if let SocketAddr::V4(at) = socket.local_addr()? {
-                shown.push(at);
+                switch_addresses.push(at);
             }
             sockets.push(Arc::new(socket));
         }
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let ways = Mutex::new(Ways {
-            all: Way::default(),
-            some: HashMap::new(),
+        let links = Mutex::new(Links {
+            default: LinkConditions::default(),
+            overrides: HashMap::new(),
             rng,
         });
-        let (passed, lost) = (AtomicU64::new(0), AtomicU64::new(0));
+        let (forwarded, dropped) = (AtomicU64::new(0), AtomicU64::new(0));
         let switch = Arc::new(Switch {
-            ways,
-            real,
-            passed,
-            lost,
-            opened: Mutex::default(),
+            links,
+            mixer_addresses,
+            forwarded,
+            dropped,
+            connections_opened: Mutex::default(),
         });
         for to in 0..sockets.len() {
             let (this, sockets) = (switch.clone(), sockets.clone());
-            tokio::spawn(async move { this.carry(to, &sockets).await });
+            tokio::spawn(async move { this.forward_datagrams(to, &sockets).await });
         }
-        Ok((switch, shown))
+        Ok((switch, switch_addresses))
     }
 
-    /// How it is everywhere, from now on; what was set for single ways is forgotten.
-    pub fn everywhere(&self, way: Way) {
-        let mut ways = self.ways.lock().unwrap();
-        ways.all = way;
-        ways.some.clear();
+    /// Sets the conditions of all links and clears the overrides.
+    pub fn set_all_links(&self, link: LinkConditions) {
+        let mut links = self.links.lock().unwrap();
+        links.default = link;
+        links.overrides.clear();
     }
 
-    pub fn way(&self, from: End, to: End, way: Way) {
-        self.ways.lock().unwrap().some.insert((from, to), way);
+    /// Sets the conditions of one direction.
+    pub fn set_link(&self, from: Endpoint, to: Endpoint, link: LinkConditions) {
+        self.links
+            .lock()
+            .unwrap()
+            .overrides
+            .insert((from, to), link);
     }
 
-    pub fn both_ways(&self, one: End, other: End, way: Way) {
-        self.way(one, other, way);
-        self.way(other, one, way);
+    /// Sets the conditions of both directions.
+    pub fn set_both_directions(&self, one: Endpoint, other: Endpoint, link: LinkConditions) {
+        self.set_link(one, other, link);
+        self.set_link(other, one, link);
     }
 
-    fn at(&self, from: End, to: End) -> Way {
-        let ways = self.ways.lock().unwrap();
-        ways.some.get(&(from, to)).copied().unwrap_or(ways.all)
+    fn link(&self, from: Endpoint, to: Endpoint) -> LinkConditions {
+        let links = self.links.lock().unwrap();
+        links
+            .overrides
+            .get(&(from, to))
+            .copied()
+            .unwrap_or(links.default)
     }
 
-    fn chance(&self) -> f64 {
-        self.ways.lock().unwrap().rng.random()
+    fn random(&self) -> f64 {
+        self.links.lock().unwrap().rng.random()
     }
 
-    fn delay(&self, way: &Way) -> Duration {
-        way.least + way.most.saturating_sub(way.least).mul_f64(self.chance())
+    fn delay(&self, link: &LinkConditions) -> Duration {
+        link.min_delay
+            + link
+                .max_delay
+                .saturating_sub(link.min_delay)
+                .mul_f64(self.random())
     }
 
-    /// Carries what others send to one mixer, from the sockets at which they are known.
-    async fn carry(&self, to: usize, sockets: &[Arc<UdpSocket>]) {
+    /// Forwards datagrams to one mixer, each from the socket of its sender.
+    async fn forward_datagrams(&self, to: usize, sockets: &[Arc<UdpSocket>]) {
         let mut buffer = [0; 2_048];
         loop {
             let Ok((length, SocketAddr::V4(sender))) = sockets[to].recv_from(&mut buffer).await
             else {
                 continue;
             };
-            let Some(from) = self.real.iter().position(|at| *at == sender) else {
+            let Some(from) = self.mixer_addresses.iter().position(|at| *at == sender) else {
                 continue;
             };
-            let way = self.at(End::Mixer(from), End::Mixer(to));
-            if way.cut || self.chance() < way.loss {
-                self.lost.fetch_add(1, Ordering::Relaxed);
+            let link = self.link(Endpoint::Mixer(from), Endpoint::Mixer(to));
+            if link.blocked || self.random() < link.loss {
+                self.dropped.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
-            self.passed.fetch_add(1, Ordering::Relaxed);
+            self.forwarded.fetch_add(1, Ordering::Relaxed);
             let mut bytes = buffer[..length].to_vec();
-            if self.chance() < way.damaged && !bytes.is_empty() {
-                let place = (self.chance() * bytes.len() as f64) as usize;
-                bytes[place.min(length - 1)] ^= 0x10;
+            if self.random() < link.corrupted && !bytes.is_empty() {
+                let index = (self.random() * bytes.len() as f64) as usize;
+                bytes[index.min(length - 1)] ^= 0x10;
             }
-            let copies = 1 + usize::from(self.chance() < way.doubled);
+            let copies = 1 + usize::from(self.random() < link.duplicated);
             for _ in 0..copies {
-                let (socket, at, bytes) = (sockets[from].clone(), self.real[to], bytes.clone());
-                let delay = self.delay(&way);
+                let (socket, at, bytes) = (
+                    sockets[from].clone(),
+                    self.mixer_addresses[to],
+                    bytes.clone(),
+                );
+                let delay = self.delay(&link);
                 if delay.is_zero() {
                     let _ = socket.try_send_to(&bytes, at.into());
                     continue;
@@ -151,7 +179,7 @@
         }
     }
 
-    /// A relay for frames from one mixer to a searcher; what is cut waits, as TCP would have it wait.
+    /// Starts a TCP relay from one mixer to a searcher. Bytes on a blocked link wait, as TCP would retransmit them.
     pub async fn relay(
         self: &Arc<Self>,
         mixer: usize,
@@ -161,24 +189,24 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let this = self.clone();
-        let (near, far) = (End::Mixer(mixer), End::Searcher(searcher));
+        let (near, far) = (Endpoint::Mixer(mixer), Endpoint::Searcher(searcher));
         tokio::spawn(async move {
             while let Ok((near_stream, _)) = listener.accept().await {
-                this.opened.lock().unwrap().push(Instant::now());
+                this.connections_opened.lock().unwrap().push(Instant::now());
                 let this = this.clone();
                 tokio::spawn(async move {
-                    this.passable(near, far).await;
-                    // A searcher that is down closes what comes, as a refused connection would be.
+                    this.wait_until_unblocked(near, far).await;
+                    // A searcher that is down closes the connection, which stands for a refused one.
                     let Ok(far_stream) = TcpStream::connect(to).await else {
                         return;
                     };
                     let _ = (near_stream.set_nodelay(true), far_stream.set_nodelay(true));
                     let (near_read, near_write) = near_stream.into_split();
                     let (far_read, far_write) = far_stream.into_split();
-                    // One end's end is the other's.
+                    // When one side closes, so does the other.
                     tokio::select! {
-                        () = this.pour(near, far, near_read, far_write) => {}
-                        () = this.pour(far, near, far_read, near_write) => {}
+                        () = this.copy(near, far, near_read, far_write) => {}
+                        () = this.copy(far, near, far_read, near_write) => {}
                     }
                 });
             }
@@ -186,16 +214,18 @@
         Ok(address)
     }
 
-    async fn passable(&self, from: End, to: End) {
-        while self.at(from, to).cut {
+    /// Waits while the link is blocked.
+    async fn wait_until_unblocked(&self, from: Endpoint, to: Endpoint) {
+        while self.link(from, to).blocked {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
-    async fn pour(
+    /// Copies bytes in one direction under the conditions of the link.
+    async fn copy(
         &self,
-        from: End,
-        to: End,
+        from: Endpoint,
+        to: Endpoint,
         mut read: tokio::net::tcp::OwnedReadHalf,
         mut write: tokio::net::tcp::OwnedWriteHalf,
     ) {
@@ -203,16 +233,16 @@
         while let Ok(length) = read.read(&mut buffer).await
             && length > 0
         {
-            let way = self.at(from, to);
-            let delay = if way.most.is_zero() {
+            let link = self.link(from, to);
+            let delay = if link.max_delay.is_zero() {
                 Duration::ZERO
             } else {
-                self.delay(&way)
+                self.delay(&link)
             };
             if !delay.is_zero() {
                 tokio::time::sleep(delay).await;
             }
-            self.passable(from, to).await;
+            self.wait_until_unblocked(from, to).await;
             if write.write_all(&buffer[..length]).await.is_err() {
                 return;
             }
--- a/crates/lockusher-aggregator-testbed/tests/fleet_view.rs
+++ b/crates/lockusher-aggregator-testbed/tests/fleet_view.rs
@@ -15,11 +15,11 @@
     let mut world = World::new(mixers, seed);
     (0..mixers).for_each(|mixer| world.start(mixer));
     assert!(
-        world.settle(FIVE).is_some(),
+        world.converge(FIVE).is_some(),
         "all started at once find each other"
     );
-    world.all_sound_from_now();
-    world.play(SECOND);
+    world.mark_all_healthy();
+    world.run_for(SECOND);
     world
 }
 
@@ -27,10 +27,10 @@
 fn the_same_seed_makes_the_same_bytes() {
     let play = || {
         let mut world = settled(12, 4);
-        world.net.loss = 0.2;
+        world.network.loss = 0.2;
         world.kill(3);
-        world.play(FIVE);
-        (world.folded, world.counts())
+        world.run_for(FIVE);
+        (world.datagram_hash, world.total_counts())
     };
     assert_eq!(play(), play());
 }
@@ -43,9 +43,9 @@
 fn a_crash_is_known_to_all_within_three_seconds(#[case] mixers: usize, #[case] seed: u64) {
     let mut world = settled(mixers, seed);
     world.kill(mixers - 1);
-    world.play(Span::from_millis(4_000));
-    assert!(world.agrees());
-    assert!(world.crashes_seen().iter().max() <= Some(&Span::from_millis(3_000)));
+    world.run_for(Span::from_millis(4_000));
+    assert!(world.has_converged());
+    assert!(world.take_crash_delays().iter().max() <= Some(&Span::from_millis(3_000)));
     // Those who count shares go on counting the dead.
     assert_eq!(world.core(0).counted(), mixers);
 }
@@ -55,18 +55,18 @@
     let mut world = settled(40, 5);
     let part: Vec<usize> = (0..40).filter(|mixer| mixer % 10 < 7).collect();
     part.iter().for_each(|mixer| world.kill(*mixer));
-    world.play(Span::from_millis(700));
+    world.run_for(Span::from_millis(700));
     part.iter().for_each(|mixer| world.start(*mixer));
-    assert!(world.settle(FIVE).is_some());
+    assert!(world.converge(FIVE).is_some());
 }
 
 #[rstest]
 fn one_joins_through_the_only_seed_that_lives() {
     let mut world = World::new(6, 6);
     (1..5).for_each(|mixer| world.start(mixer));
-    assert!(world.settle(FIVE).is_some());
+    assert!(world.converge(FIVE).is_some());
     world.start(5); // Seeds 0 to 2, of which 0 never was.
-    assert!(world.settle(FIVE).is_some());
+    assert!(world.converge(FIVE).is_some());
 }
 
 /// Guarded by calls on the dead (within their memory) and on the seeds (after it).
@@ -75,8 +75,8 @@
 #[case::longer_than_the_memory(70)]
 fn two_halves_find_each_other_after_a_cut(#[case] seconds: u64) {
     let mut world = settled(20, 7);
-    world.net.group = (0..20).map(|mixer| u8::from(mixer >= 10)).collect();
-    world.play(Span::from_millis(seconds * 1_000));
+    world.network.partition = (0..20).map(|mixer| u8::from(mixer >= 10)).collect();
+    world.run_for(Span::from_millis(seconds * 1_000));
     assert_eq!(
         (world.core(0).live_count(), world.core(19).live_count()),
         (10, 10)
@@ -86,51 +86,51 @@
         20,
         "a half that may be cut off counts the other's shares as in use"
     );
-    world.net.group = vec![0; 20];
-    assert!(world.settle(FIVE).is_some());
+    world.network.partition = vec![0; 20];
+    assert!(world.converge(FIVE).is_some());
 }
 
 /// With no seed on the other side but the dead remembered, or the dead forgotten but seeds known, one way is left.
 #[rstest]
 fn the_dead_are_called_on_though_no_seed_is_there() {
     let mut world = World::new(12, 8);
-    world.seeds(vec![0]);
+    world.set_seeds(vec![0]);
     world.start(0);
     (1..12).for_each(|mixer| world.start(mixer));
-    assert!(world.settle(FIVE).is_some());
+    assert!(world.converge(FIVE).is_some());
     // The seed itself is gone for good: what is left is what they remember.
     world.kill(0);
-    assert!(world.settle(FIVE).is_some());
-    world.net.group = (0..12).map(|mixer| u8::from(mixer >= 6)).collect();
-    world.play(Span::from_millis(15_000));
+    assert!(world.converge(FIVE).is_some());
+    world.network.partition = (0..12).map(|mixer| u8::from(mixer >= 6)).collect();
+    world.run_for(Span::from_millis(15_000));
     assert_eq!(world.core(1).live_count(), 5);
-    world.net.group = vec![0; 12];
-    assert!(world.settle(FIVE).is_some());
+    world.network.partition = vec![0; 12];
+    assert!(world.converge(FIVE).is_some());
 }
 
 #[rstest]
 fn one_cut_off_alone_comes_back() {
     let mut world = settled(12, 9);
-    world.net.group[4] = 1;
-    world.play(Span::from_millis(10_000));
+    world.network.partition[4] = 1;
+    world.run_for(Span::from_millis(10_000));
     assert_eq!(
         (world.core(4).live_count(), world.core(0).live_count()),
         (1, 11)
     );
     assert_eq!(world.core(4).counted(), 12);
-    world.net.group[4] = 0;
-    assert!(world.settle(FIVE).is_some());
+    world.network.partition[4] = 0;
+    assert!(world.converge(FIVE).is_some());
 }
 
 /// Guarded by the indirect probes.
 #[rstest]
 fn a_one_way_cut_makes_nobody_dead() {
     let mut world = settled(10, 10);
-    world.net.one_way.insert((2, 7));
-    world.net.one_way.insert((5, 1));
-    world.play(Span::from_millis(20_000));
+    world.network.blocked.insert((2, 7));
+    world.network.blocked.insert((5, 1));
+    world.run_for(Span::from_millis(20_000));
     assert!(
-        world.false_deaths.is_empty() && world.agrees(),
+        world.false_deaths.is_empty() && world.has_converged(),
         "{:?}",
         world.false_deaths
     );
@@ -146,24 +146,24 @@
 #[rstest]
 fn a_ring_heals() {
     let mut world = settled(8, 11);
-    world.judges = false;
-    world.net.ring = true;
-    world.play(Span::from_millis(15_000));
-    world.net.ring = false;
-    assert!(world.settle(FIVE).is_some());
+    world.records_false_deaths = false;
+    world.network.ring = true;
+    world.run_for(Span::from_millis(15_000));
+    world.network.ring = false;
+    assert!(world.converge(FIVE).is_some());
 }
 
 #[rstest]
 fn a_zone_that_loses_half_of_its_datagrams() {
     let mut world = settled(30, 12);
-    world.net.deaf = (20..30).map(|mixer| (mixer, 0.5)).collect();
-    world.play(Span::from_millis(15_000));
+    world.network.receive_loss = (20..30).map(|mixer| (mixer, 0.5)).collect();
+    world.run_for(Span::from_millis(15_000));
     let among_sound = |death: &&lockusher_aggregator_testbed::mixers::virtual_time::FalseDeath| {
-        death.of < 20 && death.by < 20
+        death.subject < 20 && death.observer < 20
     };
     assert_eq!(world.false_deaths.iter().filter(among_sound).count(), 0);
-    world.net.deaf.clear();
-    assert!(world.settle(FIVE).is_some());
+    world.network.receive_loss.clear();
+    assert!(world.converge(FIVE).is_some());
 }
 
 /// Guarded by the notice of an own standstill: what such a mixer waited for tells nothing of others.
@@ -181,11 +181,11 @@
         own.map(|held| held.record.generation)
     };
     let before = life(&world);
-    world.stop(6, Span::from_millis(ms));
-    world.play(Span::from_millis(ms));
+    world.pause(6, Span::from_millis(ms));
+    world.run_for(Span::from_millis(ms));
     let suspected = world.core(6).counts().suspected;
-    assert!(world.settle(FIVE).is_some());
-    world.play(SECOND);
+    assert!(world.converge(FIVE).is_some());
+    world.run_for(SECOND);
     assert_eq!(
         world.core(6).counts().suspected,
         suspected,
@@ -199,10 +199,10 @@
 fn one_whose_every_second_turn_is_late() {
     let mut world = settled(12, 14);
     for _ in 0..40 {
-        world.stop(3, Span::from_millis(220));
-        world.play(Span::from_millis(440));
+        world.pause(3, Span::from_millis(220));
+        world.run_for(Span::from_millis(440));
     }
-    assert!(world.settle(FIVE).is_some());
+    assert!(world.converge(FIVE).is_some());
     assert!(world.false_deaths.is_empty(), "{:?}", world.false_deaths);
 }
 
@@ -211,33 +211,33 @@
 #[case::at_one_in_ten(0.1)]
 fn sound_mixers_are_not_believed_dead(#[case] loss: f64) {
     let mut world = settled(60, 15);
-    world.net.loss = loss;
-    world.net.doubled = 0.05;
-    world.net.most = Span::from_millis(30);
-    world.play(Span::from_millis(60_000));
+    world.network.loss = loss;
+    world.network.duplication = 0.05;
+    world.network.max_delay = Span::from_millis(30);
+    world.run_for(Span::from_millis(60_000));
     assert!(world.false_deaths.is_empty(), "{:?}", world.false_deaths);
-    assert!(world.agrees());
+    assert!(world.has_converged());
 }
 
 #[rstest]
 fn a_restart_on_another_port_and_one_with_its_clock_set_back() {
     let mut world = settled(8, 16);
     world.kill(2);
-    world.move_to(2, 900);
+    world.set_address(2, 900);
     world.start(2);
     assert!(
-        world.settle(FIVE).is_some(),
+        world.converge(FIVE).is_some(),
         "under its name at the new address, once the old life is believed dead"
     );
     world.kill(3);
-    world.set_back(3, Span::from_millis(3_600_000));
+    world.set_clock_lag(3, Span::from_millis(3_600_000));
     world.start(3);
     assert!(
-        world.settle(FIVE).is_some(),
+        world.converge(FIVE).is_some(),
         "the new life comes after the old one though its clock is behind"
     );
-    world.play(SECOND);
-    assert!(world.agrees());
+    world.run_for(SECOND);
+    assert!(world.has_converged());
 }
 
 /// The later of two of one name waits outside, and comes in when the first has gone.
@@ -245,10 +245,10 @@
 fn the_same_name_twice_at_once() {
     let mut world = World::new(7, 17);
     (0..6).for_each(|mixer| world.start(mixer));
-    assert!(world.settle(FIVE).is_some());
+    assert!(world.converge(FIVE).is_some());
     world.rename(6, 4);
     world.start(6);
-    world.play(Span::from_millis(10_000));
+    world.run_for(Span::from_millis(10_000));
     assert!(
         matches!(world.core(6).status(), MembershipStatus::NameTaken(_)),
         "{:?}",
@@ -260,7 +260,7 @@
     ));
     world.kill(4);
     assert!(
-        world.settle(Span::from_millis(8_000)).is_some(),
+        world.converge(Span::from_millis(8_000)).is_some(),
         "its turn has come"
     );
 }
@@ -271,15 +271,15 @@
     let mut world = World::new(9, 18);
     world.rename(8, 1);
     (0..8).for_each(|mixer| world.start(mixer));
-    assert!(world.settle(FIVE).is_some());
-    world.net.group = vec![0, 0, 0, 0, 1, 1, 1, 1, 1];
-    world.seeds(vec![5]);
-    world.play(Span::from_millis(6_000));
+    assert!(world.converge(FIVE).is_some());
+    world.network.partition = vec![0, 0, 0, 0, 1, 1, 1, 1, 1];
+    world.set_seeds(vec![5]);
+    world.run_for(Span::from_millis(6_000));
     world.start(8);
-    world.play(Span::from_millis(4_000));
+    world.run_for(Span::from_millis(4_000));
     assert_eq!(world.core(8).status(), MembershipStatus::Member);
-    world.net.group = vec![0; 9];
-    world.play(Span::from_millis(6_000));
+    world.network.partition = vec![0; 9];
+    world.run_for(Span::from_millis(6_000));
     assert!(matches!(
         world.core(8).status(),
         MembershipStatus::NameTaken(_)
@@ -295,9 +295,9 @@
     let mut world = settled(9, 19);
     world.leave(1);
     world.kill(2);
-    world.play(FIVE);
+    world.run_for(FIVE);
     assert_eq!(
-        (world.holds(0, 1), world.holds(0, 2)),
+        (world.member_state(0, 1), world.member_state(0, 2)),
         (Some(State::Left), Some(State::Dead))
     );
     assert_eq!(
@@ -305,9 +305,9 @@
         8,
         "one that left uses its share no longer, the dead one may"
     );
-    world.play(Span::from_millis(61_000));
+    world.run_for(Span::from_millis(61_000));
     assert_eq!(
-        (world.holds(0, 1), world.holds(0, 2)),
+        (world.member_state(0, 1), world.member_state(0, 2)),
         (None, None),
         "both are forgotten in time"
     );
@@ -317,12 +317,12 @@
 #[rstest]
 fn what_news_missed_is_healed_by_pages() {
     let mut world = settled(40, 20);
-    world.net.group[7] = 1;
-    world.play(Span::from_millis(300)); // Too short for anybody to miss it, long enough for news to.
+    world.network.partition[7] = 1;
+    world.run_for(Span::from_millis(300)); // Too short for anybody to miss it, long enough for news to.
     world.leave(3);
-    world.play(Span::from_millis(900));
-    world.net.group[7] = 0;
-    assert!(world.settle(FIVE).is_some());
+    world.run_for(Span::from_millis(900));
+    world.network.partition[7] = 0;
+    assert!(world.converge(FIVE).is_some());
 }
 
 #[rstest]
@@ -332,9 +332,9 @@
     #[case] loss: f64,
 ) {
     let mut world = World::new(members, 21);
-    world.net.loss = loss;
+    world.network.loss = loss;
     (0..members).for_each(|mixer| world.start(mixer));
-    assert!(world.settle(Span::from_millis(10_000)).is_some());
+    assert!(world.converge(Span::from_millis(10_000)).is_some());
 }
 
 proptest! {
@@ -345,26 +345,26 @@
     fn views_settle_after_any_faults(seed in any::<u64>(), mixers in 3..14_usize,
         faults in proptest::collection::vec((0..6_u8, 0..14_usize, 100..4_000_u64), 1..10)) {
         let mut world = settled(mixers, seed);
-        world.judges = false;
+        world.records_false_deaths = false;
         for (kind, whom, ms) in faults {
             let (whom, span) = (whom % mixers, Span::from_millis(ms));
-            let up = world.up().any(|mixer| mixer == whom);
+            let up = world.running().any(|mixer| mixer == whom);
             match kind {
                 0 if up => world.kill(whom),
                 1 if up => world.leave(whom),
-                2 if up => world.stop(whom, span),
-                3 => world.net.group[whom] ^= 1,
-                4 => world.net.loss = ms as f64 / 10_000.0,
+                2 if up => world.pause(whom, span),
+                3 => world.network.partition[whom] ^= 1,
+                4 => world.network.loss = ms as f64 / 10_000.0,
                 _ if !up => world.start(whom),
                 _ => {}
             }
-            world.play(span);
+            world.run_for(span);
         }
-        world.net.group = vec![0; mixers];
-        world.net.loss = 0.0;
-        (0..mixers).for_each(|mixer| if !world.up().any(|up| up == mixer) { world.start(mixer) });
-        world.play(Span::from_millis(4_000)); // Those that stand still come back.
-        prop_assert!(world.settle(FIVE).is_some());
+        world.network.partition = vec![0; mixers];
+        world.network.loss = 0.0;
+        (0..mixers).for_each(|mixer| if !world.running().any(|up| up == mixer) { world.start(mixer) });
+        world.run_for(Span::from_millis(4_000)); // Those that stand still come back.
+        prop_assert!(world.converge(FIVE).is_some());
     }
 }
 
@@ -375,11 +375,11 @@
 #[case::little_while_others_lose_some(0.8, 0.1)]
 fn one_that_hears_too_little_buries_nobody(#[case] deaf: f64, #[case] loss: f64) {
     let mut world = settled(40, 22);
-    world.net.deaf.insert(7, deaf);
-    world.net.loss = loss;
-    world.play(Span::from_millis(20_000));
+    world.network.receive_loss.insert(7, deaf);
+    world.network.loss = loss;
+    world.run_for(Span::from_millis(20_000));
     let of_others = |death: &&lockusher_aggregator_testbed::mixers::virtual_time::FalseDeath| {
-        death.by != 7 && death.of != 7
+        death.observer != 7 && death.subject != 7
     };
     assert_eq!(world.false_deaths.iter().filter(of_others).count(), 0);
 }
--- a/crates/lockusher-aggregator-testbed/tests/shared_processes.rs
+++ b/crates/lockusher-aggregator-testbed/tests/shared_processes.rs
@@ -4,22 +4,24 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-use lockusher_aggregator_testbed::mixers::budget_usage::{further_sends, slack, worst_second};
-use lockusher_aggregator_testbed::mixers::clients::End as Came;
-use lockusher_aggregator_testbed::mixers::harness::{Ground, Plan, View, name};
-use lockusher_aggregator_testbed::mixers::switch::{End, Way};
+use lockusher_aggregator_testbed::mixers::budget_usage::{
+    budget_slack, max_per_second, retry_times,
+};
+use lockusher_aggregator_testbed::mixers::clients::Outcome as Came;
+use lockusher_aggregator_testbed::mixers::harness::{Harness, HarnessConfig, View, name};
+use lockusher_aggregator_testbed::mixers::switch::{Endpoint, LinkConditions};
 use lockusher_membership::proto;
 use prost::Message;
 use rstest::rstest;
 
 const LONG: Duration = Duration::from_secs(60);
-const CUT: Way = Way {
-    cut: true,
+const CUT: LinkConditions = LinkConditions {
+    blocked: true,
     loss: 0.0,
-    doubled: 0.0,
-    damaged: 0.0,
-    least: Duration::ZERO,
-    most: Duration::ZERO,
+    duplicated: 0.0,
+    corrupted: 0.0,
+    min_delay: Duration::ZERO,
+    max_delay: Duration::ZERO,
 };
 const SHARED: &str = "  shared { judgements: true warm_starts: true }\n";
 
@@ -28,12 +30,12 @@
 const BUDGETS: &str = "  shared { budgets { further_per_s: 12 } }\n";
 
 /// Mixers of two zones that hold one view, under some load.
-fn settled(mixers: usize, rate: f64) -> Ground {
+fn settled(mixers: usize, rate: f64) -> Harness {
     shares(mixers, rate, SHARED)
 }
 
-fn shares(mixers: usize, rate: f64, shared: &str) -> Ground {
-    let plan = Plan {
+fn shares(mixers: usize, rate: f64, shared: &str) -> Harness {
+    let plan = HarnessConfig {
         mixers,
         searchers: 8,
         cells: 8,
@@ -42,23 +44,23 @@
         quiet: false,
         shared: shared.to_owned(),
         zones: 2,
-        ..Plan::default()
+        ..HarnessConfig::default()
     };
-    let mut ground = Ground::new(plan).expect("a ground");
-    ground.start_all(&(0..mixers).collect::<Vec<_>>());
+    let mut harness = Harness::new(plan).expect("a harness");
+    harness.start_all(&(0..mixers).collect::<Vec<_>>());
     assert!(
-        ground.settles(LONG).is_some(),
+        harness.wait_converged(LONG).is_some(),
         "views differ: {:#?}",
-        ground.views()
+        harness.views()
     );
-    ground
+    harness
 }
 
-fn until(ground: &Ground, what: &str, mut wanted: impl FnMut(&[Option<View>]) -> bool) {
+fn until(harness: &Harness, what: &str, mut wanted: impl FnMut(&[Option<View>]) -> bool) {
     assert!(
-        ground.until(LONG, |_, views| wanted(views)).is_some(),
+        harness.wait_until(LONG, |_, views| wanted(views)).is_some(),
         "{what}: {:#?}",
-        ground.views()
+        harness.views()
     );
 }
 
@@ -83,20 +85,20 @@
 }
 
 /// Parts of one mixer's clients that came to a searcher since.
-fn came(ground: &Ground, searcher: usize, mixer: usize, since: Instant) -> usize {
+fn came(harness: &Harness, searcher: usize, mixer: usize, since: Instant) -> usize {
     let of = format!("m{mixer}n");
-    ground.workers[searcher]
+    harness.workers[searcher]
         .log()
         .iter()
-        .filter(|came| came.at > since && came.part.starts_with(&of))
+        .filter(|came| came.received_at > since && came.part.starts_with(&of))
         .count()
 }
 
 /// Multigets of one mixer's clients that ended so since.
-fn ended(ground: &Ground, mixer: usize, since: Instant, how: impl Fn(&Came) -> bool) -> usize {
-    let done = ground.clients.done.lock().unwrap();
+fn ended(harness: &Harness, mixer: usize, since: Instant, how: impl Fn(&Came) -> bool) -> usize {
+    let done = harness.clients.finished.lock().unwrap();
     done.iter()
-        .filter(|done| done.mixer == mixer && done.asked > since && how(&done.end))
+        .filter(|done| done.mixer == mixer && done.sent_at > since && how(&done.outcome))
         .count()
 }
 
@@ -108,24 +110,24 @@
 /// down and no list says that it is back.
 #[rstest]
 fn a_searcher_that_dies_is_told_of_and_found_again() {
-    let ground = settled(4, 15.0);
+    let harness = settled(4, 15.0);
     let began = Instant::now();
-    until(&ground, "all is well", |_| {
-        (0..4).all(|mixer| came(&ground, 0, mixer, began) > 2)
+    until(&harness, "all is well", |_| {
+        (0..4).all(|mixer| came(&harness, 0, mixer, began) > 2)
     });
-    ground.workers[0].down();
-    ground.workers[1].set(|temper| temper.hangs = true);
-    until(&ground, "all know", |views| {
+    harness.workers[0].crash();
+    harness.workers[1].set_behavior(|behavior| behavior.unresponsive = true);
+    until(&harness, "all know", |views| {
         views.iter().all(|view| {
             ["s0", "s1"]
                 .iter()
                 .all(|of| judged(view).iter().any(|id| id == of))
         })
     });
-    ground.workers[0].set(|temper| temper.down = false);
+    harness.workers[0].set_behavior(|behavior| behavior.is_down = false);
     let back = Instant::now();
-    until(&ground, "all send to it again", |_| {
-        (0..4).all(|mixer| came(&ground, 0, mixer, back) > 2)
+    until(&harness, "all send to it again", |_| {
+        (0..4).all(|mixer| came(&harness, 0, mixer, back) > 2)
     });
 }
 
@@ -134,81 +136,85 @@
 #[case::as_the_list_says(true)]
 #[case::before_any_list_says_so(false)]
 fn a_searcher_dies_and_returns_cold_while_half_of_the_mixers_hear_nothing(#[case] listed: bool) {
-    let mut ground = settled(4, 15.0);
+    let mut harness = settled(4, 15.0);
     let began = Instant::now();
-    until(&ground, "all is well", |_| {
-        (0..4).all(|mixer| came(&ground, 0, mixer, began) > 2)
+    until(&harness, "all is well", |_| {
+        (0..4).all(|mixer| came(&harness, 0, mixer, began) > 2)
     });
     for near in 0..2 {
         (2..4).for_each(|far| {
-            ground
+            harness
                 .switch
-                .both_ways(End::Mixer(near), End::Mixer(far), CUT);
+                .set_both_directions(Endpoint::Mixer(near), Endpoint::Mixer(far), CUT);
         });
     }
-    until(&ground, "each half is alone", |views| {
-        views.iter().flatten().all(|view| view.living == 2)
+    until(&harness, "each half is alone", |views| {
+        views.iter().flatten().all(|view| view.live_count == 2)
     });
-    ground.workers[0].down();
-    until(&ground, "both halves know", |views| {
+    harness.workers[0].crash();
+    until(&harness, "both halves know", |views| {
         views
             .iter()
             .all(|view| judged(view).contains(&"s0".to_owned()))
     });
-    ground.workers[0].up();
+    harness.workers[0].restart_cold();
     let back = Instant::now();
     if listed {
-        ground.tell();
+        harness.publish_searchers();
     }
-    until(&ground, "all send to it again", |_| {
-        (0..4).all(|mixer| came(&ground, 0, mixer, back) > 2)
+    until(&harness, "all send to it again", |_| {
+        (0..4).all(|mixer| came(&harness, 0, mixer, back) > 2)
     });
     assert_eq!(
-        *ground.workers[0].fell.lock().unwrap(),
+        *harness.workers[0].overload_crashes.lock().unwrap(),
         0,
         "a cold searcher was pushed over"
     );
-    ground.switch.everywhere(Way::default());
+    harness.switch.set_all_links(LinkConditions::default());
     assert!(
-        ground.settles(LONG).is_some(),
+        harness.wait_converged(LONG).is_some(),
         "views differ: {:#?}",
-        ground.views()
+        harness.views()
     );
 }
 
 /// One that reaches no searcher judges itself: it says nothing, and nobody leaves a searcher for it.
 #[rstest]
 fn one_whose_own_path_is_broken_accuses_nobody() {
-    let ground = settled(4, 15.0);
-    ground.path(0, 0..8, CUT);
+    let harness = settled(4, 15.0);
+    harness.set_searcher_links(0, 0..8, CUT);
     let began = Instant::now();
-    until(&ground, "it serves nobody, others do", |views| {
+    until(&harness, "it serves nobody, others do", |views| {
         assert!(
             views.iter().all(|view| judged(view).is_empty()),
             "{views:#?}"
         );
-        ended(&ground, 0, began, |end| !answered(end)) > 30
-            && (1..4).all(|mixer| ended(&ground, mixer, began, answered) > 60)
+        ended(&harness, 0, began, |end| !answered(end)) > 30
+            && (1..4).all(|mixer| ended(&harness, mixer, began, answered) > 60)
     });
 }
 
 /// A searcher that some mixers do not reach is served on by the others, who do.
 #[rstest]
 fn a_searcher_dead_for_a_third_of_the_mixers_only() {
-    let ground = settled(6, 15.0);
+    let harness = settled(6, 15.0);
     let start = Instant::now();
-    until(&ground, "all is well", |_| {
-        (0..6).all(|mixer| came(&ground, 0, mixer, start) > 2)
+    until(&harness, "all is well", |_| {
+        (0..6).all(|mixer| came(&harness, 0, mixer, start) > 2)
     });
-    ground.path(0, [0], CUT);
-    ground.path(1, [0], CUT);
+    harness.set_searcher_links(0, [0], CUT);
+    harness.set_searcher_links(1, [0], CUT);
     let began = Instant::now();
-    until(&ground, "both say so, and the others send to it", |views| {
-        (0..2).all(|mixer| shared(&views[mixer], "own_entries") > 0)
-            && (2..6).all(|mixer| came(&ground, 0, mixer, began) > 8)
-    });
-    ground.switch.everywhere(Way::default());
-    until(&ground, "nothing stands", |views| {
+    until(
+        &harness,
+        "both say so, and the others send to it",
+        |views| {
+            (0..2).all(|mixer| shared(&views[mixer], "own_entries") > 0)
+                && (2..6).all(|mixer| came(&harness, 0, mixer, began) > 8)
+        },
+    );
+    harness.switch.set_all_links(LinkConditions::default());
+    until(&harness, "nothing stands", |views| {
         views.iter().all(|view| judged(view).is_empty())
     });
 }
@@ -216,15 +222,15 @@
 /// A mixer that starts knows of searchers from others before its first multiget.
 #[rstest]
 fn one_that_starts_asks_others_what_they_know() {
-    let mut ground = settled(3, 15.0);
+    let mut harness = settled(3, 15.0);
     let began = Instant::now();
-    until(&ground, "all are known", |_| {
-        (0..8).all(|of| came(&ground, of, 1, began) > 0)
+    until(&harness, "all are known", |_| {
+        (0..8).all(|of| came(&harness, of, 1, began) > 0)
     });
-    ground.clients.rate(0.0);
-    ground.kill(0);
-    ground.start(0);
-    until(&ground, "it remembers", |views| {
+    harness.clients.set_rate(0.0);
+    harness.kill(0);
+    harness.start(0);
+    until(&harness, "it remembers", |views| {
         shared(&views[0], "remembered") > 4
     });
 }
@@ -233,7 +239,7 @@
 /// and what others never said.
 #[rstest]
 fn one_that_reports_nonsense_moves_nothing() {
-    let ground = settled(3, 15.0);
+    let harness = settled(3, 15.0);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     socket
         .set_read_timeout(Some(Duration::from_millis(20)))
@@ -266,7 +272,7 @@
         .encode_to_vec();
         for mixer in 0..3 {
             socket
-                .send_to(&bytes, ground.listens(mixer))
+                .send_to(&bytes, harness.listen_address(mixer))
                 .expect("it leaves");
         }
     };
@@ -299,7 +305,7 @@
         })
     };
     let mut round = 0;
-    until(&ground, "it is heard, and nothing comes of it", |views| {
+    until(&harness, "it is heard, and nothing comes of it", |views| {
         round += 1;
         says(1, proto::message::What::Notice(proto::Notice {}), None);
         says(2, lies(0.1, &|nth| format!("s{}", nth % 8), "liar"), None);
@@ -328,10 +334,10 @@
         });
         // A sound mixer that errs for a moment may be the second witness: it is spoken for at once.
         let sent =
-            (0..8).all(|searcher| (0..3).all(|mixer| came(&ground, searcher, mixer, began) > 5));
-        heard && sent && (0..3).all(|mixer| ended(&ground, mixer, began, answered) > 60)
+            (0..8).all(|searcher| (0..3).all(|mixer| came(&harness, searcher, mixer, began) > 5));
+        heard && sent && (0..3).all(|mixer| ended(&harness, mixer, began, answered) > 60)
     });
-    let refused = |mixer: usize| ended(&ground, mixer, began, |end| !answered(end));
+    let refused = |mixer: usize| ended(&harness, mixer, began, |end| !answered(end));
     assert_eq!(
         (0..3).map(refused).sum::<usize>(),
         0,
@@ -349,21 +355,21 @@
 
 /// Searchers that leave much unanswered, so that each mixer would send further as often as it may; no more than the
 /// budget and its slack comes to them in any second.
-fn wants_all(ground: &Ground) {
-    ground
+fn wants_all(harness: &Harness) {
+    harness
         .workers
         .iter()
-        .for_each(|worker| worker.set(|temper| temper.missing = 0.4));
+        .for_each(|worker| worker.set_behavior(|behavior| behavior.missing_share = 0.4));
 }
 
-fn within_the_budget(ground: &Ground, mixers: usize) {
-    let logs: Vec<_> = ground.workers.iter().map(|worker| worker.log()).collect();
-    let (further, most) = (further_sends(&logs), FURTHER + slack(FURTHER, mixers));
+fn within_the_budget(harness: &Harness, mixers: usize) {
+    let logs: Vec<_> = harness.workers.iter().map(|worker| worker.log()).collect();
+    let (further, most) = (retry_times(&logs), FURTHER + budget_slack(FURTHER, mixers));
     assert!(further.len() > 20, "{} further sends came", further.len());
     assert!(
-        worst_second(&further) as f64 <= most,
+        max_per_second(&further) as f64 <= most,
         "{} in one second",
-        worst_second(&further)
+        max_per_second(&further)
     );
 }
 
@@ -371,62 +377,62 @@
 /// again.
 #[rstest]
 fn a_cut_in_two_parts_each_of_which_spends_all_it_can() {
-    let ground = shares(5, 12.0, BUDGETS);
-    wants_all(&ground);
-    until(&ground, "shares are lent", |views| {
+    let harness = shares(5, 12.0, BUDGETS);
+    wants_all(&harness);
+    until(&harness, "shares are lent", |views| {
         views.iter().filter(|view| lent(view).0 > 0.0).count() >= 3
     });
     for near in 0..2 {
         (2..5).for_each(|far| {
-            ground
+            harness
                 .switch
-                .both_ways(End::Mixer(near), End::Mixer(far), CUT);
+                .set_both_directions(Endpoint::Mixer(near), Endpoint::Mixer(far), CUT);
         });
     }
     until(
-        &ground,
+        &harness,
         "what the smaller part was lent has lapsed, and it knows that it is alone",
         |views| (0..2).all(|mixer| lent(&views[mixer]) == (0.0, false)),
     );
-    until(&ground, "the larger part lends on", |views| {
+    until(&harness, "the larger part lends on", |views| {
         (2..5).all(|mixer| lent(&views[mixer]).1) && (2..5).any(|mixer| lent(&views[mixer]).0 > 0.0)
     });
-    ground.switch.everywhere(Way::default());
-    until(&ground, "all are lent to again", |views| {
+    harness.switch.set_all_links(LinkConditions::default());
+    until(&harness, "all are lent to again", |views| {
         views.iter().all(|view| lent(view).1) && (0..2).any(|mixer| lent(&views[mixer]).0 > 0.0)
     });
-    within_the_budget(&ground, 5);
+    within_the_budget(&harness, 5);
 }
 
 /// One that stood still until what it held had lapsed spends nothing of it; those that were killed and started again
 /// add nothing to what their former lives held.
 #[rstest]
 fn one_that_stands_still_with_what_it_was_lent_and_seven_in_ten_started_again() {
-    let mut ground = shares(5, 12.0, BUDGETS);
-    wants_all(&ground);
-    until(&ground, "shares are lent", |views| {
+    let mut harness = shares(5, 12.0, BUDGETS);
+    wants_all(&harness);
+    until(&harness, "shares are lent", |views| {
         views.iter().filter(|view| lent(view).0 > 0.0).count() >= 3
     });
     let holder = (0..5)
-        .find(|mixer| lent(&ground.views()[*mixer]).0 > 0.0)
+        .find(|mixer| lent(&harness.views()[*mixer]).0 > 0.0)
         .expect("one holds some");
-    ground.halt(holder);
-    until(&ground, "it is missed", |views| {
+    harness.pause(holder);
+    until(&harness, "it is missed", |views| {
         views.iter().flatten().all(|view| {
             view.members
                 .get(&name(holder))
                 .is_some_and(|of| of.0 == "dead")
         })
     });
-    ground.resume(holder);
-    until(&ground, "it is back", |views| {
+    harness.resume(holder);
+    until(&harness, "it is back", |views| {
         views.iter().all(|view| lent(view).1)
     });
     let part: Vec<usize> = (0..5).filter(|mixer| *mixer != holder).take(3).collect();
-    part.iter().for_each(|mixer| ground.kill(*mixer));
-    ground.start_all(&part);
-    until(&ground, "shares are lent again", |views| {
+    part.iter().for_each(|mixer| harness.kill(*mixer));
+    harness.start_all(&part);
+    until(&harness, "shares are lent again", |views| {
         views.iter().filter(|view| lent(view).0 > 0.0).count() >= 3
     });
-    within_the_budget(&ground, 5);
+    within_the_budget(&harness, 5);
 }
