--- a/crates/lockusher-aggregator-testbed/src/stand_in/client.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/client.rs
@@ -1,4 +1,4 @@
-//! A client of the mixer.
+//! An HTTP/1.1 client of the mixer.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,11 +8,13 @@
 
 use super::LONG;
 
+/// Headers by lowercase name.
 pub type Headers = HashMap<String, String>;
 
+/// Reads a start line and headers; `None` if the connection ends first.
 pub(super) fn read_head(reader: &mut impl BufRead) -> Option<(String, Headers)> {
-    let (mut first, mut headers) = (String::new(), HashMap::new());
-    if reader.read_line(&mut first).ok()? == 0 {
+    let (mut start_line, mut headers) = (String::new(), HashMap::new());
+    if reader.read_line(&mut start_line).ok()? == 0 {
         return None;
     }
     loop {
@@ -21,16 +23,18 @@
             return None;
         }
         let Some((name, value)) = line.trim_end().split_once(':') else {
-            return Some((first, headers));
+            return Some((start_line, headers));
         };
         headers.insert(name.to_lowercase(), value.trim().to_owned());
     }
 }
 
+/// A client with one connection.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
 
+/// A response of the mixer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -39,22 +43,22 @@
 }
 
 impl Answer {
-    /// The values by shard, if it was answered.
+    /// The values by shard; panics if the response is not an answer.
     pub fn values(&self) -> Vec<(u64, String)> {
-        let body: Value =
-            serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("an answer: {self:?}"));
+        let body: Value = serde_json::from_str(&self.body)
+            .unwrap_or_else(|_| panic!("response body is not an answer: {self:?}"));
         let hits = body["answers"].as_array().expect("answers").iter();
-        hits.map(|h| {
+        hits.map(|hit| {
             (
-                h["range"].as_u64().expect("a shard"),
-                h["blob"].as_str().expect("text").into(),
+                hit["range"].as_u64().expect("a shard"),
+                hit["blob"].as_str().expect("text").into(),
             )
         })
         .collect()
     }
 }
 
-/// A body that asks for these shards in equal parts.
+/// A request body for these shards with equal portions.
 pub fn body(shards: &[usize]) -> String {
     let portion = 1.0 / shards.len() as f64;
     let ranges: Vec<Value> = shards
@@ -64,6 +68,7 @@
     json!({ "ranges": ranges, "predicate": "c41e77d0" }).to_string()
 }
 
+/// The head of a request of op type `look`, without its end.
 pub fn head(id: &str, deadline: &str) -> String {
     format!(
         "POST /look HTTP/1.1\r\nHost: app\r\nReq-Id: {id}\r\nReq-Kind: look\r\nReq-Owner: acme\r\n\
@@ -71,7 +76,7 @@
     )
 }
 
-/// A request of any op type.
+/// A request of any op type, with a deadline of four seconds.
 pub fn request_of(op_type: &str, id: &str, body: &str) -> Vec<u8> {
     format!(
         "POST /{op_type} HTTP/1.1\r\nHost: app\r\nReq-Id: {id}\r\nReq-Kind: {op_type}\r\nReq-Owner: acme\r\n\
@@ -81,6 +86,7 @@
     .into_bytes()
 }
 
+/// A request of op type `look`, with a deadline of four seconds.
 pub fn request(id: &str, body: &str) -> Vec<u8> {
     format!(
         "{}Content-Length: {}\r\n\r\n{body}",
@@ -91,6 +97,7 @@
 }
 
 impl Client {
+    /// Connects to an address.
     pub fn to(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("a connection");
         stream.set_read_timeout(Some(LONG)).expect("a time-out");
@@ -99,22 +106,23 @@
         }
     }
 
+    /// Writes all bytes.
     pub fn write(&mut self, bytes: &[u8]) {
         self.stream.get_mut().write_all(bytes).expect("written");
     }
 
-    /// Writes as long as it is taken; tells whether all was.
+    /// Writes all bytes; returns `false` if the connection failed first.
     pub fn try_write(&mut self, bytes: &[u8]) -> bool {
         self.stream.get_mut().write_all(bytes).is_ok()
     }
 
-    /// The next answer, whole; nothing if the connection ends first.
+    /// Reads the next complete response; `None` if the connection ends first.
     pub fn read(&mut self) -> Option<Answer> {
         let (line, headers) = read_head(&mut self.stream)?;
         let status = line.split(' ').nth(1)?.parse().ok()?;
         let length = headers
             .get("content-length")
-            .and_then(|l| l.parse().ok())
+            .and_then(|length| length.parse().ok())
             .unwrap_or(0);
         let mut body = vec![0; length];
         self.stream.read_exact(&mut body).ok()?;
@@ -125,11 +133,11 @@
         })
     }
 
-    /// The next answer if it is whole within this; the connection is of no more use if not.
-    pub fn read_within(&mut self, patience: std::time::Duration) -> Option<Answer> {
+    /// Reads the next response if no read takes longer than this; otherwise the connection is unusable afterwards.
+    pub fn read_within(&mut self, timeout: std::time::Duration) -> Option<Answer> {
         self.stream
             .get_ref()
-            .set_read_timeout(Some(patience))
+            .set_read_timeout(Some(timeout))
             .expect("a time-out");
         let answer = self.read();
         self.stream
@@ -139,11 +147,12 @@
         answer
     }
 
-    /// What comes where nothing should: nothing at a clean end, an error if the connection was reset.
+    /// Reads from a connection that should be closed: 0 bytes after a clean close, an error after a reset.
     pub fn end(&mut self) -> std::io::Result<usize> {
         self.stream.read(&mut [0; 64])
     }
 
+    /// Sends a request for these shards and reads the response.
     pub fn ask(&mut self, id: &str, shards: &[usize]) -> Answer {
         self.write(&request(id, &body(shards)));
         self.read().expect("an answer")
--- a/crates/lockusher-aggregator-testbed/src/stand_in/discovery.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's agent: what it holds, and how it behaves.
+//! A discovery agent with a scripted behavior.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufReader, Read, Write};
@@ -13,51 +13,64 @@
 use super::LONG;
 use super::client::read_head;
 
-/// Discovery's agent: what it holds, and how it behaves.
+/// A discovery agent: it serves a list of searchers to watches, or misbehaves as scripted.
 pub struct Discovery {
     pub address: SocketAddr,
-    state: Mutex<Told>,
+    state: Mutex<State>,
     changed: Condvar,
 }
 
-struct Told {
+/// The published list, the script and the state of the connections.
+struct State {
+    /// The version of the list.
     index: u64,
+    /// Whether the list is a snapshot rather than a delta.
     whole: bool,
     endpoints: Vec<Value>,
+    /// The behavior unless `next` has one.
     says: Says,
-    /// What it says to the next calls, one each.
+    /// The behavior for the next calls, one each.
     next: VecDeque<Says>,
+    /// The version from which the last call watched.
     watched: Option<u64>,
-    /// From which version each connection last watched.
+    /// The version from which each connection last watched.
     watchers: BTreeMap<usize, Option<u64>>,
-    /// Connections that came, and how many of the first of them are silent or reset by now.
+    /// The number of connections accepted; those up to the numbers `silent` and `reset` are silent or reset.
     came: usize,
     silent: usize,
     reset: usize,
-    /// Nobody listens.
+    /// It does not listen.
     down: bool,
 }
 
+/// How discovery answers a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Says {
+    /// With the list.
     Lists,
+    /// With JSON that is not a list.
     Nonsense,
+    /// With status 500.
     Errors,
+    /// Not at all.
     Nothing,
-    /// Half a list: the connection ends, or is reset, before the length that was said; or no length was said.
+    /// With half a list; the connection is closed before the announced length.
     Half,
+    /// With half a list; the connection is reset before the announced length.
     HalfReset,
+    /// With half a list and no length; the connection is reset.
     HalfWithoutLength,
-    /// The connection is reset.
+    /// With a reset of the connection.
     Resets,
-    /// A list that comes so much later than it should.
+    /// With the list, after this additional delay.
     Late(Duration),
 }
 
 impl Discovery {
+    /// Starts an agent with this list, at version 1.
     pub fn start(endpoints: Vec<Value>) -> Arc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let told = Told {
+        let state = State {
             index: 1,
             whole: true,
             endpoints,
@@ -72,7 +85,7 @@
         };
         let discovery = Arc::new(Discovery {
             address: listener.local_addr().expect("an address"),
-            state: Mutex::new(told),
+            state: Mutex::new(state),
             changed: Condvar::new(),
         });
         discovery.clone().accept(listener);
@@ -94,78 +107,89 @@
         });
     }
 
-    /// All connections that are open say nothing from here on; new ones are answered.
+    /// Stops answering on all open connections; new ones are answered.
     pub fn falls_silent(&self) {
         let mut state = self.state.lock().unwrap();
         state.silent = state.came;
         self.changed.notify_all();
     }
 
-    /// All connections that are open are reset; new ones are answered.
+    /// Resets all open connections; new ones are answered.
     pub fn resets(&self) {
         let mut state = self.state.lock().unwrap();
         state.reset = state.came;
         self.changed.notify_all();
     }
 
-    /// The next calls are answered so, one each.
+    /// Scripts the answers to the next calls, one each.
     pub fn next_say(&self, says: impl IntoIterator<Item = Says>) {
         self.state.lock().unwrap().next.extend(says);
     }
 
-    /// Waits until all of these were said.
+    /// Waits until all scripted answers were used.
     pub fn said(&self) {
         let state = self.state.lock().unwrap();
         let (_guard, out) = self
             .changed
             .wait_timeout_while(state, LONG, |state| !state.next.is_empty())
             .unwrap();
-        assert!(!out.timed_out(), "discovery was not called");
+        assert!(
+            !out.timed_out(),
+            "discovery: not all scripted answers were used in time"
+        );
     }
 
-    /// Nobody listens any more, and what was open is reset.
+    /// Stops listening and resets open connections.
     pub fn goes_down(&self) {
         self.state.lock().unwrap().down = true;
         self.resets();
-        // The listener's thread sees it with the next connection, which is this one.
+        // The listener's thread checks the flag on the next connection, which is this one.
         let _ = TcpStream::connect(self.address);
     }
 
-    /// It listens at its address again.
+    /// Listens at its address again.
     pub fn comes_up(self: &Arc<Self>) {
-        let bound = || TcpListener::bind(self.address).ok();
+        let bind = || TcpListener::bind(self.address).ok();
         let mut listener = None;
         super::until(|| {
-            listener = bound();
+            listener = bind();
             listener.is_some()
         });
         self.state.lock().unwrap().down = false;
         self.clone().accept(listener.expect("a port"));
     }
 
+    /// Publishes a list.
     pub fn tell(&self, index: u64, whole: bool, endpoints: Vec<Value>) {
         let mut state = self.state.lock().unwrap();
         (state.index, state.whole, state.endpoints) = (index, whole, endpoints);
         self.changed.notify_all();
     }
 
+    /// Sets the behavior for calls without a scripted one.
     pub fn says(&self, says: Says) {
         self.state.lock().unwrap().says = says;
         self.changed.notify_all();
     }
 
-    /// Waits until the mixer watches from this version: what it asks later comes after the list.
+    /// Waits until the last call watched from this version, so that the mixer has applied the list.
     pub fn told(&self, index: u64) {
         let state = self.state.lock().unwrap();
-        let waits = |state: &mut Told| state.watched != Some(index);
-        let (_guard, out) = self.changed.wait_timeout_while(state, LONG, waits).unwrap();
-        assert!(!out.timed_out(), "discovery waited in vain");
+        let waiting = |state: &mut State| state.watched != Some(index);
+        let (_guard, out) = self
+            .changed
+            .wait_timeout_while(state, LONG, waiting)
+            .unwrap();
+        assert!(
+            !out.timed_out(),
+            "discovery: no watch from the expected version in time"
+        );
     }
 
-    /// Waits until so many connections watch from this version: so many mixers have that list.
+    /// Waits until this many connections watch from this version, so that as many mixers have the list.
     pub fn told_all(&self, index: u64, mixers: usize) {
         let state = self.state.lock().unwrap();
-        let waits = |state: &mut Told| {
+        let waiting = |state: &mut State| {
             state
                 .watchers
                 .values()
@@ -173,8 +197,14 @@
                 .count()
                 < mixers
         };
-        let (_guard, out) = self.changed.wait_timeout_while(state, LONG, waits).unwrap();
-        assert!(!out.timed_out(), "discovery waited in vain");
+        let (_guard, out) = self
+            .changed
+            .wait_timeout_while(state, LONG, waiting)
+            .unwrap();
+        assert!(
+            !out.timed_out(),
+            "discovery: no watch from the expected version in time"
+        );
     }
 
     fn serve(&self, number: usize, stream: TcpStream) {
@@ -189,18 +219,18 @@
                 .split("from=")
                 .nth(1)
                 .and_then(|t| t.split(['&', ' ']).next()?.parse::<u64>().ok());
-            let hold = line
+            let hold_ms = line
                 .split("hold_ms=")
                 .nth(1)
                 .and_then(|t| t.split(['&', ' ']).next()?.parse().ok());
-            let until = Instant::now() + hold.map_or(LONG, Duration::from_millis);
+            let until = Instant::now() + hold_ms.map_or(LONG, Duration::from_millis);
             let mut state = self.state.lock().unwrap();
             state.watched = from;
             state.watchers.insert(number, from);
-            let once = state.next.pop_front();
+            let scripted = state.next.pop_front();
             self.changed.notify_all();
-            // A watch waits for what is newer; one for a version of another life gets what there is.
-            let waits = |state: &Told| match once.unwrap_or(state.says) {
+            // A watch waits for a newer version; one from any other version than the current one is answered at once.
+            let waiting = |state: &State| match scripted.unwrap_or(state.says) {
                 _ if number <= state.reset => false,
                 _ if number <= state.silent => true,
                 Says::Lists => {
@@ -208,31 +238,31 @@
                 }
                 says => says == Says::Nothing,
             };
-            while waits(&state) {
-                if number <= state.silent || once == Some(Says::Nothing) {
-                    // Until the mixer ends it.
+            while waiting(&state) {
+                if number <= state.silent || scripted == Some(Says::Nothing) {
+                    // Until the mixer closes the connection.
                     drop(state);
                     let _ = reader.read_to_end(&mut Vec::new());
                     return;
                 }
-                let left = until
+                let remaining = until
                     .saturating_duration_since(Instant::now())
                     .max(Duration::from_millis(1));
-                state = self.changed.wait_timeout(state, left).unwrap().0;
+                state = self.changed.wait_timeout(state, remaining).unwrap().0;
             }
             if number <= state.reset {
                 return reset(&out);
             }
-            let nothing = from == Some(state.index);
-            let whole = (state.whole || from.is_none()) && !nothing;
-            let endpoints = if nothing {
+            let up_to_date = from == Some(state.index);
+            let whole = (state.whole || from.is_none()) && !up_to_date;
+            let endpoints = if up_to_date {
                 &[]
             } else {
                 state.endpoints.as_slice()
             };
             let list = json!({"index": state.index, "snapshot": whole, "endpoints": endpoints})
                 .to_string();
-            let says = once.unwrap_or(state.says);
+            let says = scripted.unwrap_or(state.says);
             drop(state);
             let (status, body) = match says {
                 Says::Nonsense => ("200 OK", "{\"index\":\"x\"}"),
--- a/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
@@ -1,5 +1,6 @@
-//! A searcher that speaks HTTP/2, frame by frame, so that all it says of streams and of its going can be scripted.
-//! RFC 9113; headers by HPACK's static table alone (RFC 7541). It grants windows as data comes, unless told not to.
+//! A searcher that implements HTTP/2 (RFC 9113) frame by frame, so that stream errors, settings and GOAWAY can be
+//! scripted. Headers use only HPACK's static table (RFC 7541). It updates windows as data arrives, unless scripted
+//! otherwise.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,75 +20,87 @@
     include!(concat!(env!("OUT_DIR"), "/lockusher.v1.rs"));
 }
 
-/// What it does about a part. All but `Good` and `Later` concern the whole stream.
+/// How the searcher handles a part. `Reset`, `Half`, `Noise` and `Status` concern the whole stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Does {
+    /// Answers `good`.
     Good,
-    /// The same after a while.
+    /// Answers `good` after this time.
     Slow(Duration),
+    /// Answers `bad`.
     Bad,
+    /// Answers `later`.
     Later,
+    /// Does not answer.
     Silent,
+    /// Resets the stream with this code.
     Reset(u32),
-    /// It answers half a message, and ends the stream.
+    /// Sends half a message and ends the stream.
     Half,
+    /// Sends bytes that are no message and ends the stream.
     Noise,
+    /// Answers with this HTTP status.
     Status(u16),
-    /// A value of so many bytes.
+    /// Answers `good` with a value of this many bytes.
     Large(usize),
 }
 
-/// What is said on all connections.
+/// What the searcher does on all connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Says {
-    /// GOAWAY with the highest stream id, then, once what was on its way has come, with the real one; streams
-    /// beyond it are not run.
+    /// Sends GOAWAY with the highest stream id, and 10 ms later, when streams in transit have arrived, with the real last
+    /// one; streams beyond it are not executed.
     Graceful,
-    /// GOAWAY with so many streams less than have come, and this code; what is named still runs.
+    /// Sends GOAWAY that excludes the newest `less` streams, with this code; earlier streams are still executed.
     Goes { less: u32, code: u32 },
-    /// So many streams at once.
+    /// Announces a limit on concurrent streams.
     Allows(u32),
-    /// The connection ends without a word.
+    /// Closes the connection without GOAWAY.
     Close,
-    /// It reads on and says nothing more.
+    /// Continues to read but sends nothing more.
     Mute,
-    /// It reads nothing more.
+    /// Stops reading.
     Stuck,
-    /// It grants no more windows.
+    /// Sends no more window updates.
     Grudges,
-    /// A push, which its client has forbidden.
+    /// Sends a push promise, which the client has disabled.
     Pushes,
-    /// A list of headers that never ends.
+    /// Sends a header block that does not end.
     Endless,
 }
 
 type Script = dyn Fn(&str) -> Does + Send + Sync;
 
+/// What the searcher received and executed.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
-    /// Parts that ran, as they did.
+    /// Parts executed, with the times.
     pub ran: Vec<(String, Instant)>,
-    /// Parts that came, run or not.
+    /// Parts received, executed or not, with the times.
     pub came: Vec<(String, Instant)>,
+    /// Connections accepted.
     pub opened: usize,
+    /// Connections closed.
     pub closed: usize,
+    /// Streams reset by the client.
     pub resets: usize,
-    /// The most streams that were open at once on one connection.
+    /// The most concurrent streams on one connection.
     pub most_streams: usize,
-    /// Streams that came first on each connection before any had been answered.
+    /// For each closed connection, the streams opened before the first answer.
     pub first: Vec<usize>,
 }
 
+/// A scripted HTTP/2 searcher.
 pub struct Http2Searcher {
     pub name: String,
     pub address: SocketAddr,
     script: Mutex<Arc<Script>>,
     log: Mutex<Log>,
     says: broadcast::Sender<Says>,
-    /// What the first settings allow, if they say so.
+    /// The limit on concurrent streams in the first SETTINGS; `None` announces none.
     allows: Mutex<Option<u32>>,
-    /// Whether it acknowledges settings.
-    acks: Mutex<bool>,
+    /// Whether SETTINGS are acknowledged.
+    acks_settings: Mutex<bool>,
 }
 
 const DATA: u8 = 0;
@@ -102,24 +115,33 @@
 const END_STREAM: u8 = 1;
 const ACK: u8 = 1;
 const END_HEADERS: u8 = 4;
-const PREFACE: usize = 24;
-const HIGHEST: u32 = 0x7fff_ffff;
+const PREFACE_BYTES: usize = 24;
+const MAX_STREAM_ID: u32 = 0x7fff_ffff;
 
-fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
+/// Encodes a frame.
+fn frame(frame_type: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let length = (payload.len() as u32).to_be_bytes();
-    [&length[1..], &[kind, flags], &stream.to_be_bytes(), payload].concat()
+    [
+        &length[1..],
+        &[frame_type, flags],
+        &stream.to_be_bytes(),
+        payload,
+    ]
+    .concat()
 }
 
-fn going(last: u32, code: u32) -> Vec<u8> {
+/// Encodes GOAWAY.
+fn goaway_frame(last_stream: u32, code: u32) -> Vec<u8> {
     frame(
         GOAWAY,
         0,
         0,
-        &[last.to_be_bytes(), code.to_be_bytes()].concat(),
+        &[last_stream.to_be_bytes(), code.to_be_bytes()].concat(),
     )
 }
 
-fn allowing(streams: u32) -> Vec<u8> {
+/// Encodes SETTINGS with a limit on concurrent streams.
+fn settings_frame(streams: u32) -> Vec<u8> {
     frame(
         SETTINGS,
         0,
@@ -128,16 +150,17 @@
     )
 }
 
-/// The head of an answer: 200 is in the static table, any other status is a literal of its name's entry.
-fn head(status: u16) -> Vec<u8> {
+/// The header block of a response: 200 is in the static table, any other status is a literal with an indexed name.
+fn status_headers(status: u16) -> Vec<u8> {
     match status {
         200 => vec![0x88],
         other => [&[0x08, 3][..], other.to_string().as_bytes()].concat(),
     }
 }
 
-fn end_of(part: &pb::Part, end: pb::part_end::End, large: usize) -> Vec<u8> {
-    let value = match (end, large) {
+/// Encodes the answer to a part; `value_bytes` is the length of its value, 0 for the usual one.
+fn encode_part_end(part: &pb::Part, end: pb::part_end::End, value_bytes: usize) -> Vec<u8> {
+    let value = match (end, value_bytes) {
         (pb::part_end::End::Good, 0) => format!("v{}", part.id),
         (pb::part_end::End::Good, bytes) => "x".repeat(bytes),
         _ => String::new(),
@@ -153,22 +176,22 @@
     end.encode_length_delimited_to_vec()
 }
 
-/// One connection's side of things.
-struct Line {
+/// The state of one connection.
+struct Connection {
     host: Arc<Http2Searcher>,
     out: mpsc::UnboundedSender<Vec<u8>>,
     bodies: HashMap<u32, Vec<u8>>,
-    open: Arc<Mutex<std::collections::HashSet<u32>>>,
-    newest: u32,
-    /// Streams beyond this are not run.
-    last: Arc<Mutex<u32>>,
+    open_streams: Arc<Mutex<std::collections::HashSet<u32>>>,
+    newest_stream: u32,
+    /// The last stream named by GOAWAY; those beyond it are not executed.
+    last_stream: Arc<Mutex<u32>>,
     answered: Arc<Mutex<bool>>,
-    grants: bool,
-    first: usize,
+    grants_windows: bool,
+    first_streams: usize,
 }
 
 impl Http2Searcher {
-    /// Starts one on a free port of the loopback, as long as the runtime serves.
+    /// Starts a searcher on a free loopback port. It lasts as long as the runtime.
     pub async fn start(name: &str, allows: Option<u32>) -> std::io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (says, _) = broadcast::channel(64);
@@ -179,17 +202,17 @@
             log: Mutex::default(),
             says,
             allows: Mutex::new(allows),
-            acks: Mutex::new(true),
+            acks_settings: Mutex::new(true),
         });
         let this = host.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let host = this.clone();
-                // Subscribed before it serves, so that what is said from here on is heard.
+                // Subscribes before serving, so that no later event is missed.
                 let says = host.says.subscribe();
                 locked(&host.log).opened += 1;
                 tokio::spawn(async move {
-                    // What ends a connection concerns its client alone.
+                    // Errors of a connection concern only its client.
                     let _ = host.clone().serve(stream, says).await;
                     locked(&host.log).closed += 1;
                 });
@@ -198,10 +221,12 @@
         Ok(host)
     }
 
+    /// Sets the script.
     pub fn does(&self, script: impl Fn(&str) -> Does + Send + Sync + 'static) {
         *locked(&self.script) = Arc::new(script);
     }
 
+    /// Does something on all connections.
     pub fn says(&self, what: Says) {
         if let Says::Allows(streams) = what {
             *locked(&self.allows) = Some(streams);
@@ -209,11 +234,12 @@
         let _ = self.says.send(what);
     }
 
-    /// It never acknowledges settings from here on.
+    /// Stops acknowledging SETTINGS.
     pub fn acknowledges_nothing(&self) {
-        *locked(&self.acks) = false;
+        *locked(&self.acks_settings) = false;
     }
 
+    /// A copy of the log.
     pub fn log(&self) -> Log {
         locked(&self.log).clone()
     }
@@ -235,131 +261,137 @@
             let _ = writer.shutdown().await;
         });
         let first = match *locked(&self.allows) {
-            Some(streams) => allowing(streams),
+            Some(streams) => settings_frame(streams),
             None => frame(SETTINGS, 0, 0, &[]),
         };
         let _ = out.send(first);
-        let mut preface = [0; PREFACE];
+        let mut preface = [0; PREFACE_BYTES];
         reader.read_exact(&mut preface).await?;
-        let mut line = Line {
+        let mut connection = Connection {
             host: self.clone(),
             out,
             bodies: HashMap::new(),
-            open: Arc::default(),
-            newest: 0,
-            last: Arc::new(Mutex::new(HIGHEST)),
+            open_streams: Arc::default(),
+            newest_stream: 0,
+            last_stream: Arc::new(Mutex::new(MAX_STREAM_ID)),
             answered: Arc::default(),
-            grants: true,
-            first: 0,
+            grants_windows: true,
+            first_streams: 0,
         };
-        let (mut read, mut some) = (Vec::new(), vec![0; 64 * 1024]);
-        let mut settling: Option<tokio::time::Instant> = None;
-        // A line that says nothing more stays open.
-        let mut muted = None;
+        let (mut received, mut chunk) = (Vec::new(), vec![0; 64 * 1024]);
+        let mut final_goaway_at: Option<tokio::time::Instant> = None;
+        // Kept so that a muted connection stays open.
+        let mut muted_sender = None;
         loop {
-            let due = async {
-                match settling {
+            let final_goaway_due = async {
+                match final_goaway_at {
                     Some(at) => tokio::time::sleep_until(at).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                count = reader.read(&mut some) => {
+                count = reader.read(&mut chunk) => {
                     let count = count?;
                     if count == 0 {
                         break;
                     }
-                    read.extend_from_slice(&some[..count]);
-                    while let Some(length) = whole(&read) {
-                        let frame: Vec<u8> = read.drain(..length).collect();
-                        line.frame(&frame);
+                    received.extend_from_slice(&chunk[..count]);
+                    while let Some(length) = complete_frame_bytes(&received) {
+                        let frame: Vec<u8> = received.drain(..length).collect();
+                        connection.frame(&frame);
                     }
                 }
-                () = due => {
-                    settling = None;
-                    line.goes(line.newest, NO_ERROR);
+                () = final_goaway_due => {
+                    final_goaway_at = None;
+                    connection.go_away(connection.newest_stream, NO_ERROR);
                 }
-                said = says.recv() => match said {
+                event = says.recv() => match event {
                     Ok(Says::Graceful) => {
-                        let _ = line.out.send(going(HIGHEST, NO_ERROR));
-                        settling = Some(tokio::time::Instant::now() + Duration::from_millis(10));
+                        let _ = connection.out.send(goaway_frame(MAX_STREAM_ID, NO_ERROR));
+                        final_goaway_at = Some(tokio::time::Instant::now() + Duration::from_millis(10));
                     }
                     Ok(Says::Goes { less, code }) => {
-                        line.goes(line.newest.saturating_sub(2 * less), code);
+                        connection.go_away(connection.newest_stream.saturating_sub(2 * less), code);
                     }
-                    Ok(Says::Allows(streams)) => drop(line.out.send(allowing(streams))),
+                    Ok(Says::Allows(streams)) => drop(connection.out.send(settings_frame(streams))),
                     Ok(Says::Close) | Err(_) => break,
-                    Ok(Says::Mute) => muted = Some(std::mem::replace(&mut line.out, mpsc::unbounded_channel().0)),
-                    Ok(Says::Grudges) => line.grants = false,
+                    Ok(Says::Mute) => muted_sender = Some(std::mem::replace(&mut connection.out, mpsc::unbounded_channel().0)),
+                    Ok(Says::Grudges) => connection.grants_windows = false,
                     Ok(Says::Pushes) => {
                         let promise = [&2_u32.to_be_bytes()[..], &[0x82]].concat();
-                        let _ = line.out.send(frame(PUSH_PROMISE, END_HEADERS, line.newest, &promise));
+                        let _ = connection.out.send(frame(PUSH_PROMISE, END_HEADERS, connection.newest_stream, &promise));
                     }
                     Ok(Says::Endless) => {
-                        // One header after another, each of a kilobyte.
+                        // 2,000 continuations, each with a header of about a kilobyte.
                         let value = [&[0x00, 1, b'x', 0x7f, 0xe9, 0x06][..], &[b'y'; 1_000]].concat();
-                        let _ = line.out.send(frame(HEADERS, 0, line.newest, &value));
+                        let _ = connection.out.send(frame(HEADERS, 0, connection.newest_stream, &value));
                         for _ in 0..2_000 {
-                            let _ = line.out.send(frame(CONTINUATION, 0, line.newest, &value));
+                            let _ = connection.out.send(frame(CONTINUATION, 0, connection.newest_stream, &value));
                         }
                     }
                     Ok(Says::Stuck) => std::future::pending().await,
                 },
             }
-            // Gone for good once what it named has been answered.
-            if *locked(&line.last) != HIGHEST && locked(&line.open).is_empty() && settling.is_none()
+            // Closes the connection once all streams named by GOAWAY have been answered.
+            if *locked(&connection.last_stream) != MAX_STREAM_ID
+                && locked(&connection.open_streams).is_empty()
+                && final_goaway_at.is_none()
             {
-                let _ = line.out.send(Vec::new());
-                drop(line);
+                let _ = connection.out.send(Vec::new());
+                drop(connection);
                 let _ = writing.await;
-                // What still comes is read to its end, so that what was written last is not lost with a reset.
-                while reader.read(&mut some).await? > 0 {}
+                // Reads until the client closes, since closing with unread data would reset the connection and lose the last
+                // writes.
+                while reader.read(&mut chunk).await? > 0 {}
                 return Ok(());
             }
         }
-        drop(muted);
-        locked(&self.log).first.push(line.first);
+        drop(muted_sender);
+        locked(&self.log).first.push(connection.first_streams);
         writing.abort();
         Ok(())
     }
 }
 
-fn whole(read: &[u8]) -> Option<usize> {
-    let head = read.first_chunk::<9>()?;
-    let length = usize::from(head[0]) << 16 | usize::from(head[1]) << 8 | usize::from(head[2]);
-    (read.len() >= 9 + length).then_some(9 + length)
+/// The length of the first frame, if it has been received completely.
+fn complete_frame_bytes(received: &[u8]) -> Option<usize> {
+    let header = received.first_chunk::<9>()?;
+    let length =
+        usize::from(header[0]) << 16 | usize::from(header[1]) << 8 | usize::from(header[2]);
+    (received.len() >= 9 + length).then_some(9 + length)
 }
 
-impl Line {
-    /// From here on nothing beyond this stream is run.
-    fn goes(&mut self, last: u32, code: u32) {
-        let last = {
-            let mut held = locked(&self.last);
-            *held = last.min(*held);
-            *held
+impl Connection {
+    /// Sends GOAWAY; streams beyond the last one are no longer executed.
+    fn go_away(&mut self, last_stream: u32, code: u32) {
+        let last_stream = {
+            let mut limit = locked(&self.last_stream);
+            *limit = last_stream.min(*limit);
+            *limit
         };
-        locked(&self.open).retain(|stream| *stream <= last);
-        let _ = self.out.send(going(last, code));
+        locked(&self.open_streams).retain(|stream| *stream <= last_stream);
+        let _ = self.out.send(goaway_frame(last_stream, code));
     }
 
+    /// Handles a frame.
     fn frame(&mut self, bytes: &[u8]) {
-        let (kind, flags) = (bytes[3], bytes[4]);
-        let stream = u32::from_be_bytes([bytes[5], bytes[6], bytes[7], bytes[8]]) & HIGHEST;
+        let (frame_type, flags) = (bytes[3], bytes[4]);
+        let stream = u32::from_be_bytes([bytes[5], bytes[6], bytes[7], bytes[8]]) & MAX_STREAM_ID;
         let payload = &bytes[9..];
-        match kind {
-            SETTINGS if flags & ACK == 0 && !*locked(&self.host.acks) => {}
+        match frame_type {
+            SETTINGS if flags & ACK == 0 && !*locked(&self.host.acks_settings) => {}
             SETTINGS if flags & ACK == 0 => drop(self.out.send(frame(SETTINGS, ACK, 0, &[]))),
             PING if flags & ACK == 0 => drop(self.out.send(frame(PING, ACK, 0, payload))),
             HEADERS => {
-                self.newest = self.newest.max(stream);
-                let mut open = locked(&self.open);
-                if stream <= *locked(&self.last) {
-                    open.insert(stream);
+                self.newest_stream = self.newest_stream.max(stream);
+                let mut open_streams = locked(&self.open_streams);
+                if stream <= *locked(&self.last_stream) {
+                    open_streams.insert(stream);
                 }
                 let mut log = locked(&self.host.log);
-                log.most_streams = log.most_streams.max(open.len());
+                log.most_streams = log.most_streams.max(open_streams.len());
                 if !*locked(&self.answered) {
-                    self.first += 1;
+                    self.first_streams += 1;
                 }
                 self.bodies.insert(stream, Vec::new());
             }
@@ -367,7 +399,7 @@
                 if let Some(body) = self.bodies.get_mut(&stream) {
                     body.extend_from_slice(payload);
                 }
-                if !payload.is_empty() && self.grants {
+                if !payload.is_empty() && self.grants_windows {
                     let grant = (payload.len() as u32).to_be_bytes();
                     let _ = self.out.send(frame(WINDOW_UPDATE, 0, 0, &grant));
                     if flags & END_STREAM == 0 {
@@ -375,20 +407,20 @@
                     }
                 }
                 if flags & END_STREAM != 0 {
-                    self.call(stream);
+                    self.handle_call(stream);
                 }
             }
             RST_STREAM => {
                 locked(&self.host.log).resets += 1;
-                locked(&self.open).remove(&stream);
+                locked(&self.open_streams).remove(&stream);
                 self.bodies.remove(&stream);
             }
             _ => {}
         }
     }
 
-    /// A call is whole.
-    fn call(&mut self, stream: u32) {
+    /// Handles a complete call.
+    fn handle_call(&mut self, stream: u32) {
         let Some(body) = self.bodies.remove(&stream) else {
             return;
         };
@@ -402,108 +434,108 @@
         locked(&self.host.log)
             .came
             .extend(call.parts.iter().map(|part| (part.id.clone(), now)));
-        if stream > *locked(&self.last) {
-            return; // It said so; its client knows.
+        if stream > *locked(&self.last_stream) {
+            return; // Excluded by GOAWAY.
         }
         let script = locked(&self.host.script).clone();
-        let does: Vec<Does> = call.parts.iter().map(|part| script(&part.id)).collect();
-        let ran = |part: &pb::Part| {
+        let actions: Vec<Does> = call.parts.iter().map(|part| script(&part.id)).collect();
+        let record_executed = |part: &pb::Part| {
             locked(&self.host.log)
                 .ran
                 .push((part.id.clone(), Instant::now()));
         };
-        let closes = |bytes: Vec<u8>| {
-            locked(&self.open).remove(&stream);
+        let close_stream = |bytes: Vec<u8>| {
+            locked(&self.open_streams).remove(&stream);
             let _ = self.out.send(bytes);
         };
-        let whole_stream = does.iter().find(|d| {
+        let stream_action = actions.iter().find(|d| {
             matches!(
                 d,
                 Does::Reset(_) | Does::Half | Does::Noise | Does::Status(_)
             )
         });
-        match whole_stream {
+        match stream_action {
             Some(Does::Reset(code)) => {
                 if !matches!(*code, REFUSED_STREAM | ENHANCE_YOUR_CALM) {
-                    call.parts.iter().for_each(ran);
+                    call.parts.iter().for_each(record_executed);
                 }
-                return closes(frame(RST_STREAM, 0, stream, &code.to_be_bytes()));
+                return close_stream(frame(RST_STREAM, 0, stream, &code.to_be_bytes()));
             }
             Some(Does::Status(status)) => {
                 if *status != 503 {
-                    call.parts.iter().for_each(ran);
+                    call.parts.iter().for_each(record_executed);
                 }
-                return closes(frame(
+                return close_stream(frame(
                     HEADERS,
                     END_HEADERS | END_STREAM,
                     stream,
-                    &head(*status),
+                    &status_headers(*status),
                 ));
             }
-            Some(half) => {
-                call.parts.iter().for_each(ran);
-                let message = match half {
-                    Does::Half => end_of(&call.parts[0], pb::part_end::End::Good, 0),
+            Some(action) => {
+                call.parts.iter().for_each(record_executed);
+                let message = match action {
+                    Does::Half => encode_part_end(&call.parts[0], pb::part_end::End::Good, 0),
                     _ => vec![3, 0xa5, 0xa5, 0xa5, 0xa5],
                 };
-                let message = if *half == Does::Half {
+                let message = if *action == Does::Half {
                     &message[..message.len() / 2]
                 } else {
                     &message
                 };
                 let _ = self
                     .out
-                    .send(frame(HEADERS, END_HEADERS, stream, &head(200)));
-                return closes(frame(DATA, END_STREAM, stream, message));
+                    .send(frame(HEADERS, END_HEADERS, stream, &status_headers(200)));
+                return close_stream(frame(DATA, END_STREAM, stream, message));
             }
             None => {}
         }
         let _ = self
             .out
-            .send(frame(HEADERS, END_HEADERS, stream, &head(200)));
-        let (out, open, answered, host) = (
+            .send(frame(HEADERS, END_HEADERS, stream, &status_headers(200)));
+        let (out, open_streams, answered, host) = (
             self.out.clone(),
-            self.open.clone(),
+            self.open_streams.clone(),
             self.answered.clone(),
             self.host.clone(),
         );
-        let last = self.last.clone();
+        let last_stream = self.last_stream.clone();
         tokio::spawn(async move {
             let mut silent = false;
-            for (part, does) in call.parts.iter().zip(does) {
-                let end = match does {
+            for (part, action) in call.parts.iter().zip(actions) {
+                let end = match action {
                     Does::Later => pb::part_end::End::Later,
                     Does::Bad => pb::part_end::End::Bad,
                     _ => pb::part_end::End::Good,
                 };
-                if let Does::Slow(span) = does {
+                if let Does::Slow(span) = action {
                     tokio::time::sleep(span).await;
                 }
-                if stream > *locked(&last) {
-                    return; // It said meanwhile that it would not run this.
+                if stream > *locked(&last_stream) {
+                    return; // Excluded by a GOAWAY sent meanwhile.
                 }
-                if does != Does::Later {
+                if action != Does::Later {
                     locked(&host.log)
                         .ran
                         .push((part.id.clone(), Instant::now()));
                 }
-                if does == Does::Silent {
+                if action == Does::Silent {
                     silent = true;
                     continue;
                 }
-                let large = if let Does::Large(bytes) = does {
+                let value_bytes = if let Does::Large(bytes) = action {
                     bytes
                 } else {
                     0
                 };
-                // No frame is larger than what every client takes.
-                for some in end_of(part, end, large).chunks(16_000) {
-                    let _ = out.send(frame(DATA, 0, stream, some));
+                // Below 16,384 bytes, the frame size that every client must accept.
+                for chunk in encode_part_end(part, end, value_bytes).chunks(16_000) {
+                    let _ = out.send(frame(DATA, 0, stream, chunk));
                 }
             }
             *locked(&answered) = true;
-            // Reset by its client meanwhile, it is closed already.
-            if !silent && locked(&open).remove(&stream) {
+            // The stream is closed already if the client has reset it meanwhile.
+            if !silent && locked(&open_streams).remove(&stream) {
                 let _ = out.send(frame(DATA, END_STREAM, stream, &[]));
             }
         });
--- a/crates/lockusher-aggregator-testbed/src/stand_in/mod.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what a mixer meets, over loopback: searchers, discovery and a client. The mixer itself is the
-//! real program. Waits end by what happens; the long time-outs here only keep a failed story from hanging. They
-//! panic where they can't go on: a story has failed then.
+//! Stand-ins for the peers of a mixer, over loopback: searchers, discovery and a client. The mixer itself is the real
+//! program. Waits end on events; the long timeouts only keep a failed test from hanging. The stand-ins panic where they
+//! cannot continue, which fails the test.
 
 mod client;
 mod discovery;
@@ -16,4 +16,5 @@
 pub use searcher::{Act, Log, Searcher, Seen, frame, parts};
 pub use world::{Mixer, Setup, World, line, settings, until};
 
+/// The timeout of waits, which only a failed test reaches.
 pub const LONG: Duration = Duration::from_secs(20);
--- a/crates/lockusher-aggregator-testbed/src/stand_in/searcher.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/searcher.rs
@@ -1,4 +1,4 @@
-//! A searcher: it takes calls in frames and does what its script says about each part.
+//! A searcher that receives calls in frames and handles each part as scripted.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,90 +10,111 @@
 
 use super::LONG;
 
-/// What a searcher does about a part.
+/// How a searcher handles a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Act {
+    /// Answers `good`.
     Good,
+    /// Answers `bad`.
     Bad,
+    /// Answers `later`.
     Later,
+    /// Does not answer.
     Silent,
-    /// A good answer after so long, during which its connection is not read.
+    /// Answers `good` after this time, during which the connection is not read.
     After(Duration),
-    /// The answer is held until `answers_held` says what it is.
+    /// Holds the answer until `answers_held` is called.
     Held,
-    /// The connection breaks once the frame has come; or with half an answer.
+    /// Closes the connection when the frame has arrived.
     Break,
+    /// Sends half an answer and resets the connection.
     HalfAnswer,
-    /// A frame that can't be read, or one of absurd length.
+    /// Sends an answer frame that cannot be parsed.
     Garbage,
+    /// Sends a frame of an excessive length.
     Absurd,
+    /// Sends a well-formed frame of a type that no mixer uses.
     Unusable,
-    /// A frame that never ends, one for nobody, and ends, letters and values that are none.
+    /// Sends the start of a frame that never ends.
     Endless,
+    /// Answers a part that does not exist.
     OtherId,
+    /// Answers with an unknown end.
     OtherEnd,
+    /// Sends a frame of an unknown type.
     OtherLetter,
+    /// Answers with a value that looks like the start of another frame.
     Swallowing,
-    /// From here on the connection says nothing.
+    /// Sends nothing more on the connection.
     Mute,
-    /// Good answers with more than belongs to them: another copy, noise, a report that can't be read.
+    /// Answers `good`, and then once more with another value.
     Twice,
+    /// Answers `good`, followed by bytes that are no frame.
     Noise,
+    /// Answers `good` with a load report that cannot be parsed.
     OddReport,
 }
 
-/// A part as it came.
+/// A part as received.
 #[derive(Clone, Debug)]
 pub struct Seen {
     pub id: String,
     pub shard: usize,
     pub list: String,
     pub text: String,
-    /// When the last byte of its frame had come.
+    /// When its frame had been received completely.
     pub at: Instant,
 }
 
 type Script = dyn Fn(&Seen) -> Act + Send + Sync;
 
+/// A scripted searcher.
 pub struct Searcher {
     pub name: String,
     pub address: SocketAddr,
     script: Mutex<Arc<Script>>,
     log: Mutex<Log>,
     changed: Condvar,
-    stuck: Mutex<bool>,
-    resumed: Condvar,
-    /// While probes are held: the connections on which an answer is owed, by the order in which they came up.
-    owed: Mutex<Option<Vec<(usize, TcpStream)>>>,
-    /// Parts whose answers are held, with their connections.
-    held: Mutex<Vec<(Seen, TcpStream)>>,
+    reading_paused: Mutex<bool>,
+    reading_resumed: Condvar,
+    /// While health checks are held: the connections with an unanswered one, with their numbers in order of acceptance.
+    pending_health_checks: Mutex<Option<Vec<(usize, TcpStream)>>>,
+    /// The parts whose answers are held, with their connections.
+    held_parts: Mutex<Vec<(Seen, TcpStream)>>,
 }
 
+/// What a searcher received.
 #[derive(Default, Clone)]
 pub struct Log {
+    /// The parts received.
     pub parts: Vec<Seen>,
+    /// The payloads of cancellations.
     pub given_up: Vec<String>,
+    /// Connections accepted.
     pub opened: usize,
+    /// Connections closed.
     pub closed: usize,
+    /// All other frames: type and payload.
     pub probes: Vec<String>,
 }
 
-pub fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
-    let mut out = ((rest.len() + 1) as u32).to_be_bytes().to_vec();
-    out.push(letter);
-    out.extend_from_slice(rest);
+/// Encodes a frame: length, type and payload.
+pub fn frame(frame_type: u8, payload: &[u8]) -> Vec<u8> {
+    let mut out = ((payload.len() + 1) as u32).to_be_bytes().to_vec();
+    out.push(frame_type);
+    out.extend_from_slice(payload);
     out
 }
 
 fn read_frame(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).ok()?;
-    let mut rest = vec![0; u32::from_be_bytes(length) as usize];
-    stream.read_exact(&mut rest).ok()?;
-    Some((rest[0], rest[1..].to_vec()))
+    let mut payload = vec![0; u32::from_be_bytes(length) as usize];
+    stream.read_exact(&mut payload).ok()?;
+    Some((payload[0], payload[1..].to_vec()))
 }
 
-/// A listener whose connections take little that is not read.
+/// A listener whose connections have small receive buffers.
 fn listener(backlog: u32) -> std::io::Result<TcpListener> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
@@ -114,14 +135,15 @@
             address: listener.local_addr().expect("an address"),
             script: Mutex::new(Arc::new(|_| Act::Good)),
             log: Mutex::default(),
-            stuck: Mutex::new(false),
-            resumed: Condvar::new(),
-            owed: Mutex::new(None),
-            held: Mutex::default(),
+            reading_paused: Mutex::new(false),
+            reading_resumed: Condvar::new(),
+            pending_health_checks: Mutex::new(None),
+            held_parts: Mutex::default(),
             changed: Condvar::new(),
         })
     }
 
+    /// Starts a searcher that answers all parts with `good`.
     pub fn start(name: &str) -> Arc<Self> {
         let listener = listener(64).expect("a port");
         let searcher = Self::at(name, &listener);
@@ -133,63 +155,67 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let this = self.clone();
-                this.note(|log| log.opened += 1);
+                this.record(|log| log.opened += 1);
                 let number = this.log().opened;
                 thread::spawn(move || {
                     this.serve(number, stream);
-                    this.note(|log| log.closed += 1);
+                    this.record(|log| log.closed += 1);
                 });
             }
         });
     }
 
-    /// One to which no further connection comes up, until it is let.
+    /// A searcher whose listen backlog is full, so that no connection is established until the returned function is
+    /// called.
     pub fn clogged(name: &str) -> (Arc<Self>, impl FnOnce()) {
         let listener = listener(1).expect("a port");
         let address = listener.local_addr().expect("an address");
-        let mut full = Vec::new();
+        let mut backlog = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(200)) {
-            full.push(stream);
+            backlog.push(stream);
         }
         let searcher = Self::at(name, &listener);
         (searcher.clone(), move || {
-            drop(full);
+            drop(backlog);
             searcher.accept(listener);
         })
     }
 
+    /// Sets the script.
     pub fn does(&self, script: impl Fn(&Seen) -> Act + Send + Sync + 'static) {
         *self.script.lock().unwrap() = Arc::new(script);
     }
 
-    /// Whether it goes on reading.
+    /// Pauses or resumes reading from connections.
     pub fn reads(&self, reads: bool) {
-        *self.stuck.lock().unwrap() = !reads;
-        self.resumed.notify_all();
+        *self.reading_paused.lock().unwrap() = !reads;
+        self.reading_resumed.notify_all();
     }
 
-    /// From here on probes of health are answered when they are told to be.
+    /// Holds the answers to health checks until `answers_probes` is called.
     pub fn holds_probes(&self) {
-        *self.owed.lock().unwrap() = Some(Vec::new());
+        *self.pending_health_checks.lock().unwrap() = Some(Vec::new());
     }
 
-    /// Answers what is owed on one connection, counted from 1; tells whether anything was.
+    /// Answers the held health checks of one connection, counted from 1; returns whether there were any.
     pub fn answers_probes(&self, connection: usize) -> bool {
-        let mut owed = self.owed.lock().unwrap();
-        let owed = owed.as_mut().expect("probes are held");
-        let (due, kept) = std::mem::take(owed)
+        let mut pending_health_checks = self.pending_health_checks.lock().unwrap();
+        let pending_health_checks = pending_health_checks
+            .as_mut()
+            .expect("health checks are held");
+        let (due, remaining) = std::mem::take(pending_health_checks)
             .into_iter()
             .partition(|(number, _)| *number == connection);
-        *owed = kept;
+        *pending_health_checks = remaining;
         let due: Vec<(usize, TcpStream)> = due;
         due.iter()
             .for_each(|(_, stream)| drop((&mut &*stream).write_all(&frame(b'o', b"good"))));
         !due.is_empty()
     }
 
-    /// Answers what is held, all alike.
+    /// Handles all held parts in the same way.
     pub fn answers_held(&self, act: Act) {
-        for (part, stream) in std::mem::take(&mut *self.held.lock().unwrap()) {
+        for (part, stream) in std::mem::take(&mut *self.held_parts.lock().unwrap()) {
             let _ = (&stream).write_all(&self.answer(&part, act));
             if act == Act::Break {
                 let _ = stream.shutdown(Shutdown::Both);
@@ -197,51 +223,63 @@
         }
     }
 
-    fn note(&self, what: impl FnOnce(&mut Log)) {
-        what(&mut self.log.lock().unwrap());
+    fn record(&self, change: impl FnOnce(&mut Log)) {
+        change(&mut self.log.lock().unwrap());
         self.changed.notify_all();
     }
 
+    /// A copy of the log.
     pub fn log(&self) -> Log {
         self.log.lock().unwrap().clone()
     }
 
-    /// Waits until its log is as wanted.
-    pub fn until(&self, wanted: impl Fn(&Log) -> bool) -> Log {
+    /// Waits until the log satisfies a condition, and returns it.
+    pub fn until(&self, condition: impl Fn(&Log) -> bool) -> Log {
         let log = self.log.lock().unwrap();
         let (log, out) = self
             .changed
-            .wait_timeout_while(log, LONG, |log| !wanted(log))
+            .wait_timeout_while(log, LONG, |log| !condition(log))
             .unwrap();
-        assert!(!out.timed_out(), "{} waited in vain", self.name);
+        assert!(
+            !out.timed_out(),
+            "searcher {}: the log did not satisfy the condition in time",
+            self.name
+        );
         log.clone()
     }
 
     fn serve(&self, number: usize, mut stream: TcpStream) {
-        // Each answer is a write of its own: none waits for the one before to be acknowledged.
+        // Each answer is a write of its own; without this, it would wait for the acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
-        // A probe at once: a searcher may ask as well.
+        // Sends a health check at once, since searchers may send them as well.
         let _ = stream.write_all(&[frame(b'o', b""), frame(b'p', b"")].concat());
-        let mut mute = false;
+        let mut muted = false;
         loop {
-            let stuck = self.stuck.lock().unwrap();
-            drop(self.resumed.wait_while(stuck, |stuck| *stuck).unwrap());
-            let Some((letter, rest)) = read_frame(&mut stream) else {
+            let reading_paused = self.reading_paused.lock().unwrap();
+            drop(
+                self.reading_resumed
+                    .wait_while(reading_paused, |reading_paused| *reading_paused)
+                    .unwrap(),
+            );
+            let Some((frame_type, payload)) = read_frame(&mut stream) else {
                 return;
             };
-            match letter {
+            match frame_type {
                 b'm' => {
-                    for part in parts(&rest) {
+                    for part in parts(&payload) {
                         let act = self.script.lock().unwrap().clone()(&part);
                         let answer = self.answer(&part, act);
                         if let Act::After(span) = act {
                             thread::sleep(span);
                         }
                         if act == Act::Held {
-                            let own = stream.try_clone().expect("a stream");
-                            self.held.lock().unwrap().push((part.clone(), own));
+                            let connection = stream.try_clone().expect("a stream");
+                            self.held_parts
+                                .lock()
+                                .unwrap()
+                                .push((part.clone(), connection));
                         }
-                        self.note(|log| log.parts.push(part));
+                        self.record(|log| log.parts.push(part));
                         if act == Act::Break {
                             let _ = stream.shutdown(Shutdown::Both);
                         }
@@ -250,31 +288,32 @@
                             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                             return;
                         }
-                        mute |= act == Act::Mute;
-                        if !mute {
+                        muted |= act == Act::Mute;
+                        if !muted {
                             let _ = stream.write_all(&answer);
                         }
                     }
                 }
-                b'n' => self.note(|log| {
+                b'n' => self.record(|log| {
                     log.given_up
-                        .push(String::from_utf8_lossy(&rest).into_owned());
+                        .push(String::from_utf8_lossy(&payload).into_owned());
                 }),
-                b'o' if rest.is_empty() => {
-                    let mut owed = self.owed.lock().unwrap();
-                    match (owed.as_mut(), mute) {
+                b'o' if payload.is_empty() => {
+                    let mut pending_health_checks = self.pending_health_checks.lock().unwrap();
+                    match (pending_health_checks.as_mut(), muted) {
                         (_, true) => {}
-                        (Some(owed), _) => {
-                            owed.extend(stream.try_clone().map(|stream| (number, stream)));
+                        (Some(pending_health_checks), _) => {
+                            pending_health_checks
+                                .extend(stream.try_clone().map(|stream| (number, stream)));
                         }
                         (None, _) => drop(stream.write_all(&frame(b'o', b"good"))),
                     }
                 }
-                _ => self.note(|log| {
+                _ => self.record(|log| {
                     log.probes.push(format!(
                         "{}{}",
-                        letter as char,
-                        String::from_utf8_lossy(&rest)
+                        frame_type as char,
+                        String::from_utf8_lossy(&payload)
                     ));
                 }),
             }
@@ -282,8 +321,8 @@
     }
 
     fn answer(&self, part: &Seen, act: Act) -> Vec<u8> {
-        // The score falls with the shard, so that the second step's shards are known.
-        let q = |end: &str, value: &str| {
+        // The score decreases with the shard, which determines the shards of the second step.
+        let answer_frame = |end: &str, value: &str| {
             frame(
                 b'q',
                 format!("{} {end} {} load=1\n{value}", part.id, 1_000 - part.shard).as_bytes(),
@@ -291,13 +330,13 @@
         };
         let value = format!("v{}", part.id);
         match act {
-            Act::Good | Act::After(_) | Act::HalfAnswer => q("good", &value),
+            Act::Good | Act::After(_) | Act::HalfAnswer => answer_frame("good", &value),
             Act::Endless => [&[0, 1, 0, 0][..], b"q", part.id.as_bytes()].concat(),
             Act::OtherId => frame(b'q', b"nobody.3 good 5 load=1\nvalue"),
-            Act::OtherEnd => q("fine", &value),
+            Act::OtherEnd => answer_frame("fine", &value),
             Act::OtherLetter => frame(b'z', b"what"),
-            Act::Swallowing => q("good", &format!("{value}\0\0\0\x20q")),
-            Act::Noise => [q("good", &value), vec![0xa5; 40]].concat(),
+            Act::Swallowing => answer_frame("good", &format!("{value}\0\0\0\x20q")),
+            Act::Noise => [answer_frame("good", &value), vec![0xa5; 40]].concat(),
             Act::OddReport => {
                 let line = [
                     part.id.as_bytes(),
@@ -307,9 +346,13 @@
                 .concat();
                 frame(b'q', &line)
             }
-            Act::Twice => [q("good", &value), q("good", "another")].concat(),
-            Act::Bad => q("bad", ""),
-            Act::Later => q("later", ""),
+            Act::Twice => [
+                answer_frame("good", &value),
+                answer_frame("good", "another"),
+            ]
+            .concat(),
+            Act::Bad => answer_frame("bad", ""),
+            Act::Later => answer_frame("later", ""),
             Act::Silent | Act::Held | Act::Break | Act::Mute => Vec::new(),
             Act::Garbage => frame(b'q', b"no line"),
             Act::Absurd => vec![0xff; 64],
@@ -318,19 +361,19 @@
     }
 }
 
-/// The parts of a call, as they came just now.
-pub fn parts(mut rest: &[u8]) -> Vec<Seen> {
+/// Parses the parts of a call, as received now.
+pub fn parts(mut payload: &[u8]) -> Vec<Seen> {
     let mut out = Vec::new();
-    while !rest.is_empty() {
-        let end = rest.iter().position(|&b| b == b'\n').expect("a line");
-        let line = String::from_utf8(rest[..end].to_vec()).expect("text");
+    while !payload.is_empty() {
+        let end = payload.iter().position(|&b| b == b'\n').expect("a line");
+        let line = String::from_utf8(payload[..end].to_vec()).expect("text");
         let words: Vec<&str> = line.split(' ').collect();
         let [id, shard, list, length] = words[..] else {
-            panic!("not a part's line: {line}")
+            panic!("invalid line of a part: {line}")
         };
         let length: usize = length.parse().expect("a length");
-        let text = String::from_utf8(rest[end + 1..end + 1 + length].to_vec()).expect("text");
-        rest = &rest[end + 1 + length..];
+        let text = String::from_utf8(payload[end + 1..end + 1 + length].to_vec()).expect("text");
+        payload = &payload[end + 1 + length..];
         out.push(Seen {
             id: id.into(),
             shard: shard.parse().expect("a shard"),
--- a/crates/lockusher-aggregator-testbed/src/stand_in/system.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/system.rs
@@ -1,18 +1,18 @@
-//! What the system says of a running process, as the platform's standing test judges it: the program interpreter
-//! that its file names, the kinds of its sockets, its children and the states of its threads. Read from the ELF
-//! header (System V gABI, program headers) and from `/proc` (proc(5)); Linux only.
+//! Properties of a running process that the platform's tests check: the program interpreter of its executable, the
+//! kinds of its sockets, its children and the states of its threads. Read from the ELF header (System V gABI, program
+//! headers) and from `/proc` (proc(5)); Linux only.
 
 use std::collections::HashSet;
 use std::fs;
 
-/// The program interpreter that an ELF file of 64 bits names, if it names one: present only if linked dynamically.
-/// Panics on a file that is not ELF of 64 bits, little-endian.
+/// The program interpreter of an ELF file, which only a dynamically linked one has. Panics if the file is not 64-bit
+/// little-endian ELF.
 pub fn interpreter(elf: &[u8]) -> Option<String> {
     const PT_INTERP: u32 = 3;
     assert_eq!(
         &elf[..6],
         b"\x7fELF\x02\x01",
-        "an ELF file of 64 bits, little-endian"
+        "not a 64-bit little-endian ELF file"
     );
     let u16_at = |at: usize| u16::from_le_bytes([elf[at], elf[at + 1]]) as usize;
     let u64_at =
@@ -29,7 +29,7 @@
     })
 }
 
-/// The inodes of the sockets that a process holds.
+/// The inodes of the open sockets of a process.
 pub fn sockets(pid: u32) -> Vec<String> {
     let links = fs::read_dir(format!("/proc/{pid}/fd"))
         .into_iter()
@@ -48,7 +48,7 @@
     links.filter_map(link).filter_map(inode).collect()
 }
 
-/// The inodes of sockets in one of the tables of the process's network (`tcp`, `udp6`, `unix`, ...).
+/// The inodes in one of the socket tables of the process's network namespace (`tcp`, `udp6`, `unix`, ...).
 fn table(pid: u32, name: &str) -> HashSet<String> {
     // The inode is the tenth column of the tables of IP, the seventh of those of Unix sockets.
     let column = if name == "unix" { 6 } else { 9 };
@@ -59,7 +59,7 @@
         .collect()
 }
 
-/// The tables that list this socket: `tcp` or `udp` alone for one over IPv4.
+/// The tables that list this socket: only `tcp` or `udp` for a socket over IPv4.
 pub fn kinds(pid: u32, inode: &str) -> Vec<&'static str> {
     let tables = ["tcp", "udp", "tcp6", "udp6", "raw", "raw6", "unix"];
     tables
@@ -68,7 +68,7 @@
         .collect()
 }
 
-/// The state letter of each of its threads (`R` runs, `S` and `D` wait).
+/// The state of each thread (`R`: running, `S` and `D`: waiting).
 pub fn states(pid: u32) -> Vec<char> {
     let tasks = fs::read_dir(format!("/proc/{pid}/task"))
         .into_iter()
@@ -82,7 +82,7 @@
     tasks.map(stat).filter_map(state).collect()
 }
 
-/// The stat lines of processes whose parent is this one.
+/// The stat lines of the child processes.
 pub fn children(pid: u32) -> Vec<String> {
     let all = fs::read_dir("/proc")
         .into_iter()
--- a/crates/lockusher-aggregator-testbed/src/stand_in/world.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/world.rs
@@ -1,4 +1,4 @@
-//! A mixer with its world: the real program between stand-ins.
+//! A mixer with its stand-ins: the real program between them.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -16,38 +16,50 @@
 use super::discovery::Discovery;
 use super::searcher::{Act, Searcher, Seen};
 
-/// How the mixer of a story is set up.
+/// The setup of a mixer and its stand-ins.
 pub struct Setup {
     pub searchers: usize,
+    /// The effect of op type `look`: `safe`, `keyed` or `unsafe`.
     pub effect: &'static str,
-    /// The latency target. Before anything is measured, a part counts as late after one and a half times this.
+    /// The latency target. Before any latency is measured, a part counts as late after one and a half times this.
     pub promise_ms: u64,
-    /// How long repeats of a deduped part are dropped.
+    /// How long searchers drop duplicates of a keyed part.
     pub window_ms: u64,
-    /// How long clients wait in all.
+    /// The deadline of requests.
     pub deadline_ms: u64,
+    /// Parts of the second step; 0 for none.
     pub second_step: usize,
+    /// The limit on sockets.
     pub sockets: usize,
+    /// The limit on memory.
     pub memory_mb: usize,
+    /// The limit on requests in flight.
     pub most_open: usize,
+    /// The limit on concurrent calls on one connection.
     pub most_calls: usize,
+    /// The limit on parts of one call.
     pub most_parts: usize,
+    /// The idle timeout of connections.
     pub idle_ms: u64,
+    /// The connect timeout.
     pub connect_ms: u64,
-    /// Whether it remembers the list, or has only discovery.
+    /// Whether the configuration has a known list, or the mixer depends on discovery.
     pub knows: bool,
-    /// Whether discovery must be asked, and tells nobody else.
+    /// Whether lists must be requested from discovery rather than being pushed.
     pub asks: bool,
-    /// How often it must be asked at the least, then.
+    /// The greatest interval of such requests.
     pub ask_every_ms: u64,
-    /// Cells, shards that a searcher of one holds, and shards.
+    /// Cells of searchers.
     pub cells: usize,
+    /// Consecutive cells that hold a shard.
     pub in_a_row: usize,
+    /// Shards.
     pub shards: usize,
-    /// Mixers side by side, and which of them this is.
+    /// Mixers of the fleet.
     pub mixers: usize,
+    /// The index of this mixer among them.
     pub rank: usize,
-    /// Whether there is a second op type, `once`, whose parts must not be repeated.
+    /// Whether there is a second op type, `once`, whose parts must not be retried.
     pub once: bool,
 }
 
@@ -80,6 +92,7 @@
     }
 }
 
+/// The settings of a mixer, as JSON.
 pub fn settings(setup: &Setup) -> Value {
     let grade = |name: &str, effect: &str| {
         json!({ "name": name, "promise_us": setup.promise_ms * 1000, "deadline_us": setup.deadline_ms * 1000, "effect": effect,
@@ -110,30 +123,31 @@
     })
 }
 
-/// The program that stories run: the mixer that cargo built beside a test, or the lab, which can be one.
+/// The program that tests run: the mixer that cargo built beside the test, or the test bed, which has a mixer command.
 fn program() -> Command {
-    let this = std::env::current_exe().expect("a path");
-    let is_lab = this
+    let executable = std::env::current_exe().expect("a path");
+    let is_testbed = executable
         .file_stem()
         .is_some_and(|stem| stem == "lockusher-aggregator-testbed");
-    let of_lab = std::env::var("CARGO_PKG_NAME")
+    let built_for_testbed = std::env::var("CARGO_PKG_NAME")
         .is_ok_and(|package| package == "lockusher-aggregator-testbed");
-    let beside = |name| {
-        this.parent()
+    let sibling = |name| {
+        executable
+            .parent()
             .and_then(Path::parent)
-            .expect("a test lies two folders deep")
+            .expect("a test binary is two directories deep")
             .join(name)
     };
-    let mut command = match (is_lab, of_lab) {
-        (true, _) => Command::new(&this),
-        (false, true) => Command::new(beside("lockusher-aggregator-testbed")),
-        (false, false) => return Command::new(beside("lockusher")),
+    let mut command = match (is_testbed, built_for_testbed) {
+        (true, _) => Command::new(&executable),
+        (false, true) => Command::new(sibling("lockusher-aggregator-testbed")),
+        (false, false) => return Command::new(sibling("lockusher")),
     };
     command.arg("mixer");
     command
 }
 
-/// A mixer of a story, as a process of its own; it ends with this.
+/// A mixer process, which is killed when this is dropped.
 pub struct Mixer {
     pub address: SocketAddr,
     child: Child,
@@ -141,8 +155,8 @@
 }
 
 impl Mixer {
-    /// Starts one with this configuration, and waits until it listens; what it says goes on to standard error, or
-    /// nowhere if it is to be `quiet`.
+    /// Starts a mixer with this configuration and waits until it listens. Its log is forwarded to standard error, or
+    /// discarded if `quiet`.
     pub fn start(config: &Value, settings: Option<&Path>, quiet: bool) -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -160,21 +174,21 @@
             .stderr(Stdio::piped())
             .spawn();
         let mut child = child.expect("the program starts");
-        let mut said = BufReader::new(child.stderr.take().expect("a pipe"));
+        let mut stderr = BufReader::new(child.stderr.take().expect("a pipe"));
         let address = loop {
             let mut line = String::new();
             assert!(
-                said.read_line(&mut line).expect("a line") > 0,
-                "it ended before it served"
+                stderr.read_line(&mut line).expect("a line") > 0,
+                "the mixer ended before it listened"
             );
-            if let Some((_, at)) = line.split_once(" serves on ") {
-                break at.trim().parse().expect("an address");
+            if let Some((_, address)) = line.split_once(" serves on ") {
+                break address.trim().parse().expect("an address");
             }
             eprint!("{line}");
         };
         thread::spawn(move || match quiet {
-            true => std::io::copy(&mut said, &mut std::io::sink()),
-            false => std::io::copy(&mut said, &mut std::io::stderr()),
+            true => std::io::copy(&mut stderr, &mut std::io::sink()),
+            false => std::io::copy(&mut stderr, &mut std::io::stderr()),
         });
         Mixer {
             address,
@@ -183,10 +197,12 @@
         }
     }
 
+    /// A new client.
     pub fn client(&self) -> Client {
         Client::to(self.address)
     }
 
+    /// Sends a GET request on a connection of its own.
     pub fn get(&self, path: &str) -> Answer {
         let mut client = self.client();
         client.write(
@@ -195,6 +211,7 @@
         client.read().expect("an answer")
     }
 
+    /// Sends a signal, given as an option of `kill`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args([name, &self.child.id().to_string()])
@@ -202,26 +219,27 @@
         assert!(sent.expect("kill").success());
     }
 
-    /// Its configuration from here on; it must be told to read it.
+    /// Rewrites the configuration file, which the mixer reads again on SIGHUP.
     pub fn configure(&self, config: &Value) {
         std::fs::write(&self.file, config.to_string()).expect("a file");
     }
 
-    /// Its process id, for what the system says of it.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Descriptors that it holds.
+    /// The number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
     fn proc(&self, file: &str) -> String {
-        std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).expect("it runs")
+        std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id()))
+            .expect("the mixer is running")
     }
 
-    /// The most memory that it ever held, in KB.
+    /// The peak memory of the process, in KB.
     pub fn most_memory(&self) -> u64 {
         let status = self.proc("status");
         let line = status
@@ -234,7 +252,7 @@
             .expect("a number")
     }
 
-    /// The time that its main thread has had a core, in microseconds.
+    /// The CPU time of its main thread, in microseconds.
     pub fn cpu_us(&self) -> u64 {
         let stat = self.proc("schedstat");
         stat.split_whitespace()
@@ -244,10 +262,12 @@
             / 1_000
     }
 
+    /// Waits for the end of the process.
     pub fn ended(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+        self.child.wait().expect("the mixer ends")
     }
 
+    /// Whether the process is running.
     pub fn runs(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_none()
     }
@@ -261,16 +281,16 @@
     }
 }
 
-/// Waits until something holds.
-pub fn until(mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < LONG, "waited in vain");
+/// Waits until a condition holds.
+pub fn until(mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < LONG, "the condition did not hold in time");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A mixer with its world.
+/// A mixer with its searchers and discovery.
 pub struct World {
     pub searchers: Vec<Arc<Searcher>>,
     pub discovery: Arc<Discovery>,
@@ -279,12 +299,14 @@
     config: Value,
 }
 
+/// The entry of a searcher in the list of discovery.
 pub fn line(searcher: &Searcher, group: usize, status: &str) -> Value {
     json!({ "name": searcher.name, "address": searcher.address, "zone": "here", "type": "m", "group": group,
         "status": status, "weight": 1.0, "since_ms": 0 })
 }
 
 impl World {
+    /// Starts everything and waits until the mixer is ready.
     pub fn start(setup: Setup) -> Self {
         let searchers: Vec<_> = (0..setup.searchers)
             .map(|i| Searcher::start(&format!("s{i}")))
@@ -313,21 +335,24 @@
         world
     }
 
+    /// A new client.
     pub fn client(&self) -> Client {
         self.mixer.client()
     }
 
+    /// Sends a GET request to the mixer.
     pub fn get(&self, path: &str) -> Answer {
         self.mixer.get(path)
     }
 
-    pub fn until(&self, holds: impl FnMut() -> bool) {
-        until(holds);
+    /// Waits until a condition holds.
+    pub fn until(&self, condition: impl FnMut() -> bool) {
+        until(condition);
     }
 
-    /// All sends of parts whose ids begin so, with their searchers' names.
+    /// All received parts whose ids have this prefix, with the names of their searchers.
     pub fn sends(&self, id: &str) -> Vec<(String, Seen)> {
-        let of = |s: &Arc<Searcher>| {
+        let parts_of = |s: &Arc<Searcher>| {
             let name = s.name.clone();
             s.log()
                 .parts
@@ -335,32 +360,34 @@
                 .filter(|p| p.id.starts_with(id))
                 .map(move |p| (name.clone(), p))
         };
-        self.searchers.iter().flat_map(of).collect()
+        self.searchers.iter().flat_map(parts_of).collect()
     }
 
+    /// Sets the script of all searchers.
     pub fn all_do(&self, script: impl Fn(&Seen) -> Act + Clone + Send + Sync + 'static) {
         self.searchers.iter().for_each(|s| s.does(script.clone()));
     }
 
-    /// The mixer stands still while this happens.
-    pub fn meanwhile(&self, happens: impl FnOnce()) {
+    /// Pauses the mixer while the action runs.
+    pub fn meanwhile(&self, action: impl FnOnce()) {
         self.mixer.signal("-STOP");
-        happens();
+        action();
         self.mixer.signal("-CONT");
     }
 
+    /// Sends SIGTERM to the mixer.
     pub fn terminate(&self) {
         self.mixer.signal("-TERM");
     }
 
-    /// Writes this into the configuration and tells the mixer to read it again.
+    /// Changes a key of the configuration and makes the mixer read it again.
     pub fn reload(&mut self, key: &str, value: impl Into<Value>) {
         self.config[key] = value.into();
         self.mixer.configure(&self.config);
         self.mixer.signal("-HUP");
     }
 
-    /// The most memory that it ever held, in KB.
+    /// The peak memory of the process, in KB.
     pub fn most_memory(&self) -> u64 {
         self.mixer.most_memory()
     }
@@ -370,10 +397,12 @@
         self.mixer.pid()
     }
 
+    /// Waits for the end of the mixer.
     pub fn ended(&mut self) -> ExitStatus {
         self.mixer.ended()
     }
 
+    /// Whether the mixer is running.
     pub fn runs(&mut self) -> bool {
         self.mixer.runs()
     }
