--- a/crates/lockusher-aggregator-testbed/src/demo.rs
+++ b/crates/lockusher-aggregator-testbed/src/demo.rs
@@ -7,7 +7,7 @@
 
 use crate::fleet::{self, Followed};
 use crate::registry::Registry;
-use crate::stand_in::{Act, Setup, until};
+use crate::stand_in::{PartAction, Setup, until};
 
 const HOSTS: usize = 4;
 const ASKED: usize = 12;
@@ -34,7 +34,7 @@
     let text = fleet::settings_text(Protocol::Etcd, &endpoints, "");
     let followed = Followed::start(
         &Setup {
-            knows: false,
+            has_known_list: false,
             ..Setup::default()
         },
         &text,
@@ -89,11 +89,11 @@
     ask("all are up");
     caught_up(put(0, "leaving"));
     let drained = ask("h0 drains")[0] == 0;
-    searchers[1].does(|_| Act::Break);
+    searchers[1].set_script(|_| PartAction::Break);
     ask("h1 dies");
     caught_up(registry.delete(&fleet::key("h1")));
     let gone = ask("h1 is gone from the registry")[1] == 0;
-    searchers[1].does(|_| Act::Good);
+    searchers[1].set_script(|_| PartAction::Good);
     put(0, "active");
     caught_up(put(1, "active"));
     ask("both are back");
--- a/crates/lockusher-aggregator-testbed/src/http2.rs
+++ b/crates/lockusher-aggregator-testbed/src/http2.rs
@@ -17,8 +17,8 @@
 use crate::check::{State, Truth};
 use crate::fleet::{self, Endpoint, Followed};
 use crate::registry::Registry;
-use crate::stand_in::http2::{Does, Http2Searcher, Says};
-use crate::stand_in::{Act, Client, Searcher, Setup, body, request_of, until};
+use crate::stand_in::http2::{ConnectionAction, Http2Searcher, StreamAction};
+use crate::stand_in::{Client, PartAction, Searcher, Setup, body, request_of, until};
 
 /// As many mixers as clients; none of them knows of the others.
 const MIXERS: usize = 4;
@@ -166,53 +166,55 @@
         let searcher = self.hosts[host].clone();
         let after = |ms| Instant::now() + Duration::from_millis(ms);
         let well = move |world: &mut World| {
-            world.hosts[host].does(|_| Does::Slow(Duration::from_millis(2)));
+            world.hosts[host].set_script(|_| StreamAction::Slow(Duration::from_millis(2)));
         };
         match self.rng.random_range(0..9) {
             0 => {
-                searcher.says(Says::Graceful);
+                searcher.perform(ConnectionAction::Graceful);
                 self.counted("graceful");
             }
             1 => {
                 let less = self.rng.random_range(0..4);
                 let code = if self.rng.random_bool(0.5) { 0 } else { 2 };
-                searcher.says(Says::Goes { less, code });
+                searcher.perform(ConnectionAction::GoAway { less, code });
                 self.counted("notices");
             }
             2 => {
-                searcher.says(Says::Close);
+                searcher.perform(ConnectionAction::Close);
                 self.counted("closes");
             }
             3 => {
-                searcher.says(Says::Allows(self.rng.random_range(0..3)));
+                searcher.perform(ConnectionAction::MaxStreams(self.rng.random_range(0..3)));
                 self.counted("lowered");
-                let raise = move |world: &mut World| world.hosts[host].says(Says::Allows(100));
+                let raise = move |world: &mut World| {
+                    world.hosts[host].perform(ConnectionAction::MaxStreams(100));
+                };
                 return Some((after(300), Box::new(raise)));
             }
             4 | 5 => {
                 let code = [7, 8, 2, 11][self.rng.random_range(0..4)];
                 let mut rng = ChaCha8Rng::seed_from_u64(self.rng.random());
                 let salt: u64 = rng.random();
-                searcher.does(move |id| {
+                searcher.set_script(move |id| {
                     let odd = id
                         .bytes()
                         .fold(salt, |sum, byte| sum.wrapping_mul(31) ^ u64::from(byte));
                     if odd % 5 == 0 {
-                        Does::Reset(code)
+                        StreamAction::Reset(code)
                     } else {
-                        Does::Slow(Duration::from_millis(2))
+                        StreamAction::Slow(Duration::from_millis(2))
                     }
                 });
                 self.counted("refusing");
                 return Some((after(500), Box::new(well)));
             }
             6 => {
-                searcher.does(|_| Does::Slow(Duration::from_millis(400)));
+                searcher.set_script(|_| StreamAction::Slow(Duration::from_millis(400)));
                 self.counted("stalls");
                 return Some((after(300), Box::new(well)));
             }
             7 => {
-                searcher.says(Says::Mute);
+                searcher.perform(ConnectionAction::Mute);
                 self.counted("mutes");
             }
             _ if self.up(host)
@@ -222,7 +224,7 @@
                 self.set(host, State::Draining);
                 self.counted("restarts");
                 let back = move |world: &mut World| {
-                    world.hosts[host].says(Says::Graceful);
+                    world.hosts[host].perform(ConnectionAction::Graceful);
                     world.since[host] = unix_ms();
                     world.cold[host].push(Instant::now());
                     world.set(host, State::Up);
@@ -258,14 +260,14 @@
         hosts,
     };
     for host in 0..count {
-        world.hosts[host].does(|_| Does::Slow(Duration::from_millis(2)));
+        world.hosts[host].set_script(|_| StreamAction::Slow(Duration::from_millis(2)));
         world.set(host, State::Up);
     }
     let setup = Setup {
-        knows: false,
+        has_known_list: false,
         mixers: MIXERS,
         once: true,
-        most_parts: 3,
+        max_parts_per_call: 3,
         ..Setup::default()
     };
     let mut mixers = Vec::new();
@@ -315,10 +317,10 @@
     let logs: Vec<_> = world.hosts.iter().map(|host| host.log()).collect();
     let (mut came, mut ran): (HashMap<&str, usize>, HashMap<&str, usize>) = Default::default();
     for log in &logs {
-        log.came
+        log.received
             .iter()
             .for_each(|(id, _)| *came.entry(id).or_default() += 1);
-        log.ran
+        log.executed
             .iter()
             .for_each(|(id, _)| *ran.entry(id).or_default() += 1);
     }
@@ -340,7 +342,7 @@
     let mut late = 0;
     for (host, log) in world.hosts.iter().zip(&logs) {
         let parts: Vec<(String, Span)> = log
-            .came
+            .received
             .iter()
             .map(|(_, at)| (host.name.clone(), since(*at)))
             .collect();
@@ -361,7 +363,7 @@
             let over = (0..9).any(|second| {
                 let from = *cold + Duration::from_secs(second);
                 let within = |at: &Instant| *at >= from && *at < from + Duration::from_secs(1);
-                let count = log.came.iter().filter(|(_, at)| within(at)).count() as f64;
+                let count = log.received.iter().filter(|(_, at)| within(at)).count() as f64;
                 let share = COLD_FROM + (1.0 - COLD_FROM) * second as f64 / RAMP;
                 count > FALL_MULTIPLE * share * WARM * mean
             });
@@ -451,12 +453,12 @@
         .enable_all()
         .build()?;
     let setup = Setup {
-        knows: false,
+        has_known_list: false,
         once: true,
         shards: 400,
-        most_open: 4_000,
-        most_parts: 8,
-        most_calls: calls,
+        max_in_flight: 4_000,
+        max_parts_per_call: 8,
+        max_streams: calls,
         sockets,
         ..Setup::default()
     };
@@ -473,7 +475,7 @@
         let mut wide = Vec::new();
         for i in 0..if http2 { HOSTS } else { 0 } {
             let host = runtime.block_on(Http2Searcher::start(&format!("h{i}"), Some(100)))?;
-            host.does(|_| Does::Good);
+            host.set_script(|_| StreamAction::Good);
             wide.push(host);
         }
         let named: Vec<(String, SocketAddr)> = frames
@@ -515,7 +517,7 @@
         }
         let cpu = mixer.mixer.cpu_us() - cpu;
         let parts: usize = frames.iter().map(|h| h.log().parts.len()).sum::<usize>()
-            + wide.iter().map(|h| h.log().came.len()).sum::<usize>();
+            + wide.iter().map(|h| h.log().received.len()).sum::<usize>();
         let connections: usize = frames.iter().map(|h| h.log().opened).sum::<usize>()
             + wide.iter().map(|h| h.log().opened).sum::<usize>();
         let name = if http2 { "http2" } else { "frames" };
@@ -533,17 +535,17 @@
 fn restart(frames: &[Arc<Searcher>], wide: &[Arc<Http2Searcher>], host: usize) {
     let lasts = Duration::from_millis(20);
     if let Some(host) = frames.get(host) {
-        host.does(|_| Act::Break);
+        host.set_script(|_| PartAction::Break);
         std::thread::sleep(lasts);
-        host.does(|_| Act::Good);
+        host.set_script(|_| PartAction::Good);
     }
     if let Some(host) = wide.get(host) {
-        host.does(|_| Does::Slow(Duration::from_millis(60)));
+        host.set_script(|_| StreamAction::Slow(Duration::from_millis(60)));
         std::thread::sleep(lasts);
-        host.says(Says::Goes {
+        host.perform(ConnectionAction::GoAway {
             less: 1_000,
             code: 0,
         });
-        host.does(|_| Does::Good);
+        host.set_script(|_| StreamAction::Good);
     }
 }
--- a/crates/lockusher-aggregator-testbed/src/large.rs
+++ b/crates/lockusher-aggregator-testbed/src/large.rs
@@ -62,11 +62,11 @@
     registry.write((0..entries).map(|host| put(host, "active")));
     let text = fleet::settings_text(protocol, &endpoints, "");
     let setup = Setup {
-        knows: false,
+        has_known_list: false,
         sockets: 1_024,
         memory_mb: 192,
         cells,
-        in_a_row: IN_A_ROW,
+        cells_per_shard: IN_A_ROW,
         shards: cells,
         ..Setup::default()
     };
@@ -76,7 +76,7 @@
     wait("the start", || mixer.get("/up").status == 200)?;
     let started = began.elapsed();
     let (start_kb, calm) = (
-        mixer.most_memory(),
+        mixer.peak_memory_kb(),
         Load::start(mixer.address, 4, Duration::from_millis(20), cells),
     );
     std::thread::sleep(Duration::from_secs(3));
@@ -119,7 +119,7 @@
     let burst_cpu = (mixer.cpu_us() - cpu) as f64 / (wrote + caught_up).as_micros() as f64;
     let (folded, burst_kb) = (
         followed.registry()["counts"]["folded"].clone(),
-        mixer.most_memory(),
+        mixer.peak_memory_kb(),
     );
     std::thread::sleep(Duration::from_millis(300));
     let differs = |status: &[bool]| {
@@ -145,7 +145,7 @@
     let newest = registry.store().revision();
     let rebuilt = wait("the rebuild", || holds(&reaches(newest)))?;
     differ += differs(&status);
-    let rebuild_kb = mixer.most_memory();
+    let rebuild_kb = mixer.peak_memory_kb();
     let kept = differ == 0 && answered >= 0.99 && rebuild_kb < 192 * 1_024;
     println!(
         "protocol={protocol:?} entries={entries} start_ms={} start_kb={start_kb} changes={done} wrote_ms={} \
--- a/crates/lockusher-aggregator-testbed/src/mixers/harness.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/harness.rs
@@ -301,7 +301,7 @@
         }
         for mixer in mixers {
             if let Some(mut running) = self.slots[*mixer].mixer.take() {
-                running.ended();
+                running.wait_ended();
             }
             self.clients.endpoints[*mixer].set_address(None);
             self.last_disturbed[*mixer] = Instant::now();
@@ -335,7 +335,7 @@
     pub fn publish_searchers(&mut self) {
         self.list_index += 1;
         for slot in &self.slots {
-            slot.discovery.tell(
+            slot.discovery.publish(
                 self.list_index,
                 true,
                 discovery_lines(&self.workers, &slot.relays, self.setup.cells),
--- a/crates/lockusher-aggregator-testbed/src/mixers/worker.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/worker.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, watch};
 
-use crate::stand_in::{Seen, frame, parts};
+use crate::stand_in::{PartRequest, frame, parts};
 
 /// How a searcher behaves; each share is of the parts that it accepts.
 #[derive(Clone, Copy, Debug)]
@@ -188,7 +188,7 @@
         self.log.lock().unwrap().clone()
     }
 
-    fn record(&self, part: &Seen, outcome: PartOutcome, value: Option<String>) {
+    fn record(&self, part: &PartRequest, outcome: PartOutcome, value: Option<String>) {
         let (part, received_at) = (part.id.clone(), part.at);
         let cold = self.behavior().capacity(received_at) < 1.0;
         self.log.lock().unwrap().push(ReceivedPart {
@@ -233,7 +233,7 @@
         }
     }
 
-    fn accept_part(self: Arc<Self>, part: Seen, out: &mpsc::UnboundedSender<Vec<u8>>) {
+    fn accept_part(self: Arc<Self>, part: PartRequest, out: &mpsc::UnboundedSender<Vec<u8>>) {
         let (behavior, now) = (self.behavior(), Instant::now());
         if behavior.unresponsive {
             return self.record(&part, PartOutcome::Unanswered, None);
@@ -294,7 +294,7 @@
     }
 }
 
-fn answer(part: &Seen, status: &str, value: &str) -> Vec<u8> {
+fn answer(part: &PartRequest, status: &str, value: &str) -> Vec<u8> {
     frame(
         b'q',
         format!(
--- a/crates/lockusher-aggregator-testbed/src/soak.rs
+++ b/crates/lockusher-aggregator-testbed/src/soak.rs
@@ -450,7 +450,7 @@
     let more = "  page: 7\n  silent_after_ms: 1000\n  wait_ms: 5000\n";
     let text = fleet::settings_text(run.protocol, &world.observed[0], more);
     let setup = Setup {
-        knows: false,
+        has_known_list: false,
         ..Setup::default()
     };
     let mixer = Followed::start(&setup, &text, run.quiet)?;
--- a/crates/lockusher-aggregator-testbed/src/stand_in/discovery.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/discovery.rs
@@ -28,9 +28,9 @@
     whole: bool,
     endpoints: Vec<Value>,
     /// The behavior unless `next` has one.
-    says: Says,
+    says: DiscoveryBehavior,
     /// The behavior for the next calls, one each.
-    next: VecDeque<Says>,
+    next: VecDeque<DiscoveryBehavior>,
     /// The version from which the last call watched.
     watched: Option<u64>,
     /// The version from which each connection last watched.
@@ -45,7 +45,7 @@
 
 /// How discovery answers a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Says {
+pub enum DiscoveryBehavior {
     /// With the list.
     Lists,
     /// With JSON that is not a list.
@@ -74,7 +74,7 @@
             index: 1,
             whole: true,
             endpoints,
-            says: Says::Lists,
+            says: DiscoveryBehavior::Lists,
             next: VecDeque::new(),
             watched: None,
             watchers: BTreeMap::new(),
@@ -108,26 +108,26 @@
     }
 
     /// Stops answering on all open connections; new ones are answered.
-    pub fn falls_silent(&self) {
+    pub fn stop_answering(&self) {
         let mut state = self.state.lock().unwrap();
         state.silent = state.came;
         self.changed.notify_all();
     }
 
     /// Resets all open connections; new ones are answered.
-    pub fn resets(&self) {
+    pub fn reset_connections(&self) {
         let mut state = self.state.lock().unwrap();
         state.reset = state.came;
         self.changed.notify_all();
     }
 
     /// Scripts the answers to the next calls, one each.
-    pub fn next_say(&self, says: impl IntoIterator<Item = Says>) {
+    pub fn script_next(&self, says: impl IntoIterator<Item = DiscoveryBehavior>) {
         self.state.lock().unwrap().next.extend(says);
     }
 
     /// Waits until all scripted answers were used.
-    pub fn said(&self) {
+    pub fn wait_script_used(&self) {
         let state = self.state.lock().unwrap();
         let (_guard, out) = self
             .changed
@@ -140,15 +140,15 @@
     }
 
     /// Stops listening and resets open connections.
-    pub fn goes_down(&self) {
+    pub fn stop_listening(&self) {
         self.state.lock().unwrap().down = true;
-        self.resets();
+        self.reset_connections();
         // The listener's thread checks the flag on the next connection, which is this one.
         let _ = TcpStream::connect(self.address);
     }
 
     /// Listens at its address again.
-    pub fn comes_up(self: &Arc<Self>) {
+    pub fn listen_again(self: &Arc<Self>) {
         let bind = || TcpListener::bind(self.address).ok();
         let mut listener = None;
         super::until(|| {
@@ -160,20 +160,20 @@
     }
 
     /// Publishes a list.
-    pub fn tell(&self, index: u64, whole: bool, endpoints: Vec<Value>) {
+    pub fn publish(&self, index: u64, whole: bool, endpoints: Vec<Value>) {
         let mut state = self.state.lock().unwrap();
         (state.index, state.whole, state.endpoints) = (index, whole, endpoints);
         self.changed.notify_all();
     }
 
     /// Sets the behavior for calls without a scripted one.
-    pub fn says(&self, says: Says) {
+    pub fn set_behavior(&self, says: DiscoveryBehavior) {
         self.state.lock().unwrap().says = says;
         self.changed.notify_all();
     }
 
     /// Waits until the last call watched from this version, so that the mixer has applied the list.
-    pub fn told(&self, index: u64) {
+    pub fn wait_watched(&self, index: u64) {
         let state = self.state.lock().unwrap();
         let waiting = |state: &mut State| state.watched != Some(index);
         let (_guard, out) = self
@@ -187,7 +187,7 @@
     }
 
     /// Waits until this many connections watch from this version, so that as many mixers have the list.
-    pub fn told_all(&self, index: u64, mixers: usize) {
+    pub fn wait_watched_by(&self, index: u64, mixers: usize) {
         let state = self.state.lock().unwrap();
         let waiting = |state: &mut State| {
             state
@@ -233,13 +233,13 @@
             let waiting = |state: &State| match scripted.unwrap_or(state.says) {
                 _ if number <= state.reset => false,
                 _ if number <= state.silent => true,
-                Says::Lists => {
+                DiscoveryBehavior::Lists => {
                     from.is_some_and(|from| from == state.index) && Instant::now() < until
                 }
-                says => says == Says::Nothing,
+                says => says == DiscoveryBehavior::Nothing,
             };
             while waiting(&state) {
-                if number <= state.silent || scripted == Some(Says::Nothing) {
+                if number <= state.silent || scripted == Some(DiscoveryBehavior::Nothing) {
                     // Until the mixer closes the connection.
                     drop(state);
                     let _ = reader.read_to_end(&mut Vec::new());
@@ -265,19 +265,21 @@
             let says = scripted.unwrap_or(state.says);
             drop(state);
             let (status, body) = match says {
-                Says::Nonsense => ("200 OK", "{\"index\":\"x\"}"),
-                Says::Errors => ("500 Sorry", "no"),
+                DiscoveryBehavior::Nonsense => ("200 OK", "{\"index\":\"x\"}"),
+                DiscoveryBehavior::Errors => ("500 Sorry", "no"),
                 _ => ("200 OK", list.as_str()),
             };
-            if let Says::Late(by) = says {
+            if let DiscoveryBehavior::Late(by) = says {
                 thread::sleep(by);
             }
             let (length, sent) = match says {
-                Says::Resets => return reset(&out),
-                Says::Half | Says::HalfReset => {
+                DiscoveryBehavior::Resets => return reset(&out),
+                DiscoveryBehavior::Half | DiscoveryBehavior::HalfReset => {
                     (format!("Content-Length: {}", body.len()), body.len() / 2)
                 }
-                Says::HalfWithoutLength => ("Connection: close".to_owned(), body.len() / 2),
+                DiscoveryBehavior::HalfWithoutLength => {
+                    ("Connection: close".to_owned(), body.len() / 2)
+                }
                 _ => (format!("Content-Length: {}", body.len()), body.len()),
             };
             let _ = write!(
@@ -286,7 +288,7 @@
                 &body[..sent]
             );
             if sent < body.len() {
-                if says != Says::Half {
+                if says != DiscoveryBehavior::Half {
                     reset(&out);
                 }
                 return;
--- a/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
@@ -22,7 +22,7 @@
 
 /// How the searcher handles a part. `Reset`, `Half`, `Noise` and `Status` concern the whole stream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Does {
+pub enum StreamAction {
     /// Answers `good`.
     Good,
     /// Answers `good` after this time.
@@ -47,37 +47,37 @@
 
 /// What the searcher does on all connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Says {
+pub enum ConnectionAction {
     /// Sends GOAWAY with the highest stream id, and 10 ms later, when streams in transit have arrived, with the real last
     /// one; streams beyond it are not executed.
     Graceful,
     /// Sends GOAWAY that excludes the newest `less` streams, with this code; earlier streams are still executed.
-    Goes { less: u32, code: u32 },
+    GoAway { less: u32, code: u32 },
     /// Announces a limit on concurrent streams.
-    Allows(u32),
+    MaxStreams(u32),
     /// Closes the connection without GOAWAY.
     Close,
     /// Continues to read but sends nothing more.
     Mute,
     /// Stops reading.
-    Stuck,
+    StopReading,
     /// Sends no more window updates.
-    Grudges,
+    WithholdWindows,
     /// Sends a push promise, which the client has disabled.
-    Pushes,
+    PushPromise,
     /// Sends a header block that does not end.
     Endless,
 }
 
-type Script = dyn Fn(&str) -> Does + Send + Sync;
+type Script = dyn Fn(&str) -> StreamAction + Send + Sync;
 
 /// What the searcher received and executed.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     /// Parts executed, with the times.
-    pub ran: Vec<(String, Instant)>,
+    pub executed: Vec<(String, Instant)>,
     /// Parts received, executed or not, with the times.
-    pub came: Vec<(String, Instant)>,
+    pub received: Vec<(String, Instant)>,
     /// Connections accepted.
     pub opened: usize,
     /// Connections closed.
@@ -96,7 +96,7 @@
     pub address: SocketAddr,
     script: Mutex<Arc<Script>>,
     log: Mutex<Log>,
-    says: broadcast::Sender<Says>,
+    says: broadcast::Sender<ConnectionAction>,
     /// The limit on concurrent streams in the first SETTINGS; `None` announces none.
     allows: Mutex<Option<u32>>,
     /// Whether SETTINGS are acknowledged.
@@ -198,7 +198,7 @@
         let host = Arc::new(Http2Searcher {
             name: name.to_owned(),
             address: listener.local_addr()?,
-            script: Mutex::new(Arc::new(|_| Does::Good)),
+            script: Mutex::new(Arc::new(|_| StreamAction::Good)),
             log: Mutex::default(),
             says,
             allows: Mutex::new(allows),
@@ -222,20 +222,20 @@
     }
 
     /// Sets the script.
-    pub fn does(&self, script: impl Fn(&str) -> Does + Send + Sync + 'static) {
+    pub fn set_script(&self, script: impl Fn(&str) -> StreamAction + Send + Sync + 'static) {
         *locked(&self.script) = Arc::new(script);
     }
 
     /// Does something on all connections.
-    pub fn says(&self, what: Says) {
-        if let Says::Allows(streams) = what {
+    pub fn perform(&self, what: ConnectionAction) {
+        if let ConnectionAction::MaxStreams(streams) = what {
             *locked(&self.allows) = Some(streams);
         }
         let _ = self.says.send(what);
     }
 
     /// Stops acknowledging SETTINGS.
-    pub fn acknowledges_nothing(&self) {
+    pub fn stop_acking_settings(&self) {
         *locked(&self.acks_settings) = false;
     }
 
@@ -247,7 +247,7 @@
     async fn serve(
         self: Arc<Self>,
         stream: TcpStream,
-        mut says: broadcast::Receiver<Says>,
+        mut says: broadcast::Receiver<ConnectionAction>,
     ) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let (mut reader, mut writer) = stream.into_split();
@@ -306,22 +306,22 @@
                     connection.go_away(connection.newest_stream, NO_ERROR);
                 }
                 event = says.recv() => match event {
-                    Ok(Says::Graceful) => {
+                    Ok(ConnectionAction::Graceful) => {
                         let _ = connection.out.send(goaway_frame(MAX_STREAM_ID, NO_ERROR));
                         final_goaway_at = Some(tokio::time::Instant::now() + Duration::from_millis(10));
                     }
-                    Ok(Says::Goes { less, code }) => {
+                    Ok(ConnectionAction::GoAway { less, code }) => {
                         connection.go_away(connection.newest_stream.saturating_sub(2 * less), code);
                     }
-                    Ok(Says::Allows(streams)) => drop(connection.out.send(settings_frame(streams))),
-                    Ok(Says::Close) | Err(_) => break,
-                    Ok(Says::Mute) => muted_sender = Some(std::mem::replace(&mut connection.out, mpsc::unbounded_channel().0)),
-                    Ok(Says::Grudges) => connection.grants_windows = false,
-                    Ok(Says::Pushes) => {
+                    Ok(ConnectionAction::MaxStreams(streams)) => drop(connection.out.send(settings_frame(streams))),
+                    Ok(ConnectionAction::Close) | Err(_) => break,
+                    Ok(ConnectionAction::Mute) => muted_sender = Some(std::mem::replace(&mut connection.out, mpsc::unbounded_channel().0)),
+                    Ok(ConnectionAction::WithholdWindows) => connection.grants_windows = false,
+                    Ok(ConnectionAction::PushPromise) => {
                         let promise = [&2_u32.to_be_bytes()[..], &[0x82]].concat();
                         let _ = connection.out.send(frame(PUSH_PROMISE, END_HEADERS, connection.newest_stream, &promise));
                     }
-                    Ok(Says::Endless) => {
+                    Ok(ConnectionAction::Endless) => {
                         // 2,000 continuations, each with a header of about a kilobyte.
                         let value = [&[0x00, 1, b'x', 0x7f, 0xe9, 0x06][..], &[b'y'; 1_000]].concat();
                         let _ = connection.out.send(frame(HEADERS, 0, connection.newest_stream, &value));
@@ -329,7 +329,7 @@
                             let _ = connection.out.send(frame(CONTINUATION, 0, connection.newest_stream, &value));
                         }
                     }
-                    Ok(Says::Stuck) => std::future::pending().await,
+                    Ok(ConnectionAction::StopReading) => std::future::pending().await,
                 },
             }
             // Closes the connection once all streams named by GOAWAY have been answered.
@@ -432,16 +432,16 @@
         };
         let now = Instant::now();
         locked(&self.host.log)
-            .came
+            .received
             .extend(call.parts.iter().map(|part| (part.id.clone(), now)));
         if stream > *locked(&self.last_stream) {
             return; // Excluded by GOAWAY.
         }
         let script = locked(&self.host.script).clone();
-        let actions: Vec<Does> = call.parts.iter().map(|part| script(&part.id)).collect();
+        let actions: Vec<StreamAction> = call.parts.iter().map(|part| script(&part.id)).collect();
         let record_executed = |part: &pb::Part| {
             locked(&self.host.log)
-                .ran
+                .executed
                 .push((part.id.clone(), Instant::now()));
         };
         let close_stream = |bytes: Vec<u8>| {
@@ -451,17 +451,20 @@
         let stream_action = actions.iter().find(|d| {
             matches!(
                 d,
-                Does::Reset(_) | Does::Half | Does::Noise | Does::Status(_)
+                StreamAction::Reset(_)
+                    | StreamAction::Half
+                    | StreamAction::Noise
+                    | StreamAction::Status(_)
             )
         });
         match stream_action {
-            Some(Does::Reset(code)) => {
+            Some(StreamAction::Reset(code)) => {
                 if !matches!(*code, REFUSED_STREAM | ENHANCE_YOUR_CALM) {
                     call.parts.iter().for_each(record_executed);
                 }
                 return close_stream(frame(RST_STREAM, 0, stream, &code.to_be_bytes()));
             }
-            Some(Does::Status(status)) => {
+            Some(StreamAction::Status(status)) => {
                 if *status != 503 {
                     call.parts.iter().for_each(record_executed);
                 }
@@ -475,10 +478,12 @@
             Some(action) => {
                 call.parts.iter().for_each(record_executed);
                 let message = match action {
-                    Does::Half => encode_part_end(&call.parts[0], pb::part_end::End::Good, 0),
+                    StreamAction::Half => {
+                        encode_part_end(&call.parts[0], pb::part_end::End::Good, 0)
+                    }
                     _ => vec![3, 0xa5, 0xa5, 0xa5, 0xa5],
                 };
-                let message = if *action == Does::Half {
+                let message = if *action == StreamAction::Half {
                     &message[..message.len() / 2]
                 } else {
                     &message
@@ -504,26 +509,26 @@
             let mut silent = false;
             for (part, action) in call.parts.iter().zip(actions) {
                 let end = match action {
-                    Does::Later => pb::part_end::End::Later,
-                    Does::Bad => pb::part_end::End::Bad,
+                    StreamAction::Later => pb::part_end::End::Later,
+                    StreamAction::Bad => pb::part_end::End::Bad,
                     _ => pb::part_end::End::Good,
                 };
-                if let Does::Slow(span) = action {
+                if let StreamAction::Slow(span) = action {
                     tokio::time::sleep(span).await;
                 }
                 if stream > *locked(&last_stream) {
                     return; // Excluded by a GOAWAY sent meanwhile.
                 }
-                if action != Does::Later {
+                if action != StreamAction::Later {
                     locked(&host.log)
-                        .ran
+                        .executed
                         .push((part.id.clone(), Instant::now()));
                 }
-                if action == Does::Silent {
+                if action == StreamAction::Silent {
                     silent = true;
                     continue;
                 }
-                let value_bytes = if let Does::Large(bytes) = action {
+                let value_bytes = if let StreamAction::Large(bytes) = action {
                     bytes
                 } else {
                     0
--- a/crates/lockusher-aggregator-testbed/src/stand_in/mod.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/mod.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 pub use client::{Answer, Client, body, head, request, request_of};
-pub use discovery::{Discovery, Says};
-pub use searcher::{Act, Log, Searcher, Seen, frame, parts};
+pub use discovery::{Discovery, DiscoveryBehavior};
+pub use searcher::{Log, PartAction, PartRequest, Searcher, frame, parts};
 pub use world::{Mixer, Setup, World, line, settings, until};
 
 /// The timeout of waits, which only a failed test reaches.
--- a/crates/lockusher-aggregator-testbed/src/stand_in/searcher.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/searcher.rs
@@ -12,7 +12,7 @@
 
 /// How a searcher handles a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum PartAction {
     /// Answers `good`.
     Good,
     /// Answers `bad`.
@@ -23,28 +23,28 @@
     Silent,
     /// Answers `good` after this time, during which the connection is not read.
     After(Duration),
-    /// Holds the answer until `answers_held` is called.
+    /// Holds the answer until `answer_held` is called.
     Held,
     /// Closes the connection when the frame has arrived.
     Break,
     /// Sends half an answer and resets the connection.
     HalfAnswer,
     /// Sends an answer frame that cannot be parsed.
-    Garbage,
+    MalformedAnswer,
     /// Sends a frame of an excessive length.
-    Absurd,
+    ExcessiveLength,
     /// Sends a well-formed frame of a type that no mixer uses.
-    Unusable,
+    UnusedFrame,
     /// Sends the start of a frame that never ends.
     Endless,
     /// Answers a part that does not exist.
-    OtherId,
+    UnknownPart,
     /// Answers with an unknown end.
-    OtherEnd,
+    UnknownEnd,
     /// Sends a frame of an unknown type.
-    OtherLetter,
+    UnknownFrameType,
     /// Answers with a value that looks like the start of another frame.
-    Swallowing,
+    EmbeddedFrame,
     /// Sends nothing more on the connection.
     Mute,
     /// Answers `good`, and then once more with another value.
@@ -57,7 +57,7 @@
 
 /// A part as received.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct PartRequest {
     pub id: String,
     pub shard: usize,
     pub list: String,
@@ -66,7 +66,7 @@
     pub at: Instant,
 }
 
-type Script = dyn Fn(&Seen) -> Act + Send + Sync;
+type Script = dyn Fn(&PartRequest) -> PartAction + Send + Sync;
 
 /// A scripted searcher.
 pub struct Searcher {
@@ -80,22 +80,22 @@
     /// While health checks are held: the connections with an unanswered one, with their numbers in order of acceptance.
     pending_health_checks: Mutex<Option<Vec<(usize, TcpStream)>>>,
     /// The parts whose answers are held, with their connections.
-    held_parts: Mutex<Vec<(Seen, TcpStream)>>,
+    held_parts: Mutex<Vec<(PartRequest, TcpStream)>>,
 }
 
 /// What a searcher received.
 #[derive(Default, Clone)]
 pub struct Log {
     /// The parts received.
-    pub parts: Vec<Seen>,
+    pub parts: Vec<PartRequest>,
     /// The payloads of cancellations.
-    pub given_up: Vec<String>,
+    pub cancellations: Vec<String>,
     /// Connections accepted.
     pub opened: usize,
     /// Connections closed.
     pub closed: usize,
     /// All other frames: type and payload.
-    pub probes: Vec<String>,
+    pub other_frames: Vec<String>,
 }
 
 /// Encodes a frame: length, type and payload.
@@ -133,7 +133,7 @@
         Arc::new(Searcher {
             name: name.to_owned(),
             address: listener.local_addr().expect("an address"),
-            script: Mutex::new(Arc::new(|_| Act::Good)),
+            script: Mutex::new(Arc::new(|_| PartAction::Good)),
             log: Mutex::default(),
             reading_paused: Mutex::new(false),
             reading_resumed: Condvar::new(),
@@ -167,7 +167,7 @@
 
     /// A searcher whose listen backlog is full, so that no connection is established until the returned function is
     /// called.
-    pub fn clogged(name: &str) -> (Arc<Self>, impl FnOnce()) {
+    pub fn with_full_backlog(name: &str) -> (Arc<Self>, impl FnOnce()) {
         let listener = listener(1).expect("a port");
         let address = listener.local_addr().expect("an address");
         let mut backlog = Vec::new();
@@ -182,23 +182,23 @@
     }
 
     /// Sets the script.
-    pub fn does(&self, script: impl Fn(&Seen) -> Act + Send + Sync + 'static) {
+    pub fn set_script(&self, script: impl Fn(&PartRequest) -> PartAction + Send + Sync + 'static) {
         *self.script.lock().unwrap() = Arc::new(script);
     }
 
     /// Pauses or resumes reading from connections.
-    pub fn reads(&self, reads: bool) {
+    pub fn set_reading(&self, reads: bool) {
         *self.reading_paused.lock().unwrap() = !reads;
         self.reading_resumed.notify_all();
     }
 
-    /// Holds the answers to health checks until `answers_probes` is called.
-    pub fn holds_probes(&self) {
+    /// Holds the answers to health checks until `answer_health_checks` is called.
+    pub fn hold_health_checks(&self) {
         *self.pending_health_checks.lock().unwrap() = Some(Vec::new());
     }
 
     /// Answers the held health checks of one connection, counted from 1; returns whether there were any.
-    pub fn answers_probes(&self, connection: usize) -> bool {
+    pub fn answer_health_checks(&self, connection: usize) -> bool {
         let mut pending_health_checks = self.pending_health_checks.lock().unwrap();
         let pending_health_checks = pending_health_checks
             .as_mut()
@@ -214,10 +214,10 @@
     }
 
     /// Handles all held parts in the same way.
-    pub fn answers_held(&self, act: Act) {
+    pub fn answer_held(&self, act: PartAction) {
         for (part, stream) in std::mem::take(&mut *self.held_parts.lock().unwrap()) {
             let _ = (&stream).write_all(&self.answer(&part, act));
-            if act == Act::Break {
+            if act == PartAction::Break {
                 let _ = stream.shutdown(Shutdown::Both);
             }
         }
@@ -269,10 +269,10 @@
                     for part in parts(&payload) {
                         let act = self.script.lock().unwrap().clone()(&part);
                         let answer = self.answer(&part, act);
-                        if let Act::After(span) = act {
+                        if let PartAction::After(span) = act {
                             thread::sleep(span);
                         }
-                        if act == Act::Held {
+                        if act == PartAction::Held {
                             let connection = stream.try_clone().expect("a stream");
                             self.held_parts
                                 .lock()
@@ -280,22 +280,22 @@
                                 .push((part.clone(), connection));
                         }
                         self.record(|log| log.parts.push(part));
-                        if act == Act::Break {
+                        if act == PartAction::Break {
                             let _ = stream.shutdown(Shutdown::Both);
                         }
-                        if act == Act::HalfAnswer {
+                        if act == PartAction::HalfAnswer {
                             let _ = stream.write_all(&answer[..answer.len() / 2]);
                             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                             return;
                         }
-                        muted |= act == Act::Mute;
+                        muted |= act == PartAction::Mute;
                         if !muted {
                             let _ = stream.write_all(&answer);
                         }
                     }
                 }
                 b'n' => self.record(|log| {
-                    log.given_up
+                    log.cancellations
                         .push(String::from_utf8_lossy(&payload).into_owned());
                 }),
                 b'o' if payload.is_empty() => {
@@ -310,7 +310,7 @@
                     }
                 }
                 _ => self.record(|log| {
-                    log.probes.push(format!(
+                    log.other_frames.push(format!(
                         "{}{}",
                         frame_type as char,
                         String::from_utf8_lossy(&payload)
@@ -320,7 +320,7 @@
         }
     }
 
-    fn answer(&self, part: &Seen, act: Act) -> Vec<u8> {
+    fn answer(&self, part: &PartRequest, act: PartAction) -> Vec<u8> {
         // The score decreases with the shard, which determines the shards of the second step.
         let answer_frame = |end: &str, value: &str| {
             frame(
@@ -330,14 +330,16 @@
         };
         let value = format!("v{}", part.id);
         match act {
-            Act::Good | Act::After(_) | Act::HalfAnswer => answer_frame("good", &value),
-            Act::Endless => [&[0, 1, 0, 0][..], b"q", part.id.as_bytes()].concat(),
-            Act::OtherId => frame(b'q', b"nobody.3 good 5 load=1\nvalue"),
-            Act::OtherEnd => answer_frame("fine", &value),
-            Act::OtherLetter => frame(b'z', b"what"),
-            Act::Swallowing => answer_frame("good", &format!("{value}\0\0\0\x20q")),
-            Act::Noise => [answer_frame("good", &value), vec![0xa5; 40]].concat(),
-            Act::OddReport => {
+            PartAction::Good | PartAction::After(_) | PartAction::HalfAnswer => {
+                answer_frame("good", &value)
+            }
+            PartAction::Endless => [&[0, 1, 0, 0][..], b"q", part.id.as_bytes()].concat(),
+            PartAction::UnknownPart => frame(b'q', b"nobody.3 good 5 load=1\nvalue"),
+            PartAction::UnknownEnd => answer_frame("fine", &value),
+            PartAction::UnknownFrameType => frame(b'z', b"what"),
+            PartAction::EmbeddedFrame => answer_frame("good", &format!("{value}\0\0\0\x20q")),
+            PartAction::Noise => [answer_frame("good", &value), vec![0xa5; 40]].concat(),
+            PartAction::OddReport => {
                 let line = [
                     part.id.as_bytes(),
                     b" good 7 load=\xff\xfe,,\n",
@@ -346,23 +348,25 @@
                 .concat();
                 frame(b'q', &line)
             }
-            Act::Twice => [
+            PartAction::Twice => [
                 answer_frame("good", &value),
                 answer_frame("good", "another"),
             ]
             .concat(),
-            Act::Bad => answer_frame("bad", ""),
-            Act::Later => answer_frame("later", ""),
-            Act::Silent | Act::Held | Act::Break | Act::Mute => Vec::new(),
-            Act::Garbage => frame(b'q', b"no line"),
-            Act::Absurd => vec![0xff; 64],
-            Act::Unusable => frame(b'r', b"what is this"),
+            PartAction::Bad => answer_frame("bad", ""),
+            PartAction::Later => answer_frame("later", ""),
+            PartAction::Silent | PartAction::Held | PartAction::Break | PartAction::Mute => {
+                Vec::new()
+            }
+            PartAction::MalformedAnswer => frame(b'q', b"no line"),
+            PartAction::ExcessiveLength => vec![0xff; 64],
+            PartAction::UnusedFrame => frame(b'r', b"what is this"),
         }
     }
 }
 
 /// Parses the parts of a call, as received now.
-pub fn parts(mut payload: &[u8]) -> Vec<Seen> {
+pub fn parts(mut payload: &[u8]) -> Vec<PartRequest> {
     let mut out = Vec::new();
     while !payload.is_empty() {
         let end = payload.iter().position(|&b| b == b'\n').expect("a line");
@@ -374,7 +378,7 @@
         let length: usize = length.parse().expect("a length");
         let text = String::from_utf8(payload[end + 1..end + 1 + length].to_vec()).expect("text");
         payload = &payload[end + 1 + length..];
-        out.push(Seen {
+        out.push(PartRequest {
             id: id.into(),
             shard: shard.parse().expect("a shard"),
             list: list.into(),
--- a/crates/lockusher-aggregator-testbed/src/stand_in/world.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/world.rs
@@ -14,7 +14,7 @@
 use super::LONG;
 use super::client::{Answer, Client};
 use super::discovery::Discovery;
-use super::searcher::{Act, Searcher, Seen};
+use super::searcher::{PartAction, PartRequest, Searcher};
 
 /// The setup of a mixer and its stand-ins.
 pub struct Setup {
@@ -22,9 +22,9 @@
     /// The effect of op type `look`: `safe`, `keyed` or `unsafe`.
     pub effect: &'static str,
     /// The latency target. Before any latency is measured, a part counts as late after one and a half times this.
-    pub promise_ms: u64,
+    pub latency_target_ms: u64,
     /// How long searchers drop duplicates of a keyed part.
-    pub window_ms: u64,
+    pub dedup_window_ms: u64,
     /// The deadline of requests.
     pub deadline_ms: u64,
     /// Parts of the second step; 0 for none.
@@ -34,25 +34,25 @@
     /// The limit on memory.
     pub memory_mb: usize,
     /// The limit on requests in flight.
-    pub most_open: usize,
+    pub max_in_flight: usize,
     /// The limit on concurrent calls on one connection.
-    pub most_calls: usize,
+    pub max_streams: usize,
     /// The limit on parts of one call.
-    pub most_parts: usize,
+    pub max_parts_per_call: usize,
     /// The idle timeout of connections.
     pub idle_ms: u64,
     /// The connect timeout.
     pub connect_ms: u64,
     /// Whether the configuration has a known list, or the mixer depends on discovery.
-    pub knows: bool,
+    pub has_known_list: bool,
     /// Whether lists must be requested from discovery rather than being pushed.
-    pub asks: bool,
+    pub lists_on_request: bool,
     /// The greatest interval of such requests.
     pub ask_every_ms: u64,
     /// Cells of searchers.
     pub cells: usize,
     /// Consecutive cells that hold a shard.
-    pub in_a_row: usize,
+    pub cells_per_shard: usize,
     /// Shards.
     pub shards: usize,
     /// Mixers of the fleet.
@@ -68,22 +68,22 @@
         Setup {
             searchers: 3,
             effect: "safe",
-            promise_ms: 300,
-            window_ms: 2_000,
+            latency_target_ms: 300,
+            dedup_window_ms: 2_000,
             deadline_ms: 5_000,
             second_step: 0,
             sockets: 256,
             memory_mb: 64,
-            most_open: 500,
-            most_calls: 32,
-            most_parts: 1,
+            max_in_flight: 500,
+            max_streams: 32,
+            max_parts_per_call: 1,
             idle_ms: 15_000,
             connect_ms: 250,
-            knows: true,
-            asks: false,
+            has_known_list: true,
+            lists_on_request: false,
             ask_every_ms: 2_000,
             cells: 3,
-            in_a_row: 3,
+            cells_per_shard: 3,
             shards: 24,
             mixers: 1,
             rank: 0,
@@ -95,8 +95,8 @@
 /// The settings of a mixer, as JSON.
 pub fn settings(setup: &Setup) -> Value {
     let grade = |name: &str, effect: &str| {
-        json!({ "name": name, "promise_us": setup.promise_ms * 1000, "deadline_us": setup.deadline_ms * 1000, "effect": effect,
-            "worth": 1.0, "late_value": 1.0, "dedup_window_us": setup.window_ms * 1000 })
+        json!({ "name": name, "promise_us": setup.latency_target_ms * 1000, "deadline_us": setup.deadline_ms * 1000, "effect": effect,
+            "worth": 1.0, "late_value": 1.0, "dedup_window_us": setup.dedup_window_ms * 1000 })
     };
     let once = setup.once.then(|| grade("once", "unsafe"));
     let grades: Vec<Value> = [grade("look", setup.effect)]
@@ -106,16 +106,16 @@
     let kinds = grades.len();
     json!({
         "balancers": setup.mixers, "rank": setup.rank, "tick_us": 5000, "localities": ["here"], "locality": "here",
-        "membership_mode": if setup.asks { "on_request" } else { "pushed" }, "prices": {},
+        "membership_mode": if setup.lists_on_request { "on_request" } else { "pushed" }, "prices": {},
         "parties": [{ "name": "acme", "quota_per_s": 1000.0 }],
         "grades": grades,
         "extra": {
-            "cells": setup.cells, "in_a_row": setup.in_a_row, "slices": setup.shards, "least_share": vec![1.0; kinds], "need_by_class": vec![1.0; kinds],
-            "fetch_parts": vec![setup.second_step; kinds], "bundle_max": setup.most_parts,
+            "cells": setup.cells, "in_a_row": setup.cells_per_shard, "slices": setup.shards, "least_share": vec![1.0; kinds], "need_by_class": vec![1.0; kinds],
+            "fetch_parts": vec![setup.second_step; kinds], "bundle_max": setup.max_parts_per_call,
         },
         "limits": {
             "max_attempts": 4, "parallel_tries": setup.effect == "safe", "may_cancel": true, "probes": true, "retry_after": true,
-            "max_retry_after_us": 2_000_000, "max_open": setup.most_open, "max_streams": setup.most_calls,
+            "max_retry_after_us": 2_000_000, "max_open": setup.max_in_flight, "max_streams": setup.max_streams,
             "conn_idle_us": setup.idle_ms * 1000, "connect_timeout_us": setup.connect_ms * 1000,
         },
         "rules": { "cold_from": 0.2, "ramp_time_us": 9_000_000, "fall_multiple": 4.0, "tip_after_us": 1_000_000,
@@ -240,7 +240,7 @@
     }
 
     /// The peak memory of the process, in KB.
-    pub fn most_memory(&self) -> u64 {
+    pub fn peak_memory_kb(&self) -> u64 {
         let status = self.proc("status");
         let line = status
             .lines()
@@ -263,12 +263,12 @@
     }
 
     /// Waits for the end of the process.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_ended(&mut self) -> ExitStatus {
         self.child.wait().expect("the mixer ends")
     }
 
     /// Whether the process is running.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_none()
     }
 }
@@ -321,7 +321,7 @@
         let config = json!({
             "name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.address, "seed": "5eed",
             "limits": { "sockets": setup.sockets, "memory_mb": setup.memory_mb }, "settings": settings(&setup),
-            "known": if setup.knows { known } else { Value::Null },
+            "known": if setup.has_known_list { known } else { Value::Null },
         });
         let mixer = Mixer::start(&config, None, false);
         let world = World {
@@ -351,7 +351,7 @@
     }
 
     /// All received parts whose ids have this prefix, with the names of their searchers.
-    pub fn sends(&self, id: &str) -> Vec<(String, Seen)> {
+    pub fn sends(&self, id: &str) -> Vec<(String, PartRequest)> {
         let parts_of = |s: &Arc<Searcher>| {
             let name = s.name.clone();
             s.log()
@@ -364,12 +364,17 @@
     }
 
     /// Sets the script of all searchers.
-    pub fn all_do(&self, script: impl Fn(&Seen) -> Act + Clone + Send + Sync + 'static) {
-        self.searchers.iter().for_each(|s| s.does(script.clone()));
+    pub fn set_all_scripts(
+        &self,
+        script: impl Fn(&PartRequest) -> PartAction + Clone + Send + Sync + 'static,
+    ) {
+        self.searchers
+            .iter()
+            .for_each(|s| s.set_script(script.clone()));
     }
 
     /// Pauses the mixer while the action runs.
-    pub fn meanwhile(&self, action: impl FnOnce()) {
+    pub fn while_paused(&self, action: impl FnOnce()) {
         self.mixer.signal("-STOP");
         action();
         self.mixer.signal("-CONT");
@@ -388,8 +393,8 @@
     }
 
     /// The peak memory of the process, in KB.
-    pub fn most_memory(&self) -> u64 {
-        self.mixer.most_memory()
+    pub fn peak_memory_kb(&self) -> u64 {
+        self.mixer.peak_memory_kb()
     }
 
     /// The mixer's process id.
@@ -398,12 +403,12 @@
     }
 
     /// Waits for the end of the mixer.
-    pub fn ended(&mut self) -> ExitStatus {
-        self.mixer.ended()
+    pub fn wait_ended(&mut self) -> ExitStatus {
+        self.mixer.wait_ended()
     }
 
     /// Whether the mixer is running.
-    pub fn runs(&mut self) -> bool {
-        self.mixer.runs()
+    pub fn is_running(&mut self) -> bool {
+        self.mixer.is_running()
     }
 }
--- a/crates/lockusher-aggregator-testbed/src/standstill.rs
+++ b/crates/lockusher-aggregator-testbed/src/standstill.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::stand_in::{Act, Client, Setup, World, body, request};
+use crate::stand_in::{Client, PartAction, Setup, World, body, request};
 
 /// What one instant may be off another: the rules' own allowance.
 const ALLOWED: Duration = Duration::from_millis(50);
@@ -64,15 +64,15 @@
         let salt = seed
             .wrapping_mul(31)
             .wrapping_add(number as u64 * 0x9e37_79b9);
-        searcher.does(move |part| {
+        searcher.set_script(move |part| {
             let odd = part
                 .id
                 .bytes()
                 .fold(salt, |sum, byte| sum.wrapping_mul(31) ^ u64::from(byte));
             if (odd >> 7) % silent_one_in == 0 {
-                Act::Silent
+                PartAction::Silent
             } else {
-                Act::Good
+                PartAction::Good
             }
         });
     }
@@ -87,7 +87,7 @@
     while began.elapsed() < span {
         std::thread::sleep(Duration::from_millis(rng.random_range(20..400)));
         let still = Duration::from_millis(rng.random_range(50..400));
-        world.meanwhile(|| std::thread::sleep(still));
+        world.while_paused(|| std::thread::sleep(still));
         stops += 1;
     }
     stop.store(true, Ordering::Relaxed);
--- a/crates/lockusher-aggregator-testbed/tests/http2.rs
+++ b/crates/lockusher-aggregator-testbed/tests/http2.rs
@@ -8,7 +8,9 @@
 
 use lockusher_aggregator_testbed::fleet::{self, Followed};
 use lockusher_aggregator_testbed::registry::Registry;
-use lockusher_aggregator_testbed::stand_in::http2::{Does, Http2Searcher, Says};
+use lockusher_aggregator_testbed::stand_in::http2::{
+    ConnectionAction, Http2Searcher, StreamAction,
+};
 use lockusher_aggregator_testbed::stand_in::{LONG, Searcher, Setup, until};
 use lockusher_http2::connection::{Host, HostContext, OutgoingPart, SendResult};
 use lockusher_http2::outcome::{CANCEL, REFUSED_STREAM};
@@ -89,14 +91,14 @@
     }
 
     async fn came(&self, count: usize) {
-        self.until(|story| story.searcher.log().came.len() >= count)
+        self.until(|story| story.searcher.log().received.len() >= count)
             .await;
     }
 
     fn ran(&self, id: &str) -> usize {
         self.searcher
             .log()
-            .ran
+            .executed
             .iter()
             .filter(|(ran, _)| ran == id)
             .count()
@@ -138,11 +140,11 @@
 #[rstest]
 fn parts_come_as_they_are_ready() {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(|id| {
+        story.searcher.set_script(|id| {
             if id == "a.2" {
-                Does::Slow(Duration::from_millis(80))
+                StreamAction::Slow(Duration::from_millis(80))
             } else {
-                Does::Good
+                StreamAction::Good
             }
         });
         story.call(&["a.1", "a.2"]);
@@ -165,11 +167,11 @@
     story(Some(100), limits(), async |story| {
         story
             .searcher
-            .does(|_| Does::Slow(Duration::from_millis(60)));
+            .set_script(|_| StreamAction::Slow(Duration::from_millis(60)));
         let ids: Vec<String> = (0..12).map(|i| format!("q{i}.3")).collect();
         ids.iter().for_each(|id| story.call(&[id]));
         story.came(4).await;
-        story.searcher.says(Says::Graceful);
+        story.searcher.perform(ConnectionAction::Graceful);
         let ends = story.ends(12).await;
         assert!(all(&ends, Outcome::Returned), "{ends:?}");
         assert!(ids.iter().all(|id| story.ran(id) == 1));
@@ -186,17 +188,21 @@
     story(Some(100), limits(), async |story| {
         story
             .searcher
-            .does(|_| Does::Slow(Duration::from_millis(150)));
+            .set_script(|_| StreamAction::Slow(Duration::from_millis(150)));
         for id in ["a.1", "b.1", "c.1", "d.1"] {
             story.call(&[id]);
         }
         story.came(4).await;
-        story.searcher.says(Says::Goes { less: 1, code });
+        story
+            .searcher
+            .perform(ConnectionAction::GoAway { less: 1, code });
         assert_eq!(
             story.ends(1).await,
             HashMap::from([("d.1".to_owned(), Outcome::Overloaded)])
         );
-        story.searcher.says(Says::Goes { less: 2, code });
+        story
+            .searcher
+            .perform(ConnectionAction::GoAway { less: 2, code });
         assert_eq!(
             story.ends(1).await,
             HashMap::from([("c.1".to_owned(), Outcome::Overloaded)])
@@ -213,16 +219,18 @@
 #[rstest]
 fn a_notice_that_lies() {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(|id| {
+        story.searcher.set_script(|id| {
             if id == "a.2" {
-                Does::Slow(Duration::from_millis(300))
+                StreamAction::Slow(Duration::from_millis(300))
             } else {
-                Does::Good
+                StreamAction::Good
             }
         });
         story.call(&["a.1", "a.2"]);
         assert_eq!(story.ends(1).await["a.1"], Outcome::Returned);
-        story.searcher.says(Says::Goes { less: 1, code: 0 });
+        story
+            .searcher
+            .perform(ConnectionAction::GoAway { less: 1, code: 0 });
         assert_eq!(story.ends(1).await["a.2"], Outcome::ConnectionLost);
     });
 }
@@ -231,34 +239,34 @@
 #[rstest]
 fn a_close_without_notice() {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(|_| Does::Silent);
+        story.searcher.set_script(|_| StreamAction::Silent);
         for id in ["a.1", "b.1", "c.1"] {
             story.call(&[id]);
         }
         story.came(3).await;
-        story.searcher.says(Says::Close);
+        story.searcher.perform(ConnectionAction::Close);
         assert!(all(&story.ends(3).await, Outcome::ConnectionLost));
     });
 }
 
 /// Hard case 3, over a socket: how a stream ends concerns its own call alone.
 #[rstest]
-#[case::refused(Does::Reset(REFUSED_STREAM), Outcome::Overloaded, 0)]
-#[case::cancelled(Does::Reset(CANCEL), Outcome::Error, 1)]
-#[case::internal_error(Does::Reset(2), Outcome::Error, 1)]
-#[case::half_a_message(Does::Half, Outcome::Error, 1)]
-#[case::noise(Does::Noise, Outcome::Error, 1)]
-#[case::no_place(Does::Status(503), Outcome::Overloaded, 0)]
-#[case::another_status(Does::Status(500), Outcome::Error, 1)]
-#[case::turned_away(Does::Later, Outcome::Overloaded, 0)]
-#[case::an_error(Does::Bad, Outcome::Error, 1)]
-fn how_a_stream_ends(#[case] does: Does, #[case] means: Outcome, #[case] ran: usize) {
+#[case::refused(StreamAction::Reset(REFUSED_STREAM), Outcome::Overloaded, 0)]
+#[case::cancelled(StreamAction::Reset(CANCEL), Outcome::Error, 1)]
+#[case::internal_error(StreamAction::Reset(2), Outcome::Error, 1)]
+#[case::half_a_message(StreamAction::Half, Outcome::Error, 1)]
+#[case::noise(StreamAction::Noise, Outcome::Error, 1)]
+#[case::no_place(StreamAction::Status(503), Outcome::Overloaded, 0)]
+#[case::another_status(StreamAction::Status(500), Outcome::Error, 1)]
+#[case::turned_away(StreamAction::Later, Outcome::Overloaded, 0)]
+#[case::an_error(StreamAction::Bad, Outcome::Error, 1)]
+fn how_a_stream_ends(#[case] does: StreamAction, #[case] means: Outcome, #[case] ran: usize) {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(move |id| {
+        story.searcher.set_script(move |id| {
             if id == "a.1" {
                 does
             } else {
-                Does::Slow(Duration::from_millis(40))
+                StreamAction::Slow(Duration::from_millis(40))
             }
         });
         story.call(&["a.1"]);
@@ -273,7 +281,7 @@
 #[rstest]
 fn no_storm_at_a_searcher_that_asks_for_calm() {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(|_| Does::Reset(11));
+        story.searcher.set_script(|_| StreamAction::Reset(11));
         let began = Instant::now();
         let mut sent = 0;
         while began.elapsed() < Duration::from_millis(700) {
@@ -286,7 +294,7 @@
             "{}",
             story.searcher.log().opened
         );
-        story.searcher.does(|_| Does::Good);
+        story.searcher.set_script(|_| StreamAction::Good);
         story.call(&["z.1"]);
         assert_eq!(story.ends(1).await["z.1"], Outcome::Returned);
     });
@@ -304,7 +312,7 @@
         async |story| {
             story
                 .searcher
-                .does(|_| Does::Slow(Duration::from_millis(30)));
+                .set_script(|_| StreamAction::Slow(Duration::from_millis(30)));
             (0..6).for_each(|i| story.call(&[&format!("q{i}.1")]));
             story.ends(6).await;
             assert_eq!(
@@ -312,13 +320,13 @@
                 2,
                 "never more than it allows"
             );
-            story.searcher.says(Says::Allows(0));
+            story.searcher.perform(ConnectionAction::MaxStreams(0));
             // It is heard once a frame that follows it is.
             tokio::time::sleep(Duration::from_millis(30)).await;
             story.call(&["w.1"]);
             tokio::time::sleep(Duration::from_millis(60)).await;
             assert_eq!(story.ran("w.1"), 0);
-            story.searcher.says(Says::Allows(50));
+            story.searcher.perform(ConnectionAction::MaxStreams(50));
             assert_eq!(story.ends(1).await["w.1"], Outcome::Returned);
         },
     );
@@ -330,14 +338,14 @@
     story(Some(100), limits(), async |story| {
         story
             .searcher
-            .does(|_| Does::Slow(Duration::from_millis(20)));
+            .set_script(|_| StreamAction::Slow(Duration::from_millis(20)));
         (0..40).for_each(|i| story.call(&[&format!("q{i}.1")]));
         story.came(4).await;
         tokio::time::sleep(Duration::from_millis(5)).await;
         assert!(
-            story.searcher.log().came.len() <= 8,
+            story.searcher.log().received.len() <= 8,
             "{}",
-            story.searcher.log().came.len()
+            story.searcher.log().received.len()
         );
         assert!(all(&story.ends(40).await, Outcome::Returned));
         assert_eq!(story.searcher.log().opened, 1);
@@ -350,7 +358,7 @@
     story(Some(100), limits(), async |story| {
         story.call(&["a.1"]);
         story.ends(1).await;
-        story.searcher.says(Says::Stuck);
+        story.searcher.perform(ConnectionAction::StopReading);
         tokio::time::sleep(Duration::from_millis(20)).await;
         // More than all windows and socket buffers hold.
         for i in 0..4 {
@@ -385,8 +393,8 @@
     story(Some(100), limits(), async |story| {
         story.call(&["a.1"]);
         story.ends(1).await;
-        story.searcher.does(|_| Does::Silent);
-        story.searcher.says(Says::Grudges);
+        story.searcher.set_script(|_| StreamAction::Silent);
+        story.searcher.perform(ConnectionAction::WithholdWindows);
         tokio::time::sleep(Duration::from_millis(20)).await;
         for id in ["b.1", "c.1", "d.1"] {
             assert!(story.host.send(vec![sent(id, 30_000)]).is_ok());
@@ -401,18 +409,18 @@
 #[rstest]
 fn large_values() {
     story(Some(100), limits(), async |story| {
-        story.searcher.does(|_| Does::Large(120_000));
+        story.searcher.set_script(|_| StreamAction::Large(120_000));
         for round in 0..6 {
             for i in 0..4 {
                 story.call(&[&format!("r{round}x{i}.1")]);
             }
             assert!(all(&story.ends(4).await, Outcome::Returned));
         }
-        story.searcher.does(|id| {
+        story.searcher.set_script(|id| {
             if id == "b.1" {
-                Does::Large(200_000)
+                StreamAction::Large(200_000)
             } else {
-                Does::Good
+                StreamAction::Good
             }
         });
         story.call(&["b.1"]);
@@ -428,22 +436,22 @@
 
 /// Hard case 8: what no searcher may say ends its connection; what has left may have run; another serves on.
 #[rstest]
-#[case::a_push(Says::Pushes)]
-#[case::headers_that_never_end(Says::Endless)]
-fn what_no_searcher_may_say(#[case] says: Says) {
+#[case::a_push(ConnectionAction::PushPromise)]
+#[case::headers_that_never_end(ConnectionAction::Endless)]
+fn what_no_searcher_may_say(#[case] says: ConnectionAction) {
     story(Some(100), limits(), async |story| {
         story.call(&["a.1"]);
         story.ends(1).await;
-        story.searcher.does(|id| {
+        story.searcher.set_script(|id| {
             if id == "b.1" {
-                Does::Silent
+                StreamAction::Silent
             } else {
-                Does::Good
+                StreamAction::Good
             }
         });
         story.call(&["b.1"]);
         story.came(2).await;
-        story.searcher.says(says);
+        story.searcher.perform(says);
         let end = story.ends(1).await["b.1"];
         assert!(
             matches!(
@@ -461,7 +469,7 @@
 #[rstest]
 fn settings_that_are_never_acknowledged() {
     story(Some(100), limits(), async |story| {
-        story.searcher.acknowledges_nothing();
+        story.searcher.stop_acking_settings();
         for i in 0..20 {
             story.call(&[&format!("q{i}.1")]);
             assert!(all(&story.ends(1).await, Outcome::Returned));
@@ -485,11 +493,11 @@
                 (0..64).for_each(|i| story.call(&[&format!("w{round}x{i}.1")]));
                 story.ends(64).await;
             }
-            story.searcher.does(|id| {
+            story.searcher.set_script(|id| {
                 if id.starts_with('s') {
-                    Does::Silent
+                    StreamAction::Silent
                 } else {
-                    Does::Good
+                    StreamAction::Good
                 }
             });
             let ids: Vec<String> = (0..50).map(|i| format!("s{i}.1")).collect();
@@ -517,7 +525,7 @@
     story(Some(100), limits(), async |story| {
         story.call(&["a.1"]);
         story.ends(1).await;
-        story.searcher.says(Says::Mute);
+        story.searcher.perform(ConnectionAction::Mute);
         tokio::time::sleep(Duration::from_millis(20)).await;
         story.call(&["b.1"]);
         story.came(2).await;
@@ -534,14 +542,14 @@
     story(Some(2), limits(), async |story| {
         story
             .searcher
-            .does(|_| Does::Slow(Duration::from_millis(50)));
+            .set_script(|_| StreamAction::Slow(Duration::from_millis(50)));
         (0..9).for_each(|i| story.call(&[&format!("q{i}.1")]));
         story.came(2).await;
         let unsent = story.host.drain();
         let out = 9 - unsent.len();
         assert!(out <= 4 && all(&story.ends(out).await, Outcome::Returned));
         story.until(|story| story.host.is_closed()).await;
-        assert_eq!(story.searcher.log().came.len(), out);
+        assert_eq!(story.searcher.log().received.len(), out);
     });
 }
 
@@ -597,7 +605,7 @@
         fleet::settings_text(Protocol::Etcd, &endpoints, "")
     );
     let setup = Setup {
-        knows: false,
+        has_known_list: false,
         effect,
         ..Setup::default()
     };
@@ -618,9 +626,9 @@
 /// What certainty is worth: a non-retriable part is sent again where its stream is known never to have run, and not
 /// where its connection ended without a word.
 #[rstest]
-#[case::named_as_never_run(Does::Reset(REFUSED_STREAM), 200)]
-#[case::may_have_run(Does::Reset(CANCEL), 500)]
-fn a_non_retriable_part_over_http2(#[case] first: Does, #[case] status: u16) {
+#[case::named_as_never_run(StreamAction::Reset(REFUSED_STREAM), 200)]
+#[case::may_have_run(StreamAction::Reset(CANCEL), 500)]
+fn a_non_retriable_part_over_http2(#[case] first: StreamAction, #[case] status: u16) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
@@ -634,17 +642,23 @@
     let seen = Arc::new(std::sync::atomic::AtomicUsize::new(0));
     for host in &hosts {
         let seen = seen.clone();
-        host.does(
+        host.set_script(
             move |_| match seen.fetch_add(1, std::sync::atomic::Ordering::SeqCst) {
                 0 => first,
-                _ => Does::Good,
+                _ => StreamAction::Good,
             },
         );
     }
     assert_eq!(client.ask("q", &[1]).status, status);
     let ran: usize = hosts
         .iter()
-        .map(|h| h.log().ran.iter().filter(|(id, _)| id == "q.1").count())
+        .map(|h| {
+            h.log()
+                .executed
+                .iter()
+                .filter(|(id, _)| id == "q.1")
+                .count()
+        })
         .sum();
     assert_eq!(ran, 1, "it ran once, whatever came of it");
 }
@@ -692,7 +706,7 @@
     );
     let followed = Followed::start(
         &Setup {
-            knows: false,
+            has_known_list: false,
             ..Setup::default()
         },
         &text,
@@ -707,7 +721,7 @@
     };
     until(|| {
         assert_eq!(ask(), 200);
-        !wide.log().ran.is_empty() && !frames.log().parts.is_empty()
+        !wide.log().executed.is_empty() && !frames.log().parts.is_empty()
     });
     // The host that spoke HTTP/2 comes back elsewhere, speaking frames.
     let again = Searcher::start("h0");
--- a/crates/lockusher-aggregator-testbed/tests/registry.rs
+++ b/crates/lockusher-aggregator-testbed/tests/registry.rs
@@ -46,7 +46,7 @@
         registry.write(writes);
         let text = fleet::settings_text(protocol, &endpoints, MORE);
         let setup = Setup {
-            knows: false,
+            has_known_list: false,
             ..Setup::default()
         };
         let followed = Followed::start(&setup, &text, false).expect("it starts");
@@ -320,7 +320,7 @@
     elsewhere.iter().for_each(|e| e.relay.cut());
     until(|| story.followed.registry()["stage"] != "following");
     story.followed.mixer.signal("-TERM");
-    assert!(story.followed.mixer.ended().success());
+    assert!(story.followed.mixer.wait_ended().success());
 }
 
 /// `check` names the file, the line and the key, and exits with 2; `registry dump` prints discovery's form.
--- a/crates/lockusher-aggregator/tests/endings.rs
+++ b/crates/lockusher-aggregator/tests/endings.rs
@@ -43,35 +43,35 @@
 fn a_drain_is_applied_in_time_though_the_watch_ends_and_the_next_call_fails(
     #[values(WatchEnd::Silent, WatchEnd::Reset, WatchEnd::Answered)] watch: WatchEnd,
     #[values(
-        Says::Nothing,
-        Says::Errors,
-        Says::Nonsense,
-        Says::Resets,
-        Says::Half,
-        Says::HalfReset,
-        Says::HalfWithoutLength,
-        Says::Late(Duration::from_millis(1_500))
+        DiscoveryBehavior::Nothing,
+        DiscoveryBehavior::Errors,
+        DiscoveryBehavior::Nonsense,
+        DiscoveryBehavior::Resets,
+        DiscoveryBehavior::Half,
+        DiscoveryBehavior::HalfReset,
+        DiscoveryBehavior::HalfWithoutLength,
+        DiscoveryBehavior::Late(Duration::from_millis(1_500))
     )]
-    next: Says,
-    #[values(false, true)] asks: bool,
+    next: DiscoveryBehavior,
+    #[values(false, true)] lists_on_request: bool,
 ) {
     let world = World::start(Setup {
-        asks,
+        lists_on_request,
         ..Setup::default()
     });
-    world.discovery.told(1);
-    world.discovery.next_say([next]);
+    world.discovery.wait_watched(1);
+    world.discovery.script_next([next]);
     let started = Instant::now();
     match watch {
-        WatchEnd::Silent => world.discovery.falls_silent(),
-        WatchEnd::Reset => world.discovery.resets(),
+        WatchEnd::Silent => world.discovery.stop_answering(),
+        WatchEnd::Reset => world.discovery.reset_connections(),
         // Only the call after the watch fails.
-        WatchEnd::Answered => world.discovery.said(),
+        WatchEnd::Answered => world.discovery.wait_script_used(),
     }
     world
         .discovery
-        .tell(2, false, vec![line(&world.searchers[0], 0, "leaving")]);
-    world.discovery.told(2);
+        .publish(2, false, vec![line(&world.searchers[0], 0, "leaving")]);
+    world.discovery.wait_watched(2);
     assert!(
         started.elapsed() < MAX_PROPAGATION,
         "applied after {:?}",
@@ -92,22 +92,25 @@
 #[case::on_request(true, 0)]
 #[case::idle_clients_in_all_slots(false, 600)]
 #[case::on_request_idle_clients_in_all_slots(true, 600)]
-fn a_drain_is_applied_in_time_after_the_agent_was_down(#[case] asks: bool, #[case] idle: usize) {
+fn a_drain_is_applied_in_time_after_the_agent_was_down(
+    #[case] lists_on_request: bool,
+    #[case] idle: usize,
+) {
     let mut world = World::start(Setup {
-        asks,
+        lists_on_request,
         ask_every_ms: 60_000,
         sockets: 80,
         ..Setup::default()
     });
-    world.discovery.told(1);
-    world.discovery.goes_down();
+    world.discovery.wait_watched(1);
+    world.discovery.stop_listening();
     let idle_clients: Vec<Client> = (0..idle).map(|_| world.client()).collect();
     assert_eq!(world.client().ask("q0", &[1]).status, 200);
     // By then the delays between calls have grown to their maximum.
-    world.discovery.next_say([Says::Errors; 6]);
-    world.discovery.comes_up();
-    world.discovery.said();
-    world.discovery.says(Says::Nothing);
+    world.discovery.script_next([DiscoveryBehavior::Errors; 6]);
+    world.discovery.listen_again();
+    world.discovery.wait_script_used();
+    world.discovery.set_behavior(DiscoveryBehavior::Nothing);
     let new = Searcher::start("s9");
     let mut lines: Vec<_> = (0..3)
         .map(|i| line(&world.searchers[i], i, "leaving"))
@@ -117,10 +120,10 @@
         line["name"] = format!("n{group}").into();
         line
     }));
-    world.discovery.tell(2, true, lines);
+    world.discovery.publish(2, true, lines);
     let started = Instant::now();
-    world.discovery.says(Says::Lists);
-    world.discovery.told(2);
+    world.discovery.set_behavior(DiscoveryBehavior::Lists);
+    world.discovery.wait_watched(2);
     assert!(
         started.elapsed() < MAX_PROPAGATION,
         "applied after {:?}",
@@ -130,29 +133,31 @@
     assert_eq!(world.client().ask("q1", &[1, 2, 3]).status, 200);
     assert_eq!(world.sends("").len(), before);
     drop(idle_clients);
-    assert!(world.runs());
+    assert!(world.is_running());
 }
 
 /// SIGHUP changes the address of discovery and the first call there fails: changes must be applied within 4 s of
 /// the signal.
 #[rstest]
-#[case::silence(Says::Nothing)]
-#[case::an_error(Says::Errors)]
-#[case::a_reset(Says::Resets)]
-#[case::half_a_list(Says::HalfWithoutLength)]
-fn a_drain_is_applied_in_time_after_an_address_change_whose_first_call_fails(#[case] first: Says) {
+#[case::silence(DiscoveryBehavior::Nothing)]
+#[case::an_error(DiscoveryBehavior::Errors)]
+#[case::a_reset(DiscoveryBehavior::Resets)]
+#[case::half_a_list(DiscoveryBehavior::HalfWithoutLength)]
+fn a_drain_is_applied_in_time_after_an_address_change_whose_first_call_fails(
+    #[case] first: DiscoveryBehavior,
+) {
     let mut world = World::start(Setup::default());
-    world.discovery.told(1);
+    world.discovery.wait_watched(1);
     let new = Discovery::start(
         (0..3)
             .map(|i| line(&world.searchers[i], i, "active"))
             .collect(),
     );
-    new.tell(2, false, vec![line(&world.searchers[0], 0, "leaving")]);
-    new.next_say([first]);
+    new.publish(2, false, vec![line(&world.searchers[0], 0, "leaving")]);
+    new.script_next([first]);
     let started = Instant::now();
     world.reload("discovery", new.address.to_string());
-    new.told(2);
+    new.wait_watched(2);
     assert!(
         started.elapsed() < Duration::from_secs(4),
         "applied after {:?}",
@@ -186,7 +191,7 @@
 #[case::unread_bytes(UNREAD_BYTES)]
 fn no_attempt_starts_for_a_client_that_disconnected_between_attempts(#[case] unread: usize) {
     let world = World::start(Setup::default());
-    world.all_do(|_| Act::Held);
+    world.set_all_scripts(|_| PartAction::Held);
     let mut client = world.client();
     client.write(&request("q1", &body(&[3])));
     world.until(|| !world.sends("q1").is_empty());
@@ -194,12 +199,17 @@
         client.write(&bytes_after_request(unread));
     }
     drop(client);
-    world.until(|| world.searchers.iter().any(|s| s.log().given_up == ["q1.3"]));
-    world.all_do(|_| Act::Good);
+    world.until(|| {
+        world
+            .searchers
+            .iter()
+            .any(|s| s.log().cancellations == ["q1.3"])
+    });
+    world.set_all_scripts(|_| PartAction::Good);
     world
         .searchers
         .iter()
-        .for_each(|s| s.answers_held(Act::Bad));
+        .for_each(|s| s.answer_held(PartAction::Bad));
     assert_eq!(world.client().ask("q2", &[3]).status, 200);
     assert_eq!(world.sends("q1").len(), 1);
 }
@@ -216,11 +226,11 @@
         connect_ms: 10_000,
         ..Setup::default()
     });
-    let (slow, unclog) = Searcher::clogged("s9");
+    let (slow, unclog) = Searcher::with_full_backlog("s9");
     let own = &world.searchers[0];
     let lines = vec![line(own, 0, "leaving"), line(&slow, 0, "active")];
-    world.discovery.tell(2, true, lines);
-    world.discovery.told(2);
+    world.discovery.publish(2, true, lines);
+    world.discovery.wait_watched(2);
     let mut client = world.client();
     client.write(&request("q1", &body(&[3])));
     // Another client's part waits for the same connection.
@@ -254,8 +264,8 @@
         .duration_since(std::time::UNIX_EPOCH)
         .expect("a time");
     cold["since_ms"] = (now.as_millis() as u64).into();
-    world.discovery.tell(2, true, vec![cold]);
-    world.discovery.told(2);
+    world.discovery.publish(2, true, vec![cold]);
+    world.discovery.wait_watched(2);
     let mut clients: Vec<Client> = (0..4).map(|_| world.client()).collect();
     // One part is sent, the others wait.
     for (i, client) in clients.iter_mut().enumerate() {
@@ -301,11 +311,11 @@
 fn the_last_answer_survives_unread_bytes_and_later_requests_are_not_forwarded() {
     let mut world = World::start(Setup::default());
     let (mut busy, mut idle) = (world.client(), world.client());
-    world.all_do(|part| {
+    world.set_all_scripts(|part| {
         if part.id.starts_with("q0") {
-            Act::Good
+            PartAction::Good
         } else {
-            Act::Held
+            PartAction::Held
         }
     });
     assert_eq!(idle.ask("q0", &[1]).status, 200);
@@ -318,7 +328,7 @@
     world
         .searchers
         .iter()
-        .for_each(|s| s.answers_held(Act::Good));
+        .for_each(|s| s.answer_held(PartAction::Good));
     let answer = busy.read().expect("an answer");
     assert_eq!(
         (answer.status, answer.headers["connection"].as_str()),
@@ -331,7 +341,7 @@
         "the connection was reset"
     );
     idle.try_write(&request("late", &body(&[5])));
-    assert!(world.ended().success());
+    assert!(world.wait_ended().success());
     assert!(world.sends("late").is_empty());
 }
 
@@ -348,7 +358,7 @@
     world.terminate();
     world.until(|| world.get("/up").status != 200);
     let mut new = None;
-    world.meanwhile(|| {
+    world.while_paused(|| {
         idle.write(&request("q1", &body(&[1])));
         let mut client = world.client();
         client.write(&request("q2", &body(&[2])));
@@ -363,7 +373,7 @@
             .is_some_and(|a| a.status == 200 || a.status == 503)),
         "{answers:?}"
     );
-    assert!(world.ended().success());
+    assert!(world.wait_ended().success());
 }
 
 /// With short deadlines a stopped process is killed soon, but new connections arrive for 0.4 s all the same and
@@ -387,11 +397,11 @@
         );
     }
     // Multigets in flight at the end are given up before the process would be killed.
-    world.all_do(|_| Act::Silent);
+    world.set_all_scripts(|_| PartAction::Silent);
     let mut stuck = world.client();
     stuck.write(&request("s", &body(&[1])));
     assert_eq!(stuck.read().expect("an answer").status, 503);
-    assert!(world.ended().success());
+    assert!(world.wait_ended().success());
     assert!(
         stop_requested.elapsed() < Duration::from_millis(1_000),
         "exited after {:?}",
@@ -433,41 +443,43 @@
 /// be written when the connection comes up, and the multiget, which can get no further answer, is answered at once.
 #[rstest]
 fn a_repeat_is_never_written_after_its_window() {
-    let (slow, unclog) = Searcher::clogged("s9");
-    let window_ms = 800;
+    let (slow, unclog) = Searcher::with_full_backlog("s9");
+    let dedup_window_ms = 800;
     let setup = Setup {
         searchers: 1,
         connect_ms: 10_000,
         effect: "keyed",
-        window_ms,
+        dedup_window_ms,
         ..Setup::default()
     };
     let world = World::start(setup);
     let own = &world.searchers[0];
-    world.discovery.tell(2, true, vec![line(own, 0, "active")]);
-    world.discovery.told(2);
-    own.does(|_| Act::Held);
+    world
+        .discovery
+        .publish(2, true, vec![line(own, 0, "active")]);
+    world.discovery.wait_watched(2);
+    own.set_script(|_| PartAction::Held);
     let mut client = world.client();
     client.write(&request("q1", &body(&[3])));
     own.until(|log| log.parts.len() == 1);
     let first = own.log().parts[0].at;
-    world.discovery.tell(
+    world.discovery.publish(
         3,
         true,
         vec![line(own, 0, "active"), line(&slow, 1, "active")],
     );
-    world.discovery.told(3);
-    own.answers_held(Act::Bad);
-    world.until(|| first.elapsed() > Duration::from_millis(window_ms));
+    world.discovery.wait_watched(3);
+    own.answer_held(PartAction::Bad);
+    world.until(|| first.elapsed() > Duration::from_millis(dedup_window_ms));
     unclog();
     assert_eq!(client.read().expect("an answer").status, 500);
     // A part of another multiget uses the same connection.
-    world.discovery.tell(
+    world.discovery.publish(
         4,
         true,
         vec![line(own, 0, "leaving"), line(&slow, 1, "active")],
     );
-    world.discovery.told(4);
+    world.discovery.wait_watched(4);
     assert_eq!(world.client().ask("q2", &[3]).status, 200);
     assert!(
         slow.log().parts.iter().all(|part| part.id == "q2.3"),
@@ -502,7 +514,7 @@
     on_connections(
         Setup::default(),
         async move |searcher, searchers, arrivals| {
-            searcher.reads(false);
+            searcher.set_reading(false);
             let (to, id) = (SearcherId::new("s0"), PartId::new("q.1"));
             let deadline = Instant::now() + Duration::from_millis(200);
             // More than the socket buffers of both sides hold.
@@ -528,7 +540,7 @@
             assert!(
                 matches!(event, Some(RouterEvent::SendEnded(ended)) if ended.outcome == Outcome::NoConnection)
             );
-            searcher.reads(true);
+            searcher.set_reading(true);
             searcher.until(|log| log.closed == 1);
             assert!(searcher.log().parts.is_empty());
         },
@@ -572,13 +584,14 @@
             );
             assert!(searchers.send(&unreachable, call(1)).is_ok());
             assert_eq!(ended(arrivals).await, Outcome::NoConnection);
-            let (clogged, unclog) = std::thread::spawn(|| Searcher::clogged("s1"))
-                .join()
-                .expect("a searcher");
+            let (with_full_backlog, unclog) =
+                std::thread::spawn(|| Searcher::with_full_backlog("s1"))
+                    .join()
+                    .expect("a searcher");
             searchers.set_address(
                 &up("s1"),
                 SearcherEndpoint {
-                    address: clogged.address,
+                    address: with_full_backlog.address,
                     http2: false,
                 },
             );
@@ -593,7 +606,7 @@
             } {
                 sent += 1;
             }
-            let received: Vec<String> = clogged
+            let received: Vec<String> = with_full_backlog
                 .log()
                 .parts
                 .into_iter()
@@ -601,18 +614,18 @@
                 .collect();
             assert_eq!(received, [format!("q.{sent}")]);
             // Reset once the frame is complete, at once and after half an answer.
-            for act in [Act::Break, Act::HalfAnswer] {
-                searcher.does(move |_| act);
+            for act in [PartAction::Break, PartAction::HalfAnswer] {
+                searcher.set_script(move |_| act);
                 assert!(searchers.send(&to, call(4)).is_ok());
                 assert_eq!(ended(arrivals).await, Outcome::ConnectionLost, "{act:?}");
             }
             // Reset long after, with the answer held back.
-            searcher.does(|_| Act::Held);
+            searcher.set_script(|_| PartAction::Held);
             assert!(searchers.send(&to, call(5)).is_ok());
             while searcher.log().parts.len() < 3 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            searcher.answers_held(Act::Break);
+            searcher.answer_held(PartAction::Break);
             assert_eq!(ended(arrivals).await, Outcome::ConnectionLost);
         },
     );
@@ -630,7 +643,7 @@
     let searchers = [Searcher::start("s0"), Searcher::start("s1")];
     searchers
         .iter()
-        .for_each(|s| s.does(|_| Act::After(SERVICE_TIME)));
+        .for_each(|s| s.set_script(|_| PartAction::After(SERVICE_TIME)));
     let warm = vec![line(&searchers[0], 0, "active")];
     let discovery = Discovery::start(warm.clone());
     let processes: Vec<Mixer> = (0..mixers)
@@ -658,8 +671,8 @@
         .expect("a time");
     let mut cold = line(&searchers[1], 1, "active");
     cold["since_ms"] = (now.as_millis() as u64).into();
-    discovery.tell(2, true, vec![line(&searchers[0], 0, "leaving"), cold]);
-    discovery.told_all(2, mixers);
+    discovery.publish(2, true, vec![line(&searchers[0], 0, "leaving"), cold]);
+    discovery.wait_watched_by(2, mixers);
     let mut clients: Vec<Client> = processes.iter().map(Mixer::client).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         client.write(&request(&format!("q{i}"), &body(&[3])));
@@ -787,19 +800,22 @@
     assert_eq!(ask("lookup", "zed", "c", &[0]).status, 404);
     assert_eq!(ask("tally", "acme", "d", &[0]).status, 400);
     assert_eq!(ask("tally", "zed", "e", &[6]).status, 400);
-    discovery.tell(2, true, lines());
-    discovery.told(2);
+    discovery.publish(2, true, lines());
+    discovery.wait_watched(2);
 }
 
 /// A restarted mixer is ready at once by the list it had, whatever discovery does, and with many searchers.
 #[rstest]
-#[case::discovery_is_up(Some(Says::Lists), 3)]
-#[case::with_200_searchers(Some(Says::Lists), 200)]
-#[case::discovery_is_silent(Some(Says::Nothing), 3)]
-#[case::discovery_fails(Some(Says::Errors), 200)]
-#[case::discovery_is_slow(Some(Says::Late(Duration::from_millis(1_500))), 200)]
+#[case::discovery_is_up(Some(DiscoveryBehavior::Lists), 3)]
+#[case::with_200_searchers(Some(DiscoveryBehavior::Lists), 200)]
+#[case::discovery_is_silent(Some(DiscoveryBehavior::Nothing), 3)]
+#[case::discovery_fails(Some(DiscoveryBehavior::Errors), 200)]
+#[case::discovery_is_slow(Some(DiscoveryBehavior::Late(Duration::from_millis(1_500))), 200)]
 #[case::discovery_is_down(None, 200)]
-fn a_restarted_mixer_is_ready_in_time(#[case] says: Option<Says>, #[case] searchers: usize) {
+fn a_restarted_mixer_is_ready_in_time(
+    #[case] says: Option<DiscoveryBehavior>,
+    #[case] searchers: usize,
+) {
     let one = Searcher::start("s");
     let lines: Vec<Value> = (0..searchers)
         .map(|i| {
@@ -810,8 +826,8 @@
         .collect();
     let discovery = Discovery::start(lines.clone());
     match says {
-        Some(says) => discovery.says(says),
-        None => discovery.goes_down(),
+        Some(says) => discovery.set_behavior(says),
+        None => discovery.stop_listening(),
     }
     let setup = Setup::default();
     let config = json!({
@@ -843,7 +859,7 @@
         deadline_ms,
         ..Setup::default()
     });
-    world.searchers[0].does(|_| Act::Silent);
+    world.searchers[0].set_script(|_| PartAction::Silent);
     let clients: Vec<Client> = (0..8).map(|_| world.client()).collect();
     let senders: Vec<_> = clients
         .into_iter()
@@ -878,7 +894,7 @@
         .into_iter()
         .filter_map(|s| s.join().expect("a client"))
         .collect();
-    assert!(world.ended().success());
+    assert!(world.wait_ended().success());
     for id in unanswered {
         assert!(
             world.sends(&format!("{id}.")).is_empty(),
--- a/crates/lockusher-aggregator/tests/stories.rs
+++ b/crates/lockusher-aggregator/tests/stories.rs
@@ -52,7 +52,7 @@
         world
             .searchers
             .iter()
-            .any(|s| s.log().probes == ["ogood", "p-"]),
+            .any(|s| s.log().other_frames == ["ogood", "p-"]),
         "probes are answered"
     );
 }
@@ -126,32 +126,32 @@
 }
 
 #[rstest]
-#[case::error(Act::Bad)]
-#[case::rejected(Act::Later)]
-#[case::reset(Act::Break)]
-#[case::silence(Act::Silent)]
-#[case::malformed_frame(Act::Garbage)]
-#[case::frame_of_invalid_length(Act::Absurd)]
-#[case::frame_rejected_by_the_searcher(Act::Unusable)]
-#[case::incomplete_frame(Act::Endless)]
-#[case::answer_to_an_unknown_part(Act::OtherId)]
-#[case::unknown_status(Act::OtherEnd)]
-#[case::unknown_frame_type(Act::OtherLetter)]
-#[case::value_containing_another_frame(Act::Swallowing)]
-fn a_part_that_fails_at_one_searcher_is_served_by_another(#[case] act: Act) {
+#[case::error(PartAction::Bad)]
+#[case::rejected(PartAction::Later)]
+#[case::reset(PartAction::Break)]
+#[case::silence(PartAction::Silent)]
+#[case::malformed_frame(PartAction::MalformedAnswer)]
+#[case::frame_of_invalid_length(PartAction::ExcessiveLength)]
+#[case::frame_rejected_by_the_searcher(PartAction::UnusedFrame)]
+#[case::incomplete_frame(PartAction::Endless)]
+#[case::answer_to_an_unknown_part(PartAction::UnknownPart)]
+#[case::unknown_status(PartAction::UnknownEnd)]
+#[case::unknown_frame_type(PartAction::UnknownFrameType)]
+#[case::value_containing_another_frame(PartAction::EmbeddedFrame)]
+fn a_part_that_fails_at_one_searcher_is_served_by_another(#[case] act: PartAction) {
     // A distant target keeps retries from being late themselves on a busy machine.
     let world = World::start(Setup {
-        promise_ms: 2_000,
+        latency_target_ms: 2_000,
         deadline_ms: 10_000,
         ..Setup::default()
     });
     // The first searcher that receives a part fails it; the others serve.
     let first = std::sync::Arc::new(AtomicUsize::new(0));
-    world.all_do(move |_| {
+    world.set_all_scripts(move |_| {
         if first.fetch_add(1, Ordering::SeqCst) == 0 {
             act
         } else {
-            Act::Good
+            PartAction::Good
         }
     });
     let answer = world.client().ask("q1", &[3]);
@@ -161,20 +161,23 @@
 }
 
 #[rstest]
-#[case::a_rejection_never_ran(Act::Later, true)]
-#[case::an_error_may_have_run(Act::Bad, false)]
-#[case::a_reset_may_have_run(Act::Break, false)]
-fn a_non_retriable_part_is_retried_only_if_it_never_ran(#[case] act: Act, #[case] retried: bool) {
+#[case::a_rejection_never_ran(PartAction::Later, true)]
+#[case::an_error_may_have_run(PartAction::Bad, false)]
+#[case::a_reset_may_have_run(PartAction::Break, false)]
+fn a_non_retriable_part_is_retried_only_if_it_never_ran(
+    #[case] act: PartAction,
+    #[case] retried: bool,
+) {
     let world = World::start(Setup {
         effect: "unsafe",
         ..Setup::default()
     });
     let first = std::sync::Arc::new(AtomicUsize::new(0));
-    world.all_do(move |_| {
+    world.set_all_scripts(move |_| {
         if first.fetch_add(1, Ordering::SeqCst) == 0 {
             act
         } else {
-            Act::Good
+            PartAction::Good
         }
     });
     let answer = world.client().ask("q1", &[3]);
@@ -209,8 +212,8 @@
         dead("x", 1),
         dead("y", 2),
     ];
-    world.discovery.tell(2, true, lines);
-    world.discovery.told(2);
+    world.discovery.publish(2, true, lines);
+    world.discovery.wait_watched(2);
     let mut client = world.client();
     for i in 0..8 {
         let answer = client.ask(&format!("q{i}"), &[i]);
@@ -221,13 +224,13 @@
 /// A malformed answer fails its own part; other parts on the connection end as the protocol defines, the connection
 /// is not used again, and the searcher is not taken for one that died and restarted cold.
 #[rstest]
-#[case::invalid_length(Act::Absurd, Outcome::Error, Outcome::Cancelled)]
-#[case::unknown_status(Act::OtherEnd, Outcome::Error, Outcome::Cancelled)]
-#[case::incomplete_frame(Act::Endless, Outcome::Error, Outcome::Cancelled)]
-#[case::unknown_part(Act::OtherId, Outcome::Error, Outcome::Cancelled)]
-#[case::a_broken_connection(Act::Break, Outcome::ConnectionLost, Outcome::ConnectionLost)]
+#[case::invalid_length(PartAction::ExcessiveLength, Outcome::Error, Outcome::Cancelled)]
+#[case::unknown_status(PartAction::UnknownEnd, Outcome::Error, Outcome::Cancelled)]
+#[case::incomplete_frame(PartAction::Endless, Outcome::Error, Outcome::Cancelled)]
+#[case::unknown_part(PartAction::UnknownPart, Outcome::Error, Outcome::Cancelled)]
+#[case::a_broken_connection(PartAction::Break, Outcome::ConnectionLost, Outcome::ConnectionLost)]
 fn a_malformed_answer_fails_its_part_and_withdraws_the_others_on_its_connection(
-    #[case] act: Act,
+    #[case] act: PartAction,
     #[case] own: Outcome,
     #[case] other: Outcome,
 ) {
@@ -235,7 +238,13 @@
         Setup::default(),
         async move |searcher, searchers, arrivals| {
             let to = SearcherId::new("s0");
-            searcher.does(move |part| if part.id == "q.2" { act } else { Act::Silent });
+            searcher.set_script(move |part| {
+                if part.id == "q.2" {
+                    act
+                } else {
+                    PartAction::Silent
+                }
+            });
             for shard in [2, 3] {
                 assert!(searchers.send(&to, call(shard)).is_ok());
             }
@@ -250,7 +259,7 @@
                 ends,
                 HashMap::from([("q.2".to_owned(), own), ("q.3".to_owned(), other)])
             );
-            searcher.does(|_| Act::Good);
+            searcher.set_script(|_| PartAction::Good);
             assert!(searchers.send(&to, call(4)).is_ok());
             assert!(
                 matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Returned)
@@ -265,12 +274,12 @@
 /// trusted would be retried after the client has it. The number of sends is not checked: garbage ends each
 /// connection, the next send waits for a new one, and on a busy machine that is late enough for a hedged request.
 #[rstest]
-#[case::answer_repeated(Act::Twice)]
-#[case::followed_by_garbage(Act::Noise)]
-#[case::malformed_load_report(Act::OddReport)]
-fn a_valid_answer_followed_by_surplus_data_counts(#[case] act: Act) {
+#[case::answer_repeated(PartAction::Twice)]
+#[case::followed_by_garbage(PartAction::Noise)]
+#[case::malformed_load_report(PartAction::OddReport)]
+fn a_valid_answer_followed_by_surplus_data_counts(#[case] act: PartAction) {
     let world = World::start(Setup::default());
-    world.all_do(move |_| act);
+    world.set_all_scripts(move |_| act);
     let mut client = world.client();
     let mut answered = Vec::new();
     for i in 0..5 {
@@ -282,7 +291,7 @@
     // The later multigets leave time for a late send of an earlier one to show.
     for (id, took) in answered {
         let sends = world.sends(&id);
-        let in_time = |(_, seen): &(String, Seen)| sent_after(seen) <= took + ROUNDING;
+        let in_time = |(_, seen): &(String, PartRequest)| sent_after(seen) <= took + ROUNDING;
         assert!(
             sends.iter().all(in_time),
             "sent after its answer, which took {took:?}: {sends:?}"
@@ -297,7 +306,7 @@
 
 /// How long after its multiget arrived a part was sent, computed from the remaining time in the call, so that it
 /// does not depend on when the searcher reads it.
-fn sent_after(seen: &Seen) -> Duration {
+fn sent_after(seen: &PartRequest) -> Duration {
     let left = seen
         .list
         .strip_prefix("d=")
@@ -314,17 +323,23 @@
 /// waited for until the client's time is up. Frames that the searcher sends unasked on the new connection are no
 /// answer: a greeting must not make a slow searcher's part count as lost.
 #[rstest]
-#[case::the_connection_is_dead(Act::Mute, true)]
-#[case::the_searcher_is_slow(Act::Silent, false)]
+#[case::the_connection_is_dead(PartAction::Mute, true)]
+#[case::the_searcher_is_slow(PartAction::Silent, false)]
 fn a_late_answer_triggers_a_liveness_check_of_its_connection(
-    #[case] act: Act,
+    #[case] act: PartAction,
     #[case] connection_dead: bool,
 ) {
     on_connections(
         Setup::default(),
         async move |searcher, searchers, arrivals| {
             let to = SearcherId::new("s0");
-            searcher.does(move |part| if part.id == "q.1" { act } else { Act::Good });
+            searcher.set_script(move |part| {
+                if part.id == "q.1" {
+                    act
+                } else {
+                    PartAction::Good
+                }
+            });
             assert!(searchers.send(&to, call(0)).is_ok());
             assert!(
                 matches!(arrivals.recv().await, Some(RouterEvent::SendEnded(e)) if e.outcome == Outcome::Returned)
@@ -333,17 +348,17 @@
             while searcher.log().parts.len() < 2 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
-            searcher.holds_probes();
+            searcher.hold_health_checks();
             searchers.check_liveness(&to, &PartId::new("q.1"), 0);
             // The mixer has answered both probes of the new connection's greeting, so it has read the greeting.
-            while searcher.log().probes.len() < 4 {
+            while searcher.log().other_frames.len() < 4 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             assert!(
                 arrivals.try_recv().is_err(),
                 "a greeting is no answer on the older connection"
             );
-            while !searcher.answers_probes(if connection_dead { 2 } else { 1 }) {
+            while !searcher.answer_health_checks(if connection_dead { 2 } else { 1 }) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             if connection_dead {
@@ -398,7 +413,7 @@
         },
         async move |searcher, searchers, _| {
             let (to, part) = (SearcherId::new("s0"), PartId::new("q.1"));
-            searcher.does(|_| Act::Silent);
+            searcher.set_script(|_| PartAction::Silent);
             assert!(searchers.send(&to, call(1)).is_ok());
             assert_eq!(
                 searchers.in_transit_until(&to, &part, 0),
@@ -430,11 +445,11 @@
         },
         async move |searcher, searchers, arrivals| {
             let to = SearcherId::new("s0");
-            searcher.does(|part| {
+            searcher.set_script(|part| {
                 if part.id == "q.1" {
-                    Act::Silent
+                    PartAction::Silent
                 } else {
-                    Act::Good
+                    PartAction::Good
                 }
             });
             assert!(searchers.send(&to, call(0)).is_ok());
@@ -451,7 +466,7 @@
                     .is_empty()
             );
             searchers.cancel(&to, &PartId::new("q.1"), 0);
-            searcher.does(|_| Act::Good);
+            searcher.set_script(|_| PartAction::Good);
             for shard in 2..4 {
                 assert!(searchers.send(&to, call(shard)).is_ok());
                 assert!(
@@ -488,7 +503,7 @@
 fn parts_for_one_searcher_share_a_call() {
     let world = World::start(Setup {
         searchers: 1,
-        most_parts: 3,
+        max_parts_per_call: 3,
         ..Setup::default()
     });
     let answer = world.client().ask("q1", &[1, 2, 3, 4, 5]);
@@ -498,14 +513,19 @@
 #[rstest]
 fn parts_of_a_disconnected_client_are_cancelled() {
     let world = World::start(Setup::default());
-    world.all_do(|_| Act::Silent);
+    world.set_all_scripts(|_| PartAction::Silent);
     let mut client = world.client();
     client.write(&request("q1", &body(&[3])));
     world.until(|| !world.sends("q1").is_empty());
     drop(client);
-    world.until(|| world.searchers.iter().any(|s| s.log().given_up == ["q1.3"]));
+    world.until(|| {
+        world
+            .searchers
+            .iter()
+            .any(|s| s.log().cancellations == ["q1.3"])
+    });
     // The id can be used again, and the mixer keeps serving.
-    world.all_do(|_| Act::Good);
+    world.set_all_scripts(|_| PartAction::Good);
     assert_eq!(world.client().ask("q1", &[3]).status, 200);
 }
 
@@ -515,15 +535,15 @@
 fn nothing_is_sent_for_a_client_that_disconnects_while_the_mixer_is_stalled() {
     let world = World::start(Setup::default());
     let (mut leaving_client, mut waiting_client) = (world.client(), world.client());
-    world.all_do(|_| Act::Silent);
+    world.set_all_scripts(|_| PartAction::Silent);
     waiting_client.write(&request("q3", &body(&[3])));
     world.until(|| !world.sends("q3").is_empty());
-    world.meanwhile(|| {
+    world.while_paused(|| {
         leaving_client.write(&request("q4", &body(&[1, 2, 3])));
         drop((leaving_client, waiting_client));
         thread::sleep(Duration::from_millis(1_500));
     });
-    world.all_do(|_| Act::Good);
+    world.set_all_scripts(|_| PartAction::Good);
     assert_eq!(world.client().ask("q5", &[3]).status, 200);
     assert_eq!((world.sends("q3").len(), world.sends("q4").len()), (1, 0));
 }
@@ -540,38 +560,48 @@
         second_step,
         ..Setup::default()
     });
-    let clogged = [Searcher::clogged("x"), Searcher::clogged("y")];
+    let with_full_backlog = [
+        Searcher::with_full_backlog("x"),
+        Searcher::with_full_backlog("y"),
+    ];
     let mut lines = vec![line(&world.searchers[0], 0, "active")];
     lines.extend(
-        clogged
+        with_full_backlog
             .iter()
             .enumerate()
             .map(|(i, (s, _))| line(s, i + 1, "active")),
     );
-    world.discovery.tell(2, true, lines);
-    world.discovery.told(2);
+    world.discovery.publish(2, true, lines);
+    world.discovery.wait_watched(2);
     // One part is never answered: part 4, or a part of the second step.
-    let silent = move |part: &Seen| {
+    let silent = move |part: &PartRequest| {
         if second_step > 0 {
             part.id.ends_with(".r")
         } else {
             part.shard == 4
         }
     };
-    world.all_do(move |part| if silent(part) { Act::Silent } else { Act::Good });
+    world.set_all_scripts(move |part| {
+        if silent(part) {
+            PartAction::Silent
+        } else {
+            PartAction::Good
+        }
+    });
     let mut client = world.client();
     client.write(&request("q1", &body(&[0, 1, 2, 3, 4, 5])));
-    let others = |sends: &[(String, Seen)]| sends.iter().filter(|(_, part)| !silent(part)).count();
+    let others =
+        |sends: &[(String, PartRequest)]| sends.iter().filter(|(_, part)| !silent(part)).count();
     world.until(|| {
         others(&world.sends("q1")) >= 5 && world.sends("q1").iter().any(|(_, part)| silent(part))
     });
-    let clogged = clogged.map(|(searcher, unclog)| {
+    let with_full_backlog = with_full_backlog.map(|(searcher, unclog)| {
         unclog();
         searcher
     });
     // Sends of the pending part are written.
     let received = || {
-        clogged
+        with_full_backlog
             .iter()
             .flat_map(|searcher| searcher.log().parts)
             .collect::<Vec<_>>()
@@ -583,12 +613,12 @@
 #[rstest]
 fn an_id_in_flight_is_rejected() {
     let world = World::start(Setup::default());
-    world.all_do(|_| Act::Silent);
+    world.set_all_scripts(|_| PartAction::Silent);
     let mut first = world.client();
     first.write(&request("q1", &body(&[3])));
     world.until(|| !world.sends("q1").is_empty());
     assert_eq!(world.client().ask("q1", &[3]).status, 409);
-    world.all_do(|_| Act::Good);
+    world.set_all_scripts(|_| PartAction::Good);
     assert_eq!(
         first.read().expect("an answer").values(),
         values("q1", &[3])
@@ -602,8 +632,8 @@
     let world = World::start(Setup::default());
     world
         .discovery
-        .tell(2, false, vec![line(&world.searchers[0], 0, status)]);
-    world.discovery.told(2);
+        .publish(2, false, vec![line(&world.searchers[0], 0, status)]);
+    world.discovery.wait_watched(2);
     let before = world.searchers[0].log().parts.len();
     let mut client = world.client();
     for i in 0..20 {
@@ -613,20 +643,20 @@
 }
 
 #[rstest]
-#[case::errors(Says::Errors)]
-#[case::nonsense(Says::Nonsense)]
-#[case::silence(Says::Nothing)]
-fn the_last_list_is_used_while_discovery_fails(#[case] says: Says) {
+#[case::errors(DiscoveryBehavior::Errors)]
+#[case::nonsense(DiscoveryBehavior::Nonsense)]
+#[case::silence(DiscoveryBehavior::Nothing)]
+fn the_last_list_is_used_while_discovery_fails(#[case] says: DiscoveryBehavior) {
     let world = World::start(Setup::default());
-    world.discovery.says(says);
+    world.discovery.set_behavior(says);
     assert_eq!(world.client().ask("q1", &[1, 2]).status, 200);
     // After its return, versions start anew: the complete list applies, and one searcher is missing from it.
     let left: Vec<_> = (1..3)
         .map(|i| line(&world.searchers[i], i, "active"))
         .collect();
-    world.discovery.tell(0, true, left);
-    world.discovery.says(Says::Lists);
-    world.discovery.told(0);
+    world.discovery.publish(0, true, left);
+    world.discovery.set_behavior(DiscoveryBehavior::Lists);
+    world.discovery.wait_watched(0);
     let before = world.searchers[0].log().parts.len();
     for i in 0..10 {
         assert_eq!(world.client().ask(&format!("r{i}"), &[i]).status, 200);
@@ -637,20 +667,20 @@
 /// If discovery sends lists on request only, a failure is reported to the decision module, which requests a list
 /// again.
 #[rstest]
-#[case::errors(Says::Errors)]
-#[case::nonsense(Says::Nonsense)]
-fn a_failed_watch_is_requested_again(#[case] says: Says) {
+#[case::errors(DiscoveryBehavior::Errors)]
+#[case::nonsense(DiscoveryBehavior::Nonsense)]
+fn a_failed_watch_is_requested_again(#[case] says: DiscoveryBehavior) {
     let world = World::start(Setup {
-        asks: true,
+        lists_on_request: true,
         ..Setup::default()
     });
-    world.discovery.says(says);
+    world.discovery.set_behavior(says);
     assert_eq!(world.client().ask("q1", &[1]).status, 200);
     world
         .discovery
-        .tell(7, true, vec![line(&world.searchers[1], 1, "active")]);
-    world.discovery.says(Says::Lists);
-    world.discovery.told(7);
+        .publish(7, true, vec![line(&world.searchers[1], 1, "active")]);
+    world.discovery.set_behavior(DiscoveryBehavior::Lists);
+    world.discovery.wait_watched(7);
     assert_eq!(world.client().ask("q2", &[1]).status, 200);
     assert!(world.sends("q2").iter().all(|(to, _)| to == "s1"));
 }
@@ -660,13 +690,13 @@
 #[rstest]
 #[case::pushed(false)]
 #[case::on_request(true)]
-fn a_reload_changes_the_discovery_address_and_nothing_else(#[case] asks: bool) {
+fn a_reload_changes_the_discovery_address_and_nothing_else(#[case] lists_on_request: bool) {
     let mut world = World::start(Setup {
-        asks,
+        lists_on_request,
         ..Setup::default()
     });
-    world.discovery.told(1);
-    world.all_do(|_| Act::Silent);
+    world.discovery.wait_watched(1);
+    world.set_all_scripts(|_| PartAction::Silent);
     let mut busy = world.client();
     busy.write(&request("q1", &body(&[3])));
     world.until(|| !world.sends("q1").is_empty());
@@ -675,16 +705,16 @@
             .collect()
     };
     let (old, new) = (world.discovery.clone(), Discovery::start(lines(0..3)));
-    new.tell(2, false, vec![line(&world.searchers[0], 0, "left")]);
+    new.publish(2, false, vec![line(&world.searchers[0], 0, "left")]);
     world.discovery = new.clone();
     // An invalid file changes nothing; of several reloads in a row the last one counts.
     world.reload("seed", "no digits");
     world.reload("seed", "5eed");
     world.reload("discovery", new.address.to_string());
-    new.told(2);
+    new.wait_watched(2);
     // The old address is no longer watched.
-    old.tell(9, true, Vec::new());
-    world.all_do(|_| Act::Good);
+    old.publish(9, true, Vec::new());
+    world.set_all_scripts(|_| PartAction::Good);
     assert_eq!(busy.read().expect("an answer").status, 200);
     let before = world.searchers[0].log().parts.len();
     let mut client = world.client();
@@ -694,7 +724,7 @@
     assert_eq!(world.searchers[0].log().parts.len(), before);
     world.terminate();
     world.reload("seed", "5eed");
-    assert!(world.ended().success());
+    assert!(world.wait_ended().success());
 }
 
 #[rstest]
@@ -707,8 +737,8 @@
     let moved = Searcher::start("s0");
     world
         .discovery
-        .tell(2, false, vec![line(&moved, 0, "active")]);
-    world.discovery.told(2);
+        .publish(2, false, vec![line(&moved, 0, "active")]);
+    world.discovery.wait_watched(2);
     assert_eq!(world.client().ask("q2", &[1]).status, 200);
     assert_eq!(moved.log().parts.len(), 1);
     world.searchers[0].until(|log| log.closed == log.opened);
@@ -717,10 +747,10 @@
 #[rstest]
 #[case::pushed(false)]
 #[case::on_request(true)]
-fn without_a_known_list_it_serves_once_discovery_has_sent_one(#[case] asks: bool) {
+fn without_a_known_list_it_serves_once_discovery_has_sent_one(#[case] lists_on_request: bool) {
     let world = World::start(Setup {
-        knows: false,
-        asks,
+        has_known_list: false,
+        lists_on_request,
         ..Setup::default()
     });
     assert_eq!(world.client().ask("q1", &[1, 2]).status, 200);
@@ -789,7 +819,7 @@
     assert_eq!(client.read().expect("an answer").status, status);
     assert!(world.sends("q1").is_empty());
     assert_eq!(world.client().ask("q2", &[1]).status, 200);
-    assert!(world.runs());
+    assert!(world.is_running());
 }
 
 fn replaced(what: &str, by: &str) -> Vec<u8> {
@@ -802,15 +832,15 @@
 #[rstest]
 fn requests_beyond_the_in_flight_limit_are_pushed_back_at_once() {
     let world = World::start(Setup {
-        most_open: 5,
+        max_in_flight: 5,
         ..Setup::default()
     });
-    world.all_do(|_| Act::Silent);
+    world.set_all_scripts(|_| PartAction::Silent);
     let mut first = world.client();
     first.write(&request("q1", &body(&[1, 2])));
     world.until(|| world.sends("q1").len() >= 2);
     assert_eq!(world.client().ask("q2", &[1, 2]).status, 503);
-    world.all_do(|_| Act::Good);
+    world.set_all_scripts(|_| PartAction::Good);
     assert_eq!(first.read().expect("an answer").status, 200);
     assert_eq!(
         world.client().ask("q3", &[1, 2]).status,
@@ -844,7 +874,7 @@
     );
     // Connections closed to make room see a regular close, and no unsolicited response.
     assert!(flood[0].read().is_none());
-    assert!(world.runs());
+    assert!(world.is_running());
 }
 
 /// Clients may hold a third of the descriptors for requests; connections that send one request and stay open must
@@ -886,12 +916,12 @@
         );
     }
     assert!(
-        world.most_memory() < 32 * 1024,
+        world.peak_memory_kb() < 32 * 1024,
         "{} KB",
-        world.most_memory()
+        world.peak_memory_kb()
     );
     assert_eq!(world.client().ask("q1", &[1, 2, 3]).status, 200);
-    assert!(world.runs());
+    assert!(world.is_running());
 }
 
 /// Connections without a complete request must be closed within 3 s; meanwhile others are served, and a connection
@@ -951,18 +981,18 @@
 #[rstest]
 fn a_graceful_shutdown_keeps_serving_for_a_while_then_answers_requests_in_flight_and_exits() {
     let mut world = World::start(Setup::default());
-    world.all_do(|_| Act::Silent);
+    world.set_all_scripts(|_| PartAction::Silent);
     let (mut busy, mut used, mut stuck) = (world.client(), world.client(), world.client());
     busy.write(&request("q1", &body(&[3])));
     world.until(|| !world.sends("q1").is_empty());
     world.terminate();
     let stop_requested = Instant::now();
     world.until(|| world.get("/up").status != 200);
-    world.all_do(|part| {
+    world.set_all_scripts(|part| {
         if part.id.starts_with("q9") {
-            Act::Silent
+            PartAction::Silent
         } else {
-            Act::Good
+            PartAction::Good
         }
     });
     assert_eq!(busy.read().expect("an answer").status, 200);
@@ -974,7 +1004,7 @@
     stuck.write(&request("q9", &body(&[3])));
     assert!(used.read().is_none(), "an idle connection is closed");
     assert_eq!(stuck.read().expect("an answer").status, 503);
-    assert!(world.ended().success());
+    assert!(world.wait_ended().success());
     assert!(stop_requested.elapsed() < Duration::from_millis(3_700) + LONG / 4);
 }
 
@@ -985,7 +1015,7 @@
     slow.write(b"POST /look HTTP/1.1\r\nHost: a\r\nReq-");
     thread::sleep(Duration::from_millis(50));
     world.terminate();
-    assert!(world.ended().success());
+    assert!(world.wait_ended().success());
 }
 
 /// A partly written frame must not arrive after its multiget has its final answer: cancelling it closes the
@@ -994,11 +1024,11 @@
 fn the_connection_to_a_searcher_that_stops_reading_is_closed() {
     let world = World::start(Setup {
         searchers: 1,
-        most_calls: 200,
+        max_streams: 200,
         ..Setup::default()
     });
     let stuck = &world.searchers[0];
-    stuck.reads(false);
+    stuck.set_reading(false);
     let ranges: Vec<_> = (0..4)
         .map(|s| json!({ "range": s, "portion": 0.25 }))
         .collect();
@@ -1012,7 +1042,7 @@
     for client in &mut clients {
         assert_eq!(client.read().expect("an answer").status, 503);
     }
-    stuck.reads(true);
+    stuck.set_reading(true);
     stuck.until(|log| log.closed >= 1);
 }
 
