--- a/crates/lockusher-aggregator-testbed/src/mixers/budget_usage.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/budget_usage.rs
@@ -40,7 +40,7 @@
 /// How far the sends counted in one second may exceed a budget: the meters' burst of a fifth of the budget and one send
 /// a mixer, and the sends of `JITTER_SECONDS` more, since sends take different times to reach the searchers.
 pub fn budget_slack(budget: f64, mixers: usize) -> f64 {
-    /// On a busy machine, sends of one second arrive within a time that varies by this much.
+    /// Half of the additional time over which sends of one second arrive on a busy machine.
     const JITTER_SECONDS: f64 = 0.1;
     budget * (0.2 + JITTER_SECONDS) + mixers as f64
 }
--- a/crates/lockusher-aggregator-testbed/src/mixers/shared.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared.rs
@@ -393,8 +393,8 @@
     Ok((usage.collect(), violations, faults))
 }
 
-/// Injects one fault of mixers or of the links between them. Returns its description and the mixers that are not checked
-/// while it lasted.
+/// Injects one fault of mixers or of the links between them. Returns its description and the mixers that are not
+/// checked while it lasted.
 fn fault(harness: &mut Harness, rng: &mut ChaCha8Rng, chosen: usize) -> (String, Vec<usize>) {
     let mixers = harness.mixers();
     let blocked = LinkConditions {
--- a/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/shared_sim.rs
@@ -11,12 +11,13 @@
 
 /// The limit on convergence of the views, and on the spread of a verdict.
 const CONVERGENCE_LIMIT: Span = Span::from_millis(10_000);
-/// The interval of reports of a mixer. Real mixers report five times as often, but most of those reports change nothing.
+/// The interval of reports of a mixer. Real mixers report five times as often (the interval is a fifth of this), but
+/// most of those reports change nothing.
 const REPORT_INTERVAL: Span = Span::from_millis(1_000);
 /// The time step between checks.
 const STEP: Span = Span::from_millis(50);
 const SEARCHERS: usize = 12;
-/// One mixer in this many, and four at least, observes the failure of a searcher, as under light traffic.
+/// One mixer in twenty, and four at least, observes the failure of a searcher, as under light traffic.
 const WITNESS_STRIDE: usize = 20;
 /// The limit on the 99th percentile of the spread of a verdict.
 const VERDICT_LIMIT_MS: u64 = 3_000;
--- a/crates/lockusher-aggregator-testbed/src/mixers/virtual_time.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/virtual_time.rs
@@ -26,7 +26,7 @@
     pub min_delay: Span,
     /// The greatest delay of a datagram.
     pub max_delay: Span,
-    /// The share of datagrams that are delivered twice.
+    /// The share of datagrams that are delivered twice; 0 for none.
     pub duplication: f64,
     /// The partition of each mixer: mixers of different partitions do not reach each other.
     pub partition: Vec<u8>,
@@ -524,7 +524,7 @@
         Some(self.now.since(start))
     }
 
-    /// Takes the time that each observer needed to detect each crash; those still undetected count with the time so far.
+    /// Takes the time that each observer needed to detect each crash; one still undetected counts with the time so far.
     pub fn take_crash_delays(&mut self) -> Vec<Span> {
         let mut detection_delays = std::mem::take(&mut self.detection_delays);
         for (crash, observer) in std::mem::take(&mut self.undetected) {
--- a/crates/lockusher-aggregator-testbed/src/mixers/worker.rs
+++ b/crates/lockusher-aggregator-testbed/src/mixers/worker.rs
@@ -1,6 +1,6 @@
-//! Simulated searchers: cores, a bounded queue, service times drawn from a seed, a slow start after a cold restart and a
-//! crash on overload while warming up; draining, and answers that are late, wrong or missing. Each logs the parts that
-//! it receives.
+//! Simulated searchers: cores, a bounded queue, service times drawn from a seed, a slow start after a cold restart and
+//! a crash on overload while warming up; draining, and answers that are late, wrong or missing. Each logs the parts
+//! that it receives.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
@@ -48,8 +48,8 @@
 /// What the searcher does on all connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionAction {
-    /// Sends GOAWAY with the highest stream id, and 10 ms later, when streams in transit have arrived, with the real last
-    /// one; streams beyond it are not executed.
+    /// Sends GOAWAY with the highest stream id, and 10 ms later, when streams in transit have arrived, with the real
+    /// last one; streams beyond it are not executed.
     Graceful,
     /// Sends GOAWAY that excludes the newest `less` streams, with this code; earlier streams are still executed.
     GoAway { less: u32, code: u32 },
@@ -340,8 +340,8 @@
                 let _ = connection.out.send(Vec::new());
                 drop(connection);
                 let _ = writing.await;
-                // Reads until the client closes, since closing with unread data would reset the connection and lose the last
-                // writes.
+                // Reads until the client closes, since closing with unread data would reset the connection and lose
+                // the last writes.
                 while reader.read(&mut chunk).await? > 0 {}
                 return Ok(());
             }
