--- a/crates/lockusher-aggregator-testbed/src/stand_in/discovery.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/discovery.rs
@@ -25,10 +25,10 @@
     /// The version of the list.
     index: u64,
     /// Whether the list is a snapshot rather than a delta.
-    whole: bool,
+    snapshot: bool,
     endpoints: Vec<Value>,
     /// The behavior unless `next` has one.
-    says: DiscoveryBehavior,
+    behavior: DiscoveryBehavior,
     /// The behavior for the next calls, one each.
     next: VecDeque<DiscoveryBehavior>,
     /// The version from which the last call watched.
@@ -36,7 +36,7 @@
     /// The version from which each connection last watched.
     watchers: BTreeMap<usize, Option<u64>>,
     /// The number of connections accepted; those up to the numbers `silent` and `reset` are silent or reset.
-    came: usize,
+    accepted: usize,
     silent: usize,
     reset: usize,
     /// It does not listen.
@@ -72,13 +72,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let state = State {
             index: 1,
-            whole: true,
+            snapshot: true,
             endpoints,
-            says: DiscoveryBehavior::Lists,
+            behavior: DiscoveryBehavior::Lists,
             next: VecDeque::new(),
             watched: None,
             watchers: BTreeMap::new(),
-            came: 0,
+            accepted: 0,
             silent: 0,
             reset: 0,
             down: false,
@@ -99,8 +99,8 @@
                 if state.down {
                     return;
                 }
-                state.came += 1;
-                let (this, number) = (self.clone(), state.came);
+                state.accepted += 1;
+                let (this, number) = (self.clone(), state.accepted);
                 drop(state);
                 thread::spawn(move || this.serve(number, stream));
             }
@@ -110,20 +110,20 @@
     /// Stops answering on all open connections; new ones are answered.
     pub fn stop_answering(&self) {
         let mut state = self.state.lock().unwrap();
-        state.silent = state.came;
+        state.silent = state.accepted;
         self.changed.notify_all();
     }
 
     /// Resets all open connections; new ones are answered.
     pub fn reset_connections(&self) {
         let mut state = self.state.lock().unwrap();
-        state.reset = state.came;
+        state.reset = state.accepted;
         self.changed.notify_all();
     }
 
     /// Scripts the answers to the next calls, one each.
-    pub fn script_next(&self, says: impl IntoIterator<Item = DiscoveryBehavior>) {
-        self.state.lock().unwrap().next.extend(says);
+    pub fn script_next(&self, behavior: impl IntoIterator<Item = DiscoveryBehavior>) {
+        self.state.lock().unwrap().next.extend(behavior);
     }
 
     /// Waits until all scripted answers were used.
@@ -160,15 +160,15 @@
     }
 
     /// Publishes a list.
-    pub fn publish(&self, index: u64, whole: bool, endpoints: Vec<Value>) {
+    pub fn publish(&self, index: u64, snapshot: bool, endpoints: Vec<Value>) {
         let mut state = self.state.lock().unwrap();
-        (state.index, state.whole, state.endpoints) = (index, whole, endpoints);
+        (state.index, state.snapshot, state.endpoints) = (index, snapshot, endpoints);
         self.changed.notify_all();
     }
 
     /// Sets the behavior for calls without a scripted one.
-    pub fn set_behavior(&self, says: DiscoveryBehavior) {
-        self.state.lock().unwrap().says = says;
+    pub fn set_behavior(&self, behavior: DiscoveryBehavior) {
+        self.state.lock().unwrap().behavior = behavior;
         self.changed.notify_all();
     }
 
@@ -230,13 +230,13 @@
             let scripted = state.next.pop_front();
             self.changed.notify_all();
             // A watch waits for a newer version; one from any other version than the current one is answered at once.
-            let waiting = |state: &State| match scripted.unwrap_or(state.says) {
+            let waiting = |state: &State| match scripted.unwrap_or(state.behavior) {
                 _ if number <= state.reset => false,
                 _ if number <= state.silent => true,
                 DiscoveryBehavior::Lists => {
                     from.is_some_and(|from| from == state.index) && Instant::now() < until
                 }
-                says => says == DiscoveryBehavior::Nothing,
+                behavior => behavior == DiscoveryBehavior::Nothing,
             };
             while waiting(&state) {
                 if number <= state.silent || scripted == Some(DiscoveryBehavior::Nothing) {
@@ -254,25 +254,25 @@
                 return reset(&out);
             }
             let up_to_date = from == Some(state.index);
-            let whole = (state.whole || from.is_none()) && !up_to_date;
+            let snapshot = (state.snapshot || from.is_none()) && !up_to_date;
             let endpoints = if up_to_date {
                 &[]
             } else {
                 state.endpoints.as_slice()
             };
-            let list = json!({"index": state.index, "snapshot": whole, "endpoints": endpoints})
+            let list = json!({"index": state.index, "snapshot": snapshot, "endpoints": endpoints})
                 .to_string();
-            let says = scripted.unwrap_or(state.says);
+            let behavior = scripted.unwrap_or(state.behavior);
             drop(state);
-            let (status, body) = match says {
+            let (status, body) = match behavior {
                 DiscoveryBehavior::Nonsense => ("200 OK", "{\"index\":\"x\"}"),
                 DiscoveryBehavior::Errors => ("500 Sorry", "no"),
                 _ => ("200 OK", list.as_str()),
             };
-            if let DiscoveryBehavior::Late(by) = says {
+            if let DiscoveryBehavior::Late(by) = behavior {
                 thread::sleep(by);
             }
-            let (length, sent) = match says {
+            let (length, sent) = match behavior {
                 DiscoveryBehavior::Resets => return reset(&out),
                 DiscoveryBehavior::Half | DiscoveryBehavior::HalfReset => {
                     (format!("Content-Length: {}", body.len()), body.len() / 2)
@@ -288,7 +288,7 @@
                 &body[..sent]
             );
             if sent < body.len() {
-                if says != DiscoveryBehavior::Half {
+                if behavior != DiscoveryBehavior::Half {
                     reset(&out);
                 }
                 return;
--- a/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/http2.rs
@@ -96,9 +96,9 @@
     pub address: SocketAddr,
     script: Mutex<Arc<Script>>,
     log: Mutex<Log>,
-    says: broadcast::Sender<ConnectionAction>,
+    connection_actions: broadcast::Sender<ConnectionAction>,
     /// The limit on concurrent streams in the first SETTINGS; `None` announces none.
-    allows: Mutex<Option<u32>>,
+    max_streams: Mutex<Option<u32>>,
     /// Whether SETTINGS are acknowledged.
     acks_settings: Mutex<bool>,
 }
@@ -192,16 +192,16 @@
 
 impl Http2Searcher {
     /// Starts a searcher on a free loopback port. It lasts as long as the runtime.
-    pub async fn start(name: &str, allows: Option<u32>) -> std::io::Result<Arc<Self>> {
+    pub async fn start(name: &str, max_streams: Option<u32>) -> std::io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let (says, _) = broadcast::channel(64);
+        let (connection_actions, _) = broadcast::channel(64);
         let host = Arc::new(Http2Searcher {
             name: name.to_owned(),
             address: listener.local_addr()?,
             script: Mutex::new(Arc::new(|_| StreamAction::Good)),
             log: Mutex::default(),
-            says,
-            allows: Mutex::new(allows),
+            connection_actions,
+            max_streams: Mutex::new(max_streams),
             acks_settings: Mutex::new(true),
         });
         let this = host.clone();
@@ -209,11 +209,11 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let host = this.clone();
                 // Subscribes before serving, so that no later event is missed.
-                let says = host.says.subscribe();
+                let connection_actions = host.connection_actions.subscribe();
                 locked(&host.log).opened += 1;
                 tokio::spawn(async move {
                     // Errors of a connection concern only its client.
-                    let _ = host.clone().serve(stream, says).await;
+                    let _ = host.clone().serve(stream, connection_actions).await;
                     locked(&host.log).closed += 1;
                 });
             }
@@ -227,11 +227,11 @@
     }
 
     /// Does something on all connections.
-    pub fn perform(&self, what: ConnectionAction) {
-        if let ConnectionAction::MaxStreams(streams) = what {
-            *locked(&self.allows) = Some(streams);
+    pub fn perform(&self, action: ConnectionAction) {
+        if let ConnectionAction::MaxStreams(streams) = action {
+            *locked(&self.max_streams) = Some(streams);
         }
-        let _ = self.says.send(what);
+        let _ = self.connection_actions.send(action);
     }
 
     /// Stops acknowledging SETTINGS.
@@ -247,7 +247,7 @@
     async fn serve(
         self: Arc<Self>,
         stream: TcpStream,
-        mut says: broadcast::Receiver<ConnectionAction>,
+        mut connection_actions: broadcast::Receiver<ConnectionAction>,
     ) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let (mut reader, mut writer) = stream.into_split();
@@ -260,7 +260,7 @@
             }
             let _ = writer.shutdown().await;
         });
-        let first = match *locked(&self.allows) {
+        let first = match *locked(&self.max_streams) {
             Some(streams) => settings_frame(streams),
             None => frame(SETTINGS, 0, 0, &[]),
         };
@@ -305,7 +305,7 @@
                     final_goaway_at = None;
                     connection.go_away(connection.newest_stream, NO_ERROR);
                 }
-                event = says.recv() => match event {
+                event = connection_actions.recv() => match event {
                     Ok(ConnectionAction::Graceful) => {
                         let _ = connection.out.send(goaway_frame(MAX_STREAM_ID, NO_ERROR));
                         final_goaway_at = Some(tokio::time::Instant::now() + Duration::from_millis(10));
