--- a/crates/lockusher-aggregator-testbed/src/stand_in/world.rs
+++ b/crates/lockusher-aggregator-testbed/src/stand_in/world.rs
@@ -1,4 +1,4 @@
-//! A mixer with its world: the real program between stand-ins.
+//! A mixer with its stand-ins: the real program between them.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -14,40 +14,52 @@
 use super::LONG;
 use super::client::{Answer, Client};
 use super::discovery::Discovery;
-use super::searcher::{Act, Searcher, Seen};
+use super::searcher::{PartAction, PartRequest, Searcher};
 
-/// How the mixer of a story is set up.
+/// The setup of a mixer and its stand-ins.
 pub struct Setup {
     pub searchers: usize,
+    /// The effect of op type `look`: `safe`, `keyed` or `unsafe`.
     pub effect: &'static str,
-    /// The latency target. Before anything is measured, a part counts as late after one and a half times this.
-    pub promise_ms: u64,
-    /// How long repeats of a deduped part are dropped.
-    pub window_ms: u64,
-    /// How long clients wait in all.
+    /// The latency target. Before any latency is measured, a part counts as late after one and a half times this.
+    pub latency_target_ms: u64,
+    /// How long searchers drop duplicates of a keyed part.
+    pub dedup_window_ms: u64,
+    /// The deadline of requests.
     pub deadline_ms: u64,
+    /// Parts of the second step; 0 for none.
     pub second_step: usize,
+    /// The limit on sockets.
     pub sockets: usize,
+    /// The limit on memory.
     pub memory_mb: usize,
-    pub most_open: usize,
-    pub most_calls: usize,
-    pub most_parts: usize,
+    /// The limit on requests in flight.
+    pub max_in_flight: usize,
+    /// The limit on concurrent calls on one connection.
+    pub max_streams: usize,
+    /// The limit on parts of one call.
+    pub max_parts_per_call: usize,
+    /// The idle timeout of connections.
     pub idle_ms: u64,
+    /// The connect timeout.
     pub connect_ms: u64,
-    /// Whether it remembers the list, or has only discovery.
-    pub knows: bool,
-    /// Whether discovery must be asked, and tells nobody else.
-    pub asks: bool,
-    /// How often it must be asked at the least, then.
+    /// Whether the configuration has a known list, or the mixer depends on discovery.
+    pub has_known_list: bool,
+    /// Whether lists must be requested from discovery rather than being pushed.
+    pub lists_on_request: bool,
+    /// The greatest interval of such requests.
     pub ask_every_ms: u64,
-    /// Cells, shards that a searcher of one holds, and shards.
+    /// Cells of searchers.
     pub cells: usize,
-    pub in_a_row: usize,
+    /// Consecutive cells that hold a shard.
+    pub cells_per_shard: usize,
+    /// Shards.
     pub shards: usize,
-    /// Mixers side by side, and which of them this is.
+    /// Mixers of the fleet.
     pub mixers: usize,
+    /// The index of this mixer among them.
     pub rank: usize,
-    /// Whether there is a second op type, `once`, whose parts must not be repeated.
+    /// Whether there is a second op type, `once`, whose parts must not be retried.
     pub once: bool,
 }
 
@@ -56,22 +68,22 @@
         Setup {
             searchers: 3,
             effect: "safe",
-            promise_ms: 300,
-            window_ms: 2_000,
+            latency_target_ms: 300,
+            dedup_window_ms: 2_000,
             deadline_ms: 5_000,
             second_step: 0,
             sockets: 256,
             memory_mb: 64,
-            most_open: 500,
-            most_calls: 32,
-            most_parts: 1,
+            max_in_flight: 500,
+            max_streams: 32,
+            max_parts_per_call: 1,
             idle_ms: 15_000,
             connect_ms: 250,
-            knows: true,
-            asks: false,
+            has_known_list: true,
+            lists_on_request: false,
             ask_every_ms: 2_000,
             cells: 3,
-            in_a_row: 3,
+            cells_per_shard: 3,
             shards: 24,
             mixers: 1,
             rank: 0,
@@ -80,10 +92,11 @@
     }
 }
 
+/// The settings of a mixer, as JSON.
 pub fn settings(setup: &Setup) -> Value {
     let grade = |name: &str, effect: &str| {
-        json!({ "name": name, "promise_us": setup.promise_ms * 1000, "deadline_us": setup.deadline_ms * 1000, "effect": effect,
-            "worth": 1.0, "late_value": 1.0, "dedup_window_us": setup.window_ms * 1000 })
+        json!({ "name": name, "promise_us": setup.latency_target_ms * 1000, "deadline_us": setup.deadline_ms * 1000, "effect": effect,
+            "worth": 1.0, "late_value": 1.0, "dedup_window_us": setup.dedup_window_ms * 1000 })
     };
     let once = setup.once.then(|| grade("once", "unsafe"));
     let grades: Vec<Value> = [grade("look", setup.effect)]
@@ -93,16 +106,16 @@
     let kinds = grades.len();
     json!({
         "balancers": setup.mixers, "rank": setup.rank, "tick_us": 5000, "localities": ["here"], "locality": "here",
-        "membership_mode": if setup.asks { "on_request" } else { "pushed" }, "prices": {},
+        "membership_mode": if setup.lists_on_request { "on_request" } else { "pushed" }, "prices": {},
         "parties": [{ "name": "acme", "quota_per_s": 1000.0 }],
         "grades": grades,
         "extra": {
-            "cells": setup.cells, "in_a_row": setup.in_a_row, "slices": setup.shards, "least_share": vec![1.0; kinds], "need_by_class": vec![1.0; kinds],
-            "fetch_parts": vec![setup.second_step; kinds], "bundle_max": setup.most_parts,
+            "cells": setup.cells, "in_a_row": setup.cells_per_shard, "slices": setup.shards, "least_share": vec![1.0; kinds], "need_by_class": vec![1.0; kinds],
+            "fetch_parts": vec![setup.second_step; kinds], "bundle_max": setup.max_parts_per_call,
         },
         "limits": {
             "max_attempts": 4, "parallel_tries": setup.effect == "safe", "may_cancel": true, "probes": true, "retry_after": true,
-            "max_retry_after_us": 2_000_000, "max_open": setup.most_open, "max_streams": setup.most_calls,
+            "max_retry_after_us": 2_000_000, "max_open": setup.max_in_flight, "max_streams": setup.max_streams,
             "conn_idle_us": setup.idle_ms * 1000, "connect_timeout_us": setup.connect_ms * 1000,
         },
         "rules": { "cold_from": 0.2, "ramp_time_us": 9_000_000, "fall_multiple": 4.0, "tip_after_us": 1_000_000,
@@ -110,30 +123,31 @@
     })
 }
 
-/// The program that stories run: the mixer that cargo built beside a test, or the lab, which can be one.
+/// The program that tests run: the mixer that cargo built beside the test, or the test bed, which has a mixer command.
 fn program() -> Command {
-    let this = std::env::current_exe().expect("a path");
-    let is_lab = this
+    let executable = std::env::current_exe().expect("a path");
+    let is_testbed = executable
         .file_stem()
         .is_some_and(|stem| stem == "lockusher-aggregator-testbed");
-    let of_lab = std::env::var("CARGO_PKG_NAME")
+    let built_for_testbed = std::env::var("CARGO_PKG_NAME")
         .is_ok_and(|package| package == "lockusher-aggregator-testbed");
-    let beside = |name| {
-        this.parent()
+    let sibling = |name| {
+        executable
+            .parent()
             .and_then(Path::parent)
-            .expect("a test lies two folders deep")
+            .expect("a test binary is two directories deep")
             .join(name)
     };
-    let mut command = match (is_lab, of_lab) {
-        (true, _) => Command::new(&this),
-        (false, true) => Command::new(beside("lockusher-aggregator-testbed")),
-        (false, false) => return Command::new(beside("lockusher")),
+    let mut command = match (is_testbed, built_for_testbed) {
+        (true, _) => Command::new(&executable),
+        (false, true) => Command::new(sibling("lockusher-aggregator-testbed")),
+        (false, false) => return Command::new(sibling("lockusher")),
     };
     command.arg("mixer");
     command
 }
 
-/// A mixer of a story, as a process of its own; it ends with this.
+/// A mixer process, which is killed when this is dropped.
 pub struct Mixer {
     pub address: SocketAddr,
     child: Child,
@@ -141,8 +155,8 @@
 }
 
 impl Mixer {
-    /// Starts one with this configuration, and waits until it listens; what it says goes on to standard error, or
-    /// nowhere if it is to be `quiet`.
+    /// Starts a mixer with this configuration and waits until it listens. Its log is forwarded to standard error, or
+    /// discarded if `quiet`.
     pub fn start(config: &Value, settings: Option<&Path>, quiet: bool) -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -160,21 +174,21 @@
             .stderr(Stdio::piped())
             .spawn();
         let mut child = child.expect("the program starts");
-        let mut said = BufReader::new(child.stderr.take().expect("a pipe"));
+        let mut stderr = BufReader::new(child.stderr.take().expect("a pipe"));
         let address = loop {
             let mut line = String::new();
             assert!(
-                said.read_line(&mut line).expect("a line") > 0,
-                "it ended before it served"
+                stderr.read_line(&mut line).expect("a line") > 0,
+                "the mixer ended before it listened"
             );
-            if let Some((_, at)) = line.split_once(" serves on ") {
-                break at.trim().parse().expect("an address");
+            if let Some((_, address)) = line.split_once(" serves on ") {
+                break address.trim().parse().expect("an address");
             }
             eprint!("{line}");
         };
         thread::spawn(move || match quiet {
-            true => std::io::copy(&mut said, &mut std::io::sink()),
-            false => std::io::copy(&mut said, &mut std::io::stderr()),
+            true => std::io::copy(&mut stderr, &mut std::io::sink()),
+            false => std::io::copy(&mut stderr, &mut std::io::stderr()),
         });
         Mixer {
             address,
@@ -183,10 +197,12 @@
         }
     }
 
+    /// A new client.
     pub fn client(&self) -> Client {
         Client::to(self.address)
     }
 
+    /// Sends a GET request on a connection of its own.
     pub fn get(&self, path: &str) -> Answer {
         let mut client = self.client();
         client.write(
@@ -195,6 +211,7 @@
         client.read().expect("an answer")
     }
 
+    /// Sends a signal, given as an option of `kill`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args([name, &self.child.id().to_string()])
@@ -202,27 +219,28 @@
         assert!(sent.expect("kill").success());
     }
 
-    /// Its configuration from here on; it must be told to read it.
+    /// Rewrites the configuration file, which the mixer reads again on SIGHUP.
     pub fn configure(&self, config: &Value) {
         std::fs::write(&self.file, config.to_string()).expect("a file");
     }
 
-    /// Its process id, for what the system says of it.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Descriptors that it holds.
+    /// The number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
     fn proc(&self, file: &str) -> String {
-        std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id())).expect("it runs")
+        std::fs::read_to_string(format!("/proc/{}/{file}", self.child.id()))
+            .expect("the mixer is running")
     }
 
-    /// The most memory that it ever held, in KB.
-    pub fn most_memory(&self) -> u64 {
+    /// The peak memory of the process, in KB.
+    pub fn peak_memory_kb(&self) -> u64 {
         let status = self.proc("status");
         let line = status
             .lines()
@@ -234,7 +252,7 @@
             .expect("a number")
     }
 
-    /// The time that its main thread has had a core, in microseconds.
+    /// The CPU time of its main thread, in microseconds.
     pub fn cpu_us(&self) -> u64 {
         let stat = self.proc("schedstat");
         stat.split_whitespace()
@@ -244,11 +262,13 @@
             / 1_000
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+    /// Waits for the end of the process.
+    pub fn wait_ended(&mut self) -> ExitStatus {
+        self.child.wait().expect("the mixer ends")
     }
 
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process is running.
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_none()
     }
 }
@@ -261,16 +281,16 @@
     }
 }
 
-/// Waits until something holds.
-pub fn until(mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < LONG, "waited in vain");
+/// Waits until a condition holds.
+pub fn until(mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < LONG, "the condition did not hold in time");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A mixer with its world.
+/// A mixer with its searchers and discovery.
 pub struct World {
     pub searchers: Vec<Arc<Searcher>>,
     pub discovery: Arc<Discovery>,
@@ -279,12 +299,14 @@
     config: Value,
 }
 
+/// The entry of a searcher in the list of discovery.
 pub fn line(searcher: &Searcher, group: usize, status: &str) -> Value {
     json!({ "name": searcher.name, "address": searcher.address, "zone": "here", "type": "m", "group": group,
         "status": status, "weight": 1.0, "since_ms": 0 })
 }
 
 impl World {
+    /// Starts everything and waits until the mixer is ready.
     pub fn start(setup: Setup) -> Self {
         let searchers: Vec<_> = (0..setup.searchers)
             .map(|i| Searcher::start(&format!("s{i}")))
@@ -299,7 +321,7 @@
         let config = json!({
             "name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.address, "seed": "5eed",
             "limits": { "sockets": setup.sockets, "memory_mb": setup.memory_mb }, "settings": settings(&setup),
-            "known": if setup.knows { known } else { Value::Null },
+            "known": if setup.has_known_list { known } else { Value::Null },
         });
         let mixer = Mixer::start(&config, None, false);
         let world = World {
@@ -313,21 +335,24 @@
         world
     }
 
+    /// A new client.
     pub fn client(&self) -> Client {
         self.mixer.client()
     }
 
+    /// Sends a GET request to the mixer.
     pub fn get(&self, path: &str) -> Answer {
         self.mixer.get(path)
     }
 
-    pub fn until(&self, holds: impl FnMut() -> bool) {
-        until(holds);
+    /// Waits until a condition holds.
+    pub fn until(&self, condition: impl FnMut() -> bool) {
+        until(condition);
     }
 
-    /// All sends of parts whose ids begin so, with their searchers' names.
-    pub fn sends(&self, id: &str) -> Vec<(String, Seen)> {
-        let of = |s: &Arc<Searcher>| {
+    /// All received parts whose ids have this prefix, with the names of their searchers.
+    pub fn sends(&self, id: &str) -> Vec<(String, PartRequest)> {
+        let parts_of = |s: &Arc<Searcher>| {
             let name = s.name.clone();
             s.log()
                 .parts
@@ -335,34 +360,41 @@
                 .filter(|p| p.id.starts_with(id))
                 .map(move |p| (name.clone(), p))
         };
-        self.searchers.iter().flat_map(of).collect()
+        self.searchers.iter().flat_map(parts_of).collect()
     }
 
-    pub fn all_do(&self, script: impl Fn(&Seen) -> Act + Clone + Send + Sync + 'static) {
-        self.searchers.iter().for_each(|s| s.does(script.clone()));
+    /// Sets the script of all searchers.
+    pub fn set_all_scripts(
+        &self,
+        script: impl Fn(&PartRequest) -> PartAction + Clone + Send + Sync + 'static,
+    ) {
+        self.searchers
+            .iter()
+            .for_each(|s| s.set_script(script.clone()));
     }
 
-    /// The mixer stands still while this happens.
-    pub fn meanwhile(&self, happens: impl FnOnce()) {
+    /// Pauses the mixer while the action runs.
+    pub fn while_paused(&self, action: impl FnOnce()) {
         self.mixer.signal("-STOP");
-        happens();
+        action();
         self.mixer.signal("-CONT");
     }
 
+    /// Sends SIGTERM to the mixer.
     pub fn terminate(&self) {
         self.mixer.signal("-TERM");
     }
 
-    /// Writes this into the configuration and tells the mixer to read it again.
+    /// Changes a key of the configuration and makes the mixer read it again.
     pub fn reload(&mut self, key: &str, value: impl Into<Value>) {
         self.config[key] = value.into();
         self.mixer.configure(&self.config);
         self.mixer.signal("-HUP");
     }
 
-    /// The most memory that it ever held, in KB.
-    pub fn most_memory(&self) -> u64 {
-        self.mixer.most_memory()
+    /// The peak memory of the process, in KB.
+    pub fn peak_memory_kb(&self) -> u64 {
+        self.mixer.peak_memory_kb()
     }
 
     /// The mixer's process id.
@@ -370,11 +402,13 @@
         self.mixer.pid()
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
-        self.mixer.ended()
+    /// Waits for the end of the mixer.
+    pub fn wait_ended(&mut self) -> ExitStatus {
+        self.mixer.wait_ended()
     }
 
-    pub fn runs(&mut self) -> bool {
-        self.mixer.runs()
+    /// Whether the mixer is running.
+    pub fn is_running(&mut self) -> bool {
+        self.mixer.is_running()
     }
 }
