--- a/crates/lockusher-router-testbed/src/soak/mod.rs
+++ b/crates/lockusher-router-testbed/src/soak/mod.rs
@@ -4,7 +4,7 @@
 //! gone. The rules are checked over the whole run, and the one on recovery by its own terms.
 
 mod disturbance;
-mod player;
+mod executor;
 mod recovery;
 mod scenario;
 mod schedule;
@@ -30,7 +30,7 @@
 use crate::request::{RequestRecord, TryOutcome};
 use crate::wait::NeverCame;
 use crate::world::{World, WorldError, WorldPlan};
-use player::Player;
+use executor::Player;
 
 /// Traffic goes on for this long after the time by which service must be back.
 pub(crate) const CALM_END: Duration = Duration::from_secs(6);
