--- a/crates/lockusher-router-testbed/src/client.rs
+++ b/crates/lockusher-router-testbed/src/client.rs
@@ -14,25 +14,25 @@
 };
 
 /// How long a new connection is given to come up.
-const CONNECT_WAIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The pause before a retry that was not told when to come back.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Retries of a hasty client beyond those of others.
-const HASTY_RETRIES: u32 = 3;
+const EXTRA_RETRIES: u32 = 3;
 /// The end of an event.
 const EVENT_END: &[u8] = b"\n\n";
 
 /// Gives every try in a process an id of its own.
-static NEXT_ID: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
 /// A client; it may keep its connections.
 pub struct Client {
     clock: LabClock,
     /// How long a connection may rest before it is used again; `None`: each try opens a new one.
-    reuse_within: Option<Duration>,
+    max_idle: Option<Duration>,
     /// Doesn't wait as told, and retries at once and more often.
-    hasty: bool,
-    resting: HashMap<SocketAddr, (Connection, Instant)>,
+    ignores_backoff: bool,
+    idle: HashMap<SocketAddr, (Connection, Instant)>,
 }
 
 impl Client {
@@ -40,60 +40,60 @@
     pub fn new(clock: LabClock) -> Client {
         Client {
             clock,
-            reuse_within: None,
-            hasty: false,
-            resting: HashMap::new(),
+            max_idle: None,
+            ignores_backoff: false,
+            idle: HashMap::new(),
         }
     }
 
-    /// A client that uses connections again that have rested for no longer than `reuse_within`.
-    pub fn keeping_connections(clock: LabClock, reuse_within: Duration) -> Client {
+    /// A client that uses connections again that have rested for no longer than `max_idle`.
+    pub fn keeping_connections(clock: LabClock, max_idle: Duration) -> Client {
         Client {
-            reuse_within: Some(reuse_within),
+            max_idle: Some(max_idle),
             ..Client::new(clock)
         }
     }
 
     /// A client that doesn't wait as told, and retries at once and more often.
-    pub fn hasty(clock: LabClock) -> Client {
+    pub fn ignoring_backoff(clock: LabClock) -> Client {
         Client {
-            hasty: true,
+            ignores_backoff: true,
             ..Client::new(clock)
         }
     }
 
     /// A mixer to which a kept connection is open. It stays with its mixer until it is closed, whether or not that calls
     /// itself ready.
-    pub fn retained_front(&mut self) -> Option<SocketAddr> {
-        let most = self.reuse_within?;
-        self.resting.retain(|_, (connection, since)| {
-            since.elapsed() <= most && !connection.peer_has_closed()
+    pub fn pooled_front(&mut self) -> Option<SocketAddr> {
+        let limit = self.max_idle?;
+        self.idle.retain(|_, (connection, since)| {
+            since.elapsed() <= limit && !connection.peer_has_closed()
         });
-        self.resting.keys().next().copied()
+        self.idle.keys().next().copied()
     }
 
-    /// Sends a request, due at `due`, with its retries. `front_of` gives the address for the try of a number.
+    /// Sends a request, due at `due`, with its retries. `front_for_try` gives the address for the try of a number.
     pub fn request(
         &mut self,
         spec: &Arc<RequestSpec>,
         due: Micros,
-        mut front_of: impl FnMut(u32) -> SocketAddr,
+        mut front_for_try: impl FnMut(u32) -> SocketAddr,
     ) -> RequestRecord {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut tries: Vec<TryRecord> = Vec::new();
-        let retries = if self.hasty {
-            spec.retries + HASTY_RETRIES
+        let retries = if self.ignores_backoff {
+            spec.retries + EXTRA_RETRIES
         } else {
             spec.retries
         };
         for number in 0..=retries {
             let last_event_id = resume_after(spec, &tries);
-            let one = self.try_once(spec, front_of(number), begun, last_event_id);
-            let pause = pause_before_retry(spec, &one, begun + spec.patience());
-            tries.push(one);
-            let Some(pause) = pause else { break };
-            if !self.hasty {
-                std::thread::park_timeout(pause);
+            let current_try = self.try_once(spec, front_for_try(number), started_at, last_event_id);
+            let delay = retry_delay(spec, &current_try, started_at + spec.patience());
+            tries.push(current_try);
+            let Some(delay) = delay else { break };
+            if !self.ignores_backoff {
+                std::thread::park_timeout(delay);
             }
         }
         RequestRecord {
@@ -104,27 +104,27 @@
         }
     }
 
-    /// One try at one mixer, of a request that began at `begun`.
+    /// One try at one mixer, of a request that began at `started_at`.
     pub fn try_once(
         &mut self,
         spec: &Arc<RequestSpec>,
         front: SocketAddr,
-        begun: Instant,
+        started_at: Instant,
         last_event_id: Option<u64>,
     ) -> TryRecord {
         let request_id = format!(
             "{:016x}",
-            NEXT_ID.fetch_add(1, Ordering::Relaxed) ^ (u64::from(std::process::id()) << 32)
+            NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed) ^ (u64::from(std::process::id()) << 32)
         );
-        let give_up = begun + spec.patience();
-        let remaining = (begun + spec.deadline).saturating_duration_since(Instant::now());
+        let client_deadline = started_at + spec.patience();
+        let remaining = (started_at + spec.deadline).saturating_duration_since(Instant::now());
         let sent = self.clock.now();
         let mut surplus_before = false;
-        let outcome = match self.connect(front, give_up, &mut surplus_before) {
+        let outcome = match self.connect(front, client_deadline, &mut surplus_before) {
             Err(_) => TryOutcome::NoConnection,
             Ok(connection) => {
                 let request = spec.to_request(&request_id, remaining, last_event_id);
-                self.converse(connection, spec, front, &request, give_up)
+                self.exchange(connection, spec, front, &request, client_deadline)
             }
         };
         TryRecord {
@@ -144,55 +144,53 @@
     fn connect(
         &mut self,
         front: SocketAddr,
-        give_up: Instant,
-        surplus: &mut bool,
+        client_deadline: Instant,
+        unsolicited: &mut bool,
     ) -> Result<Connection, HttpError> {
-        if let Some((mut resting, since)) = self.resting.remove(&front) {
-            *surplus = resting.has_surplus();
-            let is_young = self
-                .reuse_within
-                .is_some_and(|most| since.elapsed() <= most);
-            if is_young && !*surplus && !resting.peer_has_closed() {
-                return Ok(resting);
+        if let Some((mut idle, since)) = self.idle.remove(&front) {
+            *unsolicited = idle.has_surplus();
+            let is_fresh = self.max_idle.is_some_and(|limit| since.elapsed() <= limit);
+            if is_fresh && !*unsolicited && !idle.peer_has_closed() {
+                return Ok(idle);
             }
         }
-        let left = give_up.saturating_duration_since(Instant::now());
-        Connection::open(front, left.min(CONNECT_WAIT))
+        let remaining = client_deadline.saturating_duration_since(Instant::now());
+        Connection::open(front, remaining.min(CONNECT_TIMEOUT))
     }
 
-    fn converse(
+    fn exchange(
         &mut self,
         mut connection: Connection,
         spec: &RequestSpec,
         front: SocketAddr,
         request: &Request,
-        give_up: Instant,
+        client_deadline: Instant,
     ) -> TryOutcome {
-        connection.set_give_up(Some(give_up));
+        connection.set_give_up(Some(client_deadline));
         if let Err(error) = connection.write(&request.to_bytes()) {
             return TryOutcome::Broken {
                 seen: None,
-                why: break_of(error),
+                why: failure_cause(error),
             };
         }
-        let head = match self.read_head(&mut connection, spec, give_up) {
+        let head = match self.read_head(&mut connection, spec, client_deadline) {
             Ok(head) => head,
             Err(error) => {
                 return TryOutcome::Broken {
                     seen: None,
-                    why: break_of(error),
+                    why: failure_cause(error),
                 };
             }
         };
-        let mut seen = seen_of(&head);
-        match self.read_body(&mut connection, spec, give_up, &mut seen) {
+        let mut seen = response_from_head(&head);
+        match self.read_body(&mut connection, spec, client_deadline, &mut seen) {
             Err(error) => TryOutcome::Broken {
                 seen: Some(seen),
-                why: break_of(error),
+                why: failure_cause(error),
             },
             Ok(()) => {
-                if self.reuse_within.is_some() && connection.may_be_reused(&head.headers) {
-                    self.resting.insert(front, (connection, Instant::now()));
+                if self.max_idle.is_some() && connection.may_be_reused(&head.headers) {
+                    self.idle.insert(front, (connection, Instant::now()));
                 }
                 TryOutcome::Whole(seen)
             }
@@ -203,9 +201,9 @@
         &self,
         connection: &mut Connection,
         spec: &RequestSpec,
-        give_up: Instant,
+        client_deadline: Instant,
     ) -> Result<AnswerHead, HttpError> {
-        connection.set_give_up(Some(patience(spec, give_up)));
+        connection.set_give_up(Some(read_deadline(spec, client_deadline)));
         connection.read_answer_head()
     }
 
@@ -213,15 +211,15 @@
         &self,
         connection: &mut Connection,
         spec: &RequestSpec,
-        give_up: Instant,
+        client_deadline: Instant,
         seen: &mut AnswerSeen,
     ) -> Result<(), HttpError> {
         let is_stream = matches!(seen.body, BodySeen::Stream { .. });
         let mut unread = Vec::new();
         loop {
-            connection.set_give_up(Some(patience(spec, give_up)));
+            connection.set_give_up(Some(read_deadline(spec, client_deadline)));
             match connection.read_piece()? {
-                Some(piece) => unread.extend_from_slice(&piece),
+                Some(chunk) => unread.extend_from_slice(&chunk),
                 None => break,
             }
             if let BodySeen::Stream {
@@ -259,11 +257,11 @@
 }
 
 /// When a read gives up: at the deadline, or for streams after the longest silence.
-fn patience(spec: &RequestSpec, give_up: Instant) -> Instant {
+fn read_deadline(spec: &RequestSpec, client_deadline: Instant) -> Instant {
     if spec.streaming {
-        give_up.min(Instant::now() + spec.longest_silence())
+        client_deadline.min(Instant::now() + spec.longest_silence())
     } else {
-        give_up
+        client_deadline
     }
 }
 
@@ -273,7 +271,7 @@
     line.and_then(|id| id.trim().parse().ok()).unwrap_or(0)
 }
 
-fn seen_of(head: &AnswerHead) -> AnswerSeen {
+fn response_from_head(head: &AnswerHead) -> AnswerSeen {
     let headers = &head.headers;
     let is_stream = headers
         .get("Content-Type")
@@ -299,7 +297,7 @@
     }
 }
 
-fn break_of(error: HttpError) -> Break {
+fn failure_cause(error: HttpError) -> Break {
     match error {
         HttpError::TimedOut => Break::GaveUp,
         HttpError::Malformed { reason } => Break::NotHttp { reason },
@@ -316,17 +314,17 @@
 }
 
 /// How long to wait before the next try; `None` when there is none.
-fn pause_before_retry(spec: &RequestSpec, last: &TryRecord, give_up: Instant) -> Option<Duration> {
+fn retry_delay(spec: &RequestSpec, last: &TryRecord, client_deadline: Instant) -> Option<Duration> {
     if last.is_success() || !may_retry(spec, last) {
         return None;
     }
-    let left = give_up.saturating_duration_since(Instant::now());
-    let told = last
+    let remaining = client_deadline.saturating_duration_since(Instant::now());
+    let retry_after = last
         .seen()
         .and_then(|seen| seen.retry_after)
-        .map(|told| told.min(left / 3));
-    let pause = told.unwrap_or(RETRY_PAUSE);
-    (pause < left).then_some(pause)
+        .map(|retry_after| retry_after.min(remaining / 3));
+    let delay = retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
+    (delay < remaining).then_some(delay)
 }
 
 fn may_retry(spec: &RequestSpec, last: &TryRecord) -> bool {
--- a/crates/lockusher-router-testbed/src/demo.rs
+++ b/crates/lockusher-router-testbed/src/demo.rs
@@ -5,20 +5,20 @@
 use derive_more::{Display, Error, From};
 
 use crate::checker::Verdict;
-use crate::deployment::mix;
+use crate::deployment::request_mix;
 use crate::figures::Figures;
 use crate::fleet::{FleetError, Role, Signal};
 use crate::load::{Load, LoadPlan};
 use crate::request::RequestRecord;
-use crate::wait::NeverCame;
+use crate::wait::WaitTimeout;
 use crate::world::{World, WorldError, WorldPlan};
 
 /// How often the live view shows a line.
-const PERIOD: Duration = Duration::from_secs(1);
+const VIEW_INTERVAL: Duration = Duration::from_secs(1);
 /// How long the operator waits for a change.
-const CHANGE_PATIENCE: Duration = Duration::from_secs(10);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Looks until a process that was told to end has ended.
-const END_TRIES: u32 = 400;
+const EXIT_POLLS: u32 = 400;
 
 /// Why the demo could not be played.
 #[derive(Debug, Display, Error, From)]
@@ -28,7 +28,7 @@
     #[display("{_0}")]
     Fleet(FleetError),
     #[display("{_0}")]
-    NeverCame(NeverCame),
+    Wait(WaitTimeout),
 }
 
 /// What is played.
@@ -38,7 +38,7 @@
     pub rate_per_second: f64,
     pub seed: u64,
     /// Whether there are troubles; without them the load runs for as long.
-    pub troubles: bool,
+    pub disturbances: bool,
     pub length: Duration,
 }
 
@@ -48,13 +48,13 @@
     pub figures: Figures,
     pub verdict: Verdict,
     /// Processes that ended although nobody ended them.
-    pub ended_by_themselves: Vec<String>,
+    pub unexpected_exits: Vec<String>,
 }
 
 impl Outcome {
     /// Whether no rule was broken and nothing ended by itself.
-    pub fn is_good(&self) -> bool {
-        self.verdict.is_clean() && self.ended_by_themselves.is_empty()
+    pub fn passed(&self) -> bool {
+        self.verdict.is_clean() && self.unexpected_exits.is_empty()
     }
 }
 
@@ -81,7 +81,7 @@
 ];
 
 /// Plays the demo and prints it line by line.
-pub fn play(plan: &DemoPlan) -> Result<Outcome, DemoError> {
+pub fn run_demo(plan: &DemoPlan) -> Result<Outcome, DemoError> {
     println!(
         "starting {} edge and {} core machines",
         plan.world.edges, plan.world.cores
@@ -96,9 +96,9 @@
     let mut view = View::default();
     for second in 0..plan.length.as_secs() {
         for step in steps_at(plan, second) {
-            take_step(&mut world, step)?;
+            run_step(&mut world, step)?;
         }
-        std::thread::park_timeout(PERIOD);
+        std::thread::park_timeout(VIEW_INTERVAL);
         view.show(second + 1, &world, &load);
     }
     let records = load.finish();
@@ -107,49 +107,49 @@
 
 fn load_plan(plan: &DemoPlan, world: &World) -> LoadPlan {
     LoadPlan {
-        kinds: mix(&world.configuration, plan.rate_per_second),
+        kinds: request_mix(&world.configuration, plan.rate_per_second),
         length: plan.length,
-        workers: workers_for(plan.rate_per_second),
+        workers: worker_count(plan.rate_per_second),
         seed: plan.seed,
-        reuse_within: Duration::from_millis(world.configuration.limits.idle_timeout_ms * 4 / 5),
+        max_idle: Duration::from_millis(world.configuration.limits.idle_timeout_ms * 4 / 5),
     }
 }
 
 /// Enough workers for two seconds of requests, so that a stall doesn't hold the load back.
-fn workers_for(rate_per_second: f64) -> usize {
-    const FEWEST: usize = 16;
-    FEWEST.max((rate_per_second * 2.0).ceil() as usize)
+fn worker_count(rate_per_second: f64) -> usize {
+    const MIN_WORKERS: usize = 16;
+    MIN_WORKERS.max((rate_per_second * 2.0).ceil() as usize)
 }
 
 fn steps_at(plan: &DemoPlan, second: u64) -> impl Iterator<Item = Step> {
-    let troubles = plan.troubles;
+    let disturbances = plan.disturbances;
     STEPS
         .into_iter()
-        .filter(move |(at, _)| troubles && *at == second)
+        .filter(move |(at, _)| disturbances && *at == second)
         .map(|(_, step)| step)
 }
 
-fn take_step(world: &mut World, step: Step) -> Result<(), DemoError> {
+fn run_step(world: &mut World, step: Step) -> Result<(), DemoError> {
     let last_core = world.fleet.control().len() - 1;
     let last_edge = world.fleet.mixers().len() - 1;
     match step {
         Step::ChangeConfiguration => change_configuration(world),
         Step::DrainSearcher => {
-            let Some(leaving) = world.models.last() else {
+            let Some(departing) = world.models.last() else {
                 return Ok(());
             };
-            let instance = leaving.identity().instance.clone();
-            leaving.drain();
+            let instance = departing.identity().instance.clone();
+            departing.drain();
             world.platform.drain(&instance);
             println!("-- searcher {instance} is draining");
         }
         Step::LoseSearcher => {
-            let Some(mut leaving) = world.models.pop() else {
+            let Some(mut departing) = world.models.pop() else {
                 return Ok(());
             };
-            leaving.stop();
-            world.platform.remove(&leaving.identity().instance);
-            println!("-- searcher {} has ended", leaving.identity().instance);
+            departing.stop();
+            world.platform.remove(&departing.identity().instance);
+            println!("-- searcher {} has ended", departing.identity().instance);
         }
         Step::KillControl => {
             world.fleet.kill(Role::Control, last_core);
@@ -166,7 +166,9 @@
             println!("-- proxy {last_edge} was sent SIGTERM");
         }
         Step::RestartProxy => {
-            let code = world.fleet.wait_ended(Role::Proxy, last_edge, END_TRIES)?;
+            let code = world
+                .fleet
+                .wait_exited(Role::Proxy, last_edge, EXIT_POLLS)?;
             world.fleet.start_proxy(last_edge, false)?;
             println!("-- proxy {last_edge} ended with {code} and starts again");
         }
@@ -181,7 +183,7 @@
                 route.timeout_ms += 1_000;
             }
         },
-        CHANGE_PATIENCE,
+        CHANGE_TIMEOUT,
     );
     println!(
         "-- configuration {}: {outcome:?}",
@@ -193,7 +195,7 @@
     Outcome {
         figures: Figures::of(&records),
         verdict: world.check(&records),
-        ended_by_themselves: world.fleet.ended_by_themselves(),
+        unexpected_exits: world.fleet.unexpected_exits(),
         records,
     }
 }
@@ -202,7 +204,7 @@
 #[derive(Default)]
 struct View {
     /// Requests that earlier lines have told of.
-    shown: usize,
+    shown_requests: usize,
 }
 
 impl View {
@@ -210,8 +212,8 @@
         "   s  ended  served refused  failed  first event p50/p99 ms  running+waiting by searcher";
 
     fn show(&mut self, second: u64, world: &World, load: &Load) {
-        let total = load.look(|records| Figures::of(&records[self.shown..]).total());
-        self.shown += total.requests as usize;
+        let total = load.inspect(|records| Figures::of(&records[self.shown_requests..]).total());
+        self.shown_requests += total.requests as usize;
         let (median, tail) = (
             total.latencies.quantile_ms(0.5),
             total.latencies.quantile_ms(0.99),
@@ -219,7 +221,7 @@
         let searchers: Vec<String> = world
             .models
             .iter()
-            .map(|model| searcher_state(&model.report()))
+            .map(|model| format_searcher(&model.report()))
             .collect();
         println!(
             "{second:>4}{:>7}{:>8}{:>8}{:>8}  {median:>10.0} /{tail:>6.0}         {}",
@@ -232,7 +234,7 @@
     }
 }
 
-fn searcher_state(report: &crate::engine::Report) -> String {
+fn format_searcher(report: &crate::engine::Report) -> String {
     let stage = &report.stage.as_str()[..1];
     format!("{stage}:{}+{}", report.running, report.waiting)
 }
--- a/crates/lockusher-router-testbed/src/deployment.rs
+++ b/crates/lockusher-router-testbed/src/deployment.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::engine::{EngineParameters, MICROS_PER_MS, Part};
-use crate::load::KindOfRequest;
+use crate::load::RequestKind;
 use crate::model_searcher::ModelParameters;
 use crate::plain_searcher::PlainParameters;
 use crate::request::RequestSpec;
@@ -155,17 +155,17 @@
 }
 
 /// The mix of the demo and the tests, at so many requests a second in all.
-pub fn mix(configuration: &Configuration, rate_per_second: f64) -> Vec<KindOfRequest> {
+pub fn request_mix(configuration: &Configuration, rate_per_second: f64) -> Vec<RequestKind> {
     let share = rate_per_second / configuration.routes.len() as f64;
     configuration
         .routes
         .iter()
         .enumerate()
-        .map(|(number, route)| kind_for(route, number as u64, share))
+        .map(|(number, route)| request_kind_for(route, number as u64, share))
         .collect()
 }
 
-fn kind_for(route: &Route, number: u64, rate_per_second: f64) -> KindOfRequest {
+fn request_kind_for(route: &Route, number: u64, rate_per_second: f64) -> RequestKind {
     const SHARED_PARTS: u64 = 6;
     const SHARED_TOKENS: u64 = 3_000;
     const OWN_TOKENS: u64 = 900;
@@ -179,7 +179,7 @@
     } else {
         Vec::new()
     };
-    KindOfRequest {
+    RequestKind {
         spec,
         rate_per_second,
         shared_parts,
--- a/crates/lockusher-router-testbed/src/figures.rs
+++ b/crates/lockusher-router-testbed/src/figures.rs
@@ -12,9 +12,9 @@
 use crate::request::RequestRecord;
 
 /// Digits to which latencies are kept.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 /// The longest latency that is told apart; longer ones count as this.
-const LONGEST: Micros = 600_000_000;
+const MAX_LATENCY_US: Micros = 600_000_000;
 const MICROS_PER_MS: f64 = 1000.0;
 
 /// Latencies in microseconds.
@@ -26,7 +26,8 @@
 impl Default for Latencies {
     fn default() -> Latencies {
         Latencies {
-            histogram: Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("valid bounds"),
+            histogram: Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .expect("valid bounds"),
         }
     }
 }
@@ -38,12 +39,12 @@
     }
 
     /// The latency in milliseconds that a share of the requests kept to.
-    pub fn quantile_ms(&self, share: f64) -> f64 {
-        self.histogram.value_at_quantile(share) as f64 / MICROS_PER_MS
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
+        self.histogram.value_at_quantile(quantile) as f64 / MICROS_PER_MS
     }
 
     /// The longest, in milliseconds.
-    pub fn longest_ms(&self) -> f64 {
+    pub fn max_ms(&self) -> f64 {
         self.histogram.max() as f64 / MICROS_PER_MS
     }
 }
@@ -54,7 +55,7 @@
     pub requests: u64,
     pub served: u64,
     /// Served within the objective.
-    pub in_time: u64,
+    pub within_target: u64,
     /// Ended with a promise that they haven't run.
     pub refused: u64,
     pub tries: u64,
@@ -68,7 +69,7 @@
         self.tries += record.tries.len() as u64;
         if let Some(latency) = record.latency() {
             self.served += 1;
-            self.in_time += u64::from(u128::from(latency) <= record.spec.aim.as_micros());
+            self.within_target += u64::from(u128::from(latency) <= record.spec.aim.as_micros());
             self.latencies.add(latency);
         } else if record
             .tries
@@ -111,7 +112,7 @@
         for kind in self.kinds.values() {
             total.requests += kind.requests;
             total.served += kind.served;
-            total.in_time += kind.in_time;
+            total.within_target += kind.within_target;
             total.refused += kind.refused;
             total.tries += kind.tries;
             total
@@ -150,14 +151,14 @@
     let counts = [
         kind.requests,
         kind.served,
-        kind.in_time,
+        kind.within_target,
         kind.refused,
         kind.failed(),
     ];
     let latencies = [
         kind.latencies.quantile_ms(0.5),
         kind.latencies.quantile_ms(0.99),
-        kind.latencies.longest_ms(),
+        kind.latencies.max_ms(),
     ];
     let counts = counts.map(|count| format!("{count:>10}")).concat();
     let latencies = latencies.map(|latency| format!("{latency:>10.1}")).concat();
--- a/crates/lockusher-router-testbed/src/fleet/mod.rs
+++ b/crates/lockusher-router-testbed/src/fleet/mod.rs
@@ -16,15 +16,15 @@
 
 use crate::entry::{MixerAddress, is_ready};
 use crate::link::Link;
-use crate::wait::{NeverCame, wait_until};
+use crate::wait::{WaitTimeout, wait_until};
 use plan::{CoreMachine, EdgeMachine, Layout};
 
 /// Looks for readiness before a fleet counts as failed: at least half a minute.
-const READY_TRIES: u32 = 600;
+const READY_POLLS: u32 = 600;
 /// Edge machines that may be seeds: so many of the first ones are linked with all other machines.
-const SEED_EDGES: usize = 3;
+const MAX_SEED_EDGES: usize = 3;
 /// How long a look for readiness waits for its answer.
-const READY_WAIT: std::time::Duration = std::time::Duration::from_millis(500);
+const READINESS_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// Why a fleet can't run.
 #[derive(Debug, Display, Error, From)]
@@ -34,14 +34,14 @@
     #[display("{_0}")]
     Program(ProgramError),
     #[display("{_0}")]
-    NeverCame(NeverCame),
+    Wait(WaitTimeout),
 }
 
 /// The processes of a fleet. They are killed when it is dropped.
 pub struct Fleet {
     layout: Layout,
-    folder: PathBuf,
-    keep_folder: bool,
+    directory: PathBuf,
+    keep_directory: bool,
     program: PathBuf,
     processes: Vec<NodeProcess>,
     links: Vec<EdgeLink>,
@@ -58,20 +58,20 @@
 
 impl Fleet {
     /// Gives every machine its addresses; no process runs yet.
-    pub fn lay_out(plan: &FleetPlan) -> Result<Fleet, FleetError> {
+    pub fn allocate(plan: &FleetPlan) -> Result<Fleet, FleetError> {
         let program = plan.program.clone().map_or_else(program, Ok)?;
         let layout = Layout::new(plan)?;
-        let folder = plan::new_folder()?;
+        let directory = plan::new_directory()?;
         let mut fleet = Fleet {
             layout,
-            folder,
-            keep_folder: false,
+            directory,
+            keep_directory: false,
             program,
             processes: Vec::new(),
             links: Vec::new(),
             agent_links: Vec::new(),
         };
-        fleet.lay_links()?;
+        fleet.start_links()?;
         Ok(fleet)
     }
 
@@ -163,17 +163,17 @@
     }
 
     /// Forgets the processes that have ended without being killed by the test, and returns them with their exit codes.
-    pub fn take_ended(&mut self) -> Vec<(ProcessId, i32)> {
-        let mut ended = Vec::new();
+    pub fn take_exited(&mut self) -> Vec<(ProcessId, i32)> {
+        let mut exited = Vec::new();
         self.processes
             .retain_mut(|process| match process.exit_code() {
                 Some(code) => {
-                    ended.push((process.id(), code));
+                    exited.push((process.id(), code));
                     false
                 }
                 None => true,
             });
-        ended
+        exited
     }
 
     /// Listens where the agents serve their proxies, which must not run.
@@ -190,7 +190,7 @@
         self.layout.seeds = seeds;
         for ProcessId { role, machine } in self.all_processes() {
             let settings = self.settings(role, machine, false);
-            process::write_settings(&self.folder, role, machine, &settings)?;
+            process::write_settings(&self.directory, role, machine, &settings)?;
         }
         Ok(())
     }
@@ -198,12 +198,12 @@
     /// Lets all settings files name seeds of a kind.
     pub fn change_seeds(&mut self, choice: SeedChoice) -> std::io::Result<()> {
         let cores = self.layout.cores.len();
-        let edges = self.layout.edges.len().min(SEED_EDGES);
+        let edges = self.layout.edges.len().min(MAX_SEED_EDGES);
         let seeds = match choice {
-            SeedChoice::Cores => (0..cores.min(SEED_EDGES)).map(Seed::Core).collect(),
+            SeedChoice::Cores => (0..cores.min(MAX_SEED_EDGES)).map(Seed::Core).collect(),
             SeedChoice::Edges => (0..edges).map(Seed::Edge).collect(),
             SeedChoice::Mixed => {
-                let edges = (0..edges.min(SEED_EDGES - 1)).map(Seed::Edge);
+                let edges = (0..edges.min(MAX_SEED_EDGES - 1)).map(Seed::Edge);
                 edges.chain([Seed::Core(cores - 1)]).collect()
             }
         };
@@ -216,20 +216,20 @@
     }
 
     /// An address for a stand-in that no machine of the fleet uses.
-    pub fn outside_address(&self, number: u8, port: u16) -> SocketAddr {
-        SocketAddr::V4(SocketAddrV4::new(self.layout.outside(number), port))
+    pub fn stand_in_address(&self, number: u8, port: u16) -> SocketAddr {
+        SocketAddr::V4(SocketAddrV4::new(self.layout.stand_in_ip(number), port))
     }
 
     /// Waits until the proxy of an edge machine calls itself ready.
-    pub fn wait_ready(&self, edge: usize) -> Result<(), NeverCame> {
+    pub fn wait_ready(&self, edge: usize) -> Result<(), WaitTimeout> {
         let readiness = self.layout.edges[edge].mixer().readiness;
-        wait_until(&format!("readiness of edge {edge}"), READY_TRIES, || {
-            is_ready(readiness, READY_WAIT)
+        wait_until(&format!("readiness of edge {edge}"), READY_POLLS, || {
+            is_ready(readiness, READINESS_TIMEOUT)
         })
     }
 
     /// Waits until all proxies call themselves ready.
-    pub fn wait_all_ready(&self) -> Result<(), NeverCame> {
+    pub fn wait_all_ready(&self) -> Result<(), WaitTimeout> {
         (0..self.layout.edges.len()).try_for_each(|edge| self.wait_ready(edge))
     }
 
@@ -261,11 +261,11 @@
     /// Kills one process and waits for its end.
     pub fn kill(&mut self, role: Role, machine: usize) {
         self.processes.retain_mut(|process| {
-            let is_it = process.is(role, machine);
-            if is_it {
+            let is_target = process.is(role, machine);
+            if is_target {
                 process.kill();
             }
-            !is_it
+            !is_target
         });
     }
 
@@ -275,53 +275,58 @@
     }
 
     /// Waits until a process has ended, then forgets it.
-    pub fn wait_ended(&mut self, role: Role, machine: usize, tries: u32) -> Result<i32, NeverCame> {
+    pub fn wait_exited(
+        &mut self,
+        role: Role,
+        machine: usize,
+        polls: u32,
+    ) -> Result<i32, WaitTimeout> {
         let state = format!("the end of {role} {machine}");
-        let code = crate::wait::wait_for(&state, tries, || self.exit_code(role, machine))?;
+        let code = crate::wait::wait_for(&state, polls, || self.exit_code(role, machine))?;
         self.processes.retain(|process| !process.is(role, machine));
         Ok(code)
     }
 
     /// Processes that have ended although nobody ended them.
-    pub fn ended_by_themselves(&mut self) -> Vec<String> {
-        let ended = self.processes.iter_mut().filter_map(|process| {
+    pub fn unexpected_exits(&mut self) -> Vec<String> {
+        let exited = self.processes.iter_mut().filter_map(|process| {
             let code = process.exit_code()?;
             Some(format!("{} ended with {code}", process.name()))
         });
-        ended.collect()
+        exited.collect()
     }
 
     /// Loses the disk of a core machine; its process must have ended.
     pub fn lose_disk(&self, core: usize) -> std::io::Result<()> {
-        let disk = self.layout.disk(core, &self.folder);
+        let disk = self.layout.disk(core, &self.directory);
         std::fs::remove_dir_all(&disk)?;
         std::fs::create_dir_all(&disk)
     }
 
     /// Cuts an edge machine off from the control plane, or joins it again.
-    pub fn set_edge_cut(&self, edge: usize, cut: bool) {
+    pub fn set_edge_partitioned(&self, edge: usize, partitioned: bool) {
         for link in self.links.iter().filter(|link| link.edge == edge) {
-            link.link.set_cut(cut);
+            link.link.set_cut(partitioned);
         }
     }
 
     /// Cuts a core machine off from all edge machines, or joins it again.
-    pub fn set_core_cut_from_edges(&self, core: usize, cut: bool) {
+    pub fn set_core_partitioned_from_edges(&self, core: usize, partitioned: bool) {
         for link in self.links.iter().filter(|link| link.core == core) {
-            link.link.set_cut(cut);
+            link.link.set_cut(partitioned);
         }
     }
 
     /// Leaves settings, logs and disks where they are when the fleet is dropped, and tells where that is.
-    pub fn keep_folder(&mut self) -> PathBuf {
-        self.keep_folder = true;
-        self.folder.clone()
+    pub fn keep_directory(&mut self) -> PathBuf {
+        self.keep_directory = true;
+        self.directory.clone()
     }
 
     /// The log of a process so far, or why it can't be read.
     pub fn log(&self, role: Role, machine: usize) -> String {
         let path = self
-            .folder
+            .directory
             .join(format!("{}.log", process::name(role, machine)));
         std::fs::read_to_string(&path)
             .unwrap_or_else(|error| format!("{}: {error}", path.display()))
@@ -331,7 +336,7 @@
         match role {
             Role::Control => self
                 .layout
-                .core_settings(machine, &self.folder, first_start),
+                .core_settings(machine, &self.directory, first_start),
             Role::Agent | Role::Proxy => self.layout.edge_settings(machine, role, first_start),
         }
     }
@@ -349,29 +354,29 @@
         settings: &str,
     ) -> Result<(), FleetError> {
         self.processes.retain(|process| !process.is(role, machine));
-        let process = NodeProcess::start(&self.program, &self.folder, role, machine, settings)?;
+        let process = NodeProcess::start(&self.program, &self.directory, role, machine, settings)?;
         self.processes.push(process);
         Ok(())
     }
 
-    fn lay_links(&mut self) -> std::io::Result<()> {
+    fn start_links(&mut self) -> std::io::Result<()> {
         for (edge, machine) in self.layout.edges.iter().enumerate() {
             for (core, target) in self.layout.cores.iter().enumerate() {
                 let link = link_between(machine, target, &self.layout)?;
                 self.links.push(EdgeLink { edge, core, link });
             }
         }
-        self.lay_agent_links()
+        self.start_agent_links()
     }
 
     /// Links every machine with the agents of the edge machines that may be seeds.
-    fn lay_agent_links(&mut self) -> std::io::Result<()> {
+    fn start_agent_links(&mut self) -> std::io::Result<()> {
         let edge_ports = self.layout.edges.iter().map(|edge| edge.internal_ports);
         let ports: Vec<u16> = edge_ports
             .chain([self.layout.core_ports])
             .map(plan::agents_port)
             .collect();
-        for seed in self.layout.edges.iter().take(SEED_EDGES) {
+        for seed in self.layout.edges.iter().take(MAX_SEED_EDGES) {
             let agent = seed.agent_address();
             for port in ports.iter().filter(|port| **port != agent.port()) {
                 let from = SocketAddr::V4(SocketAddrV4::new(seed.ip, *port));
@@ -397,14 +402,14 @@
         for process in &mut self.processes {
             process.kill();
         }
-        if self.keep_folder {
+        if self.keep_directory {
             return;
         }
         if std::thread::panicking() {
-            eprintln!("logs of the fleet are kept in {}", self.folder.display());
+            eprintln!("logs of the fleet are kept in {}", self.directory.display());
             return;
         }
         // What can't be removed from the folder for temporary files does no harm there.
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
--- a/crates/lockusher-router-testbed/src/fleet/plan.rs
+++ b/crates/lockusher-router-testbed/src/fleet/plan.rs
@@ -19,20 +19,20 @@
 /// Internal ports of core machines.
 const CORE_PORTS: (u16, u16) = (7660, 7675);
 /// Internal ports of edge machines are taken from this span, below the ports that outgoing connections use.
-const EDGE_PORTS_FROM: u16 = 10_000;
-const EDGE_PORTS_TO: u16 = 32_000;
-const PORTS_OF_EDGE: u16 = 16;
+const EDGE_PORTS_START: u16 = 10_000;
+const EDGE_PORTS_END: u16 = 32_000;
+const PORTS_PER_EDGE: u16 = 16;
 /// Last byte of the address of a network's first machine.
-const FIRST_MACHINE: u8 = 10;
+const FIRST_MACHINE_BYTE: u8 = 10;
 /// Core machines, edge machines and stand-ins have networks of their own; third bytes from that of the fleet on.
-const CORE_NETWORK: u8 = 0;
-const EDGE_NETWORK: u8 = 1;
-const OUTSIDE_NETWORK: u8 = 2;
+const CORE_NETWORK_OFFSET: u8 = 0;
+const EDGE_NETWORK_OFFSET: u8 = 1;
+const STAND_IN_NETWORK_OFFSET: u8 = 2;
 /// Positions of internal listeners in a machine's range of ports.
-const SUBSCRIPTIONS: u16 = 0;
-const AGENTS: u16 = 2;
+const SUBSCRIPTIONS_PORT_OFFSET: u16 = 0;
+const AGENTS_PORT_OFFSET: u16 = 2;
 /// Seeds that a process is told.
-const MOST_SEEDS: usize = 3;
+const MAX_SEEDS: usize = 3;
 
 /// The promises of the fleet, in the units of the settings file.
 #[derive(Clone, Debug)]
@@ -120,7 +120,7 @@
 impl EdgeMachine {
     /// Where other agents reach this one.
     pub fn agent_address(&self) -> SocketAddrV4 {
-        SocketAddrV4::new(self.ip, self.internal_ports.0 + AGENTS)
+        SocketAddrV4::new(self.ip, self.internal_ports.0 + AGENTS_PORT_OFFSET)
     }
 
     pub fn mixer(&self) -> MixerAddress {
@@ -156,12 +156,12 @@
     /// Gives every machine an address of 127.0.0.0/8 that no other fleet on this box is likely to use.
     pub fn new(plan: &FleetPlan) -> std::io::Result<Layout> {
         let network = random_network();
-        let ip = |part: u8, number: usize| {
+        let ip = |third_byte_offset: u8, number: usize| {
             Ipv4Addr::new(
                 127,
                 network.0,
-                network.1 + part,
-                FIRST_MACHINE + number as u8,
+                network.1 + third_byte_offset,
+                FIRST_MACHINE_BYTE + number as u8,
             )
         };
         let zone = |number: usize| plan.zones[number % plan.zones.len()].clone();
@@ -169,13 +169,13 @@
         for number in 0..plan.edges {
             let internal_ports = free_port_range()?;
             edges.push(EdgeMachine {
-                ip: ip(EDGE_NETWORK, number),
+                ip: ip(EDGE_NETWORK_OFFSET, number),
                 zone: zone(number),
                 internal_ports,
             });
         }
         let core = |number: usize| {
-            let ip = ip(CORE_NETWORK, number);
+            let ip = ip(CORE_NETWORK_OFFSET, number);
             CoreMachine {
                 ip,
                 zone: zone(number),
@@ -190,14 +190,14 @@
             edges,
             cores,
             core_ports: CORE_PORTS,
-            seeds: (0..plan.cores.min(MOST_SEEDS)).map(Seed::Core).collect(),
+            seeds: (0..plan.cores.min(MAX_SEEDS)).map(Seed::Core).collect(),
         })
     }
 
     /// The address of a stand-in.
-    pub fn outside(&self, number: u8) -> Ipv4Addr {
-        let third = self.network.1 + OUTSIDE_NETWORK;
-        Ipv4Addr::new(127, self.network.0, third, FIRST_MACHINE + number)
+    pub fn stand_in_ip(&self, number: u8) -> Ipv4Addr {
+        let third_byte = self.network.1 + STAND_IN_NETWORK_OFFSET;
+        Ipv4Addr::new(127, self.network.0, third_byte, FIRST_MACHINE_BYTE + number)
     }
 
     /// Where operators call a machine.
@@ -214,8 +214,8 @@
     }
 
     /// The data folder of a core machine.
-    pub fn disk(&self, core: usize, folder: &Path) -> PathBuf {
-        folder.join(format!("disk-{core}"))
+    pub fn disk(&self, core: usize, directory: &Path) -> PathBuf {
+        directory.join(format!("disk-{core}"))
     }
 
     /// The settings file of an edge machine's process.
@@ -240,7 +240,7 @@
     }
 
     /// The settings file of a core machine's process.
-    pub fn core_settings(&self, core: usize, folder: &Path, first_start: bool) -> String {
+    pub fn core_settings(&self, core: usize, directory: &Path, first_start: bool) -> String {
         let machine = &self.cores[core];
         let mut text =
             format!("node=core-{core}\nrole=control\nmachineClass=core\nserves=control_plane\n");
@@ -250,7 +250,7 @@
         push(
             &mut text,
             "dataDirectory",
-            self.disk(core, folder).display(),
+            self.disk(core, directory).display(),
         );
         self.push_machine(&mut text, machine.ip, &machine.zone, self.core_ports);
         self.push_common(&mut text, first_start);
@@ -295,7 +295,7 @@
         push(
             text,
             "cloud.address",
-            SocketAddrV4::new(self.outside(0), plan.cloud_port),
+            SocketAddrV4::new(self.stand_in_ip(0), plan.cloud_port),
         );
         push(text, "cloud.ratePerS", plan.cloud_rate_per_s);
         push(text, "cloud.duties", "");
@@ -334,47 +334,47 @@
 
 /// The port at which a machine with this range of ports looks for others' agents.
 pub(super) fn agents_port(ports: (u16, u16)) -> u16 {
-    ports.0 + AGENTS
+    ports.0 + AGENTS_PORT_OFFSET
 }
 
 /// The port at which a machine with this range of ports looks for control nodes as a subscriber.
 pub(super) fn subscriptions_port(ports: (u16, u16)) -> u16 {
-    ports.0 + SUBSCRIPTIONS
+    ports.0 + SUBSCRIPTIONS_PORT_OFFSET
 }
 
 /// Two bytes of an address, by chance.
 fn random_network() -> (u8, u8) {
-    let chance = RandomState::new().hash_one(std::process::id());
-    let [one, other, ..] = chance.to_le_bytes();
-    (one % 200 + 20, other % 80 * 3 + 1)
+    let random = RandomState::new().hash_one(std::process::id());
+    let [second_byte, third_byte, ..] = random.to_le_bytes();
+    (second_byte % 200 + 20, third_byte % 80 * 3 + 1)
 }
 
 /// Internal ports for one edge machine: free at 127.0.0.1 and not handed out in this process before.
 fn free_port_range() -> std::io::Result<(u16, u16)> {
-    static HANDED_OUT: Mutex<Option<HashSet<u16>>> = Mutex::new(None);
-    let ranges = u64::from((EDGE_PORTS_TO - EDGE_PORTS_FROM) / PORTS_OF_EDGE);
-    let mut handed_out = lock(&HANDED_OUT);
-    let handed_out = handed_out.get_or_insert_default();
+    static ALLOCATED: Mutex<Option<HashSet<u16>>> = Mutex::new(None);
+    let ranges = u64::from((EDGE_PORTS_END - EDGE_PORTS_START) / PORTS_PER_EDGE);
+    let mut allocated = lock(&ALLOCATED);
+    let allocated = allocated.get_or_insert_default();
     for attempt in 0..ranges {
-        let chance = RandomState::new().hash_one(attempt) % ranges;
-        let first = EDGE_PORTS_FROM + chance as u16 * PORTS_OF_EDGE;
+        let random = RandomState::new().hash_one(attempt) % ranges;
+        let first = EDGE_PORTS_START + random as u16 * PORTS_PER_EDGE;
         let is_free = TcpListener::bind((Ipv4Addr::LOCALHOST, first)).is_ok();
-        if is_free && handed_out.insert(first) {
-            return Ok((first, first + PORTS_OF_EDGE - 1));
+        if is_free && allocated.insert(first) {
+            return Ok((first, first + PORTS_PER_EDGE - 1));
         }
     }
     Err(std::io::Error::other("no free ports for an edge machine"))
 }
 
 /// An empty folder for settings, logs and disks.
-pub(super) fn new_folder() -> std::io::Result<PathBuf> {
+pub(super) fn new_directory() -> std::io::Result<PathBuf> {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let name = format!(
         "lockusher-fleet-{}-{}",
         std::process::id(),
         NUMBER.fetch_add(1, Ordering::SeqCst)
     );
-    let folder = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&folder)?;
-    Ok(folder)
+    let directory = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&directory)?;
+    Ok(directory)
 }
--- a/crates/lockusher-router-testbed/src/fleet/process.rs
+++ b/crates/lockusher-router-testbed/src/fleet/process.rs
@@ -7,9 +7,9 @@
 use derive_more::Display;
 
 /// The variable that names the settings file.
-const SETTINGS_VARIABLE: &str = "LOCKUSHER_NODE_FILE";
+const SETTINGS_FILE_VARIABLE: &str = "LOCKUSHER_NODE_FILE";
 /// Exit code that stands for an end by a signal.
-const ENDED_BY_SIGNAL: i32 = -1;
+const EXIT_CODE_SIGNALED: i32 = -1;
 
 /// What a process does.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
@@ -61,12 +61,12 @@
 
 /// Writes the settings file of a process; returns its path.
 pub(super) fn write_settings(
-    folder: &Path,
+    directory: &Path,
     role: Role,
     machine: usize,
     settings: &str,
 ) -> std::io::Result<PathBuf> {
-    let path = folder.join(format!("{}.conf", name(role, machine)));
+    let path = directory.join(format!("{}.conf", name(role, machine)));
     std::fs::write(&path, settings)?;
     Ok(path)
 }
@@ -82,13 +82,13 @@
     /// Writes the settings file and starts the program; its output goes to a log that is kept over restarts.
     pub(super) fn start(
         program: &Path,
-        folder: &Path,
+        directory: &Path,
         role: Role,
         machine: usize,
         settings: &str,
     ) -> std::io::Result<NodeProcess> {
         let name = name(role, machine);
-        let settings_path = write_settings(folder, role, machine, settings)?;
+        let settings_path = write_settings(directory, role, machine, settings)?;
         if let Some(disk) = settings
             .lines()
             .find_map(|line| line.strip_prefix("dataDirectory="))
@@ -98,11 +98,11 @@
         let log = OpenOptions::new()
             .create(true)
             .append(true)
-            .open(folder.join(format!("{name}.log")))?;
+            .open(directory.join(format!("{name}.log")))?;
         let child = Command::new(program)
             .arg(role.to_string())
             .env_clear()
-            .env(SETTINGS_VARIABLE, &settings_path)
+            .env(SETTINGS_FILE_VARIABLE, &settings_path)
             .env("RUST_BACKTRACE", "1")
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
@@ -143,7 +143,7 @@
 
     pub(super) fn exit_code(&mut self) -> Option<i32> {
         let status = self.child.try_wait().ok()??;
-        Some(status.code().unwrap_or(ENDED_BY_SIGNAL))
+        Some(status.code().unwrap_or(EXIT_CODE_SIGNALED))
     }
 
     pub(super) fn kill(&mut self) {
--- a/crates/lockusher-router-testbed/src/fleet/program.rs
+++ b/crates/lockusher-router-testbed/src/fleet/program.rs
@@ -25,18 +25,18 @@
 /// one; that takes moments when nothing has changed. Elsewhere it must have been built before.
 pub fn program() -> Result<PathBuf, ProgramError> {
     static PROGRAM_PATH: OnceLock<Result<PathBuf, ProgramError>> = OnceLock::new();
-    PROGRAM_PATH.get_or_init(build_and_find).clone()
+    PROGRAM_PATH.get_or_init(build_and_locate).clone()
 }
 
-fn build_and_find() -> Result<PathBuf, ProgramError> {
-    let folder = profile_folder()?;
+fn build_and_locate() -> Result<PathBuf, ProgramError> {
+    let directory = profile_directory()?;
     if let Some(cargo) = std::env::var_os("CARGO") {
         build(
             &cargo,
-            folder.file_name().is_some_and(|name| name == "release"),
+            directory.file_name().is_some_and(|name| name == "release"),
         )?;
     }
-    let path = folder.join(PROGRAM);
+    let path = directory.join(PROGRAM);
     if path.is_file() {
         Ok(path)
     } else {
@@ -45,17 +45,17 @@
 }
 
 /// The folder of the profile: of this program, or above `deps` for tests.
-fn profile_folder() -> Result<PathBuf, ProgramError> {
-    let own = std::env::current_exe().map_err(|error| ProgramError::OwnPath {
+fn profile_directory() -> Result<PathBuf, ProgramError> {
+    let own_path = std::env::current_exe().map_err(|error| ProgramError::OwnPath {
         reason: error.to_string(),
     })?;
     let no_parent = || ProgramError::OwnPath {
-        reason: own.display().to_string(),
+        reason: own_path.display().to_string(),
     };
-    let folder = own.parent().ok_or_else(no_parent)?;
-    match folder.file_name() {
-        Some(name) if name == "deps" => Ok(folder.parent().ok_or_else(no_parent)?.to_owned()),
-        _ => Ok(folder.to_owned()),
+    let directory = own_path.parent().ok_or_else(no_parent)?;
+    match directory.file_name() {
+        Some(name) if name == "deps" => Ok(directory.parent().ok_or_else(no_parent)?.to_owned()),
+        _ => Ok(directory.to_owned()),
     }
 }
 
@@ -68,11 +68,11 @@
     if release {
         command.arg("--release");
     }
-    let built = command
+    let output = command
         .output()
         .map_err(|error| failed(error.to_string()))?;
-    match built.status.success() {
+    match output.status.success() {
         true => Ok(()),
-        false => Err(failed(String::from_utf8_lossy(&built.stderr).into_owned())),
+        false => Err(failed(String::from_utf8_lossy(&output.stderr).into_owned())),
     }
 }
--- a/crates/lockusher-router-testbed/src/load.rs
+++ b/crates/lockusher-router-testbed/src/load.rs
@@ -17,13 +17,13 @@
 use crate::server::lock;
 
 /// Of the workers, each second one keeps its connections; the others open one for each request.
-const KEEPERS_ONE_IN: usize = 2;
+const KEEPS_CONNECTIONS_ONE_IN: usize = 2;
 /// Of the workers, one in so many doesn't wait as told.
-const HASTY_ONE_IN: usize = 9;
+const IGNORES_BACKOFF_ONE_IN: usize = 9;
 
 /// A kind of request and how often it comes.
 #[derive(Clone, Debug)]
-pub struct KindOfRequest {
+pub struct RequestKind {
     /// What all requests of the kind have in common; the prompt is drawn for each.
     pub spec: RequestSpec,
     pub rate_per_second: f64,
@@ -36,17 +36,17 @@
 /// What is sent.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    pub kinds: Vec<KindOfRequest>,
+    pub kinds: Vec<RequestKind>,
     pub length: Duration,
     /// Requests that are under way at once; more are late, and counted as such.
     pub workers: usize,
     pub seed: u64,
     /// How long a connection may rest before it is used again.
-    pub reuse_within: Duration,
+    pub max_idle: Duration,
 }
 
 /// A request and when it is due.
-struct Due {
+struct ScheduledRequest {
     at: Micros,
     spec: Arc<RequestSpec>,
     client_hash: u64,
@@ -54,12 +54,12 @@
 
 struct Shared {
     clock: LabClock,
-    entry: Arc<Entry>,
-    due: Vec<Due>,
+    balancer: Arc<Entry>,
+    due: Vec<ScheduledRequest>,
     next: AtomicUsize,
     stopped: AtomicBool,
     records: Mutex<Vec<RequestRecord>>,
-    reuse_within: Duration,
+    max_idle: Duration,
 }
 
 /// Load that is being sent.
@@ -70,20 +70,20 @@
 
 impl Load {
     /// Begins to send; the first request is due at once.
-    pub fn start(plan: &LoadPlan, clock: LabClock, entry: Arc<Entry>) -> Load {
+    pub fn start(plan: &LoadPlan, clock: LabClock, balancer: Arc<Entry>) -> Load {
         let due = draw(plan, clock.now());
         let shared = Arc::new(Shared {
             clock,
-            entry,
+            balancer,
             due,
             next: AtomicUsize::new(0),
             stopped: AtomicBool::new(false),
             records: Mutex::new(Vec::new()),
-            reuse_within: plan.reuse_within,
+            max_idle: plan.max_idle,
         });
         let worker = |number: usize| {
             let shared = Arc::clone(&shared);
-            std::thread::spawn(move || shared.work(number))
+            std::thread::spawn(move || shared.run_worker(number))
         };
         let workers = (0..plan.workers).map(worker).collect();
         Load { shared, workers }
@@ -100,13 +100,13 @@
     }
 
     /// How many requests have ended so far.
-    pub fn ended(&self) -> usize {
+    pub fn completed(&self) -> usize {
         lock(&self.shared.records).len()
     }
 
-    /// Runs `look` on the requests that have ended so far.
-    pub fn look<T>(&self, look: impl FnOnce(&[RequestRecord]) -> T) -> T {
-        look(&lock(&self.shared.records))
+    /// Runs `inspect` on the requests that have ended so far.
+    pub fn inspect<T>(&self, inspect: impl FnOnce(&[RequestRecord]) -> T) -> T {
+        inspect(&lock(&self.shared.records))
     }
 
     /// Sends no more; requests under way end as they would.
@@ -125,11 +125,11 @@
 }
 
 impl Shared {
-    fn work(&self, number: usize) {
-        let mut client = if number % HASTY_ONE_IN == 1 {
-            Client::hasty(self.clock)
-        } else if number.is_multiple_of(KEEPERS_ONE_IN) {
-            Client::keeping_connections(self.clock, self.reuse_within)
+    fn run_worker(&self, number: usize) {
+        let mut client = if number % IGNORES_BACKOFF_ONE_IN == 1 {
+            Client::ignoring_backoff(self.clock)
+        } else if number.is_multiple_of(KEEPS_CONNECTIONS_ONE_IN) {
+            Client::keeping_connections(self.clock, self.max_idle)
         } else {
             Client::new(self.clock)
         };
@@ -138,77 +138,78 @@
             if self.stopped.load(Ordering::SeqCst) {
                 return;
             }
-            let kept = client.retained_front();
-            let front_of = |number| {
-                kept.filter(|_| number == 0)
+            let pooled = client.pooled_front();
+            let front_for_try = |number| {
+                pooled
+                    .filter(|_| number == 0)
                     .unwrap_or_else(|| self.front(due.client_hash, number))
             };
-            let record = client.request(&due.spec, due.at, front_of);
+            let record = client.request(&due.spec, due.at, front_for_try);
             lock(&self.records).push(record);
         }
     }
 
     /// Retries reach other mixers.
     fn front(&self, client_hash: u64, number: u32) -> SocketAddr {
-        self.entry
+        self.balancer
             .choose(client_hash.wrapping_add(u64::from(number)))
     }
 
     fn wait_until(&self, at: Micros) {
-        let moment = self.clock.moment(at);
+        let instant = self.clock.moment(at);
         while !self.stopped.load(Ordering::SeqCst) {
-            let left = moment.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = instant.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return;
             }
-            std::thread::park_timeout(left);
+            std::thread::park_timeout(remaining);
         }
     }
 }
 
 /// All requests of a plan, in the order in which they are due.
-fn draw(plan: &LoadPlan, begin: Micros) -> Vec<Due> {
-    let mut chance = ChaCha8Rng::seed_from_u64(plan.seed);
+fn draw(plan: &LoadPlan, start: Micros) -> Vec<ScheduledRequest> {
+    let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut due = Vec::new();
     for kind in &plan.kinds {
-        draw_kind(kind, plan.length, begin, &mut chance, &mut due);
+        draw_kind(kind, plan.length, start, &mut rng, &mut due);
     }
-    due.sort_by_key(|one| one.at);
+    due.sort_by_key(|request| request.at);
     due
 }
 
 fn draw_kind(
-    kind: &KindOfRequest,
+    kind: &RequestKind,
     length: Duration,
-    begin: Micros,
-    chance: &mut ChaCha8Rng,
-    due: &mut Vec<Due>,
+    start: Micros,
+    rng: &mut ChaCha8Rng,
+    due: &mut Vec<ScheduledRequest>,
 ) {
     let mut seconds = 0.0;
     loop {
         // Gaps of a Poisson process; the logarithm's argument is never 0.
-        let gap = -(1.0 - chance.random::<f64>()).ln() / kind.rate_per_second;
+        let gap = -(1.0 - rng.random::<f64>()).ln() / kind.rate_per_second;
         seconds += gap;
         if seconds >= length.as_secs_f64() {
             return;
         }
-        let at = begin + (seconds * 1e6) as Micros;
-        due.push(Due {
+        let at = start + (seconds * 1e6) as Micros;
+        due.push(ScheduledRequest {
             at,
-            spec: Arc::new(draw_spec(kind, chance)),
-            client_hash: chance.random(),
+            spec: Arc::new(draw_spec(kind, rng)),
+            client_hash: rng.random(),
         });
     }
 }
 
-fn draw_spec(kind: &KindOfRequest, chance: &mut ChaCha8Rng) -> RequestSpec {
+fn draw_spec(kind: &RequestKind, rng: &mut ChaCha8Rng) -> RequestSpec {
     let mut spec = kind.spec.clone();
     if !kind.shared_parts.is_empty() {
-        let shared = kind.shared_parts[chance.random_range(0..kind.shared_parts.len())];
+        let shared = kind.shared_parts[rng.random_range(0..kind.shared_parts.len())];
         spec.prompt = vec![
             shared,
             Part {
-                id: chance.random(),
+                id: rng.random(),
                 tokens: kind.own_tokens,
             },
         ];
--- a/crates/lockusher-router-testbed/src/main.rs
+++ b/crates/lockusher-router-testbed/src/main.rs
@@ -9,18 +9,18 @@
 use derive_more::{Display, Error, From};
 use getopts::{Matches, Options};
 use lockusher_router_testbed::decisions::{TraceError, read_trace, table};
-use lockusher_router_testbed::demo::{DemoError, DemoPlan, Outcome, play};
+use lockusher_router_testbed::demo::{DemoError, DemoPlan, Outcome, run_demo};
 use lockusher_router_testbed::report::{PlotError, page};
 use lockusher_router_testbed::run_file::{Run, RunFileError};
 use lockusher_router_testbed::soak::{
-    SCENARIOS, Schedule, SoakPlan, draw_schedule, play as play_soak, scenario,
+    SCENARIOS, Schedule, SoakPlan, draw_schedule, run as run_soak, scenario,
 };
 use lockusher_router_testbed::world::WorldPlan;
 
 /// Exit code when a rule was broken or a process ended by itself.
-const BROKEN: u8 = 1;
+const EXIT_VIOLATION: u8 = 1;
 /// Exit code when nothing could be measured.
-const UNUSABLE: u8 = 2;
+const EXIT_NOT_MEASURED: u8 = 2;
 
 /// Why nothing was measured.
 #[derive(Debug, Display, Error, From)]
@@ -69,7 +69,7 @@
         Ok(code) => code,
         Err(error) => {
             eprintln!("lockusher-router-testbed: {error}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(EXIT_NOT_MEASURED)
         }
     }
 }
@@ -79,12 +79,12 @@
     let matches = options.parse(std::env::args().skip(1))?;
     let command = matches.free.first().map(String::as_str);
     if matches.opt_present("help") || command.is_none() {
-        println!("{}", options.usage(BRIEF));
+        println!("{}", options.usage(USAGE));
         return Ok(ExitCode::SUCCESS);
     }
     let outcome = match command {
-        Some("demo") => play(&plan(&matches, true, 30)?)?,
-        Some("load") => play(&plan(&matches, false, 20)?)?,
+        Some("demo") => run_demo(&plan(&matches, true, 30)?)?,
+        Some("load") => run_demo(&plan(&matches, false, 20)?)?,
         Some("soak") => return soak(&matches),
         Some("report") => return report(&matches),
         Some("decisions") => return decisions(&matches),
@@ -96,12 +96,12 @@
     };
     if let Some(path) = matches.opt_str("save") {
         let title = matches.opt_str("title").unwrap_or_else(|| "run".to_owned());
-        Run::of(&title, &outcome.records).write(Path::new(&path))?;
+        Run::from_records(&title, &outcome.records).write(Path::new(&path))?;
     }
     Ok(summary(&outcome))
 }
 
-const BRIEF: &str = "\
+const USAGE: &str = "\
 Usage: lockusher-router-testbed (demo|load|soak) [options]\n       lockusher-router-testbed report [--page FILE] RUN...\n       lockusher-router-testbed decisions LOG...
 
   demo   starts a fleet on the loopback, shows it under load and troubles, and ends by itself
@@ -207,18 +207,18 @@
             path: path.clone(),
             source,
         })?;
-        let of_log =
+        let log_sends =
             read_trace(&String::from_utf8_lossy(&log)).map_err(|source| CommandError::Trace {
                 path: path.clone(),
                 source,
             })?;
-        sends.extend(of_log);
+        sends.extend(log_sends);
     }
     print!("{}", table(&sends));
     Ok(ExitCode::SUCCESS)
 }
 
-fn plan(matches: &Matches, troubles: bool, seconds: u64) -> Result<DemoPlan, CommandError> {
+fn plan(matches: &Matches, disturbances: bool, seconds: u64) -> Result<DemoPlan, CommandError> {
     const COUNT: &str = "a whole number";
     let world = WorldPlan {
         edges: value(matches, "edges", COUNT, 2)?,
@@ -233,7 +233,7 @@
         world,
         rate_per_second: value(matches, "rate", "a number", 30.0)?,
         seed: value(matches, "seed", COUNT, 1)?,
-        troubles,
+        disturbances,
         length: Duration::from_secs(value(matches, "seconds", COUNT, seconds)?),
     })
 }
@@ -261,36 +261,36 @@
 fn soak(matches: &Matches) -> Result<ExitCode, CommandError> {
     const COUNT: &str = "a whole number";
     let demo = plan(matches, true, 20)?;
-    let closing_s: u64 = value(matches, "closing", COUNT, 14)?;
+    let outage_s: u64 = value(matches, "closing", COUNT, 14)?;
     let plan = SoakPlan {
         world: demo.world,
         rate_per_second: demo.rate_per_second,
-        closing_at: Duration::from_secs(closing_s),
+        outage_at: Duration::from_secs(outage_s),
         series: value(matches, "series", COUNT, 6)?,
     };
     let runs: u64 = value(matches, "runs", COUNT, 10)?;
     let jobs: usize = value(matches, "jobs", COUNT, 2)?;
     let schedules = schedules(matches, &plan, demo.seed, runs)?;
     let next = AtomicUsize::new(0);
-    let bad = AtomicUsize::new(0);
+    let failed = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| {
                 while let Some((name, schedule)) =
                     schedules.get(next.fetch_add(1, Ordering::SeqCst))
                 {
-                    let good = soak_run(&plan, name, schedule);
-                    bad.fetch_add(usize::from(!good), Ordering::SeqCst);
+                    let passed = print_soak_run(&plan, name, schedule);
+                    failed.fetch_add(usize::from(!passed), Ordering::SeqCst);
                 }
             });
         }
     });
-    let bad = bad.load(Ordering::SeqCst);
-    println!("runs={} bad={bad}", schedules.len());
-    Ok(if bad == 0 {
+    let failed = failed.load(Ordering::SeqCst);
+    println!("runs={} bad={failed}", schedules.len());
+    Ok(if failed == 0 {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_VIOLATION)
     })
 }
 
@@ -302,17 +302,19 @@
     runs: u64,
 ) -> Result<Vec<(&'static str, Schedule)>, CommandError> {
     let Some(name) = matches.opt_str("scenario") else {
-        let drawn = (seed..seed + runs)
-            .map(|seed| ("drawn", draw_schedule(seed, plan.series, plan.closing_at)));
-        return Ok(drawn.collect());
+        let random_schedules = (seed..seed + runs)
+            .map(|seed| ("drawn", draw_schedule(seed, plan.series, plan.outage_at)));
+        return Ok(random_schedules.collect());
     };
     if name == "all" {
         let all = SCENARIOS.iter();
-        return Ok(all.map(|one| (one.name, one.schedule(seed))).collect());
+        return Ok(all
+            .map(|scenario| (scenario.name, scenario.schedule(seed)))
+            .collect());
     }
     match scenario(&name) {
-        Some(one) => Ok((seed..seed + runs)
-            .map(|seed| (one.name, one.schedule(seed)))
+        Some(scenario) => Ok((seed..seed + runs)
+            .map(|seed| (scenario.name, scenario.schedule(seed)))
             .collect()),
         None => Err(CommandError::Value {
             option: "scenario",
@@ -323,8 +325,8 @@
 }
 
 /// Plays one run and tells of it in one go, since several are played at once.
-fn soak_run(plan: &SoakPlan, name: &str, schedule: &Schedule) -> bool {
-    let result = match play_soak(plan, schedule) {
+fn print_soak_run(plan: &SoakPlan, name: &str, schedule: &Schedule) -> bool {
+    let result = match run_soak(plan, schedule) {
         Ok(result) => result,
         Err(error) => {
             println!("{name} {schedule}\n  not played: {error}");
@@ -340,16 +342,16 @@
         .violations
         .iter()
         .map(|violation| format!("\n  broken: {violation}"));
-    let faults = result
-        .faults
+    let failures = result
+        .failures
         .iter()
-        .map(|fault| format!("\n  fault: {fault}"));
-    text.extend(violations.chain(faults));
+        .map(|failure| format!("\n  fault: {failure}"));
+    text.extend(violations.chain(failures));
     if let Some(logs) = &result.logs {
         text.push_str(&format!("\n  logs: {}", logs.display()));
     }
     println!("{text}");
-    result.is_good()
+    result.passed()
 }
 
 fn value<T: FromStr>(
@@ -373,7 +375,7 @@
     for violation in &outcome.verdict.violations {
         println!("broken: {violation}");
     }
-    for process in &outcome.ended_by_themselves {
+    for process in &outcome.unexpected_exits {
         println!("ended by itself: {process}");
     }
     let total = outcome.figures.total();
@@ -384,11 +386,11 @@
         total.refused,
         total.failed(),
         outcome.verdict.violations.len(),
-        outcome.ended_by_themselves.len()
+        outcome.unexpected_exits.len()
     );
-    if outcome.is_good() {
+    if outcome.passed() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_VIOLATION)
     }
 }
--- a/crates/lockusher-router-testbed/src/report.rs
+++ b/crates/lockusher-router-testbed/src/report.rs
@@ -18,9 +18,9 @@
 /// Shares at which latencies are plotted: 0.5, 0.75, 0.875 and so on, each halving what is left.
 const HALVINGS: i32 = 10;
 /// Shares that the table tells.
-const TOLD_SHARES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
+const TABLE_QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 /// Room above the highest value.
-const HEADROOM: f64 = 1.1;
+const Y_AXIS_MARGIN_FACTOR: f64 = 1.1;
 
 /// A plot could not be drawn.
 #[derive(Debug, Display, Error, From)]
@@ -31,15 +31,16 @@
 
 /// The page of some runs, one column each.
 pub fn page(runs: &[Run]) -> Result<String, PlotError> {
-    let highest = runs
+    let max_latency = runs
         .iter()
         .flat_map(|run| &run.samples)
         .filter_map(|sample| sample.latency)
         .max();
-    let highest_ms = (highest.unwrap_or(0) as f64 / MICROS_PER_MS).max(1.0) * HEADROOM;
+    let max_latency_ms =
+        (max_latency.unwrap_or(0) as f64 / MICROS_PER_MS).max(1.0) * Y_AXIS_MARGIN_FACTOR;
     let mut columns = String::new();
     for run in runs {
-        columns.push_str(&column(run, highest_ms)?);
+        columns.push_str(&column(run, max_latency_ms)?);
     }
     Ok(format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Load report</title>\n\
@@ -51,38 +52,38 @@
     ))
 }
 
-fn column(run: &Run, highest_ms: f64) -> Result<String, PlotError> {
-    let shares = share_plot(run, highest_ms)?;
-    let seconds = second_plot(run, highest_ms)?;
+fn column(run: &Run, max_latency_ms: f64) -> Result<String, PlotError> {
+    let quantiles = quantile_plot(run, max_latency_ms)?;
+    let seconds = time_series_plot(run, max_latency_ms)?;
     Ok(format!(
-        "<section><h2>{}</h2>\n{}{shares}\n{seconds}</section>\n",
-        escaped(&run.title),
+        "<section><h2>{}</h2>\n{}{quantiles}\n{seconds}</section>\n",
+        escape_html(&run.title),
         table(run)
     ))
 }
 
 fn table(run: &Run) -> String {
-    let heads: String = TOLD_SHARES
+    let headers: String = TABLE_QUANTILES
         .iter()
-        .map(|share| format!("<th>p{}, ms</th>", share * 100.0))
+        .map(|quantile| format!("<th>p{}, ms</th>", quantile * 100.0))
         .collect();
     let mut table =
-        format!("<table><tr><th>kind</th><th>requests</th><th>served</th>{heads}</tr>\n");
+        format!("<table><tr><th>kind</th><th>requests</th><th>served</th>{headers}</tr>\n");
     for (kind, samples) in by_kind(&run.samples) {
         let served = samples
             .iter()
             .filter(|sample| sample.latency.is_some())
             .count();
         let latencies = latencies_of(samples.iter().copied());
-        let cells: String = TOLD_SHARES
+        let cells: String = TABLE_QUANTILES
             .iter()
-            .map(|share| format!("<td>{:.1}</td>", latencies.quantile_ms(*share)))
+            .map(|quantile| format!("<td>{:.1}</td>", latencies.quantile_ms(*quantile)))
             .collect();
         // Writing to a string can't fail.
         let _ = writeln!(
             table,
             "<tr><th>{}</th><td>{}</td><td>{served}</td>{cells}</tr>",
-            escaped(kind),
+            escape_html(kind),
             samples.len()
         );
     }
@@ -91,12 +92,12 @@
 }
 
 /// Latency by the share of the requests that kept to it, the tail drawn out.
-fn share_plot(run: &Run, highest_ms: f64) -> Result<String, PlotError> {
+fn quantile_plot(run: &Run, max_latency_ms: f64) -> Result<String, PlotError> {
     let lines = by_kind(&run.samples).into_iter().map(|(kind, samples)| {
         let latencies = latencies_of(samples.iter().copied());
         let point = |halvings: i32| {
-            let share = 1.0 - 0.5_f64.powi(halvings);
-            (f64::from(halvings), latencies.quantile_ms(share))
+            let quantile = 1.0 - 0.5_f64.powi(halvings);
+            (f64::from(halvings), latencies.quantile_ms(quantile))
         };
         Line {
             name: kind.to_owned(),
@@ -106,7 +107,7 @@
     let axes = Axes {
         title: "latency, ms, by share served",
         x: 0.0..f64::from(HALVINGS),
-        y: 0.0..highest_ms,
+        y: 0.0..max_latency_ms,
     };
     plot(
         &axes,
@@ -116,7 +117,7 @@
 }
 
 /// Median and tail by the second in which requests were due.
-fn second_plot(run: &Run, highest_ms: f64) -> Result<String, PlotError> {
+fn time_series_plot(run: &Run, max_latency_ms: f64) -> Result<String, PlotError> {
     let mut seconds: BTreeMap<Micros, Vec<&Sample>> = BTreeMap::new();
     for sample in &run.samples {
         seconds
@@ -124,14 +125,14 @@
             .or_default()
             .push(sample);
     }
-    let line = |name: &str, share: f64| Line {
+    let line = |name: &str, quantile: f64| Line {
         name: name.to_owned(),
         points: seconds
             .iter()
             .map(|(second, samples)| {
                 (
                     *second as f64,
-                    latencies_of(samples.iter().copied()).quantile_ms(share),
+                    latencies_of(samples.iter().copied()).quantile_ms(quantile),
                 )
             })
             .collect(),
@@ -140,7 +141,7 @@
     let axes = Axes {
         title: "latency, ms, by second",
         x: 0.0..last,
-        y: 0.0..highest_ms,
+        y: 0.0..max_latency_ms,
     };
     plot(
         &axes,
@@ -160,9 +161,9 @@
     points: Vec<(f64, f64)>,
 }
 
-fn plot(axes: &Axes, x_name: &str, lines: &[Line]) -> Result<String, PlotError> {
+fn plot(axes: &Axes, x_label: &str, lines: &[Line]) -> Result<String, PlotError> {
     let mut svg = String::new();
-    draw(&mut svg, axes, x_name, lines).map_err(|error| PlotError {
+    draw(&mut svg, axes, x_label, lines).map_err(|error| PlotError {
         reason: error.to_string(),
     })?;
     Ok(svg)
@@ -171,7 +172,7 @@
 fn draw(
     svg: &mut String,
     axes: &Axes,
-    x_name: &str,
+    x_label: &str,
     lines: &[Line],
 ) -> Result<(), Box<dyn std::error::Error>> {
     const LABEL_AREA: u32 = 45;
@@ -182,7 +183,7 @@
         .x_label_area_size(LABEL_AREA)
         .y_label_area_size(LABEL_AREA)
         .build_cartesian_2d(axes.x.clone(), axes.y.clone())?;
-    chart.configure_mesh().x_desc(x_name).draw()?;
+    chart.configure_mesh().x_desc(x_label).draw()?;
     for (number, line) in lines.iter().enumerate() {
         let colour = Palette99::pick(number).to_rgba();
         chart
@@ -215,7 +216,7 @@
     latencies
 }
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
--- a/crates/lockusher-router-testbed/src/run_file.rs
+++ b/crates/lockusher-router-testbed/src/run_file.rs
@@ -39,11 +39,11 @@
 
 impl Run {
     /// The run of some requests; its beginning is when the first was due.
-    pub fn of(title: &str, records: &[RequestRecord]) -> Run {
-        let begun = records.iter().map(|record| record.due).min().unwrap_or(0);
+    pub fn from_records(title: &str, records: &[RequestRecord]) -> Run {
+        let start = records.iter().map(|record| record.due).min().unwrap_or(0);
         let sample = |record: &RequestRecord| Sample {
             kind: record.spec.kind.clone(),
-            due: record.due - begun,
+            due: record.due - start,
             latency: record.latency(),
         };
         Run {
@@ -69,21 +69,21 @@
             path: path.to_owned(),
             source,
         })?;
-        let content = |reason: String| RunFileError::Content {
+        let invalid = |reason: String| RunFileError::Content {
             path: path.to_owned(),
             reason,
         };
         let json: Value =
-            serde_json::from_slice(&text).map_err(|error| content(error.to_string()))?;
+            serde_json::from_slice(&text).map_err(|error| invalid(error.to_string()))?;
         let title = json["title"]
             .as_str()
-            .ok_or_else(|| content("title: expected a text".to_owned()))?;
-        let list = json["samples"]
+            .ok_or_else(|| invalid("title: expected a text".to_owned()))?;
+        let entries = json["samples"]
             .as_array()
-            .ok_or_else(|| content("samples: expected a list".to_owned()))?;
-        let samples = list.iter().enumerate().map(|(number, value)| {
-            sample_of(value)
-                .ok_or_else(|| content(format!("samples[{number}]: expected [kind, due, latency]")))
+            .ok_or_else(|| invalid("samples: expected a list".to_owned()))?;
+        let samples = entries.iter().enumerate().map(|(number, value)| {
+            parse_sample(value)
+                .ok_or_else(|| invalid(format!("samples[{number}]: expected [kind, due, latency]")))
         });
         Ok(Run {
             title: title.to_owned(),
@@ -92,7 +92,7 @@
     }
 }
 
-fn sample_of(value: &Value) -> Option<Sample> {
+fn parse_sample(value: &Value) -> Option<Sample> {
     let [kind, due, latency] = value.as_array()?.as_slice() else {
         return None;
     };
--- a/crates/lockusher-router-testbed/src/soak/disturbance.rs
+++ b/crates/lockusher-router-testbed/src/soak/disturbance.rs
@@ -58,7 +58,7 @@
 
 impl Disturbance {
     /// Whether machines of the fleet are out of touch for a while: rules that bind only machines in touch don't count then.
-    pub fn disturbs_machines(self) -> bool {
+    pub fn disconnects_machines(self) -> bool {
         use Disturbance::*;
         matches!(
             self,
--- a/crates/lockusher-router-testbed/src/soak/executor.rs
+++ b/crates/lockusher-router-testbed/src/soak/executor.rs
@@ -12,19 +12,19 @@
 
 use super::disturbance::Disturbance;
 use super::schedule::Schedule;
-use super::writer::{Order, Writer, Written};
-use super::{CALM_END, SoakError};
-use crate::deployment::mix;
+use super::writer::{Command, Writer, WriterResult};
+use super::{POST_RECOVERY_TRAFFIC, SoakError};
+use crate::deployment::request_mix;
 use crate::engine::Micros;
 use crate::fleet::{ProcessId, Role, Signal};
 use crate::load::{Load, LoadPlan};
 use crate::request::RequestRecord;
 use crate::world::World;
 
-const PARTITION: Duration = Duration::from_secs(3);
-const SLOW: Duration = Duration::from_secs(3);
-const PLATFORM_DOWN: Duration = Duration::from_secs(2);
-const BURST: Duration = Duration::from_secs(3);
+const PARTITION_DURATION: Duration = Duration::from_secs(3);
+const SLOW_DURATION: Duration = Duration::from_secs(3);
+const PLATFORM_OUTAGE_DURATION: Duration = Duration::from_secs(2);
+const BURST_DURATION: Duration = Duration::from_secs(3);
 /// How many times the usual load comes in a burst, in all.
 const BURST_FACTOR: f64 = 3.0;
 const SLOW_FACTOR: u64 = 8;
@@ -32,33 +32,33 @@
 /// Requests at each searcher that meet a fault.
 const FAULTY_REQUESTS: usize = 2;
 /// How long handles lapse at once.
-const LAPSING: Duration = Duration::from_secs(1);
+const EXPIRY: Duration = Duration::from_secs(1);
 /// How often the player looks after processes and list.
-const SUPERVISION_PERIOD: Duration = Duration::from_millis(100);
+const SUPERVISION_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What ends a disturbance, or continues it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Action {
     Begin(Disturbance),
     Start(ProcessId),
-    Wake(ProcessId),
-    /// The process was told to end, by the time given at the latest; the next of its role follows if `rolls`.
-    AwaitEnd {
+    Resume(ProcessId),
+    /// The process was told to end, by the time given at the latest; the next of its role follows if `rolling`.
+    AwaitExit {
         process: ProcessId,
         kill_at: Duration,
-        rolls: bool,
+        rolling: bool,
     },
-    JoinEdge(usize),
-    JoinCore(usize),
+    HealEdgePartition(usize),
+    HealCorePartition(usize),
     RestoreSpeed(usize),
     RestoreLinks,
-    Lapse {
+    ExpireHandles {
         until: Duration,
     },
     ReplaceModel(usize),
     /// The searcher with this instance is gone for good.
     RemoveModel(u64),
-    PlatformUp,
+    RestorePlatform,
     ReleasePorts,
 }
 
@@ -67,139 +67,138 @@
     fn concerns_processes(self) -> bool {
         matches!(
             self,
-            Action::Begin(_) | Action::Start(_) | Action::Wake(_) | Action::AwaitEnd { .. }
+            Action::Begin(_) | Action::Start(_) | Action::Resume(_) | Action::AwaitExit { .. }
         )
     }
 }
 
 /// When the closing fault came and all was back, on the clock of the requests.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ClosingTimes {
-    pub fault_at: Micros,
-    pub returned_at: Micros,
+pub(super) struct OutageTimes {
+    pub outage_at: Micros,
+    pub restored_at: Micros,
 }
 
-pub(super) struct Player<'a> {
+pub(super) struct Executor<'a> {
     world: &'a mut World,
     writer: Writer,
     rate_per_second: f64,
     grace: Duration,
-    begun: Instant,
+    started_at: Instant,
     /// What is to be done, by when and in which order it was planned.
-    plan: BTreeMap<(Duration, u64), Action>,
-    planned: u64,
+    schedule: BTreeMap<(Duration, u64), Action>,
+    scheduled_count: u64,
     bursts: Vec<Load>,
-    own_ends: Vec<String>,
+    unexpected_exits: Vec<String>,
     /// Model searchers that leave for good, by the number of their action.
-    leaving: BTreeMap<u64, String>,
+    departing: BTreeMap<u64, String>,
     /// Sockets that hold ports of the fleet.
     occupied_ports: Vec<TcpListener>,
 }
 
-impl<'a> Player<'a> {
-    pub fn new(world: &'a mut World, rate_per_second: f64, grace: Duration) -> Player<'a> {
+impl<'a> Executor<'a> {
+    pub fn new(world: &'a mut World, rate_per_second: f64, grace: Duration) -> Executor<'a> {
         let writer = Writer::start(
             std::sync::Arc::clone(&world.operator),
             world.configuration.clone(),
         );
-        Player {
+        Executor {
             world,
             writer,
             rate_per_second,
             grace,
-            begun: Instant::now(),
-            plan: BTreeMap::new(),
-            planned: 0,
+            started_at: Instant::now(),
+            schedule: BTreeMap::new(),
+            scheduled_count: 0,
             bursts: Vec::new(),
-            own_ends: Vec::new(),
-            leaving: BTreeMap::new(),
+            unexpected_exits: Vec::new(),
+            departing: BTreeMap::new(),
             occupied_ports: Vec::new(),
         }
     }
 
     /// Plays everything; returns when the traffic has ended, `length` after the start.
-    pub fn play(
-        &mut self,
-        schedule: &Schedule,
-        length: Duration,
-    ) -> Result<ClosingTimes, SoakError> {
+    pub fn run(&mut self, schedule: &Schedule, length: Duration) -> Result<OutageTimes, SoakError> {
         for step in &schedule.steps {
-            self.plan_at(step.at, Action::Begin(step.disturbance));
+            self.schedule_at(step.at, Action::Begin(step.disturbance));
         }
-        self.play_until(schedule.closing.at)?;
-        let times = self.close(schedule.closing)?;
-        self.play_until(length)?;
+        self.run_until(schedule.outage.at)?;
+        let times = self.run_outage(schedule.outage)?;
+        self.run_until(length)?;
         Ok(times)
     }
 
     /// Waits for bursts and changes; also returns what processes ended by themselves.
-    pub fn end(self) -> (Vec<RequestRecord>, Written, Vec<String>) {
+    pub fn end(self) -> (Vec<RequestRecord>, WriterResult, Vec<String>) {
         let records = self.bursts.into_iter().flat_map(Load::finish).collect();
-        (records, self.writer.end(), self.own_ends)
+        (records, self.writer.end(), self.unexpected_exits)
     }
 
     /// Does what is planned until a time, and looks after processes meanwhile.
-    fn play_until(&mut self, until: Duration) -> Result<(), SoakError> {
+    fn run_until(&mut self, until: Duration) -> Result<(), SoakError> {
         loop {
-            let next = self.plan.first_key_value().map(|((at, _), _)| *at);
+            let next = self.schedule.first_key_value().map(|((at, _), _)| *at);
             let due_at = next.unwrap_or(until).min(until);
             self.wait_until(due_at)?;
-            match self.plan.first_entry() {
-                Some(entry) if entry.key().0 <= self.begun.elapsed() => {
+            match self.schedule.first_entry() {
+                Some(entry) if entry.key().0 <= self.started_at.elapsed() => {
                     let action = entry.remove();
-                    self.act(action)?;
+                    self.execute(action)?;
                 }
-                _ if self.begun.elapsed() >= until => return Ok(()),
+                _ if self.started_at.elapsed() >= until => return Ok(()),
                 _ => {}
             }
         }
     }
 
-    fn plan_at(&mut self, at: Duration, action: Action) {
-        self.plan.insert((at, self.planned), action);
-        self.planned += 1;
+    fn schedule_at(&mut self, at: Duration, action: Action) {
+        self.schedule.insert((at, self.scheduled_count), action);
+        self.scheduled_count += 1;
     }
 
-    fn plan_in(&mut self, span: Duration, action: Action) {
-        self.plan_at(self.begun.elapsed() + span, action);
+    fn schedule_after(&mut self, delay: Duration, action: Action) {
+        self.schedule_at(self.started_at.elapsed() + delay, action);
     }
 
     fn wait_until(&mut self, at: Duration) -> Result<(), SoakError> {
         while let Some(left) = at
-            .checked_sub(self.begun.elapsed())
+            .checked_sub(self.started_at.elapsed())
             .filter(|left| !left.is_zero())
         {
-            std::thread::park_timeout(left.min(SUPERVISION_PERIOD));
+            std::thread::park_timeout(left.min(SUPERVISION_INTERVAL));
             self.supervise()?;
         }
         Ok(())
     }
 
-    fn act(&mut self, action: Action) -> Result<(), SoakError> {
+    fn execute(&mut self, action: Action) -> Result<(), SoakError> {
         match action {
             Action::Begin(disturbance) => self.begin(disturbance)?,
             Action::Start(process) => self.world.fleet.start(process, false)?,
-            Action::Wake(process) => {
+            Action::Resume(process) => {
                 self.world
                     .fleet
                     .signal(process.role, process.machine, Signal::Continue);
             }
-            Action::AwaitEnd {
+            Action::AwaitExit {
                 process,
                 kill_at,
-                rolls,
-            } => self.await_end(process, kill_at, rolls),
-            Action::JoinEdge(edge) => self.world.fleet.set_edge_cut(edge, false),
-            Action::JoinCore(core) => self.world.fleet.set_core_cut_from_edges(core, false),
+                rolling,
+            } => self.await_exit(process, kill_at, rolling),
+            Action::HealEdgePartition(edge) => self.world.fleet.set_edge_partitioned(edge, false),
+            Action::HealCorePartition(core) => self
+                .world
+                .fleet
+                .set_core_partitioned_from_edges(core, false),
             Action::RestoreSpeed(searcher) => self.set_speed(searcher, 1),
             Action::RestoreLinks => self.set_link_slow_down(1),
-            Action::Lapse { until } => self.lapse(until),
+            Action::ExpireHandles { until } => self.expire_handles(until),
             Action::ReplaceModel(position) => {
                 let position = self.model(position);
                 self.world.restart_model(position)?;
             }
             Action::RemoveModel(number) => self.remove_model(number),
-            Action::PlatformUp => self.world.platform.set_down(false),
+            Action::RestorePlatform => self.world.platform.set_down(false),
             Action::ReleasePorts => self.occupied_ports.clear(),
         }
         Ok(())
@@ -211,7 +210,9 @@
                 let machine = self.machine(role, number);
                 self.kill(ProcessId { role, machine });
             }
-            Disturbance::KillAll(role) => self.processes_of(role).for_each(|one| self.kill(one)),
+            Disturbance::KillAll(role) => self
+                .processes_of(role)
+                .for_each(|process| self.kill(process)),
             Disturbance::Freeze(role, number) => {
                 let machine = self.machine(role, number);
                 self.freeze(ProcessId { role, machine });
@@ -225,19 +226,19 @@
             }
             Disturbance::PartitionEdge(number) => {
                 let edge = self.machine(Role::Agent, number);
-                self.world.fleet.set_edge_cut(edge, true);
-                self.plan_in(PARTITION, Action::JoinEdge(edge));
+                self.world.fleet.set_edge_partitioned(edge, true);
+                self.schedule_after(PARTITION_DURATION, Action::HealEdgePartition(edge));
             }
             Disturbance::PartitionCore(number) => {
                 let core = self.machine(Role::Control, number);
-                self.world.fleet.set_core_cut_from_edges(core, true);
-                self.plan_in(PARTITION, Action::JoinCore(core));
+                self.world.fleet.set_core_partitioned_from_edges(core, true);
+                self.schedule_after(PARTITION_DURATION, Action::HealCorePartition(core));
             }
-            Disturbance::ChangeConfiguration => self.writer.order(Order::Change),
-            Disturbance::ConfigurationStorm => self.writer.order(Order::Storm),
-            Disturbance::RacingChanges => self.writer.order(Order::Race),
-            Disturbance::InvalidConfiguration => self.writer.order(Order::Invalid),
-            Disturbance::LostAcknowledgements => self.writer.order(Order::LostAcknowledgements),
+            Disturbance::ChangeConfiguration => self.writer.send(Command::Change),
+            Disturbance::ConfigurationStorm => self.writer.send(Command::Storm),
+            Disturbance::RacingChanges => self.writer.send(Command::Race),
+            Disturbance::InvalidConfiguration => self.writer.send(Command::Invalid),
+            Disturbance::LostAcknowledgements => self.writer.send(Command::LostAcknowledgements),
             Disturbance::CrashSearcher(number) => {
                 let position = self.model(number);
                 self.world.restart_model(position)?;
@@ -247,13 +248,13 @@
             Disturbance::SlowSearcher(number) => {
                 let searcher = self.model(number);
                 self.set_speed(searcher, SLOW_FACTOR);
-                self.plan_in(SLOW, Action::RestoreSpeed(searcher));
+                self.schedule_after(SLOW_DURATION, Action::RestoreSpeed(searcher));
             }
             Disturbance::SlowLinks => {
                 self.set_link_slow_down(SLOW_LINK_FACTOR);
-                self.plan_in(SLOW, Action::RestoreLinks);
+                self.schedule_after(SLOW_DURATION, Action::RestoreLinks);
             }
-            Disturbance::LapsingHandles => self.lapse(self.begun.elapsed() + LAPSING),
+            Disturbance::LapsingHandles => self.expire_handles(self.started_at.elapsed() + EXPIRY),
             Disturbance::FaultyRuns(fault) => {
                 let faults = self.world.faults();
                 faults.for_each(|faults| faults.on_runs(fault, FAULTY_REQUESTS));
@@ -264,7 +265,7 @@
             }
             Disturbance::PlatformDown => {
                 self.world.platform.set_down(true);
-                self.plan_in(PLATFORM_DOWN, Action::PlatformUp);
+                self.schedule_after(PLATFORM_OUTAGE_DURATION, Action::RestorePlatform);
             }
             Disturbance::Burst => self.burst(),
         }
@@ -274,11 +275,11 @@
     fn burst(&mut self) {
         let rate = self.rate_per_second * (BURST_FACTOR - 1.0);
         let plan = LoadPlan {
-            kinds: mix(&self.world.configuration, rate),
-            length: BURST,
+            kinds: request_mix(&self.world.configuration, rate),
+            length: BURST_DURATION,
             workers: (rate * 3.0) as usize,
-            seed: self.planned,
-            reuse_within: CALM_END,
+            seed: self.scheduled_count,
+            max_idle: POST_RECOVERY_TRAFFIC,
         };
         self.bursts.push(self.world.load(&plan));
     }
--- a/crates/lockusher-router-testbed/src/soak/mod.rs
+++ b/crates/lockusher-router-testbed/src/soak/mod.rs
@@ -18,27 +18,27 @@
 pub use disturbance::Disturbance;
 pub use recovery::{Recovery, RecoveryTimes, Served};
 pub use scenario::{SCENARIOS, Scenario, scenario};
-pub use schedule::{Closing, ClosingFault, Schedule, Step, draw_schedule};
+pub use schedule::{FinalOutage, OutageKind, Schedule, Step, draw_schedule};
 
 use crate::checker::{Rule, Violation};
-use crate::deployment::mix;
+use crate::deployment::request_mix;
 use crate::engine::Micros;
 use crate::figures::Figures;
 use crate::fleet::FleetError;
 use crate::load::LoadPlan;
 use crate::record::ArrivalOutcome;
 use crate::request::{RequestRecord, TryOutcome};
-use crate::wait::NeverCame;
+use crate::wait::WaitTimeout;
 use crate::world::{World, WorldError, WorldPlan};
-use executor::Player;
+use executor::Executor;
 
 /// Traffic goes on for this long after the time by which service must be back.
-pub(crate) const CALM_END: Duration = Duration::from_secs(6);
+pub(crate) const POST_RECOVERY_TRAFFIC: Duration = Duration::from_secs(6);
 /// Of the requests in the last part of the calm end, so many must be served.
-const RECOVERED_SHARE: f64 = 0.9;
-const RECOVERY_WINDOW: Duration = Duration::from_secs(3);
+const MIN_SERVED_SHARE: f64 = 0.9;
+const FINAL_WINDOW: Duration = Duration::from_secs(3);
 /// How long the operator asks for the configuration at the end.
-const READ_BACK_WAIT: Duration = Duration::from_secs(15);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Why a soak could not be played.
 #[derive(Debug, Display, Error, From)]
@@ -48,7 +48,7 @@
     #[display("{_0}")]
     Fleet(FleetError),
     #[display("{_0}")]
-    NeverCame(NeverCame),
+    Wait(WaitTimeout),
     #[display("{_0}")]
     Io(std::io::Error),
 }
@@ -59,7 +59,7 @@
     pub world: WorldPlan,
     pub rate_per_second: f64,
     /// When the closing fault of a drawn soak comes.
-    pub closing_at: Duration,
+    pub outage_at: Duration,
     /// Series of disturbances in a drawn soak.
     pub series: usize,
 }
@@ -72,73 +72,73 @@
     pub recovery: Recovery,
     pub violations: Vec<Violation>,
     /// What went wrong besides: service or a configuration that didn't come back, processes that ended by themselves.
-    pub faults: Vec<String>,
+    pub failures: Vec<String>,
     /// Where the processes' logs are, if they were kept.
     pub logs: Option<std::path::PathBuf>,
 }
 
 impl SoakResult {
     /// Whether nothing went wrong.
-    pub fn is_good(&self) -> bool {
-        self.violations.is_empty() && self.faults.is_empty()
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty() && self.failures.is_empty()
     }
 }
 
 /// Plays one soak.
-pub fn play(plan: &SoakPlan, schedule: &Schedule) -> Result<SoakResult, SoakError> {
+pub fn run(plan: &SoakPlan, schedule: &Schedule) -> Result<SoakResult, SoakError> {
     let bound = Duration::from_secs(plan.world.bounds.recovery_s);
-    let length = schedule.returned_at() + bound + CALM_END;
+    let length = schedule.restored_at() + bound + POST_RECOVERY_TRAFFIC;
     let mut world = World::start(&plan.world)?;
     let load = world.load(&load_plan(plan, &world, schedule.seed, length));
     let grace = Duration::from_secs(plan.world.bounds.grace_s);
-    let mut player = Player::new(&mut world, plan.rate_per_second, grace);
-    let closing = player.play(schedule, length)?;
-    let (extra, written, own_ends) = player.end();
+    let mut executor = Executor::new(&mut world, plan.rate_per_second, grace);
+    let outage = executor.run(schedule, length)?;
+    let (burst_records, configuration_result, unexpected_exits) = executor.end();
     let records = load.finish();
     let times = RecoveryTimes {
-        fault_at: closing.fault_at,
-        returned_at: closing.returned_at,
+        outage_at: outage.outage_at,
+        restored_at: outage.restored_at,
         bound,
     };
     let recovery = Recovery::of(&records, times);
-    let mut faults = broken_recovery(&records, times);
-    faults.extend(check_end(&world, &records));
-    faults.extend(own_ends);
-    faults.extend(written.check_read_back(&world.operator, READ_BACK_WAIT));
-    let records: Vec<RequestRecord> = records.into_iter().chain(extra).collect();
+    let mut failures = recovery_failures(&records, times);
+    failures.extend(final_service_failure(&world, &records));
+    failures.extend(unexpected_exits);
+    failures.extend(configuration_result.check_read_back(&world.operator, READ_BACK_TIMEOUT));
+    let records: Vec<RequestRecord> = records.into_iter().chain(burst_records).collect();
     let violations = violations(&world, &records);
-    let is_good = faults.is_empty() && violations.is_empty();
-    let logs = (!is_good).then(|| world.fleet.keep_folder());
+    let passed = failures.is_empty() && violations.is_empty();
+    let logs = (!passed).then(|| world.fleet.keep_directory());
     Ok(SoakResult {
         schedule: schedule.clone(),
         figures: Figures::of(&records),
         recovery,
         violations,
-        faults,
+        failures,
         logs,
     })
 }
 
 fn load_plan(plan: &SoakPlan, world: &World, seed: u64, length: Duration) -> LoadPlan {
     LoadPlan {
-        kinds: mix(&world.configuration, plan.rate_per_second),
+        kinds: request_mix(&world.configuration, plan.rate_per_second),
         length,
         workers: (plan.rate_per_second * 3.0) as usize,
         seed,
-        reuse_within: Duration::from_millis(world.configuration.limits.idle_timeout_ms * 4 / 5),
+        max_idle: Duration::from_millis(world.configuration.limits.idle_timeout_ms * 4 / 5),
     }
 }
 
 /// The rules that bind only machines in touch don't count: the closing fault alone puts all of them out of touch.
 fn violations(world: &World, records: &[RequestRecord]) -> Vec<Violation> {
-    let only_in_touch = [Rule::Drain, Rule::Config, Rule::Lost];
-    let mut found = world.check(records).violations;
-    found.retain(|violation| !only_in_touch.contains(&violation.rule));
-    found
+    let require_connectivity = [Rule::Drain, Rule::Config, Rule::Lost];
+    let mut violations_found = world.check(records).violations;
+    violations_found.retain(|violation| !require_connectivity.contains(&violation.rule));
+    violations_found
 }
 
 /// The rule on recovery over all requests, and by the same terms for each route.
-fn broken_recovery(records: &[RequestRecord], times: RecoveryTimes) -> Vec<String> {
+fn recovery_failures(records: &[RequestRecord], times: RecoveryTimes) -> Vec<String> {
     let routes: BTreeSet<&str> = records
         .iter()
         .map(|record| record.spec.route.as_str())
@@ -152,24 +152,24 @@
     [all]
         .into_iter()
         .chain(by_route)
-        .filter(|(_, recovery)| recovery.is_broken())
+        .filter(|(_, recovery)| recovery.is_violated())
         .map(|(route, recovery)| format!("RECOVER, {route}: {recovery}"))
         .collect()
 }
 
 /// Whether nearly all is served at the end.
-fn check_end(world: &World, records: &[RequestRecord]) -> Option<String> {
+fn final_service_failure(world: &World, records: &[RequestRecord]) -> Option<String> {
     let last = records.iter().map(|record| record.due).max()?;
-    let from = last.saturating_sub(RECOVERY_WINDOW.as_micros() as u64);
+    let from = last.saturating_sub(FINAL_WINDOW.as_micros() as u64);
     let total = Served::of(records, |due| due >= from);
     let share = total.served as f64 / total.requests.max(1) as f64;
     let unserved = records
         .iter()
         .filter(|record| record.due >= from && !record.is_served());
-    (share < RECOVERED_SHARE).then(|| {
-        let (ends, rejected) = (ends_of(unserved), rejections_since(world, from));
+    (share < MIN_SERVED_SHARE).then(|| {
+        let (outcomes, rejected) = (count_outcomes(unserved), rejections_since(world, from));
         format!(
-            "only {share:.2} of the requests at the end were served: {ends}; searchers rejected: {rejected}"
+            "only {share:.2} of the requests at the end were served: {outcomes}; searchers rejected: {rejected}"
         )
     })
 }
@@ -194,30 +194,34 @@
                 .or_default() += 1;
         }
     }
-    described(&counts)
+    format_counts(&counts)
 }
 
 /// How many requests ended how, by kind and mixer.
-fn ends_of<'a>(unserved: impl Iterator<Item = &'a RequestRecord>) -> String {
+fn count_outcomes<'a>(unserved: impl Iterator<Item = &'a RequestRecord>) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for record in unserved {
         let Some(last) = record.tries.last() else {
             continue;
         };
-        let end = match &last.outcome {
+        let outcome = match &last.outcome {
             TryOutcome::Whole(seen) => seen.status.to_string(),
             TryOutcome::NoConnection => "no connection".to_owned(),
             TryOutcome::Broken { why, .. } => format!("{why:?}"),
         };
         *counts
-            .entry(format!("{} {end} at {}", record.spec.kind, last.front.ip()))
+            .entry(format!(
+                "{} {outcome} at {}",
+                record.spec.kind,
+                last.front.ip()
+            ))
             .or_default() += 1;
     }
-    described(&counts)
+    format_counts(&counts)
 }
 
 /// What was counted, in words.
-fn described(counts: &BTreeMap<String, usize>) -> String {
+fn format_counts(counts: &BTreeMap<String, usize>) -> String {
     let parts: Vec<String> = counts
         .iter()
         .map(|(what, count)| format!("{count} x {what}"))
--- a/crates/lockusher-router-testbed/src/soak/recovery.rs
+++ b/crates/lockusher-router-testbed/src/soak/recovery.rs
@@ -8,7 +8,7 @@
 use crate::request::RequestRecord;
 
 /// The share of requests that counts as service.
-const SERVICE_RATIO: f64 = 0.25;
+const AVAILABILITY_RATIO: f64 = 0.25;
 
 /// Requests of a span, and how many of them were served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -18,18 +18,18 @@
 }
 
 impl Served {
-    /// Those of the requests that are due at the times that `is_in` admits.
-    pub fn of(records: &[RequestRecord], is_in: impl Fn(Micros) -> bool) -> Served {
-        let of_span = records.iter().filter(|record| is_in(record.due));
-        of_span.fold(Served::default(), |sum, record| Served {
+    /// Those of the requests that are due at the times that `in_span_at` admits.
+    pub fn of(records: &[RequestRecord], in_span_at: impl Fn(Micros) -> bool) -> Served {
+        let in_span = records.iter().filter(|record| in_span_at(record.due));
+        in_span.fold(Served::default(), |sum, record| Served {
             served: sum.served + usize::from(record.is_served()),
             requests: sum.requests + 1,
         })
     }
 
     /// Whether a quarter or more was served.
-    pub fn is_service(self) -> bool {
-        self.requests > 0 && self.served as f64 >= self.requests as f64 * SERVICE_RATIO
+    pub fn is_available(self) -> bool {
+        self.requests > 0 && self.served as f64 >= self.requests as f64 * AVAILABILITY_RATIO
     }
 }
 
@@ -48,16 +48,16 @@
     pub after: Served,
     /// From the return to the first request from which on a second's requests were served by a quarter at least; none if
     /// that never came.
-    pub back_after: Option<Duration>,
+    pub time_to_recovery: Option<Duration>,
 }
 
 /// Times of the closing fault on the clock of the requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RecoveryTimes {
     /// When the fault came.
-    pub fault_at: Micros,
+    pub outage_at: Micros,
     /// When all machines had returned.
-    pub returned_at: Micros,
+    pub restored_at: Micros,
     /// The bound, from the return.
     pub bound: Duration,
 }
@@ -65,17 +65,17 @@
 impl Recovery {
     /// What became of service around the closing fault.
     pub fn of(records: &[RequestRecord], times: RecoveryTimes) -> Recovery {
-        let counted_from = times.returned_at + times.bound.as_micros() as Micros;
+        let recovery_deadline = times.restored_at + times.bound.as_micros() as Micros;
         Recovery {
-            before: Served::of(records, |due| due < times.fault_at),
-            after: Served::of(records, |due| due > counted_from),
-            back_after: back_after(records, times.returned_at),
+            before: Served::of(records, |due| due < times.outage_at),
+            after: Served::of(records, |due| due > recovery_deadline),
+            time_to_recovery: time_to_recovery(records, times.restored_at),
         }
     }
 
     /// Whether the rule is broken.
-    pub fn is_broken(&self) -> bool {
-        self.before.is_service() && self.after.requests > 0 && !self.after.is_service()
+    pub fn is_violated(&self) -> bool {
+        self.before.is_available() && self.after.requests > 0 && !self.after.is_available()
     }
 }
 
@@ -83,7 +83,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Recovery { before, after, .. } = self;
         write!(formatter, "served before {before}, after {after}")?;
-        match self.back_after {
+        match self.time_to_recovery {
             Some(span) => write!(
                 formatter,
                 ", back {:.1} s after the return",
@@ -94,12 +94,13 @@
     }
 }
 
-fn back_after(records: &[RequestRecord], returned_at: Micros) -> Option<Duration> {
+fn time_to_recovery(records: &[RequestRecord], restored_at: Micros) -> Option<Duration> {
     const SECOND: Micros = 1_000_000;
     let mut due: Vec<Micros> = records.iter().map(|record| record.due).collect();
     due.sort_unstable();
-    let from = due.into_iter().filter(|due| *due >= returned_at);
-    from.into_iter()
-        .find(|from| Served::of(records, |due| due >= *from && due < from + SECOND).is_service())
-        .map(|from| Duration::from_micros(from - returned_at))
+    let starts = due.into_iter().filter(|due| *due >= restored_at);
+    starts
+        .into_iter()
+        .find(|at| Served::of(records, |due| due >= *at && due < at + SECOND).is_available())
+        .map(|start| Duration::from_micros(start - restored_at))
 }
--- a/crates/lockusher-router-testbed/src/soak/scenario.rs
+++ b/crates/lockusher-router-testbed/src/soak/scenario.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 
 use super::disturbance::Disturbance;
-use super::schedule::{Closing, ClosingFault, Schedule, Step};
+use super::schedule::{FinalOutage, OutageKind, Schedule, Step};
 use crate::fleet::{Role, SeedChoice};
 
 /// The closing fault of a scenario comes at this time.
-const CLOSING_AT: Duration = Duration::from_secs(14);
+const OUTAGE_AT: Duration = Duration::from_secs(14);
 
 /// A soak that brings about one cause.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scenario {
     pub name: &'static str,
     steps: &'static [(f64, Disturbance)],
-    fault: ClosingFault,
-    down_s: f64,
+    outage: OutageKind,
+    duration_s: f64,
     ports_occupied_s: Option<f64>,
 }
 
@@ -24,36 +24,36 @@
     Scenario {
         name: "seeds",
         steps: &[(4.0, Disturbance::ChangeSeeds(SeedChoice::Edges))],
-        fault: ClosingFault::KillAll,
-        down_s: 1.0,
+        outage: OutageKind::KillAll,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "mixed-seeds",
         steps: &[(4.0, Disturbance::ChangeSeeds(SeedChoice::Mixed))],
-        fault: ClosingFault::PowerLost,
-        down_s: 1.0,
+        outage: OutageKind::PowerLost,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "stages",
         steps: &[(3.0, Disturbance::RetireDecodeSearchers)],
-        fault: ClosingFault::KillAll,
-        down_s: 1.0,
+        outage: OutageKind::KillAll,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "attempts",
         steps: &[(10.0, Disturbance::KillAll(Role::Control))],
-        fault: ClosingFault::PowerLost,
-        down_s: 4.0,
+        outage: OutageKind::PowerLost,
+        duration_s: 4.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "ports",
         steps: &[],
-        fault: ClosingFault::KillAll,
-        down_s: 1.0,
+        outage: OutageKind::KillAll,
+        duration_s: 1.0,
         ports_occupied_s: Some(5.0),
     },
     Scenario {
@@ -62,22 +62,22 @@
             (8.0, Disturbance::LoseDisk(0)),
             (13.0, Disturbance::Freeze(Role::Control, 1)),
         ],
-        fault: ClosingFault::KillAll,
-        down_s: 1.0,
+        outage: OutageKind::KillAll,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "disk",
         steps: &[(13.5, Disturbance::ConfigurationStorm)],
-        fault: ClosingFault::DisksLost,
-        down_s: 1.0,
+        outage: OutageKind::DisksLost,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "list",
         steps: &[(13.9, Disturbance::PlatformDown)],
-        fault: ClosingFault::KillAll,
-        down_s: 0.3,
+        outage: OutageKind::KillAll,
+        duration_s: 0.3,
         ports_occupied_s: None,
     },
     Scenario {
@@ -88,8 +88,8 @@
             (13.7, Disturbance::CrashSearcher(2)),
             (13.8, Disturbance::CrashSearcher(3)),
         ],
-        fault: ClosingFault::KillAll,
-        down_s: 0.5,
+        outage: OutageKind::KillAll,
+        duration_s: 0.5,
         ports_occupied_s: None,
     },
     Scenario {
@@ -98,8 +98,8 @@
             (12.0, Disturbance::PartitionEdge(0)),
             (13.0, Disturbance::Freeze(Role::Proxy, 1)),
         ],
-        fault: ClosingFault::PowerLost,
-        down_s: 3.0,
+        outage: OutageKind::PowerLost,
+        duration_s: 3.0,
         ports_occupied_s: None,
     },
 ];
@@ -119,10 +119,10 @@
         Schedule {
             seed,
             steps: steps.collect(),
-            closing: Closing {
-                fault: self.fault,
-                at: CLOSING_AT,
-                down: Duration::from_secs_f64(self.down_s),
+            outage: FinalOutage {
+                kind: self.outage,
+                at: OUTAGE_AT,
+                duration: Duration::from_secs_f64(self.duration_s),
                 ports_occupied: self.ports_occupied_s.map(Duration::from_secs_f64),
             },
         }
--- a/crates/lockusher-router-testbed/src/soak/schedule.rs
+++ b/crates/lockusher-router-testbed/src/soak/schedule.rs
@@ -17,13 +17,13 @@
 /// The first disturbance begins this long after the traffic, in seconds.
 const FIRST_DISTURBANCE_S: f64 = 2.0;
 /// The last one begins this long before the closing fault, in seconds.
-const LAST_BEFORE_CLOSING_S: f64 = 0.1;
+const LAST_DISTURBANCE_BEFORE_OUTAGE_S: f64 = 0.1;
 /// Disturbances of one series are this far apart, in seconds.
 const SERIES_GAP_S: std::ops::Range<f64> = 0.1..1.5;
 /// How many disturbances a series has.
 const SERIES_LENGTH: std::ops::RangeInclusive<usize> = 1..=5;
 /// For how long everything is gone, in seconds.
-const DOWN_S: std::ops::Range<f64> = 0.3..4.0;
+const OUTAGE_DURATION_S: std::ops::Range<f64> = 0.3..4.0;
 
 /// A disturbance and when it begins, counted from the start of the traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,21 +34,21 @@
 
 /// The fault that takes everything at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClosingFault {
+pub enum OutageKind {
     /// Every process is killed; the machines answer connections with resets.
     KillAll,
     /// Every machine goes silent; its processes are gone when it returns.
     PowerLost,
-    /// Like [`ClosingFault::PowerLost`]; as many control nodes as may be lost come back with empty disks.
+    /// Like [`OutageKind::PowerLost`]; as many control nodes as may be lost come back with empty disks.
     DisksLost,
 }
 
 /// When everything is gone, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Closing {
-    pub fault: ClosingFault,
+pub struct FinalOutage {
+    pub kind: OutageKind,
     pub at: Duration,
-    pub down: Duration,
+    pub duration: Duration,
     /// How long after the return a foreign socket holds the port at which each agent serves its proxy.
     pub ports_occupied: Option<Duration>,
 }
@@ -58,13 +58,13 @@
 pub struct Schedule {
     pub seed: u64,
     pub steps: Vec<Step>,
-    pub closing: Closing,
+    pub outage: FinalOutage,
 }
 
 impl Schedule {
     /// When all machines have returned.
-    pub fn returned_at(&self) -> Duration {
-        self.closing.at + self.closing.down
+    pub fn restored_at(&self) -> Duration {
+        self.outage.at + self.outage.duration
     }
 }
 
@@ -75,33 +75,33 @@
             let at = step.at.as_secs_f64();
             write!(formatter, " {at:.2}s {:?}", step.disturbance)?;
         }
-        let Closing {
-            fault, at, down, ..
-        } = self.closing;
-        let (at, down) = (at.as_secs_f64(), down.as_secs_f64());
-        write!(formatter, " {at:.2}s {fault:?} for {down:.2}s")
+        let FinalOutage {
+            kind, at, duration, ..
+        } = self.outage;
+        let (at, duration) = (at.as_secs_f64(), duration.as_secs_f64());
+        write!(formatter, " {at:.2}s {kind:?} for {duration:.2}s")
     }
 }
 
-/// Draws the soak of a seed, whose closing fault comes `closing_at` after the start of the traffic.
-pub fn draw_schedule(seed: u64, series: usize, closing_at: Duration) -> Schedule {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let closing = Closing {
-        fault: draw_closing_fault(&mut random),
-        at: closing_at,
-        down: Duration::from_secs_f64(random.random_range(DOWN_S)),
+/// Draws the soak of a seed, whose closing fault comes `outage_at` after the start of the traffic.
+pub fn draw_schedule(seed: u64, series: usize, outage_at: Duration) -> Schedule {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let outage = FinalOutage {
+        kind: draw_outage_kind(&mut rng),
+        at: outage_at,
+        duration: Duration::from_secs_f64(rng.random_range(OUTAGE_DURATION_S)),
         ports_occupied: None,
     };
     let mut steps = Vec::new();
     for _ in 0..series {
-        steps.extend(draw_series(&mut random, closing_at));
+        steps.extend(draw_series(&mut rng, outage_at));
     }
     // A lost disk and those of the closing fault would be more than are tolerated.
-    let mut disks_left = usize::from(closing.fault != ClosingFault::DisksLost);
+    let mut remaining_disk_losses = usize::from(outage.kind != OutageKind::DisksLost);
     steps.retain(|step| match step.disturbance {
-        Disturbance::LoseDisk(_) if disks_left == 0 => false,
+        Disturbance::LoseDisk(_) if remaining_disk_losses == 0 => false,
         Disturbance::LoseDisk(_) => {
-            disks_left -= 1;
+            remaining_disk_losses -= 1;
             true
         }
         _ => true,
@@ -110,44 +110,45 @@
     Schedule {
         seed,
         steps,
-        closing,
+        outage,
     }
 }
 
-fn draw_closing_fault(random: &mut ChaCha8Rng) -> ClosingFault {
+fn draw_outage_kind(rng: &mut ChaCha8Rng) -> OutageKind {
     let faults = [
-        ClosingFault::KillAll,
-        ClosingFault::PowerLost,
-        ClosingFault::DisksLost,
+        OutageKind::KillAll,
+        OutageKind::PowerLost,
+        OutageKind::DisksLost,
     ];
-    *faults.choose(random).unwrap_or(&ClosingFault::KillAll)
+    *faults.choose(rng).unwrap_or(&OutageKind::KillAll)
 }
 
-fn draw_series(random: &mut ChaCha8Rng, closing_at: Duration) -> Vec<Step> {
-    let last_s = (closing_at.as_secs_f64() - LAST_BEFORE_CLOSING_S).max(FIRST_DISTURBANCE_S + 0.1);
+fn draw_series(rng: &mut ChaCha8Rng, outage_at: Duration) -> Vec<Step> {
+    let last_s =
+        (outage_at.as_secs_f64() - LAST_DISTURBANCE_BEFORE_OUTAGE_S).max(FIRST_DISTURBANCE_S + 0.1);
     // The later ones are more likely to run into the closing fault.
-    let begin_s = random
+    let begin_s = rng
         .random_range(FIRST_DISTURBANCE_S..last_s)
-        .max(random.random_range(FIRST_DISTURBANCE_S..last_s));
-    let gap_s = random.random_range(SERIES_GAP_S);
-    let first = draw_disturbance(random);
-    let length = if comes_once(first) {
+        .max(rng.random_range(FIRST_DISTURBANCE_S..last_s));
+    let gap_s = rng.random_range(SERIES_GAP_S);
+    let first = draw_disturbance(rng);
+    let length = if is_not_repeated(first) {
         1
     } else {
-        random.random_range(SERIES_LENGTH)
+        rng.random_range(SERIES_LENGTH)
     };
     let at = |number: usize| begin_s + number as f64 * gap_s;
     (0..length)
         .map(|number| Step {
             at: Duration::from_secs_f64(at(number)),
-            disturbance: with_next_number(first, number),
+            disturbance: with_target_offset(first, number),
         })
         .filter(|step| step.at.as_secs_f64() < last_s)
         .collect()
 }
 
 /// Whether a series of it makes no sense: it takes long, or leaves nothing for a second one.
-fn comes_once(disturbance: Disturbance) -> bool {
+fn is_not_repeated(disturbance: Disturbance) -> bool {
     use Disturbance::*;
     matches!(
         disturbance,
@@ -156,41 +157,41 @@
 }
 
 /// The same disturbance of the machine or searcher that is so many further on.
-fn with_next_number(first: Disturbance, further: usize) -> Disturbance {
+fn with_target_offset(first: Disturbance, offset: usize) -> Disturbance {
     use Disturbance::*;
     match first {
-        Kill(role, number) => Kill(role, number + further),
-        Freeze(role, number) => Freeze(role, number + further),
-        PartitionEdge(number) => PartitionEdge(number + further),
-        PartitionCore(number) => PartitionCore(number + further),
-        CrashSearcher(number) => CrashSearcher(number + further),
-        ReleaseSearcher(number) => ReleaseSearcher(number + further),
-        SlowSearcher(number) => SlowSearcher(number + further),
+        Kill(role, number) => Kill(role, number + offset),
+        Freeze(role, number) => Freeze(role, number + offset),
+        PartitionEdge(number) => PartitionEdge(number + offset),
+        PartitionCore(number) => PartitionCore(number + offset),
+        CrashSearcher(number) => CrashSearcher(number + offset),
+        ReleaseSearcher(number) => ReleaseSearcher(number + offset),
+        SlowSearcher(number) => SlowSearcher(number + offset),
         other => other,
     }
 }
 
-fn draw_role(random: &mut ChaCha8Rng) -> Role {
+fn draw_role(rng: &mut ChaCha8Rng) -> Role {
     let roles = [Role::Proxy, Role::Agent, Role::Control];
-    *roles.choose(random).unwrap_or(&Role::Control)
+    *roles.choose(rng).unwrap_or(&Role::Control)
 }
 
-fn draw_seed_choice(random: &mut ChaCha8Rng) -> SeedChoice {
+fn draw_seed_choice(rng: &mut ChaCha8Rng) -> SeedChoice {
     let choices = [SeedChoice::Cores, SeedChoice::Mixed, SeedChoice::Edges];
-    *choices.choose(random).unwrap_or(&SeedChoice::Cores)
+    *choices.choose(rng).unwrap_or(&SeedChoice::Cores)
 }
 
-fn draw_disturbance(random: &mut ChaCha8Rng) -> Disturbance {
+fn draw_disturbance(rng: &mut ChaCha8Rng) -> Disturbance {
     const KINDS: u32 = 28;
-    let number = random.random_range(0..64);
-    match random.random_range(0..KINDS) {
-        0..=2 => Disturbance::Kill(draw_role(random), number),
-        3..=5 => Disturbance::KillAll(draw_role(random)),
-        6 | 7 => Disturbance::Freeze(draw_role(random), number),
-        8..=10 => Disturbance::Roll(draw_role(random)),
+    let number = rng.random_range(0..64);
+    match rng.random_range(0..KINDS) {
+        0..=2 => Disturbance::Kill(draw_role(rng), number),
+        3..=5 => Disturbance::KillAll(draw_role(rng)),
+        6 | 7 => Disturbance::Freeze(draw_role(rng), number),
+        8..=10 => Disturbance::Roll(draw_role(rng)),
         11 => Disturbance::HangUpAll,
         12 => Disturbance::LoseDisk(number),
-        13 | 14 => Disturbance::ChangeSeeds(draw_seed_choice(random)),
+        13 | 14 => Disturbance::ChangeSeeds(draw_seed_choice(rng)),
         15 => Disturbance::PartitionEdge(number),
         16 => Disturbance::PartitionCore(number),
         17 => Disturbance::ChangeConfiguration,
@@ -200,15 +201,15 @@
         21 => Disturbance::CrashSearcher(number),
         22 => Disturbance::ReleaseSearcher(number),
         23 => Disturbance::RetireDecodeSearchers,
-        24 => Disturbance::FaultyRuns(draw_fault(random)),
-        25 => Disturbance::FaultyPrefills(draw_fault(random)),
+        24 => Disturbance::FaultyRuns(draw_fault(rng)),
+        25 => Disturbance::FaultyPrefills(draw_fault(rng)),
         26 => Disturbance::PlatformDown,
-        _ => draw_light_disturbance(random, number),
+        _ => draw_minor_disturbance(rng, number),
     }
 }
 
 /// What disturbs neither machines nor searchers for long.
-fn draw_light_disturbance(random: &mut ChaCha8Rng, number: usize) -> Disturbance {
+fn draw_minor_disturbance(rng: &mut ChaCha8Rng, number: usize) -> Disturbance {
     let kinds = [
         Disturbance::InvalidConfiguration,
         Disturbance::SlowSearcher(number),
@@ -216,15 +217,15 @@
         Disturbance::LapsingHandles,
         Disturbance::Burst,
     ];
-    *kinds.choose(random).unwrap_or(&Disturbance::Burst)
+    *kinds.choose(rng).unwrap_or(&Disturbance::Burst)
 }
 
-fn draw_fault(random: &mut ChaCha8Rng) -> Fault {
+fn draw_fault(rng: &mut ChaCha8Rng) -> Fault {
     let faults = [
         Fault::ResetAfterRequest,
         Fault::ResetBeforeFirstEvent,
         Fault::ResetMidEvent {
-            whole_events: random.random_range(0..3),
+            whole_events: rng.random_range(0..3),
         },
         Fault::WrongIdentifier,
         Fault::ExtraBytes,
@@ -233,5 +234,5 @@
         Fault::Reject { status: 429 },
         Fault::Reject { status: 421 },
     ];
-    faults[random.random_range(0..faults.len())]
+    faults[rng.random_range(0..faults.len())]
 }
--- a/crates/lockusher-router-testbed/src/soak/writer.rs
+++ b/crates/lockusher-router-testbed/src/soak/writer.rs
@@ -14,17 +14,17 @@
 use crate::server::lock;
 
 /// How long the operator waits for a clear answer.
-const PATIENCE: Duration = Duration::from_secs(8);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Changes in a storm.
-const STORM: u64 = 6;
+const STORM_CHANGES: u64 = 6;
 /// Answers that are lost when acknowledgements are.
-const LOST_ANSWERS: u32 = 3;
+const LOST_RESPONSES: u32 = 3;
 /// How much `timeoutMs` grows with each change.
-const STEP_MS: u64 = 10;
+const TIMEOUT_INCREMENT_MS: u64 = 10;
 
 /// What the operator is to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Order {
+pub(super) enum Command {
     Change,
     Storm,
     Race,
@@ -36,69 +36,69 @@
 struct State {
     newest: Configuration,
     sent: Vec<Configuration>,
-    faults: Vec<String>,
+    failures: Vec<String>,
 }
 
 /// Sends changes as ordered.
 pub(super) struct Writer {
-    orders: Sender<Order>,
+    commands: Sender<Command>,
     worker: JoinHandle<()>,
     state: Arc<Mutex<State>>,
 }
 
 /// What was written in a day.
-pub(super) struct Written {
+pub(super) struct WriterResult {
     newest: Configuration,
     sent: Vec<Configuration>,
-    faults: Vec<String>,
+    failures: Vec<String>,
 }
 
 impl Writer {
-    pub fn start(operator: Arc<Operator>, present: Configuration) -> Writer {
-        let (orders, receiver) = channel();
+    pub fn start(operator: Arc<Operator>, current: Configuration) -> Writer {
+        let (commands, receiver) = channel();
         let state = State {
-            sent: vec![present.clone()],
-            newest: present,
-            faults: Vec::new(),
+            sent: vec![current.clone()],
+            newest: current,
+            failures: Vec::new(),
         };
         let state = Arc::new(Mutex::new(state));
-        let for_worker = Arc::clone(&state);
-        let worker = std::thread::spawn(move || work(&operator, &receiver, &for_worker));
+        let worker_state = Arc::clone(&state);
+        let worker = std::thread::spawn(move || run_worker(&operator, &receiver, &worker_state));
         Writer {
-            orders,
+            commands,
             worker,
             state,
         }
     }
 
-    pub fn order(&self, order: Order) {
+    pub fn send(&self, command: Command) {
         // A worker that has panicked shows in the output.
-        let _ = self.orders.send(order);
+        let _ = self.commands.send(command);
     }
 
     /// Waits for all orders.
-    pub fn end(self) -> Written {
-        drop(self.orders);
+    pub fn end(self) -> WriterResult {
+        drop(self.commands);
         // A worker that has panicked shows in the output.
         let _ = self.worker.join();
         let state = lock(&self.state);
-        Written {
+        WriterResult {
             newest: state.newest.clone(),
             sent: state.sent.clone(),
-            faults: state.faults.clone(),
+            failures: state.failures.clone(),
         }
     }
 }
 
-impl Written {
+impl WriterResult {
     /// What is wrong with the configuration that is read back at the end of the day.
     pub fn check_read_back(&self, operator: &Operator, wait: Duration) -> Vec<String> {
-        let mut faults = self.faults.clone();
+        let mut failures = self.failures.clone();
         match operator.get(wait) {
-            None => faults.push("the configuration can't be read back".to_owned()),
-            Some(read) => faults.extend(self.check(&read)),
+            None => failures.push("the configuration can't be read back".to_owned()),
+            Some(read) => failures.extend(self.check(&read)),
         }
-        faults
+        failures
     }
 
     fn check(&self, read: &Value) -> Option<String> {
@@ -109,33 +109,33 @@
                 self.newest.version
             ));
         }
-        let known = self.sent.iter().any(|sent| to_json(sent) == *read);
-        (!known).then(|| format!("version {version} is read back other than it was sent"))
+        let was_sent = self.sent.iter().any(|sent| to_json(sent) == *read);
+        (!was_sent).then(|| format!("version {version} is read back other than it was sent"))
     }
 }
 
-fn work(operator: &Operator, orders: &Receiver<Order>, state: &Mutex<State>) {
-    while let Ok(order) = orders.recv() {
-        match order {
-            Order::Change => change(operator, state),
-            Order::Storm => (0..STORM).for_each(|_| change(operator, state)),
-            Order::LostAcknowledgements => {
-                operator.lose_answers(LOST_ANSWERS);
-                change(operator, state);
+fn run_worker(operator: &Operator, commands: &Receiver<Command>, state: &Mutex<State>) {
+    while let Ok(command) = commands.recv() {
+        match command {
+            Command::Change => apply_change(operator, state),
+            Command::Storm => (0..STORM_CHANGES).for_each(|_| apply_change(operator, state)),
+            Command::LostAcknowledgements => {
+                operator.lose_answers(LOST_RESPONSES);
+                apply_change(operator, state);
             }
-            Order::Invalid => send_invalid(operator, state),
-            Order::Race => race(operator, state),
+            Command::Invalid => send_invalid(operator, state),
+            Command::Race => race_changes(operator, state),
         }
     }
 }
 
 /// The next version: timeouts grow and a route comes or goes.
-fn next_after(present: &Configuration, step: u64) -> Configuration {
+fn next_configuration(current: &Configuration, version_increment: u64) -> Configuration {
     const ADDED: &str = "added";
-    let mut next = present.clone();
-    next.version += step;
+    let mut next = current.clone();
+    next.version += version_increment;
     for route in &mut next.routes {
-        route.timeout_ms += STEP_MS;
+        route.timeout_ms += TIMEOUT_INCREMENT_MS;
     }
     if next.routes.iter().any(|route| route.name == ADDED) {
         next.routes.retain(|route| route.name != ADDED);
@@ -146,20 +146,20 @@
     next
 }
 
-fn change(operator: &Operator, state: &Mutex<State>) {
-    let present = lock(state).newest.clone();
-    let next = next_after(&present, 1 + present.version % 3);
-    let outcome = send(operator, state, &next, present.version, 0);
+fn apply_change(operator: &Operator, state: &Mutex<State>) {
+    let current = lock(state).newest.clone();
+    let next = next_configuration(&current, 1 + current.version % 3);
+    let outcome = send(operator, state, &next, current.version, 0);
     match outcome {
         ChangeOutcome::Acknowledged => lock(state).newest = next,
         ChangeOutcome::Refused { status } => {
-            lock(state).faults.push(format!(
+            lock(state).failures.push(format!(
                 "version {} was refused with {status}",
                 next.version
             ));
-            learn_newest(operator, state);
+            refresh_newest(operator, state);
         }
-        ChangeOutcome::Unclear => learn_newest(operator, state),
+        ChangeOutcome::Unclear => refresh_newest(operator, state),
     }
 }
 
@@ -171,12 +171,12 @@
     first: usize,
 ) -> ChangeOutcome {
     lock(state).sent.push(next.clone());
-    operator.put(next, base, first, PATIENCE)
+    operator.put(next, base, first, CHANGE_TIMEOUT)
 }
 
 /// After an unclear answer: what is read back is the present one, if it is one that was sent.
-fn learn_newest(operator: &Operator, state: &Mutex<State>) {
-    let Some(read) = operator.get(PATIENCE) else {
+fn refresh_newest(operator: &Operator, state: &Mutex<State>) {
+    let Some(read) = operator.get(CHANGE_TIMEOUT) else {
         return;
     };
     let mut state = lock(state);
@@ -191,32 +191,32 @@
 }
 
 fn send_invalid(operator: &Operator, state: &Mutex<State>) {
-    let present = lock(state).newest.clone();
-    let mut invalid = next_after(&present, 1);
+    let current = lock(state).newest.clone();
+    let mut invalid = next_configuration(&current, 1);
     invalid.routes[0].split[0].service = "nobody".to_owned();
     // It is not among those that may be read back.
-    let outcome = operator.put(&invalid, present.version, 0, PATIENCE);
+    let outcome = operator.put(&invalid, current.version, 0, CHANGE_TIMEOUT);
     if outcome == ChangeOutcome::Acknowledged {
-        lock(state).faults.push(format!(
+        lock(state).failures.push(format!(
             "the invalid version {} was acknowledged",
             invalid.version
         ));
     }
 }
 
-fn race(operator: &Operator, state: &Mutex<State>) {
-    let present = lock(state).newest.clone();
-    let one = next_after(&present, 2);
-    let mut other = one.clone();
-    other.routes[0].timeout_ms += STEP_MS;
+fn race_changes(operator: &Operator, state: &Mutex<State>) {
+    let current = lock(state).newest.clone();
+    let first_change = next_configuration(&current, 2);
+    let mut second_change = first_change.clone();
+    second_change.routes[0].timeout_ms += TIMEOUT_INCREMENT_MS;
     let outcomes = std::thread::scope(|scope| {
-        let racer = scope.spawn(|| send(operator, state, &other, present.version, 1));
-        let first = send(operator, state, &one, present.version, 0);
-        [first, racer.join().unwrap_or(ChangeOutcome::Unclear)]
+        let second = scope.spawn(|| send(operator, state, &second_change, current.version, 1));
+        let first = send(operator, state, &first_change, current.version, 0);
+        [first, second.join().unwrap_or(ChangeOutcome::Unclear)]
     });
     match outcomes {
-        [ChangeOutcome::Acknowledged, _] => lock(state).newest = one,
-        [_, ChangeOutcome::Acknowledged] => lock(state).newest = other,
-        _ => learn_newest(operator, state),
+        [ChangeOutcome::Acknowledged, _] => lock(state).newest = first_change,
+        [_, ChangeOutcome::Acknowledged] => lock(state).newest = second_change,
+        _ => refresh_newest(operator, state),
     }
 }
--- a/crates/lockusher-router-testbed/src/wait.rs
+++ b/crates/lockusher-router-testbed/src/wait.rs
@@ -5,39 +5,39 @@
 use derive_more::{Display, Error};
 
 /// The pause between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The state did not come.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{state} did not come within {tries} looks")]
-pub struct NeverCame {
+#[display("{state} did not come within {polls} looks")]
+pub struct WaitTimeout {
     pub state: String,
-    pub tries: u32,
+    pub polls: u32,
 }
 
-/// Looks up to `tries` times, with short pauses between, until `look` finds something.
+/// Looks up to `polls` times, with short pauses between, until `poll` finds something.
 pub fn wait_for<T>(
     state: &str,
-    tries: u32,
-    mut look: impl FnMut() -> Option<T>,
-) -> Result<T, NeverCame> {
-    for _ in 0..tries {
-        if let Some(found) = look() {
+    polls: u32,
+    mut poll: impl FnMut() -> Option<T>,
+) -> Result<T, WaitTimeout> {
+    for _ in 0..polls {
+        if let Some(found) = poll() {
             return Ok(found);
         }
-        std::thread::park_timeout(PAUSE);
+        std::thread::park_timeout(POLL_INTERVAL);
     }
-    Err(NeverCame {
+    Err(WaitTimeout {
         state: state.to_owned(),
-        tries,
+        polls,
     })
 }
 
 /// Like [`wait_for`], for a condition.
 pub fn wait_until(
     state: &str,
-    tries: u32,
+    polls: u32,
     mut holds: impl FnMut() -> bool,
-) -> Result<(), NeverCame> {
-    wait_for(state, tries, || holds().then_some(()))
+) -> Result<(), WaitTimeout> {
+    wait_for(state, polls, || holds().then_some(()))
 }
--- a/crates/lockusher-router-testbed/src/world.rs
+++ b/crates/lockusher-router-testbed/src/world.rs
@@ -25,18 +25,18 @@
 use crate::record::{LabClock, Ledger};
 use crate::request::RequestRecord;
 use crate::searcher::{FaultPlan, Identity};
-use crate::wait::NeverCame;
+use crate::wait::WaitTimeout;
 
 const REGION: &str = "north";
 const ZONES: [&str; 2] = ["quay", "hill"];
 const CLOUD_PORT: u16 = 8142;
 const SEARCHER_PORT: u16 = 8080;
 /// The outside address of the first searcher; the platform has the one before.
-const FIRST_SEARCHER: u8 = 1;
+const FIRST_SEARCHER_NUMBER: u8 = 1;
 /// Entries on a page of the platform's list: few, so that reading takes several.
 const PAGE_SIZE: usize = 3;
 /// How long the operator tries to place the first configuration.
-const FIRST_CONFIGURATION_WAIT: Duration = Duration::from_secs(30);
+const FIRST_CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a world can't be set up.
 #[derive(Debug, Display, Error, From)]
@@ -46,7 +46,7 @@
     #[display("{_0}")]
     Io(std::io::Error),
     #[display("{_0}")]
-    NeverCame(NeverCame),
+    Wait(WaitTimeout),
     #[display("the first configuration: {_0:?}")]
     #[from(ignore)]
     FirstConfiguration(#[error(not(source))] ChangeOutcome),
@@ -89,7 +89,7 @@
     pub plains: Vec<PlainSearcher>,
     pub fleet: Fleet,
     pub operator: Arc<Operator>,
-    pub entry: Arc<Entry>,
+    pub balancer: Arc<Entry>,
     pub configuration: Configuration,
     bounds: FleetBounds,
     searchers: Searchers,
@@ -102,7 +102,7 @@
     pub fn start(plan: &WorldPlan) -> Result<World, WorldError> {
         let clock = LabClock::start();
         let fleet_plan = fleet_plan(plan);
-        let fleet = Fleet::lay_out(&fleet_plan)?;
+        let fleet = Fleet::allocate(&fleet_plan)?;
         let mut searchers = Searchers::new(clock, Ledger::default(), KvNetwork::default());
         let (models, plains) = searchers.start_all(plan, &fleet)?;
         let parameters = PlatformParameters {
@@ -115,7 +115,7 @@
             .map(ModelSearcher::entry)
             .chain(plains.iter().map(PlainSearcher::entry));
         let platform = Platform::start(
-            fleet.outside_address(0, CLOUD_PORT),
+            fleet.stand_in_address(0, CLOUD_PORT),
             parameters,
             entries.collect(),
             clock,
@@ -126,7 +126,7 @@
             models,
             plains,
             operator: Operator::new(fleet.operator_addresses(), clock),
-            entry: Arc::new(Entry::start(fleet.mixers())),
+            balancer: Arc::new(Entry::start(fleet.mixers())),
             fleet,
             configuration: first_configuration(),
             bounds: plan.bounds.clone(),
@@ -134,7 +134,7 @@
             listed_stages: BTreeMap::new(),
         };
         world.fleet.start_all()?;
-        world.place_first_configuration()?;
+        world.apply_first_configuration()?;
         world.fleet.wait_all_ready()?;
         Ok(world)
     }
@@ -158,14 +158,14 @@
     /// Sends a change of the present configuration on top of it; on success it is the present one.
     pub fn change(
         &mut self,
-        alter: impl FnOnce(&mut Configuration),
-        patience: Duration,
+        modify: impl FnOnce(&mut Configuration),
+        timeout: Duration,
     ) -> ChangeOutcome {
         let base = self.configuration.version;
         let mut next = self.configuration.clone();
         next.version += 2;
-        alter(&mut next);
-        let outcome = self.operator.put(&next, base, 0, patience);
+        modify(&mut next);
+        let outcome = self.operator.put(&next, base, 0, timeout);
         if outcome == ChangeOutcome::Acknowledged {
             self.configuration = next;
         }
@@ -174,7 +174,7 @@
 
     /// Sends load in the background.
     pub fn load(&self, plan: &LoadPlan) -> Load {
-        Load::start(plan, self.clock, Arc::clone(&self.entry))
+        Load::start(plan, self.clock, Arc::clone(&self.balancer))
     }
 
     /// Checks all rules on what came of some requests.
@@ -198,15 +198,15 @@
 
     /// Ends a model searcher like a crash and starts a new incarnation at its address; the list shows it later.
     pub fn restart_model(&mut self, position: usize) -> std::io::Result<()> {
-        let mut old = self.models.remove(position);
-        let stage = old.report().stage;
-        old.stop();
-        let new = self
-            .searchers
-            .start_model(old.address(), &old.identity().zone, stage)?;
-        self.platform.remove(&old.identity().instance);
-        self.platform.add(new.entry());
-        self.models.insert(position, new);
+        let mut previous = self.models.remove(position);
+        let stage = previous.report().stage;
+        previous.stop();
+        let replacement =
+            self.searchers
+                .start_model(previous.address(), &previous.identity().zone, stage)?;
+        self.platform.remove(&previous.identity().instance);
+        self.platform.add(replacement.entry());
+        self.models.insert(position, replacement);
         Ok(())
     }
 
@@ -236,17 +236,17 @@
 
     /// Ends a model searcher for good.
     pub fn remove_model(&mut self, instance: &str) {
-        let is_it = |model: &ModelSearcher| model.identity().instance == instance;
-        if let Some(position) = self.models.iter().position(is_it) {
+        let is_instance = |model: &ModelSearcher| model.identity().instance == instance;
+        if let Some(position) = self.models.iter().position(is_instance) {
             self.models.remove(position).stop();
             self.platform.remove(instance);
         }
     }
 
-    fn place_first_configuration(&self) -> Result<(), WorldError> {
+    fn apply_first_configuration(&self) -> Result<(), WorldError> {
         match self
             .operator
-            .put(&self.configuration, 0, 0, FIRST_CONFIGURATION_WAIT)
+            .put(&self.configuration, 0, 0, FIRST_CONFIGURATION_TIMEOUT)
         {
             ChangeOutcome::Acknowledged => Ok(()),
             other => Err(WorldError::FirstConfiguration(other)),
@@ -278,18 +278,18 @@
         plan: &WorldPlan,
         fleet: &Fleet,
     ) -> std::io::Result<(Vec<ModelSearcher>, Vec<PlainSearcher>)> {
-        let mut places = (FIRST_SEARCHER..).map(|number| {
+        let mut addresses = (FIRST_SEARCHER_NUMBER..).map(|number| {
             let zone = ZONES[usize::from(number) % ZONES.len()];
-            (fleet.outside_address(number, SEARCHER_PORT), zone)
+            (fleet.stand_in_address(number, SEARCHER_PORT), zone)
         });
         let stages = std::iter::repeat_n(Stage::Prefill, plan.prefill_searchers)
             .chain(std::iter::repeat_n(Stage::Decode, plan.decode_searchers));
         let mut models = Vec::new();
-        for (stage, (address, zone)) in stages.zip(places.by_ref()) {
+        for (stage, (address, zone)) in stages.zip(addresses.by_ref()) {
             models.push(self.start_model(address, zone, stage)?);
         }
         let mut plains = Vec::new();
-        for (address, zone) in places.take(plan.plain_searchers) {
+        for (address, zone) in addresses.take(plan.plain_searchers) {
             plains.push(self.start_plain(address, zone)?);
         }
         Ok((models, plains))
--- a/crates/lockusher-router-testbed/tests/crossings.rs
+++ b/crates/lockusher-router-testbed/tests/crossings.rs
@@ -6,22 +6,22 @@
 
 use lockusher_router_testbed::checker::Verdict;
 use lockusher_router_testbed::client::Client;
-use lockusher_router_testbed::deployment::{mix, spec_for};
+use lockusher_router_testbed::deployment::{request_mix, spec_for};
 use lockusher_router_testbed::record::ArrivalOutcome;
 use lockusher_router_testbed::request::{RequestRecord, RequestSpec, TryOutcome};
 use lockusher_router_testbed::searcher::{Fault, FaultPlan};
 use lockusher_router_testbed::wait::wait_until;
 use lockusher_router_testbed::world::{World, WorldPlan};
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 /// Requests that are sent while a fault is planned.
 const REQUESTS: usize = 6;
 /// Looks of 50 ms until a state must have come.
-const TRIES: u32 = 200;
+const POLLS: u32 = 200;
 
-fn alone() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner)
+fn exclusive() -> MutexGuard<'static, ()> {
+    EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn world() -> World {
@@ -30,7 +30,7 @@
 
 /// A request of the route of a name, with a prompt where the route takes one.
 fn spec(world: &World, route: &str) -> RequestSpec {
-    let kinds = mix(&world.configuration, 1.0);
+    let kinds = request_mix(&world.configuration, 1.0);
     let kind = kinds
         .into_iter()
         .find(|kind| kind.spec.route == route)
@@ -46,8 +46,9 @@
     let mut client = Client::keeping_connections(world.clock, Duration::from_secs(10));
     (0..count)
         .map(|number| {
-            let front_of = |turn: u32| mixers[(number + turn as usize) % mixers.len()].front;
-            client.request(&spec, world.clock.now(), front_of)
+            let front_for_try =
+                |try_number: u32| mixers[(number + try_number as usize) % mixers.len()].front;
+            client.request(&spec, world.clock.now(), front_for_try)
         })
         .collect()
 }
@@ -77,7 +78,7 @@
 ];
 
 /// Plays each fault at every searcher once, checks after each and then that requests are served again.
-fn play(
+fn run_faults(
     world: &World,
     spec: &RequestSpec,
     faults: &[Fault],
@@ -86,10 +87,15 @@
 ) {
     let mut records = Vec::new();
     for fault in faults {
-        let met_before = faults_met(world);
-        world.faults().for_each(|switches| plan(switches, *fault));
+        let injected_before = faults_injected(world);
+        world
+            .faults()
+            .for_each(|fault_plan| plan(fault_plan, *fault));
         let sent = send(world, spec, REQUESTS);
-        assert!(faults_met(world) > met_before, "no request met {fault:?}");
+        assert!(
+            faults_injected(world) > injected_before,
+            "no request met {fault:?}"
+        );
         if must_serve(*fault) {
             let unserved: Vec<&RequestRecord> =
                 sent.iter().filter(|record| !record.is_served()).collect();
@@ -109,17 +115,17 @@
 }
 
 /// Of a request that may run more than once: it is served whatever happens to its first run.
-fn any(_fault: Fault) -> bool {
+fn every_fault(_fault: Fault) -> bool {
     true
 }
 
-fn faults_met(world: &World) -> usize {
+fn faults_injected(world: &World) -> usize {
     world.faults().map(FaultPlan::met).sum()
 }
 
 fn send_until_served(world: &World, spec: &RequestSpec) -> Vec<RequestRecord> {
     let mut records = Vec::new();
-    let served = wait_until("requests are served again", TRIES, || {
+    let served = wait_until("requests are served again", POLLS, || {
         let mut sent = send(world, spec, 2);
         let served = sent.iter().all(RequestRecord::is_served);
         records.append(&mut sent);
@@ -131,10 +137,10 @@
 
 #[test]
 fn faults_in_a_stream_that_may_not_be_resumed() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let world = world();
-    let plan = |switches: &FaultPlan, fault| switches.on_runs(fault, 1);
-    play(
+    let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_runs(fault, 1);
+    run_faults(
         &world,
         &spec(&world, "answer"),
         &RUN_FAULTS,
@@ -145,26 +151,38 @@
 
 #[test]
 fn faults_in_a_stream_that_may_be_resumed() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let world = world();
-    let plan = |switches: &FaultPlan, fault| switches.on_runs(fault, 1);
-    play(&world, &spec(&world, "summary"), &RUN_FAULTS, plan, any);
+    let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_runs(fault, 1);
+    run_faults(
+        &world,
+        &spec(&world, "summary"),
+        &RUN_FAULTS,
+        plan,
+        every_fault,
+    );
 }
 
 #[test]
 fn faults_while_the_prompt_is_read() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let world = world();
-    let plan = |switches: &FaultPlan, fault| switches.on_prefills(fault, 1);
-    play(&world, &spec(&world, "answer"), &PREFILL_FAULTS, plan, any);
+    let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_prefills(fault, 1);
+    run_faults(
+        &world,
+        &spec(&world, "answer"),
+        &PREFILL_FAULTS,
+        plan,
+        every_fault,
+    );
 }
 
 #[test]
 fn faults_in_a_plain_request_that_may_run_once() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let world = world();
-    let plan = |switches: &FaultPlan, fault| switches.on_runs(fault, 1);
-    play(
+    let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_runs(fault, 1);
+    run_faults(
         &world,
         &spec(&world, "record"),
         &RUN_FAULTS,
@@ -175,7 +193,7 @@
 
 #[test]
 fn a_silent_searcher_does_not_hold_a_client_beyond_its_deadline() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let world = world();
     let mut spec = spec(&world, "answer");
     spec.deadline = Duration::from_secs(2);
@@ -186,7 +204,10 @@
         .faults()
         .for_each(|faults| faults.on_runs(Fault::Silence, 1));
     let records = send(&world, &spec, 4);
-    assert!(faults_met(&world) > 0, "no request met a silent searcher");
+    assert!(
+        faults_injected(&world) > 0,
+        "no request met a silent searcher"
+    );
     assert_clean("silence", &world.check(&records));
     for record in &records {
         let last = &record.tries[record.tries.len() - 1];
@@ -199,14 +220,14 @@
 
 #[test]
 fn handles_that_lapse_at_once_cost_no_rule() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let world = world();
     let spec = spec(&world, "answer");
     let mut records = Vec::new();
-    let lapsing = std::sync::atomic::AtomicBool::new(true);
+    let expiring = std::sync::atomic::AtomicBool::new(true);
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            while lapsing.load(std::sync::atomic::Ordering::SeqCst) {
+            while expiring.load(std::sync::atomic::Ordering::SeqCst) {
                 world.models.iter().for_each(
                     lockusher_router_testbed::model_searcher::ModelSearcher::lapse_all_handles,
                 );
@@ -214,19 +235,19 @@
             }
         });
         records.extend(send(&world, &spec, REQUESTS));
-        lapsing.store(false, std::sync::atomic::Ordering::SeqCst);
+        expiring.store(false, std::sync::atomic::Ordering::SeqCst);
     });
-    let gone = world.ledger().count(|arrival| {
+    let expired = world.ledger().count(|arrival| {
         !arrival.prefill_only && arrival.outcome == ArrivalOutcome::Rejected { status: 503 }
     });
-    assert!(gone > 0, "no request met a handle that was gone");
+    assert!(expired > 0, "no request met a handle that was gone");
     records.extend(send_until_served(&world, &spec));
     assert_clean("lapsed handles", &world.check(&records));
 }
 
 #[test]
 fn a_searcher_that_is_replaced_at_its_address_gets_nothing_meant_for_the_old_one() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let mut world = world();
     let spec = spec(&world, "answer");
     let mut records = send(&world, &spec, REQUESTS);
@@ -247,7 +268,7 @@
 
 #[test]
 fn a_client_that_leaves_early_costs_no_rule_and_frees_its_searcher() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let world = world();
     world
         .models
@@ -263,13 +284,13 @@
             .iter()
             .all(|model| model.report().running + model.report().waiting == 0)
     };
-    wait_until("the searchers are idle", TRIES, is_idle).expect("what nobody waits for is dropped");
+    wait_until("the searchers are idle", POLLS, is_idle).expect("what nobody waits for is dropped");
     assert_clean("gone clients", &world.check(&records));
 }
 
 #[test]
 fn a_request_without_a_route_is_answered_404() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let world = world();
     let mut unknown = spec_for(&world.configuration.routes[2]);
     unknown.target = "/nowhere/1".to_owned();
--- a/crates/lockusher-router-testbed/tests/reasons.rs
+++ b/crates/lockusher-router-testbed/tests/reasons.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use lockusher_router_testbed::client::Client;
-use lockusher_router_testbed::deployment::mix;
+use lockusher_router_testbed::deployment::request_mix;
 use lockusher_router_testbed::engine::Stage;
 use lockusher_router_testbed::fleet::{ProcessId, Role, SeedChoice};
 use lockusher_router_testbed::wait::wait_until;
 use lockusher_router_testbed::world::{World, WorldPlan};
 
 /// Looks of 50 ms until a line must have come.
-const TRIES: u32 = 400;
+const POLLS: u32 = 400;
 
 const AGENT: ProcessId = ProcessId {
     role: Role::Agent,
@@ -41,26 +41,26 @@
     log.lines().filter(|logged| logged.contains(line)).count()
 }
 
-/// The line comes after `cause`, and hasn't come so far.
+/// The line comes after `trigger`, and hasn't come so far.
 fn assert_logged_by(
     world: &mut World,
     process: ProcessId,
     line: &str,
-    cause: impl FnOnce(&mut World),
+    trigger: impl FnOnce(&mut World),
 ) {
     assert_eq!(
         occurrences(world, process, line),
         0,
         "{process} logs {line:?} without a cause"
     );
-    cause(world);
-    let logged = wait_until(&format!("{line:?} in the log of {process}"), TRIES, || {
+    trigger(world);
+    let logged = wait_until(&format!("{line:?} in the log of {process}"), POLLS, || {
         world.list_stages();
         occurrences(world, process, line) > 0
     });
-    logged.unwrap_or_else(|never| {
+    logged.unwrap_or_else(|timeout| {
         let log = world.fleet.log(process.role, process.machine);
-        panic!("{never}\n{log}")
+        panic!("{timeout}\n{log}")
     });
 }
 
@@ -111,12 +111,12 @@
 #[test]
 fn a_list_that_cannot_be_read_is_told() {
     let mut world = world();
-    let head = (0..world.fleet.control_nodes())
+    let primary = (0..world.fleet.control_nodes())
         .map(control)
         .find(|node| occurrences(&world, *node, ": head") > 0)
         .expect("a head");
 
-    assert_logged_by(&mut world, head, "platform's list at", |world| {
+    assert_logged_by(&mut world, primary, "platform's list at", |world| {
         world.platform.set_down(true);
     });
 }
@@ -124,13 +124,13 @@
 #[test]
 fn a_port_that_is_taken_is_told() {
     let mut world = world();
-    let mut held = Vec::new();
+    let mut sockets = Vec::new();
 
     assert_logged_by(&mut world, AGENT, "is in use", |world| {
         for edge in 0..world.fleet.mixers().len() {
             world.fleet.kill(Role::Agent, edge);
         }
-        held = world
+        sockets = world
             .fleet
             .occupy_agent_ports()
             .expect("the ports are free");
@@ -172,22 +172,24 @@
 #[test]
 fn an_empty_stage_and_unserved_requests_are_told() {
     let mut world = world();
-    let head = (0..world.fleet.control_nodes())
+    let primary = (0..world.fleet.control_nodes())
         .map(control)
         .find(|node| occurrences(&world, *node, ": head") > 0)
         .expect("a head");
-    let decoding: Vec<String> = world
+    let decode_searchers: Vec<String> = world
         .models
         .iter()
         .filter(|model| model.report().stage == Stage::Decode)
         .map(|model| model.identity().instance.clone())
         .collect();
 
-    assert_logged_by(&mut world, head, "no searcher to decode", |world| {
-        decoding.iter().for_each(|one| world.remove_model(one));
+    assert_logged_by(&mut world, primary, "no searcher to decode", |world| {
+        decode_searchers
+            .iter()
+            .for_each(|instance| world.remove_model(instance));
     });
 
-    let kind = mix(&world.configuration, 1.0)
+    let kind = request_mix(&world.configuration, 1.0)
         .into_iter()
         .find(|kind| kind.spec.route == "answer")
         .expect("a route to the models");
@@ -199,7 +201,9 @@
         .map(|model| model.identity().instance.clone())
         .collect();
     assert_logged_by(&mut world, PROXY, "unserved in", |world| {
-        searchers.iter().for_each(|one| world.remove_model(one));
+        searchers
+            .iter()
+            .for_each(|instance| world.remove_model(instance));
         let mut client = Client::keeping_connections(world.clock, Duration::from_secs(1));
         client.request(&spec, world.clock.now(), |_| mixer);
     });
--- a/crates/lockusher-router-testbed/tests/recovery.rs
+++ b/crates/lockusher-router-testbed/tests/recovery.rs
@@ -6,60 +6,60 @@
 use std::time::Duration;
 
 use lockusher_router_testbed::soak::{
-    Schedule, SoakPlan, SoakResult, draw_schedule, play, scenario,
+    Schedule, SoakPlan, SoakResult, draw_schedule, run, scenario,
 };
 use lockusher_router_testbed::world::WorldPlan;
 
 const RATE: f64 = 20.0;
-const CLOSING_AT: Duration = Duration::from_secs(14);
+const OUTAGE_AT: Duration = Duration::from_secs(14);
 const SERIES: usize = 6;
 
-fn play_one(schedule: &Schedule) -> SoakResult {
+fn run_soak(schedule: &Schedule) -> SoakResult {
     let plan = SoakPlan {
         world: WorldPlan::default(),
         rate_per_second: RATE,
-        closing_at: CLOSING_AT,
+        outage_at: OUTAGE_AT,
         series: SERIES,
     };
-    play(&plan, schedule).expect("the soak is played")
+    run(&plan, schedule).expect("the soak is played")
 }
 
-fn assert_good(result: &SoakResult) {
+fn assert_passed(result: &SoakResult) {
     assert!(
-        result.is_good(),
+        result.passed(),
         "{}\n{}\nfaults: {:#?}\nbroken: {:#?}\nlogs: {:?}",
         result.schedule,
         result.recovery,
-        result.faults,
+        result.failures,
         result.violations,
         result.logs
     );
 }
 
-fn assert_scenario_is_good(name: &str) {
+fn assert_scenario_passes(name: &str) {
     let scenario = scenario(name).expect("a scenario");
-    assert_good(&play_one(&scenario.schedule(101)));
+    assert_passed(&run_soak(&scenario.schedule(101)));
 }
 
 /// Everything is killed after the settings files have named only edge machines as seeds.
 #[test]
 fn service_returns_where_no_seed_runs_a_control_node() {
-    assert_scenario_is_good("seeds");
+    assert_scenario_passes("seeds");
 }
 
 /// Planned departures leave model searchers of one stage, then everything is killed.
 #[test]
 fn service_returns_where_searchers_of_one_stage_are_left() {
-    assert_scenario_is_good("stages");
+    assert_scenario_passes("stages");
 }
 
 /// Drawn soaks, the same in each run; on the landing of the incident both broke the rule.
 #[test]
 fn service_returns_in_the_soak_of_seed_1() {
-    assert_good(&play_one(&draw_schedule(1, SERIES, CLOSING_AT)));
+    assert_passed(&run_soak(&draw_schedule(1, SERIES, OUTAGE_AT)));
 }
 
 #[test]
 fn service_returns_in_the_soak_of_seed_2() {
-    assert_good(&play_one(&draw_schedule(2, SERIES, CLOSING_AT)));
+    assert_passed(&run_soak(&draw_schedule(2, SERIES, OUTAGE_AT)));
 }
--- a/crates/lockusher-router-testbed/tests/soak.rs
+++ b/crates/lockusher-router-testbed/tests/soak.rs
@@ -3,26 +3,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lockusher_router_testbed::deployment::{first_configuration, mix};
+use lockusher_router_testbed::deployment::{first_configuration, request_mix};
 use lockusher_router_testbed::engine::Micros;
 use lockusher_router_testbed::request::{
     AnswerSeen, BodySeen, RequestRecord, TryOutcome, TryRecord,
 };
 use lockusher_router_testbed::soak::{
-    ClosingFault, Disturbance, Recovery, RecoveryTimes, draw_schedule,
+    Disturbance, OutageKind, Recovery, RecoveryTimes, draw_schedule,
 };
 
 const SECOND: Micros = 1_000_000;
-const CLOSING_AT: Duration = Duration::from_secs(14);
+const OUTAGE_AT: Duration = Duration::from_secs(14);
 const TIMES: RecoveryTimes = RecoveryTimes {
-    fault_at: 10 * SECOND,
-    returned_at: 12 * SECOND,
+    outage_at: 10 * SECOND,
+    restored_at: 12 * SECOND,
     bound: Duration::from_secs(12),
 };
 
 /// A request that was answered with this status.
 fn record(due: Micros, status: u16) -> RequestRecord {
-    let kind = mix(&first_configuration(), 1.0).remove(0);
+    let kind = request_mix(&first_configuration(), 1.0).remove(0);
     let spec = Arc::new(kind.spec);
     let seen = AnswerSeen {
         status,
@@ -32,7 +32,7 @@
         encoded: false,
         body: BodySeen::Plain { digest: 0 },
     };
-    let one = TryRecord {
+    let attempt = TryRecord {
         request_id: "1".to_owned(),
         spec: Arc::clone(&spec),
         body_digest: 0,
@@ -47,7 +47,7 @@
         spec,
         due,
         ended: due,
-        tries: vec![one],
+        tries: vec![attempt],
     }
 }
 
@@ -62,13 +62,13 @@
 #[test]
 fn less_than_a_quarter_served_later_than_the_bound_breaks_the_rule() {
     let before = requests(SECOND, 4, 1);
-    let late = 24 * SECOND + 1;
+    let after_bound = 24 * SECOND + 1;
 
-    let broken = [before.clone(), requests(late, 100, 24)].concat();
-    let kept = [before, requests(late, 100, 25)].concat();
+    let violating = [before.clone(), requests(after_bound, 100, 24)].concat();
+    let satisfying = [before, requests(after_bound, 100, 25)].concat();
 
-    assert!(Recovery::of(&broken, TIMES).is_broken());
-    assert!(!Recovery::of(&kept, TIMES).is_broken());
+    assert!(Recovery::of(&violating, TIMES).is_violated());
+    assert!(!Recovery::of(&satisfying, TIMES).is_violated());
 }
 
 #[test]
@@ -78,33 +78,33 @@
 
     let recovery = Recovery::of(&[before, after].concat(), TIMES);
 
-    assert!(!recovery.is_broken());
-    assert_eq!(recovery.back_after, None);
+    assert!(!recovery.is_violated());
+    assert_eq!(recovery.time_to_recovery, None);
 }
 
 /// What is sent up to the bound doesn't count, served or not.
 #[test]
 fn only_requests_later_than_the_bound_count() {
     let before = requests(SECOND, 4, 4);
-    let early = requests(20 * SECOND, 100, 100);
-    let late = requests(24 * SECOND + 1, 10, 0);
+    let before_bound = requests(20 * SECOND, 100, 100);
+    let after_bound = requests(24 * SECOND + 1, 10, 0);
 
-    let recovery = Recovery::of(&[before, early, late].concat(), TIMES);
+    let recovery = Recovery::of(&[before, before_bound, after_bound].concat(), TIMES);
 
-    assert!(recovery.is_broken());
+    assert!(recovery.is_violated());
     assert_eq!(recovery.after.requests, 10);
-    assert_eq!(recovery.back_after, Some(Duration::from_secs(8)));
+    assert_eq!(recovery.time_to_recovery, Some(Duration::from_secs(8)));
 }
 
 #[test]
 fn a_seed_gives_the_same_soak_again_and_another_one_another() {
     assert_eq!(
-        draw_schedule(7, 6, CLOSING_AT),
-        draw_schedule(7, 6, CLOSING_AT)
+        draw_schedule(7, 6, OUTAGE_AT),
+        draw_schedule(7, 6, OUTAGE_AT)
     );
     assert_ne!(
-        draw_schedule(7, 6, CLOSING_AT).steps,
-        draw_schedule(8, 6, CLOSING_AT).steps
+        draw_schedule(7, 6, OUTAGE_AT).steps,
+        draw_schedule(8, 6, OUTAGE_AT).steps
     );
 }
 
@@ -112,23 +112,20 @@
 #[test]
 fn soaks_overlap_with_their_closing_fault_and_lose_no_more_disks_than_may_be_lost() {
     let soaks: Vec<_> = (0..200)
-        .map(|seed| draw_schedule(seed, 6, CLOSING_AT))
+        .map(|seed| draw_schedule(seed, 6, OUTAGE_AT))
         .collect();
 
-    for fault in [
-        ClosingFault::KillAll,
-        ClosingFault::PowerLost,
-        ClosingFault::DisksLost,
+    for kind in [
+        OutageKind::KillAll,
+        OutageKind::PowerLost,
+        OutageKind::DisksLost,
     ] {
-        let count = soaks
-            .iter()
-            .filter(|one| one.closing.fault == fault)
-            .count();
-        assert!(count >= 40, "{fault:?}: {count}");
+        let count = soaks.iter().filter(|soak| soak.outage.kind == kind).count();
+        assert!(count >= 40, "{kind:?}: {count}");
     }
-    let overlapping = soaks.iter().filter(|one| {
-        let last = one.steps.last().map(|step| step.at);
-        last.is_some_and(|last| last + Duration::from_secs(1) >= CLOSING_AT)
+    let overlapping = soaks.iter().filter(|soak| {
+        let last = soak.steps.last().map(|step| step.at);
+        last.is_some_and(|last| last + Duration::from_secs(1) >= OUTAGE_AT)
     });
     let overlapping = overlapping.count();
     assert!(overlapping >= 100, "{overlapping}");
@@ -138,8 +135,8 @@
             .iter()
             .filter(|step| matches!(step.disturbance, Disturbance::LoseDisk(_)))
             .count();
-        let allowed = usize::from(soak.closing.fault != ClosingFault::DisksLost);
+        let allowed = usize::from(soak.outage.kind != OutageKind::DisksLost);
         assert!(lost <= allowed, "{soak}");
-        assert!(soak.steps.iter().all(|step| step.at < CLOSING_AT), "{soak}");
+        assert!(soak.steps.iter().all(|step| step.at < OUTAGE_AT), "{soak}");
     }
 }
