--- a/crates/lockusher-router-testbed/src/soak/disturbance.rs
+++ b/crates/lockusher-router-testbed/src/soak/disturbance.rs
@@ -1,63 +1,63 @@
-//! Disturbances and planned work of a soak.
+//! Disturbances and maintenance operations of a soak.
 
 use crate::fleet::{Role, SeedChoice};
 use crate::searcher::Fault;
 
-/// A disturbance, or planned work. Numbers name machines and searchers, taken modulo how many there are.
+/// A disturbance or a maintenance operation. Numbers are indices of machines and searchers, taken modulo their count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// SIGKILL to one process; it is started anew a moment later.
+    /// SIGKILL to one process, which is restarted after a short delay.
     Kill(Role, usize),
-    /// The same to all processes of a role at once.
+    /// SIGKILL to all processes of a role at once, each restarted after a short delay.
     KillAll(Role),
     /// SIGSTOP to one process, SIGCONT some seconds later.
     Freeze(Role, usize),
-    /// SIGTERM to all processes of a role, one after the other, each started anew once it has ended.
+    /// Rolling restart of all processes of a role by SIGTERM, one after the other.
     Roll(Role),
     /// SIGHUP to every process.
     HangUpAll,
-    /// A control node is killed and its disk lost.
+    /// A control node is killed and restarted with an empty disk.
     LoseDisk(usize),
-    /// The settings files name other seeds from now on; every process gets SIGHUP.
+    /// The seeds in the settings files change; every process gets SIGHUP.
     ChangeSeeds(SeedChoice),
     /// An edge machine is partitioned from all control nodes for some seconds.
     PartitionEdge(usize),
     /// A core machine is partitioned from all edge machines for some seconds.
     PartitionCore(usize),
-    /// One change of the configuration.
+    /// One configuration change.
     ChangeConfiguration,
-    /// Several changes, one after the other.
+    /// Several consecutive configuration changes.
     ConfigurationStorm,
-    /// Two changes on the same version.
+    /// Two concurrent changes based on the same version.
     RacingChanges,
-    /// An invalid configuration.
+    /// An invalid configuration is submitted.
     InvalidConfiguration,
-    /// A change whose answers are lost.
+    /// A configuration change whose responses are lost.
     LostAcknowledgements,
-    /// A model searcher crashes and comes back as a new one.
+    /// A model searcher crashes and is replaced by a new incarnation.
     CrashSearcher(usize),
-    /// A model searcher drains and is replaced.
+    /// A model searcher drains and is replaced by a new incarnation.
     ReleaseSearcher(usize),
-    /// All model searchers of the decode stage but the last two searchers leave for good.
+    /// Decode searchers are removed until only two model searchers remain.
     RetireDecodeSearchers,
-    /// A model searcher is slow for some seconds.
+    /// A model searcher runs slowly for some seconds.
     SlowSearcher(usize),
-    /// Transfers between searchers are slow for some seconds.
+    /// KV cache transfers between searchers are slow for some seconds.
     SlowLinks,
-    /// Held prompts lapse at once for a second.
+    /// Prefilled prompts expire immediately for one second.
     LapsingHandles,
-    /// The next requests at each searcher meet a fault.
+    /// A fault is injected into the next requests at each searcher.
     FaultyRuns(Fault),
-    /// The next prefill calls at each searcher meet a fault.
+    /// A fault is injected into the next prefill calls at each searcher.
     FaultyPrefills(Fault),
-    /// The platform's list answers 500 for some seconds.
+    /// The platform's instance list answers 500 for some seconds.
     PlatformDown,
-    /// More load for some seconds.
+    /// Additional load for some seconds.
     Burst,
 }
 
 impl Disturbance {
-    /// Whether machines of the fleet are out of touch for a while: rules that bind only machines in touch don't count then.
+    /// Whether it disconnects machines of the fleet for a while, so that rules for connected machines don't apply.
     pub fn disconnects_machines(self) -> bool {
         use Disturbance::*;
         matches!(
--- a/crates/lockusher-router-testbed/src/soak/executor.rs
+++ b/crates/lockusher-router-testbed/src/soak/executor.rs
@@ -1,7 +1,7 @@
-//! Plays a soak's schedule on a world, and ends each disturbance after its time.
+//! Executes a soak's schedule on a world, and ends each disturbance after its duration.
 //!
-//! Stands for the platform as well: a process that ends by itself is noted and started anew, one that was told to end is
-//! killed after the grace, and the list shows the stages that searchers have taken.
+//! Also takes the platform's part: a process that exits unexpectedly is recorded and restarted, a process that was sent
+//! SIGTERM is killed after the grace period, and the instance list follows the stages of the searchers.
 
 mod processes;
 mod searchers;
@@ -25,24 +25,26 @@
 const SLOW_DURATION: Duration = Duration::from_secs(3);
 const PLATFORM_OUTAGE_DURATION: Duration = Duration::from_secs(2);
 const BURST_DURATION: Duration = Duration::from_secs(3);
-/// How many times the usual load comes in a burst, in all.
+/// Total load during a burst, as a multiple of the usual load.
 const BURST_FACTOR: f64 = 3.0;
+/// Slow-down of a slow searcher.
 const SLOW_FACTOR: u64 = 8;
+/// Slow-down of KV cache transfers.
 const SLOW_LINK_FACTOR: u64 = 40;
-/// Requests at each searcher that meet a fault.
+/// Requests at each searcher into which a fault is injected.
 const FAULTY_REQUESTS: usize = 2;
-/// How long handles lapse at once.
+/// How long handles expire immediately.
 const EXPIRY: Duration = Duration::from_secs(1);
-/// How often the player looks after processes and list.
+/// Interval between checks of the processes and the instance list.
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What ends a disturbance, or continues it.
+/// A scheduled action that begins, continues or ends a disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Action {
     Begin(Disturbance),
     Start(ProcessId),
     Resume(ProcessId),
-    /// The process was told to end, by the time given at the latest; the next of its role follows if `rolling`.
+    /// Polls a process that was sent SIGTERM and kills it at `kill_at`; if `rolling`, the next one of its role follows.
     AwaitExit {
         process: ProcessId,
         kill_at: Duration,
@@ -56,14 +58,14 @@
         until: Duration,
     },
     ReplaceModel(usize),
-    /// The searcher with this instance is gone for good.
+    /// Removes the departing searcher with this number.
     RemoveModel(u64),
     RestorePlatform,
     ReleasePorts,
 }
 
 impl Action {
-    /// Whether it concerns a process of the fleet: the closing fault leaves nothing of that to be done.
+    /// Whether it concerns a process of the fleet; the final outage cancels such actions.
     fn concerns_processes(self) -> bool {
         matches!(
             self,
@@ -72,27 +74,28 @@
     }
 }
 
-/// When the closing fault came and all was back, on the clock of the requests.
+/// Start and end of the final outage, on the clock of the requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutageTimes {
     pub outage_at: Micros,
     pub restored_at: Micros,
 }
 
+/// Executes one soak's schedule.
 pub(super) struct Executor<'a> {
     world: &'a mut World,
     writer: Writer,
     rate_per_second: f64,
     grace: Duration,
     started_at: Instant,
-    /// What is to be done, by when and in which order it was planned.
+    /// Pending actions by due time and sequence number.
     schedule: BTreeMap<(Duration, u64), Action>,
     scheduled_count: u64,
     bursts: Vec<Load>,
     unexpected_exits: Vec<String>,
-    /// Model searchers that leave for good, by the number of their action.
+    /// Instances of departing model searchers, by the number in [`Action::RemoveModel`].
     departing: BTreeMap<u64, String>,
-    /// Sockets that hold ports of the fleet.
+    /// Sockets that occupy ports of the fleet.
     occupied_ports: Vec<TcpListener>,
 }
 
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Plays everything; returns when the traffic has ended, `length` after the start.
+    /// Runs the whole schedule; returns `length` after the start, when the load has ended.
     pub fn run(&mut self, schedule: &Schedule, length: Duration) -> Result<OutageTimes, SoakError> {
         for step in &schedule.steps {
             self.schedule_at(step.at, Action::Begin(step.disturbance));
@@ -128,13 +131,14 @@
         Ok(times)
     }
 
-    /// Waits for bursts and changes; also returns what processes ended by themselves.
+    /// Waits for bursts and configuration changes; returns the bursts' records, the writer's result and the unexpected
+    /// process exits.
     pub fn end(self) -> (Vec<RequestRecord>, WriterResult, Vec<String>) {
         let records = self.bursts.into_iter().flat_map(Load::finish).collect();
         (records, self.writer.end(), self.unexpected_exits)
     }
 
-    /// Does what is planned until a time, and looks after processes meanwhile.
+    /// Executes the actions due up to `until`, and supervises the processes meanwhile.
     fn run_until(&mut self, until: Duration) -> Result<(), SoakError> {
         loop {
             let next = self.schedule.first_key_value().map(|((at, _), _)| *at);
--- a/crates/lockusher-router-testbed/src/soak/executor/processes.rs
+++ b/crates/lockusher-router-testbed/src/soak/executor/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of the fleet in a soak: signals, ends, restarts, and the closing fault.
+//! The processes of the fleet in a soak: signals, exits, restarts and the final outage.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use crate::soak::SoakError;
 use crate::soak::schedule::{FinalOutage, OutageKind};
 
-/// How long a killed process stays away.
+/// Delay between killing a process and restarting it.
 const KILLED_DOWNTIME: Duration = Duration::from_millis(800);
-/// After this a process that has ended by itself, or was told to, is started anew.
+/// Delay before restarting a process that exited unexpectedly or after SIGTERM.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 const FREEZE_DURATION: Duration = Duration::from_millis(2_500);
-/// How often it looks whether a process that was told to end has ended.
+/// Interval between checks whether a process that was sent SIGTERM has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The processes of all machines start within this, in any order.
+/// The processes of all machines start staggered over this span.
 const START_SPREAD: Duration = Duration::from_millis(300);
 
 impl Executor<'_> {
-    /// Starts anew what has ended by itself, and lets the list follow the searchers.
+    /// Restarts processes that have exited unexpectedly, and updates the stages in the instance list.
     pub(super) fn supervise(&mut self) -> Result<(), SoakError> {
         for (process, code) in self.world.fleet.take_exited() {
             let is_expected = self.schedule.values().any(
@@ -27,7 +27,7 @@
             if !is_expected {
                 let at = self.started_at.elapsed().as_secs_f64();
                 self.unexpected_exits
-                    .push(format!("{process} ended with {code} at {at:.2} s"));
+                    .push(format!("{process} exited with code {code} at {at:.2} s"));
                 self.schedule_after(RESTART_DELAY, Action::Start(process));
             }
         }
@@ -35,14 +35,14 @@
         Ok(())
     }
 
-    /// Takes everything at once and brings it back.
+    /// Takes down all processes at once and restarts them after the outage.
     pub(super) fn run_outage(&mut self, outage: FinalOutage) -> Result<OutageTimes, SoakError> {
         self.schedule
             .retain(|_, action| !action.concerns_processes());
         let outage_at = self.world.clock.now();
         match outage.kind {
             OutageKind::KillAll => self.world.fleet.kill_all(),
-            // Silent, then gone: what the machines' peers and clients see of a loss of power.
+            // Stopped now and killed at the restart: to peers and clients this looks like a power loss.
             OutageKind::PowerLost | OutageKind::DisksLost => {
                 self.world.fleet.signal_all(Signal::Stop);
             }
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Starts every process within the spread, the order by the number of the actions so far.
+    /// Starts every process within [`START_SPREAD`]; the order depends on the number of actions scheduled so far.
     pub(super) fn start_all(&mut self) {
         let mut processes = self.world.fleet.all_processes();
         let rotation = self.scheduled_count as usize % processes.len().max(1);
@@ -109,11 +109,12 @@
         Ok(())
     }
 
-    /// Tells a process to end; those after it follow in turn.
+    /// Restarts a process by SIGTERM, then the ones after it in turn.
     pub(super) fn roll(&mut self, process: ProcessId) {
         self.terminate(process, true);
     }
 
+    /// Sends SIGTERM and schedules the check of the exit.
     pub(super) fn terminate(&mut self, process: ProcessId, rolling: bool) {
         self.world
             .fleet
--- a/crates/lockusher-router-testbed/src/soak/executor/searchers.rs
+++ b/crates/lockusher-router-testbed/src/soak/executor/searchers.rs
@@ -1,18 +1,19 @@
-//! The searchers in a soak: releases, departures, speed and handles.
+//! The searchers in a soak: draining, removal, speed and expiry of handles.
 
 use std::time::Duration;
 
 use super::{Action, Executor};
 use crate::engine::Stage;
 
-/// How long a searcher drains before it is replaced, or gone.
+/// How long a searcher drains before it is replaced or removed.
 const DRAIN_DURATION: Duration = Duration::from_secs(5);
+/// Interval at which handles are expired.
 const HANDLE_EXPIRY_INTERVAL: Duration = Duration::from_millis(5);
-/// Searchers of a service that stay when the others leave for good.
+/// Model searchers that remain after decode searchers have been retired.
 const REMAINING_SEARCHERS: usize = 2;
 
 impl Executor<'_> {
-    /// Shows a searcher as draining; a new incarnation takes its place later.
+    /// Drains a searcher; a new incarnation replaces it after [`DRAIN_DURATION`].
     pub(super) fn release(&mut self, position: usize) {
         let model = &self.world.models[position];
         model.drain();
@@ -20,7 +21,7 @@
         self.schedule_after(DRAIN_DURATION, Action::ReplaceModel(position));
     }
 
-    /// Decode searchers leave for good, one after the other, while more searchers than are to stay are there.
+    /// Drains and removes decode searchers as long as more than [`REMAINING_SEARCHERS`] model searchers remain.
     pub(super) fn retire_decode_searchers(&mut self) {
         let departing = |instance: &String| self.departing.values().any(|other| other == instance);
         let remaining: Vec<(String, Stage)> = self
@@ -60,6 +61,7 @@
         }
     }
 
+    /// Expires all handles repeatedly until the given time.
     pub(super) fn expire_handles(&mut self, until: Duration) {
         for model in &self.world.models {
             model.lapse_all_handles();
--- a/crates/lockusher-router-testbed/src/soak/mod.rs
+++ b/crates/lockusher-router-testbed/src/soak/mod.rs
@@ -1,7 +1,7 @@
-//! Soaks: a whole deployment under load while disturbances overlap, until everything is lost at once and comes back.
+//! Soak tests: a whole deployment under load with overlapping disturbances, ended by an outage of every process.
 //!
-//! The processes are real and run in real time; clients keep using their connections until the process at the other end is
-//! gone. The rules are checked over the whole run, and the one on recovery by its own terms.
+//! The processes run in real time; clients reuse their connections until the process at the other end has exited. The
+//! protocol rules are checked over the whole run; the recovery rule is checked separately, around the final outage.
 
 mod disturbance;
 mod executor;
@@ -32,15 +32,16 @@
 use crate::world::{World, WorldError, WorldPlan};
 use executor::Executor;
 
-/// Traffic goes on for this long after the time by which service must be back.
+/// The load continues for this long after the recovery bound has passed.
 pub(crate) const POST_RECOVERY_TRAFFIC: Duration = Duration::from_secs(6);
-/// Of the requests in the last part of the calm end, so many must be served.
+/// Share of the requests in the final window that must be served.
 const MIN_SERVED_SHARE: f64 = 0.9;
+/// The last part of the load, checked against [`MIN_SERVED_SHARE`].
 const FINAL_WINDOW: Duration = Duration::from_secs(3);
-/// How long the operator asks for the configuration at the end.
+/// How long the operator retries reading the configuration at the end.
 const READ_BACK_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why a soak could not be played.
+/// Why a soak could not be run.
 #[derive(Debug, Display, Error, From)]
 pub enum SoakError {
     #[display("{_0}")]
@@ -53,38 +54,44 @@
     Io(std::io::Error),
 }
 
-/// How soaks are played.
+/// Parameters of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
+    /// Size and bounds of the deployment.
     pub world: WorldPlan,
+    /// Requests per second, all kinds together.
     pub rate_per_second: f64,
-    /// When the closing fault of a drawn soak comes.
+    /// Start of the final outage in a randomly drawn soak.
     pub outage_at: Duration,
-    /// Series of disturbances in a drawn soak.
+    /// Number of disturbance series in a randomly drawn soak.
     pub series: usize,
 }
 
-/// What came of a soak.
+/// The result of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakResult {
+    /// The schedule that was run.
     pub schedule: Schedule,
+    /// Counts and latencies by kind of request.
     pub figures: Figures,
+    /// Service before and after the final outage.
     pub recovery: Recovery,
+    /// Violations of the protocol rules.
     pub violations: Vec<Violation>,
-    /// What went wrong besides: service or a configuration that didn't come back, processes that ended by themselves.
+    /// Other failures: service or configuration not restored, unexpected process exits.
     pub failures: Vec<String>,
-    /// Where the processes' logs are, if they were kept.
+    /// The directory with the processes' logs, if it was kept.
     pub logs: Option<std::path::PathBuf>,
 }
 
 impl SoakResult {
-    /// Whether nothing went wrong.
+    /// Whether there were neither violations nor failures.
     pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.failures.is_empty()
     }
 }
 
-/// Plays one soak.
+/// Runs one soak.
 pub fn run(plan: &SoakPlan, schedule: &Schedule) -> Result<SoakResult, SoakError> {
     let bound = Duration::from_secs(plan.world.bounds.recovery_s);
     let length = schedule.restored_at() + bound + POST_RECOVERY_TRAFFIC;
@@ -129,7 +136,8 @@
     }
 }
 
-/// The rules that bind only machines in touch don't count: the closing fault alone puts all of them out of touch.
+/// Violations of the protocol rules, except of rules that apply only to connected machines: the final outage
+/// disconnects all machines.
 fn violations(world: &World, records: &[RequestRecord]) -> Vec<Violation> {
     let require_connectivity = [Rule::Drain, Rule::Config, Rule::Lost];
     let mut violations_found = world.check(records).violations;
@@ -137,7 +145,7 @@
     violations_found
 }
 
-/// The rule on recovery over all requests, and by the same terms for each route.
+/// Violations of the recovery rule, checked over all requests and for each route.
 fn recovery_failures(records: &[RequestRecord], times: RecoveryTimes) -> Vec<String> {
     let routes: BTreeSet<&str> = records
         .iter()
@@ -157,7 +165,7 @@
         .collect()
 }
 
-/// Whether nearly all is served at the end.
+/// A failure if too few of the requests in the final window were served.
 fn final_service_failure(world: &World, records: &[RequestRecord]) -> Option<String> {
     let last = records.iter().map(|record| record.due).max()?;
     let from = last.saturating_sub(FINAL_WINDOW.as_micros() as u64);
@@ -169,12 +177,12 @@
     (share < MIN_SERVED_SHARE).then(|| {
         let (outcomes, rejected) = (count_outcomes(unserved), rejections_since(world, from));
         format!(
-            "only {share:.2} of the requests at the end were served: {outcomes}; searchers rejected: {rejected}"
+            "served share of the final requests is {share:.2}: {outcomes}; rejected by searchers: {rejected}"
         )
     })
 }
 
-/// How many requests searchers rejected from a time on, by searcher and status.
+/// Counts the requests that searchers rejected since `from`, by searcher and status.
 fn rejections_since(world: &World, from: Micros) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for arrival in world
@@ -197,7 +205,7 @@
     format_counts(&counts)
 }
 
-/// How many requests ended how, by kind and mixer.
+/// Counts requests by kind, final outcome and mixer.
 fn count_outcomes<'a>(unserved: impl Iterator<Item = &'a RequestRecord>) -> String {
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for record in unserved {
@@ -220,7 +228,7 @@
     format_counts(&counts)
 }
 
-/// What was counted, in words.
+/// Formats counts as a comma-separated list.
 fn format_counts(counts: &BTreeMap<String, usize>) -> String {
     let parts: Vec<String> = counts
         .iter()
--- a/crates/lockusher-router-testbed/src/soak/recovery.rs
+++ b/crates/lockusher-router-testbed/src/soak/recovery.rs
@@ -1,5 +1,5 @@
-//! The rule on recovery, by its own terms: if a quarter or more of the requests was served before the closing fault, then of
-//! those that were sent later than the bound after the return a quarter at least is served.
+//! The recovery rule: if at least a quarter of the requests was served before the final outage, at least a quarter of
+//! those sent after the recovery bound has passed must be served.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,18 +7,20 @@
 use crate::engine::Micros;
 use crate::request::RequestRecord;
 
-/// The share of requests that counts as service.
+/// The service counts as available if at least this share of the requests is served.
 const AVAILABILITY_RATIO: f64 = 0.25;
 
-/// Requests of a span, and how many of them were served.
+/// The number of requests in a time span, and how many of them were served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Served {
+    /// Served requests.
     pub served: usize,
+    /// All requests.
     pub requests: usize,
 }
 
 impl Served {
-    /// Those of the requests that are due at the times that `in_span_at` admits.
+    /// Counts the requests whose due time satisfies `in_span_at`.
     pub fn of(records: &[RequestRecord], in_span_at: impl Fn(Micros) -> bool) -> Served {
         let in_span = records.iter().filter(|record| in_span_at(record.due));
         in_span.fold(Served::default(), |sum, record| Served {
@@ -27,7 +29,7 @@
         })
     }
 
-    /// Whether a quarter or more was served.
+    /// Whether at least a quarter of the requests was served; `false` without requests.
     pub fn is_available(self) -> bool {
         self.requests > 0 && self.served as f64 >= self.requests as f64 * AVAILABILITY_RATIO
     }
@@ -39,31 +41,31 @@
     }
 }
 
-/// What was served around the closing fault.
+/// Service before and after the final outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Recovery {
-    /// Of the requests before the fault.
+    /// Requests due before the outage.
     pub before: Served,
-    /// Of those later than the bound after the return.
+    /// Requests due after the recovery bound has passed.
     pub after: Served,
-    /// From the return to the first request from which on a second's requests were served by a quarter at least; none if
-    /// that never came.
+    /// Time from the restart of the machines to the first one-second window in which the service was available; `None` if
+    /// there is no such window.
     pub time_to_recovery: Option<Duration>,
 }
 
-/// Times of the closing fault on the clock of the requests.
+/// Times of the final outage on the clock of the requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RecoveryTimes {
-    /// When the fault came.
+    /// Start of the outage.
     pub outage_at: Micros,
-    /// When all machines had returned.
+    /// End of the outage, when the machines restart.
     pub restored_at: Micros,
-    /// The bound, from the return.
+    /// Time allowed for recovery, from the end of the outage.
     pub bound: Duration,
 }
 
 impl Recovery {
-    /// What became of service around the closing fault.
+    /// Evaluates the requests around the final outage.
     pub fn of(records: &[RequestRecord], times: RecoveryTimes) -> Recovery {
         let recovery_deadline = times.restored_at + times.bound.as_micros() as Micros;
         Recovery {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Whether the rule is broken.
+    /// Whether the recovery rule is violated.
     pub fn is_violated(&self) -> bool {
         self.before.is_available() && self.after.requests > 0 && !self.after.is_available()
     }
@@ -86,14 +88,15 @@
         match self.time_to_recovery {
             Some(span) => write!(
                 formatter,
-                ", back {:.1} s after the return",
+                ", recovered {:.1} s after the restart",
                 span.as_secs_f64()
             ),
-            None => write!(formatter, ", never back"),
+            None => write!(formatter, ", not recovered"),
         }
     }
 }
 
+/// Time from `restored_at` to the first one-second window in which the service is available.
 fn time_to_recovery(records: &[RequestRecord], restored_at: Micros) -> Option<Duration> {
     const SECOND: Micros = 1_000_000;
     let mut due: Vec<Micros> = records.iter().map(|record| record.due).collect();
--- a/crates/lockusher-router-testbed/src/soak/scenario.rs
+++ b/crates/lockusher-router-testbed/src/soak/scenario.rs
@@ -1,4 +1,4 @@
-//! Soaks that are given instead of drawn: each brings about one cause for which service may stay away.
+//! Fixed soak schedules, each of which provokes one known cause of missing recovery.
 
 use std::time::Duration;
 
@@ -6,12 +6,13 @@
 use super::schedule::{FinalOutage, OutageKind, Schedule, Step};
 use crate::fleet::{Role, SeedChoice};
 
-/// The closing fault of a scenario comes at this time.
+/// Start of the final outage of every scenario.
 const OUTAGE_AT: Duration = Duration::from_secs(14);
 
-/// A soak that brings about one cause.
+/// A named soak schedule that provokes one cause of missing recovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scenario {
+    /// The name on the command line.
     pub name: &'static str,
     steps: &'static [(f64, Disturbance)],
     outage: OutageKind,
@@ -104,13 +105,13 @@
     },
 ];
 
-/// The scenario of a name.
+/// The scenario with this name.
 pub fn scenario(name: &str) -> Option<&'static Scenario> {
     SCENARIOS.iter().find(|scenario| scenario.name == name)
 }
 
 impl Scenario {
-    /// The soak that plays it, with a seed for its load.
+    /// The schedule of the scenario, with `seed` for its load.
     pub fn schedule(&self, seed: u64) -> Schedule {
         let steps = self.steps.iter().map(|(at_s, disturbance)| Step {
             at: Duration::from_secs_f64(*at_s),
--- a/crates/lockusher-router-testbed/src/soak/schedule.rs
+++ b/crates/lockusher-router-testbed/src/soak/schedule.rs
@@ -1,7 +1,7 @@
-//! What happens in a soak, and when: drawn by seed, the same seed gives the same soak.
+//! Schedules of soaks, drawn deterministically from a seed.
 //!
-//! Disturbances come in series: one kind several times in a row, at short distances, beside other series. Nothing waits
-//! for what is under way, so that they overlap with each other and with the closing fault.
+//! Disturbances are grouped in series: one kind repeated several times at short intervals. A disturbance doesn't wait
+//! for earlier ones to end, so that series overlap with each other and with the final outage.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,55 +14,63 @@
 use crate::fleet::{Role, SeedChoice};
 use crate::searcher::Fault;
 
-/// The first disturbance begins this long after the traffic, in seconds.
+/// Delay of the earliest disturbance after the start of the load, in seconds.
 const FIRST_DISTURBANCE_S: f64 = 2.0;
-/// The last one begins this long before the closing fault, in seconds.
+/// The latest disturbance begins this long before the final outage, in seconds.
 const LAST_DISTURBANCE_BEFORE_OUTAGE_S: f64 = 0.1;
-/// Disturbances of one series are this far apart, in seconds.
+/// Interval between the disturbances of a series, in seconds.
 const SERIES_GAP_S: std::ops::Range<f64> = 0.1..1.5;
-/// How many disturbances a series has.
+/// Number of disturbances in a series.
 const SERIES_LENGTH: std::ops::RangeInclusive<usize> = 1..=5;
-/// For how long everything is gone, in seconds.
+/// Duration of the final outage, in seconds.
 const OUTAGE_DURATION_S: std::ops::Range<f64> = 0.3..4.0;
 
-/// A disturbance and when it begins, counted from the start of the traffic.
+/// A disturbance and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
+    /// Time since the start of the load.
     pub at: Duration,
+    /// What is disturbed.
     pub disturbance: Disturbance,
 }
 
-/// The fault that takes everything at once.
+/// How all processes are taken down at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
-    /// Every process is killed; the machines answer connections with resets.
+    /// Every process is killed; connection attempts are answered with resets.
     KillAll,
-    /// Every machine goes silent; its processes are gone when it returns.
+    /// Every machine stops responding; its processes have ended when it restarts.
     PowerLost,
-    /// Like [`OutageKind::PowerLost`]; as many control nodes as may be lost come back with empty disks.
+    /// Like [`OutageKind::PowerLost`], with empty disks on as many control nodes as the fleet tolerates losing.
     DisksLost,
 }
 
-/// When everything is gone, and for how long.
+/// The outage of all processes at the end of a soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinalOutage {
+    /// How the processes are taken down.
     pub kind: OutageKind,
+    /// Start of the outage, since the start of the load.
     pub at: Duration,
+    /// Time until the machines restart.
     pub duration: Duration,
-    /// How long after the return a foreign socket holds the port at which each agent serves its proxy.
+    /// How long after the restart another socket occupies the port on which each agent serves its proxy.
     pub ports_occupied: Option<Duration>,
 }
 
-/// One soak: its seed, its disturbances in order, and the closing fault.
+/// The schedule of one soak.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
+    /// Seed of the schedule and of the load.
     pub seed: u64,
+    /// Disturbances, ordered by start.
     pub steps: Vec<Step>,
+    /// The outage at the end.
     pub outage: FinalOutage,
 }
 
 impl Schedule {
-    /// When all machines have returned.
+    /// End of the final outage, when the machines restart.
     pub fn restored_at(&self) -> Duration {
         self.outage.at + self.outage.duration
     }
@@ -83,7 +91,7 @@
     }
 }
 
-/// Draws the soak of a seed, whose closing fault comes `outage_at` after the start of the traffic.
+/// Draws the schedule for a seed; its final outage begins `outage_at` after the start of the load.
 pub fn draw_schedule(seed: u64, series: usize, outage_at: Duration) -> Schedule {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let outage = FinalOutage {
@@ -96,7 +104,7 @@
     for _ in 0..series {
         steps.extend(draw_series(&mut rng, outage_at));
     }
-    // A lost disk and those of the closing fault would be more than are tolerated.
+    // The disks lost in series and in the final outage together must not exceed the tolerated losses.
     let mut remaining_disk_losses = usize::from(outage.kind != OutageKind::DisksLost);
     steps.retain(|step| match step.disturbance {
         Disturbance::LoseDisk(_) if remaining_disk_losses == 0 => false,
@@ -126,7 +134,7 @@
 fn draw_series(rng: &mut ChaCha8Rng, outage_at: Duration) -> Vec<Step> {
     let last_s =
         (outage_at.as_secs_f64() - LAST_DISTURBANCE_BEFORE_OUTAGE_S).max(FIRST_DISTURBANCE_S + 0.1);
-    // The later ones are more likely to run into the closing fault.
+    // The maximum of two draws prefers late series, which are more likely to overlap with the final outage.
     let begin_s = rng
         .random_range(FIRST_DISTURBANCE_S..last_s)
         .max(rng.random_range(FIRST_DISTURBANCE_S..last_s));
@@ -147,7 +155,7 @@
         .collect()
 }
 
-/// Whether a series of it makes no sense: it takes long, or leaves nothing for a second one.
+/// Whether it is not repeated within a series: it takes long, or a second one has no effect.
 fn is_not_repeated(disturbance: Disturbance) -> bool {
     use Disturbance::*;
     matches!(
@@ -156,7 +164,7 @@
     )
 }
 
-/// The same disturbance of the machine or searcher that is so many further on.
+/// The same disturbance with the index of its machine or searcher increased by `offset`.
 fn with_target_offset(first: Disturbance, offset: usize) -> Disturbance {
     use Disturbance::*;
     match first {
@@ -208,7 +216,7 @@
     }
 }
 
-/// What disturbs neither machines nor searchers for long.
+/// Draws a disturbance with no lasting effect on machines and searchers.
 fn draw_minor_disturbance(rng: &mut ChaCha8Rng, number: usize) -> Disturbance {
     let kinds = [
         Disturbance::InvalidConfiguration,
--- a/crates/lockusher-router-testbed/src/soak/writer.rs
+++ b/crates/lockusher-router-testbed/src/soak/writer.rs
@@ -1,4 +1,4 @@
-//! The operator's changes during a day, one after another, in a thread of their own.
+//! Sends the operator's configuration changes during a soak, one after another, on a thread of their own.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
@@ -13,16 +13,16 @@
 use crate::operator::{ChangeOutcome, Operator};
 use crate::server::lock;
 
-/// How long the operator waits for a clear answer.
+/// How long the operator retries a request until it has a definite response.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Changes in a storm.
+/// Consecutive changes of [`Command::Storm`].
 const STORM_CHANGES: u64 = 6;
-/// Answers that are lost when acknowledgements are.
+/// Responses that are dropped for [`Command::LostAcknowledgements`].
 const LOST_RESPONSES: u32 = 3;
-/// How much `timeoutMs` grows with each change.
+/// Increase of `timeoutMs` with each change.
 const TIMEOUT_INCREMENT_MS: u64 = 10;
 
-/// What the operator is to do.
+/// An operation for the writer's thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
     Change,
@@ -32,21 +32,21 @@
     LostAcknowledgements,
 }
 
-/// The newest configuration that may be in force, and all that were sent.
+/// The newest configuration known to be in force, all configurations sent, and the failures so far.
 struct State {
     newest: Configuration,
     sent: Vec<Configuration>,
     failures: Vec<String>,
 }
 
-/// Sends changes as ordered.
+/// Sends configuration changes on request.
 pub(super) struct Writer {
     commands: Sender<Command>,
     worker: JoinHandle<()>,
     state: Arc<Mutex<State>>,
 }
 
-/// What was written in a day.
+/// The final state of a [`Writer`].
 pub(super) struct WriterResult {
     newest: Configuration,
     sent: Vec<Configuration>,
@@ -71,15 +71,16 @@
         }
     }
 
+    /// Queues a command.
     pub fn send(&self, command: Command) {
-        // A worker that has panicked shows in the output.
+        // Fails only if the worker has panicked, which its own output shows.
         let _ = self.commands.send(command);
     }
 
-    /// Waits for all orders.
+    /// Waits until all commands are done.
     pub fn end(self) -> WriterResult {
         drop(self.commands);
-        // A worker that has panicked shows in the output.
+        // Fails only if the worker has panicked, which its own output shows.
         let _ = self.worker.join();
         let state = lock(&self.state);
         WriterResult {
@@ -91,11 +92,11 @@
 }
 
 impl WriterResult {
-    /// What is wrong with the configuration that is read back at the end of the day.
+    /// Failures so far, and what is wrong with the configuration that is read back at the end of the soak.
     pub fn check_read_back(&self, operator: &Operator, wait: Duration) -> Vec<String> {
         let mut failures = self.failures.clone();
         match operator.get(wait) {
-            None => failures.push("the configuration can't be read back".to_owned()),
+            None => failures.push("reading the configuration back failed".to_owned()),
             Some(read) => failures.extend(self.check(&read)),
         }
         failures
@@ -105,12 +106,16 @@
         let version = read["version"].as_u64().unwrap_or(0);
         if version < self.newest.version {
             return Some(format!(
-                "version {version} is read back, {} was acknowledged",
+                "configuration version {version} was read back, but version {} was acknowledged",
                 self.newest.version
             ));
         }
         let was_sent = self.sent.iter().any(|sent| to_json(sent) == *read);
-        (!was_sent).then(|| format!("version {version} is read back other than it was sent"))
+        (!was_sent).then(|| {
+            format!(
+                "configuration version {version} read back differs from every configuration sent"
+            )
+        })
     }
 }
 
@@ -129,7 +134,7 @@
     }
 }
 
-/// The next version: timeouts grow and a route comes or goes.
+/// The next configuration: timeouts grow, and a route is added or removed.
 fn next_configuration(current: &Configuration, version_increment: u64) -> Configuration {
     const ADDED: &str = "added";
     let mut next = current.clone();
@@ -154,7 +159,7 @@
         ChangeOutcome::Acknowledged => lock(state).newest = next,
         ChangeOutcome::Refused { status } => {
             lock(state).failures.push(format!(
-                "version {} was refused with {status}",
+                "configuration version {} was refused with status {status}",
                 next.version
             ));
             refresh_newest(operator, state);
@@ -174,7 +179,7 @@
     operator.put(next, base, first, CHANGE_TIMEOUT)
 }
 
-/// After an unclear answer: what is read back is the present one, if it is one that was sent.
+/// After an indefinite outcome: reads the configuration back and takes it as the newest if it was sent by this writer.
 fn refresh_newest(operator: &Operator, state: &Mutex<State>) {
     let Some(read) = operator.get(CHANGE_TIMEOUT) else {
         return;
@@ -194,11 +199,11 @@
     let current = lock(state).newest.clone();
     let mut invalid = next_configuration(&current, 1);
     invalid.routes[0].split[0].service = "nobody".to_owned();
-    // It is not among those that may be read back.
+    // Not added to `sent`, because it must not be read back.
     let outcome = operator.put(&invalid, current.version, 0, CHANGE_TIMEOUT);
     if outcome == ChangeOutcome::Acknowledged {
         lock(state).failures.push(format!(
-            "the invalid version {} was acknowledged",
+            "the invalid configuration version {} was acknowledged",
             invalid.version
         ));
     }
