--- a/crates/lockusher-router-testbed/src/client.rs
+++ b/crates/lockusher-router-testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: one request with its tries, as the protocol page says under "Answers".
+//! Clients: a request with its tries, following the rules under "Answers" on the protocol page.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,24 +13,24 @@
     AnswerSeen, BodySeen, Break, RequestRecord, RequestSpec, TryOutcome, TryRecord,
 };
 
-/// How long a new connection is given to come up.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause before a retry that was not told when to come back.
+/// Delay before a retry without `Retry-After`.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Retries of a hasty client beyond those of others.
+/// Additional retries of a client that ignores backoff.
 const EXTRA_RETRIES: u32 = 3;
-/// The end of an event.
+/// Terminates an event of a stream.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// Gives every try in a process an id of its own.
+/// Counter for request ids that are unique per try within the process.
 static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A client; it may keep its connections.
+/// A client that may reuse its connections.
 pub struct Client {
     clock: LabClock,
-    /// How long a connection may rest before it is used again; `None`: each try opens a new one.
+    /// How long a connection may be idle before reuse; `None`: each try opens a new connection.
     max_idle: Option<Duration>,
-    /// Doesn't wait as told, and retries at once and more often.
+    /// Whether it ignores `Retry-After`, retrying immediately and more often.
     ignores_backoff: bool,
     idle: HashMap<SocketAddr, (Connection, Instant)>,
 }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A client that uses connections again that have rested for no longer than `max_idle`.
+    /// A client that reuses connections that have been idle for at most `max_idle`.
     pub fn keeping_connections(clock: LabClock, max_idle: Duration) -> Client {
         Client {
             max_idle: Some(max_idle),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A client that doesn't wait as told, and retries at once and more often.
+    /// A client that ignores `Retry-After`, retrying immediately and more often.
     pub fn ignoring_backoff(clock: LabClock) -> Client {
         Client {
             ignores_backoff: true,
@@ -62,8 +62,7 @@
         }
     }
 
-    /// A mixer to which a kept connection is open. It stays with its mixer until it is closed, whether or not that calls
-    /// itself ready.
+    /// The mixer of an open idle connection. The connection is reused until it is closed, even if the mixer is not ready.
     pub fn pooled_front(&mut self) -> Option<SocketAddr> {
         let limit = self.max_idle?;
         self.idle.retain(|_, (connection, since)| {
@@ -72,7 +71,7 @@
         self.idle.keys().next().copied()
     }
 
-    /// Sends a request, due at `due`, with its retries. `front_for_try` gives the address for the try of a number.
+    /// Sends a request, due at `due`, with its retries. `front_for_try` returns the address for a try by its number.
     pub fn request(
         &mut self,
         spec: &Arc<RequestSpec>,
@@ -104,7 +103,7 @@
         }
     }
 
-    /// One try at one mixer, of a request that began at `started_at`.
+    /// One try at one mixer, of a request that was started at `started_at`.
     pub fn try_once(
         &mut self,
         spec: &Arc<RequestSpec>,
@@ -140,7 +139,7 @@
         }
     }
 
-    /// A resting connection that is still good, or a new one.
+    /// A reusable idle connection, or a new one. Sets `unsolicited` if the idle connection had received unexpected bytes.
     fn connect(
         &mut self,
         front: SocketAddr,
@@ -158,6 +157,7 @@
         Connection::open(front, remaining.min(CONNECT_TIMEOUT))
     }
 
+    /// Sends the request and reads its response.
     fn exchange(
         &mut self,
         mut connection: Connection,
@@ -239,7 +239,7 @@
         Ok(())
     }
 
-    /// Moves whole events from the bytes to the record.
+    /// Moves complete events from the unread bytes to the record.
     fn take_events(&self, unread: &mut Vec<u8>, events: &mut Vec<EventRecord>) {
         while let Some(at) = unread
             .windows(EVENT_END.len())
@@ -256,7 +256,7 @@
     }
 }
 
-/// When a read gives up: at the deadline, or for streams after the longest silence.
+/// Deadline of the next read: the client's deadline, or earlier for streams that exceed the idle timeout.
 fn read_deadline(spec: &RequestSpec, client_deadline: Instant) -> Instant {
     if spec.streaming {
         client_deadline.min(Instant::now() + spec.longest_silence())
@@ -305,7 +305,7 @@
     }
 }
 
-/// The event after which the next try takes a broken stream up.
+/// The event after which the next try resumes an interrupted stream.
 fn resume_after(spec: &RequestSpec, tries: &[TryRecord]) -> Option<u64> {
     if !spec.resumable {
         return None;
@@ -313,7 +313,7 @@
     tries.iter().rev().find_map(TryRecord::last_event)
 }
 
-/// How long to wait before the next try; `None` when there is none.
+/// Delay before the next try; `None` if there is no next try.
 fn retry_delay(spec: &RequestSpec, last: &TryRecord, client_deadline: Instant) -> Option<Duration> {
     if last.is_success() || !may_retry(spec, last) {
         return None;
--- a/crates/lockusher-router-testbed/src/fleet/mod.rs
+++ b/crates/lockusher-router-testbed/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of `lockusher-node` processes on the loopback: each machine has an address of its own, control nodes
-//! have folders of their own.
+//! A fleet of `lockusher-node` processes on the loopback. Each machine has its own address, each control node its own
+//! data directory.
 
 mod plan;
 mod process;
@@ -19,14 +19,14 @@
 use crate::wait::{WaitTimeout, wait_until};
 use plan::{CoreMachine, EdgeMachine, Layout};
 
-/// Looks for readiness before a fleet counts as failed: at least half a minute.
+/// Polls for readiness before a fleet counts as failed: at least half a minute.
 const READY_POLLS: u32 = 600;
-/// Edge machines that may be seeds: so many of the first ones are linked with all other machines.
+/// Number of edge machines that may be seeds: the agents of the first ones are linked with all other machines.
 const MAX_SEED_EDGES: usize = 3;
-/// How long a look for readiness waits for its answer.
+/// Timeout of one readiness probe.
 const READINESS_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// Why a fleet can't run.
+/// Why a fleet can't be started or controlled.
 #[derive(Debug, Display, Error, From)]
 pub enum FleetError {
     #[display("{_0}")]
@@ -37,7 +37,7 @@
     Wait(WaitTimeout),
 }
 
-/// The processes of a fleet. They are killed when it is dropped.
+/// The processes of a fleet, which are killed when it is dropped.
 pub struct Fleet {
     layout: Layout,
     directory: PathBuf,
@@ -45,7 +45,7 @@
     program: PathBuf,
     processes: Vec<NodeProcess>,
     links: Vec<EdgeLink>,
-    /// From where machines look for the agents of seeds to where these are.
+    /// Links from the addresses at which machines expect the seeds' agents to their actual addresses.
     agent_links: Vec<Link>,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Fleet {
-    /// Gives every machine its addresses; no process runs yet.
+    /// Assigns addresses to all machines without starting a process.
     pub fn allocate(plan: &FleetPlan) -> Result<Fleet, FleetError> {
         let program = plan.program.clone().map_or_else(program, Ok)?;
         let layout = Layout::new(plan)?;
@@ -87,12 +87,12 @@
         Ok(())
     }
 
-    /// Where clients come in, by edge machine.
+    /// Addresses of the proxies, by edge machine.
     pub fn mixers(&self) -> Vec<MixerAddress> {
         self.layout.edges.iter().map(EdgeMachine::mixer).collect()
     }
 
-    /// Where the operator comes in, by core machine.
+    /// Operator addresses of the control nodes, by core machine.
     pub fn control(&self) -> Vec<SocketAddr> {
         self.layout
             .cores
@@ -101,24 +101,24 @@
             .collect()
     }
 
-    /// Where operators call: at core machines, and at edge machines, which redirect them.
+    /// All operator addresses: of core machines, and of edge machines, which redirect operators.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         let edges = (0..self.layout.edges.len()).map(Seed::Edge);
         let edges = edges.map(|seed| SocketAddr::V4(self.layout.operator_address(seed)));
         self.control().into_iter().chain(edges).collect()
     }
 
-    /// How many control nodes there are.
+    /// Number of control nodes.
     pub fn control_nodes(&self) -> usize {
         self.layout.cores.len()
     }
 
-    /// How many control nodes may be lost at once.
+    /// How many control nodes may be lost at once without losing the quorum.
     pub fn tolerated_losses(&self) -> usize {
         self.layout.tolerated_losses()
     }
 
-    /// The processes that run while nothing is disturbed.
+    /// The processes of an undisturbed fleet.
     pub fn all_processes(&self) -> Vec<ProcessId> {
         let on =
             |role, machines: usize| (0..machines).map(move |machine| ProcessId { role, machine });
@@ -129,7 +129,7 @@
             .collect()
     }
 
-    /// Whether a process was started and hasn't ended.
+    /// Whether a process was started and hasn't exited.
     pub fn is_running(&mut self, process: ProcessId) -> bool {
         self.process(process.role, process.machine)
             .is_some_and(|running| running.exit_code().is_none())
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Kills all processes at once and waits for their ends.
+    /// Kills all processes at once and waits for them to exit.
     pub fn kill_all(&mut self) {
         self.processes.iter_mut().for_each(NodeProcess::send_kill);
         self.processes.iter_mut().for_each(NodeProcess::kill);
@@ -162,7 +162,7 @@
             .for_each(|process| process.signal(signal));
     }
 
-    /// Forgets the processes that have ended without being killed by the test, and returns them with their exit codes.
+    /// Removes the processes that have exited without being killed by the test, and returns them with their exit codes.
     pub fn take_exited(&mut self) -> Vec<(ProcessId, i32)> {
         let mut exited = Vec::new();
         self.processes
@@ -176,7 +176,7 @@
         exited
     }
 
-    /// Listens where the agents serve their proxies, which must not run.
+    /// Binds the ports on which the agents serve their proxies; no agent may be running.
     pub fn occupy_agent_ports(&self) -> std::io::Result<Vec<TcpListener>> {
         let edges = self.layout.edges.iter();
         let port_of = |edge: &EdgeMachine| plan::subscriptions_port(edge.internal_ports);
@@ -185,7 +185,7 @@
             .collect()
     }
 
-    /// Lets all settings files name other seeds; processes read them at their next start, or when they look again.
+    /// Writes new seeds to all settings files; processes read them at the next start or reload.
     pub fn set_seeds(&mut self, seeds: Vec<Seed>) -> std::io::Result<()> {
         self.layout.seeds = seeds;
         for ProcessId { role, machine } in self.all_processes() {
@@ -195,7 +195,7 @@
         Ok(())
     }
 
-    /// Lets all settings files name seeds of a kind.
+    /// Writes the seeds of this choice to all settings files.
     pub fn change_seeds(&mut self, choice: SeedChoice) -> std::io::Result<()> {
         let cores = self.layout.cores.len();
         let edges = self.layout.edges.len().min(MAX_SEED_EDGES);
@@ -215,12 +215,12 @@
         &self.layout.zones
     }
 
-    /// An address for a stand-in that no machine of the fleet uses.
+    /// An address for a stand-in, not used by any machine of the fleet.
     pub fn stand_in_address(&self, number: u8, port: u16) -> SocketAddr {
         SocketAddr::V4(SocketAddrV4::new(self.layout.stand_in_ip(number), port))
     }
 
-    /// Waits until the proxy of an edge machine calls itself ready.
+    /// Waits until the proxy of an edge machine reports readiness.
     pub fn wait_ready(&self, edge: usize) -> Result<(), WaitTimeout> {
         let readiness = self.layout.edges[edge].mixer().readiness;
         wait_until(&format!("readiness of edge {edge}"), READY_POLLS, || {
@@ -228,12 +228,12 @@
         })
     }
 
-    /// Waits until all proxies call themselves ready.
+    /// Waits until all proxies report readiness.
     pub fn wait_all_ready(&self) -> Result<(), WaitTimeout> {
         (0..self.layout.edges.len()).try_for_each(|edge| self.wait_ready(edge))
     }
 
-    /// Starts the control node of a core machine; after the first start it finds its own disk.
+    /// Starts the control node of a core machine; a restart reuses its disk.
     pub fn start_control(&mut self, core: usize, first_start: bool) -> Result<(), FleetError> {
         let settings = self.settings(Role::Control, core, first_start);
         self.start_process(Role::Control, core, &settings)
@@ -251,14 +251,14 @@
         self.start_process(Role::Proxy, edge, &settings)
     }
 
-    /// Sends a signal to one process, by its id.
+    /// Sends a signal to one process, if it was started.
     pub fn signal(&mut self, role: Role, machine: usize, signal: Signal) {
         if let Some(process) = self.process(role, machine) {
             process.signal(signal);
         }
     }
 
-    /// Kills one process and waits for its end.
+    /// Kills one process and waits for it to exit.
     pub fn kill(&mut self, role: Role, machine: usize) {
         self.processes.retain_mut(|process| {
             let is_target = process.is(role, machine);
@@ -269,61 +269,61 @@
         });
     }
 
-    /// The exit code of a process that has ended by itself or by SIGTERM; `None` while it runs.
+    /// The exit code of a process that has exited on its own or after SIGTERM; `None` while it runs.
     pub fn exit_code(&mut self, role: Role, machine: usize) -> Option<i32> {
         self.process(role, machine)?.exit_code()
     }
 
-    /// Waits until a process has ended, then forgets it.
+    /// Waits until a process has exited, then removes it and returns its exit code.
     pub fn wait_exited(
         &mut self,
         role: Role,
         machine: usize,
         polls: u32,
     ) -> Result<i32, WaitTimeout> {
-        let state = format!("the end of {role} {machine}");
+        let state = format!("exit of {role} {machine}");
         let code = crate::wait::wait_for(&state, polls, || self.exit_code(role, machine))?;
         self.processes.retain(|process| !process.is(role, machine));
         Ok(code)
     }
 
-    /// Processes that have ended although nobody ended them.
+    /// Descriptions of the processes that have exited without being signaled or killed by the test.
     pub fn unexpected_exits(&mut self) -> Vec<String> {
         let exited = self.processes.iter_mut().filter_map(|process| {
             let code = process.exit_code()?;
-            Some(format!("{} ended with {code}", process.name()))
+            Some(format!("{} exited with code {code}", process.name()))
         });
         exited.collect()
     }
 
-    /// Loses the disk of a core machine; its process must have ended.
+    /// Clears the disk of a core machine; its process must have exited.
     pub fn lose_disk(&self, core: usize) -> std::io::Result<()> {
         let disk = self.layout.disk(core, &self.directory);
         std::fs::remove_dir_all(&disk)?;
         std::fs::create_dir_all(&disk)
     }
 
-    /// Cuts an edge machine off from the control plane, or joins it again.
+    /// Starts or ends a partition between an edge machine and the control nodes.
     pub fn set_edge_partitioned(&self, edge: usize, partitioned: bool) {
         for link in self.links.iter().filter(|link| link.edge == edge) {
             link.link.set_cut(partitioned);
         }
     }
 
-    /// Cuts a core machine off from all edge machines, or joins it again.
+    /// Starts or ends a partition between a core machine and all edge machines.
     pub fn set_core_partitioned_from_edges(&self, core: usize, partitioned: bool) {
         for link in self.links.iter().filter(|link| link.core == core) {
             link.link.set_cut(partitioned);
         }
     }
 
-    /// Leaves settings, logs and disks where they are when the fleet is dropped, and tells where that is.
+    /// Keeps settings, logs and disks when the fleet is dropped, and returns their directory.
     pub fn keep_directory(&mut self) -> PathBuf {
         self.keep_directory = true;
         self.directory.clone()
     }
 
-    /// The log of a process so far, or why it can't be read.
+    /// The log of a process so far, or the error from reading it.
     pub fn log(&self, role: Role, machine: usize) -> String {
         let path = self
             .directory
@@ -369,7 +369,7 @@
         self.start_agent_links()
     }
 
-    /// Links every machine with the agents of the edge machines that may be seeds.
+    /// Links every machine to the agents of the edge machines that may be seeds.
     fn start_agent_links(&mut self) -> std::io::Result<()> {
         let edge_ports = self.layout.edges.iter().map(|edge| edge.internal_ports);
         let ports: Vec<u16> = edge_ports
@@ -388,7 +388,8 @@
     }
 }
 
-/// From where the edge machine looks for the core machine's subscription listener to where that is.
+/// The link from the address at which the edge machine expects the core machine's subscription listener to its actual
+/// address.
 fn link_between(edge: &EdgeMachine, core: &CoreMachine, layout: &Layout) -> std::io::Result<Link> {
     let address = |ip: Ipv4Addr, port| SocketAddr::V4(SocketAddrV4::new(ip, port));
     Link::start(
@@ -409,7 +410,7 @@
             eprintln!("logs of the fleet are kept in {}", self.directory.display());
             return;
         }
-        // What can't be removed from the folder for temporary files does no harm there.
+        // Files that can't be removed stay in the directory for temporary files.
         let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
--- a/crates/lockusher-router-testbed/src/fleet/plan.rs
+++ b/crates/lockusher-router-testbed/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Which machines a fleet has, and their settings files.
+//! The machines of a fleet, their addresses and their settings files.
 
 use std::collections::HashSet;
 use std::fmt::Write;
@@ -12,29 +12,30 @@
 use crate::entry::MixerAddress;
 use crate::server::lock;
 
-/// Ports of every machine, at its own address.
+/// Ports that are the same on every machine, since each has its own address.
 const FRONT_PORT: u16 = 8144;
 const READINESS_PORT: u16 = 8140;
 const CONTROL_PORT: u16 = 8146;
-/// Internal ports of core machines.
+/// Range of internal ports of core machines.
 const CORE_PORTS: (u16, u16) = (7660, 7675);
-/// Internal ports of edge machines are taken from this span, below the ports that outgoing connections use.
+/// Internal ports of edge machines are taken from this range, below the ephemeral ports of outgoing connections.
 const EDGE_PORTS_START: u16 = 10_000;
 const EDGE_PORTS_END: u16 = 32_000;
+/// Size of an edge machine's range of internal ports.
 const PORTS_PER_EDGE: u16 = 16;
-/// Last byte of the address of a network's first machine.
+/// Last byte of the address of the first machine in a network.
 const FIRST_MACHINE_BYTE: u8 = 10;
-/// Core machines, edge machines and stand-ins have networks of their own; third bytes from that of the fleet on.
+/// Core machines, edge machines and stand-ins have separate networks: offsets to the third byte of the fleet's network.
 const CORE_NETWORK_OFFSET: u8 = 0;
 const EDGE_NETWORK_OFFSET: u8 = 1;
 const STAND_IN_NETWORK_OFFSET: u8 = 2;
-/// Positions of internal listeners in a machine's range of ports.
+/// Offsets of internal listeners in a machine's port range.
 const SUBSCRIPTIONS_PORT_OFFSET: u16 = 0;
 const AGENTS_PORT_OFFSET: u16 = 2;
-/// Seeds that a process is told.
+/// Maximum number of seeds in a settings file.
 const MAX_SEEDS: usize = 3;
 
-/// The promises of the fleet, in the units of the settings file.
+/// Time bounds and budgets of the fleet, named and measured as in the settings file.
 #[derive(Clone, Debug)]
 pub struct FleetBounds {
     pub contact_ms: u64,
@@ -72,38 +73,44 @@
     }
 }
 
-/// What a fleet is made of.
+/// Size and parameters of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
+    /// Edge machines, each with a proxy and an agent.
     pub edges: usize,
+    /// Core machines, each with a control node.
     pub cores: usize,
-    /// Zones, all of one region; machines are spread over them.
+    /// Zones of the region; machines are assigned to them in turn.
     pub zones: Vec<String>,
+    /// The region of all zones.
     pub region: String,
-    /// Address of the platform's list, by its port: it stands at the first outside address.
+    /// Port of the platform's instance list, at the first stand-in address.
     pub cloud_port: u16,
+    /// Rate limit of calls to the platform's list.
     pub cloud_rate_per_s: f64,
+    /// Staleness of the platform's list.
     pub cloud_lag_ms: u64,
+    /// Time bounds and budgets.
     pub bounds: FleetBounds,
-    /// The program that is started; by default that of these sources.
+    /// The `lockusher-node` program; `None`: the one built from this workspace.
     pub program: Option<PathBuf>,
 }
 
-/// A machine that serves the operator, so that settings files may name it as a seed.
+/// A machine that serves the operator API and may be listed as a seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seed {
-    /// A core machine: it runs a control node.
+    /// A core machine, which runs a control node.
     Core(usize),
-    /// An edge machine: its agent redirects operators.
+    /// An edge machine, whose agent redirects operators.
     Edge(usize),
 }
 
-/// Which machines the settings files name as seeds.
+/// Which machines the settings files list as seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeedChoice {
     /// Core machines, which run control nodes.
     Cores,
-    /// One core machine and two edge machines, which redirect operators and run none.
+    /// One core machine and two edge machines; the latter redirect operators and run no control node.
     Mixed,
     /// Edge machines only.
     Edges,
@@ -118,11 +125,12 @@
 }
 
 impl EdgeMachine {
-    /// Where other agents reach this one.
+    /// The address at which other agents reach this machine's agent.
     pub fn agent_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip, self.internal_ports.0 + AGENTS_PORT_OFFSET)
     }
 
+    /// Addresses of the machine's proxy.
     pub fn mixer(&self) -> MixerAddress {
         let address = |port| SocketAddr::V4(SocketAddrV4::new(self.ip, port));
         MixerAddress {
@@ -140,7 +148,7 @@
     pub control: SocketAddrV4,
 }
 
-/// The machines with their addresses.
+/// The machines of a fleet with their addresses.
 pub(super) struct Layout {
     plan: FleetPlan,
     network: (u8, u8),
@@ -148,12 +156,12 @@
     pub edges: Vec<EdgeMachine>,
     pub cores: Vec<CoreMachine>,
     pub core_ports: (u16, u16),
-    /// What settings files that are written from now on name.
+    /// Seeds listed in settings files that are written from now on.
     pub seeds: Vec<Seed>,
 }
 
 impl Layout {
-    /// Gives every machine an address of 127.0.0.0/8 that no other fleet on this box is likely to use.
+    /// Assigns every machine an address in 127.0.0.0/8 that other fleets on the same host are unlikely to use.
     pub fn new(plan: &FleetPlan) -> std::io::Result<Layout> {
         let network = random_network();
         let ip = |third_byte_offset: u8, number: usize| {
@@ -194,13 +202,13 @@
         })
     }
 
-    /// The address of a stand-in.
+    /// The IP address of a stand-in.
     pub fn stand_in_ip(&self, number: u8) -> Ipv4Addr {
         let third_byte = self.network.1 + STAND_IN_NETWORK_OFFSET;
         Ipv4Addr::new(127, self.network.0, third_byte, FIRST_MACHINE_BYTE + number)
     }
 
-    /// Where operators call a machine.
+    /// The operator address of a machine.
     pub fn operator_address(&self, seed: Seed) -> SocketAddrV4 {
         match seed {
             Seed::Core(core) => self.cores[core].control,
@@ -208,12 +216,12 @@
         }
     }
 
-    /// How many control nodes may be lost at once.
+    /// How many control nodes may be lost at once without losing the quorum.
     pub fn tolerated_losses(&self) -> usize {
         self.plan.cores.saturating_sub(1) / 2
     }
 
-    /// The data folder of a core machine.
+    /// The data directory of a core machine.
     pub fn disk(&self, core: usize, directory: &Path) -> PathBuf {
         directory.join(format!("disk-{core}"))
     }
@@ -332,24 +340,25 @@
     let _ = writeln!(text, "{key}={value}");
 }
 
-/// The port at which a machine with this range of ports looks for others' agents.
+/// The port at which a machine with this port range expects other machines' agents.
 pub(super) fn agents_port(ports: (u16, u16)) -> u16 {
     ports.0 + AGENTS_PORT_OFFSET
 }
 
-/// The port at which a machine with this range of ports looks for control nodes as a subscriber.
+/// The port at which a machine with this port range subscribes to control nodes.
 pub(super) fn subscriptions_port(ports: (u16, u16)) -> u16 {
     ports.0 + SUBSCRIPTIONS_PORT_OFFSET
 }
 
-/// Two bytes of an address, by chance.
+/// Random second and third bytes of a network in 127.0.0.0/8.
 fn random_network() -> (u8, u8) {
     let random = RandomState::new().hash_one(std::process::id());
     let [second_byte, third_byte, ..] = random.to_le_bytes();
     (second_byte % 200 + 20, third_byte % 80 * 3 + 1)
 }
 
-/// Internal ports for one edge machine: free at 127.0.0.1 and not handed out in this process before.
+/// A range of internal ports for one edge machine: its first port is free on 127.0.0.1 and not yet allocated by this
+/// process.
 fn free_port_range() -> std::io::Result<(u16, u16)> {
     static ALLOCATED: Mutex<Option<HashSet<u16>>> = Mutex::new(None);
     let ranges = u64::from((EDGE_PORTS_END - EDGE_PORTS_START) / PORTS_PER_EDGE);
@@ -363,10 +372,12 @@
             return Ok((first, first + PORTS_PER_EDGE - 1));
         }
     }
-    Err(std::io::Error::other("no free ports for an edge machine"))
+    Err(std::io::Error::other(
+        "no free internal port range for an edge machine",
+    ))
 }
 
-/// An empty folder for settings, logs and disks.
+/// Creates a directory for settings, logs and disks.
 pub(super) fn new_directory() -> std::io::Result<PathBuf> {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let name = format!(
--- a/crates/lockusher-router-testbed/src/fleet/process.rs
+++ b/crates/lockusher-router-testbed/src/fleet/process.rs
@@ -6,40 +6,45 @@
 
 use derive_more::Display;
 
-/// The variable that names the settings file.
+/// The environment variable with the path of the settings file.
 const SETTINGS_FILE_VARIABLE: &str = "LOCKUSHER_NODE_FILE";
-/// Exit code that stands for an end by a signal.
+/// Reported as exit code of a process that was ended by a signal.
 const EXIT_CODE_SIGNALED: i32 = -1;
 
-/// What a process does.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
+    /// A control node on a core machine.
     #[display("control")]
     Control,
+    /// The agent of an edge machine.
     #[display("agent")]
     Agent,
+    /// The proxy of an edge machine.
     #[display("proxy")]
     Proxy,
 }
 
-/// Which process: its role, and its machine among those that have such a role.
+/// Identifies a process by its role and the index of its machine among those with this role.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{role}-{machine}")]
 pub struct ProcessId {
+    /// Role of the process.
     pub role: Role,
+    /// Index of its machine.
     pub machine: usize,
 }
 
 /// A signal that the platform sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// End in order.
+    /// SIGTERM: shut down gracefully.
     Terminate,
-    /// The settings file has changed.
+    /// SIGHUP: reload the settings file.
     HangUp,
-    /// Freeze.
+    /// SIGSTOP: freeze the process.
     Stop,
-    /// Wake up.
+    /// SIGCONT: resume a frozen process.
     Continue,
 }
 
@@ -54,7 +59,7 @@
     }
 }
 
-/// The name of a process, and of its files.
+/// The name of a process and the stem of its file names.
 pub(super) fn name(role: Role, machine: usize) -> String {
     format!("{role}-{machine}")
 }
@@ -79,7 +84,7 @@
 }
 
 impl NodeProcess {
-    /// Writes the settings file and starts the program; its output goes to a log that is kept over restarts.
+    /// Writes the settings file and starts the program; its output is appended to a log that survives restarts.
     pub(super) fn start(
         program: &Path,
         directory: &Path,
@@ -115,7 +120,7 @@
         })
     }
 
-    /// Which process it is.
+    /// The id of this process.
     pub fn id(&self) -> ProcessId {
         ProcessId {
             role: self.role,
@@ -123,7 +128,7 @@
         }
     }
 
-    /// Its role and machine in one word.
+    /// The name of this process.
     pub fn name(&self) -> String {
         name(self.role, self.machine)
     }
@@ -135,8 +140,8 @@
     pub(super) fn signal(&self, signal: Signal) {
         let id = libc::pid_t::try_from(self.child.id()).unwrap_or(0);
         if id > 0 {
-            // SAFETY: kill has no memory effects; the id is that of a child that was not waited for, so it can't
-            // have passed to another process.
+            // SAFETY: `kill` has no memory effects; the id is that of a child that was not waited for, so it can't
+            // have been reused by another process.
             unsafe { libc::kill(id, signal.number()) };
         }
     }
@@ -148,13 +153,13 @@
 
     pub(super) fn kill(&mut self) {
         self.send_kill();
-        // It may have ended already; either way it is waited for.
+        // It may have exited already; the wait reaps it in either case.
         let _ = self.child.wait();
     }
 
-    /// Kills it without waiting for its end.
+    /// Kills the process without waiting for it to exit.
     pub(super) fn send_kill(&mut self) {
-        // It may have ended already.
+        // Fails only if it has exited already.
         let _ = self.child.kill();
     }
 }
--- a/crates/lockusher-router-testbed/src/fleet/program.rs
+++ b/crates/lockusher-router-testbed/src/fleet/program.rs
@@ -1,4 +1,4 @@
-//! Finds the program `lockusher-node`, built from the present sources.
+//! Locates the `lockusher-node` program built from this workspace.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -8,21 +8,24 @@
 
 const PROGRAM: &str = "lockusher-node";
 
-/// Why there is no program to start.
+/// Why the program is not available.
 #[derive(Clone, Debug, Display, Error)]
 pub enum ProgramError {
+    /// The build failed.
     #[display("cargo build -p {PROGRAM} failed: {output}")]
     Build { output: String },
-    #[display("{} is not there: build it with `cargo build -p {PROGRAM}`", path.display())]
+    /// The program has not been built.
+    #[display("{} does not exist: build it with `cargo build -p {PROGRAM}`", path.display())]
     Missing { path: PathBuf },
-    #[display("this program's own path is unknown: {reason}")]
+    /// The path of the running executable can't be determined.
+    #[display("path of the running executable is unknown: {reason}")]
     OwnPath { reason: String },
 }
 
-/// The path of the program, in the profile's folder that this program was built to.
+/// The path of the program, in the directory of the build profile of the running executable.
 ///
-/// Under cargo (`cargo test`, `cargo run`) it is built first, once per process, so that tests never run an old
-/// one; that takes moments when nothing has changed. Elsewhere it must have been built before.
+/// Under cargo (`cargo test`, `cargo run`) it is built first, once per process, so that tests never run a stale
+/// binary; this is fast when nothing has changed. Otherwise it must have been built before.
 pub fn program() -> Result<PathBuf, ProgramError> {
     static PROGRAM_PATH: OnceLock<Result<PathBuf, ProgramError>> = OnceLock::new();
     PROGRAM_PATH.get_or_init(build_and_locate).clone()
@@ -44,7 +47,7 @@
     }
 }
 
-/// The folder of the profile: of this program, or above `deps` for tests.
+/// The directory of the build profile: that of the running executable, or the parent of `deps` for tests.
 fn profile_directory() -> Result<PathBuf, ProgramError> {
     let own_path = std::env::current_exe().map_err(|error| ProgramError::OwnPath {
         reason: error.to_string(),
--- a/crates/lockusher-router-testbed/src/load.rs
+++ b/crates/lockusher-router-testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: requests are due at times drawn beforehand, whatever became of those before them.
+//! Open-loop load: requests are due at times drawn in advance, independently of earlier responses.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -16,36 +16,40 @@
 use crate::request::{RequestRecord, RequestSpec};
 use crate::server::lock;
 
-/// Of the workers, each second one keeps its connections; the others open one for each request.
+/// One in this many workers reuses its connections; the others open one for each request.
 const KEEPS_CONNECTIONS_ONE_IN: usize = 2;
-/// Of the workers, one in so many doesn't wait as told.
+/// One in this many workers ignores `Retry-After`.
 const IGNORES_BACKOFF_ONE_IN: usize = 9;
 
-/// A kind of request and how often it comes.
+/// A kind of request and its rate.
 #[derive(Clone, Debug)]
 pub struct RequestKind {
-    /// What all requests of the kind have in common; the prompt is drawn for each.
+    /// The request, except for its prompt, which is drawn for each.
     pub spec: RequestSpec,
+    /// Requests per second of this kind.
     pub rate_per_second: f64,
-    /// Each request's prompt begins with one of these parts.
+    /// Shared prompt prefixes, one of which begins each prompt.
     pub shared_parts: Vec<Part>,
-    /// Tokens of a part of the request's own.
+    /// Tokens of the unique part of each prompt.
     pub own_tokens: u64,
 }
 
-/// What is sent.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
+    /// The kinds of requests.
     pub kinds: Vec<RequestKind>,
+    /// Requests are due within this span.
     pub length: Duration,
-    /// Requests that are under way at once; more are late, and counted as such.
+    /// Maximum number of requests in flight; further ones are sent late, and the delay counts as latency.
     pub workers: usize,
+    /// Seed of due times and prompts.
     pub seed: u64,
-    /// How long a connection may rest before it is used again.
+    /// How long a connection may be idle before reuse.
     pub max_idle: Duration,
 }
 
-/// A request and when it is due.
+/// A request with its due time.
 struct ScheduledRequest {
     at: Micros,
     spec: Arc<RequestSpec>,
@@ -62,14 +66,14 @@
     max_idle: Duration,
 }
 
-/// Load that is being sent.
+/// A load in progress.
 pub struct Load {
     shared: Arc<Shared>,
     workers: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// Begins to send; the first request is due at once.
+    /// Starts sending; due times count from now.
     pub fn start(plan: &LoadPlan, clock: LabClock, balancer: Arc<Entry>) -> Load {
         let due = draw(plan, clock.now());
         let shared = Arc::new(Shared {
@@ -89,35 +93,35 @@
         Load { shared, workers }
     }
 
-    /// Requests that have ended so far.
+    /// Requests that have completed so far.
     pub fn records(&self) -> Vec<RequestRecord> {
         lock(&self.shared.records).clone()
     }
 
-    /// Requests that are planned in all.
+    /// Total number of scheduled requests.
     pub fn planned(&self) -> usize {
         self.shared.due.len()
     }
 
-    /// How many requests have ended so far.
+    /// Number of requests that have completed so far.
     pub fn completed(&self) -> usize {
         lock(&self.shared.records).len()
     }
 
-    /// Runs `inspect` on the requests that have ended so far.
+    /// Runs `inspect` on the requests that have completed so far.
     pub fn inspect<T>(&self, inspect: impl FnOnce(&[RequestRecord]) -> T) -> T {
         inspect(&lock(&self.shared.records))
     }
 
-    /// Sends no more; requests under way end as they would.
+    /// Stops sending; requests in flight complete.
     pub fn stop(&self) {
         self.shared.stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Waits for the end of all requests.
+    /// Waits for all requests to complete and returns them.
     pub fn finish(self) -> Vec<RequestRecord> {
         for worker in self.workers {
-            // A panic of a worker shows in the test's own output, and its request is missing.
+            // A panic of a worker shows in the test's output; its request is missing from the records.
             let _ = worker.join();
         }
         std::mem::take(&mut *lock(&self.shared.records))
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Retries reach other mixers.
+    /// The mixer for a try; retries go to other mixers.
     fn front(&self, client_hash: u64, number: u32) -> SocketAddr {
         self.balancer
             .choose(client_hash.wrapping_add(u64::from(number)))
@@ -167,7 +171,7 @@
     }
 }
 
-/// All requests of a plan, in the order in which they are due.
+/// Draws all requests of a plan, ordered by due time.
 fn draw(plan: &LoadPlan, start: Micros) -> Vec<ScheduledRequest> {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let mut due = Vec::new();
@@ -187,7 +191,7 @@
 ) {
     let mut seconds = 0.0;
     loop {
-        // Gaps of a Poisson process; the logarithm's argument is never 0.
+        // Exponentially distributed gaps of a Poisson process; the logarithm's argument is never 0.
         let gap = -(1.0 - rng.random::<f64>()).ln() / kind.rate_per_second;
         seconds += gap;
         if seconds >= length.as_secs_f64() {
--- a/crates/lockusher-router-testbed/src/run_file.rs
+++ b/crates/lockusher-router-testbed/src/run_file.rs
@@ -1,4 +1,4 @@
-//! A measured run in a file, so that runs can be laid side by side later.
+//! Saved measurements of a run, for later comparison with other runs.
 
 use std::path::{Path, PathBuf};
 
@@ -8,14 +8,16 @@
 use crate::engine::Micros;
 use crate::request::RequestRecord;
 
-/// Why a run can't be read or written.
+/// Why a run file can't be read or written.
 #[derive(Debug, Display, Error)]
 pub enum RunFileError {
+    /// Reading or writing failed.
     #[display("{}: {source}", path.display())]
     Io {
         path: PathBuf,
         source: std::io::Error,
     },
+    /// The content is invalid.
     #[display("{}: {reason}", path.display())]
     Content { path: PathBuf, reason: String },
 }
@@ -23,22 +25,25 @@
 /// One request of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sample {
+    /// Kind of request.
     pub kind: String,
-    /// From the beginning of the run.
+    /// Due time, since the start of the run.
     pub due: Micros,
-    /// From when it was due; `None` if it was not served.
+    /// Latency from the due time; `None` if the request was not served.
     pub latency: Option<Micros>,
 }
 
 /// A measured run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
+    /// Title in the report.
     pub title: String,
+    /// One sample per request.
     pub samples: Vec<Sample>,
 }
 
 impl Run {
-    /// The run of some requests; its beginning is when the first was due.
+    /// The run of these requests, starting at the earliest due time.
     pub fn from_records(title: &str, records: &[RequestRecord]) -> Run {
         let start = records.iter().map(|record| record.due).min().unwrap_or(0);
         let sample = |record: &RequestRecord| Sample {
@@ -63,7 +68,7 @@
         })
     }
 
-    /// Reads what [`Run::write`] wrote.
+    /// Reads a file written by [`Run::write`].
     pub fn read(path: &Path) -> Result<Run, RunFileError> {
         let text = std::fs::read(path).map_err(|source| RunFileError::Io {
             path: path.to_owned(),
@@ -77,10 +82,10 @@
             serde_json::from_slice(&text).map_err(|error| invalid(error.to_string()))?;
         let title = json["title"]
             .as_str()
-            .ok_or_else(|| invalid("title: expected a text".to_owned()))?;
+            .ok_or_else(|| invalid("title: expected a string".to_owned()))?;
         let entries = json["samples"]
             .as_array()
-            .ok_or_else(|| invalid("samples: expected a list".to_owned()))?;
+            .ok_or_else(|| invalid("samples: expected an array".to_owned()))?;
         let samples = entries.iter().enumerate().map(|(number, value)| {
             parse_sample(value)
                 .ok_or_else(|| invalid(format!("samples[{number}]: expected [kind, due, latency]")))
--- a/crates/lockusher-router-testbed/src/wait.rs
+++ b/crates/lockusher-router-testbed/src/wait.rs
@@ -1,21 +1,23 @@
-//! Waiting for a state, with a bounded number of looks.
+//! Waiting for a condition with a bounded number of polls.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 
-/// The pause between two looks.
+/// Time between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The state did not come.
+/// The condition was not met in time.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{state} did not come within {polls} looks")]
+#[display("{state}: not reached within {polls} polls")]
 pub struct WaitTimeout {
+    /// Description of the awaited condition.
     pub state: String,
+    /// Number of polls made.
     pub polls: u32,
 }
 
-/// Looks up to `polls` times, with short pauses between, until `poll` finds something.
+/// Calls `poll` up to `polls` times, at short intervals, until it returns a value.
 pub fn wait_for<T>(
     state: &str,
     polls: u32,
@@ -33,7 +35,7 @@
     })
 }
 
-/// Like [`wait_for`], for a condition.
+/// Like [`wait_for`], for a boolean condition.
 pub fn wait_until(
     state: &str,
     polls: u32,
--- a/crates/lockusher-router-testbed/src/world.rs
+++ b/crates/lockusher-router-testbed/src/world.rs
@@ -1,4 +1,5 @@
-//! A whole deployment on the loopback: the fleet's processes with searchers, platform, operator and clients.
+//! A whole deployment on the loopback: the processes of a fleet, with stand-ins for searchers, platform, operator and
+//! clients.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,16 +30,17 @@
 
 const REGION: &str = "north";
 const ZONES: [&str; 2] = ["quay", "hill"];
+/// Port of the platform's instance list.
 const CLOUD_PORT: u16 = 8142;
 const SEARCHER_PORT: u16 = 8080;
-/// The outside address of the first searcher; the platform has the one before.
+/// Number of the first searcher's stand-in address; the platform has number 0.
 const FIRST_SEARCHER_NUMBER: u8 = 1;
-/// Entries on a page of the platform's list: few, so that reading takes several.
+/// Entries per page of the platform's list; few, so that reading it takes several pages.
 const PAGE_SIZE: usize = 3;
-/// How long the operator tries to place the first configuration.
+/// How long the operator retries sending the first configuration.
 const FIRST_CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a world can't be set up.
+/// Why a world can't be started.
 #[derive(Debug, Display, Error, From)]
 pub enum WorldError {
     #[display("{_0}")]
@@ -47,22 +49,29 @@
     Io(std::io::Error),
     #[display("{_0}")]
     Wait(WaitTimeout),
-    #[display("the first configuration: {_0:?}")]
+    #[display("sending the first configuration: {_0:?}")]
     #[from(ignore)]
     FirstConfiguration(#[error(not(source))] ChangeOutcome),
 }
 
-/// How large a world is.
+/// Size and parameters of a world.
 #[derive(Clone, Debug)]
 pub struct WorldPlan {
+    /// Edge machines, each with a proxy and an agent.
     pub edges: usize,
+    /// Core machines, each with a control node.
     pub cores: usize,
+    /// Model searchers that start in the prefill stage.
     pub prefill_searchers: usize,
+    /// Model searchers that start in the decode stage.
     pub decode_searchers: usize,
+    /// Searchers of the plain service.
     pub plain_searchers: usize,
+    /// Staleness of the platform's list.
     pub cloud_lag_ms: u64,
+    /// Time bounds and budgets of the fleet.
     pub bounds: FleetBounds,
-    /// The program that is played; by default that of these sources.
+    /// The `lockusher-node` program; `None`: the one built from this workspace.
     pub program: Option<PathBuf>,
 }
 
@@ -81,24 +90,32 @@
     }
 }
 
-/// Everything that runs.
+/// A running deployment.
 pub struct World {
+    /// The clock of all records.
     pub clock: LabClock,
+    /// The platform's instance list.
     pub platform: Platform,
+    /// Searchers of the model service.
     pub models: Vec<ModelSearcher>,
+    /// Searchers of the plain service.
     pub plains: Vec<PlainSearcher>,
+    /// The processes under test.
     pub fleet: Fleet,
+    /// Sends configuration changes.
     pub operator: Arc<Operator>,
+    /// Chooses a mixer for each connection.
     pub balancer: Arc<Entry>,
+    /// The last configuration acknowledged to [`World::change`].
     pub configuration: Configuration,
     bounds: FleetBounds,
     searchers: Searchers,
-    /// Stages as the list shows them, by instance.
+    /// Stages shown in the platform's list, by instance.
     listed_stages: BTreeMap<String, Stage>,
 }
 
 impl World {
-    /// Starts everything, places the first configuration and waits until all proxies are ready.
+    /// Starts everything, applies the first configuration and waits until all proxies are ready.
     pub fn start(plan: &WorldPlan) -> Result<World, WorldError> {
         let clock = LabClock::start();
         let fleet_plan = fleet_plan(plan);
@@ -139,23 +156,23 @@
         Ok(world)
     }
 
-    /// What reached the searchers.
+    /// The requests that arrived at the searchers.
     pub fn ledger(&self) -> &Ledger {
         &self.searchers.ledger
     }
 
-    /// How searchers reach each other's held prompts.
+    /// The network over which searchers transfer the KV cache of prefilled prompts.
     pub fn kv_network(&self) -> &KvNetwork {
         &self.searchers.network
     }
 
-    /// The fault switches of all searchers.
+    /// The fault plans of all searchers.
     pub fn faults(&self) -> impl Iterator<Item = &FaultPlan> {
         let models = self.models.iter().map(ModelSearcher::faults);
         models.chain(self.plains.iter().map(PlainSearcher::faults))
     }
 
-    /// Sends a change of the present configuration on top of it; on success it is the present one.
+    /// Sends a modified copy of the current configuration, which replaces it if acknowledged.
     pub fn change(
         &mut self,
         modify: impl FnOnce(&mut Configuration),
@@ -177,12 +194,12 @@
         Load::start(plan, self.clock, Arc::clone(&self.balancer))
     }
 
-    /// Checks all rules on what came of some requests.
+    /// Checks all rules on the given requests.
     pub fn check(&self, records: &[RequestRecord]) -> Verdict {
         check(&self.evidence(records))
     }
 
-    /// Everything that was seen, with the tries of some requests.
+    /// All observations, with the tries of the given requests.
     pub fn evidence(&self, records: &[RequestRecord]) -> Evidence {
         Evidence {
             tries: records
@@ -196,7 +213,7 @@
         }
     }
 
-    /// Ends a model searcher like a crash and starts a new incarnation at its address; the list shows it later.
+    /// Crashes a model searcher and starts a new incarnation at its address; the list shows it after its lag.
     pub fn restart_model(&mut self, position: usize) -> std::io::Result<()> {
         let mut previous = self.models.remove(position);
         let stage = previous.report().stage;
@@ -210,7 +227,7 @@
         Ok(())
     }
 
-    /// Lets the list show the stages that the model searchers have taken.
+    /// Updates the stages of the model searchers in the platform's list.
     pub fn list_stages(&mut self) {
         for model in &self.models {
             let stage = model.report().stage;
@@ -222,7 +239,7 @@
         }
     }
 
-    /// Shows a model searcher as draining, in its answers and on the list.
+    /// Drains a model searcher: it reports so in its responses and in the platform's list.
     pub fn drain_model(&self, instance: &str) {
         if let Some(model) = self
             .models
@@ -234,7 +251,7 @@
         }
     }
 
-    /// Ends a model searcher for good.
+    /// Stops a model searcher and removes it from the platform's list.
     pub fn remove_model(&mut self, instance: &str) {
         let is_instance = |model: &ModelSearcher| model.identity().instance == instance;
         if let Some(position) = self.models.iter().position(is_instance) {
@@ -254,12 +271,12 @@
     }
 }
 
-/// Starts searchers, each with a new identity.
+/// Starts searchers, each with a new instance id.
 struct Searchers {
     clock: LabClock,
     ledger: Ledger,
     network: KvNetwork,
-    /// Incarnations so far.
+    /// Number of incarnations started so far.
     incarnations: u32,
 }
 
