--- a/crates/lockusher-router-testbed/src/demo.rs
+++ b/crates/lockusher-router-testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a whole fleet on the loopback under load, with troubles, a live view and a summary.
+//! The demo: a whole fleet on the loopback under load, with disturbances, a live view and a summary.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 use crate::wait::WaitTimeout;
 use crate::world::{World, WorldError, WorldPlan};
 
-/// How often the live view shows a line.
+/// Interval between lines of the live view.
 const VIEW_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the operator waits for a change.
+/// How long the operator retries a configuration change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Looks until a process that was told to end has ended.
+/// Polls until a process that was sent SIGTERM must have exited.
 const EXIT_POLLS: u32 = 400;
 
-/// Why the demo could not be played.
+/// Why the demo could not be run.
 #[derive(Debug, Display, Error, From)]
 pub enum DemoError {
     #[display("{_0}")]
@@ -31,34 +31,41 @@
     Wait(WaitTimeout),
 }
 
-/// What is played.
+/// Parameters of a demo or a load run.
 #[derive(Clone, Debug)]
 pub struct DemoPlan {
+    /// Size and bounds of the deployment.
     pub world: WorldPlan,
+    /// Requests per second, all kinds together.
     pub rate_per_second: f64,
+    /// Seed of the load.
     pub seed: u64,
-    /// Whether there are troubles; without them the load runs for as long.
+    /// Whether the disturbances of the demo are run.
     pub disturbances: bool,
+    /// Length of the load.
     pub length: Duration,
 }
 
-/// What came of it.
+/// The result of a run.
 pub struct Outcome {
+    /// All requests.
     pub records: Vec<RequestRecord>,
+    /// Counts and latencies by kind of request.
     pub figures: Figures,
+    /// Violations of the protocol rules.
     pub verdict: Verdict,
-    /// Processes that ended although nobody ended them.
+    /// Processes that exited unexpectedly.
     pub unexpected_exits: Vec<String>,
 }
 
 impl Outcome {
-    /// Whether no rule was broken and nothing ended by itself.
+    /// Whether no rule was violated and no process exited unexpectedly.
     pub fn passed(&self) -> bool {
         self.verdict.is_clean() && self.unexpected_exits.is_empty()
     }
 }
 
-/// A trouble or planned work, after so many seconds of load.
+/// A disturbance or a maintenance operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     ChangeConfiguration,
@@ -70,6 +77,7 @@
     RestartProxy,
 }
 
+/// The steps of the demo, with their start in seconds of load.
 const STEPS: [(u64, Step); 7] = [
     (4, Step::ChangeConfiguration),
     (7, Step::DrainSearcher),
@@ -80,15 +88,15 @@
     (24, Step::RestartProxy),
 ];
 
-/// Plays the demo and prints it line by line.
+/// Runs the demo and prints its progress line by line.
 pub fn run_demo(plan: &DemoPlan) -> Result<Outcome, DemoError> {
     println!(
-        "starting {} edge and {} core machines",
+        "starting {} edge machines and {} core machines",
         plan.world.edges, plan.world.cores
     );
     let mut world = World::start(&plan.world)?;
     println!(
-        "all proxies are ready, configuration {} is in force",
+        "all proxies are ready, configuration version {} is in force",
         world.configuration.version
     );
     println!("{}", View::TITLE);
@@ -115,7 +123,7 @@
     }
 }
 
-/// Enough workers for two seconds of requests, so that a stall doesn't hold the load back.
+/// Enough workers for two seconds of requests, so that a short stall doesn't delay the load.
 fn worker_count(rate_per_second: f64) -> usize {
     const MIN_WORKERS: usize = 16;
     MIN_WORKERS.max((rate_per_second * 2.0).ceil() as usize)
@@ -149,7 +157,7 @@
             };
             departing.stop();
             world.platform.remove(&departing.identity().instance);
-            println!("-- searcher {} has ended", departing.identity().instance);
+            println!("-- searcher {} was stopped", departing.identity().instance);
         }
         Step::KillControl => {
             world.fleet.kill(Role::Control, last_core);
@@ -157,7 +165,7 @@
         }
         Step::RestartControl => {
             world.fleet.start_control(last_core, false)?;
-            println!("-- control node {last_core} starts again");
+            println!("-- control node {last_core} was restarted");
         }
         Step::TerminateProxy => {
             world
@@ -170,7 +178,7 @@
                 .fleet
                 .wait_exited(Role::Proxy, last_edge, EXIT_POLLS)?;
             world.fleet.start_proxy(last_edge, false)?;
-            println!("-- proxy {last_edge} ended with {code} and starts again");
+            println!("-- proxy {last_edge} exited with code {code} and was restarted");
         }
     }
     Ok(())
@@ -186,7 +194,7 @@
         CHANGE_TIMEOUT,
     );
     println!(
-        "-- configuration {}: {outcome:?}",
+        "-- configuration version {}: {outcome:?}",
         world.configuration.version
     );
 }
@@ -203,7 +211,7 @@
 /// The live view: one line a second.
 #[derive(Default)]
 struct View {
-    /// Requests that earlier lines have told of.
+    /// Number of requests covered by earlier lines.
     shown_requests: usize,
 }
 
--- a/crates/lockusher-router-testbed/src/deployment.rs
+++ b/crates/lockusher-router-testbed/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that the lab plays: its services, searchers, routes and requests.
+//! The deployment of the test bed: its services, searchers, routes and requests.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 use crate::plain_searcher::PlainParameters;
 use crate::request::RequestSpec;
 
-/// The host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "desk.example";
-/// The service of language models.
+/// Name of the service of language models.
 pub const MODEL_SERVICE: &str = "reader";
-/// The plain service.
+/// Name of the plain service, which has no inference engine.
 pub const PLAIN_SERVICE: &str = "records";
 const HEALTH_PATH: &str = "/health";
 
-/// The figures of the deployment's model searchers.
+/// Parameters of the model searchers.
 pub fn model_parameters() -> ModelParameters {
     ModelParameters {
         engine: EngineParameters {
@@ -45,7 +45,7 @@
     }
 }
 
-/// The figures of the deployment's plain searchers.
+/// Parameters of the plain searchers.
 pub fn plain_parameters() -> PlainParameters {
     PlainParameters {
         slots: 6,
@@ -57,7 +57,7 @@
     }
 }
 
-/// A route of the lab's host to one service.
+/// A route on [`HOST`] to one service.
 pub fn route(name: &str, service: &str, kind: RouteKind) -> Route {
     Route {
         name: name.to_owned(),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Two kinds of streams and a plain request that may run once only.
+/// The initial configuration: two streaming routes, one of them resumable, and a non-idempotent plain route.
 pub fn first_configuration() -> Configuration {
     let resumable = Route {
         resumable: true,
@@ -130,7 +130,7 @@
     }
 }
 
-/// The request that a route of [`first_configuration`] takes.
+/// A request for a route.
 pub fn spec_for(route: &Route) -> RequestSpec {
     let streaming = route.kind == RouteKind::Streaming;
     RequestSpec {
@@ -154,7 +154,7 @@
     }
 }
 
-/// The mix of the demo and the tests, at so many requests a second in all.
+/// Load on all routes of a configuration in equal shares, at `rate_per_second` in total.
 pub fn request_mix(configuration: &Configuration, rate_per_second: f64) -> Vec<RequestKind> {
     let share = rate_per_second / configuration.routes.len() as f64;
     configuration
--- a/crates/lockusher-router-testbed/src/figures.rs
+++ b/crates/lockusher-router-testbed/src/figures.rs
@@ -1,7 +1,7 @@
-//! Figures of a load: shares and latencies by kind of request.
+//! Counts and latencies of a load by kind of request.
 //!
-//! Latency counts from when a request was due, not from when it was sent: a stall of the system or of the load
-//! generator can't hide the requests that it held back (coordinated omission).
+//! Latency is measured from when a request was due, not from when it was sent, to avoid coordinated omission: a stall
+//! of the system or of the load generator can't hide the requests that it delayed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,13 +11,13 @@
 use crate::engine::Micros;
 use crate::request::RequestRecord;
 
-/// Digits to which latencies are kept.
+/// Significant digits of recorded latencies.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// The longest latency that is told apart; longer ones count as this.
+/// Largest recorded latency; longer ones are clamped to it.
 const MAX_LATENCY_US: Micros = 600_000_000;
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// Latencies in microseconds.
+/// A histogram of latencies in microseconds.
 #[derive(Clone, Debug)]
 pub struct Latencies {
     histogram: Histogram<u64>,
@@ -33,17 +33,17 @@
 }
 
 impl Latencies {
-    /// Adds one.
+    /// Records a latency.
     pub fn add(&mut self, latency: Micros) {
         self.histogram.saturating_record(latency.max(1));
     }
 
-    /// The latency in milliseconds that a share of the requests kept to.
+    /// The latency quantile in milliseconds.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         self.histogram.value_at_quantile(quantile) as f64 / MICROS_PER_MS
     }
 
-    /// The longest, in milliseconds.
+    /// The maximum latency in milliseconds.
     pub fn max_ms(&self) -> f64 {
         self.histogram.max() as f64 / MICROS_PER_MS
     }
@@ -52,14 +52,17 @@
 /// Figures of one kind of request.
 #[derive(Clone, Debug, Default)]
 pub struct KindFigures {
+    /// All requests.
     pub requests: u64,
+    /// Served requests.
     pub served: u64,
-    /// Served within the objective.
+    /// Served within the latency target.
     pub within_target: u64,
-    /// Ended with a promise that they haven't run.
+    /// Ended with a response that guarantees that the request was not executed.
     pub refused: u64,
+    /// Tries of all requests.
     pub tries: u64,
-    /// From the time when due, of those served.
+    /// Latencies of served requests, from their due time.
     pub latencies: Latencies,
 }
 
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Neither served nor refused.
+    /// Number of requests that were neither served nor refused.
     pub fn failed(&self) -> u64 {
         self.requests - self.served - self.refused
     }
@@ -89,11 +92,12 @@
 /// Figures of all kinds.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
+    /// Figures by kind of request.
     pub kinds: BTreeMap<String, KindFigures>,
 }
 
 impl Figures {
-    /// The figures of some requests.
+    /// Computes the figures of these requests.
     pub fn of<'a>(records: impl IntoIterator<Item = &'a RequestRecord>) -> Figures {
         let mut figures = Figures::default();
         for record in records {
@@ -106,7 +110,7 @@
         figures
     }
 
-    /// All kinds together.
+    /// The figures of all kinds together.
     pub fn total(&self) -> KindFigures {
         let mut total = KindFigures::default();
         for kind in self.kinds.values() {
@@ -119,7 +123,7 @@
                 .latencies
                 .histogram
                 .add(&kind.latencies.histogram)
-                .expect("histograms of one kind");
+                .expect("same histogram bounds");
         }
         total
     }
--- a/crates/lockusher-router-testbed/src/fleet/mod.rs
+++ b/crates/lockusher-router-testbed/src/fleet/mod.rs
@@ -287,7 +287,7 @@
         Ok(code)
     }
 
-    /// Descriptions of the processes that have exited without being signaled or killed by the test.
+    /// Processes that have exited unexpectedly: neither killed nor awaited by [`Fleet::wait_exited`].
     pub fn unexpected_exits(&mut self) -> Vec<String> {
         let exited = self.processes.iter_mut().filter_map(|process| {
             let code = process.exit_code()?;
--- a/crates/lockusher-router-testbed/src/lib.rs
+++ b/crates/lockusher-router-testbed/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins of the world around the fleet (searchers, platform list, operator, clients), a checker of what
-//! they saw, and a runner that starts `lockusher-node` processes on the loopback.
+//! Stand-ins for the environment of the fleet (searchers, platform list, operator, clients), a checker of the rules on
+//! what they observed, and a runner that starts `lockusher-node` processes on the loopback.
 //!
-//! Everything here is a test tool: blocking sockets and plain threads, one job per module. The engine model
-//! ([`engine`]) has no I/O and no clock and may also be driven in virtual time.
+//! Everything here is test tooling: blocking sockets and plain threads, one task per module. The engine model
+//! ([`engine`]) does no I/O, reads no clock and can also be driven in virtual time.
 
-// Not yet finished by the workspace's lints: docs/ROADMAP.md lists what is left.
+// Exempt from these workspace lints for now: docs/ROADMAP.md lists what is left.
 #![allow(missing_docs, clippy::missing_errors_doc)]
 
 pub mod checker;
--- a/crates/lockusher-router-testbed/src/main.rs
+++ b/crates/lockusher-router-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `lockusher-router-testbed`: starts a whole fleet on the loopback and shows it, or puts load on it.
+//! `lockusher-router-testbed`: starts a whole fleet on the loopback for demos, load runs and soaks, and reports on them.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -17,12 +17,12 @@
 };
 use lockusher_router_testbed::world::WorldPlan;
 
-/// Exit code when a rule was broken or a process ended by itself.
+/// Exit code if a rule was violated or a process exited unexpectedly.
 const EXIT_VIOLATION: u8 = 1;
-/// Exit code when nothing could be measured.
+/// Exit code if nothing could be measured.
 const EXIT_NOT_MEASURED: u8 = 2;
 
-/// Why nothing was measured.
+/// Why a command failed without a measurement.
 #[derive(Debug, Display, Error, From)]
 enum CommandError {
     #[display("{_0}")]
@@ -52,9 +52,9 @@
     #[display("{path}: {source}")]
     #[from(ignore)]
     Trace { path: String, source: TraceError },
-    #[display("decisions: expected the logs of proxies")]
+    #[display("decisions: expected one or more proxy logs")]
     NoLogs,
-    #[display("report: expected the files of one or more runs")]
+    #[display("report: expected one or more run files")]
     NoRuns,
     #[display("{path}: {source}")]
     #[from(ignore)]
@@ -104,13 +104,13 @@
 const USAGE: &str = "\
 Usage: lockusher-router-testbed (demo|load|soak) [options]\n       lockusher-router-testbed report [--page FILE] RUN...\n       lockusher-router-testbed decisions LOG...
 
-  demo   starts a fleet on the loopback, shows it under load and troubles, and ends by itself
-  load   the same without troubles: figures of a load at given rates
-  soak   series of disturbances that overlap, until all is lost at once and comes back; logs of a run that fails are kept
-  decisions a table of where sends wait, of logs of proxies at the level debug
-  report a page with figures and plots of runs that were saved, side by side
+  demo       run a fleet on the loopback under load with a fixed series of disturbances
+  load       the same without disturbances, to measure a load at a given rate
+  soak       run series of overlapping disturbances, then an outage of every process; keeps the logs of failed runs
+  decisions  print a table of where sends wait, from proxy logs at level debug
+  report     write a page that compares the figures and plots of saved runs
 
-Exit code: 0 no rule broken, 1 a rule was broken or a process ended by itself, 2 nothing was measured.";
+Exit code: 0 no rule violated, 1 a rule was violated or a process exited unexpectedly, 2 nothing was measured.";
 
 fn options() -> Options {
     let mut options = Options::new();
@@ -127,75 +127,80 @@
         "core machines, each with a control node (3)",
         "N",
     );
-    options.optopt("", "prefill", "searchers that read prompts (2)", "N");
-    options.optopt("", "decode", "searchers that make tokens (3)", "N");
+    options.optopt(
+        "",
+        "prefill",
+        "searchers that start in the prefill stage (2)",
+        "N",
+    );
+    options.optopt(
+        "",
+        "decode",
+        "searchers that start in the decode stage (3)",
+        "N",
+    );
     options.optopt("", "plain", "searchers of the plain service (2)", "N");
     options.optopt(
         "",
         "rate",
-        "requests a second, all kinds together (30)",
+        "requests per second, all kinds together (30)",
         "R",
     );
     options.optopt(
         "",
         "seconds",
-        "length of the load (30 for demo, 20 for load)",
+        "length of the load in seconds (30 for demo, 20 for load)",
         "S",
     );
-    options.optopt("", "seed", "seed of the load, or of the first day (1)", "N");
     options.optopt(
         "",
-        "save",
-        "write the run of a demo or load to a file",
-        "FILE",
+        "seed",
+        "seed of the load, or of the first soak run (1)",
+        "N",
     );
-    options.optopt("", "title", "title of the saved run (run)", "TEXT");
     options.optopt(
         "",
-        "page",
-        "where report writes its page (report.html)",
+        "save",
+        "save the measurements of a demo or load to this file",
         "FILE",
     );
+    options.optopt("", "title", "title of the saved run (run)", "TEXT");
+    options.optopt("", "page", "output file of report (report.html)", "FILE");
     options.optopt(
         "",
         "runs",
-        "runs of a soak, on seeds from that of --seed on (10)",
+        "number of soak runs, with consecutive seeds from --seed on (10)",
         "N",
     );
     options.optopt(
         "",
         "series",
-        "series of disturbances in a run of a soak (6)",
+        "series of disturbances in a soak run (6)",
         "N",
     );
     options.optopt(
         "",
         "closing",
-        "when all is lost in a run of a soak, in seconds (14)",
+        "start of the final outage in a soak run, in seconds (14)",
         "S",
     );
     options.optopt(
         "",
         "scenario",
-        "play this soak instead of drawn ones, or all of them in turn",
+        "run this fixed soak, or all of them in turn, instead of random ones",
         "NAME|all",
     );
-    options.optopt(
-        "",
-        "jobs",
-        "runs of a soak that are played at once (2)",
-        "N",
-    );
+    options.optopt("", "jobs", "number of concurrent soak runs (2)", "N");
     options.optopt(
         "",
         "program",
-        "the lockusher-node that is played (that of these sources)",
+        "the lockusher-node program to run (built from this workspace)",
         "FILE",
     );
     options
 }
 
-/// Prints the table of all logs together.
+/// Prints one table for all logs.
 fn decisions(matches: &Matches) -> Result<ExitCode, CommandError> {
     let mut sends = Vec::new();
     let paths = &matches.free[1..];
@@ -294,7 +299,7 @@
     })
 }
 
-/// The runs with their names: drawn ones have none.
+/// The schedules to run, with their scenario's name, or `drawn` for random ones.
 fn schedules(
     matches: &Matches,
     plan: &SoakPlan,
@@ -324,12 +329,12 @@
     }
 }
 
-/// Plays one run and tells of it in one go, since several are played at once.
+/// Runs one soak and prints its result in one piece, since several run concurrently.
 fn print_soak_run(plan: &SoakPlan, name: &str, schedule: &Schedule) -> bool {
     let result = match run_soak(plan, schedule) {
         Ok(result) => result,
         Err(error) => {
-            println!("{name} {schedule}\n  not played: {error}");
+            println!("{name} {schedule}\n  not run: {error}");
             return false;
         }
     };
@@ -341,11 +346,11 @@
     let violations = result
         .violations
         .iter()
-        .map(|violation| format!("\n  broken: {violation}"));
+        .map(|violation| format!("\n  violation: {violation}"));
     let failures = result
         .failures
         .iter()
-        .map(|failure| format!("\n  fault: {failure}"));
+        .map(|failure| format!("\n  failure: {failure}"));
     text.extend(violations.chain(failures));
     if let Some(logs) = &result.logs {
         text.push_str(&format!("\n  logs: {}", logs.display()));
@@ -373,10 +378,10 @@
 fn summary(outcome: &Outcome) -> ExitCode {
     println!("\n{}", outcome.figures);
     for violation in &outcome.verdict.violations {
-        println!("broken: {violation}");
+        println!("violation: {violation}");
     }
     for process in &outcome.unexpected_exits {
-        println!("ended by itself: {process}");
+        println!("unexpected exit: {process}");
     }
     let total = outcome.figures.total();
     println!(
--- a/crates/lockusher-router-testbed/src/report.rs
+++ b/crates/lockusher-router-testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! A page with the figures and plots of one or several runs, side by side.
+//! An HTML page with the figures and plots of one or several runs, side by side.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -15,21 +15,21 @@
 const PLOT_SIZE: (u32, u32) = (560, 320);
 const MICROS_PER_MS: f64 = 1_000.0;
 const MICROS_PER_SECOND: Micros = 1_000_000;
-/// Shares at which latencies are plotted: 0.5, 0.75, 0.875 and so on, each halving what is left.
+/// Number of halvings of the tail up to which quantiles are plotted: 0.5, 0.75, 0.875 and so on.
 const HALVINGS: i32 = 10;
-/// Shares that the table tells.
+/// Quantiles in the table.
 const TABLE_QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
-/// Room above the highest value.
+/// Upper end of the y axis, as a multiple of the maximum latency.
 const Y_AXIS_MARGIN_FACTOR: f64 = 1.1;
 
-/// A plot could not be drawn.
+/// Drawing a plot failed.
 #[derive(Debug, Display, Error, From)]
 #[display("plot: {reason}")]
 pub struct PlotError {
     reason: String,
 }
 
-/// The page of some runs, one column each.
+/// Renders the page, with one column for each run.
 pub fn page(runs: &[Run]) -> Result<String, PlotError> {
     let max_latency = runs
         .iter()
@@ -91,7 +91,7 @@
     table
 }
 
-/// Latency by the share of the requests that kept to it, the tail drawn out.
+/// Plots latency by quantile, with the tail stretched by a logarithmic axis.
 fn quantile_plot(run: &Run, max_latency_ms: f64) -> Result<String, PlotError> {
     let lines = by_kind(&run.samples).into_iter().map(|(kind, samples)| {
         let latencies = latencies_of(samples.iter().copied());
@@ -116,7 +116,7 @@
     )
 }
 
-/// Median and tail by the second in which requests were due.
+/// Plots the median and the 99th percentile of latency by the second in which requests were due.
 fn time_series_plot(run: &Run, max_latency_ms: f64) -> Result<String, PlotError> {
     let mut seconds: BTreeMap<Micros, Vec<&Sample>> = BTreeMap::new();
     for sample in &run.samples {
--- a/crates/lockusher-router-testbed/src/soak/writer.rs
+++ b/crates/lockusher-router-testbed/src/soak/writer.rs
@@ -111,11 +111,7 @@
             ));
         }
         let was_sent = self.sent.iter().any(|sent| to_json(sent) == *read);
-        (!was_sent).then(|| {
-            format!(
-                "configuration version {version} read back differs from every configuration sent"
-            )
-        })
+        (!was_sent).then(|| format!("configuration version {version} read back was never sent"))
     }
 }
 
--- a/crates/lockusher-router-testbed/src/world.rs
+++ b/crates/lockusher-router-testbed/src/world.rs
@@ -106,7 +106,7 @@
     pub operator: Arc<Operator>,
     /// Chooses a mixer for each connection.
     pub balancer: Arc<Entry>,
-    /// The last configuration acknowledged to [`World::change`].
+    /// The last configuration known to be acknowledged.
     pub configuration: Configuration,
     bounds: FleetBounds,
     searchers: Searchers,
--- a/crates/lockusher-router-testbed/tests/crossings.rs
+++ b/crates/lockusher-router-testbed/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Crossings forced through the whole fleet: a searcher misbehaves at each point of a request, and no rule may
-//! be broken. The faults of one kind of request are played one after another in one deployment.
+//! End-to-end fault injection: a searcher misbehaves at each point of a request, and no rule may be violated. The faults
+//! for one kind of request are injected one after another in one deployment.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -15,9 +15,9 @@
 
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
-/// Requests that are sent while a fault is planned.
+/// Requests that are sent while a fault is armed.
 const REQUESTS: usize = 6;
-/// Looks of 50 ms until a state must have come.
+/// Polls, 50 ms apart, until a condition must be met.
 const POLLS: u32 = 200;
 
 fn exclusive() -> MutexGuard<'static, ()> {
@@ -25,16 +25,16 @@
 }
 
 fn world() -> World {
-    World::start(&WorldPlan::default()).expect("the world starts")
+    World::start(&WorldPlan::default()).expect("starting the world")
 }
 
-/// A request of the route of a name, with a prompt where the route takes one.
+/// A request for the route with this name, with a prompt if the route takes one.
 fn spec(world: &World, route: &str) -> RequestSpec {
     let kinds = request_mix(&world.configuration, 1.0);
     let kind = kinds
         .into_iter()
         .find(|kind| kind.spec.route == route)
-        .expect("a route");
+        .expect("no such route");
     let mut spec = kind.spec;
     spec.prompt = kind.shared_parts.into_iter().take(1).collect();
     spec
@@ -77,7 +77,7 @@
     Fault::Reject { status: 421 },
 ];
 
-/// Plays each fault at every searcher once, checks after each and then that requests are served again.
+/// Injects each fault once at every searcher and checks the rules after each; then checks that requests are served again.
 fn run_faults(
     world: &World,
     spec: &RequestSpec,
@@ -94,7 +94,7 @@
         let sent = send(world, spec, REQUESTS);
         assert!(
             faults_injected(world) > injected_before,
-            "no request met {fault:?}"
+            "{fault:?} was not injected into any request"
         );
         if must_serve(*fault) {
             let unserved: Vec<&RequestRecord> =
@@ -106,15 +106,15 @@
         world.faults().for_each(FaultPlan::clear);
     }
     records.extend(send_until_served(world, spec));
-    assert_clean("afterwards", &world.check(&records));
+    assert_clean("after the faults", &world.check(&records));
 }
 
-/// The searcher has said that the request didn't run: it may be sent to another one.
+/// A rejected request was not executed, so it may be retried at another searcher.
 fn is_rejection(fault: Fault) -> bool {
     matches!(fault, Fault::Reject { .. })
 }
 
-/// Of a request that may run more than once: it is served whatever happens to its first run.
+/// An idempotent request is served whatever happens to its first execution.
 fn every_fault(_fault: Fault) -> bool {
     true
 }
@@ -125,18 +125,18 @@
 
 fn send_until_served(world: &World, spec: &RequestSpec) -> Vec<RequestRecord> {
     let mut records = Vec::new();
-    let served = wait_until("requests are served again", POLLS, || {
+    let served = wait_until("service after the faults", POLLS, || {
         let mut sent = send(world, spec, 2);
         let served = sent.iter().all(RequestRecord::is_served);
         records.append(&mut sent);
         served
     });
-    served.expect("the faults are over");
+    served.expect("requests are still not served");
     records
 }
 
 #[test]
-fn faults_in_a_stream_that_may_not_be_resumed() {
+fn faults_in_a_non_resumable_stream_violate_no_rule() {
     let _exclusive = exclusive();
     let world = world();
     let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_runs(fault, 1);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn faults_in_a_stream_that_may_be_resumed() {
+fn faults_in_a_resumable_stream_violate_no_rule() {
     let _exclusive = exclusive();
     let world = world();
     let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_runs(fault, 1);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn faults_while_the_prompt_is_read() {
+fn faults_during_prefill_violate_no_rule() {
     let _exclusive = exclusive();
     let world = world();
     let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_prefills(fault, 1);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn faults_in_a_plain_request_that_may_run_once() {
+fn faults_in_a_non_idempotent_plain_request_violate_no_rule() {
     let _exclusive = exclusive();
     let world = world();
     let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_runs(fault, 1);
@@ -192,13 +192,13 @@
 }
 
 #[test]
-fn a_silent_searcher_does_not_hold_a_client_beyond_its_deadline() {
+fn an_unresponsive_searcher_does_not_delay_the_response_beyond_the_deadline() {
     let _exclusive = exclusive();
     let world = world();
     let mut spec = spec(&world, "answer");
     spec.deadline = Duration::from_secs(2);
-    // On a busy machine the answer may come late to a thread. `a_searchers_time_leaves_time_for_the_way_back` of
-    // the proxy's tests shows that it is begun in time; here the client waits on and must be given one.
+    // On a busy machine the response may be scheduled late. `a_searchers_time_leaves_time_for_the_way_back` of the
+    // proxy's tests shows that it is started in time; here the client keeps waiting and must receive a response.
     spec.leaves_after = Some(3 * spec.deadline);
     world
         .faults()
@@ -206,20 +206,20 @@
     let records = send(&world, &spec, 4);
     assert!(
         faults_injected(&world) > 0,
-        "no request met a silent searcher"
+        "no request was sent to an unresponsive searcher"
     );
-    assert_clean("silence", &world.check(&records));
+    assert_clean("unresponsive searcher", &world.check(&records));
     for record in &records {
         let last = &record.tries[record.tries.len() - 1];
         assert!(
             matches!(last.outcome, TryOutcome::Whole(_)),
-            "answered though the searcher is silent: {last:?}"
+            "expected a response despite the unresponsive searcher: {last:?}"
         );
     }
 }
 
 #[test]
-fn handles_that_lapse_at_once_cost_no_rule() {
+fn handles_that_expire_immediately_violate_no_rule() {
     let _exclusive = exclusive();
     let world = world();
     let spec = spec(&world, "answer");
@@ -240,19 +240,21 @@
     let expired = world.ledger().count(|arrival| {
         !arrival.prefill_only && arrival.outcome == ArrivalOutcome::Rejected { status: 503 }
     });
-    assert!(expired > 0, "no request met a handle that was gone");
+    assert!(expired > 0, "no request used an expired handle");
     records.extend(send_until_served(&world, &spec));
-    assert_clean("lapsed handles", &world.check(&records));
+    assert_clean("expired handles", &world.check(&records));
 }
 
 #[test]
-fn a_searcher_that_is_replaced_at_its_address_gets_nothing_meant_for_the_old_one() {
+fn a_searcher_restarted_at_the_same_address_executes_no_request_for_its_predecessor() {
     let _exclusive = exclusive();
     let mut world = world();
     let spec = spec(&world, "answer");
     let mut records = send(&world, &spec, REQUESTS);
     for position in 0..world.models.len() {
-        world.restart_model(position).expect("it starts again");
+        world
+            .restart_model(position)
+            .expect("restarting the searcher");
         records.extend(send(&world, &spec, REQUESTS));
     }
     let misdirected = world
@@ -260,14 +262,14 @@
         .count(|arrival| arrival.outcome == ArrivalOutcome::Rejected { status: 421 });
     assert!(
         misdirected > 0,
-        "no request came to a searcher that had replaced its own"
+        "no request for a previous incarnation reached its replacement"
     );
     records.extend(send_until_served(&world, &spec));
     assert_clean("restarts", &world.check(&records));
 }
 
 #[test]
-fn a_client_that_leaves_early_costs_no_rule_and_frees_its_searcher() {
+fn a_client_disconnect_violates_no_rule_and_frees_its_searcher() {
     let _exclusive = exclusive();
     let world = world();
     world
@@ -284,8 +286,8 @@
             .iter()
             .all(|model| model.report().running + model.report().waiting == 0)
     };
-    wait_until("the searchers are idle", POLLS, is_idle).expect("what nobody waits for is dropped");
-    assert_clean("gone clients", &world.check(&records));
+    wait_until("the searchers are idle", POLLS, is_idle).expect("abandoned requests still run");
+    assert_clean("disconnected clients", &world.check(&records));
 }
 
 #[test]
--- a/crates/lockusher-router-testbed/tests/fleet.rs
+++ b/crates/lockusher-router-testbed/tests/fleet.rs
@@ -1,8 +1,8 @@
-//! The fleet end to end: `lockusher-node` processes on the loopback between the stand-ins.
+//! End-to-end tests of the fleet: `lockusher-node` processes on the loopback between the stand-ins.
 //!
-//! Each test starts a whole deployment; a lock lets one run at a time, so that they don't take the processor
-//! from each other. No test waits blindly: they wait for states, a bounded number of looks long, and for the
-//! end of a load whose length is given.
+//! Each test starts a whole deployment; a lock serializes the tests, so that they don't compete for CPU time. Tests
+//! don't sleep for fixed times: they poll for conditions with a bounded number of polls, and wait for the end of a
+//! load of fixed length.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -22,7 +22,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 const RATE: f64 = 20.0;
-/// Looks of 50 ms until a state must have come.
+/// Polls, 50 ms apart, until a condition must be met.
 const POLLS: u32 = 400;
 
 fn exclusive() -> MutexGuard<'static, ()> {
@@ -30,7 +30,7 @@
 }
 
 fn world() -> World {
-    World::start(&WorldPlan::default()).expect("the world starts")
+    World::start(&WorldPlan::default()).expect("starting the world")
 }
 
 fn load_plan(world: &World, seconds: u64) -> LoadPlan {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Waits until a share of the load's requests has ended.
+/// Waits until a share of the load's requests has completed.
 fn wait_for_share(load: &Load, share: f64) {
     let expected = (load.planned() as f64 * share) as usize;
     wait_until("load progress", POLLS, || load.completed() >= expected).expect("load stalled");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_calm_run_serves_all_and_breaks_nothing() {
+fn without_disturbances_every_request_is_served_and_no_rule_violated() {
     let _exclusive = exclusive();
     let mut world = world();
     let records = world.load(&load_plan(&world, 6)).finish();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_calm_run_splits_prefill_and_decode() {
+fn without_disturbances_prefill_and_decode_run_on_different_searchers() {
     let _exclusive = exclusive();
     let mut world = world();
     let records = world.load(&load_plan(&world, 4)).finish();
@@ -91,13 +91,13 @@
         .count(|arrival| arrival.continues.is_some() && arrival.run().is_some());
     assert!(
         handed_over > 0,
-        "no stream continued from a prompt that another searcher had read"
+        "no stream continued from a prompt that another searcher had prefilled"
     );
     assert_clean(&mut world, &records);
 }
 
 #[test]
-fn a_change_is_in_force_on_every_proxy() {
+fn a_configuration_change_takes_effect_on_every_proxy() {
     let _exclusive = exclusive();
     let mut world = world();
     let added = route("added", PLAIN_SERVICE, RouteKind::Idempotent);
@@ -120,7 +120,7 @@
     let mut records = Vec::new();
     for mixer in world.fleet.mixers() {
         let mut poll_status = |spec, expected| {
-            wait_until("the change is in force", POLLS, || {
+            wait_until("effect of the configuration change", POLLS, || {
                 let record = client.request(spec, world.clock.now(), |_| mixer.front);
                 let status = match &record.tries[record.tries.len() - 1].outcome {
                     TryOutcome::Whole(seen) => seen.status,
@@ -130,8 +130,8 @@
                 status == expected
             })
         };
-        poll_status(&spec, 200).expect("the new route serves");
-        poll_status(&removed, 404).expect("the dropped route is gone");
+        poll_status(&spec, 200).expect("the new route is served");
+        poll_status(&removed, 404).expect("the removed route is answered with 404");
     }
     assert_clean(&mut world, &records);
     let read_back = world.operator.get(TIMEOUT).expect("it is read back");
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn an_acknowledged_change_that_is_sent_again_is_acknowledged_again() {
+fn repeating_an_acknowledged_change_is_acknowledged() {
     let _exclusive = exclusive();
     let mut world = world();
     let base = world.configuration.version;
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn of_two_racing_changes_one_wins() {
+fn only_one_of_two_concurrent_changes_is_acknowledged() {
     let _exclusive = exclusive();
     let world = world();
     let base = world.configuration.version;
@@ -191,7 +191,7 @@
         let senders: Vec<_> = changes.iter().enumerate().map(send).collect();
         senders
             .into_iter()
-            .map(|sender| sender.join().expect("a racer"))
+            .map(|sender| sender.join().expect("sender panicked"))
             .collect()
     });
     let acknowledged = outcomes
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_control_node_that_is_killed_comes_back_with_what_was_acknowledged() {
+fn a_killed_control_node_restarts_without_losing_acknowledged_changes() {
     let _exclusive = exclusive();
     let mut world = world();
     let load = world.load(&load_plan(&world, 8));
@@ -225,10 +225,7 @@
             ChangeOutcome::Acknowledged,
             "without control node {core}"
         );
-        world
-            .fleet
-            .start_control(core, false)
-            .expect("it starts again");
+        world.fleet.start_control(core, false).expect("it restarts");
         let version = world.configuration.version;
         let is_restored = || {
             world
@@ -236,7 +233,7 @@
                 .get(TIMEOUT)
                 .is_some_and(|read| read["version"] == version)
         };
-        wait_until("the newest version is read back", POLLS, is_restored).expect("nothing is lost");
+        wait_until("read back of the newest version", POLLS, is_restored).expect("change lost");
     }
     let records = load.finish();
     assert_served(&records, 1.0);
@@ -244,17 +241,14 @@
 }
 
 #[test]
-fn all_control_nodes_killed_at_once_lose_nothing() {
+fn killing_all_control_nodes_at_once_loses_no_acknowledged_change() {
     let _exclusive = exclusive();
     let mut world = world();
     assert_eq!(world.change(|_| {}, TIMEOUT), ChangeOutcome::Acknowledged);
     let cores = world.fleet.control().len();
     (0..cores).for_each(|core| world.fleet.kill(Role::Control, core));
     for core in 0..cores {
-        world
-            .fleet
-            .start_control(core, false)
-            .expect("it starts again");
+        world.fleet.start_control(core, false).expect("it restarts");
     }
     let read_back = world.operator.get(TIMEOUT * 2).expect("it is read back");
     assert_eq!(read_back["version"], world.configuration.version);
@@ -262,15 +256,12 @@
 }
 
 #[test]
-fn a_control_node_that_lost_its_disk_joins_again() {
+fn a_control_node_that_lost_its_disk_rejoins() {
     let _exclusive = exclusive();
     let mut world = world();
     world.fleet.kill(Role::Control, 0);
-    world.fleet.lose_disk(0).expect("the disk is lost");
-    world
-        .fleet
-        .start_control(0, false)
-        .expect("it starts again");
+    world.fleet.lose_disk(0).expect("clearing the disk");
+    world.fleet.start_control(0, false).expect("it restarts");
     assert_eq!(
         world.change(|_| {}, TIMEOUT * 2),
         ChangeOutcome::Acknowledged
@@ -280,7 +271,7 @@
 }
 
 #[test]
-fn a_draining_searcher_gets_nothing_once_its_time_is_over() {
+fn a_draining_searcher_gets_no_requests_after_the_drain_bound() {
     let _exclusive = exclusive();
     let mut world = world();
     let load = world.load(&load_plan(&world, 10));
@@ -297,7 +288,7 @@
 }
 
 #[test]
-fn a_proxy_that_is_told_to_end_under_load_loses_nothing() {
+fn a_proxy_terminated_under_load_loses_no_requests() {
     let _exclusive = exclusive();
     let mut world = world();
     let load = world.load(&load_plan(&world, 10));
@@ -306,9 +297,9 @@
     let code = world
         .fleet
         .wait_exited(Role::Proxy, 0, POLLS)
-        .expect("it ends in time");
+        .expect("it exits in time");
     assert_eq!(code, 0);
-    world.fleet.start_proxy(0, false).expect("it starts again");
+    world.fleet.start_proxy(0, false).expect("it restarts");
     world.fleet.wait_ready(0).expect("it is ready again");
     let records = load.finish();
     assert_served(&records, 0.98);
@@ -316,21 +307,21 @@
 }
 
 #[test]
-fn an_agent_that_is_killed_leaves_its_proxy_serving() {
+fn a_proxy_keeps_serving_while_its_agent_is_killed() {
     let _exclusive = exclusive();
     let mut world = world();
     let load = world.load(&load_plan(&world, 6));
     wait_for_share(&load, 0.2);
     world.fleet.kill(Role::Agent, 0);
     wait_for_share(&load, 0.5);
-    world.fleet.start_agent(0, false).expect("it starts again");
+    world.fleet.start_agent(0, false).expect("it restarts");
     let records = load.finish();
     assert_served(&records, 1.0);
     assert_clean(&mut world, &records);
 }
 
 #[test]
-fn a_searcher_that_crashes_costs_no_rule() {
+fn a_searcher_crash_violates_no_rule_but_lost_streams() {
     let _exclusive = exclusive();
     let mut world = world();
     let load = world.load(&load_plan(&world, 8));
@@ -339,7 +330,7 @@
     crashed.stop();
     let records = load.finish();
     let verdict = world.check(&records);
-    // A stream that the crash broke off may end early; nothing else may go wrong.
+    // A stream that the crash interrupted may end early; no other rule may be violated.
     assert_eq!(
         verdict.without(Rule::Lost),
         Vec::<&lockusher_router_testbed::checker::Violation>::new()
@@ -347,9 +338,9 @@
     assert_served(&records, 0.9);
 }
 
-/// Decode searchers may read prompts themselves: a hand-over that always fails must not cost the requests.
+/// Decode searchers can prefill prompts themselves, so failing KV cache transfers must not fail the requests.
 #[test]
-fn requests_are_served_while_no_prompt_can_be_handed_over() {
+fn requests_are_served_while_kv_cache_transfers_fail() {
     let _exclusive = exclusive();
     let mut world = world();
     world.kv_network().set_cut(true);
--- a/crates/lockusher-router-testbed/tests/reasons.rs
+++ b/crates/lockusher-router-testbed/tests/reasons.rs
@@ -1,8 +1,8 @@
-//! Why service is away can be told from the processes' logs alone, at their default level: each cause has a line of its own,
-//! which doesn't come before the cause.
+//! The logs at the default level identify why service is unavailable: each cause has a distinct log line, which is not
+//! logged before the cause occurs.
 //!
-//! One deployment, in which one cause after the other is brought about. No test waits blindly: states are looked for, a bounded
-//! number of looks long.
+//! Each test starts a deployment and provokes one cause after another. Conditions are polled for with a bounded number of
+//! polls.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use lockusher_router_testbed::wait::wait_until;
 use lockusher_router_testbed::world::{World, WorldPlan};
 
-/// Looks of 50 ms until a line must have come.
+/// Polls, 50 ms apart, until a line must have been logged.
 const POLLS: u32 = 400;
 
 const AGENT: ProcessId = ProcessId {
@@ -33,7 +33,7 @@
 }
 
 fn world() -> World {
-    World::start(&WorldPlan::default()).expect("the world starts")
+    World::start(&WorldPlan::default()).expect("starting the world")
 }
 
 fn occurrences(world: &World, process: ProcessId, line: &str) -> usize {
@@ -41,7 +41,7 @@
     log.lines().filter(|logged| logged.contains(line)).count()
 }
 
-/// The line comes after `trigger`, and hasn't come so far.
+/// Asserts that the line is logged after `trigger` and was not logged before.
 fn assert_logged_by(
     world: &mut World,
     process: ProcessId,
@@ -51,7 +51,7 @@
     assert_eq!(
         occurrences(world, process, line),
         0,
-        "{process} logs {line:?} without a cause"
+        "{process} logged {line:?} before its cause"
     );
     trigger(world);
     let logged = wait_until(&format!("{line:?} in the log of {process}"), POLLS, || {
@@ -69,7 +69,10 @@
 }
 
 fn start(world: &mut World, process: ProcessId) {
-    world.fleet.start(process, false).expect("it starts");
+    world
+        .fleet
+        .start(process, false)
+        .expect("starting the process");
 }
 
 fn restart(world: &mut World, process: ProcessId) {
@@ -78,7 +81,7 @@
 }
 
 #[test]
-fn the_first_line_has_the_time_of_day_and_the_seeds() {
+fn the_first_line_contains_the_start_time_and_the_seeds() {
     let world = world();
 
     for process in [AGENT, PROXY, control(0)] {
@@ -92,7 +95,7 @@
 }
 
 #[test]
-fn a_lost_majority_and_an_agent_without_a_configuration_are_told_apart() {
+fn a_lost_majority_and_a_missing_configuration_have_distinct_log_lines() {
     let mut world = world();
 
     assert_logged_by(&mut world, control(2), "no majority in view", |world| {
@@ -109,12 +112,12 @@
 }
 
 #[test]
-fn a_list_that_cannot_be_read_is_told() {
+fn an_unreadable_platform_list_is_logged() {
     let mut world = world();
     let primary = (0..world.fleet.control_nodes())
         .map(control)
         .find(|node| occurrences(&world, *node, ": head") > 0)
-        .expect("a head");
+        .expect("no primary control node");
 
     assert_logged_by(&mut world, primary, "platform's list at", |world| {
         world.platform.set_down(true);
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn a_port_that_is_taken_is_told() {
+fn a_port_in_use_is_logged() {
     let mut world = world();
     let mut sockets = Vec::new();
 
@@ -133,13 +136,13 @@
         sockets = world
             .fleet
             .occupy_agent_ports()
-            .expect("the ports are free");
+            .expect("binding the agents' ports");
         start(world, AGENT);
     });
 }
 
 #[test]
-fn a_disk_that_was_cleared_is_told() {
+fn a_cleared_disk_is_logged() {
     let mut world = world();
 
     assert_logged_by(
@@ -148,21 +151,21 @@
         "0 records on disk, view 0",
         |world| {
             kill(world, control(0));
-            world.fleet.lose_disk(0).expect("the disk is emptied");
+            world.fleet.lose_disk(0).expect("clearing the disk");
             start(world, control(0));
         },
     );
 }
 
 #[test]
-fn other_seeds_are_told() {
+fn changed_seeds_are_logged() {
     let mut world = world();
 
     assert_logged_by(&mut world, AGENT, "names other seeds", |world| {
         world
             .fleet
             .change_seeds(SeedChoice::Edges)
-            .expect("the settings are written");
+            .expect("writing the settings");
         for node in 0..world.fleet.control_nodes() {
             kill(world, control(node));
         }
@@ -170,12 +173,12 @@
 }
 
 #[test]
-fn an_empty_stage_and_unserved_requests_are_told() {
+fn an_empty_stage_and_unserved_requests_are_logged() {
     let mut world = world();
     let primary = (0..world.fleet.control_nodes())
         .map(control)
         .find(|node| occurrences(&world, *node, ": head") > 0)
-        .expect("a head");
+        .expect("no primary control node");
     let decode_searchers: Vec<String> = world
         .models
         .iter()
@@ -192,7 +195,7 @@
     let kind = request_mix(&world.configuration, 1.0)
         .into_iter()
         .find(|kind| kind.spec.route == "answer")
-        .expect("a route to the models");
+        .expect("no route to the model service");
     let spec = std::sync::Arc::new(kind.spec);
     let mixer = world.fleet.mixers()[0].front;
     let searchers: Vec<String> = world
--- a/crates/lockusher-router-testbed/tests/recovery.rs
+++ b/crates/lockusher-router-testbed/tests/recovery.rs
@@ -1,7 +1,7 @@
-//! Service returns after everything was lost at once: real processes, by the rule's own terms.
+//! Service recovers after an outage of all processes, checked on real processes by the recovery rule.
 //!
-//! Each test plays one soak of some forty seconds; they run side by side. The length of a soak is given, and no test waits
-//! for anything else.
+//! Each test runs one soak of about forty seconds; the tests run in parallel. The length of a soak is fixed, and no test
+//! waits for anything else.
 
 use std::time::Duration;
 
@@ -21,13 +21,13 @@
         outage_at: OUTAGE_AT,
         series: SERIES,
     };
-    run(&plan, schedule).expect("the soak is played")
+    run(&plan, schedule).expect("running the soak")
 }
 
 fn assert_passed(result: &SoakResult) {
     assert!(
         result.passed(),
-        "{}\n{}\nfaults: {:#?}\nbroken: {:#?}\nlogs: {:?}",
+        "{}\n{}\nfailures: {:#?}\nviolations: {:#?}\nlogs: {:?}",
         result.schedule,
         result.recovery,
         result.failures,
@@ -41,25 +41,25 @@
     assert_passed(&run_soak(&scenario.schedule(101)));
 }
 
-/// Everything is killed after the settings files have named only edge machines as seeds.
+/// All processes are killed while the settings files list only edge machines as seeds.
 #[test]
-fn service_returns_where_no_seed_runs_a_control_node() {
+fn service_recovers_when_no_seed_runs_a_control_node() {
     assert_scenario_passes("seeds");
 }
 
-/// Planned departures leave model searchers of one stage, then everything is killed.
+/// All processes are killed after decode searchers were removed, so that model searchers of one stage remain.
 #[test]
-fn service_returns_where_searchers_of_one_stage_are_left() {
+fn service_recovers_when_only_searchers_of_one_stage_remain() {
     assert_scenario_passes("stages");
 }
 
-/// Drawn soaks, the same in each run; on the landing of the incident both broke the rule.
+/// Randomly drawn soaks with fixed seeds; both violated the recovery rule in a past incident.
 #[test]
-fn service_returns_in_the_soak_of_seed_1() {
+fn service_recovers_in_the_soak_of_seed_1() {
     assert_passed(&run_soak(&draw_schedule(1, SERIES, OUTAGE_AT)));
 }
 
 #[test]
-fn service_returns_in_the_soak_of_seed_2() {
+fn service_recovers_in_the_soak_of_seed_2() {
     assert_passed(&run_soak(&draw_schedule(2, SERIES, OUTAGE_AT)));
 }
--- a/crates/lockusher-router-testbed/tests/report.rs
+++ b/crates/lockusher-router-testbed/tests/report.rs
@@ -1,4 +1,4 @@
-//! Runs in files, and the page that lays them side by side.
+//! Saved runs and the page that compares them.
 
 use lockusher_router_testbed::report::page;
 use lockusher_router_testbed::run_file::{Run, RunFileError, Sample};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_run_is_read_as_it_was_written() {
+fn a_written_run_is_read_back_unchanged() {
     let path = file("run.json");
     run("one").write(&path).expect("written");
     assert_eq!(Run::read(&path).expect("read"), run("one"));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_damaged_run_is_told_by_its_place() {
+fn an_invalid_sample_is_reported_by_its_index() {
     let path = file("damaged.json");
     std::fs::write(
         &path,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_empty_run_has_a_page_too() {
+fn a_run_without_samples_has_a_page() {
     let empty = Run {
         title: "nothing".to_owned(),
         samples: Vec::new(),
--- a/crates/lockusher-router-testbed/tests/soak.rs
+++ b/crates/lockusher-router-testbed/tests/soak.rs
@@ -1,4 +1,4 @@
-//! What a soak is drawn from, and how it judges recovery; no process is started.
+//! Drawing of soak schedules and evaluation of the recovery rule; no process is started.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     bound: Duration::from_secs(12),
 };
 
-/// A request that was answered with this status.
+/// A request that was answered with `status`.
 fn record(due: Micros, status: u16) -> RequestRecord {
     let kind = request_mix(&first_configuration(), 1.0).remove(0);
     let spec = Arc::new(kind.spec);
@@ -51,7 +51,7 @@
     }
 }
 
-/// So many requests from a time on, of which the first ones were served.
+/// `count` requests due from `from` on, the first `served` of which were served.
 fn requests(from: Micros, count: u64, served: u64) -> Vec<RequestRecord> {
     let status = |number| if number < served { 200 } else { 503 };
     (0..count)
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn less_than_a_quarter_served_later_than_the_bound_breaks_the_rule() {
+fn serving_less_than_a_quarter_after_the_bound_violates_the_rule() {
     let before = requests(SECOND, 4, 1);
     let after_bound = 24 * SECOND + 1;
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn without_service_before_the_fault_the_rule_asks_for_nothing() {
+fn the_rule_does_not_apply_without_service_before_the_outage() {
     let before = requests(SECOND, 100, 24);
     let after = requests(25 * SECOND, 10, 0);
 
@@ -82,9 +82,9 @@
     assert_eq!(recovery.time_to_recovery, None);
 }
 
-/// What is sent up to the bound doesn't count, served or not.
+/// Requests due up to the bound don't count, served or not.
 #[test]
-fn only_requests_later_than_the_bound_count() {
+fn only_requests_due_after_the_bound_count() {
     let before = requests(SECOND, 4, 4);
     let before_bound = requests(20 * SECOND, 100, 100);
     let after_bound = requests(24 * SECOND + 1, 10, 0);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_soak_again_and_another_one_another() {
+fn a_seed_determines_the_schedule() {
     assert_eq!(
         draw_schedule(7, 6, OUTAGE_AT),
         draw_schedule(7, 6, OUTAGE_AT)
@@ -108,9 +108,9 @@
     );
 }
 
-/// Over many seeds all closing faults come, disturbances run right into them, and no more disks are lost than may be.
+/// Over many seeds every kind of outage occurs, disturbances overlap with it, and no more disks are lost than tolerated.
 #[test]
-fn soaks_overlap_with_their_closing_fault_and_lose_no_more_disks_than_may_be_lost() {
+fn disturbances_overlap_with_the_outage_and_disk_losses_are_tolerable() {
     let soaks: Vec<_> = (0..200)
         .map(|seed| draw_schedule(seed, 6, OUTAGE_AT))
         .collect();
