--- a/crates/lockusher-router-testbed/src/client.rs
+++ b/crates/lockusher-router-testbed/src/client.rs
@@ -62,7 +62,8 @@
         }
     }
 
-    /// The mixer of an open idle connection. The connection is reused until it is closed, even if the mixer is not ready.
+    /// The mixer of an open idle connection. The connection is reused until it is closed, even if the mixer is not
+    /// ready.
     pub fn pooled_front(&mut self) -> Option<SocketAddr> {
         let limit = self.max_idle?;
         self.idle.retain(|_, (connection, since)| {
@@ -139,7 +140,8 @@
         }
     }
 
-    /// A reusable idle connection, or a new one. Sets `unsolicited` if the idle connection had received unexpected bytes.
+    /// A reusable idle connection, or a new one. Sets `unsolicited` if the idle connection had received unexpected
+    /// bytes.
     fn connect(
         &mut self,
         front: SocketAddr,
--- a/crates/lockusher-router-testbed/src/main.rs
+++ b/crates/lockusher-router-testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! `lockusher-router-testbed`: starts a whole fleet on the loopback for demos, load runs and soaks, and reports on them.
+//! `lockusher-router-testbed`: starts a whole fleet on the loopback for demos, load runs and soaks, and reports on
+//! them.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/lockusher-router-testbed/src/report.rs
+++ b/crates/lockusher-router-testbed/src/report.rs
@@ -46,8 +46,8 @@
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Load report</title>\n\
          <style>body {{ font-family: sans-serif }} main {{ display: flex; gap: 2em; flex-wrap: wrap }}\n\
          td, th {{ text-align: right; padding: 0 0.6em }}</style></head>\n\
-         <body><h1>Load report</h1>\n<p>Latency counts from when a request was due to its first event, or to the \
-         end of a plain answer, so that a stall can't hide the requests that it held back.</p>\n\
+         <body><h1>Load report</h1>\n<p>Latency is measured from when a request was due to its first event, or to the \
+         end of a plain response, so that a stall can't hide the requests that it delayed.</p>\n\
          <main>{columns}</main></body></html>\n"
     ))
 }
--- a/crates/lockusher-router-testbed/src/soak/executor.rs
+++ b/crates/lockusher-router-testbed/src/soak/executor.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Runs the whole schedule; returns `length` after the start, when the load has ended.
+    /// Runs the schedule; returns `length` after the start, when the load has ended.
     pub fn run(&mut self, schedule: &Schedule, length: Duration) -> Result<OutageTimes, SoakError> {
         for step in &schedule.steps {
             self.schedule_at(step.at, Action::Begin(step.disturbance));
--- a/crates/lockusher-router-testbed/src/soak/mod.rs
+++ b/crates/lockusher-router-testbed/src/soak/mod.rs
@@ -1,4 +1,5 @@
-//! Soak tests: a whole deployment under load with overlapping disturbances, ended by an outage of every process.
+//! Soak tests: a whole deployment under load with overlapping disturbances, followed by an outage of every process and
+//! its recovery.
 //!
 //! The processes run in real time; clients reuse their connections until the process at the other end has exited. The
 //! protocol rules are checked over the whole run; the recovery rule is checked separately, around the final outage.
--- a/crates/lockusher-router-testbed/tests/crossings.rs
+++ b/crates/lockusher-router-testbed/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! End-to-end fault injection: a searcher misbehaves at each point of a request, and no rule may be violated. The faults
-//! for one kind of request are injected one after another in one deployment.
+//! End-to-end fault injection: a searcher misbehaves at each point of a request, and no rule may be violated. The
+//! faults for one kind of request are injected one after another in one deployment.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -77,7 +77,8 @@
     Fault::Reject { status: 421 },
 ];
 
-/// Injects each fault once at every searcher and checks the rules after each; then checks that requests are served again.
+/// Injects each fault once at every searcher and checks the rules after each; then waits until requests are served
+/// again.
 fn run_faults(
     world: &World,
     spec: &RequestSpec,
@@ -197,7 +198,7 @@
     let world = world();
     let mut spec = spec(&world, "answer");
     spec.deadline = Duration::from_secs(2);
-    // On a busy machine the response may be scheduled late. `a_searchers_time_leaves_time_for_the_way_back` of the
+    // On a busy machine the response may be scheduled late. `a_searchers_deadline_reserves_time_for_the_response` of the
     // proxy's tests shows that it is started in time; here the client keeps waiting and must receive a response.
     spec.leaves_after = Some(3 * spec.deadline);
     world
