--- a/crates/lockusher-router-testbed/src/soak/executor.rs
+++ b/crates/lockusher-router-testbed/src/soak/executor.rs
@@ -33,7 +33,7 @@
 const SLOW_LINK_FACTOR: u64 = 40;
 /// Requests at each searcher into which a fault is injected.
 const FAULTY_REQUESTS: usize = 2;
-/// How long handles expire immediately.
+/// How long all handles are expired repeatedly.
 const EXPIRY: Duration = Duration::from_secs(1);
 /// Interval between checks of the processes and the instance list.
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(100);
