--- a/crates/lockusher-router-testbed/src/client.rs
+++ b/crates/lockusher-router-testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: one request with its tries, as the protocol page says under "Answers".
+//! Clients: a request with its tries, following the rules under "Answers" on the protocol page.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,26 +13,26 @@
     FailureCause, ReceivedBody, ReceivedResponse, RequestRecord, RequestSpec, TryOutcome, TryRecord,
 };
 
-/// How long a new connection is given to come up.
-const CONNECT_WAIT: Duration = Duration::from_secs(1);
-/// The pause before a retry that was not told when to come back.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Retries of a hasty client beyond those of others.
-const HASTY_RETRIES: u32 = 3;
-/// The end of an event.
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a retry without `Retry-After`.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Additional retries of a client that ignores backoff.
+const EXTRA_RETRIES: u32 = 3;
+/// Terminates an event of a stream.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// Gives every try in a process an id of its own.
-static NEXT_ID: AtomicU64 = AtomicU64::new(1);
+/// Counter for request ids that are unique per try within the process.
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A client; it may keep its connections.
+/// A client that may reuse its connections.
 pub struct Client {
     clock: TestClock,
-    /// How long a connection may rest before it is used again; `None`: each try opens a new one.
-    reuse_within: Option<Duration>,
-    /// Doesn't wait as told, and retries at once and more often.
-    hasty: bool,
-    resting: HashMap<SocketAddr, (Connection, Instant)>,
+    /// How long a connection may be idle before reuse; `None`: each try opens a new connection.
+    max_idle: Option<Duration>,
+    /// Whether it ignores `Retry-After`, retrying immediately and more often.
+    ignores_backoff: bool,
+    idle: HashMap<SocketAddr, (Connection, Instant)>,
 }
 
 impl Client {
@@ -40,60 +40,60 @@
     pub fn new(clock: TestClock) -> Client {
         Client {
             clock,
-            reuse_within: None,
-            hasty: false,
-            resting: HashMap::new(),
+            max_idle: None,
+            ignores_backoff: false,
+            idle: HashMap::new(),
         }
     }
 
-    /// A client that uses connections again that have rested for no longer than `reuse_within`.
-    pub fn keeping_connections(clock: TestClock, reuse_within: Duration) -> Client {
+    /// A client that reuses connections that have been idle for at most `max_idle`.
+    pub fn keeping_connections(clock: TestClock, max_idle: Duration) -> Client {
         Client {
-            reuse_within: Some(reuse_within),
+            max_idle: Some(max_idle),
             ..Client::new(clock)
         }
     }
 
-    /// A client that doesn't wait as told, and retries at once and more often.
-    pub fn hasty(clock: TestClock) -> Client {
+    /// A client that ignores `Retry-After`, retrying immediately and more often.
+    pub fn ignoring_backoff(clock: TestClock) -> Client {
         Client {
-            hasty: true,
+            ignores_backoff: true,
             ..Client::new(clock)
         }
     }
 
-    /// A mixer to which a kept connection is open. It stays with its mixer until it is closed, whether or not that calls
-    /// itself ready.
-    pub fn retained_front(&mut self) -> Option<SocketAddr> {
-        let most = self.reuse_within?;
-        self.resting.retain(|_, (connection, since)| {
-            since.elapsed() <= most && !connection.peer_has_closed()
+    /// The mixer of an open idle connection. The connection is reused until it is closed, even if the mixer is not
+    /// ready.
+    pub fn pooled_front(&mut self) -> Option<SocketAddr> {
+        let limit = self.max_idle?;
+        self.idle.retain(|_, (connection, since)| {
+            since.elapsed() <= limit && !connection.peer_has_closed()
         });
-        self.resting.keys().next().copied()
+        self.idle.keys().next().copied()
     }
 
-    /// Sends a request, due at `due`, with its retries. `front_of` gives the address for the try of a number.
+    /// Sends a request, due at `due`, with its retries. `front_for_try` returns the address for a try by its number.
     pub fn request(
         &mut self,
         spec: &Arc<RequestSpec>,
         due: Micros,
-        mut front_of: impl FnMut(u32) -> SocketAddr,
+        mut front_for_try: impl FnMut(u32) -> SocketAddr,
     ) -> RequestRecord {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut tries: Vec<TryRecord> = Vec::new();
-        let retries = if self.hasty {
-            spec.retries + HASTY_RETRIES
+        let retries = if self.ignores_backoff {
+            spec.retries + EXTRA_RETRIES
         } else {
             spec.retries
         };
         for number in 0..=retries {
             let last_event_id = resume_after(spec, &tries);
-            let one = self.try_once(spec, front_of(number), begun, last_event_id);
-            let pause = pause_before_retry(spec, &one, begun + spec.client_timeout());
-            tries.push(one);
-            let Some(pause) = pause else { break };
-            if !self.hasty {
-                std::thread::park_timeout(pause);
+            let current_try = self.try_once(spec, front_for_try(number), started_at, last_event_id);
+            let delay = retry_delay(spec, &current_try, started_at + spec.client_timeout());
+            tries.push(current_try);
+            let Some(delay) = delay else { break };
+            if !self.ignores_backoff {
+                std::thread::park_timeout(delay);
             }
         }
         RequestRecord {
@@ -104,27 +104,27 @@
         }
     }
 
-    /// One try at one mixer, of a request that began at `begun`.
+    /// One try at one mixer, of a request that was started at `started_at`.
     pub fn try_once(
         &mut self,
         spec: &Arc<RequestSpec>,
         front: SocketAddr,
-        begun: Instant,
+        started_at: Instant,
         last_event_id: Option<u64>,
     ) -> TryRecord {
         let request_id = format!(
             "{:016x}",
-            NEXT_ID.fetch_add(1, Ordering::Relaxed) ^ (u64::from(std::process::id()) << 32)
+            NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed) ^ (u64::from(std::process::id()) << 32)
         );
-        let give_up = begun + spec.client_timeout();
-        let remaining = (begun + spec.deadline).saturating_duration_since(Instant::now());
+        let client_deadline = started_at + spec.client_timeout();
+        let remaining = (started_at + spec.deadline).saturating_duration_since(Instant::now());
         let sent = self.clock.now();
         let mut unsolicited_bytes = false;
-        let outcome = match self.connect(front, give_up, &mut unsolicited_bytes) {
+        let outcome = match self.connect(front, client_deadline, &mut unsolicited_bytes) {
             Err(_) => TryOutcome::NoConnection,
             Ok(connection) => {
                 let request = spec.to_request(&request_id, remaining, last_event_id);
-                self.converse(connection, spec, front, &request, give_up)
+                self.exchange(connection, spec, front, &request, client_deadline)
             }
         };
         TryRecord {
@@ -140,59 +140,59 @@
         }
     }
 
-    /// A resting connection that is still good, or a new one.
+    /// A reusable idle connection, or a new one. Sets `unsolicited` if the idle connection had received unexpected
+    /// bytes.
     fn connect(
         &mut self,
         front: SocketAddr,
-        give_up: Instant,
-        surplus: &mut bool,
+        client_deadline: Instant,
+        unsolicited: &mut bool,
     ) -> Result<Connection, HttpError> {
-        if let Some((mut resting, since)) = self.resting.remove(&front) {
-            *surplus = resting.has_unsolicited_bytes();
-            let is_young = self
-                .reuse_within
-                .is_some_and(|most| since.elapsed() <= most);
-            if is_young && !*surplus && !resting.peer_has_closed() {
-                return Ok(resting);
+        if let Some((mut idle, since)) = self.idle.remove(&front) {
+            *unsolicited = idle.has_unsolicited_bytes();
+            let is_fresh = self.max_idle.is_some_and(|limit| since.elapsed() <= limit);
+            if is_fresh && !*unsolicited && !idle.peer_has_closed() {
+                return Ok(idle);
             }
         }
-        let left = give_up.saturating_duration_since(Instant::now());
-        Connection::open(front, left.min(CONNECT_WAIT))
+        let remaining = client_deadline.saturating_duration_since(Instant::now());
+        Connection::open(front, remaining.min(CONNECT_TIMEOUT))
     }
 
-    fn converse(
+    /// Sends the request and reads its response.
+    fn exchange(
         &mut self,
         mut connection: Connection,
         spec: &RequestSpec,
         front: SocketAddr,
         request: &Request,
-        give_up: Instant,
+        client_deadline: Instant,
     ) -> TryOutcome {
-        connection.set_deadline(Some(give_up));
+        connection.set_deadline(Some(client_deadline));
         if let Err(error) = connection.write(&request.to_bytes()) {
             return TryOutcome::Failed {
                 seen: None,
-                cause: break_of(error),
+                cause: failure_cause(error),
             };
         }
-        let head = match self.read_head(&mut connection, spec, give_up) {
+        let head = match self.read_head(&mut connection, spec, client_deadline) {
             Ok(head) => head,
             Err(error) => {
                 return TryOutcome::Failed {
                     seen: None,
-                    cause: break_of(error),
+                    cause: failure_cause(error),
                 };
             }
         };
-        let mut seen = seen_of(&head);
-        match self.read_body(&mut connection, spec, give_up, &mut seen) {
+        let mut seen = response_from_head(&head);
+        match self.read_body(&mut connection, spec, client_deadline, &mut seen) {
             Err(error) => TryOutcome::Failed {
                 seen: Some(seen),
-                cause: break_of(error),
+                cause: failure_cause(error),
             },
             Ok(()) => {
-                if self.reuse_within.is_some() && connection.may_be_reused(&head.headers) {
-                    self.resting.insert(front, (connection, Instant::now()));
+                if self.max_idle.is_some() && connection.may_be_reused(&head.headers) {
+                    self.idle.insert(front, (connection, Instant::now()));
                 }
                 TryOutcome::Complete(seen)
             }
@@ -203,9 +203,9 @@
         &self,
         connection: &mut Connection,
         spec: &RequestSpec,
-        give_up: Instant,
+        client_deadline: Instant,
     ) -> Result<ResponseHead, HttpError> {
-        connection.set_deadline(Some(patience(spec, give_up)));
+        connection.set_deadline(Some(read_deadline(spec, client_deadline)));
         connection.read_response_head()
     }
 
@@ -213,15 +213,15 @@
         &self,
         connection: &mut Connection,
         spec: &RequestSpec,
-        give_up: Instant,
+        client_deadline: Instant,
         seen: &mut ReceivedResponse,
     ) -> Result<(), HttpError> {
         let is_stream = matches!(seen.body, ReceivedBody::Stream { .. });
         let mut unread = Vec::new();
         loop {
-            connection.set_deadline(Some(patience(spec, give_up)));
+            connection.set_deadline(Some(read_deadline(spec, client_deadline)));
             match connection.read_body_bytes()? {
-                Some(piece) => unread.extend_from_slice(&piece),
+                Some(chunk) => unread.extend_from_slice(&chunk),
                 None => break,
             }
             if let ReceivedBody::Stream {
@@ -241,7 +241,7 @@
         Ok(())
     }
 
-    /// Moves whole events from the bytes to the record.
+    /// Moves complete events from the unread bytes to the record.
     fn take_events(&self, unread: &mut Vec<u8>, events: &mut Vec<EventRecord>) {
         while let Some(at) = unread
             .windows(EVENT_END.len())
@@ -258,12 +258,12 @@
     }
 }
 
-/// When a read gives up: at the deadline, or for streams after the longest silence.
-fn patience(spec: &RequestSpec, give_up: Instant) -> Instant {
+/// Deadline of the next read: the client's deadline, or earlier for streams that exceed the idle timeout.
+fn read_deadline(spec: &RequestSpec, client_deadline: Instant) -> Instant {
     if spec.streaming {
-        give_up.min(Instant::now() + spec.idle_timeout())
+        client_deadline.min(Instant::now() + spec.idle_timeout())
     } else {
-        give_up
+        client_deadline
     }
 }
 
@@ -273,7 +273,7 @@
     line.and_then(|id| id.trim().parse().ok()).unwrap_or(0)
 }
 
-fn seen_of(head: &ResponseHead) -> ReceivedResponse {
+fn response_from_head(head: &ResponseHead) -> ReceivedResponse {
     let headers = &head.headers;
     let is_stream = headers
         .get("Content-Type")
@@ -299,7 +299,7 @@
     }
 }
 
-fn break_of(error: HttpError) -> FailureCause {
+fn failure_cause(error: HttpError) -> FailureCause {
     match error {
         HttpError::TimedOut => FailureCause::GaveUp,
         HttpError::Malformed { reason } => FailureCause::NotHttp { reason },
@@ -307,7 +307,7 @@
     }
 }
 
-/// The event after which the next try takes a broken stream up.
+/// The event after which the next try resumes an interrupted stream.
 fn resume_after(spec: &RequestSpec, tries: &[TryRecord]) -> Option<u64> {
     if !spec.resumable {
         return None;
@@ -315,18 +315,18 @@
     tries.iter().rev().find_map(TryRecord::last_event)
 }
 
-/// How long to wait before the next try; `None` when there is none.
-fn pause_before_retry(spec: &RequestSpec, last: &TryRecord, give_up: Instant) -> Option<Duration> {
+/// Delay before the next try; `None` if there is no next try.
+fn retry_delay(spec: &RequestSpec, last: &TryRecord, client_deadline: Instant) -> Option<Duration> {
     if last.is_success() || !may_retry(spec, last) {
         return None;
     }
-    let left = give_up.saturating_duration_since(Instant::now());
-    let told = last
+    let remaining = client_deadline.saturating_duration_since(Instant::now());
+    let retry_after = last
         .seen()
         .and_then(|seen| seen.retry_after)
-        .map(|told| told.min(left / 3));
-    let pause = told.unwrap_or(RETRY_PAUSE);
-    (pause < left).then_some(pause)
+        .map(|retry_after| retry_after.min(remaining / 3));
+    let delay = retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
+    (delay < remaining).then_some(delay)
 }
 
 fn may_retry(spec: &RequestSpec, last: &TryRecord) -> bool {
--- a/crates/lockusher-router-testbed/src/demo.rs
+++ b/crates/lockusher-router-testbed/src/demo.rs
@@ -1,26 +1,26 @@
-//! The demo: a whole fleet on the loopback under load, with troubles, a live view and a summary.
+//! The demo: a whole fleet on the loopback under load, with disturbances, a live view and a summary.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error, From};
 
 use crate::checker::Verdict;
-use crate::deployment::mix;
+use crate::deployment::request_mix;
 use crate::figures::Figures;
 use crate::fleet::{FleetError, Role, Signal};
 use crate::load::{Load, LoadPlan};
 use crate::request::RequestRecord;
-use crate::wait::NeverCame;
+use crate::wait::WaitTimeout;
 use crate::world::{World, WorldError, WorldPlan};
 
-/// How often the live view shows a line.
-const PERIOD: Duration = Duration::from_secs(1);
-/// How long the operator waits for a change.
-const CHANGE_PATIENCE: Duration = Duration::from_secs(10);
-/// Looks until a process that was told to end has ended.
-const END_TRIES: u32 = 400;
+/// Interval between lines of the live view.
+const VIEW_INTERVAL: Duration = Duration::from_secs(1);
+/// How long the operator retries a configuration change.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Polls until a process that was sent SIGTERM must have exited.
+const EXIT_POLLS: u32 = 400;
 
-/// Why the demo could not be played.
+/// Why the demo could not be run.
 #[derive(Debug, Display, Error, From)]
 pub enum DemoError {
     #[display("{_0}")]
@@ -28,37 +28,44 @@
     #[display("{_0}")]
     Fleet(FleetError),
     #[display("{_0}")]
-    NeverCame(NeverCame),
+    Wait(WaitTimeout),
 }
 
-/// What is played.
+/// Parameters of a demo or a load run.
 #[derive(Clone, Debug)]
 pub struct DemoPlan {
+    /// Size and bounds of the deployment.
     pub world: WorldPlan,
+    /// Requests per second, all kinds together.
     pub rate_per_second: f64,
+    /// Seed of the load.
     pub seed: u64,
-    /// Whether there are troubles; without them the load runs for as long.
-    pub troubles: bool,
+    /// Whether the disturbances of the demo are run.
+    pub disturbances: bool,
+    /// Length of the load.
     pub length: Duration,
 }
 
-/// What came of it.
+/// The result of a run.
 pub struct Outcome {
+    /// All requests.
     pub records: Vec<RequestRecord>,
+    /// Counts and latencies by kind of request.
     pub figures: Figures,
+    /// Violations of the protocol rules.
     pub verdict: Verdict,
-    /// Processes that ended although nobody ended them.
-    pub ended_by_themselves: Vec<String>,
+    /// Processes that exited unexpectedly.
+    pub unexpected_exits: Vec<String>,
 }
 
 impl Outcome {
-    /// Whether no rule was broken and nothing ended by itself.
-    pub fn is_good(&self) -> bool {
-        self.verdict.is_clean() && self.ended_by_themselves.is_empty()
+    /// Whether no rule was violated and no process exited unexpectedly.
+    pub fn passed(&self) -> bool {
+        self.verdict.is_clean() && self.unexpected_exits.is_empty()
     }
 }
 
-/// A trouble or planned work, after so many seconds of load.
+/// A disturbance or a maintenance operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     ChangeConfiguration,
@@ -70,6 +77,7 @@
     RestartProxy,
 }
 
+/// The steps of the demo, with their start in seconds of load.
 const STEPS: [(u64, Step); 7] = [
     (4, Step::ChangeConfiguration),
     (7, Step::DrainSearcher),
@@ -80,15 +88,15 @@
     (24, Step::RestartProxy),
 ];
 
-/// Plays the demo and prints it line by line.
-pub fn play(plan: &DemoPlan) -> Result<Outcome, DemoError> {
+/// Runs the demo and prints its progress line by line.
+pub fn run_demo(plan: &DemoPlan) -> Result<Outcome, DemoError> {
     println!(
-        "starting {} edge and {} core machines",
+        "starting {} edge machines and {} core machines",
         plan.world.edges, plan.world.cores
     );
     let mut world = World::start(&plan.world)?;
     println!(
-        "all proxies are ready, configuration {} is in force",
+        "all proxies are ready, configuration version {} is in force",
         world.configuration.version
     );
     println!("{}", View::TITLE);
@@ -96,9 +104,9 @@
     let mut view = View::default();
     for second in 0..plan.length.as_secs() {
         for step in steps_at(plan, second) {
-            take_step(&mut world, step)?;
+            run_step(&mut world, step)?;
         }
-        std::thread::park_timeout(PERIOD);
+        std::thread::park_timeout(VIEW_INTERVAL);
         view.show(second + 1, &world, &load);
     }
     let records = load.finish();
@@ -107,49 +115,49 @@
 
 fn load_plan(plan: &DemoPlan, world: &World) -> LoadPlan {
     LoadPlan {
-        kinds: mix(&world.configuration, plan.rate_per_second),
+        kinds: request_mix(&world.configuration, plan.rate_per_second),
         length: plan.length,
-        workers: workers_for(plan.rate_per_second),
+        workers: worker_count(plan.rate_per_second),
         seed: plan.seed,
-        reuse_within: Duration::from_millis(world.configuration.limits.idle_timeout_ms * 4 / 5),
+        max_idle: Duration::from_millis(world.configuration.limits.idle_timeout_ms * 4 / 5),
     }
 }
 
-/// Enough workers for two seconds of requests, so that a stall doesn't hold the load back.
-fn workers_for(rate_per_second: f64) -> usize {
-    const FEWEST: usize = 16;
-    FEWEST.max((rate_per_second * 2.0).ceil() as usize)
+/// Enough workers for two seconds of requests, so that a short stall doesn't delay the load.
+fn worker_count(rate_per_second: f64) -> usize {
+    const MIN_WORKERS: usize = 16;
+    MIN_WORKERS.max((rate_per_second * 2.0).ceil() as usize)
 }
 
 fn steps_at(plan: &DemoPlan, second: u64) -> impl Iterator<Item = Step> {
-    let troubles = plan.troubles;
+    let disturbances = plan.disturbances;
     STEPS
         .into_iter()
-        .filter(move |(at, _)| troubles && *at == second)
+        .filter(move |(at, _)| disturbances && *at == second)
         .map(|(_, step)| step)
 }
 
-fn take_step(world: &mut World, step: Step) -> Result<(), DemoError> {
+fn run_step(world: &mut World, step: Step) -> Result<(), DemoError> {
     let last_core = world.fleet.control().len() - 1;
     let last_edge = world.fleet.mixers().len() - 1;
     match step {
         Step::ChangeConfiguration => change_configuration(world),
         Step::DrainSearcher => {
-            let Some(leaving) = world.models.last() else {
+            let Some(departing) = world.models.last() else {
                 return Ok(());
             };
-            let instance = leaving.identity().instance.clone();
-            leaving.drain();
+            let instance = departing.identity().instance.clone();
+            departing.drain();
             world.platform.drain(&instance);
             println!("-- searcher {instance} is draining");
         }
         Step::LoseSearcher => {
-            let Some(mut leaving) = world.models.pop() else {
+            let Some(mut departing) = world.models.pop() else {
                 return Ok(());
             };
-            leaving.stop();
-            world.platform.remove(&leaving.identity().instance);
-            println!("-- searcher {} has ended", leaving.identity().instance);
+            departing.stop();
+            world.platform.remove(&departing.identity().instance);
+            println!("-- searcher {} was stopped", departing.identity().instance);
         }
         Step::KillControl => {
             world.fleet.kill(Role::Control, last_core);
@@ -157,7 +165,7 @@
         }
         Step::RestartControl => {
             world.fleet.start_control(last_core, false)?;
-            println!("-- control node {last_core} starts again");
+            println!("-- control node {last_core} was restarted");
         }
         Step::TerminateProxy => {
             world
@@ -166,9 +174,11 @@
             println!("-- proxy {last_edge} was sent SIGTERM");
         }
         Step::RestartProxy => {
-            let code = world.fleet.wait_ended(Role::Proxy, last_edge, END_TRIES)?;
+            let code = world
+                .fleet
+                .wait_exited(Role::Proxy, last_edge, EXIT_POLLS)?;
             world.fleet.start_proxy(last_edge, false)?;
-            println!("-- proxy {last_edge} ended with {code} and starts again");
+            println!("-- proxy {last_edge} exited with code {code} and was restarted");
         }
     }
     Ok(())
@@ -181,10 +191,10 @@
                 route.timeout_ms += 1_000;
             }
         },
-        CHANGE_PATIENCE,
+        CHANGE_TIMEOUT,
     );
     println!(
-        "-- configuration {}: {outcome:?}",
+        "-- configuration version {}: {outcome:?}",
         world.configuration.version
     );
 }
@@ -193,7 +203,7 @@
     Outcome {
         figures: Figures::of(&records),
         verdict: world.check(&records),
-        ended_by_themselves: world.fleet.ended_by_themselves(),
+        unexpected_exits: world.fleet.unexpected_exits(),
         records,
     }
 }
@@ -201,8 +211,8 @@
 /// The live view: one line a second.
 #[derive(Default)]
 struct View {
-    /// Requests that earlier lines have told of.
-    shown: usize,
+    /// Number of requests covered by earlier lines.
+    shown_requests: usize,
 }
 
 impl View {
@@ -210,8 +220,8 @@
         "   s  ended  served refused  failed  first event p50/p99 ms  running+waiting by searcher";
 
     fn show(&mut self, second: u64, world: &World, load: &Load) {
-        let total = load.look(|records| Figures::of(&records[self.shown..]).total());
-        self.shown += total.requests as usize;
+        let total = load.inspect(|records| Figures::of(&records[self.shown_requests..]).total());
+        self.shown_requests += total.requests as usize;
         let (median, tail) = (
             total.latencies.quantile_ms(0.5),
             total.latencies.quantile_ms(0.99),
@@ -219,7 +229,7 @@
         let searchers: Vec<String> = world
             .models
             .iter()
-            .map(|model| searcher_state(&model.report()))
+            .map(|model| format_searcher(&model.report()))
             .collect();
         println!(
             "{second:>4}{:>7}{:>8}{:>8}{:>8}  {median:>10.0} /{tail:>6.0}         {}",
@@ -232,7 +242,7 @@
     }
 }
 
-fn searcher_state(report: &crate::engine::Report) -> String {
+fn format_searcher(report: &crate::engine::Report) -> String {
     let stage = &report.stage.as_str()[..1];
     format!("{stage}:{}+{}", report.running, report.waiting)
 }
--- a/crates/lockusher-router-testbed/src/figures.rs
+++ b/crates/lockusher-router-testbed/src/figures.rs
@@ -1,7 +1,7 @@
-//! Figures of a load: shares and latencies by kind of request.
+//! Counts and latencies of a load by kind of request.
 //!
-//! Latency counts from when a request was due, not from when it was sent: a stall of the system or of the load
-//! generator can't hide the requests that it held back (coordinated omission).
+//! Latency is measured from when a request was due, not from when it was sent, to avoid coordinated omission: a stall
+//! of the system or of the load generator can't hide the requests that it delayed.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,13 +11,13 @@
 use crate::engine::Micros;
 use crate::request::RequestRecord;
 
-/// Digits to which latencies are kept.
-const DIGITS: u8 = 3;
-/// The longest latency that is told apart; longer ones count as this.
-const LONGEST: Micros = 600_000_000;
+/// Significant digits of recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Largest recorded latency; longer ones are clamped to it.
+const MAX_LATENCY_US: Micros = 600_000_000;
 const MICROS_PER_MS: f64 = 1000.0;
 
-/// Latencies in microseconds.
+/// A histogram of latencies in microseconds.
 #[derive(Clone, Debug)]
 pub struct Latencies {
     histogram: Histogram<u64>,
@@ -26,24 +26,25 @@
 impl Default for Latencies {
     fn default() -> Latencies {
         Latencies {
-            histogram: Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("valid bounds"),
+            histogram: Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .expect("valid bounds"),
         }
     }
 }
 
 impl Latencies {
-    /// Adds one.
+    /// Records a latency.
     pub fn add(&mut self, latency: Micros) {
         self.histogram.saturating_record(latency.max(1));
     }
 
-    /// The latency in milliseconds that a share of the requests kept to.
-    pub fn quantile_ms(&self, share: f64) -> f64 {
-        self.histogram.value_at_quantile(share) as f64 / MICROS_PER_MS
+    /// The latency quantile in milliseconds.
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
+        self.histogram.value_at_quantile(quantile) as f64 / MICROS_PER_MS
     }
 
-    /// The longest, in milliseconds.
-    pub fn longest_ms(&self) -> f64 {
+    /// The maximum latency in milliseconds.
+    pub fn max_ms(&self) -> f64 {
         self.histogram.max() as f64 / MICROS_PER_MS
     }
 }
@@ -51,14 +52,17 @@
 /// Figures of one kind of request.
 #[derive(Clone, Debug, Default)]
 pub struct KindFigures {
+    /// All requests.
     pub requests: u64,
+    /// Served requests.
     pub served: u64,
-    /// Served within the objective.
-    pub in_time: u64,
-    /// Ended with a promise that they haven't run.
+    /// Served within the latency target.
+    pub within_target: u64,
+    /// Ended with a response that guarantees that the request was not executed.
     pub refused: u64,
+    /// Tries of all requests.
     pub tries: u64,
-    /// From the time when due, of those served.
+    /// Latencies of served requests, from their due time.
     pub latencies: Latencies,
 }
 
@@ -68,7 +72,7 @@
         self.tries += record.tries.len() as u64;
         if let Some(latency) = record.latency() {
             self.served += 1;
-            self.in_time +=
+            self.within_target +=
                 u64::from(u128::from(latency) <= record.spec.latency_target.as_micros());
             self.latencies.add(latency);
         } else if record
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Neither served nor refused.
+    /// Number of requests that were neither served nor refused.
     pub fn failed(&self) -> u64 {
         self.requests - self.served - self.refused
     }
@@ -89,11 +93,12 @@
 /// Figures of all kinds.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
+    /// Figures by kind of request.
     pub kinds: BTreeMap<String, KindFigures>,
 }
 
 impl Figures {
-    /// The figures of some requests.
+    /// Computes the figures of these requests.
     pub fn of<'a>(records: impl IntoIterator<Item = &'a RequestRecord>) -> Figures {
         let mut figures = Figures::default();
         for record in records {
@@ -106,20 +111,20 @@
         figures
     }
 
-    /// All kinds together.
+    /// The figures of all kinds together.
     pub fn total(&self) -> KindFigures {
         let mut total = KindFigures::default();
         for kind in self.kinds.values() {
             total.requests += kind.requests;
             total.served += kind.served;
-            total.in_time += kind.in_time;
+            total.within_target += kind.within_target;
             total.refused += kind.refused;
             total.tries += kind.tries;
             total
                 .latencies
                 .histogram
                 .add(&kind.latencies.histogram)
-                .expect("histograms of one kind");
+                .expect("same histogram bounds");
         }
         total
     }
@@ -151,14 +156,14 @@
     let counts = [
         kind.requests,
         kind.served,
-        kind.in_time,
+        kind.within_target,
         kind.refused,
         kind.failed(),
     ];
     let latencies = [
         kind.latencies.quantile_ms(0.5),
         kind.latencies.quantile_ms(0.99),
-        kind.latencies.longest_ms(),
+        kind.latencies.max_ms(),
     ];
     let counts = counts.map(|count| format!("{count:>10}")).concat();
     let latencies = latencies.map(|latency| format!("{latency:>10.1}")).concat();
--- a/crates/lockusher-router-testbed/src/fleet/plan.rs
+++ b/crates/lockusher-router-testbed/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Which machines a fleet has, and their settings files.
+//! The machines of a fleet, their addresses and their settings files.
 
 use std::collections::HashSet;
 use std::fmt::Write;
@@ -12,29 +12,30 @@
 use crate::entry::MixerAddress;
 use crate::server::lock;
 
-/// Ports of every machine, at its own address.
+/// Ports that are the same on every machine, since each has its own address.
 const FRONT_PORT: u16 = 8144;
 const READINESS_PORT: u16 = 8140;
 const CONTROL_PORT: u16 = 8146;
-/// Internal ports of core machines.
+/// Range of internal ports of core machines.
 const CORE_PORTS: (u16, u16) = (7660, 7675);
-/// Internal ports of edge machines are taken from this span, below the ports that outgoing connections use.
-const EDGE_PORTS_FROM: u16 = 10_000;
-const EDGE_PORTS_TO: u16 = 32_000;
-const PORTS_OF_EDGE: u16 = 16;
-/// Last byte of the address of a network's first machine.
-const FIRST_MACHINE: u8 = 10;
-/// Core machines, edge machines and stand-ins have networks of their own; third bytes from that of the fleet on.
-const CORE_NETWORK: u8 = 0;
-const EDGE_NETWORK: u8 = 1;
-const OUTSIDE_NETWORK: u8 = 2;
-/// Positions of internal listeners in a machine's range of ports.
-const SUBSCRIPTIONS: u16 = 0;
-const AGENTS: u16 = 2;
-/// Seeds that a process is told.
-const MOST_SEEDS: usize = 3;
+/// Internal ports of edge machines are taken from this range, below the ephemeral ports of outgoing connections.
+const EDGE_PORTS_START: u16 = 10_000;
+const EDGE_PORTS_END: u16 = 32_000;
+/// Size of an edge machine's range of internal ports.
+const PORTS_PER_EDGE: u16 = 16;
+/// Last byte of the address of the first machine in a network.
+const FIRST_MACHINE_BYTE: u8 = 10;
+/// Core machines, edge machines and stand-ins have separate networks: offsets to the third byte of the fleet's network.
+const CORE_NETWORK_OFFSET: u8 = 0;
+const EDGE_NETWORK_OFFSET: u8 = 1;
+const STAND_IN_NETWORK_OFFSET: u8 = 2;
+/// Offsets of internal listeners in a machine's port range.
+const SUBSCRIPTIONS_PORT_OFFSET: u16 = 0;
+const AGENTS_PORT_OFFSET: u16 = 2;
+/// Maximum number of seeds in a settings file.
+const MAX_SEEDS: usize = 3;
 
-/// The promises of the fleet, in the units of the settings file.
+/// Time bounds and budgets of the fleet, named and measured as in the settings file.
 #[derive(Clone, Debug)]
 pub struct FleetBounds {
     pub contact_ms: u64,
@@ -72,38 +73,44 @@
     }
 }
 
-/// What a fleet is made of.
+/// Size and parameters of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
+    /// Edge machines, each with a proxy and an agent.
     pub edges: usize,
+    /// Core machines, each with a control node.
     pub cores: usize,
-    /// Zones, all of one region; machines are spread over them.
+    /// Zones of the region; machines are assigned to them in turn.
     pub zones: Vec<String>,
+    /// The region of all zones.
     pub region: String,
-    /// Address of the platform's list, by its port: it stands at the first outside address.
+    /// Port of the platform's instance list, at the first stand-in address.
     pub cloud_port: u16,
+    /// Rate limit of calls to the platform's list.
     pub cloud_rate_per_s: f64,
+    /// Staleness of the platform's list.
     pub cloud_lag_ms: u64,
+    /// Time bounds and budgets.
     pub bounds: FleetBounds,
-    /// The program that is started; by default that of these sources.
+    /// The `lockusher-node` program; `None`: the one built from this workspace.
     pub program: Option<PathBuf>,
 }
 
-/// A machine that serves the operator, so that settings files may name it as a seed.
+/// A machine that serves the operator API and may be listed as a seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seed {
-    /// A core machine: it runs a control node.
+    /// A core machine, which runs a control node.
     Core(usize),
-    /// An edge machine: its agent redirects operators.
+    /// An edge machine, whose agent redirects operators.
     Edge(usize),
 }
 
-/// Which machines the settings files name as seeds.
+/// Which machines the settings files list as seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeedChoice {
     /// Core machines, which run control nodes.
     Cores,
-    /// One core machine and two edge machines, which redirect operators and run none.
+    /// One core machine and two edge machines; the latter redirect operators and run no control node.
     Mixed,
     /// Edge machines only.
     Edges,
@@ -118,11 +125,12 @@
 }
 
 impl EdgeMachine {
-    /// Where other agents reach this one.
+    /// The address at which other agents reach this machine's agent.
     pub fn agent_address(&self) -> SocketAddrV4 {
-        SocketAddrV4::new(self.ip, self.internal_ports.0 + AGENTS)
+        SocketAddrV4::new(self.ip, self.internal_ports.0 + AGENTS_PORT_OFFSET)
     }
 
+    /// Addresses of the machine's proxy.
     pub fn mixer(&self) -> MixerAddress {
         let address = |port| SocketAddr::V4(SocketAddrV4::new(self.ip, port));
         MixerAddress {
@@ -140,7 +148,7 @@
     pub control: SocketAddrV4,
 }
 
-/// The machines with their addresses.
+/// The machines of a fleet with their addresses.
 pub(super) struct Layout {
     plan: FleetPlan,
     network: (u8, u8),
@@ -148,20 +156,20 @@
     pub edges: Vec<EdgeMachine>,
     pub cores: Vec<CoreMachine>,
     pub core_ports: (u16, u16),
-    /// What settings files that are written from now on name.
+    /// Seeds listed in settings files that are written from now on.
     pub seeds: Vec<Seed>,
 }
 
 impl Layout {
-    /// Gives every machine an address of 127.0.0.0/8 that no other fleet on this box is likely to use.
+    /// Assigns every machine an address in 127.0.0.0/8 that other fleets on the same host are unlikely to use.
     pub fn new(plan: &FleetPlan) -> std::io::Result<Layout> {
         let network = random_network();
-        let ip = |part: u8, number: usize| {
+        let ip = |third_byte_offset: u8, number: usize| {
             Ipv4Addr::new(
                 127,
                 network.0,
-                network.1 + part,
-                FIRST_MACHINE + number as u8,
+                network.1 + third_byte_offset,
+                FIRST_MACHINE_BYTE + number as u8,
             )
         };
         let zone = |number: usize| plan.zones[number % plan.zones.len()].clone();
@@ -169,13 +177,13 @@
         for number in 0..plan.edges {
             let internal_ports = free_port_range()?;
             edges.push(EdgeMachine {
-                ip: ip(EDGE_NETWORK, number),
+                ip: ip(EDGE_NETWORK_OFFSET, number),
                 zone: zone(number),
                 internal_ports,
             });
         }
         let core = |number: usize| {
-            let ip = ip(CORE_NETWORK, number);
+            let ip = ip(CORE_NETWORK_OFFSET, number);
             CoreMachine {
                 ip,
                 zone: zone(number),
@@ -190,17 +198,17 @@
             edges,
             cores,
             core_ports: CORE_PORTS,
-            seeds: (0..plan.cores.min(MOST_SEEDS)).map(Seed::Core).collect(),
+            seeds: (0..plan.cores.min(MAX_SEEDS)).map(Seed::Core).collect(),
         })
     }
 
-    /// The address of a stand-in.
-    pub fn outside(&self, number: u8) -> Ipv4Addr {
-        let third = self.network.1 + OUTSIDE_NETWORK;
-        Ipv4Addr::new(127, self.network.0, third, FIRST_MACHINE + number)
+    /// The IP address of a stand-in.
+    pub fn stand_in_ip(&self, number: u8) -> Ipv4Addr {
+        let third_byte = self.network.1 + STAND_IN_NETWORK_OFFSET;
+        Ipv4Addr::new(127, self.network.0, third_byte, FIRST_MACHINE_BYTE + number)
     }
 
-    /// Where operators call a machine.
+    /// The operator address of a machine.
     pub fn operator_address(&self, seed: Seed) -> SocketAddrV4 {
         match seed {
             Seed::Core(core) => self.cores[core].control,
@@ -208,14 +216,14 @@
         }
     }
 
-    /// How many control nodes may be lost at once.
+    /// How many control nodes may be lost at once without losing the quorum.
     pub fn tolerated_losses(&self) -> usize {
         self.plan.cores.saturating_sub(1) / 2
     }
 
-    /// The data folder of a core machine.
-    pub fn disk(&self, core: usize, folder: &Path) -> PathBuf {
-        folder.join(format!("disk-{core}"))
+    /// The data directory of a core machine.
+    pub fn disk(&self, core: usize, directory: &Path) -> PathBuf {
+        directory.join(format!("disk-{core}"))
     }
 
     /// The settings file of an edge machine's process.
@@ -240,7 +248,7 @@
     }
 
     /// The settings file of a core machine's process.
-    pub fn core_settings(&self, core: usize, folder: &Path, first_start: bool) -> String {
+    pub fn core_settings(&self, core: usize, directory: &Path, first_start: bool) -> String {
         let machine = &self.cores[core];
         let mut text =
             format!("node=core-{core}\nrole=control\nmachineClass=core\nserves=control_plane\n");
@@ -250,7 +258,7 @@
         push(
             &mut text,
             "dataDirectory",
-            self.disk(core, folder).display(),
+            self.disk(core, directory).display(),
         );
         self.push_machine(&mut text, machine.ip, &machine.zone, self.core_ports);
         self.push_common(&mut text, first_start);
@@ -295,7 +303,7 @@
         push(
             text,
             "cloud.address",
-            SocketAddrV4::new(self.outside(0), plan.cloud_port),
+            SocketAddrV4::new(self.stand_in_ip(0), plan.cloud_port),
         );
         push(text, "cloud.ratePerS", plan.cloud_rate_per_s);
         push(text, "cloud.duties", "");
@@ -332,49 +340,52 @@
     let _ = writeln!(text, "{key}={value}");
 }
 
-/// The port at which a machine with this range of ports looks for others' agents.
+/// The port at which a machine with this port range expects other machines' agents.
 pub(super) fn agents_port(ports: (u16, u16)) -> u16 {
-    ports.0 + AGENTS
+    ports.0 + AGENTS_PORT_OFFSET
 }
 
-/// The port at which a machine with this range of ports looks for control nodes as a subscriber.
+/// The port at which a machine with this port range subscribes to control nodes.
 pub(super) fn subscriptions_port(ports: (u16, u16)) -> u16 {
-    ports.0 + SUBSCRIPTIONS
+    ports.0 + SUBSCRIPTIONS_PORT_OFFSET
 }
 
-/// Two bytes of an address, by chance.
+/// Random second and third bytes of a network in 127.0.0.0/8.
 fn random_network() -> (u8, u8) {
-    let chance = RandomState::new().hash_one(std::process::id());
-    let [one, other, ..] = chance.to_le_bytes();
-    (one % 200 + 20, other % 80 * 3 + 1)
+    let random = RandomState::new().hash_one(std::process::id());
+    let [second_byte, third_byte, ..] = random.to_le_bytes();
+    (second_byte % 200 + 20, third_byte % 80 * 3 + 1)
 }
 
-/// Internal ports for one edge machine: free at 127.0.0.1 and not handed out in this process before.
+/// A range of internal ports for one edge machine: its first port is free on 127.0.0.1 and not yet allocated by this
+/// process.
 fn free_port_range() -> std::io::Result<(u16, u16)> {
-    static HANDED_OUT: Mutex<Option<HashSet<u16>>> = Mutex::new(None);
-    let ranges = u64::from((EDGE_PORTS_TO - EDGE_PORTS_FROM) / PORTS_OF_EDGE);
-    let mut handed_out = lock(&HANDED_OUT);
-    let handed_out = handed_out.get_or_insert_default();
+    static ALLOCATED: Mutex<Option<HashSet<u16>>> = Mutex::new(None);
+    let ranges = u64::from((EDGE_PORTS_END - EDGE_PORTS_START) / PORTS_PER_EDGE);
+    let mut allocated = lock(&ALLOCATED);
+    let allocated = allocated.get_or_insert_default();
     for attempt in 0..ranges {
-        let chance = RandomState::new().hash_one(attempt) % ranges;
-        let first = EDGE_PORTS_FROM + chance as u16 * PORTS_OF_EDGE;
+        let random = RandomState::new().hash_one(attempt) % ranges;
+        let first = EDGE_PORTS_START + random as u16 * PORTS_PER_EDGE;
         let is_free = TcpListener::bind((Ipv4Addr::LOCALHOST, first)).is_ok();
-        if is_free && handed_out.insert(first) {
-            return Ok((first, first + PORTS_OF_EDGE - 1));
+        if is_free && allocated.insert(first) {
+            return Ok((first, first + PORTS_PER_EDGE - 1));
         }
     }
-    Err(std::io::Error::other("no free ports for an edge machine"))
+    Err(std::io::Error::other(
+        "no free internal port range for an edge machine",
+    ))
 }
 
-/// An empty folder for settings, logs and disks.
-pub(super) fn new_folder() -> std::io::Result<PathBuf> {
+/// Creates a directory for settings, logs and disks.
+pub(super) fn new_directory() -> std::io::Result<PathBuf> {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let name = format!(
         "lockusher-fleet-{}-{}",
         std::process::id(),
         NUMBER.fetch_add(1, Ordering::SeqCst)
     );
-    let folder = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&folder)?;
-    Ok(folder)
+    let directory = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&directory)?;
+    Ok(directory)
 }
--- a/crates/lockusher-router-testbed/src/fleet/program.rs
+++ b/crates/lockusher-router-testbed/src/fleet/program.rs
@@ -1,4 +1,4 @@
-//! Finds the program `lockusher-node`, built from the present sources.
+//! Locates the `lockusher-node` program built from this workspace.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -8,35 +8,38 @@
 
 const PROGRAM: &str = "lockusher-node";
 
-/// Why there is no program to start.
+/// Why the program is not available.
 #[derive(Clone, Debug, Display, Error)]
 pub enum ProgramError {
+    /// The build failed.
     #[display("cargo build -p {PROGRAM} failed: {output}")]
     Build { output: String },
-    #[display("{} is not there: build it with `cargo build -p {PROGRAM}`", path.display())]
+    /// The program has not been built.
+    #[display("{} does not exist: build it with `cargo build -p {PROGRAM}`", path.display())]
     Missing { path: PathBuf },
-    #[display("this program's own path is unknown: {reason}")]
+    /// The path of the running executable can't be determined.
+    #[display("path of the running executable is unknown: {reason}")]
     OwnPath { reason: String },
 }
 
-/// The path of the program, in the profile's folder that this program was built to.
+/// The path of the program, in the directory of the build profile of the running executable.
 ///
-/// Under cargo (`cargo test`, `cargo run`) it is built first, once per process, so that tests never run an old
-/// one; that takes moments when nothing has changed. Elsewhere it must have been built before.
+/// Under cargo (`cargo test`, `cargo run`) it is built first, once per process, so that tests never run a stale
+/// binary; this is fast when nothing has changed. Otherwise it must have been built before.
 pub fn program() -> Result<PathBuf, ProgramError> {
     static PROGRAM_PATH: OnceLock<Result<PathBuf, ProgramError>> = OnceLock::new();
-    PROGRAM_PATH.get_or_init(build_and_find).clone()
+    PROGRAM_PATH.get_or_init(build_and_locate).clone()
 }
 
-fn build_and_find() -> Result<PathBuf, ProgramError> {
-    let folder = profile_folder()?;
+fn build_and_locate() -> Result<PathBuf, ProgramError> {
+    let directory = profile_directory()?;
     if let Some(cargo) = std::env::var_os("CARGO") {
         build(
             &cargo,
-            folder.file_name().is_some_and(|name| name == "release"),
+            directory.file_name().is_some_and(|name| name == "release"),
         )?;
     }
-    let path = folder.join(PROGRAM);
+    let path = directory.join(PROGRAM);
     if path.is_file() {
         Ok(path)
     } else {
@@ -44,18 +47,18 @@
     }
 }
 
-/// The folder of the profile: of this program, or above `deps` for tests.
-fn profile_folder() -> Result<PathBuf, ProgramError> {
-    let own = std::env::current_exe().map_err(|error| ProgramError::OwnPath {
+/// The directory of the build profile: that of the running executable, or the parent of `deps` for tests.
+fn profile_directory() -> Result<PathBuf, ProgramError> {
+    let own_path = std::env::current_exe().map_err(|error| ProgramError::OwnPath {
         reason: error.to_string(),
     })?;
     let no_parent = || ProgramError::OwnPath {
-        reason: own.display().to_string(),
+        reason: own_path.display().to_string(),
     };
-    let folder = own.parent().ok_or_else(no_parent)?;
-    match folder.file_name() {
-        Some(name) if name == "deps" => Ok(folder.parent().ok_or_else(no_parent)?.to_owned()),
-        _ => Ok(folder.to_owned()),
+    let directory = own_path.parent().ok_or_else(no_parent)?;
+    match directory.file_name() {
+        Some(name) if name == "deps" => Ok(directory.parent().ok_or_else(no_parent)?.to_owned()),
+        _ => Ok(directory.to_owned()),
     }
 }
 
@@ -68,11 +71,11 @@
     if release {
         command.arg("--release");
     }
-    let built = command
+    let output = command
         .output()
         .map_err(|error| failed(error.to_string()))?;
-    match built.status.success() {
+    match output.status.success() {
         true => Ok(()),
-        false => Err(failed(String::from_utf8_lossy(&built.stderr).into_owned())),
+        false => Err(failed(String::from_utf8_lossy(&output.stderr).into_owned())),
     }
 }
--- a/crates/lockusher-router-testbed/src/main.rs
+++ b/crates/lockusher-router-testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! `lockusher-router-testbed`: starts a whole fleet on the loopback and shows it, or puts load on it.
+//! `lockusher-router-testbed`: starts a whole fleet on the loopback for demos, load runs and soaks, and reports on
+//! them.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -9,20 +10,20 @@
 use derive_more::{Display, Error, From};
 use getopts::{Matches, Options};
 use lockusher_router_testbed::decisions::{TraceError, read_trace, table};
-use lockusher_router_testbed::demo::{DemoError, DemoPlan, Outcome, play};
+use lockusher_router_testbed::demo::{DemoError, DemoPlan, Outcome, run_demo};
 use lockusher_router_testbed::report::{PlotError, page};
 use lockusher_router_testbed::run_file::{Run, RunFileError};
 use lockusher_router_testbed::soak::{
-    SCENARIOS, Schedule, SoakPlan, draw_schedule, play as play_soak, scenario,
+    SCENARIOS, Schedule, SoakPlan, draw_schedule, run as run_soak, scenario,
 };
 use lockusher_router_testbed::world::WorldPlan;
 
-/// Exit code when a rule was broken or a process ended by itself.
-const BROKEN: u8 = 1;
-/// Exit code when nothing could be measured.
-const UNUSABLE: u8 = 2;
+/// Exit code if a rule was violated or a process exited unexpectedly.
+const EXIT_VIOLATION: u8 = 1;
+/// Exit code if nothing could be measured.
+const EXIT_NOT_MEASURED: u8 = 2;
 
-/// Why nothing was measured.
+/// Why a command failed without a measurement.
 #[derive(Debug, Display, Error, From)]
 enum CommandError {
     #[display("{_0}")]
@@ -52,9 +53,9 @@
     #[display("{path}: {source}")]
     #[from(ignore)]
     Trace { path: String, source: TraceError },
-    #[display("decisions: expected the logs of proxies")]
+    #[display("decisions: expected one or more proxy logs")]
     NoLogs,
-    #[display("report: expected the files of one or more runs")]
+    #[display("report: expected one or more run files")]
     NoRuns,
     #[display("{path}: {source}")]
     #[from(ignore)]
@@ -69,7 +70,7 @@
         Ok(code) => code,
         Err(error) => {
             eprintln!("lockusher-router-testbed: {error}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(EXIT_NOT_MEASURED)
         }
     }
 }
@@ -79,12 +80,12 @@
     let matches = options.parse(std::env::args().skip(1))?;
     let command = matches.free.first().map(String::as_str);
     if matches.opt_present("help") || command.is_none() {
-        println!("{}", options.usage(BRIEF));
+        println!("{}", options.usage(USAGE));
         return Ok(ExitCode::SUCCESS);
     }
     let outcome = match command {
-        Some("demo") => play(&plan(&matches, true, 30)?)?,
-        Some("load") => play(&plan(&matches, false, 20)?)?,
+        Some("demo") => run_demo(&plan(&matches, true, 30)?)?,
+        Some("load") => run_demo(&plan(&matches, false, 20)?)?,
         Some("soak") => return soak(&matches),
         Some("report") => return report(&matches),
         Some("decisions") => return decisions(&matches),
@@ -96,21 +97,21 @@
     };
     if let Some(path) = matches.opt_str("save") {
         let title = matches.opt_str("title").unwrap_or_else(|| "run".to_owned());
-        Run::of(&title, &outcome.records).write(Path::new(&path))?;
+        Run::from_records(&title, &outcome.records).write(Path::new(&path))?;
     }
     Ok(summary(&outcome))
 }
 
-const BRIEF: &str = "\
+const USAGE: &str = "\
 Usage: lockusher-router-testbed (demo|load|soak) [options]\n       lockusher-router-testbed report [--page FILE] RUN...\n       lockusher-router-testbed decisions LOG...
 
-  demo   starts a fleet on the loopback, shows it under load and troubles, and ends by itself
-  load   the same without troubles: figures of a load at given rates
-  soak   series of disturbances that overlap, until all is lost at once and comes back; logs of a run that fails are kept
-  decisions a table of where sends wait, of logs of proxies at the level debug
-  report a page with figures and plots of runs that were saved, side by side
+  demo       run a fleet on the loopback under load with a fixed series of disturbances
+  load       the same without disturbances, to measure a load at a given rate
+  soak       run series of overlapping disturbances, then an outage of every process; keeps the logs of failed runs
+  decisions  print a table of where sends wait, from proxy logs at level debug
+  report     write a page that compares the figures and plots of saved runs
 
-Exit code: 0 no rule broken, 1 a rule was broken or a process ended by itself, 2 nothing was measured.";
+Exit code: 0 no rule violated, 1 a rule was violated or a process exited unexpectedly, 2 nothing was measured.";
 
 fn options() -> Options {
     let mut options = Options::new();
@@ -127,75 +128,80 @@
         "core machines, each with a control node (3)",
         "N",
     );
-    options.optopt("", "prefill", "searchers that read prompts (2)", "N");
-    options.optopt("", "decode", "searchers that make tokens (3)", "N");
+    options.optopt(
+        "",
+        "prefill",
+        "searchers that start in the prefill stage (2)",
+        "N",
+    );
+    options.optopt(
+        "",
+        "decode",
+        "searchers that start in the decode stage (3)",
+        "N",
+    );
     options.optopt("", "plain", "searchers of the plain service (2)", "N");
     options.optopt(
         "",
         "rate",
-        "requests a second, all kinds together (30)",
+        "requests per second, all kinds together (30)",
         "R",
     );
     options.optopt(
         "",
         "seconds",
-        "length of the load (30 for demo, 20 for load)",
+        "length of the load in seconds (30 for demo, 20 for load)",
         "S",
     );
-    options.optopt("", "seed", "seed of the load, or of the first day (1)", "N");
     options.optopt(
         "",
-        "save",
-        "write the run of a demo or load to a file",
-        "FILE",
+        "seed",
+        "seed of the load, or of the first soak run (1)",
+        "N",
     );
-    options.optopt("", "title", "title of the saved run (run)", "TEXT");
     options.optopt(
         "",
-        "page",
-        "where report writes its page (report.html)",
+        "save",
+        "save the measurements of a demo or load to this file",
         "FILE",
     );
+    options.optopt("", "title", "title of the saved run (run)", "TEXT");
+    options.optopt("", "page", "output file of report (report.html)", "FILE");
     options.optopt(
         "",
         "runs",
-        "runs of a soak, on seeds from that of --seed on (10)",
+        "number of soak runs, with consecutive seeds from --seed on (10)",
         "N",
     );
     options.optopt(
         "",
         "series",
-        "series of disturbances in a run of a soak (6)",
+        "series of disturbances in a soak run (6)",
         "N",
     );
     options.optopt(
         "",
         "closing",
-        "when all is lost in a run of a soak, in seconds (14)",
+        "start of the final outage in a soak run, in seconds (14)",
         "S",
     );
     options.optopt(
         "",
         "scenario",
-        "play this soak instead of drawn ones, or all of them in turn",
+        "run this fixed soak, or all of them in turn, instead of random ones",
         "NAME|all",
     );
-    options.optopt(
-        "",
-        "jobs",
-        "runs of a soak that are played at once (2)",
-        "N",
-    );
+    options.optopt("", "jobs", "number of concurrent soak runs (2)", "N");
     options.optopt(
         "",
         "program",
-        "the lockusher-node that is played (that of these sources)",
+        "the lockusher-node program to run (built from this workspace)",
         "FILE",
     );
     options
 }
 
-/// Prints the table of all logs together.
+/// Prints one table for all logs.
 fn decisions(matches: &Matches) -> Result<ExitCode, CommandError> {
     let mut sends = Vec::new();
     let paths = &matches.free[1..];
@@ -207,18 +213,18 @@
             path: path.clone(),
             source,
         })?;
-        let of_log =
+        let log_sends =
             read_trace(&String::from_utf8_lossy(&log)).map_err(|source| CommandError::Trace {
                 path: path.clone(),
                 source,
             })?;
-        sends.extend(of_log);
+        sends.extend(log_sends);
     }
     print!("{}", table(&sends));
     Ok(ExitCode::SUCCESS)
 }
 
-fn plan(matches: &Matches, troubles: bool, seconds: u64) -> Result<DemoPlan, CommandError> {
+fn plan(matches: &Matches, disturbances: bool, seconds: u64) -> Result<DemoPlan, CommandError> {
     const COUNT: &str = "a whole number";
     let world = WorldPlan {
         edges: value(matches, "edges", COUNT, 2)?,
@@ -233,7 +239,7 @@
         world,
         rate_per_second: value(matches, "rate", "a number", 30.0)?,
         seed: value(matches, "seed", COUNT, 1)?,
-        troubles,
+        disturbances,
         length: Duration::from_secs(value(matches, "seconds", COUNT, seconds)?),
     })
 }
@@ -261,40 +267,40 @@
 fn soak(matches: &Matches) -> Result<ExitCode, CommandError> {
     const COUNT: &str = "a whole number";
     let demo = plan(matches, true, 20)?;
-    let closing_s: u64 = value(matches, "closing", COUNT, 14)?;
+    let outage_s: u64 = value(matches, "closing", COUNT, 14)?;
     let plan = SoakPlan {
         world: demo.world,
         rate_per_second: demo.rate_per_second,
-        closing_at: Duration::from_secs(closing_s),
+        outage_at: Duration::from_secs(outage_s),
         series: value(matches, "series", COUNT, 6)?,
     };
     let runs: u64 = value(matches, "runs", COUNT, 10)?;
     let jobs: usize = value(matches, "jobs", COUNT, 2)?;
     let schedules = schedules(matches, &plan, demo.seed, runs)?;
     let next = AtomicUsize::new(0);
-    let bad = AtomicUsize::new(0);
+    let failed = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| {
                 while let Some((name, schedule)) =
                     schedules.get(next.fetch_add(1, Ordering::SeqCst))
                 {
-                    let good = soak_run(&plan, name, schedule);
-                    bad.fetch_add(usize::from(!good), Ordering::SeqCst);
+                    let passed = print_soak_run(&plan, name, schedule);
+                    failed.fetch_add(usize::from(!passed), Ordering::SeqCst);
                 }
             });
         }
     });
-    let bad = bad.load(Ordering::SeqCst);
-    println!("runs={} bad={bad}", schedules.len());
-    Ok(if bad == 0 {
+    let failed = failed.load(Ordering::SeqCst);
+    println!("runs={} bad={failed}", schedules.len());
+    Ok(if failed == 0 {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_VIOLATION)
     })
 }
 
-/// The runs with their names: drawn ones have none.
+/// The schedules to run, with their scenario's name, or `drawn` for random ones.
 fn schedules(
     matches: &Matches,
     plan: &SoakPlan,
@@ -302,17 +308,19 @@
     runs: u64,
 ) -> Result<Vec<(&'static str, Schedule)>, CommandError> {
     let Some(name) = matches.opt_str("scenario") else {
-        let drawn = (seed..seed + runs)
-            .map(|seed| ("drawn", draw_schedule(seed, plan.series, plan.closing_at)));
-        return Ok(drawn.collect());
+        let random_schedules = (seed..seed + runs)
+            .map(|seed| ("drawn", draw_schedule(seed, plan.series, plan.outage_at)));
+        return Ok(random_schedules.collect());
     };
     if name == "all" {
         let all = SCENARIOS.iter();
-        return Ok(all.map(|one| (one.name, one.schedule(seed))).collect());
+        return Ok(all
+            .map(|scenario| (scenario.name, scenario.schedule(seed)))
+            .collect());
     }
     match scenario(&name) {
-        Some(one) => Ok((seed..seed + runs)
-            .map(|seed| (one.name, one.schedule(seed)))
+        Some(scenario) => Ok((seed..seed + runs)
+            .map(|seed| (scenario.name, scenario.schedule(seed)))
             .collect()),
         None => Err(CommandError::Value {
             option: "scenario",
@@ -322,12 +330,12 @@
     }
 }
 
-/// Plays one run and tells of it in one go, since several are played at once.
-fn soak_run(plan: &SoakPlan, name: &str, schedule: &Schedule) -> bool {
-    let result = match play_soak(plan, schedule) {
+/// Runs one soak and prints its result in one piece, since several run concurrently.
+fn print_soak_run(plan: &SoakPlan, name: &str, schedule: &Schedule) -> bool {
+    let result = match run_soak(plan, schedule) {
         Ok(result) => result,
         Err(error) => {
-            println!("{name} {schedule}\n  not played: {error}");
+            println!("{name} {schedule}\n  not run: {error}");
             return false;
         }
     };
@@ -339,17 +347,17 @@
     let violations = result
         .violations
         .iter()
-        .map(|violation| format!("\n  broken: {violation}"));
-    let faults = result
-        .faults
+        .map(|violation| format!("\n  violation: {violation}"));
+    let failures = result
+        .failures
         .iter()
-        .map(|fault| format!("\n  fault: {fault}"));
-    text.extend(violations.chain(faults));
+        .map(|failure| format!("\n  failure: {failure}"));
+    text.extend(violations.chain(failures));
     if let Some(logs) = &result.logs {
         text.push_str(&format!("\n  logs: {}", logs.display()));
     }
     println!("{text}");
-    result.is_good()
+    result.passed()
 }
 
 fn value<T: FromStr>(
@@ -371,10 +379,10 @@
 fn summary(outcome: &Outcome) -> ExitCode {
     println!("\n{}", outcome.figures);
     for violation in &outcome.verdict.violations {
-        println!("broken: {violation}");
+        println!("violation: {violation}");
     }
-    for process in &outcome.ended_by_themselves {
-        println!("ended by itself: {process}");
+    for process in &outcome.unexpected_exits {
+        println!("unexpected exit: {process}");
     }
     let total = outcome.figures.total();
     println!(
@@ -384,11 +392,11 @@
         total.refused,
         total.failed(),
         outcome.verdict.violations.len(),
-        outcome.ended_by_themselves.len()
+        outcome.unexpected_exits.len()
     );
-    if outcome.is_good() {
+    if outcome.passed() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_VIOLATION)
     }
 }
--- a/crates/lockusher-router-testbed/src/soak/recovery.rs
+++ b/crates/lockusher-router-testbed/src/soak/recovery.rs
@@ -1,5 +1,5 @@
-//! The rule on recovery, by its own terms: if a quarter or more of the requests was served before the closing fault, then of
-//! those that were sent later than the bound after the return a quarter at least is served.
+//! The recovery rule: if at least a quarter of the requests was served before the final outage, at least a quarter of
+//! those sent after the recovery bound has passed must be served.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,29 +7,31 @@
 use crate::engine::Micros;
 use crate::request::RequestRecord;
 
-/// The share of requests that counts as service.
-const SERVICE_RATIO: f64 = 0.25;
+/// The service counts as available if at least this share of the requests is served.
+const AVAILABILITY_RATIO: f64 = 0.25;
 
-/// Requests of a span, and how many of them were served.
+/// The number of requests in a time span, and how many of them were served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Served {
+    /// Served requests.
     pub served: usize,
+    /// All requests.
     pub requests: usize,
 }
 
 impl Served {
-    /// Those of the requests that are due at the times that `is_in` admits.
-    pub fn of(records: &[RequestRecord], is_in: impl Fn(Micros) -> bool) -> Served {
-        let of_span = records.iter().filter(|record| is_in(record.due));
-        of_span.fold(Served::default(), |sum, record| Served {
+    /// Counts the requests whose due time satisfies `in_span_at`.
+    pub fn of(records: &[RequestRecord], in_span_at: impl Fn(Micros) -> bool) -> Served {
+        let in_span = records.iter().filter(|record| in_span_at(record.due));
+        in_span.fold(Served::default(), |sum, record| Served {
             served: sum.served + usize::from(record.is_served()),
             requests: sum.requests + 1,
         })
     }
 
-    /// Whether a quarter or more was served.
-    pub fn is_service(self) -> bool {
-        self.requests > 0 && self.served as f64 >= self.requests as f64 * SERVICE_RATIO
+    /// Whether at least a quarter of the requests was served; `false` without requests.
+    pub fn is_available(self) -> bool {
+        self.requests > 0 && self.served as f64 >= self.requests as f64 * AVAILABILITY_RATIO
     }
 }
 
@@ -39,43 +41,43 @@
     }
 }
 
-/// What was served around the closing fault.
+/// Service before and after the final outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Recovery {
-    /// Of the requests before the fault.
+    /// Requests due before the outage.
     pub before: Served,
-    /// Of those later than the bound after the return.
+    /// Requests due after the recovery bound has passed.
     pub after: Served,
-    /// From the return to the first request from which on a second's requests were served by a quarter at least; none if
-    /// that never came.
-    pub back_after: Option<Duration>,
+    /// Time from the restart of the machines to the first one-second window in which the service was available; `None` if
+    /// there is no such window.
+    pub time_to_recovery: Option<Duration>,
 }
 
-/// Times of the closing fault on the clock of the requests.
+/// Times of the final outage on the clock of the requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RecoveryTimes {
-    /// When the fault came.
-    pub fault_at: Micros,
-    /// When all machines had returned.
-    pub returned_at: Micros,
-    /// The bound, from the return.
+    /// Start of the outage.
+    pub outage_at: Micros,
+    /// End of the outage, when the machines restart.
+    pub restored_at: Micros,
+    /// Time allowed for recovery, from the end of the outage.
     pub bound: Duration,
 }
 
 impl Recovery {
-    /// What became of service around the closing fault.
+    /// Evaluates the requests around the final outage.
     pub fn of(records: &[RequestRecord], times: RecoveryTimes) -> Recovery {
-        let counted_from = times.returned_at + times.bound.as_micros() as Micros;
+        let recovery_deadline = times.restored_at + times.bound.as_micros() as Micros;
         Recovery {
-            before: Served::of(records, |due| due < times.fault_at),
-            after: Served::of(records, |due| due > counted_from),
-            back_after: back_after(records, times.returned_at),
+            before: Served::of(records, |due| due < times.outage_at),
+            after: Served::of(records, |due| due > recovery_deadline),
+            time_to_recovery: time_to_recovery(records, times.restored_at),
         }
     }
 
-    /// Whether the rule is broken.
-    pub fn is_broken(&self) -> bool {
-        self.before.is_service() && self.after.requests > 0 && !self.after.is_service()
+    /// Whether the recovery rule is violated.
+    pub fn is_violated(&self) -> bool {
+        self.before.is_available() && self.after.requests > 0 && !self.after.is_available()
     }
 }
 
@@ -83,23 +85,25 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Recovery { before, after, .. } = self;
         write!(formatter, "served before {before}, after {after}")?;
-        match self.back_after {
+        match self.time_to_recovery {
             Some(span) => write!(
                 formatter,
-                ", back {:.1} s after the return",
+                ", recovered {:.1} s after the restart",
                 span.as_secs_f64()
             ),
-            None => write!(formatter, ", never back"),
+            None => write!(formatter, ", not recovered"),
         }
     }
 }
 
-fn back_after(records: &[RequestRecord], returned_at: Micros) -> Option<Duration> {
+/// Time from `restored_at` to the first one-second window in which the service is available.
+fn time_to_recovery(records: &[RequestRecord], restored_at: Micros) -> Option<Duration> {
     const SECOND: Micros = 1_000_000;
     let mut due: Vec<Micros> = records.iter().map(|record| record.due).collect();
     due.sort_unstable();
-    let from = due.into_iter().filter(|due| *due >= returned_at);
-    from.into_iter()
-        .find(|from| Served::of(records, |due| due >= *from && due < from + SECOND).is_service())
-        .map(|from| Duration::from_micros(from - returned_at))
+    let starts = due.into_iter().filter(|due| *due >= restored_at);
+    starts
+        .into_iter()
+        .find(|at| Served::of(records, |due| due >= *at && due < at + SECOND).is_available())
+        .map(|start| Duration::from_micros(start - restored_at))
 }
--- a/crates/lockusher-router-testbed/src/soak/scenario.rs
+++ b/crates/lockusher-router-testbed/src/soak/scenario.rs
@@ -1,21 +1,22 @@
-//! Soaks that are given instead of drawn: each brings about one cause for which service may stay away.
+//! Fixed soak schedules, each of which provokes one known cause of missing recovery.
 
 use std::time::Duration;
 
 use super::disturbance::Disturbance;
-use super::schedule::{Closing, ClosingFault, Schedule, Step};
+use super::schedule::{FinalOutage, OutageKind, Schedule, Step};
 use crate::fleet::{Role, SeedChoice};
 
-/// The closing fault of a scenario comes at this time.
-const CLOSING_AT: Duration = Duration::from_secs(14);
+/// Start of the final outage of every scenario.
+const OUTAGE_AT: Duration = Duration::from_secs(14);
 
-/// A soak that brings about one cause.
+/// A named soak schedule that provokes one cause of missing recovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scenario {
+    /// The name on the command line.
     pub name: &'static str,
     steps: &'static [(f64, Disturbance)],
-    fault: ClosingFault,
-    down_s: f64,
+    outage: OutageKind,
+    duration_s: f64,
     ports_occupied_s: Option<f64>,
 }
 
@@ -24,36 +25,36 @@
     Scenario {
         name: "seeds",
         steps: &[(4.0, Disturbance::ChangeSeeds(SeedChoice::Edges))],
-        fault: ClosingFault::KillAll,
-        down_s: 1.0,
+        outage: OutageKind::KillAll,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "mixed-seeds",
         steps: &[(4.0, Disturbance::ChangeSeeds(SeedChoice::Mixed))],
-        fault: ClosingFault::PowerLost,
-        down_s: 1.0,
+        outage: OutageKind::PowerLost,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "stages",
         steps: &[(3.0, Disturbance::RetireDecodeSearchers)],
-        fault: ClosingFault::KillAll,
-        down_s: 1.0,
+        outage: OutageKind::KillAll,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "attempts",
         steps: &[(10.0, Disturbance::KillAll(Role::Control))],
-        fault: ClosingFault::PowerLost,
-        down_s: 4.0,
+        outage: OutageKind::PowerLost,
+        duration_s: 4.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "ports",
         steps: &[],
-        fault: ClosingFault::KillAll,
-        down_s: 1.0,
+        outage: OutageKind::KillAll,
+        duration_s: 1.0,
         ports_occupied_s: Some(5.0),
     },
     Scenario {
@@ -62,22 +63,22 @@
             (8.0, Disturbance::LoseDisk(0)),
             (13.0, Disturbance::Freeze(Role::Control, 1)),
         ],
-        fault: ClosingFault::KillAll,
-        down_s: 1.0,
+        outage: OutageKind::KillAll,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "disk",
         steps: &[(13.5, Disturbance::ConfigurationStorm)],
-        fault: ClosingFault::DisksLost,
-        down_s: 1.0,
+        outage: OutageKind::DisksLost,
+        duration_s: 1.0,
         ports_occupied_s: None,
     },
     Scenario {
         name: "list",
         steps: &[(13.9, Disturbance::PlatformDown)],
-        fault: ClosingFault::KillAll,
-        down_s: 0.3,
+        outage: OutageKind::KillAll,
+        duration_s: 0.3,
         ports_occupied_s: None,
     },
     Scenario {
@@ -88,8 +89,8 @@
             (13.7, Disturbance::CrashSearcher(2)),
             (13.8, Disturbance::CrashSearcher(3)),
         ],
-        fault: ClosingFault::KillAll,
-        down_s: 0.5,
+        outage: OutageKind::KillAll,
+        duration_s: 0.5,
         ports_occupied_s: None,
     },
     Scenario {
@@ -98,19 +99,19 @@
             (12.0, Disturbance::PartitionEdge(0)),
             (13.0, Disturbance::Freeze(Role::Proxy, 1)),
         ],
-        fault: ClosingFault::PowerLost,
-        down_s: 3.0,
+        outage: OutageKind::PowerLost,
+        duration_s: 3.0,
         ports_occupied_s: None,
     },
 ];
 
-/// The scenario of a name.
+/// The scenario with this name.
 pub fn scenario(name: &str) -> Option<&'static Scenario> {
     SCENARIOS.iter().find(|scenario| scenario.name == name)
 }
 
 impl Scenario {
-    /// The soak that plays it, with a seed for its load.
+    /// The schedule of the scenario, with `seed` for its load.
     pub fn schedule(&self, seed: u64) -> Schedule {
         let steps = self.steps.iter().map(|(at_s, disturbance)| Step {
             at: Duration::from_secs_f64(*at_s),
@@ -119,10 +120,10 @@
         Schedule {
             seed,
             steps: steps.collect(),
-            closing: Closing {
-                fault: self.fault,
-                at: CLOSING_AT,
-                down: Duration::from_secs_f64(self.down_s),
+            outage: FinalOutage {
+                kind: self.outage,
+                at: OUTAGE_AT,
+                duration: Duration::from_secs_f64(self.duration_s),
                 ports_occupied: self.ports_occupied_s.map(Duration::from_secs_f64),
             },
         }
--- a/crates/lockusher-router-testbed/src/soak/writer.rs
+++ b/crates/lockusher-router-testbed/src/soak/writer.rs
@@ -1,4 +1,4 @@
-//! The operator's changes during a day, one after another, in a thread of their own.
+//! Sends the operator's configuration changes during a soak, one after another, on a thread of their own.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
@@ -13,18 +13,18 @@
 use crate::operator::{ChangeOutcome, Operator};
 use crate::server::lock;
 
-/// How long the operator waits for a clear answer.
-const PATIENCE: Duration = Duration::from_secs(8);
-/// Changes in a storm.
-const STORM: u64 = 6;
-/// Answers that are lost when acknowledgements are.
-const LOST_ANSWERS: u32 = 3;
-/// How much `timeoutMs` grows with each change.
-const STEP_MS: u64 = 10;
+/// How long the operator retries a request until it has a definite response.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Consecutive changes of [`Command::Storm`].
+const STORM_CHANGES: u64 = 6;
+/// Responses that are dropped for [`Command::LostAcknowledgements`].
+const LOST_RESPONSES: u32 = 3;
+/// Increase of `timeoutMs` with each change.
+const TIMEOUT_INCREMENT_MS: u64 = 10;
 
-/// What the operator is to do.
+/// An operation for the writer's thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Order {
+pub(super) enum Command {
     Change,
     Storm,
     Race,
@@ -32,110 +32,111 @@
     LostAcknowledgements,
 }
 
-/// The newest configuration that may be in force, and all that were sent.
+/// The newest configuration known to be in force, all configurations sent, and the failures so far.
 struct State {
     newest: Configuration,
     sent: Vec<Configuration>,
-    faults: Vec<String>,
+    failures: Vec<String>,
 }
 
-/// Sends changes as ordered.
+/// Sends configuration changes on request.
 pub(super) struct Writer {
-    orders: Sender<Order>,
+    commands: Sender<Command>,
     worker: JoinHandle<()>,
     state: Arc<Mutex<State>>,
 }
 
-/// What was written in a day.
-pub(super) struct Written {
+/// The final state of a [`Writer`].
+pub(super) struct WriterResult {
     newest: Configuration,
     sent: Vec<Configuration>,
-    faults: Vec<String>,
+    failures: Vec<String>,
 }
 
 impl Writer {
-    pub fn start(operator: Arc<Operator>, present: Configuration) -> Writer {
-        let (orders, receiver) = channel();
+    pub fn start(operator: Arc<Operator>, current: Configuration) -> Writer {
+        let (commands, receiver) = channel();
         let state = State {
-            sent: vec![present.clone()],
-            newest: present,
-            faults: Vec::new(),
+            sent: vec![current.clone()],
+            newest: current,
+            failures: Vec::new(),
         };
         let state = Arc::new(Mutex::new(state));
-        let for_worker = Arc::clone(&state);
-        let worker = std::thread::spawn(move || work(&operator, &receiver, &for_worker));
+        let worker_state = Arc::clone(&state);
+        let worker = std::thread::spawn(move || run_worker(&operator, &receiver, &worker_state));
         Writer {
-            orders,
+            commands,
             worker,
             state,
         }
     }
 
-    pub fn order(&self, order: Order) {
-        // A worker that has panicked shows in the output.
-        let _ = self.orders.send(order);
+    /// Queues a command.
+    pub fn send(&self, command: Command) {
+        // Fails only if the worker has panicked, which its own output shows.
+        let _ = self.commands.send(command);
     }
 
-    /// Waits for all orders.
-    pub fn end(self) -> Written {
-        drop(self.orders);
-        // A worker that has panicked shows in the output.
+    /// Waits until all commands are done.
+    pub fn end(self) -> WriterResult {
+        drop(self.commands);
+        // Fails only if the worker has panicked, which its own output shows.
         let _ = self.worker.join();
         let state = lock(&self.state);
-        Written {
+        WriterResult {
             newest: state.newest.clone(),
             sent: state.sent.clone(),
-            faults: state.faults.clone(),
+            failures: state.failures.clone(),
         }
     }
 }
 
-impl Written {
-    /// What is wrong with the configuration that is read back at the end of the day.
+impl WriterResult {
+    /// Failures so far, and what is wrong with the configuration that is read back at the end of the soak.
     pub fn check_read_back(&self, operator: &Operator, wait: Duration) -> Vec<String> {
-        let mut faults = self.faults.clone();
+        let mut failures = self.failures.clone();
         match operator.get(wait) {
-            None => faults.push("the configuration can't be read back".to_owned()),
-            Some(read) => faults.extend(self.check(&read)),
+            None => failures.push("reading the configuration back failed".to_owned()),
+            Some(read) => failures.extend(self.check(&read)),
         }
-        faults
+        failures
     }
 
     fn check(&self, read: &Value) -> Option<String> {
         let version = read["version"].as_u64().unwrap_or(0);
         if version < self.newest.version {
             return Some(format!(
-                "version {version} is read back, {} was acknowledged",
+                "configuration version {version} was read back, but version {} was acknowledged",
                 self.newest.version
             ));
         }
-        let known = self.sent.iter().any(|sent| to_json(sent) == *read);
-        (!known).then(|| format!("version {version} is read back other than it was sent"))
+        let was_sent = self.sent.iter().any(|sent| to_json(sent) == *read);
+        (!was_sent).then(|| format!("configuration version {version} read back was never sent"))
     }
 }
 
-fn work(operator: &Operator, orders: &Receiver<Order>, state: &Mutex<State>) {
-    while let Ok(order) = orders.recv() {
-        match order {
-            Order::Change => change(operator, state),
-            Order::Storm => (0..STORM).for_each(|_| change(operator, state)),
-            Order::LostAcknowledgements => {
-                operator.drop_responses(LOST_ANSWERS);
-                change(operator, state);
+fn run_worker(operator: &Operator, commands: &Receiver<Command>, state: &Mutex<State>) {
+    while let Ok(command) = commands.recv() {
+        match command {
+            Command::Change => apply_change(operator, state),
+            Command::Storm => (0..STORM_CHANGES).for_each(|_| apply_change(operator, state)),
+            Command::LostAcknowledgements => {
+                operator.drop_responses(LOST_RESPONSES);
+                apply_change(operator, state);
             }
-            Order::Invalid => send_invalid(operator, state),
-            Order::Race => race(operator, state),
+            Command::Invalid => send_invalid(operator, state),
+            Command::Race => race_changes(operator, state),
         }
     }
 }
 
-/// The next version: timeouts grow and a route comes or goes.
-fn next_after(present: &Configuration, step: u64) -> Configuration {
+/// The next configuration: timeouts grow, and a route is added or removed.
+fn next_configuration(current: &Configuration, version_increment: u64) -> Configuration {
     const ADDED: &str = "added";
-    let mut next = present.clone();
-    next.version += step;
+    let mut next = current.clone();
+    next.version += version_increment;
     for route in &mut next.routes {
-        route.timeout_ms += STEP_MS;
+        route.timeout_ms += TIMEOUT_INCREMENT_MS;
     }
     if next.routes.iter().any(|route| route.name == ADDED) {
         next.routes.retain(|route| route.name != ADDED);
@@ -146,20 +147,20 @@
     next
 }
 
-fn change(operator: &Operator, state: &Mutex<State>) {
-    let present = lock(state).newest.clone();
-    let next = next_after(&present, 1 + present.version % 3);
-    let outcome = send(operator, state, &next, present.version, 0);
+fn apply_change(operator: &Operator, state: &Mutex<State>) {
+    let current = lock(state).newest.clone();
+    let next = next_configuration(&current, 1 + current.version % 3);
+    let outcome = send(operator, state, &next, current.version, 0);
     match outcome {
         ChangeOutcome::Acknowledged => lock(state).newest = next,
         ChangeOutcome::Refused { status } => {
-            lock(state).faults.push(format!(
-                "version {} was refused with {status}",
+            lock(state).failures.push(format!(
+                "configuration version {} was refused with status {status}",
                 next.version
             ));
-            learn_newest(operator, state);
+            refresh_newest(operator, state);
         }
-        ChangeOutcome::Unknown => learn_newest(operator, state),
+        ChangeOutcome::Unknown => refresh_newest(operator, state),
     }
 }
 
@@ -171,12 +172,12 @@
     first: usize,
 ) -> ChangeOutcome {
     lock(state).sent.push(next.clone());
-    operator.put(next, base, first, PATIENCE)
+    operator.put(next, base, first, CHANGE_TIMEOUT)
 }
 
-/// After an unclear answer: what is read back is the present one, if it is one that was sent.
-fn learn_newest(operator: &Operator, state: &Mutex<State>) {
-    let Some(read) = operator.get(PATIENCE) else {
+/// After an indefinite outcome: reads the configuration back and takes it as the newest if it was sent by this writer.
+fn refresh_newest(operator: &Operator, state: &Mutex<State>) {
+    let Some(read) = operator.get(CHANGE_TIMEOUT) else {
         return;
     };
     let mut state = lock(state);
@@ -191,32 +192,32 @@
 }
 
 fn send_invalid(operator: &Operator, state: &Mutex<State>) {
-    let present = lock(state).newest.clone();
-    let mut invalid = next_after(&present, 1);
+    let current = lock(state).newest.clone();
+    let mut invalid = next_configuration(&current, 1);
     invalid.routes[0].split[0].service = "nobody".to_owned();
-    // It is not among those that may be read back.
-    let outcome = operator.put(&invalid, present.version, 0, PATIENCE);
+    // Not added to `sent`, because it must not be read back.
+    let outcome = operator.put(&invalid, current.version, 0, CHANGE_TIMEOUT);
     if outcome == ChangeOutcome::Acknowledged {
-        lock(state).faults.push(format!(
-            "the invalid version {} was acknowledged",
+        lock(state).failures.push(format!(
+            "the invalid configuration version {} was acknowledged",
             invalid.version
         ));
     }
 }
 
-fn race(operator: &Operator, state: &Mutex<State>) {
-    let present = lock(state).newest.clone();
-    let one = next_after(&present, 2);
-    let mut other = one.clone();
-    other.routes[0].timeout_ms += STEP_MS;
+fn race_changes(operator: &Operator, state: &Mutex<State>) {
+    let current = lock(state).newest.clone();
+    let first_change = next_configuration(&current, 2);
+    let mut second_change = first_change.clone();
+    second_change.routes[0].timeout_ms += TIMEOUT_INCREMENT_MS;
     let outcomes = std::thread::scope(|scope| {
-        let racer = scope.spawn(|| send(operator, state, &other, present.version, 1));
-        let first = send(operator, state, &one, present.version, 0);
-        [first, racer.join().unwrap_or(ChangeOutcome::Unknown)]
+        let second = scope.spawn(|| send(operator, state, &second_change, current.version, 1));
+        let first = send(operator, state, &first_change, current.version, 0);
+        [first, second.join().unwrap_or(ChangeOutcome::Unknown)]
     });
     match outcomes {
-        [ChangeOutcome::Acknowledged, _] => lock(state).newest = one,
-        [_, ChangeOutcome::Acknowledged] => lock(state).newest = other,
-        _ => learn_newest(operator, state),
+        [ChangeOutcome::Acknowledged, _] => lock(state).newest = first_change,
+        [_, ChangeOutcome::Acknowledged] => lock(state).newest = second_change,
+        _ => refresh_newest(operator, state),
     }
 }
--- a/crates/lockusher-router-testbed/src/wait.rs
+++ b/crates/lockusher-router-testbed/src/wait.rs
@@ -1,43 +1,45 @@
-//! Waiting for a state, with a bounded number of looks.
+//! Waiting for a condition with a bounded number of polls.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 
-/// The pause between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Time between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The state did not come.
+/// The condition was not met in time.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("{state} did not come within {tries} looks")]
-pub struct NeverCame {
+#[display("{state}: not reached within {polls} polls")]
+pub struct WaitTimeout {
+    /// Description of the awaited condition.
     pub state: String,
-    pub tries: u32,
+    /// Number of polls made.
+    pub polls: u32,
 }
 
-/// Looks up to `tries` times, with short pauses between, until `look` finds something.
+/// Calls `poll` up to `polls` times, at short intervals, until it returns a value.
 pub fn wait_for<T>(
     state: &str,
-    tries: u32,
-    mut look: impl FnMut() -> Option<T>,
-) -> Result<T, NeverCame> {
-    for _ in 0..tries {
-        if let Some(found) = look() {
+    polls: u32,
+    mut poll: impl FnMut() -> Option<T>,
+) -> Result<T, WaitTimeout> {
+    for _ in 0..polls {
+        if let Some(found) = poll() {
             return Ok(found);
         }
-        std::thread::park_timeout(PAUSE);
+        std::thread::park_timeout(POLL_INTERVAL);
     }
-    Err(NeverCame {
+    Err(WaitTimeout {
         state: state.to_owned(),
-        tries,
+        polls,
     })
 }
 
-/// Like [`wait_for`], for a condition.
+/// Like [`wait_for`], for a boolean condition.
 pub fn wait_until(
     state: &str,
-    tries: u32,
+    polls: u32,
     mut holds: impl FnMut() -> bool,
-) -> Result<(), NeverCame> {
-    wait_for(state, tries, || holds().then_some(()))
+) -> Result<(), WaitTimeout> {
+    wait_for(state, polls, || holds().then_some(()))
 }
--- a/crates/lockusher-router-testbed/src/world.rs
+++ b/crates/lockusher-router-testbed/src/world.rs
@@ -1,4 +1,5 @@
-//! A whole deployment on the loopback: the fleet's processes with searchers, platform, operator and clients.
+//! A whole deployment on the loopback: the processes of a fleet, with stand-ins for searchers, platform, operator and
+//! clients.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,20 +26,21 @@
 use crate::record::{ArrivalLog, TestClock};
 use crate::request::RequestRecord;
 use crate::searcher::{FaultPlan, Identity};
-use crate::wait::NeverCame;
+use crate::wait::WaitTimeout;
 
 const REGION: &str = "north";
 const ZONES: [&str; 2] = ["quay", "hill"];
+/// Port of the platform's instance list.
 const CLOUD_PORT: u16 = 8142;
 const SEARCHER_PORT: u16 = 8080;
-/// The outside address of the first searcher; the platform has the one before.
-const FIRST_SEARCHER: u8 = 1;
-/// Entries on a page of the platform's list: few, so that reading takes several.
+/// Number of the first searcher's stand-in address; the platform has number 0.
+const FIRST_SEARCHER_NUMBER: u8 = 1;
+/// Entries per page of the platform's list; few, so that reading it takes several pages.
 const PAGE_SIZE: usize = 3;
-/// How long the operator tries to place the first configuration.
-const FIRST_CONFIGURATION_WAIT: Duration = Duration::from_secs(30);
+/// How long the operator retries sending the first configuration.
+const FIRST_CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a world can't be set up.
+/// Why a world can't be started.
 #[derive(Debug, Display, Error, From)]
 pub enum WorldError {
     #[display("{_0}")]
@@ -46,23 +48,30 @@
     #[display("{_0}")]
     Io(std::io::Error),
     #[display("{_0}")]
-    NeverCame(NeverCame),
-    #[display("the first configuration: {_0:?}")]
+    Wait(WaitTimeout),
+    #[display("sending the first configuration: {_0:?}")]
     #[from(ignore)]
     FirstConfiguration(#[error(not(source))] ChangeOutcome),
 }
 
-/// How large a world is.
+/// Size and parameters of a world.
 #[derive(Clone, Debug)]
 pub struct WorldPlan {
+    /// Edge machines, each with a proxy and an agent.
     pub edges: usize,
+    /// Core machines, each with a control node.
     pub cores: usize,
+    /// Model searchers that start in the prefill stage.
     pub prefill_searchers: usize,
+    /// Model searchers that start in the decode stage.
     pub decode_searchers: usize,
+    /// Searchers of the plain service.
     pub plain_searchers: usize,
+    /// Staleness of the platform's list.
     pub cloud_lag_ms: u64,
+    /// Time bounds and budgets of the fleet.
     pub bounds: FleetBounds,
-    /// The program that is played; by default that of these sources.
+    /// The `lockusher-node` program; `None`: the one built from this workspace.
     pub program: Option<PathBuf>,
 }
 
@@ -81,28 +90,36 @@
     }
 }
 
-/// Everything that runs.
+/// A running deployment.
 pub struct World {
+    /// The clock of all records.
     pub clock: TestClock,
+    /// The platform's instance list.
     pub platform: Platform,
+    /// Searchers of the model service.
     pub models: Vec<ModelSearcher>,
+    /// Searchers of the plain service.
     pub plains: Vec<PlainSearcher>,
+    /// The processes under test.
     pub fleet: Fleet,
+    /// Sends configuration changes.
     pub operator: Arc<Operator>,
-    pub entry: Arc<ConnectionBalancer>,
+    /// Chooses a mixer for each connection.
+    pub balancer: Arc<ConnectionBalancer>,
+    /// The last configuration known to be acknowledged.
     pub configuration: Configuration,
     bounds: FleetBounds,
     searchers: Searchers,
-    /// Stages as the list shows them, by instance.
+    /// Stages shown in the platform's list, by instance.
     listed_stages: BTreeMap<String, Stage>,
 }
 
 impl World {
-    /// Starts everything, places the first configuration and waits until all proxies are ready.
+    /// Starts everything, applies the first configuration and waits until all proxies are ready.
     pub fn start(plan: &WorldPlan) -> Result<World, WorldError> {
         let clock = TestClock::start();
         let fleet_plan = fleet_plan(plan);
-        let fleet = Fleet::lay_out(&fleet_plan)?;
+        let fleet = Fleet::allocate(&fleet_plan)?;
         let mut searchers = Searchers::new(clock, ArrivalLog::default(), KvNetwork::default());
         let (models, plains) = searchers.start_all(plan, &fleet)?;
         let parameters = PlatformParameters {
@@ -115,7 +132,7 @@
             .map(ModelSearcher::entry)
             .chain(plains.iter().map(PlainSearcher::entry));
         let platform = Platform::start(
-            fleet.outside_address(0, CLOUD_PORT),
+            fleet.stand_in_address(0, CLOUD_PORT),
             parameters,
             entries.collect(),
             clock,
@@ -126,7 +143,7 @@
             models,
             plains,
             operator: Operator::new(fleet.operator_addresses(), clock),
-            entry: Arc::new(ConnectionBalancer::start(fleet.mixers())),
+            balancer: Arc::new(ConnectionBalancer::start(fleet.mixers())),
             fleet,
             configuration: first_configuration(),
             bounds: plan.bounds.clone(),
@@ -134,38 +151,38 @@
             listed_stages: BTreeMap::new(),
         };
         world.fleet.start_all()?;
-        world.place_first_configuration()?;
+        world.apply_first_configuration()?;
         world.fleet.wait_all_ready()?;
         Ok(world)
     }
 
-    /// What reached the searchers.
+    /// The requests that arrived at the searchers.
     pub fn arrival_log(&self) -> &ArrivalLog {
         &self.searchers.arrival_log
     }
 
-    /// How searchers reach each other's held prompts.
+    /// The network over which searchers transfer the KV cache of prefilled prompts.
     pub fn kv_network(&self) -> &KvNetwork {
         &self.searchers.network
     }
 
-    /// The fault switches of all searchers.
+    /// The fault plans of all searchers.
     pub fn faults(&self) -> impl Iterator<Item = &FaultPlan> {
         let models = self.models.iter().map(ModelSearcher::faults);
         models.chain(self.plains.iter().map(PlainSearcher::faults))
     }
 
-    /// Sends a change of the present configuration on top of it; on success it is the present one.
+    /// Sends a modified copy of the current configuration, which replaces it if acknowledged.
     pub fn change(
         &mut self,
-        alter: impl FnOnce(&mut Configuration),
-        patience: Duration,
+        modify: impl FnOnce(&mut Configuration),
+        timeout: Duration,
     ) -> ChangeOutcome {
         let base = self.configuration.version;
         let mut next = self.configuration.clone();
         next.version += 2;
-        alter(&mut next);
-        let outcome = self.operator.put(&next, base, 0, patience);
+        modify(&mut next);
+        let outcome = self.operator.put(&next, base, 0, timeout);
         if outcome == ChangeOutcome::Acknowledged {
             self.configuration = next;
         }
@@ -174,15 +191,15 @@
 
     /// Sends load in the background.
     pub fn load(&self, plan: &LoadPlan) -> Load {
-        Load::start(plan, self.clock, Arc::clone(&self.entry))
+        Load::start(plan, self.clock, Arc::clone(&self.balancer))
     }
 
-    /// Checks all rules on what came of some requests.
+    /// Checks all rules on the given requests.
     pub fn check(&self, records: &[RequestRecord]) -> Verdict {
         check(&self.evidence(records))
     }
 
-    /// Everything that was seen, with the tries of some requests.
+    /// All observations, with the tries of the given requests.
     pub fn evidence(&self, records: &[RequestRecord]) -> Evidence {
         Evidence {
             tries: records
@@ -196,21 +213,21 @@
         }
     }
 
-    /// Ends a model searcher like a crash and starts a new incarnation at its address; the list shows it later.
+    /// Crashes a model searcher and starts a new incarnation at its address; the list shows it after its lag.
     pub fn restart_model(&mut self, position: usize) -> std::io::Result<()> {
-        let mut old = self.models.remove(position);
-        let stage = old.report().stage;
-        old.stop();
-        let new = self
-            .searchers
-            .start_model(old.address(), &old.identity().zone, stage)?;
-        self.platform.remove(&old.identity().instance);
-        self.platform.add(new.entry());
-        self.models.insert(position, new);
+        let mut previous = self.models.remove(position);
+        let stage = previous.report().stage;
+        previous.stop();
+        let replacement =
+            self.searchers
+                .start_model(previous.address(), &previous.identity().zone, stage)?;
+        self.platform.remove(&previous.identity().instance);
+        self.platform.add(replacement.entry());
+        self.models.insert(position, replacement);
         Ok(())
     }
 
-    /// Lets the list show the stages that the model searchers have taken.
+    /// Updates the stages of the model searchers in the platform's list.
     pub fn list_stages(&mut self) {
         for model in &self.models {
             let stage = model.report().stage;
@@ -222,7 +239,7 @@
         }
     }
 
-    /// Shows a model searcher as draining, in its answers and on the list.
+    /// Drains a model searcher: it reports so in its responses and in the platform's list.
     pub fn drain_model(&self, instance: &str) {
         if let Some(model) = self
             .models
@@ -234,19 +251,19 @@
         }
     }
 
-    /// Ends a model searcher for good.
+    /// Stops a model searcher and removes it from the platform's list.
     pub fn remove_model(&mut self, instance: &str) {
-        let is_it = |model: &ModelSearcher| model.identity().instance == instance;
-        if let Some(position) = self.models.iter().position(is_it) {
+        let is_instance = |model: &ModelSearcher| model.identity().instance == instance;
+        if let Some(position) = self.models.iter().position(is_instance) {
             self.models.remove(position).stop();
             self.platform.remove(instance);
         }
     }
 
-    fn place_first_configuration(&self) -> Result<(), WorldError> {
+    fn apply_first_configuration(&self) -> Result<(), WorldError> {
         match self
             .operator
-            .put(&self.configuration, 0, 0, FIRST_CONFIGURATION_WAIT)
+            .put(&self.configuration, 0, 0, FIRST_CONFIGURATION_TIMEOUT)
         {
             ChangeOutcome::Acknowledged => Ok(()),
             other => Err(WorldError::FirstConfiguration(other)),
@@ -254,12 +271,12 @@
     }
 }
 
-/// Starts searchers, each with a new identity.
+/// Starts searchers, each with a new instance id.
 struct Searchers {
     clock: TestClock,
     arrival_log: ArrivalLog,
     network: KvNetwork,
-    /// Incarnations so far.
+    /// Number of incarnations started so far.
     incarnations: u32,
 }
 
@@ -278,18 +295,18 @@
         plan: &WorldPlan,
         fleet: &Fleet,
     ) -> std::io::Result<(Vec<ModelSearcher>, Vec<PlainSearcher>)> {
-        let mut places = (FIRST_SEARCHER..).map(|number| {
+        let mut addresses = (FIRST_SEARCHER_NUMBER..).map(|number| {
             let zone = ZONES[usize::from(number) % ZONES.len()];
-            (fleet.outside_address(number, SEARCHER_PORT), zone)
+            (fleet.stand_in_address(number, SEARCHER_PORT), zone)
         });
         let stages = std::iter::repeat_n(Stage::Prefill, plan.prefill_searchers)
             .chain(std::iter::repeat_n(Stage::Decode, plan.decode_searchers));
         let mut models = Vec::new();
-        for (stage, (address, zone)) in stages.zip(places.by_ref()) {
+        for (stage, (address, zone)) in stages.zip(addresses.by_ref()) {
             models.push(self.start_model(address, zone, stage)?);
         }
         let mut plains = Vec::new();
-        for (address, zone) in places.take(plan.plain_searchers) {
+        for (address, zone) in addresses.take(plan.plain_searchers) {
             plains.push(self.start_plain(address, zone)?);
         }
         Ok((models, plains))
--- a/crates/lockusher-router-testbed/tests/crossings.rs
+++ b/crates/lockusher-router-testbed/tests/crossings.rs
@@ -1,40 +1,40 @@
-//! Crossings forced through the whole fleet: a searcher misbehaves at each point of a request, and no rule may
-//! be broken. The faults of one kind of request are played one after another in one deployment.
+//! End-to-end fault injection: a searcher misbehaves at each point of a request, and no rule may be violated. The
+//! faults for one kind of request are injected one after another in one deployment.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use lockusher_router_testbed::checker::Verdict;
 use lockusher_router_testbed::client::Client;
-use lockusher_router_testbed::deployment::{mix, spec_for};
+use lockusher_router_testbed::deployment::{request_mix, spec_for};
 use lockusher_router_testbed::record::ArrivalOutcome;
 use lockusher_router_testbed::request::{RequestRecord, RequestSpec, TryOutcome};
 use lockusher_router_testbed::searcher::{Fault, FaultPlan};
 use lockusher_router_testbed::wait::wait_until;
 use lockusher_router_testbed::world::{World, WorldPlan};
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
-/// Requests that are sent while a fault is planned.
+/// Requests that are sent while a fault is armed.
 const REQUESTS: usize = 6;
-/// Looks of 50 ms until a state must have come.
-const TRIES: u32 = 200;
+/// Polls, 50 ms apart, until a condition must be met.
+const POLLS: u32 = 200;
 
-fn alone() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner)
+fn exclusive() -> MutexGuard<'static, ()> {
+    EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn world() -> World {
-    World::start(&WorldPlan::default()).expect("the world starts")
+    World::start(&WorldPlan::default()).expect("starting the world")
 }
 
-/// A request of the route of a name, with a prompt where the route takes one.
+/// A request for the route with this name, with a prompt if the route takes one.
 fn spec(world: &World, route: &str) -> RequestSpec {
-    let kinds = mix(&world.configuration, 1.0);
+    let kinds = request_mix(&world.configuration, 1.0);
     let kind = kinds
         .into_iter()
         .find(|kind| kind.spec.route == route)
-        .expect("a route");
+        .expect("no such route");
     let mut spec = kind.spec;
     spec.prompt = kind.shared_parts.into_iter().take(1).collect();
     spec
@@ -46,8 +46,9 @@
     let mut client = Client::keeping_connections(world.clock, Duration::from_secs(10));
     (0..count)
         .map(|number| {
-            let front_of = |turn: u32| mixers[(number + turn as usize) % mixers.len()].front;
-            client.request(&spec, world.clock.now(), front_of)
+            let front_for_try =
+                |try_number: u32| mixers[(number + try_number as usize) % mixers.len()].front;
+            client.request(&spec, world.clock.now(), front_for_try)
         })
         .collect()
 }
@@ -76,8 +77,9 @@
     Fault::Reject { status: 421 },
 ];
 
-/// Plays each fault at every searcher once, checks after each and then that requests are served again.
-fn play(
+/// Injects each fault once at every searcher and checks the rules after each; then waits until requests are served
+/// again.
+fn run_faults(
     world: &World,
     spec: &RequestSpec,
     faults: &[Fault],
@@ -86,10 +88,15 @@
 ) {
     let mut records = Vec::new();
     for fault in faults {
-        let met_before = faults_met(world);
-        world.faults().for_each(|switches| plan(switches, *fault));
+        let injected_before = faults_injected(world);
+        world
+            .faults()
+            .for_each(|fault_plan| plan(fault_plan, *fault));
         let sent = send(world, spec, REQUESTS);
-        assert!(faults_met(world) > met_before, "no request met {fault:?}");
+        assert!(
+            faults_injected(world) > injected_before,
+            "{fault:?} was not injected into any request"
+        );
         if must_serve(*fault) {
             let unserved: Vec<&RequestRecord> =
                 sent.iter().filter(|record| !record.is_served()).collect();
@@ -100,41 +107,41 @@
         world.faults().for_each(FaultPlan::clear);
     }
     records.extend(send_until_served(world, spec));
-    assert_clean("afterwards", &world.check(&records));
+    assert_clean("after the faults", &world.check(&records));
 }
 
-/// The searcher has said that the request didn't run: it may be sent to another one.
+/// A rejected request was not executed, so it may be retried at another searcher.
 fn is_rejection(fault: Fault) -> bool {
     matches!(fault, Fault::Reject { .. })
 }
 
-/// Of a request that may run more than once: it is served whatever happens to its first run.
-fn any(_fault: Fault) -> bool {
+/// An idempotent request is served whatever happens to its first execution.
+fn every_fault(_fault: Fault) -> bool {
     true
 }
 
-fn faults_met(world: &World) -> usize {
+fn faults_injected(world: &World) -> usize {
     world.faults().map(FaultPlan::injected).sum()
 }
 
 fn send_until_served(world: &World, spec: &RequestSpec) -> Vec<RequestRecord> {
     let mut records = Vec::new();
-    let served = wait_until("requests are served again", TRIES, || {
+    let served = wait_until("service after the faults", POLLS, || {
         let mut sent = send(world, spec, 2);
         let served = sent.iter().all(RequestRecord::is_served);
         records.append(&mut sent);
         served
     });
-    served.expect("the faults are over");
+    served.expect("requests are still not served");
     records
 }
 
 #[test]
-fn faults_in_a_stream_that_may_not_be_resumed() {
-    let _alone = alone();
+fn faults_in_a_non_resumable_stream_violate_no_rule() {
+    let _exclusive = exclusive();
     let world = world();
-    let plan = |switches: &FaultPlan, fault| switches.on_runs(fault, 1);
-    play(
+    let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_runs(fault, 1);
+    run_faults(
         &world,
         &spec(&world, "answer"),
         &RUN_FAULTS,
@@ -144,27 +151,39 @@
 }
 
 #[test]
-fn faults_in_a_stream_that_may_be_resumed() {
-    let _alone = alone();
+fn faults_in_a_resumable_stream_violate_no_rule() {
+    let _exclusive = exclusive();
     let world = world();
-    let plan = |switches: &FaultPlan, fault| switches.on_runs(fault, 1);
-    play(&world, &spec(&world, "summary"), &RUN_FAULTS, plan, any);
+    let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_runs(fault, 1);
+    run_faults(
+        &world,
+        &spec(&world, "summary"),
+        &RUN_FAULTS,
+        plan,
+        every_fault,
+    );
 }
 
 #[test]
-fn faults_while_the_prompt_is_read() {
-    let _alone = alone();
+fn faults_during_prefill_violate_no_rule() {
+    let _exclusive = exclusive();
     let world = world();
-    let plan = |switches: &FaultPlan, fault| switches.on_prefills(fault, 1);
-    play(&world, &spec(&world, "answer"), &PREFILL_FAULTS, plan, any);
+    let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_prefills(fault, 1);
+    run_faults(
+        &world,
+        &spec(&world, "answer"),
+        &PREFILL_FAULTS,
+        plan,
+        every_fault,
+    );
 }
 
 #[test]
-fn faults_in_a_plain_request_that_may_run_once() {
-    let _alone = alone();
+fn faults_in_a_non_idempotent_plain_request_violate_no_rule() {
+    let _exclusive = exclusive();
     let world = world();
-    let plan = |switches: &FaultPlan, fault| switches.on_runs(fault, 1);
-    play(
+    let plan = |fault_plan: &FaultPlan, fault| fault_plan.on_runs(fault, 1);
+    run_faults(
         &world,
         &spec(&world, "record"),
         &RUN_FAULTS,
@@ -174,39 +193,42 @@
 }
 
 #[test]
-fn a_silent_searcher_does_not_hold_a_client_beyond_its_deadline() {
-    let _alone = alone();
+fn an_unresponsive_searcher_does_not_delay_the_response_beyond_the_deadline() {
+    let _exclusive = exclusive();
     let world = world();
     let mut spec = spec(&world, "answer");
     spec.deadline = Duration::from_secs(2);
-    // On a busy machine the answer may come late to a thread. `a_searchers_time_leaves_time_for_the_way_back` of
-    // the proxy's tests shows that it is begun in time; here the client waits on and must be given one.
+    // On a busy machine the response may be scheduled late. `a_searchers_deadline_reserves_time_for_the_response` of the
+    // proxy's tests shows that it is started in time; here the client keeps waiting and must receive a response.
     spec.disconnects_after = Some(3 * spec.deadline);
     world
         .faults()
         .for_each(|faults| faults.on_runs(Fault::NoResponse, 1));
     let records = send(&world, &spec, 4);
-    assert!(faults_met(&world) > 0, "no request met a silent searcher");
-    assert_clean("silence", &world.check(&records));
+    assert!(
+        faults_injected(&world) > 0,
+        "no request was sent to an unresponsive searcher"
+    );
+    assert_clean("unresponsive searcher", &world.check(&records));
     for record in &records {
         let last = &record.tries[record.tries.len() - 1];
         assert!(
             matches!(last.outcome, TryOutcome::Complete(_)),
-            "answered though the searcher is silent: {last:?}"
+            "expected a response despite the unresponsive searcher: {last:?}"
         );
     }
 }
 
 #[test]
-fn handles_that_lapse_at_once_cost_no_rule() {
-    let _alone = alone();
+fn handles_that_expire_immediately_violate_no_rule() {
+    let _exclusive = exclusive();
     let world = world();
     let spec = spec(&world, "answer");
     let mut records = Vec::new();
-    let lapsing = std::sync::atomic::AtomicBool::new(true);
+    let expiring = std::sync::atomic::AtomicBool::new(true);
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            while lapsing.load(std::sync::atomic::Ordering::SeqCst) {
+            while expiring.load(std::sync::atomic::Ordering::SeqCst) {
                 world.models.iter().for_each(
                     lockusher_router_testbed::model_searcher::ModelSearcher::expire_all_handles,
                 );
@@ -214,24 +236,26 @@
             }
         });
         records.extend(send(&world, &spec, REQUESTS));
-        lapsing.store(false, std::sync::atomic::Ordering::SeqCst);
+        expiring.store(false, std::sync::atomic::Ordering::SeqCst);
     });
-    let gone = world.arrival_log().count(|arrival| {
+    let expired = world.arrival_log().count(|arrival| {
         !arrival.prefill_only && arrival.outcome == ArrivalOutcome::Rejected { status: 503 }
     });
-    assert!(gone > 0, "no request met a handle that was gone");
+    assert!(expired > 0, "no request used an expired handle");
     records.extend(send_until_served(&world, &spec));
-    assert_clean("lapsed handles", &world.check(&records));
+    assert_clean("expired handles", &world.check(&records));
 }
 
 #[test]
-fn a_searcher_that_is_replaced_at_its_address_gets_nothing_meant_for_the_old_one() {
-    let _alone = alone();
+fn a_searcher_restarted_at_the_same_address_executes_no_request_for_its_predecessor() {
+    let _exclusive = exclusive();
     let mut world = world();
     let spec = spec(&world, "answer");
     let mut records = send(&world, &spec, REQUESTS);
     for position in 0..world.models.len() {
-        world.restart_model(position).expect("it starts again");
+        world
+            .restart_model(position)
+            .expect("restarting the searcher");
         records.extend(send(&world, &spec, REQUESTS));
     }
     let misdirected = world
@@ -239,15 +263,15 @@
         .count(|arrival| arrival.outcome == ArrivalOutcome::Rejected { status: 421 });
     assert!(
         misdirected > 0,
-        "no request came to a searcher that had replaced its own"
+        "no request for a previous incarnation reached its replacement"
     );
     records.extend(send_until_served(&world, &spec));
     assert_clean("restarts", &world.check(&records));
 }
 
 #[test]
-fn a_client_that_leaves_early_costs_no_rule_and_frees_its_searcher() {
-    let _alone = alone();
+fn a_client_disconnect_violates_no_rule_and_frees_its_searcher() {
+    let _exclusive = exclusive();
     let world = world();
     world
         .models
@@ -263,13 +287,13 @@
             .iter()
             .all(|model| model.report().running + model.report().waiting == 0)
     };
-    wait_until("the searchers are idle", TRIES, is_idle).expect("what nobody waits for is dropped");
-    assert_clean("gone clients", &world.check(&records));
+    wait_until("the searchers are idle", POLLS, is_idle).expect("abandoned requests still run");
+    assert_clean("disconnected clients", &world.check(&records));
 }
 
 #[test]
 fn a_request_without_a_route_is_answered_404() {
-    let _alone = alone();
+    let _exclusive = exclusive();
     let world = world();
     let mut unknown = spec_for(&world.configuration.routes[2]);
     unknown.target = "/nowhere/1".to_owned();
